--- a/pw/dat/test_later.py
+++ b/pw/dat/test_later.py
@@ -96,7 +96,7 @@
     """We can send and are not heard, or hear nothing: a held connection needs an answer to its beats."""
     loop = loopback.new_loop()
     server = socket.socket()
-    server.bind(("127.0.0.1", 0))
+    server.bind((loopback.own_address(), 0))
     server.listen(5)
     server.setblocking(False)
     heard = []
@@ -175,7 +175,7 @@
 def test_a_link_closed_by_an_earlier_event_of_the_same_step_is_left_alone(mask):
     loop = loopback.new_loop()
     server = socket.socket()
-    server.bind(("127.0.0.1", 0))
+    server.bind((loopback.own_address(), 0))
     server.listen(1)
     near = socket.create_connection(server.getsockname())
     ended = []
--- a/pw/dat/test_zone.py
+++ b/pw/dat/test_zone.py
@@ -34,6 +34,11 @@
 ]
 
 
+def address(number: int) -> str:
+    """Of the proxy with this number."""
+    return loopback.own_address(host=number)
+
+
 class Follower:
     def tick(self):
         pass
@@ -149,10 +154,10 @@
     def __init__(self, *, more=()):
         self.loop = loopback.new_loop()
         with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
+            probe.bind((loopback.own_address(), 0))
             port = probe.getsockname()[1]
         ports = (port, port + 2)
-        self.places = {f"127.0.4.{number}": "za" for number in range(1, 6)} | {"127.0.4.9": "zb"} | dict(more)
+        self.places = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
         self.nodes = {
             ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, life=f"l{ip}") for ip, zone in self.places.items()
         }
@@ -221,8 +226,8 @@
         if node.settings.zone == "za" and node is not holder:
             assert node.is_enrolled and not node.digest.is_dialled
     assert len(zones.nodes[zones.duties["relay/north"][1]].relay.subscribers) == 2  # one for each zone
-    zones.nodes["127.0.4.1"].end(
-        next(name for name in ("i0", "i1", "i2") if zones.nodes["127.0.4.1"].table.replicas[name].running)
+    zones.nodes[address(1)].end(
+        next(name for name in ("i0", "i1", "i2") if zones.nodes[address(1)].table.replicas[name].running)
     )
     zones.settle()
 
@@ -293,7 +298,7 @@
         zones.stop(ip)
     zones.name_duties()
     zones.settle()
-    assert [ip for ip in zones.live] == ["127.0.4.9"]
+    assert [ip for ip in zones.live] == [address(9)]
 
 
 def test_a_member_that_sends_nonsense_is_closed_and_changes_nothing():
@@ -327,7 +332,7 @@
     zones = Zones()
     zones.work(seed=12)
     zones.settle()
-    node = zones.nodes["127.0.4.9"]
+    node = zones.nodes[address(9)]
     chain = (("doc", 100), ("own", 10))
     node.tell_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
@@ -364,7 +369,7 @@
     """A second zone of the north: two digests share the gateway beside the north's relay."""
 
     def __init__(self, *, more=()):
-        super().__init__(more={f"127.0.4.{number}": "zc" for number in range(20, 25)} | dict(more))
+        super().__init__(more={address(number): "zc" for number in range(20, 25)} | dict(more))
 
     def relay(self, region):
         return self.nodes[self.duties[f"relay/{region}"][1]]
@@ -418,7 +423,7 @@
 
 
 def test_the_far_relay_is_lost_and_its_region_read_anew_by_way_of_the_gateway():
-    zones = Gates(more={"127.0.4.8": "zb"})
+    zones = Gates(more={address(8): "zb"})
     zones.work(seed=27)
     zones.settle()
     former = zones.duties["relay/south"][1]
@@ -466,12 +471,12 @@
 
 def test_members_that_follow_some_replicas_see_those_exactly():
     zones = Gates()
-    member = zones.nodes["127.0.4.1"]
+    member = zones.nodes[address(1)]
     assert loopback.until(zones.loop, lambda: member.is_enrolled)
     member.table.followed_keys = lambda: frozenset([member.table.replicas["i1"].key])
     zones.work(seed=30)
     assert loopback.until(zones.loop, lambda: all(member.sees("i1") == zones.truth("i1") for _ in (0,)))
-    others = [node for ip, node in zones.nodes.items() if ip != "127.0.4.1"]
+    others = [node for ip, node in zones.nodes.items() if ip != address(1)]
     assert loopback.until(
         zones.loop, lambda: all(node.sees(row["id"]) == zones.truth(row["id"]) for node in others for row in ROWS)
     )
@@ -496,7 +501,7 @@
     zones.settle()
     holder = zones.nodes[zones.digest()]
     assert loopback.until(zones.loop, lambda: len(holder.digest.fanout.members) == 4)
-    node = zones.nodes["127.0.4.9"]
+    node = zones.nodes[address(9)]
     node.begin("i0")
     zones.settle()
     for number in range(600):
--- /dev/null
+++ b/pw/ops/test_known_failures.py
@@ -0,0 +1,161 @@
+"""What the runner of the tests makes of a run: by its parts, and played on small folders of tests."""
+
+import os
+import pathlib
+import subprocess
+import sys
+
+import pytest
+
+from pw.ops import known_failures
+
+ROOT = pathlib.Path(__file__).parents[2]
+TESTS = """
+def test_sound():
+    pass
+
+def test_broken():
+    assert False
+"""
+BROKEN = "cases/first/test_a.py::test_broken"
+SOUND = "cases/first/test_a.py::test_sound"
+
+
+def failure(test: str) -> known_failures.KnownFailure:
+    return known_failures.KnownFailure(test=test, cause="a cause", issue="#1")
+
+
+def judged(*, listed=(), passed=(), failed=(), places=("cases",), code=0) -> known_failures.Verdict:
+    collector = known_failures.FailureCollector()
+    collector.passed.update(passed)
+    collector.failed.update(failed)
+    collector.places.extend(places)
+    return known_failures.verdict(listed=[failure(test) for test in listed], collector=collector, code=code)
+
+
+def test_the_list_is_read_without_comments_and_empty_lines(tmp_path):
+    path = tmp_path / known_failures.LIST_NAME
+    path.write_text(f"# test | cause | issue\n\n {BROKEN} | a cause | #1 \n")
+    assert known_failures.read(path=str(path)) == [failure(BROKEN)]
+    assert known_failures.read(path=str(tmp_path / "none")) == []
+
+
+def test_a_line_of_the_list_without_its_three_parts_is_refused(tmp_path):
+    path = tmp_path / known_failures.LIST_NAME
+    path.write_text(f"{BROKEN} | a cause\n")
+    with pytest.raises(ValueError):
+        known_failures.read(path=str(path))
+
+
+@pytest.mark.parametrize(
+    "place, is_in",
+    [
+        ("cases", True),
+        ("cases/first", True),
+        ("cases/first/test_a.py", True),
+        (BROKEN, True),
+        ("cases/fir", False),
+        ("cases/second", False),
+        (SOUND, False),
+        (BROKEN + "_more", False),
+    ],
+)
+def test_places_hold_what_is_below_them(place, is_in):
+    assert known_failures.is_below(test=BROKEN, place=place) == is_in
+    assert known_failures.is_below(test=BROKEN + "[2]", place=place) == is_in
+
+
+@pytest.mark.parametrize(
+    "run, code, told",
+    [
+        ({"passed": [SOUND]}, 0, []),
+        ({"failed": [BROKEN], "code": 1}, 1, []),
+        ({"listed": [BROKEN], "failed": [BROKEN], "code": 1}, 0, [f"known failure: {BROKEN}: a cause (#1)"]),
+        ({"listed": [BROKEN], "failed": [BROKEN, SOUND], "code": 1}, 1, ["known failure"]),
+        ({"listed": [SOUND], "passed": [SOUND]}, 1, ["known failure", f"but passes: {SOUND}"]),
+        ({"listed": [BROKEN]}, 1, ["known failure", f"but did not run: {BROKEN}"]),
+        ({"listed": [BROKEN], "places": ["cases/second"]}, 0, []),
+        ({"listed": [BROKEN], "places": ["."]}, 1, ["known failure", "but did not run"]),
+        # its call passed, and what it leaves behind failed: that is a failure
+        ({"listed": [BROKEN], "passed": [BROKEN], "failed": [BROKEN], "code": 1}, 0, ["known failure"]),
+        ({"code": 1}, 1, []),  # pytest itself fails a run in which no test failed
+        ({"listed": [BROKEN], "failed": [BROKEN], "code": 2}, 2, ["known failure"]),
+        ({"code": 5}, 5, []),
+    ],
+)
+def test_the_verdict(run, code, told):
+    verdict = judged(**run)
+    assert verdict.code == code
+    assert len(verdict.lines) == len(told)
+    for line, part in zip(verdict.lines, told, strict=True):
+        assert part in line
+
+
+def play(folder: pathlib.Path, *arguments: str, tests: str = TESTS, listed: str = ""):
+    """Runs the runner on two folders of tests, of which only the first has these."""
+    for name, text in (("first/test_a.py", tests), ("second/test_b.py", "def test_other():\n    pass\n")):
+        path = folder / "cases" / name
+        path.parent.mkdir(parents=True)
+        path.write_text(text)
+    (folder / "pytest.ini").write_text("[pytest]\ntestpaths = cases\n")
+    (folder / known_failures.LIST_NAME).write_text(listed)
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
+    return subprocess.run(
+        [sys.executable, "-m", "pw.ops.known_failures", *arguments],
+        cwd=folder,
+        env={**environment, "PYTHONPATH": os.pathsep.join([str(ROOT), *sys.path])},
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
+
+
+@pytest.mark.parametrize("workers", ["0", "2"])
+def test_just_the_listed_failure_is_passed_over(workers, tmp_path):
+    ended = play(tmp_path, "-n", workers, listed=f"{BROKEN} | a cause | #1\n")
+    assert ended.returncode == 0, ended.stdout + ended.stderr
+    assert "1 failed, 2 passed in " in ended.stdout
+    assert f"known failure: {BROKEN}: a cause (#1)" in ended.stdout
+
+
+@pytest.mark.parametrize("workers", ["0", "2"])
+@pytest.mark.parametrize(
+    "listed, told", [("", "1 failed, 2 passed in "), (f"{BROKEN} | a | #1\n{SOUND} | b | #2\n", f"passes: {SOUND}")]
+)
+def test_another_failure_or_a_listed_pass_fails_the_run(workers, listed, told, tmp_path):
+    ended = play(tmp_path, "-n", workers, listed=listed)
+    assert ended.returncode == 1 and told in ended.stdout, ended.stdout + ended.stderr
+
+
+def test_a_folder_runs_alone(tmp_path):
+    ended = play(tmp_path, "-n", "2", "cases/second", listed=f"{BROKEN} | a cause | #1\n")
+    assert ended.returncode == 0, ended.stdout + ended.stderr
+    assert "1 passed in " in ended.stdout and "known failure" not in ended.stdout
+
+
+def test_a_listed_test_that_further_arguments_leave_out_did_not_run(tmp_path):
+    ended = play(tmp_path, "-n", "2", "-k", "sound or other", listed=f"{BROKEN} | a cause | #1\n")
+    assert ended.returncode == 1, ended.stdout + ended.stderr
+    assert f"did not run: {BROKEN}" in ended.stdout and "2 passed" in ended.stdout
+
+
+@pytest.mark.parametrize("workers", ["0", "2"])
+def test_a_file_that_cannot_be_read_fails_the_run(workers, tmp_path):
+    ended = play(tmp_path, "-n", workers, tests="import nothing_of_this_name\n")
+    assert ended.returncode != 0 and "1 error" in ended.stdout, ended.stdout + ended.stderr
+
+
+def test_a_worker_that_ends_in_a_test_fails_the_run(tmp_path):
+    ended = play(tmp_path, "-n", "2", tests="import os\n\ndef test_ends():\n    os._exit(3)\n")
+    assert ended.returncode == 1 and "test_ends" in ended.stdout, ended.stdout + ended.stderr
+
+
+def test_as_many_workers_as_cores_up_to_eight_unless_told_otherwise(monkeypatch):
+    asked = []
+    monkeypatch.setattr(pytest, "main", lambda arguments, plugins: asked.append(arguments) or 0)
+    for cores in (3, 64):
+        monkeypatch.setattr(os, "sched_getaffinity", lambda process, cores=cores: set(range(cores)))
+        assert known_failures.main(["pw/base", "-n", "0"]) == 0
+    assert [arguments[arguments.index("-n") + 1] for arguments in asked] == ["3", "8"]
+    assert all(arguments[-3:] == ["pw/base", "-n", "0"] for arguments in asked)
--- a/pw/sim/entry.py
+++ b/pw/sim/entry.py
@@ -119,7 +119,11 @@
         ]
         self.table.install_list(self.rows)
         self.hall = inlet.Hall(
-            loop=loop, address=("127.0.0.1", 0), on_request=self.take, limits=lambda: loopback.limits(), silence_s=5.0
+            loop=loop,
+            address=(loopback.own_address(), 0),
+            on_request=self.take,
+            limits=lambda: loopback.limits(),
+            silence_s=5.0,
         )
         self.address = self.hall._sock.getsockname()
 
--- a/pw/sim/loopback.py
+++ b/pw/sim/loopback.py
@@ -1,5 +1,6 @@
 """Real sockets on the loopback range with scripted peers, for the traps of the wire. Steps the loop; never sleeps."""
 
+import os
 import selectors
 import socket
 import time
@@ -10,6 +11,13 @@
 PATIENCE_S = 10.0
 SETTLE_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
 RESET_AT_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
+PEERS_HOST = 254  # where scripted peers and doors listen; tests take other hosts for nodes of theirs
+
+
+def own_address(*, host: int = PEERS_HOST) -> str:
+    """An address that no other process of tests binds, so that a port which this one closed stays closed. `host`: 1 to 254."""
+    process = os.getpid()
+    return f"127.{1 + process // 256 % 254}.{process % 256}.{host}"
 
 
 class SkippingLoop(loops.Loop):
@@ -73,7 +81,7 @@
         self.heard = []
         self.socks = {}  # connection number: socket, while it is open
         self.sock = socket.socket()
-        self.sock.bind(("127.0.0.1", 0))
+        self.sock.bind((own_address(), 0))
         self.sock.listen(50)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
