--- /dev/null
+++ b/pw/ops/test_golden_proxy.py
@@ -0,0 +1,175 @@
+"""What a proxy answers by itself, and what it tells replicas, as pw/ops/golden/proxy_answers.json holds it."""
+
+import json
+import pathlib
+import re
+import types
+
+import pytest
+
+from pw.base import tenants as tenant_rows
+from pw.dat import serving
+from pw.dat import test_tenants
+from pw.dat import test_way
+from pw.sim import loopback
+
+FOLDER = pathlib.Path(__file__).parent / "golden"
+ANSWERS = json.loads((FOLDER / "proxy_answers.json").read_text(encoding="utf-8"))
+PLAYER = b"Authorization: Bearer key-of-players\r\n"
+NOT_RUN = b"X-Not-Run: 1\r\n"
+CLOCKED = re.compile(r"(?<=x-time-left-ms: )\d+")
+
+
+# What follows names parts of the program.
+
+
+def plain(script=test_way.replying, zone="za"):
+    return test_way.Scene(script, zones=[zone])
+
+
+def with_tenants(**about):
+    return test_tenants.scene_of(**about)
+
+
+def over_quota():
+    scene = with_tenants()
+    credit = tenant_rows.Credit(tenant_rows.tenant_key("players"), 0.0)
+    scene.entry.allowance.take(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[credit])
+    return scene
+
+
+def not_serving():
+    scene = plain()
+    scene.entry.is_serving = False
+    return scene
+
+
+def leaving():
+    scene = plain()
+    scene.entry.leaving.begin()
+    scene.loop.skip(seconds=7.0)
+    return scene
+
+
+def resetting(number, heard):
+    return ["reset"] if test_way.is_whole(heard) else None
+
+
+def promising(number, heard):
+    which = test_way.request_id(heard)
+    return [test_way.answer(which, status=b"503 Full", more=NOT_RUN)] if test_way.is_whole(heard) else None
+
+
+def misdirected(number, heard):
+    which = test_way.request_id(heard)
+    return [test_way.answer(which, status=b"421 Another", more=NOT_RUN)] if test_way.is_whole(heard) else None
+
+
+def streaming(number, heard):
+    if not test_way.is_whole(heard):
+        return None
+    return [test_way.head(test_way.request_id(heard)) + test_way.event(1) + test_way.END]
+
+
+def ready(*, is_serving: bool, is_leaving: bool, target: str) -> int:
+    """The status that the readiness listener answers."""
+    told = []
+    request = types.SimpleNamespace(target=target.encode(), reply=lambda *, status: told.append(status))
+    state = types.SimpleNamespace(is_serving=is_serving, is_leaving=is_leaving)
+    serving.ServeMixin._on_ready_request(state, request)
+    return told[0]
+
+
+CASES = {
+    "200": (plain, {"lead": "safe"}),
+    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": test_way.END}),
+    "200 for a tenant": (
+        with_tenants,
+        {"lead": "resume", "more": b"Authorization: Bearer key-of-clerks\r\nX-Sender: other\r\n"},
+    ),
+    "400 time left": (plain, {"lead": "safe", "left": b"soon"}),
+    "401 no key": (with_tenants, {"lead": "safe"}),
+    "401 unknown key": (with_tenants, {"lead": "safe", "more": b"Authorization: Bearer nobody\r\n"}),
+    "404 no route": (plain, {"lead": "nothing"}),
+    "429 quota": (over_quota, {"lead": "safe", "more": PLAYER}),
+    "502 reset": (lambda: plain(resetting), {"lead": "unsafe"}),
+    "503 not serving": (not_serving, {"lead": "safe"}),
+    "503 leaving": (leaving, {"lead": "safe"}),
+    "503 behind on keys": (
+        lambda: with_tenants(age_s=3.0),
+        {"lead": "safe", "more": b"Authorization: Bearer nobody\r\n"},
+    ),
+    "503 promise of the replica": (lambda: plain(promising), {"lead": "once", "left": b"300"}),
+    "503 after 421": (lambda: plain(misdirected), {"lead": "once", "left": b"300"}),
+    "503 no replica at home": (plain, {"lead": "home"}),
+    "504": (lambda: plain(lambda number, heard: None), {"lead": "once", "left": b"200"}),
+}
+RAW = {
+    "400 two lengths": "GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
+    "400 no HTTP": "\x00garbage\r\n\r\n",
+    "413": "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 999999\r\n\r\n",
+    "431": "GET / HTTP/1.1\r\nHost: h\r\nX: " + "a" * 9000 + "\r\n\r\n",
+}
+
+
+# What follows knows the interfaces alone.
+
+
+def names(head: bytes) -> list:
+    """The lines of a head, names in lower case, with what the clock decides left out."""
+    first, *rows = head.partition(b"\r\n\r\n")[0].decode().split("\r\n")
+    lowered = [name.lower() + colon + value for name, colon, value in (row.partition(":") for row in rows)]
+    return [first, *sorted(CLOCKED.sub("N", row) for row in lowered if not row.startswith("host:"))]
+
+
+def send(scene, *, lead: str, left: bytes = b"3000", more: bytes = b"") -> None:
+    scene.number += 1
+    scene.client.send(
+        b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
+        b"X-Prompt-Lead: aa:10,b1:20\r\nX-Time-Left-Ms: %s\r\n%sContent-Length: 4\r\n\r\nbody"
+        % (lead.encode(), scene.number, left, more)
+    )
+
+
+def play(name: str) -> dict:
+    """The head that the client gets, and the head that the replica got last."""
+    make, about = CASES[name]
+    about = dict(about)
+    scene = make()
+    end = about.pop("end", b"\r\n\r\n")
+    send(scene, **about)
+    assert scene.until(end)
+    heard = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
+    sent = heard[-1][heard[-1].rindex(b"POST ") :] if heard else b""
+    told = {"client": names(scene.client.got), "replica": names(sent) if sent else []}
+    trails = scene.entry.trails()
+    told["trail"] = sorted(trails[-1]) if trails else []
+    told["goes"] = sorted(trails[-1]["goes"][-1]) if trails and trails[-1]["goes"] else []
+    return told
+
+
+def play_raw(name: str) -> list:
+    scene = plain()
+    scene.client.send(RAW[name].encode("latin-1"))
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed)
+    return names(scene.client.got)
+
+
+@pytest.mark.parametrize("name", CASES)
+def test_answers_and_what_replicas_are_told_are_the_published_ones(name):
+    assert play(name) == ANSWERS["answers"][name]
+
+
+@pytest.mark.parametrize("name", RAW)
+def test_what_is_no_whole_request_is_refused_as_published(name):
+    assert play_raw(name) == ANSWERS["raw"][name]
+
+
+def test_each_answer_that_is_held_is_played():
+    assert set(ANSWERS["answers"]) == set(CASES) and set(ANSWERS["raw"]) == set(RAW)
+
+
+@pytest.mark.parametrize("row", ANSWERS["ready"])
+def test_readiness_is_told_as_published(row):
+    about = {key: value for key, value in row.items() if key != "status"}
+    assert ready(**about) == row["status"]
