--- /dev/null
+++ b/pw/base/test_golden_blobs.py
@@ -0,0 +1,524 @@
+"""Golden blobs: rows and JSON inside frames, hashes that nodes have to agree on, and the acceptor's file.
+
+`golden/blobs.json` holds them as the code packed them at commit 0abe51d; it is never made anew from the present code, as
+nodes of two versions run side by side and disks outlive programs. An entry has the blob's kind, the value that it was
+made of, and the blob as hex; "decoded" is what a decoder makes of the blob, where there is one.
+
+Compressed blobs (entries with "text"): builds of zlib may compress the same text to other bytes. What is compared is the
+decompressed text, and the old compressed bytes must still be decoded.
+"""
+
+import dataclasses
+import json
+import pathlib
+import time
+import types
+import unittest.mock
+import zlib
+
+import pytest
+
+from pw.base import evidence
+from pw.base import records
+from pw.base import tenants
+from pw.ctl import duties
+from pw.ctl import platform
+from pw.ctl import registers
+from pw.ctl import watch_duty
+from pw.ctl.adapters import ledger as adapter_ledger
+from pw.ctl.configuration import archive
+from pw.ctl.configuration import evacuations
+from pw.ctl.configuration import orders
+from pw.ctl.custody import ledger as custody_ledger
+from pw.ctl.news import replica_list
+from pw.ctl.register import ballots
+from pw.ctl.register import refill
+from pw.ctl.register import store
+from pw.ctl.rollouts import leases
+from pw.ctl.rollouts import state
+from pw.dat import custody
+from pw.dat import mirror
+from pw.dat.adapters import counts
+from pw.dat.relay import ckf
+from pw.dat.relay import hub
+from pw.dat.relay import load_feed
+from pw.dat.relay import resolution
+
+GOLDEN = pathlib.Path(__file__).parent / "golden"
+
+
+# How the code packs and reads each kind. This part alone knows the code's names. Values are positional, as in the fixture;
+# the code's own classes are made and read by name, so that an order of fields that moves there is found.
+
+
+def _json_bytes(value) -> bytes:
+    """What a register's value or a row of the list looks like as text, in the order of its keys."""
+    return json.dumps(value, separators=(",", ":")).encode()
+
+
+def _pack_struct(shape):
+    return lambda value: b"".join(shape.pack(*row) for row in value)
+
+
+def _read_struct(shape):
+    return lambda data: records.rows(shape=shape, data=data)
+
+
+def _pack_reads(value) -> bytes:
+    return b"".join(
+        records.pack_read(replica=replica, region=region, domain=domain, parts=parts)
+        for replica, region, domain, parts in value
+    )
+
+
+def _read_reads(data: bytes) -> list:
+    found = []
+    for region, read in records.split_reads(data=data):
+        replica, domain, parts = records.unpack_read(data=read)
+        found.append((replica, region, domain, parts))
+    return found
+
+
+def _pack_loads(value) -> bytes:
+    """Rows as the relay makes them: numbers that are too large are cut to the largest."""
+    return b"".join(
+        load_feed.Load(running=running, tokens=unread, marks=marks, flags=flags).pack(key)
+        for key, running, unread, marks, flags in value
+    )
+
+
+def _pack_usage(value) -> bytes:
+    return tenants.pack_usage(
+        [tenants.Usage(tenant=tenant, demand=demand, admitted=admitted) for tenant, demand, admitted in value]
+    )
+
+
+def _pack_credits(value) -> bytes:
+    return tenants.pack_credits([tenants.Credit(tenant=tenant, tokens=tokens) for tenant, tokens in value])
+
+
+def _read_usage(data: bytes) -> list:
+    return [(row.tenant, row.demand, row.admitted) for row in tenants.unpack_usage(data)]
+
+
+def _read_credits(data: bytes) -> list:
+    return [(row.tenant, row.tokens) for row in tenants.unpack_credits(data)]
+
+
+def _pack_evidence(value) -> bytes:
+    reports = []
+    for service, number, step, age_s, sent, sent_new, running_old, rows in value:
+        tallies = {}
+        for route, is_new, group, ended, failed, broken, firsts, paces in rows:
+            tally = evidence.Tally(ended=ended, failed=failed, broken=broken)
+            tally.firsts.update(dict(firsts))
+            tally.paces.update(dict(paces))
+            tallies[evidence.Key(route=route, is_new=is_new, group=group)] = tally
+        reports.append(
+            evidence.Report(
+                service=service,
+                number=number,
+                step=step,
+                age_s=age_s,
+                sent=sent,
+                sent_new=sent_new,
+                running_old=running_old,
+                tallies=tallies,
+            )
+        )
+    return evidence.pack(reports)
+
+
+def _read_evidence(data: bytes) -> list:
+    return [
+        (
+            report.service,
+            report.number,
+            report.step,
+            report.age_s,
+            report.sent,
+            report.sent_new,
+            report.running_old,
+            [
+                (
+                    key.route,
+                    key.is_new,
+                    key.group,
+                    tally.ended,
+                    tally.failed,
+                    tally.broken,
+                    sorted(tally.firsts.items()),
+                    sorted(tally.paces.items()),
+                )
+                for key, tally in report.tallies.items()
+            ],
+        )
+        for report in evidence.unpack(data)
+    ]
+
+
+def _pack_leases(value) -> bytes:
+    return leases.pack(
+        [
+            leases.Lease(service=service, number=number, step=step, share=share, replicas=tuple(replicas))
+            for service, number, step, share, replicas in value
+        ]
+    )
+
+
+def _read_leases(data: bytes) -> list:
+    return [(lease.service, lease.number, lease.step, lease.share, lease.replicas) for lease in leases.unpack(data)]
+
+
+def _pack_trail(value) -> bytes:
+    """A request's trail: id, who served it, when, what it was, and a row for each attempt."""
+    request_id, node, zone, region, life, times, about, homes, status, attempts, chain = value
+    arrived_s, begun_s, now_s = times
+    route, service, model, edition = about
+    proxy = types.SimpleNamespace(
+        settings=types.SimpleNamespace(node=node, zone=zone, region=region),
+        life=life,
+        loop=types.SimpleNamespace(now=lambda: now_s),
+        routes=types.SimpleNamespace(edition=edition),
+    )
+    passage = types.SimpleNamespace(
+        request_id=request_id,
+        request=types.SimpleNamespace(begun_at=begun_s),
+        route=types.SimpleNamespace(name=route),
+        service=service,
+        model=types.SimpleNamespace(name=model),
+        edition=edition,
+        first_homes=homes,
+        prompt=types.SimpleNamespace(chain=chain),
+        custody=[],
+    )
+    for replica, replica_zone, permitted, sent_s, is_resumption in attempts:
+        attempt = types.SimpleNamespace(
+            replica=types.SimpleNamespace(id=replica, zone=replica_zone), permitted=permitted, sent_at=sent_s
+        )
+        passage.has_head = is_resumption
+        passage.custody.append(custody.attempt_row(attempt=attempt, passage=passage, proxy=proxy))
+    batches = custody.Batches(most=1)
+    with unittest.mock.patch.object(time, "time", return_value=arrived_s + now_s - begun_s):
+        batches.add(custody.trail_of(passage=passage, proxy=proxy, status=status))
+    [(_number, _is_last, [(_id, data)])] = batches.drain()
+    return data
+
+
+def _read_trail(data: bytes) -> list:
+    """As operators get it from a core node."""
+    kept = custody_ledger.Ledger(now=lambda: 0.0, keep_s=1.0, most=1)
+    kept.take(node="node", life="life", number=0, is_last=False, rows=[("id", data)])
+    return kept.find("id")
+
+
+def _pack_counts(value) -> bytes:
+    """Counts of arrivals: (service, model, adapter, replica, route, what the replica holds, seconds waited, target)."""
+    clock = [0.0]
+    counter = counts.Counter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
+    for service, model, adapter, replica_id, route, held, wait_s, target_s in value:
+        adapters = None if held is None else {tuple(pair): 0.0 for pair in held}
+        replica = types.SimpleNamespace(id=replica_id, service=service, adapters=adapters)
+        arrival = counter.begin(
+            replica=replica, service=service, model=model, adapter=adapter, route=route, target_s=target_s
+        )
+        clock[0] += wait_s
+        counter.ran(arrival)
+        clock[0] += 1.0
+    [(_window, _number, data)] = counter.report()
+    return data
+
+
+def _read_counts(data: bytes) -> list:
+    body = adapter_ledger.read(data=data)
+    return [body["rows"], body["over"]]
+
+
+def _pack_list(value) -> bytes:
+    rows, read_at = value
+    return replica_list.of_rows(rows=rows, read_at=read_at).pack()
+
+
+def _read_list(data: bytes) -> list:
+    told = replica_list.unpack_list(data)
+    return [told.in_order(), told.read_at]
+
+
+def _pack_list_change(value) -> bytes:
+    rows, gone, read_at, is_same_clock = value
+    return replica_list.Change(rows=tuple(rows), gone=tuple(gone), read_at=read_at, is_same_clock=is_same_clock).pack()
+
+
+def _read_list_change(data: bytes) -> list:
+    change = replica_list.unpack_change(data)
+    return [change.rows, change.gone, change.read_at, change.is_same_clock]
+
+
+def _pack_register_value(value) -> bytes:
+    members, payload, *move = value
+    previous, moved_at = move or ((), ballots.NEVER)
+    return ballots.pack(members=members, payload=payload, previous=previous, moved_at=moved_at)
+
+
+def _read_register_value(data: bytes) -> list:
+    members, payload = ballots.unpack(data)
+    *former, _members = ballots.way(data)
+    assert ballots.members_of(data) == members
+    return [members, payload, *((former[0], ballots.moved_at(data)) if former else ())]
+
+
+class _Disk:
+    """One file in memory, in the place of the acceptor's folder."""
+
+    def __init__(self, data: bytes | None = None):
+        self.data = data
+
+    def read(self, *, name: str):
+        assert name == "register.log"
+        return self.data
+
+    def append(self, *, name: str, data: bytes, size_before: int) -> None:
+        assert name == "register.log"
+        self.data = self.data[:size_before] + data
+
+    def replace(self, *, name: str, new_name: str, data: bytes) -> None:
+        assert (name, new_name) == ("register.log", "register.new")
+        self.data = data
+
+
+def _pack_acceptor_file(value) -> bytes:
+    """The file after a first, whole write and one append."""
+    incarnation, first_set, rows, appended = value
+    disk = _Disk()
+    written = store.Store(disk=disk, limit_bytes=1 << 20)
+    for changed in ((), appended):
+        image = store.Image(incarnation=incarnation, first_set=tuple(first_set), rows=tuple(rows))
+        written.write(rows=changed, image=image)
+    return disk.data
+
+
+def _read_acceptor_file(data: bytes) -> list:
+    image = store.Store(disk=_Disk(data), limit_bytes=1 << 20).load()
+    return [image.incarnation, image.first_set, image.rows]
+
+
+def _pack_buckets(value) -> bytes:
+    """A cut's rows: each bucket that is not empty, at version 1 and up."""
+    words, bucket_count, puts = value
+    held = ckf.Filter(bucket_count=bucket_count, words=words)
+    for full_hash, bits in puts:
+        assert held.put(full_hash=full_hash, bits=bits)
+    blank = ckf.empty_image(words=words)
+    images = [held.image(index) for index in range(bucket_count)]
+    return b"".join(hub.ROW.pack(index, index + 1) + image for index, image in enumerate(images) if image != blank)
+
+
+def _read_buckets(data: bytes, *, value) -> list:
+    """What a mirror that takes the cut says of each hash."""
+    words, bucket_count, puts = value
+    taken = mirror.Mirror(name="pool", service="service", model="model", generation=1)
+    taken.install_cut(bucket_count=bucket_count, words=words, data=data)
+    found = [
+        (full_hash, ckf.find_in_images(images=taken.buckets, words=words, full_hash=full_hash))
+        for full_hash, _bits in puts
+    ]
+    return [words, bucket_count, found]
+
+
+def _pack_chain(value) -> bytes:
+    model, parts = value
+    return b"".join(full_hash for full_hash, _tokens in ckf.chain(model=model, parts=parts))
+
+
+def _pack_configuration(value) -> bytes:
+    held, edition, body, mark = value
+    candidate = orders.Candidate(base=orders.edition_of(held), edition=edition, body=body)
+    order = orders.Order(method="PUT", base=candidate.base, mark=mark, body=body, candidate=candidate)
+    payload, _outcome = orders.edit_for(order=order, archived=0)(held)
+    return _json_bytes(payload)
+
+
+def _pack_archive(value) -> bytes:
+    held, rows = value
+    payload, _through = archive.edit_for(rows=rows)(held)
+    return _json_bytes(payload)
+
+
+def _pack_evacuations(value) -> bytes:
+    held, zone, is_out = value
+    payload, _nothing = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: False)(held)
+    return _json_bytes(payload)
+
+
+def _pack_duties(value) -> bytes:
+    held, rows = value
+    made = []
+    table = watch_duty.Duties(change=lambda *, name, edit, done: made.append(edit(held)))
+    table.take(rows={name: row for name, *row in rows})
+    [(payload, _nothing)] = made
+    return _json_bytes(payload)
+
+
+def _pack_rollouts(value) -> bytes:
+    """Rows by service: admitted, refused, target, seconds, stage, number, step, age, reason, records, is it settled."""
+    payload = None
+    for service, *about, records_of_steps, is_settled in value:
+        admitted, refused, target, over_s, stage, number, step, age_s, reason = about
+        row = state.Rollout(
+            admitted=tuple(admitted),
+            refused=tuple(refused),
+            target=target,
+            over_s=over_s,
+            stage=state.Stage(stage),
+            number=number,
+            step=step,
+            age_s=age_s,
+            reason=reason,
+            record=tuple(
+                dataclasses.asdict(
+                    state.Evidence(stage=at, age_s=at_s, reason=why, sent=sent, sent_new=sent_new, routes=routes)
+                )
+                for at, at_s, why, sent, sent_new, routes in records_of_steps
+            ),
+            is_settled=is_settled,
+        )
+        payload = state.with_rollout(payload, service=service, rollout=row)
+    return _json_bytes(payload)
+
+
+def _read_rollouts(data: bytes) -> list:
+    return [
+        (
+            *(service, row.admitted, row.refused, row.target, row.over_s, str(row.stage), row.number, row.step),
+            *(row.age_s, row.reason, [tuple(known.values()) for known in row.record], row.is_settled),
+        )
+        for service, row in state.rollouts_of(json.loads(data)).items()
+    ]
+
+
+def _pack_names(_value) -> bytes:
+    """Names that go over the wire or stand on disk: registers (and their topics), rows that are none, duties."""
+    return _json_bytes(
+        {
+            "registers": registers.REGISTERS,
+            "floored": registers.FLOORED,
+            "list": watch_duty.LIST,
+            "first set": refill.first_set_row(("a", "b"))[:6],
+            "identity": store.IDENTITY,
+            "watch": watch_duty.WATCH,
+            "relay": duties.relay_name(region="r"),
+            "digests": [duties.digest_name(zone="z"), duties.digest_name(zone="z", number=2)],
+        }
+    )
+
+
+@dataclasses.dataclass(frozen=True)
+class Codec:
+    """`encode`: value to bytes. `decode`: bytes to value, None for hashes and other one-way forms."""
+
+    encode: object
+    decode: object = None
+    takes_value: bool = False  # whether `decode` is told the value too
+    is_compressed: bool = False
+
+
+CODECS = {
+    "reported rows": Codec(_pack_struct(records.REPORTED), _read_struct(records.REPORTED)),
+    "load rows": Codec(_pack_loads, _read_struct(records.LOAD)),
+    "lane rows": Codec(_pack_struct(records.LANE), _read_struct(records.LANE)),
+    "replica keys": Codec(b"".join, lambda data: records.keys(data=data)),
+    "reads": Codec(_pack_reads, _read_reads),
+    "replica key": Codec(records.key_of),
+    "tenant usage": Codec(_pack_usage, _read_usage),
+    "tenant credits": Codec(_pack_credits, _read_credits),
+    "tenant key": Codec(tenants.tenant_key),
+    "key digest": Codec(lambda value: tenants.key_digest(value).encode()),
+    "evidence": Codec(_pack_evidence, _read_evidence, is_compressed=True),
+    "evidence group": Codec(lambda value: bytes([evidence.group_of(value)])),
+    "evidence bucket": Codec(lambda value: bytes(evidence.bucket_of(ratio) for ratio in value)),
+    "leases": Codec(_pack_leases, _read_leases),
+    "custody trail": Codec(_pack_trail, _read_trail),
+    "adapter counts": Codec(_pack_counts, _read_counts),
+    "platform row": Codec(lambda value: _json_bytes(platform.read_row(entry=value))),
+    "replica list": Codec(_pack_list, _read_list, is_compressed=True),
+    "replica list change": Codec(_pack_list_change, _read_list_change, is_compressed=True),
+    "register value": Codec(_pack_register_value, _read_register_value, is_compressed=True),
+    "acceptor file": Codec(_pack_acceptor_file, _read_acceptor_file),
+    "buckets": Codec(_pack_buckets, _read_buckets, takes_value=True),
+    "wide slot": Codec(
+        lambda value: ckf.wide_value(count=value[0], tags=value[1]).to_bytes(13, "big"),
+        lambda data: ckf.read_wide(int.from_bytes(data, "big")),
+    ),
+    "prompt chain": Codec(_pack_chain),
+    "pool domain": Codec(lambda value: bytes.fromhex(resolution.domain_id(service=value[0], model=value[1]))),
+    "order mark": Codec(lambda value: orders.digest(method=value[0], base=value[1], data=value[2]).encode()),
+    "configuration payload": Codec(_pack_configuration),
+    "archive payload": Codec(_pack_archive),
+    "evacuations payload": Codec(_pack_evacuations),
+    "duties payload": Codec(_pack_duties),
+    "roll-outs payload": Codec(_pack_rollouts, _read_rollouts),
+    "digest for a proxy": Codec(lambda value: duties.digest_for(names=value[0], address=value[1]).encode()),
+    "names": Codec(_pack_names),
+}
+
+# From here on nothing depends on the code's names.
+
+
+def _from_json(value):
+    """A value as the fixture writes it: bytes are {"hex": ...}."""
+    if isinstance(value, dict):
+        if value.keys() == {"hex"}:
+            return bytes.fromhex(value["hex"])
+        return {name: _from_json(item) for name, item in value.items()}
+    if isinstance(value, list):
+        return [_from_json(item) for item in value]
+    return value
+
+
+def _to_json(value):
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, dict):
+        return {name: _to_json(item) for name, item in value.items()}
+    if isinstance(value, (list, tuple)):
+        return [_to_json(item) for item in value]
+    return value
+
+
+def _encode(entry: dict) -> bytes:
+    return CODECS[entry["kind"]].encode(_from_json(entry["value"]))
+
+
+def _decode(entry: dict):
+    codec = CODECS[entry["kind"]]
+    about = {"value": _from_json(entry["value"])} if codec.takes_value else {}
+    return _to_json(codec.decode(bytes.fromhex(entry["blob"]), **about))
+
+
+ENTRIES = json.loads((GOLDEN / "blobs.json").read_text(encoding="utf-8"))
+NAMES = [f"{place}-{entry['kind']}" for place, entry in enumerate(ENTRIES)]
+READABLE = [place for place, entry in enumerate(ENTRIES) if "decoded" in entry]
+
+
+@pytest.mark.parametrize("entry", ENTRIES, ids=NAMES)
+def test_the_value_is_encoded_to_the_golden_blob(entry):
+    blob = _encode(entry)
+    if "text" in entry:
+        assert zlib.decompress(blob).decode() == entry["text"]
+        assert zlib.decompress(bytes.fromhex(entry["blob"])).decode() == entry["text"]
+    else:
+        assert blob.hex() == entry["blob"]
+
+
+@pytest.mark.parametrize("entry", [ENTRIES[place] for place in READABLE], ids=[NAMES[place] for place in READABLE])
+def test_the_golden_blob_is_decoded_to_its_value(entry):
+    # Compared as JSON text: there 1, 1.0 and true differ, and so does the order of keys.
+    assert json.dumps(_decode(entry)) == json.dumps(entry["decoded"])
+
+
+def test_every_kind_has_golden_blobs_and_those_that_can_be_decoded_say_to_what():
+    assert {entry["kind"] for entry in ENTRIES} == CODECS.keys()
+    for entry in ENTRIES:
+        codec = CODECS[entry["kind"]]
+        assert ("decoded" in entry) == (codec.decode is not None)
+        assert ("text" in entry) == codec.is_compressed
