--- a/pw/ops/caller.py
+++ b/ploverward/command_line/core_client.py
@@ -5,7 +5,7 @@
 
 import pycurl
 
-from pw.base import problems
+from ploverward.common import errors
 
 
 NO_ANSWER = (307, 408, 429)  # besides 5xx; 307 stays only where nodes send on to each other
@@ -16,7 +16,7 @@
 
     def __init__(self, *, addresses, limit_s: float = 5.0):
         if not addresses:
-            raise problems.Problem("no core node named: use --core ADDRESS:PORT or PLOVERWARD_NODE_FILE", step="call")
+            raise errors.Problem("no core node named: use --core ADDRESS:PORT or PLOVERWARD_NODE_FILE", step="call")
         self.addresses = tuple(addresses)
         self._limit_s = limit_s
 
@@ -40,7 +40,7 @@
                 status = curl.getinfo(pycurl.RESPONSE_CODE)
                 following = curl.getinfo(pycurl.REDIRECT_URL)
             except pycurl.error as fault:
-                raise problems.Unreachable(str(fault.args[-1]), step=f"{method} {path}", peer=address) from None
+                raise errors.Unreachable(str(fault.args[-1]), step=f"{method} {path}", peer=address) from None
             finally:
                 curl.close()
             if status == 307 and following:
@@ -58,12 +58,12 @@
         for address in self.addresses:
             try:
                 status, body = self.one(address=address, method=method, path=path, data=data)
-            except problems.Unreachable as fault:
+            except errors.Unreachable as fault:
                 last = fault
                 continue
             if status < 500 and status not in NO_ANSWER:
                 return status, body
-            last = problems.Unreachable(f"answered {status}", step=f"{method} {path}", peer=address)
+            last = errors.Unreachable(f"answered {status}", step=f"{method} {path}", peer=address)
         raise last
 
     def all(self, *, path: str) -> tuple:
@@ -72,6 +72,6 @@
         for address in self.addresses:
             try:
                 told[address] = self.one(address=address, method="GET", path=path)
-            except problems.Unreachable as fault:
+            except errors.Unreachable as fault:
                 missed[address] = fault.text
         return told, missed
--- a/pw/ops/core_set.py
+++ b/ploverward/command_line/core_set.py
@@ -1,4 +1,4 @@
-"""ploverward.py core-set: who votes, who learns, how far each core node is, and what may still be lost (docs/core-set.md)."""
+"""ploverward core-set: who votes, who learns, how far each core node is, and what may still be lost (docs/core-set.md)."""
 
 import json
 
--- a/pw/ops/custody.py
+++ b/ploverward/command_line/custody.py
@@ -1,10 +1,10 @@
-"""ploverward.py custody: which nodes held a request's text and cache, and the audit of all trails (docs/residency.md)."""
+"""ploverward custody: which nodes held a request's text and cache, and the audit of all trails (docs/residency.md)."""
 
 import json
 import urllib.parse
 
-from pw.base import problems
-from pw.ctl.custody import audit as audits
+from ploverward.common import errors
+from ploverward.control_plane.audit import trail_audit
 
 
 def show(*, caller, ask_id: str, as_json: bool, out) -> int:
@@ -58,7 +58,7 @@
                 status, body = caller.one(
                     address=address, method="GET", path=f"/ploverward/custody?after={marks.get(address, 0)}"
                 )
-            except problems.Unreachable as fault:
+            except errors.Unreachable as fault:
                 missed[address] = fault.text
                 break
             if status != 200 or not body:
@@ -76,7 +76,7 @@
 def audit(*, caller, as_json: bool, out) -> int:
     """0: all trails clean and covered; 1: a node outside held something; 3: clean as far as seen, with parts missing."""
     trails, coverage, missed, zones = collect(caller=caller)
-    found = audits.summary(trails=trails, coverage=coverage, zones=zones)
+    found = trail_audit.summary(trails=trails, coverage=coverage, zones=zones)
     found["unreachable"] = missed
     if as_json:
         out(json.dumps(found, indent=2))
--- a/pw/ops/drill.py
+++ b/ploverward/command_line/drill.py
@@ -1,18 +1,18 @@
-"""ploverward.py drill ZONE: takes a zone out, watches the promises, takes it back (docs/drill.md)."""
+"""ploverward drill ZONE: takes a zone out, watches the promises, takes it back (docs/drill.md)."""
 
 import json
 
-from pw.base import problems
+from ploverward.common import errors
 
 KEPT, BROKEN, NOT_SEEN = "kept", "broken", "not seen"
 LOOK_GAP_S = 0.5
 
 
-class Refused(problems.Problem):
+class Refused(errors.Problem):
     """Said before anything was done."""
 
 
-class Interrupted(problems.Problem):
+class Interrupted(errors.Problem):
     pass
 
 
@@ -99,7 +99,7 @@
         while True:
             try:
                 status, _body = self.call(method, f"/ploverward/evacuation/{self.zone}")
-            except problems.Unreachable:
+            except errors.Unreachable:
                 status = 0
             took = self.clock() - begun
             if 200 <= status < 300:
@@ -169,7 +169,7 @@
         try:
             in_time, took = self._order("DELETE")
             status, out = self.call("GET", "/ploverward/evacuation")
-        except problems.Problem as fault:
+        except errors.Problem as fault:
             self._judge("zone taken back in time", BROKEN, str(fault))
             return False
         is_back = status == 200 and self.zone not in out["zones"]
--- a/pw/ops/keep.py
+++ b/ploverward/command_line/keep.py
@@ -1,4 +1,4 @@
-"""ploverward.py keep: the configuration in force, kept in a Git object store by dulwich (docs/operations.md)."""
+"""ploverward keep: the configuration in force, kept in a Git object store by dulwich (docs/operations.md)."""
 
 import json
 import os
@@ -6,8 +6,8 @@
 from dulwich import porcelain
 from dulwich import repo as repos
 
-from pw.base import problems
-from pw.base import tenants
+from ploverward.common import errors
+from ploverward.common import tenant_usage
 
 FILE_NAME = "configuration.json"
 AUTHOR = b"ploverward <ploverward@localhost>"
@@ -18,7 +18,8 @@
     if not body.get("senders"):
         return body
     senders = [
-        {**row, "apiKeys": [tenants.key_digest(key) for key in row.get("apiKeys") or ()]} for row in body["senders"]
+        {**row, "apiKeys": [tenant_usage.key_digest(key) for key in row.get("apiKeys") or ()]}
+        for row in body["senders"]
     ]
     return {**body, "senders": senders}
 
@@ -58,7 +59,7 @@
             if newest == body:
                 return None
             if newest["edition"] >= body["edition"]:
-                raise problems.Problem(
+                raise errors.Problem(
                     f"edition {body['edition']} is not above {newest['edition']}, the newest one kept",
                     step="keep",
                     peer=self.folder,
@@ -76,4 +77,4 @@
             body = self._body_at(commit)
             if body["edition"] == edition:
                 return body
-        raise problems.Problem(f"edition {edition} is not kept here", step="show", peer=self.folder)
+        raise errors.Problem(f"edition {edition} is not kept here", step="show", peer=self.folder)
--- a/ploverward.py
+++ b/ploverward/command_line/main.py
@@ -7,9 +7,9 @@
 
 from absl import flags
 
-from pw.base import problems
-from pw.base import ring
-from pw.base import settings as settings_files
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.common import settings as settings_files
 
 NODE_ROLES = ("core", "proxy")
 COLLECTOR_THRESHOLDS = (10000, 20, 20)  # of gc.set_threshold: objects, then collections of the younger generation
@@ -40,7 +40,7 @@
 flags.DEFINE_integer("jobs", 1, "simulate: processes that play at the same time")
 flags.DEFINE_integer("history", -1, "simulate: prints all that happens on the day of this seed")
 flags.DEFINE_bool("planted", False, "simulate: shows that the checks find each planted fault")
-USAGE = """usage: python3 ploverward.py VERB [flags]
+USAGE = """usage: python3 -m ploverward VERB [flags]
 
 Nodes, started with a settings file named by PLOVERWARD_NODE_FILE:
   core               register, leases, duties, dispatch and directory
@@ -75,37 +75,37 @@
 
 def _node(role: str) -> int:
     settings = settings_files.load()
-    ring.start(node=settings.node, role=role, is_chatty=FLAGS.chatty)
+    event_log.start(node=settings.node, role=role, is_chatty=FLAGS.chatty)
     if role == "core":
-        from pw.ctl import core
+        from ploverward.control_plane import core_node
 
         _tune_collector()
-        return core.Core(settings=settings).run()
-    from pw.dat import proxy
+        return core_node.Core(settings=settings).run()
+    from ploverward.data_plane import proxy_node
 
     _tune_collector()
-    return proxy.Proxy(settings=settings).run()
+    return proxy_node.Proxy(settings=settings).run()
 
 
 def _caller():
-    from pw.ops import caller
+    from ploverward.command_line import core_client as core_clients
 
     addresses = FLAGS.core
     if not addresses:
         addresses = ["%s:%d" % seed for seed in settings_files.load().seeds]
     for address in addresses:
         settings_files.parse_address(text=address, field="--core")
-    return caller.Caller(addresses=addresses)
+    return core_clients.Caller(addresses=addresses)
 
 
 def _drill(zone: str) -> int:
-    from pw.ops import custody
-    from pw.ops import drill
+    from ploverward.command_line import custody
+    from ploverward.command_line import drill
 
     caller = _caller()
     status, nodes = caller.any(method="GET", path="/ploverward/nodes")
     if status != 200:
-        raise problems.Problem(f"the core answers {status}", step="drill")
+        raise errors.Problem(f"the core answers {status}", step="drill")
     bounds = nodes["bounds"]
 
     def interrupt(*_about):
@@ -157,7 +157,7 @@
 
 def _keep(folder: str, edition: str) -> int:
     import json
-    from pw.ops import keep
+    from ploverward.command_line import keep
 
     keeper = keep.Keeper(folder=folder)
     if edition:
@@ -165,14 +165,14 @@
         return 0
     status, body = _caller().any(method="GET", path="/ploverward/configuration")
     if status != 200:
-        raise problems.Problem(f"the core answers {status}", step="keep")
+        raise errors.Problem(f"the core answers {status}", step="keep")
     made = keeper.keep(body=body)
     print(f"edition {body['edition']}: {made or 'kept already'}")
     return 0
 
 
 def _rollout(what: str, *about: str) -> int:
-    from pw.ops import rollout
+    from ploverward.command_line import rollout
 
     caller = _caller()
 
@@ -190,13 +190,13 @@
 
 
 def _simulate() -> int:
-    from pw.ops import simulate
+    from ploverward.command_line import simulate
 
     simulate.fix_hash_seed()
     if FLAGS.world == "rollouts":
-        from pw.ops import rollout_days
+        from ploverward.command_line import simulate_rollouts
 
-        return rollout_days.run(first=FLAGS.first, seeds=FLAGS.seeds, jobs=FLAGS.jobs, out=print)
+        return simulate_rollouts.run(first=FLAGS.first, seeds=FLAGS.seeds, jobs=FLAGS.jobs, out=print)
     if FLAGS.planted:
         return simulate.run_planted(jobs=FLAGS.jobs, out=print)
     is_one = FLAGS.history >= 0
@@ -221,7 +221,7 @@
         print(f"{settings.node}: settings are whole")
         return 0
     if verb == "custody" and len(rest) == (0 if FLAGS.audit else 1):
-        from pw.ops import custody
+        from ploverward.command_line import custody
 
         if FLAGS.audit:
             return custody.audit(caller=_caller(), as_json=FLAGS.json, out=print)
@@ -233,7 +233,7 @@
     if verb == "keep" and (len(rest) == 1 or len(rest) == 2 and rest[1].isdigit()):
         return _keep(*rest, *[""] * (2 - len(rest)))
     if verb == "pins" and not rest:
-        from pw.ops import pins
+        from ploverward.command_line import pins
 
         return pins.run(
             caller=_caller(),
@@ -246,11 +246,11 @@
     if verb == "rollout" and rest:
         return _rollout(*rest)
     if verb == "core-set" and not rest:
-        from pw.ops import core_set
+        from ploverward.command_line import core_set
 
         return core_set.run(caller=_caller(), as_json=FLAGS.json, out=print)
     if verb == "tenants" and not rest:
-        from pw.ops import tenants
+        from ploverward.command_line import tenants
 
         return tenants.run(caller=_caller(), as_json=FLAGS.json, out=print)
     if verb == "nodes" and not rest:
@@ -264,7 +264,7 @@
 def run(argv) -> int:
     try:
         return main(argv)
-    except problems.Problem as fault:
+    except errors.Problem as fault:
         print(f"ploverward: {fault}", file=sys.stderr)
         return 2
 
@@ -279,7 +279,9 @@
 
 __doc__ = f"{__doc__}\n\n{USAGE}"  # what --help prints
 
-if __name__ == "__main__":
+
+def start() -> None:
+    """Runs the verb of this process's arguments and ends the process with its exit code."""
     if sys.argv[1:2] and sys.argv[1] in NODE_ROLES:
         sys.exit(run(parse(sys.argv)))
     from absl import app  # a node starts sooner, and smaller, without it
--- a/pw/ops/pins.py
+++ b/ploverward/command_line/pins.py
@@ -1,12 +1,12 @@
-"""ploverward.py pins: which adapters keep arriving cold, and which each replica should keep pinned (docs/pins.md)."""
+"""ploverward pins: which adapters keep arriving cold, and which each replica should keep pinned (docs/pins.md)."""
 
 import collections
 import json
 
-from pw.base import problems
-from pw.ctl.adapters import ledger as ledgers
-from pw.ctl.adapters import suggest
-from pw.dat.adapters import counts
+from ploverward.common import errors
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.control_plane.adapter_cache import pin_suggestion
+from ploverward.data_plane.adapter_cache import adapter_counts
 
 
 class Filter:
@@ -18,7 +18,7 @@
     def check(self, *, known: dict) -> None:
         for kind, name in self.wanted.items():
             if name and name not in known[kind]:
-                raise problems.Problem(
+                raise errors.Problem(
                     f"unknown {kind} '{name}'; known: {', '.join(sorted(known[kind])) or 'none'}", step="pins"
                 )
 
@@ -33,13 +33,13 @@
         else:
             missed[address] = f"answered {status}"
     if not bodies:
-        raise problems.Problem(
+        raise errors.Problem(
             "no core node could be reached: " + "; ".join(f"{host} ({why})" for host, why in sorted(missed.items())),
             step="pins",
         )
     newest = max(bodies, key=lambda body: len(body["replicas"]))
     return {
-        "windows": list(ledgers.merge(tables=[body["windows"] for body in bodies]).values()),
+        "windows": list(adapter_usage.merge(tables=[body["windows"] for body in bodies]).values()),
         "replicas": newest["replicas"],
         "zones": newest["zones"],
         "unreachable": missed,
@@ -83,7 +83,7 @@
             },
         }
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise problems.Problem(f"{path} is no earlier output of pins --json: {fault}", step="pins") from None
+        raise errors.Problem(f"{path} is no earlier output of pins --json: {fault}", step="pins") from None
 
 
 def report(*, seen: dict, routes: dict, capacity: int, previous: dict, wanted: Filter) -> dict:
@@ -101,10 +101,14 @@
         }
     )
     caps = capacity_of(replicas=replicas, given=capacity)
-    made = suggest.suggest(windows=seen["windows"], replicas=replicas, routes=routes, capacity=caps, previous=previous)
+    made = pin_suggestion.suggest(
+        windows=seen["windows"], replicas=replicas, routes=routes, capacity=caps, previous=previous
+    )
     want = wanted.wanted
     evidence = []
-    for (service, model, adapter), regions in sorted(suggest.demand(windows=seen["windows"], routes=routes).items()):
+    for (service, model, adapter), regions in sorted(
+        pin_suggestion.demand(windows=seen["windows"], routes=routes).items()
+    ):
         for region, row in sorted(regions.items()):
             if want["service"] in ("", service) and want["model"] in ("", model):
                 evidence.append(
@@ -113,7 +117,7 @@
                         "model": model,
                         "adapter": adapter,
                         "region": region,
-                        **{field: row[field] for field in counts.FIELDS},
+                        **{field: row[field] for field in adapter_counts.FIELDS},
                     }
                 )
     made["replicas"] = {
@@ -149,9 +153,9 @@
     for window in windows:
         for service, model, adapter, _replica, _route, *numbers in window["rows"]:
             row = table[(window["node"], window["zone"], service, model, adapter)]
-            fields = dict(zip(counts.FIELDS, numbers, strict=False))
+            fields = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
             row[0] += fields["cold"]
-            row[1] += suggest.arrivals(fields)
+            row[1] += pin_suggestion.arrivals(fields)
     return [
         {
             "node": node,
@@ -229,14 +233,14 @@
 
 def run(*, caller, as_json: bool, out, capacity: int = 0, previous: str = "", wanted=None) -> int:
     if capacity < 0:
-        raise problems.Problem("--capacity must not be below 0", step="pins")
+        raise errors.Problem("--capacity must not be below 0", step="pins")
     seen = collect(caller=caller)
     try:
         status, body = caller.any(method="GET", path="/ploverward/configuration")
-    except problems.Unreachable:
+    except errors.Unreachable:
         status, body = 503, None
     if status != 200:
-        raise problems.Problem(
+        raise errors.Problem(
             "the configuration can't be read: homes are not known, so nothing is suggested", step="pins"
         )
     told = report(
--- a/pw/ops/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -3,8 +3,8 @@
 import json
 import time
 
-from pw.base import problems
-from pw.ctl.rollouts import state
+from ploverward.common import errors
+from ploverward.control_plane.rollouts import state
 
 PATH = "/ploverward/rollouts"
 WATCH_GAP_S = 1.0
@@ -26,7 +26,7 @@
     """Service: what the core says of its roll-out. Raises Problem where the core can't be sure."""
     status, answer = call("GET", PATH, b"")
     if status != 200:
-        raise problems.Problem(f"the core answers {status}", step="roll-outs")
+        raise errors.Problem(f"the core answers {status}", step="roll-outs")
     rows = answer["rollouts"]
     return {name: row for name, row in rows.items() if not service or name == service}
 
--- a/pw/ops/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -1,4 +1,4 @@
-"""`ploverward.py simulate`: plays days of the model world and says which checks broke (docs/simulate.md)."""
+"""`ploverward simulate`: plays days of the model world and says which checks broke (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -7,10 +7,10 @@
 import sys
 import time
 
-from pw.base import problems
-from pw.sim.control import day as days
-from pw.sim.control import planted as planted_faults
-from pw.sim.control import troubles as model_troubles
+from ploverward.common import errors
+from ploverward.simulation.control_plane import scenario
+from ploverward.simulation.control_plane import mutants
+from ploverward.simulation.control_plane import faults
 
 HASH_SEED = "0"
 TOLD_SEEDS = 20  # broken seeds that are told with their findings
@@ -28,16 +28,16 @@
     """Kinds by commas; none: all of them."""
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
-        if kind not in model_troubles.WEIGHTS:
-            known = ", ".join(model_troubles.WEIGHTS)
-            raise problems.Problem(f"'{kind}' is no trouble; there are {known}", step="simulate")
-    return kinds or tuple(model_troubles.WEIGHTS)
+        if kind not in faults.WEIGHTS:
+            known = ", ".join(faults.WEIGHTS)
+            raise errors.Problem(f"'{kind}' is no trouble; there are {known}", step="simulate")
+    return kinds or tuple(faults.WEIGHTS)
 
 
 def plans(*, first: int, seeds: int, machines: int, tolerated: int, troubles: str) -> list:
     kinds = troubles_of(text=troubles)
     return [
-        days.Plan(seed=seed, machines=machines, tolerated=tolerated, troubles=kinds)
+        scenario.Plan(seed=seed, machines=machines, tolerated=tolerated, troubles=kinds)
         for seed in range(first, first + seeds)
     ]
 
@@ -48,7 +48,7 @@
     broken = []
     sums = collections.Counter()
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
-        for report in pool.map(days.play, plans, chunksize=CHUNK):
+        for report in pool.map(scenario.play, plans, chunksize=CHUNK):
             sums.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
             if report.findings:
                 broken.append(report)
@@ -72,7 +72,7 @@
 
 def show(*, plan, out) -> int:
     """One day with all that happened."""
-    report = days.play(dataclasses.replace(plan, keeps_history=True))
+    report = scenario.play(dataclasses.replace(plan, keeps_history=True))
     for when, text in report.history:
         out(f"{when:9.3f} {text}")
     for finding in report.findings:
@@ -85,13 +85,11 @@
     """Plays each planted fault until a check finds it; 1 where one is not found in its stated number of days."""
     missed = 0
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
-        for name, found in zip(
-            planted_faults.FAULTS, pool.map(planted_faults.search, planted_faults.FAULTS), strict=True
-        ):
+        for name, found in zip(mutants.FAULTS, pool.map(mutants.search, mutants.FAULTS), strict=True):
             if found is None:
                 missed += 1
-                out(f"{name}: NOT FOUND in {planted_faults.FAULTS[name].most_seeds} days")
+                out(f"{name}: NOT FOUND in {mutants.FAULTS[name].most_seeds} days")
             else:
                 out(f"{name}: found on day {found.day_number} (seed {found.seed}): {found.check}")
-    out(f"{len(planted_faults.FAULTS) - missed} of {len(planted_faults.FAULTS)} planted faults were found")
+    out(f"{len(mutants.FAULTS) - missed} of {len(mutants.FAULTS)} planted faults were found")
     return 1 if missed else 0
--- a/pw/ops/tenants.py
+++ b/ploverward/command_line/tenants.py
@@ -1,8 +1,8 @@
-"""ploverward.py tenants: limits of tenants, how they stand, which keys they have, by digest (docs/quotas.md 6)."""
+"""ploverward tenants: limits of tenants, how they stand, which keys they have, by digest (docs/quotas.md 6)."""
 
 import json
 
-from pw.base import problems
+from ploverward.common import errors
 
 PATH = "/ploverward/tenants"
 DONE, MISSING = 0, 3
@@ -13,7 +13,7 @@
     answers, missed = caller.all(path=PATH)
     told = {address: body for address, (status, body) in answers.items() if status == 200}
     if not told:
-        raise problems.Problem("no core node answers", step="tenants")
+        raise errors.Problem("no core node answers", step="tenants")
     if as_json:
         out(json.dumps({"told": told, "unreachable": missed}, indent=2))
     else:
--- a/pw/ops/test_command.py
+++ b/ploverward/command_line/test_command.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pw.sim import entry
+from ploverward.simulation import loopback_proxy
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
@@ -15,7 +15,7 @@
     env = {**os.environ, "PLOVERWARD_NODE_FILE": settings}
     env["PYTHONPATH"] = os.pathsep.join(sys.path)
     return subprocess.run(
-        [sys.executable, "ploverward.py", *words], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "ploverward", *words], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
     )
 
 
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("role", ["core", "proxy", "check"])
 def test_missing_or_malformed_settings_stop_with_one_line(role, tmp_path):
-    for text in (None, "node=x\n", entry.SETTINGS.replace("bounds.contactMs=4000", "bounds.contactMs=soon")):
+    for text in (None, "node=x\n", loopback_proxy.SETTINGS.replace("bounds.contactMs=4000", "bounds.contactMs=soon")):
         path = tmp_path / "boot.conf"
         if text is not None:
             path.write_text(text)
@@ -40,7 +40,7 @@
 
 def test_whole_settings_are_said_to_be_whole(tmp_path):
     path = tmp_path / "boot.conf"
-    path.write_text(entry.SETTINGS)
+    path.write_text(loopback_proxy.SETTINGS)
     done = run("check", settings=str(path))
     assert done.returncode == 0 and "whole" in done.stdout
 
--- a/pw/ops/test_caller.py
+++ b/ploverward/command_line/test_core_client.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ops import caller as callers
+from ploverward.common import errors
+from ploverward.command_line import core_client as callers
 
 
 def make(statuses):
@@ -23,6 +23,6 @@
 
 
 def test_no_clear_answer_at_all_is_unreachable():
-    with pytest.raises(problems.Unreachable) as told:
+    with pytest.raises(errors.Unreachable) as told:
         make({"a": 503, "b": 307}).any(method="GET", path="/x")
     assert "307" in str(told.value) and "b" in str(told.value)
--- a/pw/ops/test_core_set.py
+++ b/ploverward/command_line/test_core_set.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pw.ops import core_set
+from ploverward.command_line import core_set
 
 
 def node(address, *, members="abc", version=4, votes=True, contact=True, borne=1, **sets):
--- a/pw/ops/test_drill.py
+++ b/ploverward/command_line/test_drill.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ops import drill as drills
+from ploverward.common import errors
+from ploverward.command_line import drill
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
@@ -30,7 +30,7 @@
         self.time += seconds
         if self.interrupt_at is not None and self.time >= self.interrupt_at:
             self.interrupt_at = None
-            raise drills.Interrupted("interrupted")
+            raise drill.Interrupted("interrupted")
 
     def call(self, method, path):
         self.time += 0.01
@@ -60,7 +60,7 @@
             self.out_since = self.time
             return 200, {}
         if self.fault == "no way back":
-            raise problems.Unreachable("silent")
+            raise errors.Unreachable("silent")
         if self.fault != "stays out":
             self.out.discard(zone)
         return 200, {}
@@ -90,7 +90,7 @@
 
 def run(stand_in, zone="za"):
     lines = []
-    work = drills.Drill(
+    work = drill.Drill(
         zone=zone,
         call=stand_in.call,
         trails=stand_in.trails,
@@ -109,7 +109,7 @@
     stand_in = StandIn()
     code, work, lines = run(stand_in)
     assert code == 0
-    assert set(work.promises.values()) == {drills.KEPT}
+    assert set(work.promises.values()) == {drill.KEPT}
     assert stand_in.out == set()
     assert lines == snapshot
 
@@ -127,14 +127,14 @@
 )
 def test_each_broken_promise_is_told(fault, promise, code):
     got, work, _lines = run(StandIn(fault=fault))
-    assert work.promises[promise] == drills.BROKEN
+    assert work.promises[promise] == drill.BROKEN
     assert got == code
 
 
 def test_without_traffic_promises_are_not_seen():
     code, work, _lines = run(StandIn(ask_gap_s=10**6))
-    assert work.promises["nothing new is sent to the zone"] == drills.NOT_SEEN
-    assert work.promises["serving goes on"] == drills.NOT_SEEN
+    assert work.promises["nothing new is sent to the zone"] == drill.NOT_SEEN
+    assert work.promises["serving goes on"] == drill.NOT_SEEN
     assert code == 0
 
 
@@ -157,6 +157,6 @@
     ],
 )
 def test_refused_before_anything_is_done(stand_in, zone):
-    with pytest.raises(drills.Refused):
+    with pytest.raises(drill.Refused):
         run(stand_in, zone=zone)
     assert stand_in.orders == []
--- a/pw/ops/test_golden_command.py
+++ b/ploverward/command_line/test_golden_command.py
@@ -1,4 +1,4 @@
-"""The command line as pw/ops/golden/command.json holds it: exit codes, JSON, flags and usage, against a stand-in core.
+"""The command line as ploverward/command_line/golden/command.json holds it: exit codes, JSON, flags and usage, against a stand-in core.
 
 Values are compared as they are; what the clock decides, and the stand-in's port, by type.
 """
@@ -23,7 +23,7 @@
 
 # What follows names parts of the program.
 ROOT = HERE.parent.parent
-PROGRAM = "ploverward.py"
+PROGRAM = ("-m", "ploverward")
 SETTINGS_VARIABLE = "PLOVERWARD_NODE_FILE"
 
 
@@ -33,7 +33,7 @@
 
 def _about(words, settings: str = "") -> dict:
     env = {**os.environ, SETTINGS_VARIABLE: settings, "PYTHONPATH": os.pathsep.join(sys.path)}
-    return {"args": [sys.executable, PROGRAM, *words], "cwd": ROOT, "env": env, "text": True}
+    return {"args": [sys.executable, *PROGRAM, *words], "cwd": ROOT, "env": env, "text": True}
 
 
 # What follows knows the interfaces alone.
--- a/pw/ops/test_golden_files.py
+++ b/ploverward/command_line/test_golden_files.py
@@ -1,4 +1,4 @@
-"""The settings file and the deploy file, as pw/ops/golden holds what they mean."""
+"""The settings file and the deploy file, as ploverward/command_line/golden holds what they mean."""
 
 import dataclasses
 import json
@@ -8,8 +8,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import settings as settings_files
+from ploverward.common import errors
+from ploverward.common import settings
 
 HERE = pathlib.Path(__file__).parent
 FOLDER = HERE / "golden"
@@ -22,8 +22,8 @@
 ROOT = HERE.parent.parent
 SOURCES = sorted(
     path
-    for path in (ROOT / "pw").rglob("*.py")
-    if "sim" not in path.relative_to(ROOT).parts and not path.name.startswith("test_")
+    for path in (ROOT / "ploverward").rglob("*.py")
+    if "simulation" not in path.relative_to(ROOT).parts and not path.name.startswith("test_")
 )
 BOUND_READ = re.compile(r"\bbound(?:_s)?\(\s*name=\"(\w+)\"|\bbounds\[\"(\w+)\"\]")
 BINDING_READ = re.compile(r"\bbindings\[\"(\w+)\"\]|\"(\w+)\" in [\w.]*bindings\b")
@@ -31,12 +31,12 @@
 
 def read(text: str) -> dict:
     """What the program makes of a settings file."""
-    return json.loads(json.dumps(dataclasses.asdict(settings_files.check(text=text))))
+    return json.loads(json.dumps(dataclasses.asdict(settings.check(text=text))))
 
 
 def fault(text: str) -> str:
-    with pytest.raises(problems.SettingsProblem) as raised:
-        settings_files.check(text=text)
+    with pytest.raises(errors.SettingsProblem) as raised:
+        settings.check(text=text)
     return str(raised.value)
 
 
@@ -53,13 +53,13 @@
             asked.add(name)
             return super().__getitem__(name)
 
-    parse = settings_files.parse_lines
-    settings_files.parse_lines = lambda *, text: Noting(parse(text=text))
+    parse = settings.parse_lines
+    settings.parse_lines = lambda *, text: Noting(parse(text=text))
     try:
-        made = settings_files.check(text=TEXT)
+        made = settings.check(text=TEXT)
         assert made.tolerated_machines == 2
     finally:
-        settings_files.parse_lines = parse
+        settings.parse_lines = parse
     return sorted(name for name in asked if not name.startswith(("bounds.", "zones.", "bindings.")))
 
 
--- a/pw/ops/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -1,4 +1,4 @@
-"""What core nodes answer to operators and user agents, call for call, as pw/ops/golden/core_calls.json holds it.
+"""What core nodes answer to operators and user agents, call for call, as ploverward/command_line/golden/core_calls.json holds it.
 
 The core nodes are the real ones on the model world's machines. Values that chance or the clock decides are compared by
 type. The fixtures are what published interfaces promise: a change of one of them is a change of the protocol.
@@ -10,14 +10,14 @@
 
 import pytest
 
-from pw.base import inlet
-from pw.ctl import registers
-from pw.ctl.rollouts import orders as rollout_orders
-from pw.ctl.rollouts import state as rollout_states
-from pw.sim import loopback
-from pw.sim.control import day as days
-from pw.sim.control import machines
-from pw.sim.control import network as networks
+from ploverward.transport import http_server as http_servers
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import state as rollout_states
+from ploverward.simulation import loopback
+from ploverward.simulation.control_plane import scenario
+from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_network
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 CALLS = json.loads((FOLDER / "core_calls.json").read_text(encoding="utf-8"))
@@ -58,10 +58,10 @@
     """Three core nodes and a proxy without troubles, and the states that calls are made in."""
 
     def __init__(self):
-        self.day = days.Day(plan=days.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=()))
+        self.day = scenario.Day(plan=scenario.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=()))
         self.day._proxies = [PROXY]
         self.day.build()
-        self.caller = networks.Caller(network=self.day.network, host="operators")
+        self.caller = simulated_network.Caller(network=self.day.network, host="operators")
         self.run(0.35)
 
     def run(self, seconds: float) -> None:
@@ -120,9 +120,9 @@
 
             def edit(payload, known=known):
                 row = rollout_states.rollouts_of(payload)["llm"]
-                return rollout_orders.edit_to_stage(service="llm", seen=row, known=known)(payload)
+                return orders.edit_to_stage(service="llm", seen=row, known=known)(payload)
 
-            core.proposer.change(name=registers.ROLLOUTS, edit=edit, done=lambda *_about: None)
+            core.proposer.change(name=register_names.ROLLOUTS, edit=edit, done=lambda *_about: None)
             self.run(1.0)
 
     def just_cut_off(self) -> None:
@@ -177,7 +177,7 @@
     """The first node's answer to bytes on a connection, as it stands on the wire."""
     take, limits = wire_parts(World().core())
     loop = loopback.new_loop()
-    hall = inlet.Hall(loop=loop, address=("127.0.0.1", 0), on_request=take, limits=limits, silence_s=5.0)
+    hall = http_servers.Hall(loop=loop, address=("127.0.0.1", 0), on_request=take, limits=limits, silence_s=5.0)
     client = loopback.Client(loop=loop, address=hall._sock.getsockname())
     client.send(data.encode("latin-1"))
     assert loopback.until(loop, lambda: is_whole(client.got))
--- a/pw/ops/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -1,4 +1,4 @@
-"""What a proxy answers by itself, and what it tells replicas, as pw/ops/golden/proxy_answers.json holds it."""
+"""What a proxy answers by itself, and what it tells replicas, as ploverward/command_line/golden/proxy_answers.json holds it."""
 
 import json
 import pathlib
@@ -7,11 +7,11 @@
 
 import pytest
 
-from pw.base import tenants as tenant_rows
-from pw.dat import serving
-from pw.dat import test_tenants
-from pw.dat import test_way
-from pw.sim import loopback
+from ploverward.common import tenant_usage
+from ploverward.data_plane.requests import serving
+from ploverward.data_plane.quotas import test_tenant_admission
+from ploverward.data_plane.requests import test_request_path
+from ploverward.simulation import loopback
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 ANSWERS = json.loads((FOLDER / "proxy_answers.json").read_text(encoding="utf-8"))
@@ -23,17 +23,17 @@
 # What follows names parts of the program.
 
 
-def plain(script=test_way.replying, zone="za"):
-    return test_way.Scene(script, zones=[zone])
+def plain(script=test_request_path.replying, zone="za"):
+    return test_request_path.Scene(script, zones=[zone])
 
 
 def with_tenants(**about):
-    return test_tenants.scene_of(**about)
+    return test_tenant_admission.scene_of(**about)
 
 
 def over_quota():
     scene = with_tenants()
-    credit = tenant_rows.Credit(tenant_rows.tenant_key("players"), 0.0)
+    credit = tenant_usage.Credit(tenant_usage.tenant_key("players"), 0.0)
     scene.entry.allowance.take(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[credit])
     return scene
 
@@ -52,23 +52,33 @@
 
 
 def resetting(number, heard):
-    return ["reset"] if test_way.is_whole(heard) else None
+    return ["reset"] if test_request_path.is_whole(heard) else None
 
 
 def promising(number, heard):
-    which = test_way.request_id(heard)
-    return [test_way.answer(which, status=b"503 Full", more=NOT_RUN)] if test_way.is_whole(heard) else None
+    which = test_request_path.request_id(heard)
+    return (
+        [test_request_path.answer(which, status=b"503 Full", more=NOT_RUN)]
+        if test_request_path.is_whole(heard)
+        else None
+    )
 
 
 def misdirected(number, heard):
-    which = test_way.request_id(heard)
-    return [test_way.answer(which, status=b"421 Another", more=NOT_RUN)] if test_way.is_whole(heard) else None
+    which = test_request_path.request_id(heard)
+    return (
+        [test_request_path.answer(which, status=b"421 Another", more=NOT_RUN)]
+        if test_request_path.is_whole(heard)
+        else None
+    )
 
 
 def streaming(number, heard):
-    if not test_way.is_whole(heard):
+    if not test_request_path.is_whole(heard):
         return None
-    return [test_way.head(test_way.request_id(heard)) + test_way.event(1) + test_way.END]
+    return [
+        test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1) + test_request_path.END
+    ]
 
 
 def ready(*, is_serving: bool, is_leaving: bool, target: str) -> int:
@@ -82,7 +92,7 @@
 
 CASES = {
     "200": (plain, {"lead": "safe"}),
-    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": test_way.END}),
+    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": test_request_path.END}),
     "200 for a tenant": (
         with_tenants,
         {"lead": "resume", "more": b"Authorization: Bearer key-of-clerks\r\nX-Sender: other\r\n"},
--- a/pw/ops/test_keep.py
+++ b/ploverward/command_line/test_keep.py
@@ -1,7 +1,7 @@
 import pytest
 
-from pw.base import problems
-from pw.ops import keep as keeps
+from ploverward.common import errors
+from ploverward.command_line import keep
 
 
 def body(edition, **more):
@@ -9,32 +9,32 @@
 
 
 def test_each_edition_is_kept_once_and_comes_back_as_it_was(tmp_path):
-    keeper = keeps.Keeper(folder=str(tmp_path / "specs"))
+    keeper = keep.Keeper(folder=str(tmp_path / "specs"))
     assert keeper.log() == []
     first = keeper.keep(body=body(3))
     assert keeper.keep(body=body(3)) is None
     second = keeper.keep(body=body(7, limits={"idleMs": 5}))
     assert first != second and [edition for edition, _commit in keeper.log()] == [7, 3]
     keeper.close()
-    again = keeps.Keeper(folder=str(tmp_path / "specs"))
+    again = keep.Keeper(folder=str(tmp_path / "specs"))
     assert again.show(edition=3) == body(3) and again.show(edition=7) == body(7, limits={"idleMs": 5})
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         again.show(edition=5)
     again.close()
 
 
 def test_an_older_edition_is_not_kept_over_a_newer_one(tmp_path):
-    keeper = keeps.Keeper(folder=str(tmp_path))
+    keeper = keep.Keeper(folder=str(tmp_path))
     keeper.keep(body=body(7))
     for older in (body(6), body(7, limits={})):
-        with pytest.raises(problems.Problem):
+        with pytest.raises(errors.Problem):
             keeper.keep(body=older)
     assert [edition for edition, _commit in keeper.log()] == [7]
     keeper.close()
 
 
 def test_keys_of_tenants_are_kept_as_digests(tmp_path):
-    keeper = keeps.Keeper(folder=str(tmp_path))
+    keeper = keep.Keeper(folder=str(tmp_path))
     body = {"edition": 3, "senders": [{"name": "clerks", "apiKeys": ["a-key"], "perS": 2}]}
     assert keeper.keep(body=body) and keeper.keep(body=body) is None
     kept = keeper.show(edition=3)
--- a/pw/ops/test_pins.py
+++ b/ploverward/command_line/test_pins.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ops import pins
+from ploverward.common import errors
+from ploverward.command_line import pins
 
 ZONES = {"z1": "north", "z2": "south"}
 SPEC = {"routes": [{"name": "chat", "homeRegions": [], "urgency": 0, "targetMs": 600}]}
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("kind", ["service", "model", "zone", "replica"])
 def test_an_unknown_name_is_one_clear_line(kind):
-    with pytest.raises(problems.Problem) as told:
+    with pytest.raises(errors.Problem) as told:
         run(Caller(body(window())), wanted=pins.Filter(**{kind: "nobody"}))
     assert f"unknown {kind} 'nobody'; known:" in str(told.value) and "\n" not in str(told.value)
 
@@ -110,9 +110,9 @@
 def test_nodes_out_of_reach_are_named_and_the_exit_says_so():
     code, text = run(Caller(body(window()), missed={"10.0.0.9:1": "timed out"}))
     assert code == 3 and "unreachable: 10.0.0.9:1 (timed out)" in text
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         run(Caller(missed={"10.0.0.9:1": "timed out"}))
-    with pytest.raises(problems.Problem):  # without homes nothing is suggested
+    with pytest.raises(errors.Problem):  # without homes nothing is suggested
         run(Caller(body(window()), spec_status=503))
 
 
@@ -131,7 +131,7 @@
     first, second = (json.loads(one)["suggestion"]["replicas"] for one in (text, again))
     assert all(second[name]["pins"] == row["pins"] for name, row in first.items() if row["pins"])
     path.write_text("[]")
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         run(Caller(body(window())), previous=str(path))
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         run(Caller(body(window())), capacity=-1)
--- a/pw/ops/test_rollout.py
+++ b/ploverward/command_line/test_rollout.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ops import rollout
+from ploverward.common import errors
+from ploverward.command_line import rollout
 
 ROW = {
     "condition": "in_service",
@@ -95,5 +95,5 @@
 
 def test_a_core_that_is_not_sure_is_told_as_a_problem():
     core = Core((503, None))
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         rollout.status(call=core.call, service="", as_json=False, out=core.lines.append)
--- a/pw/ops/test_tenants.py
+++ b/ploverward/command_line/test_tenants.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ops import tenants
+from ploverward.common import errors
+from ploverward.command_line import tenants
 
 ROW = {"keys": ["digest:ab"], "perS": 5, "burst": 5, "homeRegions": [], "level": 4.5, "depth": 9.0}
 
@@ -44,7 +44,7 @@
 
 
 def test_no_node_at_all_is_a_problem():
-    with pytest.raises(problems.Problem):
+    with pytest.raises(errors.Problem):
         run(a=None)
 
 
--- a/pw/base/evidence.py
+++ b/ploverward/common/rollout_evidence.py
@@ -9,7 +9,7 @@
 import math
 import zlib
 
-from pw.base import problems
+from ploverward.common import errors
 
 GROUPS = 8  # replicas of the new version are told apart by so many groups
 STEPS_AN_OCTAVE = 3  # buckets of times: each is the third root of two times the one before
@@ -20,7 +20,7 @@
 
 
 def group_of(key: bytes) -> int:
-    """The group of a replica, by its key (pw/base/records.py)."""
+    """The group of a replica, by its key (ploverward/transport/row_codec.py)."""
     return key[0] % GROUPS
 
 
@@ -107,7 +107,7 @@
         text = decoder.decompress(data, MOST_BYTES)
         return [_report(row) for row in json.loads(text)]
     except (zlib.error, ValueError, TypeError, IndexError) as failure:
-        raise problems.FrameProblem(f"no evidence: {failure}", step="evidence") from None
+        raise errors.FrameProblem(f"no evidence: {failure}", step="evidence") from None
 
 
 def _report(row: list) -> Report:
--- a/pw/base/settings.py
+++ b/ploverward/common/settings.py
@@ -3,7 +3,7 @@
 import dataclasses
 import os
 
-from pw.base import problems
+from ploverward.common import errors
 
 PATH_VARIABLE = "PLOVERWARD_NODE_FILE"
 BOUND_NAMES = ("contactMs", "receiptMs", "drainMs", "graceS", "applyMs", "evacuateMs")
@@ -55,7 +55,7 @@
 def parse_address(*, text: str, field: str) -> tuple:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise problems.SettingsProblem(f"{field}: '{text}' is not an ADDRESS:PORT", step="settings")
+        raise errors.SettingsProblem(f"{field}: '{text}' is not an ADDRESS:PORT", step="settings")
     return (host, int(port))
 
 
@@ -67,7 +67,7 @@
             continue
         name, equals, value = line.partition("=")
         if not equals:
-            raise problems.SettingsProblem(f"line {number}: no '=' in '{line}'", step="settings")
+            raise errors.SettingsProblem(f"line {number}: no '=' in '{line}'", step="settings")
         fields[name.strip()] = value.strip()
     return fields
 
@@ -77,7 +77,7 @@
 
     def need(name):
         if fields.get(name, "") == "":
-            raise problems.SettingsProblem(f"{name}: missing", step="settings")
+            raise errors.SettingsProblem(f"{name}: missing", step="settings")
         return fields[name]
 
     def number(name, default=None):
@@ -87,17 +87,17 @@
         try:
             return float(need(name))
         except ValueError:
-            raise problems.SettingsProblem(f"{name}: '{value}' is not a number", step="settings") from None
+            raise errors.SettingsProblem(f"{name}: '{value}' is not a number", step="settings") from None
 
     def truth(name):
         value = fields.get(name, "false").lower()
         if value not in ("true", "false"):
-            raise problems.SettingsProblem(f"{name}: '{value}' is neither true nor false", step="settings")
+            raise errors.SettingsProblem(f"{name}: '{value}' is neither true nor false", step="settings")
         return value == "true"
 
     ports = need("innerPortRange").split(",")
     if len(ports) != 2 or not all(port.strip().isdigit() for port in ports) or int(ports[0]) >= int(ports[1]):
-        raise problems.SettingsProblem("innerPortRange: needs FIRST,LAST", step="settings")
+        raise errors.SettingsProblem("innerPortRange: needs FIRST,LAST", step="settings")
     seeds = tuple(
         parse_address(text=part.strip(), field="seedNodes") for part in need("seedNodes").split(",") if part.strip()
     )
@@ -112,7 +112,7 @@
             bounds[name[len("bounds.") :]] = float(value == "true") if value in ("true", "false") else number(name)
     for name in BOUND_NAMES:
         if bounds.get(name, 0.0) <= 0.0:
-            raise problems.SettingsProblem(f"bounds.{name}: missing or not above 0", step="settings")
+            raise errors.SettingsProblem(f"bounds.{name}: missing or not above 0", step="settings")
     zones = {name[len("zones.") :]: value for name, value in fields.items() if name.startswith("zones.")}
     return Settings(
         node=need("node"),
@@ -139,7 +139,7 @@
 def path() -> str:
     value = os.environ.get(PATH_VARIABLE, "")
     if not value:
-        raise problems.SettingsProblem(f"{PATH_VARIABLE} is not set", step="settings")
+        raise errors.SettingsProblem(f"{PATH_VARIABLE} is not set", step="settings")
     return value
 
 
@@ -170,5 +170,5 @@
         with open(name, encoding="utf-8") as handle:
             text = handle.read()
     except (OSError, UnicodeDecodeError) as fault:
-        raise problems.SettingsProblem(f"{name}: {fault}", step="settings") from None
+        raise errors.SettingsProblem(f"{name}: {fault}", step="settings") from None
     return check(text=text)
--- a/pw/base/tenants.py
+++ b/ploverward/common/tenant_usage.py
@@ -8,7 +8,7 @@
 import hashlib
 import struct
 
-from pw.base import records
+from ploverward.transport import row_codec
 
 NAME_DIGEST = 8
 USAGE = struct.Struct(">8sHI")  # tenant, requests seen since the last report, requests admitted in this life
@@ -58,7 +58,7 @@
 
 def unpack_usage(data: bytes) -> list:
     """Raises FrameProblem where the bytes are no rows."""
-    return [Usage(*row) for row in records.rows(shape=USAGE, data=data)]
+    return [Usage(*row) for row in row_codec.rows(shape=USAGE, data=data)]
 
 
 def pack_credits(rows) -> bytes:
@@ -67,7 +67,7 @@
 
 def unpack_credits(data: bytes) -> list:
     """Raises FrameProblem where the bytes are no rows."""
-    return [Credit(*row) for row in records.rows(shape=CREDIT, data=data)]
+    return [Credit(*row) for row in row_codec.rows(shape=CREDIT, data=data)]
 
 
 def limits_of(body) -> dict:
--- a/pw/base/test_residency.py
+++ b/ploverward/common/test_residency.py
@@ -1,4 +1,4 @@
-from pw.base import residency
+from ploverward.common import residency
 
 
 def test_no_homes_permit_all():
--- a/pw/ctl/adapters/ledger.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -4,7 +4,7 @@
 import collections
 import json
 
-from pw.dat.adapters import counts
+from ploverward.data_plane.adapter_cache import adapter_counts
 
 KEEP_WINDOWS = 20
 MOST_WINDOWS = 8000
@@ -62,7 +62,7 @@
     except (ValueError, KeyError, TypeError, UnicodeDecodeError):
         return None
     for row in rows:
-        if len(row) != 5 + len(counts.FIELDS) or not all(isinstance(text, str) for text in row[:5]):
+        if len(row) != 5 + len(adapter_counts.FIELDS) or not all(isinstance(text, str) for text in row[:5]):
             return None
         if not all(isinstance(number, int) and number >= 0 for number in row[5:]):
             return None
--- a/pw/ctl/adapters/suggest.py
+++ b/ploverward/control_plane/adapter_cache/pin_suggestion.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from pw.dat.adapters import counts
+from ploverward.data_plane.adapter_cache import adapter_counts
 
 LEAST_ARRIVALS = 3  # fewer of an adapter in a region are no evidence
 STAY = 3.0  # what the suggestion before pinned goes only for something worth so much more
@@ -15,7 +15,7 @@
     for window in windows:
         for service, model, adapter, _replica, route, *numbers in window["rows"]:
             row = table.setdefault((service, model, adapter), {}).setdefault(window["region"], collections.Counter())
-            fields = dict(zip(counts.FIELDS, numbers, strict=False))
+            fields = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
             most = max(row["most_wait_ms"], fields.pop("most_wait_ms"))
             row.update(fields)
             row["most_wait_ms"] = most
--- a/pw/ctl/adapters/test_world.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from pw.ctl.adapters import ledger as ledgers
-from pw.ctl.adapters import suggest
-from pw.dat import choice
-from pw.dat import quota as quotas
-from pw.dat import replicas as tables
-from pw.dat.adapters import counts
-from pw.sim import entry
-from pw.sim import world as worlds
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.control_plane.adapter_cache import pin_suggestion
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import simulated_world
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"}
 HOMES = {"hearing": ["north", "south"]}
@@ -90,10 +90,10 @@
         self.scene, self.name, self.zone = scene, name, zone
         self.life = f"{name}-{scene.chance.random():.6f}"
         now = scene.world.now
-        settings = entry.settings(zones=ZONES, zone=zone, region=ZONES[zone])
-        self.quota = quotas.Quota(now=now, settings=settings)
+        settings = loopback_proxy.settings(zones=ZONES, zone=zone, region=ZONES[zone])
+        self.quota = shared_limits.Quota(now=now, settings=settings)
         self.quota.take_entry("core", ("entry", 1.0, 1.0, 1e9, 1.0, 0, 8))
-        self.table = tables.Table(loop=scene, settings=settings, share=self.quota.rate_share)
+        self.table = replica_table.Table(loop=scene, settings=settings, share=self.quota.rate_share)
         self.table.install_services(
             {
                 "llm": {
@@ -106,15 +106,17 @@
         )
         for far, region in ZONES.items():
             self.table.ways[far] = 0.002 if region == ZONES[zone] else 0.08
-        self.counter = counts.Counter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
-        self.chooser = choice.Chooser(table=self.table, settings=settings, regions={}, quota=self.quota, now=now)
+        self.counter = adapter_counts.Counter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
+        self.chooser = replica_chooser.Chooser(
+            table=self.table, settings=settings, regions={}, quota=self.quota, now=now
+        )
 
 
 class Scene:
     """The loop of the table, too: it only asks for the time."""
 
     def __init__(self, *, seed, is_following):
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.chance = random.Random(seed)
         self.is_following = is_following
         self.sims = {}
@@ -128,7 +130,7 @@
         self.mix = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
         self.stray = 0.0  # share of requests for adapters that nobody expects
         self.suggestion = None
-        self.cores = [ledgers.Ledger(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
+        self.cores = [adapter_usage.Ledger(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
         for zone in ZONES:
             for _ in range(3):
                 self.start(zone)
@@ -201,7 +203,7 @@
                     )
 
     def follow(self):
-        windows = list(ledgers.merge(tables=[core.rows() for core in self.cores]).values())
+        windows = list(adapter_usage.merge(tables=[core.rows() for core in self.cores]).values())
         listed = [
             {
                 "id": row["id"],
@@ -212,7 +214,7 @@
             }
             for row in self.rows()
         ]
-        self.suggestion = suggest.suggest(
+        self.suggestion = pin_suggestion.suggest(
             windows=windows, replicas=listed, routes=ROUTES, capacity={"llm": PINS}, previous=self.suggestion
         )
         if self.is_following:
@@ -409,15 +411,15 @@
     scene.world.run(until=70.0)
     scene.traffic = lambda: None
     scene.world.run(until=70.0 + 1e-6)
-    windows = ledgers.merge(tables=[core.rows() for core in scene.cores]).values()
+    windows = adapter_usage.merge(tables=[core.rows() for core in scene.cores]).values()
     told = sum(
-        suggest.arrivals(dict(zip(counts.FIELDS, row[5:], strict=False)))
+        pin_suggestion.arrivals(dict(zip(adapter_counts.FIELDS, row[5:], strict=False)))
         for window in windows
         for row in window["rows"]
     )
     seen = sum(1 for _request, _at, first_at, *_rest in scene.log if first_at <= 68.0)
     assert seen - 20 <= told <= len(scene.log) + 60
     waits = sum(
-        dict(zip(counts.FIELDS, row[5:], strict=False))["waits"] for window in windows for row in window["rows"]
+        dict(zip(adapter_counts.FIELDS, row[5:], strict=False))["waits"] for window in windows for row in window["rows"]
     )
     assert 0 < waits
--- a/pw/ctl/adapters/test_suggest.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from pw.ctl.adapters import ledger as ledgers
-from pw.ctl.adapters import suggest
-from pw.dat.adapters import counts
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.control_plane.adapter_cache import pin_suggestion
+from ploverward.data_plane.adapter_cache import adapter_counts
 
 ROUTES = {
     "r": {"homes": [], "urgency": 0, "target_ms": 600},
@@ -43,7 +43,7 @@
 
 
 def made(windows, *, capacity=2, previous=None, rows=None):
-    return suggest.suggest(
+    return pin_suggestion.suggest(
         windows=windows, replicas=rows or replicas(), routes=ROUTES, capacity={"llm": capacity}, previous=previous
     )
 
@@ -125,7 +125,7 @@
     ]
     windows = [window(*rows[:10]), window(*rows[10:], region="south", life="k")]
     told = made(windows, capacity=chance.randint(1, 3))
-    homes = suggest.homes_of(windows=windows, routes=ROUTES)
+    homes = pin_suggestion.homes_of(windows=windows, routes=ROUTES)
     for one in told["replicas"].values():
         assert len(one["pins"]) <= 3 and len(set(one["pins"])) == len(one["pins"])
         for pair in one["pins"]:
@@ -135,7 +135,7 @@
 
 def test_a_window_stands_once_whatever_order_and_however_often_it_is_told():
     clock = [0.0]
-    ledger = ledgers.Ledger(now=lambda: clock[0], window_s=30.0)
+    ledger = adapter_usage.Ledger(now=lambda: clock[0], window_s=30.0)
 
     def take(number, count):
         ledger.take(
@@ -153,8 +153,8 @@
     (held,) = ledger.rows()
     assert held["number"] == 3 and held["rows"][0][6] == 9
     other = [{**held, "number": 2, "rows": []}]
-    assert ledgers.merge(tables=[other, [held], other])[("l", 0)]["number"] == 3
-    clock[0] = 30.0 * ledgers.KEEP_WINDOWS + 1
+    assert adapter_usage.merge(tables=[other, [held], other])[("l", 0)]["number"] == 3
+    clock[0] = 30.0 * adapter_usage.KEEP_WINDOWS + 1
     assert ledger.rows() == []
 
 
@@ -171,7 +171,7 @@
     ],
 )
 def test_malformed_counts_are_skipped_and_counted(data):
-    ledger = ledgers.Ledger(now=lambda: 0.0, window_s=30.0)
+    ledger = adapter_usage.Ledger(now=lambda: 0.0, window_s=30.0)
     ledger.take(node="p", zone="n1", region="north", life="l", window=0, number=1, data=data)
     assert ledger.rows() == [] and ledger.malformed == 1
-    assert len(counts.FIELDS) == 8
+    assert len(adapter_counts.FIELDS) == 8
--- a/pw/ctl/custody/test_custody.py
+++ b/ploverward/control_plane/audit/test_audit.py
@@ -2,8 +2,8 @@
 
 import json
 
-from pw.ctl.custody import audit as audits
-from pw.ctl.custody import ledger as ledgers
+from ploverward.control_plane.audit import trail_audit
+from ploverward.control_plane.audit import trail_store
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
@@ -23,7 +23,7 @@
 
 def make(*, most=100, keep_s=60.0):
     clock = [0.0]
-    return ledgers.Ledger(now=lambda: clock[0], keep_s=keep_s, most=most), clock
+    return trail_store.Ledger(now=lambda: clock[0], keep_s=keep_s, most=most), clock
 
 
 def test_found_by_id_and_by_page():
@@ -60,7 +60,7 @@
     ledger.take(node="p1", life="l1", number=3, is_last=True, rows=())
     ledger.take(node="p2", life="l2", number=0, is_last=False, rows=rows(trail(2)))
     ledger.take(node="p3", life="l3", number=0, is_last=False, rows=rows(trail(3)))
-    told = audits.summary(trails=[], coverage=ledger.coverage(live={("p3", "l3")}), zones=ZONES)
+    told = trail_audit.summary(trails=[], coverage=ledger.coverage(live={("p3", "l3")}), zones=ZONES)
     assert told["lives_with_parts_missing"] == [
         {"node": "p1", "life": "l1", "missing_batches": 2, "ended_without_closing": False},
         {"node": "p2", "life": "l2", "missing_batches": 0, "ended_without_closing": True},
@@ -69,12 +69,12 @@
 
 def test_the_audit_finds_what_is_planted():
     clean = [trail(1), trail(2, zone="zb"), trail(3, zone="zc", homes=()), trail(4, zone="zc", end="not sent")]
-    assert audits.summary(trails=clean, coverage=[], zones=ZONES)["outside"] == []
+    assert trail_audit.summary(trails=clean, coverage=[], zones=ZONES)["outside"] == []
     planted = [
         trail(5, zone="zc"),
         trail(6, kept=[{"replica": "i-x", "zone": "zc"}]),
         trail(7, zone="unknown"),
         {**trail(8, zone="zb", homes=("south",)), "homes": ["north"]},
     ]
-    found = audits.summary(trails=clean + planted, coverage=[], zones=ZONES)["outside"]
+    found = trail_audit.summary(trails=clean + planted, coverage=[], zones=ZONES)["outside"]
     assert [line.split(":")[0] for line in found] == ["r5", "r6", "r7", "r8"]
--- a/pw/ctl/watch_duty.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -5,11 +5,11 @@
 its successor was heard. It acts only while it is in contact with a majority of the core set.
 """
 
-from pw.base import ring
-from pw.ctl import duties
-from pw.ctl import registers
-from pw.ctl.news import replica_list
-from pw.ctl.register import ballots
+from ploverward.common import event_log
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import ballots
 
 WATCH = "watch"
 LIST = "list"  # the topic of the platform's list
@@ -40,7 +40,9 @@
         def done(_failure, _revision, _payload, _result):
             self.is_taking = False
 
-        self._change(name=registers.DUTIES, edit=lambda payload: (_with_duties(payload or {}, rows), None), done=done)
+        self._change(
+            name=register_names.DUTIES, edit=lambda payload: (_with_duties(payload or {}, rows), None), done=done
+        )
 
 
 def _with_duties(payload: dict, rows: dict) -> dict:
@@ -61,7 +63,7 @@
         self._now = now
         self._duties = duty_table
         self._desk = desk
-        self._watch = watch  # reads the platform's list (pw.ctl.platform.Watch)
+        self._watch = watch  # reads the platform's list (ploverward.control_plane.discovery.platform_client.Watch)
         self._take_after_s = take_after_s
         self._stale_after_s = stale_after_s
         self._read_list = (b"", None)  # the newest packed list that was read, and what it says
@@ -112,7 +114,7 @@
         """Duties of regions and zones whose holder is gone. `proxies`: (address, life, zone, region)."""
         if self._duties.is_taking:
             return
-        rows = duties.named(proxies=proxies, duty=self._duties.holder)
+        rows = singleton_roles.named(proxies=proxies, duty=self._duties.holder)
         if rows:
             self._duties.take(rows=rows)
 
@@ -123,7 +125,7 @@
         if not self.is_held:
             # A core node that has just started reads once by itself. Its epoch is below every holder's: it serves
             # only those that have no list at all.
-            data = replica_list.of_rows(rows=rows, read_at=at).pack()
+            data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
             self._desk.publish(topic=LIST, epoch=READ_BY_ITSELF, number=1, data=data)
             self._watch.stop()
             return
@@ -135,9 +137,9 @@
 
     def _tell_whole(self, rows: list, at: float) -> None:
         """The first list that any holder tells: what nodes read by themselves before may differ from node to node."""
-        data = replica_list.of_rows(rows=rows, read_at=at).pack()
+        data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
         self._desk.publish(topic=LIST, epoch=self.epoch, number=1, data=data)
-        ring.note("list", epoch=self.epoch, replicas=len(rows))
+        event_log.note("list", epoch=self.epoch, replicas=len(rows))
 
     def _tell_change(self, rows: list, at: float, *, is_first: bool, number: int) -> None:
         """What differs from the list told last, by this holder or by the one before it, whose clock was another."""
@@ -146,28 +148,30 @@
         if change is None and not is_first:
             return
         if change is None:
-            change = replica_list.Change(rows=(), gone=(), read_at=at, is_same_clock=False)
+            change = endpoint_list.Change(rows=(), gone=(), read_at=at, is_same_clock=False)
         told = held.changed_by(change)
         self._publish_list(told, epoch=self.epoch, number=number, change=change.pack())
-        ring.note("list", epoch=self.epoch, replicas=len(told.rows), changed=len(change.rows), gone=len(change.gone))
+        event_log.note(
+            "list", epoch=self.epoch, replicas=len(told.rows), changed=len(change.rows), gone=len(change.gone)
+        )
 
     def follow_change(self, *, epoch: int, number: int, data: bytes) -> None:
         """One step of the list, as the holder of the duty told it, on the list that this node holds."""
-        told = self._held_list().changed_by(replica_list.unpack_change(data))
+        told = self._held_list().changed_by(endpoint_list.unpack_change(data))
         self._publish_list(told, epoch=epoch, number=number, change=data)
 
     def listed(self) -> list:
         """Rows of the newest list that this node holds; none before it has one."""
         return list(self._held_list().rows.values()) if LIST in self._desk.topics else []
 
-    def _held_list(self) -> replica_list.ReplicaList:
+    def _held_list(self) -> endpoint_list.ReplicaList:
         """The list that the desk holds; it is read once for each version."""
         data = self._desk.get(LIST)[2]
         if self._read_list[0] is not data:
-            self._read_list = (data, replica_list.unpack_list(data))
+            self._read_list = (data, endpoint_list.unpack_list(data))
         return self._read_list[1]
 
-    def _publish_list(self, told: replica_list.ReplicaList, *, epoch: int, number: int, change: bytes) -> None:
+    def _publish_list(self, told: endpoint_list.ReplicaList, *, epoch: int, number: int, change: bytes) -> None:
         data = told.pack()
         if self._desk.publish(topic=LIST, epoch=epoch, number=number, data=data, change=change):
             self._read_list = (data, told)
--- a/pw/ctl/contact.py
+++ b/ploverward/control_plane/cluster/majority_lease.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 
-from pw.ctl.register import ballots
+from ploverward.control_plane.consensus import ballots
 
 SENT_KEPT = 64  # heartbeats whose answers are still looked for, over all peers
 
--- a/pw/ctl/membership.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -1,13 +1,13 @@
 """Links to proxies and core nodes, leases, duties and the core set (design 4, 5)."""
 
-from pw.base import ring
-from pw.base import tenants
-from pw.ctl import contact as contacts
-from pw.ctl import core_set as core_sets
-from pw.ctl import registers
-from pw.ctl import watch_duty
-from pw.ctl.register import ballots
-from pw.ctl.rollouts import ledger as ledgers
+from ploverward.common import event_log
+from ploverward.common import tenant_usage
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.cluster import coordinator as coordinators
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.rollouts import evidence_table
 
 
 UNKNOWN_AGE_S = 1e6  # of a configuration of which this node knows nothing certain
@@ -78,7 +78,7 @@
         self.follower.drop(link)
         if peer is not None and peer.role == "proxy":
             self.proxy_count -= 1
-            ring.note("proxy gone", peer=peer.address, reason=reason)
+            event_log.note("proxy gone", peer=peer.address, reason=reason)
             self.interfaces.applying.check()
 
     def _take(self, link, message: tuple) -> None:
@@ -174,13 +174,13 @@
         """Whether a majority of the agreed core set confirmed it to this node within the lease (docs/control.md 2)."""
         members, version = self.agreed_set()
         is_supporting = (
-            self.voting.is_voter and self._accepted_version(registers.CORE_SET) <= version
+            self.voting.is_voter and self._accepted_version(register_names.CORE_SET) <= version
         )  # as any other voter's answer
         return self.contact.has_majority(members=members, version=version, is_supporting=is_supporting)
 
     def agreed_set(self) -> tuple:
         """(members, version) of the newest core set that this node knows as chosen; version 0: the first start's."""
-        version = self.desk.serial(registers.CORE_SET)[1]
+        version = self.desk.serial(register_names.CORE_SET)[1]
         return (self.core_members if version else self.members()), version
 
     def _accepted_version(self, name: str) -> int:
@@ -190,23 +190,23 @@
     def _answer_heartbeat(self, link, message: tuple) -> None:
         _kind, number, version = message
         if self.voting.is_voter:
-            configuration = self._accepted_version(registers.CONFIGURATION)
-            link.send(("heartbeat_answer", number, self._accepted_version(registers.CORE_SET), configuration))
+            configuration = self._accepted_version(register_names.CONFIGURATION)
+            link.send(("heartbeat_answer", number, self._accepted_version(register_names.CORE_SET), configuration))
         self._catch_up(version)
 
     def _take_heartbeat_answer(self, link, message: tuple) -> None:
         _kind, number, version, configuration = message
         member = self._member_of(link)
         if member:
-            answer = contacts.Answer(number=number, version=version, configuration=configuration)
+            answer = majority_lease.Answer(number=number, version=version, configuration=configuration)
             self.contact.take_answer(member=member, answer=answer)
         self._catch_up(version)
 
     def _catch_up(self, version: int) -> None:
         """Reads the core set where another node knows a newer version of it."""
-        is_behind = version > self.desk.serial(registers.CORE_SET)[1]
-        if is_behind and self.acceptor.votes and not self.voting.is_reading(registers.CORE_SET):
-            self._repair(registers.CORE_SET)
+        is_behind = version > self.desk.serial(register_names.CORE_SET)[1]
+        if is_behind and self.acceptor.votes and not self.voting.is_reading(register_names.CORE_SET):
+            self._repair(register_names.CORE_SET)
 
     def _beat(self) -> None:
         for link, peer in list(self.peers.items()):
@@ -235,26 +235,26 @@
         if not peer.is_leaving:
             link.send(("entry", *self._grant(peer), number))
         if self.has_tenants:
-            self.meter.take(proxy=peer.address, life=peer.life, rows=tenants.unpack_usage(usage))
-            credits = tenants.pack_credits(self.meter.credits(proxy=peer.address))
+            self.meter.take(proxy=peer.address, life=peer.life, rows=tenant_usage.unpack_usage(usage))
+            credits = tenant_usage.pack_credits(self.meter.credits(proxy=peer.address))
             link.send(("standing", number, *self._freshness(), self.meter.proxies(), credits))
 
     def _freshness(self) -> tuple:
         """(newest configuration known as chosen, for how many seconds none newer may have been acknowledged)."""
         members, version = self.agreed_set()
-        known = self.desk.serial(registers.CONFIGURATION)[1]
+        known = self.desk.serial(register_names.CONFIGURATION)[1]
         as_of = self.contact.fresh_as_of(
             members=members,
             version=version,
             known=known,
-            accepted=self._accepted_version(registers.CONFIGURATION),
-            is_supporting=self.voting.is_voter and self._accepted_version(registers.CORE_SET) <= version,
+            accepted=self._accepted_version(register_names.CONFIGURATION),
+            is_supporting=self.voting.is_voter and self._accepted_version(register_names.CORE_SET) <= version,
         )
         return known, min(UNKNOWN_AGE_S, self.loop.now() - as_of)
 
     def proxy_origins(self) -> list:
         """The lives of proxies in touch, as they sign their evidence."""
-        return [ledgers.Origin(address=peer.address, life=peer.life) for peer in self.proxies(is_listed=False)]
+        return [evidence_table.Origin(address=peer.address, life=peer.life) for peer in self.proxies(is_listed=False)]
 
     def _take_evidence(self, link, message: tuple) -> None:
         """A proxy tells what it counted of roll-outs; where this node may hand out leases, they are the answer."""
@@ -262,7 +262,7 @@
         if peer is None or peer.role != "proxy":
             return
         _kind, number, data = message
-        origin = ledgers.Origin(address=peer.address, life=peer.life)
+        origin = evidence_table.Origin(address=peer.address, life=peer.life)
         leases = self.rollout_duty.take_evidence(origin=origin, data=data)
         if leases is not None and self.has_majority_contact():
             pace = self.rollout_duty.pace(proxies=self.proxy_count)
@@ -322,7 +322,7 @@
         self.rollout_duty.tend()
         self._tend_core_set()
 
-    def core_view(self) -> core_sets.View:
+    def core_view(self) -> voting_set.View:
         """What this node sees of the core machines."""
         members = self.members()
         now = self.loop.now()
@@ -353,7 +353,7 @@
         def has_answered(host: str) -> bool:
             return host not in self.core_lost and self.contact.answered_since(member=host, when=newest)
 
-        return core_sets.View(
+        return voting_set.View(
             members=tuple(members),
             learners=tuple(address for _opened_at, address in learners),
             silent=tuple(host for host in members if host not in lost and not has_answered(host)),
@@ -367,8 +367,8 @@
         view = self.core_view()
         if not view.members:
             return
-        target = core_sets.next_set(view=view, wanted=self.wanted_voters)
-        is_agreed = self.desk.serial(registers.CORE_SET)[1] > 0
+        target = voting_set.next_set(view=view, wanted=self.wanted_voters)
+        is_agreed = self.desk.serial(register_names.CORE_SET)[1] > 0
         if not is_agreed or target != tuple(sorted(view.members)) or self.mover.needs_move(target=target):
             self.mover.move(target=target)
 
@@ -379,7 +379,7 @@
         known = set(self.members()) | self.known_cores() | {self.own}
         in_touch = sorted(host for host in known if self.is_core_live(host))
         held = dict(self.voting.floor())
-        _epoch, holder, _life = self.duty_table.holder(watch_duty.WATCH)
+        _epoch, holder, _life = self.duty_table.holder(coordinators.WATCH)
         return {
             "node": self.settings.node,
             "address": self.own,
@@ -388,7 +388,7 @@
             "version": version,
             "has_majority_contact": self.has_majority_contact(),
             "wanted_voters": self.wanted_voters,
-            "losses_borne": core_sets.losses_borne(members=agreed, in_touch=in_touch),
+            "losses_borne": voting_set.losses_borne(members=agreed, in_touch=in_touch),
             "in_touch": in_touch,
             "learners": list(view.learners),
             "leaving": list(view.leaving),
@@ -400,7 +400,7 @@
                     "on_disk": held.get(name, 0),
                     "members": list(self.proposer.members(name)),
                 }
-                for name in registers.REGISTERS
+                for name in register_names.REGISTERS
             },
         }
 
@@ -417,7 +417,7 @@
     def may_end(self) -> bool:
         """Whether the others go on without this node: no duty here, no successor waiting, a majority beside it."""
         members = self.members()
-        if all(self.own not in self.proposer.members(name) for name in registers.REGISTERS):
+        if all(self.own not in self.proposer.members(name) for name in register_names.REGISTERS):
             return True
         if self.watch_duty.is_held and self.has_majority_contact():
             return False
@@ -430,7 +430,7 @@
 
     def _on_image(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         """News from another core node."""
-        if topic in registers.REGISTERS:
+        if topic in register_names.REGISTERS:
             self._publish(topic, number, data)
         elif self.watch_duty.may_follow(epoch=epoch):
             self.desk.publish(topic=topic, epoch=epoch, number=number, data=data)
--- a/pw/ctl/test_digest_duties.py
+++ b/ploverward/control_plane/cluster/test_digest_roles.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pw.ctl import duties
+from ploverward.control_plane.cluster import singleton_roles
 
 
 class Register:
@@ -17,7 +17,7 @@
         return self.held.get(name, (0, "", ""))
 
     def tend(self, listed):
-        rows = duties.named(proxies=listed, duty=self.duty)
+        rows = singleton_roles.named(proxies=listed, duty=self.duty)
         for name, (epoch, holder, life) in rows.items():
             assert epoch == self.duty(name)[0]
             self.held[name] = (epoch + 1, holder, life)
@@ -27,7 +27,7 @@
         return {
             name: holder
             for name, (_epoch, holder, _life) in self.held.items()
-            if holder and duties.is_digest_of(name=name, zone=zone)
+            if holder and singleton_roles.is_digest_of(name=name, zone=zone)
         }
 
 
@@ -43,17 +43,17 @@
     assert len(holders) == len(set(holders.values())) == digests
     assert register.tend(listed(count)) == {}  # settled
     if digests:
-        assert duties.digest_name(zone="za") == "digest/za" and "digest/za" in holders
+        assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in holders
 
 
 def test_proxies_are_spread_over_the_digests_and_few_change_when_one_is_added():
     addresses = [address for address, *_about in listed(150)]
-    names = [duties.digest_name(zone="za", number=number) for number in range(10)]
-    before = {address: duties.digest_for(names=names, address=address) for address in addresses}
+    names = [singleton_roles.digest_name(zone="za", number=number) for number in range(10)]
+    before = {address: singleton_roles.digest_for(names=names, address=address) for address in addresses}
     sizes = [sum(1 for name in before.values() if name == one) for one in names]
     assert min(sizes) > 0 and max(sizes) <= 30
-    more = [*names, duties.digest_name(zone="za", number=10)]
-    after = {address: duties.digest_for(names=more, address=address) for address in addresses}
+    more = [*names, singleton_roles.digest_name(zone="za", number=10)]
+    after = {address: singleton_roles.digest_for(names=more, address=address) for address in addresses}
     moved = [address for address in addresses if before[address] != after[address]]
     assert 0 < len(moved) < 45 and all(after[address] == more[-1] for address in moved)
 
@@ -88,7 +88,7 @@
         addresses = {address for address, *_about in live}
         holders = register.holders()
         assert set(holders.values()) <= addresses
-        assert len(holders) >= -(-len(live) // duties.CELL)
+        assert len(holders) >= -(-len(live) // singleton_roles.CELL)
         assert len(set(holders.values())) == len(holders) or len(live) < len(holders) * 2
     assert changes == 0
 
--- a/pw/ctl/test_duties.py
+++ b/ploverward/control_plane/cluster/test_singleton_roles.py
@@ -1,12 +1,12 @@
 """Duties under epochs."""
 
-from pw.ctl import watch_duty
+from ploverward.control_plane.cluster import coordinator
 
 
 def take(payload, rows):
     """What taking these duties makes of a payload."""
     made = []
-    table = watch_duty.Duties(change=lambda *, name, edit, done: made.append((name, edit(payload)[0])))
+    table = coordinator.Duties(change=lambda *, name, edit, done: made.append((name, edit(payload)[0])))
     table.take(rows=rows)
     assert table.is_taking
     return made[0]
--- a/pw/ctl/test_core_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from pw.ctl import contact as contacts
-from pw.ctl import core_set as core_sets
-from pw.ctl import grants
-from pw.ctl import membership
-from pw.ctl import registers
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.consensus import register_names
 
 LEASE_S = 1.5
 LIFE_S = 1.5
@@ -17,7 +17,7 @@
 
 
 def view(members, *, learners="", silent="", lost="", gone="", leaving=""):
-    return core_sets.View(
+    return voting_set.View(
         members=tuple(members),
         learners=tuple(learners),
         silent=tuple(silent),
@@ -28,7 +28,7 @@
 
 
 def following(members, *, wanted=3, **about) -> str:
-    return "".join(core_sets.next_set(view=view(members, **about), wanted=wanted))
+    return "".join(voting_set.next_set(view=view(members, **about), wanted=wanted))
 
 
 def test_all_machines_in_touch_vote():
@@ -55,9 +55,9 @@
 
 
 def test_losses_borne_are_told():
-    assert core_sets.losses_borne(members=tuple("abcde"), in_touch="abcde") == 2
-    assert core_sets.losses_borne(members=tuple("abcde"), in_touch="abc") == 0
-    assert core_sets.losses_borne(members=tuple("abc"), in_touch="a") == -1
+    assert voting_set.losses_borne(members=tuple("abcde"), in_touch="abcde") == 2
+    assert voting_set.losses_borne(members=tuple("abcde"), in_touch="abc") == 0
+    assert voting_set.losses_borne(members=tuple("abc"), in_touch="a") == -1
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -70,7 +70,7 @@
     lost = [name for name in members if chance.random() < 0.3]
     gone = [name for name in lost if chance.random() < 0.5]
     leaving = [name for name in members if chance.random() < 0.1]
-    found = core_sets.next_set(
+    found = voting_set.next_set(
         view=view(members, learners=learners, lost=lost, gone=gone, leaving=leaving), wanted=wanted
     )
     assert set(learners) <= set(found)
@@ -81,7 +81,7 @@
         "gone": [name for name in gone if name in found],
         "leaving": [name for name in leaving if name in found],
     }
-    again = core_sets.next_set(view=view(found, **remaining), wanted=wanted)
+    again = voting_set.next_set(view=view(found, **remaining), wanted=wanted)
     assert set(again) <= set(found) and len(again) >= wanted
 
 
@@ -116,14 +116,14 @@
 def test_a_half_done_move_is_finished_by_the_next_holder():
     rounds = Rounds()
     target = ("b", "c", "d")
-    first = core_sets.Mover(change=rounds.change, known_set=rounds.known_set)
+    first = voting_set.Mover(change=rounds.change, known_set=rounds.known_set)
     rounds.failing = "evac"
     first.move(target=target)
     assert first.is_moving
     rounds.answer_all()
     assert not first.is_moving and rounds.sets["spec"] == target and "evac" not in rounds.sets
     rounds.failing = ""
-    following_holder = core_sets.Mover(change=rounds.change, known_set=rounds.known_set)
+    following_holder = voting_set.Mover(change=rounds.change, known_set=rounds.known_set)
     assert following_holder.needs_move(target=target)
     following_holder.move(target=target)
     rounds.answer_all()
@@ -132,25 +132,25 @@
 
 def test_a_move_gives_way_to_a_newer_target():
     wanted = {}
-    mover = core_sets.Mover(
+    mover = voting_set.Mover(
         change=lambda *, name, is_wanted, next_set, **_about: wanted.setdefault((name, next_set), is_wanted),
         known_set=lambda name: (),
     )
     mover.move(target=("a", "b"))
     mover.move(target=("a", "b"))
-    assert len(wanted) == len(registers.REGISTERS)
+    assert len(wanted) == len(register_names.REGISTERS)
     mover.move(target=("b", "c"))
-    assert [is_wanted() for is_wanted in wanted.values()] == [False] * len(registers.REGISTERS) + [True] * len(
-        registers.REGISTERS
+    assert [is_wanted() for is_wanted in wanted.values()] == [False] * len(register_names.REGISTERS) + [True] * len(
+        register_names.REGISTERS
     )
 
 
 def test_an_answer_counts_from_when_its_heartbeat_was_sent():
     clock = [10.0]
-    contact = contacts.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
+    contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = contact.next_heartbeat(version=1)
     clock[0] = 10.5
-    contact.take_answer(member="b", answer=contacts.Answer(number=heartbeat.number, version=1))
+    contact.take_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=1))
     assert contact.lease_until(members=("a", "b", "c"), version=1) == 10.0 + LEASE_S
     clock[0] = 10.0 + LEASE_S
     assert not contact.has_majority(members=("a", "b", "c"), version=1)  # also after a freeze: nothing was extended
@@ -158,12 +158,12 @@
 
 def test_an_answer_from_a_voter_that_accepted_a_newer_set_does_not_count():
     clock = [10.0]
-    contact = contacts.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
+    contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = contact.next_heartbeat(version=1)
-    contact.take_answer(member="b", answer=contacts.Answer(number=heartbeat.number, version=2))
+    contact.take_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=2))
     assert not contact.has_majority(members=("a", "b", "c"), version=1)
     assert contact.newest_version == 2
-    contact.take_answer(member="c", answer=contacts.Answer(number=heartbeat.number, version=1))
+    contact.take_answer(member="c", answer=majority_lease.Answer(number=heartbeat.number, version=1))
     assert contact.has_majority(members=("a", "b", "c"), version=1)
     assert not contact.has_majority(members=("a", "b", "c"), version=1, is_supporting=False)
     assert not contact.has_majority(members=("x", "y", "z"), version=1)
@@ -171,8 +171,8 @@
 
 
 def test_answers_to_unknown_numbers_are_ignored():
-    contact = contacts.Contact(own="a", now=lambda: 1.0, lease_s=LEASE_S)
-    contact.take_answer(member="b", answer=contacts.Answer(number=9, version=1))
+    contact = majority_lease.Contact(own="a", now=lambda: 1.0, lease_s=LEASE_S)
+    contact.take_answer(member="b", answer=majority_lease.Answer(number=9, version=1))
     assert not contact.answered_within(member="b", span_s=100.0)
 
 
@@ -184,9 +184,9 @@
         self.name = name
         self.members, self.version = members, 0
         self.accepted = 0
-        self.contact = contacts.Contact(own=name, now=world.now, lease_s=LEASE_S)
-        self.parts = grants.Parts(now=world.now, wait_s=LEASE_S + LIFE_S + WINDOW_S, first_part=part)
-        self.book = grants.Book(now=world.now, life_s=LIFE_S, window_s=WINDOW_S, quiet_until=0.0)
+        self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=LEASE_S)
+        self.parts = share_leases.Parts(now=world.now, wait_s=LEASE_S + LIFE_S + WINDOW_S, first_part=part)
+        self.book = share_leases.Book(now=world.now, life_s=LIFE_S, window_s=WINDOW_S, quiet_until=0.0)
 
     def grant(self, *, proxy, live):
         is_leased = self.contact.has_majority(
@@ -203,7 +203,7 @@
         if self.world.is_fenced:
             self.parts.install(part=part, version=version)
         else:
-            self.parts = grants.Parts(now=self.world.now, wait_s=0.0, first_part=part)
+            self.parts = share_leases.Parts(now=self.world.now, wait_s=0.0, first_part=part)
 
 
 class World:
@@ -234,7 +234,7 @@
         sent = node.contact.next_heartbeat(version=node.version)
         for other in self.names:
             if other != name and self.are_joined(name, other):
-                answer = contacts.Answer(number=sent.number, version=self.nodes[other].accepted)
+                answer = majority_lease.Answer(number=sent.number, version=self.nodes[other].accepted)
                 node.contact.take_answer(member=other, answer=answer)
 
     def change_set(self):
@@ -291,7 +291,7 @@
 
 def test_a_restarted_node_goes_on_with_its_part_unless_the_set_was_changed():
     clock = [0.0]
-    parts = grants.Parts(now=lambda: clock[0], wait_s=5.0)
+    parts = share_leases.Parts(now=lambda: clock[0], wait_s=5.0)
     parts.resume(part=0.2, version=4)
     parts.install(part=0.2, version=4)
     assert parts.value() == 0.2
@@ -318,7 +318,7 @@
     """A frozen machine: its system accepts, its process does not answer (docs/incidents/frozen-holder.md)."""
     link = types.SimpleNamespace(is_up=True, has_heard=False)
     node = types.SimpleNamespace(own="a", dialers={"b": types.SimpleNamespace(link=link)})
-    assert not membership.MembersMixin.is_core_live(node, "b")
+    assert not peer_sessions.MembersMixin.is_core_live(node, "b")
     link.has_heard = True
-    assert membership.MembersMixin.is_core_live(node, "b")
-    assert not membership.MembersMixin.is_core_live(node, "c")
+    assert peer_sessions.MembersMixin.is_core_live(node, "b")
+    assert not peer_sessions.MembersMixin.is_core_live(node, "c")
--- a/pw/ctl/core_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -8,9 +8,9 @@
 
 import dataclasses
 
-from pw.base import ring
-from pw.ctl import registers
-from pw.ctl.register import ballots
+from ploverward.common import event_log
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import ballots
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -62,7 +62,7 @@
 
     def needs_move(self, *, target: tuple) -> bool:
         """Whether any register is known to stand under another set than this one."""
-        return any(tuple(self._known_set(name)) != target for name in registers.REGISTERS)
+        return any(tuple(self._known_set(name)) != target for name in register_names.REGISTERS)
 
     def move(self, *, target: tuple) -> None:
         """Starts to move all registers to `target`, in place of an older target that is not reached yet.
@@ -71,10 +71,10 @@
         """
         if self.is_moving and target == self._target:
             return
-        ring.note("core set moves", to=list(target))
+        event_log.note("core set moves", to=list(target))
         self._target = target
-        self._under_way = set(registers.REGISTERS)
-        for name in registers.REGISTERS:
+        self._under_way = set(register_names.REGISTERS)
+        for name in register_names.REGISTERS:
             self._move_one(name, target)
 
     def _move_one(self, name: str, target: tuple) -> None:
@@ -92,6 +92,6 @@
 
 
 def _edit_for(name: str):
-    if name == registers.CORE_SET:
+    if name == register_names.CORE_SET:
         return lambda payload: ((payload or 0) + 1, None)
     return lambda payload: (payload, None)
--- a/pw/ctl/configuration/evacuations.py
+++ b/ploverward/control_plane/configuration/evacuations.py
@@ -1,6 +1,6 @@
 """Evacuations: {"zones": those evacuated, "turns": {zone: how often it changed}}."""
 
-from pw.base import problems
+from ploverward.common import errors
 
 
 def zones_of(payload) -> set:
@@ -24,7 +24,7 @@
         turn = turns_of(payload).get(zone, 0)
         if not first_seen:
             if is_late():
-                raise problems.Unreachable("no majority in time", step="evacuation", peer=zone)
+                raise errors.Unreachable("no majority in time", step="evacuation", peer=zone)
             first_seen.append(turn)
         zones = zones_of(payload)
         if turn != first_seen[0] or (zone in zones) == is_out:
--- a/pw/ctl/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -1,16 +1,16 @@
 """Orders that change the configuration: what one makes of the register, and how it is known when it comes again.
 
 The value of the register is {"edition", "body", "recent"}: `recent` holds (edition, mark) of the orders taken last. Older
-marks are in the archive (pw/ctl/configuration/archive.py). docs/orders.md has the argument.
+marks are in the archive (ploverward/control_plane/configuration/order_archive.py). docs/orders.md has the argument.
 """
 
 import dataclasses
 import hashlib
 
-from pw.base import problems
-from pw.ctl.configuration import models
-from pw.ctl.configuration import patches
-from pw.ctl.configuration import reading
+from ploverward.common import errors
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import patch
+from ploverward.control_plane.configuration import parser
 
 RECENT_KEPT = 64  # marks that stay in the value although the archive has them
 ARCHIVE_FROM = 64  # marks that the archive lacks from which on they are put there
@@ -45,7 +45,7 @@
 
 def read(*, method: str, base: int, data: bytes) -> Order:
     """Reads a call, and checks it as far as that goes without the version it builds on."""
-    body = reading.read_json(data=data)
+    body = parser.read_json(data=data)
     mark = digest(method=method, base=base, data=data)
     order = Order(method=method, base=base, mark=mark, body=body)
     if method == "PATCH":
@@ -55,12 +55,12 @@
 
 def build(*, order: Order, held: dict) -> Order:
     """A PATCH with its candidate; `held` is the body of the version it builds on."""
-    whole = patches.merge(body=held, patch=order.body)
+    whole = patch.merge(body=held, patch=order.body)
     return dataclasses.replace(order, candidate=_candidate(base=order.base, body=whole))
 
 
 def _candidate(*, base: int, body: dict) -> Candidate:
-    edition = models.check(body=body).edition
+    edition = schema.check(body=body).edition
     return Candidate(base=base, edition=edition, body=body)
 
 
@@ -88,12 +88,12 @@
             return payload, KNOWN
         current = edition_of(payload)
         if order.base != current:
-            raise problems.StaleBase(current=current)
+            raise errors.StaleBase(current=current)
         candidate = order.candidate
         if candidate is None:
             candidate = build(order=order, held=payload["body"] if payload else {}).candidate
         if candidate.edition <= current:
-            raise problems.InvalidConfiguration(f"{candidate.edition} is not above {current}", place="edition")
+            raise errors.InvalidConfiguration(f"{candidate.edition} is not above {current}", place="edition")
         rows = [*recent_of(payload), [candidate.edition, order.mark]]
         recent = trimmed(rows=rows, archived=archived)
         return {"edition": candidate.edition, "body": candidate.body, "recent": recent}, TAKEN
--- a/pw/ctl/configuration/reading.py
+++ b/ploverward/control_plane/configuration/parser.py
@@ -3,7 +3,7 @@
 import json
 import math
 
-from pw.base import problems
+from ploverward.common import errors
 
 MOST_LEVELS = 64  # far below what the encoder bears, so that a stored body can always be written again
 PLACE = "body"
@@ -15,9 +15,9 @@
         text = data.decode("utf-8")
         body = json.loads(text, object_pairs_hook=_object, parse_constant=_constant, parse_float=_fraction)
     except (ValueError, RecursionError) as error:
-        raise problems.InvalidConfiguration(f"not readable as JSON: {error}", place=PLACE) from None
+        raise errors.InvalidConfiguration(f"not readable as JSON: {error}", place=PLACE) from None
     if not isinstance(body, dict):
-        raise problems.InvalidConfiguration("not an object", place=PLACE)
+        raise errors.InvalidConfiguration("not an object", place=PLACE)
     _check_levels(body)
     if "\\u" in text:
         _check_characters(body)
@@ -29,7 +29,7 @@
     if len(table) != len(pairs):
         names = [name for name, _value in pairs]
         twice = next(name for name in names if names.count(name) > 1)
-        raise problems.InvalidConfiguration(f"the key '{twice}' stands twice in one object", place=twice)
+        raise errors.InvalidConfiguration(f"the key '{twice}' stands twice in one object", place=twice)
     return table
 
 
@@ -54,7 +54,7 @@
         if not below:
             return
         level = below
-    raise problems.InvalidConfiguration(f"nested in more than {MOST_LEVELS} levels", place=PLACE)
+    raise errors.InvalidConfiguration(f"nested in more than {MOST_LEVELS} levels", place=PLACE)
 
 
 def _check_characters(body) -> None:
@@ -62,4 +62,4 @@
     try:
         json.dumps(body, ensure_ascii=False).encode()
     except UnicodeEncodeError:
-        raise problems.InvalidConfiguration("half of a surrogate pair", place=PLACE) from None
+        raise errors.InvalidConfiguration("half of a surrogate pair", place=PLACE) from None
--- a/pw/ctl/configuration/patches.py
+++ b/ploverward/control_plane/configuration/patch.py
@@ -1,6 +1,6 @@
 """A PATCH of the configuration: named items are added, replaced or withdrawn."""
 
-from pw.base import problems
+from ploverward.common import errors
 
 LIMITS = "limits"
 LISTS = ("routes", "destinations", "senders")
@@ -17,7 +17,7 @@
         elif name in LISTS:
             merged[name] = _merged_list(name=name, body=body, upsert=upsert, withdraw=withdraw)
         else:
-            raise problems.InvalidConfiguration("not a part that can be changed", place=name)
+            raise errors.InvalidConfiguration("not a part that can be changed", place=name)
     merged["edition"] = patch.get("edition")
     return merged
 
@@ -27,16 +27,16 @@
     if part is None:
         return {}
     if not isinstance(part, dict):
-        raise problems.InvalidConfiguration("not an object of lists", place=name)
+        raise errors.InvalidConfiguration("not an object of lists", place=name)
     return part
 
 
 def _merged_limits(*, body: dict, upsert: dict, withdraw: dict) -> dict:
     if LIMITS in withdraw:
-        raise problems.InvalidConfiguration("limits can't be withdrawn", place=f"withdraw.{LIMITS}")
+        raise errors.InvalidConfiguration("limits can't be withdrawn", place=f"withdraw.{LIMITS}")
     new = upsert[LIMITS]
     if not isinstance(new, dict):
-        raise problems.InvalidConfiguration("not an object", place=f"upsert.{LIMITS}")
+        raise errors.InvalidConfiguration("not an object", place=f"upsert.{LIMITS}")
     held = body.get(LIMITS)
     return {**(held if isinstance(held, dict) else {}), **new}
 
@@ -48,9 +48,9 @@
     table = _named_items(held if isinstance(held, list) else [], place=name)
     for index, key in enumerate(gone):
         if not isinstance(key, str):
-            raise problems.InvalidConfiguration("not a name", place=f"withdraw.{name}.{index}")
+            raise errors.InvalidConfiguration("not a name", place=f"withdraw.{name}.{index}")
         if key not in table:
-            raise problems.InvalidConfiguration(f"no item '{key}' to withdraw", place=f"withdraw.{name}.{index}")
+            raise errors.InvalidConfiguration(f"no item '{key}' to withdraw", place=f"withdraw.{name}.{index}")
         del table[key]
     table.update(items)
     return list(table.values())
@@ -61,7 +61,7 @@
     if items is None:
         return []
     if not isinstance(items, list):
-        raise problems.InvalidConfiguration("not a list", place=place)
+        raise errors.InvalidConfiguration("not a list", place=place)
     return items
 
 
@@ -69,8 +69,8 @@
     table = {}
     for index, item in enumerate(items):
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise problems.InvalidConfiguration("an item without a name", place=f"{place}.{index}")
+            raise errors.InvalidConfiguration("an item without a name", place=f"{place}.{index}")
         if item["name"] in table:
-            raise problems.InvalidConfiguration(f"'{item['name']}' stands twice", place=f"{place}.{index}.name")
+            raise errors.InvalidConfiguration(f"'{item['name']}' stands twice", place=f"{place}.{index}.name")
         table[item["name"]] = item
     return table
--- a/pw/ctl/configuration/models.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -4,7 +4,7 @@
 
 import pydantic
 
-from pw.base import problems
+from ploverward.common import errors
 
 MOST_EDITION = 2**63 - 1
 
@@ -93,7 +93,7 @@
     except pydantic.ValidationError as error:
         first = error.errors()[0]
         place = ".".join(str(part) for part in first["loc"])
-        raise problems.InvalidConfiguration(first["msg"], place=place) from None
+        raise errors.InvalidConfiguration(first["msg"], place=place) from None
 
 
 def check(*, body: dict) -> Configuration:
@@ -102,32 +102,28 @@
     names = set()
     for index, destination in enumerate(configuration.destinations):
         if destination.name in names:
-            raise problems.InvalidConfiguration(
-                f"'{destination.name}' stands twice", place=f"destinations.{index}.name"
-            )
+            raise errors.InvalidConfiguration(f"'{destination.name}' stands twice", place=f"destinations.{index}.name")
         names.add(destination.name)
     places = {}
     route_names = set()
     for index, route in enumerate(configuration.routes):
         if route.name in route_names:
-            raise problems.InvalidConfiguration(f"'{route.name}' stands twice", place=f"routes.{index}.name")
+            raise errors.InvalidConfiguration(f"'{route.name}' stands twice", place=f"routes.{index}.name")
         route_names.add(route.name)
         key = (route.host.lower(), route.pathLead)
         if key in places:
-            raise problems.InvalidConfiguration(
+            raise errors.InvalidConfiguration(
                 f"same host and prefix as '{places[key]}'", place=f"routes.{index}.pathLead"
             )
         places[key] = route.name
         portions = route.portions()
         if not portions:
-            raise problems.InvalidConfiguration("no destination", place=f"routes.{index}.destination")
+            raise errors.InvalidConfiguration("no destination", place=f"routes.{index}.destination")
         for name, _share in portions:
             if name not in names:
-                raise problems.InvalidConfiguration(
-                    f"unknown destination '{name}'", place=f"routes.{index}.destination"
-                )
+                raise errors.InvalidConfiguration(f"unknown destination '{name}'", place=f"routes.{index}.destination")
         if sum(share for _name, share in portions) <= 0:
-            raise problems.InvalidConfiguration("the shares sum to 0", place=f"routes.{index}.apportion")
+            raise errors.InvalidConfiguration("the shares sum to 0", place=f"routes.{index}.apportion")
     _check_senders(configuration.senders or ())
     return configuration
 
@@ -137,10 +133,10 @@
     names, holders = set(), {}
     for index, sender in enumerate(senders):
         if sender.name in names:
-            raise problems.InvalidConfiguration(f"'{sender.name}' stands twice", place=f"senders.{index}.name")
+            raise errors.InvalidConfiguration(f"'{sender.name}' stands twice", place=f"senders.{index}.name")
         names.add(sender.name)
         for number, key in enumerate(sender.apiKeys):
             if holders.setdefault(key, sender.name) != sender.name:
-                raise problems.InvalidConfiguration(
+                raise errors.InvalidConfiguration(
                     f"the key is held by '{holders[key]}' too", place=f"senders.{index}.apiKeys.{number}"
                 )
--- a/pw/ctl/configuration/test_reading.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -7,14 +7,14 @@
 import pytest
 from hypothesis import strategies
 
-from pw.base import problems
-from pw.ctl.configuration import models
-from pw.ctl.configuration import orders
-from pw.ctl.configuration import patches
-from pw.ctl.configuration import reading
-from pw.ctl.configuration import test_models
-
-GOOD = test_models.GOOD
+from ploverward.common import errors
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.configuration import patch as patchs
+from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import test_schema
+
+GOOD = test_schema.GOOD
 HELD = {"edition": GOOD["edition"], "body": GOOD, "recent": [[GOOD["edition"], "0" * 20]]}
 CHECKED = hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
 
@@ -66,13 +66,13 @@
     """What `act` gives, or None where it refused with a place."""
     try:
         return act()
-    except problems.InvalidConfiguration as error:
+    except errors.InvalidConfiguration as error:
         assert error.text and error.place
         return None
 
 
 def refused(act) -> str:
-    with pytest.raises(problems.InvalidConfiguration) as told:
+    with pytest.raises(errors.InvalidConfiguration) as told:
         act()
     return told.value.place
 
@@ -80,7 +80,7 @@
 @CHECKED
 @hypothesis.given(data=strategies.binary(max_size=60) | strategies.text(max_size=60).map(lambda text: text.encode()))
 def test_any_bytes_are_read_or_refused(data):
-    body = refused_or_done(lambda: reading.read_json(data=data))
+    body = refused_or_done(lambda: parser.read_json(data=data))
     assert body is None or isinstance(body, dict)
 
 
@@ -88,7 +88,7 @@
 @hypothesis.given(body=VALUES)
 def test_what_is_read_can_be_written_again(body):
     data = json.dumps(body).encode()
-    read = refused_or_done(lambda: reading.read_json(data=data))
+    read = refused_or_done(lambda: parser.read_json(data=data))
     if read is not None:
         assert json.loads(json.dumps(read, allow_nan=False)) == read
 
@@ -96,7 +96,7 @@
 @CHECKED
 @hypothesis.given(cut=strategies.integers(min_value=0, max_value=len(json.dumps(GOOD)) - 1))
 def test_a_body_cut_short_is_refused_whole(cut):
-    assert refused(lambda: reading.read_json(data=json.dumps(GOOD).encode()[:cut])) == "body"
+    assert refused(lambda: parser.read_json(data=json.dumps(GOOD).encode()[:cut])) == "body"
 
 
 @CHECKED
@@ -104,7 +104,7 @@
 def test_any_value_at_any_place_is_checked_or_refused(path, value):
     body = with_value(GOOD, path, value)
     before = copy.deepcopy(body)
-    refused_or_done(lambda: models.check(body=body))
+    refused_or_done(lambda: schema.check(body=body))
     assert repr(body) == repr(before)
 
 
@@ -112,7 +112,7 @@
 @hypothesis.given(body=OBJECTS, patch=OBJECTS)
 def test_any_patch_of_any_body_is_merged_or_refused(body, patch):
     before = copy.deepcopy((body, patch))
-    refused_or_done(lambda: patches.merge(body=body, patch=patch))
+    refused_or_done(lambda: patchs.merge(body=body, patch=patch))
     assert repr((body, patch)) == repr(before)
 
 
@@ -132,11 +132,11 @@
 
     try:
         new, told = act()
-    except (problems.InvalidConfiguration, problems.StaleBase):
+    except (errors.InvalidConfiguration, errors.StaleBase):
         new, told = held, None
     assert held == before
     if told == orders.TAKEN:
-        assert new["edition"] > base and models.check(body=new["body"]).edition == new["edition"]
+        assert new["edition"] > base and schema.check(body=new["body"]).edition == new["edition"]
         assert json.loads(json.dumps(new, allow_nan=False)) == new
 
 
@@ -160,7 +160,7 @@
     ],
 )
 def test_unclear_json_names_its_place(data, place):
-    assert refused(lambda: reading.read_json(data=data)) == place
+    assert refused(lambda: parser.read_json(data=data)) == place
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
     ],
 )
 def test_wrong_values_name_their_place(path, value, place):
-    assert refused(lambda: models.check(body=with_value(GOOD, path, value))) == place
+    assert refused(lambda: schema.check(body=with_value(GOOD, path, value))) == place
 
 
 @pytest.mark.parametrize(
@@ -210,10 +210,10 @@
     ],
 )
 def test_malformed_patches_name_their_place(patch, place):
-    assert refused(lambda: patches.merge(body=GOOD, patch={"edition": 8, **patch})) == place
+    assert refused(lambda: patchs.merge(body=GOOD, patch={"edition": 8, **patch})) == place
 
 
 def test_a_stored_body_with_an_item_without_a_name_is_refused():
     body = with_value(GOOD, ("routes", 1), {"host": "h"})
     patch = {"edition": 8, "upsert": {"routes": [GOOD["routes"][0]]}}
-    assert refused(lambda: patches.merge(body=body, patch=patch)) == "routes.1"
+    assert refused(lambda: patchs.merge(body=body, patch=patch)) == "routes.1"
--- a/pw/ctl/configuration/test_models.py
+++ b/ploverward/control_plane/configuration/test_schema.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ctl.configuration import models
-from pw.ctl.configuration import orders
-from pw.ctl.configuration import patches
-from pw.ctl.configuration import reading
+from ploverward.common import errors
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.configuration import patch as patchs
+from ploverward.control_plane.configuration import parser
 
 GOOD = {
     "edition": 7,
@@ -58,15 +58,15 @@
     ],
 )
 def test_invalid_ones_name_the_place(body, place):
-    with pytest.raises(problems.InvalidConfiguration) as told:
-        models.check(body=body)
+    with pytest.raises(errors.InvalidConfiguration) as told:
+        schema.check(body=body)
     assert told.value.place == place
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", json.dumps(GOOD).encode()[:-30], b"\xff\xfe"])
 def test_unreadable_ones(data):
-    with pytest.raises(problems.InvalidConfiguration):
-        reading.read_json(data=data)
+    with pytest.raises(errors.InvalidConfiguration):
+        parser.read_json(data=data)
 
 
 def take(payload, *, base, body, method="PUT"):
@@ -85,9 +85,9 @@
 
 def test_wrong_base_and_an_edition_not_above():
     first, _told = take(None, base=0, body=GOOD)
-    with pytest.raises(problems.StaleBase):
+    with pytest.raises(errors.StaleBase):
         take(first, base=3, body=changed(("edition",), 9))
-    with pytest.raises(problems.InvalidConfiguration) as told:
+    with pytest.raises(errors.InvalidConfiguration) as told:
         take(first, base=7, body=changed(("edition",), 6))
     assert told.value.place == "edition"
 
@@ -105,9 +105,9 @@
     assert told == "taken"
     assert [(row["name"], row["expiryMs"]) for row in new["body"]["routes"]] == [("r2", 1), ("r3", 3000)]
     assert new["body"]["limits"] == GOOD["limits"]
-    with pytest.raises(problems.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfiguration):
         take(first, base=7, body={"edition": 8, "withdraw": {"destinations": ["d2"]}}, method="PATCH")
-    with pytest.raises(problems.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfiguration):
         take(first, base=7, body={"edition": 8, "withdraw": {"routes": ["nobody"]}}, method="PATCH")
 
 
@@ -126,11 +126,11 @@
             for number in range(400)
         ],
     )
-    assert len(models.check(body=body).routes) == 400
+    assert len(schema.check(body=body).routes) == 400
 
 
 def with_senders(*senders):
-    return models.check(body={"edition": 1, "routes": [], "destinations": [], "senders": list(senders)})
+    return schema.check(body={"edition": 1, "routes": [], "destinations": [], "senders": list(senders)})
 
 
 def test_tenants_are_read():
@@ -151,17 +151,17 @@
     ],
 )
 def test_tenants_that_are_none_name_the_place_and_never_a_key(senders, place):
-    with pytest.raises(problems.InvalidConfiguration) as caught:
+    with pytest.raises(errors.InvalidConfiguration) as caught:
         with_senders(*senders)
     assert caught.value.place == place and "secret" not in str(caught.value)
 
 
 def test_a_patch_that_gives_a_key_to_a_second_tenant_is_invalid():
     body = {"edition": 1, "routes": [], "destinations": [], "senders": [{"name": "a", "apiKeys": ["secret"]}]}
-    merged = patches.merge(
+    merged = patchs.merge(
         body=body, patch={"edition": 2, "upsert": {"senders": [{"name": "b", "apiKeys": ["secret"]}]}}
     )
-    with pytest.raises(problems.InvalidConfiguration):
-        models.check(body=merged)
-    freed = patches.merge(body=body, patch={"edition": 2, "withdraw": {"senders": ["a"]}})
-    assert models.check(body=freed).senders == []
+    with pytest.raises(errors.InvalidConfiguration):
+        schema.check(body=merged)
+    freed = patchs.merge(body=body, patch={"edition": 2, "withdraw": {"senders": ["a"]}})
+    assert schema.check(body=freed).senders == []
--- a/pw/ctl/register/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -1,6 +1,6 @@
 """The acceptor of the register (docs/register.md 1). Pure: messages in, messages out, rows to be made safe first."""
 
-from pw.ctl.register import ballots
+from ploverward.control_plane.consensus import ballots
 
 EMPTY = (ballots.NONE, ballots.NONE, 0, b"")
 
--- a/pw/ctl/register/store.py
+++ b/ploverward/control_plane/consensus/acceptor_storage.py
@@ -7,13 +7,15 @@
 
 import construct
 
-from pw.base import problems
-from pw.base import wire
+from ploverward.common import errors
+from ploverward.transport import frames
 
 FILE_NAME = "register.log"
 NEW_NAME = "register.new"
 _RECORD_HEAD = struct.Struct(">II")
-_ROW = construct.Sequence(wire.TEXT, wire.NUMBER, wire.TEXT, wire.NUMBER, wire.TEXT, wire.NUMBER, wire.BLOB)
+_ROW = construct.Sequence(
+    frames.TEXT, frames.NUMBER, frames.TEXT, frames.NUMBER, frames.TEXT, frames.NUMBER, frames.BLOB
+)
 IDENTITY = "\x00identity"
 FILE_MODE = 0o644
 READ_SIZE = 1 << 20
@@ -57,7 +59,7 @@
             break
         place += _RECORD_HEAD.size + size
     if place < len(data) and _has_record_after(data, place):
-        raise problems.StoreProblem(f"damage at byte {place}", step="read")
+        raise errors.StoreProblem(f"damage at byte {place}", step="read")
     return rows, place
 
 
--- a/pw/ctl/register/refill.py
+++ b/ploverward/control_plane/consensus/catch_up.py
@@ -5,7 +5,7 @@
 to accept, before its disk was emptied. A request names the values that were told already; answers leave those out.
 """
 
-from pw.ctl.register import ballots
+from ploverward.control_plane.consensus import ballots
 
 LOOK = "look"
 FENCE = "fence"
--- a/pw/ctl/voting.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -1,14 +1,14 @@
 """One core node's part in the registers: acceptor, proposer, disk, and how a learner comes by them (docs/register.md)."""
 
-from pw.base import problems
-from pw.base import ring
-from pw.ctl import registers
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import journal as journals
-from pw.ctl.register import proposer as proposers
-from pw.ctl.register import refill as refills
-from pw.ctl.register import store as stores
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import write_ahead_log
+from ploverward.control_plane.consensus import proposer as proposers
+from ploverward.control_plane.consensus import catch_up
+from ploverward.control_plane.consensus import acceptor_storage
 
 PATIENCE_SHARE = 1 / 10  # of receiptMs: how long an attempt waits for a majority
 LIMIT_SHARE = 1 / 2  # of receiptMs: how long a round is tried again
@@ -58,10 +58,10 @@
         self._version = version
         self._reading = set()
         self._behind = {}  # register: (version, beats for which it has been accepted here and not known as chosen)
-        self._refill = refills.Refill(own=own, registers=registers.REGISTERS)
+        self._refill = catch_up.Refill(own=own, registers=register_names.REGISTERS)
         self._refill_begun = loop.now()
         patience_s = receipt_s * PATIENCE_SHARE
-        self.journal = journals.Journal(
+        self.journal = write_ahead_log.Journal(
             loop=loop, store=store, retry_s=receipt_s * RETRY_SHARE, hang_s=patience_s * HANG_PATIENCES
         )
         self.proposer = proposers.Proposer(
@@ -83,14 +83,16 @@
         self.is_damaged = False
         try:
             image = store.load()
-            ring.note("register read", incarnation=image.incarnation, registers={row[0]: row[5] for row in image.rows})
-        except (problems.StoreProblem, OSError) as failure:
-            ring.spill(f"the register's file can't be read, this node refills: {failure}")
-            image = stores.Image()
+            event_log.note(
+                "register read", incarnation=image.incarnation, registers={row[0]: row[5] for row in image.rows}
+            )
+        except (errors.StoreProblem, OSError) as failure:
+            event_log.spill(f"the register's file can't be read, this node refills: {failure}")
+            image = acceptor_storage.Image()
             self.is_damaged = True
         if not image.incarnation and is_first_start and not self.is_damaged:
             # All start at once with empty disks, and all are told the same seeds: only then are they the first set.
-            image = stores.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds)))
+            image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds)))
         if image.incarnation:
             self._begin(image, on_safe=None)
         else:
@@ -177,7 +179,7 @@
 
         def tell() -> None:
             held = self.journal.held
-            rows = (refills.first_set_row(self.proposer.seeds), *held.rows(known=known)) if held.votes else ()
+            rows = (catch_up.first_set_row(self.proposer.seeds), *held.rows(known=known)) if held.votes else ()
             link.send(("refilled", number, held.votes, rows))
 
         if fences:
@@ -192,7 +194,7 @@
         if self._loop.now() - self._refill_begun > self._contact_s:
             self._refill_begun = self._loop.now()
             self._refill.start()
-        ring.note("refill asked", had={member: len(rows) for member, rows in self._refill.answers.items()})
+        event_log.note("refill asked", had={member: len(rows) for member, rows in self._refill.answers.items()})
         self._ask_cores(self._refill.request())
         self._loop.after(delay=self._contact_s * LOOK_SHARE, act=self._look)
 
@@ -201,9 +203,9 @@
         if self.acceptor.votes or not is_intact:
             return
         stage = self._refill.stage
-        first_set, rows = refills.split_first_set(rows)
+        first_set, rows = catch_up.split_first_set(rows)
         self._refill.take(member=member, number=number, first_set=first_set, rows=rows)
-        if self._refill.stage == refills.DONE:
+        if self._refill.stage == catch_up.DONE:
             self._end_refill()
         elif self._refill.stage != stage:
             self._ask_cores(self._refill.request())
@@ -211,13 +213,13 @@
     def _end_refill(self) -> None:
         gathered = acceptors.Acceptor()
         rows = gathered.refill(incarnation="", states=tuple(self._refill.answers.values()))
-        image = stores.Image(incarnation=self._unique_id(), first_set=self._refill.first_set, rows=rows)
+        image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=self._refill.first_set, rows=rows)
         self._begin(image, on_safe=self._refill_over)
 
     def _refill_over(self) -> None:
-        ring.note("refilled", incarnation=self.acceptor.incarnation)
+        event_log.note("refilled", incarnation=self.acceptor.incarnation)
         self.proposer.is_learner = False
-        for name in registers.REGISTERS:
+        for name in register_names.REGISTERS:
             self.repair(name)
 
     @property
@@ -228,11 +230,11 @@
     # Reading and mending.
     def floor(self) -> tuple:
         """(register, newest version that this node's disk holds), for each register."""
-        return tuple((name, self.journal.held.get(name)[2]) for name in registers.REGISTERS)
+        return tuple((name, self.journal.held.get(name)[2]) for name in register_names.REGISTERS)
 
     def read_unknown(self) -> None:
         """What is on the disk but not yet known as chosen."""
-        for name in registers.REGISTERS:
+        for name in register_names.REGISTERS:
             if not self._version(name) and name not in self._reading:
                 self.repair(name)
 
@@ -249,7 +251,7 @@
             return
         members = self._members()
         turn = 2 + (members.index(self.own) if self.own in members else len(members))
-        for name in registers.REGISTERS:
+        for name in register_names.REGISTERS:
             _promised, _accepted, rev, value = self.journal.held.get(name)
             is_open = rev > self._version(name)
             if not is_open and not (value and len(ballots.way(value)) > 1):
@@ -274,7 +276,7 @@
         """A value that is known to be chosen."""
         if not value or not self._publish(name, rev, value):
             return
-        ring.note("chosen", register=name, rev=rev)
+        event_log.note("chosen", register=name, rev=rev)
         members, payload = ballots.unpack(value)
         self.proposer.learn_chosen(name=name, rev=rev, value=value)
         self._on_value(name, payload, members)
@@ -285,7 +287,7 @@
 
     def start_voting(self) -> None:
         disk_mb = max(self.settings.disk_mb, LEAST_DISK_MB)
-        self.store = stores.Store(
+        self.store = acceptor_storage.Store(
             disk=self.runtime.disk(folder=self.settings.data_dir), limit_bytes=int(disk_mb * MEGABYTE * DISK_SHARE)
         )
         self.voting = Voting(
--- a/pw/ctl/register/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -8,8 +8,8 @@
 
 import collections
 
-from pw.base import problems
-from pw.ctl.register import ballots
+from ploverward.common import errors
+from ploverward.control_plane.consensus import ballots
 
 MOST_ATTEMPTS = 12
 LEAST_PAUSE = 0.1  # of the patience, before an attempt is made again
@@ -144,7 +144,7 @@
         if self.is_learner or not self.members(work.name):
             work.stage = "refused"
             self._rounds[work.number] = work
-            failure = problems.Unreachable("this node is a learner", step="start", peer=work.name)
+            failure = errors.Unreachable("this node is a learner", step="start", peer=work.name)
             self._later(0, lambda: self._finish(work, failure))
         elif work.edit is None and work.next_set is None:
             self._peek(work)
@@ -244,7 +244,7 @@
         work.attempts += 1
         is_given_up = work.is_wanted is not None and not work.is_wanted()
         if is_given_up or self._now() >= work.deadline or work.attempts > MOST_ATTEMPTS:
-            self._finish(work, problems.Unreachable("no majority", step=work.stage or "prepare", peer=work.name))
+            self._finish(work, errors.Unreachable("no majority", step=work.stage or "prepare", peer=work.name))
             return
         top = self._top.get(work.name, 0) + 1
         self._top[work.name] = top
@@ -347,7 +347,7 @@
         if work.edit is not None:
             try:
                 new_payload, result = work.edit(payload)
-            except problems.Problem as fault:
+            except errors.Problem as fault:
                 self._settle(work, chosen_set, payload, fault, None)
                 return
         if new_payload is payload and new_set == members:
--- a/pw/ctl/registers.py
+++ b/ploverward/control_plane/consensus/register_names.py
@@ -3,8 +3,8 @@
 CONFIGURATION = "spec"
 EVACUATIONS = "evac"
 DUTIES = "duty"
-ROLLOUTS = "rollouts"  # admitted versions and roll-outs (pw/ctl/rollouts/state.py)
-ARCHIVE = "orders"  # marks of orders taken long ago (pw/ctl/configuration/archive.py)
+ROLLOUTS = "rollouts"  # admitted versions and roll-outs (ploverward/control_plane/rollouts/state.py)
+ARCHIVE = "orders"  # marks of orders taken long ago (ploverward/control_plane/configuration/order_archive.py)
 CORE_SET = "cores"  # last: it moves after the others
 REGISTERS = (CONFIGURATION, EVACUATIONS, ROLLOUTS, DUTIES, ARCHIVE, CORE_SET)
 FLOORED = (CONFIGURATION, EVACUATIONS, ROLLOUTS)  # a starting proxy serves only with what may have been acknowledged
--- a/pw/ctl/register/test_learning.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -2,25 +2,25 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ctl import registers
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import proposer as proposers
-from pw.ctl.register import refill as refills
-from pw.ctl.register import store as stores
-from pw.sim import linear
-from pw.sim import voters
+from ploverward.common import errors
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import catch_up as refills
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import linearizability
+from ploverward.simulation import consensus_cluster
 
 SEEDS = ("a", "b", "c")
 MOVED = ("b", "c", "d")
-TEXT_NAME = registers.CONFIGURATION
+TEXT_NAME = register_names.CONFIGURATION
 
 
 def settled(*, others=(), seed=1):
     """Three voters (and others at the first start) with one change in each register."""
-    model = voters.Model(seed=seed, seeds=SEEDS, others=others)
-    for name in registers.REGISTERS:
+    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others)
+    for name in register_names.REGISTERS:
         model.nodes["a"].voting.proposer.change(name=name, edit=lambda _payload: (1, None), done=lambda *_row: None)
     model.world.run(until=3.0)
     return model
@@ -29,24 +29,24 @@
 def move(model, name, to, *, until):
     """All registers to another set, as the core does it."""
     ends = []
-    for register in registers.REGISTERS:
+    for register in register_names.REGISTERS:
         model.nodes[name].voting.proposer.change(
             name=register, edit=lambda payload: (payload, None), done=lambda *row: ends.append(row[0]), next_set=to
         )
     model.world.run(until=until)
-    assert ends == [None] * len(registers.REGISTERS)
+    assert ends == [None] * len(register_names.REGISTERS)
 
 
 def rows_of(members, *, ballot=(1, "x"), previous=()):
     value = ballots.pack(members=members, payload=1, previous=previous)
-    return tuple((name, *ballot, *ballot, 1, value) for name in registers.REGISTERS)
+    return tuple((name, *ballot, *ballot, 1, value) for name in register_names.REGISTERS)
 
 
 # The first set.
 
 
 def test_the_first_set_is_kept_so_that_a_restart_before_anything_was_agreed_still_knows_it():
-    model = voters.Model(seed=2, seeds=SEEDS)
+    model = consensus_cluster.Model(seed=2, seeds=SEEDS)
     model.world.run(until=0.5)
     for node in model.nodes.values():
         node.stop(loses_power=True)
@@ -71,13 +71,13 @@
     node.stop()
     path, data = next(iter(node.files._names.items()))
     data.data[20] ^= 0xFF
-    assert path.endswith(stores.FILE_NAME)
+    assert path.endswith(acceptor_storage.FILE_NAME)
     node.start(is_first_start=True)
     assert node.voting.is_damaged and not node.voting.acceptor.votes and node.voting.proposer.is_learner
 
 
 def test_a_disk_that_is_emptied_in_the_first_seconds_is_filled_by_the_others():
-    model = voters.Model(seed=3, seeds=SEEDS)
+    model = consensus_cluster.Model(seed=3, seeds=SEEDS)
     model.world.run(until=0.2)
     model.restart("a", back_s=0.8, is_wiped=True)
     model.world.run(until=4.0)
@@ -90,14 +90,16 @@
     model = settled(others=("d", "e", "f"))
     for late in "def":
         model.world.cuts |= {(late, other) for other in model.nodes} | {(other, late) for other in model.nodes}
-    newcomer = voters.Node(world=model.world, name="g", nodes=model.nodes, seeds=("d", "e", "f"), is_first_start=False)
+    newcomer = consensus_cluster.Node(
+        world=model.world, name="g", nodes=model.nodes, seeds=("d", "e", "f"), is_first_start=False
+    )
     model.nodes["g"] = newcomer
     results = []
     newcomer.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
     model.world.cuts |= {(old, "g") for old in "abc"} | {("g", old) for old in "abc"}
     model.world.cuts -= {(late, "g") for late in "def"} | {("g", late) for late in "def"}
     model.world.run(until=9.0)
-    assert isinstance(results[0][0], problems.Unreachable) and newcomer.voting.proposer.is_learner
+    assert isinstance(results[0][0], errors.Unreachable) and newcomer.voting.proposer.is_learner
     model.world.cuts.clear()
     model.world.run(until=14.0)
     assert newcomer.votes
@@ -117,7 +119,7 @@
     node.voting.proposer.change(name=TEXT_NAME, edit=lambda payload: (2, None), done=lambda *row: results.append(row))
     node.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
     model.world.run(until=8.1)  # at once, not after a round's patience
-    assert [type(row[0]) for row in results] == [problems.Unreachable] * 2
+    assert [type(row[0]) for row in results] == [errors.Unreachable] * 2
     held = node.voting.journal.held
     assert held.peek(("peek", 1, TEXT_NAME, 0, ""))[3] is False
     assert node.voting.acceptor.prepare(("prepare", 1, TEXT_NAME, 99, "x"))[0][3] is False
@@ -125,7 +127,7 @@
     model.nodes["b"].start()
     model.world.run(until=12.0)
     assert node.votes and held is not node.voting.journal.held
-    assert all(node.voting.journal.held.get(name)[2] >= 1 for name in registers.REGISTERS)
+    assert all(node.voting.journal.held.get(name)[2] >= 1 for name in register_names.REGISTERS)
 
 
 # The arithmetic of a refill.
@@ -144,7 +146,7 @@
 def test_how_many_answers_are_needed(own, members, count):
     members = tuple(members)
     others = [member for member in members if member != own]
-    refill = refills.Refill(own=own, registers=registers.REGISTERS)
+    refill = refills.Refill(own=own, registers=register_names.REGISTERS)
     rows = rows_of(members)
     assert take(refill, dict.fromkeys(others[: count - 1], rows)) == refills.LOOK
     assert take(refill, {others[count - 1]: rows}) == refills.FENCE
@@ -154,14 +156,14 @@
 
 
 def test_an_evicted_machine_counts_only_for_the_set_that_it_is_in():
-    refill = refills.Refill(own="c", registers=registers.REGISTERS)
+    refill = refills.Refill(own="c", registers=register_names.REGISTERS)
     old, new = rows_of(SEEDS), rows_of(MOVED, ballot=(4, "y"))
     assert take(refill, {"a": old, "d": new}) == refills.LOOK  # a is out of the newest set; c needs two of b, d
     assert take(refill, {"b": new}) == refills.FENCE
 
 
 def test_a_move_that_is_not_yet_over_needs_members_of_both_sets():
-    refill = refills.Refill(own="b", registers=registers.REGISTERS)
+    refill = refills.Refill(own="b", registers=register_names.REGISTERS)
     new = ("b", "d", "e")
     half = rows_of(new, ballot=(4, "y"), previous=SEEDS)
     assert take(refill, {"d": half, "e": half}) == refills.LOOK
@@ -170,7 +172,7 @@
 
 
 def test_nothing_is_learned_without_any_set():
-    refill = refills.Refill(own="x", registers=registers.REGISTERS)
+    refill = refills.Refill(own="x", registers=register_names.REGISTERS)
     assert take(refill, {"a": (), "b": (), "c": ()}, first_set=()) == refills.LOOK
 
 
@@ -183,10 +185,10 @@
         model.nodes[name].check_told = lambda message: (told.append(message), check(message))
     model.restart("c", back_s=0.5, is_wiped=True)
     model.world.run(until=8.0)
-    assert node.votes and all(node.voting.journal.held.get(name)[3] for name in registers.REGISTERS)
+    assert node.votes and all(node.voting.journal.held.get(name)[3] for name in register_names.REGISTERS)
     filled = [message for message in told if message[0] == "refilled" and message[2]]
     values = [sum(1 for row in message[3] if row[6]) for message in filled]
-    assert values.count(len(registers.REGISTERS)) <= 2 and 0 in values
+    assert values.count(len(register_names.REGISTERS)) <= 2 and 0 in values
 
 
 def test_a_value_left_out_is_filled_in_also_when_a_newer_one_was_told_meanwhile():
@@ -204,7 +206,7 @@
 
 
 def test_old_answers_are_not_counted():
-    refill = refills.Refill(own="a", registers=registers.REGISTERS)
+    refill = refills.Refill(own="a", registers=register_names.REGISTERS)
     rows = rows_of(SEEDS)
     number = refill.request()[1]
     take(refill, {"b": rows, "c": rows})
@@ -251,7 +253,7 @@
         self.queue = []
         self.chosen = []
         self.results = []
-        self.proposer = proposers.Proposer(
+        self.proposer = proposer.Proposer(
             own="p",
             seeds=known,
             send=lambda member, message: self.queue.append((member, message)),
@@ -276,7 +278,7 @@
 
 
 def acceptor_of(name, *rows):
-    return acceptors.Acceptor(incarnation=f"{name}1", rows={row[0]: row for row in rows})
+    return acceptor.Acceptor(incarnation=f"{name}1", rows={row[0]: row for row in rows})
 
 
 def test_a_set_that_only_one_member_accepted_is_not_taken_for_the_one_in_force():
@@ -296,7 +298,7 @@
 
 def test_a_set_that_comes_back_is_not_known_as_chosen_from_its_first_time():
     """abc, bcd, and abc again: the move back was accepted by a and c alone. Whoever knows abc from the first time must not
-    read or write at a majority of abc only, while bcd is in force (found by pw.sim.exhaustive)."""
+    read or write at a majority of abc only, while bcd is in force (found by ploverward.simulation.model_checker)."""
     there = (TEXT_NAME, 2, "x", 2, "x", 2, ballots.pack(members=MOVED, payload=2))
     back = (TEXT_NAME, 3, "y", 3, "y", 3, ballots.pack(members=SEEDS, payload=3, previous=MOVED, moved_at=3))
     for kind in ("read", "change"):
@@ -379,6 +381,6 @@
     assert model.nodes["a"].votes
     model.call("a", kind="read")
     model.world.run(until=until + 12.0)
-    assert model.history[-1]["ended"] is not None and linear.faults(history=model.history) == []
+    assert model.history[-1]["ended"] is not None and linearizability.faults(history=model.history) == []
     assert model.history[-1]["saw"] == max(call["made"] for call in model.history if call.get("made"))
     assert model.lost == []
--- a/pw/ctl/register/test_register.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import proposer as proposers
-from pw.ctl.register import store as stores
-from pw.sim import linear
-from pw.sim import world as worlds
+from ploverward.common import errors
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import linearizability
+from ploverward.simulation import simulated_world
 
 MEMBERS = ("a", "b", "c")
 
@@ -20,7 +20,7 @@
         self.world = world
         self.name = name
         self.nodes = nodes
-        self.disk = worlds.Disk(chance=world.chance)
+        self.disk = simulated_world.Disk(chance=world.chance)
         self.life = 0
         self.chosen = {}
         self.start(is_first=is_first)
@@ -28,13 +28,13 @@
     def start(self, *, is_first=False):
         self.life += 1
         self.is_up = True
-        self.store = stores.Store(disk=self.disk, limit_bytes=4000)
+        self.store = acceptor_storage.Store(disk=self.disk, limit_bytes=4000)
         image = self.store.load()
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows={row[0]: row for row in image.rows})
         if not image.incarnation and is_first:
             self.acceptor.incarnation = f"{self.name}{self.life}"
             self.write()
-        self.proposer = proposers.Proposer(
+        self.proposer = proposer.Proposer(
             own=f"{self.name}/{self.life}",
             seeds=MEMBERS,
             send=self.send,
@@ -50,7 +50,7 @@
             self.refill()
 
     def write(self, *rows):
-        image = stores.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
+        image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     def later(self, delay, act):
@@ -120,7 +120,7 @@
 
 
 def make(seed, *, members=MEMBERS):
-    world = worlds.World(seed=seed)
+    world = simulated_world.World(seed=seed)
     nodes = {}
     for name in members:
         nodes[name] = Node(world=world, name=name, nodes=nodes)
@@ -186,7 +186,7 @@
     for step in range(5):
         world.later(1.0 + step * 3.4, trouble)
     world.run(until=40.0)
-    assert linear.faults(history=history) == []
+    assert linearizability.faults(history=history) == []
     assert sum(1 for call in history if call["ended"] is not None) > 20
 
 
@@ -195,12 +195,12 @@
         {"kind": "change", "begun": 0, "ended": 1, "base": 0, "made": 1},
         {"kind": "change", "begun": 0, "ended": 1, "base": 0, "made": 2},
     ]
-    assert linear.faults(history=two_on_one)
+    assert linearizability.faults(history=two_on_one)
     stale = [
         {"kind": "change", "begun": 0, "ended": 1, "base": 0, "made": 1},
         {"kind": "read", "begun": 2, "ended": 3, "saw": 0},
     ]
-    assert linear.faults(history=stale)
+    assert linearizability.faults(history=stale)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -214,7 +214,7 @@
             if payload == name:
                 return payload, "known"
             if payload is not None:
-                raise problems.StaleBase(current=1)
+                raise errors.StaleBase(current=1)
             return name, "won"
 
         return edit
@@ -224,7 +224,7 @@
     world.run(until=20.0)
     assert len(results) == 2
     assert sorted(row[0] is None for row in results) == [False, True]
-    assert isinstance(next(row[0] for row in results if row[0] is not None), problems.StaleBase)
+    assert isinstance(next(row[0] for row in results if row[0] is not None), errors.StaleBase)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -262,7 +262,7 @@
     results = []
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (2, None), done=lambda *row: results.append(row))
     world.run(until=14.0)
-    assert isinstance(results[0][0], problems.Unreachable)
+    assert isinstance(results[0][0], errors.Unreachable)
     nodes["b"].start()
     world.run(until=20.0)
     assert nodes["c"].acceptor.votes
@@ -313,42 +313,42 @@
 
 
 def _filled(count):
-    disk = worlds.Disk(chance=None)
-    store = stores.Store(disk=disk, limit_bytes=10**6)
-    store.write(rows=(), image=stores.Image(incarnation="i1", first_set=MEMBERS))
+    disk = simulated_world.Disk(chance=None)
+    store = acceptor_storage.Store(disk=disk, limit_bytes=10**6)
+    store.write(rows=(), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS))
     for number in range(1, count + 1):
         row = _row(number)
-        store.write(rows=(row,), image=stores.Image(incarnation="i1", first_set=MEMBERS, rows=(row,)))
+        store.write(rows=(row,), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(row,)))
     return disk
 
 
 @pytest.mark.parametrize("cut", range(1, 12))
 def test_torn_tail_is_cut_at_the_last_good_record(cut):
     disk = _filled(4)
-    disk.tear(name=stores.FILE_NAME, keep=len(disk.files[stores.FILE_NAME]) - cut)
-    image = stores.Store(disk=disk, limit_bytes=10**6).load()
-    assert image == stores.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
+    disk.tear(name=acceptor_storage.FILE_NAME, keep=len(disk.files[acceptor_storage.FILE_NAME]) - cut)
+    image = acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
+    assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
 def test_damage_before_the_tail_is_told():
     disk = _filled(4)
-    data = bytearray(disk.files[stores.FILE_NAME])
+    data = bytearray(disk.files[acceptor_storage.FILE_NAME])
     data[30] ^= 0xFF
-    disk.files[stores.FILE_NAME] = bytes(data)
-    with pytest.raises(problems.StoreProblem):
-        stores.Store(disk=disk, limit_bytes=10**6).load()
+    disk.files[acceptor_storage.FILE_NAME] = bytes(data)
+    with pytest.raises(errors.StoreProblem):
+        acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
 
 
 def test_long_file_is_rewritten_and_keeps_the_state():
-    disk = worlds.Disk(chance=None)
-    store = stores.Store(disk=disk, limit_bytes=500)
+    disk = simulated_world.Disk(chance=None)
+    store = acceptor_storage.Store(disk=disk, limit_bytes=500)
     row = ("spec", 1, "a", 1, "a", 1, b"x" * 90)
-    image = stores.Image(incarnation="i1", rows=(row,))
+    image = acceptor_storage.Image(incarnation="i1", rows=(row,))
     store.write(rows=(), image=image)
     for _ in range(30):
         store.write(rows=(row,), image=image)
-    assert len(disk.files[stores.FILE_NAME]) < 1200
-    assert stores.Store(disk=disk, limit_bytes=500).load() == image
+    assert len(disk.files[acceptor_storage.FILE_NAME]) < 1200
+    assert acceptor_storage.Store(disk=disk, limit_bytes=500).load() == image
 
 
 def test_refusing_disk_answers_nothing():
@@ -357,4 +357,4 @@
     results = []
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (1, None), done=lambda *row: results.append(row))
     world.run(until=8.0)
-    assert isinstance(results[0][0], problems.Unreachable)
+    assert isinstance(results[0][0], errors.Unreachable)
--- a/pw/ctl/register/test_cost.py
+++ b/ploverward/control_plane/consensus/test_cost.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pw.ctl.register import store as stores
-from pw.sim import register_cost
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import register_cost
 
 
 def test_bytes_and_disk_of_a_change_do_not_grow_with_the_changes_made_before():
@@ -35,7 +35,9 @@
 def test_a_file_of_small_values_does_not_wait_for_the_limit():
     grown = register_cost.file_growth(routes=2, changes=400, limit_bytes=8 * 1024 * 1024)
     assert grown["rewrites"] > 1
-    assert grown["largest_file_bytes"] <= max(stores.LEAST_LONG, stores.LONG_FACTOR * grown["value_bytes"] * 2)
+    assert grown["largest_file_bytes"] <= max(
+        acceptor_storage.LEAST_LONG, acceptor_storage.LONG_FACTOR * grown["value_bytes"] * 2
+    )
 
 
 @pytest.mark.parametrize("how", ["restarted", "absent", "emptied", "new"])
--- a/pw/ctl/register/test_durable.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from pw.ctl import voting
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import journal as journals
-from pw.ctl.register import store as stores
-from pw.sim import linear
-from pw.sim import voters
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import write_ahead_log
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import linearizability
+from ploverward.simulation import consensus_cluster
 
 SEEDS = ("a", "b", "c")
 DISK_FAULTS = ("refuse", "full", "sync", "rename", "folder", "hang")
@@ -40,9 +40,9 @@
             model.restart(other, back_s=0.8, loses_power=kind == "all lose power")
 
 
-def play(seed, *, others=(), voting_type=voting.Voting):
+def play(seed, *, others=(), voting_type=consensus_node.Voting):
     """A history of calls, moves of the set and troubles, then a quiet time with a read at each node."""
-    model = voters.Model(seed=seed, seeds=SEEDS, others=others, voting_type=voting_type)
+    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others, voting_type=voting_type)
     chance = model.world.chance
     model.world.loss = chance.choice((0.0, 0.02, 0.05))
     names = sorted(model.nodes)
@@ -67,7 +67,7 @@
 
 def check(model, *, least=20):
     assert model.lost == []
-    assert linear.faults(history=model.history) == []
+    assert linearizability.faults(history=model.history) == []
     assert sum(1 for call in model.history if call["ended"] is not None) >= least
     last = [call for call in model.history if call["begun"] >= QUIET_S + 6.0]
     assert last and all(call["ended"] is not None for call in last)
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("kind", ["full", "refuse", "sync", "rename", "folder"])
 def test_a_node_whose_disk_fails_for_long_steps_aside_and_comes_back(kind):
-    model = voters.Model(seed=7, seeds=SEEDS)
+    model = consensus_cluster.Model(seed=7, seeds=SEEDS)
     model.world.run(until=1.0)
     model.fault("a", kind, lasts_s=20.0)
     for step in range(40):
@@ -103,11 +103,11 @@
     model.call("a", kind="read")
     model.world.run(until=30.0)
     assert all(call["ended"] is not None for call in model.history[-2:])
-    assert model.lost == [] and linear.faults(history=model.history) == []
+    assert model.lost == [] and linearizability.faults(history=model.history) == []
 
 
 def test_a_refill_that_the_disk_refuses_at_first_ends_once_it_can_be_written():
-    model = voters.Model(seed=9, seeds=SEEDS)
+    model = consensus_cluster.Model(seed=9, seeds=SEEDS)
     model.call("a", kind="change")
     model.world.run(until=2.0)
     model.restart("c", back_s=0.5, is_wiped=True)
@@ -120,7 +120,7 @@
 
 
 def test_answers_that_wait_for_a_hanging_disk_are_bounded():
-    model = voters.Model(seed=8, seeds=SEEDS)
+    model = consensus_cluster.Model(seed=8, seeds=SEEDS)
     model.world.run(until=1.0)
     node, ear = model.nodes["a"], Ear()
     model.fault("a", "hang", lasts_s=30.0)
@@ -139,13 +139,13 @@
 # Planted faults: the former behaviour put back has to be seen.
 
 
-def found(seeds, *, others=(), voting_type=voting.Voting):
+def found(seeds, *, others=(), voting_type=consensus_node.Voting):
     """Whether the history of one of these seeds breaks a rule."""
     models = (play(seed, others=others, voting_type=voting_type) for seed in seeds)
-    return any(model.lost or linear.faults(history=model.history) for model in models)
+    return any(model.lost or linearizability.faults(history=model.history) for model in models)
 
 
-class PeekingAhead(voting.Voting):
+class PeekingAhead(consensus_node.Voting):
     """Answers a peek from memory while nothing is being written."""
 
     def take(self, member, link, message):
@@ -159,7 +159,7 @@
     assert found(range(6), voting_type=PeekingAhead)
 
 
-class TellingAhead(voting.Voting):
+class TellingAhead(consensus_node.Voting):
     """Tells a learner what is in memory."""
 
     def _take_refill(self, member, link, message):
@@ -177,9 +177,9 @@
         self.heard.append(message)
 
 
-def _after_a_failed_write(voting_type=voting.Voting):
+def _after_a_failed_write(voting_type=consensus_node.Voting):
     """A node that accepted (5, x) while its disk refused: its answers to a peek and to a learner's look, by kind."""
-    model = voters.Model(seed=1, seeds=SEEDS, voting_type=voting_type)
+    model = consensus_cluster.Model(seed=1, seeds=SEEDS, voting_type=voting_type)
     model.world.run(until=1.0)
     node, ear = model.nodes["b"], Ear()
     node.files.faults.add("refuse")
@@ -194,8 +194,8 @@
 
 def test_what_a_failed_write_left_in_memory_is_not_told():
     node, ear, heard = _after_a_failed_write()
-    assert voters.claims(heard["peeked"]) == [("spec", (0, ""), (0, ""))]
-    assert voters.claims(heard["refilled"]) == []
+    assert consensus_cluster.claims(heard["peeked"]) == [("spec", (0, ""), (0, ""))]
+    assert consensus_cluster.claims(heard["refilled"]) == []
     assert node.voting.floor()[0] == ("spec", 0)
     # While the disk refuses, nothing is voted for and nothing changes here.
     node.voting.take("a", ear, ("prepare", 4, "spec", 9, "x"))
@@ -204,16 +204,16 @@
     node.files.faults.clear()
     node.world.run(until=3.0)
     node.voting.take("a", ear, ("peek", 5, "spec", 0, ""))
-    assert voters.claims(ear.heard[-1])[0][2] >= (5, "x") and ear.heard[-1][8:] == (1, VALUE)
+    assert consensus_cluster.claims(ear.heard[-1])[0][2] >= (5, "x") and ear.heard[-1][8:] == (1, VALUE)
 
 
 def test_rows_from_memory_would_be_seen_by_that_test():
     _node, _ear, heard = _after_a_failed_write(TellingAhead)
-    assert voters.claims(heard["refilled"]) == [("spec", (5, "x"), (5, "x"))]
+    assert consensus_cluster.claims(heard["refilled"]) == [("spec", (5, "x"), (5, "x"))]
 
 
 def test_a_file_that_is_appended_to_after_a_failed_sync_is_found(monkeypatch):
-    write = stores.Store.write
+    write = acceptor_storage.Store.write
 
     def trusting(self, *, rows, image):
         """Takes the failed append for written, as a program does that only syncs once more."""
@@ -222,42 +222,42 @@
             write(self, rows=rows, image=image)
         except OSError:
             if is_append:
-                self._size = size + len(stores.pack_rows(rows))
+                self._size = size + len(acceptor_storage.pack_rows(rows))
                 self._needs_whole = False
             raise
 
-    monkeypatch.setattr(stores.Store, "write", trusting)
+    monkeypatch.setattr(acceptor_storage.Store, "write", trusting)
     assert found(range(6))
 
 
 def test_a_file_that_is_trusted_as_it_was_read_is_found(monkeypatch):
-    load = stores.Store.load
+    load = acceptor_storage.Store.load
 
     def trusting(self):
         image = load(self)
-        data = self._disk.read(name=stores.FILE_NAME)
+        data = self._disk.read(name=acceptor_storage.FILE_NAME)
         if data is not None and image.incarnation:
             self._size = len(data)
             self._needs_whole = False
         return image
 
-    begin = journals.Journal.begin
+    begin = write_ahead_log.Journal.begin
 
     def telling(self, *, acceptor, first_set, on_safe):
         begin(self, acceptor=acceptor, first_set=first_set, on_safe=on_safe)
         self._safe = self._change
         self.held = acceptors.Acceptor(incarnation=acceptor.incarnation, rows={row[0]: row for row in acceptor.rows()})
 
-    monkeypatch.setattr(stores.Store, "load", trusting)
-    monkeypatch.setattr(journals.Journal, "begin", telling)
+    monkeypatch.setattr(acceptor_storage.Store, "load", trusting)
+    monkeypatch.setattr(write_ahead_log.Journal, "begin", telling)
     assert found(range(12, 24))
 
 
 def test_a_rename_whose_folder_is_not_synced_is_found(monkeypatch):
-    monkeypatch.setattr(stores.Disk, "_sync_folder", lambda self: None)
+    monkeypatch.setattr(acceptor_storage.Disk, "_sync_folder", lambda self: None)
     assert found(range(12))
 
 
 def test_answers_that_do_not_wait_for_the_disk_are_found(monkeypatch):
-    monkeypatch.setattr(journals.Journal, "tell", lambda self, *, key, act: (act(), self._write()))
+    monkeypatch.setattr(write_ahead_log.Journal, "tell", lambda self, *, key, act: (act(), self._write()))
     assert found(range(3))
--- a/pw/ctl/register/test_exhaustive.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from pw.sim import exhaustive
+from ploverward.simulation import model_checker
 
-SCENARIOS = exhaustive.small()
-FAULTS = exhaustive.planted()
+SCENARIOS = model_checker.small()
+FAULTS = model_checker.planted()
 
 
 def name_of(row) -> str:
@@ -20,14 +20,14 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=name_of)
 def test_no_order_of_steps_breaks_a_rule(scenario):
-    outcome = exhaustive.explore(scenario=scenario, most_states=exhaustive.SMALL_STATES)
+    outcome = model_checker.explore(scenario=scenario, most_states=model_checker.SMALL_STATES)
     assert outcome.finding is None, outcome.finding.text()
     assert outcome.is_whole
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=name_of_fault)
 def test_a_planted_fault_is_found(fault):
-    outcome = exhaustive.explore_fault(fault=fault, most_states=exhaustive.SMALL_STATES)
+    outcome = model_checker.explore_fault(fault=fault, most_states=model_checker.SMALL_STATES)
     assert outcome.finding is not None
 
 
@@ -35,13 +35,13 @@
     """The scenarios of faults in the code around them are sound by themselves: the fault is what is found."""
     for fault in FAULTS:
         if fault.planted is not contextlib.nullcontext and not fault.scenario.restarts:
-            outcome = exhaustive.explore(scenario=fault.scenario, most_states=exhaustive.SMALL_STATES)
+            outcome = model_checker.explore(scenario=fault.scenario, most_states=model_checker.SMALL_STATES)
             assert outcome.finding is None, outcome.finding.text()
             assert outcome.is_whole
 
 
 def explorer_of(scenario):
-    return exhaustive.Explorer(scenario=scenario)
+    return model_checker.Explorer(scenario=scenario)
 
 
 def state_after(explorer, state, count):
@@ -81,24 +81,24 @@
     explorer = explorer_of(SCENARIOS[0])
     state = state_after(explorer, explorer.start(), 3)
     proposer, timers = state.writers["Q"].live
-    copied, copied_timers = exhaustive.clone((proposer, timers), {})
-    assert exhaustive.form((copied, copied_timers), {}) == exhaustive.form((proposer, timers), {})
-    before = exhaustive.form((proposer, timers), {})
+    copied, copied_timers = model_checker.clone((proposer, timers), {})
+    assert model_checker.form((copied, copied_timers), {}) == model_checker.form((proposer, timers), {})
+    before = model_checker.form((proposer, timers), {})
     for act in copied_timers:
         act()
     explorer.ports["Q"].sent.clear()
     explorer.ports["Q"].timers.clear()
-    assert exhaustive.form((proposer, timers), {}) == before
+    assert model_checker.form((proposer, timers), {}) == before
 
 
 def test_a_history_of_a_fault_is_told_step_by_step(capsys):
     name = FAULTS[0].scenario.name
-    assert exhaustive.main(["--budget", "planted", "--scenario", name]) == 0
+    assert model_checker.main(["--budget", "planted", "--scenario", name]) == 0
     told = capsys.readouterr().out
     assert "is chosen at revision" in told
     assert "('deliver'" in told
 
 
 def test_the_command_says_when_not_all_states_were_seen(capsys):
-    assert exhaustive.main(["--scenario", SCENARIOS[0].name, "--states", "50"]) == 0
+    assert model_checker.main(["--scenario", SCENARIOS[0].name, "--states", "50"]) == 0
     assert "NOT ALL" in capsys.readouterr().out
--- a/pw/ctl/register/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -1,6 +1,6 @@
 """The code starts from what an earlier state of it stored: golden/stored, golden/kept.tar.gz and golden/expected.json.
 
-Three core nodes of the model world (pw/sim/control) wrote the folders to the real disk: 10.0.0.1 and 10.0.0.2 from the
+Three core nodes of the model world (ploverward/simulation/control_plane) wrote the folders to the real disk: 10.0.0.1 and 10.0.0.2 from the
 first start, 10.0.0.4 as a learner that took the place of 10.0.0.3. Names of the code are used in the first part of this
 file only; the rest speaks of stored names, so a rename of the code changes little here and nothing in golden/.
 """
@@ -14,18 +14,18 @@
 
 import pytest
 
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import evacuations
-from pw.ctl.configuration import orders
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import store as stores
-from pw.ctl.rollouts import orders as rollout_orders
-from pw.ctl.rollouts import state as rollout_states
-from pw.ops import keep as keeps
-from pw.sim.control import clock as clocks
-from pw.sim.control import machines
-from pw.sim.control import network as networks
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import orders as configuration_orders
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.rollouts import orders as rollout_orders
+from ploverward.control_plane.rollouts import state
+from ploverward.command_line import keep
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_network
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 LIMIT_BYTES = 512 * 1024
@@ -35,7 +35,7 @@
 
 
 # Names of the code.
-class Disk(stores.Disk):
+class Disk(acceptor_storage.Disk):
     """The real disk of a machine of the model world: what is written is there at once."""
 
     def finish_batch(self) -> float:
@@ -49,11 +49,11 @@
 
 
 def open_store(folder):
-    return stores.Store(disk=stores.Disk(folder=str(folder)), limit_bytes=LIMIT_BYTES)
+    return acceptor_storage.Store(disk=acceptor_storage.Disk(folder=str(folder)), limit_bytes=LIMIT_BYTES)
 
 
 def pack_record(rows) -> bytes:
-    return stores.pack_rows(rows)
+    return acceptor_storage.pack_rows(rows)
 
 
 def records_of(data: bytes) -> list:
@@ -61,7 +61,7 @@
     found = []
     while data:
         size = HEAD_SIZE + int.from_bytes(data[:4], "big")
-        rows, taken = stores.read_rows(data[:size])
+        rows, taken = acceptor_storage.read_rows(data[:size])
         assert taken == size
         found.append((rows, data[:size]))
         data = data[size:]
@@ -100,15 +100,15 @@
     """The payload of the configuration and all marks, after these orders without an archive."""
     payload = None
     for row in history:
-        order = orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
+        order = configuration_orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
         if order.method == "PATCH":
-            order = orders.build(order=order, held=payload["body"])
-        payload, _said = orders.edit_for(order=order, archived=0)(payload)
+            order = configuration_orders.build(order=order, held=payload["body"])
+        payload, _said = configuration_orders.edit_for(order=order, archived=0)(payload)
     return json.loads(json.dumps(payload)), payload["recent"]
 
 
 def archived(rows) -> dict:
-    return archive.edit_for(rows=rows)(None)[0]
+    return order_archive.edit_for(rows=rows)(None)[0]
 
 
 def evacuated(history) -> dict:
@@ -122,8 +122,8 @@
 def rewritten_rollouts(payload: dict) -> dict:
     """The payload after each row was read and written again."""
     written = None
-    for name, rollout in rollout_states.rollouts_of(payload).items():
-        written = rollout_states.with_rollout(written, service=name, rollout=rollout)
+    for name, rollout in state.rollouts_of(payload).items():
+        written = state.with_rollout(written, service=name, rollout=rollout)
     return json.loads(json.dumps(written))
 
 
@@ -133,7 +133,7 @@
 
 
 def keeper_of(folder):
-    return keeps.Keeper(folder=str(folder))
+    return keep.Keeper(folder=str(folder))
 
 
 class Site:
@@ -141,10 +141,10 @@
 
     def __init__(self, *, folder, seed: int):
         self.folder = pathlib.Path(folder)
-        self.clock = clocks.Clock(seed=seed)
-        self.network = networks.Network(clock=self.clock)
+        self.clock = simulated_clock.Clock(seed=seed)
+        self.network = simulated_network.Network(clock=self.clock)
         self.platform = machines.Platform(network=self.network)
-        self.caller = networks.Caller(network=self.network, host="operator")
+        self.caller = simulated_network.Caller(network=self.network, host="operator")
         self.cores = {}
         self.failures = []
 
--- a/pw/ctl/register/journal.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -8,9 +8,9 @@
 again, and while one hangs, `is_hindered` is true and the node votes for nothing.
 """
 
-from pw.base import ring
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import store as stores
+from ploverward.common import event_log
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import acceptor_storage
 
 
 class Journal:
@@ -66,7 +66,9 @@
             return
         acceptor, change, names = self._acceptor, self._change, self._changed
         self._changed = set()
-        image = stores.Image(incarnation=acceptor.incarnation, first_set=self._first_set, rows=acceptor.rows())
+        image = acceptor_storage.Image(
+            incarnation=acceptor.incarnation, first_set=self._first_set, rows=acceptor.rows()
+        )
         rows = tuple(row for row in image.rows if row[0] in names)
         self._writing_since = self._loop.now()
 
@@ -97,7 +99,7 @@
 
     def _take_failure(self, failure) -> None:
         if not self._is_failing:
-            ring.spill(f"the disk refused a write, this node votes for nothing until one goes through: {failure}")
+            event_log.spill(f"the disk refused a write, this node votes for nothing until one goes through: {failure}")
         self._is_failing = True
         self._waiting.clear()
         self._loop.after(delay=self._retry_s, act=self._write)
--- a/pw/ctl/core.py
+++ b/ploverward/control_plane/core_node.py
@@ -1,33 +1,33 @@
 """The core program: register, leases, duties, news, dispatch and directory (design 1, 4, 5, 9)."""
 
-from pw.base import problems
-from pw.base import ring
-from pw.ctl import grants
-from pw.ctl import contact as contacts
-from pw.ctl import core_set as core_sets
-from pw.ctl import interfaces
-from pw.ctl import membership
-from pw.ctl import metering
-from pw.ctl import registers
-from pw.ctl import runtime as runtimes
-from pw.ctl import voting
-from pw.ctl import watch_duty as watch_duties
-from pw.ctl.configuration import evacuations
-from pw.ctl.news import desk as desks
-from pw.ctl.register import ballots
-from pw.ctl.rollouts import duty as rollout_duties
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.operator_api import interfaces
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane import node_runtime
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.rollouts import manager
 
 LEAVE_SHARE = 0.85  # of graceS: a leaving node ends by then, whatever is under way
 RATE_WINDOW_S = 1.5  # the cold bound is stated for one second
 
 
-class Core(voting.VotingMixin, membership.MembersMixin):
+class Core(consensus_node.VotingMixin, peer_sessions.MembersMixin):
     def __init__(self, *, settings, runtime=None):
-        self.runtime = runtime if runtime is not None else runtimes.Runtime()
+        self.runtime = runtime if runtime is not None else node_runtime.Runtime()
         self.settings = settings
         self.own = settings.ip
         self.life = self.runtime.unique_id()
-        self.loop = self.runtime.loop(on_fault=lambda fault: ring.spill("a step failed", fault=fault))
+        self.loop = self.runtime.loop(on_fault=lambda fault: event_log.spill("a step failed", fault=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.receipt_s = settings.bound_s(name="receiptMs")
         self.silence_s = self.contact_s / 5
@@ -37,22 +37,22 @@
         start = self.loop.now()
         quiet_s = self.silence_s * 2 if settings.first_start else self.lease_s + window_s
         # Two kinds of bound: what is spent counts for retryWindowS, a rate only for its second (and a little).
-        self.slacks = grants.Book(
+        self.slacks = share_leases.Book(
             now=self.loop.now, life_s=self.lease_s, window_s=window_s, quiet_until=start + quiet_s
         )
         rate_quiet_s = min(quiet_s, self.lease_s + RATE_WINDOW_S)
-        self.rates = grants.Book(
+        self.rates = share_leases.Book(
             now=self.loop.now, life_s=self.lease_s, window_s=RATE_WINDOW_S, quiet_until=start + rate_quiet_s
         )
-        self.slots = grants.Slots(now=self.loop.now, hold_s=self.lease_s + RATE_WINDOW_S)
+        self.slots = share_leases.Slots(now=self.loop.now, hold_s=self.lease_s + RATE_WINDOW_S)
         self.rates_from = start + rate_quiet_s
-        self.desk = desks.Desk()
-        self.follower = desks.Follower(
+        self.desk = publisher.Desk()
+        self.follower = publisher.Follower(
             now=self.loop.now,
             patience_s=self.contact_s / 12,
             on_image=self._on_image,
             on_change=self._on_change,
-            stepwise=(watch_duties.LIST,),
+            stepwise=(coordinator.LIST,),
             holds=self.desk.serial,
         )
         self.spec = None
@@ -74,18 +74,20 @@
         self._start_membership_objects(window_s=window_s)
 
     def _start_membership_objects(self, *, window_s: float) -> None:
-        self.contact = contacts.Contact(own=self.own, now=self.loop.now, lease_s=self.lease_s)
+        self.contact = majority_lease.Contact(own=self.own, now=self.loop.now, lease_s=self.lease_s)
         seeds = {host for host, _port in self.settings.seeds}
         first_part = self.part_of(seeds) if self.settings.first_start else 0.0
         # An evicted member may hand out entries until its contact ends; each counts for its life and its window.
         outlived_s = 2 * self.lease_s
-        self.slack_parts = grants.Parts(now=self.loop.now, wait_s=outlived_s + window_s, first_part=first_part)
-        self.rate_parts = grants.Parts(now=self.loop.now, wait_s=outlived_s + RATE_WINDOW_S, first_part=first_part)
-        self.mover = core_sets.Mover(
+        self.slack_parts = share_leases.Parts(now=self.loop.now, wait_s=outlived_s + window_s, first_part=first_part)
+        self.rate_parts = share_leases.Parts(
+            now=self.loop.now, wait_s=outlived_s + RATE_WINDOW_S, first_part=first_part
+        )
+        self.mover = voting_set.Mover(
             change=lambda **about: self.proposer.change(**about), known_set=lambda name: self.proposer.members(name)
         )
-        self.duty_table = watch_duties.Duties(change=lambda **about: self.proposer.change(**about))
-        self.watch_duty = watch_duties.WatchDuty(
+        self.duty_table = coordinator.Duties(change=lambda **about: self.proposer.change(**about))
+        self.watch_duty = coordinator.WatchDuty(
             own=self.own,
             life=self.life,
             now=self.loop.now,
@@ -96,16 +98,16 @@
             stale_after_s=self.contact_s,
         )
 
-        self.meter = metering.Meter(
+        self.meter = quota_meter.Meter(
             now=self.loop.now,
-            bounds=metering.Bounds(
+            bounds=quota_meter.Bounds(
                 window_s=self.settings.bound(name="quotaWindowS", default=5),
                 excess=self.settings.bound(name="quotaExcess"),
                 slack=self.settings.bound(name="quotaSlack"),
             ),
             part=self.rate_parts.value,
         )
-        self.rollout_duty = rollout_duties.RolloutDuty(
+        self.rollout_duty = manager.RolloutDuty(
             settings=self.settings,
             now=self.loop.now,
             change=lambda **about: self.proposer.change(**about),
@@ -125,11 +127,11 @@
             self.spec = payload["body"] if payload else None
             self.has_tenants = (self.spec or {}).get("senders") is not None
             self.meter.install(self.spec)
-        elif name == registers.EVACUATIONS:
+        elif name == register_names.EVACUATIONS:
             self.out_zones = evacuations.zones_of(payload)
-        elif name == registers.ROLLOUTS:
+        elif name == register_names.ROLLOUTS:
             self.rollout_duty.install(payload)
-        elif name == registers.ARCHIVE:
+        elif name == register_names.ARCHIVE:
             self.interfaces.dispatch.learn_archive(payload)
         elif name == "cores":
             self.core_members = members
@@ -150,7 +152,7 @@
         self.watch.start()
         self.loop.every(gap=self.silence_s / 3, act=self._beat)
         self.runtime.on_signals(loop=self.loop, on_terminate=self._leave, on_reread=self._reread)
-        ring.note("core up", own=self.own, first=self.settings.first_start)
+        event_log.note("core up", own=self.own, first=self.settings.first_start)
 
     def _make_interfaces(self) -> None:
         self.interfaces = interfaces.Interfaces(
@@ -182,7 +184,7 @@
 
         Nobody else can have had that part under this version; entries of the earlier life are waited for by the books.
         """
-        _promised, _accepted, version, value = self.acceptor.get(registers.CORE_SET)
+        _promised, _accepted, version, value = self.acceptor.get(register_names.CORE_SET)
         if not value or len(ballots.way(value)) > 1:
             return
         members, _payload = ballots.unpack(value)
@@ -217,5 +219,5 @@
     def _reread(self) -> None:
         try:
             self.settings = self.runtime.load_settings()
-        except problems.SettingsProblem as fault:
-            ring.spill(f"the new settings are kept out: {fault}")
+        except errors.SettingsProblem as fault:
+            event_log.spill(f"the new settings are kept out: {fault}")
--- a/pw/ctl/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -1,9 +1,9 @@
 """Look-ups of clients and the views that operator tools read (design 4, 10)."""
 
-from pw.base import residency
-from pw.ctl import router
-from pw.ctl.news import replica_list
-from pw.ctl.register import ballots
+from ploverward.common import residency
+from ploverward.control_plane.operator_api import router
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import ballots
 
 MOST_ADDRESSES = 64  # the protocol's figure
 RETRY_LATER = ((b"Retry-After", b"1"),)
@@ -83,7 +83,7 @@
             call.answer(status=503, body={"error": "no list of replicas yet"}, headers=RETRY_LATER)
             return
         epoch, number, data = held
-        rows = replica_list.unpack_list(data).in_order()
+        rows = endpoint_list.unpack_list(data).in_order()
         call.answer(status=200, body={"epoch": epoch, "number": number, "replicas": rows})
 
     def _get_nodes(self, call) -> None:
--- a/pw/ctl/platform.py
+++ b/ploverward/control_plane/discovery/platform_client.py
@@ -6,7 +6,7 @@
 
 import pycurl
 
-from pw.base import problems
+from ploverward.common import errors
 
 MOST_PAGES = 200
 PAGES_A_ZONE = 2  # a list of more pages than so many for each zone is read by zones, all beside each other
@@ -74,7 +74,7 @@
         for curl in good:
             self._end(curl, None)
         for curl, _code, text in bad:
-            self._end(curl, problems.Problem(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
+            self._end(curl, errors.Problem(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
 
     def _end(self, curl, fault) -> None:
         body, done = self._calls.pop(curl)
--- a/pw/ctl/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -2,7 +2,7 @@
 
 import types
 
-from pw.ctl import directory
+from ploverward.control_plane.discovery import directory
 
 
 def make(live):
--- a/pw/ctl/test_platform.py
+++ b/ploverward/control_plane/discovery/test_platform_client.py
@@ -3,7 +3,7 @@
 import json
 import urllib.parse
 
-from pw.ctl import platform
+from ploverward.control_plane.discovery import platform_client
 
 ZONES = ("za", "zb")
 
@@ -51,7 +51,7 @@
 def make(**sizes):
     told = []
     loop = Loop()
-    watch = platform.Watch(
+    watch = platform_client.Watch(
         loop=loop,
         address="x:1",
         gap_s=0.5,
--- a/pw/ctl/news/replica_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -8,14 +8,14 @@
 import json
 import zlib
 
-from pw.base import problems
+from ploverward.common import errors
 
 COMPRESSION = 6  # zlib's default: rows of one fleet are much alike
 COLD_SLACK_MS = 400.0  # a cold time that ends so much later than was told is a change; less is the platform's lag
 LARGEST_JSON = 64 * 1024 * 1024
 ROW_FIELDS = frozenset(
     ("id", "service", "address", "zone", "berths", "is_clearing", "cold_ms", "left_ms", "models")
-)  # of pw.ctl.platform.read_row; others may be there
+)  # of ploverward.control_plane.discovery.platform_client.read_row; others may be there
 NOT_COMPARED = frozenset(("cold_ms", "left_ms"))  # they run down by themselves
 
 
@@ -29,12 +29,12 @@
         decoder = zlib.decompressobj()
         text = decoder.decompress(data, LARGEST_JSON)
         if not decoder.eof:
-            raise problems.FrameProblem("cut short or too large", step=step)
+            raise errors.FrameProblem("cut short or too large", step=step)
         body = json.loads(text)
     except (zlib.error, ValueError) as failure:
-        raise problems.FrameProblem(str(failure), step=step) from None
+        raise errors.FrameProblem(str(failure), step=step) from None
     if not isinstance(body, dict):
-        raise problems.FrameProblem("not an object", step=step)
+        raise errors.FrameProblem("not an object", step=step)
     return body
 
 
@@ -70,12 +70,12 @@
             is_same_clock=bool(body["same"]),
         )
     except (KeyError, TypeError, ValueError) as failure:
-        raise problems.FrameProblem(f"no change: {failure}", step="list change") from None
+        raise errors.FrameProblem(f"no change: {failure}", step="list change") from None
 
 
 @dataclasses.dataclass(frozen=True)
 class ReplicaList:
-    """Rows by replica id, as `pw.ctl.platform.read_row` makes them."""
+    """Rows by replica id, as `ploverward.control_plane.discovery.platform_client.read_row` makes them."""
 
     rows: dict
     read_at: float
@@ -136,4 +136,4 @@
     try:
         return of_rows(rows=_checked(body["replicas"]), read_at=float(body["at"]))
     except (KeyError, TypeError, ValueError) as failure:
-        raise problems.FrameProblem(f"no list: {failure}", step="list") from None
+        raise errors.FrameProblem(f"no list: {failure}", step="list") from None
--- a/pw/ctl/news/desk.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from pw.base import problems
+from ploverward.common import errors
 
 CHANGES_KEPT = 64  # of a topic: a follower that is further behind takes the whole value
 NOTHING = (0, 0)  # the version of a topic that a follower has none of
@@ -178,7 +178,7 @@
         base = (base_epoch, base_number)
         versions = [base, *((epoch, number) for epoch, number, _data in steps)]
         if not steps or versions != sorted(set(versions)):
-            raise problems.FrameProblem(f"steps {versions}", step="changes")
+            raise errors.FrameProblem(f"steps {versions}", step="changes")
         if topic not in self._stepwise or self._holds(topic) != base:
             return False
         if versions[-1] <= self.serials.get(topic, NOTHING):
--- a/pw/ctl/news/test_replica_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import wire
-from pw.ctl import platform
-from pw.ctl.news import desk as desks
-from pw.ctl.news import replica_list
+from ploverward.common import errors
+from ploverward.transport import frames
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.distribution import endpoint_list
 
 ENTRY = {
     "id": "i",
@@ -21,11 +21,11 @@
 
 
 def row(**changed):
-    return platform.read_row(entry={**ENTRY, **changed})
+    return platform_client.read_row(entry={**ENTRY, **changed})
 
 
 def test_a_change_is_what_matters_and_not_the_passing_of_a_cold_time():
-    told = replica_list.of_rows(rows=[row()], read_at=10.0)
+    told = endpoint_list.of_rows(rows=[row()], read_at=10.0)
     assert told.change_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
     later = told.change_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
     assert later.rows == (row(),) and later.gone == ()
@@ -37,18 +37,18 @@
 
 
 def test_under_another_clock_a_cold_row_is_told_again():
-    told = replica_list.of_rows(rows=[row()], read_at=900.0)
+    told = endpoint_list.of_rows(rows=[row()], read_at=900.0)
     assert told.change_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
     assert told.change_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
 
 
 def test_cold_times_of_rows_that_are_not_named_run_down():
-    told = replica_list.of_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
+    told = endpoint_list.of_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
     change = told.change_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
     after = told.changed_by(change)
     assert sorted(after.rows) == ["i", "k"] and after.rows["i"]["cold_ms"] == 2000.0
-    assert replica_list.unpack_list(after.pack()) == after
-    assert replica_list.unpack_change(change.pack()) == change
+    assert endpoint_list.unpack_list(after.pack()) == after
+    assert endpoint_list.unpack_change(change.pack()) == change
 
 
 @pytest.mark.parametrize(
@@ -56,17 +56,17 @@
     [
         b"",
         b"not zlib",
-        replica_list._pack({"replicas": [{"id": "i"}], "at": 1.0, "rows": [{"id": 7}], "gone": [], "same": True}),
-        replica_list._pack({"replicas": "x", "rows": ["x"], "gone": [], "at": 1.0, "same": True}),
-        replica_list.of_rows(rows=[row()], read_at=1.0).pack()[:-3],
-        replica_list._pack({}),
+        endpoint_list._pack({"replicas": [{"id": "i"}], "at": 1.0, "rows": [{"id": 7}], "gone": [], "same": True}),
+        endpoint_list._pack({"replicas": "x", "rows": ["x"], "gone": [], "at": 1.0, "same": True}),
+        endpoint_list.of_rows(rows=[row()], read_at=1.0).pack()[:-3],
+        endpoint_list._pack({}),
     ],
 )
 def test_malformed_lists_and_changes_are_frame_problems(data):
-    with pytest.raises(problems.FrameProblem):
-        replica_list.unpack_list(data)
-    with pytest.raises(problems.FrameProblem):
-        replica_list.unpack_change(data)
+    with pytest.raises(errors.FrameProblem):
+        endpoint_list.unpack_list(data)
+    with pytest.raises(errors.FrameProblem):
+        endpoint_list.unpack_change(data)
 
 
 class Wire:
@@ -78,7 +78,7 @@
         self.waiting = []
 
     def send(self, message):
-        self.waiting.append(wire.unpack(wire.pack(message)))
+        self.waiting.append(frames.unpack(frames.pack(message)))
 
 
 class Teller:
@@ -91,15 +91,15 @@
     def tell(self, *, rows, version, read_at):
         base = self.desk.get("list")
         if base is None or base[0] != version[0]:
-            data, change = replica_list.of_rows(rows=rows, read_at=read_at).pack(), None
+            data, change = endpoint_list.of_rows(rows=rows, read_at=read_at).pack(), None
         else:
-            held = replica_list.unpack_list(base[2])
+            held = endpoint_list.unpack_list(base[2])
             change = held.change_to(rows=rows, read_at=read_at, is_same_clock=True)
             if change is None:
                 return
             data, change = held.changed_by(change).pack(), change.pack()
         self.desk.publish(topic="list", epoch=version[0], number=version[1], data=data, change=change)
-        self.told[version] = replica_list.unpack_list(data)
+        self.told[version] = endpoint_list.unpack_list(data)
 
 
 class Listener:
@@ -114,11 +114,11 @@
         )
 
     def _image(self, _topic, epoch, number, data):
-        self.held, self.version = replica_list.unpack_list(data), (epoch, number)
+        self.held, self.version = endpoint_list.unpack_list(data), (epoch, number)
         self.images += 1
 
     def _change(self, _topic, epoch, number, data):
-        self.held, self.version = self.held.changed_by(replica_list.unpack_change(data)), (epoch, number)
+        self.held, self.version = self.held.changed_by(endpoint_list.unpack_change(data)), (epoch, number)
         self.steps += 1
 
     def take(self, link, message):
@@ -269,7 +269,7 @@
     for listener, expected in ((Listener, (2, 1)), (TakesOlderEpochs, (1, 9))):
         found = listener(now=lambda: 0.0)
         for version in ((2, 1), (1, 9)):
-            data = replica_list.of_rows(rows=[row()], read_at=0.0).pack()
+            data = endpoint_list.of_rows(rows=[row()], read_at=0.0).pack()
             found.take(Wire(), ("image", "list", *version, data))
         assert found.version == expected
 
@@ -285,7 +285,7 @@
     teller.desk.take_want(link, ("want", "list", 1, 2))
     kind, _topic, *base, steps = link.waiting[-1]
     assert kind == "changes" and base == [1, 2] and [step[:2] for step in steps] == [(1, 3), (1, 4), (1, 5)]
-    assert len(wire.pack(link.waiting[-1])) < len(teller.desk.get("list")[2])
+    assert len(frames.pack(link.waiting[-1])) < len(teller.desk.get("list")[2])
     for unknown in ((0, 0), (1, 0), (7, 3)):
         teller.desk.take_want(link, ("want", "list", *unknown))
         assert link.waiting[-1][0] == "image"
@@ -299,5 +299,5 @@
 def test_steps_without_order_are_a_frame_problem():
     found = Listener(now=lambda: 0.0)
     for steps in ((), ((1, 3, b""), (1, 3, b"")), ((1, 1, b""),)):
-        with pytest.raises(problems.FrameProblem):
+        with pytest.raises(errors.FrameProblem):
             found.take(Wire(), ("changes", "list", 1, 1, steps))
--- /dev/null
+++ b/ploverward/control_plane/node_runtime.py
@@ -0,0 +1,67 @@
+"""What a core node takes from its machine: loop, links, disk, platform, randomness, signals (design 2).
+
+`Runtime` is the real one. The model world (ploverward/simulation/control_plane) puts a simulated one with the same methods in its place, so
+nothing else under ploverward/control_plane makes a socket, a file, a thread, a clock or a random number of its own.
+"""
+
+import os
+import random
+import signal
+import uuid
+
+from ploverward.transport import http_server as http_servers
+from ploverward.transport import peer_connection
+from ploverward.transport import event_loop
+from ploverward.common import settings
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.consensus import acceptor_storage
+
+DEFAULT_FOLDER = "/tmp"
+ID_DIGITS = 12
+
+
+class Runtime:
+    """The real machine."""
+
+    def loop(self, *, on_fault):
+        return event_loop.Loop(on_fault=on_fault)
+
+    def port(self, **about):
+        """Takes links from others: the arguments of `ploverward.transport.peer_connection.Port`."""
+        return peer_connection.Port(**about)
+
+    def dialer(self, **about):
+        """Keeps one link to an address: the arguments of `ploverward.transport.peer_connection.Dialer`."""
+        return peer_connection.Dialer(**about)
+
+    def hall(self, **about):
+        """Listens for calls: the arguments of `ploverward.transport.http_server.Hall`."""
+        return http_servers.Hall(**about)
+
+    def disk(self, *, folder: str):
+        """The folder of the register's files; it is made where it is missing."""
+        folder = folder or DEFAULT_FOLDER
+        os.makedirs(folder, exist_ok=True)
+        return acceptor_storage.Disk(folder=folder)
+
+    def watch(self, **about):
+        """Reads the platform's list: the arguments of `ploverward.control_plane.discovery.platform_client.Watch`."""
+        return platform_client.Watch(**about)
+
+    def file_watch(self):
+        return settings.FileWatch()
+
+    def load_settings(self):
+        return settings.load()
+
+    def chance(self) -> float:
+        """A random number from 0 to below 1."""
+        return random.random()
+
+    def unique_id(self) -> str:
+        return uuid.uuid4().hex[:ID_DIGITS]
+
+    def on_signals(self, *, loop, on_terminate, on_reread) -> None:
+        """The handlers only hand commands to the loop."""
+        signal.signal(signal.SIGTERM, lambda *_: loop.command(act=on_terminate))
+        signal.signal(signal.SIGHUP, lambda *_: loop.command(act=on_reread))
--- a/pw/ctl/interfaces.py
+++ b/ploverward/control_plane/operator_api/interfaces.py
@@ -3,12 +3,12 @@
 import dataclasses
 import typing
 
-from pw.base import inlet
-from pw.ctl import directory
-from pw.ctl import dispatch
-from pw.ctl import reports
-from pw.ctl import router
-from pw.ctl import tenant_views
+from ploverward.transport import http_server as http_servers
+from ploverward.control_plane.discovery import directory
+from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import reports
+from ploverward.control_plane.operator_api import router
+from ploverward.control_plane.operator_api import tenant_views
 
 HEAD_BYTES = 65536
 BODY_BYTES = 16 * 1024 * 1024
@@ -57,12 +57,14 @@
         receipt_s: float,
     ):
         self.halls = []
-        self.applying = dispatch.Applying(desk=desk, proxies=proxies)
-        self.dispatch = dispatch.Dispatch(
+        self.applying = order_handlers.Applying(desk=desk, proxies=proxies)
+        self.dispatch = order_handlers.Dispatch(
             loop=loop,
             registers=registers,
             applying=self.applying,
-            redirect=dispatch.Redirect(own=own, port=_control_port(settings()), members=members, is_live=is_core_live),
+            redirect=order_handlers.Redirect(
+                own=own, port=_control_port(settings()), members=members, is_live=is_core_live
+            ),
             applied=configuration,
             zones=lambda: settings().zones,
             receipt_s=receipt_s,
@@ -121,7 +123,7 @@
             hall.leave()
 
     def _limits(self):
-        return inlet.Limits(
+        return http_servers.Limits(
             head_bytes=HEAD_BYTES,
             body_bytes=BODY_BYTES,
             head_s=self._contact_s,
--- a/pw/ctl/dispatch.py
+++ b/ploverward/control_plane/operator_api/order_handlers.py
@@ -2,15 +2,15 @@
 
 import re
 
-from pw.base import problems
-from pw.base import ring
-from pw.ctl import registers
-from pw.ctl import router
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import evacuations
-from pw.ctl.configuration import orders
-from pw.ctl.rollouts import orders as rollout_orders
-from pw.ctl.rollouts import state as rollout_states
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.operator_api import router
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import orders as configuration_orders
+from ploverward.control_plane.rollouts import orders as rollout_orders
+from ploverward.control_plane.rollouts import state
 
 CALLER_SILENCE_S = 1.0  # after so long a silence a caller goes to another node (the protocol's figure)
 ROUND_PART = 0.8  # of that silence: a round that has not ended by then is answered with 503
@@ -150,7 +150,7 @@
 
     def learn_archive(self, payload) -> None:
         """The archive as it was chosen; called for each version that this node gets to know."""
-        self._archived = max(self._archived, archive.through(payload))
+        self._archived = max(self._archived, order_archive.through(payload))
 
     # Calls that this node can't answer.
 
@@ -185,24 +185,24 @@
         call = reply.claim()
         if call is None:
             return
-        if isinstance(error, problems.StaleBase):
+        if isinstance(error, errors.StaleBase):
             call.answer(status=412, body={"error": str(error), "edition": error.current})
-        elif isinstance(error, problems.RolloutUnderWay):
+        elif isinstance(error, errors.RolloutUnderWay):
             call.answer(status=409, body={"error": str(error), "targetEdition": error.target})
-        elif isinstance(error, problems.InvalidConfiguration):
+        elif isinstance(error, errors.InvalidConfiguration):
             call.answer(status=400, body={"error": error.text, "place": error.place})
         else:
-            if not isinstance(error, problems.Problem):
-                ring.spill("an order broke its handling", fault=error)
+            if not isinstance(error, errors.Problem):
+                event_log.spill("an order broke its handling", fault=error)
             call.unavailable(why=str(error))
 
     # Reading back.
 
     def _get_configuration(self, call) -> None:
-        self._read_back(call, name=registers.CONFIGURATION, answer=_answer_configuration)
+        self._read_back(call, name=register_names.CONFIGURATION, answer=_answer_configuration)
 
     def _get_evacuations(self, call) -> None:
-        self._read_back(call, name=registers.EVACUATIONS, answer=_answer_evacuations)
+        self._read_back(call, name=register_names.EVACUATIONS, answer=_answer_evacuations)
 
     def _read_back(self, call, *, name: str, answer) -> None:
         """Reads a register at a majority; `answer` (call, payload) tells it to the caller."""
@@ -232,7 +232,7 @@
         reply = self._reply_to(call)
         method, data = call.method, call.body
         self._offload(
-            work=lambda: orders.read(method=method, base=base, data=data),
+            work=lambda: configuration_orders.read(method=method, base=base, data=data),
             reply=reply,
             then=lambda order: self._take_order(order, reply),
         )
@@ -269,14 +269,14 @@
             self._start_round(order)
         else:
             self._registers.read(
-                name=registers.CONFIGURATION,
+                name=register_names.CONFIGURATION,
                 done=lambda error, _version, payload, _result: self._build_on_read(order, error, payload),
             )
 
     def _build_on_read(self, order, error, payload) -> None:
         if error is not None:
             self._end_order(order, error, 0)
-        elif orders.edition_of(payload) == order.base:
+        elif configuration_orders.edition_of(payload) == order.base:
             self._build_on(order, payload["body"] if payload else {})
         else:
             self._start_round(order)
@@ -289,18 +289,18 @@
             else:
                 self._start_round(future.result())
 
-        self._loop.offload(work=lambda: orders.build(order=order, held=held), done=done)
+        self._loop.offload(work=lambda: configuration_orders.build(order=order, held=held), done=done)
 
     def _start_round(self, order) -> None:
         self._registers.change(
-            name=registers.CONFIGURATION,
-            edit=orders.edit_for(order=order, archived=self._archived),
+            name=register_names.CONFIGURATION,
+            edit=configuration_orders.edit_for(order=order, archived=self._archived),
             done=lambda error, version, payload, _result: self._round_ended(order, error, version, payload),
             is_wanted=lambda: any(not reply.is_over for reply in self._under_way.get(order.mark, ())),
         )
 
     def _round_ended(self, order, error, version: int, payload) -> None:
-        if isinstance(error, problems.StaleBase) and order.base < error.current:
+        if isinstance(error, errors.StaleBase) and order.base < error.current:
             self._look_up(order, error)
             return
         self._end_order(order, error, version)
@@ -313,18 +313,18 @@
         def done(error, _version, payload, _result):
             if error is not None:
                 self._end_order(order, error, 0)
-            elif archive.has(payload=payload, mark=order.mark):
+            elif order_archive.has(payload=payload, mark=order.mark):
                 self._end_order(order, None, 0)
             else:
                 self._end_order(order, stale, 0)
 
-        self._registers.read(name=registers.ARCHIVE, done=done)
+        self._registers.read(name=register_names.ARCHIVE, done=done)
 
     def _end_order(self, order, error, version: int) -> None:
         first, *later = self._under_way.pop(order.mark)
         if error is None:
             for reply in (first, *later):
-                self._acknowledge(reply, registers.CONFIGURATION, version)
+                self._acknowledge(reply, register_names.CONFIGURATION, version)
             return
         self._refuse(first, error)
         # Those that came later may ask about a later state than the one that refused.
@@ -338,8 +338,8 @@
 
     def _tend_archive(self, payload) -> None:
         """Puts the marks of a chosen value into the archive once there are many that it lacks."""
-        rows = [row for row in orders.recent_of(payload) if row[0] > self._archived]
-        if self._is_archiving or len(rows) < orders.ARCHIVE_FROM:
+        rows = [row for row in configuration_orders.recent_of(payload) if row[0] > self._archived]
+        if self._is_archiving or len(rows) < configuration_orders.ARCHIVE_FROM:
             return
         self._is_archiving = True
 
@@ -348,7 +348,7 @@
             if error is None:
                 self.learn_archive(payload)
 
-        self._registers.change(name=registers.ARCHIVE, edit=archive.edit_for(rows=rows), done=done)
+        self._registers.change(name=register_names.ARCHIVE, edit=order_archive.edit_for(rows=rows), done=done)
 
     # Evacuations.
 
@@ -370,26 +370,28 @@
             if error is not None:
                 self._refuse(reply, error)
             else:
-                self._acknowledge(reply, registers.EVACUATIONS, version)
+                self._acknowledge(reply, register_names.EVACUATIONS, version)
 
         edit = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: reply.is_over)
-        self._registers.change(name=registers.EVACUATIONS, edit=edit, done=done, is_wanted=lambda: not reply.is_over)
+        self._registers.change(
+            name=register_names.EVACUATIONS, edit=edit, done=done, is_wanted=lambda: not reply.is_over
+        )
 
     # Roll-outs.
 
     def _get_rollouts(self, call) -> None:
-        self._read_back(call, name=registers.ROLLOUTS, answer=_answer_rollouts)
+        self._read_back(call, name=register_names.ROLLOUTS, answer=_answer_rollouts)
 
     def _get_rollout(self, call, service: str) -> None:
         def answer(waiting, payload):
             _answer_rollout(waiting, payload, service)
 
-        self._read_back(call, name=registers.ROLLOUTS, answer=answer)
+        self._read_back(call, name=register_names.ROLLOUTS, answer=answer)
 
     def _post_rollout(self, call) -> None:
         try:
             order = rollout_orders.read(data=call.body)
-        except problems.InvalidConfiguration as error:
+        except errors.InvalidConfiguration as error:
             call.answer(status=400, body={"error": error.text, "place": error.place})
             return
         if self._is_sent_on(call):
@@ -406,19 +408,19 @@
                 self._begin_rollout(order, reply)
             else:
                 text = f"unknown service '{order.service}'"
-                self._refuse(reply, problems.InvalidConfiguration(text, place="destination"))
+                self._refuse(reply, errors.InvalidConfiguration(text, place="destination"))
 
-        self._registers.read(name=registers.CONFIGURATION, done=read)
+        self._registers.read(name=register_names.CONFIGURATION, done=read)
 
     def _begin_rollout(self, order, reply) -> None:
         def done(error, version, _payload, _result):
             if error is not None:
                 self._refuse(reply, error)
             else:
-                self._acknowledge(reply, registers.ROLLOUTS, version)
+                self._acknowledge(reply, register_names.ROLLOUTS, version)
 
         edit = rollout_orders.edit_for(order=order, is_late=lambda: reply.is_over)
-        self._registers.change(name=registers.ROLLOUTS, edit=edit, done=done, is_wanted=lambda: not reply.is_over)
+        self._registers.change(name=register_names.ROLLOUTS, edit=edit, done=done, is_wanted=lambda: not reply.is_over)
 
 
 def _has_service(body, name: str) -> bool:
@@ -442,7 +444,7 @@
 
 
 def _answer_rollout(call, payload, service: str) -> None:
-    rollout = rollout_states.rollouts_of(payload).get(service)
+    rollout = state.rollouts_of(payload).get(service)
     if rollout is None or not rollout.number:
         call.answer(status=404, body={"error": f"no roll-out of '{service}'"})
         return
@@ -450,7 +452,7 @@
 
 
 def _answer_rollouts(call, payload) -> None:
-    rollouts = rollout_states.rollouts_of(payload)
+    rollouts = state.rollouts_of(payload)
     call.answer(status=200, body={"rollouts": {name: _rollout_view(row) for name, row in sorted(rollouts.items())}})
 
 
