--- a/pw/ctl/reports.py
+++ b/ploverward/control_plane/operator_api/reports.py
@@ -1,9 +1,9 @@
 """Adapter counts and custody trails that proxies report, for operators (docs/pins.md, docs/residency.md)."""
 
-from pw.ctl import router
-from pw.ctl.adapters import ledger as adapter_ledgers
-from pw.ctl.custody import ledger as ledgers
-from pw.ctl.news import replica_list
+from ploverward.control_plane.operator_api import router
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.control_plane.audit import trail_store
+from ploverward.control_plane.distribution import endpoint_list
 
 CUSTODY_CONTACTS = 720  # trails are kept for so many contactMs: an hour, at 5 s
 TRAILS_PER_MB = 60  # of the process's memory
@@ -19,14 +19,14 @@
         self._proxies = proxies
         self._settings = settings
         self._window_s = contact_s * WINDOW_CONTACTS
-        self.ledger = adapter_ledgers.Ledger(now=loop.now, window_s=self._window_s)
+        self.ledger = adapter_usage.Ledger(now=loop.now, window_s=self._window_s)
 
     def rules(self) -> list:
         return [router.Rule("GET", "/ploverward/adapters", self._get_adapters)]
 
     def _get_adapters(self, call) -> None:
         held = self._desk.get("list")
-        listed = replica_list.unpack_list(held[2]).in_order() if held is not None else []
+        listed = endpoint_list.unpack_list(held[2]).in_order() if held is not None else []
         zones = self._settings().zones
         body = {
             "node": self._settings().node,
@@ -66,7 +66,7 @@
         self._keep_s = contact_s * CUSTODY_CONTACTS
         self._receipt_s = receipt_s
         most = int(settings().memory_mb * TRAILS_PER_MB)
-        self.ledger = ledgers.Ledger(now=loop.now, keep_s=self._keep_s, most=most)
+        self.ledger = trail_store.Ledger(now=loop.now, keep_s=self._keep_s, most=most)
         self._waiting = {}  # number: who waits for what a proxy knows of kept parts
         self._number = 0
 
--- a/pw/ctl/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -26,7 +26,7 @@
     """One call of an operator, a tool or a user agent, and the way to answer it."""
 
     def __init__(self, *, request):
-        self._request = request  # pw.base.inlet's
+        self._request = request  # ploverward.transport.http_server's
         self._head = werkzeug.sansio.request.Request(
             request.method.decode("latin-1"),
             "http",
--- a/pw/ctl/tenant_views.py
+++ b/ploverward/control_plane/operator_api/tenant_views.py
@@ -1,7 +1,7 @@
 """What a core node tells operators of tenants: limits, how they stand, keys by digest (docs/quotas.md, docs/keys.md)."""
 
-from pw.base import tenants
-from pw.ctl import router
+from ploverward.common import tenant_usage
+from ploverward.control_plane.operator_api import router
 
 
 class TenantViews:
@@ -25,12 +25,12 @@
 
     def _row(self, row: dict, buckets: dict) -> dict:
         told = {
-            "keys": [tenants.key_digest(key) for key in row.get("apiKeys") or ()],
+            "keys": [tenant_usage.key_digest(key) for key in row.get("apiKeys") or ()],
             "perS": row.get("perS") or 0,
             "burst": row.get("burst") or 0,
             "homeRegions": row.get("homeRegions") or [],
         }
-        bucket = buckets.get(tenants.tenant_key(row["name"]).hex())
+        bucket = buckets.get(tenant_usage.tenant_key(row["name"]).hex())
         if bucket is not None:
             told.update(level=bucket["level"], depth=bucket["depth"], wantsCredits=bucket["scarce"])
         return told
--- a/pw/ctl/test_applying.py
+++ b/ploverward/control_plane/operator_api/test_applying.py
@@ -2,9 +2,9 @@
 
 import types
 
-from pw.ctl import dispatch
-from pw.ctl.news import desk as desks
-from pw.sim import world as worlds
+from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.simulation import simulated_world
 
 CEILING_S = 0.9
 
@@ -26,15 +26,15 @@
 
 
 def make(links):
-    loop = worlds.Loop(world=worlds.World(seed=1))
+    loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     desk = desks.Desk()
     for link in links:
         desk.join(link)
-    applying = dispatch.Applying(
+    applying = order_handlers.Applying(
         desk=desk, proxies=lambda *, is_listed=True: [types.SimpleNamespace(link=link) for link in links]
     )
     call = Call()
-    reply = dispatch.Reply(loop=loop, call=call, limit_s=0.75, at_limit=lambda reply: None)
+    reply = order_handlers.Reply(loop=loop, call=call, limit_s=0.75, at_limit=lambda reply: None)
     applying.wait(reply=reply, topic="spec", version=3, until=reply.begun_at + CEILING_S)
     return applying, desk, call, loop
 
--- a/pw/ctl/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_order_handlers.py
@@ -1,22 +1,22 @@
 """Orders in seeded histories: several nodes and operators, lost answers, restarts, emptied disks, cuts, moves of the set.
 
-What must hold is in pw/sim/order_history.py and docs/orders.md. No history uses more than simulated time.
+What must hold is in ploverward/simulation/order_history.py and docs/orders.md. No history uses more than simulated time.
 """
 
 import pytest
 
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import evacuations
-from pw.ctl.configuration import models
-from pw.ctl.configuration import orders
-from pw.ctl.register import proposer as proposers
-from pw.sim import order_world
-from pw.sim import order_history
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.consensus import proposer
+from ploverward.simulation import order_simulation
+from ploverward.simulation import order_history
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_orders_of_operators_who_race_through_troubles(seed):
-    scene = order_world.play(seed=seed, operators=3, count=60)
+    scene = order_simulation.play(seed=seed, operators=3, count=60)
     assert scene.faults() == []
     assert len(scene.chosen) > 40
     again = [order for order in scene.sent if order.is_again]
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_hundreds_of_changes_and_each_of_them_sent_again(seed):
-    scene = order_world.play(seed=seed, operators=2, count=220, again=0.1)
+    scene = order_simulation.play(seed=seed, operators=2, count=220, again=0.1)
     assert scene.faults() == []
     assert len(scene.chosen) > 250
     assert all(order.status == 200 for order in scene.sent if order.begun >= 400.0)
@@ -35,10 +35,10 @@
 
 
 def test_an_order_that_was_not_taken_is_refused_however_old_its_base():
-    scene = order_world.play(seed=1, operators=1, count=150, loss=0.0, troubles=0, again=0.0)
+    scene = order_simulation.play(seed=1, operators=1, count=150, loss=0.0, troubles=0, again=0.0)
     told = []
     for base in (0, sorted(scene.chosen)[3], sorted(scene.chosen)[-2]):
-        data = order_world.encode(order_world.configuration(edition=base + 1, wait_ms=0.5))
+        data = order_simulation.encode(order_simulation.configuration(edition=base + 1, wait_ms=0.5))
         scene.send(method="PUT", base=base, data=data, done=lambda order, _body: told.append(order.status))
     scene.world.run(until=520.0)
     assert told == [412, 412, 412]
@@ -47,9 +47,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_old_orders_are_known_after_a_move_of_the_set_and_an_emptied_disk(seed):
-    scene = order_world.Scene(seed=seed, names=("a", "b", "c", "d"))
+    scene = order_simulation.Scene(seed=seed, names=("a", "b", "c", "d"))
     scene.world.delay = (0.001, 0.01)
-    operator = order_world.Operator(scene=scene, count=150, again=0.0)
+    operator = order_simulation.Operator(scene=scene, count=150, again=0.0)
     scene.world.run(until=60.0)
     ends = []
     scene.move(by="a", to=("a", "b", "d"), done=ends.append)
@@ -70,10 +70,10 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_two_operators_on_one_version_and_exactly_one_is_confirmed(seed):
-    scene = order_world.Scene(seed=seed)
+    scene = order_simulation.Scene(seed=seed)
     scene.world.loss = 0.05
     for number in range(8):
-        data = order_world.encode(order_world.configuration(edition=3, wait_ms=number + 1))
+        data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
         scene.send(method="PUT", base=0, data=data)
     scene.world.run(until=60.0)
     assert scene.faults() == []
@@ -81,15 +81,15 @@
 
 
 def test_a_copy_that_comes_while_the_first_is_under_way_joins_its_round():
-    scene = order_world.Scene(seed=4, names=("a", "b", "c"))
+    scene = order_simulation.Scene(seed=4, names=("a", "b", "c"))
     node = scene.nodes["a"]
     changes = []
     change = node.proposer.change
     node.dispatch._registers.change = lambda **about: (changes.append(about["name"]), change(**about))
-    data = order_world.encode(order_world.configuration(edition=1))
+    data = order_simulation.encode(order_simulation.configuration(edition=1))
     told = []
     for _copy in range(4):
-        call = order_world.Call(
+        call = order_simulation.Call(
             method="PUT",
             target="/ploverward/configuration",
             body=data,
@@ -110,7 +110,7 @@
     """(status, body, seconds) once answered."""
     told = []
     begun = scene.world.now()
-    call = order_world.Call(
+    call = order_simulation.Call(
         method=method,
         target=target,
         body=data,
@@ -123,8 +123,8 @@
 
 
 CALLS = (
-    {"data": order_world.encode(order_world.configuration(edition=9))},
-    {"method": "PATCH", "data": order_world.encode({"edition": 9, "upsert": order_world.PARTS})},
+    {"data": order_simulation.encode(order_simulation.configuration(edition=9))},
+    {"method": "PATCH", "data": order_simulation.encode({"edition": 9, "upsert": order_simulation.PARTS})},
     {"method": "GET"},
     {"method": "POST", "target": "/ploverward/evacuation/za"},
     {"method": "DELETE", "target": "/ploverward/evacuation/za"},
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("about", CALLS)
 def test_a_node_that_knows_it_is_cut_off_sends_the_caller_to_another_member(about):
-    scene = order_world.Scene(seed=2)
+    scene = order_simulation.Scene(seed=2)
     scene.world.run(until=1.0)
     _cut_off(scene, "a")
     ((status, address, seconds),) = _call_node(scene, "a", **about)
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("about", CALLS)
 def test_a_node_that_does_not_know_of_its_cut_leaves_the_call_within_a_second(about):
-    scene = order_world.Scene(seed=2)
+    scene = order_simulation.Scene(seed=2)
     scene.nodes["a"].dispatch._has_majority_contact = lambda: True
     _cut_off(scene, "a")
     ((status, _address, seconds),) = _call_node(scene, "a", **about)
@@ -152,13 +152,13 @@
 
 @pytest.mark.parametrize("about", CALLS)
 def test_a_node_that_has_not_learned_its_state_or_is_leaving_refuses_nothing(about):
-    scene = order_world.Scene(seed=2)
+    scene = order_simulation.Scene(seed=2)
     scene.nodes["b"].stop()
     scene.nodes["a"].stop(is_wiped=True)
     scene.nodes["a"].start()
     ((status, address, _seconds),) = _call_node(scene, "a", **about)
     assert not scene.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
-    scene = order_world.Scene(seed=2)
+    scene = order_simulation.Scene(seed=2)
     scene.nodes["a"].dispatch.leave()
     ((status, address, _seconds),) = _call_node(scene, "a", **about)
     assert status == 307 and address in ("b", "c")
@@ -166,12 +166,12 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_orders_under_way_when_a_node_leaves_are_taken_or_left(seed):
-    scene = order_world.Scene(seed=seed)
+    scene = order_simulation.Scene(seed=seed)
     scene.world.delay = (0.01, 0.2)
     told = []
-    data = order_world.encode(order_world.configuration(edition=4))
+    data = order_simulation.encode(order_simulation.configuration(edition=4))
     about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-    scene.nodes["a"].take_call(order_world.Call(**about, on_answer=lambda status, *_about: told.append(status)))
+    scene.nodes["a"].take_call(order_simulation.Call(**about, on_answer=lambda status, *_about: told.append(status)))
     scene.world.later(scene.world.chance.uniform(0.0, 0.6), scene.nodes["a"].dispatch.leave)
     scene.world.later(0.65, scene.nodes["a"].stop)
     scene.world.run(until=3.0)
@@ -182,10 +182,10 @@
 
 
 def test_routes_are_checked_off_the_loop(monkeypatch):
-    scene = order_world.Scene(seed=1)
+    scene = order_simulation.Scene(seed=1)
     loop = scene.nodes["a"].loop
     places = []
-    offload, check = loop.offload, models.check
+    offload, check = loop.offload, schema.check
 
     def marked(*, work, done):
         def run():
@@ -202,22 +202,24 @@
         return check(body=body)
 
     loop.offload = marked
-    monkeypatch.setattr(models, "check", watched)
-    first = _call_node(scene, "a", data=order_world.encode(order_world.configuration(edition=4)))
-    patch = order_world.encode({"edition": 6, "upsert": {"routes": [{**order_world.ROUTE_PATCH, "expiryMs": 5}]}})
+    monkeypatch.setattr(schema, "check", watched)
+    first = _call_node(scene, "a", data=order_simulation.encode(order_simulation.configuration(edition=4)))
+    patch = order_simulation.encode(
+        {"edition": 6, "upsert": {"routes": [{**order_simulation.ROUTE_PATCH, "expiryMs": 5}]}}
+    )
     second = _call_node(scene, "a", method="PATCH", base=4, data=patch)
     assert [first[0][0], second[0][0]] == [200, 200]
 
 
 def test_orders_whose_time_ran_out_in_the_queue_do_not_block_the_node():
     """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
-    scene = order_world.Scene(seed=5)
+    scene = order_simulation.Scene(seed=5)
     scene.nodes["a"].dispatch._has_majority_contact = lambda: True
     _cut_off(scene, "a")
     for number in range(8):
-        data = order_world.encode(order_world.configuration(edition=3, wait_ms=number + 1))
+        data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
         about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-        scene.nodes["a"].take_call(order_world.Call(**about, on_answer=lambda *_about: None))
+        scene.nodes["a"].take_call(order_simulation.Call(**about, on_answer=lambda *_about: None))
     scene.world.run(until=8.0)
     scene.world.cuts.clear()
     ((status, _address, _seconds),) = _call_node(scene, "a", **CALLS[0])
@@ -227,7 +229,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_evacuations_read_back_as_the_last_acknowledged_order_left_them(seed):
     """One operator, one order after the other; each is resent until it is acknowledged or its time is over."""
-    told = order_world.play_evacuations(seed=seed)
+    told = order_simulation.play_evacuations(seed=seed)
     assert told.wrong == [] and told.acknowledged > 20
 
 
@@ -242,12 +244,12 @@
 
 
 def test_values_without_the_archive_and_without_turns_are_read():
-    older = {"edition": 9, "body": order_world.configuration(edition=9), "recent": [[9, "0" * 20]]}
-    data = order_world.encode(order_world.configuration(edition=12))
+    older = {"edition": 9, "body": order_simulation.configuration(edition=9), "recent": [[9, "0" * 20]]}
+    data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
     new, told = orders.edit_for(order=order, archived=0)(older)
     assert told == orders.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.mark]]
-    assert not archive.has(payload=None, mark=order.mark) and archive.through(None) == 0
+    assert not order_archive.has(payload=None, mark=order.mark) and order_archive.through(None) == 0
     back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)({"zones": ["za", "zb"]})
     assert back["zones"] == ["zb"]
 
@@ -256,12 +258,12 @@
     rows = [[edition * 3, "%020x" % (edition * 2654435761)] for edition in range(1, 401)]
     payload = None
     for end in (100, 90, 260, 260, 400):
-        payload, _last = archive.edit_for(rows=rows[max(0, end - 200) : end])(payload)
-    assert archive.through(payload) == 1200
-    assert all(archive.has(payload=payload, mark=mark) for _edition, mark in rows)
-    assert len(archive._marks(payload)) == 400 * archive.MARK_BYTES
-    assert not archive.has(payload=payload, mark="%020x" % 7)
-    assert archive.edit_for(rows=rows)(payload)[0] is payload
+        payload, _last = order_archive.edit_for(rows=rows[max(0, end - 200) : end])(payload)
+    assert order_archive.through(payload) == 1200
+    assert all(order_archive.has(payload=payload, mark=mark) for _edition, mark in rows)
+    assert len(order_archive._marks(payload)) == 400 * order_archive.MARK_BYTES
+    assert not order_archive.has(payload=payload, mark="%020x" % 7)
+    assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
 # The checker and the tests above find what they are for.
@@ -269,15 +271,15 @@
 
 def test_the_checker_finds_a_window_of_48_without_an_archive(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-48:])
-    monkeypatch.setattr(archive, "has", lambda *, payload, mark: False)
-    scene = order_world.play(seed=0, operators=1, count=80, troubles=0, again=0.0)
+    monkeypatch.setattr(order_archive, "has", lambda *, payload, mark: False)
+    scene = order_simulation.play(seed=0, operators=1, count=80, troubles=0, again=0.0)
     assert any("refused with 412" in line for line in scene.faults())
 
 
 def test_the_checker_finds_marks_that_leave_before_they_are_archived(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.RECENT_KEPT :])
     monkeypatch.setattr(orders, "ARCHIVE_FROM", 10**6)
-    scene = order_world.play(seed=0, operators=1, count=120, troubles=0, again=0.0)
+    scene = order_simulation.play(seed=0, operators=1, count=120, troubles=0, again=0.0)
     assert any("refused with 412" in line for line in scene.faults())
 
 
@@ -290,9 +292,9 @@
         return edit
 
     monkeypatch.setattr(orders, "edit_for", edit_for)
-    scene = order_world.Scene(seed=1)
+    scene = order_simulation.Scene(seed=1)
     for number in range(3):
-        data = order_world.encode(order_world.configuration(edition=3 + number))
+        data = order_simulation.encode(order_simulation.configuration(edition=3 + number))
         scene.send(method="PUT", base=0, data=data)
     scene.world.run(until=60.0)
     assert any("two orders were confirmed on 0" in line for line in scene.faults())
@@ -311,14 +313,14 @@
 
         return edit
 
-    change = proposers.Proposer.change
+    change = proposer.Proposer.change
 
     def change_to_the_end(self, *, is_wanted=None, **about):
         change(self, **about)  # the former rounds went on when their callers had been left
 
     monkeypatch.setattr(evacuations, "edit_for", edit_for)
-    monkeypatch.setattr(proposers.Proposer, "change", change_to_the_end)
-    assert any(order_world.play_evacuations(seed=seed).wrong for seed in range(60))
+    monkeypatch.setattr(proposer.Proposer, "change", change_to_the_end)
+    assert any(order_simulation.play_evacuations(seed=seed).wrong for seed in range(60))
 
 
 def test_the_checker_finds_lost_and_altered_configurations():
--- a/pw/ctl/test_rollout_calls.py
+++ b/ploverward/control_plane/operator_api/test_rollout_calls.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from pw.base import problems
-from pw.ctl import dispatch
-from pw.ctl import registers
-from pw.ctl.rollouts import orders
-from pw.ctl.rollouts import state
+from ploverward.common import errors
+from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import state
 
 CONFIGURATION = {"body": {"destinations": [{"name": "pool"}, {"name": "portal"}]}}
 
@@ -50,16 +50,16 @@
 
 class Node:
     def __init__(self, *, applied=CONFIGURATION["body"], contact=True):
-        self.values = {registers.CONFIGURATION: CONFIGURATION, registers.ROLLOUTS: None}
+        self.values = {register_names.CONFIGURATION: CONFIGURATION, register_names.ROLLOUTS: None}
         self.error = None
         self.changes = 0
         self.loop = Loop()
         desk = types.SimpleNamespace(lagging=lambda **_about: [])
-        self.dispatch = dispatch.Dispatch(
+        self.dispatch = order_handlers.Dispatch(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
-            applying=dispatch.Applying(desk=desk, proxies=lambda is_listed: []),
-            redirect=dispatch.Redirect(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
+            applying=order_handlers.Applying(desk=desk, proxies=lambda is_listed: []),
+            redirect=order_handlers.Redirect(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
             applied=lambda: applied,
             zones=lambda: {"z": "r"},
             receipt_s=8.0,
@@ -73,7 +73,7 @@
             return
         try:
             value, _said = edit(self.values[name])
-        except problems.Problem as failure:
+        except errors.Problem as failure:
             done(failure, 0, None, None)
             return
         self.changes += value is not self.values[name]
@@ -137,7 +137,7 @@
 
 def test_a_node_that_is_not_sure_says_503_and_one_that_is_cut_off_names_another():
     node = Node()
-    node.error = problems.Unreachable("no majority answered in time")
+    node.error = errors.Unreachable("no majority answered in time")
     assert node.post(**ORDER)[0] == 503 and node.get("pool")[0] == 503
     cut_off = Node(contact=False)
     assert cut_off.post(**ORDER)[0] == 307 and cut_off.get("pool")[0] == 307 and cut_off.changes == 0
@@ -147,12 +147,12 @@
 def test_ends_are_read_back(stage):
     node = Node()
     node.post(**ORDER)
-    row = state.rollouts_of(node.values[registers.ROLLOUTS])["pool"]
+    row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
     for step in (state.Stage.PROMOTING, state.Stage.DRAINING, stage):
         known = state.Evidence(stage=step, age_s=1.0, reason="so", routes={"r": [1, 0, 2, 1, 0]})
         edit = orders.edit_to_stage(service="pool", seen=row, known=known)
-        node.values[registers.ROLLOUTS] = edit(node.values[registers.ROLLOUTS])[0]
-        row = state.rollouts_of(node.values[registers.ROLLOUTS])["pool"]
+        node.values[register_names.ROLLOUTS] = edit(node.values[register_names.ROLLOUTS])[0]
+        row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
     status, body = node.get("pool")
     assert (status, body["condition"], body["reason"]) == (200, str(stage), "so")
     assert [step["stage"] for step in body["record"]] == ["promoting", "draining", str(stage)]
--- a/pw/ctl/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -7,15 +7,15 @@
 import pytest
 from hypothesis import strategies
 
-from pw.ctl import dispatch
-from pw.ctl import router
-from pw.sim import world as worlds
+from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import router
+from ploverward.simulation import simulated_world
 
 PRINTABLE = strategies.binary(max_size=30).map(lambda data: bytes(0x21 + byte % 94 for byte in data))
 
 
 class Request:
-    """What pw.base.inlet hands over."""
+    """What ploverward.transport.http_server hands over."""
 
     def __init__(self, *, method=b"GET", target=b"/", headers=(), body=b""):
         self.method = method
@@ -29,15 +29,17 @@
 
 
 def make(*, has_contact=True):
-    loop = worlds.Loop(world=worlds.World(seed=1))
+    loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     changes = []
-    handling = dispatch.Dispatch(
+    handling = order_handlers.Dispatch(
         loop=loop,
         registers=types.SimpleNamespace(
             change=lambda **about: changes.append(about["name"]), read=lambda **about: changes.append(about["name"])
         ),
         applying=None,
-        redirect=dispatch.Redirect(own="a", port=81, members=lambda: ("a", "b", "c"), is_live=lambda host: host == "b"),
+        redirect=order_handlers.Redirect(
+            own="a", port=81, members=lambda: ("a", "b", "c"), is_live=lambda host: host == "b"
+        ),
         applied=lambda: None,
         zones=lambda: {"za": "north", "z b": "north"},
         receipt_s=6.0,
@@ -96,7 +98,9 @@
 
 
 def test_members_are_named_in_turn():
-    redirect = dispatch.Redirect(own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b")
+    redirect = order_handlers.Redirect(
+        own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b"
+    )
     assert {redirect.pick(is_cut_off=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
     assert {redirect.pick(is_cut_off=False) for _ in range(6)} == {"b:81"}
-    assert dispatch.Redirect(own="a", port=81, members=lambda: ("a",), is_live=None).pick(is_cut_off=True) == ""
+    assert order_handlers.Redirect(own="a", port=81, members=lambda: ("a",), is_live=None).pick(is_cut_off=True) == ""
--- a/pw/ctl/metering.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -8,7 +8,7 @@
 import dataclasses
 import math
 
-from pw.base import tenants
+from ploverward.common import tenant_usage
 
 LEAST_DEPTH_PART = 0.2  # of the error that the bound allows, by which a bucket is deeper than the burst
 MOST_DEPTH_PART = 0.6  # the same for small tenants, of which little is admitted while a report is on its way
@@ -35,7 +35,7 @@
     excess: float
     slack: float
 
-    def error(self, limit: tenants.Limit) -> float:
+    def error(self, limit: tenant_usage.Limit) -> float:
         """Requests beyond per_s x window + burst that the bound allows."""
         return self.excess * (limit.per_s * self.window_s + limit.burst) + self.slack
 
@@ -43,7 +43,7 @@
 class Bucket:
     """One tenant's tokens over all proxies, as this core node reckons; below 0 after more was admitted than there was."""
 
-    def __init__(self, *, limit: tenants.Limit, bounds: Bounds, now: float):
+    def __init__(self, *, limit: tenant_usage.Limit, bounds: Bounds, now: float):
         self._bounds = bounds
         self.at = now
         self.issue = 0.0  # credits that this core node may hand out now
@@ -54,12 +54,12 @@
         self.level = (self.depth - limit.burst) * START_PART - limit.per_s * START_DEBT_S
         self.is_scarce = self.level < START_SCARCE_PART * self.depth
 
-    def _set(self, limit: tenants.Limit) -> None:
+    def _set(self, limit: tenant_usage.Limit) -> None:
         self.limit = limit
         error = self._bounds.error(limit)
         self.depth = limit.burst + max(LEAST_DEPTH_PART * error, MOST_DEPTH_PART * error - REPORT_S * limit.per_s)
 
-    def change_limit(self, *, limit: tenants.Limit, now: float, part: float) -> None:
+    def change_limit(self, *, limit: tenant_usage.Limit, now: float, part: float) -> None:
         self.refill(now=now, part=part)
         self._set(limit)
         self.level = min(self.level, self.depth)
@@ -117,7 +117,7 @@
 
     def install(self, body) -> None:
         """The limits of a configuration."""
-        limits = tenants.limits_of(body)
+        limits = tenant_usage.limits_of(body)
         now = self._now()
         for key in self._buckets.keys() - limits.keys():
             del self._buckets[key]
@@ -172,7 +172,7 @@
                 continue
             bucket.refill(now=now, part=part)
             if bucket.is_scarce:
-                found.append(tenants.Credit(tenant=key, tokens=bucket.credit(proxy=proxy, now=now, part=part)))
+                found.append(tenant_usage.Credit(tenant=key, tokens=bucket.credit(proxy=proxy, now=now, part=part)))
         return found
 
     def view(self) -> dict:
--- a/pw/ctl/test_metering.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -6,12 +6,12 @@
 import hypothesis.strategies as st
 import pytest
 
-from pw.base import problems
-from pw.base import tenants
-from pw.ctl import metering
-from pw.sim import quota_world
+from ploverward.common import errors
+from ploverward.common import tenant_usage
+from ploverward.control_plane.quotas import quota_meter
+from ploverward.simulation import quota_simulation
 
-BOUNDS = metering.Bounds(window_s=5.0, excess=0.1, slack=20.0)
+BOUNDS = quota_meter.Bounds(window_s=5.0, excess=0.1, slack=20.0)
 NAMES = ("a", "b", "c")
 MOST_REFUSED = 0.2  # of a day on which all core nodes restart
 BODY = {"senders": [{"name": name, "perS": 10, "burst": 10} for name in NAMES] + [{"name": "free", "perS": 0}]}
@@ -27,7 +27,7 @@
 
 def meter(*, part=1.0, body=BODY):
     clock = Clock()
-    made = metering.Meter(now=clock, bounds=BOUNDS, part=lambda: part)
+    made = quota_meter.Meter(now=clock, bounds=BOUNDS, part=lambda: part)
     made.install(body)
     for proxy in ("p", "q", "p0"):
         made.take(proxy=proxy, life="1", rows=[])  # the first report is what counts begin from
@@ -36,11 +36,11 @@
 
 
 def usage(name="a", *, demand=1, admitted=1):
-    return tenants.Usage(tenant=tenants.tenant_key(name), demand=demand, admitted=admitted)
+    return tenant_usage.Usage(tenant=tenant_usage.tenant_key(name), demand=demand, admitted=admitted)
 
 
 def level(made, name="a"):
-    return made.view()[tenants.tenant_key(name).hex()]["level"]
+    return made.view()[tenant_usage.tenant_key(name).hex()]["level"]
 
 
 reports = st.lists(
@@ -63,7 +63,7 @@
     assert [level(first, name) for name in NAMES] == [level(second, name) for name in NAMES]
     for name in NAMES:
         most = {proxy: max([row[3] for row in rows if row[0] == proxy and row[2] == name], default=0) for proxy in "pq"}
-        depth = first.view()[tenants.tenant_key(name).hex()]["depth"]
+        depth = first.view()[tenant_usage.tenant_key(name).hex()]["depth"]
         assert level(first, name) == pytest.approx(depth - sum(most.values()), abs=0.02)
 
 
@@ -89,7 +89,7 @@
     made.take(proxy="p", life="1", rows=[usage(admitted=3)])
     assert made.credits(proxy="p") == []
     made.take(proxy="p", life="1", rows=[usage(admitted=16)])
-    assert [row.tenant for row in made.credits(proxy="p")] == [tenants.tenant_key("a")]
+    assert [row.tenant for row in made.credits(proxy="p")] == [tenant_usage.tenant_key("a")]
     clock.now += 60.0
     made.take(proxy="p", life="1", rows=[])
     assert made.credits(proxy="p") == []
@@ -137,19 +137,19 @@
 def test_a_lowered_limit_takes_off_what_was_saved_up():
     made, _clock = meter()
     made.install({"senders": [{"name": "a", "perS": 2, "burst": 1}]})
-    assert level(made) <= 1 + metering.MOST_DEPTH_PART * BOUNDS.error(tenants.Limit(per_s=2, burst=1))
-    assert set(made.view()) == {tenants.tenant_key("a").hex()}
+    assert level(made) <= 1 + quota_meter.MOST_DEPTH_PART * BOUNDS.error(tenant_usage.Limit(per_s=2, burst=1))
+    assert set(made.view()) == {tenant_usage.tenant_key("a").hex()}
 
 
 def test_rows_come_back_as_they_were_packed():
     rows = [usage("a", demand=3, admitted=70000), usage("b")]
-    assert tenants.unpack_usage(tenants.pack_usage(rows)) == rows
-    assert tenants.unpack_credits(tenants.pack_credits([tenants.Credit(b"12345678", 0.5)])) == [
-        tenants.Credit(b"12345678", 0.5)
+    assert tenant_usage.unpack_usage(tenant_usage.pack_usage(rows)) == rows
+    assert tenant_usage.unpack_credits(tenant_usage.pack_credits([tenant_usage.Credit(b"12345678", 0.5)])) == [
+        tenant_usage.Credit(b"12345678", 0.5)
     ]
     for data in (b"x", b"x" * 15):
-        with pytest.raises(problems.FrameProblem):
-            tenants.unpack_usage(data)
+        with pytest.raises(errors.FrameProblem):
+            tenant_usage.unpack_usage(data)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
 )
 def test_no_window_passes_the_bound(troubles):
     for seed in range(2):
-        report = quota_world.play(seed, troubles=troubles)
+        report = quota_simulation.play(seed, troubles=troubles)
         assert not report.over, report
         if troubles == ("none",):
             assert report.refused_below <= 0.004 * report.asked, report
@@ -168,28 +168,28 @@
     """What proxies admitted in their whole lives is no debt of now. Most of what is left is refused in the seconds in
     which nobody has the burst; with that debt it is a quarter of the day on the first of these."""
     for seed in range(2):
-        report = quota_world.play(seed, troubles=("restart_core",))
+        report = quota_simulation.play(seed, troubles=("restart_core",))
         assert not report.over and report.refused_below <= MOST_REFUSED * report.asked, report
 
 
 def test_planted_counts_of_whole_lives_are_found(monkeypatch):
-    real = metering.Meter.take
+    real = quota_meter.Meter.take
 
     def take(self, *, proxy, life, rows):
         if proxy not in self._lives:
             real(self, proxy=proxy, life=life, rows=[])
         real(self, proxy=proxy, life=life, rows=rows)
 
-    monkeypatch.setattr(metering.Meter, "take", take)
-    report = quota_world.play(0, troubles=("restart_core",))
+    monkeypatch.setattr(quota_meter.Meter, "take", take)
+    report = quota_simulation.play(0, troubles=("restart_core",))
     assert report.refused_below > MOST_REFUSED * report.asked
 
 
 def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
-    from pw.dat import tenants as proxy_tenants
+    from ploverward.data_plane.quotas import tenant_admission
 
-    monkeypatch.setattr(proxy_tenants.Allowance, "_may", lambda self, tenant, limit: True)
-    assert any(quota_world.play(seed, troubles=("hot",)).over for seed in range(4))
+    monkeypatch.setattr(tenant_admission.Allowance, "_may", lambda self, tenant, limit: True)
+    assert any(quota_simulation.play(seed, troubles=("hot",)).over for seed in range(4))
 
 
 def test_planted_merging_by_adding_is_found(monkeypatch):
@@ -199,7 +199,7 @@
         self._admitted[proxy] = {}
         real(self, proxy=proxy, life=life, rows=rows)
 
-    real = metering.Meter.take
-    monkeypatch.setattr(metering.Meter, "take", take)
-    report = quota_world.play(0, troubles=("none",))
+    real = quota_meter.Meter.take
+    monkeypatch.setattr(quota_meter.Meter, "take", take)
+    report = quota_simulation.play(0, troubles=("none",))
     assert report.refused_below > 0.01 * report.asked
--- a/pw/ctl/test_shared.py
+++ b/ploverward/control_plane/quotas/test_share_leases.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import settings as settings_files
-from pw.base import wire
-from pw.ctl import grants
-from pw.ctl import platform
-from pw.ctl.news import desk as desks
-from pw.sim import entry
+from ploverward.common import errors
+from ploverward.common import settings
+from ploverward.transport import frames
+from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.simulation import loopback_proxy
 
 
 class Wire:
@@ -78,7 +78,7 @@
     chance = random.Random(seed)
     clock = [0.0]
     life, window = 2.0, 10.0
-    book = grants.Book(now=lambda: clock[0], life_s=life, window_s=window, quiet_until=3.0)
+    book = share_leases.Book(now=lambda: clock[0], life_s=life, window_s=window, quiet_until=3.0)
     history = []
     nodes = [f"n{number}" for number in range(12)]
     for _ in range(600):
@@ -104,12 +104,12 @@
         ("entry", 0.25, 0.5, 2.5, 0.2, 3, 16, 7),
         ("promise", 3, "spec", True, "abc", 1, "a", 2, "b", 7, b"v"),
     ]
-    data = b"".join(wire.pack(message) for message in messages)
+    data = b"".join(frames.pack(message) for message in messages)
     buffer = bytearray()
     got = []
     for start in range(0, len(data), 7):
         buffer += data[start : start + 7]
-        got += wire.unpack_from(buffer)
+        got += frames.unpack_from(buffer)
     assert got == messages and not buffer
 
 
@@ -118,34 +118,34 @@
     [
         b"\xff\xff\xff\xff\x01",
         b"\x00\x00\x00\x01\xee\x00",
-        wire.pack(("want", "spec", 0, 0))[:5] + b"\x7fabcd\x00\x00",
+        frames.pack(("want", "spec", 0, 0))[:5] + b"\x7fabcd\x00\x00",
         b"\x00\x00\x00\x06\x16\x04spec\x00",
     ],
 )
 def test_malformed_frames_are_problems(data):
-    with pytest.raises(problems.FrameProblem):
-        wire.unpack_from(bytearray(data))
+    with pytest.raises(errors.FrameProblem):
+        frames.unpack_from(bytearray(data))
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_bytes_make_a_frame_fail_otherwise(seed):
     chance = random.Random(seed)
-    data = bytearray(wire.pack(("offer", (("spec", 0, 3),))))
+    data = bytearray(frames.pack(("offer", (("spec", 0, 3),))))
     data[chance.randrange(4, len(data))] ^= 1 << chance.randrange(8)
     try:
-        messages = wire.unpack_from(data)
-    except problems.FrameProblem:
+        messages = frames.unpack_from(data)
+    except errors.FrameProblem:
         return
-    assert all(message[0] in wire.KINDS for message in messages)
+    assert all(message[0] in frames.KINDS for message in messages)
 
 
 def test_settings_skip_unknown_fields_and_name_what_is_missing():
-    found = settings_files.check(text=entry.SETTINGS + "later.field=1\n")
+    found = settings.check(text=loopback_proxy.SETTINGS + "later.field=1\n")
     assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
     for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
-        text = "\n".join(line for line in entry.SETTINGS.splitlines() if not line.startswith(name + "="))
-        with pytest.raises(problems.SettingsProblem) as told:
-            settings_files.check(text=text)
+        text = "\n".join(line for line in loopback_proxy.SETTINGS.splitlines() if not line.startswith(name + "="))
+        with pytest.raises(errors.SettingsProblem) as told:
+            settings.check(text=text)
         assert name in str(told.value)
 
 
@@ -154,8 +154,8 @@
     ["no equals sign", "seedNodes=10.0.0.1", "bounds.contactMs=soon", "firstStart=perhaps", "innerPortRange=9,1"],
 )
 def test_malformed_settings_are_one_clear_line(line):
-    with pytest.raises(problems.SettingsProblem) as told:
-        settings_files.check(text=entry.SETTINGS + line + "\n")
+    with pytest.raises(errors.SettingsProblem) as told:
+        settings.check(text=loopback_proxy.SETTINGS + line + "\n")
     assert "\n" not in str(told.value)
 
 
@@ -180,11 +180,11 @@
 
 def test_a_changed_settings_file_is_noticed_without_a_signal(tmp_path, monkeypatch):
     path = tmp_path / "boot.conf"
-    path.write_text(entry.SETTINGS)
-    monkeypatch.setenv(settings_files.PATH_VARIABLE, str(path))
-    watch = settings_files.FileWatch()
+    path.write_text(loopback_proxy.SETTINGS)
+    monkeypatch.setenv(settings.PATH_VARIABLE, str(path))
+    watch = settings.FileWatch()
     assert not watch.is_changed()
-    path.write_text(entry.SETTINGS + "later=1\n")
+    path.write_text(loopback_proxy.SETTINGS + "later=1\n")
     assert watch.is_changed() and not watch.is_changed()
     path.unlink()
     assert not watch.is_changed()
@@ -214,7 +214,7 @@
             status = 429 if token == self.failing else 200
             done(None, status, json.dumps({"replicas": [row(name) for name in names], "nextPage": following}).encode())
 
-    watch = platform.Watch(
+    watch = platform_client.Watch(
         loop=Loop(),
         address="x:1",
         gap_s=0.5,
@@ -244,7 +244,7 @@
 
 def test_every_message_that_is_sent_has_a_codec():
     """A message without one fails only when it is packed: proxies once failed at every beat by it."""
-    folder = pathlib.Path(wire.__file__).parent.parent
+    folder = pathlib.Path(frames.__file__).parent.parent
     sources = [path for path in folder.rglob("*.py") if "sim" not in path.parts and not path.name.startswith("test_")]
     sent = set()
     for path in sources:
@@ -252,4 +252,4 @@
             re.findall(r"(?:send|_tell_core|_ask_cores|pack)\(\s*\(\s*\"(\w+)\"", path.read_text(encoding="utf-8"))
         )
     assert {"renew", "entry", "heartbeat", "have", "beat"} <= sent
-    assert sent <= set(wire.KINDS)
+    assert sent <= set(frames.KINDS)
--- a/pw/ctl/rollouts/ledger.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from pw.base import evidence
+from ploverward.common import rollout_evidence
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,7 +39,7 @@
                 if looked is not None:
                     change.add(looked, sign=-1)
                 self._looked[origin, key] = tally
-                found.setdefault(key, evidence.Tally()).add(change)
+                found.setdefault(key, rollout_evidence.Tally()).add(change)
         return found
 
     def totals(self) -> dict:
@@ -47,7 +47,7 @@
         found = {}
         for report in self.reports.values():
             for key, tally in report.tallies.items():
-                found.setdefault(key, evidence.Tally()).add(tally)
+                found.setdefault(key, rollout_evidence.Tally()).add(tally)
         return found
 
     @property
--- a/pw/ctl/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -9,7 +9,7 @@
 import dataclasses
 import math
 
-from pw.base import evidence
+from ploverward.common import rollout_evidence
 
 FAULTS = ("failed", "broken", "first", "pace")
 TIME_FAULTS = ("first", "pace")
@@ -39,7 +39,7 @@
 NOTHING_FOUND = Finding(route="", fault="", score=0.0)
 
 
-def _bad_counts(tally: evidence.Tally, fault: str, limit: int | None) -> tuple:
+def _bad_counts(tally: rollout_evidence.Tally, fault: str, limit: int | None) -> tuple:
     """(bad, all) of a tally for one fault; `limit`: the bucket from which on a time is slow, None: it can't be told."""
     if fault in ("failed", "broken"):
         return getattr(tally, fault), tally.ended
@@ -83,7 +83,7 @@
         for key, tally in counted.items():
             if key.is_new:
                 self.answers[key.route, key.group] += tally.ended
-                self._weigh(key, tally, baselines.get(key.route, evidence.Tally()), faults)
+                self._weigh(key, tally, baselines.get(key.route, rollout_evidence.Tally()), faults)
 
     def forget_times(self) -> None:
         """What times have shown so far counts no longer."""
@@ -94,7 +94,7 @@
         window = {}
         for _when, tallies in self._former:
             for route, tally in tallies.items():
-                window.setdefault(route, evidence.Tally()).add(tally)
+                window.setdefault(route, rollout_evidence.Tally()).add(tally)
         for route, tally in window.items():
             if tally.ended >= LEAST_FORMER:
                 self._kept[route] = tally
--- a/pw/ctl/rollouts/leases.py
+++ b/ploverward/control_plane/rollouts/leases.py
@@ -3,7 +3,7 @@
 import dataclasses
 import json
 
-from pw.base import problems
+from ploverward.common import errors
 
 
 @dataclasses.dataclass(frozen=True)
@@ -29,4 +29,4 @@
             for service, number, step, share, names in json.loads(data)
         ]
     except (ValueError, TypeError) as failure:
-        raise problems.FrameProblem(f"no leases: {failure}", step="leases") from None
+        raise errors.FrameProblem(f"no leases: {failure}", step="leases") from None
--- a/pw/ctl/rollouts/duty.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -7,16 +7,16 @@
 import collections
 import dataclasses
 
-from pw.base import evidence
-from pw.base import records
-from pw.base import ring
-from pw.ctl import registers
-from pw.ctl.rollouts import judge as judges
-from pw.ctl.rollouts import leases as lease_rows
-from pw.ctl.rollouts import ledger as ledgers
-from pw.ctl.rollouts import orders
-from pw.ctl.rollouts import plan
-from pw.ctl.rollouts import state
+from ploverward.common import rollout_evidence
+from ploverward.transport import row_codec
+from ploverward.common import event_log
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.rollouts import judge
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import planner
+from ploverward.control_plane.rollouts import state
 
 LEASE_PART = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
 SETTLED_RECEIPTS = 4  # an order may come again for receiptMs; after so many it is a new one
@@ -33,9 +33,9 @@
     def __init__(self, *, number: int, now: float):
         self.number = number
         self.begun_at = now
-        self.ledger = ledgers.Ledger()
-        self.judge = judges.Judge()
-        self._load_judge = judges.Judge()
+        self.ledger = evidence_table.Ledger()
+        self.judge = judge.Judge()
+        self._load_judge = judge.Judge()
         self._load_judge.is_lone = True
         self._stressed_group = None
         self._first_sent_s = None
@@ -86,7 +86,7 @@
         former_s = max(0, owed_former) * age_s / sent_former
         return new_s > OWED_TIMES * former_s + OWED_SLACK_S
 
-    def finding(self) -> judges.Finding:
+    def finding(self) -> judge.Finding:
         """What stands out most."""
         return max(self.judge.finding(), self._load_judge.finding(), key=lambda one: one.score)
 
@@ -133,7 +133,7 @@
         self._proxies = proxies
         self._contact_s = contact_s
         self._settle_s = receipt_s * SETTLED_RECEIPTS
-        self._exposure = plan.Exposure(
+        self._exposure = planner.Exposure(
             share=settings.bound(name="exposureShare", default=0.1),
             slack=settings.bound(name="exposureSlack", default=0.0),
         )
@@ -153,9 +153,9 @@
                 self._trials.pop(service, None)
 
     # Evidence and leases.
-    def take_evidence(self, *, origin: ledgers.Origin, data: bytes) -> bytes | None:
+    def take_evidence(self, *, origin: evidence_table.Origin, data: bytes) -> bytes | None:
         """Takes a proxy's reports; the leases that answer them, or None where this node may hand out nothing."""
-        for report in evidence.unpack(data):
+        for report in rollout_evidence.unpack(data):
             rollout = self.rollouts.get(report.service)
             if rollout is None or rollout.number != report.number or not rollout.is_under_way:
                 continue
@@ -163,7 +163,7 @@
             self._trial(report.service).ledger.take(origin=origin, report=report, now=self._now())
         if self._now() >= self._acting_until:
             return None
-        return lease_rows.pack([self._lease(name) for name, rollout in self.rollouts.items() if rollout.is_under_way])
+        return leases.pack([self._lease(name) for name, rollout in self.rollouts.items() if rollout.is_under_way])
 
     def pace(self, *, proxies: int) -> int:
         """How many beats of a proxy lie between two of its reports."""
@@ -177,44 +177,44 @@
             self._trials[service] = held
         return held
 
-    def _lease(self, service: str) -> lease_rows.Lease:
+    def _lease(self, service: str) -> leases.Lease:
         rollout = self.rollouts[service]
         trial = self._trial(service)
         age_s = self._ages.age_s(service=service, number=rollout.number)
-        canary = plan.canary_share(
+        canary = planner.canary_share(
             exposure=self._exposure,
             sent=trial.ledger.sent,
             sent_new=trial.ledger.sent_new,
             age_s=age_s,
             over_s=rollout.over_s,
         )
-        is_stressed = plan.is_stressed(rollout=rollout, age_s=age_s)
+        is_stressed = planner.is_stressed(rollout=rollout, age_s=age_s)
         if is_stressed:
-            canary = plan.stress_share(
+            canary = planner.stress_share(
                 exposure=self._exposure, sent=trial.ledger.sent, sent_new=trial.ledger.sent_new, age_s=age_s
             )
         stage_age_s = self._ages.stage_age_s(service=service)
-        share = plan.share_of(rollout=rollout, canary=canary, stage_age_s=stage_age_s)
+        share = planner.share_of(rollout=rollout, canary=canary, stage_age_s=stage_age_s)
         if trial.is_bad:
             share = 0.0
         replicas = ()
         if rollout.stage == state.Stage.CANARY:
             replicas = self._canary_replicas(service, trial, canary=canary, is_stressed=is_stressed)
             share = share if replicas else 0.0
-        return lease_rows.Lease(
+        return leases.Lease(
             service=service, number=rollout.number, step=rollout.step, share=round(share, 4), replicas=replicas
         )
 
     def _canary_replicas(self, service: str, trial: Trial, *, canary: float, is_stressed: bool) -> tuple:
-        replicas = plan.canary_replicas(
+        replicas = planner.canary_replicas(
             rows=self._new_rows(service),
             region_of=self._region_of,
-            share=max(canary, plan.SHARE_PART * self._exposure.share),
+            share=max(canary, planner.SHARE_PART * self._exposure.share),
             bad_groups=trial.judge.bad_groups(),
             is_stressed=is_stressed,
         )
         if is_stressed and replicas:
-            trial.stress(group=evidence.group_of(records.key_of(replicas[0])))
+            trial.stress(group=rollout_evidence.group_of(row_codec.key_of(replicas[0])))
         return replicas
 
     def _region_of(self, zone: str) -> str:
@@ -259,7 +259,7 @@
             replicas=len(self._new_rows(service)),
             is_canary=rollout.stage == state.Stage.CANARY,
         )
-        move = plan.next_move(self._view(service, rollout, trial, age_s))
+        move = planner.next_move(self._view(service, rollout, trial, age_s))
         if move is None:
             return
         known = state.Evidence(
@@ -270,17 +270,17 @@
             sent_new=trial.ledger.sent_new,
             routes=_by_route(trial.ledger.totals()),
         )
-        ring.say("roll-out", service=service, target=rollout.target, known=dataclasses.asdict(known))
-        ring.note("roll-out times", tallies=_told(trial.ledger.totals()))
+        event_log.say("roll-out", service=service, target=rollout.target, known=dataclasses.asdict(known))
+        event_log.note("roll-out times", tallies=_told(trial.ledger.totals()))
         self._apply(service, orders.edit_to_stage(service=service, seen=rollout, known=known))
 
-    def _view(self, service: str, rollout: state.Rollout, trial: Trial, age_s: float) -> plan.View:
+    def _view(self, service: str, rollout: state.Rollout, trial: Trial, age_s: float) -> planner.View:
         totals = trial.ledger.totals()
         finding = trial.finding()
         answers, expected = _answers(totals, sent=trial.ledger.sent, sent_new=trial.ledger.sent_new)
         origins = set(self._proxies())
         heard = origins & trial.ledger.reports.keys()
-        return plan.View(
+        return planner.View(
             rollout=rollout,
             age_s=age_s,
             stage_age_s=self._ages.stage_age_s(service=service),
@@ -290,7 +290,7 @@
             is_bad=trial.is_bad,
             is_suspicious=trial.is_suspicious,
             finding=f"{finding.fault} on {finding.route}: {finding.score:.1f}" if finding.fault else "",
-            has_capacity=plan.has_capacity(
+            has_capacity=planner.has_capacity(
                 rows=[row for row in self._listed() if row["service"] == service],
                 rollout=rollout,
                 region_of=self._region_of,
@@ -298,7 +298,7 @@
             ),
             has_heard=(
                 self._now() - trial.begun_at >= self._contact_s / 5
-                and len(heard) >= plan.HEARD_PART * max(1, len(origins))
+                and len(heard) >= planner.HEARD_PART * max(1, len(origins))
             ),
             is_drained=trial.ledger.is_drained(origins=origins, step=rollout.step),
             is_drained_silent=trial.ledger.is_drained(origins=heard, step=rollout.step),
@@ -310,7 +310,7 @@
         def done(_error, _version, _payload, _result):
             self._moving.discard(service)
 
-        self._change(name=registers.ROLLOUTS, edit=edit, done=done)
+        self._change(name=register_names.ROLLOUTS, edit=edit, done=done)
 
     def _admit_listed(self) -> None:
         """Admits what is listed of a service that has no admitted version, or none of whose versions is left."""
@@ -345,7 +345,7 @@
             self._moving -= wanted.keys()
 
         edit = orders.edit_to_admit(seen=dict(self.rollouts), editions=wanted)
-        self._change(name=registers.ROLLOUTS, edit=edit, done=done)
+        self._change(name=register_names.ROLLOUTS, edit=edit, done=done)
 
 
 def _answers(totals: dict, *, sent: int, sent_new: int) -> tuple:
--- a/pw/ctl/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -4,10 +4,10 @@
 
 import pydantic
 
-from pw.base import problems
-from pw.ctl.configuration import models
-from pw.ctl.configuration import reading
-from pw.ctl.rollouts import state
+from ploverward.common import errors
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.rollouts import state
 
 MOST_NAME = 200  # characters
 MOST_TERM_S = 30 * 86400.0
@@ -34,7 +34,7 @@
 
 def read(*, data: bytes) -> Order:
     """The order in a call's body. Raises InvalidConfiguration, with the place of the fault."""
-    checked = models.validated(_Body, reading.read_json(data=data))
+    checked = schema.validated(_Body, parser.read_json(data=data))
     return Order(service=checked.destination, target=checked.targetEdition, over_s=checked.overS)
 
 
@@ -49,9 +49,9 @@
         if _is_same(held, order):
             return payload, KNOWN
         if held.is_under_way:
-            raise problems.RolloutUnderWay(target=held.target, peer=order.service)
+            raise errors.RolloutUnderWay(target=held.target, peer=order.service)
         if is_late():
-            raise problems.Unreachable("no majority in time", step="roll-out", peer=order.service)
+            raise errors.Unreachable("no majority in time", step="roll-out", peer=order.service)
         return state.with_rollout(payload, service=order.service, rollout=_begun(held, order)), TAKEN
 
     return edit
--- a/pw/ctl/rollouts/plan.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -4,9 +4,9 @@
 import hashlib
 import math
 
-from pw.base import evidence
-from pw.base import records
-from pw.ctl.rollouts import state
+from ploverward.common import rollout_evidence
+from ploverward.transport import row_codec
+from ploverward.control_plane.rollouts import state
 
 PROMOTE_PART = 0.55  # of the term: a version may turn bad late
 JUDGED_S = 4.5  # the least time from the first answer of the new version to its promotion
@@ -190,10 +190,10 @@
     chosen, groups = [], set(bad_groups)
     for region in _seats(sizes={name: len(ids) for name, ids in by_region.items()}, wanted=wanted):
         ids = [name for name in by_region[region] if name not in chosen]
-        fresh = [name for name in ids if evidence.group_of(records.key_of(name)) not in groups]
+        fresh = [name for name in ids if rollout_evidence.group_of(row_codec.key_of(name)) not in groups]
         if fresh or ids:
             chosen.append((fresh or ids)[0])
-            groups.add(evidence.group_of(records.key_of(chosen[-1])))
+            groups.add(rollout_evidence.group_of(row_codec.key_of(chosen[-1])))
     return tuple(chosen)
 
 
--- a/pw/ctl/rollouts/test_rollouts.py
+++ b/ploverward/control_plane/rollouts/test_rollouts.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from pw.base import evidence
-from pw.base import problems
-from pw.base import records
-from pw.ctl.rollouts import duty as duties
-from pw.ctl.rollouts import judge as judges
-from pw.ctl.rollouts import leases
-from pw.ctl.rollouts import ledger as ledgers
-from pw.ctl.rollouts import orders
-from pw.ctl.rollouts import plan
-from pw.ctl.rollouts import state
+from ploverward.common import rollout_evidence
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.control_plane.rollouts import manager
+from ploverward.control_plane.rollouts import judge as judges
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import evidence_table as ledgers
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import planner
+from ploverward.control_plane.rollouts import state
 
 ORDER = orders.Order(service="pool", target="v2", over_s=16.0)
 OTHER = orders.Order(service="pool", target="v3", over_s=16.0)
@@ -59,7 +59,7 @@
     ],
 )
 def test_an_order_that_is_none_names_the_place(data, place):
-    with pytest.raises(problems.InvalidConfiguration) as caught:
+    with pytest.raises(errors.InvalidConfiguration) as caught:
         orders.read(data=data)
     assert caught.value.place == place
 
@@ -78,7 +78,7 @@
 
 def test_one_of_two_orders_wins_and_the_other_changes_nothing():
     payload, _said = given(admitted("v1"), ORDER)
-    with pytest.raises(problems.RolloutUnderWay) as caught:
+    with pytest.raises(errors.RolloutUnderWay) as caught:
         given(payload, OTHER)
     assert caught.value.target == "v2"
     done = moved(payload, state.Stage.RETURNED)
@@ -86,7 +86,7 @@
 
 
 def test_an_order_whose_caller_was_left_is_not_begun():
-    with pytest.raises(problems.Unreachable):
+    with pytest.raises(errors.Unreachable):
         given(admitted("v1"), ORDER, is_late=True)
 
 
@@ -135,18 +135,18 @@
 
 # Evidence.
 def tally(*, ended, failed=0, first=8, slow=0, slow_first=17):
-    made = evidence.Tally(ended=ended, failed=failed)
+    made = rollout_evidence.Tally(ended=ended, failed=failed)
     made.firsts[first] += ended - failed - slow
     made.firsts[slow_first] += slow
     return made
 
 
 def key(*, route="r", is_new=True, group=0):
-    return evidence.Key(route=route, is_new=is_new, group=group)
+    return rollout_evidence.Key(route=route, is_new=is_new, group=group)
 
 
 def report(*, tallies=None, step=2, running_old=0, sent=10, sent_new=1, number=1):
-    return evidence.Report(
+    return rollout_evidence.Report(
         service="pool",
         number=number,
         step=step,
@@ -160,20 +160,20 @@
 
 def test_reports_come_back_as_they_were_packed():
     reports = [report(tallies={key(): tally(ended=9, failed=2, slow=1), key(is_new=False): tally(ended=30)})]
-    assert evidence.unpack(evidence.pack(reports)) == reports
+    assert rollout_evidence.unpack(rollout_evidence.pack(reports)) == reports
 
 
-@pytest.mark.parametrize("data", [b"", b"x", evidence.pack([])[:4], __import__("zlib").compress(b'[["pool"]]')])
+@pytest.mark.parametrize("data", [b"", b"x", rollout_evidence.pack([])[:4], __import__("zlib").compress(b'[["pool"]]')])
 def test_bytes_that_are_no_reports_are_refused(data):
-    with pytest.raises(problems.FrameProblem):
-        evidence.unpack(data)
+    with pytest.raises(errors.FrameProblem):
+        rollout_evidence.unpack(data)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_reports_lost_repeated_and_out_of_order_count_once(seed):
     chance = random.Random(seed)
     ledger, counted, told = ledgers.Ledger(), collections.Counter(), []
-    true = {name: evidence.Tally() for name in "abc"}
+    true = {name: rollout_evidence.Tally() for name in "abc"}
     for turn in range(120):
         name = chance.choice("abc")
         true[name].add(tally(ended=chance.randint(0, 4)))
@@ -215,7 +215,7 @@
         for group in range(groups):
             ended = sum(chance.random() < 0.5 for _turn in range(round(per_s * 0.8 / groups)))
             failed = sum(chance.random() < max(share, former_bad) for _turn in range(ended))
-            made = evidence.Tally(ended=ended, failed=failed)
+            made = rollout_evidence.Tally(ended=ended, failed=failed)
             for _turn in range(ended - failed):
                 is_slow = chance.random() < slow
                 made.firsts[8 + chance.choice((-1, 0, 0, 1, 2)) + (times if is_slow else 0)] += 1
@@ -228,7 +228,7 @@
 
 def former_answers(*, chance, former_bad, count):
     failed = sum(chance.random() < former_bad for _turn in range(count))
-    made = evidence.Tally(ended=count, failed=failed)
+    made = rollout_evidence.Tally(ended=count, failed=failed)
     for _turn in range(count - failed):
         made.firsts[8 + chance.choice((-1, 0, 0, 1, 2))] += 1
     return made
@@ -274,7 +274,7 @@
 
 def test_silence_counts_only_beside_answers_of_the_former_version():
     judge = judges.Judge()
-    silent = {key(group=group): evidence.Tally(ended=9, broken=9) for group in range(3)}
+    silent = {key(group=group): rollout_evidence.Tally(ended=9, broken=9) for group in range(3)}
     judge.take(now=0.0, counted=silent)
     assert not judge.is_bad
     judge.take(now=0.4, counted={**silent, key(is_new=False): tally(ended=20)})
@@ -282,7 +282,7 @@
 
 
 # The plan.
-VIEW = plan.View(
+VIEW = planner.View(
     rollout=state.Rollout(admitted=("v1",), target="v2", over_s=16.0, stage=state.Stage.CANARY, number=1, step=2),
     age_s=9.0,
     stage_age_s=9.0,
@@ -304,8 +304,8 @@
 
 
 def test_a_version_is_let_in_past_the_middle_of_its_term_and_not_before():
-    assert plan.next_move(VIEW).stage == state.Stage.PROMOTING
-    assert plan.next_move(dataclasses.replace(VIEW, age_s=8.7)) is None
+    assert planner.next_move(VIEW).stage == state.Stage.PROMOTING
+    assert planner.next_move(dataclasses.replace(VIEW, age_s=8.7)) is None
 
 
 @pytest.mark.parametrize(
@@ -321,40 +321,42 @@
     ],
 )
 def test_what_holds_a_version_back(about):
-    assert plan.next_move(dataclasses.replace(VIEW, **about)) is None
+    assert planner.next_move(dataclasses.replace(VIEW, **about)) is None
 
 
 def test_a_version_that_is_not_cleared_in_time_goes_back():
     late = dataclasses.replace(VIEW, is_suspicious=True, age_s=10.5)
-    assert plan.next_move(late).stage == state.Stage.RETURNED
+    assert planner.next_move(late).stage == state.Stage.RETURNED
 
 
 def test_a_version_that_owes_its_answers_goes_back():
     late = dataclasses.replace(VIEW, answers={"r": 19}, age_s=10.5)
-    assert plan.next_move(late).stage == state.Stage.RETURNED
+    assert planner.next_move(late).stage == state.Stage.RETURNED
 
 
 @pytest.mark.parametrize("stage", state.UNDER_WAY)
 def test_a_bad_version_goes_back_from_every_stage(stage):
-    assert plan.next_move(at(stage, is_bad=True)).stage == state.Stage.RETURNED
+    assert planner.next_move(at(stage, is_bad=True)).stage == state.Stage.RETURNED
 
 
 def test_delivered_is_told_only_when_nothing_runs_at_the_former_version_or_the_term_is_over():
-    assert plan.next_move(at(state.Stage.DRAINING, age_s=12.0)) is None
-    assert plan.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained_silent=True)) is None
-    assert plan.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
-    assert plan.next_move(at(state.Stage.DRAINING, age_s=14.0, is_drained_silent=True)).stage == state.Stage.DELIVERED
-    assert plan.next_move(at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
+    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0)) is None
+    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained_silent=True)) is None
+    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
+    assert (
+        planner.next_move(at(state.Stage.DRAINING, age_s=14.0, is_drained_silent=True)).stage == state.Stage.DELIVERED
+    )
+    assert planner.next_move(at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
 
 
 @pytest.mark.parametrize("per_s", [1, 5, 20, 150, 3000])
 @pytest.mark.parametrize("over_s", [4.0, 16.0, 60.0])
 def test_the_canary_stays_inside_the_bound_even_if_no_request_follows(per_s, over_s):
-    exposure = plan.Exposure(share=0.1, slack=50.0)
+    exposure = planner.Exposure(share=0.1, slack=50.0)
     sent, sent_new, credit = 0, 0, 0.9
-    for tick in range(int(over_s * plan.LATEST_PROMOTE_PART / 0.1)):
+    for tick in range(int(over_s * planner.LATEST_PROMOTE_PART / 0.1)):
         age_s = tick * 0.1
-        share = plan.canary_share(exposure=exposure, sent=sent, sent_new=sent_new, age_s=age_s, over_s=over_s)
+        share = planner.canary_share(exposure=exposure, sent=sent, sent_new=sent_new, age_s=age_s, over_s=over_s)
         for _request in range(max(1, int(per_s * 0.1))):
             sent += 1
             credit += share
@@ -385,19 +387,19 @@
 
 def test_canary_replicas_are_few_spread_and_stable():
     rows = listed()
-    chosen = plan.canary_replicas(rows=rows, region_of=region_of, share=0.1, bad_groups=())
-    assert len(chosen) == 3.0 / plan.LOAD_TIMES
-    assert chosen == plan.canary_replicas(rows=rows[::-1], region_of=region_of, share=0.1, bad_groups=())
+    chosen = planner.canary_replicas(rows=rows, region_of=region_of, share=0.1, bad_groups=())
+    assert len(chosen) == 3.0 / planner.LOAD_TIMES
+    assert chosen == planner.canary_replicas(rows=rows[::-1], region_of=region_of, share=0.1, bad_groups=())
     zones = {row["id"]: row["zone"] for row in rows}
     assert {region_of(zones[name]) for name in chosen} == {"a", "b"}
 
 
 def test_a_group_that_has_shown_faults_makes_room_for_another():
     rows = listed()
-    first = plan.canary_replicas(rows=rows, region_of=region_of, share=0.02, bad_groups=())
-    group = evidence.group_of(records.key_of(first[0]))
-    second = plan.canary_replicas(rows=rows, region_of=region_of, share=0.02, bad_groups={group})
-    assert len(first) == len(second) == 1 and evidence.group_of(records.key_of(second[0])) != group
+    first = planner.canary_replicas(rows=rows, region_of=region_of, share=0.02, bad_groups=())
+    group = rollout_evidence.group_of(row_codec.key_of(first[0]))
+    second = planner.canary_replicas(rows=rows, region_of=region_of, share=0.02, bad_groups={group})
+    assert len(first) == len(second) == 1 and rollout_evidence.group_of(row_codec.key_of(second[0])) != group
 
 
 def test_capacity_wants_warm_replicas_in_each_region():
@@ -409,7 +411,7 @@
         (listed(zones=("a1", "a2")), (), False),
         (listed(zones=("a1", "a2")), ("b1",), True),
     ):
-        found = plan.has_capacity(rows=former + new, rollout=VIEW.rollout, region_of=region_of, out_zones=out)
+        found = planner.has_capacity(rows=former + new, rollout=VIEW.rollout, region_of=region_of, out_zones=out)
         assert found == wanted
 
 
@@ -421,7 +423,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"{}x", b'[["pool"]]', b'[["pool",1,2,"x",[]]]'])
 def test_bytes_that_are_no_leases_are_refused(data):
-    with pytest.raises(problems.FrameProblem):
+    with pytest.raises(errors.FrameProblem):
         leases.unpack(data)
 
 
@@ -449,7 +451,7 @@
         self.tallies = {}  # origin: what it counted since the order
 
     def holder(self):
-        made = duties.RolloutDuty(
+        made = manager.RolloutDuty(
             settings=Settings(),
             now=lambda: self.now,
             change=self.change,
@@ -466,7 +468,7 @@
 
     def change(self, *, name, edit, done):
         if self.is_cut:
-            done(problems.Unreachable("cut"), 0, None, None)
+            done(errors.Unreachable("cut"), 0, None, None)
             return
         self.payload, said = edit(self.payload)
         done(None, 1, self.payload, said)
@@ -485,12 +487,14 @@
                 sent += 30
                 row = self.row()
                 answers = tallies.setdefault(origin, {})
-                answers.setdefault(key(is_new=False), evidence.Tally()).add(tally(ended=20))
+                answers.setdefault(key(is_new=False), rollout_evidence.Tally()).add(tally(ended=20))
                 if any(one["edition"] == "v2" for one in self.rows):
                     for group in range(2):
                         failed = sum(chance.random() < failing for _turn in range(2))
-                        answers.setdefault(key(group=group), evidence.Tally()).add(tally(ended=2, failed=failed))
-                data = evidence.pack(
+                        answers.setdefault(key(group=group), rollout_evidence.Tally()).add(
+                            tally(ended=2, failed=failed)
+                        )
+                data = rollout_evidence.pack(
                     [
                         report(
                             tallies={one: count.copy() for one, count in answers.items()},
@@ -572,7 +576,9 @@
     world.is_cut = True
     world.play(holder, seconds=4.0, failing=0.5)
     assert world.row().stage == state.Stage.CANARY
-    given_out = leases.unpack(holder.take_evidence(origin=world.origins[0], data=evidence.pack([report(sent=10**6)])))
+    given_out = leases.unpack(
+        holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report(sent=10**6)]))
+    )
     assert [one.share for one in given_out] == [0.0]
 
 
@@ -580,10 +586,10 @@
     world = World()
     holder = begun(world)
     holder.rest()
-    assert holder.take_evidence(origin=world.origins[0], data=evidence.pack([report()])) is None
+    assert holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
     holder.tend()
     world.now += 2.0  # it stood still: what it may give out has run out
-    assert holder.take_evidence(origin=world.origins[0], data=evidence.pack([report()])) is None
+    assert holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
 
 
 def test_a_next_holder_goes_on_where_the_one_before_it_stood():
@@ -600,7 +606,8 @@
     world.play(holder, seconds=4.0)
     late = world.holder()
     late.take_evidence(
-        origin=world.origins[0], data=evidence.pack([dataclasses.replace(report(number=1, sent=10**6), age_s=15.5)])
+        origin=world.origins[0],
+        data=rollout_evidence.pack([dataclasses.replace(report(number=1, sent=10**6), age_s=15.5)]),
     )
     late.tend()
     assert world.row().stage == state.Stage.RETURNED
--- a/pw/dat/adapters/test_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from pw.ctl import platform
-from pw.ctl.news import replica_list
-from pw.ctl.adapters import ledger as ledgers
-from pw.dat import replicas
-from pw.dat.adapters import counts
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.adapter_cache import adapter_counts
 
 ADAPTERS = {"drafts": {"m"}, "reviews": {"m"}, "both": {"m", "n"}}
 
@@ -25,7 +25,7 @@
     ],
 )
 def test_an_adapter_is_known_by_the_list_or_not_at_all(text, found):
-    assert counts.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
+    assert adapter_counts.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
 
 
 def replica(name="i1", adapters=()):
@@ -38,13 +38,13 @@
         "is_clearing": False,
         "adapters": adapters,
     }
-    return replicas.Replica(row=row, endpoint=("127.0.0.1", 1), region="north", now=0.0)
+    return replica_table.Replica(row=row, endpoint=("127.0.0.1", 1), region="north", now=0.0)
 
 
 class Scene:
     def __init__(self):
         self.clock = [0.0]
-        self.counter = counts.Counter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
+        self.counter = adapter_counts.Counter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
 
     def begin(self, one, adapter="drafts", target_s=0.6):
         return self.counter.begin(replica=one, service="llm", model="m", adapter=adapter, route="r", target_s=target_s)
@@ -53,7 +53,7 @@
         found = {}
         for _window, _number, data in self.counter.report():
             for _service, _model, adapter, name, _route, *numbers in json.loads(data)["rows"]:
-                found[(adapter, name)] = dict(zip(counts.FIELDS, numbers, strict=False))
+                found[(adapter, name)] = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
         return found
 
 
@@ -97,14 +97,14 @@
     scene = Scene()
     first = replica("i1")
     scene.counter.ran(scene.begin(first))
-    assert scene.counter.state(replica=first, model="m", adapter="drafts") == counts.WARM
-    assert scene.counter.state(replica=replica("i2"), model="m", adapter="drafts") == counts.COLD
+    assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.WARM
+    assert scene.counter.state(replica=replica("i2"), model="m", adapter="drafts") == adapter_counts.COLD
     scene.clock[0] = 4.1  # by now the list would say so
-    assert scene.counter.state(replica=first, model="m", adapter="drafts") == counts.COLD
+    assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.COLD
 
 
 def test_counts_are_bounded_and_what_finds_no_row_is_still_counted(monkeypatch):
-    monkeypatch.setattr(counts, "MOST_ROWS", 3)
+    monkeypatch.setattr(adapter_counts, "MOST_ROWS", 3)
     scene = Scene()
     for number in range(5):
         scene.counter.ran(scene.begin(replica(f"i{number}")))
@@ -115,7 +115,7 @@
 
 def test_windows_are_told_whole_and_a_finished_one_again():
     scene = Scene()
-    ledger = ledgers.Ledger(now=lambda: scene.clock[0], window_s=30.0)
+    ledger = adapter_usage.Ledger(now=lambda: scene.clock[0], window_s=30.0)
 
     def tell():
         for window, number, data in scene.counter.report():
@@ -139,7 +139,7 @@
     entry = {"id": "i", "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     def row(*models):
-        return platform.read_row(entry={**entry, "models": list(models)})
+        return platform_client.read_row(entry={**entry, "models": list(models)})
 
     assert row({"name": "m", "adapters": ["a", "b"]})["adapters"] == [["m", "a"], ["m", "b"]]
     assert "adapters" not in row({"name": "m", "adapters": []})
@@ -150,7 +150,7 @@
             row({"name": "m", "adapters": bad})["is_malformed"]
             and row({"name": "m", "adapters": bad})["adapters"] is None
         )
-    told = replica_list.of_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
+    told = endpoint_list.of_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
     same = [row({"name": "m", "adapters": ["a"]})]
     assert told.change_to(rows=same, read_at=2.0, is_same_clock=True) is None
     changed = [row({"name": "m", "adapters": ["b"]})]
--- a/pw/dat/follow.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -1,17 +1,17 @@
 """Following the core: held connections, news, leases, grant entries, and when to serve (design 4, 5, 8)."""
 
-from pw.base import inlet
-from pw.base import link as links
-from pw.base import residency
-from pw.base import ring
-from pw.base import tenants as tenant_rows
-from pw.ctl import registers
-from pw.ctl import watch_duty
-from pw.ctl.news import desk as desks
-from pw.ctl.news import replica_list
-from pw.ctl.register import ballots
-from pw.ctl.rollouts import leases as rollout_leases
-from pw.dat import routes as route_tables
+from ploverward.transport import http_server
+from ploverward.transport import peer_connection
+from ploverward.common import residency
+from ploverward.common import event_log
+from ploverward.common import tenant_usage
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.cluster import coordinator as coordinators
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.rollouts import leases
+from ploverward.data_plane.requests import route_table
 
 
 RENEWALS_KEPT = 16  # entries that answer older renewals have run out
@@ -27,12 +27,12 @@
         self.near_cores = set()
         self.near_links = set()
         self.floors = {}  # core host: floor of the spec
-        self.follower = desks.Follower(
+        self.follower = publisher.Follower(
             now=self.loop.now,
             patience_s=self.contact_s / 12,
             on_image=self._on_image,
             is_near=lambda link: link in self.near_links,
-            unwanted=(registers.ARCHIVE,),
+            unwanted=(register_names.ARCHIVE,),
             on_change=self._on_change,
             stepwise=("list",),
         )
@@ -42,7 +42,7 @@
     def _dial_cores(self) -> None:
         wanted = set(self.core_members) | {host for host, _port in self.settings.seeds}
         for host in wanted - self.core_dialers.keys():
-            self.core_dialers[host] = links.Dialer(
+            self.core_dialers[host] = peer_connection.Dialer(
                 loop=self.loop,
                 address=(host, self.settings.core_port),
                 on_up=self._hail,
@@ -84,7 +84,7 @@
                 self._tell_held(message[1])
         elif kind == "floor":
             if host not in self.floors:
-                ring.note("floor", host=host)
+                event_log.note("floor", host=host)
             self.floors[host] = dict(message[1])
             self._check_serving()
         elif kind == "keeps":
@@ -96,11 +96,11 @@
         elif kind == "leases":
             _kind, number, life_s, pace, data = message
             self.rollouts.pace = max(1, pace)
-            self.rollouts.take_leases(number=number, life_s=life_s, leases=rollout_leases.unpack(data))
+            self.rollouts.take_leases(number=number, life_s=life_s, leases=leases.unpack(data))
 
     def _tell_held(self, topic: str) -> None:
         if not self.is_serving:
-            ring.note("has", topic=topic)
+            event_log.note("has", topic=topic)
         self._tell_core(("have", ((topic, *self.follower.serials[topic]),)))
 
     def renew_entries(self) -> None:
@@ -127,16 +127,16 @@
         if asked_at is not None:
             self.standing.take(core=host, version=version, asked_at=asked_at, age_s=age_s)
             self.allowance.take(
-                core=host, asked_at=asked_at, proxies=proxies, credits=tenant_rows.unpack_credits(credits)
+                core=host, asked_at=asked_at, proxies=proxies, credits=tenant_usage.unpack_credits(credits)
             )
 
     def configuration_age_s(self) -> float:
         """Seconds since a moment at which nothing newer was acknowledged than what this proxy has."""
-        return self.standing.age_s(version=self.follower.serials.get(registers.CONFIGURATION, (0, 0))[1])
+        return self.standing.age_s(version=self.follower.serials.get(register_names.CONFIGURATION, (0, 0))[1])
 
     def tell_evidence(self) -> None:
         """What was counted of roll-outs under way, to the holder of the watch duty, which answers with leases."""
-        _epoch, holder, _life = self.duties.get(watch_duty.WATCH, (0, "", ""))
+        _epoch, holder, _life = self.duties.get(coordinators.WATCH, (0, "", ""))
         dialer = self.core_dialers.get(holder)
         if dialer is None or dialer.link is None or not dialer.link.is_up:
             return
@@ -176,7 +176,7 @@
             return
         if not ballots.has_majority(of=self.core_members, among=self.floors):
             return
-        for name in registers.FLOORED:
+        for name in register_names.FLOORED:
             floor = max(floors.get(name, 0) for floors in self.floors.values())
             if self.follower.serials.get(name, (0, 0))[1] < floor:
                 return
@@ -185,21 +185,21 @@
         if "cores" not in self.follower.serials:
             return  # the floors may be those of seeds that no longer vote
         self.is_serving = True
-        ring.note("serving", edition=self.routes.edition)
+        event_log.note("serving", edition=self.routes.edition)
         self._tell_core(("state", True, self.is_leaving))
 
     def _on_image(self, topic: str, epoch: int, number: int, data: bytes) -> None:
-        if topic in (*registers.FLOORED, registers.DUTIES, registers.CORE_SET):
+        if topic in (*register_names.FLOORED, register_names.DUTIES, register_names.CORE_SET):
             members, payload = ballots.unpack(data)
             if topic == "spec" and payload:
                 self._keep_older_homes()
-                self.routes = route_tables.Routes(body=payload["body"])
-                self.table.install_services(route_tables.services(body=payload["body"]))
+                self.routes = route_table.Routes(body=payload["body"])
+                self.table.install_services(route_table.services(body=payload["body"]))
                 self._set_limits(payload["body"].get("limits") or {})
                 self.allowance.install(payload["body"])
             elif topic == "evac":
                 self.table.install_evacuations((payload or {}).get("zones", ()))
-            elif topic == registers.ROLLOUTS:
+            elif topic == register_names.ROLLOUTS:
                 self.rollouts.install(payload)
             elif topic == "duty":
                 self.duties = payload or {}
@@ -208,14 +208,14 @@
                 self.core_members = members
                 self._dial_cores()
         elif topic == "list":
-            self.table.install_list(replica_list.unpack_list(data).in_order())
+            self.table.install_list(endpoint_list.unpack_list(data).in_order())
         self.loop.command(act=self._check_serving)
         if topic in ("spec", "list") and self.relay is not None:
             self._sync_relay()
 
     def _on_change(self, _topic: str, _epoch: int, _number: int, data: bytes) -> None:
         """One step of the list of replicas."""
-        change = replica_list.unpack_change(data)
+        change = endpoint_list.unpack_change(data)
         self.table.change_list(rows=change.rows, gone=change.gone)
         if self.relay is not None:
             self._sync_relay()
@@ -241,7 +241,7 @@
         return residency.permitted(homes=route.homes, older=tuple(bound))
 
     def _set_limits(self, body: dict) -> None:
-        self.limits = inlet.Limits(
+        self.limits = http_server.Limits(
             head_bytes=int(body.get("labelBytes", 16384)),
             body_bytes=int(body.get("parcelBytes", 4194304)),
             head_s=float(body.get("labelMs", 3000)) / 1000.0,
--- a/pw/dat/test_follow.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -2,10 +2,10 @@
 
 import types
 
-from pw.base import loop as loops
-from pw.dat import follow
-from pw.dat import relaying
-from pw.sim import entry
+from ploverward.transport import event_loop
+from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.load_reports import relay_client
+from ploverward.simulation import loopback_proxy
 
 
 def make():
@@ -26,13 +26,13 @@
     node, told = make()
     node.follower.serials = {"spec": (0, 4), "evac": (0, 1), "list": (1, 1), "cores": (0, 1)}
     node.floors = {"a": {"spec": 4, "evac": 1}}
-    follow.FollowMixin._check_serving(node)
+    core_sessions.FollowMixin._check_serving(node)
     assert not node.is_serving
     node.floors["b"] = {"spec": 5, "evac": 1}  # one of them may have acknowledged a newer one
-    follow.FollowMixin._check_serving(node)
+    core_sessions.FollowMixin._check_serving(node)
     assert not node.is_serving
     node.follower.serials["spec"] = (0, 5)
-    follow.FollowMixin._check_serving(node)
+    core_sessions.FollowMixin._check_serving(node)
     assert node.is_serving and told == [("state", True, False)]
 
 
@@ -43,7 +43,7 @@
         node, _told = make()
         node.follower.serials = serials
         node.floors = {"a": {}, "b": {}, "c": {}}
-        follow.FollowMixin._check_serving(node)
+        core_sessions.FollowMixin._check_serving(node)
         assert not node.is_serving
 
 
@@ -51,22 +51,24 @@
     node, _told = make()
     node.follower.serials = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
     node.floors = {"a": {"spec": 1}, "b": {"spec": 1}}
-    follow.FollowMixin._check_serving(node)
+    core_sessions.FollowMixin._check_serving(node)
     node.floors = {}
     node.core_members = ("x", "y", "z")
-    follow.FollowMixin._check_serving(node)
+    core_sessions.FollowMixin._check_serving(node)
     assert node.is_serving
 
 
 def test_older_homes_bind_until_their_time_is_over():
     clock = [0.0]
     loop = types.SimpleNamespace(now=lambda: clock[0])
-    node = types.SimpleNamespace(loop=loop, settings=entry.settings(), older_homes=[(2.5, {"chat": ("north",)}, {})])
+    node = types.SimpleNamespace(
+        loop=loop, settings=loopback_proxy.settings(), older_homes=[(2.5, {"chat": ("north",)}, {})]
+    )
     route = types.SimpleNamespace(name="chat", homes=("north", "south"))
-    assert follow.FollowMixin.permitted(node, route=route, first_homes=()) == {"north"}
+    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=()) == {"north"}
     clock[0] = 2.6
-    assert follow.FollowMixin.permitted(node, route=route, first_homes=()) == {"north", "south"}
-    assert follow.FollowMixin.permitted(node, route=route, first_homes=("south",)) == {"south"}
+    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=()) == {"north", "south"}
+    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=("south",)) == {"south"}
 
 
 def test_a_relay_ends_when_its_duty_goes_to_another_life():
@@ -74,15 +76,15 @@
         relay=None,
         gateway=None,
         region_names=("north", "south"),
-        settings=entry.settings(),
+        settings=loopback_proxy.settings(),
         life="l1",
-        loop=loops.Loop(),
+        loop=event_loop.Loop(),
         contact_s=4.0,
         silence_s=0.8,
         _waiting={},
         _sync_relay=lambda: None,
     )
-    keep = relaying.RelayMixin._keep_relay
+    keep = relay_client.RelayMixin._keep_relay
     keep(node, 1, "127.0.0.1", "l1")
     first = node.relay
     assert first.epoch == 1
--- a/pw/dat/choice.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from pw.dat.relay import load_feed
+from ploverward.data_plane.relay import load_feed
 
 FIRST_RATE = 20.0  # tokens in a millisecond before anything was measured; ours
 BESIDE_PART = 4.0  # of a read, for a replica whose places are all taken
--- a/pw/dat/replicas.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -3,11 +3,11 @@
 import collections
 import math
 
-from pw.base import records
-from pw.dat import outlet as outlets
-from pw.dat import subset as subsets
-from pw.dat.adapters import counts
-from pw.dat.relay import ckf
+from ploverward.transport import row_codec
+from ploverward.data_plane.upstream import upstream_connection
+from ploverward.data_plane.load_balancing import replica_subset
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.relay import cuckoo_filter
 
 
 MOST_TRIES = 24  # suspects to which connections are opened at a time
@@ -16,7 +16,7 @@
 class Replica:
     def __init__(self, *, row: dict, endpoint: tuple, region: str, now: float):
         self.id = row["id"]
-        self.key = records.key_of(row["id"])
+        self.key = row_codec.key_of(row["id"])
         self.service = row["service"]
         self.endpoint = endpoint
         self.zone = row["zone"]
@@ -95,11 +95,11 @@
         self.services = {}
         self.adapters = {}  # service: {adapter: models}, as the list or the configuration ever named them
         self._has_list = False
-        self._subsets = subsets.Subsets(own=settings.ip, region=settings.region)
+        self._subsets = replica_subset.Subsets(own=settings.ip, region=settings.region)
         self._fleet = 0.0  # proxies of a region that the subsets were made for
         self._is_subset_old = True
         self._counts = collections.Counter()  # (service, region): listed replicas
-        self._points = subsets.Points()
+        self._points = replica_subset.Points()
         self._rings = {}  # (service, region): subset.Ring, of services of which this proxy looks at a subset
         self._by_tag = {}  # service: {tag of a replica's key: replica}
         self._idle_trust = {}  # service: (seconds of rest that its connections bear, until when this is believed)
@@ -112,7 +112,7 @@
 
     def resolve(self, *, service: str, text: str) -> tuple:
         """(model, adapter, is it known) that X-Model names for this service."""
-        return counts.resolve(
+        return adapter_counts.resolve(
             text=text, models=self.services.get(service, {}).get("models", ()), adapters=self.adapters.get(service, {})
         )
 
@@ -120,7 +120,7 @@
         return self._settings.zones.get(zone, "")
 
     def install_list(self, rows: list) -> None:
-        """The whole list, as rows of `pw.ctl.platform.read_row`."""
+        """The whole list, as rows of `ploverward.control_plane.discovery.platform_client.read_row`."""
         gone = self.replicas.keys() - {row["id"] for row in rows}
         self.change_list(rows=rows, gone=gone)
         self._has_list = True
@@ -192,14 +192,14 @@
             usable = [replica for replica in rows if self._is_in_service(replica)]
             self._subsets.install(service=service, replicas=usable, proxies=self._fleet)
             if not self._subsets.is_whole(service):
-                self._by_tag[service] = {replica.key[: ckf.TAG_SIZE]: replica for replica in usable}
+                self._by_tag[service] = {replica.key[: cuckoo_filter.TAG_SIZE]: replica for replica in usable}
 
     def _ring(self, service: str, region: str):
         ring = self._rings.get((service, region))
         if ring is None:
             rows = self.by_service[service]
             usable = [replica for replica in rows if replica.region == region and self._is_in_service(replica)]
-            ring = self._rings[service, region] = subsets.Ring(replicas=usable, points=self._points)
+            ring = self._rings[service, region] = replica_subset.Ring(replicas=usable, points=self._points)
         return ring
 
     def first_reader(self, *, service: str, part: bytes, permitted, is_usable):
@@ -286,10 +286,10 @@
 
         The request that found it is lost where it may not be repeated; this keeps it at one for each service.
         """
-        if rested_s < outlets.RESTED_S:
+        if rested_s < upstream_connection.RESTED_S:
             return  # it had not rested: its end says nothing of the others
         now = self._loop.now()
-        trusted_s = max(outlets.RESTED_S, rested_s / 2)
+        trusted_s = max(upstream_connection.RESTED_S, rested_s / 2)
         known_s = self._trusted_s(service=replica.service, now=now)
         if known_s is not None:
             trusted_s = min(trusted_s, known_s)
@@ -305,7 +305,7 @@
     def _open(self, replica):
         contact_s = self._settings.bound_s(name="contactMs")
         known = self.way(replica)
-        outlet = outlets.Outlet(
+        outlet = upstream_connection.Outlet(
             loop=self._loop,
             replica=replica,
             connect_s=contact_s / 50 + 3 * known if known is not None else contact_s / 14,
--- a/pw/dat/test_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from pw.base import loop as loops
-from pw.base import records
-from pw.dat import choice
-from pw.dat import mirror
-from pw.dat import quota as quotas
-from pw.dat import replicas as tables
-from pw.dat import subset as subsets
-from pw.dat.relay import ckf
-from pw.sim import entry
+from ploverward.transport import event_loop
+from ploverward.transport import row_codec
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_balancing import replica_subset
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.simulation import loopback_proxy
 
 SERVICES = {"llm": {"warmup_s": 0.0, "cache_tokens": 100000, "max_conns": 1000, "models": ("m",)}}
-CHAIN = ckf.chain(model="m", parts=(("doc", 3000), ("own", 100)))
+CHAIN = cuckoo_filter.chain(model="m", parts=(("doc", 3000), ("own", 100)))
 
 
 def row(name, zone="za", **more):
@@ -36,9 +36,9 @@
 
 def make(*, rows, own="10.0.0.1", proxies=20):
     """A proxy's table in a fleet of so many proxies in each of two regions."""
-    loop = loops.Loop()
-    settings = entry.settings(ip=own)
-    table = tables.Table(loop=loop, settings=settings, share=lambda: 0.5 / proxies)
+    loop = event_loop.Loop()
+    settings = loopback_proxy.settings(ip=own)
+    table = replica_table.Table(loop=loop, settings=settings, share=lambda: 0.5 / proxies)
     table.install_services(SERVICES)
     table.install_list(rows)
     return table, loop, settings
@@ -49,15 +49,19 @@
 
 
 def test_a_small_region_is_looked_at_whole():
-    table, _loop, _settings = make(rows=[row(f"i{number}") for number in range(subsets.LEAST_NEAR)])
-    assert table.is_whole("llm") and table.followed_keys() is None and len(table.subset("llm")) == subsets.LEAST_NEAR
+    table, _loop, _settings = make(rows=[row(f"i{number}") for number in range(replica_subset.LEAST_NEAR)])
+    assert (
+        table.is_whole("llm")
+        and table.followed_keys() is None
+        and len(table.subset("llm")) == replica_subset.LEAST_NEAR
+    )
 
 
 def test_one_replica_that_comes_or_goes_changes_one_place():
     rows = [row(f"i{number}") for number in range(400)]
     table, _loop, _settings = make(rows=rows, proxies=64)
     before = names(table.subset("llm"))
-    assert len(before) == subsets.LEAST_NEAR and not table.is_whole("llm")
+    assert len(before) == replica_subset.LEAST_NEAR and not table.is_whole("llm")
     gone = sorted(before)[7]
     table.change_list(rows=(), gone=(gone,))
     after = names(table.subset("llm"))
@@ -77,16 +81,18 @@
         sizes.add(len(chosen))
         looked_at.update(chosen)
     mean = sum(looked_at.values()) / replicas
-    assert len(sizes) == 1 and mean >= subsets.COVER / 2  # the fleet is rounded up to a power of two
+    assert len(sizes) == 1 and mean >= replica_subset.COVER / 2  # the fleet is rounded up to a power of two
     assert max(looked_at.values()) <= mean * 4 + 4
     assert sum(1 for count in looked_at.values() if count == 0) <= replicas * 0.15
 
 
 def test_the_size_follows_the_fleet_in_steps():
-    sizes = [subsets.size(replicas=3000, proxies=proxies, is_near=True) for proxies in (10, 20, 60, 61, 100, 300)]
-    assert sizes == sorted(sizes, reverse=True) and sizes[-1] == subsets.LEAST_NEAR
-    assert all(size % subsets.LEAST_NEAR == 0 for size in sizes)
-    assert subsets.size(replicas=30, proxies=1, is_near=False) == 30
+    sizes = [
+        replica_subset.size(replicas=3000, proxies=proxies, is_near=True) for proxies in (10, 20, 60, 61, 100, 300)
+    ]
+    assert sizes == sorted(sizes, reverse=True) and sizes[-1] == replica_subset.LEAST_NEAR
+    assert all(size % replica_subset.LEAST_NEAR == 0 for size in sizes)
+    assert replica_subset.size(replicas=30, proxies=1, is_near=False) == 30
 
 
 def test_replicas_that_leave_or_are_evacuated_give_their_places_to_others():
@@ -98,15 +104,15 @@
     table.change_list(rows=(), gone=())
     table.install_evacuations(["zb"])
     assert {replica.zone for replica in table.subset("llm")} == {"za"}
-    assert len(table.subset("llm")) == subsets.LEAST_NEAR
+    assert len(table.subset("llm")) == replica_subset.LEAST_NEAR
     clearing = sorted(names(table.subset("llm")))[0]
     table.change_list(rows=(row(clearing, is_clearing=True),), gone=())
-    assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == subsets.LEAST_NEAR
+    assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.LEAST_NEAR
 
 
 def chooser_for(table, loop, settings, regions):
-    quota = quotas.Quota(now=loop.now, settings=settings)
-    return choice.Chooser(table=table, settings=settings, regions=regions, quota=quota, now=loop.now)
+    quota = shared_limits.Quota(now=loop.now, settings=settings)
+    return replica_chooser.Chooser(table=table, settings=settings, regions=regions, quota=quota, now=loop.now)
 
 
 def choose(chooser, *, chain=(), permitted=None, avoid=()):
@@ -120,10 +126,10 @@
     outside = sorted(set(table.replicas) - names(table.subset("llm")))[0]
     region = mirror.Region(now=loop.now, trust_s=5.0)
     one = mirror.Mirror(name="p", service="llm", model="m", generation=1)
-    filled = ckf.Filter(bucket_count=64, words=ckf.WIDE)
-    tag = records.key_of(outside)[: ckf.TAG_SIZE]
-    filled.put(full_hash=CHAIN[0][0], bits=ckf.wide_value(count=1, tags=[tag]))
-    one.words, one.buckets, one.versions = ckf.WIDE, [filled.image(index) for index in range(64)], [0] * 64
+    filled = cuckoo_filter.Filter(bucket_count=64, words=cuckoo_filter.WIDE)
+    tag = row_codec.key_of(outside)[: cuckoo_filter.TAG_SIZE]
+    filled.put(full_hash=CHAIN[0][0], bits=cuckoo_filter.wide_value(count=1, tags=[tag]))
+    one.words, one.buckets, one.versions = cuckoo_filter.WIDE, [filled.image(index) for index in range(64)], [0] * 64
     region.mirrors["p"] = one
     region.broken_at = None
     chooser = chooser_for(table, loop, settings, {"north": region})
@@ -159,6 +165,6 @@
     table.outlet = lambda *, replica, request_id=b"": opened.append(replica)
     for replica in table.replicas.values():
         replica.is_suspect = True
-    assert len(table.subset("llm")) > tables.MOST_TRIES
+    assert len(table.subset("llm")) > replica_table.MOST_TRIES
     table.try_suspects()
-    assert len(opened) == tables.MOST_TRIES and names(opened) <= names(table.subset("llm"))
+    assert len(opened) == replica_table.MOST_TRIES and names(opened) <= names(table.subset("llm"))
--- a/pw/dat/digest/sums.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -5,8 +5,8 @@
 
 import collections
 
-from pw.base import problems
-from pw.base import records
+from ploverward.common import errors
+from ploverward.transport import row_codec
 
 MOST_READS = 20000
 MOST_CUTS = 2000
@@ -31,10 +31,10 @@
 
     def take(self, member, number: int, rows: bytes, reads: bytes) -> None:
         """One report; malformed ones raise before they change anything."""
-        loads = records.rows(shape=records.REPORTED, data=rows)
-        split = records.split_reads(data=reads)
+        loads = row_codec.rows(shape=row_codec.REPORTED, data=rows)
+        split = row_codec.split_reads(data=reads)
         if number <= self._numbers.get(member, 0):
-            raise problems.FrameProblem(f"report {number} after {self._numbers[member]}", step="report")
+            raise errors.FrameProblem(f"report {number} after {self._numbers[member]}", step="report")
         table = self.members.setdefault(member, {})
         self._numbers[member] = number
         for key, region, running, tokens, marks, ended, failed in loads:
@@ -85,14 +85,14 @@
             total = totals.get(key, NOTHING)
             ended, failed = outcomes.get(key, (0, 0))
             parts.append(
-                records.REPORTED.pack(
+                row_codec.REPORTED.pack(
                     key,
                     region,
-                    records.short(total[0]),
-                    records.long(total[1]),
-                    records.short(total[2]),
-                    records.short(ended),
-                    records.short(failed),
+                    row_codec.short(total[0]),
+                    row_codec.long(total[1]),
+                    row_codec.short(total[2]),
+                    row_codec.short(ended),
+                    row_codec.short(failed),
                 )
             )
             if key in totals and not any(total):
--- a/pw/dat/digest/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -7,12 +7,12 @@
 import collections
 import dataclasses
 
-from pw.base import link as links
-from pw.base import problems
-from pw.base import ring
-from pw.base import wire
-from pw.dat.digest import fanout as fanouts
-from pw.dat.digest import sums
+from ploverward.transport import peer_connection
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.transport import frames
+from ploverward.data_plane.load_reports import fanout
+from ploverward.data_plane.load_reports import aggregates
 
 OWN = "own"  # the proxy itself, as a member of its own sums
 CUT_BYTES_A_TICK = 16 * 1024  # of pools' cuts to members: many at once would hold up the clients' answers on this link
@@ -40,8 +40,8 @@
 
     def __init__(self, *, loop, place: Place, port: int, silence_s: float, regions, mirrors: dict, on_credit, on_broke):
         self.place = place
-        self.sums = sums.Sums(regions=regions)
-        self.fanout = fanouts.Fanout()
+        self.sums = aggregates.Sums(regions=regions)
+        self.fanout = fanout.Fanout()
         self._loop = loop
         self._port = port
         self._silence_s = silence_s
@@ -80,7 +80,7 @@
         self._streams[region] = (holder, dialer)
 
     def _dial(self, address: str, *, on_up, on_message, on_end):
-        return links.Dialer(
+        return peer_connection.Dialer(
             loop=self._loop,
             address=(address, self._port),
             on_up=on_up,
@@ -152,7 +152,7 @@
         elif not self._is_enrolled or message[1] not in self._by_gateway:
             return
         elif kind == "relayed":
-            self._publish(message[1], link, wire.unpack(message[2]), message[2])
+            self._publish(message[1], link, frames.unpack(message[2]), message[2])
         elif kind == "credited":
             self._credit(message[1], message[2])
         elif kind == "broke":
@@ -180,8 +180,8 @@
         """A frame of a region's relay: taken here, and passed on to the members."""
         try:
             self._mirrors[region].take(message)
-        except problems.FrameProblem as failure:
-            ring.note("relay stream broken", fault=str(failure))
+        except errors.FrameProblem as failure:
+            event_log.note("relay stream broken", fault=str(failure))
             link.close(reason=str(failure))
             return
         if message[0] == "cut":
@@ -207,14 +207,14 @@
             member.waits_for.discard((region, pool))
             mirror = self._mirrors[region].mirrors.get(pool)
             if mirror is not None and mirror.buckets is not None:
-                frame = wire.pack(("relayed", region, wire.pack(mirror.frame())))
+                frame = frames.pack(("relayed", region, frames.pack(mirror.frame())))
                 link.send_bytes(frame)
                 self._cut_room -= len(frame)
 
     def _broke(self, region: str) -> None:
         self._on_broke(region)
         self._mirrors[region].fail()
-        self.fanout.tell(wire.pack(("broke", region)))
+        self.fanout.tell(frames.pack(("broke", region)))
 
     # Members.
     def admit(self, link, *, address: str) -> None:
@@ -226,7 +226,7 @@
                 link.send(("broke", region))
                 continue
             for frame in (mirror.catalogue(), mirror.load_frame()):
-                link.send(("relayed", region, wire.pack(frame)))
+                link.send(("relayed", region, frames.pack(frame)))
             for pool in mirror.mirrors:
                 self._queue_cut(link, region, pool)
 
--- a/pw/dat/digest/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
-from pw.base import records
-from pw.base import wire
-from pw.dat.relay import hub as hubs
-from pw.dat.relay import load_feed
+from ploverward.transport import row_codec
+from ploverward.transport import frames
+from ploverward.data_plane.relay import hub
+from ploverward.data_plane.relay import load_feed
 
 
 @dataclasses.dataclass
@@ -54,7 +54,7 @@
             self._send(link, frame)
 
     def _send(self, link, frame: bytes) -> None:
-        if link.queued() > hubs.QUEUE_LIMIT_BYTES:
+        if link.queued() > hub.QUEUE_LIMIT_BYTES:
             link.close(reason="digest queue overflow")
             return
         link.send_bytes(frame)
@@ -67,21 +67,21 @@
             self._tell_delta(region, message[1], frame)
             return
         if message[0] != "load" or not self._followers:
-            self.tell(wire.pack(("relayed", region, frame)))
+            self.tell(frames.pack(("relayed", region, frame)))
             return
         whole = None
         parts = self._parts(message)
         for link, member in list(self.members.items()):
             if member.follows is None:
-                whole = whole or wire.pack(("relayed", region, frame))
+                whole = whole or frames.pack(("relayed", region, frame))
                 self._send(link, whole)
             elif link in parts:
                 _kind, epoch, is_whole, _data = message
-                self._send(link, wire.pack(("relayed", region, wire.pack(("load", epoch, is_whole, parts[link])))))
+                self._send(link, frames.pack(("relayed", region, frames.pack(("load", epoch, is_whole, parts[link])))))
 
     def _tell_delta(self, region: str, pool: str, frame: bytes) -> None:
         """To all but those that wait for the cut: it will hold what the delta says."""
-        packed = wire.pack(("relayed", region, frame))
+        packed = frames.pack(("relayed", region, frame))
         for link, member in list(self.members.items()):
             if (region, pool) not in member.waits_for:
                 self._send(link, packed)
@@ -92,20 +92,20 @@
         if follows is not None:
             _kind, epoch, is_whole, data = message
             rows = [
-                records.LOAD.pack(*row)
-                for row in records.rows(shape=records.LOAD, data=data)
+                row_codec.LOAD.pack(*row)
+                for row in row_codec.rows(shape=row_codec.LOAD, data=data)
                 if row[0] in follows or row[4] & load_feed.FULL
             ]
             message = ("load", epoch, is_whole, b"".join(rows))
-        self._send(link, wire.pack(("relayed", region, wire.pack(message))))
+        self._send(link, frames.pack(("relayed", region, frames.pack(message))))
 
     def _parts(self, message: tuple) -> dict:
         """Rows of a load frame for each member that follows some replicas."""
         _kind, _epoch, is_whole, data = message
         chosen = [link for link, member in self.members.items() if member.follows is not None]
         parts = {link: [] for link in chosen} if is_whole else {}
-        size = records.LOAD.size
-        for place, row in enumerate(records.rows(shape=records.LOAD, data=data)):
+        size = row_codec.LOAD.size
+        for place, row in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
             for link in self._links_for(row[0], flags=row[4], chosen=chosen):
                 parts.setdefault(link, []).append(data[place * size : (place + 1) * size])
         return {link: b"".join(rows) for link, rows in parts.items()}
--- a/pw/dat/relaying.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -2,18 +2,18 @@
 
 import random
 
-from pw.base import link as links
-from pw.base import problems
-from pw.base import records
-from pw.base import ring
-from pw.base import wire
-from pw.ctl import duties as duty_names
-from pw.dat import mirror
-from pw.dat.adapters import counts as adapter_counts
-from pw.dat.digest import digest as digests
-from pw.dat.digest import source as sources
-from pw.dat.relay import gateway as gateways
-from pw.dat.relay import host as relay_hosts
+from ploverward.transport import peer_connection
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.common import event_log
+from ploverward.transport import frames
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.load_reports import digest
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.relay import gateway as gateways
+from ploverward.data_plane.relay import host
 
 MOST_ADAPTER_ROWS = 2000
 ALONE_SHARE = (0.25, 0.75)  # of silence_s: how long a proxy waits for its zone's digest before it goes on alone
@@ -33,9 +33,9 @@
         self.gateway = None
         self.region_names = names
         self.regions = {name: mirror.Region(now=self.loop.now, trust_s=self.contact_s) for name in names}
-        self.source = sources.Source(now=self.loop.now, regions=names, suspect_s=self.contact_s / 4)
+        self.source = report_source.Source(now=self.loop.now, regions=names, suspect_s=self.contact_s / 4)
         self.digest_duty = ""  # the duty that this proxy holds
-        self.digest = self._new_digest(digests.Place(region=self.settings.region, zone=self.settings.zone))
+        self.digest = self._new_digest(digest.Place(region=self.settings.region, zone=self.settings.zone))
         self.digest_dialer = None  # (duty, Holder, dialer) to the digest that serves this proxy
         self.is_enrolled = False
         self.follows = None  # keys of the replicas whose load this proxy asked its digest for; None: all
@@ -46,7 +46,7 @@
         )
         self._adapter_rows = {}  # (life, window): what members told, until the next telling
         self._waiting = {}  # links that came before this node knew of its duty: the message
-        self.port = links.Port(
+        self.port = peer_connection.Port(
             loop=self.loop,
             address=(self.settings.ip, self.settings.proxy_port),
             on_link=lambda link: None,
@@ -55,8 +55,8 @@
             silence_s=self.silence_s,
         )
 
-    def _new_digest(self, place: digests.Place) -> digests.Digest:
-        return digests.Digest(
+    def _new_digest(self, place: digest.Place) -> digest.Digest:
+        return digest.Digest(
             loop=self.loop,
             place=place,
             port=self.settings.proxy_port,
@@ -72,13 +72,13 @@
         """Region: who holds its relay, where somebody does."""
         found = {}
         for region in self.region_names:
-            epoch, holder, _life = self.duties.get(duty_names.relay_name(region=region), (0, "", ""))
+            epoch, holder, _life = self.duties.get(singleton_roles.relay_name(region=region), (0, "", ""))
             if holder:
-                found[region] = digests.Holder(epoch=epoch, address=holder)
+                found[region] = digest.Holder(epoch=epoch, address=holder)
         return found
 
     def _follow_duties(self) -> None:
-        own = duty_names.relay_name(region=self.settings.region)
+        own = singleton_roles.relay_name(region=self.settings.region)
         if own in self.duties:
             self._keep_relay(*self.duties[own])
         self._follow_digests()
@@ -92,7 +92,7 @@
         held = {
             name: (epoch, holder, life)
             for name, (epoch, holder, life) in self.duties.items()
-            if holder and duty_names.is_digest_of(name=name, zone=zone)
+            if holder and singleton_roles.is_digest_of(name=name, zone=zone)
         }
         mine = sorted(
             name for name, (_epoch, holder, life) in held.items() if (holder, life) == (self.settings.ip, self.life)
@@ -102,9 +102,9 @@
         if mine or not others:
             self._follow_digest("", None)
             return
-        name = duty_names.digest_for(names=others, address=self.settings.ip)
+        name = singleton_roles.digest_for(names=others, address=self.settings.ip)
         epoch, holder, _life = held[name]
-        self._follow_digest(name, digests.Holder(epoch=epoch, address=holder))
+        self._follow_digest(name, digest.Holder(epoch=epoch, address=holder))
 
     def _hold_digest(self, name: str, epoch: int) -> None:
         """A digest under another duty, another epoch or none starts anew: its members come back with all they have."""
@@ -114,10 +114,10 @@
         former = self.digest
         former.stop()
         former.close_members(reason="the digest is another's")
-        place = digests.Place(region=self.settings.region, zone=name or self.settings.zone, epoch=epoch)
+        place = digest.Place(region=self.settings.region, zone=name or self.settings.zone, epoch=epoch)
         self.digest = self._new_digest(place)
 
-    def _follow_digest(self, name: str, holder: digests.Holder | None) -> None:
+    def _follow_digest(self, name: str, holder: digest.Holder | None) -> None:
         known = self.digest_dialer[:2] if self.digest_dialer is not None else ("", None)
         if known == (name, holder):
             return
@@ -129,7 +129,7 @@
             return
         if not self.digest.is_dialled:
             self._wait_for_digest()
-        dialer = links.Dialer(
+        dialer = peer_connection.Dialer(
             loop=self.loop,
             address=(holder.address, self.settings.proxy_port),
             on_up=lambda link: link.send(("enroll", holder.epoch, self.settings.ip)),
@@ -158,7 +158,7 @@
             gateway, self.gateway = self.gateway, None
             gateway.stop()
         if is_mine and self.relay is None:
-            self.relay = relay_hosts.Host(
+            self.relay = host.Host(
                 region=self.settings.region, epoch=epoch, now=self.loop.now, suspect_s=self.contact_s / 4
             )
             self._sync_relay()
@@ -192,7 +192,7 @@
             return
         elif kind == "relayed":
             if message[1] in self.regions:
-                self._take_publication(message[1], link, wire.unpack(message[2]))
+                self._take_publication(message[1], link, frames.unpack(message[2]))
         elif kind == "credited":
             self.source.credit(region=message[1], number=message[2])
         elif kind == "broke":
@@ -224,8 +224,8 @@
     def _take_publication(self, region: str, link, message: tuple) -> None:
         try:
             self.regions[region].take(message)
-        except problems.FrameProblem as fault:
-            ring.note("relay stream broken", fault=str(fault))
+        except errors.FrameProblem as fault:
+            event_log.note("relay stream broken", fault=str(fault))
             link.close(reason=str(fault))
 
     def _own_load(self) -> list:
@@ -280,7 +280,7 @@
             self._take_adapters(message[1])
         elif kind == "follow":
             _kind, is_all, data = message
-            self.digest.follow(link, keys=None if is_all else frozenset(records.keys(data=data)))
+            self.digest.follow(link, keys=None if is_all else frozenset(row_codec.keys(data=data)))
 
     def _admit(self, link, message: tuple) -> None:
         kind, epoch, *about = message
@@ -362,7 +362,7 @@
 
     def _pace(self) -> int:
         """Reports go at half the pace where the zone has several digests."""
-        second = duty_names.digest_name(zone=self.settings.zone, number=1)
+        second = singleton_roles.digest_name(zone=self.settings.zone, number=1)
         _epoch, holder, _life = self.duties.get(second, (0, "", ""))
         return LARGE_PACE if holder else 1
 
--- a/pw/dat/digest/source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -2,9 +2,9 @@
 
 import collections
 
-from pw.base import records
-from pw.dat.relay import ckf
-from pw.dat.relay import resolution
+from ploverward.transport import row_codec
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import resolution
 
 SENT, READ, DONE, BROKEN, FAILED = 0, 1, 2, 3, 4
 MOST_READS = 4000
@@ -32,7 +32,7 @@
         self._lost = set(regions)  # regions whose sums hold nothing of ours
 
     def note(self, *, replica, kind: int) -> None:
-        key = records.key_of(replica.id)
+        key = row_codec.key_of(replica.id)
         self._dirty[key] = replica
         if kind == BROKEN:
             self._marked[key] = (replica, self._now() + self._suspect_s)
@@ -45,12 +45,12 @@
         """`salt`: what X-Model said, where it names an adapter: parts of different adapters are never the same."""
         if len(self._reads) < MOST_READS and replica.region in self._regions:
             self._reads.append(
-                records.pack_read(
-                    replica=records.key_of(replica.id),
+                row_codec.pack_read(
+                    replica=row_codec.key_of(replica.id),
                     region=self._regions[replica.region],
                     domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
                     parts=tuple(
-                        (ckf.token_hash(model=salt or model, part=part, tokens=tokens), tokens)
+                        (cuckoo_filter.token_hash(model=salt or model, part=part, tokens=tokens), tokens)
                         for part, tokens in parts
                     ),
                 )
@@ -59,8 +59,8 @@
     def _row(self, key: bytes, replica) -> tuple:
         return (
             self._regions.get(replica.region, 255),
-            records.short(replica.running),
-            records.long(sum(replica.to_read.values())),
+            row_codec.short(replica.running),
+            row_codec.long(sum(replica.to_read.values())),
             int(key in self._marked),
         )
 
@@ -75,7 +75,7 @@
         for key in changed.keys() | self._outcomes.keys():
             region, *load = changed.get(key) or self._told.get(key) or (255, *NOTHING)
             ended, failed = self._outcomes.get(key, NOTHING[:2])
-            parts.append(records.REPORTED.pack(key, region, *load, records.short(ended), records.short(failed)))
+            parts.append(row_codec.REPORTED.pack(key, region, *load, row_codec.short(ended), row_codec.short(failed)))
         self._outcomes = {}
         reads, self._reads = self._reads, []
         for index, waiting in enumerate(self._open):
@@ -117,7 +117,7 @@
             waiting.clear()
         self._lost = set(self._names)
         for replica in replicas:
-            key = records.key_of(replica.id)
+            key = row_codec.key_of(replica.id)
             self._keep(key, self._row(key, replica))
         return self._build(dict(self._told), True)
 
@@ -146,4 +146,4 @@
         """(running, tokens, marks) of ours inside the sum that is shown for this replica."""
         if replica.region in self._lost or replica.region not in self._regions:
             return NOTHING
-        return self._counted[self._regions[replica.region]].get(records.key_of(replica.id), NOTHING)
+        return self._counted[self._regions[replica.region]].get(row_codec.key_of(replica.id), NOTHING)
--- a/pw/dat/digest/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import records
-from pw.base import wire
-from pw.dat import mirror as mirrors
-from pw.dat.digest import source as sources
-from pw.dat.digest import sums as digests
-from pw.dat.relay import host as hosts
-from pw.sim import wires
-from pw.sim import world as worlds
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.transport import frames
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.load_reports import aggregates
+from ploverward.data_plane.relay import host as hosts
+from ploverward.simulation import recording_connections
+from ploverward.simulation import simulated_world
 
 REGIONS = ("north", "south")
 
@@ -18,7 +18,7 @@
 class Replica:
     def __init__(self, name, region):
         self.id = name
-        self.key = records.key_of(name)
+        self.key = row_codec.key_of(name)
         self.region = region
         self.running = 0
         self.to_read = {}
@@ -46,7 +46,7 @@
         self.region = region
         self.is_open = True
         self.up = Lane(world=holder.scene.world, act=self._take)
-        self.down = Lane(world=holder.scene.world, act=lambda data: holder.heard(self, wire.unpack(data)))
+        self.down = Lane(world=holder.scene.world, act=lambda data: holder.heard(self, frames.unpack(data)))
         self.host = holder.scene.hosts[region]
         self.host.subscribe(self, region=holder.region, zone="z", zone_epoch=holder.epoch)
 
@@ -54,7 +54,7 @@
         self.host.take_sums(self, message)
 
     def send(self, message):
-        self.send_bytes(wire.pack(message))
+        self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data):
         self.down.send(data)
@@ -76,7 +76,7 @@
         self.scene = scene
         self.epoch = epoch
         self.region = "north"
-        self.sums = digests.Sums(regions=REGIONS)
+        self.sums = aggregates.Sums(regions=REGIONS)
         self.links = {}
         self.members = {}  # member: lane down
         self.is_up = True
@@ -126,8 +126,8 @@
         self.scene = scene
         self.name = name
         self.own = {name: Replica(name, region) for name, region in scene.places.items()}
-        self.source = sources.Source(now=scene.world.now, regions=REGIONS, suspect_s=0.5)
-        self.views = {region: mirrors.Region(now=scene.world.now, trust_s=5.0) for region in REGIONS}
+        self.source = report_source.Source(now=scene.world.now, regions=REGIONS, suspect_s=0.5)
+        self.views = {region: mirror.Region(now=scene.world.now, trust_s=5.0) for region in REGIONS}
         self.holder = None
         self.up = self.down = None
 
@@ -138,7 +138,7 @@
             self.holder.sums.end(self)
         self.holder = holder
         for region in REGIONS:
-            self.views[region] = mirrors.Region(now=self.scene.world.now, trust_s=5.0)
+            self.views[region] = mirror.Region(now=self.scene.world.now, trust_s=5.0)
             self.source.lose(region=region)
         self.up = Lane(world=self.scene.world, act=lambda report: holder.sums.take(self, *report))
         self.down = Lane(world=self.scene.world, act=self.heard)
@@ -168,11 +168,11 @@
             replica.running -= 1
             if replica.to_read:
                 replica.to_read.popitem()
-            kind = chance.choice((sources.DONE, sources.FAILED, sources.BROKEN))
+            kind = chance.choice((report_source.DONE, report_source.FAILED, report_source.BROKEN))
         else:
             replica.running += 1
             replica.to_read[chance.random()] = chance.randint(1, 5000)
-            kind = sources.SENT
+            kind = report_source.SENT
         self.source.note(replica=replica, kind=kind)
 
     def tick(self):
@@ -183,7 +183,7 @@
 
 class Scene:
     def __init__(self, *, seed, count=5):
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.chance = self.world.chance
         self.places = {f"i{number}": REGIONS[number % 2] for number in range(6)}
         self.epochs = {region: 1 for region in REGIONS}
@@ -285,7 +285,7 @@
     """The sums at the relays, and what each proxy makes of them, are what runs."""
     truth = count(scene)
     for name, region in scene.places.items():
-        key = records.key_of(name)
+        key = row_codec.key_of(name)
         assert tuple(scene.hosts[region].totals.get(key, (0, 0, 0))[:2]) == truth[name], name
         for member in scene.members:
             total = member.views[region].load.get(key, (0, 0, 0, 0))
@@ -318,7 +318,7 @@
             continue
         for index, member in enumerate(scene.members):
             for name, region in scene.places.items():
-                total = member.views[region].load.get(records.key_of(name), (0, 0, 0, 0))
+                total = member.views[region].load.get(row_codec.key_of(name), (0, 0, 0, 0))
                 shown = total[0] - member.source.counted(member.own[name])[0]
                 lately = history[-20:]
                 least = sum(min(row[other][name] for row in lately) for other in range(5) if other != index)
@@ -334,53 +334,63 @@
     scene.settle()
     check_converged(scene)
     holder = scene.holders[0]
-    holder.sums.take("stranger", 1, wires.load_row("i0", running=1), b"")
+    holder.sums.take("stranger", 1, recording_connections.load_row("i0", running=1), b"")
     scene.world.run(until=scene.world.time + 2.0)
     with pytest.raises(AssertionError):
         check_converged(scene)
 
 
 def test_reports_that_are_malformed_or_come_twice_change_nothing():
-    held = digests.Sums(regions=REGIONS)
-    held.take("p1", 1, wires.load_row("i0", running=2, tokens=9), b"")
-    key = records.key_of("i0")
+    held = aggregates.Sums(regions=REGIONS)
+    held.take("p1", 1, recording_connections.load_row("i0", running=2, tokens=9), b"")
+    key = row_codec.key_of("i0")
     for number, loads, reads in (
         (2, b"xx", b""),
-        (2, wires.load_row("i0", running=7), b"\x01"),
-        (1, wires.load_row("i0", running=7), b""),
+        (2, recording_connections.load_row("i0", running=7), b"\x01"),
+        (1, recording_connections.load_row("i0", running=7), b""),
     ):
-        with pytest.raises(problems.FrameProblem):
+        with pytest.raises(errors.FrameProblem):
             held.take("p1", number, loads, reads)
         assert held.total(region="north", key=key) == (2, 9, 0)
-    held.take("p1", 2, wires.load_row("i0", running=3, region=99), b"")  # a region that nobody knows
-    held.take("p1", 3, wires.load_row("i0", running=1), b"")
+    held.take("p1", 2, recording_connections.load_row("i0", running=3, region=99), b"")  # a region that nobody knows
+    held.take("p1", 3, recording_connections.load_row("i0", running=1), b"")
     assert held.total(region="north", key=key) == (1, 0, 0)
 
 
 def test_the_same_chain_read_at_the_same_replica_goes_on_once():
-    held = digests.Sums(regions=REGIONS)
-    read = wires.read_row("i0", ("doc", 100))
-    held.take("p1", 1, b"", read + wires.read_row("i0", ("doc", 100), ("own", 5)))
+    held = aggregates.Sums(regions=REGIONS)
+    read = recording_connections.read_row("i0", ("doc", 100))
+    held.take("p1", 1, b"", read + recording_connections.read_row("i0", ("doc", 100), ("own", 5)))
     held.take("p2", 1, b"", read)
     _number, loads, reads = held.cut(region="north")
-    assert loads == b"" and len(records.split_reads(data=reads)) == 2
+    assert loads == b"" and len(row_codec.split_reads(data=reads)) == 2
     assert held.cut(region="north") is None
 
 
 def test_a_digest_sends_a_row_for_each_changed_replica_and_not_for_each_request():
-    held = digests.Sums(regions=REGIONS)
+    held = aggregates.Sums(regions=REGIONS)
     for member in range(20):
-        held.take(member, 1, b"".join(wires.load_row(f"i{number}", running=member + 1) for number in range(3)), b"")
+        held.take(
+            member,
+            1,
+            b"".join(recording_connections.load_row(f"i{number}", running=member + 1) for number in range(3)),
+            b"",
+        )
     _number, loads, _reads = held.cut(region="north")
-    assert len(records.rows(shape=records.REPORTED, data=loads)) == 3
+    assert len(row_codec.rows(shape=row_codec.REPORTED, data=loads)) == 3
     assert held.counted(region="north", number=10) == {member: 1 for member in range(20)}
 
 
 def test_without_a_relay_reads_and_outcomes_are_dropped_and_loads_stay():
-    held = digests.Sums(regions=REGIONS)
+    held = aggregates.Sums(regions=REGIONS)
     for number in range(1, 50):
-        held.take("p1", number, wires.load_row("i0", running=number, ended=1), wires.read_row("i0", (f"p{number}", 5)))
+        held.take(
+            "p1",
+            number,
+            recording_connections.load_row("i0", running=number, ended=1),
+            recording_connections.read_row("i0", (f"p{number}", 5)),
+        )
         held.discard(region="north")
     _number, loads, reads = held.checkpoint(region="north")
-    (row,) = records.rows(shape=records.REPORTED, data=loads)
+    (row,) = row_codec.rows(shape=row_codec.REPORTED, data=loads)
     assert row[2] == 49 and row[5:] == (0, 0) and reads == b""
--- a/pw/dat/digest/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from pw.base import records
-from pw.base import wire
-from pw.dat import mirror
-from pw.dat.digest import fanout as fanouts
-from pw.dat.relay import hub as hubs
-from pw.dat.relay import load_feed
-from pw.sim import wires
+from ploverward.transport import row_codec
+from ploverward.transport import frames
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.load_reports import fanout as fanouts
+from ploverward.data_plane.relay import hub
+from ploverward.data_plane.relay import load_feed
+from ploverward.simulation import recording_connections
 
-KEYS = [records.key_of(f"i{number}") for number in range(40)]
+KEYS = [row_codec.key_of(f"i{number}") for number in range(40)]
 
 
 def load(rows, *, is_whole=False):
@@ -20,7 +20,7 @@
     return ("load", 1, is_whole, data)
 
 
-class Member(wires.Wire):
+class Member(recording_connections.Wire):
     """A link, and what its member's mirror makes of it."""
 
     def __init__(self):
@@ -29,9 +29,9 @@
         self.region.take(("catalogue", 1, ()))
 
     def send_bytes(self, data):
-        kind, _region, frame = wire.unpack(data)
+        kind, _region, frame = frames.unpack(data)
         assert kind == "relayed"
-        self.region.take(wire.unpack(frame))
+        self.region.take(frames.unpack(frame))
         self.told.append(frame)
 
 
@@ -47,7 +47,7 @@
 
 
 def publish(fanout, message):
-    fanout.tell_publication(region="north", frame=wire.pack(message), message=message)
+    fanout.tell_publication(region="north", frame=frames.pack(message), message=message)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -92,7 +92,7 @@
 def test_bytes_to_a_member_do_not_grow_with_the_region():
     sizes = {}
     for count in (50, 500):
-        keys = [records.key_of(f"r{number}") for number in range(count)]
+        keys = [row_codec.key_of(f"r{number}") for number in range(count)]
         fanout, (member,) = make(frozenset(keys[:20]))
         publish(fanout, load({key: (3, 0) for key in keys}))
         sizes[count] = sum(len(frame) for frame in member.told)
@@ -105,6 +105,6 @@
     fanout.admit(again, address="p0")
     assert not first.is_open and other.is_open
     assert fanout.end(first) and not fanout.end(first)
-    other.queue = hubs.QUEUE_LIMIT_BYTES + 1
+    other.queue = hub.QUEUE_LIMIT_BYTES + 1
     publish(fanout, load({KEYS[0]: (1, 0)}))
     assert not other.is_open and again.is_open and again.region.load
--- a/pw/dat/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from pw.base import wire
-from pw.ctl import duties
-from pw.dat import choice
-from pw.dat import relaying
-from pw.dat import quota as quotas
-from pw.dat import replicas
-from pw.dat.digest import digest as digests
-from pw.dat.digest import source as sources
-from pw.sim import entry
-from pw.sim import loopback
+from ploverward.transport import frames
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.load_reports import relay_client
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_reports import digest as digests
+from ploverward.data_plane.load_reports import report_source
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
 
 ROWS = [
     {
@@ -44,13 +44,13 @@
         pass
 
 
-class Node(relaying.RelayMixin):
+class Node(relay_client.RelayMixin):
     """A proxy without its traffic and without the core: duties are handed to it."""
 
     def __init__(self, *, loop, ip, zone, ports, life):
         zones = {"za": "north", "zc": "north", "zb": "south"}
         self.settings = dataclasses.replace(
-            entry.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
+            loopback_proxy.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
         )
         self.loop = Pausable(loop=loop)
         self.contact_s = 1.0
@@ -59,12 +59,12 @@
         self.duties = {}
         self.passages = set()
         self.follower = Follower()
-        self.quota = quotas.Quota(now=loop.now, settings=self.settings)
-        self.table = replicas.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
+        self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
+        self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
         self.table.install_list(ROWS)
         self.start_relay()
-        self.chooser = choice.Chooser(
+        self.chooser = replica_chooser.Chooser(
             table=self.table,
             settings=self.settings,
             regions=self.regions,
@@ -79,13 +79,13 @@
         replica = self.table.replicas[name]
         replica.running += 1
         self.passages.add(Passage(replica))
-        self.tell_send(replica=replica, kind=sources.SENT)
+        self.tell_send(replica=replica, kind=report_source.SENT)
 
     def end(self, name):
         replica = self.table.replicas[name]
         replica.running -= 1
         self.passages.discard(next(one for one in self.passages if one.attempt.replica is replica))
-        self.tell_send(replica=replica, kind=sources.DONE)
+        self.tell_send(replica=replica, kind=report_source.DONE)
 
     def sees(self, name):
         return self.chooser.load(self.table.replicas[name])[0]
@@ -171,7 +171,7 @@
             for ip, node in self.nodes.items()
             if ip in self.live
         ]
-        rows = duties.named(proxies=listed, duty=lambda name: tuple(self.duties.get(name, (0, "", ""))))
+        rows = singleton_roles.named(proxies=listed, duty=lambda name: tuple(self.duties.get(name, (0, "", ""))))
         for name, (seen, holder, life) in rows.items():
             self.duties[name] = (seen + 1, holder, life)
         for ip in self.live:
@@ -308,7 +308,7 @@
     holder = zones.nodes[zones.digest()]
     member = next(node for node in zones.nodes.values() if node.is_enrolled)
     link = member.digest_dialer[2].link
-    link.send_bytes(wire.pack(("report", 10**6, b"nonsense", b"")))
+    link.send_bytes(frames.pack(("report", 10**6, b"nonsense", b"")))
     assert loopback.until(zones.loop, lambda: not link.is_open)
     zones.settle()  # and it comes back with its whole state
     assert loopback.until(zones.loop, lambda: len(holder.digest.fanout.members) == 4)
@@ -337,10 +337,10 @@
     node.tell_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
     def kept(one):
-        from pw.dat.relay import ckf
+        from ploverward.data_plane.relay import cuckoo_filter
 
         return one.regions["north"].kept(
-            service="llm", model="m", chain=ckf.chain(model="m", parts=chain), replicas=("i0", "i1")
+            service="llm", model="m", chain=cuckoo_filter.chain(model="m", parts=chain), replicas=("i0", "i1")
         )
 
     assert loopback.until(zones.loop, lambda: all(kept(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values()))
@@ -354,15 +354,15 @@
 @pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
 def test_a_zone_of_few_proxies_has_no_digest(count, is_there):
     listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
-    rows = duties.named(proxies=listed, duty=lambda name: (0, "", ""))
+    rows = singleton_roles.named(proxies=listed, duty=lambda name: (0, "", ""))
     assert ("digest/za" in rows) == is_there and "relay/north" in rows
     if is_there:
         assert rows["digest/za"][1] != rows["relay/north"][1]
         held = {name: (epoch + 1, holder, life) for name, (epoch, holder, life) in rows.items()}
-        assert duties.named(proxies=listed, duty=lambda name: held.get(name, (0, "", ""))) == {}
+        assert singleton_roles.named(proxies=listed, duty=lambda name: held.get(name, (0, "", ""))) == {}
         left = [row for row in listed if row[0] != rows["digest/za"][1]]
-        again = duties.named(proxies=left, duty=lambda name: held.get(name, (0, "", "")))
-        assert ("digest/za" in again) == (count - 1 > duties.FEW)
+        again = singleton_roles.named(proxies=left, duty=lambda name: held.get(name, (0, "", "")))
+        assert ("digest/za" in again) == (count - 1 > singleton_roles.FEW)
 
 
 class Gates(Zones):
@@ -445,7 +445,7 @@
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     link = next(iter(gateway.digest.fanout.members))
     before = {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live}
-    link.send(("relayed", "south", wire.pack(("load", gateway.digest._mirrors["south"].epoch, False, b"nonsense"))))
+    link.send(("relayed", "south", frames.pack(("load", gateway.digest._mirrors["south"].epoch, False, b"nonsense"))))
     assert loopback.until(zones.loop, lambda: not link.is_open)
     assert {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live} == before
     zones.settle()  # and the digest comes back with its whole state
@@ -511,7 +511,7 @@
     sent = []
     send_bytes = type(next(iter(holder.digest.fanout.members))).send_bytes
     for link in holder.digest.fanout.members:
-        link.send_bytes = lambda data, link=link: (sent.append((id(link), wire.unpack(data))), send_bytes(link, data))
+        link.send_bytes = lambda data, link=link: (sent.append((id(link), frames.unpack(data))), send_bytes(link, data))
     for link in holder.digest.fanout.members:
         for name in holder.regions["north"].mirrors:
             holder.digest._queue_cut(link, "north", name)
@@ -524,6 +524,6 @@
     kinds = {}
     for link, message in sent:
         if message[0] == "relayed" and message[1] == "north":
-            kinds.setdefault(link, []).append(wire.unpack(message[2])[0])
+            kinds.setdefault(link, []).append(frames.unpack(message[2])[0])
     for told in kinds.values():
         assert "cut" in told and "delta" not in told[: told.index("cut")]  # nothing that builds on it comes before it
--- a/pw/dat/proxy.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -4,51 +4,55 @@
 import signal
 import uuid
 
-from pw.base import loop as loops
-from pw.base import problems
-from pw.base import ring
-from pw.base import settings as settings_files
-from pw.dat import choice
-from pw.dat import custody
-from pw.dat import follow
-from pw.dat import leaving as leavings
-from pw.dat import quota as quotas
-from pw.dat import relaying
-from pw.dat import replicas
-from pw.dat import rollouts
-from pw.dat import routes as route_tables
-from pw.dat import serving
-from pw.dat import tenants
+from ploverward.transport import event_loop
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.requests import graceful_shutdown
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_reports import relay_client
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.data_plane.requests import route_table
+from ploverward.data_plane.requests import serving
+from ploverward.data_plane.quotas import tenant_admission
 
 
-class Proxy(follow.FollowMixin, relaying.RelayMixin, serving.ServeMixin):
+class Proxy(core_sessions.FollowMixin, relay_client.RelayMixin, serving.ServeMixin):
     def __init__(self, *, settings):
         self.settings = settings
         self.life = uuid.uuid4().hex[:12]
-        self.loop = loops.Loop(on_fault=lambda fault: ring.spill("a step failed", fault=fault))
+        self.loop = event_loop.Loop(on_fault=lambda fault: event_log.spill("a step failed", fault=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.silence_s = self.contact_s / 5
         self.reach_s = self.contact_s / 16  # in about this time somebody else is found, or it comes back
         self.is_serving = False
         self.is_leaving = False
-        self.leaving = leavings.Leaving(now=self.loop.now, grace_s=settings.bound(name="graceS"))
+        self.leaving = graceful_shutdown.Leaving(now=self.loop.now, grace_s=settings.bound(name="graceS"))
         self.duties = {}
-        self.routes = route_tables.Routes()
+        self.routes = route_table.Routes()
         self.older_homes = []  # (until, homes by route name, homes by tenant)
-        self.standing = tenants.Standing(now=self.loop.now)
-        self.trust = tenants.Trust.of(settings)
-        self.allowance = tenants.Allowance(now=self.loop.now, lease_s=self.contact_s * tenants.LEASE_CONTACTS)
-        self.batches = custody.Batches(most=200)
+        self.standing = tenant_admission.Standing(now=self.loop.now)
+        self.trust = tenant_admission.Trust.of(settings)
+        self.allowance = tenant_admission.Allowance(
+            now=self.loop.now, lease_s=self.contact_s * tenant_admission.LEASE_CONTACTS
+        )
+        self.batches = custody_trails.Batches(most=200)
         self._set_limits({})
-        self.quota = quotas.Quota(now=self.loop.now, settings=settings)
-        self.rollouts = rollouts.Rollouts(now=self.loop.now, chance=random.random, running=self._running_elsewhere)
-        self.table = replicas.Table(loop=self.loop, settings=settings, share=self.quota.rate_share)
+        self.quota = shared_limits.Quota(now=self.loop.now, settings=settings)
+        self.rollouts = version_routing.Rollouts(
+            now=self.loop.now, chance=random.random, running=self._running_elsewhere
+        )
+        self.table = replica_table.Table(loop=self.loop, settings=settings, share=self.quota.rate_share)
 
     def run(self) -> int:
         self.beats = 0
         self.file_watch = settings_files.FileWatch()
         self.start_relay()
-        self.chooser = choice.Chooser(
+        self.chooser = replica_chooser.Chooser(
             table=self.table,
             settings=self.settings,
             regions=self.regions,
@@ -91,7 +95,7 @@
     def _reread(self) -> None:
         try:
             self.settings = settings_files.load()
-        except problems.SettingsProblem as fault:
-            ring.spill(f"the new settings are kept out: {fault}")
+        except errors.SettingsProblem as fault:
+            event_log.spill(f"the new settings are kept out: {fault}")
             return
         self._dial_cores()
--- a/pw/dat/tenants.py
+++ b/ploverward/data_plane/quotas/tenant_admission.py
@@ -10,7 +10,7 @@
 import math
 import os
 
-from pw.base import tenants
+from ploverward.common import tenant_usage
 
 BEARER = b"bearer "
 LEAST_CREDITS = 1.0  # a proxy keeps so many, though it gets only parts of one at a time
@@ -31,11 +31,11 @@
     name: str
     urgency: int | None
     homes: tuple
-    limit: tenants.Limit | None
+    limit: tenant_usage.Limit | None
 
     @property
     def key(self) -> bytes:
-        return tenants.tenant_key(self.name)
+        return tenant_usage.tenant_key(self.name)
 
 
 def key_of(header: bytes) -> bytes:
@@ -55,7 +55,7 @@
         self.by_name = {}
         for row in body["senders"]:
             per_s = float(row.get("perS") or 0)
-            limit = tenants.Limit(per_s=per_s, burst=float(row.get("burst") or 0)) if per_s > 0 else None
+            limit = tenant_usage.Limit(per_s=per_s, burst=float(row.get("burst") or 0)) if per_s > 0 else None
             urgency = row.get("urgency")
             sender = Sender(
                 name=row["name"],
@@ -154,7 +154,7 @@
         self._rated_at = now()
 
     def install(self, body) -> None:
-        self._limits = tenants.limits_of(body)
+        self._limits = tenant_usage.limits_of(body)
         for table in (self._credits, self._alone):
             for key in table.keys() - self._limits.keys():
                 del table[key]
@@ -189,7 +189,7 @@
                 return True
         return False
 
-    def _may(self, tenant: bytes, limit: tenants.Limit) -> bool:
+    def _may(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
         now = self._now()
         live = [scarce for until, scarce in self._scarce.values() if until > now]
         if not live:
@@ -201,7 +201,7 @@
         self._credits[tenant] -= 1.0
         return True
 
-    def _may_alone(self, tenant: bytes, limit: tenants.Limit, now: float) -> bool:
+    def _may_alone(self, tenant: bytes, limit: tenant_usage.Limit, now: float) -> bool:
         """What this proxy let in of the tenant before, and a little for those that are new here.
 
         Core nodes set an even part of the limit aside for each proxy out of touch; all of them together keep to it.
@@ -222,9 +222,9 @@
             demand = self._demand[tenant]
             admitted = self._admitted[tenant]
             if demand or admitted != told.get(tenant, 0):
-                rows.append(tenants.Usage(tenant=tenant, demand=demand, admitted=admitted))
+                rows.append(tenant_usage.Usage(tenant=tenant, demand=demand, admitted=admitted))
                 told[tenant] = admitted
-        return tenants.pack_usage(rows)
+        return tenant_usage.pack_usage(rows)
 
     def end_report(self) -> None:
         """All core nodes have been told: demand is counted anew."""
--- a/pw/dat/test_quota.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from pw.base import loop as loops
-from pw.ctl import grants
-from pw.dat import choice
-from pw.dat import quota as quotas
-from pw.dat import replicas
-from pw.dat.relay import ckf
-from pw.sim import entry
+from ploverward.transport import event_loop
+from ploverward.control_plane.quotas import share_leases
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.simulation import loopback_proxy
 
 SPEC = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
 
 
 def make(*, share=0.5):
     clock = [100.0]
-    quota = quotas.Quota(now=lambda: clock[0], settings=entry.settings())
+    quota = shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings())
     if share:
         quota.take_entry("core", ("entry", share, share, 1000.0, share, 0, 8))
     return quota, clock
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("share", [0.06, 0.14, 1.0])
 def test_a_cold_replica_gets_its_rate_in_every_second(share):
     quota, clock = make(share=share)
-    replica = replicas.Replica(
+    replica = replica_table.Replica(
         row={"id": "i", "service": "llm", "zone": "za", "berths": 8, "models": [], "is_clearing": False},
         endpoint=("127.0.0.1", 1),
         region="north",
@@ -100,7 +100,7 @@
     chance = random.Random(seed)
     clock = [100.0]
     life_s, bound = 1.5, 10 * 1.5 + 5
-    books = [grants.Slots(now=lambda: clock[0], hold_s=life_s + 1.5) for _ in range(cores)]
+    books = [share_leases.Slots(now=lambda: clock[0], hold_s=life_s + 1.5) for _ in range(cores)]
     links = [Held(f"10.0.0.{number}:1") for number in range(cores)]
     nodes = {}
     lives = 0
@@ -109,9 +109,9 @@
         nonlocal lives
         lives += 1
         nodes[f"n{lives}"] = (
-            quotas.Quota(now=lambda: clock[0], settings=entry.settings()),
+            shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings()),
             [
-                replicas.Replica(
+                replica_table.Replica(
                     row={
                         "id": f"i{number}",
                         "service": "llm",
@@ -165,7 +165,7 @@
 def test_no_two_nodes_that_may_act_hold_the_same_slot(seed):
     chance = random.Random(seed)
     clock = [0.0]
-    slots = grants.Slots(now=lambda: clock[0], hold_s=3.0)
+    slots = share_leases.Slots(now=lambda: clock[0], hold_s=3.0)
     told = []  # (node, slot, size, until)
     for _ in range(2000):
         clock[0] += chance.random() * 0.05
@@ -180,13 +180,15 @@
 
 
 def make_chooser(rows):
-    loop = loops.Loop()
-    quota = quotas.Quota(now=loop.now, settings=entry.settings())
+    loop = event_loop.Loop()
+    quota = shared_limits.Quota(now=loop.now, settings=loopback_proxy.settings())
     quota.take_entry("core", ("entry", 1.0, 1.0, 1000.0, 1.0, 0, 8))
-    table = replicas.Table(loop=loop, settings=entry.settings(), share=quota.rate_share)
+    table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
     table.services = SPEC
     table.install_list(rows)
-    return choice.Chooser(table=table, settings=entry.settings(), regions={}, quota=quota, now=loop.now), table
+    return replica_chooser.Chooser(
+        table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
+    ), table
 
 
 def row(name, zone="za", **more):
@@ -226,7 +228,7 @@
             service="llm",
             permitted=permitted,
             model="m",
-            chain=ckf.chain(model="m", parts=(("a", 10), (f"b{step}", 10))),
+            chain=cuckoo_filter.chain(model="m", parts=(("a", 10), (f"b{step}", 10))),
             prompt_tokens=20,
             avoid=set(),
         )
@@ -255,7 +257,7 @@
         chooser, _table = make_chooser(order)
         kept = {}
         chooser._name_owner(
-            list(_table.replicas.values()), ckf.chain(model="m", parts=(("doc", 500),)), kept, "llm", None
+            list(_table.replicas.values()), cuckoo_filter.chain(model="m", parts=(("doc", 500),)), kept, "llm", None
         )
         named |= set(kept)
     assert len(named) == 1
@@ -263,7 +265,7 @@
 
 def test_tokens_that_are_kept_decide():
     chooser, table = make_chooser([row("i1"), row("i2")])
-    chain = ckf.chain(model="m", parts=(("doc", 5000), ("own", 10)))
+    chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
     chooser.note_send(replica=table.replicas["i2"], chain=chain)
     replica, tokens, _is_any = chooser.choose(
         service="llm", permitted=None, model="m", chain=chain, prompt_tokens=5010, avoid=set()
--- a/pw/dat/test_tenants.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -4,32 +4,32 @@
 
 import pytest
 
-from pw.base import tenants as tenant_rows
-from pw.ctl import contact as contacts
-from pw.dat import filters
-from pw.dat import routes as route_tables
-from pw.dat import tenants
-from pw.dat import test_way
-from pw.sim import entry
-from pw.sim import world as worlds
+from ploverward.common import tenant_usage
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.data_plane.requests import admission_filters
+from ploverward.data_plane.requests import route_table
+from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.requests import test_request_path
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import simulated_world
 
 KEYS = {"clerks": "key-of-clerks", "players": "key-of-players"}
 SENDERS = [
     {"name": "clerks", "apiKeys": ["old-key", KEYS["clerks"]], "urgency": 3, "homeRegions": ["south"]},
     {"name": "players", "apiKeys": [KEYS["players"]], "perS": 1, "burst": 1},
 ]
-BODY = {**entry.CONFIGURATION, "senders": SENDERS}
+BODY = {**loopback_proxy.CONFIGURATION, "senders": SENDERS}
 
 
 def scene_of(*, body=BODY, age_s=0.0, **bounds):
-    scene = test_way.Scene(test_way.replying, test_way.replying, zones=["za", "zb"])
-    scene.entry.routes = route_tables.Routes(body=body)
+    scene = test_request_path.Scene(test_request_path.replying, test_request_path.replying, zones=["za", "zb"])
+    scene.entry.routes = route_table.Routes(body=body)
     scene.entry.allowance.install(body)
     scene.entry.allowance.take(core="k", asked_at=scene.loop.now() + 60.0, proxies=1, credits=[])
     scene.entry.configuration_age = age_s
     if bounds:
         scene.entry.settings.bounds.update(bounds)
-        scene.entry.trust = tenants.Trust.of(scene.entry.settings)
+        scene.entry.trust = tenant_admission.Trust.of(scene.entry.settings)
     return scene
 
 
@@ -85,7 +85,7 @@
 
 
 def test_where_no_tenants_are_configured_heads_pass_as_they_come():
-    scene = scene_of(body=entry.CONFIGURATION)
+    scene = scene_of(body=loopback_proxy.CONFIGURATION)
     status, heard = ask(scene, key="anything")
     assert status == 200 and b"anything" in heard
 
@@ -108,8 +108,8 @@
     scene = scene_of()
     allowance = scene.entry.allowance
     assert ask(scene, key=KEYS["players"])[0] == 200  # free
-    key = tenant_rows.tenant_key("players")
-    allowance.take(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[tenant_rows.Credit(key, 1.0)])
+    key = tenant_usage.tenant_key("players")
+    allowance.take(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[tenant_usage.Credit(key, 1.0)])
     assert [ask(scene, key=KEYS["players"])[0] for _turn in range(2)] == [200, 429]
     assert b"Retry-After: " in scene.client.got
     assert ask(scene, key=KEYS["clerks"])[0] == 200  # another one's quota is none of theirs
@@ -119,27 +119,27 @@
     scene = scene_of()
     request = types.SimpleNamespace(headers=[(b"authorization", b"Bearer old-key")])
     route = scene.entry.routes.find(host="h", target=b"/safe/x")
-    assert filters.read_sender(request=request, route=route, proxy=scene.entry).name == "clerks"
+    assert admission_filters.read_sender(request=request, route=route, proxy=scene.entry).name == "clerks"
     left = [{**SENDERS[0], "apiKeys": [KEYS["clerks"]]}, SENDERS[1]]
-    scene.entry.routes = route_tables.Routes(body={**BODY, "senders": left})
-    refused = filters.read_sender(request=request, route=route, proxy=scene.entry)
-    assert isinstance(refused, filters.Refused) and refused.status == 401
+    scene.entry.routes = route_table.Routes(body={**BODY, "senders": left})
+    refused = admission_filters.read_sender(request=request, route=route, proxy=scene.entry)
+    assert isinstance(refused, admission_filters.Refused) and refused.status == 401
 
 
 # Allowances.
 LIMITED = {"senders": [{"name": "a", "perS": 10, "burst": 10}]}
-KEY = tenant_rows.tenant_key("a")
+KEY = tenant_usage.tenant_key("a")
 
 
 def allowance():
     clock = [100.0]
-    made = tenants.Allowance(now=lambda: clock[0], lease_s=1.2)
+    made = tenant_admission.Allowance(now=lambda: clock[0], lease_s=1.2)
     made.install(LIMITED)
     return made, clock
 
 
 def scarce(made, clock, *, core="k", tokens=0.0, proxies=10):
-    made.take(core=core, asked_at=clock[0], proxies=proxies, credits=[tenant_rows.Credit(KEY, tokens)])
+    made.take(core=core, asked_at=clock[0], proxies=proxies, credits=[tenant_usage.Credit(KEY, tokens)])
 
 
 def test_parts_of_a_credit_add_up_and_are_spent_once():
@@ -193,18 +193,18 @@
     made, clock = allowance()
     made.take(core="k", asked_at=clock[0], proxies=10, credits=[])
     made.admit(KEY)
-    first = tenant_rows.unpack_usage(made.report(core="k"))
+    first = tenant_usage.unpack_usage(made.report(core="k"))
     made.end_report()
     assert [(row.demand, row.admitted) for row in first] == [(1, 1)]
     assert made.report(core="k") == b""
     made.forget(core="k")
-    assert [row.admitted for row in tenant_rows.unpack_usage(made.report(core="k"))] == [1]
+    assert [row.admitted for row in tenant_usage.unpack_usage(made.report(core="k"))] == [1]
 
 
 # How fresh a configuration is.
 def test_freshness_counts_from_when_it_was_asked_and_for_versions_that_are_here():
     clock = [10.0]
-    standing = tenants.Standing(now=lambda: clock[0])
+    standing = tenant_admission.Standing(now=lambda: clock[0])
     assert standing.age_s(version=9) == float("inf")
     standing.take(core="k", version=5, asked_at=9.0, age_s=0.5)
     assert standing.age_s(version=5) == pytest.approx(1.5)
@@ -223,7 +223,7 @@
     def __init__(self, *, world, name):
         self.world, self.name = world, name
         self.accepted = self.known = 1
-        self.contact = contacts.Contact(own=name, now=world.now, lease_s=1.2)
+        self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=1.2)
 
     def freshness(self):
         as_of = self.contact.fresh_as_of(members=CORES, version=1, known=self.known, accepted=self.accepted)
@@ -234,11 +234,11 @@
     """Changes of a configuration at a majority of core nodes, cuts, freezes, and proxies that ask how fresh they are."""
 
     def __init__(self, *, seed, ask_from_grant=False):
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.chance = self.world.chance
         self.ask_from_grant = ask_from_grant
         self.cores = {name: Core(world=self.world, name=name) for name in CORES}
-        self.standing = {name: tenants.Standing(now=self.world.now) for name in ("p", "q")}
+        self.standing = {name: tenant_admission.Standing(now=self.world.now) for name in ("p", "q")}
         self.version = dict.fromkeys(self.standing, 1)
         self.cut = set()
         self.acknowledged = {1: 0.0}  # version: when
@@ -257,7 +257,7 @@
 
     def _heartbeat(self, core, other, heartbeat):
         def answer():
-            told = contacts.Answer(number=heartbeat.number, version=1, configuration=other.accepted)
+            told = majority_lease.Answer(number=heartbeat.number, version=1, configuration=other.accepted)
             self.world.later(delay(), lambda: core.contact.take_answer(member=other.name, answer=told))
 
         def delay():
@@ -319,7 +319,7 @@
         """A request that is sent now: does the proxy run it with a key that was taken away over REVOKE_S ago?"""
         now = self.world.now()
         for proxy, standing in self.standing.items():
-            if standing.age_s(version=self.version[proxy]) >= REVOKE_S * tenants.REVOKE_PART:
+            if standing.age_s(version=self.version[proxy]) >= REVOKE_S * tenant_admission.REVOKE_PART:
                 continue
             newer = [when for version, when in self.acknowledged.items() if version > self.version[proxy]]
             self.late += bool(newer) and now > min(newer) + REVOKE_S
@@ -342,11 +342,11 @@
 
 
 def test_planted_freshness_without_a_majority_is_found(monkeypatch):
-    monkeypatch.setattr(contacts.Contact, "fresh_as_of", lambda self, **_about: self._now())
+    monkeypatch.setattr(majority_lease.Contact, "fresh_as_of", lambda self, **_about: self._now())
     assert any(Keys(seed=seed).play() for seed in range(10))
 
 
 def test_keys_are_found_by_a_digest_that_differs_from_process_to_process():
-    first, second = (tenants.senders_of(BODY) for _turn in range(2))
+    first, second = (tenant_admission.senders_of(BODY) for _turn in range(2))
     assert first.find(b"old-key").name == "clerks" and first.find(b"old") is None
     assert not set(first._by_digest) & set(second._by_digest)
--- a/pw/dat/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -4,8 +4,8 @@
 import collections
 import itertools
 
-from pw.base import records
-from pw.dat.relay import ckf
+from ploverward.transport import row_codec
+from ploverward.data_plane.relay import cuckoo_filter
 
 BUCKET_COUNT = 1024  # to begin with, at least
 MOST_TO_BEGIN = 1 << 14
@@ -17,7 +17,7 @@
 
 def buckets_for(*, cache_tokens: int, replicas: int) -> int:
     """Buckets of a filter for all that so many replicas keep, a power of two."""
-    wanted = cache_tokens / PART_TOKENS * replicas / (ckf.SLOTS * FILL)
+    wanted = cache_tokens / PART_TOKENS * replicas / (cuckoo_filter.SLOTS * FILL)
     count = BUCKET_COUNT
     while count < min(wanted, MOST_TO_BEGIN):
         count *= 2
@@ -27,7 +27,7 @@
 class Actor:
     def __init__(self, *, cache_tokens: int, bucket_count: int = BUCKET_COUNT, words: int = 1):
         self.cache_tokens = cache_tokens
-        self.filter = ckf.Filter(bucket_count=bucket_count, words=words)
+        self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
         self.is_short = False  # the filter had no room for a hash
         self.lanes = {}  # replica id: lane
         self._kept = {}  # replica id: OrderedDict hash -> tokens, oldest first
@@ -40,7 +40,7 @@
         if replica in self.lanes:
             return True
         lane = 0 if self.is_wide else self._next_lane()
-        if not self.is_wide and lane >= self.filter.words * ckf.WORD_LANES:
+        if not self.is_wide and lane >= self.filter.words * cuckoo_filter.WORD_LANES:
             return False
         self.lanes[replica] = lane
         self._kept[replica] = collections.OrderedDict()
@@ -50,24 +50,26 @@
     @property
     def is_wide(self) -> bool:
         """Whether slots name owners by tags: then a replica's lane says nothing."""
-        return self.filter.words == ckf.WIDE
+        return self.filter.words == cuckoo_filter.WIDE
 
     def _next_lane(self) -> int:
         held = set(self.lanes.values())
         return next(lane for lane in range(len(held) + 1) if lane not in held)
 
     def has_lanes_for(self, *, replicas) -> bool:
-        return self.is_wide or len(set(self.lanes) | set(replicas)) <= self.filter.words * ckf.WORD_LANES
+        return self.is_wide or len(set(self.lanes) | set(replicas)) <= self.filter.words * cuckoo_filter.WORD_LANES
 
     def resize(self, *, lanes: int) -> None:
         """A larger filter, made from the exact ownership. Goes with a new generation. A wide pool stays wide."""
-        wanted = ckf.words_for(lanes=lanes)
-        words = ckf.WIDE if ckf.WIDE in (wanted, self.filter.words) else max(self.filter.words, wanted)
+        wanted = cuckoo_filter.words_for(lanes=lanes)
+        words = (
+            cuckoo_filter.WIDE if cuckoo_filter.WIDE in (wanted, self.filter.words) else max(self.filter.words, wanted)
+        )
         bucket_count = self.filter.bucket_count
         if self.is_short and bucket_count < MOST_BUCKETS:
             bucket_count *= 2
         while True:
-            self.filter = ckf.Filter(bucket_count=bucket_count, words=words)
+            self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
             self._groups = {}
             for full_hash in self._owners:
                 self._groups.setdefault(self._group(full_hash), set()).add(full_hash)
@@ -129,7 +131,7 @@
         self.lanes.pop(replica, None)
 
     def _group(self, full_hash: bytes) -> tuple:
-        fingerprint, first, second = ckf.place_of(full_hash=full_hash, bucket_count=self.filter.bucket_count)
+        fingerprint, first, second = cuckoo_filter.place_of(full_hash=full_hash, bucket_count=self.filter.bucket_count)
         return fingerprint, min(first, second)
 
     def _bits(self, group: tuple) -> int:
@@ -148,8 +150,10 @@
             owners = self._owners.get(next(iter(hashes)), {})
         else:
             owners = dict.fromkeys(owner for held in hashes for owner in self._owners.get(held, ()))
-        first = itertools.islice(owners, ckf.OWNERS_NAMED)
-        return ckf.wide_value(count=len(owners), tags=[records.key_of(owner)[: ckf.TAG_SIZE] for owner in first])
+        first = itertools.islice(owners, cuckoo_filter.OWNERS_NAMED)
+        return cuckoo_filter.wide_value(
+            count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
+        )
 
     def _own(self, replica: str, full_hash: bytes, *, may_wait: bool) -> None:
         owners = self._owners.setdefault(full_hash, {})
--- a/pw/dat/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -1,8 +1,8 @@
 """The gateway of a region, beside its relay: one stream each way between two regions (docs/scale.md 3)."""
 
-from pw.ctl import duties
-from pw.dat import mirror
-from pw.dat.digest import digest as digests
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.load_reports import digest
 
 
 class Gateway:
@@ -16,9 +16,9 @@
         self.far = tuple(name for name in regions if name != region)
         self._relays = {}
         self._zone_epochs = {}  # duty: the newest epoch of it that enrolled
-        self.digest = digests.Digest(
+        self.digest = digest.Digest(
             loop=loop,
-            place=digests.Place(region=region, zone=duties.relay_name(region=region), epoch=epoch),
+            place=digest.Place(region=region, zone=singleton_roles.relay_name(region=region), epoch=epoch),
             port=port,
             silence_s=silence_s,
             regions=regions,
--- a/pw/dat/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -6,16 +6,16 @@
 
 import math
 
-from pw.base import problems
-from pw.base import records
-from pw.base import ring
-from pw.base import wire
-from pw.dat.relay import ckf
-from pw.dat.relay import hub as hubs
-from pw.dat.relay import load_feed
-from pw.dat.relay import outcomes
-from pw.dat.relay import pool_registry
-from pw.dat.relay import resolution
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.common import event_log
+from ploverward.transport import frames
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import hub
+from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import outcomes
+from ploverward.data_plane.relay import pool_registry
+from ploverward.data_plane.relay import resolution
 
 FAR_TICKS = 2  # what is told crosses regions so much less often
 LEAST_ROWS = 16  # loads told at a time, whatever the size of the region
@@ -61,9 +61,9 @@
     def sync(self, *, services: dict, replicas: list) -> None:
         self._services = services
         self._replicas = replicas
-        self._ids = {records.key_of(row["id"]): row["id"] for row in replicas}
+        self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
         self._scales = {
-            records.key_of(row["id"]): load_feed.Scale(
+            row_codec.key_of(row["id"]): load_feed.Scale(
                 berths=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
             for row in replicas
@@ -88,9 +88,9 @@
 
     def _tell(self, message: tuple, *, links=None) -> None:
         """One frame, packed once. A subscriber that does not read loses its own stream alone."""
-        frame = wire.pack(message)
+        frame = frames.pack(message)
         for link in list(self.subscribers if links is None else links):
-            if link.queued() > hubs.QUEUE_LIMIT_BYTES:
+            if link.queued() > hub.QUEUE_LIMIT_BYTES:
                 link.close(reason="relay queue overflow")
                 continue
             link.send_bytes(frame)
@@ -145,10 +145,10 @@
         if known is None:
             return
         _kind, number, data, read_data = message
-        loads = records.rows(shape=records.REPORTED, data=data)
-        reads = [records.unpack_read(data=read) for _region, read in records.split_reads(data=read_data)]
+        loads = row_codec.rows(shape=row_codec.REPORTED, data=data)
+        reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=read_data)]
         if number <= known.counted:
-            raise problems.FrameProblem(f"cut {number} after {known.counted}", step="sums")
+            raise errors.FrameProblem(f"cut {number} after {known.counted}", step="sums")
         is_new = False
         for key, _region, running, tokens, marks, ended, failed in loads:
             load = (running, tokens, marks)
@@ -175,7 +175,7 @@
         pool = self.registry.find_domain(domain=domain)
         name = self._ids.get(key)
         if pool is not None and name in pool.actor.lanes:
-            pool.actor.read(replica=name, rows=ckf.extend(parts=parts))
+            pool.actor.read(replica=name, rows=cuckoo_filter.extend(parts=parts))
 
     def _load_of(self, key: bytes) -> load_feed.Load:
         running, tokens, marks = self.totals.get(key, NOTHING)
@@ -184,7 +184,7 @@
         if berths and running >= berths * load_feed.FULL_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
-            running=records.short(running), tokens=records.long(tokens), marks=records.short(marks), flags=flags
+            running=row_codec.short(running), tokens=row_codec.long(tokens), marks=row_codec.short(marks), flags=flags
         )
 
     def tick(self) -> None:
@@ -192,7 +192,7 @@
         self._join_new()
         self._ticks += 1
         for key in self._judge.look():
-            ring.note("outcomes", replica=self._ids.get(key, ""), is_failing=key in self._judge.failing)
+            event_log.note("outcomes", replica=self._ids.get(key, ""), is_failing=key in self._judge.failing)
             self._note(key)
         self._publish(is_far=False)
         if self._ticks % FAR_TICKS == 0:
--- a/pw/dat/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -2,14 +2,14 @@
 
 import struct
 
-from pw.base import problems
-from pw.base import wire
+from ploverward.common import errors
+from ploverward.transport import frames
 
 QUEUE_LIMIT_BYTES = 512 * 1024
 ROW = struct.Struct(">II")  # bucket, its sequence; the image follows
 
 
-class Fenced(problems.Problem):
+class Fenced(errors.Problem):
     """Identity, lease, sequence or encoding fault: the generation is over."""
 
 
@@ -78,7 +78,7 @@
         if not rows:
             return
         rows.sort()
-        frame = wire.pack(("delta", self.identity, self.generation, b"".join(row for _index, row in rows)))
+        frame = frames.pack(("delta", self.identity, self.generation, b"".join(row for _index, row in rows)))
         for link in list(self._subscribers):
             if link.queued() > QUEUE_LIMIT_BYTES:
                 self.leave(link)
--- a/pw/dat/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing
 
-from pw.base import records
+from ploverward.transport import row_codec
 
 FAILING, FULL = 1, 2  # flags of a load frame's row
 FULL_SHARE = 0.75  # of a replica's places: from there on it is told as full
@@ -19,8 +19,8 @@
     flags: int = 0
 
     def pack(self, key: bytes) -> bytes:
-        return records.LOAD.pack(
-            key, records.short(self.running), records.long(self.tokens), records.short(self.marks), self.flags
+        return row_codec.LOAD.pack(
+            key, row_codec.short(self.running), row_codec.long(self.tokens), row_codec.short(self.marks), self.flags
         )
 
 
--- a/pw/dat/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -3,11 +3,11 @@
 import dataclasses
 import itertools
 
-from pw.base import problems
-from pw.base import records
-from pw.dat.relay import actor as actors
-from pw.dat.relay import ckf
-from pw.dat.relay import hub as hubs
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.data_plane.relay import actor
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import hub
 
 MOST_PART = 0.5  # of a wide pool's replicas: a part that so many keep is taken to be kept by all
 
@@ -25,7 +25,7 @@
     def names(self, key: bytes) -> bool:
         """Whether this replica is known to be an owner."""
         if self.lanes is None:
-            return key[: ckf.TAG_SIZE] in self.tags
+            return key[: cuckoo_filter.TAG_SIZE] in self.tags
         lane = self.lanes.get(key)
         return lane is not None and bool(self.bits >> lane & 1)
 
@@ -34,7 +34,7 @@
         if self.lanes is None:
             return self.tags
         keys = (key for key, lane in self.lanes.items() if self.bits >> lane & 1)
-        return tuple(key[: ckf.TAG_SIZE] for key in itertools.islice(keys, ckf.OWNERS_NAMED))
+        return tuple(key[: cuckoo_filter.TAG_SIZE] for key in itertools.islice(keys, cuckoo_filter.OWNERS_NAMED))
 
 
 class Mirror:
@@ -51,26 +51,26 @@
         self.versions = None
 
     def _rows(self, data: bytes, *, size: int, bucket_count: int, step: str) -> list:
-        width = hubs.ROW.size + size
+        width = hub.ROW.size + size
         if len(data) % width:
-            raise problems.FrameProblem(f"{len(data)} bytes of rows", step=step, peer=self.name)
+            raise errors.FrameProblem(f"{len(data)} bytes of rows", step=step, peer=self.name)
         rows = []
         for place in range(0, len(data), width):
-            index, version = hubs.ROW.unpack_from(data, place)
+            index, version = hub.ROW.unpack_from(data, place)
             if index >= bucket_count:
-                raise problems.FrameProblem(f"bucket {index}", step=step, peer=self.name)
-            rows.append((index, version, data[place + hubs.ROW.size : place + width]))
+                raise errors.FrameProblem(f"bucket {index}", step=step, peer=self.name)
+            rows.append((index, version, data[place + hub.ROW.size : place + width]))
         return rows
 
     def install_cut(self, *, bucket_count: int, words: int, data: bytes) -> None:
         if (
             bucket_count < 1
             or bucket_count & (bucket_count - 1)
-            or bucket_count > actors.MOST_BUCKETS
-            or not 0 <= words <= ckf.MOST_LANE_WORDS
+            or bucket_count > actor.MOST_BUCKETS
+            or not 0 <= words <= cuckoo_filter.MOST_LANE_WORDS
         ):
-            raise problems.FrameProblem("bucket count", step="cut", peer=self.name)
-        blank = ckf.empty_image(words=words)
+            raise errors.FrameProblem("bucket count", step="cut", peer=self.name)
+        blank = cuckoo_filter.empty_image(words=words)
         buckets = [blank] * bucket_count
         versions = [0] * bucket_count
         for index, version, image in self._rows(data, size=len(blank), bucket_count=bucket_count, step="cut"):
@@ -81,22 +81,22 @@
     def install_delta(self, *, data: bytes) -> None:
         """Every bucket is checked before any is exposed."""
         if self.buckets is None:
-            raise problems.FrameProblem("a delta before the cut", step="delta", peer=self.name)
+            raise errors.FrameProblem("a delta before the cut", step="delta", peer=self.name)
         rows = self._rows(
-            data, size=len(ckf.empty_image(words=self.words)), bucket_count=len(self.buckets), step="delta"
+            data, size=len(cuckoo_filter.empty_image(words=self.words)), bucket_count=len(self.buckets), step="delta"
         )
         for index, version, _image in rows:
             if version != self.versions[index] + 1:
-                raise problems.FrameProblem(f"bucket {index} at {version}", step="delta", peer=self.name)
+                raise errors.FrameProblem(f"bucket {index} at {version}", step="delta", peer=self.name)
         for index, version, image in rows:
             self.buckets[index] = image
             self.versions[index] = version
 
     def frame(self) -> tuple:
         """A cut as of now, for a member of the zone that joins later: its own, with the same sequences."""
-        blank = ckf.empty_image(words=self.words)
+        blank = cuckoo_filter.empty_image(words=self.words)
         rows = b"".join(
-            hubs.ROW.pack(index, version) + image
+            hub.ROW.pack(index, version) + image
             for index, (version, image) in enumerate(zip(self.versions, self.buckets, strict=False))
             if version or image != blank
         )
@@ -104,13 +104,15 @@
 
     def knows(self, key: bytes) -> bool:
         """Whether the pool may name this replica. A wide pool's replicas are those of the list."""
-        return self.words == ckf.WIDE or key in self.lanes
+        return self.words == cuckoo_filter.WIDE or key in self.lanes
 
     def owners(self, full_hash: bytes, *, pool_size: int = 0) -> "Owners":
-        value = ckf.find_in_images(images=self.buckets, words=self.words, full_hash=full_hash)
-        if self.words == ckf.WIDE:
-            count, tags = ckf.read_wide(value)
-            return Owners(count=count, tags=tags, is_most=count >= min(ckf.MOST_OWNERS, max(1, pool_size * MOST_PART)))
+        value = cuckoo_filter.find_in_images(images=self.buckets, words=self.words, full_hash=full_hash)
+        if self.words == cuckoo_filter.WIDE:
+            count, tags = cuckoo_filter.read_wide(value)
+            return Owners(
+                count=count, tags=tags, is_most=count >= min(cuckoo_filter.MOST_OWNERS, max(1, pool_size * MOST_PART))
+            )
         return Owners(count=value.bit_count(), bits=value, lanes=self.lanes)
 
 
@@ -158,7 +160,7 @@
         _kind, epoch, is_whole, data = message
         if epoch != self.epoch:
             return
-        rows = records.rows(shape=records.LOAD, data=data)
+        rows = row_codec.rows(shape=row_codec.LOAD, data=data)
         if is_whole:
             self.load = {}
         for key, *load in rows:
@@ -175,7 +177,7 @@
                 mirror.service,
                 mirror.model,
                 mirror.generation,
-                b"".join(records.LANE.pack(key, lane) for key, lane in mirror.lanes.items()),
+                b"".join(row_codec.LANE.pack(key, lane) for key, lane in mirror.lanes.items()),
             )
             for mirror in self.mirrors.values()
         )
@@ -183,13 +185,13 @@
 
     def load_frame(self) -> tuple:
         """All loads, as a relay would tell them now."""
-        return ("load", self.epoch, True, b"".join(records.LOAD.pack(key, *load) for key, load in self.load.items()))
+        return ("load", self.epoch, True, b"".join(row_codec.LOAD.pack(key, *load) for key, load in self.load.items()))
 
     def _take_catalogue(self, message: tuple) -> None:
         _kind, epoch, rows = message
         if epoch < self.epoch:
-            raise problems.FrameProblem(f"epoch {epoch} is below {self.epoch}", step="catalogue")
-        checked = [(row, dict(records.rows(shape=records.LANE, data=row[4]))) for row in rows]
+            raise errors.FrameProblem(f"epoch {epoch} is below {self.epoch}", step="catalogue")
+        checked = [(row, dict(row_codec.rows(shape=row_codec.LANE, data=row[4]))) for row in rows]
         if epoch != self.epoch:
             self.load = {}
         self.epoch = epoch
@@ -232,7 +234,7 @@
         mirror = self._mirror(service=service, model=model) if self.is_trusted else None
         if mirror is None:
             return {}
-        keys = {name: records.key_of(name) for name in replicas}
+        keys = {name: row_codec.key_of(name) for name in replicas}
         found = {name: 0 for name, key in keys.items() if mirror.knows(key)}
         alive = list(found)
         for full_hash, tokens in chain:
--- a/pw/dat/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,11 +1,11 @@
 """The catalogue of live pool generations (docs/relay.md 4). Withdrawal always comes before teardown."""
 
-from pw.base import problems
-from pw.base import records
-from pw.base import ring
-from pw.dat.relay import actor as actors
-from pw.dat.relay import ckf
-from pw.dat.relay import hub as hubs
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.common import event_log
+from ploverward.data_plane.relay import actor as actors
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import hub as hubs
 
 
 class Pool:
@@ -64,7 +64,7 @@
                     actor=actors.Actor(
                         cache_tokens=cache_tokens,
                         bucket_count=actors.buckets_for(cache_tokens=cache_tokens, replicas=len(replicas)),
-                        words=ckf.words_for(lanes=_lanes_for(replicas)),
+                        words=cuckoo_filter.words_for(lanes=_lanes_for(replicas)),
                     ),
                 )
                 self.pools[identity] = pool
@@ -118,7 +118,7 @@
                 pool.model,
                 pool.generation,
                 b"".join(
-                    records.LANE.pack(records.key_of(replica), lane)
+                    row_codec.LANE.pack(row_codec.key_of(replica), lane)
                     for replica, lane in sorted(pool.catalogued.items())
                 ),
             )
@@ -156,6 +156,6 @@
             try:
                 hub.check(generation=pool.generation)
                 hub.flush(most=most)
-            except (hubs.Fenced, problems.FrameProblem, ValueError) as fault:
-                ring.spill(f"pool {pool.name} is fenced: {fault}")
+            except (hubs.Fenced, errors.FrameProblem, ValueError) as fault:
+                event_log.spill(f"pool {pool.name} is fenced: {fault}")
                 self.withdraw(identity=identity)
--- a/pw/dat/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from pw.base import records
-from pw.dat import mirror
-from pw.dat.relay import ckf
-from pw.sim import entry
-from pw.sim import loopback
+from ploverward.transport import row_codec
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
 
 ZONES = ("za", "za", "zb", "zb", "za")
-CHAIN = ckf.chain(model="m", parts=(("aa", 100), ("bb", 200)))
+CHAIN = cuckoo_filter.chain(model="m", parts=(("aa", 100), ("bb", 200)))
 
 
 class FalseRegion:
@@ -36,7 +36,7 @@
     chance = random.Random(seed)
     loop = loopback.new_loop()
     peers = [(types.SimpleNamespace(address=("127.0.0.1", 9)), zone) for zone in ZONES]
-    node = entry.Entry(loop=loop, peers=peers)
+    node = loopback_proxy.Entry(loop=loop, peers=peers)
     rows = [dict(row, is_clearing=chance.random() < 0.2) for row in node.rows]
     node.table.install_list(rows)
     replicas = list(node.table.replicas.values())
@@ -68,7 +68,7 @@
     clock = [0.0]
     region = mirror.Region(now=lambda: clock[0], trust_s=5.0)
     region.take(("catalogue", 1, ()))
-    region.take(("load", 1, True, records.LOAD.pack(records.key_of("i0"), 1, 10, 0, 0)))
+    region.take(("load", 1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
     assert region.is_trusted and region.is_fresh  # it is told of each change: silence alone is no break
