--- a/pw/dat/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -4,22 +4,22 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import records
-from pw.dat import mirror as mirrors
-from pw.dat.relay import actor as actors
-from pw.dat.relay import ckf
-from pw.dat.relay import host as hosts
-from pw.dat.relay import hub as hubs
-from pw.dat.relay import pool_registry
-from pw.dat.relay import resolution
-from pw.sim import wires
+from ploverward.common import errors
+from ploverward.transport import row_codec
+from ploverward.data_plane.relay import mirror as mirrors
+from ploverward.data_plane.relay import actor as actors
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import host as hosts
+from ploverward.data_plane.relay import hub as hubs
+from ploverward.data_plane.relay import pool_registry
+from ploverward.data_plane.relay import resolution
+from ploverward.simulation import recording_connections
 
 SERVICES = {"llm": {"models": ("m",), "cache_tokens": 1000}}
 
 
 def rows(*names, tokens=10):
-    return ckf.chain(model="m", parts=[(name, tokens) for name in names])
+    return cuckoo_filter.chain(model="m", parts=[(name, tokens) for name in names])
 
 
 def replica(name, *, service="llm", region="north"):
@@ -27,14 +27,16 @@
 
 
 def lanes(actor, full_hash):
-    return ckf.find(buckets=actor.filter.buckets, full_hash=full_hash)
+    return cuckoo_filter.find(buckets=actor.filter.buckets, full_hash=full_hash)
 
 
 def test_sequence_hash_root_is_the_token_hash_and_children_extend():
-    first = ckf.token_hash(model="m", part="a", tokens=10)
+    first = cuckoo_filter.token_hash(model="m", part="a", tokens=10)
     one, two = rows("a", "b")
     assert one[0] == first
-    assert two[0] == ckf.sequence_hash(parent=first, token_hash=ckf.token_hash(model="m", part="b", tokens=10))
+    assert two[0] == cuckoo_filter.sequence_hash(
+        parent=first, token_hash=cuckoo_filter.token_hash(model="m", part="b", tokens=10)
+    )
     assert rows("x", "b")[1][0] != two[0]
 
 
@@ -89,7 +91,7 @@
 
 
 def test_no_room_leaves_nothing_half_moved():
-    table = ckf.Filter(bucket_count=2)
+    table = cuckoo_filter.Filter(bucket_count=2)
     chance = random.Random(4)
     held = []
     for _ in range(40):
@@ -99,7 +101,7 @@
             held.append(full_hash)
         else:
             assert table.buckets == before
-    assert all(ckf.find(buckets=table.buckets, full_hash=full_hash) for full_hash in held)
+    assert all(cuckoo_filter.find(buckets=table.buckets, full_hash=full_hash) for full_hash in held)
 
 
 def test_pool_needs_a_live_replica_that_was_sent_requests():
@@ -134,18 +136,18 @@
     """The next cut of the digest at the other end of `wire`."""
     if wire not in host.subscribers:
         host.subscribe(wire, region="north")
-    host.take_sums(wire, wires.sums(host.subscribers[wire].counted + 1, loads=loads, reads=reads))
+    host.take_sums(wire, recording_connections.sums(host.subscribers[wire].counted + 1, loads=loads, reads=reads))
 
 
 def send(host, name="r1"):
     """One attempt at a replica has begun, told by a digest that only reports."""
-    source = wires.Wire()
-    tell(host, source, wires.load_row(name, running=1, tokens=20))
+    source = recording_connections.Wire()
+    tell(host, source, recording_connections.load_row(name, running=1, tokens=20))
     return source
 
 
 def read(host, source, name, *parts):
-    tell(host, source, reads=[wires.read_row(name, *((part, 10) for part in parts))])
+    tell(host, source, reads=[recording_connections.read_row(name, *((part, 10) for part in parts))])
 
 
 def feed(region, wire):
@@ -156,7 +158,7 @@
 
 def test_hub_is_lazy_and_each_subscriber_gets_a_cut_then_deltas():
     host, _clock = make_host()
-    one, two = wires.Wire(), wires.Wire()
+    one, two = recording_connections.Wire(), recording_connections.Wire()
     registry = host.registry
     registry.sync(resolved={(1, "d", "north"): ("llm", "m", 100, frozenset({"r1"}))})
     assert registry.pools[(1, "d", "north")].hubs == {}  # nobody subscribed yet
@@ -178,7 +180,7 @@
 
 def test_a_wrong_sequence_installs_nothing():
     host, _clock = make_host()
-    wire = wires.Wire()
+    wire = recording_connections.Wire()
     source = send(host)
     host.subscribe(wire, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
@@ -187,13 +189,13 @@
     read(host, source, "r1", "b")
     host.tick()
     kind, name, generation, changed = next(message for message in wire.told if message[0] == "delta")
-    last = len(changed) - hubs.ROW.size - len(ckf.empty_image(words=1))
+    last = len(changed) - hubs.ROW.size - len(cuckoo_filter.empty_image(words=1))
     assert last > 0  # more than one bucket: the fault is in the last
     index, version = hubs.ROW.unpack_from(changed, last)
     broken = changed[:last] + hubs.ROW.pack(index, version + 1) + changed[last + hubs.ROW.size :]
     before = list(region.mirrors[name].buckets)
     for bad in (broken, changed[:-1], changed + b"x"):
-        with pytest.raises(problems.FrameProblem):
+        with pytest.raises(errors.FrameProblem):
             region.take((kind, name, generation, bad))
         assert region.mirrors[name].buckets == before
     region.take((kind, name, generation, changed))
@@ -222,7 +224,7 @@
     identity = (1, "d", "north")
     registry.sync(resolved={identity: ("llm", "m", 100, frozenset({"r1"}))})
     pool = registry.pools[identity]
-    registry.join(pool=pool, link=wires.Wire(), is_far=False)
+    registry.join(pool=pool, link=recording_connections.Wire(), is_far=False)
     pool.generation += 1
     registry.flush(is_far=False)
     assert [gone.name for gone in seen] == ["1/d/north"] and identity not in registry.pools
@@ -231,7 +233,7 @@
 def test_an_overflowing_subscriber_is_closed_alone():
     actor = actors.Actor(cache_tokens=1000)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
-    slow, quick = wires.Wire(), wires.Wire()
+    slow, quick = recording_connections.Wire(), recording_connections.Wire()
     hub.join(slow)
     hub.join(quick)
     slow.queue = hubs.QUEUE_LIMIT_BYTES + 1
@@ -246,7 +248,7 @@
 def test_a_lower_epoch_is_refused():
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     region.take(("catalogue", 3, ()))
-    with pytest.raises(problems.FrameProblem):
+    with pytest.raises(errors.FrameProblem):
         region.take(("catalogue", 2, ()))
 
 
@@ -260,7 +262,7 @@
 
 def test_a_broken_mirror_decides_for_a_time_then_counts_as_unknown():
     host, clock = make_host()
-    wire = wires.Wire()
+    wire = recording_connections.Wire()
     source = send(host)
     read(host, source, "r1", "a")
     host.subscribe(wire, region="north")
@@ -275,12 +277,12 @@
 
 def test_a_gone_replica_owns_nothing_and_its_lane_is_cleared_before_it_is_told_again():
     host, _clock = make_host()
-    wire = wires.Wire()
+    wire = recording_connections.Wire()
     source = send(host)
     read(host, source, "r1", "a")
     host.subscribe(wire, region="north")
     host.sync(services=SERVICES, replicas=[replica("r2"), replica("r9")])
-    tell(host, source, wires.load_row("r2", running=1, tokens=20))
+    tell(host, source, recording_connections.load_row("r2", running=1, tokens=20))
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     feed(region, wire)
     host.tick()
@@ -297,22 +299,27 @@
 
 def test_sums_of_digests_add_up_and_end_with_their_link():
     host, _clock = make_host()
-    one, two, reader = wires.Wire(), wires.Wire(), wires.Wire()
+    one, two, reader = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
     host.subscribe(reader, region="north")
-    tell(host, one, wires.load_row("r1", running=2, tokens=50))
-    tell(host, two, wires.load_row("r1", running=1, tokens=10, marks=1), wires.load_row("r2", running=4))
+    tell(host, one, recording_connections.load_row("r1", running=2, tokens=50))
+    tell(
+        host,
+        two,
+        recording_connections.load_row("r1", running=1, tokens=10, marks=1),
+        recording_connections.load_row("r2", running=4),
+    )
     host.tick()
-    tell(host, one, wires.load_row("r1", running=2, tokens=30))
+    tell(host, one, recording_connections.load_row("r1", running=2, tokens=30))
     host.tick()
     told = [message for message in reader.told if message[0] == "load"]
-    assert [len(wires.loads_of(message)) for message in told] == [0, 2, 1]  # only what changed
-    key = records.key_of
+    assert [len(recording_connections.loads_of(message)) for message in told] == [0, 2, 1]  # only what changed
+    key = row_codec.key_of
     assert last_load(reader) == {key("r1"): (3, 40, 1, 0), key("r2"): (4, 0, 0, 0)}
     assert one.told[-2] == ("counted", 2)
     host.end(two)
     host.tick()
     last = [message for message in reader.told if message[0] == "load"][-1]
-    assert wires.loads_of(last) == {key("r1"): (2, 30, 0, 0), key("r2"): (0, 0, 0, 0)}
+    assert recording_connections.loads_of(last) == {key("r1"): (2, 30, 0, 0), key("r2"): (0, 0, 0, 0)}
     host.end(one)
     assert host.totals == {}
 
@@ -332,7 +339,7 @@
     old = [replica(f"old{number}") for number in range(count)]
     host.sync(services=SERVICES, replicas=old)
     source = send(host, "old0")
-    reader = wires.Wire()
+    reader = recording_connections.Wire()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     for row in old:
@@ -340,7 +347,7 @@
     first = next(iter(host.registry.pools.values())).generation
     new = [replica(f"new{number}") for number in range(count * more)]
     host.sync(services=SERVICES, replicas=old + new)
-    tell(host, source, wires.load_row("new0", running=1))
+    tell(host, source, recording_connections.load_row("new0", running=1))
     for row in new:
         read(host, source, row["id"], "shared")
     drain(host)
@@ -379,7 +386,7 @@
     host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
     names = [f"r{number}" for number in range(40)]
     host.sync(services=services, replicas=[replica(name) for name in names])
-    source, reader = send(host, "r0"), wires.Wire()
+    source, reader = send(host, "r0"), recording_connections.Wire()
     host.subscribe(reader, region="north")
     for name in names:
         read(host, source, name, *(f"{name}-{number}" for number in range(40)))
@@ -391,7 +398,7 @@
         host.tick()
         sizes.append(sum(len(message[3]) for message in reader.told if message[0] == "delta"))
         reader.told.clear()
-    row = hubs.ROW.size + len(ckf.empty_image(words=ckf.WIDE))
+    row = hubs.ROW.size + len(cuckoo_filter.empty_image(words=cuckoo_filter.WIDE))
     assert max(sizes) == hosts.NEAR_BUCKETS * row and sizes[-1] == 0
 
 
@@ -411,7 +418,7 @@
     assert pool.actor.owners(full_hash) == set(new)
     (mirror,) = region.mirrors.values()
     owners = mirror.owners(full_hash, pool_size=300)
-    assert owners.is_most and not any(owners.names(records.key_of(name)) for name in old)
+    assert owners.is_most and not any(owners.names(row_codec.key_of(name)) for name in old)
 
 
 def test_a_wide_pool_names_the_first_owners_of_a_part_and_counts_the_others():
@@ -419,7 +426,7 @@
     names = [f"r{number}" for number in range(200)]
     host.sync(services=SERVICES, replicas=[replica(name) for name in names])
     source = send(host, "r0")
-    reader = wires.Wire()
+    reader = recording_connections.Wire()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     for name in names[:7]:
@@ -434,18 +441,21 @@
 
     assert kept("r0", "r3", "r6", "r150") == {"r0": 20, "r3": 20, "r6": 10, "r150": 10}
     depth, tags = region.named_owners(service="llm", model="m", chain=rows("root", "leaf"))
-    assert depth == 2 and tags == tuple(records.key_of(name)[: ckf.TAG_SIZE] for name in names[:4])
+    assert depth == 2 and tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in names[:4])
     host.sync(services=SERVICES, replicas=[replica(name) for name in names if name not in ("r1", "r2")])
     drain(host)
     feed(region, reader)
     _depth, tags = region.named_owners(service="llm", model="m", chain=rows("root", "leaf"))
     expected = ("r0", "r3", "r4", "r5")  # others take the place of those that are gone
-    assert tags == tuple(records.key_of(name)[: ckf.TAG_SIZE] for name in expected)
+    assert tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
     assert kept("r6") == {"r6": 10}
 
 
 def test_an_image_of_a_wide_pool_does_not_grow_with_its_replicas():
-    sizes = {count: len(ckf.empty_image(words=ckf.words_for(lanes=count))) for count in (3, 16, 17, 200, 900, 4500)}
+    sizes = {
+        count: len(cuckoo_filter.empty_image(words=cuckoo_filter.words_for(lanes=count)))
+        for count in (3, 16, 17, 200, 900, 4500)
+    }
     assert sizes[3] == sizes[16] == 24
     assert sizes[17] == sizes[200] == sizes[900] == sizes[4500] == 60
 
@@ -453,10 +463,10 @@
 def test_parts_that_others_look_for_are_told_before_those_of_one_request():
     actor = actors.Actor(cache_tokens=10**6)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
-    reader = wires.Wire()
+    reader = recording_connections.Wire()
     hub.join(reader)
     region = mirrors.Mirror(name="p", service="llm", model="m", generation=1)
-    region.lanes = {records.key_of("r1"): 0}
+    region.lanes = {row_codec.key_of("r1"): 0}
     chains = [rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
         actor.read(replica="r1", rows=chain)
@@ -479,7 +489,7 @@
 def crowd(count=40):
     host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
     host.sync(services=SERVICES, replicas=[{**replica(f"r{number}"), "berths": 10} for number in range(count)])
-    source, reader = wires.Wire(), wires.Wire()
+    source, reader = recording_connections.Wire(), recording_connections.Wire()
     host.subscribe(reader, region="north")
     host.subscribe(source, region="north")
     return host, source, reader
@@ -487,11 +497,15 @@
 
 def test_loads_are_told_a_bounded_number_at_a_time_those_that_moved_most_first_and_in_time_all():
     host, source, reader = crowd()
-    tell(host, source, *(wires.load_row(f"r{number}", running=1 + (number in (3, 30)) * 8) for number in range(40)))
+    tell(
+        host,
+        source,
+        *(recording_connections.load_row(f"r{number}", running=1 + (number in (3, 30)) * 8) for number in range(40)),
+    )
     host.tick()
-    first = wires.loads_of([message for message in reader.told if message[0] == "load"][-1])
+    first = recording_connections.loads_of([message for message in reader.told if message[0] == "load"][-1])
     assert len(first) == hosts.LEAST_ROWS
-    assert {records.key_of("r3"), records.key_of("r30")} <= first.keys()
+    assert {row_codec.key_of("r3"), row_codec.key_of("r30")} <= first.keys()
     for _ in range(4):
         host.tick()
     assert {load[0] for load in last_load(reader).values()} == {1, 9} and len(host.totals) == 40
@@ -500,11 +514,15 @@
 def test_a_small_move_is_told_in_time_however_much_others_move():
     host, source, reader = crowd()
     told_after = None
-    tell(host, source, wires.load_row("r39", running=1))
+    tell(host, source, recording_connections.load_row("r39", running=1))
     for step in range(1, 60):
-        tell(host, source, *(wires.load_row(f"r{number}", running=5 * (step % 2)) for number in range(39)))
+        tell(
+            host,
+            source,
+            *(recording_connections.load_row(f"r{number}", running=5 * (step % 2)) for number in range(39)),
+        )
         host.tick()
-        if told_after is None and records.key_of("r39") in last_load_since(reader):
+        if told_after is None and row_codec.key_of("r39") in last_load_since(reader):
             told_after = step
     assert told_after is not None and told_after <= 20
 
@@ -512,16 +530,18 @@
 def last_load_since(wire):
     loads = [message for message in wire.told if message[0] == "load"]
     wire.told.clear()
-    return wires.loads_of(loads[-1]) if loads else {}
+    return recording_connections.loads_of(loads[-1]) if loads else {}
 
 
 def test_a_subscriber_that_joins_while_rows_wait_stands_where_the_others_stand():
     host, source, reader = crowd()
-    tell(host, source, *(wires.load_row(f"r{number}", running=2) for number in range(40)))
+    tell(host, source, *(recording_connections.load_row(f"r{number}", running=2) for number in range(40)))
     host.tick()
-    late = wires.Wire()
+    late = recording_connections.Wire()
     host.subscribe(late, region="north")
-    tell(host, source, *(wires.load_row(f"r{number}", running=0) for number in range(40)))  # back before it was told
+    tell(
+        host, source, *(recording_connections.load_row(f"r{number}", running=0) for number in range(40))
+    )  # back before it was told
     for _ in range(6):
         host.tick()
     assert last_load(late) == last_load(reader) == {}
@@ -532,13 +552,17 @@
     host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
     host.sync(services=services, replicas=[replica("r1")])
     source = send(host)
-    reader = wires.Wire()
+    reader = recording_connections.Wire()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     feed(region, reader)
     names = [f"p{number}" for number in range(6000)]
     for start in range(0, len(names), 100):
-        tell(host, source, reads=[wires.read_row("r1", (name, 10)) for name in names[start : start + 100]])
+        tell(
+            host,
+            source,
+            reads=[recording_connections.read_row("r1", (name, 10)) for name in names[start : start + 100]],
+        )
         host.tick()
     pool = next(iter(host.registry.pools.values()))
     while pool.hubs[False].waiting():  # so many buckets at a time are told
@@ -556,55 +580,62 @@
 
 def test_a_digest_of_an_older_epoch_is_closed_and_its_part_is_withdrawn():
     host, _clock = make_host()
-    old, new, late = wires.Wire(), wires.Wire(), wires.Wire()
+    old, new, late = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
     host.subscribe(old, region="north", zone="za", zone_epoch=3)
-    tell(host, old, wires.load_row("r1", running=2))
+    tell(host, old, recording_connections.load_row("r1", running=2))
     host.subscribe(new, region="north", zone="za", zone_epoch=4)
     assert not old.is_open and new.is_open
     host.end(old)
-    tell(host, new, wires.load_row("r1", running=5))
+    tell(host, new, recording_connections.load_row("r1", running=5))
     host.subscribe(late, region="north", zone="za", zone_epoch=3)
     assert not late.is_open and late not in host.subscribers
-    assert host.totals[records.key_of("r1")] == [5, 0, 0]
+    assert host.totals[row_codec.key_of("r1")] == [5, 0, 0]
 
 
-@pytest.mark.parametrize("data", [b"x", b"x" * 22, wires.load_row("r1", running=1)[:-1]])
+@pytest.mark.parametrize("data", [b"x", b"x" * 22, recording_connections.load_row("r1", running=1)[:-1]])
 def test_malformed_sums_change_nothing(data):
     host, _clock = make_host()
-    wire = wires.Wire()
-    tell(host, wire, wires.load_row("r1", running=2, tokens=7))
+    wire = recording_connections.Wire()
+    tell(host, wire, recording_connections.load_row("r1", running=2, tokens=7))
     before = {key: list(total) for key, total in host.totals.items()}
     for loads, reads in (
         (data, b""),
-        (wires.load_row("r1", running=9), data),
-        (wires.load_row("r1", running=9), wires.read_row("r1", ("a", 1))[:-1]),
+        (recording_connections.load_row("r1", running=9), data),
+        (recording_connections.load_row("r1", running=9), recording_connections.read_row("r1", ("a", 1))[:-1]),
     ):
-        with pytest.raises(problems.FrameProblem):
+        with pytest.raises(errors.FrameProblem):
             host.take_sums(wire, ("sums", 2, loads, reads))
         assert host.totals == before and host.subscribers[wire].counted == 1
-    with pytest.raises(problems.FrameProblem):
-        host.take_sums(wire, wires.sums(1, loads=[wires.load_row("r1", running=9)]))  # told twice
+    with pytest.raises(errors.FrameProblem):
+        host.take_sums(
+            wire, recording_connections.sums(1, loads=[recording_connections.load_row("r1", running=9)])
+        )  # told twice
     assert host.totals == before
 
 
 def test_outcomes_over_all_callers_mark_a_replica_for_a_time_that_grows():
     host, clock = make_host()
-    reader, one, two = wires.Wire(), wires.Wire(), wires.Wire()
+    reader, one, two = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
     host.subscribe(reader, region="north")
     away = []
     for _round in range(3):
         for _step in range(3):  # each caller alone sees too little
-            tell(host, one, wires.load_row("r1", ended=2, failed=1), wires.load_row("r2", ended=9))
-            tell(host, two, wires.load_row("r1", ended=2, failed=1))
+            tell(
+                host,
+                one,
+                recording_connections.load_row("r1", ended=2, failed=1),
+                recording_connections.load_row("r2", ended=9),
+            )
+            tell(host, two, recording_connections.load_row("r1", ended=2, failed=1))
         host.tick()
         load = last_load(reader)
-        assert load[records.key_of("r1")][3] == 1 and records.key_of("r2") not in load
+        assert load[row_codec.key_of("r1")][3] == 1 and row_codec.key_of("r2") not in load
         began = clock[0]
         while True:
             clock[0] += 0.1
             host.tick()
             last = [message for message in reader.told if message[0] == "load"]
-            if last and wires.loads_of(last[-1]).get(records.key_of("r1")) == (0, 0, 0, 0):
+            if last and recording_connections.loads_of(last[-1]).get(row_codec.key_of("r1")) == (0, 0, 0, 0):
                 break
             assert clock[0] - began < 60
         away.append(clock[0] - began)
@@ -616,11 +647,16 @@
 
 def test_a_few_failures_or_a_small_share_of_them_mark_nobody():
     host, clock = make_host()
-    one = wires.Wire()
-    tell(host, one, wires.load_row("r1", ended=3, failed=3), wires.load_row("r2", ended=60, failed=6))
+    one = recording_connections.Wire()
+    tell(
+        host,
+        one,
+        recording_connections.load_row("r1", ended=3, failed=3),
+        recording_connections.load_row("r2", ended=60, failed=6),
+    )
     host.tick()
     assert not host._judge.failing
     clock[0] += 10.0  # what is past the window says nothing
-    tell(host, one, wires.load_row("r1", ended=2, failed=2))
+    tell(host, one, recording_connections.load_row("r1", ended=2, failed=2))
     host.tick()
     assert not host._judge.failing
--- a/pw/dat/filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -5,8 +5,8 @@
 
 import dataclasses
 
-from pw.dat import tenants
-from pw.dat.relay import ckf
+from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.relay import cuckoo_filter
 
 NOT_SERVING_PAUSE_S = 0.5  # until the client may come back while this proxy serves nothing yet
 AIM_PART = 0.25  # of the route's time, where it names no aim
@@ -61,12 +61,12 @@
     if senders is None or route.is_keyless:
         return None
     rows = [value for name, value in request.headers if name == b"authorization"]
-    key = tenants.key_of(rows[0]) if len(rows) == 1 else b""
+    key = tenant_admission.key_of(rows[0]) if len(rows) == 1 else b""
     sender = senders.find(key) if key else None
     verdict = proxy.trust.verdict(sender=sender, has_key=bool(key), age_s=proxy.configuration_age_s())
-    if verdict is tenants.Verdict.UNKNOWN:
+    if verdict is tenant_admission.Verdict.UNKNOWN:
         return Refused(status=401)
-    if verdict is tenants.Verdict.UNSURE:
+    if verdict is tenant_admission.Verdict.UNSURE:
         return Refused(status=503, after_s=proxy.reach_s)
     return sender
 
@@ -106,5 +106,5 @@
     if not lead or not is_sticky:
         return Prompt(tokens=tokens)
     parts = parse_parts(lead)
-    chain = ckf.chain(model=model_text, parts=parts)
+    chain = cuckoo_filter.chain(model=model_text, parts=parts)
     return Prompt(parts=parts, chain=chain, tokens=max(tokens, sum(count for _part, count in parts)))
--- a/pw/dat/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from pw.dat import outlet as outlets
+from ploverward.data_plane.upstream import upstream_connection
 
 NOT_PASSED_ON = frozenset(
     (
@@ -47,7 +47,7 @@
     return [
         (name, value)
         for name, value in headers
-        if name not in outlets.HOP_NAMES and not (has_chunks and name == b"content-length")
+        if name not in upstream_connection.HOP_NAMES and not (has_chunks and name == b"content-length")
     ]
 
 
@@ -57,7 +57,9 @@
     """The client's head as one replica gets it. `sender`: the tenant; `has_tenants`: whether there are any."""
     dropped = NOT_PASSED_ON | TENANT_NAMES if has_tenants else NOT_PASSED_ON
     headers = [
-        (name, value) for name, value in request.headers if name not in outlets.HOP_NAMES and name not in dropped
+        (name, value)
+        for name, value in request.headers
+        if name not in upstream_connection.HOP_NAMES and name not in dropped
     ]
     urgency = route.urgency
     if sender is not None:
--- a/pw/dat/passage.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -2,13 +2,13 @@
 
 import random
 
-from pw.base import inlet
-from pw.base import ring
-from pw.dat import attempts
-from pw.dat import custody
-from pw.dat import filters
-from pw.dat import streams
-from pw.dat.digest import source as sources
+from ploverward.transport import http_server
+from ploverward.common import event_log
+from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.requests import admission_filters
+from ploverward.data_plane.requests import event_streams
+from ploverward.data_plane.load_reports import report_source
 
 BUFFER_LIMIT = 512 * 1024
 LIMITED_STATUSES = (408, 421, 429, 503)
@@ -38,8 +38,8 @@
         self.is_counted = False  # against the tenant's quota
         self.permitted = None
         self.first_homes = ()
-        self.model = filters.NO_MODEL
-        self.prompt = filters.NO_PROMPT
+        self.model = admission_filters.NO_MODEL
+        self.prompt = admission_filters.NO_PROMPT
         self.deadline = 0.0
         self.aim_s = 0.0
         self.attempt = None
@@ -81,29 +81,33 @@
     def filter(self):
         """None, or why the request is refused before any replica is looked for."""
         if not self.proxy.is_serving:
-            return filters.Refused(status=503, after_s=filters.NOT_SERVING_PAUSE_S)
-        route = filters.find_route(request=self.request, routes=self.proxy.routes)
+            return admission_filters.Refused(status=503, after_s=admission_filters.NOT_SERVING_PAUSE_S)
+        route = admission_filters.find_route(request=self.request, routes=self.proxy.routes)
         if route is None:
-            return filters.Refused(status=404)
-        sender = filters.read_sender(request=self.request, route=route, proxy=self.proxy)
-        if isinstance(sender, filters.Refused):
+            return admission_filters.Refused(status=404)
+        sender = admission_filters.read_sender(request=self.request, route=route, proxy=self.proxy)
+        if isinstance(sender, admission_filters.Refused):
             return sender
         self.route = route
         self.sender = sender
         self.first_homes = tuple(sorted(self.proxy.permitted(route=route, first_homes=(), sender=sender) or ()))
         self.service = route.pick(random.random())
         self.resolve_model()
-        times = filters.read_times(request=self.request, route=route)
-        if isinstance(times, filters.Refused):
+        times = admission_filters.read_times(request=self.request, route=route)
+        if isinstance(times, admission_filters.Refused):
             return times
         self.deadline, self.aim_s = times.deadline, times.aim_s
         if self.loop.now() >= self.deadline:
-            return filters.Refused(status=503, after_s=LATE_PAUSE_S)  # read late, by a freeze or a slow client
+            return admission_filters.Refused(
+                status=503, after_s=LATE_PAUSE_S
+            )  # read late, by a freeze or a slow client
         if not self.proxy.leaving.may_take(deadline=self.deadline):
-            return filters.Refused(status=503, after_s=LEAVING_PAUSE_S)
+            return admission_filters.Refused(status=503, after_s=LEAVING_PAUSE_S)
         if not self.is_within_quota():
-            return filters.Refused(status=429, after_s=self.aim_s * COME_BACK_PART)
-        self.prompt = filters.read_prompt(request=self.request, model_text=self.model.text, is_sticky=route.is_sticky)
+            return admission_filters.Refused(status=429, after_s=self.aim_s * COME_BACK_PART)
+        self.prompt = admission_filters.read_prompt(
+            request=self.request, model_text=self.model.text, is_sticky=route.is_sticky
+        )
         return None
 
     def is_within_quota(self) -> bool:
@@ -114,7 +118,7 @@
         return self.is_counted
 
     def resolve_model(self) -> None:
-        self.model = filters.read_model(
+        self.model = admission_filters.read_model(
             text=self.request.text(b"x-model"), service=self.service, table=self.proxy.table
         )
 
@@ -155,13 +159,13 @@
 
     def follow_configuration(self) -> bool:
         """Whether a later turn may be, under the configuration now in force, and the stricter homes of both."""
-        route = filters.find_route(request=self.request, routes=self.proxy.routes)
+        route = admission_filters.find_route(request=self.request, routes=self.proxy.routes)
         if route is None or self.arrivals >= route.tries:
             return False
         if self.unclear and not route.is_repeatable:
             return False
-        sender = filters.read_sender(request=self.request, route=route, proxy=self.proxy)
-        if isinstance(sender, filters.Refused):
+        sender = admission_filters.read_sender(request=self.request, route=route, proxy=self.proxy)
+        if isinstance(sender, admission_filters.Refused):
             return False  # its key was taken away meanwhile
         self.sender = sender
         if not any(name == self.service for name, _share in route.portions):
@@ -213,7 +217,7 @@
         self.proxy.quota.note_send(replica=replica, service=self.proxy.table.services.get(self.service, {}))
         self.mark("send", replica.id, replica.zone, to_read, *self.proxy.chooser.load(replica))
         self.proxy.chooser.note_send(replica=replica, chain=self.prompt.chain)
-        self.proxy.tell_send(replica=replica, kind=sources.SENT)
+        self.proxy.tell_send(replica=replica, kind=report_source.SENT)
         if self.needs_adapter:
             attempt.arrival = self.proxy.adapters.begin(
                 replica=replica,
@@ -223,7 +227,7 @@
                 route=self.route.name,
                 target_s=self.route.target_s,
             )
-        attempt.row = custody.attempt_row(attempt=attempt, passage=self, proxy=self.proxy)
+        attempt.row = custody_trails.attempt_row(attempt=attempt, passage=self, proxy=self.proxy)
         self.custody.append(attempt.row)
         head = attempts.request_head(
             request=self.request,
@@ -260,7 +264,7 @@
             # Long reads make a busy replica silent too. A connection to it tells which it is.
             if attempt.replica.is_unproved and self.may_move(attempt):
                 self.mark("silent")
-                self.drop(attempt, kind=sources.BROKEN)
+                self.drop(attempt, kind=report_source.BROKEN)
                 self.after_loss(attempt)
                 return
             self.proxy.table.prove(replica=attempt.replica)
@@ -307,7 +311,7 @@
             self.arrivals += 1
         if attempt.outlet.is_unsent or attempt.is_known_not_run:
             self.unclear -= 1
-        if kind in (sources.FAILED, sources.BROKEN):
+        if kind in (report_source.FAILED, report_source.BROKEN):
             attempt.replica.note_failure(now=self.loop.now(), span=self.proxy.settings.bound_s(name="contactMs"))
         self.proxy.tell_send(replica=attempt.replica, kind=kind)
         self.loop.cancel(timer=self.watch_timer)
@@ -325,7 +329,7 @@
         if attempt.meaning is attempts.Meaning.NOT_RUN:
             return  # decided at its end
         if attempt.meaning is attempts.Meaning.SPOILED:
-            self.drop(attempt, kind=sources.BROKEN)
+            self.drop(attempt, kind=report_source.BROKEN)
             self.after_loss(attempt)
             return
         if attempt.meaning is attempts.Meaning.SUCCESS and self.has_head:
@@ -337,7 +341,7 @@
         if attempt.meaning is attempts.Meaning.SUCCESS and is_stream:
             self.kept_headers = [(name, value) for name, value in self.kept_headers if name != b"content-length"]
             if self.stream is None:
-                self.stream = streams.Stream(last_id=self.last_id)
+                self.stream = event_streams.Stream(last_id=self.last_id)
             self.stream.begin_run()
             return
         self.stream = None
@@ -376,7 +380,7 @@
         self.proxy.chooser.note_read(
             service=self.service, tokens=attempt.to_read, took_s=self.loop.now() - attempt.sent_at - way_s
         )
-        self.proxy.tell_send(replica=attempt.replica, kind=sources.READ)
+        self.proxy.tell_send(replica=attempt.replica, kind=report_source.READ)
         if self.prompt.parts:
             self.proxy.tell_read(
                 replica=attempt.replica,
@@ -395,7 +399,7 @@
     def pass_event(self, event: bytes) -> None:
         self.open_stream(status=200 if self.attempt is None else self.attempt.status)
         self.request.data(event)
-        if self.request.door.queued() > inlet.OUT_HIGH and self.attempt is not None:
+        if self.request.door.queued() > http_server.OUT_HIGH and self.attempt is not None:
             self.attempt.outlet.pause()
             self.request.on_drain = self.drained
 
@@ -408,7 +412,7 @@
     def take_end(self, attempt) -> None:
         if attempt.meaning is attempts.Meaning.NOT_RUN:
             attempt.is_known_not_run = True
-            self.end_attempt(attempt, kind=sources.DONE)
+            self.end_attempt(attempt, kind=report_source.DONE)
             self.after_not_run(attempt)
         elif self.stream is not None and attempt.meaning is attempts.Meaning.SUCCESS:
             self.end_stream(attempt)
@@ -417,7 +421,7 @@
 
     def end_stream(self, attempt) -> None:
         rest = self.stream.rest()
-        self.end_attempt(attempt, kind=sources.DONE)
+        self.end_attempt(attempt, kind=report_source.DONE)
         self.open_stream(status=attempt.status)
         if rest:
             self.request.data(rest)
@@ -427,7 +431,7 @@
     def end_answer(self, attempt) -> None:
         """A whole answer that is no stream, or a failure."""
         status = attempt.status
-        self.end_attempt(attempt, kind=sources.FAILED if status >= 500 else sources.DONE)
+        self.end_attempt(attempt, kind=report_source.FAILED if status >= 500 else report_source.DONE)
         if status >= 500 and self.may_repeat():
             self.after_loss(attempt)
             return
@@ -449,14 +453,14 @@
     def take_fail(self, attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
         self.mark("failed", reason)
         self.proxy.note_fault(replica=attempt.replica, reason=reason, was_up=was_up)
-        kind = sources.DONE
+        kind = report_source.DONE
         if not was_up:
-            kind = sources.BROKEN
+            kind = report_source.BROKEN
         elif self.is_stale(attempt):
             rested_s = attempt.sent_at - attempt.outlet.rested_at
             self.proxy.table.note_forgotten(replica=attempt.replica, rested_s=rested_s)
         elif was_sent:
-            kind = sources.FAILED
+            kind = report_source.FAILED
         self.end_attempt(attempt, kind=kind)
         if was_sent:
             self.after_loss(attempt)
@@ -526,7 +530,7 @@
         if self.is_over or (self.attempt is not None and not self.attempt.outlet.is_unsent):
             return
         if self.attempt is not None:
-            self.drop(self.attempt, kind=sources.DONE)
+            self.drop(self.attempt, kind=report_source.DONE)
         self.give_up()
 
     def out_of_time(self) -> None:
@@ -563,14 +567,14 @@
             return
         self.is_over = True
         if self.trail and self.route is not None and self.is_slow():
-            ring.note("slow request", route=self.route.name, trail=self.trail)
+            event_log.note("slow request", route=self.route.name, trail=self.trail)
         for timer in (self.retry_timer, self.watch_timer, self.limit_timer):
             self.loop.cancel(timer=timer)
         self.proxy.passages.discard(self)
         if self.is_counted and not self.unclear and not self.has_head and status in PROMISES:
             self.proxy.allowance.give_back(self.sender.key)
         if self.route is not None:
-            self.proxy.batches.add(custody.trail_of(passage=self, proxy=self.proxy, status=status))
+            self.proxy.batches.add(custody_trails.trail_of(passage=self, proxy=self.proxy, status=status))
 
     def is_slow(self) -> bool:
         reads = [row[0] for row in self.trail if row[1] == "read"]
@@ -579,7 +583,7 @@
     def silent_kind(self, attempt) -> int:
         """An attempt that was given up: the replica failed where it said nothing for longer than the aim."""
         quiet = self.loop.now() - max(attempt.sent_at, attempt.heard_at)
-        return sources.FAILED if not attempt.outlet.is_unsent and quiet > self.aim_s * 1.5 else sources.DONE
+        return report_source.FAILED if not attempt.outlet.is_unsent and quiet > self.aim_s * 1.5 else report_source.DONE
 
     def gone(self) -> None:
         """The client left."""
--- a/pw/dat/routes.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -1,6 +1,6 @@
 """Routes of the configuration in force: by host and longest prefix (design 7)."""
 
-from pw.dat import tenants
+from ploverward.data_plane.quotas import tenant_admission
 
 
 class Route:
@@ -35,7 +35,7 @@
 class Routes:
     def __init__(self, *, body=None):
         self.edition = body["edition"] if body else 0
-        self.senders = tenants.senders_of(body)  # None: nobody needs a key
+        self.senders = tenant_admission.senders_of(body)  # None: nobody needs a key
         self._hosts = {}
         for row in (body or {}).get("routes", ()):
             self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route(body=row)
--- a/pw/dat/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -1,9 +1,9 @@
 """Serving: listeners, readiness, what attempts tell of replicas, and leaving (design 7, 9)."""
 
-from pw.base import inlet
-from pw.base import ring
-from pw.dat import leaving as leavings
-from pw.dat import passage as passages
+from ploverward.transport import http_server
+from ploverward.common import event_log
+from ploverward.data_plane.requests import graceful_shutdown
+from ploverward.data_plane.requests import request_handler
 
 
 class ServeMixin:
@@ -13,7 +13,7 @@
         self.passages = set()
         self.has_ended = False
         self._number = 0
-        self.hall = inlet.Hall(
+        self.hall = http_server.Hall(
             loop=self.loop,
             address=self.settings.bindings["counter"],
             on_request=self._on_request,
@@ -23,11 +23,11 @@
             most_bytes=int(self.settings.memory_mb * 1024 * 1024 * 0.3),
         )
         if "readiness" in self.settings.bindings:
-            self.ready_hall = inlet.Hall(
+            self.ready_hall = http_server.Hall(
                 loop=self.loop,
                 address=self.settings.bindings["readiness"],
                 on_request=self._on_ready_request,
-                limits=lambda: inlet.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0),
+                limits=lambda: http_server.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0),
                 silence_s=self.contact_s,
                 most_doors=100,
             )
@@ -40,7 +40,7 @@
         if self.has_ended:
             request.reply(status=503)
             return
-        passage = passages.Passage(proxy=self, request=request)
+        passage = request_handler.Passage(proxy=self, request=request)
         self.passages.add(passage)
         passage.begin()
 
@@ -52,7 +52,7 @@
         self.table.suspect(replica)
 
     def note_fault(self, *, replica, reason: str, was_up: bool) -> None:
-        ring.note("attempt failed", replica=replica.id, reason=reason)
+        event_log.note("attempt failed", replica=replica.id, reason=reason)
         if not was_up:
             self.table.suspect(replica)
 
@@ -74,7 +74,7 @@
         self.hall.leave()
         grace_s = self.settings.bound(name="graceS")
         self.loop.after(delay=grace_s * 0.6, act=self._last_calls)
-        self.loop.after(delay=grace_s * leavings.END_SHARE, act=self._end)
+        self.loop.after(delay=grace_s * graceful_shutdown.END_SHARE, act=self._end)
 
     def _end(self) -> None:
         self.has_ended = True
--- a/pw/dat/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -11,18 +11,18 @@
 import h11
 import pytest
 
-from pw.base import inlet
-from pw.dat import attempts
-from pw.dat import outlet as outlets
-from pw.dat import passage as passages
-from pw.dat import routes
-from pw.dat import serving
-from pw.dat import streams
-from pw.sim import entry
-from pw.sim import loopback
+from ploverward.transport import http_server
+from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.upstream import upstream_connection
+from ploverward.data_plane.requests import request_handler
+from ploverward.data_plane.requests import route_table
+from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import event_streams
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
 
 PROMISES = (408, 421, 429, 503)
-TRIES = {row["name"]: row["tries"] for row in entry.CONFIGURATION["routes"]}
+TRIES = {row["name"]: row["tries"] for row in loopback_proxy.CONFIGURATION["routes"]}
 REPEATABLE = ("safe", "resume")
 STREAMS = ("once", "resume")
 EVENTS = 5
@@ -419,7 +419,7 @@
         self.replicas = [
             Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}") for number in range(3)
         ]
-        self.entry = entry.Entry(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
+        self.entry = loopback_proxy.Entry(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
         self.users = []
         self.number = 0
 
@@ -545,21 +545,23 @@
 
 
 def _repeats_everything(monkeypatch):
-    begin = routes.Route.__init__
+    begin = route_table.Route.__init__
 
     def begin_repeatable(self, **about):
         begin(self, **about)
         self.is_repeatable = True
 
-    monkeypatch.setattr(routes.Route, "__init__", begin_repeatable)
+    monkeypatch.setattr(route_table.Route, "__init__", begin_repeatable)
 
 
 def _pairs_by_place(monkeypatch):
-    monkeypatch.setattr(outlets.Outlet, "_is_ours", lambda self, *, status, told: True)
+    monkeypatch.setattr(upstream_connection.Outlet, "_is_ours", lambda self, *, status, told: True)
 
 
 def _promises_always(monkeypatch):
-    monkeypatch.setattr(passages.Passage, "unclear", property(lambda self: 0, lambda self, _value: None), raising=False)
+    monkeypatch.setattr(
+        request_handler.Passage, "unclear", property(lambda self: 0, lambda self, _value: None), raising=False
+    )
 
 
 def _takes_any_success(monkeypatch):
@@ -574,25 +576,25 @@
 
 def _passes_events_twice(monkeypatch):
     def is_new(self, event):
-        self.last_id = streams.event_id(event)
+        self.last_id = event_streams.event_id(event)
         return True
 
-    monkeypatch.setattr(streams.Stream, "_is_new", is_new)
+    monkeypatch.setattr(event_streams.Stream, "_is_new", is_new)
 
 
 def _ends_in_order(monkeypatch):
-    monkeypatch.setattr(inlet.Request, "abort", inlet.Request.end)
+    monkeypatch.setattr(http_server.Request, "abort", http_server.Request.end)
 
 
 def _ignores_tries(monkeypatch):
-    monkeypatch.setattr(passages.Passage, "may_try_again", lambda self: True)
+    monkeypatch.setattr(request_handler.Passage, "may_try_again", lambda self: True)
     monkeypatch.setattr(
-        passages.Passage, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
+        request_handler.Passage, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
     )
 
 
 def _keeps_what_came_behind(monkeypatch):
-    monkeypatch.setattr(outlets.Outlet, "_is_ours", lambda self, *, status, told: told != b"elsewhere")
+    monkeypatch.setattr(upstream_connection.Outlet, "_is_ours", lambda self, *, status, told: told != b"elsewhere")
 
 
 @pytest.mark.parametrize(
--- a/pw/dat/test_way.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pw.sim import entry
-from pw.sim import loopback
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
 
 
 def request_id(heard: bytes, nth: int = -1) -> bytes:
@@ -40,7 +40,7 @@
         self.loop = loopback.new_loop(faults=faults)
         self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
-        self.entry = entry.Entry(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
+        self.entry = loopback_proxy.Entry(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
         self.client = loopback.Client(loop=self.loop, address=self.entry.address)
         self.number = 0
 
--- a/pw/dat/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -5,22 +5,26 @@
 
 import pytest
 
-from pw.dat import outlet as outlets
-from pw.dat import replicas
-from pw.dat import serving
-from pw.dat import streams
-from pw.dat import test_way
-from pw.dat.digest import source as sources
-from pw.sim import entry
-from pw.sim import loopback
-
-END = test_way.END
+from ploverward.data_plane.upstream import upstream_connection
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import event_streams
+from ploverward.data_plane.requests import test_request_path
+from ploverward.data_plane.load_reports import report_source
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
+
+END = test_request_path.END
 NOT_RUN = b"X-Not-Run: 1\r\n"
 
 
 def answering(body=b"ok", **about):
     def script(number, heard):
-        return [test_way.answer(test_way.request_id(heard), body, **about)] if test_way.is_whole(heard) else None
+        return (
+            [test_request_path.answer(test_request_path.request_id(heard), body, **about)]
+            if test_request_path.is_whole(heard)
+            else None
+        )
 
     return script
 
@@ -35,7 +39,9 @@
 
 # What a replica may do with a request: script, and whether it promises that the request was not run.
 def _whole(make):
-    return lambda number, heard: make(test_way.request_id(heard)) if test_way.is_whole(heard) else None
+    return lambda number, heard: (
+        make(test_request_path.request_id(heard)) if test_request_path.is_whole(heard) else None
+    )
 
 
 BEHAVIOURS = {
@@ -43,29 +49,35 @@
     "resets when it has the request": _whole(lambda which: ["reset"]),
     "closes in the middle of the request": lambda number, heard: ["close"],
     "resets in the middle of the request": lambda number, heard: ["reset"],
-    "closes in the middle of the head": _whole(lambda which: [test_way.answer(which)[:30], "close"]),
-    "closes in the middle of the body": _whole(lambda which: [test_way.answer(which, b"long body")[:-4], "close"]),
-    "resets in the middle of the body": _whole(lambda which: [test_way.answer(which, b"long body")[:-4], "reset"]),
-    "answers for another request": _whole(lambda which: [test_way.answer(b"other")]),
-    "answers for others again and again": _whole(lambda which: [test_way.answer(b"other") * 4]),
+    "closes in the middle of the head": _whole(lambda which: [test_request_path.answer(which)[:30], "close"]),
+    "closes in the middle of the body": _whole(
+        lambda which: [test_request_path.answer(which, b"long body")[:-4], "close"]
+    ),
+    "resets in the middle of the body": _whole(
+        lambda which: [test_request_path.answer(which, b"long body")[:-4], "reset"]
+    ),
+    "answers for another request": _whole(lambda which: [test_request_path.answer(b"other")]),
+    "answers for others again and again": _whole(lambda which: [test_request_path.answer(b"other") * 4]),
     "promises for another request": _whole(
-        lambda which: [test_way.answer(b"other", status=b"503 Full", more=NOT_RUN), "close"]
+        lambda which: [test_request_path.answer(b"other", status=b"503 Full", more=NOT_RUN), "close"]
     ),
     "answers without an id": _whole(lambda which: [b"HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok"]),
     "answers nothing that is HTTP": _whole(lambda which: [b"\x00\x01\x02 what\r\n\r\n"]),
-    "answers without its stamp": _whole(lambda which: [test_way.answer(which, more=b"")]),
+    "answers without its stamp": _whole(lambda which: [test_request_path.answer(which, more=b"")]),
     "answers an encoded body": _whole(
-        lambda which: [test_way.answer(which, more=b"X-Postmark: p\r\nContent-Encoding: gzip\r\n")]
+        lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\nContent-Encoding: gzip\r\n")]
     ),
     "answers without a length": _whole(
         lambda which: [b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\n\r\nok" % which, "close"]
     ),
     "answers two lengths": _whole(
-        lambda which: [test_way.answer(which, more=b"X-Postmark: p\r\nContent-Length: 1\r\n")]
+        lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\nContent-Length: 1\r\n")]
     ),
     "answers a length and chunks": _whole(
         lambda which: [
-            test_way.answer(which, b"2\r\nok\r\n0\r\n\r\n", more=b"X-Postmark: p\r\nTransfer-Encoding: chunked\r\n")
+            test_request_path.answer(
+                which, b"2\r\nok\r\n0\r\n\r\n", more=b"X-Postmark: p\r\nTransfer-Encoding: chunked\r\n"
+            )
         ]
     ),
     "answers a bad chunk": _whole(
@@ -74,14 +86,18 @@
             % which
         ]
     ),
-    "says 503 without a promise": _whole(lambda which: [test_way.answer(which, status=b"503 Full", more=b"")]),
-    "says 429 without a promise": _whole(lambda which: [test_way.answer(which, status=b"429 Slow", more=b"")]),
-    "says 408 without a promise": _whole(lambda which: [test_way.answer(which, status=b"408 Late", more=b"")]),
+    "says 503 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"503 Full", more=b"")]),
+    "says 429 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"429 Slow", more=b"")]),
+    "says 408 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"408 Late", more=b"")]),
     "promises and breaks off": _whole(
-        lambda which: [test_way.answer(which, b"long", status=b"503 Full", more=NOT_RUN)[:-2], "close"]
+        lambda which: [test_request_path.answer(which, b"long", status=b"503 Full", more=NOT_RUN)[:-2], "close"]
+    ),
+    "says success and not run": _whole(
+        lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\n" + NOT_RUN)]
+    ),
+    "says elsewhere and not run": _whole(
+        lambda which: [test_request_path.answer(which, status=b"307 There", more=NOT_RUN)]
     ),
-    "says success and not run": _whole(lambda which: [test_way.answer(which, more=b"X-Postmark: p\r\n" + NOT_RUN)]),
-    "says elsewhere and not run": _whole(lambda which: [test_way.answer(which, status=b"307 There", more=NOT_RUN)]),
     "is silent": lambda number, heard: None,
 }
 
@@ -97,7 +113,7 @@
             return answering()(number, heard)
         return BEHAVIOURS[name](number, heard)
 
-    scene = test_way.Scene(script, test_way.replying)
+    scene = test_request_path.Scene(script, test_request_path.replying)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
     if is_reused:
         scene.request("unsafe")
@@ -118,7 +134,7 @@
 
 @pytest.mark.parametrize("name", [name for name in BEHAVIOURS if name not in SILENT])
 def test_what_may_be_repeated_is_answered_by_another_replica_once(name):
-    scene = test_way.Scene(BEHAVIOURS[name], answering(b"second"))
+    scene = test_request_path.Scene(BEHAVIOURS[name], answering(b"second"))
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("safe", left_ms=1000)
     assert settled(scene)
@@ -131,7 +147,7 @@
 @pytest.mark.parametrize("status", [b"503 Full", b"429 Slow", b"408 Late", b"421 Another", b"400 No"])
 @pytest.mark.parametrize("lead", ["once", "unsafe"])
 def test_a_promise_of_the_replica_is_passed_on_as_one(status, lead):
-    scene = test_way.Scene(answering(b"", status=status, more=NOT_RUN))
+    scene = test_request_path.Scene(answering(b"", status=status, more=NOT_RUN))
     scene.request(lead, left_ms=300)
     assert settled(scene)
     assert statuses(scene.client) == [503] and scene.arrivals() == 1
@@ -139,10 +155,10 @@
 
 def test_a_failure_of_a_resumed_run_leaves_no_byte_in_the_stream():
     def cutting(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1), "close"]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1), "close"]
 
     failing = answering(b"a failure's own text", status=b"500 Broken")
-    scene = test_way.Scene(cutting, failing)
+    scene = test_request_path.Scene(cutting, failing)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -152,13 +168,13 @@
 
 def test_a_resumed_run_that_fails_leaves_the_stream_to_a_third_replica():
     def cutting(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1), "close"]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1), "close"]
 
     def going_on(number, heard):
         assert b"Last-Event-Id: 1" in heard
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(2) + END]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(2) + END]
 
-    scene = test_way.Scene(cutting, answering(b"text", status=b"500 Broken"), going_on, zones=["zb"] * 3)
+    scene = test_request_path.Scene(cutting, answering(b"text", status=b"500 Broken"), going_on, zones=["zb"] * 3)
     table = scene.entry.table.replicas
     table["i1"].running, table["i2"].running = 4, 8
     scene.request("home")  # three tries
@@ -169,20 +185,20 @@
 
 def test_a_replica_that_wakes_after_its_stream_was_moved_is_not_heard():
     def waking(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1)]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1)]
 
     def going_on(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(2)]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(2)]
 
-    scene = test_way.Scene(waking, going_on)
+    scene = test_request_path.Scene(waking, going_on)
     table = scene.entry.table.replicas
     table["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
     table["i0"].is_suspect = table["i0"].is_unproved = True
     assert scene.until(b"data: t2")  # silence moved it
-    scene.peers[0].act(0, [test_way.event(2) + test_way.event(3) + END])
-    scene.peers[1].act(0, [test_way.event(3) + END])
+    scene.peers[0].act(0, [test_request_path.event(2) + test_request_path.event(3) + END])
+    scene.peers[1].act(0, [test_request_path.event(3) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
@@ -191,9 +207,9 @@
     """A stream whose replica falls silent after its first event, with its connection up."""
 
     def pausing(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1)]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1)]
 
-    scene = test_way.Scene(pausing, pausing, zones=zones)
+    scene = test_request_path.Scene(pausing, pausing, zones=zones)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
@@ -209,7 +225,7 @@
     scene.entry.table.prove = lambda *, replica: looked.append(replica.id)
     assert loopback.until(scene.loop, lambda: len(looked) >= 4)  # looked at again and again, and not left
     scene.entry.table.prove = prove
-    scene.peers[0].act(0, [test_way.event(2) + END])
+    scene.peers[0].act(0, [test_request_path.event(2) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
 
@@ -218,7 +234,7 @@
     scene, replica = silent_in_a_stream(zones=["za", "za"])
     replica.is_suspect = True  # others of its zone did not come up; this one does
     assert loopback.until(scene.loop, lambda: not replica.is_suspect)
-    scene.peers[0].act(0, [test_way.event(2) + END])
+    scene.peers[0].act(0, [test_request_path.event(2) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
 
@@ -226,14 +242,14 @@
 @pytest.mark.parametrize("change", [{"kind": "retry_unsafe"}, {"tries": 1}])
 def test_a_configuration_that_forbids_a_second_attempt_binds_one_that_is_under_way(change):
     def script(number, heard):
-        body = dict(entry.CONFIGURATION, edition=4)
+        body = dict(loopback_proxy.CONFIGURATION, edition=4)
         body["routes"] = [
-            dict(row, **(change if row["name"] == "safe" else {})) for row in entry.CONFIGURATION["routes"]
+            dict(row, **(change if row["name"] == "safe" else {})) for row in loopback_proxy.CONFIGURATION["routes"]
         ]
         scene.entry.configure(body)
         return ["close"]
 
-    scene = test_way.Scene(script, test_way.replying)
+    scene = test_request_path.Scene(script, test_request_path.replying)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert settled(scene)
@@ -246,10 +262,10 @@
     def script(number, heard):
         ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
         if len(ids) == 2:
-            return [test_way.answer(ids[0], b"first") + test_way.answer(ids[1], b"second")]
-        return [test_way.answer(ids[0], b"first" if number == 0 else b"second")]
+            return [test_request_path.answer(ids[0], b"first") + test_request_path.answer(ids[1], b"second")]
+        return [test_request_path.answer(ids[0], b"first" if number == 0 else b"second")]
 
-    scene = test_way.Scene(script)
+    scene = test_request_path.Scene(script)
     scene.request("unsafe")
     assert scene.until(b"first")
     scene.client.got = b""
@@ -262,7 +278,7 @@
 @pytest.mark.parametrize("end", [False, True])
 def test_an_idle_connection_that_ended_unseen_is_not_used(end):
     """Both the end of the connection and the next request wait when the loop looks."""
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -276,7 +292,7 @@
 
 
 def test_after_a_freeze_no_idle_connection_is_used_and_no_late_request_is_sent():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -299,7 +315,7 @@
         is_rested = heard.lower().count(b"x-attempt-id") > 1
         return ["reset"] if is_rested else answering()(number, heard)
 
-    scene = test_way.Scene(script)
+    scene = test_request_path.Scene(script)
     told = []
     for _ in range(5):
         scene.client.got = b""
@@ -313,7 +329,7 @@
 
 
 def test_an_answer_that_came_during_a_freeze_past_its_deadline_is_no_promise():
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=500)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.loop.skip(seconds=20.0)
@@ -322,10 +338,10 @@
 
 
 def test_an_answer_after_the_deadline_reaches_nobody():
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=300)
     assert settled(scene)
-    scene.peers[0].act(0, [test_way.answer(b"a1", b"late")])
+    scene.peers[0].act(0, [test_request_path.answer(b"a1", b"late")])
     scene.peers[0].script = answering(b"own")
     scene.request("unsafe")
     assert scene.until(b"own")
@@ -335,7 +351,7 @@
 
 @pytest.mark.parametrize("others", [0, 1])
 def test_a_connection_that_does_not_come_up_carried_nothing(others):
-    scene = test_way.Scene(test_way.replying, *[test_way.replying] * others)
+    scene = test_request_path.Scene(test_request_path.replying, *[test_request_path.replying] * others)
     for place in range(others):
         scene.entry.table.replicas[f"i{place + 1}"].away_until = scene.loop.now() + 1000.0
     scene.loop.unwatch(sock=scene.peers[0].sock)
@@ -353,13 +369,16 @@
         raise RuntimeError("planted")
 
     faults = []
-    scene = test_way.Scene(
-        lambda number, heard: [test_way.head(test_way.request_id(heard)) + test_way.event(1)], faults=faults
+    scene = test_request_path.Scene(
+        lambda number, heard: [
+            test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1)
+        ],
+        faults=faults,
     )
     if where == "first event":
         monkeypatch.setattr(scene.entry.chooser, "note_read", broken)
     else:
-        monkeypatch.setattr(outlets.Outlet, "_ended", broken)
+        monkeypatch.setattr(upstream_connection.Outlet, "_ended", broken)
         scene.peers[0].script = answering()
     scene.request("once", left_ms=300)
     assert settled(scene)
@@ -368,7 +387,7 @@
 
 def test_a_fault_of_our_own_between_two_attempts_is_no_promise():
     faults = []
-    scene = test_way.Scene(lambda number, heard: ["close"], faults=faults)
+    scene = test_request_path.Scene(lambda number, heard: ["close"], faults=faults)
 
     def broken(**_about):
         raise RuntimeError("planted")
@@ -381,10 +400,10 @@
 
 def test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise():
     faults = []
-    scene = test_way.Scene(lambda number, heard: ["close"], faults=faults)
+    scene = test_request_path.Scene(lambda number, heard: ["close"], faults=faults)
 
     def broken(*, kind, **_about):
-        if kind != sources.SENT:
+        if kind != report_source.SENT:
             raise RuntimeError("planted")
 
     scene.entry.tell_send = broken
@@ -396,28 +415,31 @@
 def test_a_fault_of_our_own_in_the_middle_of_a_stream_leaves_no_gap(monkeypatch):
     """What the broken step held is lost, so nothing may follow it."""
     faults = []
-    scene = test_way.Scene(
-        lambda number, heard: [test_way.head(test_way.request_id(heard)) + test_way.event(1)], faults=faults
+    scene = test_request_path.Scene(
+        lambda number, heard: [
+            test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1)
+        ],
+        faults=faults,
     )
     scene.request("once")
     assert scene.until(b"data: t1")
-    take = streams.Stream.take
+    take = event_streams.Stream.take
 
     def broken_once(self, data):
-        monkeypatch.setattr(streams.Stream, "take", take)
+        monkeypatch.setattr(event_streams.Stream, "take", take)
         raise RuntimeError("planted")
 
-    monkeypatch.setattr(streams.Stream, "take", broken_once)
-    scene.peers[0].act(0, [test_way.event(2)])
+    monkeypatch.setattr(event_streams.Stream, "take", broken_once)
+    scene.peers[0].act(0, [test_request_path.event(2)])
     assert loopback.until(scene.loop, lambda: faults)
-    scene.peers[0].act(0, [test_way.event(3) + END])
+    scene.peers[0].act(0, [test_request_path.event(3) + END])
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t3" not in scene.client.got and not scene.client.got.endswith(END)
 
 
 def test_a_fault_of_our_own_before_a_send_ends_the_connection():
     faults = []
-    scene = test_way.Scene(test_way.replying, faults=faults)
+    scene = test_request_path.Scene(test_request_path.replying, faults=faults)
 
     def broken(**_about):
         raise RuntimeError("planted")
@@ -432,12 +454,17 @@
     """It may run again, but a new run need not go on where the first one ended."""
 
     def cutting(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1), "close"]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1), "close"]
 
     def anew(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1) + test_way.event(2) + END]
+        return [
+            test_request_path.head(test_request_path.request_id(heard))
+            + test_request_path.event(1)
+            + test_request_path.event(2)
+            + END
+        ]
 
-    scene = test_way.Scene(cutting, anew)
+    scene = test_request_path.Scene(cutting, anew)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -448,9 +475,12 @@
     def cutting(number, heard):
         text = b"data: nameless\n\n"
         nameless = b"%x\r\n%s\r\n" % (len(text), text)
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1) + nameless, "close"]
+        return [
+            test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1) + nameless,
+            "close",
+        ]
 
-    scene = test_way.Scene(cutting, test_way.replying)
+    scene = test_request_path.Scene(cutting, test_request_path.replying)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -463,22 +493,23 @@
     def script(number, heard):
         return [
             b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 600000\r\n"
-            b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (test_way.request_id(heard), len(body), body)
+            b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
+            % (test_request_path.request_id(heard), len(body), body)
         ]
 
-    scene = test_way.Scene(script)
+    scene = test_request_path.Scene(script)
     scene.request("unsafe")
     assert settled(scene)
     assert statuses(scene.client) == [502]
 
 
 def test_each_request_leaves_one_trail_though_the_client_leaves_at_its_end():
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     passage = next(iter(scene.entry.passages))
     passage.request.door._write = lambda data: passage.request.door._gone()
-    scene.peers[0].act(0, [test_way.head(test_way.request_id(scene.peers[0].heard[0])) + END])
+    scene.peers[0].act(0, [test_request_path.head(test_request_path.request_id(scene.peers[0].heard[0])) + END])
     assert loopback.until(scene.loop, lambda: not scene.entry.passages)
     scene.loop.step()
     assert len(scene.entry.trails()) == 1
@@ -488,9 +519,9 @@
 def test_requests_sent_ahead_are_answered_in_order_each_with_its_own():
     def script(number, heard):
         ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
-        return [test_way.answer(ids[-1], b"body of " + ids[-1])] if test_way.is_whole(heard) else None
+        return [test_request_path.answer(ids[-1], b"body of " + ids[-1])] if test_request_path.is_whole(heard) else None
 
-    scene = test_way.Scene(script)
+    scene = test_request_path.Scene(script)
     for lead in ("unsafe", "safe", "once", "unsafe"):
         scene.request(lead)
     assert scene.until(b"body of a4") or scene.until(b"a4")
@@ -498,7 +529,7 @@
 
 
 def test_what_is_sent_ahead_is_bounded():
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     for _ in range(40):
@@ -514,7 +545,7 @@
 
 
 def test_a_request_that_is_over_cannot_touch_the_next_one_on_its_connection():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.entry.passages)
     first = next(iter(scene.entry.passages)).request
@@ -531,7 +562,7 @@
 
 
 def test_expect_100_continue_is_answered_here_and_not_passed_on():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
     )
@@ -544,9 +575,12 @@
 
 def test_informational_answers_of_a_replica_are_not_taken_for_the_answer():
     def script(number, heard):
-        return [b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3 + test_way.answer(test_way.request_id(heard))]
+        return [
+            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
+            + test_request_path.answer(test_request_path.request_id(heard))
+        ]
 
-    scene = test_way.Scene(script)
+    scene = test_request_path.Scene(script)
     scene.request("unsafe")
     assert settled(scene)
     assert statuses(scene.client) == [200]
@@ -572,20 +606,20 @@
 
 def in_part(scene, monkeypatch, *, most):
     """Connections to replicas take only so many bytes of a request."""
-    open_ = replicas.Table._open
+    open_ = replica_table.Table._open
 
     def opened(table, replica):
         outlet = open_(table, replica)
         outlet.sock = SlowSocket(outlet.sock, most=most)
         return outlet
 
-    monkeypatch.setattr(replicas.Table, "_open", opened)
+    monkeypatch.setattr(replica_table.Table, "_open", opened)
 
 
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
-    scene = test_way.Scene(lambda number, heard: [end], test_way.replying)
+    scene = test_request_path.Scene(lambda number, heard: [end], test_request_path.replying)
     scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
     in_part(scene, monkeypatch, most=1)
     scene.request(lead)
@@ -595,7 +629,7 @@
 
 
 def test_no_byte_that_left_is_a_request_that_has_not_run(monkeypatch):
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     in_part(scene, monkeypatch, most=0)
     scene.request("once", left_ms=200)
     assert settled(scene)
@@ -604,11 +638,14 @@
 
 @pytest.mark.parametrize(
     "early, told",
-    [(test_way.answer(b"a1", b"early"), [200]), (test_way.answer(b"a1", status=b"503 Full", more=NOT_RUN), [503])],
+    [
+        (test_request_path.answer(b"a1", b"early"), [200]),
+        (test_request_path.answer(b"a1", status=b"503 Full", more=NOT_RUN), [503]),
+    ],
 )
 def test_an_early_answer_stands_and_its_connection_ends(early, told, monkeypatch):
     """The replica answers when it has a part; the rest of the request never leaves."""
-    scene = test_way.Scene(lambda number, heard: [early])
+    scene = test_request_path.Scene(lambda number, heard: [early])
     in_part(scene, monkeypatch, most=100)
     scene.request("once" if told == [503] else "unsafe")
     assert settled(scene)
@@ -617,24 +654,24 @@
 
 
 def test_an_answer_before_its_request_is_nobodys(monkeypatch):
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     in_part(scene, monkeypatch, most=0)
     scene.request("once", left_ms=1000)
     assert loopback.until(scene.loop, lambda: scene.peers[0].socks)
-    scene.peers[0].act(0, [test_way.answer(b"a1", b"early")])
+    scene.peers[0].act(0, [test_request_path.answer(b"a1", b"early")])
     assert settled(scene)
     assert statuses(scene.client) == [503]
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
 def test_a_client_that_leaves_takes_its_attempt_along_and_comes_back_as_another(is_reset):
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.leave(is_reset=is_reset)
     assert loopback.until(scene.loop, lambda: not scene.entry.passages and not scene.peers[0].socks)
     scene.client = loopback.Client(loop=scene.loop, address=scene.entry.address)
-    scene.peers[0].script = test_way.replying
+    scene.peers[0].script = test_request_path.replying
     scene.request("once")
     assert scene.until(b"0\r\n\r\n")
     assert statuses(scene.client) == [200]
@@ -642,7 +679,7 @@
 
 def test_a_client_that_closes_its_half_is_taken_to_have_left():
     """The protocol's clients keep both halves open; one that closes its own can't be told from one that is gone."""
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.sock.shutdown(socket.SHUT_WR)
@@ -652,7 +689,7 @@
 
 @pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
 def test_an_upgrade_is_not_passed_on_and_the_answer_is_a_plain_one(more):
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("unsafe", more=more)
     assert scene.until(b"\r\n\r\nok")
     assert b"pgrade" not in scene.peers[0].heard[0]
@@ -676,7 +713,7 @@
 )
 def test_no_request_is_smuggled_inside_another(head):
     """A doubtful length ends the connection: what stands behind it is never read as a request."""
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s" % (head, inner)
@@ -687,7 +724,9 @@
 
 def test_a_body_that_looks_like_a_request_stays_a_body():
     inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
-    scene = test_way.Scene(lambda number, heard: [test_way.answer(b"outer")] if heard.endswith(inner) else None)
+    scene = test_request_path.Scene(
+        lambda number, heard: [test_request_path.answer(b"outer")] if heard.endswith(inner) else None
+    )
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner), inner)
@@ -700,9 +739,9 @@
 
 def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks():
     def cutting(number, heard):
-        return [test_way.head(test_way.request_id(heard)) + test_way.event(1), "close"]
+        return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1), "close"]
 
-    scene = test_way.Scene(cutting)
+    scene = test_request_path.Scene(cutting)
     scene.client.send(b"GET /once/x HTTP/1.0\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.client.is_reset
@@ -710,7 +749,7 @@
 
 @pytest.mark.parametrize("by", ["leaving", "idle time"])
 def test_a_request_that_waits_on_a_rested_connection_is_not_thrown_away_with_it(by):
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -726,7 +765,7 @@
 
 
 def test_rested_connections_are_closed_when_leaving():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.entry.hall.leave()
@@ -735,7 +774,7 @@
 
 
 def test_at_the_end_of_leaving_who_waits_is_told_that_it_has_not_run_and_who_was_sent_is_not():
-    scene = test_way.Scene(lambda number, heard: None)
+    scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     waiting = loopback.Client(loop=scene.loop, address=scene.entry.address)
@@ -748,7 +787,7 @@
 
 
 def test_a_request_that_comes_once_the_end_of_leaving_began_is_refused():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     scene.entry.has_ended = True
     scene.entry.hall._on_request = lambda request: serving.ServeMixin._on_request(scene.entry, request)
     scene.request("unsafe")
@@ -766,7 +805,7 @@
 @pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
 def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_cut(since_s, is_taken):
     """graceS is 8, the stream's time 5 s. One that was begun 5.1 s after SIGTERM was cut at 7.5 s by a bbs-ploverward day."""
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     leave(scene, since_s=since_s)
     scene.request("once", left_ms=5000)
     assert settled(scene)
@@ -779,7 +818,7 @@
 
 
 def test_long_after_sigterm_what_ends_in_time_is_still_taken():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     leave(scene, since_s=4.0)
     scene.request("safe", left_ms=3000)
     assert scene.until(b"\r\n\r\nok")
@@ -787,7 +826,7 @@
 
 
 def test_a_second_sigterm_gives_no_more_time():
-    scene = test_way.Scene(test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying)
     leave(scene, since_s=4.0)
     scene.entry.leaving.begin()
     scene.request("once", left_ms=5000)
--- a/pw/dat/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from pw.ctl.custody import audit as audits
-from pw.dat import mirror
-from pw.dat.relay import host as hosts
-from pw.sim import entry
-from pw.sim import loopback
-from pw.sim import wires
+from ploverward.control_plane.audit import trail_audit
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.relay import host
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import loopback
+from ploverward.simulation import recording_connections
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
@@ -32,7 +32,7 @@
             region = mirror.Region(now=scene.loop.now, trust_s=4.0)
             scene.chooser._regions = {"south": region}
             scene.tell_read = self.read
-            self.views.append((wires.Wire(), region))
+            self.views.append((recording_connections.Wire(), region))
         self.fail_over()
 
     def fail_over(self):
@@ -40,7 +40,7 @@
         for wire, region in self.views:
             region.fail()
             wire.told.clear()
-        self.host = hosts.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspect_s=1.0)
+        self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspect_s=1.0)
         self.host.sync(
             services={"llm": {"models": ("m",), "cache_tokens": 1000}},
             replicas=[
@@ -48,10 +48,12 @@
                 for row in self.scenes[0].rows
             ],
         )
-        self.digest = wires.Wire()
+        self.digest = recording_connections.Wire()
         self.number = 1
         self.host.subscribe(self.digest, region="south")
-        self.host.take_sums(self.digest, wires.sums(1, loads=[wires.load_row("i2", ended=1)]))
+        self.host.take_sums(
+            self.digest, recording_connections.sums(1, loads=[recording_connections.load_row("i2", ended=1)])
+        )
         for wire, _region in self.views:
             self.host.subscribe(wire, region="south")
 
@@ -60,7 +62,9 @@
         self.number += 1
         self.host.take_sums(
             self.digest,
-            wires.sums(self.number, reads=[wires.read_row(replica.id, *parts, service=service, model=model)]),
+            recording_connections.sums(
+                self.number, reads=[recording_connections.read_row(replica.id, *parts, service=service, model=model)]
+            ),
         )
 
     def tell(self):
@@ -102,10 +106,10 @@
     zones = ["za", "za", "zb", "zb", "zc"]
     peers = [loopback.Peer(loop=loop, script=script_of(zone)) for zone in zones]
     scenes = [
-        entry.Entry(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
+        loopback_proxy.Entry(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
     ]  # two entry proxies
     relay = Relay(scenes=scenes)
-    configuration = copy.deepcopy(entry.CONFIGURATION)
+    configuration = copy.deepcopy(loopback_proxy.CONFIGURATION)
     home = next(route for route in configuration["routes"] if route["name"] == "home")
     bound = {}  # request id: the regions that every configuration around it permits
     homes = ("south",)
@@ -174,7 +178,7 @@
             assert which not in bound or ZONES[zone] in bound[which], (which, zone, bound[which])
 
     trails = [trail for scene in scenes for trail in scene.trails()]
-    assert audits.summary(trails=trails, coverage=[], zones=ZONES)["outside"] == []
+    assert trail_audit.summary(trails=trails, coverage=[], zones=ZONES)["outside"] == []
     told = {
         trail["id"].encode(): {
             (attempt["replica"], attempt["zone"]) for attempt in trail["goes"] if attempt["end"] != "not sent"
@@ -191,4 +195,4 @@
     next(attempt for attempt in planted["goes"] if attempt["end"] != "not sent")["zone"] = next(
         zone for zone, region in ZONES.items() if region not in planted["homes"]
     )
-    assert audits.summary(trails=[planted], coverage=[], zones=ZONES)["outside"]
+    assert trail_audit.summary(trails=[planted], coverage=[], zones=ZONES)["outside"]
--- a/pw/dat/test_later.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from pw.base import link as links
-from pw.dat import test_way
-from pw.dat.digest import source as sources
-from pw.dat.relay import outcomes
-from pw.sim import loopback
+from ploverward.transport import peer_connection
+from ploverward.data_plane.requests import test_request_path
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.relay import outcomes
+from ploverward.simulation import loopback
 
 KEY = b"replica1"
 
@@ -27,7 +27,9 @@
 
 def refusing(number, heard):
     return (
-        [test_way.answer(test_way.request_id(heard), b"no", status=b"500 Broken")] if test_way.is_whole(heard) else None
+        [test_request_path.answer(test_request_path.request_id(heard), b"no", status=b"500 Broken")]
+        if test_request_path.is_whole(heard)
+        else None
     )
 
 
@@ -36,24 +38,24 @@
     def script(number, heard):
         more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without its stamp is none
         return (
-            [test_way.answer(test_way.request_id(heard), b"no", status=status, more=more)]
-            if test_way.is_whole(heard)
+            [test_request_path.answer(test_request_path.request_id(heard), b"no", status=status, more=more)]
+            if test_request_path.is_whole(heard)
             else None
         )
 
-    scene = test_way.Scene(script, test_way.replying)
+    scene = test_request_path.Scene(script, test_request_path.replying)
     kinds = told_kinds(scene)
     for _ in range(12):
         scene.client.got = b""
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")  # always answered, by the other one
-    failed = [kind for kind in kinds["i0"] if kind in (sources.FAILED, sources.BROKEN)]
+    failed = [kind for kind in kinds["i0"] if kind in (report_source.FAILED, report_source.BROKEN)]
     assert 0 < len(failed) < 6  # soon left alone
-    assert sources.FAILED not in kinds["i1"] and sources.BROKEN not in kinds["i1"]
+    assert report_source.FAILED not in kinds["i1"] and report_source.BROKEN not in kinds["i1"]
 
 
 def test_health_is_never_asked_so_a_false_answer_moves_nothing():
-    scene = test_way.Scene(test_way.replying, test_way.replying)
+    scene = test_request_path.Scene(test_request_path.replying, test_request_path.replying)
     for _ in range(8):
         scene.client.got = b""
         scene.request("safe")
@@ -81,7 +83,7 @@
 
 
 def test_marks_of_failing_ones_do_not_leave_nobody_to_choose():
-    scene = test_way.Scene(refusing, refusing)
+    scene = test_request_path.Scene(refusing, refusing)
     for _ in range(6):
         scene.client.got = b""
         scene.request("safe")
@@ -107,7 +109,7 @@
 
     loop.watch(sock=server, mask=selectors.EVENT_READ, act=accept)
     ended = []
-    dialer = links.Dialer(
+    dialer = peer_connection.Dialer(
         loop=loop,
         address=server.getsockname(),
         on_up=lambda link: None,
@@ -131,7 +133,7 @@
 
 
 def test_a_jump_of_traffic_is_spread_before_anybody_reports():
-    scene = test_way.Scene(*[test_way.replying] * 4)
+    scene = test_request_path.Scene(*[test_request_path.replying] * 4)
     chance = random.Random(3)
     taken = collections.Counter()
     for number in range(64):
@@ -147,15 +149,15 @@
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
 def test_an_idle_connection_that_was_forgotten_says_nothing_of_its_replica(lead, is_answered):
     def script(number, heard):
-        if not test_way.is_whole(heard):
+        if not test_request_path.is_whole(heard):
             return None
         return (
             ["reset"]
             if len(re.findall(rb"x-attempt-id", heard, re.I)) > 1
-            else [test_way.answer(test_way.request_id(heard))]
+            else [test_request_path.answer(test_request_path.request_id(heard))]
         )
 
-    scene = test_way.Scene(script, test_way.replying)
+    scene = test_request_path.Scene(script, test_request_path.replying)
     kinds = told_kinds(scene)
     replica = scene.entry.table.replicas["i0"]
     scene.entry.table.replicas["i1"].is_clearing = True
@@ -168,7 +170,7 @@
     scene.request(lead)
     assert scene.until(b"\r\n\r\nok" if is_answered else b" 502 ")
     assert scene.arrivals() - arrivals == (2 if is_answered else 1)  # what may have run once does not run again
-    assert sources.FAILED not in kinds["i0"] and replica.failed_lately(now=scene.loop.now()) == 0
+    assert report_source.FAILED not in kinds["i0"] and replica.failed_lately(now=scene.loop.now()) == 0
 
 
 @pytest.mark.parametrize("mask", [selectors.EVENT_READ, selectors.EVENT_WRITE])
@@ -179,7 +181,7 @@
     server.listen(1)
     near = socket.create_connection(server.getsockname())
     ended = []
-    link = links.Link(
+    link = peer_connection.Link(
         loop=loop,
         sock=near,
         on_message=lambda link, message: None,
--- a/pw/dat/test_rollouts.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from pw.base import evidence
-from pw.base import records
-from pw.ctl.rollouts import leases
-from pw.ctl.rollouts import state
-from pw.dat import attempts
-from pw.dat import rollouts
-from pw.dat.digest import source as sources
+from ploverward.common import rollout_evidence
+from ploverward.transport import row_codec
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.data_plane.load_reports import report_source
 
 CANARY = state.Rollout(
     admitted=("v1",), target="v2", over_s=16.0, stage=state.Stage.CANARY, number=1, step=2, age_s=0.0
@@ -28,7 +28,7 @@
 
 
 def replica(edition, name="i1"):
-    return types.SimpleNamespace(id=name, key=records.key_of(name), edition=edition)
+    return types.SimpleNamespace(id=name, key=row_codec.key_of(name), edition=edition)
 
 
 def payload(rollout):
@@ -38,7 +38,7 @@
 def made(*, rollout=CANARY, chance=0.5, began=50.0):
     clock = Clock()
     clock.now = began
-    held = rollouts.Rollouts(now=clock, chance=lambda: chance, running=lambda service, target: 3)
+    held = version_routing.Rollouts(now=clock, chance=lambda: chance, running=lambda service, target: 3)
     held.install(payload(rollout))
     return held, clock
 
@@ -184,12 +184,12 @@
     return types.SimpleNamespace(**{**told, **about})
 
 
-def counted(one, *, kind=sources.DONE, began=40.0):
+def counted(one, *, kind=report_source.DONE, began=40.0):
     """The tallies after one attempt's end; the order came at `began`."""
     held, clock = made(began=began)
     clock.now = 50.0
     held.note_end(service="pool", route="r", attempt=one, kind=kind, aim_s=0.6, expected_s=0.1)
-    reports = evidence.unpack(held.report()[1])
+    reports = rollout_evidence.unpack(held.report()[1])
     return [tally for tally in reports[0].tallies.values()]
 
 
@@ -207,9 +207,9 @@
 @pytest.mark.parametrize(
     "about, kind, wanted",
     [
-        ({"meaning": attempts.Meaning.FAILURE, "status": 500}, sources.FAILED, (1, 1, 0)),
-        ({"is_complete": False}, sources.FAILED, (1, 0, 1)),
-        ({"is_complete": False, "first_at": None, "sent_at": 47.0}, sources.DONE, (1, 0, 0)),
+        ({"meaning": attempts.Meaning.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
+        ({"is_complete": False}, report_source.FAILED, (1, 0, 1)),
+        ({"is_complete": False, "first_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
     ],
 )
 def test_how_ends_are_counted(about, kind, wanted):
@@ -235,7 +235,7 @@
 
 def test_reports_are_of_roll_outs_under_way_alone():
     held, _clock = made()
-    (report,) = evidence.unpack(held.report()[1])
+    (report,) = rollout_evidence.unpack(held.report()[1])
     assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
     held.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
     assert held.report() is None
@@ -244,7 +244,7 @@
 def test_counts_begin_anew_with_each_order():
     held, clock = made(began=40.0)
     clock.now = 50.0
-    held.note_end(service="pool", route="r", attempt=attempt(), kind=sources.DONE, aim_s=0.6, expected_s=0.1)
+    held.note_end(service="pool", route="r", attempt=attempt(), kind=report_source.DONE, aim_s=0.6, expected_s=0.1)
     held.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
-    (report,) = evidence.unpack(held.report()[1])
+    (report,) = rollout_evidence.unpack(held.report()[1])
     assert report.number == 2 and not report.tallies and report.sent == 0
--- a/pw/dat/rollouts.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -7,10 +7,10 @@
 
 import dataclasses
 
-from pw.base import evidence
-from pw.ctl.rollouts import state
-from pw.dat import attempts as attempt_kinds
-from pw.dat.digest import source as sources
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.load_reports import report_source
 
 MOST_CREDIT = 1.5  # requests that may be saved up while no replica of the new version can be named
 WHOLE_SHARE = 0.999
@@ -18,7 +18,7 @@
 
 def _first_bucket(took_s: float, expected_s: float) -> int:
     """By what the replica itself took, beyond the way there and the reading of the prompt."""
-    return evidence.bucket_of(1.0 + max(0.0, took_s - expected_s) / evidence.UNIT_S)
+    return rollout_evidence.bucket_of(1.0 + max(0.0, took_s - expected_s) / rollout_evidence.UNIT_S)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -131,17 +131,19 @@
             return
         if attempt.sent_at < held.counts_from:
             return
-        if attempt.meaning in (attempt_kinds.Meaning.NOT_RUN, attempt_kinds.Meaning.SPOILED):
+        if attempt.meaning in (attempts.Meaning.NOT_RUN, attempts.Meaning.SPOILED):
             return
         is_new = attempt.replica.edition == held.rollout.target
-        group = evidence.group_of(attempt.replica.key) if is_new else 0
-        tally = held.tallies.setdefault(evidence.Key(route=route, is_new=is_new, group=group), evidence.Tally())
+        group = rollout_evidence.group_of(attempt.replica.key) if is_new else 0
+        tally = held.tallies.setdefault(
+            rollout_evidence.Key(route=route, is_new=is_new, group=group), rollout_evidence.Tally()
+        )
         self._count(tally, attempt, kind=kind, aim_s=aim_s, expected_s=expected_s)
 
     def _count(self, tally, attempt, *, kind: int, aim_s: float, expected_s: float) -> None:
         now = self._now()
         waited_s = now - attempt.sent_at
-        if attempt.meaning is attempt_kinds.Meaning.FAILURE and attempt.status >= 500 and attempt.is_complete:
+        if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= 500 and attempt.is_complete:
             tally.ended += 1
             tally.failed += 1
         elif attempt.is_complete:
@@ -151,11 +153,11 @@
                 tally.firsts[_first_bucket(first_s, expected_s)] += 1
             if attempt.pieces > 1:
                 pace_s = (attempt.last_at - attempt.first_at) / (attempt.pieces - 1)
-                tally.paces[evidence.bucket_of(pace_s / evidence.UNIT_S)] += 1
+                tally.paces[rollout_evidence.bucket_of(pace_s / rollout_evidence.UNIT_S)] += 1
         elif attempt.first_at is None and waited_s > aim_s:
             tally.ended += 1  # given up: it would have taken longer still
             tally.firsts[_first_bucket(waited_s, expected_s)] += 1
-        elif kind in (sources.BROKEN, sources.FAILED):
+        elif kind in (report_source.BROKEN, report_source.FAILED):
             tally.ended += 1
             tally.broken += 1
 
@@ -163,7 +165,7 @@
     def report(self) -> tuple | None:
         """(number, bytes) to be sent now; None where no roll-out is under way."""
         reports = [
-            evidence.Report(
+            rollout_evidence.Report(
                 service=service,
                 number=held.rollout.number,
                 step=held.rollout.step,
@@ -181,7 +183,7 @@
         self._number += 1
         self._asked = {number: when for number, when in self._asked.items() if number > self._number - 8}
         self._asked[self._number] = self._now()
-        return self._number, evidence.pack(reports)
+        return self._number, rollout_evidence.pack(reports)
 
     def take_leases(self, *, number: int, life_s: float, leases: list) -> None:
         """Each counts from when its report was sent, and never takes the place of one that was asked for later."""
--- a/pw/dat/outlet.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from pw.base import link as links
+from ploverward.transport import peer_connection
 
 MOST_SKIPS = 2
 RESTED_S = 0.25  # a connection that was idle for longer is looked at before it is used
@@ -55,7 +55,7 @@
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        links.tune(sock=self.sock, silence_s=silence_s)
+        peer_connection.tune(sock=self.sock, silence_s=silence_s)
         code = self.sock.connect_ex(replica.endpoint)
         self._mask = selectors.EVENT_READ | selectors.EVENT_WRITE
         self._timer = None
--- a/pw/sim/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -1,7 +1,7 @@
 """Slopes of each role's work, measured on hollow nodes in one process, and what they come to at a size: docs/CAPACITY.md.
 
-    python3 -m pw.sim.capacity            measures and prints tables
-    python3 -m pw.sim.capacity --json     the same for machines
+    python3 -m ploverward.simulation.capacity            measures and prints tables
+    python3 -m ploverward.simulation.capacity --json     the same for machines
 
 Hollow: the real code of sources, sums, relay, mirrors, choice, grants and frames, without sockets, HTTP and traffic.
 Processor time is this process's own; bytes are those of packed frames.
@@ -13,25 +13,25 @@
 import time
 import tracemalloc
 
-from pw.base import records
-from pw.base import wire
-from pw.ctl import duties
-from pw.ctl import grants
-from pw.ctl.news import desk as desks
-from pw.ctl.news import replica_list
-from pw.dat import choice
-from pw.dat import mirror as mirrors
-from pw.dat import quota as quotas
-from pw.dat import replicas as tables
-from pw.dat import subset as subsets
-from pw.dat.digest import fanout as fanouts
-from pw.dat.digest import source as sources
-from pw.dat.digest import sums as digests
-from pw.dat.relay import ckf
-from pw.dat.relay import host as hosts
-from pw.dat.relay import load_feed
-from pw.sim import entry
-from pw.sim import wires
+from ploverward.transport import row_codec
+from ploverward.transport import frames
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_balancing import replica_subset
+from ploverward.data_plane.load_reports import fanout as fanouts
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.load_reports import aggregates
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import host as hosts
+from ploverward.data_plane.relay import load_feed
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation import recording_connections
 
 TURNS = 3
 # The operators' target, from their page: sizes only, no constant of any code.
@@ -52,7 +52,7 @@
 TICK_S = 0.075  # contactMs / 80 at a contactMs of 6,000
 
 
-class Frames(wires.Wire):
+class Frames(recording_connections.Wire):
     """A link that only counts bytes."""
 
     def __init__(self):
@@ -124,23 +124,23 @@
 
 def choice_time(count: int) -> float:
     """One choice among so many replicas."""
-    regions = len(set(entry.settings().zones.values()))
+    regions = len(set(loopback_proxy.settings().zones.values()))
     share = TARGET["regions"] / TARGET["proxies"] / regions  # the table takes it for a region of so many proxies
-    table = tables.Table(loop=Loop(), settings=entry.settings(), share=lambda: share)
+    table = replica_table.Table(loop=Loop(), settings=loopback_proxy.settings(), share=lambda: share)
     table.install_services({"llm": {"models": ("m",), "cache_tokens": 200000, "max_conns": 500}})
     table.install_list(rows(count))
-    quota = quotas.Quota(now=time.monotonic, settings=entry.settings())
-    region = mirrors.Region(now=time.monotonic, trust_s=5.0)
+    quota = shared_limits.Quota(now=time.monotonic, settings=loopback_proxy.settings())
+    region = mirror.Region(now=time.monotonic, trust_s=5.0)
     host = relay(count)
-    link = wires.Wire()
+    link = recording_connections.Wire()
     host.subscribe(link, region="north")
     for message in link.told:
         if message[0] in ("catalogue", "cut", "load"):
             region.take(message)
-    chooser = choice.Chooser(
-        table=table, settings=entry.settings(), regions={"north": region}, quota=quota, now=time.monotonic
+    chooser = replica_chooser.Chooser(
+        table=table, settings=loopback_proxy.settings(), regions={"north": region}, quota=quota, now=time.monotonic
     )
-    prompt = ckf.chain(model="m", parts=chain(random.Random(1)))
+    prompt = cuckoo_filter.chain(model="m", parts=chain(random.Random(1)))
     return clocked(
         lambda: chooser.choose(service="llm", permitted=None, model="m", chain=prompt, prompt_tokens=1500, avoid=set()),
         repeats=20,
@@ -155,7 +155,12 @@
     )
     feeder = Frames()
     host.subscribe(feeder, region="north")
-    host.take_sums(feeder, wires.sums(1, loads=[wires.load_row(row["id"], running=1) for row in rows(count)]))
+    host.take_sums(
+        feeder,
+        recording_connections.sums(
+            1, loads=[recording_connections.load_row(row["id"], running=1) for row in rows(count)]
+        ),
+    )
     host.feeder = feeder
     return host
 
@@ -173,10 +178,11 @@
         number[0] += 1
         host.take_sums(
             host.feeder,
-            wires.sums(
+            recording_connections.sums(
                 number[0],
                 reads=[
-                    wires.read_row(chance.choice(names), ("all", 500), *chain(chance, parts=2)) for _ in range(count)
+                    recording_connections.read_row(chance.choice(names), ("all", 500), *chain(chance, parts=2))
+                    for _ in range(count)
                 ],
             ),
         )
@@ -198,50 +204,53 @@
     number = 1
     for _ in range(20):
         number += 1
-        loads = [wires.load_row(name, running=chance.randint(1, 50)) for name in names]
-        reads = [wires.read_row(chance.choice(names), ("all", 500), *chain(chance, parts=2)) for _ in range(40)]
+        loads = [recording_connections.load_row(name, running=chance.randint(1, 50)) for name in names]
+        reads = [
+            recording_connections.read_row(chance.choice(names), ("all", 500), *chain(chance, parts=2))
+            for _ in range(40)
+        ]
         if number == 12:
             before = reader.bytes
-        host.take_sums(host.feeder, wires.sums(number, loads=loads, reads=reads))
+        host.take_sums(host.feeder, recording_connections.sums(number, loads=loads, reads=reads))
         host.tick()
     return (reader.bytes - before) / 10
 
 
 def member_bytes(count: int) -> float:
     """What a digest tells one member in a tick of a region of so many replicas, of which the member follows its subset."""
-    keys = [records.key_of(row["id"]) for row in rows(count)]
+    keys = [row_codec.key_of(row["id"]) for row in rows(count)]
     fanout = fanouts.Fanout()
     member = Frames()
     fanout.admit(member, address="p")
-    fanout.follow(member, keys=frozenset(keys[: subsets.LEAST_NEAR]))
+    fanout.follow(member, keys=frozenset(keys[: replica_subset.LEAST_NEAR]))
     chance = random.Random(6)
     for _ in range(20):
         told = chance.sample(keys, min(count, max(hosts.LEAST_ROWS, int(count * hosts.ROWS_SHARE))))
         message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in told))
-        fanout.tell_publication(region="north", frame=wire.pack(message), message=message)
+        fanout.tell_publication(region="north", frame=frames.pack(message), message=message)
     return member.bytes / 20
 
 
 def fanout_time(members: int) -> float:
     """A digest passes a load frame of a sixteenth of 920 replicas on to so many members that follow a subset each."""
-    keys = [records.key_of(row["id"]) for row in rows(920)]
+    keys = [row_codec.key_of(row["id"]) for row in rows(920)]
     chance = random.Random(7)
     fanout = fanouts.Fanout()
     for number in range(members):
         member = Frames()
         fanout.admit(member, address=f"p{number}")
-        fanout.follow(member, keys=frozenset(chance.sample(keys, subsets.LEAST_NEAR)))
+        fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.LEAST_NEAR)))
     message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
-    frame = wire.pack(message)
+    frame = frames.pack(message)
     return clocked(lambda: fanout.tell_publication(region="north", frame=frame, message=message), repeats=20)
 
 
 def change_bytes(count: int) -> float:
     """One replica of so many changes: the step of the list."""
-    told = replica_list.of_rows(rows=rows(count), read_at=0.0)
+    told = endpoint_list.of_rows(rows=rows(count), read_at=0.0)
     changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in rows(count)[:8]] + rows(count)[8:]
     change = told.change_to(rows=changed, read_at=1.0, is_same_clock=True)
-    return len(wire.pack(("changes", "list", 1, 1, ((1, 2, change.pack()),))))
+    return len(frames.pack(("changes", "list", 1, 1, ((1, 2, change.pack()),))))
 
 
 def sums_time(count: int) -> float:
@@ -253,7 +262,10 @@
         number[0] += 1
         running[0] = running[0] % 50 + 1
         host.take_sums(
-            host.feeder, wires.sums(number[0], loads=[wires.load_row(row["id"], running=running[0]) for row in listed])
+            host.feeder,
+            recording_connections.sums(
+                number[0], loads=[recording_connections.load_row(row["id"], running=running[0]) for row in listed]
+            ),
         )
         host.tick()
 
@@ -263,11 +275,13 @@
 
 def digest_time(members: int, changed: int = 4) -> float:
     """One tick of a digest: so many members report a few changed replicas each, one cut."""
-    held = digests.Sums(regions=("north",))
+    held = aggregates.Sums(regions=("north",))
     chance = random.Random(3)
     names = [row["id"] for row in rows(200)]
     reports = [
-        b"".join(wires.load_row(name, running=chance.randint(1, 9)) for name in chance.sample(names, changed))
+        b"".join(
+            recording_connections.load_row(name, running=chance.randint(1, 9)) for name in chance.sample(names, changed)
+        )
         for _ in range(members)
     ]
     number = [0]
@@ -283,25 +297,25 @@
 
 def install_time(count: int) -> float:
     """A proxy takes a load frame of so many rows, passed on by its digest."""
-    region = mirrors.Region(now=time.monotonic, trust_s=5.0)
+    region = mirror.Region(now=time.monotonic, trust_s=5.0)
     region.take(("catalogue", 1, ()))
-    data = b"".join(records.LOAD.pack(records.key_of(row["id"]), 3, 500, 0, 0) for row in rows(count))
-    frame = wire.pack(("relayed", "north", wire.pack(("load", 1, False, data))))
-    return clocked(lambda: region.take(wire.unpack(wire.unpack(frame)[2])), repeats=20)
+    data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in rows(count))
+    frame = frames.pack(("relayed", "north", frames.pack(("load", 1, False, data))))
+    return clocked(lambda: region.take(frames.unpack(frames.unpack(frame)[2])), repeats=20)
 
 
 def report_time(count: int) -> float:
     """A proxy's report of so many changed replicas."""
-    table = tables.Table(loop=Loop(), settings=entry.settings(), share=lambda: 1.0)
+    table = replica_table.Table(loop=Loop(), settings=loopback_proxy.settings(), share=lambda: 1.0)
     table.install_list(rows(count))
-    source = sources.Source(now=time.monotonic, regions=("north",), suspect_s=1.0)
+    source = report_source.Source(now=time.monotonic, regions=("north",), suspect_s=1.0)
 
     def tick():
         for replica in table.replicas.values():
             replica.running += 1
-            source.note(replica=replica, kind=sources.SENT)
+            source.note(replica=replica, kind=report_source.SENT)
         number, loads, reads = source.cut()
-        wire.pack(("report", number, loads, reads))
+        frames.pack(("report", number, loads, reads))
         source.credit(region="north", number=number)
 
     return clocked(tick, repeats=10)
@@ -309,19 +323,21 @@
 
 def lease_time(count: int) -> float:
     """A core node's beat: an entry for each of so many proxies."""
-    book = grants.Book(now=time.monotonic, life_s=1.5, window_s=10.0, quiet_until=0.0)
-    slots = grants.Slots(now=time.monotonic, hold_s=3.0)
+    book = share_leases.Book(now=time.monotonic, life_s=1.5, window_s=10.0, quiet_until=0.0)
+    slots = share_leases.Slots(now=time.monotonic, hold_s=3.0)
     names = [f"10.1.0.{number}" for number in range(count)]
 
     def beat():
         for name in names:
-            wire.pack(("entry", book.renew(node=name, part=0.2, live=count), 0.0, 1.5, 0.2, *slots.renew(node=name), 0))
+            frames.pack(
+                ("entry", book.renew(node=name, part=0.2, live=count), 0.0, 1.5, 0.2, *slots.renew(node=name), 0)
+            )
 
     return clocked(beat, repeats=1)
 
 
 def list_bytes(count: int) -> float:
-    return len(wire.pack(("image", "list", 1, 1, replica_list.of_rows(rows=rows(count), read_at=0.0).pack())))
+    return len(frames.pack(("image", "list", 1, 1, endpoint_list.of_rows(rows=rows(count), read_at=0.0).pack())))
 
 
 def offer_time(count: int) -> float:
@@ -336,7 +352,7 @@
         number[0] += 1
         desk.publish(topic="spec", epoch=0, number=number[0], data=b"")
         for link in links:
-            desk.take_have(link, wire.unpack(wire.pack(("have", (("spec", 0, number[0]),)))))
+            desk.take_have(link, frames.unpack(frames.pack(("have", (("spec", 0, number[0]),)))))
 
     return clocked(change, repeats=3)
 
@@ -351,9 +367,12 @@
     for number in range(2, count // 100 + 2):
         host.take_sums(
             host.feeder,
-            wires.sums(
+            recording_connections.sums(
                 number,
-                reads=[wires.read_row(chance.choice(names), (f"{chance.getrandbits(40):x}", 10)) for _ in range(100)],
+                reads=[
+                    recording_connections.read_row(chance.choice(names), (f"{chance.getrandbits(40):x}", 10))
+                    for _ in range(100)
+                ],
             ),
         )
         host.tick()
@@ -413,7 +432,7 @@
     ticks = 1 / TICK_S / pace
     by_region = size["replicas"] / size["regions"]
     per_proxy = size["requests_s"] / size["proxies"]
-    members = min(duties.CELL, size["proxies"] / size["zones"])
+    members = min(singleton_roles.CELL, size["proxies"] / size["zones"])
     cells = pace * size["zones"] / size["regions"]
     per_tick = size["requests_s"] / size["regions"] / ticks
     changed = min(by_region, 3 * per_tick)
--- a/pw/sim/voters.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -1,15 +1,15 @@
 """Voting nodes of the registers in a simulated world: the real Voting, Journal, Store and Disk on simulated files.
 
 At each answer that leaves a node, the disk is looked at as a loss of power at that moment would leave it: what was told
-has to be there (`lost`). Calls are kept as a history for `pw.sim.linear`.
+has to be there (`lost`). Calls are kept as a history for `ploverward.simulation.linearizability`.
 """
 
-from pw.base import problems
-from pw.ctl import registers
-from pw.ctl import voting
-from pw.ctl.register import store as stores
-from pw.sim import files as simulated_files
-from pw.sim import world as worlds
+from ploverward.common import errors
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import simulated_files
+from ploverward.simulation import simulated_world
 
 WRITE_S = (0.001, 0.01)
 BEAT_S = 0.3
@@ -17,7 +17,7 @@
 RECEIPT_S = 5.0
 CONTACT_S = 4.0
 LIMIT_BYTES = 1500
-NAME = registers.CONFIGURATION
+NAME = register_names.CONFIGURATION
 NO_ROW = ("", 0, "", 0, "", 0, b"")
 
 
@@ -87,7 +87,9 @@
 class Node:
     """One core node: its disk, and one Voting for each life."""
 
-    def __init__(self, *, world, name: str, nodes: dict, seeds: tuple, is_first_start: bool, voting_type=voting.Voting):
+    def __init__(
+        self, *, world, name: str, nodes: dict, seeds: tuple, is_first_start: bool, voting_type=consensus_node.Voting
+    ):
         self.world = world
         self.name = name
         self._nodes = nodes
@@ -109,8 +111,8 @@
         self.life += 1
         self.loop = Loop(node=self)
         self.versions = {}
-        self.store = stores.Store(
-            disk=stores.Disk(folder=simulated_files.FOLDER, system=self.files), limit_bytes=LIMIT_BYTES
+        self.store = acceptor_storage.Store(
+            disk=acceptor_storage.Disk(folder=simulated_files.FOLDER, system=self.files), limit_bytes=LIMIT_BYTES
         )
         self.voting = self._voting_type(
             loop=self.loop,
@@ -124,7 +126,7 @@
             contact_s=CONTACT_S,
             send=self._send,
             ask_cores=lambda message: [self._send(name, message) for name in self._nodes if name != self.name],
-            members=lambda: self.voting.proposer.members(registers.CORE_SET),
+            members=lambda: self.voting.proposer.members(register_names.CORE_SET),
             publish=self._publish,
             on_value=lambda name, payload, members: None,
             version=lambda name: self.versions.get(name, 0),
@@ -213,12 +215,12 @@
                 )
 
     def _surely_kept(self) -> dict:
-        path = f"{simulated_files.FOLDER}/{stores.FILE_NAME}"
+        path = f"{simulated_files.FOLDER}/{acceptor_storage.FILE_NAME}"
         try:
-            rows, _size = stores.read_rows(self.files.surely_kept(path))
-        except problems.StoreProblem:
+            rows, _size = acceptor_storage.read_rows(self.files.surely_kept(path))
+        except errors.StoreProblem:
             return {}
-        return stores.newest_rows(rows)
+        return acceptor_storage.newest_rows(rows)
 
 
 def claims(message: tuple) -> list:
@@ -232,15 +234,17 @@
         ballot = tuple(message[4:6])
         return [(message[2], ballot, ballot if message[3] else (0, ""))]
     if kind == "refilled" and message[2]:
-        return [(row[0], (row[1], row[2]), (row[3], row[4])) for row in message[3] if row[0] in registers.REGISTERS]
+        return [
+            (row[0], (row[1], row[2]), (row[3], row[4])) for row in message[3] if row[0] in register_names.REGISTERS
+        ]
     return []
 
 
 class Model:
     """Nodes, calls at them, and troubles, all from one seed."""
 
-    def __init__(self, *, seed: int, seeds=("a", "b", "c"), others=(), voting_type=voting.Voting):
-        self.world = worlds.World(seed=seed)
+    def __init__(self, *, seed: int, seeds=("a", "b", "c"), others=(), voting_type=consensus_node.Voting):
+        self.world = simulated_world.World(seed=seed)
         self.nodes = {}
         self.history = []
         self._wiped = None
--- a/pw/sim/control/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -2,10 +2,10 @@
 
 import json
 
-from pw.ctl import registers
-from pw.sim.control import operators as model_operators
+from ploverward.control_plane.consensus import register_names
+from ploverward.simulation.control_plane import operators
 
-CHANGES = (model_operators.PUT, model_operators.PATCH)
+CHANGES = (operators.PUT, operators.PATCH)
 ACK_SLACK_S = 0.05
 
 
@@ -32,13 +32,13 @@
             if chosen is not None:
                 recorder.find("invalid orders", f"{order.name} is invalid and was in force")
             continue
-        if order.outcome == model_operators.ACKNOWLEDGED:
+        if order.outcome == operators.ACKNOWLEDGED:
             if chosen is None:
                 recorder.find("acknowledged", f"{order.name} was acknowledged and never chosen")
             if order.base in bases:
                 recorder.find("one base", f"{order.name} and {bases[order.base]} were confirmed on {order.base}")
             bases[order.base] = order.name
-        if order.outcome == model_operators.REFUSED:
+        if order.outcome == operators.REFUSED:
             last = order.attempts[-1]
             if chosen is not None:
                 recorder.find(
@@ -75,7 +75,7 @@
     known = [
         (order.ended_at, order.edition)
         for order in orders
-        if order.kind in CHANGES and order.outcome == model_operators.ACKNOWLEDGED and order.is_valid
+        if order.kind in CHANGES and order.outcome == operators.ACKNOWLEDGED and order.is_valid
     ]
     rows = [read for read in reads if read.what == "configuration"]
     known += [(read.ended_at, read.value) for read in rows]
@@ -100,9 +100,9 @@
         for zone, rows in by_zone.items():
             ended = [order for order in rows if order.ended_at is not None and order.ended_at < read.begun_at]
             begun = [order for order in rows if order.begun_at <= read.ended_at]
-            if not ended or ended[-1] is not begun[-1] or ended[-1].outcome != model_operators.ACKNOWLEDGED:
+            if not ended or ended[-1] is not begun[-1] or ended[-1].outcome != operators.ACKNOWLEDGED:
                 continue
-            wanted = ended[-1].kind == model_operators.EVACUATE
+            wanted = ended[-1].kind == operators.EVACUATE
             if (zone in read.value) != wanted:
                 recorder.find(
                     "evacuations",
@@ -115,7 +115,7 @@
 def check_acknowledgements(*, recorder, orders, calm, receipt_s: float, until: float) -> None:
     """A proper order waits no longer than `receipt_s` in one calm stretch: `calm` holds (from, to)."""
     for order in orders:
-        if not order.is_valid or not order.is_alone or order.is_repeat or order.outcome == model_operators.REFUSED:
+        if not order.is_valid or not order.is_alone or order.is_repeat or order.outcome == operators.REFUSED:
             continue
         ended_at = order.ended_at if order.ended_at is not None else until
         if order.lost_at is not None:
@@ -144,10 +144,10 @@
 
 def check_core_set(*, recorder, live: list, wanted: int) -> None:
     """Once all is healed for a while, the set holds every live core machine, and 2t + 1 at least."""
-    for name in registers.REGISTERS:
+    for name in register_names.REGISTERS:
         version = recorder.newest.get(name)
         if version is None:
-            if name == registers.CORE_SET:
+            if name == register_names.CORE_SET:
                 recorder.find("core set", "no set was agreed")
             continue
         members = recorder.values[name, version][0]
--- a/pw/sim/control/troubles.py
+++ b/ploverward/simulation/control_plane/faults.py
@@ -33,7 +33,7 @@
 
 
 class Troubles:
-    """Draws troubles and plays them on a day (pw/sim/control/day.py)."""
+    """Draws troubles and plays them on a day (ploverward/simulation/control_plane/scenario.py)."""
 
     def __init__(self, *, day, kinds: tuple, gap_s: float):
         self._day = day
--- a/pw/sim/control/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -3,13 +3,13 @@
 import dataclasses
 import json
 
-from pw.base import settings as settings_files
-from pw.ctl import core as cores
-from pw.ctl import platform
-from pw.ctl import runtime as runtimes
-from pw.sim.control import clock as clocks
-from pw.sim.control import disk as disks
-from pw.sim.control import network as networks
+from ploverward.common import settings as settings_files
+from ploverward.control_plane import core_node
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane import node_runtime
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_disk
+from ploverward.simulation.control_plane import simulated_network
 
 CONTROL_PORT, DIRECTORY_PORT, INNER_PORT = 8080, 8081, 7720
 PLATFORM = "platform"
@@ -61,10 +61,10 @@
 class Machine:
     """A machine with a disk, and the program that runs on it now."""
 
-    def __init__(self, *, clock, host: str, region: str, speed_s: tuple = disks.SPEEDS_S[0]):
+    def __init__(self, *, clock, host: str, region: str, speed_s: tuple = simulated_disk.SPEEDS_S[0]):
         self.host = host
         self.region = region
-        self.disk = disks.Disk(clock=clock, speed_s=speed_s)
+        self.disk = simulated_disk.Disk(clock=clock, speed_s=speed_s)
         self.ports = {}
         self.is_powered = True
         self.is_removed = False
@@ -72,7 +72,7 @@
         self.program = None  # the Core or the model proxy
 
 
-class Program(clocks.Process):
+class Program(simulated_clock.Process):
     """A process with links."""
 
     def __init__(self, *, clock, name, on_failure):
@@ -88,7 +88,7 @@
         for link in sorted(process.links, key=lambda link: (link.peer, link.opened_at)):
             link.is_open = False
             if not is_power_lost:
-                link.connection.left(link, item=networks.RESET)
+                link.connection.left(link, item=simulated_network.RESET)
     machine.ports.clear()
     if is_power_lost:
         machine.disk.lose_power()
@@ -125,7 +125,7 @@
 
 
 class PlatformCaller:
-    """Stands in for pw.ctl.platform.Caller."""
+    """Stands in for ploverward.control_plane.discovery.platform_client.Caller."""
 
     def __init__(self, *, platform_model, machine, process):
         self._platform = platform_model
@@ -148,7 +148,7 @@
         return False
 
 
-class SimulatedRuntime(runtimes.Runtime):
+class SimulatedRuntime(node_runtime.Runtime):
     """Everything that a core node takes from its machine, simulated."""
 
     def __init__(self, *, network, machine, process, platform_model, node_settings, on_stop):
@@ -162,22 +162,22 @@
         self._on_stop = on_stop
 
     def loop(self, *, on_fault=None):
-        return clocks.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
+        return simulated_clock.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
 
     def port(self, **about):
-        return networks.Port(runtime=self, **about)
+        return simulated_network.Port(runtime=self, **about)
 
     def dialer(self, **about):
-        return networks.Dialer(runtime=self, **about)
+        return simulated_network.Dialer(runtime=self, **about)
 
     def hall(self, **about):
-        return networks.Hall(runtime=self, **about)
+        return simulated_network.Hall(runtime=self, **about)
 
     def disk(self, *, folder: str):
         return self.machine.disk
 
     def watch(self, **about):
-        watch = platform.Watch(**about)
+        watch = platform_client.Watch(**about)
         watch._caller = PlatformCaller(platform_model=self._platform, machine=self.machine, process=self.process)
         return watch
 
@@ -201,7 +201,7 @@
 class Running:
     """A core node that runs, and what the world needs of it."""
 
-    core: cores.Core
+    core: core_node.Core
     runtime: SimulatedRuntime
     is_leaving: bool = False
 
@@ -222,7 +222,7 @@
     running = []
 
     def begin():
-        core = cores.Core(settings=node_settings, runtime=runtime)
+        core = core_node.Core(settings=node_settings, runtime=runtime)
         watcher(core)
         core.start()
         machine.disk.finish_now()
--- a/pw/sim/control/planted.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -9,21 +9,21 @@
 import typing
 from unittest import mock
 
-from pw.ctl import contact
-from pw.ctl import core_set
-from pw.ctl import grants
-from pw.ctl import membership
-from pw.ctl import voting
-from pw.ctl import watch_duty
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import orders
-from pw.ctl.news import desk
-from pw.ctl.register import acceptor
-from pw.ctl.register import ballots
-from pw.ctl.register import journal
-from pw.ctl.register import proposer
-from pw.ctl.register import store as stores
-from pw.sim.control import day as days
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import write_ahead_log
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation.control_plane import scenario
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -48,33 +48,36 @@
 
 def _seeds_as_default_set() -> list:
     """A node with an empty disk takes the seeds of its settings for the set in force, whenever it starts."""
-    load = voting.Voting._load
+    load = consensus_node.Voting._load
 
     def _load(self, store, seeds, is_first_start):
         load(self, store, seeds, True)
 
-    return [mock.patch.object(voting.Voting, "_load", _load)]
+    return [mock.patch.object(consensus_node.Voting, "_load", _load)]
 
 
 def _votes_before_refill() -> list:
     """An emptied node takes a new name and votes at once, with nothing that it had promised or accepted."""
 
     def _look(self):
-        self._begin(stores.Image(incarnation=self._unique_id(), first_set=self.own_set))
+        self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
 
-    load = voting.Voting._load
+    load = consensus_node.Voting._load
 
     def _load(self, store, seeds, is_first_start):
         self.own_set = tuple(sorted(seeds))
         load(self, store, seeds, is_first_start)
         self.proposer.is_learner = False
 
-    return [mock.patch.object(voting.Voting, "_look", _look), mock.patch.object(voting.Voting, "_load", _load)]
+    return [
+        mock.patch.object(consensus_node.Voting, "_look", _look),
+        mock.patch.object(consensus_node.Voting, "_load", _load),
+    ]
 
 
 def _grant_without_lease() -> list:
     """Entries are handed out without contact with a majority."""
-    renew = membership.MembersMixin._renew
+    renew = peer_sessions.MembersMixin._renew
 
     def _renew(self, link, message):
         self.has_majority_contact = lambda: True
@@ -83,12 +86,12 @@
         finally:
             del self.has_majority_contact
 
-    return [mock.patch.object(membership.MembersMixin, "_renew", _renew)]
+    return [mock.patch.object(peer_sessions.MembersMixin, "_renew", _renew)]
 
 
 def _moved_part_at_once() -> list:
     """A node whose part of the bounds grew hands it out without waiting for the older entries to run out."""
-    return [mock.patch.object(grants.Parts, "value", lambda self: self._part)]
+    return [mock.patch.object(share_leases.Parts, "value", lambda self: self._part)]
 
 
 def _peek_ahead_of_disk() -> list:
@@ -98,31 +101,31 @@
         return self._acceptor if self._acceptor is not None else acceptor.Acceptor()
 
     held = property(get, lambda self, _value: None)
-    return [mock.patch.object(journal.Journal, "held", held, create=True)]
+    return [mock.patch.object(write_ahead_log.Journal, "held", held, create=True)]
 
 
 def _told_before_durable() -> list:
     """Answers go out before the disk holds what they tell."""
-    tell = journal.Journal.tell
+    tell = write_ahead_log.Journal.tell
 
     def early(self, *, key, act):
         act()
         tell(self, key=key, act=lambda: None)
 
-    return [mock.patch.object(journal.Journal, "tell", early)]
+    return [mock.patch.object(write_ahead_log.Journal, "tell", early)]
 
 
 def _few_marks() -> list:
     """Marks of taken orders are kept for the last few only."""
     return [
         mock.patch.object(orders, "trimmed", lambda *, rows, archived: rows[-4:]),
-        mock.patch.object(archive, "has", lambda *, payload, mark: False),
+        mock.patch.object(order_archive, "has", lambda *, payload, mark: False),
     ]
 
 
 def _set_stops_at_four() -> list:
     """The set takes machines one by one and stops at one more than the seeds were."""
-    choose = core_set.next_set
+    choose = voting_set.next_set
 
     def next_set(*, view, wanted):
         target = choose(view=view, wanted=wanted)
@@ -133,7 +136,7 @@
             return tuple(sorted(view.members))
         return tuple(sorted({*view.members, added[0]}))
 
-    return [mock.patch.object(core_set, "next_set", next_set)]
+    return [mock.patch.object(voting_set, "next_set", next_set)]
 
 
 def _acknowledged_by_one() -> list:
@@ -151,9 +154,9 @@
     """A node that held the watch duty goes on under the old epoch after a restart."""
 
     def is_held(self):
-        return self._duties.holder(watch_duty.WATCH)[1] == self._own
+        return self._duties.holder(coordinator.WATCH)[1] == self._own
 
-    return [mock.patch.object(watch_duty.WatchDuty, "is_held", property(is_held))]
+    return [mock.patch.object(coordinator.WatchDuty, "is_held", property(is_held))]
 
 
 def _contact_from_answers() -> list:
@@ -162,7 +165,7 @@
     def lease_until(self, *, members, version, is_voter=True):
         return self._now() + self._lease_s
 
-    return [mock.patch.object(contact.Contact, "lease_until", lease_until)]
+    return [mock.patch.object(majority_lease.Contact, "lease_until", lease_until)]
 
 
 def _news_go_back() -> list:
@@ -181,8 +184,8 @@
             link.send(("want", topic, 0, 0))
 
     return [
-        mock.patch.object(desk.Follower, "take_image", take_image),
-        mock.patch.object(desk.Follower, "take_offer", take_offer),
+        mock.patch.object(publisher.Follower, "take_image", take_image),
+        mock.patch.object(publisher.Follower, "take_offer", take_offer),
     ]
 
 
@@ -258,7 +261,7 @@
     with contextlib.ExitStack() as stack:
         for patch in fault.patches():
             stack.enter_context(patch)
-        return days.play(days.Plan(seed=seed, **fault.plan))
+        return scenario.play(scenario.Plan(seed=seed, **fault.plan))
 
 
 def search(name: str):
@@ -274,4 +277,4 @@
 
 def _is_seen_without(plan, check: str) -> bool:
     """Whether the same day shows the same without the planted fault: then it is no proof."""
-    return any(finding.check == check for finding in days.play(plan).findings)
+    return any(finding.check == check for finding in scenario.play(plan).findings)
--- a/pw/sim/control/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -1,17 +1,17 @@
 """A model of a proxy's control side: news, floors, acknowledgements and grant entries, with the real Follower and Quota.
 
-It follows pw/dat/follow.py, without the traffic. What it holds is what the checks of news and grants look at.
+It follows ploverward/data_plane/control_client/core_sessions.py, without the traffic. What it holds is what the checks of news and grants look at.
 """
 
-from pw.ctl import registers
-from pw.ctl.news import desk as desks
-from pw.ctl.news import replica_list
-from pw.ctl.register import ballots
-from pw.dat import follow
-from pw.dat import quota as quotas
-from pw.sim.control import clock as clocks
-from pw.sim.control import machines
-from pw.sim.control import network as networks
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import ballots
+from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_network
 
 
 class Proxy:
@@ -29,12 +29,12 @@
         self.edition = 0
         self.serials = {}
         self._recorder = recorder
-        self.loop = clocks.Loop(process=process, on_stop=lambda: None)
+        self.loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
         self._contact_s = node_settings.bound_s(name="contactMs")
         self._silence_s = self._contact_s / 5
-        self.quota = quotas.Quota(now=self.loop.now, settings=node_settings)
+        self.quota = shared_limits.Quota(now=self.loop.now, settings=node_settings)
         self._list = None  # packed, as this proxy has it
-        self.follower = desks.Follower(
+        self.follower = publisher.Follower(
             now=self.loop.now,
             patience_s=self._contact_s / 12,
             on_image=self._on_image,
@@ -56,7 +56,7 @@
     def _dial(self) -> None:
         wanted = set(self.members) | set(self._seeds)
         for host in sorted(wanted - self.dialers.keys()):
-            self.dialers[host] = networks.Dialer(
+            self.dialers[host] = simulated_network.Dialer(
                 runtime=self,
                 loop=self.loop,
                 address=(host, machines.INNER_PORT),
@@ -81,7 +81,7 @@
     def _tick(self) -> None:
         self._renewal += 1
         self._renewed_at[self._renewal] = self.loop.now()
-        self._renewed_at.pop(self._renewal - follow.RENEWALS_KEPT, None)
+        self._renewed_at.pop(self._renewal - core_sessions.RENEWALS_KEPT, None)
         self._tell(("renew", self._renewal, b""))
         self.follower.tick()
 
@@ -110,7 +110,7 @@
         if self.is_serving or not ballots.has_majority(of=self.members, among=self._floors):
             return
         serials = self.follower.serials
-        for name in registers.FLOORED:
+        for name in register_names.FLOORED:
             floor = max(floors.get(name, 0) for floors in self._floors.values())
             if serials.get(name, (0, 0))[1] < floor:
                 return
@@ -125,14 +125,14 @@
             self.members = ballots.unpack(data)[0]
             self.loop.command(act=self._dial)
         elif topic == "list":
-            replica_list.unpack_list(data)
+            endpoint_list.unpack_list(data)
             self._list = data
         self.loop.command(act=self._check_serving)
 
     def _on_change(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         """A step of the list: what it makes of the list held is checked against what a core node told whole."""
-        held = replica_list.unpack_list(self._list)
-        self._on_image(topic, epoch, number, held.changed_by(replica_list.unpack_change(data)).pack())
+        held = endpoint_list.unpack_list(self._list)
+        self._on_image(topic, epoch, number, held.changed_by(endpoint_list.unpack_change(data)).pack())
 
 
 def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy:
--- a/pw/sim/control/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -4,8 +4,8 @@
 import functools
 import json
 
-from pw.ctl import registers
-from pw.ctl.register import ballots
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import ballots
 
 EPSILON = 1e-6
 MOST_FINDINGS = 3  # of one check on one day
@@ -85,7 +85,7 @@
         core.desk.publish = watched
 
     def published(self, own: tuple, topic: str, epoch: int, number: int, data: bytes) -> None:
-        if topic in registers.REGISTERS:
+        if topic in register_names.REGISTERS:
             self._take_value(own[0], topic, number, data)
         else:
             self._take_topic(own, topic, epoch, number, data)
@@ -102,9 +102,9 @@
         self.note("chosen", register=name, version=version, node=node, members=",".join(members))
         if version > self.newest.get(name, 0):
             self.newest[name] = version
-        if name == registers.CONFIGURATION and payload:
+        if name == register_names.CONFIGURATION and payload:
             self._take_configuration(version, payload)
-        elif name == registers.DUTIES:
+        elif name == register_names.DUTIES:
             self._take_duties(payload or {})
 
     def _take_configuration(self, version: int, payload: dict) -> None:
@@ -145,19 +145,19 @@
         if (epoch, number) <= before:
             self.find("back", f"{proxy.host} goes from {topic} {before} to {(epoch, number)}")
         proxy.serials[topic] = (epoch, number)
-        if topic not in registers.REGISTERS:
+        if topic not in register_names.REGISTERS:
             if self._topics.get((topic, epoch, number)) != data and epoch:
                 self.find("topics", f"{proxy.host} has another {topic} ({epoch}, {number}) than was told")
             return
         if self.values.get((topic, number)) != unpack(data):
             self.find("agreement", f"{proxy.host} has a {topic} {number} that no core node has")
         payload = unpack(data)[1]
-        if topic == registers.CONFIGURATION and payload:
+        if topic == register_names.CONFIGURATION and payload:
             if payload["edition"] < proxy.edition:
                 self.find("back", f"{proxy.host} goes from edition {proxy.edition} to {payload['edition']}")
             proxy.edition = payload["edition"]
             self.note("applied", proxy=proxy.host, edition=proxy.edition)
-        elif topic == registers.EVACUATIONS:
+        elif topic == register_names.EVACUATIONS:
             self.note("applied", proxy=proxy.host, evacuations=json.dumps(payload))
 
     def shares(self, proxy) -> None:
--- a/pw/sim/control/day.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -5,15 +5,15 @@
 import logging
 import time
 
-from pw.sim.control import checks
-from pw.sim.control import clock as clocks
-from pw.sim.control import disk as disks
-from pw.sim.control import machines as model_machines
-from pw.sim.control import network as networks
-from pw.sim.control import operators as model_operators
-from pw.sim.control import proxies as model_proxies
-from pw.sim.control import recorder as recorders
-from pw.sim.control import troubles as model_troubles
+from ploverward.simulation.control_plane import checks
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_disk
+from ploverward.simulation.control_plane import machines as model_machines
+from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import operators
+from ploverward.simulation.control_plane import proxies
+from ploverward.simulation.control_plane import recorder as recorders
+from ploverward.simulation.control_plane import faults
 
 SIZES = (3, 5, 6, 7)
 START_SPREAD_S = 0.3
@@ -30,8 +30,8 @@
     seed: int
     machines: int = 0
     tolerated: int = 0
-    troubles: tuple = tuple(model_troubles.WEIGHTS)
-    closing: tuple = model_troubles.CLOSING
+    troubles: tuple = tuple(faults.WEIGHTS)
+    closing: tuple = faults.CLOSING
     span_s: float = 0.0
     disk: int = -1  # index of the disks' speed; -1: drawn, but never the last one
     keeps_history: bool = False
@@ -69,7 +69,7 @@
 class Day:
     def __init__(self, *, plan: Plan):
         self.plan = plan
-        self.clock = clocks.Clock(seed=plan.seed)
+        self.clock = simulated_clock.Clock(seed=plan.seed)
         chance = self.clock.chance
         self.bounds = model_machines.BOUNDS
         self.contact_s = self.bounds["contactMs"] / 1000
@@ -78,13 +78,13 @@
         self.size = plan.machines or chance.choices(SIZES, (4, 4, 1, 1))[0]
         self.tolerated = plan.tolerated or (1 if self.size < 5 else chance.choice((1, 2, 2)))
         self.span_s = plan.span_s or chance.uniform(15.0, 30.0)
-        self.network = networks.Network(clock=self.clock)
+        self.network = simulated_network.Network(clock=self.clock)
         self.recorder = recorders.Recorder(
             clock=self.clock, window_s=self.bounds["retryWindowS"], keeps_history=plan.keeps_history
         )
         self.platform = model_machines.Platform(network=self.network)
         speed = plan.disk if plan.disk >= 0 else chance.choices((0, 1, 2), (2, 1, 1))[0]
-        self._speed_s = disks.SPEEDS_S[speed]
+        self._speed_s = simulated_disk.SPEEDS_S[speed]
         self.slots = []
         self.edges = [START_SPREAD_S]  # moments at which a trouble of the core begins or ends
         self.isolated_since = {}
@@ -94,7 +94,7 @@
         self._extra_hosts = []  # machines on their way out, that still run
         self._proxies = [f"10.0.9.{index}" for index in range(1, chance.randint(2, 4) + 1)]
         self._is_closed = False
-        self.operators = model_operators.Operators(
+        self.operators = operators.Operators(
             network=self.network,
             recorder=self.recorder,
             hosts=self.core_hosts,
@@ -102,7 +102,7 @@
             receipt_s=self.receipt_s,
         )
         self.operators.on_taken = self._check_applied
-        self.troubles = model_troubles.Troubles(day=self, kinds=plan.troubles, gap_s=chance.choice((0.5, 1.5, 4.0)))
+        self.troubles = faults.Troubles(day=self, kinds=plan.troubles, gap_s=chance.choice((0.5, 1.5, 4.0)))
 
     # The machines.
     def core_hosts(self) -> list:
@@ -206,7 +206,7 @@
             gone()
             return
         terminate = machine.program.runtime.on_terminate
-        self.clock.later(delay=0.0, act=terminate, process=machine.process, kind=clocks.COMMAND)
+        self.clock.later(delay=0.0, act=terminate, process=machine.process, kind=simulated_clock.COMMAND)
         self.clock.later(delay=self.bounds["graceS"], act=gone)
 
     def start_proxy(self, host: str, *, seeds=None) -> None:
@@ -215,7 +215,7 @@
             return
         self.recorder.note("proxy starts", host=host)
         node_settings = self._settings(machine, seeds=seeds or self._seeds(), is_first=False, is_core=False)
-        model_proxies.start_proxy(
+        proxies.start_proxy(
             network=self.network,
             machine=machine,
             node_settings=node_settings,
@@ -258,7 +258,7 @@
         if since is None:
             return
         order = self.operators._make(edition=self.operators._new_edition())
-        attempt = model_operators.Attempt(host=host, sent_at=self.clock.time)
+        attempt = operators.Attempt(host=host, sent_at=self.clock.time)
 
         def done(answer):
             attempt.answered_at = self.clock.time
@@ -270,8 +270,8 @@
 
         order.name = f"probe{len(self.probes)}"
         order.is_alone = False
-        body = json.dumps(model_operators.configuration(edition=order.edition, mark=order.name)).encode()
-        order.request = ("PUT", model_operators.PATH, order.request[2], body)
+        body = json.dumps(operators.configuration(edition=order.edition, mark=order.name)).encode()
+        order.request = ("PUT", operators.PATH, order.request[2], body)
         self.probes.append((order, attempt))
         method, target, headers, body = order.request
         self.operators._caller.call(
@@ -365,8 +365,8 @@
     def at_moment(self, act) -> None:
         """Acts right after the next acknowledgement or read, or soon after the next order was sent."""
         chance = self.clock.chance
-        kind = chance.choice((model_operators.ACKNOWLEDGED, model_operators.SENT, model_operators.READ))
-        delay = chance.uniform(0.0, 0.25) if kind == model_operators.SENT else chance.choice((0.0, 0.0, 0.01, 0.3))
+        kind = chance.choice((operators.ACKNOWLEDGED, operators.SENT, operators.READ))
+        delay = chance.uniform(0.0, 0.25) if kind == operators.SENT else chance.choice((0.0, 0.0, 0.01, 0.3))
         self.operators.moments[kind] = lambda: self.clock.later(delay=delay, act=act)
 
     def _read_back(self) -> list:
--- a/pw/sim/control/clock.py
+++ b/ploverward/simulation/control_plane/simulated_clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: one ordered table of events, processes that may be frozen or dead, and a loop as in pw/base/loop.py."""
+"""Simulated time: one ordered table of events, processes that may be frozen or dead, and a loop as in ploverward/transport/event_loop.py."""
 
 import collections
 import heapq
@@ -117,7 +117,7 @@
 
 
 class Loop:
-    """The interface of pw.base.loop.Loop in simulated time. `run` returns at once: the world runs the events."""
+    """The interface of ploverward.transport.event_loop.Loop in simulated time. `run` returns at once: the world runs the events."""
 
     def __init__(self, *, process: Process, on_stop, disk=None):
         self._process = process
--- a/pw/sim/control/network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -1,4 +1,4 @@
-"""Simulated links between processes: the interfaces of pw/base/link.py and pw/base/inlet.py without sockets.
+"""Simulated links between processes: the interfaces of ploverward/transport/peer_connection.py and ploverward/transport/http_server.py without sockets.
 
 A connection keeps the order of what is sent and loses nothing while it lives: what a cut holds back comes when the cut
 ends. The system of a machine takes connections and data while its process is frozen, answers for a dead process with a
@@ -8,16 +8,16 @@
 import functools
 import math
 
-from pw.base import wire
-from pw.sim.control import clock as clocks
+from ploverward.transport import frames
+from ploverward.simulation.control_plane import simulated_clock
 
 OPEN, OPENED, END, RESET = "open", "opened", "end", "reset"
 NEAR_S = (0.0005, 0.004)
 FAR_S = (0.01, 0.05)
 GRAIN_S = 1e-6
 AGAIN_S = (0.0, 0.2)  # what a cut held back is sent again
-pack = functools.lru_cache(maxsize=8192)(wire.pack)
-unpack = functools.lru_cache(maxsize=8192)(wire.unpack)
+pack = functools.lru_cache(maxsize=8192)(frames.pack)
+unpack = functools.lru_cache(maxsize=8192)(frames.unpack)
 
 
 class Network:
@@ -148,7 +148,7 @@
         else:
             clock = self.network.clock
             clock.schedule(
-                when=clock.time, act=lambda: end.arrived(item), process=end.process, kind=clocks.DELIVERY
+                when=clock.time, act=lambda: end.arrived(item), process=end.process, kind=simulated_clock.DELIVERY
             ) if end.process.is_frozen else end.process.guard(lambda: end.arrived(item))
 
     def _accept(self, machine) -> None:
@@ -158,7 +158,7 @@
             return
         self.transmit(1, OPENED)
         clock = self.network.clock
-        clock.later(delay=0.0, act=lambda: self._taken(port), process=port.process, kind=clocks.DELIVERY)
+        clock.later(delay=0.0, act=lambda: self._taken(port), process=port.process, kind=simulated_clock.DELIVERY)
 
     def _taken(self, port) -> None:
         self.ends[1] = port.take(self)
@@ -174,7 +174,7 @@
 
 
 class Link:
-    """One end, with the interface of pw.base.link.Link."""
+    """One end, with the interface of ploverward.transport.peer_connection.Link."""
 
     def __init__(self, *, process, loop, on_message, on_end, silence_s, is_connecting, peer):
         self.process = process
@@ -265,7 +265,7 @@
 
 
 class Dialer:
-    """The interface of pw.base.link.Dialer."""
+    """The interface of ploverward.transport.peer_connection.Dialer."""
 
     def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, silence_s, source_ip=""):
         self.loop = loop
@@ -324,7 +324,7 @@
 
 
 class Port:
-    """The interface of pw.base.link.Port."""
+    """The interface of ploverward.transport.peer_connection.Port."""
 
     def __init__(self, *, runtime, loop, address, on_link, on_message, on_end, silence_s):
         self.process = runtime.process
@@ -351,7 +351,7 @@
 
 
 class Request:
-    """One call at a node's request handler, with the parts of pw.base.inlet.Request that handlers use."""
+    """One call at a node's request handler, with the parts of ploverward.transport.http_server.Request that handlers use."""
 
     def __init__(self, *, method: str, target: str, headers: tuple, body: bytes, at: float, on_reply):
         self.method = method.encode()
@@ -401,7 +401,7 @@
 
 
 class Hall:
-    """The interface of pw.base.inlet.Hall, as far as a core node uses it."""
+    """The interface of ploverward.transport.http_server.Hall, as far as a core node uses it."""
 
     def __init__(self, *, runtime, loop, address, on_request, limits=None, silence_s=0.0, most_doors=0, most_bytes=0):
         self.loop = loop
@@ -453,7 +453,10 @@
             if request is not None and not request.is_answered and not self._network.is_cut(self.host, host):
                 process = state["process"]
                 self._clock.later(
-                    delay=self._network.delay(self.host, host), act=request.gone, process=process, kind=clocks.DELIVERY
+                    delay=self._network.delay(self.host, host),
+                    act=request.gone,
+                    process=process,
+                    kind=simulated_clock.DELIVERY,
                 )
 
         def reply(answer):
@@ -482,7 +485,7 @@
                 if state["is_over"]:
                     state["request"].gone()
 
-            self._clock.later(delay=0.0, act=handle, process=hall.process, kind=clocks.DELIVERY)
+            self._clock.later(delay=0.0, act=handle, process=hall.process, kind=simulated_clock.DELIVERY)
 
         self._clock.later(delay=self._network.delay(self.host, host), act=arrive)
         self._clock.later(delay=limit_s, act=give_up)
--- a/pw/sim/control/test_days.py
+++ b/ploverward/simulation/control_plane/test_scenarios.py
@@ -26,8 +26,8 @@
 )
 SEARCH = """
 import sys
-from pw.sim.control import planted
-found = planted.search(sys.argv[1])
+from ploverward.simulation.control_plane import mutants
+found = mutants.search(sys.argv[1])
 print(found)
 sys.exit(0 if found is not None else 1)
 """
@@ -46,7 +46,7 @@
 
 
 def test_a_few_days_break_no_check():
-    ended = run("ploverward.py", "simulate", f"--first={FIRST_SEED}", f"--seeds={SEEDS}", "--jobs=2")
+    ended = run("-m", "ploverward", "simulate", f"--first={FIRST_SEED}", f"--seeds={SEEDS}", "--jobs=2")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert f"{SEEDS} days" in ended.stdout
 
@@ -58,12 +58,12 @@
 
 
 def test_a_seed_names_one_history():
-    first, second = (run("ploverward.py", "simulate", "--history=3", "--machines=3") for _time in range(2))
+    first, second = (run("-m", "ploverward", "simulate", "--history=3", "--machines=3") for _time in range(2))
     assert first.stdout == second.stdout
     assert "configuration chosen" in first.stdout
 
 
 def test_an_unknown_trouble_is_told_in_one_line():
-    ended = run("ploverward.py", "simulate", "--troubles=rain")
+    ended = run("-m", "ploverward", "simulate", "--troubles=rain")
     assert ended.returncode == 2
     assert "'rain' is no trouble" in ended.stderr and ended.stderr.count("\n") == 1
--- a/pw/sim/control/test_world.py
+++ b/ploverward/simulation/control_plane/test_simulation.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from pw.sim.control import clock as clocks
-from pw.sim.control import disk as disks
-from pw.sim.control import machines
-from pw.sim.control import network as networks
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_disk
+from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_network
 
 SILENCE_S = 0.8
 
@@ -20,7 +20,7 @@
         network.machines[host] = self.machine
         self.process = machines.Program(clock=clock, name=host, on_failure=lambda _process, text: failures.append(text))
         self.machine.process = self.process
-        self.loop = clocks.Loop(process=self.process, on_stop=lambda: None)
+        self.loop = simulated_clock.Loop(process=self.process, on_stop=lambda: None)
         self.taken, self.ended = [], []
         self.links = []
 
@@ -28,7 +28,7 @@
         return self.network.clock.chance.random()
 
     def listen(self) -> None:
-        networks.Port(
+        simulated_network.Port(
             runtime=self,
             loop=self.loop,
             address=("", 7),
@@ -39,7 +39,7 @@
         )
 
     def dial(self, host: str):
-        return networks.Dialer(
+        return simulated_network.Dialer(
             runtime=self,
             loop=self.loop,
             address=(host, 7),
@@ -56,8 +56,8 @@
 
 @pytest.fixture
 def pair():
-    clock = clocks.Clock(seed=1)
-    network = networks.Network(clock=clock)
+    clock = simulated_clock.Clock(seed=1)
+    network = simulated_network.Network(clock=clock)
     failures = []
     one, other = (Node(network=network, host=host, failures=failures) for host in ("a", "b"))
     other.listen()
@@ -154,10 +154,10 @@
 
 
 def test_a_cancelled_timer_does_not_act_and_an_exception_is_told():
-    clock = clocks.Clock(seed=1)
+    clock = simulated_clock.Clock(seed=1)
     failures = []
-    process = clocks.Process(clock=clock, name="p", on_failure=lambda _process, text: failures.append(text))
-    loop = clocks.Loop(process=process, on_stop=lambda: None)
+    process = simulated_clock.Process(clock=clock, name="p", on_failure=lambda _process, text: failures.append(text))
+    loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
     acted = []
     timer = loop.after(delay=1.0, act=lambda: acted.append(1))
     loop.cancel(timer=timer)
@@ -174,8 +174,8 @@
 
 def test_what_was_synced_outlives_a_loss_of_power():
     for seed in range(20):
-        clock = clocks.Clock(seed=seed)
-        disk = disks.Disk(clock=clock)
+        clock = simulated_clock.Clock(seed=seed)
+        disk = simulated_disk.Disk(clock=clock)
         write(disk, clock, name="f", data=b"first", size_before=0)
         disk.append(name="f", data=b"second", size_before=5)
         disk.finish_batch()
@@ -187,8 +187,8 @@
 def test_a_write_under_way_may_be_kept_lost_or_torn():
     seen = set()
     for seed in range(60):
-        clock = clocks.Clock(seed=seed)
-        disk = disks.Disk(clock=clock)
+        clock = simulated_clock.Clock(seed=seed)
+        disk = simulated_disk.Disk(clock=clock)
         write(disk, clock, name="f", data=b"ab", size_before=0)
         disk.append(name="f", data=b"cdef", size_before=2)
         disk.finish_batch()
@@ -200,8 +200,8 @@
 def test_a_replaced_file_is_the_old_one_or_the_new_one():
     seen = set()
     for seed in range(60):
-        clock = clocks.Clock(seed=seed)
-        disk = disks.Disk(clock=clock)
+        clock = simulated_clock.Clock(seed=seed)
+        disk = simulated_disk.Disk(clock=clock)
         write(disk, clock, name="f", data=b"old", size_before=0)
         disk.replace(name="f", new_name="g", data=b"new")
         disk.finish_batch()
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("trouble", ["refuse", "refuse_late", "full"])
 def test_a_disk_in_trouble_refuses(trouble):
-    disk = disks.Disk(clock=clocks.Clock(seed=1))
+    disk = simulated_disk.Disk(clock=simulated_clock.Clock(seed=1))
     disk.trouble = trouble
     with pytest.raises(OSError):
         disk.append(name="f", data=b"x", size_before=0)
--- a/pw/sim/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -5,8 +5,8 @@
 import socket
 import time
 
-from pw.base import inlet
-from pw.base import loop as loops
+from ploverward.transport import http_server
+from ploverward.transport import event_loop
 
 PATIENCE_S = 10.0
 SETTLE_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
@@ -20,7 +20,7 @@
     return f"127.{1 + process // 256 % 254}.{process % 256}.{host}"
 
 
-class SkippingLoop(loops.Loop):
+class SkippingLoop(event_loop.Loop):
     """A loop whose clock can skip: what a frozen process sees when it goes on. All timers of that time are due at once."""
 
     def __init__(self, *, on_fault=None):
@@ -69,7 +69,7 @@
 
 
 def limits(**changed):
-    return inlet.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
+    return http_server.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
 
 
 class Peer:
--- a/pw/sim/entry.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -2,20 +2,20 @@
 
 import dataclasses
 
-from pw.base import inlet
-from pw.base import settings as settings_files
-from pw.dat import choice
-from pw.dat import custody
-from pw.dat import passage as passages
-from pw.dat import follow
-from pw.dat import leaving as leavings
-from pw.dat import quota as quotas
-from pw.dat import replicas
-from pw.dat import rollouts
-from pw.dat import tenants
-from pw.dat import routes as route_tables
-from pw.dat.adapters import counts
-from pw.sim import loopback
+from ploverward.transport import http_server
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.requests import request_handler
+from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.requests import graceful_shutdown
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.requests import route_table
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.simulation import loopback
 
 SETTINGS = """
 node=p1
@@ -84,25 +84,25 @@
         self.reach_s = 1.0
         self.is_serving = True
         self.is_leaving = False
-        self.leaving = leavings.Leaving(now=loop.now, grace_s=self.settings.bound(name="graceS"))
-        self.routes = route_tables.Routes(body=CONFIGURATION)
-        self.quota = quotas.Quota(now=loop.now, settings=self.settings)
+        self.leaving = graceful_shutdown.Leaving(now=loop.now, grace_s=self.settings.bound(name="graceS"))
+        self.routes = route_table.Routes(body=CONFIGURATION)
+        self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
         self.quota.take_entry("core", ("entry", share, share, 1000.0, 1.0, 0, 8))
-        self.rollouts = rollouts.Rollouts(now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0)
-        self.table = replicas.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
-        self.table.install_services(route_tables.services(body=CONFIGURATION))
-        self.chooser = choice.Chooser(
+        self.rollouts = version_routing.Rollouts(now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0)
+        self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
+        self.table.install_services(route_table.services(body=CONFIGURATION))
+        self.chooser = replica_chooser.Chooser(
             table=self.table, settings=self.settings, regions={}, quota=self.quota, now=loop.now
         )
         self.passages = set()
-        self.batches = custody.Batches(most=1000)
-        self.adapters = counts.Counter(now=loop.now, window_s=24.0, trust_s=4.0)
+        self.batches = custody_trails.Batches(most=1000)
+        self.adapters = adapter_counts.Counter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.faults = []
         self.older_homes = []
-        self.trust = tenants.Trust.of(self.settings)
+        self.trust = tenant_admission.Trust.of(self.settings)
         self.configuration_age = 0.0
-        self.allowance = tenants.Allowance(now=loop.now, lease_s=1.0)
+        self.allowance = tenant_admission.Allowance(now=loop.now, lease_s=1.0)
         self.rows = [
             {
                 "id": f"i{number}",
@@ -118,7 +118,7 @@
             for number, (peer, zone) in enumerate(peers)
         ]
         self.table.install_list(self.rows)
-        self.hall = inlet.Hall(
+        self.hall = http_server.Hall(
             loop=loop,
             address=(loopback.own_address(), 0),
             on_request=self.take,
@@ -128,17 +128,17 @@
         self.address = self.hall._sock.getsockname()
 
     def take(self, request):
-        passage = passages.Passage(proxy=self, request=request)
+        passage = request_handler.Passage(proxy=self, request=request)
         self.passages.add(passage)
         passage.begin()
 
     # The real rule, and the real keeping of older homes.
-    permitted = follow.FollowMixin.permitted
-    _keep_older_homes = follow.FollowMixin._keep_older_homes
+    permitted = core_sessions.FollowMixin.permitted
+    _keep_older_homes = core_sessions.FollowMixin._keep_older_homes
 
     def configure(self, body):
         self._keep_older_homes()
-        self.routes = route_tables.Routes(body=body)
+        self.routes = route_table.Routes(body=body)
 
     def configuration_age_s(self):
         return self.configuration_age
--- a/pw/sim/exhaustive.py
+++ b/ploverward/simulation/model_checker.py
@@ -13,7 +13,7 @@
 prepare of an attempt that is over, an accept that can't be taken any more and whose attempt is over, an answer to an
 attempt that is over. Where `is_split` is not set, a request and its answer are one step.
 
-Command: python3 -m pw.sim.exhaustive [--budget small|large] [--scenario NAME] [--states N]
+Command: python3 -m ploverward.simulation.model_checker [--budget small|large] [--scenario NAME] [--states N]
 """
 
 import argparse
@@ -25,10 +25,10 @@
 import time
 import types
 
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import proposer as proposers
-from pw.ctl.register import refill as refills
+from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import proposer as proposers
+from ploverward.control_plane.consensus import catch_up as refills
 
 REGISTER = "r"
 FIRST_TAG = "v"
@@ -1189,7 +1189,9 @@
 
 
 def main(arguments=None) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m pw.sim.exhaustive", description="Moves of the set, step by step.")
+    parser = argparse.ArgumentParser(
+        prog="python3 -m ploverward.simulation.model_checker", description="Moves of the set, step by step."
+    )
     parser.add_argument("--budget", choices=("small", "large", "planted"), default="small")
     parser.add_argument("--scenario", default="", help="only those whose name holds this text")
     parser.add_argument("--states", type=int, default=0, help="most states of one scenario")
--- a/pw/sim/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -1,4 +1,4 @@
-"""What an order costs in processor time and bytes, by the number of routes and of archived marks: python3 -m pw.sim.order_costs."""
+"""What an order costs in processor time and bytes, by the number of routes and of archived marks: python3 -m ploverward.simulation.order_costs."""
 
 import hashlib
 import json
@@ -6,16 +6,16 @@
 import sys
 import time
 
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import models
-from pw.ctl.configuration import orders
-from pw.ctl.configuration import reading
-from pw.ctl.register import ballots
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.consensus import ballots
 
 MEMBERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 REPEATS = 7
 ROUTES = (10, 260, 2000)
-MARKS = (64, 4096, archive.MARKS_KEPT)
+MARKS = (64, 4096, order_archive.MARKS_KEPT)
 SERVICES = 40
 WINDOW = 128
 
@@ -81,8 +81,8 @@
     return {
         "routes": routes,
         "body_bytes": len(data),
-        "read_ms": median_ms(lambda: reading.read_json(data=data)),
-        "check_ms": median_ms(lambda: models.check(body=body)),
+        "read_ms": median_ms(lambda: parser.read_json(data=data)),
+        "check_ms": median_ms(lambda: schema.check(body=body)),
         "put_off_loop_ms": median_ms(lambda: orders.read(method="PUT", base=7, data=data)),
         "patch_off_loop_ms": median_ms(lambda: orders.build(order=patch_order, held=body)),
         "edit_on_loop_ms": median_ms(lambda: edit(held)),
@@ -96,15 +96,15 @@
 
 def by_marks(count: int) -> dict:
     rows = marks_of(count + orders.ARCHIVE_FROM)
-    payload, _through = archive.edit_for(rows=rows[:count])(None)
+    payload, _through = order_archive.edit_for(rows=rows[:count])(None)
     value = ballots.pack(members=MEMBERS, payload=payload)
     return {
         "marks": count,
         "value_bytes": len(value),
-        "append_ms": median_ms(lambda: archive.edit_for(rows=rows[count:])(payload)),
+        "append_ms": median_ms(lambda: order_archive.edit_for(rows=rows[count:])(payload)),
         "pack_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=payload)),
         "unpack_ms": median_ms(lambda: ballots.unpack(value)),
-        "miss_ms": median_ms(lambda: archive.has(payload=payload, mark="f" * orders.MARK_DIGITS)),
+        "miss_ms": median_ms(lambda: order_archive.has(payload=payload, mark="f" * orders.MARK_DIGITS)),
         "bytes_a_change": round(len(value) / orders.ARCHIVE_FROM),
     }
 
--- a/pw/sim/order_world.py
+++ b/ploverward/simulation/order_simulation.py
@@ -7,15 +7,15 @@
 import sys
 import types
 
-from pw.ctl import dispatch
-from pw.ctl import registers
-from pw.ctl.configuration import orders
-from pw.ctl.news import desk as desks
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import ballots
-from pw.ctl.register import proposer as proposers
-from pw.sim import order_history
-from pw.sim import world as worlds
+from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import proposer
+from ploverward.simulation import order_history
+from ploverward.simulation import simulated_world
 
 RECEIPT_S = 6.0
 CONTROL_PORT = 80
@@ -44,12 +44,12 @@
     def start(self, *, is_first=False) -> None:
         self._life += 1
         self.is_up = True
-        self.loop = worlds.Loop(world=self.world)
+        self.loop = simulated_world.Loop(world=self.world)
         if is_first:
             self._disk_incarnation = f"{self.name}{self._life}"
-        self.acceptor = acceptors.Acceptor(incarnation=self._disk_incarnation, rows=dict(self._disk))
+        self.acceptor = acceptor.Acceptor(incarnation=self._disk_incarnation, rows=dict(self._disk))
         self.configuration = None
-        self.proposer = proposers.Proposer(
+        self.proposer = proposer.Proposer(
             own=f"{self.name}/{self._life}",
             seeds=self._seeds,
             send=self._send,
@@ -60,11 +60,13 @@
             limit_s=RECEIPT_S / 2,
             patience_s=RECEIPT_S / 10,
         )
-        self.dispatch = dispatch.Dispatch(
+        self.dispatch = order_handlers.Dispatch(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.proposer.change, read=self.proposer.read),
-            applying=dispatch.Applying(desk=desks.Desk(), proxies=lambda *, is_listed=True: []),
-            redirect=dispatch.Redirect(own=self.name, port=CONTROL_PORT, members=self.members, is_live=self._is_linked),
+            applying=order_handlers.Applying(desk=publisher.Desk(), proxies=lambda *, is_listed=True: []),
+            redirect=order_handlers.Redirect(
+                own=self.name, port=CONTROL_PORT, members=self.members, is_live=self._is_linked
+            ),
             applied=lambda: self.configuration,
             zones=lambda: dict.fromkeys(ZONES),
             receipt_s=RECEIPT_S,
@@ -83,7 +85,7 @@
             self._disk_incarnation = ""
 
     def members(self) -> tuple:
-        return self.proposer.members(registers.CORE_SET)
+        return self.proposer.members(register_names.CORE_SET)
 
     def _is_linked(self, other: str) -> bool:
         target = self._nodes[other]
@@ -151,9 +153,9 @@
     def _on_chosen(self, name: str, _ballot: tuple, _version: int, value: bytes, _is_news: bool) -> None:
         _members, payload = ballots.unpack(value)
         self._on_chosen_value(name, payload)
-        if name == registers.CONFIGURATION:
+        if name == register_names.CONFIGURATION:
             self.configuration = payload["body"] if payload else None
-        elif name == registers.ARCHIVE:
+        elif name == register_names.ARCHIVE:
             self.dispatch.learn_archive(payload)
 
     # From operators.
@@ -263,7 +265,7 @@
     """Nodes, what they chose, and the history of what operators sent."""
 
     def __init__(self, *, seed: int, names=("a", "b", "c"), seeds=("a", "b", "c")):
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.nodes = {}
         self.sent = []
         self.read = []
@@ -276,7 +278,7 @@
 
     def _note_chosen(self, name: str, payload) -> None:
         """Each chosen value names the orders before it too, so that one whose proposer was lost is noted as well."""
-        if name != registers.CONFIGURATION or not payload:
+        if name != register_names.CONFIGURATION or not payload:
             return
         base = None if self.chosen else 0
         for edition, mark in payload["recent"]:
@@ -351,7 +353,7 @@
 
     def move(self, *, by: str, to: tuple, done) -> None:
         """Moves every register to another set, as the holder of the watch does."""
-        names = list(registers.REGISTERS)
+        names = list(register_names.REGISTERS)
 
         def step(error=None, *_row):
             if error is not None or not names:
@@ -510,7 +512,9 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description="Plays seeded histories of orders: python3 -m pw.sim.order_world")
+    parser = argparse.ArgumentParser(
+        description="Plays seeded histories of orders: python3 -m ploverward.simulation.order_simulation"
+    )
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--count", type=int, default=100)
     args = parser.parse_args()
--- a/pw/sim/quota_world.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -7,14 +7,14 @@
 import dataclasses
 import random
 
-from pw.base import tenants
-from pw.ctl import metering
-from pw.dat import tenants as proxy_tenants
-from pw.sim import world as worlds
+from ploverward.common import tenant_usage
+from ploverward.control_plane.quotas import quota_meter
+from ploverward.data_plane.quotas import tenant_admission
+from ploverward.simulation import simulated_world
 
 BEAT_S = 0.4
 LEASE_S = 0.9
-BOUNDS = metering.Bounds(window_s=5.0, excess=0.1, slack=20.0)
+BOUNDS = quota_meter.Bounds(window_s=5.0, excess=0.1, slack=20.0)
 START_AT = 12.0  # of traffic: by then the buckets are full
 END_AT = 44.0
 USUAL_PART = 1 / 1.6  # of a tenant's limit, that it asks for on ordinary days
@@ -54,7 +54,7 @@
         self.start()
 
     def start(self) -> None:
-        self.meter = metering.Meter(now=self.day.world.now, bounds=BOUNDS, part=lambda: 1.0 / CORES)
+        self.meter = quota_meter.Meter(now=self.day.world.now, bounds=BOUNDS, part=lambda: 1.0 / CORES)
         self.meter.install(self.day.body)
 
 
@@ -69,7 +69,7 @@
 
     def start(self) -> None:
         self.life += 1
-        self.allowance = proxy_tenants.Allowance(now=self.day.world.now, lease_s=LEASE_S)
+        self.allowance = tenant_admission.Allowance(now=self.day.world.now, lease_s=LEASE_S)
         self.allowance.install(self.day.body)
 
     def beat(self) -> None:
@@ -87,7 +87,7 @@
         def told():
             if self.is_cut or life != str(self.life):
                 return
-            core.meter.take(proxy=self.name, life=life, rows=tenants.unpack_usage(data))
+            core.meter.take(proxy=self.name, life=life, rows=tenant_usage.unpack_usage(data))
             credits = core.meter.credits(proxy=self.name)
             proxies = core.meter.proxies()
             self.day.world.later(self.day.chance.uniform(0.001, 0.08), lambda: answered(credits, proxies))
@@ -102,7 +102,7 @@
 class Day:
     def __init__(self, *, seed: int, troubles: tuple | None = None, proxies: int = 0):
         self.chance = chance = random.Random(seed)
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.troubles = tuple(chance.sample(TROUBLES, 2)) if troubles is None else tuple(troubles)
         self.report = Report(seed=seed, troubles=self.troubles)
         rates = [chance.uniform(20, 40), *(chance.uniform(0.5, 8.0) for _turn in range(9))]
@@ -126,7 +126,7 @@
         if now >= proxy.frozen_until:
             self.asked[name].append(now)
             self.report.asked += 1
-            if proxy.allowance.admit(tenants.tenant_key(name)):
+            if proxy.allowance.admit(tenant_usage.tenant_key(name)):
                 self.admitted[name].append(now)
             else:
                 self.report.refused += 1
@@ -202,7 +202,7 @@
                 after = [when for when in self.admitted[name] if when >= self.lowered_at]
                 spans = [([when for when in self.admitted[name] if when < self.lowered_at], rate), (after, rate * 0.3)]
             for times, per_s in spans:
-                limit = tenants.Limit(per_s=per_s, burst=round(rate))
+                limit = tenant_usage.Limit(per_s=per_s, burst=round(rate))
                 base = per_s * BOUNDS.window_s + limit.burst
                 found = self._worst_window(times, BOUNDS.window_s)
                 self.report.worst = max(self.report.worst, (found - base) / BOUNDS.error(limit))
--- a/pw/sim/wires.py
+++ b/ploverward/simulation/recording_connections.py
@@ -1,9 +1,9 @@
 """Links that keep what they are told, and frames as digests send them, for tests."""
 
-from pw.base import records
-from pw.base import wire
-from pw.dat.relay import ckf
-from pw.dat.relay import resolution
+from ploverward.transport import row_codec
+from ploverward.transport import frames
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import resolution
 
 
 class Wire:
@@ -15,10 +15,10 @@
         self.queue = 0
 
     def send(self, message):
-        self.send_bytes(wire.pack(message))
+        self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data):
-        self.told.append(wire.unpack(data))
+        self.told.append(frames.unpack(data))
 
     def queued(self):
         return self.queue
@@ -31,15 +31,17 @@
 
 
 def load_row(name, running=0, tokens=0, marks=0, ended=0, failed=0, region=0):
-    return records.REPORTED.pack(records.key_of(name), region, running, tokens, marks, ended, failed)
+    return row_codec.REPORTED.pack(row_codec.key_of(name), region, running, tokens, marks, ended, failed)
 
 
 def read_row(name, *parts, service="llm", model="m", region=0):
-    return records.pack_read(
-        replica=records.key_of(name),
+    return row_codec.pack_read(
+        replica=row_codec.key_of(name),
         region=region,
         domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
-        parts=tuple((ckf.token_hash(model=model, part=part, tokens=tokens), tokens) for part, tokens in parts),
+        parts=tuple(
+            (cuckoo_filter.token_hash(model=model, part=part, tokens=tokens), tokens) for part, tokens in parts
+        ),
     )
 
 
@@ -49,4 +51,4 @@
 
 def loads_of(message):
     """{replica key: (running, tokens, marks, is failing)} of a load frame."""
-    return {key: tuple(load) for key, *load in records.rows(shape=records.LOAD, data=message[3])}
+    return {key: tuple(load) for key, *load in row_codec.rows(shape=row_codec.LOAD, data=message[3])}
--- a/pw/sim/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -1,11 +1,11 @@
 """What a change of the configuration's register costs, against changes made before and against routes: docs/register.md 5.
 
-    python3 -m pw.sim.register_cost            measures and prints tables
-    python3 -m pw.sim.register_cost --json     the same for machines
+    python3 -m ploverward.simulation.register_cost            measures and prints tables
+    python3 -m ploverward.simulation.register_cost --json     the same for machines
 
 The real proposer, acceptors, frames and files (in a folder that is removed again), without sockets. Bytes are those of
 packed frames over all members; processor time is this process's own, for all members together, without the wait for a sync.
-Catch-up is played in the simulated world of `pw.sim.voters`, in its time: frames take 1 to 50 ms, writes 1 to 10 ms.
+Catch-up is played in the simulated world of `ploverward.simulation.consensus_cluster`, in its time: frames take 1 to 50 ms, writes 1 to 10 ms.
 """
 
 import argparse
@@ -18,12 +18,12 @@
 import tempfile
 import time
 
-from pw.base import wire
-from pw.ctl import registers
-from pw.ctl.register import acceptor as acceptors
-from pw.ctl.register import proposer as proposers
-from pw.ctl.register import store as stores
-from pw.sim import voters
+from ploverward.transport import frames
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.simulation import consensus_cluster
 
 CHANGES = (0, 100, 1000, 4100)
 ROUTES = (10, 100, 500, 2000)
@@ -32,7 +32,7 @@
 LIMIT_BYTES = 8 * 1024 * 1024  # of the file, as with 128 MB of disk
 MARKS_IN_VALUE = 64
 MARKS_IN_ARCHIVE = 12288
-NAME = registers.CONFIGURATION
+NAME = register_names.CONFIGURATION
 
 
 def route(number: int) -> dict:
@@ -66,7 +66,7 @@
     return {"through": changes, "marks": base64.b64encode(marks).decode()}
 
 
-class CountingDisk(stores.Disk):
+class CountingDisk(acceptor_storage.Disk):
     """Counts the bytes that are written."""
 
     def __init__(self, *, folder: str):
@@ -88,13 +88,13 @@
     def __init__(self, *, name: str, folder: str, limit_bytes: int = LIMIT_BYTES):
         os.makedirs(folder)
         self.folder = folder
-        self.acceptor = acceptors.Acceptor(incarnation=name)
+        self.acceptor = acceptor.Acceptor(incarnation=name)
         self.disk = CountingDisk(folder=folder)
-        self.store = stores.Store(disk=self.disk, limit_bytes=limit_bytes)
+        self.store = acceptor_storage.Store(disk=self.disk, limit_bytes=limit_bytes)
         self.save()
 
     def save(self, *rows) -> None:
-        image = stores.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
+        image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     @property
@@ -126,7 +126,7 @@
         self._own = names[0]
         self._queue = collections.deque()
         held = (lambda name: self.members[self._own].acceptor.get(name)[1:]) if names_held else None
-        self.proposer = proposers.Proposer(
+        self.proposer = proposer.Proposer(
             own=f"{self._own}/abcdef",
             seeds=names,
             send=lambda member, message: self._queue.append((member, message)),
@@ -143,9 +143,9 @@
         """Frames between a node and itself are handed over as they are."""
         if is_local:
             return message
-        frame = self.meter.timed("frames", lambda: wire.pack(message))
+        frame = self.meter.timed("frames", lambda: frames.pack(message))
         self.meter.bytes[message[0]] += len(frame)
-        return self.meter.timed("frames", lambda: wire.unpack(frame))
+        return self.meter.timed("frames", lambda: frames.unpack(frame))
 
     def change(self, *, edit, name=NAME) -> None:
         self.proposer.change(name=name, edit=edit, done=lambda *_row: None)
@@ -215,7 +215,7 @@
                 member.save(row)
             largest = max(largest, member.file_bytes)
         begun = time.process_time()
-        stores.Store(disk=stores.Disk(folder=member.folder), limit_bytes=LIMIT_BYTES).load()
+        acceptor_storage.Store(disk=acceptor_storage.Disk(folder=member.folder), limit_bytes=LIMIT_BYTES).load()
         loaded_s = time.process_time() - begun
         return {
             "routes": routes,
@@ -233,11 +233,13 @@
     how: "restarted" (power lost), "absent" (restarted, away for the last half of the changes), "emptied", "new".
     """
     is_new = how == "new"
-    model = voters.Model(seed=seed, seeds=("a", "b", "c"))
+    model = consensus_cluster.Model(seed=seed, seeds=("a", "b", "c"))
     world, late = model.world, "c"
     if is_new:
         late = "d"
-        node = voters.Node(world=world, name="d", nodes=model.nodes, seeds=("a", "b", "c"), is_first_start=False)
+        node = consensus_cluster.Node(
+            world=world, name="d", nodes=model.nodes, seeds=("a", "b", "c"), is_first_start=False
+        )
         node.stop(is_wiped=True)
         model.nodes["d"] = node
     step_s, begun_s = 0.5, 2.0
@@ -269,11 +271,13 @@
     with tempfile.TemporaryDirectory() as folder:
         group = Group(folder=folder, members=members, names_held=True)
         group.change(edit=lambda _payload: (payload_of(routes=routes, changes=changes), None))
-        group.change(name=registers.ARCHIVE, edit=lambda _payload: (archive_of(changes=changes), None))
+        group.change(name=register_names.ARCHIVE, edit=lambda _payload: (archive_of(changes=changes), None))
         answerers = list(group.members.values())[1:]
         row_sets = [member.acceptor.rows() for member in answerers]
-        look = sum(len(wire.pack(("refilled", 1, True, rows))) for rows in row_sets)
-        fence = sum(len(wire.pack(("refilled", 2, True, tuple((*row[:6], b"") for row in rows)))) for rows in row_sets)
+        look = sum(len(frames.pack(("refilled", 1, True, rows))) for rows in row_sets)
+        fence = sum(
+            len(frames.pack(("refilled", 2, True, tuple((*row[:6], b"") for row in rows)))) for rows in row_sets
+        )
         return {"routes": routes, "changes": changes, "look_bytes": look, "fence_bytes": fence}
 
 
--- a/pw/sim/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -1,21 +1,21 @@
-"""Nodes of the model of roll-outs (pw/sim/rollout_world.py): replicas of two versions, core nodes and proxies with the real
+"""Nodes of the model of roll-outs (ploverward/simulation/rollout_simulation.py): replicas of two versions, core nodes and proxies with the real
 holder and the real proxies' side. `day` is the `rollout_world.Day` that they belong to."""
 
 import collections
 
-from pw.base import records
-from pw.ctl.rollouts import duty as duties
-from pw.ctl.rollouts import leases
-from pw.ctl.rollouts import ledger as ledgers
-from pw.ctl.rollouts import plan
-from pw.dat import rollouts
-from pw.dat.digest import source as sources
+from ploverward.transport import row_codec
+from ploverward.control_plane.rollouts import manager
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import planner
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.data_plane.load_reports import report_source
 
 SERVICE, FORMER, NEW = "pool", "v1", "v2"
 CONTACT_S = 6.0
 RECEIPT_S = 8.0
 ROLLBACK_S = 5.0
-EXPOSURE = plan.Exposure(share=0.1, slack=50.0)
+EXPOSURE = planner.Exposure(share=0.1, slack=50.0)
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
 ROUTES = ("draft", "query")
 
@@ -35,7 +35,7 @@
 
     def __init__(self, *, name: str, zone: str, edition: str):
         self.id = name
-        self.key = records.key_of(name)
+        self.key = row_codec.key_of(name)
         self.zone = zone
         self.edition = edition
         self.is_gone = False
@@ -67,7 +67,7 @@
         day = self.day
         self.is_up = True
         self.proxies = {}  # Origin: when it was heard
-        self.duty = duties.RolloutDuty(
+        self.duty = manager.RolloutDuty(
             settings=Settings(),
             now=day.world.now,
             change=self._change,
@@ -121,7 +121,7 @@
         self.running = collections.Counter()  # edition: attempts under way
         self.asked_at = 0.0  # when its last report was sent
         self.answered_at = 0.0  # the latest of its reports that was answered by leases
-        self.rollouts = rollouts.Rollouts(
+        self.rollouts = version_routing.Rollouts(
             now=self.day.world.now,
             chance=self.day.chance.random,
             running=lambda service, target: self._elsewhere(target),
@@ -146,7 +146,7 @@
             return
         report = self.rollouts.report()
         self.asked_at = day.world.now()
-        origin = ledgers.Origin(address=self.name, life=str(self.life))
+        origin = evidence_table.Origin(address=self.name, life=str(self.life))
         if day.chance.random() < 0.3 or not day.cores[self.core].is_up:
             self.core = day.holder  # news of the duty come late
         core = day.cores[self.core]
@@ -209,11 +209,11 @@
                 return
             self.running[replica.edition] -= 1
             is_cut_off = replica.is_gone
-            kind = sources.FAILED if is_cut_off or attempt.status >= 500 else sources.DONE
+            kind = report_source.FAILED if is_cut_off or attempt.status >= 500 else report_source.DONE
             attempt.is_complete = not is_cut_off
             rollout.note_end(service=SERVICE, route=route, attempt=attempt, kind=kind, aim_s=0.8, expected_s=0.05)
             day.note_answer(replica, attempt)
-            if kind == sources.FAILED and is_first:
+            if kind == report_source.FAILED and is_first:
                 self.send(route=route, is_first=False)
 
         day.world.later(attempt.last_at - attempt.sent_at, end)
