--- a/pw/sim/rollout_world.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -1,6 +1,6 @@
 """A model of roll-outs: the real holder, judge and proxies' side on a simulated network, with versions good and bad.
 
-One replicated register (linearizable, as `pw.sim.control` checks the real one), three core nodes of which one holds the
+One replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one), three core nodes of which one holds the
 duty, proxies with traffic, replicas of two versions. Troubles cut, freeze and kill nodes. `play(seed)` is one day.
 """
 
@@ -8,13 +8,13 @@
 import random
 import types
 
-from pw.ctl.rollouts import duty as duties
-from pw.ctl.rollouts import orders
-from pw.ctl.rollouts import plan
-from pw.ctl.rollouts import state
-from pw.dat import attempts
-from pw.sim import rollout_nodes as nodes
-from pw.sim import world as worlds
+from ploverward.control_plane.rollouts import manager
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import planner
+from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.requests import attempts
+from ploverward.simulation import rollout_nodes
+from ploverward.simulation import simulated_world
 
 BEAT_S = 0.4
 ORDER_AT = 2.0
@@ -66,7 +66,7 @@
 
     def __init__(self, *, seed: int, kind: str = "", troubles: tuple | None = None):
         self.chance = random.Random(seed)
-        self.world = worlds.World(seed=seed)
+        self.world = simulated_world.World(seed=seed)
         self.kind = kind or self.chance.choice(("good", *BAD_KINDS))
         self.troubles = (
             tuple(self.chance.sample(TROUBLES, self.chance.randint(1, 2))) if troubles is None else tuple(troubles)
@@ -74,35 +74,35 @@
         self.report = Report(seed=seed, kind=self.kind, troubles=self.troubles)
         self.over_s = self.chance.uniform(12.0, 18.0)
         self.late_s = self.chance.uniform(2.0, 3.5)
-        admitted = state.Rollout(admitted=(nodes.FORMER,), step=1)
-        self.payload = state.with_rollout(None, service=nodes.SERVICE, rollout=admitted)
+        admitted = state.Rollout(admitted=(rollout_nodes.FORMER,), step=1)
+        self.payload = state.with_rollout(None, service=rollout_nodes.SERVICE, rollout=admitted)
         self.stages = []
-        self.replicas = [self._replica(nodes.FORMER, number) for number in range(24)]
+        self.replicas = [self._replica(rollout_nodes.FORMER, number) for number in range(24)]
         self.seen_rows = {one.id for one in self.replicas}
         self.new_from = None
         self.unserved = 0
         self.sends = []  # (when, is new, is in touch)
         self.bad_answers = []
-        self.cores = {name: nodes.Core(day=self, name=name) for name in CORES}
+        self.cores = {name: rollout_nodes.Core(day=self, name=name) for name in CORES}
         self.holder = "k1"
         self.holder_lost_at = None
         self.is_slow = self.former_fails = False
         per_s = self.chance.choice((40.0, 120.0, 200.0))
         count = self.chance.choice((12, 30, 60))
         self.proxies = [
-            nodes.Proxy(day=self, name=f"p{number}", per_s=per_s / count * self.chance.uniform(0.3, 1.7))
+            rollout_nodes.Proxy(day=self, name=f"p{number}", per_s=per_s / count * self.chance.uniform(0.3, 1.7))
             for number in range(count)
         ]
 
-    def _replica(self, edition: str, number: int) -> nodes.Replica:
-        zones = tuple(nodes.ZONES)
-        return nodes.Replica(name=f"{edition}-{number}", zone=zones[number % len(zones)], edition=edition)
+    def _replica(self, edition: str, number: int) -> rollout_nodes.Replica:
+        zones = tuple(rollout_nodes.ZONES)
+        return rollout_nodes.Replica(name=f"{edition}-{number}", zone=zones[number % len(zones)], edition=edition)
 
     # The world.
     def listed(self) -> list:
         now = self.world.now()
         return [
-            one.row(cold=one.edition == nodes.NEW and now < self.new_from + 2.0)
+            one.row(cold=one.edition == rollout_nodes.NEW and now < self.new_from + 2.0)
             for one in self.replicas
             if one.id in self.seen_rows and not one.is_gone
         ]
@@ -113,14 +113,14 @@
         if chosen is self.payload:
             return
         self.payload = chosen
-        row = state.rollouts_of(chosen).get(nodes.SERVICE, state.Rollout())
+        row = state.rollouts_of(chosen).get(rollout_nodes.SERVICE, state.Rollout())
         self._note_stage(row)
         for core in self.cores.values():
             self._tell_core(core, chosen)
         for proxy in self.proxies:
             self._tell_proxy(proxy, chosen)
 
-    def _tell_core(self, core: nodes.Core, chosen) -> None:
+    def _tell_core(self, core: rollout_nodes.Core, chosen) -> None:
         def tell():
             if core.is_cut:
                 self.world.later(0.3, tell)
@@ -129,7 +129,7 @@
 
         self.world.later(self.chance.uniform(0.0, 0.1), tell)
 
-    def _tell_proxy(self, proxy: nodes.Proxy, chosen) -> None:
+    def _tell_proxy(self, proxy: rollout_nodes.Proxy, chosen) -> None:
         life = proxy.life
 
         def tell():
@@ -142,10 +142,10 @@
 
         self.world.later(self.chance.uniform(0.02, 0.8), tell)
 
-    def holds_duty(self, core: nodes.Core) -> bool:
+    def holds_duty(self, core: rollout_nodes.Core) -> bool:
         return self.holder == core.name or core.name == getattr(self, "former_holder", None)
 
-    def attempt(self, replica: nodes.Replica, route: str):
+    def attempt(self, replica: rollout_nodes.Replica, route: str):
         now = self.world.now()
         is_bad = self._is_bad(replica, route, now)
         failed = is_bad and self.kind != "slow"
@@ -176,11 +176,11 @@
             pieces=pieces,
         )
 
-    def _is_bad(self, replica: nodes.Replica, route: str, now: float) -> bool:
-        if self.kind == "good" or replica.edition != nodes.NEW or self.chance.random() >= 0.5:
+    def _is_bad(self, replica: rollout_nodes.Replica, route: str, now: float) -> bool:
+        if self.kind == "good" or replica.edition != rollout_nodes.NEW or self.chance.random() >= 0.5:
             return False
         if self.kind == "one_class":
-            return route == nodes.ROUTES[0]
+            return route == rollout_nodes.ROUTES[0]
         return self.kind != "late" or now >= self.new_from + self.late_s
 
     # Checks.
@@ -201,42 +201,42 @@
 
     def _deliver(self) -> None:
         """The former replicas stop at once."""
-        is_forced = self.world.now() - ORDER_AT >= plan.DELIVER_SILENT_PART * self.over_s
-        running = sum(proxy.running[nodes.FORMER] for proxy in self.proxies if proxy.is_in_touch)
+        is_forced = self.world.now() - ORDER_AT >= planner.DELIVER_SILENT_PART * self.over_s
+        running = sum(proxy.running[rollout_nodes.FORMER] for proxy in self.proxies if proxy.is_in_touch)
         if running and not is_forced and not self._had_losses():
             self._find("delivered", f"{running} attempts run at the former version")
         for replica in self.replicas:
-            replica.is_gone = replica.is_gone or replica.edition == nodes.FORMER
+            replica.is_gone = replica.is_gone or replica.edition == rollout_nodes.FORMER
 
     def _had_losses(self) -> bool:
         return bool({"cut_proxies", "freeze_proxies", "kill_proxies", "kill_all"} & set(self.troubles))
 
-    def note_send(self, proxy: nodes.Proxy, replica: nodes.Replica) -> None:
+    def note_send(self, proxy: rollout_nodes.Proxy, replica: rollout_nodes.Replica) -> None:
         now = self.world.now()
-        is_new = replica.edition == nodes.NEW
+        is_new = replica.edition == rollout_nodes.NEW
         if is_new and not self.stages:
             self._find("admitted", "a request to a version that nobody let in")
         self._check_lease(proxy, is_new, now)
         is_in_touch = proxy.is_in_touch
         self.sends.append((now, is_new, is_in_touch))
         if is_new and is_in_touch and self.kind != "good" and len(self.bad_answers) >= BAD_ANSWERS:
-            if now > self.bad_answers[BAD_ANSWERS - 1] + nodes.ROLLBACK_S:
+            if now > self.bad_answers[BAD_ANSWERS - 1] + rollout_nodes.ROLLBACK_S:
                 self._find("rollback", f"{now - self.bad_answers[BAD_ANSWERS - 1]:.2f} s after the bad answers")
 
-    def _check_lease(self, proxy: nodes.Proxy, is_new: bool, now: float) -> None:
+    def _check_lease(self, proxy: rollout_nodes.Proxy, is_new: bool, now: float) -> None:
         """Before all are to go there, a request to the new version wants a lease that was asked for lately."""
         is_leased = self.stages and self.stages[-1] in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.RETURNED)
-        if is_new and is_leased and now - proxy.answered_at > nodes.ROLLBACK_S * duties.LEASE_PART + 0.01:
+        if is_new and is_leased and now - proxy.answered_at > rollout_nodes.ROLLBACK_S * manager.LEASE_PART + 0.01:
             if state.Stage.DRAINING not in self.stages:
                 self._find("lease", f"{now - proxy.answered_at:.2f} s after its last lease was asked for")
 
-    def note_answered(self, core: nodes.Core) -> None:
+    def note_answered(self, core: rollout_nodes.Core) -> None:
         """A core node hands out leases: it must be in contact, or have been so a moment ago."""
-        if self.world.now() > core.contact_until + nodes.CONTACT_S / 5:
+        if self.world.now() > core.contact_until + rollout_nodes.CONTACT_S / 5:
             self._find("holder", f"{core.name} hands out leases without contact")
 
-    def note_answer(self, replica: nodes.Replica, attempt) -> None:
-        if replica.edition == nodes.NEW and attempt.is_bad:
+    def note_answer(self, replica: rollout_nodes.Replica, attempt) -> None:
+        if replica.edition == rollout_nodes.NEW and attempt.is_bad:
             self.bad_answers.append(self.world.now())
 
     def _check_exposure(self) -> None:
@@ -244,7 +244,7 @@
         during = [row for row in self.sends if ORDER_AT <= row[0] <= term]
         self.report.sent = len(during)
         self.report.sent_new = sum(is_new for _when, is_new, is_in_touch in during if is_in_touch)
-        allowed = nodes.EXPOSURE.share * len(during) + nodes.EXPOSURE.slack
+        allowed = rollout_nodes.EXPOSURE.share * len(during) + rollout_nodes.EXPOSURE.slack
         if self.kind != "good" and self.report.sent_new > allowed:
             self._find("exposure", f"{self.report.sent_new} of {len(during)}, {allowed:.0f} allowed")
 
@@ -273,7 +273,7 @@
         self.world.later(for_s, lambda: setattr(self, name, False))
 
     def _make_faulty(self, for_s: float) -> None:
-        fresh = [one for one in self.replicas if one.edition == nodes.NEW] or self.replicas
+        fresh = [one for one in self.replicas if one.edition == rollout_nodes.NEW] or self.replicas
         replica = self.chance.choice(fresh)
         replica.is_faulty = True
         self.world.later(for_s, lambda: setattr(replica, "is_faulty", False))
@@ -287,7 +287,7 @@
         for proxy in proxies:
             proxy.frozen_until = self.world.now() + for_s
 
-    def _kill(self, core: nodes.Core, down_s: float) -> None:
+    def _kill(self, core: rollout_nodes.Core, down_s: float) -> None:
         core.is_up = False
         core.duty.rest()
 
@@ -316,12 +316,12 @@
 
     # The day.
     def _order(self) -> None:
-        order = orders.Order(service=nodes.SERVICE, target=nodes.NEW, over_s=self.over_s)
+        order = orders.Order(service=rollout_nodes.SERVICE, target=rollout_nodes.NEW, over_s=self.over_s)
         self.edit(orders.edit_for(order=order, is_late=lambda: False))
 
     def _start_new(self) -> None:
         self.new_from = self.world.now()
-        fresh = [self._replica(nodes.NEW, number) for number in range(24)]
+        fresh = [self._replica(rollout_nodes.NEW, number) for number in range(24)]
         self.replicas += fresh
         self.world.later(self.chance.uniform(0.0, 1.0), lambda: self.seen_rows.update(one.id for one in fresh))
 
@@ -332,7 +332,7 @@
 
         self.world.later(self.chance.uniform(0.0, gap), again)
 
-    def _arrive(self, proxy: nodes.Proxy) -> None:
+    def _arrive(self, proxy: rollout_nodes.Proxy) -> None:
         proxy.request()
         self.world.later(self.chance.expovariate(proxy.per_s), lambda: self._arrive(proxy))
 
@@ -350,7 +350,7 @@
             self._trouble(name)
         self.world.run(until=END_AT)
         self._check_exposure()
-        row = state.rollouts_of(self.payload)[nodes.SERVICE]
+        row = state.rollouts_of(self.payload)[rollout_nodes.SERVICE]
         self.report.stage = str(row.stage)
         return self.report
 
--- a/pw/sim/world.py
+++ b/ploverward/simulation/simulated_world.py
@@ -63,7 +63,7 @@
 
 
 class Loop:
-    """The world's time with the methods of pw.base.loop.Loop that handlers use. Offloaded work takes some time."""
+    """The world's time with the methods of ploverward.transport.event_loop.Loop that handlers use. Offloaded work takes some time."""
 
     def __init__(self, *, world, work_s: tuple = (0.0, 0.01)):
         self.world = world
--- a/pw/sim/standin.py
+++ b/ploverward/simulation/stand_in.py
@@ -1,4 +1,4 @@
-"""A small deployment on the loopback range, to try the programs by hand: python3 -m pw.sim.standin [--folder F].
+"""A small deployment on the loopback range, to try the programs by hand: python3 -m ploverward.simulation.stand_in [--folder F].
 
 Three regions with a core node, a proxy and two stand-in replicas each, a stand-in platform, and a little
 traffic. It stands in for a platform and model replicas; it measures nothing. Ends with Ctrl-C.
@@ -16,10 +16,10 @@
 import urllib.request
 import uuid
 
-from pw.base import inlet
-from pw.base import loop as loops
-from pw.sim import loopback
-from pw.sim import standin_versions
+from ploverward.transport import http_server
+from ploverward.transport import event_loop
+from ploverward.simulation import loopback
+from ploverward.simulation import stand_in_versions
 
 REGIONS = ("north", "south", "west")
 BOUNDS = {
@@ -97,7 +97,7 @@
 
 
 MOST_BUSY = 12  # requests under way
-SLOWER = standin_versions.SLOW_TIMES
+SLOWER = stand_in_versions.SLOW_TIMES
 LOAD_S = 0.9  # an adapter's load
 SLOTS = 2  # adapters that a replica holds
 ADAPTERS = ("drafts", "hearings", "moves", "coach")
@@ -105,7 +105,7 @@
 
 class Standin:
     def __init__(self, *, folder: str, base_port: int):
-        self.loop = loops.Loop()
+        self.loop = event_loop.Loop()
         self.folder = folder
         self.base = base_port
         self.rows = []
@@ -113,7 +113,7 @@
         self.nodes = []
         self.platform = f"127.0.100.1:{base_port + 50}"
         limits = lambda: loopback.limits(head_bytes=65536, body_bytes=10**6)  # noqa: E731
-        inlet.Hall(
+        http_server.Hall(
             loop=self.loop,
             address=("127.0.100.1", base_port + 50),
             on_request=self._list,
@@ -124,7 +124,7 @@
         self._starts = 0  # of versions: each has addresses of its own
         self.editions = {}  # replica: (edition, when it started)
         self.start_version("v1")
-        self.versions = standin_versions.Versions(
+        self.versions = stand_in_versions.Versions(
             loop=self.loop,
             core=f"127.0.1.1:{base_port}",
             service="tutor",
@@ -156,7 +156,7 @@
                 )
                 self.held[name] = {}
                 self.editions[name] = (edition, self.loop.now())
-                inlet.Hall(
+                http_server.Hall(
                     loop=self.loop,
                     address=address,
                     limits=self._limits,
@@ -185,10 +185,10 @@
     def _serve(self, ask, name):
         known = [(b"X-Attempt-Id", ask.header(b"x-attempt-id")), (b"X-Postmark", uuid.uuid4().hex.encode())]
         edition, started_at = self.editions[name]
-        bad = standin_versions.is_bad(
+        bad = stand_in_versions.is_bad(
             edition=edition, target=ask.target, age_s=self.loop.now() - started_at, chance=random.random()
         )
-        slow = SLOWER if bad and standin_versions.is_slow(edition) else 1.0
+        slow = SLOWER if bad and stand_in_versions.is_slow(edition) else 1.0
         if all(row["id"] != name for row in self.rows):
             ask.abort()
         elif bad and slow == 1.0:
@@ -261,7 +261,7 @@
         with open(path, "w", encoding="utf-8") as handle:
             handle.write("\n".join(lines) + "\n")
         env = {**os.environ, "PLOVERWARD_NODE_FILE": path}
-        self.nodes.append(subprocess.Popen([sys.executable, "ploverward.py", role], env=env))
+        self.nodes.append(subprocess.Popen([sys.executable, "-m", "ploverward", role], env=env))
 
     def configure(self):
         request = urllib.request.Request(
--- a/pw/sim/test_rollout_world.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from pw.ctl.rollouts import duty
-from pw.ctl.rollouts import judge
-from pw.ctl.rollouts import ledger
-from pw.ctl.rollouts import plan
-from pw.ctl.rollouts import state
-from pw.dat import rollouts
-from pw.sim import rollout_world
+from ploverward.control_plane.rollouts import manager
+from ploverward.control_plane.rollouts import judge
+from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import planner
+from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.simulation import rollout_simulation
 
 DAYS = 40
 MOST_SEEDS = 60
@@ -17,27 +17,27 @@
 @pytest.mark.parametrize("first", range(0, DAYS, 8))
 def test_days_break_no_check(first):
     for seed in range(first, first + 8):
-        report = rollout_world.play(seed)
+        report = rollout_simulation.play(seed)
         assert not report.findings, (report.seed, report.kind, report.troubles, report.findings[:3])
 
 
-@pytest.mark.parametrize("kind", rollout_world.BAD_KINDS)
+@pytest.mark.parametrize("kind", rollout_simulation.BAD_KINDS)
 def test_a_bad_version_is_returned_inside_its_term(kind):
     for seed in range(3):
-        report = rollout_world.play(seed, kind=kind, troubles=("none",))
+        report = rollout_simulation.play(seed, kind=kind, troubles=("none",))
         assert report.stage == state.Stage.RETURNED, (seed, report)
 
 
 def test_a_good_version_is_delivered_inside_its_term():
     for seed in range(6):
-        report = rollout_world.play(seed, kind="good", troubles=("none",))
+        report = rollout_simulation.play(seed, kind="good", troubles=("none",))
         assert report.stage == state.Stage.DELIVERED and report.ended_s < 18.0, (seed, report)
 
 
 def leases_without_end(monkeypatch):
-    real = rollouts.Rollouts.take_leases
+    real = version_routing.Rollouts.take_leases
     monkeypatch.setattr(
-        rollouts.Rollouts,
+        version_routing.Rollouts,
         "take_leases",
         lambda self, *, number, life_s, leases: real(self, number=number, life_s=life_s * 9, leases=leases),
     )
@@ -45,23 +45,23 @@
 
 def a_stage_that_goes_back(monkeypatch):
     """A holder that begins anew after the promotion, and a register that takes any step."""
-    real = plan.next_move
+    real = planner.next_move
 
     def next_move(view):
         if view.rollout.stage == state.Stage.PROMOTING:
-            return plan.Move(stage=state.Stage.CANARY, reason="once more")
+            return planner.Move(stage=state.Stage.CANARY, reason="once more")
         return real(view)
 
-    monkeypatch.setattr(plan, "next_move", next_move)
+    monkeypatch.setattr(planner, "next_move", next_move)
     monkeypatch.setattr(state, "NEXT_STAGES", dict.fromkeys(state.UNDER_WAY, tuple(state.Stage)))
 
 
 def a_holder_that_never_rests(monkeypatch):
-    monkeypatch.setattr(duty.RolloutDuty, "rest", lambda self: setattr(self, "_acting_until", 1e9))
+    monkeypatch.setattr(manager.RolloutDuty, "rest", lambda self: setattr(self, "_acting_until", 1e9))
 
 
 def delivered_with_work_running(monkeypatch):
-    monkeypatch.setattr(ledger.Ledger, "is_drained", lambda self, *, origins, step: True)
+    monkeypatch.setattr(evidence_table.Ledger, "is_drained", lambda self, *, origins, step: True)
 
 
 def the_list_before_the_order(monkeypatch):
@@ -96,7 +96,7 @@
 def test_planted_faults_are_found(monkeypatch, plant, kind, troubles, check):
     plant(monkeypatch)
     for seed in range(MOST_SEEDS):
-        findings = rollout_world.play(seed, kind=kind, troubles=troubles).findings
+        findings = rollout_simulation.play(seed, kind=kind, troubles=troubles).findings
         if any(finding.check == check for finding in findings):
             return
     pytest.fail(f"{check} was not found in {MOST_SEEDS} days")
--- a/pw/ops/known_failures.py
+++ b/ploverward/testing/known_failures.py
@@ -1,8 +1,8 @@
 """Runs the tests on several cores. Passes over just what KNOWN-RED.txt lists, prints it, and fails where a listed test
 passes or did not run.
 
-    python3 -m pw.ops.known_failures                   all tests
-    python3 -m pw.ops.known_failures pw/base -n 0      one folder, in this process
+    python3 -m ploverward.testing.known_failures                   all tests
+    python3 -m ploverward.testing.known_failures ploverward/common -n 0      one folder, in this process
 
 All arguments go to pytest, behind the default ones; paths among them replace `pytest.ini`'s.
 """
--- a/pw/ops/test_known_failures.py
+++ b/ploverward/testing/test_known_failures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pw.ops import known_failures
+from ploverward.testing import known_failures
 
 ROOT = pathlib.Path(__file__).parents[2]
 TESTS = """
@@ -101,7 +101,7 @@
     (folder / known_failures.LIST_NAME).write_text(listed)
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
     return subprocess.run(
-        [sys.executable, "-m", "pw.ops.known_failures", *arguments],
+        [sys.executable, "-m", "ploverward.testing.known_failures", *arguments],
         cwd=folder,
         env={**environment, "PYTHONPATH": os.pathsep.join([str(ROOT), *sys.path])},
         capture_output=True,
@@ -156,6 +156,6 @@
     monkeypatch.setattr(pytest, "main", lambda arguments, plugins: asked.append(arguments) or 0)
     for cores in (3, 64):
         monkeypatch.setattr(os, "sched_getaffinity", lambda process, cores=cores: set(range(cores)))
-        assert known_failures.main(["pw/base", "-n", "0"]) == 0
+        assert known_failures.main(["ploverward/common", "-n", "0"]) == 0
     assert [arguments[arguments.index("-n") + 1] for arguments in asked] == ["3", "8"]
-    assert all(arguments[-3:] == ["pw/base", "-n", "0"] for arguments in asked)
+    assert all(arguments[-3:] == ["ploverward/common", "-n", "0"] for arguments in asked)
--- a/pw/base/wire.py
+++ b/ploverward/transport/frames.py
@@ -5,7 +5,7 @@
 
 import construct
 
-from pw.base import problems
+from ploverward.common import errors
 
 SIZE_LIMIT = 24 * 1024 * 1024
 TEXT = construct.PascalString(construct.VarInt, "utf8")
@@ -52,14 +52,14 @@
     "renew": (
         32,
         (NUMBER, BLOB),
-    ),  # a proxy asks for its entry, and tells what it admitted of tenants (pw/base/tenants.py)
-    # core to core: contact with a majority (pw/ctl/contact.py); number, version of the core set
+    ),  # a proxy asks for its entry, and tells what it admitted of tenants (ploverward/common/tenant_usage.py)
+    # core to core: contact with a majority (ploverward/control_plane/cluster/majority_lease.py); number, version of the core set
     "heartbeat": (33, (NUMBER, NUMBER)),
     "heartbeat_answer": (34, (NUMBER, NUMBER, NUMBER)),  # and the newest version of the configuration that it accepted
     # how a proxy stands: the renewal answered, the newest configuration chosen, for how many seconds none may have been
     # newer, proxies that count, credits for tenants close to their limits
     "standing": (37, (NUMBER, NUMBER, REAL, NUMBER, BLOB)),
-    # roll-outs: a proxy's evidence to the holder of the watch duty (pw/base/evidence.py), which asks for leases, and these
+    # roll-outs: a proxy's evidence to the holder of the watch duty (ploverward/common/rollout_evidence.py), which asks for leases, and these
     "evidence": (35, (NUMBER, BLOB)),  # number, reports
     "leases": (
         36,
@@ -69,7 +69,7 @@
     "trails": (60, (TEXT, TEXT, NUMBER, FLAG, rows(TEXT, BLOB))),  # node, life, batch, is last, trails
     "keeps": (61, (NUMBER, TEXT, TEXT, rows(BLOB))),  # service, model, canonical hashes
     "kept": (62, (NUMBER, rows(TEXT, TEXT))),  # replica, zone
-    # digest: proxies to the digest of their zone, and back (docs/digest.md); blobs hold rows of pw/base/records.py
+    # digest: proxies to the digest of their zone, and back (docs/digest.md); blobs hold rows of ploverward/transport/row_codec.py
     "enroll": (40, (NUMBER, TEXT)),  # epoch, address
     "enrolled": (41, (NUMBER,)),
     "report": (42, (NUMBER, BLOB, BLOB)),  # number, loads, reads
@@ -123,7 +123,7 @@
     while len(buffer) >= HEAD_SIZE:
         size, kind = _HEAD.unpack_from(buffer, 0)
         if size > SIZE_LIMIT or kind not in _BY_NUMBER:
-            raise problems.FrameProblem(f"kind {kind}, size {size}", step="frame")
+            raise errors.FrameProblem(f"kind {kind}, size {size}", step="frame")
         if len(buffer) < HEAD_SIZE + size:
             break
         frames.append(bytes(buffer[: HEAD_SIZE + size]))
@@ -134,12 +134,12 @@
 def unpack(frame: bytes) -> tuple:
     """One whole frame."""
     if len(frame) < HEAD_SIZE or frame[4] not in _BY_NUMBER or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_SIZE:
-        raise problems.FrameProblem("no whole frame", step="frame")
+        raise errors.FrameProblem("no whole frame", step="frame")
     name, shape = _BY_NUMBER[frame[4]]
     try:
         fields = shape.parse(frame[HEAD_SIZE:])
     except (construct.ConstructError, UnicodeDecodeError) as fault:
-        raise problems.FrameProblem(f"{name}: {fault}", step="frame") from None
+        raise errors.FrameProblem(f"{name}: {fault}", step="frame") from None
     return (name, *_plain(list(fields[:-1])))
 
 
--- a/pw/base/inlet.py
+++ b/ploverward/transport/http_server.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from pw.base import link as links
+from ploverward.transport import peer_connection
 
 REASONS = {
     200: b"OK",
@@ -126,7 +126,7 @@
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self._limits.head_bytes)
         self._head_begun = None
         self._ahead = 0  # bytes read behind the request that is being answered
-        links.tune(sock=sock, silence_s=hall.silence_s)
+        peer_connection.tune(sock=sock, silence_s=hall.silence_s)
         self.loop.watch(sock=sock, mask=self._mask, act=self._ready)
         self._timer = self.loop.after(delay=self._limits.idle_s, act=self._idle)
 
@@ -403,12 +403,12 @@
         self._held = {}
         self._held_bytes = 0
         self._on_request = on_request
-        self._sock = links.listen(address=address)
+        self._sock = peer_connection.listen(address=address)
         self._is_listening = True
         loop.watch(sock=self._sock, mask=selectors.EVENT_READ, act=self._ready)
 
     def _ready(self, _mask) -> None:
-        links.accept_all(sock=self._sock, act=self._take_door)
+        peer_connection.accept_all(sock=self._sock, act=self._take_door)
 
     def _take_door(self, sock, _address) -> None:
         if len(self.doors) >= self._most_doors:
--- a/pw/base/link.py
+++ b/ploverward/transport/peer_connection.py
@@ -5,9 +5,9 @@
 import selectors
 import socket
 
-from pw.base import problems
-from pw.base import ring
-from pw.base import wire
+from ploverward.common import errors
+from ploverward.common import event_log
+from ploverward.transport import frames
 
 OUT_LIMIT = 32 * 1024 * 1024
 
@@ -17,7 +17,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(silence_s * 1000))
     except OSError as fault:
-        ring.note("no TCP_USER_TIMEOUT", fault=str(fault))
+        event_log.note("no TCP_USER_TIMEOUT", fault=str(fault))
 
 
 def listen(*, address: tuple, backlog: int = 512):
@@ -37,7 +37,7 @@
         except (BlockingIOError, ConnectionError):
             return
         except OSError as fault:
-            ring.note("accept", fault=str(fault))
+            event_log.note("accept", fault=str(fault))
             return
         taken.setblocking(False)
         act(taken, address)
@@ -79,7 +79,7 @@
         return len(self._out)
 
     def send(self, message: tuple) -> None:
-        self.send_bytes(wire.pack(message))
+        self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data: bytes) -> None:
         if not self.is_open:
@@ -137,15 +137,15 @@
             self.has_heard = True
             self._in += data
             try:
-                for frame in wire.split(self._in):
-                    message = wire.unpack(frame)
+                for frame in frames.split(self._in):
+                    message = frames.unpack(frame)
                     if message[0] == "beat":
                         continue
                     self.frame = frame
                     self._on_message(self, message)
                     if not self.is_open:
                         return
-            except problems.FrameProblem as fault:
+            except errors.FrameProblem as fault:
                 self.close(reason=str(fault))
 
     def close(self, *, reason: str = "") -> None:
--- a/pw/base/records.py
+++ b/ploverward/transport/row_codec.py
@@ -7,7 +7,7 @@
 import hashlib
 import struct
 
-from pw.base import problems
+from ploverward.common import errors
 
 REPORTED = struct.Struct(
     ">8sBHIHHH"
@@ -29,7 +29,7 @@
 
 def rows(*, shape, data: bytes) -> list:
     if len(data) % shape.size:
-        raise problems.FrameProblem(f"{len(data)} bytes are no rows of {shape.size}", step="frame")
+        raise errors.FrameProblem(f"{len(data)} bytes are no rows of {shape.size}", step="frame")
     return list(shape.iter_unpack(data))
 
 
@@ -60,11 +60,11 @@
     place = 0
     while place < len(data):
         if place + _READ.size > len(data):
-            raise problems.FrameProblem("a read is cut short", step="frame")
+            raise errors.FrameProblem("a read is cut short", step="frame")
         _replica, region, _domain, count = _READ.unpack_from(data, place)
         end = place + _READ.size + count * _PART.size
         if end > len(data):
-            raise problems.FrameProblem("a read is cut short", step="frame")
+            raise errors.FrameProblem("a read is cut short", step="frame")
         found.append((region, data[place:end]))
         place = end
     return found
@@ -74,5 +74,5 @@
     """(replica key, domain, ((token hash, tokens), ...))"""
     replica, _region, domain, count = _READ.unpack_from(data, 0)
     if len(data) != _READ.size + count * _PART.size:
-        raise problems.FrameProblem("a read of another length", step="frame")
+        raise errors.FrameProblem("a read of another length", step="frame")
     return replica, domain, tuple(_PART.iter_unpack(data[_READ.size :]))
--- a/pw/base/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -18,31 +18,31 @@
 
 import pytest
 
-from pw.base import evidence
-from pw.base import records
-from pw.base import tenants
-from pw.ctl import duties
-from pw.ctl import platform
-from pw.ctl import registers
-from pw.ctl import watch_duty
-from pw.ctl.adapters import ledger as adapter_ledger
-from pw.ctl.configuration import archive
-from pw.ctl.configuration import evacuations
-from pw.ctl.configuration import orders
-from pw.ctl.custody import ledger as custody_ledger
-from pw.ctl.news import replica_list
-from pw.ctl.register import ballots
-from pw.ctl.register import refill
-from pw.ctl.register import store
-from pw.ctl.rollouts import leases
-from pw.ctl.rollouts import state
-from pw.dat import custody
-from pw.dat import mirror
-from pw.dat.adapters import counts
-from pw.dat.relay import ckf
-from pw.dat.relay import hub
-from pw.dat.relay import load_feed
-from pw.dat.relay import resolution
+from ploverward.common import rollout_evidence
+from ploverward.transport import row_codec
+from ploverward.common import tenant_usage
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.adapter_cache import adapter_usage
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.audit import trail_store
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import catch_up
+from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import hub
+from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import resolution
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 
@@ -61,20 +61,20 @@
 
 
 def _read_struct(shape):
-    return lambda data: records.rows(shape=shape, data=data)
+    return lambda data: row_codec.rows(shape=shape, data=data)
 
 
 def _pack_reads(value) -> bytes:
     return b"".join(
-        records.pack_read(replica=replica, region=region, domain=domain, parts=parts)
+        row_codec.pack_read(replica=replica, region=region, domain=domain, parts=parts)
         for replica, region, domain, parts in value
     )
 
 
 def _read_reads(data: bytes) -> list:
     found = []
-    for region, read in records.split_reads(data=data):
-        replica, domain, parts = records.unpack_read(data=read)
+    for region, read in row_codec.split_reads(data=data):
+        replica, domain, parts = row_codec.unpack_read(data=read)
         found.append((replica, region, domain, parts))
     return found
 
@@ -88,21 +88,21 @@
 
 
 def _pack_usage(value) -> bytes:
-    return tenants.pack_usage(
-        [tenants.Usage(tenant=tenant, demand=demand, admitted=admitted) for tenant, demand, admitted in value]
+    return tenant_usage.pack_usage(
+        [tenant_usage.Usage(tenant=tenant, demand=demand, admitted=admitted) for tenant, demand, admitted in value]
     )
 
 
 def _pack_credits(value) -> bytes:
-    return tenants.pack_credits([tenants.Credit(tenant=tenant, tokens=tokens) for tenant, tokens in value])
+    return tenant_usage.pack_credits([tenant_usage.Credit(tenant=tenant, tokens=tokens) for tenant, tokens in value])
 
 
 def _read_usage(data: bytes) -> list:
-    return [(row.tenant, row.demand, row.admitted) for row in tenants.unpack_usage(data)]
+    return [(row.tenant, row.demand, row.admitted) for row in tenant_usage.unpack_usage(data)]
 
 
 def _read_credits(data: bytes) -> list:
-    return [(row.tenant, row.tokens) for row in tenants.unpack_credits(data)]
+    return [(row.tenant, row.tokens) for row in tenant_usage.unpack_credits(data)]
 
 
 def _pack_evidence(value) -> bytes:
@@ -110,12 +110,12 @@
     for service, number, step, age_s, sent, sent_new, running_old, rows in value:
         tallies = {}
         for route, is_new, group, ended, failed, broken, firsts, paces in rows:
-            tally = evidence.Tally(ended=ended, failed=failed, broken=broken)
+            tally = rollout_evidence.Tally(ended=ended, failed=failed, broken=broken)
             tally.firsts.update(dict(firsts))
             tally.paces.update(dict(paces))
-            tallies[evidence.Key(route=route, is_new=is_new, group=group)] = tally
+            tallies[rollout_evidence.Key(route=route, is_new=is_new, group=group)] = tally
         reports.append(
-            evidence.Report(
+            rollout_evidence.Report(
                 service=service,
                 number=number,
                 step=step,
@@ -126,7 +126,7 @@
                 tallies=tallies,
             )
         )
-    return evidence.pack(reports)
+    return rollout_evidence.pack(reports)
 
 
 def _read_evidence(data: bytes) -> list:
@@ -153,7 +153,7 @@
                 for key, tally in report.tallies.items()
             ],
         )
-        for report in evidence.unpack(data)
+        for report in rollout_evidence.unpack(data)
     ]
 
 
@@ -197,17 +197,17 @@
             replica=types.SimpleNamespace(id=replica, zone=replica_zone), permitted=permitted, sent_at=sent_s
         )
         passage.has_head = is_resumption
-        passage.custody.append(custody.attempt_row(attempt=attempt, passage=passage, proxy=proxy))
-    batches = custody.Batches(most=1)
+        passage.custody.append(custody_trails.attempt_row(attempt=attempt, passage=passage, proxy=proxy))
+    batches = custody_trails.Batches(most=1)
     with unittest.mock.patch.object(time, "time", return_value=arrived_s + now_s - begun_s):
-        batches.add(custody.trail_of(passage=passage, proxy=proxy, status=status))
+        batches.add(custody_trails.trail_of(passage=passage, proxy=proxy, status=status))
     [(_number, _is_last, [(_id, data)])] = batches.drain()
     return data
 
 
 def _read_trail(data: bytes) -> list:
     """As operators get it from a core node."""
-    kept = custody_ledger.Ledger(now=lambda: 0.0, keep_s=1.0, most=1)
+    kept = trail_store.Ledger(now=lambda: 0.0, keep_s=1.0, most=1)
     kept.take(node="node", life="life", number=0, is_last=False, rows=[("id", data)])
     return kept.find("id")
 
@@ -215,7 +215,7 @@
 def _pack_counts(value) -> bytes:
     """Counts of arrivals: (service, model, adapter, replica, route, what the replica holds, seconds waited, target)."""
     clock = [0.0]
-    counter = counts.Counter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
+    counter = adapter_counts.Counter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
     for service, model, adapter, replica_id, route, held, wait_s, target_s in value:
         adapters = None if held is None else {tuple(pair): 0.0 for pair in held}
         replica = types.SimpleNamespace(id=replica_id, service=service, adapters=adapters)
@@ -230,27 +230,27 @@
 
 
 def _read_counts(data: bytes) -> list:
-    body = adapter_ledger.read(data=data)
+    body = adapter_usage.read(data=data)
     return [body["rows"], body["over"]]
 
 
 def _pack_list(value) -> bytes:
     rows, read_at = value
-    return replica_list.of_rows(rows=rows, read_at=read_at).pack()
+    return endpoint_list.of_rows(rows=rows, read_at=read_at).pack()
 
 
 def _read_list(data: bytes) -> list:
-    told = replica_list.unpack_list(data)
+    told = endpoint_list.unpack_list(data)
     return [told.in_order(), told.read_at]
 
 
 def _pack_list_change(value) -> bytes:
     rows, gone, read_at, is_same_clock = value
-    return replica_list.Change(rows=tuple(rows), gone=tuple(gone), read_at=read_at, is_same_clock=is_same_clock).pack()
+    return endpoint_list.Change(rows=tuple(rows), gone=tuple(gone), read_at=read_at, is_same_clock=is_same_clock).pack()
 
 
 def _read_list_change(data: bytes) -> list:
-    change = replica_list.unpack_change(data)
+    change = endpoint_list.unpack_change(data)
     return [change.rows, change.gone, change.read_at, change.is_same_clock]
 
 
@@ -290,25 +290,25 @@
     """The file after a first, whole write and one append."""
     incarnation, first_set, rows, appended = value
     disk = _Disk()
-    written = store.Store(disk=disk, limit_bytes=1 << 20)
+    written = acceptor_storage.Store(disk=disk, limit_bytes=1 << 20)
     for changed in ((), appended):
-        image = store.Image(incarnation=incarnation, first_set=tuple(first_set), rows=tuple(rows))
+        image = acceptor_storage.Image(incarnation=incarnation, first_set=tuple(first_set), rows=tuple(rows))
         written.write(rows=changed, image=image)
     return disk.data
 
 
 def _read_acceptor_file(data: bytes) -> list:
-    image = store.Store(disk=_Disk(data), limit_bytes=1 << 20).load()
+    image = acceptor_storage.Store(disk=_Disk(data), limit_bytes=1 << 20).load()
     return [image.incarnation, image.first_set, image.rows]
 
 
 def _pack_buckets(value) -> bytes:
     """A cut's rows: each bucket that is not empty, at version 1 and up."""
     words, bucket_count, puts = value
-    held = ckf.Filter(bucket_count=bucket_count, words=words)
+    held = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
     for full_hash, bits in puts:
         assert held.put(full_hash=full_hash, bits=bits)
-    blank = ckf.empty_image(words=words)
+    blank = cuckoo_filter.empty_image(words=words)
     images = [held.image(index) for index in range(bucket_count)]
     return b"".join(hub.ROW.pack(index, index + 1) + image for index, image in enumerate(images) if image != blank)
 
@@ -319,7 +319,7 @@
     taken = mirror.Mirror(name="pool", service="service", model="model", generation=1)
     taken.install_cut(bucket_count=bucket_count, words=words, data=data)
     found = [
-        (full_hash, ckf.find_in_images(images=taken.buckets, words=words, full_hash=full_hash))
+        (full_hash, cuckoo_filter.find_in_images(images=taken.buckets, words=words, full_hash=full_hash))
         for full_hash, _bits in puts
     ]
     return [words, bucket_count, found]
@@ -327,7 +327,7 @@
 
 def _pack_chain(value) -> bytes:
     model, parts = value
-    return b"".join(full_hash for full_hash, _tokens in ckf.chain(model=model, parts=parts))
+    return b"".join(full_hash for full_hash, _tokens in cuckoo_filter.chain(model=model, parts=parts))
 
 
 def _pack_configuration(value) -> bytes:
@@ -340,7 +340,7 @@
 
 def _pack_archive(value) -> bytes:
     held, rows = value
-    payload, _through = archive.edit_for(rows=rows)(held)
+    payload, _through = order_archive.edit_for(rows=rows)(held)
     return _json_bytes(payload)
 
 
@@ -353,7 +353,7 @@
 def _pack_duties(value) -> bytes:
     held, rows = value
     made = []
-    table = watch_duty.Duties(change=lambda *, name, edit, done: made.append(edit(held)))
+    table = coordinator.Duties(change=lambda *, name, edit, done: made.append(edit(held)))
     table.take(rows={name: row for name, *row in rows})
     [(payload, _nothing)] = made
     return _json_bytes(payload)
@@ -400,14 +400,14 @@
     """Names that go over the wire or stand on disk: registers (and their topics), rows that are none, duties."""
     return _json_bytes(
         {
-            "registers": registers.REGISTERS,
-            "floored": registers.FLOORED,
-            "list": watch_duty.LIST,
-            "first set": refill.first_set_row(("a", "b"))[:6],
-            "identity": store.IDENTITY,
-            "watch": watch_duty.WATCH,
-            "relay": duties.relay_name(region="r"),
-            "digests": [duties.digest_name(zone="z"), duties.digest_name(zone="z", number=2)],
+            "registers": register_names.REGISTERS,
+            "floored": register_names.FLOORED,
+            "list": coordinator.LIST,
+            "first set": catch_up.first_set_row(("a", "b"))[:6],
+            "identity": acceptor_storage.IDENTITY,
+            "watch": coordinator.WATCH,
+            "relay": singleton_roles.relay_name(region="r"),
+            "digests": [singleton_roles.digest_name(zone="z"), singleton_roles.digest_name(zone="z", number=2)],
         }
     )
 
@@ -423,31 +423,31 @@
 
 
 CODECS = {
-    "reported rows": Codec(_pack_struct(records.REPORTED), _read_struct(records.REPORTED)),
-    "load rows": Codec(_pack_loads, _read_struct(records.LOAD)),
-    "lane rows": Codec(_pack_struct(records.LANE), _read_struct(records.LANE)),
-    "replica keys": Codec(b"".join, lambda data: records.keys(data=data)),
+    "reported rows": Codec(_pack_struct(row_codec.REPORTED), _read_struct(row_codec.REPORTED)),
+    "load rows": Codec(_pack_loads, _read_struct(row_codec.LOAD)),
+    "lane rows": Codec(_pack_struct(row_codec.LANE), _read_struct(row_codec.LANE)),
+    "replica keys": Codec(b"".join, lambda data: row_codec.keys(data=data)),
     "reads": Codec(_pack_reads, _read_reads),
-    "replica key": Codec(records.key_of),
+    "replica key": Codec(row_codec.key_of),
     "tenant usage": Codec(_pack_usage, _read_usage),
     "tenant credits": Codec(_pack_credits, _read_credits),
-    "tenant key": Codec(tenants.tenant_key),
-    "key digest": Codec(lambda value: tenants.key_digest(value).encode()),
+    "tenant key": Codec(tenant_usage.tenant_key),
+    "key digest": Codec(lambda value: tenant_usage.key_digest(value).encode()),
     "evidence": Codec(_pack_evidence, _read_evidence, is_compressed=True),
-    "evidence group": Codec(lambda value: bytes([evidence.group_of(value)])),
-    "evidence bucket": Codec(lambda value: bytes(evidence.bucket_of(ratio) for ratio in value)),
+    "evidence group": Codec(lambda value: bytes([rollout_evidence.group_of(value)])),
+    "evidence bucket": Codec(lambda value: bytes(rollout_evidence.bucket_of(ratio) for ratio in value)),
     "leases": Codec(_pack_leases, _read_leases),
     "custody trail": Codec(_pack_trail, _read_trail),
     "adapter counts": Codec(_pack_counts, _read_counts),
-    "platform row": Codec(lambda value: _json_bytes(platform.read_row(entry=value))),
+    "platform row": Codec(lambda value: _json_bytes(platform_client.read_row(entry=value))),
     "replica list": Codec(_pack_list, _read_list, is_compressed=True),
     "replica list change": Codec(_pack_list_change, _read_list_change, is_compressed=True),
     "register value": Codec(_pack_register_value, _read_register_value, is_compressed=True),
     "acceptor file": Codec(_pack_acceptor_file, _read_acceptor_file),
     "buckets": Codec(_pack_buckets, _read_buckets, takes_value=True),
     "wide slot": Codec(
-        lambda value: ckf.wide_value(count=value[0], tags=value[1]).to_bytes(13, "big"),
-        lambda data: ckf.read_wide(int.from_bytes(data, "big")),
+        lambda value: cuckoo_filter.wide_value(count=value[0], tags=value[1]).to_bytes(13, "big"),
+        lambda data: cuckoo_filter.read_wide(int.from_bytes(data, "big")),
     ),
     "prompt chain": Codec(_pack_chain),
     "pool domain": Codec(lambda value: bytes.fromhex(resolution.domain_id(service=value[0], model=value[1]))),
@@ -457,7 +457,7 @@
     "evacuations payload": Codec(_pack_evacuations),
     "duties payload": Codec(_pack_duties),
     "roll-outs payload": Codec(_pack_rollouts, _read_rollouts),
-    "digest for a proxy": Codec(lambda value: duties.digest_for(names=value[0], address=value[1]).encode()),
+    "digest for a proxy": Codec(lambda value: singleton_roles.digest_for(names=value[0], address=value[1]).encode()),
     "names": Codec(_pack_names),
 }
 
--- a/pw/base/test_golden_frames.py
+++ b/ploverward/transport/test_golden_frames.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from pw.base import problems
-from pw.base import wire
+from ploverward.common import errors
+from ploverward.transport import frames as frames_module
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 HEAD = struct.Struct(">IB")  # size of the fields, number of the kind
@@ -24,23 +24,23 @@
     @staticmethod
     def numbers() -> dict:
         """Name of each kind today: its number."""
-        return {name: number for name, (number, _fields) in wire.KINDS.items()}
+        return {name: number for name, (number, _fields) in frames_module.KINDS.items()}
 
     @staticmethod
     def encode(*, kind: str, fields: list) -> bytes:
         """The frame of a message of this kind, with these fields in the order of the wire."""
-        return wire.pack((kind, *fields))
+        return frames_module.pack((kind, *fields))
 
     @staticmethod
     def decode(*, frame: bytes) -> tuple:
         """(kind, its fields in the order of the wire)"""
-        kind, *fields = wire.unpack(frame)
+        kind, *fields = frames_module.unpack(frame)
         return kind, fields
 
     @staticmethod
     def split(*, data: bytes) -> list:
         """The whole frames that stand one behind the other."""
-        return wire.split(bytearray(data))
+        return frames_module.split(bytearray(data))
 
 
 def _from_json(value):
@@ -91,7 +91,7 @@
     size, number = HEAD.unpack_from(bytes.fromhex(entry["frame"]))
     body = bytes.fromhex(entry["frame"])[HEAD.size :]
     for other in (body + b"\0", body[:-1]):
-        with pytest.raises(problems.FrameProblem):
+        with pytest.raises(errors.FrameProblem):
             Representation.decode(frame=HEAD.pack(len(other), number) + other)
 
 
