--- a/ploverward/command_line/core_client.py
+++ b/ploverward/command_line/core_client.py
@@ -11,19 +11,21 @@
 NO_ANSWER = (307, 408, 429)  # besides 5xx; 307 stays only where nodes send on to each other
 
 
-class Caller:
+class CoreClient:
     """Tries the given core nodes in turn; names those that it can't reach."""
 
     def __init__(self, *, addresses, limit_s: float = 5.0):
         if not addresses:
-            raise errors.Problem("no core node named: use --core ADDRESS:PORT or PLOVERWARD_NODE_FILE", step="call")
+            raise errors.PloverwardError(
+                "no core node named: use --core ADDRESS:PORT or PLOVERWARD_NODE_FILE", step="call"
+            )
         self.addresses = tuple(addresses)
         self._limit_s = limit_s
 
-    def one(self, *, address: str, method: str, path: str, data: bytes = b"", most_turns: int = 3) -> tuple:
+    def one(self, *, address: str, method: str, path: str, data: bytes = b"", max_redirects: int = 3) -> tuple:
         """(status, body) of one node, or raises Unreachable."""
         url = f"http://{address}{path}"
-        for _turn in range(most_turns):
+        for _round in range(max_redirects):
             curl = pycurl.Curl()
             body = io.BytesIO()
             curl.setopt(pycurl.URL, url)
@@ -40,7 +42,9 @@
                 status = curl.getinfo(pycurl.RESPONSE_CODE)
                 following = curl.getinfo(pycurl.REDIRECT_URL)
             except pycurl.error as fault:
-                raise errors.Unreachable(str(fault.args[-1]), step=f"{method} {path}", peer=address) from None
+                raise errors.QuorumUnavailableError(
+                    str(fault.args[-1]), step=f"{method} {path}", peer=address
+                ) from None
             finally:
                 curl.close()
             if status == 307 and following:
@@ -58,20 +62,20 @@
         for address in self.addresses:
             try:
                 status, body = self.one(address=address, method=method, path=path, data=data)
-            except errors.Unreachable as fault:
+            except errors.QuorumUnavailableError as fault:
                 last = fault
                 continue
             if status < 500 and status not in NO_ANSWER:
                 return status, body
-            last = errors.Unreachable(f"answered {status}", step=f"{method} {path}", peer=address)
+            last = errors.QuorumUnavailableError(f"answered {status}", step=f"{method} {path}", peer=address)
         raise last
 
     def all(self, *, path: str) -> tuple:
         """({address: (status, body)}, {address: why it could not be reached})."""
-        told, missed = {}, {}
+        responses, missed = {}, {}
         for address in self.addresses:
             try:
-                told[address] = self.one(address=address, method="GET", path=path)
-            except errors.Unreachable as fault:
+                responses[address] = self.one(address=address, method="GET", path=path)
+            except errors.QuorumUnavailableError as fault:
                 missed[address] = fault.text
-        return told, missed
+        return responses, missed
--- a/ploverward/command_line/custody.py
+++ b/ploverward/command_line/custody.py
@@ -7,16 +7,16 @@
 from ploverward.control_plane.audit import trail_audit
 
 
-def show(*, caller, ask_id: str, as_json: bool, out) -> int:
-    told, missed = caller.all(path="/ploverward/custody/" + urllib.parse.quote(ask_id, safe=""))
+def show(*, core_client, request_id: str, as_json: bool, out) -> int:
+    responses, missed = core_client.all(path="/ploverward/custody/" + urllib.parse.quote(request_id, safe=""))
     trails = []
     kept_known = True
-    for _address, (status, body) in sorted(told.items()):
+    for _address, (status, body) in sorted(responses.items()):
         if status == 200 and body:
             trails += body["trails"]
             kept_known = kept_known and body["kept_known"]
     if as_json:
-        out(json.dumps({"id": ask_id, "trails": trails, "unreachable": missed, "kept_known": kept_known}, indent=2))
+        out(json.dumps({"id": request_id, "trails": trails, "unreachable": missed, "kept_known": kept_known}, indent=2))
     else:
         for trail in trails:
             for line in lines_of(trail=trail, kept_known=kept_known):
@@ -25,7 +25,7 @@
             out(f"unreachable: {address} ({why}); its part of the trail is missing")
     if not trails:
         if not as_json:
-            out(f"no trail of '{ask_id}' on the nodes in reach: never seen, too long ago, or lost with its proxy")
+            out(f"no trail of '{request_id}' on the nodes in reach: never seen, too long ago, or lost with its proxy")
         return 1
     return 3 if missed else 0
 
@@ -48,17 +48,17 @@
     return lines
 
 
-def collect(*, caller, marks=None) -> tuple:
+def collect(*, core_client, cursors=None) -> tuple:
     """(trails, coverage, unreachable, zones) of all core nodes; `marks` keeps the place in each between calls."""
-    marks = {} if marks is None else marks
+    cursors = {} if cursors is None else cursors
     trails, coverage, missed, zones = [], [], {}, {}
-    for address in caller.addresses:
+    for address in core_client.addresses:
         while True:
             try:
-                status, body = caller.one(
-                    address=address, method="GET", path=f"/ploverward/custody?after={marks.get(address, 0)}"
+                status, body = core_client.one(
+                    address=address, method="GET", path=f"/ploverward/custody?after={cursors.get(address, 0)}"
                 )
-            except errors.Unreachable as fault:
+            except errors.QuorumUnavailableError as fault:
                 missed[address] = fault.text
                 break
             if status != 200 or not body:
@@ -66,16 +66,16 @@
                 break
             trails += body["trails"]
             zones.update(body["zones"])
-            marks[address] = body["last"]
+            cursors[address] = body["last"]
             if not body["has_more"]:
                 coverage += body["coverage"]
                 break
     return trails, coverage, missed, zones
 
 
-def audit(*, caller, as_json: bool, out) -> int:
+def audit(*, core_client, as_json: bool, out) -> int:
     """0: all trails clean and covered; 1: a node outside held something; 3: clean as far as seen, with parts missing."""
-    trails, coverage, missed, zones = collect(caller=caller)
+    trails, coverage, missed, zones = collect(core_client=core_client)
     found = trail_audit.summary(trails=trails, coverage=coverage, zones=zones)
     found["unreachable"] = missed
     if as_json:
--- a/ploverward/command_line/drill.py
+++ b/ploverward/command_line/drill.py
@@ -5,14 +5,14 @@
 from ploverward.common import errors
 
 KEPT, BROKEN, NOT_SEEN = "kept", "broken", "not seen"
-LOOK_GAP_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
-class Refused(errors.Problem):
+class DrillRefusedError(errors.PloverwardError):
     """Said before anything was done."""
 
 
-class Interrupted(errors.Problem):
+class DrillInterruptedError(errors.PloverwardError):
     pass
 
 
@@ -62,31 +62,33 @@
     def check_first(self) -> None:
         status, nodes = self.call("GET", "/ploverward/nodes")
         if status != 200:
-            raise Refused(f"the core answers {status}; nothing was done", step="check")
+            raise DrillRefusedError(f"the core answers {status}; nothing was done", step="check")
         if self.zone not in nodes["zones"]:
-            raise Refused(f"unknown zone '{self.zone}'; known: {', '.join(sorted(nodes['zones']))}", step="check")
+            raise DrillRefusedError(
+                f"unknown zone '{self.zone}'; known: {', '.join(sorted(nodes['zones']))}", step="check"
+            )
         status, out = self.call("GET", "/ploverward/evacuation")
         if status != 200:
-            raise Refused(f"evacuations can't be read ({status}); nothing was done", step="check")
+            raise DrillRefusedError(f"evacuations can't be read ({status}); nothing was done", step="check")
         if self.zone in out["zones"]:
-            raise Refused(f"{self.zone} is already out; nothing was done", step="check")
-        status, spec = self.call("GET", "/ploverward/configuration")
+            raise DrillRefusedError(f"{self.zone} is already out; nothing was done", step="check")
+        status, configuration = self.call("GET", "/ploverward/configuration")
         if status != 200:
-            raise Refused(f"the configuration can't be read ({status}); nothing was done", step="check")
+            raise DrillRefusedError(f"the configuration can't be read ({status}); nothing was done", step="check")
         status, listed = self.call("GET", "/ploverward/replicas")
         if status != 200:
-            raise Refused(f"the replicas can't be read ({status}); nothing was done", step="check")
+            raise DrillRefusedError(f"the replicas can't be read ({status}); nothing was done", step="check")
         left = {}
         for row in listed["replicas"]:
             if row["zone"] != self.zone and row["zone"] not in out["zones"] and not row["is_clearing"]:
                 left.setdefault(row["service"], set()).add(nodes["zones"].get(row["zone"]))
-        for route in spec["routes"]:
+        for route in configuration["routes"]:
             homes = set(route.get("homeRegions") or ())
             portions = route.get("apportion") or [{"destination": route.get("destination"), "share": 1}]
             for part in portions:
                 regions = left.get(part["destination"], set())
                 if part["share"] > 0 and not (regions & homes if homes else regions):
-                    raise Refused(
+                    raise DrillRefusedError(
                         f"without {self.zone}, route {route['name']} has no replica of {part['destination']}"
                         f"{' in ' + ', '.join(sorted(homes)) if homes else ''}; nothing was done",
                         step="check",
@@ -99,21 +101,21 @@
         while True:
             try:
                 status, _body = self.call(method, f"/ploverward/evacuation/{self.zone}")
-            except errors.Unreachable:
+            except errors.QuorumUnavailableError:
                 status = 0
             took = self.clock() - begun
             if 200 <= status < 300:
                 return took <= self.receipt_s, took
             if took >= self.receipt_s:
                 return False, took
-            self.pause(min(LOOK_GAP_S, self.receipt_s / 10))
+            self.pause(min(POLL_INTERVAL_S, self.receipt_s / 10))
 
     def run(self) -> int:
         self.check_first()
         was_restored = None
         try:
             self._take_out()
-        except Interrupted:
+        except DrillInterruptedError:
             self.out("interrupted: the zone is taken back")
             self.notes.append("interrupted")
         finally:
@@ -136,7 +138,7 @@
         quiet_from = self.clock() + self.evacuate_s + self.slack_s
         end = self.clock() + self.evacuate_s + self.watch_s
         while self.clock() < end:
-            self.pause(LOOK_GAP_S)
+            self.pause(POLL_INTERVAL_S)
             for trail in self.trails():
                 self._look(trail, quiet_from)
 
@@ -169,7 +171,7 @@
         try:
             in_time, took = self._order("DELETE")
             status, out = self.call("GET", "/ploverward/evacuation")
-        except errors.Problem as fault:
+        except errors.PloverwardError as fault:
             self._judge("zone taken back in time", BROKEN, str(fault))
             return False
         is_back = status == 200 and self.zone not in out["zones"]
--- a/ploverward/command_line/keep.py
+++ b/ploverward/command_line/keep.py
@@ -17,14 +17,14 @@
     """The configuration with a digest in place of each key of a tenant."""
     if not body.get("senders"):
         return body
-    senders = [
+    tenant_rows = [
         {**row, "apiKeys": [tenant_usage.key_digest(key) for key in row.get("apiKeys") or ()]}
         for row in body["senders"]
     ]
-    return {**body, "senders": senders}
+    return {**body, "senders": tenant_rows}
 
 
-class Keeper:
+class ConfigurationRepository:
     def __init__(self, *, folder: str):
         self.folder = folder
         if os.path.isdir(os.path.join(folder, ".git")):
@@ -59,7 +59,7 @@
             if newest == body:
                 return None
             if newest["edition"] >= body["edition"]:
-                raise errors.Problem(
+                raise errors.PloverwardError(
                     f"edition {body['edition']} is not above {newest['edition']}, the newest one kept",
                     step="keep",
                     peer=self.folder,
@@ -77,4 +77,4 @@
             body = self._body_at(commit)
             if body["edition"] == edition:
                 return body
-        raise errors.Problem(f"edition {edition} is not kept here", step="show", peer=self.folder)
+        raise errors.PloverwardError(f"edition {edition} is not kept here", step="show", peer=self.folder)
--- a/ploverward/command_line/main.py
+++ b/ploverward/command_line/main.py
@@ -75,7 +75,7 @@
 
 def _node(role: str) -> int:
     settings = settings_files.load()
-    event_log.start(node=settings.node, role=role, is_chatty=FLAGS.chatty)
+    event_log.start(node=settings.node, role=role, is_verbose=FLAGS.chatty)
     if role == "core":
         from ploverward.control_plane import core_node
 
@@ -87,7 +87,7 @@
     return proxy_node.Proxy(settings=settings).run()
 
 
-def _caller():
+def _core_client():
     from ploverward.command_line import core_client as core_clients
 
     addresses = FLAGS.core
@@ -95,31 +95,31 @@
         addresses = ["%s:%d" % seed for seed in settings_files.load().seeds]
     for address in addresses:
         settings_files.parse_address(text=address, field="--core")
-    return core_clients.Caller(addresses=addresses)
+    return core_clients.CoreClient(addresses=addresses)
 
 
 def _drill(zone: str) -> int:
     from ploverward.command_line import custody
     from ploverward.command_line import drill
 
-    caller = _caller()
-    status, nodes = caller.any(method="GET", path="/ploverward/nodes")
+    core_client = _core_client()
+    status, nodes = core_client.any(method="GET", path="/ploverward/nodes")
     if status != 200:
-        raise errors.Problem(f"the core answers {status}", step="drill")
+        raise errors.PloverwardError(f"the core answers {status}", step="drill")
     bounds = nodes["bounds"]
 
     def interrupt(*_about):
-        raise drill.Interrupted("interrupted", step="drill")
+        raise drill.DrillInterruptedError("interrupted", step="drill")
 
     signal.signal(signal.SIGINT, interrupt)
     signal.signal(signal.SIGTERM, interrupt)
     lines = []
-    marks = {}
-    custody.collect(caller=caller, marks=marks)  # what went before the drill is none of its matter
+    cursors = {}
+    custody.collect(core_client=core_client, cursors=cursors)  # what went before the drill is none of its matter
     work = drill.Drill(
         zone=zone,
-        trails=lambda: custody.collect(caller=caller, marks=marks)[0],
-        call=lambda method, path: caller.any(method=method, path=path),
+        trails=lambda: custody.collect(core_client=core_client, cursors=cursors)[0],
+        call=lambda method, path: core_client.any(method=method, path=path),
         clock=time.time,
         pause=time.sleep,
         watch_s=FLAGS.watch_s,
@@ -135,7 +135,7 @@
 
 
 def _evacuate(zone: str, method: str) -> int:
-    status, body = _caller().any(method=method, path=f"/ploverward/evacuation/{zone}")
+    status, body = _core_client().any(method=method, path=f"/ploverward/evacuation/{zone}")
     if 200 <= status < 300:
         print(f"{zone}: {'out' if method == 'POST' else 'back'}")
         return 0
@@ -146,7 +146,7 @@
 def _nodes() -> int:
     import json
 
-    told, missed = _caller().all(path="/ploverward/nodes")
+    told, missed = _core_client().all(path="/ploverward/nodes")
     print(
         json.dumps(
             {"told": {address: body for address, (_status, body) in told.items()}, "unreachable": missed}, indent=2
@@ -159,14 +159,14 @@
     import json
     from ploverward.command_line import keep
 
-    keeper = keep.Keeper(folder=folder)
+    repository = keep.ConfigurationRepository(folder=folder)
     if edition:
-        print(json.dumps(keeper.show(edition=int(edition)), indent=2, sort_keys=True))
+        print(json.dumps(repository.show(edition=int(edition)), indent=2, sort_keys=True))
         return 0
-    status, body = _caller().any(method="GET", path="/ploverward/configuration")
+    status, body = _core_client().any(method="GET", path="/ploverward/configuration")
     if status != 200:
-        raise errors.Problem(f"the core answers {status}", step="keep")
-    made = keeper.keep(body=body)
+        raise errors.PloverwardError(f"the core answers {status}", step="keep")
+    made = repository.keep(body=body)
     print(f"edition {body['edition']}: {made or 'kept already'}")
     return 0
 
@@ -174,10 +174,10 @@
 def _rollout(what: str, *about: str) -> int:
     from ploverward.command_line import rollout
 
-    caller = _caller()
+    core_client = _core_client()
 
     def call(method: str, path: str, data: bytes) -> tuple:
-        return caller.any(method=method, path=path, data=data)
+        return core_client.any(method=method, path=path, data=data)
 
     if what == "start" and len(about) == 2 and FLAGS.over_s > 0:
         return rollout.start(call=call, service=about[0], edition=about[1], over_s=FLAGS.over_s, out=print)
@@ -224,8 +224,8 @@
         from ploverward.command_line import custody
 
         if FLAGS.audit:
-            return custody.audit(caller=_caller(), as_json=FLAGS.json, out=print)
-        return custody.show(caller=_caller(), ask_id=rest[0], as_json=FLAGS.json, out=print)
+            return custody.audit(core_client=_core_client(), as_json=FLAGS.json, out=print)
+        return custody.show(core_client=_core_client(), request_id=rest[0], as_json=FLAGS.json, out=print)
     if verb == "drill" and len(rest) == 1:
         return _drill(rest[0])
     if verb in ("evacuate", "restore") and len(rest) == 1:
@@ -236,7 +236,7 @@
         from ploverward.command_line import pins
 
         return pins.run(
-            caller=_caller(),
+            core_client=_core_client(),
             as_json=FLAGS.json,
             out=print,
             capacity=FLAGS.capacity,
@@ -248,11 +248,11 @@
     if verb == "core-set" and not rest:
         from ploverward.command_line import core_set
 
-        return core_set.run(caller=_caller(), as_json=FLAGS.json, out=print)
+        return core_set.run(core_client=_core_client(), as_json=FLAGS.json, out=print)
     if verb == "tenants" and not rest:
         from ploverward.command_line import tenants
 
-        return tenants.run(caller=_caller(), as_json=FLAGS.json, out=print)
+        return tenants.run(core_client=_core_client(), as_json=FLAGS.json, out=print)
     if verb == "nodes" and not rest:
         return _nodes()
     if verb == "simulate" and not rest:
@@ -264,7 +264,7 @@
 def run(argv) -> int:
     try:
         return main(argv)
-    except errors.Problem as fault:
+    except errors.PloverwardError as fault:
         print(f"ploverward: {fault}", file=sys.stderr)
         return 2
 
--- a/ploverward/command_line/pins.py
+++ b/ploverward/command_line/pins.py
@@ -18,22 +18,22 @@
     def check(self, *, known: dict) -> None:
         for kind, name in self.wanted.items():
             if name and name not in known[kind]:
-                raise errors.Problem(
+                raise errors.PloverwardError(
                     f"unknown {kind} '{name}'; known: {', '.join(sorted(known[kind])) or 'none'}", step="pins"
                 )
 
 
-def collect(*, caller) -> dict:
+def collect(*, core_client) -> dict:
     """All that the core nodes in reach know, each window of a life once."""
-    told, missed = caller.all(path="/ploverward/adapters")
+    results, missed = core_client.all(path="/ploverward/adapters")
     bodies = []
-    for address, (status, body) in sorted(told.items()):
+    for address, (status, body) in sorted(results.items()):
         if status == 200 and body:
             bodies.append(body)
         else:
             missed[address] = f"answered {status}"
     if not bodies:
-        raise errors.Problem(
+        raise errors.PloverwardError(
             "no core node could be reached: " + "; ".join(f"{host} ({why})" for host, why in sorted(missed.items())),
             step="pins",
         )
@@ -83,7 +83,7 @@
             },
         }
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise errors.Problem(f"{path} is no earlier output of pins --json: {fault}", step="pins") from None
+        raise errors.PloverwardError(f"{path} is no earlier output of pins --json: {fault}", step="pins") from None
 
 
 def report(*, seen: dict, routes: dict, capacity: int, previous: dict, wanted: Filter) -> dict:
@@ -104,13 +104,13 @@
     made = pin_suggestion.suggest(
         windows=seen["windows"], replicas=replicas, routes=routes, capacity=caps, previous=previous
     )
-    want = wanted.wanted
+    filters = wanted.wanted
     evidence = []
     for (service, model, adapter), regions in sorted(
         pin_suggestion.demand(windows=seen["windows"], routes=routes).items()
     ):
         for region, row in sorted(regions.items()):
-            if want["service"] in ("", service) and want["model"] in ("", model):
+            if filters["service"] in ("", service) and filters["model"] in ("", model):
                 evidence.append(
                     {
                         "service": service,
@@ -123,9 +123,9 @@
     made["replicas"] = {
         name: row
         for name, row in made["replicas"].items()
-        if want["service"] in ("", row["service"])
-        and want["zone"] in ("", row["zone"])
-        and want["replica"] in ("", name)
+        if filters["service"] in ("", row["service"])
+        and filters["zone"] in ("", row["zone"])
+        and filters["replica"] in ("", name)
     }
     heard = {window["life"] for window in seen["windows"]}
     return {
@@ -173,16 +173,16 @@
     ]
 
 
-def lines_of(*, told: dict) -> list:
-    made, coverage = told["suggestion"], told["coverage"]
+def lines_of(*, results: dict) -> list:
+    made, coverage = results["suggestion"], results["coverage"]
     lines = []
-    if not told["evidence"]:
+    if not results["evidence"]:
         lines.append("no adapters seen: nothing to pin")
     else:
         lines.append(
             f"{'ADAPTER':<24} {'REGION':<14} {'WARM':>6} {'COLD':>6} {'UNKNOWN':>7} {'LOADS':>6} {'WAIT MS':>8} {'LATE':>5}"
         )
-        for row in told["evidence"]:
+        for row in results["evidence"]:
             mean = round(row["wait_ms"] / row["waits"]) if row["waits"] else 0
             name = f"{row['model']}/{row['adapter'] or '(unknown)'}"
             lines.append(
@@ -191,10 +191,11 @@
         lines.append("")
         lines.append(f"{'REPLICA':<24} {'ZONE':<18} KEEP PINNED (+ is to be loaded)")
         for name, row in sorted(made["replicas"].items(), key=lambda one: (one[1]["zone"], one[0])):
-            if row["pins"] or told["capacity"].get(row["service"]):
-                marks = ["+" if pair in [tuple(one) for one in row["to_load"]] else "" for pair in row["pins"]]
+            if row["pins"] or results["capacity"].get(row["service"]):
+                prefixes = ["+" if pair in [tuple(one) for one in row["to_load"]] else "" for pair in row["pins"]]
                 names = ", ".join(
-                    f"{mark}{model}/{adapter}" for mark, (model, adapter) in zip(marks, row["pins"], strict=False)
+                    f"{prefix}{model}/{adapter}"
+                    for prefix, (model, adapter) in zip(prefixes, row["pins"], strict=False)
                 )
                 lines.append(
                     f"{name:<24} {row['zone']:<18} {names or '-'}{'' if row['is_known'] else '  (what it holds is not known)'}"
@@ -231,19 +232,19 @@
     return lines
 
 
-def run(*, caller, as_json: bool, out, capacity: int = 0, previous: str = "", wanted=None) -> int:
+def run(*, core_client, as_json: bool, out, capacity: int = 0, previous: str = "", wanted=None) -> int:
     if capacity < 0:
-        raise errors.Problem("--capacity must not be below 0", step="pins")
-    seen = collect(caller=caller)
+        raise errors.PloverwardError("--capacity must not be below 0", step="pins")
+    seen = collect(core_client=core_client)
     try:
-        status, body = caller.any(method="GET", path="/ploverward/configuration")
-    except errors.Unreachable:
+        status, body = core_client.any(method="GET", path="/ploverward/configuration")
+    except errors.QuorumUnavailableError:
         status, body = 503, None
     if status != 200:
-        raise errors.Problem(
+        raise errors.PloverwardError(
             "the configuration can't be read: homes are not known, so nothing is suggested", step="pins"
         )
-    told = report(
+    results = report(
         seen=seen,
         routes=routes_of(body=body),
         capacity=capacity,
@@ -251,8 +252,8 @@
         wanted=wanted or Filter(),
     )
     if as_json:
-        out(json.dumps(told, indent=2))
+        out(json.dumps(results, indent=2))
     else:
-        for line in lines_of(told=told):
+        for line in lines_of(results=results):
             out(line)
     return 3 if seen["unreachable"] else 0
--- a/ploverward/command_line/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -7,7 +7,7 @@
 from ploverward.control_plane.rollouts import state
 
 PATH = "/ploverward/rollouts"
-WATCH_GAP_S = 1.0
+WATCH_INTERVAL_S = 1.0
 DONE, WRONG, MISSING = 0, 1, 3
 
 
@@ -26,7 +26,7 @@
     """Service: what the core says of its roll-out. Raises Problem where the core can't be sure."""
     status, answer = call("GET", PATH, b"")
     if status != 200:
-        raise errors.Problem(f"the core answers {status}", step="roll-outs")
+        raise errors.PloverwardError(f"the core answers {status}", step="roll-outs")
     rows = answer["rollouts"]
     return {name: row for name, row in rows.items() if not service or name == service}
 
@@ -35,20 +35,20 @@
     """What stands, and the evidence of each step, for people."""
     if not row["number"]:
         return [f"{service}: no roll-out; versions in service: {', '.join(row['admitted']) or 'all'}"]
-    told = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
+    lines = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
     if row["reason"]:
-        told.append(f"  why: {row['reason']}")
-    told.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
+        lines.append(f"  why: {row['reason']}")
+    lines.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
     for step in row["record"]:
-        told.append(
+        lines.append(
             f"  {step['age_s']:7.1f} s  {step['stage']:<10} {step['sent_new']} of {step['sent']} requests: {step['reason']}"
         )
         for route, (former, former_failed, new, new_failed, broken) in step["routes"].items():
-            told.append(
+            lines.append(
                 f"             {route}: former {former} answers, {former_failed} failed;"
                 f" new {new} answers, {new_failed} failed, {broken} broken off"
             )
-    return told
+    return lines
 
 
 def status(*, call, service: str, as_json: bool, out) -> int:
@@ -81,5 +81,5 @@
             return DONE
         if row["stage"] == state.Stage.RETURNED:
             return WRONG
-        pause(WATCH_GAP_S)
+        pause(WATCH_INTERVAL_S)
     return MISSING
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -13,7 +13,7 @@
 from ploverward.simulation.control_plane import faults
 
 HASH_SEED = "0"
-TOLD_SEEDS = 20  # broken seeds that are told with their findings
+MAX_REPORTED_SEEDS = 20  # broken seeds that are told with their findings
 CHUNK = 4  # days handed to a process at a time
 
 
@@ -24,18 +24,18 @@
         os.execve(sys.executable, [sys.executable, *sys.argv], environment)
 
 
-def troubles_of(*, text: str) -> tuple:
+def parse_fault_kinds(*, text: str) -> tuple:
     """Kinds by commas; none: all of them."""
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
         if kind not in faults.WEIGHTS:
             known = ", ".join(faults.WEIGHTS)
-            raise errors.Problem(f"'{kind}' is no trouble; there are {known}", step="simulate")
+            raise errors.PloverwardError(f"'{kind}' is no trouble; there are {known}", step="simulate")
     return kinds or tuple(faults.WEIGHTS)
 
 
 def plans(*, first: int, seeds: int, machines: int, tolerated: int, troubles: str) -> list:
-    kinds = troubles_of(text=troubles)
+    kinds = parse_fault_kinds(text=troubles)
     return [
         scenario.Plan(seed=seed, machines=machines, tolerated=tolerated, troubles=kinds)
         for seed in range(first, first + seeds)
@@ -46,16 +46,16 @@
     """Plays all days; 1 where a check broke."""
     begun = time.monotonic()
     broken = []
-    sums = collections.Counter()
+    totals = collections.Counter()
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
-        for report in pool.map(scenario.play, plans, chunksize=CHUNK):
-            sums.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
+        for report in pool.map(scenario.run_simulation, plans, chunksize=CHUNK):
+            totals.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
             if report.findings:
                 broken.append(report)
-    for report in broken[:TOLD_SEEDS]:
+    for report in broken[:MAX_REPORTED_SEEDS]:
         out(_broken_line(report))
     out(
-        f"{sums['days']} days, {sums['orders']} orders, {sums['chosen']} versions, {sums['troubles']} moments of trouble, "
+        f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions, {totals['troubles']} moments of trouble, "
         f"{len(broken)} days broke a check, {time.monotonic() - begun:.0f} s"
     )
     return 1 if broken else 0
@@ -72,7 +72,7 @@
 
 def show(*, plan, out) -> int:
     """One day with all that happened."""
-    report = scenario.play(dataclasses.replace(plan, keeps_history=True))
+    report = scenario.run_simulation(dataclasses.replace(plan, keeps_history=True))
     for when, text in report.history:
         out(f"{when:9.3f} {text}")
     for finding in report.findings:
@@ -88,8 +88,8 @@
         for name, found in zip(mutants.FAULTS, pool.map(mutants.search, mutants.FAULTS), strict=True):
             if found is None:
                 missed += 1
-                out(f"{name}: NOT FOUND in {mutants.FAULTS[name].most_seeds} days")
+                out(f"{name}: NOT FOUND in {mutants.FAULTS[name].max_seeds} days")
             else:
-                out(f"{name}: found on day {found.day_number} (seed {found.seed}): {found.check}")
+                out(f"{name}: found on day {found.run_number} (seed {found.seed}): {found.check}")
     out(f"{len(mutants.FAULTS) - missed} of {len(mutants.FAULTS)} planted faults were found")
     return 1 if missed else 0
--- a/ploverward/command_line/tenants.py
+++ b/ploverward/command_line/tenants.py
@@ -8,27 +8,29 @@
 DONE, MISSING = 0, 3
 
 
-def run(*, caller, as_json: bool, out) -> int:
+def run(*, core_client, as_json: bool, out) -> int:
     """Tells what each core node in reach reckons. 3 where one is out of reach or names no tenants."""
-    answers, missed = caller.all(path=PATH)
-    told = {address: body for address, (status, body) in answers.items() if status == 200}
-    if not told:
-        raise errors.Problem("no core node answers", step="tenants")
+    answers, missed = core_client.all(path=PATH)
+    responses = {address: body for address, (status, body) in answers.items() if status == 200}
+    if not responses:
+        raise errors.PloverwardError("no core node answers", step="tenants")
     if as_json:
-        out(json.dumps({"told": told, "unreachable": missed}, indent=2))
+        out(json.dumps({"told": responses, "unreachable": missed}, indent=2))
     else:
-        for line in lines(told=told, missed=missed):
+        for line in lines(responses=responses, missed=missed):
             out(line)
-    has_tenants = any(body["tenants"] for body in told.values())
+    has_tenants = any(body["tenants"] for body in responses.values())
     return DONE if has_tenants and not missed else MISSING
 
 
-def lines(*, told: dict, missed: dict) -> list:
+def lines(*, responses: dict, missed: dict) -> list:
     """One line a tenant; levels as the core nodes reckon them, the least of them first."""
-    newest = max(told.values(), key=lambda body: body["edition"])
-    found = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(told)} core nodes answer"]
+    newest = max(responses.values(), key=lambda body: body["edition"])
+    found = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(responses)} core nodes answer"]
     for name, row in sorted(newest["tenants"].items()):
-        found.append(f"{name}: {_limit(row)}; {_standing(name, told)}; keys {', '.join(row['keys']) or 'none'}")
+        found.append(
+            f"{name}: {_limit(row)}; {_quota_status(name, responses)}; keys {', '.join(row['keys']) or 'none'}"
+        )
     if not newest["tenants"]:
         found.append("no tenants: nobody needs a key")
     found += [f"{address}: out of reach: {why}" for address, why in sorted(missed.items())]
@@ -39,8 +41,8 @@
     return f"{row['perS']:g} a second and {row['burst']:g} at once" if row["perS"] else "no limit"
 
 
-def _standing(name: str, told: dict) -> str:
-    rows = [body["tenants"].get(name, {}) for body in told.values()]
+def _quota_status(name: str, responses: dict) -> str:
+    rows = [body["tenants"].get(name, {}) for body in responses.values()]
     levels = sorted(row["level"] for row in rows if "level" in row)
     if not levels:
         return "not counted"
--- a/ploverward/command_line/test_command.py
+++ b/ploverward/command_line/test_command.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     "words", [(), ("nothing",), ("drill",), ("custody",), ("keep",), ("core", "more"), ("--nonsense",)]
 )
-def test_misuse_is_told_and_exits_2(words):
+def test_misuse_is_reported_and_exits_2(words):
     done = run(*words)
     assert done.returncode == 2
     assert done.stderr and "Traceback" not in done.stderr
@@ -38,7 +38,7 @@
         assert done.returncode == 2 and done.stderr.startswith("ploverward: ") and done.stderr.count("\n") == 1
 
 
-def test_whole_settings_are_said_to_be_whole(tmp_path):
+def test_valid_settings_are_reported_as_valid(tmp_path):
     path = tmp_path / "boot.conf"
     path.write_text(loopback_proxy.SETTINGS)
     done = run("check", settings=str(path))
--- a/ploverward/command_line/test_core_set.py
+++ b/ploverward/command_line/test_core_set.py
@@ -23,7 +23,7 @@
     }
 
 
-class Caller:
+class CoreClient:
     """Nodes by address; the others are out of reach."""
 
     nodes = {}
@@ -33,18 +33,18 @@
 
     def all(self, *, path):
         assert path == "/ploverward/core-set"
-        told = {one: (200, self.nodes[one]) for one in self.addresses if one in self.nodes}
-        return told, {one: "no answer" for one in self.addresses if one not in self.nodes}
+        responses = {one: (200, self.nodes[one]) for one in self.addresses if one in self.nodes}
+        return responses, {one: "no answer" for one in self.addresses if one not in self.nodes}
 
 
 def run(nodes, *, as_json=False):
-    Caller.nodes = {f"{body['address']}:8166": body for body in nodes}
+    CoreClient.nodes = {f"{body['address']}:8166": body for body in nodes}
     lines = []
-    code = core_set.run(caller=Caller(addresses=("a:8166",)), as_json=as_json, out=lines.append)
+    code = core_set.run(core_client=CoreClient(addresses=("a:8166",)), as_json=as_json, out=lines.append)
     return code, "\n".join(lines)
 
 
-def test_a_whole_set_is_well_and_members_are_found_by_one_address():
+def test_a_complete_set_is_healthy_and_members_are_found_by_one_address():
     code, text = run([node("a"), node("b"), node("c")])
     assert code == core_set.WELL and text.count("votes") == 3
     assert "version 4: a, b, c" in text and "further losses borne now: 1" in text
@@ -75,7 +75,7 @@
     assert code == core_set.PARTS_MISSING
 
 
-def test_json_holds_all_that_was_told():
+def test_json_holds_all_responses():
     _code, text = run([node("a"), node("b"), node("c")], as_json=True)
     found = json.loads(text)
     assert set(found["told"]) == {"a:8166", "b:8166", "c:8166"} and found["faults"] == []
--- a/ploverward/command_line/test_drill.py
+++ b/ploverward/command_line/test_drill.py
@@ -11,14 +11,14 @@
 class StandIn:
     """A system with simulated time. `fault` names the promise that it breaks."""
 
-    def __init__(self, *, fault="", out=(), homes=("north", "south"), ask_gap_s=0.2):
+    def __init__(self, *, fault="", out=(), homes=("north", "south"), request_interval_s=0.2):
         self.time = 1000.0
         self.fault = fault
         self.out = set(out)
         self.homes = list(homes)
         self.out_since = None
-        self.told = 0.0
-        self.gap = ask_gap_s
+        self.reported_s = 0.0
+        self.request_interval_s = request_interval_s
         self.number = 0
         self.orders = []
         self.interrupt_at = None
@@ -30,7 +30,7 @@
         self.time += seconds
         if self.interrupt_at is not None and self.time >= self.interrupt_at:
             self.interrupt_at = None
-            raise drill.Interrupted("interrupted")
+            raise drill.DrillInterruptedError("interrupted")
 
     def call(self, method, path):
         self.time += 0.01
@@ -60,17 +60,17 @@
             self.out_since = self.time
             return 200, {}
         if self.fault == "no way back":
-            raise errors.Unreachable("silent")
+            raise errors.QuorumUnavailableError("silent")
         if self.fault != "stays out":
             self.out.discard(zone)
         return 200, {}
 
     def trails(self):
         rows = []
-        while self.told + self.gap <= self.time - 1000.0:
-            self.told += self.gap
+        while self.reported_s + self.request_interval_s <= self.time - 1000.0:
+            self.reported_s += self.request_interval_s
             self.number += 1
-            at = 1000.0 + self.told
+            at = 1000.0 + self.reported_s
             zone = sorted(set(ZONES) - self.out - {"zc"})[0]
             if self.fault == "sends on" and self.number % 7 == 0:
                 zone = "za"
@@ -125,14 +125,14 @@
         ("no way back", "zone taken back in time", 4),
     ],
 )
-def test_each_broken_promise_is_told(fault, promise, code):
+def test_each_broken_promise_is_reported(fault, promise, code):
     got, work, _lines = run(StandIn(fault=fault))
     assert work.promises[promise] == drill.BROKEN
     assert got == code
 
 
 def test_without_traffic_promises_are_not_seen():
-    code, work, _lines = run(StandIn(ask_gap_s=10**6))
+    code, work, _lines = run(StandIn(request_interval_s=10**6))
     assert work.promises["nothing new is sent to the zone"] == drill.NOT_SEEN
     assert work.promises["serving goes on"] == drill.NOT_SEEN
     assert code == 0
@@ -157,6 +157,6 @@
     ],
 )
 def test_refused_before_anything_is_done(stand_in, zone):
-    with pytest.raises(drill.Refused):
+    with pytest.raises(drill.DrillRefusedError):
         run(stand_in, zone=zone)
     assert stand_in.orders == []
--- a/ploverward/command_line/test_golden_command.py
+++ b/ploverward/command_line/test_golden_command.py
@@ -88,7 +88,7 @@
     return text
 
 
-def play(case: dict, folder) -> dict:
+def run_simulation(case: dict, folder) -> dict:
     """Exit code and output of one case; FOLDER in its words stands for an empty folder."""
     with Core(changed=case.get("changed"), later=case.get("later")) as core:
         words = [word.replace("FOLDER", str(folder)) for word in case["words"]]
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("number", range(len(COMMAND["cases"])))
 def test_verbs_say_and_exit_as_published(number, tmp_path):
     case = COMMAND["cases"][number]
-    assert play(case, tmp_path / "kept") == case["told"], case["words"]
+    assert run_simulation(case, tmp_path / "kept") == case["told"], case["words"]
 
 
 def test_an_interrupted_drill_exits_as_published():
@@ -165,7 +165,7 @@
     assert (done.returncode, done.stderr) == (2, COMMAND["no_settings"])
 
 
-def test_whole_settings_are_said_to_be_whole(tmp_path):
+def test_valid_settings_are_reported_as_valid(tmp_path):
     path = tmp_path / "node.conf"
     path.write_text((FOLDER / "settings.txt").read_text(encoding="utf-8"), encoding="utf-8")
     done = run("check", settings=str(path))
--- a/ploverward/command_line/test_golden_files.py
+++ b/ploverward/command_line/test_golden_files.py
@@ -37,7 +37,7 @@
 
 
 def fault(text: str) -> str:
-    with pytest.raises(errors.SettingsProblem) as raised:
+    with pytest.raises(errors.SettingsError) as raised:
         settings.check(text=text)
     return str(raised.value)
 
--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -51,17 +51,19 @@
 
 def wire_parts(core) -> tuple:
     """Who takes a request, and the limits of the listener."""
-    return core.interfaces._router.take, core.interfaces._limits
+    return core.interfaces._router.handle, core.interfaces._limits
 
 
 class World:
     """Three core nodes and a proxy without troubles, and the states that calls are made in."""
 
     def __init__(self):
-        self.day = scenario.Day(plan=scenario.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=()))
+        self.day = scenario.SimulationRun(
+            plan=scenario.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=())
+        )
         self.day._proxies = [PROXY]
         self.day.build()
-        self.caller = simulated_network.Caller(network=self.day.network, host="operators")
+        self.core_client = simulated_network.Caller(network=self.day.network, host="operators")
         self.run(0.35)
 
     def run(self, seconds: float) -> None:
@@ -73,7 +75,7 @@
     def call(self, *, node: int, method: str, target: str, headers, body: bytes):
         """(status, {name: value}, body), or None where there is no answer."""
         told = []
-        self.caller.call(
+        self.core_client.call(
             host=self.day.slots[node].machine.host,
             port=machines.CONTROL_PORT,
             method=method,
@@ -97,14 +99,14 @@
     def counted(self) -> None:
         """A proxy has told of a request and of an adapter."""
         interfaces = self.core().interfaces
-        interfaces.custody.ledger.take(
-            node="n-p", life="l1", number=0, is_last=False, rows=[("a1", json.dumps(TRAIL).encode())]
+        interfaces.custody.report_store.record(
+            node="n-p", incarnation="l1", number=0, is_last=False, rows=[("a1", json.dumps(TRAIL).encode())]
         )
-        interfaces.adapters.ledger.take(
+        interfaces.adapters.report_store.record(
             node="n-p",
             zone="znorth",
             region="north",
-            life="l1",
+            incarnation="l1",
             window=0,
             number=1,
             data=json.dumps(WINDOW).encode(),
@@ -129,7 +131,7 @@
         """The first node has lost the others and does not know it yet."""
         hosts = [slot.machine.host for slot in self.day.slots]
         pairs = {pair for other in hosts[1:] for pair in ((hosts[0], other), (other, hosts[0]))}
-        self.day.network.cut(pairs=pairs, is_reset=False)
+        self.day.network.partition(pairs=pairs, is_reset=False)
 
     def cut_off(self) -> None:
         self.run(3.0)
@@ -151,7 +153,7 @@
     return value
 
 
-def play(calls: list) -> list:
+def run_simulation(calls: list) -> list:
     """The answers to these calls, one after the other at one world."""
     world = World()
     found = []
@@ -177,14 +179,16 @@
     """The first node's answer to bytes on a connection, as it stands on the wire."""
     take, limits = wire_parts(World().core())
     loop = loopback.new_loop()
-    hall = http_servers.Hall(loop=loop, address=("127.0.0.1", 0), on_request=take, limits=limits, silence_s=5.0)
-    client = loopback.Client(loop=loop, address=hall._sock.getsockname())
+    server = http_servers.HttpServer(
+        loop=loop, address=("127.0.0.1", 0), on_request=take, limits=limits, peer_timeout_s=5.0
+    )
+    client = loopback.Client(loop=loop, address=server._sock.getsockname())
     client.send(data.encode("latin-1"))
-    assert loopback.until(loop, lambda: is_whole(client.got))
+    assert loopback.until(loop, lambda: is_complete(client.got))
     return client.got.decode()
 
 
-def is_whole(told: bytes) -> bool:
+def is_complete(told: bytes) -> bool:
     head, _end, body = told.partition(b"\r\n\r\n")
     length = re.search(rb"Content-Length: (\d+)", head)
     return length is not None and len(body) == int(length[1])
@@ -192,7 +196,7 @@
 
 @pytest.fixture(scope="module")
 def answers():
-    return play(CALLS["calls"])
+    return run_simulation(CALLS["calls"])
 
 
 @pytest.mark.parametrize("number", range(len(CALLS["calls"])))
--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -34,7 +34,7 @@
 def over_quota():
     scene = with_tenants()
     credit = tenant_usage.Credit(tenant_usage.tenant_key("players"), 0.0)
-    scene.entry.allowance.take(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[credit])
+    scene.entry.quota_allowance.record(core="k", asked_at=scene.loop.now() + 61.0, proxies=1, credits=[credit])
     return scene
 
 
@@ -46,20 +46,20 @@
 
 def leaving():
     scene = plain()
-    scene.entry.leaving.begin()
+    scene.entry.drain_window.begin()
     scene.loop.skip(seconds=7.0)
     return scene
 
 
 def resetting(number, heard):
-    return ["reset"] if test_request_path.is_whole(heard) else None
+    return ["reset"] if test_request_path.is_complete(heard) else None
 
 
 def promising(number, heard):
     which = test_request_path.request_id(heard)
     return (
         [test_request_path.answer(which, status=b"503 Full", more=NOT_RUN)]
-        if test_request_path.is_whole(heard)
+        if test_request_path.is_complete(heard)
         else None
     )
 
@@ -68,24 +68,24 @@
     which = test_request_path.request_id(heard)
     return (
         [test_request_path.answer(which, status=b"421 Another", more=NOT_RUN)]
-        if test_request_path.is_whole(heard)
+        if test_request_path.is_complete(heard)
         else None
     )
 
 
 def streaming(number, heard):
-    if not test_request_path.is_whole(heard):
+    if not test_request_path.is_complete(heard):
         return None
     return [
         test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1) + test_request_path.END
     ]
 
 
-def ready(*, is_serving: bool, is_leaving: bool, target: str) -> int:
+def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
     """The status that the readiness listener answers."""
     told = []
     request = types.SimpleNamespace(target=target.encode(), reply=lambda *, status: told.append(status))
-    state = types.SimpleNamespace(is_serving=is_serving, is_leaving=is_leaving)
+    state = types.SimpleNamespace(is_serving=is_serving, is_draining=is_draining)
     serving.ServeMixin._on_ready_request(state, request)
     return told[0]
 
@@ -141,7 +141,7 @@
     )
 
 
-def play(name: str) -> dict:
+def run_simulation(name: str) -> dict:
     """The head that the client gets, and the head that the replica got last."""
     make, about = CASES[name]
     about = dict(about)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_answers_and_what_replicas_are_told_are_the_published_ones(name):
-    assert play(name) == ANSWERS["answers"][name]
+    assert run_simulation(name) == ANSWERS["answers"][name]
 
 
 @pytest.mark.parametrize("name", RAW)
@@ -181,5 +181,5 @@
 
 @pytest.mark.parametrize("row", ANSWERS["ready"])
 def test_readiness_is_told_as_published(row):
-    about = {key: value for key, value in row.items() if key != "status"}
-    assert ready(**about) == row["status"]
+    status = ready(is_serving=row["is_serving"], is_draining=row["is_leaving"], target=row["target"])
+    assert status == row["status"]
--- a/ploverward/command_line/test_keep.py
+++ b/ploverward/command_line/test_keep.py
@@ -9,35 +9,35 @@
 
 
 def test_each_edition_is_kept_once_and_comes_back_as_it_was(tmp_path):
-    keeper = keep.Keeper(folder=str(tmp_path / "specs"))
-    assert keeper.log() == []
-    first = keeper.keep(body=body(3))
-    assert keeper.keep(body=body(3)) is None
-    second = keeper.keep(body=body(7, limits={"idleMs": 5}))
-    assert first != second and [edition for edition, _commit in keeper.log()] == [7, 3]
-    keeper.close()
-    again = keep.Keeper(folder=str(tmp_path / "specs"))
+    repository = keep.ConfigurationRepository(folder=str(tmp_path / "specs"))
+    assert repository.log() == []
+    first = repository.keep(body=body(3))
+    assert repository.keep(body=body(3)) is None
+    second = repository.keep(body=body(7, limits={"idleMs": 5}))
+    assert first != second and [edition for edition, _commit in repository.log()] == [7, 3]
+    repository.close()
+    again = keep.ConfigurationRepository(folder=str(tmp_path / "specs"))
     assert again.show(edition=3) == body(3) and again.show(edition=7) == body(7, limits={"idleMs": 5})
-    with pytest.raises(errors.Problem):
+    with pytest.raises(errors.PloverwardError):
         again.show(edition=5)
     again.close()
 
 
 def test_an_older_edition_is_not_kept_over_a_newer_one(tmp_path):
-    keeper = keep.Keeper(folder=str(tmp_path))
-    keeper.keep(body=body(7))
+    repository = keep.ConfigurationRepository(folder=str(tmp_path))
+    repository.keep(body=body(7))
     for older in (body(6), body(7, limits={})):
-        with pytest.raises(errors.Problem):
-            keeper.keep(body=older)
-    assert [edition for edition, _commit in keeper.log()] == [7]
-    keeper.close()
+        with pytest.raises(errors.PloverwardError):
+            repository.keep(body=older)
+    assert [edition for edition, _commit in repository.log()] == [7]
+    repository.close()
 
 
 def test_keys_of_tenants_are_kept_as_digests(tmp_path):
-    keeper = keep.Keeper(folder=str(tmp_path))
+    repository = keep.ConfigurationRepository(folder=str(tmp_path))
     body = {"edition": 3, "senders": [{"name": "clerks", "apiKeys": ["a-key"], "perS": 2}]}
-    assert keeper.keep(body=body) and keeper.keep(body=body) is None
-    kept = keeper.show(edition=3)
+    assert repository.keep(body=body) and repository.keep(body=body) is None
+    kept = repository.show(edition=3)
     assert kept["senders"][0]["apiKeys"][0].startswith("digest:") and "a-key" not in str(kept)
     assert body["senders"][0]["apiKeys"] == ["a-key"]
     for path in tmp_path.rglob("*"):
--- a/ploverward/command_line/test_pins.py
+++ b/ploverward/command_line/test_pins.py
@@ -8,12 +8,12 @@
 from ploverward.command_line import pins
 
 ZONES = {"z1": "north", "z2": "south"}
-SPEC = {"routes": [{"name": "chat", "homeRegions": [], "urgency": 0, "targetMs": 600}]}
+CONFIGURATION = {"routes": [{"name": "chat", "homeRegions": [], "urgency": 0, "targetMs": 600}]}
 
 
-def window(life="l1", number=1, cold=6, adapter="drafts"):
+def window(incarnation="l1", number=1, cold=6, adapter="drafts"):
     return {
-        "life": life,
+        "life": incarnation,
         "window": 0,
         "number": number,
         "age_s": 4.0,
@@ -41,35 +41,35 @@
                 "region": ZONES[zone],
                 "is_clearing": False,
                 "models": ["m"],
-                "adapters": held,
+                "adapters": loaded,
             }
-            for name, zone, held in (("i1", "z1", [["m", "drafts"]]), ("i2", "z2", []), ("i3", "z2", None))
+            for name, zone, loaded in (("i1", "z1", [["m", "drafts"]]), ("i2", "z2", []), ("i3", "z2", None))
         ],
         "proxies": [{"address": "a", "life": "l1", "zone": "z1"}, {"address": "b", "life": "l2", "zone": "z2"}],
         **changed,
     }
 
 
-class Caller:
-    def __init__(self, *bodies, missed=(), spec_status=200):
-        self.bodies, self.missed, self.spec_status = bodies, dict(missed), spec_status
+class CoreClient:
+    def __init__(self, *bodies, missed=(), configuration_status=200):
+        self.bodies, self.missed, self.configuration_status = bodies, dict(missed), configuration_status
 
     def all(self, *, path):
         assert path == "/ploverward/adapters"
         return {f"c{number}": (200, one) for number, one in enumerate(self.bodies)}, dict(self.missed)
 
     def any(self, *, method, path):
-        return self.spec_status, SPEC if self.spec_status == 200 else None
+        return self.configuration_status, CONFIGURATION if self.configuration_status == 200 else None
 
 
-def run(caller, **about):
+def run(core_client, **about):
     lines = []
-    code = pins.run(caller=caller, as_json=about.pop("as_json", False), out=lines.append, **about)
+    code = pins.run(core_client=core_client, as_json=about.pop("as_json", False), out=lines.append, **about)
     return code, "\n".join(lines)
 
 
 def test_it_tells_evidence_sets_saving_and_coverage():
-    code, text = run(Caller(body(window())), capacity=1)
+    code, text = run(CoreClient(body(window())), capacity=1)
     assert code == 0
     assert "m/drafts" in text and "expected saving: 6 of 6 cold waits, 5400 ms of waiting" in text
     assert [line for line in text.splitlines() if line.startswith("i2")][0].endswith("+m/drafts")
@@ -77,61 +77,67 @@
     assert "1 windows of 1 of 2 proxies in touch" in text
 
 
-def test_two_core_nodes_that_tell_the_same_window_count_it_once():
-    _code, text = run(Caller(body(window()), body(window(number=2, cold=8))), capacity=1, as_json=True)
-    told = json.loads(text)
-    assert [row["cold"] for row in told["evidence"]] == [8]
-    assert told["nodes"] == [
+def test_a_window_reported_by_two_core_nodes_counts_once():
+    _code, text = run(CoreClient(body(window()), body(window(number=2, cold=8))), capacity=1, as_json=True)
+    result = json.loads(text)
+    assert [row["cold"] for row in result["evidence"]] == [8]
+    assert result["nodes"] == [
         {"node": "p1", "zone": "z1", "service": "tutor", "model": "m", "adapter": "drafts", "cold": 8, "arrivals": 11}
     ]
 
 
 def test_no_adapters_seen_is_said_and_is_no_error():
-    code, text = run(Caller(body()))
+    code, text = run(CoreClient(body()))
     assert code == 0 and "no adapters seen" in text
 
 
 @pytest.mark.parametrize("kind", ["service", "model", "zone", "replica"])
 def test_an_unknown_name_is_one_clear_line(kind):
-    with pytest.raises(errors.Problem) as told:
-        run(Caller(body(window())), wanted=pins.Filter(**{kind: "nobody"}))
-    assert f"unknown {kind} 'nobody'; known:" in str(told.value) and "\n" not in str(told.value)
+    with pytest.raises(errors.PloverwardError) as result:
+        run(CoreClient(body(window())), wanted=pins.Filter(**{kind: "nobody"}))
+    assert f"unknown {kind} 'nobody'; known:" in str(result.value) and "\n" not in str(result.value)
 
 
 def test_names_that_are_known_narrow_the_table():
-    _code, text = run(Caller(body(window())), capacity=1, as_json=True, wanted=pins.Filter(zone="z1"))
+    _code, text = run(CoreClient(body(window())), capacity=1, as_json=True, wanted=pins.Filter(zone="z1"))
     assert list(json.loads(text)["suggestion"]["replicas"]) == ["i1"]
     _code, text = run(
-        Caller(body(window())), capacity=1, as_json=True, wanted=pins.Filter(service="tutor", model="m", replica="i2")
+        CoreClient(body(window())),
+        capacity=1,
+        as_json=True,
+        wanted=pins.Filter(service="tutor", model="m", replica="i2"),
     )
     assert list(json.loads(text)["suggestion"]["replicas"]) == ["i2"]
 
 
 def test_nodes_out_of_reach_are_named_and_the_exit_says_so():
-    code, text = run(Caller(body(window()), missed={"10.0.0.9:1": "timed out"}))
+    code, text = run(CoreClient(body(window()), missed={"10.0.0.9:1": "timed out"}))
     assert code == 3 and "unreachable: 10.0.0.9:1 (timed out)" in text
-    with pytest.raises(errors.Problem):
-        run(Caller(missed={"10.0.0.9:1": "timed out"}))
-    with pytest.raises(errors.Problem):  # without homes nothing is suggested
-        run(Caller(body(window()), spec_status=503))
+    with pytest.raises(errors.PloverwardError):
+        run(CoreClient(missed={"10.0.0.9:1": "timed out"}))
+    with pytest.raises(errors.PloverwardError):  # without homes nothing is suggested
+        run(CoreClient(body(window()), configuration_status=503))
 
 
 def test_malformed_parts_are_counted():
-    _code, text = run(Caller(body(window(), malformed=2, malformed_replicas=["i3"])))
+    _code, text = run(CoreClient(body(window(), malformed=2, malformed_replicas=["i3"])))
     assert "skipped as malformed: 2 counts; adapters of i3" in text
 
 
 def test_an_earlier_output_holds_the_suggestion_steady_and_another_file_is_refused(tmp_path):
-    _code, text = run(Caller(body(window())), capacity=1, as_json=True)
+    _code, text = run(CoreClient(body(window())), capacity=1, as_json=True)
     path = tmp_path / "last.json"
     path.write_text(text)
     _code, again = run(
-        Caller(body(window(cold=9), window(life="l2", adapter="coach"))), capacity=1, as_json=True, previous=str(path)
+        CoreClient(body(window(cold=9), window(incarnation="l2", adapter="coach"))),
+        capacity=1,
+        as_json=True,
+        previous=str(path),
     )
     first, second = (json.loads(one)["suggestion"]["replicas"] for one in (text, again))
     assert all(second[name]["pins"] == row["pins"] for name, row in first.items() if row["pins"])
     path.write_text("[]")
-    with pytest.raises(errors.Problem):
-        run(Caller(body(window())), previous=str(path))
-    with pytest.raises(errors.Problem):
-        run(Caller(body(window())), capacity=-1)
+    with pytest.raises(errors.PloverwardError):
+        run(CoreClient(body(window())), previous=str(path))
+    with pytest.raises(errors.PloverwardError):
+        run(CoreClient(body(window())), capacity=-1)
--- a/ploverward/command_line/test_rollout.py
+++ b/ploverward/command_line/test_rollout.py
@@ -93,7 +93,7 @@
     assert rollout.watch(call=core.call, service="tutor", as_json=False, out=core.lines.append) == 3
 
 
-def test_a_core_that_is_not_sure_is_told_as_a_problem():
+def test_a_core_that_is_not_sure_is_reported_as_an_error():
     core = Core((503, None))
-    with pytest.raises(errors.Problem):
+    with pytest.raises(errors.PloverwardError):
         rollout.status(call=core.call, service="", as_json=False, out=core.lines.append)
--- a/ploverward/command_line/test_tenants.py
+++ b/ploverward/command_line/test_tenants.py
@@ -15,23 +15,23 @@
     return 200, {"edition": 7, "proxies": 12, "tenants": {"clerks": row}}
 
 
-class Caller:
+class CoreClient:
     def __init__(self, **answers):
         self.answers = answers
 
     def all(self, *, path):
         assert path == "/ploverward/tenants"
-        told = {name: row for name, row in self.answers.items() if row is not None}
-        return told, {name: "no answer" for name, row in self.answers.items() if row is None}
+        responses = {name: row for name, row in self.answers.items() if row is not None}
+        return responses, {name: "no answer" for name, row in self.answers.items() if row is None}
 
 
 def run(as_json=False, **answers):
     lines = []
-    code = tenants.run(caller=Caller(**answers), as_json=as_json, out=lines.append)
+    code = tenants.run(core_client=CoreClient(**answers), as_json=as_json, out=lines.append)
     return code, "\n".join(lines)
 
 
-def test_limits_and_standing_of_all_core_nodes_are_told():
+def test_limits_and_quota_status_of_all_core_nodes_are_shown():
     code, text = run(a=answer(), b=answer(level=-3.0, wants=True))
     assert code == 0
     for wanted in ("edition 7", "12 proxies", "5 a second", "left -3 to 4.5", "wants credits by 1 of 2", "digest:ab"):
@@ -43,8 +43,8 @@
     assert code == 3 and "b: out of reach" in text
 
 
-def test_no_node_at_all_is_a_problem():
-    with pytest.raises(errors.Problem):
+def test_no_node_at_all_is_an_error():
+    with pytest.raises(errors.PloverwardError):
         run(a=None)
 
 
--- a/ploverward/common/errors.py
+++ b/ploverward/common/errors.py
@@ -1,7 +1,7 @@
 """The exception tree. Every problem carries the step and the peer at which it arose (design 2)."""
 
 
-class Problem(Exception):
+class PloverwardError(Exception):
     def __init__(self, text: str, *, step: str = "", peer: str = ""):
         super().__init__(text)
         self.text = text
@@ -13,31 +13,31 @@
         return f"{self.text} [{where}]" if where else self.text
 
 
-class SettingsProblem(Problem):
+class SettingsError(PloverwardError):
     pass
 
 
-class FrameProblem(Problem):
+class FrameError(PloverwardError):
     pass
 
 
-class StoreProblem(Problem):
+class StorageError(PloverwardError):
     pass
 
 
-class Unreachable(Problem):
+class QuorumUnavailableError(PloverwardError):
     """No majority answered in time."""
 
 
-class InvalidConfiguration(Problem):
+class InvalidConfigurationError(PloverwardError):
     """A configuration that can't be in force; `place` names the field."""
 
-    def __init__(self, text: str, *, place: str = "", step: str = "check", peer: str = ""):
+    def __init__(self, text: str, *, field_path: str = "", step: str = "check", peer: str = ""):
         super().__init__(text, step=step, peer=peer)
-        self.place = place
+        self.field_path = field_path
 
 
-class RolloutUnderWay(Problem):
+class RolloutInProgressError(PloverwardError):
     """Another roll-out of the service is not done; `target` is its version."""
 
     def __init__(self, *, target: str, step: str = "roll-out", peer: str = ""):
@@ -45,7 +45,7 @@
         self.target = target
 
 
-class StaleBase(Problem):
+class StaleVersionError(PloverwardError):
     """The change was built on another version than the current one."""
 
     def __init__(self, *, current: int, step: str = "change", peer: str = ""):
--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -8,12 +8,12 @@
 RING_LINES = 200
 _ring = collections.deque(maxlen=RING_LINES)
 _log = logging.getLogger("ploverward")
-_spill_at = [0.0]
-_is_chatty = [False]
+_dumped_at = [0.0]
+_is_verbose = [False]
 
 
-def start(*, node: str, role: str, is_chatty: bool = False) -> None:
-    _is_chatty[0] = is_chatty
+def start(*, node: str, role: str, is_verbose: bool = False) -> None:
+    _is_verbose[0] = is_verbose
     from pythonjsonlogger import json as json_log  # only programs that write need it
 
     handler = logging.StreamHandler(sys.stderr)
@@ -25,26 +25,26 @@
     _log.propagate = False
 
 
-def note(text: str, **fields) -> None:
+def record(text: str, **fields) -> None:
     _ring.append((time.monotonic(), text, fields))
-    if _is_chatty[0]:
+    if _is_verbose[0]:
         _log.info(text, extra={"seen": fields})
 
 
-def say(text: str, **fields) -> None:
+def log_event(text: str, **fields) -> None:
     """One line at once: start, end, settings."""
-    note(text, **fields)
+    record(text, **fields)
     _log.info(text, extra={"seen": fields})
 
 
-def spill(reason: str, *, fault=None) -> None:
+def dump(reason: str, *, fault=None) -> None:
     """Something went wrong: the reason now, and the ring behind it, at most every few seconds."""
-    note(reason)
+    record(reason)
     _log.error(reason, exc_info=fault)
     now = time.monotonic()
-    if now - _spill_at[0] < 5.0:
+    if now - _dumped_at[0] < 5.0:
         return
-    _spill_at[0] = now
+    _dumped_at[0] = now
     while _ring:
         when, text, fields = _ring.popleft()
         _log.info(text, extra={"at": round(when, 4), "seen": fields})
--- a/ploverward/common/residency.py
+++ b/ploverward/common/residency.py
@@ -10,7 +10,7 @@
     return frozenset.intersection(*bound)
 
 
-def lookup_regions(*, spec, host: str, region: str, serving) -> frozenset:
+def lookup_regions(*, configuration, host: str, region: str, serving) -> frozenset:
     """The regions whose proxies a user agent of `region` may be told of for this host.
 
     Its own region first. Else, regions that are homes of every homed route of that host; without
@@ -19,10 +19,10 @@
     serving = frozenset(serving)
     if region in serving:
         return frozenset((region,))
-    if spec is None:
+    if configuration is None:
         return frozenset()
     allowed = serving
-    for route in spec.get("routes", ()):
+    for route in configuration.get("routes", ()):
         if route.get("host", "").lower() == host.lower() and route.get("homeRegions"):
             allowed &= frozenset(route["homeRegions"])
     return allowed
--- a/ploverward/common/rollout_evidence.py
+++ b/ploverward/common/rollout_evidence.py
@@ -107,7 +107,7 @@
         text = decoder.decompress(data, MOST_BYTES)
         return [_report(row) for row in json.loads(text)]
     except (zlib.error, ValueError, TypeError, IndexError) as failure:
-        raise errors.FrameProblem(f"no evidence: {failure}", step="evidence") from None
+        raise errors.FrameError(f"no evidence: {failure}", step="evidence") from None
 
 
 def _report(row: list) -> Report:
--- a/ploverward/common/settings.py
+++ b/ploverward/common/settings.py
@@ -40,8 +40,8 @@
     @property
     def tolerated_machines(self) -> int:
         """How many counted machines may be lost at once; a minority of the seeds where the settings do not say."""
-        told = self.raw.get("tolerate.machines", "")
-        return int(told) if told.isdigit() else (len(self.seeds) - 1) // 2
+        configured = self.raw.get("tolerate.machines", "")
+        return int(configured) if configured.isdigit() else (len(self.seeds) - 1) // 2
 
     @property
     def core_port(self) -> int:
@@ -55,7 +55,7 @@
 def parse_address(*, text: str, field: str) -> tuple:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise errors.SettingsProblem(f"{field}: '{text}' is not an ADDRESS:PORT", step="settings")
+        raise errors.SettingsError(f"{field}: '{text}' is not an ADDRESS:PORT", step="settings")
     return (host, int(port))
 
 
@@ -67,7 +67,7 @@
             continue
         name, equals, value = line.partition("=")
         if not equals:
-            raise errors.SettingsProblem(f"line {number}: no '=' in '{line}'", step="settings")
+            raise errors.SettingsError(f"line {number}: no '=' in '{line}'", step="settings")
         fields[name.strip()] = value.strip()
     return fields
 
@@ -75,9 +75,9 @@
 def check(*, text: str) -> Settings:
     fields = parse_lines(text=text)
 
-    def need(name):
+    def require(name):
         if fields.get(name, "") == "":
-            raise errors.SettingsProblem(f"{name}: missing", step="settings")
+            raise errors.SettingsError(f"{name}: missing", step="settings")
         return fields[name]
 
     def number(name, default=None):
@@ -85,21 +85,21 @@
         if value == "" and default is not None:
             return default
         try:
-            return float(need(name))
+            return float(require(name))
         except ValueError:
-            raise errors.SettingsProblem(f"{name}: '{value}' is not a number", step="settings") from None
+            raise errors.SettingsError(f"{name}: '{value}' is not a number", step="settings") from None
 
-    def truth(name):
+    def parse_flag(name):
         value = fields.get(name, "false").lower()
         if value not in ("true", "false"):
-            raise errors.SettingsProblem(f"{name}: '{value}' is neither true nor false", step="settings")
+            raise errors.SettingsError(f"{name}: '{value}' is neither true nor false", step="settings")
         return value == "true"
 
-    ports = need("innerPortRange").split(",")
+    ports = require("innerPortRange").split(",")
     if len(ports) != 2 or not all(port.strip().isdigit() for port in ports) or int(ports[0]) >= int(ports[1]):
-        raise errors.SettingsProblem("innerPortRange: needs FIRST,LAST", step="settings")
+        raise errors.SettingsError("innerPortRange: needs FIRST,LAST", step="settings")
     seeds = tuple(
-        parse_address(text=part.strip(), field="seedNodes") for part in need("seedNodes").split(",") if part.strip()
+        parse_address(text=part.strip(), field="seedNodes") for part in require("seedNodes").split(",") if part.strip()
     )
     bindings = {}
     for name, value in fields.items():
@@ -112,23 +112,23 @@
             bounds[name[len("bounds.") :]] = float(value == "true") if value in ("true", "false") else number(name)
     for name in BOUND_NAMES:
         if bounds.get(name, 0.0) <= 0.0:
-            raise errors.SettingsProblem(f"bounds.{name}: missing or not above 0", step="settings")
+            raise errors.SettingsError(f"bounds.{name}: missing or not above 0", step="settings")
     zones = {name[len("zones.") :]: value for name, value in fields.items() if name.startswith("zones.")}
     return Settings(
-        node=need("node"),
-        ip=need("ip"),
-        zone=need("zone"),
-        region=need("region"),
+        node=require("node"),
+        ip=require("ip"),
+        zone=require("zone"),
+        region=require("region"),
         zones=zones,
         bindings=bindings,
         inner_ports=(int(ports[0]), int(ports[1])),
         seeds=seeds,
-        first_start=truth("firstStart"),
+        first_start=parse_flag("firstStart"),
         data_dir=fields.get("dataDir", ""),
         memory_mb=number("limits.memoryMb", 256.0),
         handles=int(number("limits.fileHandles", 1024.0)),
         disk_mb=number("limits.diskMb", 0.0),
-        cloud_address=need("cloudApi.address"),
+        cloud_address=require("cloudApi.address"),
         cloud_per_s=number("cloudApi.perS", 10.0),
         cloud_lag_s=number("cloudApi.lagMs", 0.0) / 1000.0,
         bounds=bounds,
@@ -139,7 +139,7 @@
 def path() -> str:
     value = os.environ.get(PATH_VARIABLE, "")
     if not value:
-        raise errors.SettingsProblem(f"{PATH_VARIABLE} is not set", step="settings")
+        raise errors.SettingsError(f"{PATH_VARIABLE} is not set", step="settings")
     return value
 
 
@@ -147,7 +147,7 @@
     """Whether the settings file was changed since the last look, with or without a signal."""
 
     def __init__(self):
-        self._mark = self._look()
+        self._signature = self._look()
 
     def _look(self):
         try:
@@ -157,10 +157,10 @@
         return (found.st_mtime_ns, found.st_size, found.st_ino)
 
     def is_changed(self) -> bool:
-        mark = self._look()
-        if mark is None or mark == self._mark:
+        signature = self._look()
+        if signature is None or signature == self._signature:
             return False
-        self._mark = mark
+        self._signature = signature
         return True
 
 
@@ -170,5 +170,5 @@
         with open(name, encoding="utf-8") as handle:
             text = handle.read()
     except (OSError, UnicodeDecodeError) as fault:
-        raise errors.SettingsProblem(f"{name}: {fault}", step="settings") from None
+        raise errors.SettingsError(f"{name}: {fault}", step="settings") from None
     return check(text=text)
--- a/ploverward/common/tenant_usage.py
+++ b/ploverward/common/tenant_usage.py
@@ -13,7 +13,7 @@
 NAME_DIGEST = 8
 USAGE = struct.Struct(">8sHI")  # tenant, requests seen since the last report, requests admitted in this life
 CREDIT = struct.Struct(">8sf")  # tenant, requests that may be admitted
-MOST_DEMAND = 0xFFFF
+MAX_DEMAND = 0xFFFF
 
 
 @functools.lru_cache(maxsize=8192)
@@ -53,7 +53,7 @@
 
 
 def pack_usage(rows) -> bytes:
-    return b"".join(USAGE.pack(row.tenant, min(MOST_DEMAND, row.demand), row.admitted) for row in rows)
+    return b"".join(USAGE.pack(row.tenant, min(MAX_DEMAND, row.demand), row.admitted) for row in rows)
 
 
 def unpack_usage(data: bytes) -> list:
--- a/ploverward/common/test_residency.py
+++ b/ploverward/common/test_residency.py
@@ -15,7 +15,7 @@
     assert residency.permitted(homes=("a",), older=(("b",),)) == frozenset()
 
 
-SPEC = {
+CONFIGURATION = {
     "routes": [
         {"host": "h", "homeRegions": ["a", "b"]},
         {"host": "h", "homeRegions": ["b", "c"]},
@@ -26,14 +26,19 @@
 
 
 def test_lookup_names_the_own_region_first():
-    assert residency.lookup_regions(spec=SPEC, host="h", region="d", serving=("b", "d")) == {"d"}
+    assert residency.lookup_regions(configuration=CONFIGURATION, host="h", region="d", serving=("b", "d")) == {"d"}
 
 
 def test_lookup_from_a_lost_region_names_homes_of_all_routes_only():
-    assert residency.lookup_regions(spec=SPEC, host="h", region="x", serving=("a", "b", "c")) == {"b"}
-    assert residency.lookup_regions(spec=SPEC, host="open", region="x", serving=("a", "c")) == {"a", "c"}
+    assert residency.lookup_regions(configuration=CONFIGURATION, host="h", region="x", serving=("a", "b", "c")) == {"b"}
+    assert residency.lookup_regions(configuration=CONFIGURATION, host="open", region="x", serving=("a", "c")) == {
+        "a",
+        "c",
+    }
 
 
 def test_lookup_fails_openly():
-    assert residency.lookup_regions(spec=SPEC, host="h", region="x", serving=("a", "c")) == frozenset()
-    assert residency.lookup_regions(spec=None, host="h", region="x", serving=("a",)) == frozenset()
+    assert (
+        residency.lookup_regions(configuration=CONFIGURATION, host="h", region="x", serving=("a", "c")) == frozenset()
+    )
+    assert residency.lookup_regions(configuration=None, host="h", region="x", serving=("a",)) == frozenset()
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -7,31 +7,35 @@
 from ploverward.data_plane.adapter_cache import adapter_counts
 
 KEEP_WINDOWS = 20
-MOST_WINDOWS = 8000
+MAX_WINDOWS = 8000
 
 
-class Ledger:
+class ReportStore:
     def __init__(self, *, now, window_s: float):
         self._now = now
         self._keep_s = window_s * KEEP_WINDOWS
         self._windows = collections.OrderedDict()  # (life, window): (number, at, node, zone, region, data)
         self.malformed = 0
 
-    def take(self, *, node: str, zone: str, region: str, life: str, window: int, number: int, data: bytes) -> None:
-        held = self._windows.get((life, window))
-        if held is not None and held[0] >= number:
+    def record(
+        self, *, node: str, zone: str, region: str, incarnation: str, window: int, number: int, data: bytes
+    ) -> None:
+        previous = self._windows.get((incarnation, window))
+        if previous is not None and previous[0] >= number:
             return
         body = read(data=data)
         if body is None:
             self.malformed += 1
             return
-        at = held[1] if held is not None else self._now()  # the age is that of the window, not of its last telling
-        self._windows[(life, window)] = (number, at, node, zone, region, body)
+        at = (
+            previous[1] if previous is not None else self._now()
+        )  # the age is that of the window, not of its last telling
+        self._windows[(incarnation, window)] = (number, at, node, zone, region, body)
         self._trim()
 
     def _trim(self) -> None:
         oldest = self._now() - self._keep_s
-        while self._windows and (len(self._windows) > MOST_WINDOWS or next(iter(self._windows.values()))[1] < oldest):
+        while self._windows and (len(self._windows) > MAX_WINDOWS or next(iter(self._windows.values()))[1] < oldest):
             self._windows.popitem(last=False)
 
     def rows(self) -> list:
@@ -39,7 +43,7 @@
         now = self._now()
         return [
             {
-                "life": life,
+                "life": incarnation,
                 "window": window,
                 "number": number,
                 "age_s": round(now - at, 1),
@@ -49,7 +53,7 @@
                 "rows": body["rows"],
                 "over": body["over"],
             }
-            for (life, window), (number, at, node, zone, region, body) in self._windows.items()
+            for (incarnation, window), (number, at, node, zone, region, body) in self._windows.items()
         ]
 
 
--- a/ploverward/control_plane/adapter_cache/pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/pin_suggestion.py
@@ -105,8 +105,8 @@
             )
         for region, weight in weights.items():
             claims.append((service, pair, region, weight, allowed))
-    _place(claims, replicas, capacity, before, pins, missing)
-    held = {row["id"]: set(row["adapters"] or ()) for row in replicas}
+    _assign(claims, replicas, capacity, before, pins, missing)
+    loaded = {row["id"]: set(row["adapters"] or ()) for row in replicas}
     return {
         "replicas": {
             row["id"]: {
@@ -115,7 +115,7 @@
                 "region": row["region"],
                 "pins": sorted(pins[row["id"]]),
                 "is_known": row["adapters"] is not None,
-                "to_load": sorted(set(pins[row["id"]]) - held[row["id"]]),
+                "to_load": sorted(set(pins[row["id"]]) - loaded[row["id"]]),
             }
             for row in replicas
         },
@@ -162,7 +162,7 @@
     def may_hold(self, row, pair) -> bool:
         return row["region"] in self._allowed.get((row["service"], pair), ())
 
-    def has_room(self, row) -> bool:
+    def has_capacity(self, row) -> bool:
         return len(self.pins[row["id"]]) < self._capacity.get(row["service"], 0)
 
     def is_safety(self, service, pair, region) -> bool:
@@ -170,7 +170,7 @@
         here = self.copies(service, pair, region)
         return not here or (len(here) == 1 and len({row["zone"] for row in self.copies(service, pair)}) < 2)
 
-    def worth(self, service, pair, region) -> float:
+    def value(self, service, pair, region) -> float:
         weight = self._weights.get((service, pair, region), 0.0)
         return (
             weight
@@ -196,7 +196,7 @@
         return [row for row in rows if pair not in self.pins[row["id"]] and self.may_hold(row, pair)]
 
 
-def _place(claims, replicas, capacity, before, pins, missing) -> None:
+def _assign(claims, replicas, capacity, before, pins, missing) -> None:
     """What was pinned stays; then copy by copy to the claim with the highest average, each to the zone that has fewest."""
     board = _Board(claims=claims, replicas=replicas, capacity=capacity, pins=pins)
     for row in replicas:
@@ -205,12 +205,12 @@
     waiting = set(board.claims)
     settled = set()  # pins of this look: none of them is displaced again
     while waiting:
-        claim = max(waiting, key=lambda one: (board.worth(*one), one[1], one[2]))
+        claim = max(waiting, key=lambda one: (board.value(*one), one[1], one[2]))
         service, pair, region = claim
-        worth = board.worth(*claim)
+        value = board.value(*claim)
         rows = board.rows_for(*claim)
         zones = {row["zone"] for row in board.copies(service, pair)}
-        free = [row for row in rows if board.has_room(row)]
+        free = [row for row in rows if board.has_capacity(row)]
         if free:
             best = min(
                 free,
@@ -235,7 +235,7 @@
                 if (row["id"], other) not in settled
             ]
         )
-        if taken and min(taken)[0] * STAY < worth:
+        if taken and min(taken)[0] * STAY < value:
             _loss, name, other = min(taken)
             pins[name].remove(other)
             pins[name].append(pair)
@@ -267,11 +267,11 @@
         for service, pair, region in board.claims:
             if service == row["service"] and board.may_hold(row, pair):
                 here = [other for other in board.copies(service, pair, region) if other["zone"] == row["zone"]]
-                worth = board.worth(service, pair, region) * (SAFETY if len(here) <= 1 else 1.0)
-                worths[pair] = max(worths.get(pair, 0.0), worth if region == row["region"] else worth / 8)
+                value = board.value(service, pair, region) * (SAFETY if len(here) <= 1 else 1.0)
+                worths[pair] = max(worths.get(pair, 0.0), value if region == row["region"] else value / 8)
         zones[row["zone"]] = [
             list(pair)
-            for pair, _worth in sorted(worths.items(), key=lambda one: (-one[1], one[0]))[
+            for pair, _value in sorted(worths.items(), key=lambda one: (-one[1], one[0]))[
                 : capacity.get(row["service"], 0)
             ]
         ]
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -37,13 +37,13 @@
 )  # other work, with adapters of its own: nothing is promised to it
 
 
-def aim_of(kind):
+def latency_target_of(kind):
     return REST[3] if kind == "rest" else KINDS[kind][2]
 
 
 ROUTES = {
-    name: {"homes": HOMES.get(name, []), "urgency": urgency, "target_ms": aim * 1000}
-    for name, (_a, urgency, aim, _r) in KINDS.items()
+    name: {"homes": HOMES.get(name, []), "urgency": priority, "target_ms": latency_target * 1000}
+    for name, (_a, priority, latency_target, _r) in KINDS.items()
 }
 ROUTES["rest"] = {"homes": [], "urgency": REST[2], "target_ms": REST[3] * 1000}
 SLOTS = 3  # adapters that a replica holds at once
@@ -62,7 +62,7 @@
     def __init__(self, *, scene, name, zone, pins=()):
         self.scene, self.name, self.zone = scene, name, zone
         self.pins = list(pins)
-        self.held = collections.OrderedDict()  # adapter: when it is loaded
+        self.loaded = collections.OrderedDict()  # adapter: when it is loaded
         self.busy_until = scene.world.time
         self.is_up = True
         for adapter in self.pins:  # pins are loaded before the life takes requests
@@ -70,14 +70,14 @@
         self.ready_at = self.busy_until
 
     def load(self, adapter):
-        if adapter not in self.held:
+        if adapter not in self.loaded:
             self.busy_until = max(self.busy_until, self.scene.world.time) + LOAD_S
-            self.held[adapter] = self.busy_until
-            if len(self.held) > SLOTS:
-                gone = next(one for one in self.held if one not in self.pins and one != adapter)
-                del self.held[gone]
-        self.held.move_to_end(adapter)
-        return self.held[adapter]
+            self.loaded[adapter] = self.busy_until
+            if len(self.loaded) > SLOTS:
+                gone = next(one for one in self.loaded if one not in self.pins and one != adapter)
+                del self.loaded[gone]
+        self.loaded.move_to_end(adapter)
+        return self.loaded[adapter]
 
     def pin(self, adapters):
         self.pins = list(adapters)
@@ -88,11 +88,11 @@
 class Proxy:
     def __init__(self, *, scene, name, zone):
         self.scene, self.name, self.zone = scene, name, zone
-        self.life = f"{name}-{scene.chance.random():.6f}"
+        self.incarnation = f"{name}-{scene.chance.random():.6f}"
         now = scene.world.now
         settings = loopback_proxy.settings(zones=ZONES, zone=zone, region=ZONES[zone])
         self.quota = shared_limits.Quota(now=now, settings=settings)
-        self.quota.take_entry("core", ("entry", 1.0, 1.0, 1e9, 1.0, 0, 8))
+        self.quota.handle_share_lease("core", ("entry", 1.0, 1.0, 1e9, 1.0, 0, 8))
         self.table = replica_table.Table(loop=scene, settings=settings, share=self.quota.rate_share)
         self.table.install_services(
             {
@@ -120,7 +120,7 @@
         self.chance = random.Random(seed)
         self.is_following = is_following
         self.sims = {}
-        self.lives = 0
+        self.started_replicas = 0
         self.answers = collections.Counter()
         self.runs = collections.Counter()
         self.asked = {}  # request: (at, kind, region of the proxy)
@@ -130,34 +130,34 @@
         self.mix = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
         self.stray = 0.0  # share of requests for adapters that nobody expects
         self.suggestion = None
-        self.cores = [adapter_usage.Ledger(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
+        self.cores = [adapter_usage.ReportStore(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
         for zone in ZONES:
             for _ in range(3):
                 self.start(zone)
         self.proxies = [Proxy(scene=self, name=f"p-{zone}", zone=zone) for zone in ZONES]
         self.publish()
         self.every(0.5, self.publish)
-        self.every(2.0, self.tell)
+        self.every(2.0, self.report)
         self.every(6.0, self.follow)
         self.every(0.05, self.traffic)
 
     def now(self):
         return self.world.time
 
-    def command(self, *, act):
-        self.world.later(0.0, act)
+    def command(self, *, callback):
+        self.world.later(0.0, callback)
 
-    def every(self, gap, act):
+    def every(self, interval_s, callback):
         def tick():
-            act()
-            self.world.later(gap, tick)
+            callback()
+            self.world.later(interval_s, tick)
 
-        self.world.later(gap, tick)
+        self.world.later(interval_s, tick)
 
     def start(self, zone):
-        self.lives += 1
+        self.started_replicas += 1
         pins = self.suggestion["new"].get("llm", {}).get(zone, ()) if self.is_following and self.suggestion else ()
-        name = f"i{self.lives}"
+        name = f"i{self.started_replicas}"
         self.sims[name] = Sim(scene=self, name=name, zone=zone, pins=[adapter for _model, adapter in pins])
 
     def stop(self, name):
@@ -176,7 +176,7 @@
                 "cold_ms": 0,
                 "left_ms": None,
                 "models": ["m"],
-                "adapters": [["m", adapter] for adapter, at in sim.held.items() if at <= now],
+                "adapters": [["m", adapter] for adapter, at in sim.loaded.items() if at <= now],
             }
             for sim in self.sims.values()
             if sim.ready_at <= now
@@ -186,17 +186,17 @@
         rows = self.rows()
         self.world.later(LAG_S, lambda: [proxy.table.install_list(rows) for proxy in self.proxies])
 
-    def tell(self):
+    def report(self):
         for proxy in self.proxies:
             for window, number, data in proxy.counter.report():
                 for core in self.chance.sample(
                     self.cores, self.chance.choice((1, 1, 2))
                 ):  # any way, and sometimes twice
-                    core.take(
+                    core.record(
                         node=proxy.name,
                         zone=proxy.zone,
                         region=ZONES[proxy.zone],
-                        life=proxy.life,
+                        incarnation=proxy.incarnation,
                         window=window,
                         number=number,
                         data=data,
@@ -246,7 +246,7 @@
             chain=(),
             prompt_tokens=0,
             avoid=avoid,
-            aim_s=aim_of(kind),
+            latency_target_s=latency_target_of(kind),
             load_s=lambda one: proxy.counter.cost_s(replica=one, model=model, adapter=adapter),
         )
         if replica is None:
@@ -254,15 +254,15 @@
             return
         assert homes is None or replica.region in homes
         arrival = proxy.counter.begin(
-            replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=aim_of(kind)
+            replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=latency_target_of(kind)
         )
         replica.running += 1
-        way = proxy.table.ways[replica.zone] / 2
+        one_way_s = proxy.table.ways[replica.zone] / 2
         sim = self.sims.get(replica.id)
 
         def lost():
             replica.running -= 1
-            proxy.counter.not_run(arrival)
+            proxy.counter.note_not_run(arrival)
             if kind == "rest" or KINDS[kind][3]:
                 self.attempt(proxy, request, kind, text, avoid | {replica.id})
             else:
@@ -270,7 +270,7 @@
 
         def arrive():
             if sim is None or not sim.is_up:
-                self.world.later(way, lost)
+                self.world.later(one_way_s, lost)
                 return
             self.runs[(request, replica.id)] += 1
             loaded = sim.load(adapter)
@@ -278,9 +278,9 @@
 
             def first():
                 if not sim.is_up:
-                    self.world.later(way, lost)
+                    self.world.later(one_way_s, lost)
                     return
-                self.world.later(way, lambda: seen(waited))
+                self.world.later(one_way_s, lambda: seen(waited))
 
             self.world.later(waited + READ_S, first)
 
@@ -293,7 +293,7 @@
             replica.running -= 1
             self.answer(request, is_good=True, first_at=at, waited=waited)
 
-        self.world.later(way, arrive)
+        self.world.later(one_way_s, arrive)
 
     def answer(self, request, *, is_good, first_at=0.0, waited=0.0):
         self.answers[request] += 1
@@ -412,13 +412,13 @@
     scene.traffic = lambda: None
     scene.world.run(until=70.0 + 1e-6)
     windows = adapter_usage.merge(tables=[core.rows() for core in scene.cores]).values()
-    told = sum(
+    counted = sum(
         pin_suggestion.arrivals(dict(zip(adapter_counts.FIELDS, row[5:], strict=False)))
         for window in windows
         for row in window["rows"]
     )
     seen = sum(1 for _request, _at, first_at, *_rest in scene.log if first_at <= 68.0)
-    assert seen - 20 <= told <= len(scene.log) + 60
+    assert seen - 20 <= counted <= len(scene.log) + 60
     waits = sum(
         dict(zip(adapter_counts.FIELDS, row[5:], strict=False))["waits"] for window in windows for row in window["rows"]
     )
--- a/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -24,9 +24,9 @@
     ]
 
 
-def window(*rows, region="north", life="l", window_number=0):
+def window(*rows, region="north", incarnation="l", window_number=0):
     return {
-        "life": life,
+        "life": incarnation,
         "window": window_number,
         "number": 1,
         "region": region,
@@ -48,52 +48,52 @@
     )
 
 
-def zones_of(told, adapter):
-    return {one["zone"] for one in told["replicas"].values() if ("m", adapter) in one["pins"]}
+def zones_of(suggestion, adapter):
+    return {one["zone"] for one in suggestion["replicas"].values() if ("m", adapter) in one["pins"]}
 
 
 def test_a_cold_adapter_is_pinned_where_its_work_lands_and_in_two_zones():
-    told = made([window(row("a"))])
-    assert zones_of(told, "a") >= {"n1", "n2"}
-    assert told["saving"] == {"cold_waits": 10, "wait_ms": 9000, "of_cold_waits": 10}
-    assert told["new"]["llm"]["n1"] == [["m", "a"]]
+    suggestion = made([window(row("a"))])
+    assert zones_of(suggestion, "a") >= {"n1", "n2"}
+    assert suggestion["saving"] == {"cold_waits": 10, "wait_ms": 9000, "of_cold_waits": 10}
+    assert suggestion["new"]["llm"]["n1"] == [["m", "a"]]
 
 
 def test_one_zone_in_a_region_puts_the_second_copy_elsewhere():
-    told = made([window(row("a"), region="south")], capacity=1)
-    assert "s1" in zones_of(told, "a") and len(zones_of(told, "a")) > 1
+    suggestion = made([window(row("a"), region="south")], capacity=1)
+    assert "s1" in zones_of(suggestion, "a") and len(zones_of(suggestion, "a")) > 1
 
 
 def test_homes_bind_the_pins():
-    told = made([window(row("a", route="home"), region="north")])
-    assert zones_of(told, "a") == {"s1"}
+    suggestion = made([window(row("a", route="home"), region="north")])
+    assert zones_of(suggestion, "a") == {"s1"}
 
 
 def test_too_little_evidence_pins_nothing_and_says_so():
-    told = made([window(row("a", cold=2))])
-    assert zones_of(told, "a") == set() and told["too_little_evidence"][0]["adapter"] == "a"
+    suggestion = made([window(row("a", cold=2))])
+    assert zones_of(suggestion, "a") == set() and suggestion["too_little_evidence"][0]["adapter"] == "a"
 
 
 def test_unknown_adapters_are_counted_and_never_pinned():
-    told = made([window(row("", cold=0, unknown=50))])
-    assert all(not one["pins"] for one in told["replicas"].values())
+    suggestion = made([window(row("", cold=0, unknown=50))])
+    assert all(not one["pins"] for one in suggestion["replicas"].values())
 
 
-def test_what_has_no_room_is_named():
-    told = made([window(*[row(f"a{number}", cold=5 + number) for number in range(30)])], capacity=1)
-    assert told["missing"] and all(len(one["pins"]) <= 1 for one in told["replicas"].values())
+def test_what_exceeds_the_capacity_is_named():
+    suggestion = made([window(*[row(f"a{number}", cold=5 + number) for number in range(30)])], capacity=1)
+    assert suggestion["missing"] and all(len(one["pins"]) <= 1 for one in suggestion["replicas"].values())
     assert made([window(row("a"))], capacity=0)["missing"]
 
 
 def test_a_pinned_adapter_that_is_warm_now_stays_pinned():
     rows = replicas(adapters=[("m", "a")])
-    told = made(
+    suggestion = made(
         [window(row("a", cold=0, warm=200), row("b", cold=5))],
         capacity=1,
         rows=rows,
         previous={"replicas": {"n1-0": {"pins": [("m", "a")]}, "n2-0": {"pins": [("m", "a")]}}},
     )
-    assert ("m", "a") in told["replicas"]["n1-0"]["pins"] and ("m", "a") in told["replicas"]["n2-0"]["pins"]
+    assert ("m", "a") in suggestion["replicas"]["n1-0"]["pins"] and ("m", "a") in suggestion["replicas"]["n2-0"]["pins"]
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -103,16 +103,16 @@
     previous, last, changes = None, {}, []
     for _look in range(6):
         rows = [row(name, cold=count + chance.randint(-1, 1)) for name, count in base.items()]
-        told = made([window(*rows)], previous=previous)
-        pins = {name: sorted(one["pins"]) for name, one in told["replicas"].items()}
+        suggestion = made([window(*rows)], previous=previous)
+        pins = {name: sorted(one["pins"]) for name, one in suggestion["replicas"].items()}
         if previous is not None:
             changes.append(sum(pins[name] != last[name] for name in pins))
-        previous, last = told, pins
+        previous, last = suggestion, pins
     assert sum(changes) <= 2
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_was_counted_room_and_homes_hold(seed):
+def test_whatever_was_counted_capacity_and_homes_hold(seed):
     chance = random.Random(seed)
     rows = [
         row(
@@ -123,39 +123,39 @@
         )
         for _ in range(20)
     ]
-    windows = [window(*rows[:10]), window(*rows[10:], region="south", life="k")]
-    told = made(windows, capacity=chance.randint(1, 3))
+    windows = [window(*rows[:10]), window(*rows[10:], region="south", incarnation="k")]
+    suggestion = made(windows, capacity=chance.randint(1, 3))
     homes = pin_suggestion.homes_of(windows=windows, routes=ROUTES)
-    for one in told["replicas"].values():
+    for one in suggestion["replicas"].values():
         assert len(one["pins"]) <= 3 and len(set(one["pins"])) == len(one["pins"])
         for pair in one["pins"]:
             permitted = homes[("llm", *pair)]
             assert permitted is None or one["region"] in permitted
 
 
-def test_a_window_stands_once_whatever_order_and_however_often_it_is_told():
+def test_a_window_counts_once_whatever_order_and_however_often_it_is_reported():
     clock = [0.0]
-    ledger = adapter_usage.Ledger(now=lambda: clock[0], window_s=30.0)
+    usage = adapter_usage.ReportStore(now=lambda: clock[0], window_s=30.0)
 
-    def take(number, count):
-        ledger.take(
+    def record(number, count):
+        usage.record(
             node="p",
             zone="n1",
             region="north",
-            life="l",
+            incarnation="l",
             window=0,
             number=number,
             data=json.dumps({"rows": [list(row("a", cold=count))], "over": 0}).encode(),
         )
 
     for number, count in ((1, 3), (3, 9), (2, 6), (3, 9), (1, 3)):
-        take(number, count)
-    (held,) = ledger.rows()
-    assert held["number"] == 3 and held["rows"][0][6] == 9
-    other = [{**held, "number": 2, "rows": []}]
-    assert adapter_usage.merge(tables=[other, [held], other])[("l", 0)]["number"] == 3
+        record(number, count)
+    (reported,) = usage.rows()
+    assert reported["number"] == 3 and reported["rows"][0][6] == 9
+    other = [{**reported, "number": 2, "rows": []}]
+    assert adapter_usage.merge(tables=[other, [reported], other])[("l", 0)]["number"] == 3
     clock[0] = 30.0 * adapter_usage.KEEP_WINDOWS + 1
-    assert ledger.rows() == []
+    assert usage.rows() == []
 
 
 @pytest.mark.parametrize(
@@ -171,7 +171,7 @@
     ],
 )
 def test_malformed_counts_are_skipped_and_counted(data):
-    ledger = adapter_usage.Ledger(now=lambda: 0.0, window_s=30.0)
-    ledger.take(node="p", zone="n1", region="north", life="l", window=0, number=1, data=data)
-    assert ledger.rows() == [] and ledger.malformed == 1
+    usage = adapter_usage.ReportStore(now=lambda: 0.0, window_s=30.0)
+    usage.record(node="p", zone="n1", region="north", incarnation="l", window=0, number=1, data=data)
+    assert usage.rows() == [] and usage.malformed == 1
     assert len(adapter_counts.FIELDS) == 8
--- a/ploverward/control_plane/audit/test_audit.py
+++ b/ploverward/control_plane/audit/test_audit.py
@@ -23,45 +23,45 @@
 
 def make(*, most=100, keep_s=60.0):
     clock = [0.0]
-    return trail_store.Ledger(now=lambda: clock[0], keep_s=keep_s, most=most), clock
+    return trail_store.ReportStore(now=lambda: clock[0], keep_s=keep_s, most=most), clock
 
 
 def test_found_by_id_and_by_page():
-    ledger, _clock = make()
-    ledger.take(node="p1", life="l1", number=0, is_last=False, rows=rows(trail(1), trail(2)))
-    ledger.take(node="p1", life="l1", number=1, is_last=False, rows=rows(trail(3)))
-    assert [row["id"] for row in ledger.find("r2")] == ["r2"]
-    assert ledger.find("r9") == []
-    first, last, has_more = ledger.page(after=0, most=2)
+    trail_log, _clock = make()
+    trail_log.record(node="p1", incarnation="l1", number=0, is_last=False, rows=rows(trail(1), trail(2)))
+    trail_log.record(node="p1", incarnation="l1", number=1, is_last=False, rows=rows(trail(3)))
+    assert [row["id"] for row in trail_log.find("r2")] == ["r2"]
+    assert trail_log.find("r9") == []
+    first, last, has_more = trail_log.page(after=0, most=2)
     assert [row["id"] for row in first] == ["r1", "r2"] and has_more
-    following, _last, has_more = ledger.page(after=last, most=2)
+    following, _last, has_more = trail_log.page(after=last, most=2)
     assert [row["id"] for row in following] == ["r3"] and not has_more
 
 
 def test_bounded_in_number_and_in_time():
-    ledger, clock = make(most=10, keep_s=5.0)
+    trail_log, clock = make(most=10, keep_s=5.0)
     for number in range(30):
-        ledger.take(node="p1", life="l1", number=number, is_last=False, rows=rows(trail(number)))
-    assert len(ledger.page(after=0, most=100)[0]) == 10
+        trail_log.record(node="p1", incarnation="l1", number=number, is_last=False, rows=rows(trail(number)))
+    assert len(trail_log.page(after=0, most=100)[0]) == 10
     clock[0] = 6.0
-    assert ledger.page(after=0, most=100)[0] == [] and ledger.find("r29") == []
+    assert trail_log.page(after=0, most=100)[0] == [] and trail_log.find("r29") == []
 
 
-def test_a_batch_told_twice_counts_once():
-    ledger, _clock = make()
+def test_a_batch_reported_twice_counts_once():
+    trail_log, _clock = make()
     for _ in range(2):
-        ledger.take(node="p1", life="l1", number=0, is_last=False, rows=rows(trail(1)))
-    assert len(ledger.find("r1")) == 1
+        trail_log.record(node="p1", incarnation="l1", number=0, is_last=False, rows=rows(trail(1)))
+    assert len(trail_log.find("r1")) == 1
 
 
 def test_a_lost_part_is_missing_not_clean():
-    ledger, _clock = make()
-    ledger.take(node="p1", life="l1", number=0, is_last=False, rows=rows(trail(1)))
-    ledger.take(node="p1", life="l1", number=3, is_last=True, rows=())
-    ledger.take(node="p2", life="l2", number=0, is_last=False, rows=rows(trail(2)))
-    ledger.take(node="p3", life="l3", number=0, is_last=False, rows=rows(trail(3)))
-    told = trail_audit.summary(trails=[], coverage=ledger.coverage(live={("p3", "l3")}), zones=ZONES)
-    assert told["lives_with_parts_missing"] == [
+    trail_log, _clock = make()
+    trail_log.record(node="p1", incarnation="l1", number=0, is_last=False, rows=rows(trail(1)))
+    trail_log.record(node="p1", incarnation="l1", number=3, is_last=True, rows=())
+    trail_log.record(node="p2", incarnation="l2", number=0, is_last=False, rows=rows(trail(2)))
+    trail_log.record(node="p3", incarnation="l3", number=0, is_last=False, rows=rows(trail(3)))
+    summary = trail_audit.summary(trails=[], coverage=trail_log.coverage(live={("p3", "l3")}), zones=ZONES)
+    assert summary["lives_with_parts_missing"] == [
         {"node": "p1", "life": "l1", "missing_batches": 2, "ended_without_closing": False},
         {"node": "p2", "life": "l2", "missing_batches": 0, "ended_without_closing": True},
     ]
--- a/ploverward/control_plane/audit/trail_audit.py
+++ b/ploverward/control_plane/audit/trail_audit.py
@@ -1,7 +1,7 @@
 """Checks custody trails against the rules, by the trails and the zones alone (docs/residency.md)."""
 
 
-def problems_of(*, trail: dict, zones: dict) -> list:
+def violations_of(*, trail: dict, zones: dict) -> list:
     """What in one trail stands outside the permitted regions. `zones`: zone -> region, told by the core."""
     found = []
     for go in trail["goes"]:
@@ -32,7 +32,7 @@
 def summary(*, trails: list, coverage: list, zones: dict) -> dict:
     found = []
     for trail in trails:
-        found += problems_of(trail=trail, zones=zones)
+        found += violations_of(trail=trail, zones=zones)
     gaps = [row for row in coverage if row["missing_batches"] or not (row["is_closed"] or row["is_live"])]
     return {
         "trails": len(trails),
--- a/ploverward/control_plane/audit/trail_store.py
+++ b/ploverward/control_plane/audit/trail_store.py
@@ -8,7 +8,7 @@
 import json
 
 
-class Ledger:
+class ReportStore:
     def __init__(self, *, now, keep_s: float, most: int):
         self._now = now
         self._keep_s = keep_s
@@ -16,38 +16,40 @@
         self._rows = collections.OrderedDict()  # (id, order): (at, data)
         self._by_id = {}  # id: [keys]
         self._order = 0
-        self.lives = {}  # (node, life): {"next", "missing", "is_closed", "gave_way"}
+        self.incarnations = {}  # (node, life): {"next", "missing", "is_closed", "gave_way"}
 
-    def take(self, *, node: str, life: str, number: int, is_last: bool, rows) -> None:
-        state = self.lives.setdefault((node, life), {"next": 0, "missing": 0, "is_closed": False, "rows": 0})
+    def record(self, *, node: str, incarnation: str, number: int, is_last: bool, rows) -> None:
+        state = self.incarnations.setdefault(
+            (node, incarnation), {"next": 0, "missing": 0, "is_closed": False, "rows": 0}
+        )
         if number < state["next"]:
             return  # told before
         state["missing"] += number - state["next"]
         state["next"] = number + 1
         state["is_closed"] = state["is_closed"] or is_last
         state["rows"] += len(rows)
-        for ask_id, data in rows:
+        for request_id, data in rows:
             self._order += 1
-            key = (ask_id, self._order)
+            key = (request_id, self._order)
             self._rows[key] = (self._now(), data)
-            self._by_id.setdefault(ask_id, []).append(key)
+            self._by_id.setdefault(request_id, []).append(key)
         self._trim()
 
     def _trim(self) -> None:
         oldest = self._now() - self._keep_s
         while self._rows and (len(self._rows) > self._most or next(iter(self._rows.values()))[0] < oldest):
-            key, _held = self._rows.popitem(last=False)
+            key, _row = self._rows.popitem(last=False)
             keys = self._by_id[key[0]]
             keys.remove(key)
             if not keys:
                 del self._by_id[key[0]]
-        if len(self.lives) > 1000:
-            for key in list(self.lives)[:500]:
-                del self.lives[key]
+        if len(self.incarnations) > 1000:
+            for key in list(self.incarnations)[:500]:
+                del self.incarnations[key]
 
-    def find(self, ask_id: str) -> list:
+    def find(self, request_id: str) -> list:
         self._trim()
-        return [json.loads(self._rows[key][1]) for key in self._by_id.get(ask_id, ())]
+        return [json.loads(self._rows[key][1]) for key in self._by_id.get(request_id, ())]
 
     def page(self, *, after: int, most: int) -> tuple:
         """(trails, the place to go on from, whether there are more)."""
@@ -66,16 +68,16 @@
     def coverage(self, *, live) -> list:
         """One row a proxy life: how much came, how many batches did not, and whether it ended openly."""
         rows = []
-        for (node, life), state in self.lives.items():
+        for (node, incarnation), state in self.incarnations.items():
             rows.append(
                 {
                     "node": node,
-                    "life": life,
+                    "life": incarnation,
                     "trails": state["rows"],
                     "batches": state["next"],
                     "missing_batches": state["missing"],
                     "is_closed": state["is_closed"],
-                    "is_live": (node, life) in live,
+                    "is_live": (node, incarnation) in live,
                 }
             )
         return rows
--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -17,164 +17,177 @@
 READ_BY_ITSELF = 0  # epoch of a list that a core node read before any holder told one
 
 
-class Duties:
+class SingletonRoleTable:
     """What the duties' register says, as far as this node knows."""
 
     def __init__(self, *, change):
         self._change = change  # (name, edit, done): a round of the register
         self.table = {}  # duty: [epoch, holder, the holder's life]
-        self.is_taking = False
+        self.is_acquiring = False
 
     def install(self, *, payload) -> None:
         self.table = payload or {}
 
-    def holder(self, name: str) -> tuple:
+    def owner(self, name: str) -> tuple:
         """(epoch, holder, the holder's life): a new life of the same node needs a new epoch."""
-        held = self.table.get(name)
-        return tuple(held) if held else NOBODY
+        current = self.table.get(name)
+        return tuple(current) if current else NOBODY
 
-    def take(self, *, rows: dict) -> None:
+    def acquire(self, *, rows: dict) -> None:
         """Duty -> (epoch seen, holder, life): one change for all that still stand under the epoch seen."""
-        self.is_taking = True
+        self.is_acquiring = True
 
         def done(_failure, _revision, _payload, _result):
-            self.is_taking = False
+            self.is_acquiring = False
 
         self._change(
-            name=register_names.DUTIES, edit=lambda payload: (_with_duties(payload or {}, rows), None), done=done
+            name=register_names.SINGLETON_ROLES,
+            edit=lambda payload: (_with_roles(payload or {}, rows), None),
+            done=done,
         )
 
 
-def _with_duties(payload: dict, rows: dict) -> dict:
+def _with_roles(payload: dict, rows: dict) -> dict:
     new = {
-        name: [seen + 1, holder, life]
-        for name, (seen, holder, life) in rows.items()
+        name: [seen + 1, owner, incarnation]
+        for name, (seen, owner, incarnation) in rows.items()
         if payload.get(name, [0])[0] == seen
     }
     return {**payload, **new} if new else payload
 
 
-class WatchDuty:
+class ClusterCoordinator:
     """Takes the duty when its holder is lost, and does its work while this node holds it."""
 
-    def __init__(self, *, own: str, life: str, now, duty_table, desk, watch, take_after_s: float, stale_after_s: float):
+    def __init__(
+        self,
+        *,
+        own: str,
+        incarnation: str,
+        now,
+        role_table,
+        publisher,
+        watch,
+        takeover_after_s: float,
+        stale_after_s: float,
+    ):
         self._own = own
-        self._life = life
+        self._incarnation = incarnation
         self._now = now
-        self._duties = duty_table
-        self._desk = desk
+        self._role_table = role_table
+        self._publisher = publisher
         self._watch = watch  # reads the platform's list (ploverward.control_plane.discovery.platform_client.Watch)
-        self._take_after_s = take_after_s
+        self._takeover_after_s = takeover_after_s
         self._stale_after_s = stale_after_s
         self._read_list = (b"", None)  # the newest packed list that was read, and what it says
 
     @property
-    def is_held(self) -> bool:
+    def is_owner(self) -> bool:
         """Whether this life of this node holds the duty, as far as it knows."""
-        _epoch, holder, life = self._duties.holder(WATCH)
-        return (holder, life) == (self._own, self._life)
+        _epoch, owner, incarnation = self._role_table.owner(WATCH)
+        return (owner, incarnation) == (self._own, self._incarnation)
 
     @property
     def epoch(self) -> int:
-        return self._duties.holder(WATCH)[0]
+        return self._role_table.owner(WATCH)[0]
 
-    def tend(self, *, members: tuple, live: list, lost_since: dict, has_majority: bool, may_take: bool) -> bool:
+    def reconcile(self, *, members: tuple, live: list, lost_since: dict, has_majority: bool, may_acquire: bool) -> bool:
         """One look, at each heartbeat. True where this node holds the duty and may act on it."""
-        if self.is_held:
+        if self.is_owner:
             if not has_majority or self._own not in members:
                 self._watch.stop()
                 return False
             self._watch.start()
             return True
-        if LIST in self._desk.topics:
+        if LIST in self._publisher.topics:
             self._watch.stop()
-        if may_take and self._own in members and self._is_open(members=members, live=live, lost_since=lost_since):
-            self._duties.take(rows={WATCH: (self.epoch, self._own, self._life)})
+        if may_acquire and self._own in members and self._is_open(members=members, live=live, lost_since=lost_since):
+            self._role_table.acquire(rows={WATCH: (self.epoch, self._own, self._incarnation)})
         return False
 
     def _is_open(self, *, members: tuple, live: list, lost_since: dict) -> bool:
         """Whether the duty's holder is lost and this node is the first that may take it."""
-        _epoch, holder, _life = self._duties.holder(WATCH)
-        if self._duties.is_taking or len(live) < ballots.majority(members):
+        _epoch, owner, _incarnation = self._role_table.owner(WATCH)
+        if self._role_table.is_acquiring or len(live) < ballots.majority(members):
             return False
-        if holder == self._own:
+        if owner == self._own:
             return True  # of an earlier life
         if live[0] != self._own:
             return False
-        if holder not in members:
+        if owner not in members:
             return True
-        return holder in lost_since and self._now() - lost_since[holder] >= self._take_after_s
+        return owner in lost_since and self._now() - lost_since[owner] >= self._takeover_after_s
 
-    def hand_over(self, *, successor: str, life: str) -> None:
+    def hand_over(self, *, successor: str, incarnation: str) -> None:
         """Gives the duty to another member; used by a node that ends in order."""
-        if self.is_held and not self._duties.is_taking:
-            self._duties.take(rows={WATCH: (self.epoch, successor, life)})
+        if self.is_owner and not self._role_table.is_acquiring:
+            self._role_table.acquire(rows={WATCH: (self.epoch, successor, incarnation)})
 
-    def name_holders(self, *, proxies: list) -> None:
+    def assign_owners(self, *, proxies: list) -> None:
         """Duties of regions and zones whose holder is gone. `proxies`: (address, life, zone, region)."""
-        if self._duties.is_taking:
+        if self._role_table.is_acquiring:
             return
-        rows = singleton_roles.named(proxies=proxies, duty=self._duties.holder)
+        rows = singleton_roles.named(proxies=proxies, find_role=self._role_table.owner)
         if rows:
-            self._duties.take(rows=rows)
+            self._role_table.acquire(rows=rows)
 
-    def take_list(self, rows: list, at: float) -> None:
+    def handle_list(self, rows: list, at: float) -> None:
         """A whole list of the platform, read at `at`. One that a frozen process finds long after is not told."""
         if self._now() - at > self._stale_after_s:
             return
-        if not self.is_held:
+        if not self.is_owner:
             # A core node that has just started reads once by itself. Its epoch is below every holder's: it serves
             # only those that have no list at all.
             data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
-            self._desk.publish(topic=LIST, epoch=READ_BY_ITSELF, number=1, data=data)
+            self._publisher.publish(topic=LIST, epoch=READ_BY_ITSELF, number=1, data=data)
             self._watch.stop()
             return
-        epoch, number = self._desk.serial(LIST)
+        epoch, number = self._publisher.version(LIST)
         if epoch == READ_BY_ITSELF:
-            self._tell_whole(rows, at)
+            self._publish_snapshot(rows, at)
             return
-        self._tell_change(rows, at, is_first=epoch != self.epoch, number=1 if epoch != self.epoch else number + 1)
+        self._publish_change(rows, at, is_first=epoch != self.epoch, number=1 if epoch != self.epoch else number + 1)
 
-    def _tell_whole(self, rows: list, at: float) -> None:
+    def _publish_snapshot(self, rows: list, at: float) -> None:
         """The first list that any holder tells: what nodes read by themselves before may differ from node to node."""
         data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
-        self._desk.publish(topic=LIST, epoch=self.epoch, number=1, data=data)
-        event_log.note("list", epoch=self.epoch, replicas=len(rows))
+        self._publisher.publish(topic=LIST, epoch=self.epoch, number=1, data=data)
+        event_log.record("list", epoch=self.epoch, replicas=len(rows))
 
-    def _tell_change(self, rows: list, at: float, *, is_first: bool, number: int) -> None:
+    def _publish_change(self, rows: list, at: float, *, is_first: bool, number: int) -> None:
         """What differs from the list told last, by this holder or by the one before it, whose clock was another."""
-        held = self._held_list()
-        change = held.change_to(rows=rows, read_at=at, is_same_clock=not is_first)
+        current = self._current_list()
+        change = current.change_to(rows=rows, read_at=at, is_same_clock=not is_first)
         if change is None and not is_first:
             return
         if change is None:
             change = endpoint_list.Change(rows=(), gone=(), read_at=at, is_same_clock=False)
-        told = held.changed_by(change)
-        self._publish_list(told, epoch=self.epoch, number=number, change=change.pack())
-        event_log.note(
-            "list", epoch=self.epoch, replicas=len(told.rows), changed=len(change.rows), gone=len(change.gone)
+        published = current.changed_by(change)
+        self._publish_list(published, epoch=self.epoch, number=number, change=change.pack())
+        event_log.record(
+            "list", epoch=self.epoch, replicas=len(published.rows), changed=len(change.rows), gone=len(change.gone)
         )
 
     def follow_change(self, *, epoch: int, number: int, data: bytes) -> None:
         """One step of the list, as the holder of the duty told it, on the list that this node holds."""
-        told = self._held_list().changed_by(endpoint_list.unpack_change(data))
-        self._publish_list(told, epoch=epoch, number=number, change=data)
+        published = self._current_list().changed_by(endpoint_list.unpack_change(data))
+        self._publish_list(published, epoch=epoch, number=number, change=data)
 
     def listed(self) -> list:
         """Rows of the newest list that this node holds; none before it has one."""
-        return list(self._held_list().rows.values()) if LIST in self._desk.topics else []
+        return list(self._current_list().rows.values()) if LIST in self._publisher.topics else []
 
-    def _held_list(self) -> endpoint_list.ReplicaList:
+    def _current_list(self) -> endpoint_list.ReplicaList:
         """The list that the desk holds; it is read once for each version."""
-        data = self._desk.get(LIST)[2]
+        data = self._publisher.get(LIST)[2]
         if self._read_list[0] is not data:
             self._read_list = (data, endpoint_list.unpack_list(data))
         return self._read_list[1]
 
-    def _publish_list(self, told: endpoint_list.ReplicaList, *, epoch: int, number: int, change: bytes) -> None:
-        data = told.pack()
-        if self._desk.publish(topic=LIST, epoch=epoch, number=number, data=data, change=change):
-            self._read_list = (data, told)
+    def _publish_list(self, published: endpoint_list.ReplicaList, *, epoch: int, number: int, change: bytes) -> None:
+        data = published.pack()
+        if self._publisher.publish(topic=LIST, epoch=epoch, number=number, data=data, change=change):
+            self._read_list = (data, published)
 
     def may_follow(self, *, epoch: int) -> bool:
         """Whether news of the watch under this epoch may be passed on: not from a holder known to be deposed."""
--- a/ploverward/control_plane/cluster/majority_lease.py
+++ b/ploverward/control_plane/cluster/majority_lease.py
@@ -52,26 +52,26 @@
         self._sent.pop(self._number - SENT_KEPT, None)
         return Heartbeat(number=self._number, version=version)
 
-    def take_answer(self, *, member: str, answer: Answer) -> None:
+    def handle_answer(self, *, member: str, answer: Answer) -> None:
         """Counts an answer from the time when its heartbeat was sent. Answers to unknown numbers are ignored."""
         sent_at = self._sent.get(answer.number)
         if sent_at is None:
             return
         self.newest_version = max(self.newest_version, answer.version)
-        held = self._heard.get(member)
-        if held is None or sent_at > held[0]:
+        latest = self._heard.get(member)
+        if latest is None or sent_at > latest[0]:
             self._heard[member] = (sent_at, answer.version)
             self._configurations[member] = answer.configuration
 
     def answered_within(self, *, member: str, span_s: float) -> bool:
         """Whether this voter answered a heartbeat sent within the last `span_s` seconds."""
-        held = self._heard.get(member)
-        return member == self._own or (held is not None and self._now() - held[0] <= span_s)
+        latest = self._heard.get(member)
+        return member == self._own or (latest is not None and self._now() - latest[0] <= span_s)
 
     def answered_since(self, *, member: str, when: float) -> bool:
         """Whether this voter answered a heartbeat that was sent after this time."""
-        held = self._heard.get(member)
-        return member == self._own or (held is not None and held[0] >= when)
+        latest = self._heard.get(member)
+        return member == self._own or (latest is not None and latest[0] >= when)
 
     def lease_until(self, *, members: tuple, version: int, is_supporting: bool = True) -> float:
         """The end of the lease under this version of the set, on this node's clock; 0.0 where there is none.
@@ -86,8 +86,8 @@
                 if is_supporting:
                     supported.append(self._now())
                 continue
-            sent_at, told_version = self._heard.get(member, (0.0, 0))
-            if sent_at and told_version <= version:
+            sent_at, reported_version = self._heard.get(member, (0.0, 0))
+            if sent_at and reported_version <= version:
                 supported.append(sent_at)
         needed = ballots.majority(members)
         if len(supported) < needed:
@@ -104,12 +104,12 @@
         """
         rows = [(self._now(), accepted)] if is_supporting and self._own in members else []
         for member in members:
-            sent_at, told_version = self._heard.get(member, (0.0, 0))
-            if member != self._own and sent_at and told_version <= version:
+            sent_at, reported_version = self._heard.get(member, (0.0, 0))
+            if member != self._own and sent_at and reported_version <= version:
                 rows.append((sent_at, self._configurations[member]))
         needed = ballots.majority(members) if members else 1
         newest = sorted(rows, reverse=True)[:needed]
-        if len(newest) == needed and all(told <= known for _sent_at, told in newest):
+        if len(newest) == needed and all(answered_version <= known for _sent_at, answered_version in newest):
             self._fresh_as_of = max(self._fresh_as_of, newest[-1][0])
         return self._fresh_as_of
 
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -16,16 +16,16 @@
 class Peer:
     """What this core node knows of one proxy or core node, while its link lives."""
 
-    def __init__(self, *, link, role, address, zone, region, life, public):
+    def __init__(self, *, link, role, address, zone, region, incarnation, public):
         self.link = link
         self.role = role
         self.address = address
         self.zone = zone
         self.region = region
-        self.life = life
+        self.incarnation = incarnation
         self.public = public
         self.is_ready = False
-        self.is_leaving = False
+        self.is_draining = False
 
 
 class MembersMixin:
@@ -34,140 +34,148 @@
     def start_members(self) -> None:
         self.peers = {}  # link: Peer
         self.proxy_count = 0
-        self.dialers = {}
+        self.connectors = {}
         self.core_lost = {}  # core address: since when out of touch
         self.core_unanswering = {}  # core address: since when it answers no heartbeat, in touch or not
         self.port = self.runtime.port(
             loop=self.loop,
             address=(self.settings.ip, self.settings.core_port),
             on_link=lambda link: None,
-            on_message=self._take,
+            on_message=self._handle_message,
             on_end=self._ended,
-            silence_s=self.silence_s,
+            peer_timeout_s=self.peer_timeout_s,
         )
 
     def members(self) -> tuple:
         return self.proposer.members("cores")
 
-    def _dial_cores(self) -> None:
+    def _connect_to_cores(self) -> None:
         wanted = set(self.members()) | {host for host, _port in self.settings.seeds} | self.known_cores()
         wanted.discard(self.own)
-        for host in wanted - self.dialers.keys():
-            self.dialers[host] = self.runtime.dialer(
+        for host in wanted - self.connectors.keys():
+            self.connectors[host] = self.runtime.connector(
                 loop=self.loop,
                 address=(host, self.settings.core_port),
-                on_up=self._hail,
-                on_message=self._take,
+                on_up=self._send_handshake,
+                on_message=self._handle_message,
                 on_end=self._ended,
-                silence_s=self.silence_s,
+                peer_timeout_s=self.peer_timeout_s,
             )
-        for host in self.dialers.keys() - wanted:
-            self.dialers.pop(host).stop()
+        for host in self.connectors.keys() - wanted:
+            self.connectors.pop(host).stop()
 
     def known_cores(self) -> set:
         return {peer.address for peer in self.peers.values() if peer.role == "core"}
 
-    def _hail(self, link) -> None:
-        link.send(("hello", "core", self.own, self.settings.zone, self.settings.region, self.life, ""))
-        if self.is_leaving:
+    def _send_handshake(self, link) -> None:
+        link.send(("hello", "core", self.own, self.settings.zone, self.settings.region, self.incarnation, ""))
+        if self.is_draining:
             link.send(("state", False, True))
 
     def _ended(self, link, reason) -> None:
         peer = self.peers.pop(link, None)
-        self.desk.leave(link)
-        self.follower.drop(link)
+        self.publisher.leave(link)
+        self.subscriber.drop(link)
         if peer is not None and peer.role == "proxy":
             self.proxy_count -= 1
-            event_log.note("proxy gone", peer=peer.address, reason=reason)
+            event_log.record("proxy gone", peer=peer.address, reason=reason)
             self.interfaces.applying.check()
 
-    def _take(self, link, message: tuple) -> None:
+    def _handle_message(self, link, message: tuple) -> None:
         kind = message[0]
         if kind == "hello":
-            _kind, role, address, zone, region, life, public = message
+            _kind, role, address, zone, region, incarnation, public = message
             for old, peer in list(self.peers.items()):
                 if peer.address == address and old is not link:
                     old.close(reason="a newer link of the same node")
             former = self.peers.get(link)
             self.peers[link] = Peer(
-                link=link, role=role, address=address, zone=zone, region=region, life=life, public=public
+                link=link, role=role, address=address, zone=zone, region=region, incarnation=incarnation, public=public
             )
             self.proxy_count += (role == "proxy") - (former is not None and former.role == "proxy")
             link.hello = (role, address)
-            if role == "core" and address not in self.dialers:
-                self._dial_cores()
+            if role == "core" and address not in self.connectors:
+                self._connect_to_cores()
             if role == "core" and self.acceptor.votes:
                 self._read_unknown()
             if role in ("core", "proxy"):
-                self.desk.join(link)
+                self.publisher.join(link)
                 if role == "proxy":
-                    self._hail(link)
-                    self._tell_floor(link)
+                    self._send_handshake(link)
+                    self._send_minimum_versions(link)
             return
         if kind == "offer":
-            self.follower.take_offer(link, message)
+            self.subscriber.handle_announcement(link, message)
         elif kind == "image":
-            self.follower.take_image(link, message)
+            self.subscriber.handle_snapshot(link, message)
         elif kind == "changes":
-            self.follower.take_changes(link, message)
+            self.subscriber.handle_deltas(link, message)
         elif kind == "want":
-            self.desk.take_want(link, message)
+            self.publisher.handle_fetch(link, message)
         elif kind == "have":
-            self.desk.take_have(link, message)
+            self.publisher.handle_acknowledgement(link, message)
             self.interfaces.applying.check()
         elif kind == "trails":
-            _kind, node, life, number, is_last, rows = message
-            self.interfaces.custody.ledger.take(node=node, life=life, number=number, is_last=is_last, rows=rows)
+            _kind, node, incarnation, number, is_last, rows = message
+            self.interfaces.custody.report_store.record(
+                node=node, incarnation=incarnation, number=number, is_last=is_last, rows=rows
+            )
         elif kind == "adapters":
-            for node, zone, region, life, window, number, data in message[1]:
-                self.interfaces.adapters.ledger.take(
-                    node=node, zone=zone, region=region, life=life, window=window, number=number, data=data
+            for node, zone, region, incarnation, window, number, data in message[1]:
+                self.interfaces.adapters.report_store.record(
+                    node=node,
+                    zone=zone,
+                    region=region,
+                    incarnation=incarnation,
+                    window=window,
+                    number=number,
+                    data=data,
                 )
         elif kind == "kept":
-            self.interfaces.custody.take_kept(number=message[1], rows=message[2])
+            self.interfaces.custody.handle_cache_owners(number=message[1], rows=message[2])
         elif kind == "renew":
             self._renew(link, message)
         elif kind == "evidence":
-            self._take_evidence(link, message)
+            self._handle_evidence(link, message)
         elif kind == "heartbeat":
             self._answer_heartbeat(link, message)
         elif kind == "heartbeat_answer":
-            self._take_heartbeat_answer(link, message)
+            self._handle_heartbeat_answer(link, message)
         elif kind == "state":
             peer = self.peers.get(link)
             if peer is not None:
-                peer.is_ready, peer.is_leaving = message[1], message[2]
+                peer.is_ready, peer.is_draining = message[1], message[2]
         else:
             member = self._member_of(link)
             if member:
-                self._take_register(member, link, message)
+                self._handle_register_message(member, link, message)
 
     def _member_of(self, link) -> str:
         if link.hello is not None:
             return link.hello[1] if link.hello[0] == "core" else ""
-        for host, dialer in self.dialers.items():
-            if dialer.link is link:
+        for host, connector in self.connectors.items():
+            if connector.link is link:
                 return host
         return ""
 
-    def _tell_floor(self, link) -> None:
+    def _send_minimum_versions(self, link) -> None:
         """What this node's disk holds as accepted: a starting proxy must reach the most of a majority (design 5). A chosen
         value is on the disks of a majority, so no majority of floors lies below it."""
-        if self.voting.journal.held.votes:
-            link.send(("floor", self.voting.floor()))
+        if self.voting.journal.accepted_state.votes:
+            link.send(("floor", self.voting.minimum_versions()))
 
     def proxies(self, *, is_listed=True) -> list:
         return [
             peer
             for peer in self.peers.values()
-            if peer.role == "proxy" and (not is_listed or (peer.is_ready and not peer.is_leaving))
+            if peer.role == "proxy" and (not is_listed or (peer.is_ready and not peer.is_draining))
         ]
 
     def is_core_live(self, host: str) -> bool:
         if host == self.own:
             return True
-        dialer = self.dialers.get(host)
-        link = dialer.link if dialer is not None else None
+        connector = self.connectors.get(host)
+        link = connector.link if connector is not None else None
         return link is not None and link.is_up and link.has_heard
 
     def has_majority_contact(self) -> bool:
@@ -180,12 +188,12 @@
 
     def agreed_set(self) -> tuple:
         """(members, version) of the newest core set that this node knows as chosen; version 0: the first start's."""
-        version = self.desk.serial(register_names.CORE_SET)[1]
+        version = self.publisher.version(register_names.CORE_SET)[1]
         return (self.core_members if version else self.members()), version
 
     def _accepted_version(self, name: str) -> int:
         """The newest version of a register that this node accepted, chosen or not."""
-        return max(self.acceptor.get(name)[2], self.desk.serial(name)[1])
+        return max(self.acceptor.get(name)[2], self.publisher.version(name)[1])
 
     def _answer_heartbeat(self, link, message: tuple) -> None:
         _kind, number, version = message
@@ -194,34 +202,34 @@
             link.send(("heartbeat_answer", number, self._accepted_version(register_names.CORE_SET), configuration))
         self._catch_up(version)
 
-    def _take_heartbeat_answer(self, link, message: tuple) -> None:
+    def _handle_heartbeat_answer(self, link, message: tuple) -> None:
         _kind, number, version, configuration = message
         member = self._member_of(link)
         if member:
             answer = majority_lease.Answer(number=number, version=version, configuration=configuration)
-            self.contact.take_answer(member=member, answer=answer)
+            self.contact.handle_answer(member=member, answer=answer)
         self._catch_up(version)
 
     def _catch_up(self, version: int) -> None:
         """Reads the core set where another node knows a newer version of it."""
-        is_behind = version > self.desk.serial(register_names.CORE_SET)[1]
+        is_behind = version > self.publisher.version(register_names.CORE_SET)[1]
         if is_behind and self.acceptor.votes and not self.voting.is_reading(register_names.CORE_SET):
             self._repair(register_names.CORE_SET)
 
-    def _beat(self) -> None:
+    def _on_heartbeat_tick(self) -> None:
         for link, peer in list(self.peers.items()):
             link.send(("beat", 0))
             if peer.role == "proxy" and not peer.is_ready:
-                self._tell_floor(link)
+                self._send_minimum_versions(link)
         heartbeat = self.contact.next_heartbeat(version=self.agreed_set()[1])
-        self._ask_cores(("heartbeat", heartbeat.number, heartbeat.version))
+        self._broadcast_to_cores(("heartbeat", heartbeat.number, heartbeat.version))
         self._beats += 1
         if self._beats % 4 == 0 and self.file_watch.is_changed():
             self._reread()
-        self._dial_cores()
-        self.follower.tick()
-        self._mend()
-        self._watch_over()
+        self._connect_to_cores()
+        self.subscriber.tick()
+        self._run_anti_entropy()
+        self._reconcile_roles()
 
     def _renew(self, link, message: tuple) -> None:
         """A proxy asks for its entry. A leaving one gets none: it spends what it holds until that runs out.
@@ -232,17 +240,17 @@
         if peer is None or peer.role != "proxy" or not self.has_majority_contact():
             return
         _kind, number, usage = message
-        if not peer.is_leaving:
+        if not peer.is_draining:
             link.send(("entry", *self._grant(peer), number))
         if self.has_tenants:
-            self.meter.take(proxy=peer.address, life=peer.life, rows=tenant_usage.unpack_usage(usage))
+            self.meter.record(proxy=peer.address, incarnation=peer.incarnation, rows=tenant_usage.unpack_usage(usage))
             credits = tenant_usage.pack_credits(self.meter.credits(proxy=peer.address))
             link.send(("standing", number, *self._freshness(), self.meter.proxies(), credits))
 
     def _freshness(self) -> tuple:
         """(newest configuration known as chosen, for how many seconds none newer may have been acknowledged)."""
         members, version = self.agreed_set()
-        known = self.desk.serial(register_names.CONFIGURATION)[1]
+        known = self.publisher.version(register_names.CONFIGURATION)[1]
         as_of = self.contact.fresh_as_of(
             members=members,
             version=version,
@@ -254,19 +262,22 @@
 
     def proxy_origins(self) -> list:
         """The lives of proxies in touch, as they sign their evidence."""
-        return [evidence_table.Origin(address=peer.address, life=peer.life) for peer in self.proxies(is_listed=False)]
+        return [
+            evidence_table.Origin(address=peer.address, incarnation=peer.incarnation)
+            for peer in self.proxies(is_listed=False)
+        ]
 
-    def _take_evidence(self, link, message: tuple) -> None:
+    def _handle_evidence(self, link, message: tuple) -> None:
         """A proxy tells what it counted of roll-outs; where this node may hand out leases, they are the answer."""
         peer = self.peers.get(link)
         if peer is None or peer.role != "proxy":
             return
         _kind, number, data = message
-        origin = evidence_table.Origin(address=peer.address, life=peer.life)
-        leases = self.rollout_duty.take_evidence(origin=origin, data=data)
+        origin = evidence_table.Origin(address=peer.address, incarnation=peer.incarnation)
+        leases = self.rollout_manager.take_evidence(origin=origin, data=data)
         if leases is not None and self.has_majority_contact():
-            pace = self.rollout_duty.pace(proxies=self.proxy_count)
-            link.send(("leases", number, self.rollout_duty.lease_s, pace, leases))
+            pace = self.rollout_manager.pace(proxies=self.proxy_count)
+            link.send(("leases", number, self.rollout_manager.lease_s, pace, leases))
 
     def part_of(self, members) -> float:
         """The part of every bound that this node owns under a core set."""
@@ -276,22 +287,22 @@
         """Shares of the bounds for one proxy."""
         members, version = self.agreed_set()
         own_part = self.part_of(members)
-        self.slack_parts.install(part=own_part, version=version)
-        self.rate_parts.install(part=own_part, version=version)
+        self.owned_slack_share.install(part=own_part, version=version)
+        self.owned_rate_share.install(part=own_part, version=version)
         live = self.proxy_count
-        rate_part = self.rate_parts.value()
+        rate_part = self.owned_rate_share.value()
         slot = (0, 0)
         if rate_part > 0 and self.loop.now() >= self.rates_from:
             slot = self.slots.renew(node=peer.address)
         return (
-            self.slacks.renew(node=peer.address, part=self.slack_parts.value(), live=live),
+            self.slacks.renew(node=peer.address, part=self.owned_slack_share.value(), live=live),
             self.rates.renew(node=peer.address, part=rate_part, live=live),
             self.lease_s,
             rate_part,
             *slot,
         )
 
-    def _watch_over(self) -> None:
+    def _reconcile_roles(self) -> None:
         """The first live core node in the agreed order watches the platform and names the relays."""
         members = self.members()
         now = self.loop.now()
@@ -300,27 +311,29 @@
                 self.core_lost.pop(host, None)
             else:
                 self.core_lost.setdefault(host, now)
-            if self.contact.answered_within(member=host, span_s=self.silence_s):
+            if self.contact.answered_within(member=host, span_s=self.peer_timeout_s):
                 self.core_unanswering.pop(host, None)
             else:
                 self.core_unanswering.setdefault(host, now)
-        is_acting = self.watch_duty.tend(
+        is_acting = self.cluster_coordinator.reconcile(
             members=members,
             live=[host for host in members if self.is_core_live(host)],
             lost_since=self.core_lost,
             has_majority=self.has_majority_contact(),
-            may_take=self.acceptor.votes and not self.is_leaving,
+            may_acquire=self.acceptor.votes and not self.is_draining,
         )
         if not is_acting:
-            self.rollout_duty.rest()
+            self.rollout_manager.deactivate()
             return
-        if self.is_leaving:
+        if self.is_draining:
             self._hand_over()
             return
         listed = self.proxies()
-        self.watch_duty.name_holders(proxies=[(peer.address, peer.life, peer.zone, peer.region) for peer in listed])
-        self.rollout_duty.tend()
-        self._tend_core_set()
+        self.cluster_coordinator.assign_owners(
+            proxies=[(peer.address, peer.incarnation, peer.zone, peer.region) for peer in listed]
+        )
+        self.rollout_manager.reconcile()
+        self._reconcile_core_set()
 
     def core_view(self) -> voting_set.View:
         """What this node sees of the core machines."""
@@ -332,21 +345,21 @@
             lost = {}
             for host in members:
                 out_since = self.core_lost.get(host, now)
-                mute_since = self.core_unanswering.get(host, now) + self.silence_s
+                mute_since = self.core_unanswering.get(host, now) + self.peer_timeout_s
                 since = min(out_since, mute_since)
                 if host != self.own and now - since > span_s:
                     lost[host] = since
             return tuple(sorted(lost, key=lost.get))
 
-        lost = lost_for(self.silence_s / 2)
+        lost = lost_for(self.peer_timeout_s / 2)
         core_peers = [peer for peer in self.peers.values() if peer.role == "core"]
         learners = sorted(
             (peer.link.opened_at, peer.address)
             for peer in core_peers
             if peer.address not in members
-            and not peer.is_leaving
-            and now - peer.link.opened_at > self.silence_s / 2
-            and self.contact.answered_within(member=peer.address, span_s=self.silence_s)
+            and not peer.is_draining
+            and now - peer.link.opened_at > self.peer_timeout_s / 2
+            and self.contact.answered_within(member=peer.address, span_s=self.peer_timeout_s)
         )
         newest = max((opened_at for opened_at, _address in learners), default=now)
 
@@ -358,19 +371,19 @@
             learners=tuple(address for _opened_at, address in learners),
             silent=tuple(host for host in members if host not in lost and not has_answered(host)),
             lost=lost,
-            gone=lost_for(self.silence_s * 2),
-            leaving=tuple(sorted(peer.address for peer in core_peers if peer.is_leaving)),
+            gone=lost_for(self.peer_timeout_s * 2),
+            leaving=tuple(sorted(peer.address for peer in core_peers if peer.is_draining)),
         )
 
-    def _tend_core_set(self) -> None:
+    def _reconcile_core_set(self) -> None:
         """Moves the registers to the set that should stand next, and finishes what another holder left half done."""
         view = self.core_view()
         if not view.members:
             return
         target = voting_set.next_set(view=view, wanted=self.wanted_voters)
-        is_agreed = self.desk.serial(register_names.CORE_SET)[1] > 0
-        if not is_agreed or target != tuple(sorted(view.members)) or self.mover.needs_move(target=target):
-            self.mover.move(target=target)
+        is_agreed = self.publisher.version(register_names.CORE_SET)[1] > 0
+        if not is_agreed or target != tuple(sorted(view.members)) or self.core_set_changer.needs_move(target=target):
+            self.core_set_changer.move(target=target)
 
     def core_set_status(self) -> dict:
         """For operators: who votes, who learns, how far this node is, and what may still be lost."""
@@ -378,8 +391,8 @@
         agreed, version = self.agreed_set()
         known = set(self.members()) | self.known_cores() | {self.own}
         in_touch = sorted(host for host in known if self.is_core_live(host))
-        held = dict(self.voting.floor())
-        _epoch, holder, _life = self.duty_table.holder(coordinators.WATCH)
+        accepted_state = dict(self.voting.minimum_versions())
+        _epoch, owner, _incarnation = self.role_table.owner(coordinators.WATCH)
         return {
             "node": self.settings.node,
             "address": self.own,
@@ -388,16 +401,16 @@
             "version": version,
             "has_majority_contact": self.has_majority_contact(),
             "wanted_voters": self.wanted_voters,
-            "losses_borne": voting_set.losses_borne(members=agreed, in_touch=in_touch),
+            "losses_borne": voting_set.tolerated_losses(members=agreed, in_touch=in_touch),
             "in_touch": in_touch,
             "learners": list(view.learners),
             "leaving": list(view.leaving),
-            "is_moving": self.mover.is_moving,
-            "watch": holder,
+            "is_moving": self.core_set_changer.is_moving,
+            "watch": owner,
             "registers": {
                 name: {
-                    "known": self.desk.serial(name)[1],
-                    "on_disk": held.get(name, 0),
+                    "known": self.publisher.version(name)[1],
+                    "on_disk": accepted_state.get(name, 0),
                     "members": list(self.proposer.members(name)),
                 }
                 for name in register_names.REGISTERS
@@ -409,9 +422,9 @@
         """Gives the watch duty to another live member."""
         members = self.members()
         for peer in sorted(self.peers.values(), key=lambda peer: peer.address):
-            if peer.role == "core" and not peer.is_leaving and peer.address in members:
+            if peer.role == "core" and not peer.is_draining and peer.address in members:
                 if self.is_core_live(peer.address):
-                    self.watch_duty.hand_over(successor=peer.address, life=peer.life)
+                    self.cluster_coordinator.hand_over(successor=peer.address, incarnation=peer.incarnation)
                     return
 
     def may_end(self) -> bool:
@@ -419,7 +432,7 @@
         members = self.members()
         if all(self.own not in self.proposer.members(name) for name in register_names.REGISTERS):
             return True
-        if self.watch_duty.is_held and self.has_majority_contact():
+        if self.cluster_coordinator.is_owner and self.has_majority_contact():
             return False
         view = self.core_view()
         if view.learners or len(members) > self.wanted_voters or self.own not in members:
@@ -428,14 +441,14 @@
         staying = [host for host in members if host != self.own and host not in leaving and self.is_core_live(host)]
         return len(staying) >= ballots.majority(members)
 
-    def _on_image(self, topic: str, epoch: int, number: int, data: bytes) -> None:
+    def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         """News from another core node."""
         if topic in register_names.REGISTERS:
             self._publish(topic, number, data)
-        elif self.watch_duty.may_follow(epoch=epoch):
-            self.desk.publish(topic=topic, epoch=epoch, number=number, data=data)
+        elif self.cluster_coordinator.may_follow(epoch=epoch):
+            self.publisher.publish(topic=topic, epoch=epoch, number=number, data=data)
 
     def _on_change(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         """A step of the list from another core node."""
-        if self.watch_duty.may_follow(epoch=epoch):
-            self.watch_duty.follow_change(epoch=epoch, number=number, data=data)
+        if self.cluster_coordinator.may_follow(epoch=epoch):
+            self.cluster_coordinator.follow_change(epoch=epoch, number=number, data=data)
--- a/ploverward/control_plane/cluster/singleton_roles.py
+++ b/ploverward/control_plane/cluster/singleton_roles.py
@@ -3,8 +3,8 @@
 import hashlib
 import math
 
-FEW = 3  # a zone of so few proxies has no digest: each is its own
-CELL = 14  # proxies that one digest serves; a zone of more has several digests
+MAX_PROXIES_WITHOUT_DIGEST = 3  # a zone of so few proxies has no digest: each is its own
+PROXIES_PER_DIGEST = 14  # proxies that one digest serves; a zone of more has several digests
 KEPT_SHARE = 0.6  # a further digest ends once the zone could do without it, had it so much less room
 
 RELAY = "relay"
@@ -34,51 +34,51 @@
     return max(names, key=weight)
 
 
-def named(*, proxies, duty) -> dict:
+def named(*, proxies, find_role) -> dict:
     """Duty: (epoch seen, holder, its life) for each duty whose holder is gone. `proxies`: (address, life, zone, region).
 
     Relays go by address from the front, digests from the back, so that they seldom meet on one node.
     """
     by_region, by_zone = {}, {}
-    for address, life, zone, region in proxies:
-        by_region.setdefault(region, []).append((address, life))
-        by_zone.setdefault(zone, []).append((address, life))
+    for address, incarnation, zone, region in proxies:
+        by_region.setdefault(region, []).append((address, incarnation))
+        by_zone.setdefault(zone, []).append((address, incarnation))
     rows = {}
     for region, live in by_region.items():
-        epoch, *held = duty(relay_name(region=region))
-        if tuple(held) not in live:
+        epoch, *assigned = find_role(relay_name(region=region))
+        if tuple(assigned) not in live:
             rows[relay_name(region=region)] = (epoch, *min(live))
     for zone, live in by_zone.items():
-        rows.update(_digests(zone=zone, live=live, duty=duty))
+        rows.update(_digests(zone=zone, live=live, find_role=find_role))
     return rows
 
 
-def _holders(*, zone: str, duty) -> list:
+def _owners(*, zone: str, find_role) -> list:
     """(holder, its life) of each digest that the zone ever had, in order."""
     found = []
     while True:
-        epoch, *held = duty(digest_name(zone=zone, number=len(found)))
+        epoch, *assigned = find_role(digest_name(zone=zone, number=len(found)))
         if not epoch:
             return found
-        found.append(tuple(held))
+        found.append(tuple(assigned))
 
 
-def _digests(*, zone: str, live: list, duty) -> dict:
+def _digests(*, zone: str, live: list, find_role) -> dict:
     """The digests of one zone that want a holder, or that are not needed any more."""
     rows = {}
-    wanted = math.ceil(len(live) / CELL)
-    busy = set(_holders(zone=zone, duty=duty))
+    wanted = math.ceil(len(live) / PROXIES_PER_DIGEST)
+    busy = set(_owners(zone=zone, find_role=find_role))
     free = sorted((proxy for proxy in live if proxy not in busy), reverse=True)
     number = 0
     while True:
         name = digest_name(zone=zone, number=number)
-        epoch, *held = duty(name)
-        holder = tuple(held)
+        epoch, *assigned = find_role(name)
+        owner = tuple(assigned)
         if number < wanted:
-            if holder not in live and len(live) > FEW and free:
+            if owner not in live and len(live) > MAX_PROXIES_WITHOUT_DIGEST and free:
                 rows[name] = (epoch, *free.pop(0))
         elif not epoch:
             return rows
-        elif holder != NOBODY and (holder not in live or len(live) < number * CELL * KEPT_SHARE):
+        elif owner != NOBODY and (owner not in live or len(live) < number * PROXIES_PER_DIGEST * KEPT_SHARE):
             rows[name] = (epoch, *NOBODY)
         number += 1
--- a/ploverward/control_plane/cluster/test_digest_roles.py
+++ b/ploverward/control_plane/cluster/test_digest_roles.py
@@ -11,23 +11,23 @@
     """The duties' register as the watch keeps it."""
 
     def __init__(self):
-        self.held = {}
+        self.table = {}
 
-    def duty(self, name):
-        return self.held.get(name, (0, "", ""))
+    def find_role(self, name):
+        return self.table.get(name, (0, "", ""))
 
-    def tend(self, listed):
-        rows = singleton_roles.named(proxies=listed, duty=self.duty)
-        for name, (epoch, holder, life) in rows.items():
-            assert epoch == self.duty(name)[0]
-            self.held[name] = (epoch + 1, holder, life)
+    def reconcile(self, listed):
+        rows = singleton_roles.named(proxies=listed, find_role=self.find_role)
+        for name, (epoch, owner, incarnation) in rows.items():
+            assert epoch == self.find_role(name)[0]
+            self.table[name] = (epoch + 1, owner, incarnation)
         return rows
 
-    def holders(self, zone="za"):
+    def owners(self, zone="za"):
         return {
-            name: holder
-            for name, (_epoch, holder, _life) in self.held.items()
-            if holder and singleton_roles.is_digest_of(name=name, zone=zone)
+            name: owner
+            for name, (_epoch, owner, _incarnation) in self.table.items()
+            if owner and singleton_roles.is_digest_of(name=name, zone=zone)
         }
 
 
@@ -38,12 +38,12 @@
 @pytest.mark.parametrize("count, digests", [(3, 0), (4, 1), (14, 1), (15, 2), (33, 3), (50, 4), (120, 9)])
 def test_a_zone_has_as_many_digests_as_its_proxies_need(count, digests):
     register = Register()
-    register.tend(listed(count))
-    holders = register.holders()
-    assert len(holders) == len(set(holders.values())) == digests
-    assert register.tend(listed(count)) == {}  # settled
+    register.reconcile(listed(count))
+    owners = register.owners()
+    assert len(owners) == len(set(owners.values())) == digests
+    assert register.reconcile(listed(count)) == {}  # settled
     if digests:
-        assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in holders
+        assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in owners
 
 
 def test_proxies_are_spread_over_the_digests_and_few_change_when_one_is_added():
@@ -58,23 +58,23 @@
     assert 0 < len(moved) < 45 and all(after[address] == more[-1] for address in moved)
 
 
-def test_a_lost_holder_is_replaced_by_one_that_holds_no_other_digest():
+def test_a_lost_owner_is_replaced_by_one_that_owns_no_other_digest():
     register = Register()
     proxies = listed(40)
-    register.tend(proxies)
-    gone = register.holders()["digest/za/1"]
+    register.reconcile(proxies)
+    gone = register.owners()["digest/za/1"]
     left = [row for row in proxies if row[0] != gone]
-    rows = register.tend(left)
-    assert list(rows) == ["digest/za/1"] and len(set(register.holders().values())) == 3
+    rows = register.reconcile(left)
+    assert list(rows) == ["digest/za/1"] and len(set(register.owners().values())) == 3
     newer = [
-        (address, "another life" if address == register.holders()["digest/za"] else life, zone, region)
-        for address, life, zone, region in left
+        (address, "another life" if address == register.owners()["digest/za"] else incarnation, zone, region)
+        for address, incarnation, zone, region in left
     ]
-    assert list(register.tend(newer)) == ["digest/za"]  # a new life is another holder, under the next epoch
+    assert list(register.reconcile(newer)) == ["digest/za"]  # a new life is another holder, under the next epoch
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_while_proxies_come_and_go_every_digest_named_is_held_by_a_live_one(seed):
+def test_while_proxies_join_and_leave_every_digest_named_is_owned_by_a_live_one(seed):
     chance = random.Random(seed)
     register = Register()
     everybody = listed(90)
@@ -83,24 +83,24 @@
     for _ in range(60):
         size = min(90, max(4, len(live) + chance.randint(-12, 12)))
         live = chance.sample(everybody, size)
-        register.tend(live)
-        changes += len(register.tend(live))  # a second look changes nothing
+        register.reconcile(live)
+        changes += len(register.reconcile(live))  # a second look changes nothing
         addresses = {address for address, *_about in live}
-        holders = register.holders()
-        assert set(holders.values()) <= addresses
-        assert len(holders) >= -(-len(live) // singleton_roles.CELL)
-        assert len(set(holders.values())) == len(holders) or len(live) < len(holders) * 2
+        owners = register.owners()
+        assert set(owners.values()) <= addresses
+        assert len(owners) >= -(-len(live) // singleton_roles.PROXIES_PER_DIGEST)
+        assert len(set(owners.values())) == len(owners) or len(live) < len(owners) * 2
     assert changes == 0
 
 
 def test_a_zone_that_shrinks_a_little_keeps_its_digests():
     register = Register()
-    register.tend(listed(30))
-    assert len(register.holders()) == 3
-    holders = set(register.holders().values())
-    few = [row for row in listed(30) if row[0] in holders] + [row for row in listed(30) if row[0] not in holders][:22]
-    assert register.tend(few) == {}
+    register.reconcile(listed(30))
+    assert len(register.owners()) == 3
+    owners = set(register.owners().values())
+    few = [row for row in listed(30) if row[0] in owners] + [row for row in listed(30) if row[0] not in owners][:22]
+    assert register.reconcile(few) == {}
     fewer = few[:8]
-    register.tend(fewer)
-    assert len(register.holders()) == 1
-    assert register.duty("digest/za/2")[0] == 2  # an end is told under an epoch too
+    register.reconcile(fewer)
+    assert len(register.owners()) == 1
+    assert register.find_role("digest/za/2")[0] == 2  # an end is told under an epoch too
--- a/ploverward/control_plane/cluster/test_singleton_roles.py
+++ b/ploverward/control_plane/cluster/test_singleton_roles.py
@@ -3,29 +3,29 @@
 from ploverward.control_plane.cluster import coordinator
 
 
-def take(payload, rows):
+def acquire(payload, rows):
     """What taking these duties makes of a payload."""
     made = []
-    table = coordinator.Duties(change=lambda *, name, edit, done: made.append((name, edit(payload)[0])))
-    table.take(rows=rows)
-    assert table.is_taking
+    table = coordinator.SingletonRoleTable(change=lambda *, name, edit, done: made.append((name, edit(payload)[0])))
+    table.acquire(rows=rows)
+    assert table.is_acquiring
     return made[0]
 
 
-def test_a_duty_is_taken_under_the_next_epoch():
-    assert take(None, {"watch": (0, "a", "l1")}) == ("duty", {"watch": [1, "a", "l1"]})
-    assert take({"watch": [4, "a", "l1"]}, {"watch": (4, "a", "l2")}) == ("duty", {"watch": [5, "a", "l2"]})
+def test_a_role_is_taken_under_the_next_epoch():
+    assert acquire(None, {"watch": (0, "a", "l1")}) == ("duty", {"watch": [1, "a", "l1"]})
+    assert acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "a", "l2")}) == ("duty", {"watch": [5, "a", "l2"]})
 
 
-def test_of_two_who_take_one_duty_the_later_changes_nothing():
-    first = take({"watch": [4, "a", "l1"]}, {"watch": (4, "b", "l2")})[1]
-    assert take(first, {"watch": (4, "c", "l3")})[1] is first
+def test_of_two_who_take_one_role_the_later_changes_nothing():
+    first = acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "b", "l2")})[1]
+    assert acquire(first, {"watch": (4, "c", "l3")})[1] is first
 
 
-def test_open_duties_are_taken_together():
+def test_open_roles_are_taken_together():
     payload = {"watch": [1, "a", "l"], "relay/north": [3, "p", "l"]}
     rows = {"relay/north": (3, "q", "m"), "relay/south": (0, "r", "n")}
-    assert take(payload, rows)[1] == {
+    assert acquire(payload, rows)[1] == {
         "watch": [1, "a", "l"],
         "relay/north": [4, "q", "m"],
         "relay/south": [1, "r", "n"],
--- a/ploverward/control_plane/cluster/test_voting_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -12,7 +12,7 @@
 from ploverward.control_plane.consensus import register_names
 
 LEASE_S = 1.5
-LIFE_S = 1.5
+SHARE_LEASE_S = 1.5
 WINDOW_S = 10.0
 
 
@@ -54,10 +54,10 @@
     assert following("abcdefg", gone="abc", wanted=5) == "cdefg"
 
 
-def test_losses_borne_are_told():
-    assert voting_set.losses_borne(members=tuple("abcde"), in_touch="abcde") == 2
-    assert voting_set.losses_borne(members=tuple("abcde"), in_touch="abc") == 0
-    assert voting_set.losses_borne(members=tuple("abc"), in_touch="a") == -1
+def test_losses_tolerated_are_reported():
+    assert voting_set.tolerated_losses(members=tuple("abcde"), in_touch="abcde") == 2
+    assert voting_set.tolerated_losses(members=tuple("abcde"), in_touch="abc") == 0
+    assert voting_set.tolerated_losses(members=tuple("abc"), in_touch="a") == -1
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -113,33 +113,33 @@
         return self.sets.get(name, ("a", "b", "c"))
 
 
-def test_a_half_done_move_is_finished_by_the_next_holder():
+def test_a_half_done_move_is_finished_by_the_next_coordinator():
     rounds = Rounds()
     target = ("b", "c", "d")
-    first = voting_set.Mover(change=rounds.change, known_set=rounds.known_set)
+    first = voting_set.CoreSetChanger(change=rounds.change, known_set=rounds.known_set)
     rounds.failing = "evac"
     first.move(target=target)
     assert first.is_moving
     rounds.answer_all()
     assert not first.is_moving and rounds.sets["spec"] == target and "evac" not in rounds.sets
     rounds.failing = ""
-    following_holder = voting_set.Mover(change=rounds.change, known_set=rounds.known_set)
-    assert following_holder.needs_move(target=target)
-    following_holder.move(target=target)
+    next_coordinator = voting_set.CoreSetChanger(change=rounds.change, known_set=rounds.known_set)
+    assert next_coordinator.needs_move(target=target)
+    next_coordinator.move(target=target)
     rounds.answer_all()
-    assert not following_holder.needs_move(target=target)
+    assert not next_coordinator.needs_move(target=target)
 
 
-def test_a_move_gives_way_to_a_newer_target():
+def test_a_move_is_superseded_by_a_newer_target():
     wanted = {}
-    mover = voting_set.Mover(
+    core_set_changer = voting_set.CoreSetChanger(
         change=lambda *, name, is_wanted, next_set, **_about: wanted.setdefault((name, next_set), is_wanted),
         known_set=lambda name: (),
     )
-    mover.move(target=("a", "b"))
-    mover.move(target=("a", "b"))
+    core_set_changer.move(target=("a", "b"))
+    core_set_changer.move(target=("a", "b"))
     assert len(wanted) == len(register_names.REGISTERS)
-    mover.move(target=("b", "c"))
+    core_set_changer.move(target=("b", "c"))
     assert [is_wanted() for is_wanted in wanted.values()] == [False] * len(register_names.REGISTERS) + [True] * len(
         register_names.REGISTERS
     )
@@ -150,7 +150,7 @@
     contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = contact.next_heartbeat(version=1)
     clock[0] = 10.5
-    contact.take_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=1))
+    contact.handle_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=1))
     assert contact.lease_until(members=("a", "b", "c"), version=1) == 10.0 + LEASE_S
     clock[0] = 10.0 + LEASE_S
     assert not contact.has_majority(members=("a", "b", "c"), version=1)  # also after a freeze: nothing was extended
@@ -160,10 +160,10 @@
     clock = [10.0]
     contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = contact.next_heartbeat(version=1)
-    contact.take_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=2))
+    contact.handle_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=2))
     assert not contact.has_majority(members=("a", "b", "c"), version=1)
     assert contact.newest_version == 2
-    contact.take_answer(member="c", answer=majority_lease.Answer(number=heartbeat.number, version=1))
+    contact.handle_answer(member="c", answer=majority_lease.Answer(number=heartbeat.number, version=1))
     assert contact.has_majority(members=("a", "b", "c"), version=1)
     assert not contact.has_majority(members=("a", "b", "c"), version=1, is_supporting=False)
     assert not contact.has_majority(members=("x", "y", "z"), version=1)
@@ -172,7 +172,7 @@
 
 def test_answers_to_unknown_numbers_are_ignored():
     contact = majority_lease.Contact(own="a", now=lambda: 1.0, lease_s=LEASE_S)
-    contact.take_answer(member="b", answer=majority_lease.Answer(number=9, version=1))
+    contact.handle_answer(member="b", answer=majority_lease.Answer(number=9, version=1))
     assert not contact.answered_within(member="b", span_s=100.0)
 
 
@@ -185,8 +185,10 @@
         self.members, self.version = members, 0
         self.accepted = 0
         self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=LEASE_S)
-        self.parts = share_leases.Parts(now=world.now, wait_s=LEASE_S + LIFE_S + WINDOW_S, first_part=part)
-        self.book = share_leases.Book(now=world.now, life_s=LIFE_S, window_s=WINDOW_S, quiet_until=0.0)
+        self.parts = share_leases.OwnedShare(now=world.now, wait_s=LEASE_S + SHARE_LEASE_S + WINDOW_S, first_part=part)
+        self.share_table = share_leases.ShareTable(
+            now=world.now, lease_s=SHARE_LEASE_S, window_s=WINDOW_S, withheld_until=0.0
+        )
 
     def grant(self, *, proxy, live):
         is_leased = self.contact.has_majority(
@@ -194,7 +196,7 @@
         )
         if self.world.is_fenced and not is_leased:
             return 0.0
-        return self.book.renew(node=proxy, part=self.parts.value(), live=live)
+        return self.share_table.renew(node=proxy, part=self.parts.value(), live=live)
 
     def learn(self, *, members, version):
         self.members, self.version = members, version
@@ -203,7 +205,7 @@
         if self.world.is_fenced:
             self.parts.install(part=part, version=version)
         else:
-            self.parts = share_leases.Parts(now=self.world.now, wait_s=0.0, first_part=part)
+            self.parts = share_leases.OwnedShare(now=self.world.now, wait_s=0.0, first_part=part)
 
 
 class World:
@@ -235,7 +237,7 @@
         for other in self.names:
             if other != name and self.are_joined(name, other):
                 answer = majority_lease.Answer(number=sent.number, version=self.nodes[other].accepted)
-                node.contact.take_answer(member=other, answer=answer)
+                node.contact.handle_answer(member=other, answer=answer)
 
     def change_set(self):
         """Accepted by a majority of the older and of the new set, as the register's rounds see to."""
@@ -262,8 +264,8 @@
     def step(self):
         self.time += self.chance.uniform(0.1, 0.5)
         if self.chance.random() < 0.08:
-            cut = self.chance.sample(self.names, self.chance.randint(0, 3))
-            self.side = {name: 1 if name in cut else 0 for name in self.names}
+            partitioned = self.chance.sample(self.names, self.chance.randint(0, 3))
+            self.side = {name: 1 if name in partitioned else 0 for name in self.names}
         if self.chance.random() < 0.05:
             self.change_set()
         self.spread()
@@ -273,7 +275,7 @@
             for proxy in range(3):
                 share = self.nodes[name].grant(proxy=proxy, live=3)
                 if share:
-                    self.used.append((name, proxy, share, self.time + LIFE_S + WINDOW_S))
+                    self.used.append((name, proxy, share, self.time + SHARE_LEASE_S + WINDOW_S))
         self.used = [row for row in self.used if row[3] > self.time]
         largest = {}
         for name, proxy, share, _until in self.used:
@@ -289,9 +291,9 @@
     assert 0.0 < world.most <= 1.0 + 1e-9
 
 
-def test_a_restarted_node_goes_on_with_its_part_unless_the_set_was_changed():
+def test_a_restarted_node_resumes_its_share_unless_the_core_set_was_changed():
     clock = [0.0]
-    parts = share_leases.Parts(now=lambda: clock[0], wait_s=5.0)
+    parts = share_leases.OwnedShare(now=lambda: clock[0], wait_s=5.0)
     parts.resume(part=0.2, version=4)
     parts.install(part=0.2, version=4)
     assert parts.value() == 0.2
@@ -317,7 +319,7 @@
 def test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch():
     """A frozen machine: its system accepts, its process does not answer (docs/incidents/frozen-holder.md)."""
     link = types.SimpleNamespace(is_up=True, has_heard=False)
-    node = types.SimpleNamespace(own="a", dialers={"b": types.SimpleNamespace(link=link)})
+    node = types.SimpleNamespace(own="a", connectors={"b": types.SimpleNamespace(link=link)})
     assert not peer_sessions.MembersMixin.is_core_live(node, "b")
     link.has_heard = True
     assert peer_sessions.MembersMixin.is_core_live(node, "b")
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -41,24 +41,24 @@
     return tuple(sorted(target))
 
 
-def losses_borne(*, members: tuple, in_touch) -> int:
+def tolerated_losses(*, members: tuple, in_touch) -> int:
     """How many further members may be lost now with a majority left; -1 where there is none."""
     live = sum(1 for member in members if member in in_touch)
     return live - ballots.majority(members)
 
 
-class Mover:
+class CoreSetChanger:
     """Moves every register to a set, all at once. Each is safe by itself; one that fails is moved again."""
 
     def __init__(self, *, change, known_set):
         self._change = change  # (name, edit, done, next_set, is_wanted): a round of the register
         self._known_set = known_set  # (name) -> the set that the register is known to stand under
         self._target = ()
-        self._under_way = set()  # registers
+        self._moving_registers = set()  # registers
 
     @property
     def is_moving(self) -> bool:
-        return bool(self._under_way)
+        return bool(self._moving_registers)
 
     def needs_move(self, *, target: tuple) -> bool:
         """Whether any register is known to stand under another set than this one."""
@@ -71,16 +71,16 @@
         """
         if self.is_moving and target == self._target:
             return
-        event_log.note("core set moves", to=list(target))
+        event_log.record("core set moves", to=list(target))
         self._target = target
-        self._under_way = set(register_names.REGISTERS)
+        self._moving_registers = set(register_names.REGISTERS)
         for name in register_names.REGISTERS:
             self._move_one(name, target)
 
     def _move_one(self, name: str, target: tuple) -> None:
         def done(_failure, _revision=0, _payload=None, _result=None):
             if self._target == target:
-                self._under_way.discard(name)
+                self._moving_registers.discard(name)
 
         self._change(
             name=name,
--- a/ploverward/control_plane/configuration/evacuations.py
+++ b/ploverward/control_plane/configuration/evacuations.py
@@ -21,15 +21,15 @@
     first_seen = []
 
     def edit(payload):
-        turn = turns_of(payload).get(zone, 0)
+        change_count = turns_of(payload).get(zone, 0)
         if not first_seen:
             if is_late():
-                raise errors.Unreachable("no majority in time", step="evacuation", peer=zone)
-            first_seen.append(turn)
+                raise errors.QuorumUnavailableError("no majority in time", step="evacuation", peer=zone)
+            first_seen.append(change_count)
         zones = zones_of(payload)
-        if turn != first_seen[0] or (zone in zones) == is_out:
+        if change_count != first_seen[0] or (zone in zones) == is_out:
             return payload, None
         wanted = zones | {zone} if is_out else zones - {zone}
-        return {"zones": sorted(wanted), "turns": {**turns_of(payload), zone: turn + 1}}, None
+        return {"zones": sorted(wanted), "turns": {**turns_of(payload), zone: change_count + 1}}, None
 
     return edit
--- a/ploverward/control_plane/configuration/order_archive.py
+++ b/ploverward/control_plane/configuration/order_archive.py
@@ -6,9 +6,9 @@
 
 import base64
 
-MARKS_KEPT = 12288  # about three days of 4,100 changes
-MARK_BYTES = 8
-_MARK_DIGITS = MARK_BYTES * 2
+MAX_ARCHIVED_IDS = 12288  # about three days of 4,100 changes
+SHORT_ID_BYTES = 8
+_SHORT_ID_DIGITS = SHORT_ID_BYTES * 2
 
 
 def through(payload) -> int:
@@ -16,14 +16,14 @@
     return payload["through"] if payload else 0
 
 
-def has(*, payload, mark: str) -> bool:
-    wanted = _short(mark)
-    data = _marks(payload)
-    place = data.find(wanted)
-    while place >= 0:
-        if place % MARK_BYTES == 0:
+def has(*, payload, order_id: str) -> bool:
+    wanted = _short(order_id)
+    data = _stored_ids(payload)
+    offset = data.find(wanted)
+    while offset >= 0:
+        if offset % SHORT_ID_BYTES == 0:
             return True
-        place = data.find(wanted, place + 1)
+        offset = data.find(wanted, offset + 1)
     return False
 
 
@@ -35,16 +35,16 @@
         if not newer:
             return payload, through(payload)
         last = newer[-1][0]
-        data = _marks(payload) + b"".join(_short(mark) for _edition, mark in newer)
-        marks = base64.b64encode(data[-MARKS_KEPT * MARK_BYTES :]).decode()
-        return {"through": last, "marks": marks}, last
+        data = _stored_ids(payload) + b"".join(_short(order_id) for _edition, order_id in newer)
+        encoded_ids = base64.b64encode(data[-MAX_ARCHIVED_IDS * SHORT_ID_BYTES :]).decode()
+        return {"through": last, "marks": encoded_ids}, last
 
     return edit
 
 
-def _short(mark: str) -> bytes:
-    return bytes.fromhex(mark[:_MARK_DIGITS])
+def _short(order_id: str) -> bytes:
+    return bytes.fromhex(order_id[:_SHORT_ID_DIGITS])
 
 
-def _marks(payload) -> bytes:
+def _stored_ids(payload) -> bytes:
     return base64.b64decode(payload["marks"]) if payload else b""
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -14,7 +14,7 @@
 
 RECENT_KEPT = 64  # marks that stay in the value although the archive has them
 ARCHIVE_FROM = 64  # marks that the archive lacks from which on they are put there
-MARK_DIGITS = 20
+ORDER_ID_DIGITS = 20
 TAKEN = "taken"
 KNOWN = "known"
 
@@ -34,29 +34,29 @@
 
     method: str
     base: int
-    mark: str
+    order_id: str
     body: dict
     candidate: Candidate | None = None
 
 
 def digest(*, method: str, base: int, data: bytes) -> str:
-    return hashlib.sha256(b"%s %d " % (method.encode(), base) + data).hexdigest()[:MARK_DIGITS]
+    return hashlib.sha256(b"%s %d " % (method.encode(), base) + data).hexdigest()[:ORDER_ID_DIGITS]
 
 
 def read(*, method: str, base: int, data: bytes) -> Order:
     """Reads a call, and checks it as far as that goes without the version it builds on."""
     body = parser.read_json(data=data)
-    mark = digest(method=method, base=base, data=data)
-    order = Order(method=method, base=base, mark=mark, body=body)
+    order_id = digest(method=method, base=base, data=data)
+    order = Order(method=method, base=base, order_id=order_id, body=body)
     if method == "PATCH":
         return order
     return dataclasses.replace(order, candidate=_candidate(base=base, body=body))
 
 
-def build(*, order: Order, held: dict) -> Order:
+def build(*, order: Order, base_body: dict) -> Order:
     """A PATCH with its candidate; `held` is the body of the version it builds on."""
-    whole = patch.merge(body=held, patch=order.body)
-    return dataclasses.replace(order, candidate=_candidate(base=order.base, body=whole))
+    merged = patch.merge(body=base_body, patch=order.body)
+    return dataclasses.replace(order, candidate=_candidate(base=order.base, body=merged))
 
 
 def _candidate(*, base: int, body: dict) -> Candidate:
@@ -73,8 +73,8 @@
     return payload["recent"] if payload else []
 
 
-def is_recent(*, payload, mark: str) -> bool:
-    return any(known == mark for _edition, known in recent_of(payload))
+def is_recent(*, payload, order_id: str) -> bool:
+    return any(known == order_id for _edition, known in recent_of(payload))
 
 
 def edit_for(*, order: Order, archived: int):
@@ -84,17 +84,17 @@
     """
 
     def edit(payload):
-        if is_recent(payload=payload, mark=order.mark):
+        if is_recent(payload=payload, order_id=order.order_id):
             return payload, KNOWN
         current = edition_of(payload)
         if order.base != current:
-            raise errors.StaleBase(current=current)
+            raise errors.StaleVersionError(current=current)
         candidate = order.candidate
         if candidate is None:
-            candidate = build(order=order, held=payload["body"] if payload else {}).candidate
+            candidate = build(order=order, base_body=payload["body"] if payload else {}).candidate
         if candidate.edition <= current:
-            raise errors.InvalidConfiguration(f"{candidate.edition} is not above {current}", place="edition")
-        rows = [*recent_of(payload), [candidate.edition, order.mark]]
+            raise errors.InvalidConfigurationError(f"{candidate.edition} is not above {current}", field_path="edition")
+        rows = [*recent_of(payload), [candidate.edition, order.order_id]]
         recent = trimmed(rows=rows, archived=archived)
         return {"edition": candidate.edition, "body": candidate.body, "recent": recent}, TAKEN
 
--- a/ploverward/control_plane/configuration/parser.py
+++ b/ploverward/control_plane/configuration/parser.py
@@ -5,8 +5,8 @@
 
 from ploverward.common import errors
 
-MOST_LEVELS = 64  # far below what the encoder bears, so that a stored body can always be written again
-PLACE = "body"
+MAX_NESTING_DEPTH = 64  # far below what the encoder bears, so that a stored body can always be written again
+BODY_PATH = "body"
 
 
 def read_json(*, data: bytes) -> dict:
@@ -15,9 +15,9 @@
         text = data.decode("utf-8")
         body = json.loads(text, object_pairs_hook=_object, parse_constant=_constant, parse_float=_fraction)
     except (ValueError, RecursionError) as error:
-        raise errors.InvalidConfiguration(f"not readable as JSON: {error}", place=PLACE) from None
+        raise errors.InvalidConfigurationError(f"not readable as JSON: {error}", field_path=BODY_PATH) from None
     if not isinstance(body, dict):
-        raise errors.InvalidConfiguration("not an object", place=PLACE)
+        raise errors.InvalidConfigurationError("not an object", field_path=BODY_PATH)
     _check_levels(body)
     if "\\u" in text:
         _check_characters(body)
@@ -29,7 +29,7 @@
     if len(table) != len(pairs):
         names = [name for name, _value in pairs]
         twice = next(name for name in names if names.count(name) > 1)
-        raise errors.InvalidConfiguration(f"the key '{twice}' stands twice in one object", place=twice)
+        raise errors.InvalidConfigurationError(f"the key '{twice}' stands twice in one object", field_path=twice)
     return table
 
 
@@ -46,7 +46,7 @@
 
 def _check_levels(body) -> None:
     level = [body]
-    for _depth in range(MOST_LEVELS):
+    for _depth in range(MAX_NESTING_DEPTH):
         below = []
         for item in level:
             values = item.values() if isinstance(item, dict) else item
@@ -54,7 +54,7 @@
         if not below:
             return
         level = below
-    raise errors.InvalidConfiguration(f"nested in more than {MOST_LEVELS} levels", place=PLACE)
+    raise errors.InvalidConfigurationError(f"nested in more than {MAX_NESTING_DEPTH} levels", field_path=BODY_PATH)
 
 
 def _check_characters(body) -> None:
@@ -62,4 +62,4 @@
     try:
         json.dumps(body, ensure_ascii=False).encode()
     except UnicodeEncodeError:
-        raise errors.InvalidConfiguration("half of a surrogate pair", place=PLACE) from None
+        raise errors.InvalidConfigurationError("half of a surrogate pair", field_path=BODY_PATH) from None
--- a/ploverward/control_plane/configuration/patch.py
+++ b/ploverward/control_plane/configuration/patch.py
@@ -17,7 +17,7 @@
         elif name in LISTS:
             merged[name] = _merged_list(name=name, body=body, upsert=upsert, withdraw=withdraw)
         else:
-            raise errors.InvalidConfiguration("not a part that can be changed", place=name)
+            raise errors.InvalidConfigurationError("not a part that can be changed", field_path=name)
     merged["edition"] = patch.get("edition")
     return merged
 
@@ -27,50 +27,54 @@
     if part is None:
         return {}
     if not isinstance(part, dict):
-        raise errors.InvalidConfiguration("not an object of lists", place=name)
+        raise errors.InvalidConfigurationError("not an object of lists", field_path=name)
     return part
 
 
 def _merged_limits(*, body: dict, upsert: dict, withdraw: dict) -> dict:
     if LIMITS in withdraw:
-        raise errors.InvalidConfiguration("limits can't be withdrawn", place=f"withdraw.{LIMITS}")
+        raise errors.InvalidConfigurationError("limits can't be withdrawn", field_path=f"withdraw.{LIMITS}")
     new = upsert[LIMITS]
     if not isinstance(new, dict):
-        raise errors.InvalidConfiguration("not an object", place=f"upsert.{LIMITS}")
-    held = body.get(LIMITS)
-    return {**(held if isinstance(held, dict) else {}), **new}
+        raise errors.InvalidConfigurationError("not an object", field_path=f"upsert.{LIMITS}")
+    existing = body.get(LIMITS)
+    return {**(existing if isinstance(existing, dict) else {}), **new}
 
 
 def _merged_list(*, name: str, body: dict, upsert: dict, withdraw: dict) -> list:
-    items = _named_items(_list(upsert, name, place=f"upsert.{name}"), place=f"upsert.{name}")
-    gone = _list(withdraw, name, place=f"withdraw.{name}")
-    held = body.get(name)
-    table = _named_items(held if isinstance(held, list) else [], place=name)
+    items = _named_items(_list(upsert, name, field_path=f"upsert.{name}"), field_path=f"upsert.{name}")
+    gone = _list(withdraw, name, field_path=f"withdraw.{name}")
+    existing = body.get(name)
+    table = _named_items(existing if isinstance(existing, list) else [], field_path=name)
     for index, key in enumerate(gone):
         if not isinstance(key, str):
-            raise errors.InvalidConfiguration("not a name", place=f"withdraw.{name}.{index}")
+            raise errors.InvalidConfigurationError("not a name", field_path=f"withdraw.{name}.{index}")
         if key not in table:
-            raise errors.InvalidConfiguration(f"no item '{key}' to withdraw", place=f"withdraw.{name}.{index}")
+            raise errors.InvalidConfigurationError(
+                f"no item '{key}' to withdraw", field_path=f"withdraw.{name}.{index}"
+            )
         del table[key]
     table.update(items)
     return list(table.values())
 
 
-def _list(part: dict, name: str, *, place: str) -> list:
+def _list(part: dict, name: str, *, field_path: str) -> list:
     items = part.get(name)
     if items is None:
         return []
     if not isinstance(items, list):
-        raise errors.InvalidConfiguration("not a list", place=place)
+        raise errors.InvalidConfigurationError("not a list", field_path=field_path)
     return items
 
 
-def _named_items(items: list, *, place: str) -> dict:
+def _named_items(items: list, *, field_path: str) -> dict:
     table = {}
     for index, item in enumerate(items):
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise errors.InvalidConfiguration("an item without a name", place=f"{place}.{index}")
+            raise errors.InvalidConfigurationError("an item without a name", field_path=f"{field_path}.{index}")
         if item["name"] in table:
-            raise errors.InvalidConfiguration(f"'{item['name']}' stands twice", place=f"{place}.{index}.name")
+            raise errors.InvalidConfigurationError(
+                f"'{item['name']}' stands twice", field_path=f"{field_path}.{index}.name"
+            )
         table[item["name"]] = item
     return table
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -6,7 +6,7 @@
 
 from ploverward.common import errors
 
-MOST_EDITION = 2**63 - 1
+MAX_EDITION = 2**63 - 1
 
 
 def _number(value):
@@ -16,7 +16,7 @@
     return value
 
 
-Whole = typing.Annotated[int, pydantic.BeforeValidator(_number)]
+Integer = typing.Annotated[int, pydantic.BeforeValidator(_number)]
 Number = typing.Annotated[float, pydantic.BeforeValidator(_number)]
 
 
@@ -36,8 +36,8 @@
     kind: str = pydantic.Field(pattern=r"^(retry_safe|retry_unsafe|streaming)$")
     expiryMs: Number = pydantic.Field(gt=0)
     targetMs: Number = pydantic.Field(default=0, ge=0)
-    urgency: Whole = 0
-    tries: Whole = pydantic.Field(default=1, ge=1)
+    urgency: Integer = 0
+    tries: Integer = pydantic.Field(default=1, ge=1)
     sticky: bool = False
     keyless: bool = False
     resume: bool = False
@@ -55,35 +55,35 @@
 class Destination(_Open):
     name: str = pydantic.Field(min_length=1)
     health: str = "/health"
-    maxConns: Whole = pydantic.Field(default=64, ge=1)
+    maxConns: Integer = pydantic.Field(default=64, ge=1)
     warmupS: Number = pydantic.Field(default=0, ge=0)
     warmupPerS: Number = pydantic.Field(default=0, ge=0)
 
 
-class Sender(_Open):
+class Tenant(_Open):
     """A tenant: who may ask, and how much."""
 
     name: str = pydantic.Field(min_length=1)
     apiKeys: list[typing.Annotated[str, pydantic.Field(min_length=1)]] = []
-    urgency: Whole | None = None
+    urgency: Integer | None = None
     perS: Number = pydantic.Field(default=0, ge=0)
     burst: Number = pydantic.Field(default=0, ge=0)
     homeRegions: list[str] = []
 
 
 class Limits(_Open):
-    labelBytes: Whole = pydantic.Field(default=16384, ge=256)
-    parcelBytes: Whole = pydantic.Field(default=4194304, ge=0)
+    labelBytes: Integer = pydantic.Field(default=16384, ge=256)
+    parcelBytes: Integer = pydantic.Field(default=4194304, ge=0)
     labelMs: Number = pydantic.Field(default=3000, gt=0)
     idleMs: Number = pydantic.Field(default=15000, gt=0)
 
 
 class Configuration(_Open):
-    edition: Whole = pydantic.Field(ge=1, le=MOST_EDITION, strict=True)
+    edition: Integer = pydantic.Field(ge=1, le=MAX_EDITION, strict=True)
     routes: list[Route]
     destinations: list[Destination]
     limits: Limits = Limits()
-    senders: list[Sender] | None = None
+    senders: list[Tenant] | None = None
 
 
 def validated(model: type, body: dict):
@@ -92,8 +92,8 @@
         return model.model_validate(body)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        raise errors.InvalidConfiguration(first["msg"], place=place) from None
+        field_path = ".".join(str(part) for part in first["loc"])
+        raise errors.InvalidConfigurationError(first["msg"], field_path=field_path) from None
 
 
 def check(*, body: dict) -> Configuration:
@@ -102,41 +102,45 @@
     names = set()
     for index, destination in enumerate(configuration.destinations):
         if destination.name in names:
-            raise errors.InvalidConfiguration(f"'{destination.name}' stands twice", place=f"destinations.{index}.name")
+            raise errors.InvalidConfigurationError(
+                f"'{destination.name}' stands twice", field_path=f"destinations.{index}.name"
+            )
         names.add(destination.name)
     places = {}
     route_names = set()
     for index, route in enumerate(configuration.routes):
         if route.name in route_names:
-            raise errors.InvalidConfiguration(f"'{route.name}' stands twice", place=f"routes.{index}.name")
+            raise errors.InvalidConfigurationError(f"'{route.name}' stands twice", field_path=f"routes.{index}.name")
         route_names.add(route.name)
         key = (route.host.lower(), route.pathLead)
         if key in places:
-            raise errors.InvalidConfiguration(
-                f"same host and prefix as '{places[key]}'", place=f"routes.{index}.pathLead"
+            raise errors.InvalidConfigurationError(
+                f"same host and prefix as '{places[key]}'", field_path=f"routes.{index}.pathLead"
             )
         places[key] = route.name
         portions = route.portions()
         if not portions:
-            raise errors.InvalidConfiguration("no destination", place=f"routes.{index}.destination")
+            raise errors.InvalidConfigurationError("no destination", field_path=f"routes.{index}.destination")
         for name, _share in portions:
             if name not in names:
-                raise errors.InvalidConfiguration(f"unknown destination '{name}'", place=f"routes.{index}.destination")
+                raise errors.InvalidConfigurationError(
+                    f"unknown destination '{name}'", field_path=f"routes.{index}.destination"
+                )
         if sum(share for _name, share in portions) <= 0:
-            raise errors.InvalidConfiguration("the shares sum to 0", place=f"routes.{index}.apportion")
-    _check_senders(configuration.senders or ())
+            raise errors.InvalidConfigurationError("the shares sum to 0", field_path=f"routes.{index}.apportion")
+    _check_tenants(configuration.senders or ())
     return configuration
 
 
-def _check_senders(senders) -> None:
+def _check_tenants(senders) -> None:
     """Names and keys stand once. What is said of a key never repeats it."""
-    names, holders = set(), {}
-    for index, sender in enumerate(senders):
-        if sender.name in names:
-            raise errors.InvalidConfiguration(f"'{sender.name}' stands twice", place=f"senders.{index}.name")
-        names.add(sender.name)
-        for number, key in enumerate(sender.apiKeys):
-            if holders.setdefault(key, sender.name) != sender.name:
-                raise errors.InvalidConfiguration(
-                    f"the key is held by '{holders[key]}' too", place=f"senders.{index}.apiKeys.{number}"
+    names, tenant_by_key = set(), {}
+    for index, tenant in enumerate(senders):
+        if tenant.name in names:
+            raise errors.InvalidConfigurationError(f"'{tenant.name}' stands twice", field_path=f"senders.{index}.name")
+        names.add(tenant.name)
+        for number, key in enumerate(tenant.apiKeys):
+            if tenant_by_key.setdefault(key, tenant.name) != tenant.name:
+                raise errors.InvalidConfigurationError(
+                    f"the key is held by '{tenant_by_key[key]}' too", field_path=f"senders.{index}.apiKeys.{number}"
                 )
--- a/ploverward/control_plane/configuration/test_parser.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -15,7 +15,7 @@
 from ploverward.control_plane.configuration import test_schema
 
 GOOD = test_schema.GOOD
-HELD = {"edition": GOOD["edition"], "body": GOOD, "recent": [[GOOD["edition"], "0" * 20]]}
+STORED_PAYLOAD = {"edition": GOOD["edition"], "body": GOOD, "recent": [[GOOD["edition"], "0" * 20]]}
 CHECKED = hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
 
 SCALARS = strategies.one_of(
@@ -62,19 +62,19 @@
     return changed
 
 
-def refused_or_done(act):
+def refused_or_done(callback):
     """What `act` gives, or None where it refused with a place."""
     try:
-        return act()
-    except errors.InvalidConfiguration as error:
-        assert error.text and error.place
+        return callback()
+    except errors.InvalidConfigurationError as error:
+        assert error.text and error.field_path
         return None
 
 
-def refused(act) -> str:
-    with pytest.raises(errors.InvalidConfiguration) as told:
-        act()
-    return told.value.place
+def refused(callback) -> str:
+    with pytest.raises(errors.InvalidConfigurationError) as outcome:
+        callback()
+    return outcome.value.field_path
 
 
 @CHECKED
@@ -94,14 +94,14 @@
 
 
 @CHECKED
-@hypothesis.given(cut=strategies.integers(min_value=0, max_value=len(json.dumps(GOOD)) - 1))
-def test_a_body_cut_short_is_refused_whole(cut):
-    assert refused(lambda: parser.read_json(data=json.dumps(GOOD).encode()[:cut])) == "body"
+@hypothesis.given(kept_length=strategies.integers(min_value=0, max_value=len(json.dumps(GOOD)) - 1))
+def test_a_truncated_body_is_rejected_entirely(kept_length):
+    assert refused(lambda: parser.read_json(data=json.dumps(GOOD).encode()[:kept_length])) == "body"
 
 
 @CHECKED
 @hypothesis.given(path=strategies.sampled_from(PLACES), value=VALUES)
-def test_any_value_at_any_place_is_checked_or_refused(path, value):
+def test_any_value_at_any_field_is_checked_or_refused(path, value):
     body = with_value(GOOD, path, value)
     before = copy.deepcopy(body)
     refused_or_done(lambda: schema.check(body=body))
@@ -121,27 +121,27 @@
     method=strategies.sampled_from(["PUT", "PATCH"]),
     base=strategies.sampled_from([0, 3, 7, 10**18]),
     body=OBJECTS | strategies.tuples(strategies.sampled_from(PLACES), VALUES).map(lambda at: with_value(GOOD, *at)),
-    held=strategies.sampled_from([None, HELD]),
+    stored_payload=strategies.sampled_from([None, STORED_PAYLOAD]),
 )
-def test_any_order_is_taken_or_refused_and_changes_nothing_else(method, base, body, held):
-    before = copy.deepcopy(held)
+def test_any_order_is_taken_or_refused_and_changes_nothing_else(method, base, body, stored_payload):
+    before = copy.deepcopy(stored_payload)
 
-    def act():
+    def callback():
         order = orders.read(method=method, base=base, data=json.dumps(body).encode())
-        return orders.edit_for(order=order, archived=0)(held)
+        return orders.edit_for(order=order, archived=0)(stored_payload)
 
     try:
-        new, told = act()
-    except (errors.InvalidConfiguration, errors.StaleBase):
-        new, told = held, None
-    assert held == before
-    if told == orders.TAKEN:
+        new, outcome = callback()
+    except (errors.InvalidConfigurationError, errors.StaleVersionError):
+        new, outcome = stored_payload, None
+    assert stored_payload == before
+    if outcome == orders.TAKEN:
         assert new["edition"] > base and schema.check(body=new["body"]).edition == new["edition"]
         assert json.loads(json.dumps(new, allow_nan=False)) == new
 
 
 @pytest.mark.parametrize(
-    "data, place",
+    "data, field_path",
     [
         (b'{"edition":7,"edition":8}', "edition"),
         (b'{"routes":[{"name":"a","name":"b"}]}', "name"),
@@ -159,12 +159,12 @@
         (b"null", "body"),
     ],
 )
-def test_unclear_json_names_its_place(data, place):
-    assert refused(lambda: parser.read_json(data=data)) == place
+def test_unclear_json_names_the_field(data, field_path):
+    assert refused(lambda: parser.read_json(data=data)) == field_path
 
 
 @pytest.mark.parametrize(
-    "path, value, place",
+    "path, value, field_path",
     [
         (("edition",), "7", "edition"),
         (("edition",), True, "edition"),
@@ -185,12 +185,12 @@
         (("limits", "labelBytes"), "many", "limits.labelBytes"),
     ],
 )
-def test_wrong_values_name_their_place(path, value, place):
-    assert refused(lambda: schema.check(body=with_value(GOOD, path, value))) == place
+def test_wrong_values_name_the_field(path, value, field_path):
+    assert refused(lambda: schema.check(body=with_value(GOOD, path, value))) == field_path
 
 
 @pytest.mark.parametrize(
-    "patch, place",
+    "patch, field_path",
     [
         ({"upsert": []}, "upsert"),
         ({"upsert": 0}, "upsert"),
@@ -209,8 +209,8 @@
         ({"withdraw": {"routes": ["nobody"]}}, "withdraw.routes.0"),
     ],
 )
-def test_malformed_patches_name_their_place(patch, place):
-    assert refused(lambda: patchs.merge(body=GOOD, patch={"edition": 8, **patch})) == place
+def test_malformed_patches_name_the_field(patch, field_path):
+    assert refused(lambda: patchs.merge(body=GOOD, patch={"edition": 8, **patch})) == field_path
 
 
 def test_a_stored_body_with_an_item_without_a_name_is_refused():
