--- a/ploverward/control_plane/configuration/test_schema.py
+++ b/ploverward/control_plane/configuration/test_schema.py
@@ -33,18 +33,18 @@
 
 def changed(path, value):
     body = copy.deepcopy(GOOD)
-    place = body
+    field_path = body
     for key in path[:-1]:
-        place = place[key]
+        field_path = field_path[key]
     if value is None:
-        del place[path[-1]]
+        del field_path[path[-1]]
     else:
-        place[path[-1]] = value
+        field_path[path[-1]] = value
     return body
 
 
 @pytest.mark.parametrize(
-    "body, place",
+    "body, field_path",
     [
         (changed(("routes", 1, "destination"), "nowhere"), "routes.1.destination"),
         (changed(("routes", 1, "pathLead"), "/a/"), "routes.1.pathLead"),
@@ -57,15 +57,15 @@
         (changed(("destinations", 1, "name"), "d1"), "destinations.1.name"),
     ],
 )
-def test_invalid_ones_name_the_place(body, place):
-    with pytest.raises(errors.InvalidConfiguration) as told:
+def test_invalid_ones_name_the_field(body, field_path):
+    with pytest.raises(errors.InvalidConfigurationError) as outcome:
         schema.check(body=body)
-    assert told.value.place == place
+    assert outcome.value.field_path == field_path
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", json.dumps(GOOD).encode()[:-30], b"\xff\xfe"])
 def test_unreadable_ones(data):
-    with pytest.raises(errors.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfigurationError):
         parser.read_json(data=data)
 
 
@@ -76,24 +76,24 @@
 
 
 def test_taken_then_resent_unchanged_is_known_also_after_newer_ones():
-    first, told = take(None, base=0, body=GOOD)
-    assert told == "taken" and first["body"] == GOOD
-    newer, told = take(first, base=7, body=changed(("edition",), 9))
-    assert told == "taken" and newer["edition"] == 9
+    first, outcome = take(None, base=0, body=GOOD)
+    assert outcome == "taken" and first["body"] == GOOD
+    newer, outcome = take(first, base=7, body=changed(("edition",), 9))
+    assert outcome == "taken" and newer["edition"] == 9
     assert take(newer, base=0, body=GOOD) == (newer, "known")
 
 
 def test_wrong_base_and_an_edition_not_above():
-    first, _told = take(None, base=0, body=GOOD)
-    with pytest.raises(errors.StaleBase):
+    first, _outcome = take(None, base=0, body=GOOD)
+    with pytest.raises(errors.StaleVersionError):
         take(first, base=3, body=changed(("edition",), 9))
-    with pytest.raises(errors.InvalidConfiguration) as told:
+    with pytest.raises(errors.InvalidConfigurationError) as outcome:
         take(first, base=7, body=changed(("edition",), 6))
-    assert told.value.place == "edition"
+    assert outcome.value.field_path == "edition"
 
 
 def test_patch_adds_replaces_and_withdraws():
-    first, _told = take(None, base=0, body=GOOD)
+    first, _outcome = take(None, base=0, body=GOOD)
     patch = {
         "edition": 8,
         "upsert": {
@@ -101,13 +101,13 @@
         },
         "withdraw": {"routes": ["r1"]},
     }
-    new, told = take(first, base=7, body=patch, method="PATCH")
-    assert told == "taken"
+    new, outcome = take(first, base=7, body=patch, method="PATCH")
+    assert outcome == "taken"
     assert [(row["name"], row["expiryMs"]) for row in new["body"]["routes"]] == [("r2", 1), ("r3", 3000)]
     assert new["body"]["limits"] == GOOD["limits"]
-    with pytest.raises(errors.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfigurationError):
         take(first, base=7, body={"edition": 8, "withdraw": {"destinations": ["d2"]}}, method="PATCH")
-    with pytest.raises(errors.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfigurationError):
         take(first, base=7, body={"edition": 8, "withdraw": {"routes": ["nobody"]}}, method="PATCH")
 
 
@@ -129,17 +129,17 @@
     assert len(schema.check(body=body).routes) == 400
 
 
-def with_senders(*senders):
+def with_tenants(*senders):
     return schema.check(body={"edition": 1, "routes": [], "destinations": [], "senders": list(senders)})
 
 
 def test_tenants_are_read():
-    senders = with_senders({"name": "a", "apiKeys": ["k", "l"], "perS": 2}, {"name": "b", "apiKeys": ["m"]}).senders
-    assert [(sender.name, len(sender.apiKeys)) for sender in senders] == [("a", 2), ("b", 1)]
+    senders = with_tenants({"name": "a", "apiKeys": ["k", "l"], "perS": 2}, {"name": "b", "apiKeys": ["m"]}).senders
+    assert [(tenant.name, len(tenant.apiKeys)) for tenant in senders] == [("a", 2), ("b", 1)]
 
 
 @pytest.mark.parametrize(
-    "senders, place",
+    "senders, field_path",
     [
         (({"name": "a", "apiKeys": ["secret"]}, {"name": "b", "apiKeys": ["secret"]}), "senders.1.apiKeys.0"),
         (({"name": "a"}, {"name": "a"}), "senders.1.name"),
@@ -150,10 +150,10 @@
         (({"apiKeys": ["secret"]},), "senders.0.name"),
     ],
 )
-def test_tenants_that_are_none_name_the_place_and_never_a_key(senders, place):
-    with pytest.raises(errors.InvalidConfiguration) as caught:
-        with_senders(*senders)
-    assert caught.value.place == place and "secret" not in str(caught.value)
+def test_tenants_that_are_none_name_the_field_and_never_a_key(senders, field_path):
+    with pytest.raises(errors.InvalidConfigurationError) as caught:
+        with_tenants(*senders)
+    assert caught.value.field_path == field_path and "secret" not in str(caught.value)
 
 
 def test_a_patch_that_gives_a_key_to_a_second_tenant_is_invalid():
@@ -161,7 +161,7 @@
     merged = patchs.merge(
         body=body, patch={"edition": 2, "upsert": {"senders": [{"name": "b", "apiKeys": ["secret"]}]}}
     )
-    with pytest.raises(errors.InvalidConfiguration):
+    with pytest.raises(errors.InvalidConfigurationError):
         schema.check(body=merged)
     freed = patchs.merge(body=body, patch={"edition": 2, "withdraw": {"senders": ["a"]}})
     assert schema.check(body=freed).senders == []
--- a/ploverward/control_plane/consensus/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -31,8 +31,8 @@
 
     def rows(self, *, known=None) -> tuple:
         """A row a register. `known`: accepted ballots whose values are left out."""
-        whole = tuple(self.row(name) for name in sorted(self.table))
-        return tuple((*row[:6], b"") if known and known.get(row[0]) == (row[3], row[4]) else row for row in whole)
+        rows = tuple(self.row(name) for name in sorted(self.table))
+        return tuple((*row[:6], b"") if known and known.get(row[0]) == (row[3], row[4]) else row for row in rows)
 
     def prepare(self, message: tuple) -> tuple:
         """(answer, row to be made safe before the answer goes out, or None)."""
@@ -43,8 +43,8 @@
             return self.refuse_prepare(message), None
         is_new = ballot > promised
         self.table[name] = (ballot, accepted, rev, value)
-        told = b"" if tuple(known) == accepted else value
-        answer = ("promise", number, name, True, self.incarnation, *ballot, *accepted, rev, told)
+        sent_value = b"" if tuple(known) == accepted else value
+        answer = ("promise", number, name, True, self.incarnation, *ballot, *accepted, rev, sent_value)
         return answer, (self.row(name) if is_new else None)
 
     def refuse_prepare(self, message: tuple) -> tuple:
@@ -52,12 +52,12 @@
         promised, accepted, _rev, _value = self.get(message[2])
         return ("promise", message[1], message[2], False, self.incarnation, *promised, *accepted, 0, b"")
 
-    def peek(self, message: tuple) -> tuple:
+    def quorum_read(self, message: tuple) -> tuple:
         """What is accepted here; nothing is promised. A value that the reader holds already is left out."""
         _kind, number, name, *known = message
         promised, accepted, rev, value = self.get(name)
-        told = b"" if tuple(known) == accepted else value
-        return ("peeked", number, name, self.votes, *promised, *accepted, rev, told)
+        sent_value = b"" if tuple(known) == accepted else value
+        return ("peeked", number, name, self.votes, *promised, *accepted, rev, sent_value)
 
     def accept(self, message: tuple) -> tuple:
         """(answer, row to be made safe before the answer goes out, or None)."""
@@ -81,7 +81,7 @@
         self.table[name] = (ballot, accepted, rev, value)
         return self.row(name)
 
-    def refill(self, *, incarnation: str, states: tuple) -> tuple:
+    def catch_up(self, *, incarnation: str, states: tuple) -> tuple:
         """Takes on the highest promise and value of the intact others; only then votes."""
         for rows in states:
             for name, promised_n, promised_p, accepted_n, accepted_p, rev, value in rows:
--- a/ploverward/control_plane/consensus/acceptor_storage.py
+++ b/ploverward/control_plane/consensus/acceptor_storage.py
@@ -47,24 +47,24 @@
     ones behind it is damage, and a node with damage must not vote.
     """
     rows = []
-    place = 0
-    while place + _RECORD_HEAD.size <= len(data):
-        size, check = _RECORD_HEAD.unpack_from(data, place)
-        body = data[place + _RECORD_HEAD.size : place + _RECORD_HEAD.size + size]
+    offset = 0
+    while offset + _RECORD_HEAD.size <= len(data):
+        size, check = _RECORD_HEAD.unpack_from(data, offset)
+        body = data[offset + _RECORD_HEAD.size : offset + _RECORD_HEAD.size + size]
         if size == 0 or len(body) < size or zlib.crc32(body) != check:
             break
         try:
             rows += [tuple(row) for row in _BATCH.parse(body)]
         except construct.ConstructError:
             break
-        place += _RECORD_HEAD.size + size
-    if place < len(data) and _has_record_after(data, place):
-        raise errors.StoreProblem(f"damage at byte {place}", step="read")
-    return rows, place
+        offset += _RECORD_HEAD.size + size
+    if offset < len(data) and _has_record_after(data, offset):
+        raise errors.StorageError(f"damage at byte {offset}", step="read")
+    return rows, offset
 
 
-def _has_record_after(data: bytes, place: int) -> bool:
-    for start in range(place + 1, len(data) - _RECORD_HEAD.size):
+def _has_record_after(data: bytes, offset: int) -> bool:
+    for start in range(offset + 1, len(data) - _RECORD_HEAD.size):
         size, check = _RECORD_HEAD.unpack_from(data, start)
         if 8 <= size <= len(data) - start - _RECORD_HEAD.size:
             body = data[start + _RECORD_HEAD.size : start + _RECORD_HEAD.size + size]
@@ -77,9 +77,9 @@
     """Register: its newest row. A row that only promises leaves out the value: that is the earlier row's."""
     table = {}
     for row in rows:
-        held = table.get(row[0])
-        if held is not None and not row[6] and accepted_of(row) == accepted_of(held):
-            row = (*row[:6], held[6])
+        previous = table.get(row[0])
+        if previous is not None and not row[6] and accepted_of(row) == accepted_of(previous):
+            row = (*row[:6], previous[6])
         table[row[0]] = row
     return table
 
@@ -170,7 +170,7 @@
         self._size = 0
         self._live_size = 0
         self._accepted = {}  # register: the ballot whose value the file holds
-        self._needs_whole = True
+        self._needs_rewrite = True
         self.rewrites = 0
 
     def load(self) -> Image:
@@ -196,14 +196,14 @@
         data = pack_rows(shortened) if rows else b""
         wanted = max(LEAST_LONG, LONG_FACTOR * self._live_size)
         is_long = self._size + len(data) > max(LEAST_FACTOR * self._live_size, min(self._limit, wanted))
-        if self._needs_whole or is_long:
+        if self._needs_rewrite or is_long:
             self._rewrite(image)
             return
         if not data:
             return
-        self._needs_whole = True  # until it is known that all went well
+        self._needs_rewrite = True  # until it is known that all went well
         self._disk.append(name=FILE_NAME, data=data, size_before=self._size)
-        self._needs_whole = False
+        self._needs_rewrite = False
         self._size += len(data)
         self._accepted |= {row[0]: accepted_of(row) for row in rows}
 
@@ -212,10 +212,10 @@
 
     def _rewrite(self, image: Image) -> None:
         identity = (IDENTITY, 0, image.incarnation, 0, " ".join(image.first_set), 0, b"")
-        whole = pack_rows((identity, *image.rows))
-        self._needs_whole = True
-        self._disk.replace(name=FILE_NAME, new_name=NEW_NAME, data=whole)
-        self._needs_whole = False
-        self._size = self._live_size = len(whole)
+        data = pack_rows((identity, *image.rows))
+        self._needs_rewrite = True
+        self._disk.replace(name=FILE_NAME, new_name=NEW_NAME, data=data)
+        self._needs_rewrite = False
+        self._size = self._live_size = len(data)
         self._accepted = {row[0]: accepted_of(row) for row in image.rows}
         self.rewrites += 1
--- a/ploverward/control_plane/consensus/ballots.py
+++ b/ploverward/control_plane/consensus/ballots.py
@@ -45,7 +45,7 @@
     return _head(value)[0]
 
 
-def way(value: bytes) -> tuple:
+def member_sets(value: bytes) -> tuple:
     """The sets that a round has to reckon with which found this value accepted: the chosen one first."""
     members, previous, _moved_at = _head(value)
     return (previous, members) if previous else (members,)
--- a/ploverward/control_plane/consensus/catch_up.py
+++ b/ploverward/control_plane/consensus/catch_up.py
@@ -24,7 +24,7 @@
     return first_set, tuple(row for row in rows if row[0] != FIRST_SET)
 
 
-class Refill:
+class LearnerCatchUp:
     """Pure: answers in; the stage, the ballots to ask for, and the rows once it is done."""
 
     def __init__(self, *, own: str, registers: tuple):
@@ -51,18 +51,18 @@
         return ("refill", self._number, tuple(rows))
 
     def _with_values(self, rows: tuple) -> tuple:
-        whole = []
+        merged_rows = []
         for name, promised_n, promised_p, accepted_n, accepted_p, rev, value in rows:
             accepted = (accepted_n, accepted_p)
-            told = self._values.setdefault(name, {})
+            reported = self._values.setdefault(name, {})
             if value:
-                told[accepted] = (rev, value)
+                reported[accepted] = (rev, value)
             else:
-                rev, value = told.get(accepted, (rev, value))
-            whole.append((name, promised_n, promised_p, *accepted, rev, value))
-        return tuple(whole)
+                rev, value = reported.get(accepted, (rev, value))
+            merged_rows.append((name, promised_n, promised_p, *accepted, rev, value))
+        return tuple(merged_rows)
 
-    def take(self, *, member: str, number: int, first_set: tuple, rows: tuple) -> None:
+    def handle(self, *, member: str, number: int, first_set: tuple, rows: tuple) -> None:
         """A voter's answer."""
         if number != self._number or self.stage == DONE:
             return
@@ -93,7 +93,7 @@
                 if row[6] and (row[3], row[4]) > newest.get(row[0], (ballots.NONE, b""))[0]:
                     newest[row[0]] = ((row[3], row[4]), row[6])
         for name in self._registers:
-            sets = ballots.way(newest[name][1]) if name in newest else (self.first_set,)
+            sets = ballots.member_sets(newest[name][1]) if name in newest else (self.first_set,)
             if not all(self._has_enough_of(members) for members in sets):
                 return False
         return True
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -10,10 +10,10 @@
 from ploverward.control_plane.consensus import catch_up
 from ploverward.control_plane.consensus import acceptor_storage
 
-PATIENCE_SHARE = 1 / 10  # of receiptMs: how long an attempt waits for a majority
+ATTEMPT_TIMEOUT_SHARE = 1 / 10  # of receiptMs: how long an attempt waits for a majority
 LIMIT_SHARE = 1 / 2  # of receiptMs: how long a round is tried again
 RETRY_SHARE = 1 / 20  # of receiptMs: from a failed write to the next try
-HANG_PATIENCES = 2  # a write that takes longer helps no attempt: this node votes for nothing meanwhile
+HANG_ATTEMPT_TIMEOUTS = 2  # a write that takes longer helps no attempt: this node votes for nothing meanwhile
 LOOK_SHARE = 1 / 16  # of contactMs: how often a learner asks
 DISK_SHARE = 1 / 16  # of the disk: the register's file is written anew once it is longer
 LEAST_DISK_MB = 8.0
@@ -40,7 +40,7 @@
         receipt_s: float,
         contact_s: float,
         send,
-        ask_cores,
+        broadcast_to_cores,
         members,
         publish,
         on_value,
@@ -51,30 +51,30 @@
         self._unique_id = unique_id
         self._contact_s = contact_s
         self._send_other = send
-        self._ask_cores = ask_cores
+        self._broadcast_to_cores = broadcast_to_cores
         self._members = members
         self._publish = publish
         self._on_value = on_value
         self._version = version
         self._reading = set()
         self._behind = {}  # register: (version, beats for which it has been accepted here and not known as chosen)
-        self._refill = catch_up.Refill(own=own, registers=register_names.REGISTERS)
-        self._refill_begun = loop.now()
-        patience_s = receipt_s * PATIENCE_SHARE
+        self._catch_up = catch_up.LearnerCatchUp(own=own, registers=register_names.REGISTERS)
+        self._catch_up_begun_at = loop.now()
+        attempt_timeout_s = receipt_s * ATTEMPT_TIMEOUT_SHARE
         self.journal = write_ahead_log.Journal(
-            loop=loop, store=store, retry_s=receipt_s * RETRY_SHARE, hang_s=patience_s * HANG_PATIENCES
+            loop=loop, store=store, retry_s=receipt_s * RETRY_SHARE, hang_s=attempt_timeout_s * HANG_ATTEMPT_TIMEOUTS
         )
         self.proposer = proposers.Proposer(
             own=f"{own}/{unique_id()[:6]}",
             seeds=(),
             send=self.send,
-            later=lambda delay, act: loop.after(delay=delay, act=act),
+            later=lambda delay, callback: loop.after(delay=delay, callback=callback),
             now=loop.now,
             chance=chance,
             on_chosen=self._on_chosen,
             limit_s=receipt_s * LIMIT_SHARE,
-            patience_s=patience_s,
-            held=lambda name: self.journal.held.get(name)[1:],
+            attempt_timeout_s=attempt_timeout_s,
+            accepted_state=lambda name: self.journal.accepted_state.get(name)[1:],
         )
         self.acceptor = acceptors.Acceptor()
         self._load(store, seeds, is_first_start)
@@ -83,11 +83,11 @@
         self.is_damaged = False
         try:
             image = store.load()
-            event_log.note(
+            event_log.record(
                 "register read", incarnation=image.incarnation, registers={row[0]: row[5] for row in image.rows}
             )
-        except (errors.StoreProblem, OSError) as failure:
-            event_log.spill(f"the register's file can't be read, this node refills: {failure}")
+        except (errors.StorageError, OSError) as failure:
+            event_log.dump(f"the register's file can't be read, this node refills: {failure}")
             image = acceptor_storage.Image()
             self.is_damaged = True
         if not image.incarnation and is_first_start and not self.is_damaged:
@@ -113,17 +113,17 @@
     # Messages.
     def send(self, member: str, message: tuple) -> None:
         if member == self.own:
-            self._loop.command(act=lambda: self.take(self.own, None, message))
+            self._loop.command(callback=lambda: self.handle(self.own, None, message))
         else:
             self._send_other(member, message)
 
     def _answer(self, member: str, link, message: tuple) -> None:
         if link is None:
-            self.take(member, None, message)
+            self.handle(member, None, message)
         else:
             link.send(message)
 
-    def take(self, member: str, link, message: tuple) -> bool:
+    def handle(self, member: str, link, message: tuple) -> bool:
         """A message of the registers; False where it is none."""
         kind = message[0]
         if kind in ("prepare", "accept"):
@@ -131,17 +131,17 @@
         elif kind == "promise":
             self.proposer.take_promise(member, message)
         elif kind == "peek":
-            self._answer(member, link, self.journal.held.peek(message))
+            self._answer(member, link, self.journal.accepted_state.quorum_read(message))
         elif kind == "peeked":
-            self.proposer.take_peeked(member, message)
+            self.proposer.handle_quorum_read_reply(member, message)
         elif kind == "accepted":
             self.proposer.take_accepted(member, message)
         elif kind == "chosen":
-            self._take_chosen(message)
+            self._handle_chosen(message)
         elif kind == "refill":
-            self._take_refill(member, link, message)
+            self._handle_catch_up_request(member, link, message)
         elif kind == "refilled":
-            self._take_refilled(member, message)
+            self._handle_catch_up_reply(member, message)
         else:
             return False
         return True
@@ -151,22 +151,26 @@
         name = message[2]
         if self.journal.is_hindered:
             # Nothing changes here, so that the others can agree without this node.
-            held = self.journal.held
-            self._answer(member, link, held.refuse_prepare(message) if is_prepare else held.refuse_accept(message))
+            accepted_state = self.journal.accepted_state
+            self._answer(
+                member,
+                link,
+                accepted_state.refuse_prepare(message) if is_prepare else accepted_state.refuse_accept(message),
+            )
             return
         answer, row = self.acceptor.prepare(message) if is_prepare else self.acceptor.accept(message)
         self.proposer.note_top(name=name, number=self.acceptor.get(name)[0][0])
-        self.journal.note(row=row)
-        self.journal.tell(key=(member, message[0], name), act=lambda: self._answer(member, link, answer))
+        self.journal.record(row=row)
+        self.journal.respond(key=(member, message[0], name), callback=lambda: self._answer(member, link, answer))
 
-    def _take_chosen(self, message: tuple) -> None:
+    def _handle_chosen(self, message: tuple) -> None:
         _kind, name, ballot_n, ballot_p, rev = message
         _promised, accepted, _rev, value = self.acceptor.get(name)
         if accepted == (ballot_n, ballot_p):
             self.publish(name, rev, value)
 
     # Learning.
-    def _take_refill(self, member: str, link, message: tuple) -> None:
+    def _handle_catch_up_request(self, member: str, link, message: tuple) -> None:
         """A learner asks. It is told what the disk holds, and what it asks to be promised is promised first."""
         _kind, number, asked = message
         fences = {row[0]: (row[1], row[2]) for row in asked if row[1]}
@@ -175,49 +179,53 @@
             return
         if self.acceptor.votes:
             for name, ballot in fences.items():
-                self.journal.note(row=self.acceptor.fence(name=name, ballot=ballot))
-
-        def tell() -> None:
-            held = self.journal.held
-            rows = (catch_up.first_set_row(self.proposer.seeds), *held.rows(known=known)) if held.votes else ()
-            link.send(("refilled", number, held.votes, rows))
+                self.journal.record(row=self.acceptor.fence(name=name, ballot=ballot))
+
+        def respond() -> None:
+            accepted_state = self.journal.accepted_state
+            rows = (
+                (catch_up.first_set_row(self.proposer.seeds), *accepted_state.rows(known=known))
+                if accepted_state.votes
+                else ()
+            )
+            link.send(("refilled", number, accepted_state.votes, rows))
 
         if fences:
-            self.journal.tell(key=(member, "refill", ""), act=tell)
+            self.journal.respond(key=(member, "refill", ""), callback=respond)
         else:
-            tell()
+            respond()
 
     def _look(self) -> None:
         """Asks the core nodes in touch again and again, until enough of them answered."""
         if self.acceptor.votes:
             return
-        if self._loop.now() - self._refill_begun > self._contact_s:
-            self._refill_begun = self._loop.now()
-            self._refill.start()
-        event_log.note("refill asked", had={member: len(rows) for member, rows in self._refill.answers.items()})
-        self._ask_cores(self._refill.request())
-        self._loop.after(delay=self._contact_s * LOOK_SHARE, act=self._look)
-
-    def _take_refilled(self, member: str, message: tuple) -> None:
+        if self._loop.now() - self._catch_up_begun_at > self._contact_s:
+            self._catch_up_begun_at = self._loop.now()
+            self._catch_up.start()
+        event_log.record("refill asked", had={member: len(rows) for member, rows in self._catch_up.answers.items()})
+        self._broadcast_to_cores(self._catch_up.request())
+        self._loop.after(delay=self._contact_s * LOOK_SHARE, callback=self._look)
+
+    def _handle_catch_up_reply(self, member: str, message: tuple) -> None:
         _kind, number, is_intact, rows = message
         if self.acceptor.votes or not is_intact:
             return
-        stage = self._refill.stage
+        stage = self._catch_up.stage
         first_set, rows = catch_up.split_first_set(rows)
-        self._refill.take(member=member, number=number, first_set=first_set, rows=rows)
-        if self._refill.stage == catch_up.DONE:
-            self._end_refill()
-        elif self._refill.stage != stage:
-            self._ask_cores(self._refill.request())
+        self._catch_up.handle(member=member, number=number, first_set=first_set, rows=rows)
+        if self._catch_up.stage == catch_up.DONE:
+            self._finish_catch_up()
+        elif self._catch_up.stage != stage:
+            self._broadcast_to_cores(self._catch_up.request())
 
-    def _end_refill(self) -> None:
+    def _finish_catch_up(self) -> None:
         gathered = acceptors.Acceptor()
-        rows = gathered.refill(incarnation="", states=tuple(self._refill.answers.values()))
-        image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=self._refill.first_set, rows=rows)
-        self._begin(image, on_safe=self._refill_over)
+        rows = gathered.catch_up(incarnation="", states=tuple(self._catch_up.answers.values()))
+        image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=self._catch_up.first_set, rows=rows)
+        self._begin(image, on_safe=self._on_caught_up)
 
-    def _refill_over(self) -> None:
-        event_log.note("refilled", incarnation=self.acceptor.incarnation)
+    def _on_caught_up(self) -> None:
+        event_log.record("refilled", incarnation=self.acceptor.incarnation)
         self.proposer.is_learner = False
         for name in register_names.REGISTERS:
             self.repair(name)
@@ -225,12 +233,12 @@
     @property
     def is_voter(self) -> bool:
         """Whether a majority may count on this node now: its disk holds its identity and takes writes."""
-        return self.journal.held.votes and not self.proposer.is_learner and not self.journal.is_hindered
+        return self.journal.accepted_state.votes and not self.proposer.is_learner and not self.journal.is_hindered
 
     # Reading and mending.
-    def floor(self) -> tuple:
+    def minimum_versions(self) -> tuple:
         """(register, newest version that this node's disk holds), for each register."""
-        return tuple((name, self.journal.held.get(name)[2]) for name in register_names.REGISTERS)
+        return tuple((name, self.journal.accepted_state.get(name)[2]) for name in register_names.REGISTERS)
 
     def read_unknown(self) -> None:
         """What is on the disk but not yet known as chosen."""
@@ -245,28 +253,28 @@
     def is_reading(self, name: str) -> bool:
         return name in self._reading
 
-    def mend(self) -> None:
+    def run_anti_entropy(self) -> None:
         """A value accepted here but not known as chosen for a while is finished by a read, a half-done move by a round."""
         if not self.acceptor.votes:
             return
         members = self._members()
-        turn = 2 + (members.index(self.own) if self.own in members else len(members))
+        repair_after_beats = 2 + (members.index(self.own) if self.own in members else len(members))
         for name in register_names.REGISTERS:
-            _promised, _accepted, rev, value = self.journal.held.get(name)
+            _promised, _accepted, rev, value = self.journal.accepted_state.get(name)
             is_open = rev > self._version(name)
-            if not is_open and not (value and len(ballots.way(value)) > 1):
+            if not is_open and not (value and len(ballots.member_sets(value)) > 1):
                 self._behind.pop(name, None)
                 continue
             known, beats = self._behind.get(name, (rev, 0))
             beats = beats + 1 if known == rev else 1
-            if beats >= turn:  # in turn, so that the core nodes do not meet in it
+            if beats >= repair_after_beats:  # in turn, so that the core nodes do not meet in it
                 self.repair(name) if is_open else self.proposer.finish_move(name=name)
                 beats = 0
             self._behind[name] = (rev, beats)
 
-    def _on_chosen(self, name: str, ballot: tuple, rev: int, value: bytes, is_news: bool) -> None:
+    def _on_chosen(self, name: str, ballot: tuple, rev: int, value: bytes, is_newly_chosen: bool) -> None:
         self.publish(name, rev, value)
-        if not is_news:
+        if not is_newly_chosen:
             return
         for member in self._members():
             if member != self.own:
@@ -276,7 +284,7 @@
         """A value that is known to be chosen."""
         if not value or not self._publish(name, rev, value):
             return
-        event_log.note("chosen", register=name, rev=rev)
+        event_log.record("chosen", register=name, rev=rev)
         members, payload = ballots.unpack(value)
         self.proposer.learn_chosen(name=name, rev=rev, value=value)
         self._on_value(name, payload, members)
@@ -301,11 +309,11 @@
             receipt_s=self.receipt_s,
             contact_s=self.contact_s,
             send=self._send_core,
-            ask_cores=self._ask_cores,
+            broadcast_to_cores=self._broadcast_to_cores,
             members=lambda: self.members(),
-            publish=lambda name, rev, value: self.desk.publish(topic=name, epoch=0, number=rev, data=value),
+            publish=lambda name, rev, value: self.publisher.publish(topic=name, epoch=0, number=rev, data=value),
             on_value=self._apply,
-            version=lambda name: self.desk.serial(name)[1],
+            version=lambda name: self.publisher.version(name)[1],
         )
 
     @property
@@ -317,17 +325,17 @@
         return self.voting.proposer
 
     def _send_core(self, member: str, message: tuple) -> None:
-        dialer = self.dialers.get(member)
-        if dialer is not None and dialer.link is not None:
-            dialer.link.send(message)
+        connector = self.connectors.get(member)
+        if connector is not None and connector.link is not None:
+            connector.link.send(message)
 
-    def _ask_cores(self, message: tuple) -> None:
-        for dialer in self.dialers.values():
-            if dialer.link is not None and dialer.link.is_up:
-                dialer.link.send(message)
+    def _broadcast_to_cores(self, message: tuple) -> None:
+        for connector in self.connectors.values():
+            if connector.link is not None and connector.link.is_up:
+                connector.link.send(message)
 
-    def _take_register(self, member: str, link, message: tuple) -> bool:
-        return self.voting.take(member, link, message)
+    def _handle_register_message(self, member: str, link, message: tuple) -> bool:
+        return self.voting.handle(member, link, message)
 
     def _read_unknown(self) -> None:
         self.voting.read_unknown()
@@ -335,8 +343,8 @@
     def _repair(self, name: str) -> None:
         self.voting.repair(name)
 
-    def _mend(self) -> None:
-        self.voting.mend()
+    def _run_anti_entropy(self) -> None:
+        self.voting.run_anti_entropy()
 
     def _publish(self, name: str, rev: int, value: bytes) -> None:
         self.voting.publish(name, rev, value)
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -11,11 +11,11 @@
 from ploverward.common import errors
 from ploverward.control_plane.consensus import ballots
 
-MOST_ATTEMPTS = 12
+MAX_ATTEMPTS = 12
 LEAST_PAUSE = 0.1  # of the patience, before an attempt is made again
 PAUSE_STEP = 0.4  # of the patience: the random part of the first pause
-PAUSE_IN_TURN = 0.35  # of the patience, for each member that comes before this node
-MOST_STEPS_BACK = 8  # how many times longer the random part gets
+PAUSE_BY_RANK = 0.35  # of the patience, for each member that comes before this node
+MAX_BACKOFF_FACTOR = 8  # how many times longer the random part gets
 
 
 class Round:
@@ -41,7 +41,7 @@
         "next_set",
         "timer",
         "is_write",
-        "held",
+        "accepted_state",
         "is_settling",
         "outcome",
         "known_rev",
@@ -64,22 +64,22 @@
         chance,
         on_chosen,
         limit_s: float,
-        patience_s: float,
-        held=None,
+        attempt_timeout_s: float,
+        accepted_state=None,
     ):
         self.own = own
         self.known = {}  # register: the newest set known to be chosen
         self.seeds = tuple(seeds)
         self._known_rev = {}  # register: revision of the chosen value that told its set; 0 where only a set is known
         self.is_learner = False  # a learner makes no rounds
-        self._held = held  # register name -> (ballot, rev, value) that this node holds already
+        self._accepted_state = accepted_state  # register name -> (ballot, rev, value) that this node holds already
         self._send = send  # (member, message)
         self._later = later
         self._now = now
         self._chance = chance
         self._on_chosen = on_chosen  # (name, ballot, rev, value, whether others are to be told)
         self._limit_s = limit_s
-        self._patience_s = patience_s
+        self._attempt_timeout_s = attempt_timeout_s
         self._top = {}
         self._number = 0
         self._rounds = {}
@@ -101,7 +101,7 @@
 
     def learn_accepted(self, *, name: str, value: bytes) -> None:
         """This value was found accepted; only the set before a change is known to be chosen."""
-        self.known[name] = ballots.way(value)[0]
+        self.known[name] = ballots.member_sets(value)[0]
         self._known_rev[name] = 0
 
     def change(self, *, name: str, edit, done, next_set=None, is_wanted=None) -> None:
@@ -121,7 +121,7 @@
         work.deadline = self._now() + self._limit_s
         work.timer = None
         work.stage = ""
-        work.held = (ballots.NONE, 0, b"")
+        work.accepted_state = (ballots.NONE, 0, b"")
         work.is_settling = False
         work.outcome = None
         work.known_rev = 0
@@ -144,10 +144,10 @@
         if self.is_learner or not self.members(work.name):
             work.stage = "refused"
             self._rounds[work.number] = work
-            failure = errors.Unreachable("this node is a learner", step="start", peer=work.name)
+            failure = errors.QuorumUnavailableError("this node is a learner", step="start", peer=work.name)
             self._later(0, lambda: self._finish(work, failure))
         elif work.edit is None and work.next_set is None:
-            self._peek(work)
+            self._begin_quorum_read(work)
         else:
             self._prepare(work)
 
@@ -176,26 +176,26 @@
         self._rounds[work.number] = work
         return work.number
 
-    def _note_held(self, work) -> None:
+    def _note_accepted_state(self, work) -> None:
         """What this node holds is named in the request; an answer leaves that value out."""
-        if self._held is not None:
-            work.held = self._held(work.name)
+        if self._accepted_state is not None:
+            work.accepted_state = self._accepted_state(work.name)
 
     def _fill_in(self, work, accepted: tuple, rev: int, value: bytes) -> tuple:
-        if not value and accepted != ballots.NONE and accepted == work.held[0]:
-            return work.held[1:]
+        if not value and accepted != ballots.NONE and accepted == work.accepted_state[0]:
+            return work.accepted_state[1:]
         return rev, value
 
-    def _peek(self, work) -> None:
+    def _begin_quorum_read(self, work) -> None:
         work.stage = "peek"
         work.promises = {}
         work.sets = [self.members(work.name)]
         work.known_rev = self._known_rev.get(work.name, 0)
         number = self._renumber(work)
-        self._note_held(work)
+        self._note_accepted_state(work)
         for member in work.sets[0]:
-            self._send(member, ("peek", number, work.name, *work.held[0]))
-        self._later(self._patience_s * 0.5, lambda: self._look_further(work, number))
+            self._send(member, ("peek", number, work.name, *work.accepted_state[0]))
+        self._later(self._attempt_timeout_s * 0.5, lambda: self._look_further(work, number))
 
     def _look_further(self, work, number: int) -> None:
         """A look that found nothing chosen. In turn, so that nodes that all read at once do not meet in rounds."""
@@ -209,10 +209,10 @@
             return
         work.has_waited = True
         work.stage = "wait"
-        pause = self._patience_s * PAUSE_IN_TURN * rank
-        self._later(pause, lambda: self._peek(work) if work.stage == "wait" else None)
+        pause = self._attempt_timeout_s * PAUSE_BY_RANK * rank
+        self._later(pause, lambda: self._begin_quorum_read(work) if work.stage == "wait" else None)
 
-    def take_peeked(self, member: str, message: tuple) -> None:
+    def handle_quorum_read_reply(self, member: str, message: tuple) -> None:
         _kind, number, name, is_voter, promised_n, _promised_p, accepted_n, accepted_p, rev, value = message
         work = self._rounds.get(number)
         if work is None or work.name != name or work.stage != "peek" or not is_voter:
@@ -223,15 +223,19 @@
         members = work.sets[0]
         if not ballots.has_majority(of=members, among=work.promises):
             return
-        highest = max(held[0] for held in work.promises.values())
-        holders = {other for other, held in work.promises.items() if held[0] == highest}
-        best = next(held for held in work.promises.values() if held[0] == highest)
+        highest = max(accepted_state[0] for accepted_state in work.promises.values())
+        best_members = {other for other, accepted_state in work.promises.items() if accepted_state[0] == highest}
+        best = next(accepted_state for accepted_state in work.promises.values() if accepted_state[0] == highest)
         if highest == ballots.NONE:
             work.rev, work.payload = 0, None
             self._finish(work, None)
             return
         found, payload = ballots.unpack(best[2])
-        if found == members and self._is_chosen_set(work, best[2]) and ballots.has_majority(of=members, among=holders):
+        if (
+            found == members
+            and self._is_chosen_set(work, best[2])
+            and ballots.has_majority(of=members, among=best_members)
+        ):
             work.rev, work.payload = best[1], payload
             self._on_chosen(name, best[0], best[1], best[2], False)
             self._finish(work, None)
@@ -243,8 +247,10 @@
             return
         work.attempts += 1
         is_given_up = work.is_wanted is not None and not work.is_wanted()
-        if is_given_up or self._now() >= work.deadline or work.attempts > MOST_ATTEMPTS:
-            self._finish(work, errors.Unreachable("no majority", step=work.stage or "prepare", peer=work.name))
+        if is_given_up or self._now() >= work.deadline or work.attempts > MAX_ATTEMPTS:
+            self._finish(
+                work, errors.QuorumUnavailableError("no majority", step=work.stage or "prepare", peer=work.name)
+            )
             return
         top = self._top.get(work.name, 0) + 1
         self._top[work.name] = top
@@ -259,13 +265,13 @@
         work.is_write = False
         work.is_settling = False
         number = work.number
-        self._note_held(work)
+        self._note_accepted_state(work)
         for member in work.sets[0]:
             self._send_prepare(work, member)
-        self._later(self._patience_s, lambda: self._expire(work, number))
+        self._later(self._attempt_timeout_s, lambda: self._expire(work, number))
 
     def _send_prepare(self, work, member: str) -> None:
-        self._send(member, ("prepare", work.number, work.name, *work.ballot, *work.held[0]))
+        self._send(member, ("prepare", work.number, work.name, *work.ballot, *work.accepted_state[0]))
 
     def _expire(self, work, number) -> None:
         if work.number == number and work.stage in ("prepare", "accept"):
@@ -277,8 +283,8 @@
         work.stage = "wait"
         # A round takes about half of the patience: two that meet must come apart by more than that. A move of the set
         # does not step back further and further, so that it comes through where orders press.
-        steps = 1 if work.next_set is not None else min(2 ** (work.attempts - 1), MOST_STEPS_BACK)
-        pause = self._patience_s * (LEAST_PAUSE + self._chance() * PAUSE_STEP * steps)
+        steps = 1 if work.next_set is not None else min(2 ** (work.attempts - 1), MAX_BACKOFF_FACTOR)
+        pause = self._attempt_timeout_s * (LEAST_PAUSE + self._chance() * PAUSE_STEP * steps)
         self._later(pause, lambda: self._prepare(work) if work.stage == "wait" else None)
 
     def note_top(self, *, name: str, number: int) -> None:
@@ -314,7 +320,7 @@
         if (accepted_n, accepted_p) > work.best[0]:
             rev, value = self._fill_in(work, (accepted_n, accepted_p), rev, value)
             work.best = ((accepted_n, accepted_p), rev, value)
-            for members in ballots.way(value):
+            for members in ballots.member_sets(value):
                 self._add_set(work, members)
         if all(ballots.has_majority(of=members, among=work.promises) for members in work.sets):
             self._write(work)
@@ -333,7 +339,7 @@
         members, payload, chosen_set = work.sets[0], None, work.sets[0]
         if value:
             members, payload = ballots.unpack(value)
-            chosen_set = members if self._is_chosen_set(work, value) else ballots.way(value)[0]
+            chosen_set = members if self._is_chosen_set(work, value) else ballots.member_sets(value)[0]
         new_set = tuple(work.next_set) if work.next_set is not None else members
         if new_set != members and chosen_set != members:
             # One move after the other: the set found has to be chosen before the next one is written.
@@ -347,11 +353,11 @@
         if work.edit is not None:
             try:
                 new_payload, result = work.edit(payload)
-            except errors.Problem as fault:
-                self._settle(work, chosen_set, payload, fault, None)
+            except errors.PloverwardError as fault:
+                self._commit_found_value(work, chosen_set, payload, fault, None)
                 return
         if new_payload is payload and new_set == members:
-            self._settle(work, chosen_set, payload, None, result)
+            self._commit_found_value(work, chosen_set, payload, None, result)
             return
         work.rev = rev + 1
         work.payload = new_payload
@@ -363,7 +369,7 @@
         new_value = ballots.pack(members=new_set, payload=new_payload, previous=previous, moved_at=moved_at)
         self._accept(work, new_set, new_value, None, result)
 
-    def _settle(self, work, chosen_set, payload, fault, result) -> None:
+    def _commit_found_value(self, work, chosen_set, payload, fault, result) -> None:
         """Nothing to change: the value found is made safe at a majority under this ballot, then told."""
         _ballot, rev, value = work.best
         work.rev = rev
@@ -371,10 +377,10 @@
         if not value:
             self._finish(work, fault, result)
             return
-        way = ballots.way(value)
-        if way[-1] == chosen_set and len(way) > 1:
+        member_sets = ballots.member_sets(value)
+        if member_sets[-1] == chosen_set and len(member_sets) > 1:
             value = ballots.pack(members=chosen_set, payload=payload)
-        self._accept(work, way[-1], value, fault, result)
+        self._accept(work, member_sets[-1], value, fault, result)
 
     def _accept(self, work, new_set, value, fault, result) -> None:
         work.stage = "accept"
@@ -406,9 +412,9 @@
             return
         work.accepts.add(member)
         if all(ballots.has_majority(of=members, among=work.accepts) for members in work.sets):
-            self._take_chosen(work)
+            self._handle_chosen(work)
 
-    def _take_chosen(self, work) -> None:
+    def _handle_chosen(self, work) -> None:
         """The value of this round is chosen, and so is its set."""
         self.learn_chosen(name=work.name, rev=work.rev, value=work.value)
         self._on_chosen(work.name, work.ballot, work.rev, work.value, True)
@@ -416,7 +422,7 @@
         if work.is_settling:
             work.is_settling = False
             self._prepare(work)
-        elif work.next_set is not None and work.outcome is None and len(ballots.way(work.value)) > 1:
+        elif work.next_set is not None and work.outcome is None and len(ballots.member_sets(work.value)) > 1:
             # The move is agreed. One more round leaves the older set out of the value, so that nobody needs it.
             work.outcome = (fault, work.rev, work.payload, result)
             work.edit = None
--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -79,28 +79,28 @@
 def test_a_disk_that_is_emptied_in_the_first_seconds_is_filled_by_the_others():
     model = consensus_cluster.Model(seed=3, seeds=SEEDS)
     model.world.run(until=0.2)
-    model.restart("a", back_s=0.8, is_wiped=True)
+    model.restart("a", restart_after_s=0.8, is_wiped=True)
     model.world.run(until=4.0)
     node = model.nodes["a"]
     assert node.votes and node.voting.proposer.seeds == SEEDS
 
 
-def test_seeds_that_never_held_a_value_do_not_let_a_newcomer_read_that_there_is_none():
+def test_seeds_that_never_accepted_a_value_do_not_let_a_newcomer_read_that_there_is_none():
     """All seeds of the newcomer are machines that came later and lag; only voters of the newest set count."""
     model = settled(others=("d", "e", "f"))
     for late in "def":
-        model.world.cuts |= {(late, other) for other in model.nodes} | {(other, late) for other in model.nodes}
+        model.world.partitions |= {(late, other) for other in model.nodes} | {(other, late) for other in model.nodes}
     newcomer = consensus_cluster.Node(
         world=model.world, name="g", nodes=model.nodes, seeds=("d", "e", "f"), is_first_start=False
     )
     model.nodes["g"] = newcomer
     results = []
     newcomer.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
-    model.world.cuts |= {(old, "g") for old in "abc"} | {("g", old) for old in "abc"}
-    model.world.cuts -= {(late, "g") for late in "def"} | {("g", late) for late in "def"}
+    model.world.partitions |= {(old, "g") for old in "abc"} | {("g", old) for old in "abc"}
+    model.world.partitions -= {(late, "g") for late in "def"} | {("g", late) for late in "def"}
     model.world.run(until=9.0)
-    assert isinstance(results[0][0], errors.Unreachable) and newcomer.voting.proposer.is_learner
-    model.world.cuts.clear()
+    assert isinstance(results[0][0], errors.QuorumUnavailableError) and newcomer.voting.proposer.is_learner
+    model.world.partitions.clear()
     model.world.run(until=14.0)
     assert newcomer.votes
     newcomer.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
@@ -119,24 +119,24 @@
     node.voting.proposer.change(name=TEXT_NAME, edit=lambda payload: (2, None), done=lambda *row: results.append(row))
     node.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
     model.world.run(until=8.1)  # at once, not after a round's patience
-    assert [type(row[0]) for row in results] == [errors.Unreachable] * 2
-    held = node.voting.journal.held
-    assert held.peek(("peek", 1, TEXT_NAME, 0, ""))[3] is False
+    assert [type(row[0]) for row in results] == [errors.QuorumUnavailableError] * 2
+    accepted_state = node.voting.journal.accepted_state
+    assert accepted_state.quorum_read(("peek", 1, TEXT_NAME, 0, ""))[3] is False
     assert node.voting.acceptor.prepare(("prepare", 1, TEXT_NAME, 99, "x"))[0][3] is False
     assert node.voting.acceptor.rows() == ()
     model.nodes["b"].start()
     model.world.run(until=12.0)
-    assert node.votes and held is not node.voting.journal.held
-    assert all(node.voting.journal.held.get(name)[2] >= 1 for name in register_names.REGISTERS)
+    assert node.votes and accepted_state is not node.voting.journal.accepted_state
+    assert all(node.voting.journal.accepted_state.get(name)[2] >= 1 for name in register_names.REGISTERS)
 
 
 # The arithmetic of a refill.
 
 
-def take(refill, answers, *, first_set=SEEDS):
+def handle(catch_up, answers, *, first_set=SEEDS):
     for member, rows in answers.items():
-        refill.take(member=member, number=refill.request()[1], first_set=first_set, rows=rows)
-    return refill.stage
+        catch_up.handle(member=member, number=catch_up.request()[1], first_set=first_set, rows=rows)
+    return catch_up.stage
 
 
 @pytest.mark.parametrize(
@@ -146,92 +146,92 @@
 def test_how_many_answers_are_needed(own, members, count):
     members = tuple(members)
     others = [member for member in members if member != own]
-    refill = refills.Refill(own=own, registers=register_names.REGISTERS)
+    catch_up = refills.LearnerCatchUp(own=own, registers=register_names.REGISTERS)
     rows = rows_of(members)
-    assert take(refill, dict.fromkeys(others[: count - 1], rows)) == refills.LOOK
-    assert take(refill, {others[count - 1]: rows}) == refills.FENCE
-    assert all(number == 2 for number, _proposer in refill.fences.values())
-    assert take(refill, dict.fromkeys(others[: count - 1], rows)) == refills.FENCE
-    assert take(refill, {others[-1]: rows}) == refills.DONE
+    assert handle(catch_up, dict.fromkeys(others[: count - 1], rows)) == refills.LOOK
+    assert handle(catch_up, {others[count - 1]: rows}) == refills.FENCE
+    assert all(number == 2 for number, _proposer in catch_up.fences.values())
+    assert handle(catch_up, dict.fromkeys(others[: count - 1], rows)) == refills.FENCE
+    assert handle(catch_up, {others[-1]: rows}) == refills.DONE
 
 
 def test_an_evicted_machine_counts_only_for_the_set_that_it_is_in():
-    refill = refills.Refill(own="c", registers=register_names.REGISTERS)
+    catch_up = refills.LearnerCatchUp(own="c", registers=register_names.REGISTERS)
     old, new = rows_of(SEEDS), rows_of(MOVED, ballot=(4, "y"))
-    assert take(refill, {"a": old, "d": new}) == refills.LOOK  # a is out of the newest set; c needs two of b, d
-    assert take(refill, {"b": new}) == refills.FENCE
+    assert handle(catch_up, {"a": old, "d": new}) == refills.LOOK  # a is out of the newest set; c needs two of b, d
+    assert handle(catch_up, {"b": new}) == refills.FENCE
 
 
 def test_a_move_that_is_not_yet_over_needs_members_of_both_sets():
-    refill = refills.Refill(own="b", registers=register_names.REGISTERS)
+    catch_up = refills.LearnerCatchUp(own="b", registers=register_names.REGISTERS)
     new = ("b", "d", "e")
     half = rows_of(new, ballot=(4, "y"), previous=SEEDS)
-    assert take(refill, {"d": half, "e": half}) == refills.LOOK
-    assert take(refill, {"a": rows_of(SEEDS)}) == refills.LOOK
-    assert take(refill, {"c": rows_of(SEEDS)}) == refills.FENCE
+    assert handle(catch_up, {"d": half, "e": half}) == refills.LOOK
+    assert handle(catch_up, {"a": rows_of(SEEDS)}) == refills.LOOK
+    assert handle(catch_up, {"c": rows_of(SEEDS)}) == refills.FENCE
 
 
 def test_nothing_is_learned_without_any_set():
-    refill = refills.Refill(own="x", registers=register_names.REGISTERS)
-    assert take(refill, {"a": (), "b": (), "c": ()}, first_set=()) == refills.LOOK
+    catch_up = refills.LearnerCatchUp(own="x", registers=register_names.REGISTERS)
+    assert handle(catch_up, {"a": (), "b": (), "c": ()}, first_set=()) == refills.LOOK
 
 
-def test_a_value_that_was_told_is_not_told_again():
+def test_a_value_that_was_announced_is_not_announced_again():
     model = settled()
-    told = []
+    answers = []
     node = model.nodes["c"]
-    check = node.check_told
+    check = node.check_acknowledged
     for name in "ab":
-        model.nodes[name].check_told = lambda message: (told.append(message), check(message))
-    model.restart("c", back_s=0.5, is_wiped=True)
+        model.nodes[name].check_acknowledged = lambda message: (answers.append(message), check(message))
+    model.restart("c", restart_after_s=0.5, is_wiped=True)
     model.world.run(until=8.0)
-    assert node.votes and all(node.voting.journal.held.get(name)[3] for name in register_names.REGISTERS)
-    filled = [message for message in told if message[0] == "refilled" and message[2]]
+    assert node.votes and all(node.voting.journal.accepted_state.get(name)[3] for name in register_names.REGISTERS)
+    filled = [message for message in answers if message[0] == "refilled" and message[2]]
     values = [sum(1 for row in message[3] if row[6]) for message in filled]
     assert values.count(len(register_names.REGISTERS)) <= 2 and 0 in values
 
 
-def test_a_value_left_out_is_filled_in_also_when_a_newer_one_was_told_meanwhile():
-    refill = refills.Refill(own="x", registers=("r",))
+def test_a_value_left_out_is_filled_in_also_when_a_newer_one_was_announced_meanwhile():
+    catch_up = refills.LearnerCatchUp(own="x", registers=("r",))
     old, new = (("r", 5, "p", 5, "p", 1, ballots.pack(members=SEEDS, payload=payload)) for payload in (1, 2))
     new = ("r", 9, "p", 9, "p", 2, new[6])
-    refill.take(member="a", number=1, first_set=SEEDS, rows=(old,))
-    assert refill.request()[2] == (("r", 0, "", 5, "p"),)
-    refill.take(member="d", number=1, first_set=SEEDS, rows=(new,))
-    refill.take(member="b", number=1, first_set=SEEDS, rows=((*old[:6], b""),))
-    assert refill.stage == refills.FENCE
-    assert refill.request()[2] == (("r", 10, "x/refill", 9, "p"),)
-    refill.take(member="b", number=2, first_set=SEEDS, rows=((*old[:6], b""),))
-    assert refill.answers["b"] == (old,)
+    catch_up.handle(member="a", number=1, first_set=SEEDS, rows=(old,))
+    assert catch_up.request()[2] == (("r", 0, "", 5, "p"),)
+    catch_up.handle(member="d", number=1, first_set=SEEDS, rows=(new,))
+    catch_up.handle(member="b", number=1, first_set=SEEDS, rows=((*old[:6], b""),))
+    assert catch_up.stage == refills.FENCE
+    assert catch_up.request()[2] == (("r", 10, "x/refill", 9, "p"),)
+    catch_up.handle(member="b", number=2, first_set=SEEDS, rows=((*old[:6], b""),))
+    assert catch_up.answers["b"] == (old,)
 
 
 def test_old_answers_are_not_counted():
-    refill = refills.Refill(own="a", registers=register_names.REGISTERS)
+    catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS)
     rows = rows_of(SEEDS)
-    number = refill.request()[1]
-    take(refill, {"b": rows, "c": rows})
-    refill.take(member="b", number=number, first_set=SEEDS, rows=rows)
-    refill.take(member="c", number=number, first_set=SEEDS, rows=rows)
-    assert refill.stage == refills.FENCE and refill.answers == {}
+    number = catch_up.request()[1]
+    handle(catch_up, {"b": rows, "c": rows})
+    catch_up.handle(member="b", number=number, first_set=SEEDS, rows=rows)
+    catch_up.handle(member="c", number=number, first_set=SEEDS, rows=rows)
+    assert catch_up.stage == refills.FENCE and catch_up.answers == {}
 
 
-def test_an_accept_that_comes_after_the_refill_is_refused():
+def test_an_accept_that_comes_after_the_catch_up_is_refused():
     """a accepted (5, x) and was emptied; c promised (5, x) and gets the accept only after it helped a to learn."""
     model = settled()
     a, b, c = (model.nodes[name] for name in "abc")
-    link = Held()
-    c.voting.take("b", link, ("prepare", 1, TEXT_NAME, 50, "x"))
+    link = RecordingConnection()
+    c.voting.handle("b", link, ("prepare", 1, TEXT_NAME, 50, "x"))
     model.world.run(until=3.2)
     incarnation = c.voting.acceptor.incarnation
-    model.restart("a", back_s=0.5, is_wiped=True)
+    model.restart("a", restart_after_s=0.5, is_wiped=True)
     model.world.run(until=8.0)
     assert a.votes and b.votes
-    c.voting.take("b", link, ("accept", 2, TEXT_NAME, 50, "x", incarnation, 9, rows_of(SEEDS)[0][6]))
+    c.voting.handle("b", link, ("accept", 2, TEXT_NAME, 50, "x", incarnation, 9, rows_of(SEEDS)[0][6]))
     model.world.run(until=8.2)
     assert [message[3] for message in link.heard] == [True, False]
 
 
-class Held:
+class RecordingConnection:
     """A link whose messages are kept."""
 
     def __init__(self):
@@ -257,12 +257,12 @@
             own="p",
             seeds=known,
             send=lambda member, message: self.queue.append((member, message)),
-            later=lambda _delay, act: None,
+            later=lambda _delay, callback: None,
             now=lambda: 0.0,
             chance=lambda: 0.0,
-            on_chosen=lambda name, ballot, rev, value, is_news: self.chosen.append((rev, value)),
+            on_chosen=lambda name, ballot, rev, value, is_newly_chosen: self.chosen.append((rev, value)),
             limit_s=1.0,
-            patience_s=0.1,
+            attempt_timeout_s=0.1,
         )
 
     def run(self):
@@ -270,11 +270,13 @@
             member, message = self.queue.pop(0)
             if member not in self.reached:
                 continue
-            act = {"prepare": "prepare", "accept": "accept", "peek": "peek"}[message[0]]
-            answer = getattr(self.nodes[member], act)(message)
-            answer = answer[0] if act != "peek" else answer
-            take = {"prepare": "take_promise", "accept": "take_accepted", "peek": "take_peeked"}[act]
-            getattr(self.proposer, take)(member, answer)
+            callback = {"prepare": "prepare", "accept": "accept", "peek": "quorum_read"}[message[0]]
+            answer = getattr(self.nodes[member], callback)(message)
+            answer = answer[0] if callback != "quorum_read" else answer
+            handle = {"prepare": "take_promise", "accept": "take_accepted", "quorum_read": "handle_quorum_read_reply"}[
+                callback
+            ]
+            getattr(self.proposer, handle)(member, answer)
 
 
 def acceptor_of(name, *rows):
@@ -318,8 +320,8 @@
     model = settled(others=("d", "e"))
     move(model, "a", ("c", "d", "e"), until=8.0)
     for name in "cde":
-        for row in model.nodes[name].voting.journal.held.rows():
-            assert ballots.way(row[6]) == (("c", "d", "e"),)
+        for row in model.nodes[name].voting.journal.accepted_state.rows():
+            assert ballots.member_sets(row[6]) == (("c", "d", "e"),)
     for name in "ab":
         model.nodes[name].stop()
     for name in "cde":
@@ -330,17 +332,17 @@
     assert model.history[-1]["ended"] is not None and model.history[-1]["made"] == 2
 
 
-def test_a_move_whose_proposer_ended_half_way_is_finished_by_another_node():
+def test_a_partial_move_whose_proposer_ended_is_finished_by_another_node():
     model = settled(others=("d",))
     row = (TEXT_NAME, 9, "x", 9, "x", 2, ballots.pack(members=MOVED, payload=1, previous=SEEDS, moved_at=2))
     for name in "abcd":  # chosen at all, and the proposer is gone before the round that drops the older set
         node = model.nodes[name]
         node.voting.acceptor.install(rows=[row])
-        node.voting.journal.note(row=row)
-        node.voting.journal.tell(key=("test", "", ""), act=lambda: None)
+        node.voting.journal.record(row=row)
+        node.voting.journal.respond(key=("test", "", ""), callback=lambda: None)
     model.world.run(until=12.0)
     for name in MOVED:
-        assert ballots.way(model.nodes[name].voting.journal.held.get(TEXT_NAME)[3]) == (MOVED,)
+        assert ballots.member_sets(model.nodes[name].voting.journal.accepted_state.get(TEXT_NAME)[3]) == (MOVED,)
 
 
 def test_a_second_move_waits_until_the_first_is_chosen():
@@ -357,7 +359,7 @@
         next_set=("e", "f", "g"),
     )
     bench.run()
-    ways = [ballots.way(value) for _rev, value in bench.chosen]
+    ways = [ballots.member_sets(value) for _rev, value in bench.chosen]
     assert ways == [(SEEDS, ("c", "d", "e")), (("c", "d", "e"), ("e", "f", "g")), (("e", "f", "g"),)]
     assert bench.results[0][0] is None
 
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -21,62 +21,62 @@
         self.name = name
         self.nodes = nodes
         self.disk = simulated_world.Disk(chance=world.chance)
-        self.life = 0
+        self.incarnation = 0
         self.chosen = {}
         self.start(is_first=is_first)
 
     def start(self, *, is_first=False):
-        self.life += 1
+        self.incarnation += 1
         self.is_up = True
         self.store = acceptor_storage.Store(disk=self.disk, limit_bytes=4000)
         image = self.store.load()
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows={row[0]: row for row in image.rows})
         if not image.incarnation and is_first:
-            self.acceptor.incarnation = f"{self.name}{self.life}"
+            self.acceptor.incarnation = f"{self.name}{self.incarnation}"
             self.write()
         self.proposer = proposer.Proposer(
-            own=f"{self.name}/{self.life}",
+            own=f"{self.name}/{self.incarnation}",
             seeds=MEMBERS,
             send=self.send,
             later=self.later,
             now=self.world.now,
             chance=self.world.chance.random,
-            on_chosen=lambda name, ballot, rev, value, is_news: None,
+            on_chosen=lambda name, ballot, rev, value, is_newly_chosen: None,
             limit_s=3.0,
-            patience_s=0.6,
+            attempt_timeout_s=0.6,
         )
-        self.refilled = {}
+        self.catch_up_replies = {}
         if not self.acceptor.votes:
-            self.refill()
+            self.catch_up()
 
     def write(self, *rows):
         image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
-    def later(self, delay, act):
-        life = self.life
-        self.world.later(delay, lambda: act() if self.is_up and self.life == life else None)
+    def later(self, delay, callback):
+        incarnation = self.incarnation
+        self.world.later(delay, lambda: callback() if self.is_up and self.incarnation == incarnation else None)
 
     def send(self, member, message):
         target = self.nodes.get(member)
         if target is None:
             return
-        life = self.life
+        incarnation = self.incarnation
 
         def arrive():
             if target.is_up:
-                target.take(self, life, message)
+                target.handle(self, incarnation, message)
 
         self.world.send(self.name, member, arrive)
 
-    def answer(self, source, life, message):
+    def answer(self, source, incarnation, message):
         def arrive():
-            if source.is_up and source.life == life:
-                source.take(self, self.life, message)
+            if source.is_up and source.incarnation == incarnation:
+                source.handle(self, self.incarnation, message)
 
         self.world.send(self.name, source.name, arrive)
 
-    def take(self, source, life, message):
+    def handle(self, source, incarnation, message):
         kind = message[0]
         if kind in ("prepare", "accept"):
             answer, row = (self.acceptor.prepare if kind == "prepare" else self.acceptor.accept)(message)
@@ -85,36 +85,38 @@
                     self.write(row)
                 except OSError:
                     return
-            self.answer(source, life, answer)
+            self.answer(source, incarnation, answer)
         elif kind == "peek":
-            self.answer(source, life, self.acceptor.peek(message))
+            self.answer(source, incarnation, self.acceptor.quorum_read(message))
         elif kind == "promise":
             self.proposer.take_promise(source.name, message)
         elif kind == "peeked":
-            self.proposer.take_peeked(source.name, message)
+            self.proposer.handle_quorum_read_reply(source.name, message)
         elif kind == "accepted":
             self.proposer.take_accepted(source.name, message)
         elif kind == "refill":
             if self.acceptor.votes:
-                self.answer(source, life, ("refilled", self.acceptor.rows()))
+                self.answer(source, incarnation, ("refilled", self.acceptor.rows()))
         elif kind == "refilled" and not self.acceptor.votes:
-            self.refilled[source.name] = message[1]
-            if len(self.refilled) >= 2:
-                rows = self.acceptor.refill(incarnation=f"{self.name}{self.life}", states=tuple(self.refilled.values()))
+            self.catch_up_replies[source.name] = message[1]
+            if len(self.catch_up_replies) >= 2:
+                rows = self.acceptor.catch_up(
+                    incarnation=f"{self.name}{self.incarnation}", states=tuple(self.catch_up_replies.values())
+                )
                 self.write(*rows)
 
-    def refill(self):
+    def catch_up(self):
         if self.acceptor.votes:
             return
-        self.refilled = {}
+        self.catch_up_replies = {}
         for member in MEMBERS:
             if member != self.name:
                 self.send(member, ("refill",))
-        self.later(0.4, self.refill)
+        self.later(0.4, self.catch_up)
 
     def stop(self, *, is_wiped=False):
         self.is_up = False
-        self.life += 1
+        self.incarnation += 1
         if is_wiped:
             self.disk.files.clear()
 
@@ -169,7 +171,7 @@
     for step in range(120):
         world.later(step * 0.15 + world.chance.random() * 0.1, lambda: caller.go(world.chance.choice(MEMBERS)))
 
-    def trouble():
+    def inject_fault():
         name = world.chance.choice(MEMBERS)
         kind = world.chance.choice(("kill", "wipe", "cut", "refuse"))
         if kind in ("kill", "wipe"):
@@ -177,14 +179,14 @@
             world.later(0.8, nodes[name].start)
         elif kind == "cut":
             for other in MEMBERS:
-                world.cuts |= {(name, other), (other, name)}
-            world.later(0.9, world.cuts.clear)
+                world.partitions |= {(name, other), (other, name)}
+            world.later(0.9, world.partitions.clear)
         else:
             nodes[name].disk.is_refusing = True
             world.later(0.7, lambda: setattr(nodes[name].disk, "is_refusing", False))
 
     for step in range(5):
-        world.later(1.0 + step * 3.4, trouble)
+        world.later(1.0 + step * 3.4, inject_fault)
     world.run(until=40.0)
     assert linearizability.faults(history=history) == []
     assert sum(1 for call in history if call["ended"] is not None) > 20
@@ -214,7 +216,7 @@
             if payload == name:
                 return payload, "known"
             if payload is not None:
-                raise errors.StaleBase(current=1)
+                raise errors.StaleVersionError(current=1)
             return name, "won"
 
         return edit
@@ -224,7 +226,7 @@
     world.run(until=20.0)
     assert len(results) == 2
     assert sorted(row[0] is None for row in results) == [False, True]
-    assert isinstance(next(row[0] for row in results if row[0] is not None), errors.StaleBase)
+    assert isinstance(next(row[0] for row in results if row[0] is not None), errors.StaleVersionError)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -262,7 +264,7 @@
     results = []
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (2, None), done=lambda *row: results.append(row))
     world.run(until=14.0)
-    assert isinstance(results[0][0], errors.Unreachable)
+    assert isinstance(results[0][0], errors.QuorumUnavailableError)
     nodes["b"].start()
     world.run(until=20.0)
     assert nodes["c"].acceptor.votes
@@ -275,7 +277,7 @@
     answer, _row = acceptor.prepare(("prepare", 1, "spec", 7, "x"))
     assert answer[3] and answer[4] == "old"
     emptied = acceptors.Acceptor()
-    emptied.refill(incarnation="new", states=((), ()))
+    emptied.catch_up(incarnation="new", states=((), ()))
     answer, row = emptied.accept(("accept", 1, "spec", 7, "x", "old", 1, b"v"))
     assert not answer[3] and row is None
     assert emptied.get("spec")[3] == b""
@@ -323,19 +325,19 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 12))
-def test_torn_tail_is_cut_at_the_last_good_record(cut):
+def test_torn_tail_is_truncated_at_the_last_good_record(cut):
     disk = _filled(4)
     disk.tear(name=acceptor_storage.FILE_NAME, keep=len(disk.files[acceptor_storage.FILE_NAME]) - cut)
     image = acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
     assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
-def test_damage_before_the_tail_is_told():
+def test_damage_before_the_tail_is_reported():
     disk = _filled(4)
     data = bytearray(disk.files[acceptor_storage.FILE_NAME])
     data[30] ^= 0xFF
     disk.files[acceptor_storage.FILE_NAME] = bytes(data)
-    with pytest.raises(errors.StoreProblem):
+    with pytest.raises(errors.StorageError):
         acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
 
 
@@ -357,4 +359,4 @@
     results = []
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (1, None), done=lambda *row: results.append(row))
     world.run(until=8.0)
-    assert isinstance(results[0][0], errors.Unreachable)
+    assert isinstance(results[0][0], errors.QuorumUnavailableError)
--- a/ploverward/control_plane/consensus/test_cost.py
+++ b/ploverward/control_plane/consensus/test_cost.py
@@ -21,8 +21,8 @@
 
 
 def test_that_test_sees_values_in_promises():
-    whole = register_cost.cost(routes=300, changes=10, measured=5, names_held=False)
-    assert whole["promise_bytes"] > 3 * whole["value_bytes"]
+    full_cost = register_cost.cost(routes=300, changes=10, measured=5, names_accepted_state=False)
+    assert full_cost["promise_bytes"] > 3 * full_cost["value_bytes"]
 
 
 def test_the_file_stays_within_its_limit():
@@ -42,5 +42,5 @@
 
 @pytest.mark.parametrize("how", ["restarted", "absent", "emptied", "new"])
 def test_a_late_member_reaches_the_newest_version_and_does_not_vote_before(how):
-    told = register_cost.catch_up(changes=40, how=how)
-    assert told["versions"] == 40 and told["caught_up_s"] < 2.0 and not told["voted_early"]
+    result = register_cost.catch_up(changes=40, how=how)
+    assert result["versions"] == 40 and result["caught_up_s"] < 2.0 and not result["voted_early"]
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -12,32 +12,34 @@
 
 SEEDS = ("a", "b", "c")
 DISK_FAULTS = ("refuse", "full", "sync", "rename", "folder", "hang")
-TROUBLES = (*DISK_FAULTS, "kill", "power", "wipe", "all lose power", "all killed", "cut")
+FAULT_KINDS = (*DISK_FAULTS, "kill", "power", "wipe", "all lose power", "all killed", "cut")
 VALUE = ballots.pack(members=SEEDS, payload=1)
 QUIET_S = 45.0
 END_S = 60.0
 
 
-def trouble(model):
+def inject_fault(model):
     chance = model.world.chance
-    kind = chance.choice(TROUBLES)
+    kind = chance.choice(FAULT_KINDS)
     name = chance.choice(sorted(model.nodes))
-    lasts_s = chance.choice((0.2, 1.0, 4.0))
+    duration_s = chance.choice((0.2, 1.0, 4.0))
     if kind in DISK_FAULTS:
-        model.fault(name, kind, lasts_s=lasts_s)
+        model.fault(name, kind, duration_s=duration_s)
         if chance.random() < 0.5:  # and the power fails in the midst of it
-            model.world.later(lasts_s * chance.random(), lambda: model.restart(name, back_s=0.8, loses_power=True))
+            model.world.later(
+                duration_s * chance.random(), lambda: model.restart(name, restart_after_s=0.8, loses_power=True)
+            )
     elif kind in ("kill", "power"):
-        model.restart(name, back_s=0.8, loses_power=kind == "power")
+        model.restart(name, restart_after_s=0.8, loses_power=kind == "power")
     elif kind == "wipe":
-        model.wipe(name, back_s=0.8)
+        model.wipe(name, restart_after_s=0.8)
     elif kind == "cut":
         for other in model.nodes:
-            model.world.cuts |= {(name, other), (other, name)}
-        model.world.later(lasts_s, model.world.cuts.clear)
+            model.world.partitions |= {(name, other), (other, name)}
+        model.world.later(duration_s, model.world.partitions.clear)
     else:
         for other in model.nodes:
-            model.restart(other, back_s=0.8, loses_power=kind == "all lose power")
+            model.restart(other, restart_after_s=0.8, loses_power=kind == "all lose power")
 
 
 def play(seed, *, others=(), voting_type=consensus_node.Voting):
@@ -55,7 +57,7 @@
     for step in range(150):
         model.world.later(2.0 + step * 0.28, call)
     for step in range(14):
-        model.world.later(2.0 + step * 3.0 + chance.random(), lambda: trouble(model))
+        model.world.later(2.0 + step * 3.0 + chance.random(), lambda: inject_fault(model))
     model.world.run(until=QUIET_S)
     model.world.loss = 0.0
     model.world.run(until=QUIET_S + 6.0)
@@ -75,20 +77,20 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_told_is_lost(seed):
+def test_nothing_acknowledged_is_lost(seed):
     check(play(seed))
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_told_is_lost_while_the_set_moves(seed):
+def test_nothing_acknowledged_is_lost_while_the_set_moves(seed):
     check(play(seed, others=("d", "e")))
 
 
 @pytest.mark.parametrize("kind", ["full", "refuse", "sync", "rename", "folder"])
-def test_a_node_whose_disk_fails_for_long_steps_aside_and_comes_back(kind):
+def test_a_node_whose_disk_fails_for_long_withdraws_and_rejoins(kind):
     model = consensus_cluster.Model(seed=7, seeds=SEEDS)
     model.world.run(until=1.0)
-    model.fault("a", kind, lasts_s=20.0)
+    model.fault("a", kind, duration_s=20.0)
     for step in range(40):
         model.world.later(step * 0.5, lambda: model.call(model.world.chance.choice("bc"), kind="change"))
     model.world.run(until=20.0)
@@ -98,7 +100,7 @@
     assert len(model.nodes["a"].voting.journal._waiting) <= 2
     model.world.run(until=24.0)
     assert model.nodes["a"].voting.is_voter
-    model.restart("b", back_s=90.0)  # now a is needed
+    model.restart("b", restart_after_s=90.0)  # now a is needed
     model.call("c", kind="change")
     model.call("a", kind="read")
     model.world.run(until=30.0)
@@ -106,12 +108,12 @@
     assert model.lost == [] and linearizability.faults(history=model.history) == []
 
 
-def test_a_refill_that_the_disk_refuses_at_first_ends_once_it_can_be_written():
+def test_a_catch_up_that_the_disk_refuses_at_first_ends_once_it_can_be_written():
     model = consensus_cluster.Model(seed=9, seeds=SEEDS)
     model.call("a", kind="change")
     model.world.run(until=2.0)
-    model.restart("c", back_s=0.5, is_wiped=True)
-    model.fault("c", "refuse", lasts_s=4.0)
+    model.restart("c", restart_after_s=0.5, is_wiped=True)
+    model.fault("c", "refuse", duration_s=4.0)
     model.world.run(until=5.0)
     node = model.nodes["c"]
     assert node.voting.acceptor.votes and not node.votes and node.voting.proposer.is_learner
@@ -122,17 +124,17 @@
 def test_answers_that_wait_for_a_hanging_disk_are_bounded():
     model = consensus_cluster.Model(seed=8, seeds=SEEDS)
     model.world.run(until=1.0)
-    node, ear = model.nodes["a"], Ear()
-    model.fault("a", "hang", lasts_s=30.0)
+    node, connection = model.nodes["a"], RecordingConnection()
+    model.fault("a", "hang", duration_s=30.0)
     for number in range(1, 400):
         for member in "bc":
-            node.voting.take(member, ear, ("prepare", number, "spec", number, member))
-    assert len(node.voting.journal._waiting) == 2 and ear.heard == []
+            node.voting.handle(member, connection, ("prepare", number, "spec", number, member))
+    assert len(node.voting.journal._waiting) == 2 and connection.heard == []
     model.world.run(until=2.5)  # longer than any attempt waits: from here on it votes for nothing
-    node.voting.take("b", ear, ("prepare", 400, "spec", 400, "b"))
-    assert ear.heard[-1][3] is False and node.voting.acceptor.get("spec")[0] == (399, "c")
+    node.voting.handle("b", connection, ("prepare", 400, "spec", 400, "b"))
+    assert connection.heard[-1][3] is False and node.voting.acceptor.get("spec")[0] == (399, "c")
     model.world.run(until=35.0)
-    assert [message[3] for message in ear.heard[1:]] == [True, True]
+    assert [message[3] for message in connection.heard[1:]] == [True, True]
     assert model.lost == []
 
 
@@ -148,26 +150,26 @@
 class PeekingAhead(consensus_node.Voting):
     """Answers a peek from memory while nothing is being written."""
 
-    def take(self, member, link, message):
+    def handle(self, member, link, message):
         if message[0] == "peek" and self.journal._writing_since is None:
-            self._answer(member, link, self.acceptor.peek(message))
+            self._answer(member, link, self.acceptor.quorum_read(message))
             return True
-        return super().take(member, link, message)
+        return super().handle(member, link, message)
 
 
-def test_a_peek_from_memory_after_a_failed_write_is_found():
+def test_a_quorum_read_from_memory_after_a_failed_write_is_found():
     assert found(range(6), voting_type=PeekingAhead)
 
 
 class TellingAhead(consensus_node.Voting):
     """Tells a learner what is in memory."""
 
-    def _take_refill(self, member, link, message):
-        self.journal.held = self.acceptor
-        super()._take_refill(member, link, message)
+    def _handle_catch_up_request(self, member, link, message):
+        self.journal.accepted_state = self.acceptor
+        super()._handle_catch_up_request(member, link, message)
 
 
-class Ear:
+class RecordingConnection:
     """A link whose messages are kept."""
 
     def __init__(self):
@@ -181,34 +183,34 @@
     """A node that accepted (5, x) while its disk refused: its answers to a peek and to a learner's look, by kind."""
     model = consensus_cluster.Model(seed=1, seeds=SEEDS, voting_type=voting_type)
     model.world.run(until=1.0)
-    node, ear = model.nodes["b"], Ear()
+    node, connection = model.nodes["b"], RecordingConnection()
     node.files.faults.add("refuse")
-    node.voting.take("a", ear, ("prepare", 1, "spec", 5, "x"))
-    node.voting.take("a", ear, ("accept", 2, "spec", 5, "x", node.voting.acceptor.incarnation, 1, VALUE))
+    node.voting.handle("a", connection, ("prepare", 1, "spec", 5, "x"))
+    node.voting.handle("a", connection, ("accept", 2, "spec", 5, "x", node.voting.acceptor.incarnation, 1, VALUE))
     model.world.run(until=1.1)
-    assert node.voting.acceptor.get("spec")[1] == (5, "x") and ear.heard == []
-    node.voting.take("a", ear, ("peek", 3, "spec", 0, ""))
-    node.voting.take("c", ear, ("refill", 1, ()))
-    return node, ear, {message[0]: message for message in ear.heard}
+    assert node.voting.acceptor.get("spec")[1] == (5, "x") and connection.heard == []
+    node.voting.handle("a", connection, ("peek", 3, "spec", 0, ""))
+    node.voting.handle("c", connection, ("refill", 1, ()))
+    return node, connection, {message[0]: message for message in connection.heard}
 
 
-def test_what_a_failed_write_left_in_memory_is_not_told():
-    node, ear, heard = _after_a_failed_write()
+def test_what_a_failed_write_left_in_memory_is_not_acknowledged():
+    node, connection, heard = _after_a_failed_write()
     assert consensus_cluster.claims(heard["peeked"]) == [("spec", (0, ""), (0, ""))]
     assert consensus_cluster.claims(heard["refilled"]) == []
-    assert node.voting.floor()[0] == ("spec", 0)
+    assert node.voting.minimum_versions()[0] == ("spec", 0)
     # While the disk refuses, nothing is voted for and nothing changes here.
-    node.voting.take("a", ear, ("prepare", 4, "spec", 9, "x"))
-    assert ear.heard[-1][3] is False and node.voting.acceptor.get("spec")[0] == (5, "x")
+    node.voting.handle("a", connection, ("prepare", 4, "spec", 9, "x"))
+    assert connection.heard[-1][3] is False and node.voting.acceptor.get("spec")[0] == (5, "x")
     # Once a write goes through, what was accepted is told again.
     node.files.faults.clear()
     node.world.run(until=3.0)
-    node.voting.take("a", ear, ("peek", 5, "spec", 0, ""))
-    assert consensus_cluster.claims(ear.heard[-1])[0][2] >= (5, "x") and ear.heard[-1][8:] == (1, VALUE)
+    node.voting.handle("a", connection, ("peek", 5, "spec", 0, ""))
+    assert consensus_cluster.claims(connection.heard[-1])[0][2] >= (5, "x") and connection.heard[-1][8:] == (1, VALUE)
 
 
 def test_rows_from_memory_would_be_seen_by_that_test():
-    _node, _ear, heard = _after_a_failed_write(TellingAhead)
+    _node, _connection, heard = _after_a_failed_write(TellingAhead)
     assert consensus_cluster.claims(heard["refilled"]) == [("spec", (5, "x"), (5, "x"))]
 
 
@@ -217,13 +219,13 @@
 
     def trusting(self, *, rows, image):
         """Takes the failed append for written, as a program does that only syncs once more."""
-        is_append, size = not self._needs_whole, self._size
+        is_append, size = not self._needs_rewrite, self._size
         try:
             write(self, rows=rows, image=image)
         except OSError:
             if is_append:
                 self._size = size + len(acceptor_storage.pack_rows(rows))
-                self._needs_whole = False
+                self._needs_rewrite = False
             raise
 
     monkeypatch.setattr(acceptor_storage.Store, "write", trusting)
@@ -238,7 +240,7 @@
         data = self._disk.read(name=acceptor_storage.FILE_NAME)
         if data is not None and image.incarnation:
             self._size = len(data)
-            self._needs_whole = False
+            self._needs_rewrite = False
         return image
 
     begin = write_ahead_log.Journal.begin
@@ -246,7 +248,9 @@
     def telling(self, *, acceptor, first_set, on_safe):
         begin(self, acceptor=acceptor, first_set=first_set, on_safe=on_safe)
         self._safe = self._change
-        self.held = acceptors.Acceptor(incarnation=acceptor.incarnation, rows={row[0]: row for row in acceptor.rows()})
+        self.accepted_state = acceptors.Acceptor(
+            incarnation=acceptor.incarnation, rows={row[0]: row for row in acceptor.rows()}
+        )
 
     monkeypatch.setattr(acceptor_storage.Store, "load", trusting)
     monkeypatch.setattr(write_ahead_log.Journal, "begin", telling)
@@ -259,5 +263,5 @@
 
 
 def test_answers_that_do_not_wait_for_the_disk_are_found(monkeypatch):
-    monkeypatch.setattr(write_ahead_log.Journal, "tell", lambda self, *, key, act: (act(), self._write()))
+    monkeypatch.setattr(write_ahead_log.Journal, "respond", lambda self, *, key, callback: (callback(), self._write()))
     assert found(range(3))
--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -7,7 +7,7 @@
 from ploverward.simulation import model_checker
 
 SCENARIOS = model_checker.small()
-FAULTS = model_checker.planted()
+FAULTS = model_checker.mutations()
 
 
 def name_of(row) -> str:
@@ -20,24 +20,24 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=name_of)
 def test_no_order_of_steps_breaks_a_rule(scenario):
-    outcome = model_checker.explore(scenario=scenario, most_states=model_checker.SMALL_STATES)
+    outcome = model_checker.explore(scenario=scenario, max_states=model_checker.SMALL_STATES)
     assert outcome.finding is None, outcome.finding.text()
-    assert outcome.is_whole
+    assert outcome.is_exhaustive
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=name_of_fault)
 def test_a_planted_fault_is_found(fault):
-    outcome = model_checker.explore_fault(fault=fault, most_states=model_checker.SMALL_STATES)
+    outcome = model_checker.explore_mutant(fault=fault, max_states=model_checker.SMALL_STATES)
     assert outcome.finding is not None
 
 
 def test_without_a_planted_fault_the_same_start_breaks_no_rule():
     """The scenarios of faults in the code around them are sound by themselves: the fault is what is found."""
     for fault in FAULTS:
-        if fault.planted is not contextlib.nullcontext and not fault.scenario.restarts:
-            outcome = model_checker.explore(scenario=fault.scenario, most_states=model_checker.SMALL_STATES)
+        if fault.mutations is not contextlib.nullcontext and not fault.scenario.restarts:
+            outcome = model_checker.explore(scenario=fault.scenario, max_states=model_checker.SMALL_STATES)
             assert outcome.finding is None, outcome.finding.text()
-            assert outcome.is_whole
+            assert outcome.is_exhaustive
 
 
 def explorer_of(scenario):
@@ -46,10 +46,10 @@
 
 def state_after(explorer, state, count):
     """Goes on by the first step that there is, `count` times."""
-    for _turn in range(count):
-        label, act = min(explorer.steps(state), key=lambda step: str(step[0]))
+    for _index in range(count):
+        label, callback = min(explorer.steps(state), key=lambda step: str(step[0]))
         new = state.copy()
-        act(new)
+        callback(new)
         explorer._prune(new)
         state = new
     return state
@@ -59,8 +59,8 @@
     explorer = explorer_of(SCENARIOS[0])
     state = explorer.start()
     before = state.key()
-    for _label, act in explorer.steps(state):
-        act(state.copy())
+    for _label, callback in explorer.steps(state):
+        callback(state.copy())
     assert state.key() == before
 
 
@@ -84,19 +84,19 @@
     copied, copied_timers = model_checker.clone((proposer, timers), {})
     assert model_checker.form((copied, copied_timers), {}) == model_checker.form((proposer, timers), {})
     before = model_checker.form((proposer, timers), {})
-    for act in copied_timers:
-        act()
+    for callback in copied_timers:
+        callback()
     explorer.ports["Q"].sent.clear()
     explorer.ports["Q"].timers.clear()
     assert model_checker.form((proposer, timers), {}) == before
 
 
-def test_a_history_of_a_fault_is_told_step_by_step(capsys):
+def test_a_history_of_a_fault_is_printed_step_by_step(capsys):
     name = FAULTS[0].scenario.name
     assert model_checker.main(["--budget", "planted", "--scenario", name]) == 0
-    told = capsys.readouterr().out
-    assert "is chosen at revision" in told
-    assert "('deliver'" in told
+    output = capsys.readouterr().out
+    assert "is chosen at revision" in output
+    assert "('deliver'" in output
 
 
 def test_the_command_says_when_not_all_states_were_seen(capsys):
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -70,8 +70,8 @@
 
 def unpack_value(value: bytes) -> dict:
     members, payload = ballots.unpack(value)
-    way = ballots.way(value)
-    previous = way[0] if len(way) > 1 else ()
+    member_sets = ballots.member_sets(value)
+    previous = member_sets[0] if len(member_sets) > 1 else ()
     return {
         "members": list(members),
         "payload": payload,
@@ -102,7 +102,7 @@
     for row in history:
         order = configuration_orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
         if order.method == "PATCH":
-            order = configuration_orders.build(order=order, held=payload["body"])
+            order = configuration_orders.build(order=order, base_body=payload["body"])
         payload, _said = configuration_orders.edit_for(order=order, archived=0)(payload)
     return json.loads(json.dumps(payload)), payload["recent"]
 
@@ -133,7 +133,7 @@
 
 
 def keeper_of(folder):
-    return keep.Keeper(folder=str(folder))
+    return keep.ConfigurationRepository(folder=str(folder))
 
 
 class Site:
@@ -210,7 +210,7 @@
         return list(self.cores[host].core_members)
 
     def duties(self, host: str) -> dict:
-        return self.cores[host].duties
+        return self.cores[host].singleton_roles
 
 
 # Tests.
@@ -421,23 +421,23 @@
     wanted = EXPECTED["kept"]
     folder = tmp_path / "kept"
     assert (folder / "configuration.json").read_text(encoding="utf-8") == wanted["text"]
-    keeper = keeper_of(folder)
-    assert [list(row) for row in keeper.log()] == wanted["log"]
+    repository = keeper_of(folder)
+    assert [list(row) for row in repository.log()] == wanted["log"]
     for edition, body in wanted["shown"].items():
-        assert keeper.show(edition=int(edition)) == body
+        assert repository.show(edition=int(edition)) == body
     last = copy.deepcopy(wanted["given"][-1])
-    assert keeper.keep(body=last) is None
+    assert repository.keep(body=last) is None
     last["edition"] += 1
-    assert keeper.keep(body=last)
-    keeper.close()
+    assert repository.keep(body=last)
+    repository.close()
     again = keeper_of(folder)
     assert [edition for edition, _commit in again.log()] == [last["edition"], *(row[0] for row in wanted["log"])]
     again.close()
 
 
 def test_the_same_configuration_is_kept_with_the_same_text(tmp_path):
-    keeper = keeper_of(tmp_path / "kept")
+    repository = keeper_of(tmp_path / "kept")
     for body in EXPECTED["kept"]["given"]:
-        keeper.keep(body=body)
-    keeper.close()
+        repository.keep(body=body)
+    repository.close()
     assert (tmp_path / "kept" / "configuration.json").read_text(encoding="utf-8") == EXPECTED["kept"]["text"]
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -23,7 +23,7 @@
         self._hang_s = hang_s
         self._acceptor = None
         self._first_set = ()
-        self.held = acceptors.Acceptor()
+        self.accepted_state = acceptors.Acceptor()
         self._changed = set()  # registers with a row that is not safe yet
         self._change = 0  # number of the newest change
         self._safe = 0  # number of the newest change that the disk holds
@@ -46,18 +46,18 @@
         self._change += 1
         self._write()
 
-    def note(self, *, row) -> None:
+    def record(self, *, row) -> None:
         """A row of the acceptor has changed; None: it has not."""
         if row is not None:
             self._changed.add(row[0])
             self._change += 1
 
-    def tell(self, *, key, act) -> None:
+    def respond(self, *, key, callback) -> None:
         """`act` runs once all changes so far are safe. A newer one of the same key takes its place: its asker has moved on."""
         if self._safe == self._change:
-            act()
+            callback()
             return
-        self._waiting[key] = (self._change, act)
+        self._waiting[key] = (self._change, callback)
         if not self._is_failing:
             self._write()
 
@@ -86,20 +86,22 @@
     def _take_written(self, image, change: int) -> None:
         self._is_failing = False
         self._safe = change
-        self.held = acceptors.Acceptor(incarnation=image.incarnation, rows={row[0]: row for row in image.rows})
+        self.accepted_state = acceptors.Acceptor(
+            incarnation=image.incarnation, rows={row[0]: row for row in image.rows}
+        )
         on_safe, self._on_safe = self._on_safe, None
         if on_safe is not None:
             on_safe()
-        ready = [(key, act) for key, (needed, act) in self._waiting.items() if needed <= change]
+        ready = [(key, callback) for key, (needed, callback) in self._waiting.items() if needed <= change]
         for key, _act in ready:
             del self._waiting[key]
-        for _key, act in ready:
-            act()
+        for _key, callback in ready:
+            callback()
         self._write()
 
     def _take_failure(self, failure) -> None:
         if not self._is_failing:
-            event_log.spill(f"the disk refused a write, this node votes for nothing until one goes through: {failure}")
+            event_log.dump(f"the disk refused a write, this node votes for nothing until one goes through: {failure}")
         self._is_failing = True
         self._waiting.clear()
-        self._loop.after(delay=self._retry_s, act=self._write)
+        self._loop.after(delay=self._retry_s, callback=self._write)
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -26,37 +26,37 @@
         self.runtime = runtime if runtime is not None else node_runtime.Runtime()
         self.settings = settings
         self.own = settings.ip
-        self.life = self.runtime.unique_id()
-        self.loop = self.runtime.loop(on_fault=lambda fault: event_log.spill("a step failed", fault=fault))
+        self.incarnation = self.runtime.unique_id()
+        self.loop = self.runtime.loop(on_fault=lambda fault: event_log.dump("a step failed", fault=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.receipt_s = settings.bound_s(name="receiptMs")
-        self.silence_s = self.contact_s / 5
-        self.lease_s = self.silence_s * 1.5
+        self.peer_timeout_s = self.contact_s / 5
+        self.lease_s = self.peer_timeout_s * 1.5
         window_s = settings.bound(name="retryWindowS", default=10)
         self.ttl_s = max(1, int(settings.bound(name="ttl_max_s", default=5) * 0.2))
         start = self.loop.now()
-        quiet_s = self.silence_s * 2 if settings.first_start else self.lease_s + window_s
+        withhold_s = self.peer_timeout_s * 2 if settings.first_start else self.lease_s + window_s
         # Two kinds of bound: what is spent counts for retryWindowS, a rate only for its second (and a little).
-        self.slacks = share_leases.Book(
-            now=self.loop.now, life_s=self.lease_s, window_s=window_s, quiet_until=start + quiet_s
+        self.slacks = share_leases.ShareTable(
+            now=self.loop.now, lease_s=self.lease_s, window_s=window_s, withheld_until=start + withhold_s
         )
-        rate_quiet_s = min(quiet_s, self.lease_s + RATE_WINDOW_S)
-        self.rates = share_leases.Book(
-            now=self.loop.now, life_s=self.lease_s, window_s=RATE_WINDOW_S, quiet_until=start + rate_quiet_s
+        rate_withhold_s = min(withhold_s, self.lease_s + RATE_WINDOW_S)
+        self.rates = share_leases.ShareTable(
+            now=self.loop.now, lease_s=self.lease_s, window_s=RATE_WINDOW_S, withheld_until=start + rate_withhold_s
         )
-        self.slots = share_leases.Slots(now=self.loop.now, hold_s=self.lease_s + RATE_WINDOW_S)
-        self.rates_from = start + rate_quiet_s
-        self.desk = publisher.Desk()
-        self.follower = publisher.Follower(
+        self.slots = share_leases.RateSlots(now=self.loop.now, hold_s=self.lease_s + RATE_WINDOW_S)
+        self.rates_from = start + rate_withhold_s
+        self.publisher = publisher.Publisher()
+        self.subscriber = publisher.Subscriber(
             now=self.loop.now,
-            patience_s=self.contact_s / 12,
-            on_image=self._on_image,
+            fetch_timeout_s=self.contact_s / 12,
+            on_snapshot=self._on_snapshot,
             on_change=self._on_change,
             stepwise=(coordinator.LIST,),
-            holds=self.desk.serial,
+            holds=self.publisher.version,
         )
-        self.spec = None
-        self.out_zones = set()
+        self.configuration = None
+        self.evacuated_zones = set()
         self.has_tenants = False
         self._beats = 0
         self.file_watch = self.runtime.file_watch()
@@ -65,10 +65,10 @@
             address=settings.cloud_address,
             gap_s=max(settings.bound_s(name="drainMs") / 8, 4 / settings.cloud_per_s),
             limit_s=self.contact_s / 4,
-            on_list=lambda rows, at: self.watch_duty.take_list(rows, at),
+            on_list=lambda rows, at: self.cluster_coordinator.handle_list(rows, at),
             zones=settings.zones,
         )
-        self.is_leaving = False
+        self.is_draining = False
         self.wanted_voters = 2 * settings.tolerated_machines + 1
         self.core_members = ()  # the newest core set that was chosen, once there is one
         self._start_membership_objects(window_s=window_s)
@@ -79,41 +79,43 @@
         first_part = self.part_of(seeds) if self.settings.first_start else 0.0
         # An evicted member may hand out entries until its contact ends; each counts for its life and its window.
         outlived_s = 2 * self.lease_s
-        self.slack_parts = share_leases.Parts(now=self.loop.now, wait_s=outlived_s + window_s, first_part=first_part)
-        self.rate_parts = share_leases.Parts(
+        self.owned_slack_share = share_leases.OwnedShare(
+            now=self.loop.now, wait_s=outlived_s + window_s, first_part=first_part
+        )
+        self.owned_rate_share = share_leases.OwnedShare(
             now=self.loop.now, wait_s=outlived_s + RATE_WINDOW_S, first_part=first_part
         )
-        self.mover = voting_set.Mover(
+        self.core_set_changer = voting_set.CoreSetChanger(
             change=lambda **about: self.proposer.change(**about), known_set=lambda name: self.proposer.members(name)
         )
-        self.duty_table = coordinator.Duties(change=lambda **about: self.proposer.change(**about))
-        self.watch_duty = coordinator.WatchDuty(
+        self.role_table = coordinator.SingletonRoleTable(change=lambda **about: self.proposer.change(**about))
+        self.cluster_coordinator = coordinator.ClusterCoordinator(
             own=self.own,
-            life=self.life,
+            incarnation=self.incarnation,
             now=self.loop.now,
-            duty_table=self.duty_table,
-            desk=self.desk,
+            role_table=self.role_table,
+            publisher=self.publisher,
             watch=self.watch,
-            take_after_s=self.silence_s / 4,
+            takeover_after_s=self.peer_timeout_s / 4,
             stale_after_s=self.contact_s,
         )
 
-        self.meter = quota_meter.Meter(
+        self.meter = quota_meter.QuotaMeter(
             now=self.loop.now,
             bounds=quota_meter.Bounds(
                 window_s=self.settings.bound(name="quotaWindowS", default=5),
                 excess=self.settings.bound(name="quotaExcess"),
                 slack=self.settings.bound(name="quotaSlack"),
             ),
-            part=self.rate_parts.value,
+            part=self.owned_rate_share.value,
         )
-        self.rollout_duty = manager.RolloutDuty(
+        self.rollout_manager = manager.RolloutManager(
             settings=self.settings,
             now=self.loop.now,
             change=lambda **about: self.proposer.change(**about),
-            listed=self.watch_duty.listed,
+            listed=self.cluster_coordinator.listed,
             zones=lambda: self.settings.zones,
-            out_zones=lambda: self.out_zones,
+            evacuated_zones=lambda: self.evacuated_zones,
             proxies=self.proxy_origins,
             contact_s=self.contact_s,
             receipt_s=self.receipt_s,
@@ -121,46 +123,46 @@
 
     def _apply(self, name: str, payload, members: tuple) -> None:
         if name == "duty":
-            self.duty_table.install(payload=payload)
-            self.loop.command(act=self._watch_over)
+            self.role_table.install(payload=payload)
+            self.loop.command(callback=self._reconcile_roles)
         elif name == "spec":
-            self.spec = payload["body"] if payload else None
-            self.has_tenants = (self.spec or {}).get("senders") is not None
-            self.meter.install(self.spec)
+            self.configuration = payload["body"] if payload else None
+            self.has_tenants = (self.configuration or {}).get("senders") is not None
+            self.meter.install(self.configuration)
         elif name == register_names.EVACUATIONS:
-            self.out_zones = evacuations.zones_of(payload)
+            self.evacuated_zones = evacuations.zones_of(payload)
         elif name == register_names.ROLLOUTS:
-            self.rollout_duty.install(payload)
+            self.rollout_manager.install(payload)
         elif name == register_names.ARCHIVE:
             self.interfaces.dispatch.learn_archive(payload)
         elif name == "cores":
             self.core_members = members
-            self._dial_cores()
+            self._connect_to_cores()
 
     @property
-    def duties(self) -> dict:
+    def singleton_roles(self) -> dict:
         """Duty: [epoch, holder, the holder's life], as far as this node knows."""
-        return self.duty_table.table
+        return self.role_table.table
 
     def start(self) -> None:
         self.start_members()
         self._make_interfaces()
         self.start_voting()
         self._resume_parts()
-        self._dial_cores()
+        self._connect_to_cores()
         self.interfaces.listen()
         self.watch.start()
-        self.loop.every(gap=self.silence_s / 3, act=self._beat)
+        self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._on_heartbeat_tick)
         self.runtime.on_signals(loop=self.loop, on_terminate=self._leave, on_reread=self._reread)
-        event_log.note("core up", own=self.own, first=self.settings.first_start)
+        event_log.record("core up", own=self.own, first=self.settings.first_start)
 
     def _make_interfaces(self) -> None:
         self.interfaces = interfaces.Interfaces(
             loop=self.loop,
-            make_hall=self.runtime.hall,
+            make_http_server=self.runtime.http_server,
             settings=lambda: self.settings,
             own=self.own,
-            desk=self.desk,
+            publisher=self.publisher,
             registers=interfaces.Registers(
                 change=lambda **about: self.proposer.change(**about), read=lambda **about: self.proposer.read(**about)
             ),
@@ -170,8 +172,8 @@
             has_majority_contact=self.has_majority_contact,
             core_set=self.core_set_status,
             proxies=self.proxies,
-            configuration=lambda: self.spec,
-            duties=lambda: self.duties,
+            configuration=lambda: self.configuration,
+            singleton_roles=lambda: self.singleton_roles,
             votes=lambda: self.acceptor.votes,
             meter=self.meter,
             ttl_s=self.ttl_s,
@@ -185,12 +187,12 @@
         Nobody else can have had that part under this version; entries of the earlier life are waited for by the books.
         """
         _promised, _accepted, version, value = self.acceptor.get(register_names.CORE_SET)
-        if not value or len(ballots.way(value)) > 1:
+        if not value or len(ballots.member_sets(value)) > 1:
             return
         members, _payload = ballots.unpack(value)
         part = self.part_of(members)
-        self.slack_parts.resume(part=part, version=version)
-        self.rate_parts.resume(part=part, version=version)
+        self.owned_slack_share.resume(part=part, version=version)
+        self.owned_rate_share.resume(part=part, version=version)
 
     def run(self) -> int:
         self.start()
@@ -199,25 +201,25 @@
 
     def _leave(self) -> None:
         """SIGTERM: no calls any more, duties are handed over, and voting stops last."""
-        if self.is_leaving:
+        if self.is_draining:
             return
-        self.is_leaving = True
+        self.is_draining = True
         self.interfaces.leave()
-        self._ask_cores(("state", False, True))
-        self._watch_over()
+        self._broadcast_to_cores(("state", False, True))
+        self._reconcile_roles()
         now = self.loop.now()
         latest = now + self.settings.bound(name="graceS") * LEAVE_SHARE
-        self.loop.after(delay=self.receipt_s / 6, act=lambda: self._end_when_free(latest))
+        self.loop.after(delay=self.receipt_s / 6, callback=lambda: self._end_when_free(latest))
 
     def _end_when_free(self, latest: float) -> None:
         if self.may_end() or self.loop.now() >= latest:
             self.watch.stop()
             self.loop.stop()
             return
-        self.loop.after(delay=self.silence_s / 20, act=lambda: self._end_when_free(latest))
+        self.loop.after(delay=self.peer_timeout_s / 20, callback=lambda: self._end_when_free(latest))
 
     def _reread(self) -> None:
         try:
             self.settings = self.runtime.load_settings()
-        except errors.SettingsProblem as fault:
-            event_log.spill(f"the new settings are kept out: {fault}")
+        except errors.SettingsError as fault:
+            event_log.dump(f"the new settings are kept out: {fault}")
--- a/ploverward/control_plane/discovery/platform_client.py
+++ b/ploverward/control_plane/discovery/platform_client.py
@@ -8,7 +8,7 @@
 
 from ploverward.common import errors
 
-MOST_PAGES = 200
+MAX_PAGES = 200
 PAGES_A_ZONE = 2  # a list of more pages than so many for each zone is read by zones, all beside each other
 
 
@@ -50,23 +50,23 @@
         if what in (pycurl.POLL_OUT, pycurl.POLL_INOUT):
             mask |= selectors.EVENT_WRITE
 
-        def act(ready):
+        def callback(ready):
             bits = (pycurl.CSELECT_IN if ready & selectors.EVENT_READ else 0) | (
                 pycurl.CSELECT_OUT if ready & selectors.EVENT_WRITE else 0
             )
             self._act(sock, bits)
 
         if sock in self._masks:
-            self._loop.rewatch(sock=sock, mask=mask, act=act)
+            self._loop.rewatch(sock=sock, mask=mask, callback=callback)
         else:
-            self._loop.watch(sock=sock, mask=mask, act=act)
+            self._loop.watch(sock=sock, mask=mask, callback=callback)
         self._masks[sock] = mask
 
     def _on_timer(self, wait_ms) -> None:
         self._loop.cancel(timer=self._timer)
         self._timer = None
         if wait_ms >= 0:
-            self._timer = self._loop.after(delay=wait_ms / 1000.0, act=lambda: self._act(pycurl.SOCKET_TIMEOUT, 0))
+            self._timer = self._loop.after(delay=wait_ms / 1000.0, callback=lambda: self._act(pycurl.SOCKET_TIMEOUT, 0))
 
     def _act(self, sock, bits) -> None:
         self._multi.socket_action(sock, bits)
@@ -74,14 +74,14 @@
         for curl in good:
             self._end(curl, None)
         for curl, _code, text in bad:
-            self._end(curl, errors.Problem(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
+            self._end(curl, errors.PloverwardError(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
 
     def _end(self, curl, fault) -> None:
         body, done = self._calls.pop(curl)
         status = curl.getinfo(pycurl.RESPONSE_CODE)
         self._multi.remove_handle(curl)
         curl.close()
-        self._loop.command(act=lambda: done(fault, status, body.getvalue()))
+        self._loop.command(callback=lambda: done(fault, status, body.getvalue()))
 
 
 class Reading:
@@ -98,22 +98,22 @@
         self._rows = []
         self._open = 0
         self._is_over = False
-        self._turn = 0  # answers to calls of an earlier turn are not listened to
+        self._attempt = 0  # answers to calls of an earlier turn are not listened to
         self._begin(self._zones if is_by_zone else ("",))
 
     def _begin(self, zones) -> None:
-        self._turn += 1
+        self._attempt += 1
         self._pages = 0
         self._rows = []
         self._open = len(zones)
         for zone in zones:
-            self._page(zone, None, self._turn)
+            self._page(zone, None, self._attempt)
 
-    def _page(self, zone: str, token, turn: int) -> None:
-        self._get(zone, token, lambda fault, status, body: self._take(zone, turn, fault, status, body))
+    def _page(self, zone: str, token, attempt: int) -> None:
+        self._get(zone, token, lambda fault, status, body: self._handle_page(zone, attempt, fault, status, body))
 
-    def _take(self, zone: str, turn: int, fault, status: int, body: bytes) -> None:
-        if self._is_over or turn != self._turn:
+    def _handle_page(self, zone: str, attempt: int, fault, status: int, body: bytes) -> None:
+        if self._is_over or attempt != self._attempt:
             return
         rows, token = (None, None) if fault is not None or status != 200 else _read_page(body)
         if rows is None:
@@ -121,11 +121,11 @@
             return
         self._pages += 1
         self._rows += rows
-        if token is not None and len(self._rows) <= MOST_PAGES * 1000:
+        if token is not None and len(self._rows) <= MAX_PAGES * 1000:
             if not zone and is_long(pages=self._pages, zones=self._zones):
                 self._begin(self._zones)  # one page after the other would take too long
             else:
-                self._page(zone, token, turn)
+                self._page(zone, token, attempt)
             return
         self._open -= 1
         if not self._open:
@@ -146,7 +146,9 @@
     """(rows, token of the next page or None); (None, None) where it can't be read."""
     try:
         answer = json.loads(body)
-        return [read_row(entry=entry) for entry in answer["replicas"]], answer.get("nextPage")
+        return [read_row(platform_replica=platform_replica) for platform_replica in answer["replicas"]], answer.get(
+            "nextPage"
+        )
     except (ValueError, KeyError, TypeError):
         return None, None
 
@@ -208,30 +210,30 @@
         else:
             self._pause_s = min(self._pause_s * 1.5, self._gap_s * 3)
         pause = max(0.0, begun_at + self._pause_s - self._loop.now())
-        self._loop.after(delay=pause, act=lambda: self._begin(run))
+        self._loop.after(delay=pause, callback=lambda: self._begin(run))
 
 
-def read_row(*, entry: dict) -> dict:
+def read_row(*, platform_replica: dict) -> dict:
     """One replica, in our words."""
     return {
-        "id": str(entry["id"]),
-        "service": str(entry["destination"]),
-        "address": str(entry["address"]),
-        "zone": str(entry["zone"]),
-        "edition": str(entry.get("edition") or ""),
-        "berths": int(entry.get("berths", 1)),
-        "is_clearing": entry.get("condition") != "accepting",
-        "cold_ms": float(entry.get("warmupLeftMs") or 0),
-        "left_ms": entry.get("timeLeftMs"),
-        "models": [model["name"] for model in entry.get("models") or []],
-        **_adapters(entry=entry),
+        "id": str(platform_replica["id"]),
+        "service": str(platform_replica["destination"]),
+        "address": str(platform_replica["address"]),
+        "zone": str(platform_replica["zone"]),
+        "edition": str(platform_replica.get("edition") or ""),
+        "berths": int(platform_replica.get("berths", 1)),
+        "is_clearing": platform_replica.get("condition") != "accepting",
+        "cold_ms": float(platform_replica.get("warmupLeftMs") or 0),
+        "left_ms": platform_replica.get("timeLeftMs"),
+        "models": [model["name"] for model in platform_replica.get("models") or []],
+        **_adapters(platform_replica=platform_replica),
     }
 
 
-def _adapters(*, entry: dict) -> dict:
+def _adapters(*, platform_replica: dict) -> dict:
     """The adapters that a replica holds, as pairs with their model. None: it can't be told (docs/pins.md 1)."""
     pairs = []
-    for model in entry.get("models") or []:
+    for model in platform_replica.get("models") or []:
         named = model.get("adapters")
         if named is None or not isinstance(named, list) or not all(isinstance(name, str) for name in named):
             return {"adapters": None, "is_malformed": named is not None}
--- a/ploverward/control_plane/discovery/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -19,17 +19,17 @@
     return node, clock
 
 
-def test_cut_off_it_sends_on_then_answers_again_when_nobody_else_may():
+def test_when_isolated_it_forwards_then_answers_again_when_nobody_else_may():
     live = {"a", "b"}
     node, clock = make(live)
-    assert not node.is_aside()
+    assert not node.is_isolated()
     live.discard("b")
-    assert node.is_aside()
+    assert node.is_isolated()
     clock[0] = 7.9
-    assert node.is_aside()
+    assert node.is_isolated()
     clock[0] = 8.1
-    assert not node.is_aside()
+    assert not node.is_isolated()
     live.add("c")
-    assert not node.is_aside()
+    assert not node.is_isolated()
     live.discard("c")
-    assert node.is_aside()
+    assert node.is_isolated()
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -29,12 +29,12 @@
         decoder = zlib.decompressobj()
         text = decoder.decompress(data, LARGEST_JSON)
         if not decoder.eof:
-            raise errors.FrameProblem("cut short or too large", step=step)
+            raise errors.FrameError("cut short or too large", step=step)
         body = json.loads(text)
     except (zlib.error, ValueError) as failure:
-        raise errors.FrameProblem(str(failure), step=step) from None
+        raise errors.FrameError(str(failure), step=step) from None
     if not isinstance(body, dict):
-        raise errors.FrameProblem("not an object", step=step)
+        raise errors.FrameError("not an object", step=step)
     return body
 
 
@@ -70,7 +70,7 @@
             is_same_clock=bool(body["same"]),
         )
     except (KeyError, TypeError, ValueError) as failure:
-        raise errors.FrameProblem(f"no change: {failure}", step="list change") from None
+        raise errors.FrameError(f"no change: {failure}", step="list change") from None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -92,8 +92,8 @@
         elapsed_ms = (read_at - self.read_at) * 1000.0 if is_same_clock else None
         changed = []
         for row in rows:
-            held = self.rows.get(row["id"])
-            if held is None or _differs(held, row, elapsed_ms=elapsed_ms):
+            current = self.rows.get(row["id"])
+            if current is None or _differs(current, row, elapsed_ms=elapsed_ms):
                 changed.append(row)
         gone = tuple(sorted(self.rows.keys() - {row["id"] for row in rows}))
         if not changed and not gone:
@@ -111,12 +111,12 @@
         return ReplicaList(rows=rows, read_at=change.read_at)
 
 
-def _differs(held: dict, row: dict, *, elapsed_ms: float | None) -> bool:
-    if (held["left_ms"] is None) != (row["left_ms"] is None):
+def _differs(current: dict, row: dict, *, elapsed_ms: float | None) -> bool:
+    if (current["left_ms"] is None) != (row["left_ms"] is None):
         return True
-    if any(held.get(name) != row.get(name) for name in (held.keys() | row.keys()) - NOT_COMPARED):
+    if any(current.get(name) != row.get(name) for name in (current.keys() | row.keys()) - NOT_COMPARED):
         return True
-    expected_ms = max(0.0, held["cold_ms"] - elapsed_ms) if elapsed_ms is not None else 0.0
+    expected_ms = max(0.0, current["cold_ms"] - elapsed_ms) if elapsed_ms is not None else 0.0
     return row["cold_ms"] > expected_ms + COLD_SLACK_MS
 
 
@@ -136,4 +136,4 @@
     try:
         return of_rows(rows=_checked(body["replicas"]), read_at=float(body["at"]))
     except (KeyError, TypeError, ValueError) as failure:
-        raise errors.FrameProblem(f"no list: {failure}", step="list") from None
+        raise errors.FrameError(f"no list: {failure}", step="list") from None
--- a/ploverward/control_plane/distribution/publisher.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -18,7 +18,7 @@
     data: bytes
 
 
-class Desk:
+class Publisher:
     """Topics with their newest value. A version is (epoch, number); it only rises.
 
     A value goes only to who wants it: a link is offered the version and asks, naming the version that it has, so
@@ -33,13 +33,13 @@
     def get(self, topic: str):
         return self.topics.get(topic)
 
-    def serial(self, topic: str) -> tuple:
-        held = self.topics.get(topic)
-        return held[:2] if held else NOTHING
+    def version(self, topic: str) -> tuple:
+        current = self.topics.get(topic)
+        return current[:2] if current else NOTHING
 
     def publish(self, *, topic: str, epoch: int, number: int, data: bytes, change: bytes | None = None) -> bool:
         """`change`: what leads from the value that this desk holds to this one, where that is known."""
-        base = self.serial(topic)
+        base = self.version(topic)
         if (epoch, number) <= base:
             return False
         steps = self._steps.setdefault(topic, collections.deque(maxlen=CHANGES_KEPT))
@@ -56,42 +56,42 @@
     def join(self, link) -> None:
         self._links[link] = {}
         if self.topics:
-            link.send(("offer", tuple((topic, *held[:2]) for topic, held in self.topics.items())))
+            link.send(("offer", tuple((topic, *current[:2]) for topic, current in self.topics.items())))
 
     def leave(self, link) -> None:
         self._links.pop(link, None)
 
-    def take_want(self, link, message: tuple) -> None:
+    def handle_fetch(self, link, message: tuple) -> None:
         _kind, topic, epoch, number = message
-        held = self.topics.get(topic)
-        if held is None:
+        current = self.topics.get(topic)
+        if current is None:
             return
         steps = self._steps_from(topic, (epoch, number))
-        if steps and sum(len(step.data) for step in steps) < len(held[2]):
+        if steps and sum(len(step.data) for step in steps) < len(current[2]):
             link.send(("changes", topic, epoch, number, tuple((*step.version, step.data) for step in steps)))
         else:
-            link.send(("image", topic, *held))
+            link.send(("image", topic, *current))
 
     def _steps_from(self, topic: str, base: tuple) -> list:
         """The steps that lead from this version to the newest; empty where they are not all known."""
         steps = list(self._steps.get(topic, ()))
-        for place, step in enumerate(steps):
+        for index, step in enumerate(steps):
             if step.base == base:
-                return steps[place:]
+                return steps[index:]
         return []
 
-    def take_have(self, link, message: tuple) -> None:
+    def handle_acknowledgement(self, link, message: tuple) -> None:
         has = self._links.get(link)
         if has is None:
             return
         for topic, epoch, number in message[1]:
             has[topic] = max(has.get(topic, NOTHING), (epoch, number))
 
-    def lagging(self, *, topic: str, serial: tuple, links) -> list:
-        return [link for link in links if self._links.get(link, {}).get(topic, NOTHING) < serial]
+    def lagging(self, *, topic: str, version: tuple, links) -> list:
+        return [link for link in links if self._links.get(link, {}).get(topic, NOTHING) < version]
 
 
-class Follower:
+class Subscriber:
     """The other end: asks one teller at a time for what it lacks, never goes back.
 
     `on_change` (topic, epoch, number, data) takes each step that leads from the version held to a newer one; it is
@@ -103,8 +103,8 @@
         self,
         *,
         now,
-        patience_s: float,
-        on_image,
+        fetch_timeout_s: float,
+        on_snapshot,
         is_near=None,
         unwanted=(),
         on_change=None,
@@ -112,76 +112,76 @@
         holds=None,
     ):
         self._now = now
-        self._patience_s = patience_s
+        self._fetch_timeout_s = fetch_timeout_s
         self._is_near = is_near  # whether a link's values come cheaply
         self._unwanted = frozenset(unwanted)  # topics that are never asked for
-        self._on_image = on_image  # (topic, epoch, number, data)
+        self._on_snapshot = on_snapshot  # (topic, epoch, number, data)
         self._on_change = on_change
         self._stepwise = frozenset(stepwise)
-        self.serials = {}
-        self._holds = holds if holds is not None else lambda topic: self.serials.get(topic, NOTHING)
+        self.versions = {}
+        self._holds = holds if holds is not None else lambda topic: self.versions.get(topic, NOTHING)
         self._offered = {}  # topic: {link: version}
         self._asked = {}  # topic: (when, version)
 
-    def take_offer(self, link, message: tuple) -> None:
+    def handle_announcement(self, link, message: tuple) -> None:
         for topic, epoch, number in message[1]:
             if topic in self._unwanted:
                 continue
-            if (epoch, number) <= self.serials.get(topic, NOTHING):
-                link.send(("have", ((topic, *self.serials[topic]),)))
+            if (epoch, number) <= self.versions.get(topic, NOTHING):
+                link.send(("have", ((topic, *self.versions[topic]),)))
                 continue
             self._offered.setdefault(topic, {})[link] = (epoch, number)
             if self._is_near is None or self._is_near(link):
-                self._ask(topic, link)
+                self._request_value(topic, link)
             else:
                 # A nearer teller offers it in a moment; else the next tick asks here.
-                self._asked.setdefault(topic, (self._now() - self._patience_s * 0.5, NOTHING))
+                self._asked.setdefault(topic, (self._now() - self._fetch_timeout_s * 0.5, NOTHING))
 
-    def _ask(self, topic: str, link) -> None:
+    def _request_value(self, topic: str, link) -> None:
         asked = self._asked.get(topic)
         wanted = self._offered[topic][link]
-        if asked is not None and asked[1] >= wanted and self._now() - asked[0] < self._patience_s:
+        if asked is not None and asked[1] >= wanted and self._now() - asked[0] < self._fetch_timeout_s:
             return
         self._asked[topic] = (self._now(), wanted)
-        self._want(topic, link)
+        self._fetch(topic, link)
 
-    def _want(self, topic: str, link) -> None:
+    def _fetch(self, topic: str, link) -> None:
         has = self._holds(topic) if topic in self._stepwise else NOTHING
         link.send(("want", topic, *has))
 
     def tick(self) -> None:
         """Asks again where a teller did not tell."""
         for topic, offers in self._offered.items():
-            serial = self.serials.get(topic, NOTHING)
-            newer = [link for link, offered in offers.items() if offered > serial and link.is_open]
+            version = self.versions.get(topic, NOTHING)
+            newer = [link for link, offered in offers.items() if offered > version and link.is_open]
             if newer:
                 asked = self._asked.get(topic)
-                if asked is None or self._now() - asked[0] >= self._patience_s:
+                if asked is None or self._now() - asked[0] >= self._fetch_timeout_s:
                     near = [link for link in newer if self._is_near is not None and self._is_near(link)]
-                    if near and (asked is None or asked[1] < serial):
+                    if near and (asked is None or asked[1] < version):
                         newer = near
-                    link = newer[int(self._now() / self._patience_s) % len(newer)]
+                    link = newer[int(self._now() / self._fetch_timeout_s) % len(newer)]
                     self._asked[topic] = (self._now(), offers[link])
-                    self._want(topic, link)
+                    self._fetch(topic, link)
 
-    def take_image(self, link, message: tuple) -> bool:
+    def handle_snapshot(self, link, message: tuple) -> bool:
         _kind, topic, epoch, number, data = message
-        if (epoch, number) <= self.serials.get(topic, NOTHING):
+        if (epoch, number) <= self.versions.get(topic, NOTHING):
             return False
-        self._on_image(topic, epoch, number, data)
+        self._on_snapshot(topic, epoch, number, data)
         self._has(topic, (epoch, number))
         return True
 
-    def take_changes(self, link, message: tuple) -> bool:
+    def handle_deltas(self, link, message: tuple) -> bool:
         """Steps count only on the very version that they start from; any others change nothing."""
         _kind, topic, base_epoch, base_number, steps = message
         base = (base_epoch, base_number)
         versions = [base, *((epoch, number) for epoch, number, _data in steps)]
         if not steps or versions != sorted(set(versions)):
-            raise errors.FrameProblem(f"steps {versions}", step="changes")
+            raise errors.FrameError(f"steps {versions}", step="changes")
         if topic not in self._stepwise or self._holds(topic) != base:
             return False
-        if versions[-1] <= self.serials.get(topic, NOTHING):
+        if versions[-1] <= self.versions.get(topic, NOTHING):
             return False
         for epoch, number, data in steps:
             self._on_change(topic, epoch, number, data)
@@ -189,7 +189,7 @@
         return True
 
     def _has(self, topic: str, version: tuple) -> None:
-        self.serials[topic] = version
+        self.versions[topic] = version
         asked = self._asked.get(topic)
         if asked is not None and asked[1] <= version:
             self._asked.pop(topic, None)
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -10,7 +10,7 @@
 from ploverward.control_plane.distribution import publisher as desks
 from ploverward.control_plane.distribution import endpoint_list
 
-ENTRY = {
+PLATFORM_REPLICA = {
     "id": "i",
     "destination": "d",
     "address": "1.1.1.1:1",
@@ -21,31 +21,33 @@
 
 
 def row(**changed):
-    return platform_client.read_row(entry={**ENTRY, **changed})
+    return platform_client.read_row(platform_replica={**PLATFORM_REPLICA, **changed})
 
 
 def test_a_change_is_what_matters_and_not_the_passing_of_a_cold_time():
-    told = endpoint_list.of_rows(rows=[row()], read_at=10.0)
-    assert told.change_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
-    later = told.change_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
+    published = endpoint_list.of_rows(rows=[row()], read_at=10.0)
+    assert published.change_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
+    later = published.change_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
     assert later.rows == (row(),) and later.gone == ()
-    clearing = told.change_to(rows=[row(condition="clearing", warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
+    clearing = published.change_to(
+        rows=[row(condition="clearing", warmupLeftMs=2000)], read_at=11.0, is_same_clock=True
+    )
     assert clearing.rows[0]["is_clearing"]
-    assert told.change_to(rows=[], read_at=11.0, is_same_clock=True).gone == ("i",)
-    noticed = told.change_to(rows=[row(timeLeftMs=900, warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
+    assert published.change_to(rows=[], read_at=11.0, is_same_clock=True).gone == ("i",)
+    noticed = published.change_to(rows=[row(timeLeftMs=900, warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
     assert noticed.rows[0]["left_ms"] == 900
 
 
-def test_under_another_clock_a_cold_row_is_told_again():
-    told = endpoint_list.of_rows(rows=[row()], read_at=900.0)
-    assert told.change_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
-    assert told.change_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
+def test_under_another_clock_a_warming_row_is_published_again():
+    published = endpoint_list.of_rows(rows=[row()], read_at=900.0)
+    assert published.change_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
+    assert published.change_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
 
 
 def test_cold_times_of_rows_that_are_not_named_run_down():
-    told = endpoint_list.of_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
-    change = told.change_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
-    after = told.changed_by(change)
+    published = endpoint_list.of_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
+    change = published.change_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
+    after = published.changed_by(change)
     assert sorted(after.rows) == ["i", "k"] and after.rows["i"]["cold_ms"] == 2000.0
     assert endpoint_list.unpack_list(after.pack()) == after
     assert endpoint_list.unpack_change(change.pack()) == change
@@ -62,10 +64,10 @@
         endpoint_list._pack({}),
     ],
 )
-def test_malformed_lists_and_changes_are_frame_problems(data):
-    with pytest.raises(errors.FrameProblem):
+def test_malformed_lists_and_changes_are_frame_errors(data):
+    with pytest.raises(errors.FrameError):
         endpoint_list.unpack_list(data)
-    with pytest.raises(errors.FrameProblem):
+    with pytest.raises(errors.FrameError):
         endpoint_list.unpack_change(data)
 
 
@@ -81,51 +83,51 @@
         self.waiting.append(frames.unpack(frames.pack(message)))
 
 
-class Teller:
+class Publisher:
     """A core node as far as news go: it holds the duty, or follows the holder."""
 
     def __init__(self):
-        self.desk = desks.Desk()
-        self.told = {}  # version: rows by id
+        self.publisher = desks.Publisher()
+        self.published = {}  # version: rows by id
 
-    def tell(self, *, rows, version, read_at):
-        base = self.desk.get("list")
+    def publish(self, *, rows, version, read_at):
+        base = self.publisher.get("list")
         if base is None or base[0] != version[0]:
             data, change = endpoint_list.of_rows(rows=rows, read_at=read_at).pack(), None
         else:
-            held = endpoint_list.unpack_list(base[2])
-            change = held.change_to(rows=rows, read_at=read_at, is_same_clock=True)
+            current = endpoint_list.unpack_list(base[2])
+            change = current.change_to(rows=rows, read_at=read_at, is_same_clock=True)
             if change is None:
                 return
-            data, change = held.changed_by(change).pack(), change.pack()
-        self.desk.publish(topic="list", epoch=version[0], number=version[1], data=data, change=change)
-        self.told[version] = endpoint_list.unpack_list(data)
+            data, change = current.changed_by(change).pack(), change.pack()
+        self.publisher.publish(topic="list", epoch=version[0], number=version[1], data=data, change=change)
+        self.published[version] = endpoint_list.unpack_list(data)
 
 
 class Listener:
     """A follower that keeps the list by images and steps, as a proxy does."""
 
     def __init__(self, *, now):
-        self.held = None
+        self.current = None
         self.version = (0, 0)
         self.images = self.steps = 0
-        self.follower = desks.Follower(
-            now=now, patience_s=0.3, on_image=self._image, on_change=self._change, stepwise=("list",)
+        self.subscriber = desks.Subscriber(
+            now=now, fetch_timeout_s=0.3, on_snapshot=self._image, on_change=self._change, stepwise=("list",)
         )
 
     def _image(self, _topic, epoch, number, data):
-        self.held, self.version = endpoint_list.unpack_list(data), (epoch, number)
+        self.current, self.version = endpoint_list.unpack_list(data), (epoch, number)
         self.images += 1
 
     def _change(self, _topic, epoch, number, data):
-        self.held, self.version = self.held.changed_by(endpoint_list.unpack_change(data)), (epoch, number)
+        self.current, self.version = self.current.changed_by(endpoint_list.unpack_change(data)), (epoch, number)
         self.steps += 1
 
     def take(self, link, message):
         take = {
-            "offer": self.follower.take_offer,
-            "image": self.follower.take_image,
-            "changes": self.follower.take_changes,
+            "offer": self.subscriber.handle_announcement,
+            "image": self.subscriber.handle_snapshot,
+            "changes": self.subscriber.handle_deltas,
         }
         take[message[0]](link, message)
 
@@ -136,7 +138,7 @@
     def __init__(self, *, seed, listener=Listener):
         self.chance = random.Random(seed)
         self.time = 0.0
-        self.tellers = [Teller(), Teller()]
+        self.tellers = [Publisher(), Publisher()]
         self.listener = listener
         self.down = {}  # (teller, listener): link that carries news
         self.up = {}
@@ -148,9 +150,9 @@
     def join(self):
         listener = self.listener(now=lambda: self.time)
         self.listeners.append(listener)
-        for teller in self.tellers:
-            self.down[teller, listener], self.up[teller, listener] = Wire(), Wire()
-            teller.desk.join(self.down[teller, listener])
+        for publisher in self.tellers:
+            self.down[publisher, listener], self.up[publisher, listener] = Wire(), Wire()
+            publisher.publisher.join(self.down[publisher, listener])
 
     def change_rows(self):
         name = f"i{self.chance.randrange(40)}"
@@ -161,8 +163,8 @@
             self.rows[name] = row(id=name, condition=condition, warmupLeftMs=self.chance.choice((0, 0, 3000)))
 
     def carry(self, *, loss):
-        for (teller, listener), link in list(self.down.items()):
-            back = self.up[teller, listener]
+        for (publisher, listener), link in list(self.down.items()):
+            back = self.up[publisher, listener]
             if self.chance.random() < 0.3:
                 self.chance.shuffle(link.waiting)
             for message in link.waiting:
@@ -171,16 +173,20 @@
             link.waiting = []
             for message in back.waiting:
                 if message[0] == "want" and self.chance.random() >= loss:
-                    teller.desk.take_want(link, message)
+                    publisher.publisher.handle_fetch(link, message)
             back.waiting = []
-            listener.follower.tick()
+            listener.subscriber.tick()
 
     def check(self):
         for listener in self.listeners:
-            if listener.held is None:
+            if listener.current is None:
                 continue
-            told = [teller.told[listener.version] for teller in self.tellers if listener.version in teller.told]
-            assert listener.held in told, f"{listener.version} was never told so"
+            published = [
+                publisher.published[listener.version]
+                for publisher in self.tellers
+                if listener.version in publisher.published
+            ]
+            assert listener.current in published, f"{listener.version} was never told so"
 
     def play(self):
         number = 0
@@ -190,27 +196,27 @@
             for _ in range(self.chance.choice((0, 0, 1, 2))):
                 self.change_rows()
             number = 1 if step == 60 else number + 1
-            self.tellers[epoch - 1].tell(rows=list(self.rows.values()), version=(epoch, number), read_at=self.time)
+            self.tellers[epoch - 1].publish(rows=list(self.rows.values()), version=(epoch, number), read_at=self.time)
             if epoch == 2 and step % 7 == 0:  # the deposed holder tells on: nobody that heard of its successor listens
-                self.tellers[0].tell(rows=[row(id="stale")], version=(1, 1000 + step), read_at=self.time)
+                self.tellers[0].publish(rows=[row(id="stale")], version=(1, 1000 + step), read_at=self.time)
             if step in (30, 80):
                 self.join()
             self.carry(loss=0.2)
             self.check()
-        for (teller, listener), link in self.down.items():  # what was lost ended its link: a new one offers anew
-            listener.follower.drop(self.up[teller, listener])
-            teller.desk.leave(link)
-            teller.desk.join(link)
+        for (publisher, listener), link in self.down.items():  # what was lost ended its link: a new one offers anew
+            listener.subscriber.drop(self.up[publisher, listener])
+            publisher.publisher.leave(link)
+            publisher.publisher.join(link)
         for _ in range(12):
             self.time += 0.31
             self.carry(loss=0.0)
         self.check()
-        newest = self.tellers[1].desk.serial("list")
+        newest = self.tellers[1].publisher.version("list")
         assert {listener.version for listener in self.listeners} == {newest}
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_followers_hold_only_lists_that_were_told_and_converge(seed):
+def test_subscribers_have_only_lists_that_were_published_and_converge(seed):
     history = History(seed=seed)
     history.play()
     assert sum(listener.steps for listener in history.listeners) > 20  # both ways were gone
@@ -231,10 +237,10 @@
     """Planted: steps are applied whatever version they start from."""
 
     def take(self, link, message):
-        if message[0] == "changes" and self.held is not None:
+        if message[0] == "changes" and self.current is not None:
             for epoch, number, data in message[4]:
                 self._change("list", epoch, number, data)
-            self.follower.serials["list"] = self.version
+            self.subscriber.versions["list"] = self.version
             return
         super().take(link, message)
 
@@ -246,7 +252,7 @@
         if message[0] == "changes" and len(message[4]) > 1 and self.version == message[2:4]:
             epoch, number, data = message[4][-1]
             self._change("list", epoch, number, data)
-            self.follower.serials["list"] = self.version
+            self.subscriber.versions["list"] = self.version
             return
         super().take(link, message)
 
@@ -256,7 +262,7 @@
 
     def take(self, link, message):
         if message[0] == "image":
-            self.follower.serials.pop("list", None)
+            self.subscriber.versions.pop("list", None)
         super().take(link, message)
 
 
@@ -274,30 +280,30 @@
         assert found.version == expected
 
 
-def test_a_teller_sends_steps_where_they_are_fewer_bytes_and_the_whole_list_otherwise():
-    teller = Teller()
+def test_a_publisher_sends_deltas_where_they_are_fewer_bytes_and_a_snapshot_otherwise():
+    publisher = Publisher()
     rows = [row(id=f"i{number:04}", warmupLeftMs=0) for number in range(300)]
-    teller.tell(rows=rows, version=(1, 1), read_at=0.0)
+    publisher.publish(rows=rows, version=(1, 1), read_at=0.0)
     for number in range(2, 6):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
-        teller.tell(rows=rows, version=(1, number), read_at=float(number))
+        publisher.publish(rows=rows, version=(1, number), read_at=float(number))
     link = Wire()
-    teller.desk.take_want(link, ("want", "list", 1, 2))
+    publisher.publisher.handle_fetch(link, ("want", "list", 1, 2))
     kind, _topic, *base, steps = link.waiting[-1]
     assert kind == "changes" and base == [1, 2] and [step[:2] for step in steps] == [(1, 3), (1, 4), (1, 5)]
-    assert len(frames.pack(link.waiting[-1])) < len(teller.desk.get("list")[2])
+    assert len(frames.pack(link.waiting[-1])) < len(publisher.publisher.get("list")[2])
     for unknown in ((0, 0), (1, 0), (7, 3)):
-        teller.desk.take_want(link, ("want", "list", *unknown))
+        publisher.publisher.handle_fetch(link, ("want", "list", *unknown))
         assert link.waiting[-1][0] == "image"
     for number in range(6, 6 + desks.CHANGES_KEPT + 1):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
-        teller.tell(rows=rows, version=(1, number), read_at=float(number))
-    teller.desk.take_want(link, ("want", "list", 1, 2))
+        publisher.publish(rows=rows, version=(1, number), read_at=float(number))
+    publisher.publisher.handle_fetch(link, ("want", "list", 1, 2))
     assert link.waiting[-1][0] == "image"
 
 
-def test_steps_without_order_are_a_frame_problem():
+def test_steps_without_order_are_a_frame_error():
     found = Listener(now=lambda: 0.0)
     for steps in ((), ((1, 3, b""), (1, 3, b"")), ((1, 1, b""),)):
-        with pytest.raises(errors.FrameProblem):
+        with pytest.raises(errors.FrameError):
             found.take(Wire(), ("changes", "list", 1, 1, steps))
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -28,15 +28,15 @@
 
     def port(self, **about):
         """Takes links from others: the arguments of `ploverward.transport.peer_connection.Port`."""
-        return peer_connection.Port(**about)
+        return peer_connection.PeerListener(**about)
 
-    def dialer(self, **about):
+    def connector(self, **about):
         """Keeps one link to an address: the arguments of `ploverward.transport.peer_connection.Dialer`."""
-        return peer_connection.Dialer(**about)
+        return peer_connection.Connector(**about)
 
-    def hall(self, **about):
+    def http_server(self, **about):
         """Listens for calls: the arguments of `ploverward.transport.http_server.Hall`."""
-        return http_servers.Hall(**about)
+        return http_servers.HttpServer(**about)
 
     def disk(self, *, folder: str):
         """The folder of the register's files; it is made where it is missing."""
@@ -63,5 +63,5 @@
 
     def on_signals(self, *, loop, on_terminate, on_reread) -> None:
         """The handlers only hand commands to the loop."""
-        signal.signal(signal.SIGTERM, lambda *_: loop.command(act=on_terminate))
-        signal.signal(signal.SIGHUP, lambda *_: loop.command(act=on_reread))
+        signal.signal(signal.SIGTERM, lambda *_: loop.command(callback=on_terminate))
+        signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reread))
--- a/ploverward/control_plane/operator_api/interfaces.py
+++ b/ploverward/control_plane/operator_api/interfaces.py
@@ -37,10 +37,10 @@
         self,
         *,
         loop,
-        make_hall,
+        make_http_server,
         settings,
         own: str,
-        desk,
+        publisher,
         registers,
         members,
         is_core_live,
@@ -48,7 +48,7 @@
         has_majority_contact,
         proxies,
         configuration,
-        duties,
+        singleton_roles,
         votes,
         core_set,
         meter,
@@ -56,8 +56,8 @@
         contact_s: float,
         receipt_s: float,
     ):
-        self.halls = []
-        self.applying = order_handlers.Applying(desk=desk, proxies=proxies)
+        self.servers = []
+        self.applying = order_handlers.Applying(publisher=publisher, proxies=proxies)
         self.dispatch = order_handlers.Dispatch(
             loop=loop,
             registers=registers,
@@ -81,15 +81,17 @@
             contact_s=contact_s,
         )
         self.views = directory.Views(
-            desk=desk,
+            publisher=publisher,
             proxies=proxies,
             settings=settings,
             votes=votes,
             members=members,
-            duties=duties,
+            singleton_roles=singleton_roles,
             core_set=core_set,
         )
-        self.adapters = reports.Adapters(loop=loop, desk=desk, proxies=proxies, settings=settings, contact_s=contact_s)
+        self.adapters = reports.Adapters(
+            loop=loop, publisher=publisher, proxies=proxies, settings=settings, contact_s=contact_s
+        )
         self.custody = reports.Custody(
             loop=loop, proxies=proxies, settings=settings, contact_s=contact_s, receipt_s=receipt_s
         )
@@ -97,7 +99,7 @@
         parts = (self.dispatch, self.directory, self.views, self.adapters, self.custody, self.tenants)
         self._router = router.Router(rules=[rule for part in parts for rule in part.rules()])
         self._loop = loop
-        self._make_hall = make_hall
+        self._make_http_server = make_http_server
         self._settings = settings
         self._contact_s = contact_s
 
@@ -105,22 +107,22 @@
         settings = self._settings()
         for name in SERVED:
             if name in settings.bindings:
-                hall = self._make_hall(
+                server = self._make_http_server(
                     loop=self._loop,
                     address=settings.bindings[name],
-                    on_request=self._router.take,
+                    on_request=self._router.handle,
                     limits=self._limits,
-                    silence_s=self._contact_s,
-                    most_doors=max(LEAST_CONNECTIONS, settings.handles // 2),
+                    peer_timeout_s=self._contact_s,
+                    max_connections=max(LEAST_CONNECTIONS, settings.handles // 2),
                 )
-                self.halls.append(hall)
+                self.servers.append(server)
 
     def leave(self) -> None:
         """No new connections; calls on those that are open are sent on to other nodes."""
         self.dispatch.leave()
-        for hall in self.halls:
-            hall.stop_listening()
-            hall.leave()
+        for server in self.servers:
+            server.stop_listening()
+            server.leave()
 
     def _limits(self):
         return http_servers.Limits(
--- a/ploverward/control_plane/operator_api/order_handlers.py
+++ b/ploverward/control_plane/operator_api/order_handlers.py
@@ -12,7 +12,7 @@
 from ploverward.control_plane.rollouts import orders as rollout_orders
 from ploverward.control_plane.rollouts import state
 
-CALLER_SILENCE_S = 1.0  # after so long a silence a caller goes to another node (the protocol's figure)
+CALLER_TIMEOUT_S = 1.0  # after so long a silence a caller goes to another node (the protocol's figure)
 ROUND_PART = 0.8  # of that silence: a round that has not ended by then is answered with 503
 APPLIED_PART = 0.9  # of that silence: an order that is taken is acknowledged by then, whoever has not applied it
 _VERSION = re.compile(r"[0-9]{1,19}")
@@ -26,13 +26,13 @@
         self.call = call
         self.begun_at = loop.now()
         self.is_over = False
-        self._timer = loop.after(delay=limit_s, act=lambda: at_limit(self))
+        self._timer = loop.after(delay=limit_s, callback=lambda: at_limit(self))
 
     def extend(self, *, until: float, at_limit) -> None:
         """Another limit in place of the one before."""
         self._loop.cancel(timer=self._timer)
         delay = max(0.0, until - self._loop.now())
-        self._timer = self._loop.after(delay=delay, act=lambda: at_limit(self))
+        self._timer = self._loop.after(delay=delay, callback=lambda: at_limit(self))
 
     def claim(self):
         """The call, to be answered now, or None where it has its answer."""
@@ -46,8 +46,8 @@
 class Applying:
     """Holds acknowledgements until the proxies in touch have applied what is acknowledged."""
 
-    def __init__(self, *, desk, proxies):
-        self._desk = desk
+    def __init__(self, *, publisher, proxies):
+        self._publisher = publisher
         self._proxies = proxies
         self._waiting = []  # (topic, version, reply)
 
@@ -64,7 +64,7 @@
         for row in list(self._waiting):
             topic, version, _reply = row
             links = [peer.link for peer in self._proxies(is_listed=False)]
-            if not self._desk.lagging(topic=topic, serial=(0, version), links=links):
+            if not self._publisher.lagging(topic=topic, version=(0, version), links=links):
                 self._end(row)
 
     def _end(self, row) -> None:
@@ -84,17 +84,17 @@
         self._port = port
         self._members = members
         self._is_live = is_live
-        self._turn = 0
+        self._rotation = 0
 
-    def pick(self, *, is_cut_off: bool) -> str:
+    def pick(self, *, is_isolated: bool) -> str:
         """An address, or "". A node that is cut off from the most names first one that it has no link to."""
         others = [host for host in self._members() if host != self._own]
-        preferred = [host for host in others if self._is_live(host) != is_cut_off]
+        preferred = [host for host in others if self._is_live(host) != is_isolated]
         chosen = preferred or others
         if not chosen:
             return ""
-        self._turn += 1
-        return f"{chosen[self._turn % len(chosen)]}:{self._port}"
+        self._rotation += 1
+        return f"{chosen[self._rotation % len(chosen)]}:{self._port}"
 
 
 class Dispatch:
@@ -125,9 +125,9 @@
         self._zones = zones
         self._is_learned = is_learned
         self._has_majority_contact = has_majority_contact
-        self._round_s = min(receipt_s / 8, CALLER_SILENCE_S * ROUND_PART)
+        self._round_s = min(receipt_s / 8, CALLER_TIMEOUT_S * ROUND_PART)
         self._is_leaving = False
-        self._under_way = {}  # mark: replies that wait for the order's round
+        self._waiting_replies = {}  # mark: replies that wait for the order's round
         self._archived = 0
         self._is_archiving = False
 
@@ -158,11 +158,11 @@
         has_contact = self._has_majority_contact()
         if has_contact and self._is_learned() and not self._is_leaving:
             return False
-        self._send_on(call, is_cut_off=not has_contact)
+        self._send_on(call, is_isolated=not has_contact)
         return True
 
-    def _send_on(self, call, *, is_cut_off: bool) -> None:
-        address = self._redirect.pick(is_cut_off=is_cut_off)
+    def _send_on(self, call, *, is_isolated: bool) -> None:
+        address = self._redirect.pick(is_isolated=is_isolated)
         if address:
             call.see_other_node(address=address)
         else:
@@ -179,21 +179,21 @@
         if self._has_majority_contact():
             call.unavailable(why="no majority answered in time")
         else:
-            self._send_on(call, is_cut_off=True)
+            self._send_on(call, is_isolated=True)
 
     def _refuse(self, reply, error) -> None:
         call = reply.claim()
         if call is None:
             return
-        if isinstance(error, errors.StaleBase):
+        if isinstance(error, errors.StaleVersionError):
             call.answer(status=412, body={"error": str(error), "edition": error.current})
-        elif isinstance(error, errors.RolloutUnderWay):
+        elif isinstance(error, errors.RolloutInProgressError):
             call.answer(status=409, body={"error": str(error), "targetEdition": error.target})
-        elif isinstance(error, errors.InvalidConfiguration):
-            call.answer(status=400, body={"error": error.text, "place": error.place})
+        elif isinstance(error, errors.InvalidConfigurationError):
+            call.answer(status=400, body={"error": error.text, "place": error.field_path})
         else:
-            if not isinstance(error, errors.Problem):
-                event_log.spill("an order broke its handling", fault=error)
+            if not isinstance(error, errors.PloverwardError):
+                event_log.dump("an order broke its handling", fault=error)
             call.unavailable(why=str(error))
 
     # Reading back.
@@ -249,11 +249,11 @@
 
     def _take_order(self, order, reply) -> None:
         """One round an order: the same call that comes again meanwhile waits for the round under way."""
-        waiting = self._under_way.get(order.mark)
+        waiting = self._waiting_replies.get(order.order_id)
         if waiting is not None:
             waiting.append(reply)
             return
-        self._under_way[order.mark] = [reply]
+        self._waiting_replies[order.order_id] = [reply]
         if order.candidate is not None:
             self._start_round(order)
         else:
@@ -261,10 +261,10 @@
 
     def _build(self, order) -> None:
         """A PATCH is merged and checked off the loop, against the version it builds on."""
-        held = self._applied()
-        current = held["edition"] if held else 0
+        base_body = self._applied()
+        current = base_body["edition"] if base_body else 0
         if current == order.base:
-            self._build_on(order, held or {})
+            self._build_on(order, base_body or {})
         elif current > order.base:
             self._start_round(order)
         else:
@@ -281,7 +281,7 @@
         else:
             self._start_round(order)
 
-    def _build_on(self, order, held: dict) -> None:
+    def _build_on(self, order, base_body: dict) -> None:
         def done(future):
             error = future.exception()
             if error is not None:
@@ -289,23 +289,23 @@
             else:
                 self._start_round(future.result())
 
-        self._loop.offload(work=lambda: configuration_orders.build(order=order, held=held), done=done)
+        self._loop.offload(work=lambda: configuration_orders.build(order=order, base_body=base_body), done=done)
 
     def _start_round(self, order) -> None:
         self._registers.change(
             name=register_names.CONFIGURATION,
             edit=configuration_orders.edit_for(order=order, archived=self._archived),
             done=lambda error, version, payload, _result: self._round_ended(order, error, version, payload),
-            is_wanted=lambda: any(not reply.is_over for reply in self._under_way.get(order.mark, ())),
+            is_wanted=lambda: any(not reply.is_over for reply in self._waiting_replies.get(order.order_id, ())),
         )
 
     def _round_ended(self, order, error, version: int, payload) -> None:
-        if isinstance(error, errors.StaleBase) and order.base < error.current:
+        if isinstance(error, errors.StaleVersionError) and order.base < error.current:
             self._look_up(order, error)
             return
         self._end_order(order, error, version)
         if error is None:
-            self._tend_archive(payload)
+            self._reconcile_archive(payload)
 
     def _look_up(self, order, stale) -> None:
         """Whether an order on an older version was taken so long ago that only the archive knows."""
@@ -313,7 +313,7 @@
         def done(error, _version, payload, _result):
             if error is not None:
                 self._end_order(order, error, 0)
-            elif order_archive.has(payload=payload, mark=order.mark):
+            elif order_archive.has(payload=payload, order_id=order.order_id):
                 self._end_order(order, None, 0)
             else:
                 self._end_order(order, stale, 0)
@@ -321,7 +321,7 @@
         self._registers.read(name=register_names.ARCHIVE, done=done)
 
     def _end_order(self, order, error, version: int) -> None:
-        first, *later = self._under_way.pop(order.mark)
+        first, *later = self._waiting_replies.pop(order.order_id)
         if error is None:
             for reply in (first, *later):
                 self._acknowledge(reply, register_names.CONFIGURATION, version)
@@ -333,10 +333,10 @@
                 self._take_order(order, reply)
 
     def _acknowledge(self, reply, topic: str, version: int) -> None:
-        until = reply.begun_at + CALLER_SILENCE_S * APPLIED_PART
+        until = reply.begun_at + CALLER_TIMEOUT_S * APPLIED_PART
         self._applying.wait(reply=reply, topic=topic, version=version, until=until)
 
-    def _tend_archive(self, payload) -> None:
+    def _reconcile_archive(self, payload) -> None:
         """Puts the marks of a chosen value into the archive once there are many that it lacks."""
         rows = [row for row in configuration_orders.recent_of(payload) if row[0] > self._archived]
         if self._is_archiving or len(rows) < configuration_orders.ARCHIVE_FROM:
@@ -391,8 +391,8 @@
     def _post_rollout(self, call) -> None:
         try:
             order = rollout_orders.read(data=call.body)
-        except errors.InvalidConfiguration as error:
-            call.answer(status=400, body={"error": error.text, "place": error.place})
+        except errors.InvalidConfigurationError as error:
+            call.answer(status=400, body={"error": error.text, "place": error.field_path})
             return
         if self._is_sent_on(call):
             return
@@ -408,7 +408,7 @@
                 self._begin_rollout(order, reply)
             else:
                 text = f"unknown service '{order.service}'"
-                self._refuse(reply, errors.InvalidConfiguration(text, place="destination"))
+                self._refuse(reply, errors.InvalidConfigurationError(text, field_path="destination"))
 
         self._registers.read(name=register_names.CONFIGURATION, done=read)
 
--- a/ploverward/control_plane/operator_api/reports.py
+++ b/ploverward/control_plane/operator_api/reports.py
@@ -14,30 +14,30 @@
 class Adapters:
     """What the proxies counted of adapters, for operators (docs/pins.md)."""
 
-    def __init__(self, *, loop, desk, proxies, settings, contact_s: float):
-        self._desk = desk
+    def __init__(self, *, loop, publisher, proxies, settings, contact_s: float):
+        self._publisher = publisher
         self._proxies = proxies
         self._settings = settings
         self._window_s = contact_s * WINDOW_CONTACTS
-        self.ledger = adapter_usage.Ledger(now=loop.now, window_s=self._window_s)
+        self.report_store = adapter_usage.ReportStore(now=loop.now, window_s=self._window_s)
 
     def rules(self) -> list:
         return [router.Rule("GET", "/ploverward/adapters", self._get_adapters)]
 
     def _get_adapters(self, call) -> None:
-        held = self._desk.get("list")
-        listed = endpoint_list.unpack_list(held[2]).in_order() if held is not None else []
+        current = self._publisher.get("list")
+        listed = endpoint_list.unpack_list(current[2]).in_order() if current is not None else []
         zones = self._settings().zones
         body = {
             "node": self._settings().node,
             "window_s": self._window_s,
-            "windows": self.ledger.rows(),
-            "malformed": self.ledger.malformed,
+            "windows": self.report_store.rows(),
+            "malformed": self.report_store.malformed,
             "malformed_replicas": [row["id"] for row in listed if row.get("is_malformed")],
             "zones": zones,
             "replicas": [_replica_row(row, zones) for row in listed],
             "proxies": [
-                {"address": peer.address, "life": peer.life, "zone": peer.zone}
+                {"address": peer.address, "life": peer.incarnation, "zone": peer.zone}
                 for peer in self._proxies(is_listed=False)
             ],
         }
@@ -66,7 +66,7 @@
         self._keep_s = contact_s * CUSTODY_CONTACTS
         self._receipt_s = receipt_s
         most = int(settings().memory_mb * TRAILS_PER_MB)
-        self.ledger = trail_store.Ledger(now=loop.now, keep_s=self._keep_s, most=most)
+        self.report_store = trail_store.ReportStore(now=loop.now, keep_s=self._keep_s, most=most)
         self._waiting = {}  # number: who waits for what a proxy knows of kept parts
         self._number = 0
 
@@ -76,14 +76,14 @@
             router.Rule("GET", "/ploverward/custody", self._get_trails),
         ]
 
-    def take_kept(self, *, number: int, rows) -> None:
+    def handle_cache_owners(self, *, number: int, rows) -> None:
         """A proxy's answer: (replica, zone) of those that keep parts of a trail."""
         done = self._waiting.pop(number, None)
         if done is not None:
             done([{"replica": replica, "zone": zone} for replica, zone in rows])
 
     def _get_trail(self, call, request_id: str) -> None:
-        trails = self.ledger.find(request_id)
+        trails = self.report_store.find(request_id)
         node = self._settings().node
         if not trails:
             call.answer(status=404, body={"error": f"no trail of '{request_id}' here", "node": node})
@@ -102,7 +102,7 @@
 
         number = self._request_kept(trail=trail, done=done)
         timer = self._loop.after(
-            delay=self._receipt_s / 12, act=lambda: done(None) if self._waiting.pop(number, None) else None
+            delay=self._receipt_s / 12, callback=lambda: done(None) if self._waiting.pop(number, None) else None
         )
 
     def _request_kept(self, *, trail: dict, done) -> int:
@@ -115,15 +115,15 @@
     def _get_trails(self, call) -> None:
         after = call.query.get("after", "0")
         first = int(after) if after.isascii() and after.isdecimal() and len(after) < 20 else 0
-        rows, last, has_more = self.ledger.page(after=first, most=TRAILS_PER_PAGE)
-        live_lives = {peer.life for peer in self._proxies(is_listed=False)}
-        live = {key for key in self.ledger.lives if key[1] in live_lives}
+        rows, last, has_more = self.report_store.page(after=first, most=TRAILS_PER_PAGE)
+        live_incarnations = {peer.incarnation for peer in self._proxies(is_listed=False)}
+        live = {key for key in self.report_store.incarnations if key[1] in live_incarnations}
         body = {
             "node": self._settings().node,
             "trails": rows,
             "last": last,
             "has_more": has_more,
-            "coverage": self.ledger.coverage(live=live),
+            "coverage": self.report_store.coverage(live=live),
             "zones": self._settings().zones,
             "keep_s": self._keep_s,
         }
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -88,7 +88,7 @@
             merge_slashes=False,
         )
 
-    def take(self, request) -> None:
+    def handle(self, request) -> None:
         call = Call(request=request)
         try:
             handler, values = self._map.bind("core").match(call.path, method=call.method)
@@ -99,5 +99,5 @@
 
 
 def _split_target(target: bytes) -> tuple:
-    path, _mark, query = target.partition(b"?")
+    path, _separator, query = target.partition(b"?")
     return urllib.parse.unquote(path.decode("latin-1")), query
--- a/ploverward/control_plane/operator_api/tenant_views.py
+++ b/ploverward/control_plane/operator_api/tenant_views.py
@@ -12,9 +12,9 @@
         self._meter = meter
 
     def rules(self) -> list:
-        return [router.Rule("GET", "/ploverward/tenants", self._tell)]
+        return [router.Rule("GET", "/ploverward/tenants", self._handle_list)]
 
-    def _tell(self, call) -> None:
+    def _handle_list(self, call) -> None:
         body = self._configuration()
         if body is None:
             call.unavailable(why="no configuration is known yet")
@@ -24,7 +24,7 @@
         call.answer(status=200, body={"edition": body["edition"], "proxies": self._meter.proxies(), "tenants": rows})
 
     def _row(self, row: dict, buckets: dict) -> dict:
-        told = {
+        answer = {
             "keys": [tenant_usage.key_digest(key) for key in row.get("apiKeys") or ()],
             "perS": row.get("perS") or 0,
             "burst": row.get("burst") or 0,
@@ -32,5 +32,5 @@
         }
         bucket = buckets.get(tenant_usage.tenant_key(row["name"]).hex())
         if bucket is not None:
-            told.update(level=bucket["level"], depth=bucket["depth"], wantsCredits=bucket["scarce"])
-        return told
+            answer.update(level=bucket["level"], depth=bucket["depth"], wantsCredits=bucket["scarce"])
+        return answer
--- a/ploverward/control_plane/operator_api/test_applying.py
+++ b/ploverward/control_plane/operator_api/test_applying.py
@@ -6,15 +6,15 @@
 from ploverward.control_plane.distribution import publisher as desks
 from ploverward.simulation import simulated_world
 
-CEILING_S = 0.9
+MAX_WAIT_S = 0.9
 
 
-class Link:
+class PeerConnection:
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def send(self, message):
-        self.told.append(message)
+        self.sent.append(message)
 
 
 class Call:
@@ -27,44 +27,44 @@
 
 def make(links):
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
-    desk = desks.Desk()
+    publisher = desks.Publisher()
     for link in links:
-        desk.join(link)
+        publisher.join(link)
     applying = order_handlers.Applying(
-        desk=desk, proxies=lambda *, is_listed=True: [types.SimpleNamespace(link=link) for link in links]
+        publisher=publisher, proxies=lambda *, is_listed=True: [types.SimpleNamespace(link=link) for link in links]
     )
     call = Call()
     reply = order_handlers.Reply(loop=loop, call=call, limit_s=0.75, at_limit=lambda reply: None)
-    applying.wait(reply=reply, topic="spec", version=3, until=reply.begun_at + CEILING_S)
-    return applying, desk, call, loop
+    applying.wait(reply=reply, topic="spec", version=3, until=reply.begun_at + MAX_WAIT_S)
+    return applying, publisher, call, loop
 
 
 def test_the_operator_is_answered_once_all_live_proxies_applied_it():
-    links = [Link(), Link()]
-    applying, desk, call, _loop = make(links)
+    links = [PeerConnection(), PeerConnection()]
+    applying, publisher, call, _loop = make(links)
     assert call.answers == []
-    desk.take_have(links[0], ("have", (("spec", 0, 3),)))
+    publisher.handle_acknowledgement(links[0], ("have", (("spec", 0, 3),)))
     applying.check()
     assert call.answers == []
-    desk.take_have(links[1], ("have", (("spec", 0, 4),)))
+    publisher.handle_acknowledgement(links[1], ("have", (("spec", 0, 4),)))
     applying.check()
     assert call.answers == [(200, {"serial": 3})]
 
 
 def test_a_proxy_whose_lease_ran_out_is_not_waited_for():
-    links = [Link(), Link()]
-    applying, desk, call, _loop = make(links)
-    desk.take_have(links[0], ("have", (("spec", 0, 3),)))
+    links = [PeerConnection(), PeerConnection()]
+    applying, publisher, call, _loop = make(links)
+    publisher.handle_acknowledgement(links[0], ("have", (("spec", 0, 3),)))
     links.pop()
     applying.check()
     assert len(call.answers) == 1
 
 
-def test_there_is_a_ceiling_and_one_answer_only():
-    applying, _desk, call, loop = make([Link()])
-    loop.world.run(until=CEILING_S - 0.01)
+def test_the_wait_has_a_limit_and_one_answer_only():
+    applying, _publisher, call, loop = make([PeerConnection()])
+    loop.world.run(until=MAX_WAIT_S - 0.01)
     assert call.answers == []
-    loop.world.run(until=CEILING_S + 0.01)
+    loop.world.run(until=MAX_WAIT_S + 0.01)
     assert call.answers == [(200, {"serial": 3})]
     applying.check()
     loop.world.run(until=5.0)
--- a/ploverward/control_plane/operator_api/test_order_handlers.py
+++ b/ploverward/control_plane/operator_api/test_order_handlers.py
@@ -15,111 +15,111 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_orders_of_operators_who_race_through_troubles(seed):
-    scene = order_simulation.play(seed=seed, operators=3, count=60)
-    assert scene.faults() == []
-    assert len(scene.chosen) > 40
-    again = [order for order in scene.sent if order.is_again]
+def test_orders_of_operators_who_race_through_faults(seed):
+    simulation = order_simulation.run_simulation(seed=seed, operators=3, count=60)
+    assert simulation.faults() == []
+    assert len(simulation.chosen) > 40
+    again = [order for order in simulation.sent if order.is_again]
     assert len(again) > 40 and all(order.status == 200 for order in again if order.begun >= 400.0)
-    assert scene.read[-1].edition == max(scene.chosen)
+    assert simulation.read[-1].edition == max(simulation.chosen)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_hundreds_of_changes_and_each_of_them_sent_again(seed):
-    scene = order_simulation.play(seed=seed, operators=2, count=220, again=0.1)
-    assert scene.faults() == []
-    assert len(scene.chosen) > 250
-    assert all(order.status == 200 for order in scene.sent if order.begun >= 400.0)
-    payload = scene.nodes["a"].configuration
+    simulation = order_simulation.run_simulation(seed=seed, operators=2, count=220, again=0.1)
+    assert simulation.faults() == []
+    assert len(simulation.chosen) > 250
+    assert all(order.status == 200 for order in simulation.sent if order.begun >= 400.0)
+    payload = simulation.nodes["a"].configuration
     assert payload is not None
 
 
 def test_an_order_that_was_not_taken_is_refused_however_old_its_base():
-    scene = order_simulation.play(seed=1, operators=1, count=150, loss=0.0, troubles=0, again=0.0)
-    told = []
-    for base in (0, sorted(scene.chosen)[3], sorted(scene.chosen)[-2]):
+    simulation = order_simulation.run_simulation(seed=1, operators=1, count=150, loss=0.0, fault_count=0, again=0.0)
+    outcome = []
+    for base in (0, sorted(simulation.chosen)[3], sorted(simulation.chosen)[-2]):
         data = order_simulation.encode(order_simulation.configuration(edition=base + 1, wait_ms=0.5))
-        scene.send(method="PUT", base=base, data=data, done=lambda order, _body: told.append(order.status))
-    scene.world.run(until=520.0)
-    assert told == [412, 412, 412]
-    assert scene.faults() == []
+        simulation.send(method="PUT", base=base, data=data, done=lambda order, _body: outcome.append(order.status))
+    simulation.world.run(until=520.0)
+    assert outcome == [412, 412, 412]
+    assert simulation.faults() == []
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_old_orders_are_known_after_a_move_of_the_set_and_an_emptied_disk(seed):
-    scene = order_simulation.Scene(seed=seed, names=("a", "b", "c", "d"))
-    scene.world.delay = (0.001, 0.01)
-    operator = order_simulation.Operator(scene=scene, count=150, again=0.0)
-    scene.world.run(until=60.0)
+    simulation = order_simulation.OrderSimulation(seed=seed, names=("a", "b", "c", "d"))
+    simulation.world.delay = (0.001, 0.01)
+    operator = order_simulation.Operator(simulation=simulation, count=150, again=0.0)
+    simulation.world.run(until=60.0)
     ends = []
-    scene.move(by="a", to=("a", "b", "d"), done=ends.append)
-    scene.world.run(until=70.0)
+    simulation.move(by="a", to=("a", "b", "d"), done=ends.append)
+    simulation.world.run(until=70.0)
     assert ends == [None]
-    scene.nodes["c"].stop(is_wiped=True)
-    scene.nodes["b"].stop(is_wiped=True)
-    scene.world.later(1.0, scene.nodes["b"].start)
-    scene.world.run(until=90.0)
-    assert scene.nodes["b"].acceptor.votes
+    simulation.nodes["c"].stop(is_wiped=True)
+    simulation.nodes["b"].stop(is_wiped=True)
+    simulation.world.later(1.0, simulation.nodes["b"].start)
+    simulation.world.run(until=90.0)
+    assert simulation.nodes["b"].acceptor.votes
     for order, data in operator.ended:
-        scene.send(method=order.method, base=order.base, data=data, is_again=True)
-    scene.world.run(until=130.0)
+        simulation.send(method=order.method, base=order.base, data=data, is_again=True)
+    simulation.world.run(until=130.0)
     assert len(operator.ended) == 150
-    assert scene.faults() == []
-    assert all(order.status == 200 for order in scene.sent if order.is_again)
+    assert simulation.faults() == []
+    assert all(order.status == 200 for order in simulation.sent if order.is_again)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_two_operators_on_one_version_and_exactly_one_is_confirmed(seed):
-    scene = order_simulation.Scene(seed=seed)
-    scene.world.loss = 0.05
+    simulation = order_simulation.OrderSimulation(seed=seed)
+    simulation.world.loss = 0.05
     for number in range(8):
         data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
-        scene.send(method="PUT", base=0, data=data)
-    scene.world.run(until=60.0)
-    assert scene.faults() == []
-    assert sorted(order.status for order in scene.sent) == [200] + [412] * 7
+        simulation.send(method="PUT", base=0, data=data)
+    simulation.world.run(until=60.0)
+    assert simulation.faults() == []
+    assert sorted(order.status for order in simulation.sent) == [200] + [412] * 7
 
 
-def test_a_copy_that_comes_while_the_first_is_under_way_joins_its_round():
-    scene = order_simulation.Scene(seed=4, names=("a", "b", "c"))
-    node = scene.nodes["a"]
+def test_a_duplicate_order_joins_the_round_in_progress():
+    simulation = order_simulation.OrderSimulation(seed=4, names=("a", "b", "c"))
+    node = simulation.nodes["a"]
     changes = []
     change = node.proposer.change
     node.dispatch._registers.change = lambda **about: (changes.append(about["name"]), change(**about))
     data = order_simulation.encode(order_simulation.configuration(edition=1))
-    told = []
+    outcome = []
     for _copy in range(4):
         call = order_simulation.Call(
             method="PUT",
             target="/ploverward/configuration",
             body=data,
             headers={"If-Match": "0"},
-            on_answer=lambda status, body, address: told.append(status),
+            on_answer=lambda status, body, address: outcome.append(status),
         )
-        node.take_call(call)
-    scene.world.run(until=5.0)
-    assert told == [200] * 4 and changes == ["spec"]
+        node.handle_call(call)
+    simulation.world.run(until=5.0)
+    assert outcome == [200] * 4 and changes == ["spec"]
 
 
-def _cut_off(scene, name):
-    for other in scene.nodes:
-        scene.world.cuts |= {(name, other), (other, name)}
+def _isolate(simulation, name):
+    for other in simulation.nodes:
+        simulation.world.partitions |= {(name, other), (other, name)}
 
 
-def _call_node(scene, name, *, method="PUT", target="/ploverward/configuration", data=b"", base=0):
+def _call_node(simulation, name, *, method="PUT", target="/ploverward/configuration", data=b"", base=0):
     """(status, body, seconds) once answered."""
-    told = []
-    begun = scene.world.now()
+    outcome = []
+    begun = simulation.world.now()
     call = order_simulation.Call(
         method=method,
         target=target,
         body=data,
         headers={"If-Match": str(base)},
-        on_answer=lambda status, body, address: told.append((status, address, scene.world.now() - begun)),
+        on_answer=lambda status, body, address: outcome.append((status, address, simulation.world.now() - begun)),
     )
-    scene.nodes[name].take_call(call)
-    scene.world.run(until=begun + 10.0)
-    return told
+    simulation.nodes[name].handle_call(call)
+    simulation.world.run(until=begun + 10.0)
+    return outcome
 
 
 CALLS = (
@@ -133,57 +133,61 @@
 
 
 @pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_knows_it_is_cut_off_sends_the_caller_to_another_member(about):
-    scene = order_simulation.Scene(seed=2)
-    scene.world.run(until=1.0)
-    _cut_off(scene, "a")
-    ((status, address, seconds),) = _call_node(scene, "a", **about)
+def test_a_node_that_knows_it_is_isolated_redirects_the_caller(about):
+    simulation = order_simulation.OrderSimulation(seed=2)
+    simulation.world.run(until=1.0)
+    _isolate(simulation, "a")
+    ((status, address, seconds),) = _call_node(simulation, "a", **about)
     assert status == 307 and address in ("b", "c") and seconds < 0.1
 
 
 @pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_does_not_know_of_its_cut_leaves_the_call_within_a_second(about):
-    scene = order_simulation.Scene(seed=2)
-    scene.nodes["a"].dispatch._has_majority_contact = lambda: True
-    _cut_off(scene, "a")
-    ((status, _address, seconds),) = _call_node(scene, "a", **about)
+def test_a_node_unaware_of_its_isolation_leaves_the_call_within_a_second(about):
+    simulation = order_simulation.OrderSimulation(seed=2)
+    simulation.nodes["a"].dispatch._has_majority_contact = lambda: True
+    _isolate(simulation, "a")
+    ((status, _address, seconds),) = _call_node(simulation, "a", **about)
     assert status == 503 and 0.5 < seconds < 0.9
 
 
 @pytest.mark.parametrize("about", CALLS)
 def test_a_node_that_has_not_learned_its_state_or_is_leaving_refuses_nothing(about):
-    scene = order_simulation.Scene(seed=2)
-    scene.nodes["b"].stop()
-    scene.nodes["a"].stop(is_wiped=True)
-    scene.nodes["a"].start()
-    ((status, address, _seconds),) = _call_node(scene, "a", **about)
-    assert not scene.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
-    scene = order_simulation.Scene(seed=2)
-    scene.nodes["a"].dispatch.leave()
-    ((status, address, _seconds),) = _call_node(scene, "a", **about)
+    simulation = order_simulation.OrderSimulation(seed=2)
+    simulation.nodes["b"].stop()
+    simulation.nodes["a"].stop(is_wiped=True)
+    simulation.nodes["a"].start()
+    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
+    assert not simulation.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
+    simulation = order_simulation.OrderSimulation(seed=2)
+    simulation.nodes["a"].dispatch.leave()
+    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
     assert status == 307 and address in ("b", "c")
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_orders_under_way_when_a_node_leaves_are_taken_or_left(seed):
-    scene = order_simulation.Scene(seed=seed)
-    scene.world.delay = (0.01, 0.2)
-    told = []
+def test_orders_in_progress_when_a_node_leaves_are_taken_or_left(seed):
+    simulation = order_simulation.OrderSimulation(seed=seed)
+    simulation.world.delay = (0.01, 0.2)
+    outcome = []
     data = order_simulation.encode(order_simulation.configuration(edition=4))
     about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-    scene.nodes["a"].take_call(order_simulation.Call(**about, on_answer=lambda status, *_about: told.append(status)))
-    scene.world.later(scene.world.chance.uniform(0.0, 0.6), scene.nodes["a"].dispatch.leave)
-    scene.world.later(0.65, scene.nodes["a"].stop)
-    scene.world.run(until=3.0)
-    assert told in ([], [200], [503])
-    scene.send(method="PUT", base=0, data=data)  # as the protocol has it: to any node, until there is a clear answer
-    scene.world.run(until=40.0)
-    assert [order.status for order in scene.sent] == [200] and scene.faults() == []
+    simulation.nodes["a"].handle_call(
+        order_simulation.Call(**about, on_answer=lambda status, *_about: outcome.append(status))
+    )
+    simulation.world.later(simulation.world.chance.uniform(0.0, 0.6), simulation.nodes["a"].dispatch.leave)
+    simulation.world.later(0.65, simulation.nodes["a"].stop)
+    simulation.world.run(until=3.0)
+    assert outcome in ([], [200], [503])
+    simulation.send(
+        method="PUT", base=0, data=data
+    )  # as the protocol has it: to any node, until there is a clear answer
+    simulation.world.run(until=40.0)
+    assert [order.status for order in simulation.sent] == [200] and simulation.faults() == []
 
 
 def test_routes_are_checked_off_the_loop(monkeypatch):
-    scene = order_simulation.Scene(seed=1)
-    loop = scene.nodes["a"].loop
+    simulation = order_simulation.OrderSimulation(seed=1)
+    loop = simulation.nodes["a"].loop
     places = []
     offload, check = loop.offload, schema.check
 
@@ -203,34 +207,34 @@
 
     loop.offload = marked
     monkeypatch.setattr(schema, "check", watched)
-    first = _call_node(scene, "a", data=order_simulation.encode(order_simulation.configuration(edition=4)))
+    first = _call_node(simulation, "a", data=order_simulation.encode(order_simulation.configuration(edition=4)))
     patch = order_simulation.encode(
         {"edition": 6, "upsert": {"routes": [{**order_simulation.ROUTE_PATCH, "expiryMs": 5}]}}
     )
-    second = _call_node(scene, "a", method="PATCH", base=4, data=patch)
+    second = _call_node(simulation, "a", method="PATCH", base=4, data=patch)
     assert [first[0][0], second[0][0]] == [200, 200]
 
 
 def test_orders_whose_time_ran_out_in_the_queue_do_not_block_the_node():
     """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
-    scene = order_simulation.Scene(seed=5)
-    scene.nodes["a"].dispatch._has_majority_contact = lambda: True
-    _cut_off(scene, "a")
+    simulation = order_simulation.OrderSimulation(seed=5)
+    simulation.nodes["a"].dispatch._has_majority_contact = lambda: True
+    _isolate(simulation, "a")
     for number in range(8):
         data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
         about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-        scene.nodes["a"].take_call(order_simulation.Call(**about, on_answer=lambda *_about: None))
-    scene.world.run(until=8.0)
-    scene.world.cuts.clear()
-    ((status, _address, _seconds),) = _call_node(scene, "a", **CALLS[0])
-    assert status == 200 and scene.nodes["a"].dispatch._under_way == {}
+        simulation.nodes["a"].handle_call(order_simulation.Call(**about, on_answer=lambda *_about: None))
+    simulation.world.run(until=8.0)
+    simulation.world.partitions.clear()
+    ((status, _address, _seconds),) = _call_node(simulation, "a", **CALLS[0])
+    assert status == 200 and simulation.nodes["a"].dispatch._waiting_replies == {}
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_evacuations_read_back_as_the_last_acknowledged_order_left_them(seed):
     """One operator, one order after the other; each is resent until it is acknowledged or its time is over."""
-    told = order_simulation.play_evacuations(seed=seed)
-    assert told.wrong == [] and told.acknowledged > 20
+    outcome = order_simulation.run_evacuations(seed=seed)
+    assert outcome.wrong == [] and outcome.acknowledged > 20
 
 
 def test_an_attempt_that_comes_late_does_not_undo_the_opposite_order():
@@ -247,22 +251,22 @@
     older = {"edition": 9, "body": order_simulation.configuration(edition=9), "recent": [[9, "0" * 20]]}
     data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
-    new, told = orders.edit_for(order=order, archived=0)(older)
-    assert told == orders.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.mark]]
-    assert not order_archive.has(payload=None, mark=order.mark) and order_archive.through(None) == 0
+    new, outcome = orders.edit_for(order=order, archived=0)(older)
+    assert outcome == orders.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.order_id]]
+    assert not order_archive.has(payload=None, order_id=order.order_id) and order_archive.through(None) == 0
     back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)({"zones": ["za", "zb"]})
     assert back["zones"] == ["zb"]
 
 
-def test_the_archive_takes_each_mark_once_and_keeps_the_newest():
+def test_the_archive_takes_each_order_id_once_and_keeps_the_newest():
     rows = [[edition * 3, "%020x" % (edition * 2654435761)] for edition in range(1, 401)]
     payload = None
     for end in (100, 90, 260, 260, 400):
         payload, _last = order_archive.edit_for(rows=rows[max(0, end - 200) : end])(payload)
     assert order_archive.through(payload) == 1200
-    assert all(order_archive.has(payload=payload, mark=mark) for _edition, mark in rows)
-    assert len(order_archive._marks(payload)) == 400 * order_archive.MARK_BYTES
-    assert not order_archive.has(payload=payload, mark="%020x" % 7)
+    assert all(order_archive.has(payload=payload, order_id=order_id) for _edition, order_id in rows)
+    assert len(order_archive._stored_ids(payload)) == 400 * order_archive.SHORT_ID_BYTES
+    assert not order_archive.has(payload=payload, order_id="%020x" % 7)
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
@@ -271,33 +275,33 @@
 
 def test_the_checker_finds_a_window_of_48_without_an_archive(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-48:])
-    monkeypatch.setattr(order_archive, "has", lambda *, payload, mark: False)
-    scene = order_simulation.play(seed=0, operators=1, count=80, troubles=0, again=0.0)
-    assert any("refused with 412" in line for line in scene.faults())
+    monkeypatch.setattr(order_archive, "has", lambda *, payload, order_id: False)
+    simulation = order_simulation.run_simulation(seed=0, operators=1, count=80, fault_count=0, again=0.0)
+    assert any("refused with 412" in line for line in simulation.faults())
 
 
-def test_the_checker_finds_marks_that_leave_before_they_are_archived(monkeypatch):
+def test_the_checker_finds_order_ids_that_leave_before_they_are_archived(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.RECENT_KEPT :])
     monkeypatch.setattr(orders, "ARCHIVE_FROM", 10**6)
-    scene = order_simulation.play(seed=0, operators=1, count=120, troubles=0, again=0.0)
-    assert any("refused with 412" in line for line in scene.faults())
+    simulation = order_simulation.run_simulation(seed=0, operators=1, count=120, fault_count=0, again=0.0)
+    assert any("refused with 412" in line for line in simulation.faults())
 
 
 def test_the_checker_finds_orders_taken_on_any_base(monkeypatch):
     def edit_for(*, order, archived):
         def edit(payload):
-            rows = [*orders.recent_of(payload), [order.candidate.edition, order.mark]]
+            rows = [*orders.recent_of(payload), [order.candidate.edition, order.order_id]]
             return {"edition": order.candidate.edition, "body": order.body, "recent": rows}, orders.TAKEN
 
         return edit
 
     monkeypatch.setattr(orders, "edit_for", edit_for)
-    scene = order_simulation.Scene(seed=1)
+    simulation = order_simulation.OrderSimulation(seed=1)
     for number in range(3):
         data = order_simulation.encode(order_simulation.configuration(edition=3 + number))
-        scene.send(method="PUT", base=0, data=data)
-    scene.world.run(until=60.0)
-    assert any("two orders were confirmed on 0" in line for line in scene.faults())
+        simulation.send(method="PUT", base=0, data=data)
+    simulation.world.run(until=60.0)
+    assert any("two orders were confirmed on 0" in line for line in simulation.faults())
 
 
 def test_histories_find_evacuations_whose_late_attempts_undo_others(monkeypatch):
@@ -320,15 +324,15 @@
 
     monkeypatch.setattr(evacuations, "edit_for", edit_for)
     monkeypatch.setattr(proposer.Proposer, "change", change_to_the_end)
-    assert any(order_simulation.play_evacuations(seed=seed).wrong for seed in range(60))
+    assert any(order_simulation.run_evacuations(seed=seed).wrong for seed in range(60))
 
 
 def test_the_checker_finds_lost_and_altered_configurations():
-    order = order_history.Sent(method="PUT", base=0, mark="m", begun=0.0, ended=1.0, status=200)
-    chosen = [order_history.Chosen(base=0, edition=2, mark="m", body={"edition": 2})]
-    older = order_history.ReadBack(begun=2.0, ended=3.0, edition=0, body=None)
-    altered = order_history.ReadBack(begun=2.0, ended=3.0, edition=2, body={"edition": 2, "x": 1})
-    good = order_history.ReadBack(begun=2.0, ended=3.0, edition=2, body={"edition": 2})
+    order = order_history.SentOrder(method="PUT", base=0, order_id="m", begun=0.0, ended=1.0, status=200)
+    chosen = [order_history.ChosenConfiguration(base=0, edition=2, order_id="m", body={"edition": 2})]
+    older = order_history.ConfigurationRead(begun=2.0, ended=3.0, edition=0, body=None)
+    altered = order_history.ConfigurationRead(begun=2.0, ended=3.0, edition=2, body={"edition": 2, "x": 1})
+    good = order_history.ConfigurationRead(begun=2.0, ended=3.0, edition=2, body={"edition": 2})
     assert order_history.faults(sent=[order], read=[good], chosen=chosen) == []
     assert order_history.faults(sent=[order], read=[older], chosen=chosen)
     assert order_history.faults(sent=[order], read=[altered], chosen=chosen)
--- a/ploverward/control_plane/operator_api/test_rollout_calls.py
+++ b/ploverward/control_plane/operator_api/test_rollout_calls.py
@@ -17,11 +17,11 @@
 class Call:
     def __init__(self, body=b""):
         self.body = body
-        self.told = None
+        self.answered = None
 
     def answer(self, *, status, body, headers=()):
-        assert self.told is None
-        self.told = (status, body)
+        assert self.answered is None
+        self.answered = (status, body)
 
     def unavailable(self, *, why):
         self.answer(status=503, body={"error": why})
@@ -39,9 +39,9 @@
     def now(self):
         return 0.0
 
-    def after(self, *, delay, act):
-        self.timers.append(act)
-        return act
+    def after(self, *, delay, callback):
+        self.timers.append(callback)
+        return callback
 
     def cancel(self, *, timer):
         if timer in self.timers:
@@ -54,11 +54,11 @@
         self.error = None
         self.changes = 0
         self.loop = Loop()
-        desk = types.SimpleNamespace(lagging=lambda **_about: [])
+        publisher = types.SimpleNamespace(lagging=lambda **_about: [])
         self.dispatch = order_handlers.Dispatch(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
-            applying=order_handlers.Applying(desk=desk, proxies=lambda is_listed: []),
+            applying=order_handlers.Applying(publisher=publisher, proxies=lambda is_listed: []),
             redirect=order_handlers.Redirect(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
             applied=lambda: applied,
             zones=lambda: {"z": "r"},
@@ -73,7 +73,7 @@
             return
         try:
             value, _said = edit(self.values[name])
-        except errors.Problem as failure:
+        except errors.PloverwardError as failure:
             done(failure, 0, None, None)
             return
         self.changes += value is not self.values[name]
@@ -86,12 +86,12 @@
     def post(self, **body):
         call = Call(json.dumps(body).encode())
         self.dispatch._post_rollout(call)
-        return call.told
+        return call.answered
 
     def get(self, service):
         call = Call()
         self.dispatch._get_rollout(call, service)
-        return call.told
+        return call.answered
 
 
 ORDER = {"destination": "pool", "targetEdition": "v2", "overS": 14.0}
@@ -99,7 +99,7 @@
 
 def test_an_order_is_taken_once_and_acknowledged_each_time():
     node = Node()
-    assert [node.post(**ORDER)[0] for _turn in range(3)] == [200, 200, 200]
+    assert [node.post(**ORDER)[0] for _index in range(3)] == [200, 200, 200]
     assert node.changes == 1
     status, body = node.get("pool")
     assert (status, body["condition"], body["targetEdition"]) == (200, "in_service", "v2")
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    "about, place",
+    "about, field_path",
     [
         ({"destination": "nobody"}, "destination"),
         ({"targetEdition": None}, "targetEdition"),
@@ -123,10 +123,10 @@
         ({"overS": -1}, "overS"),
     ],
 )
-def test_what_is_no_order_changes_nothing(about, place):
+def test_what_is_no_order_changes_nothing(about, field_path):
     node = Node()
     status, body = node.post(**{**ORDER, **about})
-    assert (status, body["place"], node.changes) == (400, place, 0)
+    assert (status, body["place"], node.changes) == (400, field_path, 0)
 
 
 def test_a_service_that_this_node_has_not_heard_of_is_looked_up():
@@ -135,12 +135,12 @@
     assert node.post(**{**ORDER, "destination": "nobody"})[0] == 400
 
 
-def test_a_node_that_is_not_sure_says_503_and_one_that_is_cut_off_names_another():
+def test_an_unsure_node_answers_503_and_an_isolated_one_names_another():
     node = Node()
-    node.error = errors.Unreachable("no majority answered in time")
+    node.error = errors.QuorumUnavailableError("no majority answered in time")
     assert node.post(**ORDER)[0] == 503 and node.get("pool")[0] == 503
-    cut_off = Node(contact=False)
-    assert cut_off.post(**ORDER)[0] == 307 and cut_off.get("pool")[0] == 307 and cut_off.changes == 0
+    isolated = Node(contact=False)
+    assert isolated.post(**ORDER)[0] == 307 and isolated.get("pool")[0] == 307 and isolated.changes == 0
 
 
 @pytest.mark.parametrize("stage", [state.Stage.DELIVERED, state.Stage.RETURNED])
@@ -159,5 +159,5 @@
     assert node.post(**ORDER)[0] == 200 and node.get("pool")[1]["condition"] == str(stage)
 
 
-def test_a_service_without_a_roll_out_is_told_so():
+def test_a_service_without_a_roll_out_is_answered_so():
     assert Node().get("pool")[0] == 404
--- a/ploverward/control_plane/operator_api/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -49,9 +49,9 @@
     return router.Router(rules=handling.rules()), loop, changes
 
 
-def told(request, *, has_contact=True) -> tuple:
+def respond(request, *, has_contact=True) -> tuple:
     routing, loop, changes = make(has_contact=has_contact)
-    routing.take(request)
+    routing.handle(request)
     loop.world.run(until=5.0)
     ((status, headers, body),) = request.replies
     return status, headers, json.loads(body), changes
@@ -67,40 +67,40 @@
 )
 def test_any_head_gets_one_clear_answer(method, tail, version, body):
     request = Request(method=method, target=b"/ploverward" + tail, headers=[(b"if-match", version)], body=body)
-    status, _headers, answer, changes = told(request)
+    status, _headers, answer, changes = respond(request)
     assert status in (400, 404, 405) and answer["error"] or status == 503 and changes
 
 
 @pytest.mark.parametrize("version", [b"", b"x", b"-1", b"1.0", b'W/"1"', b'"1', b"\xb2", b"9" * 20, b"1,2", b"*"])
-def test_a_version_that_is_none_is_refused_with_its_place(version):
+def test_a_version_that_is_none_is_refused_with_the_header_named(version):
     request = Request(
         method=b"PUT", target=b"/ploverward/configuration", headers=[(b"if-match", version)], body=b'{"edition":3}'
     )
-    status, _headers, answer, changes = told(request)
+    status, _headers, answer, changes = respond(request)
     assert (status, answer["place"], changes) == (400, "If-Match", [])
 
 
-def test_a_call_without_a_version_is_refused_with_its_place():
-    status, _headers, answer, changes = told(Request(method=b"PATCH", target=b"/ploverward/configuration"))
+def test_a_call_without_a_version_is_refused_with_the_header_named():
+    status, _headers, answer, changes = respond(Request(method=b"PATCH", target=b"/ploverward/configuration"))
     assert (status, answer["place"], changes) == (400, "If-Match", [])
 
 
 def test_zones_are_read_from_the_path_as_it_is_encoded():
-    assert told(Request(method=b"POST", target=b"/ploverward/evacuation/z%20b"))[3] == ["evac"]
-    assert told(Request(method=b"POST", target=b"/ploverward/evacuation/zc"))[0] == 404
+    assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/z%20b"))[3] == ["evac"]
+    assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/zc"))[0] == 404
 
 
 def test_a_caller_is_sent_on_with_the_target_as_it_came():
     request = Request(method=b"POST", target=b"/ploverward/evacuation/z%20b?x=1")
-    status, headers, _answer, changes = told(request, has_contact=False)
+    status, headers, _answer, changes = respond(request, has_contact=False)
     assert status == 307 and changes == []
     assert headers[b"Location"] == b"http://c:81/ploverward/evacuation/z%20b?x=1"  # no link to it: maybe the other side
 
 
-def test_members_are_named_in_turn():
+def test_redirects_name_members_round_robin():
     redirect = order_handlers.Redirect(
         own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b"
     )
-    assert {redirect.pick(is_cut_off=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
-    assert {redirect.pick(is_cut_off=False) for _ in range(6)} == {"b:81"}
-    assert order_handlers.Redirect(own="a", port=81, members=lambda: ("a",), is_live=None).pick(is_cut_off=True) == ""
+    assert {redirect.pick(is_isolated=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
+    assert {redirect.pick(is_isolated=False) for _ in range(6)} == {"b:81"}
+    assert order_handlers.Redirect(own="a", port=81, members=lambda: ("a",), is_live=None).pick(is_isolated=True) == ""
