--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -10,8 +10,8 @@
 
 from ploverward.common import tenant_usage
 
-LEAST_DEPTH_PART = 0.2  # of the error that the bound allows, by which a bucket is deeper than the burst
-MOST_DEPTH_PART = 0.6  # the same for small tenants, of which little is admitted while a report is on its way
+MIN_DEPTH_SHARE = 0.2  # of the error that the bound allows, by which a bucket is deeper than the burst
+MAX_DEPTH_SHARE = 0.6  # the same for small tenants, of which little is admitted while a report is on its way
 REPORT_S = 0.8  # from an admission to the last proxy that acts on it
 SCARCE_PART = 0.4  # of the depth, below which admissions want credits
 DEMAND_SPAN_S = 0.8  # over which the demand of all proxies is reckoned
@@ -21,7 +21,7 @@
 START_DEBT_S = 0.5  # of the rate, that is taken off besides
 START_SCARCE_PART = 0.12  # of the depth, below which admissions want credits from the start
 ISSUE_S = 0.5  # seconds of its part that a core node may have left to hand out
-MOST_GAP_S = 0.8  # between two reports of a proxy, that its credits cover
+MAX_GAP_S = 0.8  # between two reports of a proxy, that its credits cover
 DEMAND_KEPT_S = 1.5
 DEMAND_WEIGHT = 0.5  # of the newest report, in a proxy's demand
 KNOWN_S = 60.0  # how long a proxy that is out of touch may go on admitting by itself
@@ -57,7 +57,7 @@
     def _set(self, limit: tenant_usage.Limit) -> None:
         self.limit = limit
         error = self._bounds.error(limit)
-        self.depth = limit.burst + max(LEAST_DEPTH_PART * error, MOST_DEPTH_PART * error - REPORT_S * limit.per_s)
+        self.depth = limit.burst + max(MIN_DEPTH_SHARE * error, MAX_DEPTH_SHARE * error - REPORT_S * limit.per_s)
 
     def change_limit(self, *, limit: tenant_usage.Limit, now: float, part: float) -> None:
         self.refill(now=now, part=part)
@@ -66,12 +66,12 @@
 
     def refill(self, *, now: float, part: float) -> None:
         """`part`: of the limit, that this core node hands out."""
-        gap = max(0.0, now - self.at)
+        elapsed_s = max(0.0, now - self.at)
         self.at = now
-        self.level = min(self.depth, self.level + gap * self.limit.per_s)
+        self.level = min(self.depth, self.level + elapsed_s * self.limit.per_s)
         rate = self._issue_rate(part)
-        self.asked_per_s *= math.exp(-gap / DEMAND_SPAN_S)
-        self.issue = min(rate * ISSUE_S, self.issue + gap * rate)
+        self.asked_per_s *= math.exp(-elapsed_s / DEMAND_SPAN_S)
+        self.issue = min(rate * ISSUE_S, self.issue + elapsed_s * rate)
         if self.level > FREE_PART * self.depth and self.asked_per_s <= FREE_DEMAND * self.limit.per_s:
             self.is_scarce = False
 
@@ -79,31 +79,31 @@
         """Credits a second. Those that nobody spends leave the bucket fuller: so much more may be handed out."""
         return part * self.limit.per_s * (1.0 + max(0.0, self.level / self.depth))
 
-    def spend(self, count: int) -> None:
+    def charge(self, count: int) -> None:
         self.level = max(self.level - count, -self.limit.per_s * self._bounds.window_s)
         if self.level < SCARCE_PART * self.depth:
             self.is_scarce = True
 
     def note_demand(self, *, proxy, count: int, now: float) -> None:
         self.asked_per_s += count / DEMAND_SPAN_S
-        held, _when = self.demands.get(proxy, (float(count), now))
-        self.demands[proxy] = (held + DEMAND_WEIGHT * (count - held), now)
+        previous, _when = self.demands.get(proxy, (float(count), now))
+        self.demands[proxy] = (previous + DEMAND_WEIGHT * (count - previous), now)
 
     def credit(self, *, proxy, now: float, part: float) -> float:
         """Credits for one proxy: its part, by demand, of what this core node hands out between two of its reports."""
-        gap = min(MOST_GAP_S, now - self._asked_at.get(proxy, now - MOST_GAP_S / 2))
+        elapsed_s = min(MAX_GAP_S, now - self._asked_at.get(proxy, now - MAX_GAP_S / 2))
         self._asked_at[proxy] = now
         self.demands = {name: row for name, row in self.demands.items() if now - row[1] <= DEMAND_KEPT_S}
         total = sum(count for count, _when in self.demands.values())
         demand = self.demands.get(proxy, (0.0, 0.0))[0]
         if self.level <= 0.0 or total <= 0.0:
             return 0.0
-        tokens = min(self.issue, demand / total * self._issue_rate(part) * gap)
+        tokens = min(self.issue, demand / total * self._issue_rate(part) * elapsed_s)
         self.issue -= tokens
         return tokens
 
 
-class Meter:
+class QuotaMeter:
     """Usage and credits of all tenants. `part()`: this core node's part of every bound."""
 
     def __init__(self, *, now, bounds: Bounds, part):
@@ -112,7 +112,7 @@
         self._part = part
         self._buckets = {}  # tenant: Bucket
         self._admitted = {}  # proxy: {tenant: admitted} in its present life
-        self._lives = {}  # proxy: its life
+        self._incarnations = {}  # proxy: its life
         self._heard = {}  # proxy: when it last reported
 
     def install(self, body) -> None:
@@ -141,16 +141,16 @@
         lost = sum(now - when > DEMAND_KEPT_S for when in self._heard.values())
         return self._part() * (1.0 - lost / known)
 
-    def take(self, *, proxy: str, life: str, rows: list) -> None:
+    def record(self, *, proxy: str, incarnation: str, rows: list) -> None:
         """One report of a proxy. Rows of tenants without a limit are left out."""
         now = self._now()
         self._heard[proxy] = now
-        if proxy not in self._lives:
+        if proxy not in self._incarnations:
             # What it admitted before this node heard of it is no news of now: this node may have been restarted.
             self._admitted[proxy] = {row.tenant: row.admitted for row in rows}
-        elif self._lives[proxy] != life:
+        elif self._incarnations[proxy] != incarnation:
             self._admitted[proxy] = {}
-        self._lives[proxy] = life
+        self._incarnations[proxy] = incarnation
         admitted = self._admitted.setdefault(proxy, {})
         part = self._share()
         for row in rows:
@@ -158,7 +158,7 @@
             if bucket is None:
                 continue
             bucket.refill(now=now, part=part)
-            bucket.spend(max(0, row.admitted - admitted.get(row.tenant, 0)))
+            bucket.charge(max(0, row.admitted - admitted.get(row.tenant, 0)))
             admitted[row.tenant] = max(admitted.get(row.tenant, 0), row.admitted)
             bucket.note_demand(proxy=proxy, count=row.demand, now=now)
 
--- a/ploverward/control_plane/quotas/share_leases.py
+++ b/ploverward/control_plane/quotas/share_leases.py
@@ -12,16 +12,16 @@
 SUMMED_ANEW = 1024  # after so many changes a running total is summed anew
 
 
-class Book:
+class ShareTable:
     """Shares of one bound. A renewal costs the same however many nodes there are: what is out is a running total."""
 
-    def __init__(self, *, now, life_s: float, window_s: float, quiet_until: float):
+    def __init__(self, *, now, lease_s: float, window_s: float, withheld_until: float):
         self._now = now
-        self._life_s = life_s
+        self._lease_s = lease_s
         self._window_s = window_s
-        self._quiet_until = quiet_until
+        self._withheld_until = withheld_until
         self._out = {}  # node: [(share, counts until)]
-        self._held = {}  # node: the most that it may be using, the largest of its entries that still count
+        self._leased = {}  # node: the most that it may be using, the largest of its entries that still count
         self._total = 0.0
         self._ends = []  # heap of (counts until, node)
         self._changes = 0
@@ -35,16 +35,16 @@
             self._set(node, rows)
 
     def _set(self, node: str, rows: list) -> None:
-        held = max((share for share, _until in rows), default=0.0)
-        self._total += held - self._held.get(node, 0.0)
+        leased = max((share for share, _until in rows), default=0.0)
+        self._total += leased - self._leased.get(node, 0.0)
         if rows:
-            self._out[node], self._held[node] = rows, held
+            self._out[node], self._leased[node] = rows, leased
         else:
             self._out.pop(node, None)
-            self._held.pop(node, None)
+            self._leased.pop(node, None)
         self._changes += 1
         if self._changes % SUMMED_ANEW == 0:
-            self._total = math.fsum(self._held.values())  # rounding must not add up
+            self._total = math.fsum(self._leased.values())  # rounding must not add up
 
     def total_out(self) -> float:
         self._expire()
@@ -52,19 +52,19 @@
 
     def renew(self, *, node: str, part: float, live: int) -> float:
         """The share for a node that renews its lease; it may be 0."""
-        if self._now() < self._quiet_until or live <= 0:
+        if self._now() < self._withheld_until or live <= 0:
             return 0.0
-        free = part - self.total_out() + self._held.get(node, 0.0)
+        free = part - self.total_out() + self._leased.get(node, 0.0)
         share = max(0.0, min(part / live, free))
         if share > 0.0:
-            until = self._now() + self._life_s + self._window_s
+            until = self._now() + self._lease_s + self._window_s
             rows = [row for row in self._out.get(node, ()) if row[0] > share]
             self._set(node, rows + [(share, until)])
             heapq.heappush(self._ends, (until, node))
         return share
 
 
-class Parts:
+class OwnedShare:
     """The part of every bound that this core node owns, while the core set changes (docs/control.md 2).
 
     A part that shrinks counts at once. One that grows counts `wait_s` after this node learned of it: until then a
@@ -98,7 +98,7 @@
         return min([self._part, *(part for part, _until in self._older)])
 
 
-class Slots:
+class RateSlots:
     """Numbers for rates of which a node's even part is less than one request a second (design 8).
 
     Every node that may still act on its entry has a number of its own below `size`. Of any `size` numbers in a row, so
@@ -110,19 +110,19 @@
     def __init__(self, *, now, hold_s: float):
         self._now = now
         self._hold_s = hold_s
-        self._held = {}  # node: (slot, until)
+        self._leased = {}  # node: (slot, until)
         self._slots = sortedcontainers.SortedList()  # those held
         self._free = sortedcontainers.SortedList()  # those below the highest held that are free again
         self._ends = []  # heap of (until, node)
         self._size = self.STEP
-        self._quiet_until = 0.0
+        self._withheld_until = 0.0
 
     def _expire(self, now: float) -> None:
         while self._ends and self._ends[0][0] <= now:
             _until, node = heapq.heappop(self._ends)
-            slot, until = self._held.get(node, (0, math.inf))
+            slot, until = self._leased.get(node, (0, math.inf))
             if until <= now:
-                del self._held[node]
+                del self._leased[node]
                 self._slots.remove(slot)
                 self._free.add(slot)
 
@@ -135,11 +135,11 @@
         """(slot, size); size 0: none yet. A size that changes is told once all older entries have run out."""
         now = self._now()
         self._expire(now)
-        slot = self._held[node][0] if node in self._held else self._new_slot()
-        self._held[node] = (slot, now + self._hold_s)
+        slot = self._leased[node][0] if node in self._leased else self._new_slot()
+        self._leased[node] = (slot, now + self._hold_s)
         heapq.heappush(self._ends, (now + self._hold_s, node))
         most = self._slots[-1] + 1
         if most > self._size or most * 2 + self.STEP <= self._size:
             self._size = -(-most // self.STEP) * self.STEP + self.STEP
-            self._quiet_until = now + self._hold_s
-        return (slot, self._size) if now >= self._quiet_until else (0, 0)
+            self._withheld_until = now + self._hold_s
+        return (slot, self._size) if now >= self._withheld_until else (0, 0)
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -27,10 +27,10 @@
 
 def meter(*, part=1.0, body=BODY):
     clock = Clock()
-    made = quota_meter.Meter(now=clock, bounds=BOUNDS, part=lambda: part)
+    made = quota_meter.QuotaMeter(now=clock, bounds=BOUNDS, part=lambda: part)
     made.install(body)
     for proxy in ("p", "q", "p0"):
-        made.take(proxy=proxy, life="1", rows=[])  # the first report is what counts begin from
+        made.record(proxy=proxy, incarnation="1", rows=[])  # the first report is what counts begin from
     clock.now += 60.0  # all buckets are full
     return made, clock
 
@@ -52,14 +52,14 @@
 @hypothesis.given(reports, st.randoms(use_true_random=False))
 def test_merging_is_the_same_after_repeats_and_in_any_order(rows, chance):
     """Within one life of each proxy; the greatest count of each stands."""
-    rows = [(proxy, "1", name, admitted) for proxy, _life, name, admitted in rows]
+    rows = [(proxy, "1", name, admitted) for proxy, _incarnation, name, admitted in rows]
     first, _clock = meter()
     second, _clock = meter()
     shuffled = rows + rows[: len(rows) // 2]
     chance.shuffle(shuffled)
-    for made, told in ((first, rows), (second, shuffled)):
-        for proxy, life, name, admitted in told:
-            made.take(proxy=proxy, life=life, rows=[usage(name, demand=0, admitted=admitted)])
+    for made, applied in ((first, rows), (second, shuffled)):
+        for proxy, incarnation, name, admitted in applied:
+            made.record(proxy=proxy, incarnation=incarnation, rows=[usage(name, demand=0, admitted=admitted)])
     assert [level(first, name) for name in NAMES] == [level(second, name) for name in NAMES]
     for name in NAMES:
         most = {proxy: max([row[3] for row in rows if row[0] == proxy and row[2] == name], default=0) for proxy in "pq"}
@@ -70,28 +70,28 @@
 def test_what_a_proxy_admitted_before_this_node_heard_of_it_is_no_debt():
     made, _clock = meter()
     before = level(made)
-    made.take(proxy="old", life="1", rows=[usage(admitted=900)])
+    made.record(proxy="old", incarnation="1", rows=[usage(admitted=900)])
     assert level(made) == before
-    made.take(proxy="old", life="1", rows=[usage(admitted=902)])
+    made.record(proxy="old", incarnation="1", rows=[usage(admitted=902)])
     assert level(made) == pytest.approx(before - 2, abs=0.02)
 
 
-def test_a_new_life_counts_from_nothing():
+def test_a_new_incarnation_counts_from_zero():
     made, _clock = meter()
-    made.take(proxy="p", life="1", rows=[usage(admitted=7)])
+    made.record(proxy="p", incarnation="1", rows=[usage(admitted=7)])
     before = level(made)
-    made.take(proxy="p", life="2", rows=[usage(admitted=3)])
+    made.record(proxy="p", incarnation="2", rows=[usage(admitted=3)])
     assert level(made) == pytest.approx(before - 3, abs=0.02)
 
 
 def test_a_tenant_far_from_its_limit_wants_no_credits_and_one_close_to_it_does():
     made, clock = meter()
-    made.take(proxy="p", life="1", rows=[usage(admitted=3)])
+    made.record(proxy="p", incarnation="1", rows=[usage(admitted=3)])
     assert made.credits(proxy="p") == []
-    made.take(proxy="p", life="1", rows=[usage(admitted=16)])
+    made.record(proxy="p", incarnation="1", rows=[usage(admitted=16)])
     assert [row.tenant for row in made.credits(proxy="p")] == [tenant_usage.tenant_key("a")]
     clock.now += 60.0
-    made.take(proxy="p", life="1", rows=[])
+    made.record(proxy="p", incarnation="1", rows=[])
     assert made.credits(proxy="p") == []
 
 
@@ -102,14 +102,14 @@
     given = 0.0
     names = [f"p{number}" for number in range(proxies)]
     elsewhere = 14  # let in by the credits of the other core nodes, which give out what this one does not
-    made.take(proxy="p0", life="1", rows=[usage(admitted=elsewhere)])
+    made.record(proxy="p0", incarnation="1", rows=[usage(admitted=elsewhere)])
     left = level(made)
-    for _beat in range(25):
+    for _heartbeat_number in range(25):
         for name in names:
             clock.now += 0.4 / proxies
             elsewhere += 10 * 0.8 * 0.4 / proxies
             spent = int(elsewhere + given) if name == "p0" else 0
-            made.take(proxy=name, life="1", rows=[usage(demand=chance.randint(1, 9), admitted=spent)])
+            made.record(proxy=name, incarnation="1", rows=[usage(demand=chance.randint(1, 9), admitted=spent)])
             given += sum(row.tokens for row in made.credits(proxy=name))
     assert (
         0 < given <= 0.2 * 10 * 10.0 + left + 2.0
@@ -118,26 +118,26 @@
 
 def test_in_debt_nothing_is_given_and_the_debt_has_an_end():
     made, clock = meter()
-    made.take(proxy="p", life="1", rows=[usage(demand=50, admitted=1000)])
+    made.record(proxy="p", incarnation="1", rows=[usage(demand=50, admitted=1000)])
     assert [row.tokens for row in made.credits(proxy="p")] == [0.0]
     clock.now += 5.5
-    made.take(proxy="p", life="1", rows=[usage(demand=50, admitted=1000)])
+    made.record(proxy="p", incarnation="1", rows=[usage(demand=50, admitted=1000)])
     assert [row.tokens > 0 for row in made.credits(proxy="p")] == [True]
 
 
-def test_proxies_out_of_touch_have_their_even_part_set_aside():
+def test_unreachable_proxies_have_their_even_part_reserved():
     made, clock = meter()
     for name in ("p", "q"):
-        made.take(proxy=name, life="1", rows=[])
+        made.record(proxy=name, incarnation="1", rows=[])
     clock.now += 3.0
-    made.take(proxy="p", life="1", rows=[])
+    made.record(proxy="p", incarnation="1", rows=[])
     assert made.proxies() == 2 and made._share() == pytest.approx(0.5)  # the third one was heard of a minute ago
 
 
 def test_a_lowered_limit_takes_off_what_was_saved_up():
     made, _clock = meter()
     made.install({"senders": [{"name": "a", "perS": 2, "burst": 1}]})
-    assert level(made) <= 1 + quota_meter.MOST_DEPTH_PART * BOUNDS.error(tenant_usage.Limit(per_s=2, burst=1))
+    assert level(made) <= 1 + quota_meter.MAX_DEPTH_SHARE * BOUNDS.error(tenant_usage.Limit(per_s=2, burst=1))
     assert set(made.view()) == {tenant_usage.tenant_key("a").hex()}
 
 
@@ -148,19 +148,19 @@
         tenant_usage.Credit(b"12345678", 0.5)
     ]
     for data in (b"x", b"x" * 15):
-        with pytest.raises(errors.FrameProblem):
+        with pytest.raises(errors.FrameError):
             tenant_usage.unpack_usage(data)
 
 
 @pytest.mark.parametrize(
-    "troubles",
+    "fault_kinds",
     [("none",), ("hot",), ("cut_region", "hot"), ("restart_all", "hot"), ("restart_core", "hot"), ("lower", "hot")],
 )
-def test_no_window_passes_the_bound(troubles):
+def test_no_window_passes_the_bound(fault_kinds):
     for seed in range(2):
-        report = quota_simulation.play(seed, troubles=troubles)
+        report = quota_simulation.run_simulation(seed, fault_kinds=fault_kinds)
         assert not report.over, report
-        if troubles == ("none",):
+        if fault_kinds == ("none",):
             assert report.refused_below <= 0.004 * report.asked, report
 
 
@@ -168,38 +168,38 @@
     """What proxies admitted in their whole lives is no debt of now. Most of what is left is refused in the seconds in
     which nobody has the burst; with that debt it is a quarter of the day on the first of these."""
     for seed in range(2):
-        report = quota_simulation.play(seed, troubles=("restart_core",))
+        report = quota_simulation.run_simulation(seed, fault_kinds=("restart_core",))
         assert not report.over and report.refused_below <= MOST_REFUSED * report.asked, report
 
 
-def test_planted_counts_of_whole_lives_are_found(monkeypatch):
-    real = quota_meter.Meter.take
+def test_mutants_that_count_whole_incarnations_are_found(monkeypatch):
+    real = quota_meter.QuotaMeter.record
 
-    def take(self, *, proxy, life, rows):
-        if proxy not in self._lives:
-            real(self, proxy=proxy, life=life, rows=[])
-        real(self, proxy=proxy, life=life, rows=rows)
+    def record(self, *, proxy, incarnation, rows):
+        if proxy not in self._incarnations:
+            real(self, proxy=proxy, incarnation=incarnation, rows=[])
+        real(self, proxy=proxy, incarnation=incarnation, rows=rows)
 
-    monkeypatch.setattr(quota_meter.Meter, "take", take)
-    report = quota_simulation.play(0, troubles=("restart_core",))
+    monkeypatch.setattr(quota_meter.QuotaMeter, "record", record)
+    report = quota_simulation.run_simulation(0, fault_kinds=("restart_core",))
     assert report.refused_below > MOST_REFUSED * report.asked
 
 
 def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
     from ploverward.data_plane.quotas import tenant_admission
 
-    monkeypatch.setattr(tenant_admission.Allowance, "_may", lambda self, tenant, limit: True)
-    assert any(quota_simulation.play(seed, troubles=("hot",)).over for seed in range(4))
+    monkeypatch.setattr(tenant_admission.QuotaAllowance, "_may_admit", lambda self, tenant, limit: True)
+    assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).over for seed in range(4))
 
 
 def test_planted_merging_by_adding_is_found(monkeypatch):
     """Each report counts as if it were new: tenants are refused although they ask little."""
 
-    def take(self, *, proxy, life, rows):
+    def record(self, *, proxy, incarnation, rows):
         self._admitted[proxy] = {}
-        real(self, proxy=proxy, life=life, rows=rows)
+        real(self, proxy=proxy, incarnation=incarnation, rows=rows)
 
-    real = quota_meter.Meter.take
-    monkeypatch.setattr(quota_meter.Meter, "take", take)
-    report = quota_simulation.play(0, troubles=("none",))
+    real = quota_meter.QuotaMeter.record
+    monkeypatch.setattr(quota_meter.QuotaMeter, "record", record)
+    report = quota_simulation.run_simulation(0, fault_kinds=("none",))
     assert report.refused_below > 0.01 * report.asked
--- a/ploverward/control_plane/quotas/test_share_leases.py
+++ b/ploverward/control_plane/quotas/test_share_leases.py
@@ -18,58 +18,60 @@
 
 class Wire:
     def __init__(self):
-        self.told = []
+        self.sent = []
         self.is_open = True
 
     def send(self, message):
-        self.told.append(message)
+        self.sent.append(message)
 
 
-def test_a_desk_offers_and_tells_only_who_wants():
-    desk = desks.Desk()
+def test_a_publisher_announces_and_sends_only_to_who_wants():
+    publisher = desks.Publisher()
     link = Wire()
-    desk.join(link)
-    assert desk.publish(topic="spec", epoch=0, number=3, data=b"v3")
-    assert link.told == [("offer", (("spec", 0, 3),))]
-    desk.take_want(link, ("want", "spec", 0, 0))
-    assert link.told[-1] == ("image", "spec", 0, 3, b"v3")
-    assert desk.lagging(topic="spec", serial=(0, 3), links=[link]) == [link]
-    desk.take_have(link, ("have", (("spec", 0, 3),)))
-    assert desk.lagging(topic="spec", serial=(0, 3), links=[link]) == []
-    assert not desk.publish(topic="spec", epoch=0, number=2, data=b"v2")
+    publisher.join(link)
+    assert publisher.publish(topic="spec", epoch=0, number=3, data=b"v3")
+    assert link.sent == [("offer", (("spec", 0, 3),))]
+    publisher.handle_fetch(link, ("want", "spec", 0, 0))
+    assert link.sent[-1] == ("image", "spec", 0, 3, b"v3")
+    assert publisher.lagging(topic="spec", version=(0, 3), links=[link]) == [link]
+    publisher.handle_acknowledgement(link, ("have", (("spec", 0, 3),)))
+    assert publisher.lagging(topic="spec", version=(0, 3), links=[link]) == []
+    assert not publisher.publish(topic="spec", epoch=0, number=2, data=b"v2")
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_follower_never_goes_back_whatever_order_it_hears(seed):
+def test_a_subscriber_never_reverts_whatever_the_delivery_order(seed):
     chance = random.Random(seed)
     clock = [0.0]
     seen = []
-    follower = desks.Follower(
-        now=lambda: clock[0], patience_s=0.3, on_image=lambda topic, epoch, number, data: seen.append((epoch, number))
+    subscriber = desks.Subscriber(
+        now=lambda: clock[0],
+        fetch_timeout_s=0.3,
+        on_snapshot=lambda topic, epoch, number, data: seen.append((epoch, number)),
     )
     links = [Wire() for _ in range(3)]
     for _ in range(200):
         clock[0] += chance.random() * 0.2
-        serial = (chance.randint(1, 3), chance.randint(1, 20))
+        version = (chance.randint(1, 3), chance.randint(1, 20))
         if chance.random() < 0.5:
-            follower.take_offer(chance.choice(links), ("offer", (("list", *serial),)))
+            subscriber.handle_announcement(chance.choice(links), ("offer", (("list", *version),)))
         else:
-            follower.take_image(chance.choice(links), ("image", "list", *serial, b""))
-        follower.tick()
+            subscriber.handle_snapshot(chance.choice(links), ("image", "list", *version, b""))
+        subscriber.tick()
     assert seen and seen == sorted(set(seen))
 
 
-def test_a_follower_asks_another_teller_where_one_is_silent():
+def test_a_subscriber_fetches_from_another_publisher_where_one_is_silent():
     clock = [0.0]
-    follower = desks.Follower(now=lambda: clock[0], patience_s=0.3, on_image=lambda *row: None)
+    subscriber = desks.Subscriber(now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda *row: None)
     one, two = Wire(), Wire()
     for link in (one, two):
-        follower.take_offer(link, ("offer", (("spec", 0, 5),)))
-    assert [len(link.told) for link in (one, two)] == [1, 0]
+        subscriber.handle_announcement(link, ("offer", (("spec", 0, 5),)))
+    assert [len(link.sent) for link in (one, two)] == [1, 0]
     for _ in range(4):
         clock[0] += 0.31
-        follower.tick()
-    assert two.told and two.told[0] == ("want", "spec", 0, 0)
+        subscriber.tick()
+    assert two.sent and two.sent[0] == ("want", "spec", 0, 0)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -77,21 +79,23 @@
     """History: every entry given, by whom and until when it counts; the sum is taken at each moment of giving."""
     chance = random.Random(seed)
     clock = [0.0]
-    life, window = 2.0, 10.0
-    book = share_leases.Book(now=lambda: clock[0], life_s=life, window_s=window, quiet_until=3.0)
+    incarnation, window = 2.0, 10.0
+    share_table = share_leases.ShareTable(
+        now=lambda: clock[0], lease_s=incarnation, window_s=window, withheld_until=3.0
+    )
     history = []
     nodes = [f"n{number}" for number in range(12)]
     for _ in range(600):
         clock[0] += chance.random() * 0.3
         node = chance.choice(nodes[: chance.randint(1, 12)])
-        share = book.renew(node=node, part=1 / 3, live=chance.randint(1, 12))
+        share = share_table.renew(node=node, part=1 / 3, live=chance.randint(1, 12))
         assert not share or clock[0] >= 3.0
         if share:
-            history.append((node, share, clock[0] + life + window))
+            history.append((node, share, clock[0] + incarnation + window))
         most = {}
-        for holder, held, until in history:
+        for owner, leased, until in history:
             if until > clock[0]:
-                most[holder] = max(most.get(holder, 0.0), held)
+                most[owner] = max(most.get(owner, 0.0), leased)
         assert sum(most.values()) <= 1 / 3 + 1e-9
     assert len(history) > 100
 
@@ -122,8 +126,8 @@
         b"\x00\x00\x00\x06\x16\x04spec\x00",
     ],
 )
-def test_malformed_frames_are_problems(data):
-    with pytest.raises(errors.FrameProblem):
+def test_malformed_frames_are_frame_errors(data):
+    with pytest.raises(errors.FrameError):
         frames.unpack_from(bytearray(data))
 
 
@@ -134,7 +138,7 @@
     data[chance.randrange(4, len(data))] ^= 1 << chance.randrange(8)
     try:
         messages = frames.unpack_from(data)
-    except errors.FrameProblem:
+    except errors.FrameError:
         return
     assert all(message[0] in frames.KINDS for message in messages)
 
@@ -144,9 +148,9 @@
     assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
     for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
         text = "\n".join(line for line in loopback_proxy.SETTINGS.splitlines() if not line.startswith(name + "="))
-        with pytest.raises(errors.SettingsProblem) as told:
+        with pytest.raises(errors.SettingsError) as sent:
             settings.check(text=text)
-        assert name in str(told.value)
+        assert name in str(sent.value)
 
 
 @pytest.mark.parametrize(
@@ -154,28 +158,28 @@
     ["no equals sign", "seedNodes=10.0.0.1", "bounds.contactMs=soon", "firstStart=perhaps", "innerPortRange=9,1"],
 )
 def test_malformed_settings_are_one_clear_line(line):
-    with pytest.raises(errors.SettingsProblem) as told:
+    with pytest.raises(errors.SettingsError) as sent:
         settings.check(text=loopback_proxy.SETTINGS + line + "\n")
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(sent.value)
 
 
-def test_a_near_teller_is_asked_first_and_a_far_one_where_it_is_silent():
+def test_a_near_publisher_is_asked_first_and_a_far_one_where_it_times_out():
     clock = [0.0]
     near, far = Wire(), Wire()
-    follower = desks.Follower(
-        now=lambda: clock[0], patience_s=0.3, on_image=lambda *row: None, is_near=lambda link: link is near
+    subscriber = desks.Subscriber(
+        now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda *row: None, is_near=lambda link: link is near
     )
-    follower.take_offer(far, ("offer", (("spec", 0, 5),)))
-    assert far.told == []
-    follower.take_offer(near, ("offer", (("spec", 0, 5),)))
-    assert near.told == [("want", "spec", 0, 0)]
-    follower = desks.Follower(
-        now=lambda: clock[0], patience_s=0.3, on_image=lambda *row: None, is_near=lambda link: link is near
+    subscriber.handle_announcement(far, ("offer", (("spec", 0, 5),)))
+    assert far.sent == []
+    subscriber.handle_announcement(near, ("offer", (("spec", 0, 5),)))
+    assert near.sent == [("want", "spec", 0, 0)]
+    subscriber = desks.Subscriber(
+        now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda *row: None, is_near=lambda link: link is near
     )
-    follower.take_offer(far, ("offer", (("spec", 0, 5),)))
+    subscriber.handle_announcement(far, ("offer", (("spec", 0, 5),)))
     clock[0] = 0.16
-    follower.tick()
-    assert far.told == [("want", "spec", 0, 0)]
+    subscriber.tick()
+    assert far.sent == [("want", "spec", 0, 0)]
 
 
 def test_a_changed_settings_file_is_noticed_without_a_signal(tmp_path, monkeypatch):
@@ -190,19 +194,19 @@
     assert not watch.is_changed()
 
 
-def test_the_list_is_read_page_by_page_and_told_whole_or_not_at_all():
+def test_the_list_is_read_page_by_page_and_published_completely_or_not_at_all():
     def row(name):
         return {"id": name, "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     pages = {"": (["a", "b"], "p-2"), "p-2": (["c"], "p-3"), "p-3": (["d"], None)}
-    told, later, asked = [], [], []
+    sent, later, asked = [], [], []
 
     class Loop:
         def now(self):
             return 5.0
 
-        def after(self, *, delay, act):
-            later.append((delay, act))
+        def after(self, *, delay, callback):
+            later.append((delay, callback))
 
     class Caller:
         failing = None
@@ -219,14 +223,14 @@
         address="x:1",
         gap_s=0.5,
         limit_s=1.0,
-        on_list=lambda rows, at: told.append([one["id"] for one in rows]),
+        on_list=lambda rows, at: sent.append([one["id"] for one in rows]),
     )
     watch._caller = Caller()
     watch.start()
-    assert told == [["a", "b", "c", "d"]] and asked == ["", "p-2", "p-3"]
+    assert sent == [["a", "b", "c", "d"]] and asked == ["", "p-2", "p-3"]
     watch._caller.failing = "p-2"
     later.pop()[1]()
-    assert len(told) == 1  # a list with a page missing is not told
+    assert len(sent) == 1  # a list with a page missing is not told
     assert later[-1][0] > 0.5  # and the next reading waits longer
     watch.stop()
     count = len(asked)
@@ -234,22 +238,28 @@
     assert len(asked) == count
 
 
-def test_a_follower_never_asks_for_what_it_does_not_want():
-    follower = desks.Follower(now=lambda: 0.0, patience_s=0.3, on_image=lambda *row: None, unwanted=("orders",))
+def test_a_subscriber_never_fetches_a_topic_it_does_not_want():
+    subscriber = desks.Subscriber(
+        now=lambda: 0.0, fetch_timeout_s=0.3, on_snapshot=lambda *row: None, unwanted=("orders",)
+    )
     link = Wire()
-    follower.take_offer(link, ("offer", (("orders", 0, 5), ("spec", 0, 5))))
-    follower.tick()
-    assert link.told == [("want", "spec", 0, 0)]
+    subscriber.handle_announcement(link, ("offer", (("orders", 0, 5), ("spec", 0, 5))))
+    subscriber.tick()
+    assert link.sent == [("want", "spec", 0, 0)]
 
 
 def test_every_message_that_is_sent_has_a_codec():
     """A message without one fails only when it is packed: proxies once failed at every beat by it."""
     folder = pathlib.Path(frames.__file__).parent.parent
-    sources = [path for path in folder.rglob("*.py") if "sim" not in path.parts and not path.name.startswith("test_")]
+    sources = [
+        path for path in folder.rglob("*.py") if "simulation" not in path.parts and not path.name.startswith("test_")
+    ]
     sent = set()
     for path in sources:
         sent |= set(
-            re.findall(r"(?:send|_tell_core|_ask_cores|pack)\(\s*\(\s*\"(\w+)\"", path.read_text(encoding="utf-8"))
+            re.findall(
+                r"(?:send|_send_to_cores|_broadcast_to_cores|pack)\(\s*\(\s*\"(\w+)\"", path.read_text(encoding="utf-8")
+            )
         )
     assert {"renew", "entry", "heartbeat", "have", "beat"} <= sent
     assert sent <= set(frames.KINDS)
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -10,10 +10,10 @@
     """One life of a proxy."""
 
     address: str
-    life: str
+    incarnation: str
 
 
-class Ledger:
+class EvidenceTable:
     """The newest report of each origin; what came since the last look is told apart."""
 
     def __init__(self):
@@ -21,9 +21,9 @@
         self.heard_at = {}  # Origin: when its newest report came
         self._looked = {}  # (Origin, Key): Tally as of the last look
 
-    def take(self, *, origin: Origin, report, now: float) -> None:
-        held = self.reports.get(origin)
-        if held is None or report.sent >= held.sent:
+    def record(self, *, origin: Origin, report, now: float) -> None:
+        previous = self.reports.get(origin)
+        if previous is None or report.sent >= previous.sent:
             self.reports[origin] = report
             self.heard_at[origin] = now
 
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -15,9 +15,9 @@
 TIME_FAULTS = ("first", "pace")
 BAD_SHARE = 0.3  # the least share of bad answers that a bad version is taken to have
 BAD_TIMES = 3.0  # and so many times the former version's share
-MOST_BAD_SHARE = 0.95
-FORMER_FLOOR = {"failed": 0.03, "broken": 0.1, "first": 0.06, "pace": 0.04}  # shares that are ordinary anywhere
-FORMER_CEILING = 0.35  # where the former version does worse than this, nothing can be told
+MAX_BAD_SHARE = 0.95
+BASELINE_FAULT_RATES = {"failed": 0.03, "broken": 0.1, "first": 0.06, "pace": 0.04}  # shares that are ordinary anywhere
+MAX_BASELINE_ERROR_RATE = 0.35  # where the former version does worse than this, nothing can be told
 LEAST_FORMER = 8  # answers of the former version in the window, below which its times say nothing
 SLOW_STEPS = 7  # buckets above the former version's median: five times as long
 GROUP_LIMIT = 5.0  # the most that one group of replicas counts: a single replica may be faulty by itself
@@ -66,12 +66,12 @@
 
     def __init__(self):
         self.is_lone = False  # one replica alone has the new version: no other can confirm what it shows
-        self.sums = {}  # (route, fault, group): cumulative sum
+        self.cumulative_sums = {}  # (route, fault, group): cumulative sum
         self.answers = collections.Counter()  # (route, group): answers of the new version
         self._former = collections.deque()  # (when, {route: Tally}) of the former version
         self._kept = {}  # route: the last window of the former version that said something
 
-    def take(self, *, now: float, counted: dict, has_times: bool = True) -> None:
+    def record(self, *, now: float, counted: dict, has_times: bool = True) -> None:
         """`has_times`: whether the former version's times are to be met. A replica under a load beyond the ordinary, or
         one that keeps no prompts yet while all traffic moves to it, is slower whatever its version."""
         faults = FAULTS if has_times else tuple(fault for fault in FAULTS if fault not in TIME_FAULTS)
@@ -87,7 +87,9 @@
 
     def forget_times(self) -> None:
         """What times have shown so far counts no longer."""
-        self.sums = {place: score for place, score in self.sums.items() if place[1] not in TIME_FAULTS}
+        self.cumulative_sums = {
+            score_key: score for score_key, score in self.cumulative_sums.items() if score_key[1] not in TIME_FAULTS
+        }
 
     def _baselines(self) -> dict:
         """Route: what the former version did in the window; where it gets nothing any more, in the last that it had."""
@@ -112,18 +114,20 @@
             former_bad, former_total = _bad_counts(former, fault, limit)
             if fault == "broken" and former_total < LEAST_FORMER:
                 continue  # silence and resets may have any cause: they count only beside answers of the former version
-            ordinary = max(FORMER_FLOOR[fault], (former_bad + 0.5) / (former_total + 5) if former_total else 0.0)
-            if ordinary > FORMER_CEILING:
+            ordinary = max(
+                BASELINE_FAULT_RATES[fault], (former_bad + 0.5) / (former_total + 5) if former_total else 0.0
+            )
+            if ordinary > MAX_BASELINE_ERROR_RATE:
                 continue
-            worse = min(MOST_BAD_SHARE, max(BAD_SHARE, BAD_TIMES * ordinary))
+            worse = min(MAX_BAD_SHARE, max(BAD_SHARE, BAD_TIMES * ordinary))
             step = bad * math.log(worse / ordinary) + (total - bad) * math.log((1 - worse) / (1 - ordinary))
-            place = (key.route, fault, key.group)
-            self.sums[place] = max(0.0, self.sums.get(place, 0.0) + step)
+            score_key = (key.route, fault, key.group)
+            self.cumulative_sums[score_key] = max(0.0, self.cumulative_sums.get(score_key, 0.0) + step)
 
     def finding(self) -> Finding:
         """What stands out most, over all groups; one group counts up to its limit."""
         pooled = collections.Counter()
-        for (route, fault, _group), score in self.sums.items():
+        for (route, fault, _group), score in self.cumulative_sums.items():
             pooled[route, fault] += min(GROUP_LIMIT, score)
         if not pooled:
             return NOTHING_FOUND
@@ -138,7 +142,7 @@
     def is_suspicious(self) -> bool:
         """Whether a fault stands out that other groups of replicas do not clear: at one alone, it may be the replica's."""
         by_fault = {}
-        for (route, fault, group), score in self.sums.items():
+        for (route, fault, group), score in self.cumulative_sums.items():
             by_fault.setdefault((route, fault), {})[group] = score
         return any(self._is_doubtful(route, scores) for (route, _fault), scores in by_fault.items())
 
@@ -155,4 +159,6 @@
 
     def bad_groups(self) -> frozenset:
         """Groups of replicas that have shown enough by themselves: others are to confirm it."""
-        return frozenset(group for (_route, _fault, group), score in self.sums.items() if score >= GROUP_LIMIT)
+        return frozenset(
+            group for (_route, _fault, group), score in self.cumulative_sums.items() if score >= GROUP_LIMIT
+        )
--- a/ploverward/control_plane/rollouts/leases.py
+++ b/ploverward/control_plane/rollouts/leases.py
@@ -29,4 +29,4 @@
             for service, number, step, share, names in json.loads(data)
         ]
     except (ValueError, TypeError) as failure:
-        raise errors.FrameProblem(f"no leases: {failure}", step="leases") from None
+        raise errors.FrameError(f"no leases: {failure}", step="leases") from None
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -33,7 +33,7 @@
     def __init__(self, *, number: int, now: float):
         self.number = number
         self.begun_at = now
-        self.ledger = evidence_table.Ledger()
+        self.evidence_table = evidence_table.EvidenceTable()
         self.judge = judge.Judge()
         self._load_judge = judge.Judge()
         self._load_judge.is_lone = True
@@ -50,11 +50,11 @@
 
     def look(self, *, now: float, age_s: float, replicas: int, is_canary: bool) -> None:
         """`replicas`: how many of the new version there are."""
-        counted = self.ledger.fresh()
+        counted = self.evidence_table.fresh()
         if self.first_answer_s is None and any(key.is_new and tally.ended for key, tally in counted.items()):
             self.first_answer_s = age_s
         self.judge.is_lone = replicas == 1
-        if self._first_sent_s is None and self.ledger.sent_new:
+        if self._first_sent_s is None and self.evidence_table.sent_new:
             self._first_sent_s = age_s
         if is_canary and self._stressed_group is None and self._first_sent_s is not None:
             self._is_lagging = self._owes_answers(age_s)
@@ -63,11 +63,11 @@
                 key: tally for key, tally in counted.items() if key.is_new and key.group == self._stressed_group
             }
             former = {key: tally for key, tally in counted.items() if not key.is_new}
-            self._load_judge.take(now=now, counted={**former, **stressed}, has_times=False)
+            self._load_judge.record(now=now, counted={**former, **stressed}, has_times=False)
             counted = {key: tally for key, tally in counted.items() if key not in stressed}
         else:
             self.judge.forget_times()
-        self.judge.take(now=now, counted=counted, has_times=is_canary)
+        self.judge.record(now=now, counted=counted, has_times=is_canary)
         self.is_bad = self.is_bad or self.judge.is_bad or self._load_judge.is_bad
 
     def _owes_answers(self, age_s: float) -> bool:
@@ -76,9 +76,9 @@
         Slow answers are seen by it before they come.
         """
         ended = collections.Counter()
-        for key, tally in self.ledger.totals().items():
+        for key, tally in self.evidence_table.totals().items():
             ended[key.is_new] += tally.ended
-        sent_new, sent_former = self.ledger.sent_new, self.ledger.sent - self.ledger.sent_new
+        sent_new, sent_former = self.evidence_table.sent_new, self.evidence_table.sent - self.evidence_table.sent_new
         owed_new, owed_former = sent_new - ended[True], sent_former - ended[False]
         if owed_new < LEAST_OWED or not sent_former:
             return False
@@ -95,7 +95,7 @@
         return self._is_lagging or self.judge.is_suspicious or self._load_judge.is_suspicious
 
 
-class Ages:
+class RolloutAges:
     """How old each service's order is, as this node reckons; claims of proxies carry it over a loss of all holders."""
 
     def __init__(self, *, now):
@@ -119,27 +119,29 @@
         return self._now() - self._steps.get(service, (0, self._now()))[1]
 
 
-class RolloutDuty:
+class RolloutManager:
     """`change` (name, edit, done) is a round of the register; `listed()` the rows of the platform's list;
     `zones()` zone: region; `out_zones()` those evacuated; `proxies()` origins in touch."""
 
-    def __init__(self, *, settings, now, change, listed, zones, out_zones, proxies, contact_s: float, receipt_s: float):
+    def __init__(
+        self, *, settings, now, change, listed, zones, evacuated_zones, proxies, contact_s: float, receipt_s: float
+    ):
         self.rollouts = {}
         self._now = now
         self._change = change
         self._listed = listed
         self._zones = zones
-        self._out_zones = out_zones
+        self._evacuated_zones = evacuated_zones
         self._proxies = proxies
         self._contact_s = contact_s
-        self._settle_s = receipt_s * SETTLED_RECEIPTS
+        self._settled_after_s = receipt_s * SETTLED_RECEIPTS
         self._exposure = planner.Exposure(
             share=settings.bound(name="exposureShare", default=0.1),
             slack=settings.bound(name="exposureSlack", default=0.0),
         )
         rollback_s = settings.bound_s(name="rollbackMs") or DEFAULT_ROLLBACK_S
         self.lease_s = rollback_s * LEASE_PART
-        self._ages = Ages(now=now)
+        self._ages = RolloutAges(now=now)
         self._trials = {}  # service: Trial
         self._moving = set()  # services whose register change is under way
         self._unadmitted_since = {}  # service: since when none of its admitted versions is listed
@@ -149,7 +151,7 @@
         self.rollouts = state.rollouts_of(payload)
         for service, rollout in self.rollouts.items():
             self._ages.learn(service=service, rollout=rollout)
-            if not rollout.is_under_way:
+            if not rollout.is_in_progress:
                 self._trials.pop(service, None)
 
     # Evidence and leases.
@@ -157,13 +159,13 @@
         """Takes a proxy's reports; the leases that answer them, or None where this node may hand out nothing."""
         for report in rollout_evidence.unpack(data):
             rollout = self.rollouts.get(report.service)
-            if rollout is None or rollout.number != report.number or not rollout.is_under_way:
+            if rollout is None or rollout.number != report.number or not rollout.is_in_progress:
                 continue
             self._ages.claim(service=report.service, number=report.number, age_s=report.age_s)
-            self._trial(report.service).ledger.take(origin=origin, report=report, now=self._now())
+            self._trial(report.service).evidence_table.record(origin=origin, report=report, now=self._now())
         if self._now() >= self._acting_until:
             return None
-        return leases.pack([self._lease(name) for name, rollout in self.rollouts.items() if rollout.is_under_way])
+        return leases.pack([self._lease(name) for name, rollout in self.rollouts.items() if rollout.is_in_progress])
 
     def pace(self, *, proxies: int) -> int:
         """How many beats of a proxy lie between two of its reports."""
@@ -171,11 +173,11 @@
 
     def _trial(self, service: str) -> Trial:
         number = self.rollouts[service].number
-        held = self._trials.get(service)
-        if held is None or held.number != number:
-            held = Trial(number=number, now=self._now())
-            self._trials[service] = held
-        return held
+        trial = self._trials.get(service)
+        if trial is None or trial.number != number:
+            trial = Trial(number=number, now=self._now())
+            self._trials[service] = trial
+        return trial
 
     def _lease(self, service: str) -> leases.Lease:
         rollout = self.rollouts[service]
@@ -183,15 +185,18 @@
         age_s = self._ages.age_s(service=service, number=rollout.number)
         canary = planner.canary_share(
             exposure=self._exposure,
-            sent=trial.ledger.sent,
-            sent_new=trial.ledger.sent_new,
+            sent=trial.evidence_table.sent,
+            sent_new=trial.evidence_table.sent_new,
             age_s=age_s,
             over_s=rollout.over_s,
         )
         is_stressed = planner.is_stressed(rollout=rollout, age_s=age_s)
         if is_stressed:
             canary = planner.stress_share(
-                exposure=self._exposure, sent=trial.ledger.sent, sent_new=trial.ledger.sent_new, age_s=age_s
+                exposure=self._exposure,
+                sent=trial.evidence_table.sent,
+                sent_new=trial.evidence_table.sent_new,
+                age_s=age_s,
             )
         stage_age_s = self._ages.stage_age_s(service=service)
         share = planner.share_of(rollout=rollout, canary=canary, stage_age_s=stage_age_s)
@@ -222,32 +227,32 @@
 
     def _new_rows(self, service: str) -> list:
         target = self.rollouts[service].target
-        out_zones = self._out_zones()
+        evacuated_zones = self._evacuated_zones()
         return [
             row
             for row in self._listed()
             if row["service"] == service
             and row.get("edition") == target
             and not row["is_clearing"]
-            and row["zone"] not in out_zones
+            and row["zone"] not in evacuated_zones
         ]
 
     # By the clock.
-    def rest(self) -> None:
+    def deactivate(self) -> None:
         """This node does not hold the duty, or may not act on it."""
         self._acting_until = 0.0
 
-    def tend(self) -> None:
+    def reconcile(self) -> None:
         """One look, at each heartbeat of the holder of the watch duty while it is in contact with a majority."""
         self._acting_until = self._now() + self._contact_s / 5
         for service, rollout in self.rollouts.items():
             if service in self._moving:
                 continue
-            if rollout.is_under_way:
+            if rollout.is_in_progress:
                 self._advance(service, rollout)
             elif rollout.stage in state.ENDED and not rollout.is_settled:
-                if self._ages.stage_age_s(service=service) > self._settle_s:
-                    self._apply(service, orders.edit_to_settle(service=service, seen=rollout))
+                if self._ages.stage_age_s(service=service) > self._settled_after_s:
+                    self._apply(service, orders.edit_to_finish(service=service, seen=rollout))
         self._admit_listed()
 
     def _advance(self, service: str, rollout: state.Rollout) -> None:
@@ -266,20 +271,20 @@
             stage=str(move.stage),
             age_s=round(age_s, 3),
             reason=move.reason,
-            sent=trial.ledger.sent,
-            sent_new=trial.ledger.sent_new,
-            routes=_by_route(trial.ledger.totals()),
+            sent=trial.evidence_table.sent,
+            sent_new=trial.evidence_table.sent_new,
+            routes=_by_route(trial.evidence_table.totals()),
         )
-        event_log.say("roll-out", service=service, target=rollout.target, known=dataclasses.asdict(known))
-        event_log.note("roll-out times", tallies=_told(trial.ledger.totals()))
+        event_log.log_event("roll-out", service=service, target=rollout.target, known=dataclasses.asdict(known))
+        event_log.record("roll-out times", tallies=_tally_fields(trial.evidence_table.totals()))
         self._apply(service, orders.edit_to_stage(service=service, seen=rollout, known=known))
 
     def _view(self, service: str, rollout: state.Rollout, trial: Trial, age_s: float) -> planner.View:
-        totals = trial.ledger.totals()
+        totals = trial.evidence_table.totals()
         finding = trial.finding()
-        answers, expected = _answers(totals, sent=trial.ledger.sent, sent_new=trial.ledger.sent_new)
+        answers, expected = _answers(totals, sent=trial.evidence_table.sent, sent_new=trial.evidence_table.sent_new)
         origins = set(self._proxies())
-        heard = origins & trial.ledger.reports.keys()
+        heard = origins & trial.evidence_table.reports.keys()
         return planner.View(
             rollout=rollout,
             age_s=age_s,
@@ -294,14 +299,14 @@
                 rows=[row for row in self._listed() if row["service"] == service],
                 rollout=rollout,
                 region_of=self._region_of,
-                out_zones=self._out_zones(),
+                evacuated_zones=self._evacuated_zones(),
             ),
             has_heard=(
                 self._now() - trial.begun_at >= self._contact_s / 5
                 and len(heard) >= planner.HEARD_PART * max(1, len(origins))
             ),
-            is_drained=trial.ledger.is_drained(origins=origins, step=rollout.step),
-            is_drained_silent=trial.ledger.is_drained(origins=heard, step=rollout.step),
+            is_drained=trial.evidence_table.is_drained(origins=origins, step=rollout.step),
+            is_drained_silent=trial.evidence_table.is_drained(origins=heard, step=rollout.step),
         )
 
     def _apply(self, service: str, edit) -> None:
@@ -322,7 +327,7 @@
         for service, editions in listed.items():
             rollout = self.rollouts.get(service, state.Rollout())
             editions -= set(rollout.refused)
-            if service in self._moving or rollout.is_under_way or self._is_served(service, rollout, editions):
+            if service in self._moving or rollout.is_in_progress or self._is_served(service, rollout, editions):
                 continue
             if editions:
                 wanted[service] = editions
@@ -369,11 +374,11 @@
         else:
             row[0] += tally.ended
             row[1] += tally.failed
-    busiest = sorted(found, key=lambda name: -found[name][0] - found[name][2])[: state.MOST_ROUTES]
+    busiest = sorted(found, key=lambda name: -found[name][0] - found[name][2])[: state.MAX_ROUTES]
     return {name: found[name] for name in sorted(busiest)}
 
 
-def _told(totals: dict) -> dict:
+def _tally_fields(totals: dict) -> dict:
     """Counts for a log line: route, version and group: ended, failed, broken, and the buckets of times."""
     return {
         f"{key.route} {'new' if key.is_new else 'former'} {key.group}": [
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -9,8 +9,8 @@
 from ploverward.control_plane.configuration import parser
 from ploverward.control_plane.rollouts import state
 
-MOST_NAME = 200  # characters
-MOST_TERM_S = 30 * 86400.0
+MAX_NAME_LENGTH = 200  # characters
+MAX_DURATION_S = 30 * 86400.0
 TAKEN = "taken"
 KNOWN = "known"
 
@@ -18,9 +18,9 @@
 class _Body(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
-    destination: str = pydantic.Field(min_length=1, max_length=MOST_NAME)
-    targetEdition: str = pydantic.Field(min_length=1, max_length=MOST_NAME)
-    overS: float = pydantic.Field(gt=0, le=MOST_TERM_S)
+    destination: str = pydantic.Field(min_length=1, max_length=MAX_NAME_LENGTH)
+    targetEdition: str = pydantic.Field(min_length=1, max_length=MAX_NAME_LENGTH)
+    overS: float = pydantic.Field(gt=0, le=MAX_DURATION_S)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,39 +45,39 @@
     """
 
     def edit(payload):
-        held = state.rollouts_of(payload).get(order.service, state.Rollout())
-        if _is_same(held, order):
+        current = state.rollouts_of(payload).get(order.service, state.Rollout())
+        if _is_same(current, order):
             return payload, KNOWN
-        if held.is_under_way:
-            raise errors.RolloutUnderWay(target=held.target, peer=order.service)
+        if current.is_in_progress:
+            raise errors.RolloutInProgressError(target=current.target, peer=order.service)
         if is_late():
-            raise errors.Unreachable("no majority in time", step="roll-out", peer=order.service)
-        return state.with_rollout(payload, service=order.service, rollout=_begun(held, order)), TAKEN
+            raise errors.QuorumUnavailableError("no majority in time", step="roll-out", peer=order.service)
+        return state.with_rollout(payload, service=order.service, rollout=_begun(current, order)), TAKEN
 
     return edit
 
 
-def _is_same(held: state.Rollout, order: Order) -> bool:
-    if held.stage == state.Stage.IDLE or held.is_settled:
+def _is_same(current: state.Rollout, order: Order) -> bool:
+    if current.stage == state.Stage.IDLE or current.is_settled:
         return False
-    return (held.target, held.over_s) == (order.target, order.over_s)
+    return (current.target, current.over_s) == (order.target, order.over_s)
 
 
-def _begun(held: state.Rollout, order: Order) -> state.Rollout:
-    is_there = held.admitted == (order.target,)
+def _begun(current: state.Rollout, order: Order) -> state.Rollout:
+    is_there = current.admitted == (order.target,)
     return dataclasses.replace(
-        held,
+        current,
         target=order.target,
         over_s=order.over_s,
         stage=state.Stage.DELIVERED if is_there else state.Stage.CANARY,
-        number=held.number + 1,
-        step=held.step + 1,
+        number=current.number + 1,
+        step=current.step + 1,
         age_s=0.0,
         reason="this version serves already" if is_there else "",
         record=(),
         is_settled=False,
-        admitted=tuple(name for name in held.admitted if name != order.target or is_there),
-        refused=tuple(name for name in held.refused if name != order.target),
+        admitted=tuple(name for name in current.admitted if name != order.target or is_there),
+        refused=tuple(name for name in current.refused if name != order.target),
     )
 
 
@@ -87,30 +87,30 @@
     stage = state.Stage(known.stage)
 
     def edit(payload):
-        held = state.rollouts_of(payload).get(service, state.Rollout())
-        if held.step != seen.step or stage not in state.NEXT_STAGES.get(held.stage, ()):
+        current = state.rollouts_of(payload).get(service, state.Rollout())
+        if current.step != seen.step or stage not in state.NEXT_STAGES.get(current.stage, ()):
             return payload, None
-        record = (*held.record, dataclasses.asdict(known))
+        record = (*current.record, dataclasses.asdict(known))
         moved = dataclasses.replace(
-            held, stage=stage, step=held.step + 1, age_s=known.age_s, reason=known.reason, record=record
+            current, stage=stage, step=current.step + 1, age_s=known.age_s, reason=known.reason, record=record
         )
         if stage == state.Stage.DELIVERED:
-            moved = dataclasses.replace(moved, admitted=(held.target,), refused=())
+            moved = dataclasses.replace(moved, admitted=(current.target,), refused=())
         elif stage == state.Stage.RETURNED:
-            moved = dataclasses.replace(moved, refused=(*held.refused, held.target))
+            moved = dataclasses.replace(moved, refused=(*current.refused, current.target))
         return state.with_rollout(payload, service=service, rollout=moved), None
 
     return edit
 
 
-def edit_to_settle(*, service: str, seen: state.Rollout):
+def edit_to_finish(*, service: str, seen: state.Rollout):
     """The edit that lets the same order be given again."""
 
     def edit(payload):
-        held = state.rollouts_of(payload).get(service, state.Rollout())
-        if held.step != seen.step or held.stage not in state.ENDED:
+        current = state.rollouts_of(payload).get(service, state.Rollout())
+        if current.step != seen.step or current.stage not in state.ENDED:
             return payload, None
-        settled = dataclasses.replace(held, step=held.step + 1, is_settled=True)
+        settled = dataclasses.replace(current, step=current.step + 1, is_settled=True)
         return state.with_rollout(payload, service=service, rollout=settled), None
 
     return edit
@@ -123,10 +123,10 @@
         rollouts = state.rollouts_of(payload)
         changed = payload
         for service, names in editions.items():
-            held = rollouts.get(service, state.Rollout())
-            if held.is_under_way or held.step != seen.get(service, state.Rollout()).step:
+            current = rollouts.get(service, state.Rollout())
+            if current.is_in_progress or current.step != seen.get(service, state.Rollout()).step:
                 continue
-            admitted = dataclasses.replace(held, admitted=tuple(sorted(names)), step=held.step + 1)
+            admitted = dataclasses.replace(current, admitted=tuple(sorted(names)), step=current.step + 1)
             changed = state.with_rollout(changed, service=service, rollout=admitted)
         return changed, None
 
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -69,7 +69,7 @@
 def next_move(view: View) -> Move | None:
     """The step to take now, or None."""
     rollout = view.rollout
-    if not rollout.is_under_way:
+    if not rollout.is_in_progress:
         return None
     if view.is_bad:
         return Move(stage=state.Stage.RETURNED, reason=view.finding)
@@ -200,20 +200,20 @@
 def _seats(*, sizes: dict, wanted: int) -> list:
     """Regions by the order in which they get one of `wanted` seats: each to the region that is worst represented."""
     seats = []
-    held = dict.fromkeys(sizes, 0)
+    assigned = dict.fromkeys(sizes, 0)
     while len(seats) < min(wanted, sum(sizes.values())):
-        open_regions = [name for name in sizes if held[name] < sizes[name]]
-        region = max(open_regions, key=lambda name: (sizes[name] / (held[name] + 0.5), name))
-        held[region] += 1
+        open_regions = [name for name in sizes if assigned[name] < sizes[name]]
+        region = max(open_regions, key=lambda name: (sizes[name] / (assigned[name] + 0.5), name))
+        assigned[region] += 1
         seats.append(region)
     return seats
 
 
-def has_capacity(*, rows: list, rollout: state.Rollout, region_of, out_zones) -> bool:
+def has_capacity(*, rows: list, rollout: state.Rollout, region_of, evacuated_zones) -> bool:
     """Whether warm replicas of the new version can carry each region's traffic. `rows`: the service's listed replicas."""
     former, new = {}, {}
     for row in rows:
-        if row["is_clearing"] or row["zone"] in out_zones:
+        if row["is_clearing"] or row["zone"] in evacuated_zones:
             continue
         region = region_of(row["zone"])
         if row.get("edition") == rollout.target:
@@ -223,4 +223,4 @@
             former[region] = former.get(region, 0) + row["berths"]
     if not new:
         return False
-    return all(new.get(region, 0) >= CAPACITY_PART * berths for region, berths in former.items())
+    return all(new.get(region, 0) >= CAPACITY_PART * batch_slots for region, batch_slots in former.items())
--- a/ploverward/control_plane/rollouts/state.py
+++ b/ploverward/control_plane/rollouts/state.py
@@ -18,7 +18,7 @@
     RETURNED = "returned"
 
 
-UNDER_WAY = (Stage.CANARY, Stage.PROMOTING, Stage.DRAINING)
+IN_PROGRESS_STAGES = (Stage.CANARY, Stage.PROMOTING, Stage.DRAINING)
 ENDED = (Stage.DELIVERED, Stage.RETURNED)
 IN_SERVICE = "in_service"  # the protocol's word for a roll-out that is under way
 NEXT_STAGES = {
@@ -28,7 +28,7 @@
 }
 
 
-MOST_ROUTES = 24  # of a step's evidence: those with the most answers
+MAX_ROUTES = 24  # of a step's evidence: those with the most answers
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -64,8 +64,8 @@
     is_settled: bool = False  # it ended so long ago that the same order is a new one
 
     @property
-    def is_under_way(self) -> bool:
-        return self.stage in UNDER_WAY
+    def is_in_progress(self) -> bool:
+        return self.stage in IN_PROGRESS_STAGES
 
     @property
     def condition(self) -> str:
--- a/ploverward/control_plane/rollouts/test_rollouts.py
+++ b/ploverward/control_plane/rollouts/test_rollouts.py
@@ -42,7 +42,7 @@
 
 # Orders.
 @pytest.mark.parametrize(
-    "data, place",
+    "data, field_path",
     [
         (b"{", "body"),
         (b"[]", "body"),
@@ -58,10 +58,10 @@
         (b'{"destination":"pool","targetEdition":"v2","overS":NaN}', "body"),
     ],
 )
-def test_an_order_that_is_none_names_the_place(data, place):
-    with pytest.raises(errors.InvalidConfiguration) as caught:
+def test_an_order_that_is_none_names_the_field(data, field_path):
+    with pytest.raises(errors.InvalidConfigurationError) as caught:
         orders.read(data=data)
-    assert caught.value.place == place
+    assert caught.value.field_path == field_path
 
 
 def test_an_order_is_read():
@@ -78,7 +78,7 @@
 
 def test_one_of_two_orders_wins_and_the_other_changes_nothing():
     payload, _said = given(admitted("v1"), ORDER)
-    with pytest.raises(errors.RolloutUnderWay) as caught:
+    with pytest.raises(errors.RolloutInProgressError) as caught:
         given(payload, OTHER)
     assert caught.value.target == "v2"
     done = moved(payload, state.Stage.RETURNED)
@@ -86,7 +86,7 @@
 
 
 def test_an_order_whose_caller_was_left_is_not_begun():
-    with pytest.raises(errors.Unreachable):
+    with pytest.raises(errors.QuorumUnavailableError):
         given(admitted("v1"), ORDER, is_late=True)
 
 
@@ -97,13 +97,13 @@
 
 def test_an_order_that_was_settled_may_be_given_again():
     payload = moved(given(admitted("v1"), ORDER)[0], state.Stage.RETURNED)
-    settled, _said = orders.edit_to_settle(service="pool", seen=row_of(payload))(payload)
+    settled, _said = orders.edit_to_finish(service="pool", seen=row_of(payload))(payload)
     again, said = given(settled, ORDER)
     assert said == orders.TAKEN and row_of(again).number == 2 and not row_of(again).refused
 
 
 # Stages.
-def test_a_stage_never_goes_back():
+def test_a_stage_is_never_reverted():
     payload = moved(moved(given(admitted("v1"), ORDER)[0], state.Stage.PROMOTING), state.Stage.RETURNED)
     for stage in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
         assert moved(payload, stage) is payload
@@ -165,42 +165,42 @@
 
 @pytest.mark.parametrize("data", [b"", b"x", rollout_evidence.pack([])[:4], __import__("zlib").compress(b'[["pool"]]')])
 def test_bytes_that_are_no_reports_are_refused(data):
-    with pytest.raises(errors.FrameProblem):
+    with pytest.raises(errors.FrameError):
         rollout_evidence.unpack(data)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_reports_lost_repeated_and_out_of_order_count_once(seed):
     chance = random.Random(seed)
-    ledger, counted, told = ledgers.Ledger(), collections.Counter(), []
+    table, counted, reports = ledgers.EvidenceTable(), collections.Counter(), []
     true = {name: rollout_evidence.Tally() for name in "abc"}
-    for turn in range(120):
+    for step in range(120):
         name = chance.choice("abc")
         true[name].add(tally(ended=chance.randint(0, 4)))
-        told.append((name, report(tallies={key(): true[name].copy()}, sent=turn + 1)))
-        for told_name, one in chance.sample(told, min(len(told), chance.randint(0, 3))):
-            ledger.take(origin=ledgers.Origin(address=told_name, life="1"), report=one, now=turn)
-        for found in ledger.fresh().values():
+        reports.append((name, report(tallies={key(): true[name].copy()}, sent=step + 1)))
+        for reporter, one in chance.sample(reports, min(len(reports), chance.randint(0, 3))):
+            table.record(origin=ledgers.Origin(address=reporter, incarnation="1"), report=one, now=step)
+        for found in table.fresh().values():
             assert found.ended >= 0
             counted["ended"] += found.ended
     for name in "abc":
-        last = [one for told_name, one in told if told_name == name][-1]
-        ledger.take(origin=ledgers.Origin(address=name, life="1"), report=last, now=999)
-    counted["ended"] += sum(found.ended for found in ledger.fresh().values())
+        last = [one for reporter, one in reports if reporter == name][-1]
+        table.record(origin=ledgers.Origin(address=name, incarnation="1"), report=last, now=999)
+    counted["ended"] += sum(found.ended for found in table.fresh().values())
     assert counted["ended"] == sum(one.ended for one in true.values())
 
 
 def test_drained_is_who_applied_the_step_and_runs_nothing_elsewhere():
-    ledger = ledgers.Ledger()
-    first, second = (ledgers.Origin(address=name, life="1") for name in "ab")
-    ledger.take(origin=first, report=report(step=3), now=0)
-    assert not ledger.is_drained(origins={first, second}, step=3)
-    ledger.take(origin=second, report=report(step=2), now=0)
-    assert not ledger.is_drained(origins={first, second}, step=3)
-    ledger.take(origin=second, report=report(step=3, running_old=1, sent=11), now=0)
-    assert not ledger.is_drained(origins={first, second}, step=3)
-    ledger.take(origin=second, report=report(step=3, sent=12), now=0)
-    assert ledger.is_drained(origins={first, second}, step=3)
+    table = ledgers.EvidenceTable()
+    first, second = (ledgers.Origin(address=name, incarnation="1") for name in "ab")
+    table.record(origin=first, report=report(step=3), now=0)
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=report(step=2), now=0)
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=report(step=3, running_old=1, sent=11), now=0)
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=report(step=3, sent=12), now=0)
+    assert table.is_drained(origins={first, second}, step=3)
 
 
 # The judge.
@@ -213,23 +213,23 @@
         counted = {key(is_new=False): former_answers(chance=chance, former_bad=former_bad, count=25)}
         share = bad if now >= bad_from else 0.0
         for group in range(groups):
-            ended = sum(chance.random() < 0.5 for _turn in range(round(per_s * 0.8 / groups)))
-            failed = sum(chance.random() < max(share, former_bad) for _turn in range(ended))
+            ended = sum(chance.random() < 0.5 for _index in range(round(per_s * 0.8 / groups)))
+            failed = sum(chance.random() < max(share, former_bad) for _index in range(ended))
             made = rollout_evidence.Tally(ended=ended, failed=failed)
-            for _turn in range(ended - failed):
+            for _index in range(ended - failed):
                 is_slow = chance.random() < slow
                 made.firsts[8 + chance.choice((-1, 0, 0, 1, 2)) + (times if is_slow else 0)] += 1
             counted[key(group=group)] = made
-        judge.take(now=now, counted=counted)
+        judge.record(now=now, counted=counted)
         if judge.is_bad and found_at is None:
             found_at = now
     return judge, found_at
 
 
 def former_answers(*, chance, former_bad, count):
-    failed = sum(chance.random() < former_bad for _turn in range(count))
+    failed = sum(chance.random() < former_bad for _index in range(count))
     made = rollout_evidence.Tally(ended=count, failed=failed)
-    for _turn in range(count - failed):
+    for _index in range(count - failed):
         made.firsts[8 + chance.choice((-1, 0, 0, 1, 2))] += 1
     return made
 
@@ -258,26 +258,26 @@
 
 def test_one_faulty_replica_does_not_condemn_its_version():
     judge = judges.Judge()
-    for turn in range(30):
+    for step in range(30):
         counted = {key(is_new=False): tally(ended=20), key(group=1): tally(ended=2, failed=2)}
         counted[key(group=2)] = tally(ended=2)
-        judge.take(now=turn * 0.4, counted=counted)
+        judge.record(now=step * 0.4, counted=counted)
     assert not judge.is_bad and judge.bad_groups() == {1}
 
 
 def test_a_lone_replica_condemns_its_version():
     judge = judges.Judge()
     judge.is_lone = True
-    judge.take(now=0.0, counted={key(is_new=False): tally(ended=20), key(group=1): tally(ended=8, failed=6)})
+    judge.record(now=0.0, counted={key(is_new=False): tally(ended=20), key(group=1): tally(ended=8, failed=6)})
     assert judge.is_bad
 
 
-def test_silence_counts_only_beside_answers_of_the_former_version():
+def test_timeouts_count_only_beside_answers_of_the_former_version():
     judge = judges.Judge()
     silent = {key(group=group): rollout_evidence.Tally(ended=9, broken=9) for group in range(3)}
-    judge.take(now=0.0, counted=silent)
+    judge.record(now=0.0, counted=silent)
     assert not judge.is_bad
-    judge.take(now=0.4, counted={**silent, key(is_new=False): tally(ended=20)})
+    judge.record(now=0.4, counted={**silent, key(is_new=False): tally(ended=20)})
     assert judge.is_bad
 
 
@@ -324,22 +324,22 @@
     assert planner.next_move(dataclasses.replace(VIEW, **about)) is None
 
 
-def test_a_version_that_is_not_cleared_in_time_goes_back():
+def test_a_version_that_is_not_cleared_in_time_is_rolled_back():
     late = dataclasses.replace(VIEW, is_suspicious=True, age_s=10.5)
     assert planner.next_move(late).stage == state.Stage.RETURNED
 
 
-def test_a_version_that_owes_its_answers_goes_back():
+def test_a_version_with_outstanding_responses_is_rolled_back():
     late = dataclasses.replace(VIEW, answers={"r": 19}, age_s=10.5)
     assert planner.next_move(late).stage == state.Stage.RETURNED
 
 
-@pytest.mark.parametrize("stage", state.UNDER_WAY)
-def test_a_bad_version_goes_back_from_every_stage(stage):
+@pytest.mark.parametrize("stage", state.IN_PROGRESS_STAGES)
+def test_a_bad_version_is_rolled_back_from_every_stage(stage):
     assert planner.next_move(at(stage, is_bad=True)).stage == state.Stage.RETURNED
 
 
-def test_delivered_is_told_only_when_nothing_runs_at_the_former_version_or_the_term_is_over():
+def test_delivered_is_announced_only_when_nothing_runs_at_the_former_version_or_the_term_is_over():
     assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0)) is None
     assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained_silent=True)) is None
     assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
@@ -394,7 +394,7 @@
     assert {region_of(zones[name]) for name in chosen} == {"a", "b"}
 
 
-def test_a_group_that_has_shown_faults_makes_room_for_another():
+def test_a_group_that_has_shown_faults_gives_way_to_another():
     rows = listed()
     first = planner.canary_replicas(rows=rows, region_of=region_of, share=0.02, bad_groups=())
     group = rollout_evidence.group_of(row_codec.key_of(first[0]))
@@ -411,7 +411,7 @@
         (listed(zones=("a1", "a2")), (), False),
         (listed(zones=("a1", "a2")), ("b1",), True),
     ):
-        found = planner.has_capacity(rows=former + new, rollout=VIEW.rollout, region_of=region_of, out_zones=out)
+        found = planner.has_capacity(rows=former + new, rollout=VIEW.rollout, region_of=region_of, evacuated_zones=out)
         assert found == wanted
 
 
@@ -423,7 +423,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"{}x", b'[["pool"]]', b'[["pool",1,2,"x",[]]]'])
 def test_bytes_that_are_no_leases_are_refused(data):
-    with pytest.raises(errors.FrameProblem):
+    with pytest.raises(errors.FrameError):
         leases.unpack(data)
 
 
@@ -444,53 +444,53 @@
         self.now = 100.0
         self.payload = None
         self.rows = listed(edition="v1")
-        self.origins = [ledgers.Origin(address=name, life="1") for name in "ab"]
-        self.holders = []
-        self.is_cut = False
+        self.origins = [ledgers.Origin(address=name, incarnation="1") for name in "ab"]
+        self.coordinators = []
+        self.is_partitioned = False
         self.sent = 0
         self.tallies = {}  # origin: what it counted since the order
 
-    def holder(self):
-        made = manager.RolloutDuty(
+    def coordinator(self):
+        made = manager.RolloutManager(
             settings=Settings(),
             now=lambda: self.now,
             change=self.change,
             listed=lambda: self.rows,
             zones=lambda: {"a1": "a", "a2": "a", "b1": "b"},
-            out_zones=lambda: (),
+            evacuated_zones=lambda: (),
             proxies=lambda: self.origins,
             contact_s=5.0,
             receipt_s=8.0,
         )
         made.install(self.payload)
-        self.holders.append(made)
+        self.coordinators.append(made)
         return made
 
     def change(self, *, name, edit, done):
-        if self.is_cut:
-            done(errors.Unreachable("cut"), 0, None, None)
+        if self.is_partitioned:
+            done(errors.QuorumUnavailableError("cut"), 0, None, None)
             return
         self.payload, said = edit(self.payload)
         done(None, 1, self.payload, said)
-        for holder in self.holders:
-            holder.install(self.payload)
+        for coordinator in self.coordinators:
+            coordinator.install(self.payload)
 
     def row(self):
         return row_of(self.payload)
 
-    def play(self, holder, *, seconds, failing=0.0, chance=None, running_old=0):
+    def play(self, coordinator, *, seconds, failing=0.0, chance=None, running_old=0):
         chance = chance or random.Random(1)
         tallies, sent = self.tallies, self.sent
         for _tick in range(int(seconds / 0.4)):
             self.now += 0.4
-            for place, origin in enumerate(self.origins):
+            for field_path, origin in enumerate(self.origins):
                 sent += 30
                 row = self.row()
                 answers = tallies.setdefault(origin, {})
                 answers.setdefault(key(is_new=False), rollout_evidence.Tally()).add(tally(ended=20))
                 if any(one["edition"] == "v2" for one in self.rows):
                     for group in range(2):
-                        failed = sum(chance.random() < failing for _turn in range(2))
+                        failed = sum(chance.random() < failing for _index in range(2))
                         answers.setdefault(key(group=group), rollout_evidence.Tally()).add(
                             tally(ended=2, failed=failed)
                         )
@@ -502,112 +502,112 @@
                             sent=sent,
                             sent_new=sent // 20,
                             number=row.number,
-                            running_old=running_old if place == 0 else 0,
+                            running_old=running_old if field_path == 0 else 0,
                         )
                     ]
                 )
-                holder.take_evidence(origin=origin, data=data)
-            holder.tend()
+                coordinator.take_evidence(origin=origin, data=data)
+            coordinator.reconcile()
         self.sent = sent
 
 
 def test_the_first_list_admits_its_versions_and_a_new_one_on_the_list_admits_nothing():
     world = World()
-    holder = world.holder()
-    holder.tend()
+    coordinator = world.coordinator()
+    coordinator.reconcile()
     assert world.row().admitted == ("v1",)
     world.rows = world.rows + listed()
-    for _turn in range(50):
+    for _index in range(50):
         world.now += 1.0
-        holder.tend()
+        coordinator.reconcile()
     assert world.row().admitted == ("v1",)
 
 
 def test_where_no_admitted_version_is_left_what_is_listed_is_admitted_after_a_time():
     world = World()
-    holder = world.holder()
-    holder.tend()
+    coordinator = world.coordinator()
+    coordinator.reconcile()
     world.rows = listed()
-    holder.tend()
+    coordinator.reconcile()
     assert world.row().admitted == ("v1",)
     world.now += 6.0
-    holder.tend()
+    coordinator.reconcile()
     assert world.row().admitted == ("v2",)
 
 
 def begun(world):
-    holder = world.holder()
-    holder.tend()
+    coordinator = world.coordinator()
+    coordinator.reconcile()
     world.change(name="rollouts", edit=orders.edit_for(order=ORDER, is_late=lambda: False), done=lambda *_about: None)
     world.rows = world.rows + listed()
-    return holder
+    return coordinator
 
 
 def test_a_good_version_is_delivered_inside_its_term():
     world = World()
-    holder = begun(world)
-    world.play(holder, seconds=9.2)
+    coordinator = begun(world)
+    world.play(coordinator, seconds=9.2)
     assert world.row().stage in (state.Stage.PROMOTING, state.Stage.DRAINING)
-    world.play(holder, seconds=4.0)
+    world.play(coordinator, seconds=4.0)
     assert world.row().stage == state.Stage.DELIVERED and world.row().age_s < 15.0
 
 
 def test_delivered_waits_for_what_runs_at_the_former_version():
     world = World()
-    holder = begun(world)
-    world.play(holder, seconds=13.0, running_old=1)
+    coordinator = begun(world)
+    world.play(coordinator, seconds=13.0, running_old=1)
     assert world.row().stage == state.Stage.DRAINING
-    world.play(holder, seconds=3.0, running_old=1)
+    world.play(coordinator, seconds=3.0, running_old=1)
     assert world.row().stage == state.Stage.DELIVERED
 
 
 def test_a_bad_version_is_returned_and_stays_returned():
     world = World()
-    holder = begun(world)
-    world.play(holder, seconds=4.0, failing=0.5)
+    coordinator = begun(world)
+    world.play(coordinator, seconds=4.0, failing=0.5)
     assert world.row().stage == state.Stage.RETURNED
-    world.play(holder, seconds=16.0)
+    world.play(coordinator, seconds=16.0)
     assert world.row().stage == state.Stage.RETURNED
 
 
-def test_a_holder_that_found_a_fault_gives_nothing_out_although_it_can_not_say_so():
+def test_a_coordinator_that_found_a_fault_grants_nothing_although_it_can_not_record_it():
     world = World()
-    holder = begun(world)
-    world.is_cut = True
-    world.play(holder, seconds=4.0, failing=0.5)
+    coordinator = begun(world)
+    world.is_partitioned = True
+    world.play(coordinator, seconds=4.0, failing=0.5)
     assert world.row().stage == state.Stage.CANARY
     given_out = leases.unpack(
-        holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report(sent=10**6)]))
+        coordinator.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report(sent=10**6)]))
     )
     assert [one.share for one in given_out] == [0.0]
 
 
 def test_a_node_that_does_not_act_gives_out_nothing():
     world = World()
-    holder = begun(world)
-    holder.rest()
-    assert holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
-    holder.tend()
+    coordinator = begun(world)
+    coordinator.deactivate()
+    assert coordinator.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
+    coordinator.reconcile()
     world.now += 2.0  # it stood still: what it may give out has run out
-    assert holder.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
+    assert coordinator.take_evidence(origin=world.origins[0], data=rollout_evidence.pack([report()])) is None
 
 
-def test_a_next_holder_goes_on_where_the_one_before_it_stood():
+def test_the_next_coordinator_resumes_where_the_former_one_stopped():
     world = World()
     world.play(begun(world), seconds=9.2)
-    second = world.holder()
+    second = world.coordinator()
     world.play(second, seconds=5.0)
     assert world.row().stage == state.Stage.DELIVERED
 
 
-def test_a_holder_after_a_full_restart_learns_the_age_from_the_proxies():
+def test_a_coordinator_after_a_full_restart_learns_the_age_from_the_proxies():
     world = World()
-    holder = begun(world)
-    world.play(holder, seconds=4.0)
-    late = world.holder()
+    coordinator = begun(world)
+    world.play(coordinator, seconds=4.0)
+    late = world.coordinator()
     late.take_evidence(
         origin=world.origins[0],
         data=rollout_evidence.pack([dataclasses.replace(report(number=1, sent=10**6), age_s=15.5)]),
     )
-    late.tend()
+    late.reconcile()
     assert world.row().stage == state.Stage.RETURNED
--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -2,10 +2,10 @@
 
 import json
 
-MOST_ROWS = 2000  # (service, model, adapter, replica, route) in one window; what is past them is counted in one number
+MAX_ROWS = 2000  # (service, model, adapter, replica, route) in one window; what is past them is counted in one number
 FIELDS = ("warm", "cold", "unknown", "loads", "waits", "wait_ms", "most_wait_ms", "late")
 WARM, COLD, UNKNOWN = "warm", "cold", "unknown"
-UNSTEADY_PART = 0.25  # of a load, for what is held but not for long
+UNSTABLE_ADAPTER_SHARE = 0.25  # of a load, for what is held but not for long
 FIRST_LOAD_S = 1.0  # before a load was seen; ours
 
 
@@ -69,7 +69,7 @@
             # What came lately may be pushed out again before the list says so; what stays is worth going to.
             since = (replica.adapters or {}).get((model, adapter))
             is_steady = since is not None and self._now() - since >= self._steady_s
-            return 0.0 if is_steady else self.load_s.get(replica.service, FIRST_LOAD_S) * UNSTEADY_PART
+            return 0.0 if is_steady else self.load_s.get(replica.service, FIRST_LOAD_S) * UNSTABLE_ADAPTER_SHARE
         return self.load_s.get(replica.service, FIRST_LOAD_S) * (0.5 if state == UNKNOWN else 1.0)
 
     def begin(self, *, replica, service: str, model: str, adapter: str, route: str, target_s: float) -> Arrival:
@@ -96,10 +96,10 @@
         _service, model, adapter, replica, _route = arrival.key
         if adapter:
             self._seen[(replica, model, adapter)] = now + self._trust_s
-        if len(self._seen) > 4 * MOST_ROWS:
+        if len(self._seen) > 4 * MAX_ROWS:
             self._seen = {key: until for key, until in self._seen.items() if until > now}
         row = self._rows.get(arrival.key)
-        if row is None and len(self._rows) < MOST_ROWS:
+        if row is None and len(self._rows) < MAX_ROWS:
             row = self._rows[arrival.key] = dict.fromkeys(FIELDS, 0)
         self._is_changed = True
         is_load = self._close(arrival, is_run=True)
@@ -119,7 +119,7 @@
                 known = self.load_s.get(arrival.replica.service, wait_s)
                 self.load_s[arrival.replica.service] = known * 0.8 + wait_s * 0.2
 
-    def not_run(self, arrival: Arrival) -> None:
+    def note_not_run(self, arrival: Arrival) -> None:
         """Turned away, lost or given up before its first event: no load of ours is known."""
         if not arrival.is_over:
             arrival.is_over = True
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -73,11 +73,11 @@
 def test_what_never_ran_is_no_load():
     scene = Scene()
     cold = replica()
-    scene.counter.not_run(scene.begin(cold))
+    scene.counter.note_not_run(scene.begin(cold))
     assert scene.rows() == {}
     arrival = scene.begin(cold)
     scene.counter.ran(arrival)
-    scene.counter.not_run(arrival)  # its end, later: nothing more
+    scene.counter.note_not_run(arrival)  # its end, later: nothing more
     assert scene.rows()[("drafts", "i1")]["loads"] == 1
 
 
@@ -93,7 +93,7 @@
     assert sum(row["loads"] for row in rows.values()) == 1
 
 
-def test_a_new_life_starts_with_nothing_and_our_own_evidence_ends():
+def test_a_new_incarnation_starts_empty_and_our_own_evidence_ends():
     scene = Scene()
     first = replica("i1")
     scene.counter.ran(scene.begin(first))
@@ -104,7 +104,7 @@
 
 
 def test_counts_are_bounded_and_what_finds_no_row_is_still_counted(monkeypatch):
-    monkeypatch.setattr(adapter_counts, "MOST_ROWS", 3)
+    monkeypatch.setattr(adapter_counts, "MAX_ROWS", 3)
     scene = Scene()
     for number in range(5):
         scene.counter.ran(scene.begin(replica(f"i{number}")))
@@ -113,13 +113,13 @@
     assert len(body["rows"]) == 3 and body["over"] == 2
 
 
-def test_windows_are_told_whole_and_a_finished_one_again():
+def test_windows_are_sent_complete_and_a_finished_one_again():
     scene = Scene()
-    ledger = adapter_usage.Ledger(now=lambda: scene.clock[0], window_s=30.0)
+    usage = adapter_usage.ReportStore(now=lambda: scene.clock[0], window_s=30.0)
 
-    def tell():
+    def send_counts():
         for window, number, data in scene.counter.report():
-            ledger.take(node="p", zone="za", region="north", life="l", window=window, number=number, data=data)
+            usage.record(node="p", zone="za", region="north", incarnation="l", window=window, number=number, data=data)
 
     total = 0
     for step in range(40):
@@ -127,19 +127,19 @@
         scene.counter.ran(scene.begin(replica(f"i{step % 3}")))
         total += 1
         if step % 2:
-            tell()
-            tell()  # a resend
-    tell()
+            send_counts()
+            send_counts()  # a resend
+    send_counts()
     scene.clock[0] += 30.0
-    tell()
-    assert sum(sum(row[5:8]) for window in ledger.rows() for row in window["rows"]) == total
+    send_counts()
+    assert sum(sum(row[5:8]) for window in usage.rows() for row in window["rows"]) == total
 
 
 def test_the_list_gives_adapters_and_malformed_ones_are_skipped_and_counted():
-    entry = {"id": "i", "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
+    platform_replica = {"id": "i", "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     def row(*models):
-        return platform_client.read_row(entry={**entry, "models": list(models)})
+        return platform_client.read_row(platform_replica={**platform_replica, "models": list(models)})
 
     assert row({"name": "m", "adapters": ["a", "b"]})["adapters"] == [["m", "a"], ["m", "b"]]
     assert "adapters" not in row({"name": "m", "adapters": []})
@@ -150,8 +150,8 @@
             row({"name": "m", "adapters": bad})["is_malformed"]
             and row({"name": "m", "adapters": bad})["adapters"] is None
         )
-    told = endpoint_list.of_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
+    published = endpoint_list.of_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
     same = [row({"name": "m", "adapters": ["a"]})]
-    assert told.change_to(rows=same, read_at=2.0, is_same_clock=True) is None
+    assert published.change_to(rows=same, read_at=2.0, is_same_clock=True) is None
     changed = [row({"name": "m", "adapters": ["b"]})]
-    assert told.change_to(rows=changed, read_at=3.0, is_same_clock=True).rows == tuple(changed)
+    assert published.change_to(rows=changed, read_at=3.0, is_same_clock=True).rows == tuple(changed)
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -9,50 +9,50 @@
 
 
 def make():
-    told = []
+    sent = []
     node = types.SimpleNamespace(
         is_serving=False,
-        is_leaving=False,
+        is_draining=False,
         core_members=("a", "b", "c"),
-        floors={},
+        minimum_versions={},
         routes=types.SimpleNamespace(edition=1),
-        follower=types.SimpleNamespace(serials={}),
-        _tell_core=told.append,
+        subscriber=types.SimpleNamespace(versions={}),
+        _send_to_cores=sent.append,
     )
-    return node, told
+    return node, sent
 
 
-def test_no_serving_before_a_majority_told_and_its_most_is_here():
-    node, told = make()
-    node.follower.serials = {"spec": (0, 4), "evac": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    node.floors = {"a": {"spec": 4, "evac": 1}}
+def test_no_serving_before_a_majority_answered_and_its_newest_is_here():
+    node, sent = make()
+    node.subscriber.versions = {"spec": (0, 4), "evac": (0, 1), "list": (1, 1), "cores": (0, 1)}
+    node.minimum_versions = {"a": {"spec": 4, "evac": 1}}
     core_sessions.FollowMixin._check_serving(node)
     assert not node.is_serving
-    node.floors["b"] = {"spec": 5, "evac": 1}  # one of them may have acknowledged a newer one
+    node.minimum_versions["b"] = {"spec": 5, "evac": 1}  # one of them may have acknowledged a newer one
     core_sessions.FollowMixin._check_serving(node)
     assert not node.is_serving
-    node.follower.serials["spec"] = (0, 5)
+    node.subscriber.versions["spec"] = (0, 5)
     core_sessions.FollowMixin._check_serving(node)
-    assert node.is_serving and told == [("state", True, False)]
+    assert node.is_serving and sent == [("state", True, False)]
 
 
 def test_no_serving_without_a_list_a_configuration_or_an_agreed_core_set():
-    whole = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    for missing in whole:
-        serials = {topic: version for topic, version in whole.items() if topic != missing}
-        node, _told = make()
-        node.follower.serials = serials
-        node.floors = {"a": {}, "b": {}, "c": {}}
+    complete = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
+    for missing in complete:
+        versions = {topic: version for topic, version in complete.items() if topic != missing}
+        node, _sent = make()
+        node.subscriber.versions = versions
+        node.minimum_versions = {"a": {}, "b": {}, "c": {}}
         core_sessions.FollowMixin._check_serving(node)
         assert not node.is_serving
 
 
-def test_cut_off_it_serves_on_with_what_it_has():
-    node, _told = make()
-    node.follower.serials = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    node.floors = {"a": {"spec": 1}, "b": {"spec": 1}}
+def test_when_isolated_it_keeps_serving_with_what_it_has():
+    node, _sent = make()
+    node.subscriber.versions = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
+    node.minimum_versions = {"a": {"spec": 1}, "b": {"spec": 1}}
     core_sessions.FollowMixin._check_serving(node)
-    node.floors = {}
+    node.minimum_versions = {}
     node.core_members = ("x", "y", "z")
     core_sessions.FollowMixin._check_serving(node)
     assert node.is_serving
@@ -71,16 +71,16 @@
     assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=("south",)) == {"south"}
 
 
-def test_a_relay_ends_when_its_duty_goes_to_another_life():
+def test_a_relay_ends_when_its_role_goes_to_another_incarnation():
     node = types.SimpleNamespace(
         relay=None,
         gateway=None,
         region_names=("north", "south"),
         settings=loopback_proxy.settings(),
-        life="l1",
+        incarnation="l1",
         loop=event_loop.Loop(),
         contact_s=4.0,
-        silence_s=0.8,
+        peer_timeout_s=0.8,
         _waiting={},
         _sync_relay=lambda: None,
     )
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -5,12 +5,12 @@
 from ploverward.data_plane.relay import load_feed
 
 FIRST_RATE = 20.0  # tokens in a millisecond before anything was measured; ours
-BESIDE_PART = 4.0  # of a read, for a replica whose places are all taken
-WAY_PART = 0.25  # of the way, where a prompt is to be read
-AGAIN_PART = 1.0  # of the reading time, for tokens that another replica keeps
-TRIED_BERTHS_PART = 0.75  # of its places, that a replica of a version on trial may have taken
-MOST_TRIED_READING_MS = 900.0  # of prompts that wait there
-LEAST_READ = 500  # fewer tokens say more of the way than of the reading
+INTERFERENCE_WEIGHT = 4.0  # of a read, for a replica whose places are all taken
+LATENCY_PART = 0.25  # of the way, where a prompt is to be read
+REPEATED_PREFILL_WEIGHT = 1.0  # of the reading time, for tokens that another replica keeps
+CANARY_SLOTS_FRACTION = 0.75  # of its places, that a replica of a version on trial may have taken
+MAX_TRIAL_PREFILL_MS = 900.0  # of prompts that wait there
+MIN_MEASURED_TOKENS = 500  # fewer tokens say more of the way than of the reading
 
 
 class Chooser:
@@ -23,7 +23,7 @@
         self._quota = quota
         self._counted = counted  # replica: our part of the sums that are shown
         self._now = now
-        self._aside_s = settings.bound_s(name="contactMs") / 50
+        self._cross_region_penalty_s = settings.bound_s(name="contactMs") / 50
         self.rates = {}  # service: tokens read in a millisecond
         self.recent = {}  # (replica id, hash): until; our own sends that the mirror can't know yet
 
@@ -35,7 +35,7 @@
             now = self._now()
             self.recent = {key: when for key, when in self.recent.items() if when > now}
 
-    def _own_kept(self, replica, chain) -> int:
+    def _own_cached_tokens(self, replica, chain) -> int:
         now = self._now()
         total = 0
         for full_hash, tokens in chain:
@@ -48,7 +48,7 @@
         """(running, tokens to read, is suspect, is failing), of all proxies: the sums, less what they hold of ours, and ours."""
         region = self._regions.get(replica.region)
         total = region.load.get(replica.key) if region is not None and region.is_fresh else None
-        running, tokens = replica.running, sum(replica.to_read.values())
+        running, tokens = replica.running, sum(replica.prefill_tokens.values())
         if total is None:
             return running, tokens, False, False
         own = self._counted(replica)
@@ -69,27 +69,27 @@
 
         if pool is not None and pool.replicas:
             named = [self._table.replicas[name] for name in pool.replicas if name in self._table.replicas]
-            return usable([replica for replica in named if self._bears_more(replica)])
+            return usable([replica for replica in named if self._has_trial_capacity(replica)])
         rows = usable(self._table.subset(service))
-        if self._table.is_whole(service):
+        if self._table.has_all_replicas(service):
             return rows
         if not rows:
             return usable(self._table.by_service.get(service, ()))
         known = {replica.id for replica in rows}
         depth, owners = self._owners(service, model, chain)
         if depth < len(chain) - 1:
-            first = self._table.first_reader(
+            first = self._table.prefill_owner(
                 service=service, part=chain[-2][0], permitted=permitted, is_usable=lambda one: bool(usable([one]))
             )
             if first is not None and first not in owners:
                 owners.append(first)
         return rows + usable([replica for replica in owners if replica.id not in known])
 
-    def _bears_more(self, replica) -> bool:
+    def _has_trial_capacity(self, replica) -> bool:
         """Whether a replica that is tried out has room for one more request: it shows nothing by being overrun."""
-        running, to_read, _is_bad, _is_failing = self.load(replica)
-        reading_ms = to_read / self.rates.get(replica.service, FIRST_RATE)
-        return running < TRIED_BERTHS_PART * replica.berths and reading_ms < MOST_TRIED_READING_MS
+        running, prefill_tokens, _is_bad, _is_failing = self.load(replica)
+        reading_ms = prefill_tokens / self.rates.get(replica.service, FIRST_RATE)
+        return running < CANARY_SLOTS_FRACTION * replica.batch_slots and reading_ms < MAX_TRIAL_PREFILL_MS
 
     def _owners(self, service: str, model: str, chain) -> tuple:
         """(parts in the longest run of the prompt that is kept anywhere, replicas that the mirrors name for the longest
@@ -106,7 +106,7 @@
         now = self._now()
         rows = []
         for replica in replicas:
-            if replica.is_clearing or replica.zone in self._table.out_zones or replica.id in avoid:
+            if replica.is_clearing or replica.zone in self._table.evacuated_zones or replica.id in avoid:
                 continue
             if permitted is not None and replica.region not in permitted:
                 continue
@@ -114,8 +114,8 @@
                 continue
             rows.append(replica)
         # Suspects are tried by connections of their own; a request is better refused at once than spent on them.
-        rows = [replica for replica in rows if not replica.is_suspect]
-        return [replica for replica in rows if replica.away_until <= now] or rows
+        rows = [replica for replica in rows if not replica.is_suspected]
+        return [replica for replica in rows if replica.backoff_until <= now] or rows
 
     def choose(
         self,
@@ -126,7 +126,7 @@
         chain,
         prompt_tokens: int,
         avoid,
-        aim_s: float = 1.0,
+        latency_target_s: float = 1.0,
         load_s=None,
         pool=None,
     ) -> tuple:
@@ -149,21 +149,21 @@
         best = None
         most_kept = max(kept.values(), default=0)
         for replica in rows:
-            if not self._table.has_room(replica=replica):
+            if not self._table.has_capacity(replica=replica):
                 continue
-            is_cold = replica.cold_until > now
-            may = self._quota.may_send(replica=replica, service=service_row, is_hard=is_cold)
-            if is_cold and not may:
+            is_warming_up = replica.warming_up_until > now
+            may = self._quota.may_send(replica=replica, service=service_row, is_hard=is_warming_up)
+            if is_warming_up and not may:
                 continue
-            known = max(kept.get(replica.id, 0), self._own_kept(replica, chain) if chain else 0)
-            to_read = max(0, prompt_tokens - known)
-            score = self._score(replica, service_row, to_read, is_cold, may, aim_s)
+            known = max(kept.get(replica.id, 0), self._own_cached_tokens(replica, chain) if chain else 0)
+            prefill_tokens = max(0, prompt_tokens - known)
+            score = self._score(replica, service_row, prefill_tokens, is_warming_up, may, latency_target_s)
             if most_kept > known:  # what another one keeps would be read again here, which is paid for besides the time
-                score += (most_kept - known) / self.rates.get(replica.service, FIRST_RATE) * AGAIN_PART
+                score += (most_kept - known) / self.rates.get(replica.service, FIRST_RATE) * REPEATED_PREFILL_WEIGHT
             if load_s is not None:
                 score += load_s(replica) * 1000.0  # an adapter that it does not hold (docs/pins.md 5)
             if best is None or score < best[0]:
-                best = (score, replica, to_read)
+                best = (score, replica, prefill_tokens)
         if best is None:
             return None, 0, True
         return best[1], best[2], True
@@ -171,14 +171,16 @@
     def _name_owner(self, rows: list, shared, kept: dict, service: str, permitted) -> None:
         """Shared parts that no replica keeps yet: all proxies agree on who is to read them first."""
         tokens = sum(count for _hash, count in shared)
-        if any(kept.get(replica.id, 0) >= tokens or self._own_kept(replica, shared) >= tokens for replica in rows):
+        if any(
+            kept.get(replica.id, 0) >= tokens or self._own_cached_tokens(replica, shared) >= tokens for replica in rows
+        ):
             return
         last = shared[-1][0]
-        if self._table.is_whole(service):
+        if self._table.has_all_replicas(service):
             owner = max(rows, key=lambda replica: hashlib.blake2b(last + replica.id.encode(), digest_size=8).digest())
         else:
             known = {replica.id for replica in rows}
-            owner = self._table.first_reader(
+            owner = self._table.prefill_owner(
                 service=service, part=last, permitted=permitted, is_usable=lambda replica: replica.id in known
             )
         if owner is not None:
@@ -186,52 +188,52 @@
 
     def expected_s(self, *, replica, tokens: int, is_connected: bool) -> float:
         """Seconds to the first event at an idle replica: the way, twice by a new connection, and the reading."""
-        way_s = (self._table.way(replica) or 0.0) * (1 if is_connected else 2)
+        network_latency_s = (self._table.estimate_latency_s(replica) or 0.0) * (1 if is_connected else 2)
         if not self._table.services.get(replica.service, {}).get("cache_tokens"):
-            return way_s
-        return way_s + tokens / self.rates.get(replica.service, FIRST_RATE) / 1000.0
+            return network_latency_s
+        return network_latency_s + tokens / self.rates.get(replica.service, FIRST_RATE) / 1000.0
 
     def note_read(self, *, service: str, tokens: int, took_s: float) -> None:
         """The reading rate of a service, as its quicker answers show it: a maximum that fades."""
-        if took_s > 0 and tokens >= LEAST_READ:
+        if took_s > 0 and tokens >= MIN_MEASURED_TOKENS:
             seen = tokens / (took_s * 1000.0)
             self.rates[service] = max(seen, self.rates.get(service, FIRST_RATE) * 0.99)
 
-    def _score(self, replica, service_row, to_read, is_cold, may, aim_s) -> float:
+    def _score(self, replica, service_row, prefill_tokens, is_warming_up, may, latency_target_s) -> float:
         """Milliseconds to the first event, as far as this node can tell, and what the choice costs others."""
         running, pending, is_bad, is_failing = self.load(replica)
-        berths = max(1, replica.berths)
-        way_s = self._table.way(replica)
-        if way_s is None:
-            way_s = 0.0 if replica.region == self._settings.region else self._aside_s
-        wait = way_s * 1000.0 * (1 if replica.idle else 2)
+        batch_slots = max(1, replica.batch_slots)
+        network_latency_s = self._table.estimate_latency_s(replica)
+        if network_latency_s is None:
+            network_latency_s = 0.0 if replica.region == self._settings.region else self._cross_region_penalty_s
+        wait = network_latency_s * 1000.0 * (1 if replica.idle else 2)
         if service_row.get("cache_tokens"):
             rate = self.rates.get(replica.service, FIRST_RATE)
-            reading = (to_read + pending) / rate
+            reading = (prefill_tokens + pending) / rate
             # A long read slows all that run beside it.
-            aside = to_read / rate * running / berths * BESIDE_PART
+            prefill_contention = prefill_tokens / rate * running / batch_slots * INTERFERENCE_WEIGHT
             # Inside the aim a longer way harms little, while what is read again is paid for twice.
             score = (
                 reading
-                + aside
-                + wait * WAY_PART
-                + running / berths * 120.0
-                + max(0.0, wait + reading - aim_s * 400.0) * 2.0
+                + prefill_contention
+                + wait * LATENCY_PART
+                + running / batch_slots * 120.0
+                + max(0.0, wait + reading - latency_target_s * 400.0) * 2.0
             )
         else:
-            score = wait + running / berths * 90.0
-        if running >= berths:
-            score += 400.0 * (running - berths + 1) / berths + 200.0
+            score = wait + running / batch_slots * 90.0
+        if running >= batch_slots:
+            score += 400.0 * (running - batch_slots + 1) / batch_slots + 200.0
         if replica.region != self._settings.region:
-            score += self._aside_s * 200.0  # what crosses is priced
+            score += self._cross_region_penalty_s * 200.0  # what crosses is priced
         if not replica.idle:
-            score += self._aside_s * 100.0  # a new connection is priced
+            score += self._cross_region_penalty_s * 100.0  # a new connection is priced
         if is_bad:
             score += 1500.0
         if is_failing:
             score += 1500.0
-        score += replica.failed_lately(now=self._now()) * self._aside_s * 2000.0
-        if is_cold:
+        score += replica.recent_failures(now=self._now()) * self._cross_region_penalty_s * 2000.0
+        if is_warming_up:
             score += 40.0
         if not may:
             score += 300.0
--- a/ploverward/data_plane/load_balancing/replica_subset.py
+++ b/ploverward/data_plane/load_balancing/replica_subset.py
@@ -9,10 +9,10 @@
 import heapq
 import math
 
-LEAST_NEAR = 48  # replicas of a service in the proxy's own region
-LEAST_FAR = 40  # the same in each other region
+MIN_NEAR_REPLICAS = 48  # replicas of a service in the proxy's own region
+MIN_FAR_REPLICAS = 40  # the same in each other region
 RING_POINTS = 4  # places of each replica on the ring of its region
-COVER = 4  # proxies that look at each replica, at least, on the average
+MIN_PROXIES_PER_REPLICA = 4  # proxies that look at each replica, at least, on the average
 
 
 def rank(*, own: str, replica_id: str) -> bytes:
@@ -22,8 +22,8 @@
 
 def size(*, replicas: int, proxies: float, is_near: bool) -> int:
     """How many of a region's replicas one of so many proxies looks at; rounded, so that it seldom changes."""
-    least = LEAST_NEAR if is_near else LEAST_FAR
-    wanted = COVER * replicas / max(1.0, proxies)
+    least = MIN_NEAR_REPLICAS if is_near else MIN_FAR_REPLICAS
+    wanted = MIN_PROXIES_PER_REPLICA * replicas / max(1.0, proxies)
     return min(replicas, least * max(1, math.ceil(wanted / least)))
 
 
@@ -35,28 +35,28 @@
         self._region = region
         self._ranks = {}  # replica id: its rank here
         self._chosen = {}  # (service, region): replicas
-        self._is_whole = {}  # service: whether its subsets leave nobody out
+        self._has_all_replicas = {}  # service: whether its subsets leave nobody out
 
     def clear(self) -> None:
         self._chosen = {}
-        self._is_whole = {}
+        self._has_all_replicas = {}
 
     def forget(self, replica_id: str) -> None:
         self._ranks.pop(replica_id, None)
 
-    def is_whole(self, service: str) -> bool:
-        return self._is_whole.get(service, True)
+    def has_all_replicas(self, service: str) -> bool:
+        return self._has_all_replicas.get(service, True)
 
     def install(self, *, service: str, replicas: list, proxies: float) -> None:
         """`replicas` of one service that may be used; `proxies`: about how many there are in a region."""
         by_region = {}
         for replica in replicas:
             by_region.setdefault(replica.region, []).append(replica)
-        self._is_whole[service] = True
+        self._has_all_replicas[service] = True
         for region, rows in by_region.items():
             count = size(replicas=len(rows), proxies=proxies, is_near=region == self._region)
             if count < len(rows):
-                self._is_whole[service] = False
+                self._has_all_replicas[service] = False
                 rows = heapq.nsmallest(count, rows, key=self._rank)
             self._chosen[service, region] = rows
 
@@ -94,10 +94,10 @@
     """Replicas of one region in an order that all proxies share: who is to read a part first that nobody keeps."""
 
     def __init__(self, *, replicas, points: Points):
-        rows = [(place, replica.id, replica) for replica in replicas for place in points.of(replica.id)]
+        rows = [(point, replica.id, replica) for replica in replicas for point in points.of(replica.id)]
         rows.sort(key=lambda row: row[:2])
-        self._places = [place for place, _name, _replica in rows]
-        self._replicas = [replica for _place, _name, replica in rows]
+        self._places = [point for point, _name, _replica in rows]
+        self._replicas = [replica for _point, _name, replica in rows]
 
     def first(self, *, part: bytes, is_usable):
         """The first replica from this part's place on that may be used, or None."""
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -10,7 +10,7 @@
 from ploverward.data_plane.relay import cuckoo_filter
 
 
-MOST_TRIES = 24  # suspects to which connections are opened at a time
+MAX_CONCURRENT_PROBES = 24  # suspects to which connections are opened at a time
 
 
 class Replica:
@@ -21,29 +21,29 @@
         self.endpoint = endpoint
         self.zone = row["zone"]
         self.region = region
-        self.berths = row["berths"]
+        self.batch_slots = row["berths"]
         self.edition = row.get("edition", "")
         self.models = row["models"]
         self.adapters = None
-        self.take_adapters(row, now=now)
+        self.update_adapters(row, now=now)
         self.is_clearing = row["is_clearing"]
         self.is_listed = True
-        self.cold_until = 0.0
+        self.warming_up_until = 0.0
         self.idle = []
         self.outlets = set()
         self.heard_at = now
-        self.away_until = 0.0  # not to be chosen before then
-        self.is_suspect = False  # not to be chosen before a connection of ours came up
-        self.is_unproved = False  # the last connection of ours did not come up; suspects of its zone's sake are not
-        self.way_s = None
-        self.proof = None
+        self.backoff_until = 0.0  # not to be chosen before then
+        self.is_suspected = False  # not to be chosen before a connection of ours came up
+        self.is_probe_failed = False  # the last connection of ours did not come up; suspects of its zone's sake are not
+        self.network_latency_s = None
+        self.probe_connection = None
         self.running = 0
-        self.to_read = {}  # attempt number: tokens still to be read
+        self.prefill_tokens = {}  # attempt number: tokens still to be read
         self.sends = collections.deque()
-        self.on_unproved = None
+        self.on_probe_failed = None
         self._failures = collections.deque()  # when attempts of ours at it failed although it was up
 
-    def take_adapters(self, row: dict, *, now: float) -> None:
+    def update_adapters(self, row: dict, *, now: float) -> None:
         """Pairs of model and adapter that it holds, as the list says, and since when; None where the list can't tell."""
         pairs = row.get("adapters", ())
         before = self.adapters or {}
@@ -51,18 +51,18 @@
             None if pairs is None else {(model, adapter): before.get((model, adapter), now) for model, adapter in pairs}
         )
 
-    def forget(self, outlet) -> None:
-        self.outlets.discard(outlet)
-        if outlet is self.proof:
-            self.proof = None
-            if not outlet.is_up and self.on_unproved is not None:
-                self.on_unproved(self)
-        if outlet in self.idle:
-            self.idle.remove(outlet)
+    def forget(self, connection) -> None:
+        self.outlets.discard(connection)
+        if connection is self.probe_connection:
+            self.probe_connection = None
+            if not connection.is_up and self.on_probe_failed is not None:
+                self.on_probe_failed(self)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def close_idle(self) -> None:
-        for outlet in list(self.idle):
-            outlet.close()
+        for connection in list(self.idle):
+            connection.close()
 
     def note_failure(self, *, now: float, span: float) -> None:
         """A fault may be seen by some callers only: what this one saw stays with it."""
@@ -70,7 +70,7 @@
         if len(self._failures) > 8:
             self._failures.popleft()
 
-    def failed_lately(self, *, now: float) -> int:
+    def recent_failures(self, *, now: float) -> int:
         while self._failures and self._failures[0] <= now:
             self._failures.popleft()
         return len(self._failures)
@@ -91,7 +91,7 @@
         self._settings = settings
         self.replicas = {}
         self.by_service = {}
-        self.out_zones = frozenset()
+        self.evacuated_zones = frozenset()
         self.services = {}
         self.adapters = {}  # service: {adapter: models}, as the list or the configuration ever named them
         self._has_list = False
@@ -129,7 +129,7 @@
         """Rows that are new or differ, and ids that are gone."""
         now = self._loop.now()
         for row in rows:
-            self._take_row(row, now=now)
+            self._apply_row(row, now=now)
         for name in gone:
             replica = self.replicas.pop(name, None)
             if replica is not None:
@@ -148,22 +148,22 @@
         """Replicas of a service that are listed in a region."""
         return self._counts[service, region]
 
-    def _take_row(self, row: dict, *, now: float) -> None:
+    def _apply_row(self, row: dict, *, now: float) -> None:
         replica = self.replicas.get(row["id"])
         if replica is None:
             host, _colon, port = row["address"].rpartition(":")
             replica = Replica(row=row, endpoint=(host, int(port)), region=self.region_of(row["zone"]), now=now)
             self.replicas[replica.id] = replica
-            replica.on_unproved = self.suspect
+            replica.on_probe_failed = self.mark_suspected
             if self._has_list:
                 # A life that began during traffic: unknown counts as cold.
-                replica.cold_until = now + self.services.get(replica.service, {}).get("warmup_s", 0.0)
+                replica.warming_up_until = now + self.services.get(replica.service, {}).get("warmup_s", 0.0)
         replica.is_clearing = row["is_clearing"]
-        replica.take_adapters(row, now=now)
+        replica.update_adapters(row, now=now)
         for model, adapter in replica.adapters or ():
             self.adapters.setdefault(replica.service, {}).setdefault(adapter, set()).add(model)
         if row["cold_ms"] > 0:
-            replica.cold_until = max(replica.cold_until, now + row["cold_ms"] / 1000.0)
+            replica.warming_up_until = max(replica.warming_up_until, now + row["cold_ms"] / 1000.0)
         if replica.is_clearing:
             replica.close_idle()
 
@@ -178,7 +178,7 @@
 
     def _is_in_service(self, replica) -> bool:
         """Neither leaving nor in an evacuated zone."""
-        return not replica.is_clearing and replica.zone not in self.out_zones
+        return not replica.is_clearing and replica.zone not in self.evacuated_zones
 
     def _refresh_subsets(self) -> None:
         if not self._is_subset_old:
@@ -191,7 +191,7 @@
         for service, rows in self.by_service.items():
             usable = [replica for replica in rows if self._is_in_service(replica)]
             self._subsets.install(service=service, replicas=usable, proxies=self._fleet)
-            if not self._subsets.is_whole(service):
+            if not self._subsets.has_all_replicas(service):
                 self._by_tag[service] = {replica.key[: cuckoo_filter.TAG_SIZE]: replica for replica in usable}
 
     def _ring(self, service: str, region: str):
@@ -202,7 +202,7 @@
             ring = self._rings[service, region] = replica_subset.Ring(replicas=usable, points=self._points)
         return ring
 
-    def first_reader(self, *, service: str, part: bytes, permitted, is_usable):
+    def prefill_owner(self, *, service: str, part: bytes, permitted, is_usable):
         """The replica that all proxies of this region agree on for a part that nobody keeps: here, or where it is permitted."""
         self._refresh_subsets()
         own = self._settings.region
@@ -214,20 +214,22 @@
                     return found
         return None
 
-    def look_at_fleet(self) -> None:
+    def refresh_fleet_size(self) -> None:
         """By the clock: the subsets follow the size of the fleet."""
         if self._proxies() != self._fleet:
             self._is_subset_old = True
 
-    def is_whole(self, service: str) -> bool:
+    def has_all_replicas(self, service: str) -> bool:
         """Whether this proxy looks at all replicas of the service."""
         self._refresh_subsets()
-        return self._subsets.is_whole(service)
+        return self._subsets.has_all_replicas(service)
 
     def subset(self, service: str) -> list:
         """The replicas of the service that this proxy looks at."""
         self._refresh_subsets()
-        return self.by_service.get(service, []) if self._subsets.is_whole(service) else self._subsets.of(service)
+        return (
+            self.by_service.get(service, []) if self._subsets.has_all_replicas(service) else self._subsets.of(service)
+        )
 
     def by_tags(self, *, service: str, tags) -> list:
         """Replicas of a service of which the proxy looks at a subset, by the tags that a mirror names."""
@@ -238,58 +240,58 @@
     def followed_keys(self):
         """Keys of all replicas that this proxy looks at; None: all that are listed."""
         self._refresh_subsets()
-        if all(self._subsets.is_whole(service) for service in self.by_service):
+        if all(self._subsets.has_all_replicas(service) for service in self.by_service):
             return None
         return frozenset(replica.key for service in self.by_service for replica in self.subset(service))
 
     def install_evacuations(self, zones) -> None:
         zones = frozenset(zones)
         self._is_subset_old = True
-        back = self.out_zones - zones
+        back = self.evacuated_zones - zones
         now = self._loop.now()
         for replica in self.replicas.values():
             if replica.zone in back:
                 warmup_s = self.services.get(replica.service, {}).get("warmup_s", 0.0)
-                replica.cold_until = max(replica.cold_until, now + warmup_s)
+                replica.warming_up_until = max(replica.warming_up_until, now + warmup_s)
             if replica.zone in zones:
                 replica.close_idle()
-        self.out_zones = zones
+        self.evacuated_zones = zones
 
-    def _most_outlets(self, replica) -> int:
+    def _max_connections(self, replica) -> int:
         """This proxy's share of maxConns. Without an entry the last share goes on: too many connections
         are reset, which breaks no bound, while too few would refuse what there is room for."""
         self.last_share = self.share() or self.last_share
         return max(4, int(self.services.get(replica.service, {}).get("max_conns", 64) * self.last_share * 0.9))
 
-    def has_room(self, *, replica) -> bool:
-        return bool(replica.idle) or len(replica.outlets) < self._most_outlets(replica)
+    def has_capacity(self, *, replica) -> bool:
+        return bool(replica.idle) or len(replica.outlets) < self._max_connections(replica)
 
-    def outlet(self, *, replica, request_id: bytes = b""):
+    def connection(self, *, replica, request_id: bytes = b""):
         """An idle connection, or a new one inside this proxy's share of maxConns, or None."""
         now = self._loop.now()
-        for outlet in list(replica.idle):
-            if now >= outlet.idle_until:
-                outlet.close()
+        for connection in list(replica.idle):
+            if now >= connection.idle_until:
+                connection.close()
         trusted_s = self._trusted_s(service=replica.service, now=now) if self._idle_trust else None
         while replica.idle:
-            outlet = replica.idle.pop()
-            is_trusted = trusted_s is None or now - outlet.rested_at <= trusted_s
-            if is_trusted and outlet.is_fit(request_id=request_id):
-                return outlet
-            outlet.close()
-        if len(replica.outlets) >= self._most_outlets(replica):
+            connection = replica.idle.pop()
+            is_trusted = trusted_s is None or now - connection.idle_since <= trusted_s
+            if is_trusted and connection.is_reusable_for(request_id=request_id):
+                return connection
+            connection.close()
+        if len(replica.outlets) >= self._max_connections(replica):
             return None
         return self._open(replica)
 
-    def note_forgotten(self, *, replica, rested_s: float) -> None:
+    def note_stale_connection(self, *, replica, idle_for_s: float) -> None:
         """An idle connection was gone without a word: for a while, none of its service that rested half as long is used.
 
         The request that found it is lost where it may not be repeated; this keeps it at one for each service.
         """
-        if rested_s < upstream_connection.RESTED_S:
+        if idle_for_s < upstream_connection.UNCHECKED_IDLE_S:
             return  # it had not rested: its end says nothing of the others
         now = self._loop.now()
-        trusted_s = max(upstream_connection.RESTED_S, rested_s / 2)
+        trusted_s = max(upstream_connection.UNCHECKED_IDLE_S, idle_for_s / 2)
         known_s = self._trusted_s(service=replica.service, now=now)
         if known_s is not None:
             trusted_s = min(trusted_s, known_s)
@@ -304,70 +306,76 @@
 
     def _open(self, replica):
         contact_s = self._settings.bound_s(name="contactMs")
-        known = self.way(replica)
-        outlet = upstream_connection.Outlet(
+        known = self.estimate_latency_s(replica)
+        connection = upstream_connection.UpstreamConnection(
             loop=self._loop,
             replica=replica,
             connect_s=contact_s / 50 + 3 * known if known is not None else contact_s / 14,
-            silence_s=contact_s * 2,
+            peer_timeout_s=contact_s * 2,
             on_free=self._free,
-            on_way=self._note_way,
+            on_connected=self._record_connect,
         )
-        replica.outlets.add(outlet)
-        return outlet
+        replica.outlets.add(connection)
+        return connection
 
-    def prove(self, *, replica) -> None:
+    def probe(self, *, replica) -> None:
         """A new connection tells whether a silent replica is there; if it does not come up, it is suspect."""
-        if replica.proof is not None and replica.proof.is_open and not replica.proof.is_up:
+        if (
+            replica.probe_connection is not None
+            and replica.probe_connection.is_open
+            and not replica.probe_connection.is_up
+        ):
             return
-        replica.proof = self._open(replica)
+        replica.probe_connection = self._open(replica)
 
-    def way(self, replica):
+    def estimate_latency_s(self, replica):
         """Seconds there and back, as connections took to come up: to it, or to others of its zone."""
-        return replica.way_s if replica.way_s is not None else self.ways.get(replica.zone)
+        return replica.network_latency_s if replica.network_latency_s is not None else self.ways.get(replica.zone)
 
-    def _note_way(self, replica, took_s: float) -> None:
-        replica.is_suspect = False
-        replica.is_unproved = False
-        replica.way_s = took_s if replica.way_s is None else min(took_s, replica.way_s * 1.1)
+    def _record_connect(self, replica, took_s: float) -> None:
+        replica.is_suspected = False
+        replica.is_probe_failed = False
+        replica.network_latency_s = (
+            took_s if replica.network_latency_s is None else min(took_s, replica.network_latency_s * 1.1)
+        )
         self.ways[replica.zone] = min(took_s, self.ways.get(replica.zone, took_s) * 1.1)
 
-    def suspect(self, replica) -> None:
+    def mark_suspected(self, replica) -> None:
         """It did not come up, or went silent. Where a second one of a zone does so, the zone is looked at whole."""
         now = self._loop.now()
-        replica.is_suspect = True
-        replica.is_unproved = True
+        replica.is_suspected = True
+        replica.is_probe_failed = True
         replica.close_idle()
-        mates = [other for other in self.replicas.values() if other.zone == replica.zone and other is not replica]
-        if any(other.is_suspect for other in mates):
-            for other in mates:
-                if not other.is_suspect and now - other.heard_at > self._settings.bound_s(name="contactMs") / 10:
-                    other.is_suspect = True
+        zone_peers = [other for other in self.replicas.values() if other.zone == replica.zone and other is not replica]
+        if any(other.is_suspected for other in zone_peers):
+            for other in zone_peers:
+                if not other.is_suspected and now - other.heard_at > self._settings.bound_s(name="contactMs") / 10:
+                    other.is_suspected = True
                     other.close_idle()
-        self._loop.command(act=self.try_suspects)
+        self._loop.command(callback=self.check_suspected_replicas)
 
-    def try_suspects(self) -> None:
+    def check_suspected_replicas(self) -> None:
         """A connection to each suspect, some at a time, in the background: no request is spent on finding out."""
         tried = 0
         for service in self.by_service:
             for replica in self.subset(service):
-                if tried < MOST_TRIES and self._is_to_be_tried(replica):
+                if tried < MAX_CONCURRENT_PROBES and self._needs_probe(replica):
                     tried += 1
-                    self.outlet(replica=replica)
+                    self.connection(replica=replica)
 
-    def _is_to_be_tried(self, replica) -> bool:
-        return replica.is_suspect and self._is_in_service(replica) and not replica.outlets
+    def _needs_probe(self, replica) -> bool:
+        return replica.is_suspected and self._is_in_service(replica) and not replica.outlets
 
-    def _free(self, outlet) -> None:
-        replica = outlet.replica
-        if not replica.is_listed or replica.is_clearing or replica.zone in self.out_zones:
-            outlet.close()
+    def _free(self, connection) -> None:
+        replica = connection.replica
+        if not replica.is_listed or replica.is_clearing or replica.zone in self.evacuated_zones:
+            connection.close()
             return
-        replica.idle.append(outlet)
+        replica.idle.append(connection)
 
     def sweep(self) -> None:
         now = self._loop.now()
         for replica in self.replicas.values():
-            for outlet in list(replica.idle):
-                if now >= outlet.idle_until:
-                    outlet.close()
+            for connection in list(replica.idle):
+                if now >= connection.idle_until:
+                    connection.close()
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -48,20 +48,20 @@
     return {replica.id for replica in replicas}
 
 
-def test_a_small_region_is_looked_at_whole():
-    table, _loop, _settings = make(rows=[row(f"i{number}") for number in range(replica_subset.LEAST_NEAR)])
+def test_a_small_region_has_all_its_replicas_considered():
+    table, _loop, _settings = make(rows=[row(f"i{number}") for number in range(replica_subset.MIN_NEAR_REPLICAS)])
     assert (
-        table.is_whole("llm")
+        table.has_all_replicas("llm")
         and table.followed_keys() is None
-        and len(table.subset("llm")) == replica_subset.LEAST_NEAR
+        and len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
     )
 
 
-def test_one_replica_that_comes_or_goes_changes_one_place():
+def test_one_replica_that_joins_or_leaves_changes_one_subset_slot():
     rows = [row(f"i{number}") for number in range(400)]
     table, _loop, _settings = make(rows=rows, proxies=64)
     before = names(table.subset("llm"))
-    assert len(before) == replica_subset.LEAST_NEAR and not table.is_whole("llm")
+    assert len(before) == replica_subset.MIN_NEAR_REPLICAS and not table.has_all_replicas("llm")
     gone = sorted(before)[7]
     table.change_list(rows=(), gone=(gone,))
     after = names(table.subset("llm"))
@@ -81,7 +81,9 @@
         sizes.add(len(chosen))
         looked_at.update(chosen)
     mean = sum(looked_at.values()) / replicas
-    assert len(sizes) == 1 and mean >= replica_subset.COVER / 2  # the fleet is rounded up to a power of two
+    assert (
+        len(sizes) == 1 and mean >= replica_subset.MIN_PROXIES_PER_REPLICA / 2
+    )  # the fleet is rounded up to a power of two
     assert max(looked_at.values()) <= mean * 4 + 4
     assert sum(1 for count in looked_at.values() if count == 0) <= replicas * 0.15
 
@@ -90,8 +92,8 @@
     sizes = [
         replica_subset.size(replicas=3000, proxies=proxies, is_near=True) for proxies in (10, 20, 60, 61, 100, 300)
     ]
-    assert sizes == sorted(sizes, reverse=True) and sizes[-1] == replica_subset.LEAST_NEAR
-    assert all(size % replica_subset.LEAST_NEAR == 0 for size in sizes)
+    assert sizes == sorted(sizes, reverse=True) and sizes[-1] == replica_subset.MIN_NEAR_REPLICAS
+    assert all(size % replica_subset.MIN_NEAR_REPLICAS == 0 for size in sizes)
     assert replica_subset.size(replicas=30, proxies=1, is_near=False) == 30
 
 
@@ -104,10 +106,10 @@
     table.change_list(rows=(), gone=())
     table.install_evacuations(["zb"])
     assert {replica.zone for replica in table.subset("llm")} == {"za"}
-    assert len(table.subset("llm")) == replica_subset.LEAST_NEAR
+    assert len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
     clearing = sorted(names(table.subset("llm")))[0]
     table.change_list(rows=(row(clearing, is_clearing=True),), gone=())
-    assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.LEAST_NEAR
+    assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
 
 
 def chooser_for(table, loop, settings, regions):
@@ -143,10 +145,10 @@
     chooser = chooser_for(table, loop, settings, {})
     subset = names(table.subset("llm"))
     for replica in table.replicas.values():
-        replica.is_suspect = replica.id in subset
+        replica.is_suspected = replica.id in subset
     assert choose(chooser).id not in subset
     for replica in table.replicas.values():
-        replica.is_suspect = True
+        replica.is_suspected = True
     assert choose(chooser) is None
 
 
@@ -159,12 +161,12 @@
     assert len(chosen) == 1
 
 
-def test_suspects_of_a_lost_zone_are_tried_some_at_a_time():
+def test_suspected_replicas_of_a_lost_zone_are_checked_some_at_a_time():
     table, loop, _settings = make(rows=[row(f"i{number}") for number in range(300)], proxies=4)
     opened = []
-    table.outlet = lambda *, replica, request_id=b"": opened.append(replica)
+    table.connection = lambda *, replica, request_id=b"": opened.append(replica)
     for replica in table.replicas.values():
-        replica.is_suspect = True
-    assert len(table.subset("llm")) > replica_table.MOST_TRIES
-    table.try_suspects()
-    assert len(opened) == replica_table.MOST_TRIES and names(opened) <= names(table.subset("llm"))
+        replica.is_suspected = True
+    assert len(table.subset("llm")) > replica_table.MAX_CONCURRENT_PROBES
+    table.check_suspected_replicas()
+    assert len(opened) == replica_table.MAX_CONCURRENT_PROBES and names(opened) <= names(table.subset("llm"))
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -8,12 +8,12 @@
 from ploverward.common import errors
 from ploverward.transport import row_codec
 
-MOST_READS = 20000
-MOST_CUTS = 2000
+MAX_READS = 20000
+MAX_UNACKNOWLEDGED_CUTS = 2000
 NOTHING = (0, 0, 0)
 
 
-class Sums:
+class Aggregates:
     def __init__(self, *, regions):
         self._names = tuple(regions)
         self._regions = {name: index for index, name in enumerate(regions)}
@@ -24,23 +24,23 @@
         self._outcomes = [{} for _name in self._names]
         self._reads = [{} for _name in self._names]
         self._touched = [set() for _name in self._names]  # members whose reports are in the next cut
-        self._cuts = [
+        self._unacknowledged = [
             collections.deque() for _name in self._names
         ]  # (number of the cut, {member: number of its report})
-        self._cut_number = 0
+        self._batch_number = 0
 
     def take(self, member, number: int, rows: bytes, reads: bytes) -> None:
         """One report; malformed ones raise before they change anything."""
         loads = row_codec.rows(shape=row_codec.REPORTED, data=rows)
         split = row_codec.split_reads(data=reads)
         if number <= self._numbers.get(member, 0):
-            raise errors.FrameProblem(f"report {number} after {self._numbers[member]}", step="report")
+            raise errors.FrameError(f"report {number} after {self._numbers[member]}", step="report")
         table = self.members.setdefault(member, {})
         self._numbers[member] = number
-        for key, region, running, tokens, marks, ended, failed in loads:
+        for key, region, running, tokens, suspect_count, ended, failed in loads:
             if region >= len(self._names):
                 continue
-            self._set(table, key, region, (running, tokens, marks))
+            self._set(table, key, region, (running, tokens, suspect_count))
             if ended:
                 row = self._outcomes[region].setdefault(key, [0, 0])
                 row[0] += ended
@@ -48,7 +48,7 @@
                 self._dirty[region].add(key)
             self._touched[region].add(member)
         for region, read in split:
-            if region < len(self._names) and len(self._reads[region]) < MOST_READS:
+            if region < len(self._names) and len(self._reads[region]) < MAX_READS:
                 self._reads[region][read] = True  # the same chain at the same replica counts once
                 self._touched[region].add(member)
 
@@ -66,8 +66,8 @@
 
     def _add(self, region: int, key: bytes, load: tuple, before: tuple) -> None:
         total = self._totals[region].setdefault(key, [0, 0, 0])
-        for place in range(3):
-            total[place] += load[place] - before[place]
+        for column in range(3):
+            total[column] += load[column] - before[column]
         self._dirty[region].add(key)
 
     def end(self, member) -> None:
@@ -99,7 +99,7 @@
                 del totals[key]
         return b"".join(parts)
 
-    def cut(self, *, region: str):
+    def take_batch(self, *, region: str):
         """(number, rows, reads) of what changed for one region's relay, or None."""
         index = self._regions[region]
         if not self._dirty[index] and not self._reads[index] and not self._touched[index]:
@@ -112,23 +112,23 @@
         return self._numbered(index, rows, reads)
 
     def _numbered(self, index: int, rows: bytes, reads: bytes) -> tuple:
-        self._cut_number += 1
-        cuts = self._cuts[index]
-        cuts.append(
+        self._batch_number += 1
+        batches = self._unacknowledged[index]
+        batches.append(
             (
-                self._cut_number,
+                self._batch_number,
                 {member: self._numbers[member] for member in self._touched[index] if member in self._numbers},
             )
         )
         self._touched[index] = set()
-        while len(cuts) > MOST_CUTS:
-            cuts.popleft()
-        return self._cut_number, rows, reads
+        while len(batches) > MAX_UNACKNOWLEDGED_CUTS:
+            batches.popleft()
+        return self._batch_number, rows, reads
 
     def checkpoint(self, *, region: str) -> tuple:
         """The whole sum, for a relay that has nothing of this digest."""
         index = self._regions[region]
-        self._cuts[index].clear()
+        self._unacknowledged[index].clear()
         self._touched[index] = set(self._numbers)
         keys = set(self._totals[index]) | set(self._outcomes[index])
         rows = self._pack(index, keys)
@@ -146,10 +146,10 @@
 
     def counted(self, *, region: str, number: int) -> dict:
         """The relay holds our cuts up to this number: {member: the number of its report that is in them}."""
-        cuts = self._cuts[self._regions[region]]
+        batches = self._unacknowledged[self._regions[region]]
         credits = {}
-        while cuts and cuts[0][0] <= number:
-            credits.update(cuts.popleft()[1])
+        while batches and batches[0][0] <= number:
+            credits.update(batches.popleft()[1])
         return credits
 
     def total(self, *, region: str, key: bytes) -> tuple:
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -15,11 +15,13 @@
 from ploverward.data_plane.load_reports import aggregates
 
 OWN = "own"  # the proxy itself, as a member of its own sums
-CUT_BYTES_A_TICK = 16 * 1024  # of pools' cuts to members: many at once would hold up the clients' answers on this link
+MAX_CUT_BYTES_PER_TICK = (
+    16 * 1024
+)  # of pools' cuts to members: many at once would hold up the clients' answers on this link
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class DigestIdentity:
     """How a digest makes itself known to relays."""
 
     region: str
@@ -28,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Holder:
+class RoleOwner:
     """A relay that a digest keeps a stream to."""
 
     epoch: int
@@ -38,13 +40,24 @@
 class Digest:
     """Sums, members and streams. `on_credit` (region, number) and `on_broke` (region) concern the proxy itself."""
 
-    def __init__(self, *, loop, place: Place, port: int, silence_s: float, regions, mirrors: dict, on_credit, on_broke):
-        self.place = place
-        self.sums = aggregates.Sums(regions=regions)
+    def __init__(
+        self,
+        *,
+        loop,
+        identity: DigestIdentity,
+        port: int,
+        peer_timeout_s: float,
+        regions,
+        mirrors: dict,
+        on_credit,
+        on_broke,
+    ):
+        self.identity = identity
+        self.aggregates = aggregates.Aggregates(regions=regions)
         self.fanout = fanout.Fanout()
         self._loop = loop
         self._port = port
-        self._silence_s = silence_s
+        self._peer_timeout_s = peer_timeout_s
         self._mirrors = mirrors  # region: mirror.Region
         self._on_credit = on_credit
         self._on_broke = on_broke
@@ -52,7 +65,7 @@
         self._gateway = None  # (Holder, dialer)
         self._is_enrolled = False
         self._cuts = collections.deque()  # (link, region, pool) whose cut is still to be sent
-        self._cut_room = 0  # bytes of cuts that may be sent now; below 0 after a large one
+        self._cut_budget_bytes = 0  # bytes of cuts that may be sent now; below 0 after a large one
         self._by_gateway = ()  # regions whose relays are reached by way of the gateway
 
     # Streams to relays.
@@ -62,51 +75,51 @@
 
     def streams(self) -> dict:
         """Region: the dialer to its relay."""
-        return {region: dialer for region, (_holder, dialer) in self._streams.items()}
+        return {region: connector for region, (_owner, connector) in self._streams.items()}
 
-    def follow_relay(self, *, region: str, holder: Holder) -> None:
+    def follow_relay(self, *, region: str, owner: RoleOwner) -> None:
         known = self._streams.get(region)
-        if known is not None and known[0] == holder:
+        if known is not None and known[0] == owner:
             return
         if known is not None:
             self._stop_stream(region)
         self._mirrors[region].fail()
-        dialer = self._dial(
-            holder.address,
-            on_up=lambda link: self._subscribe(region, link, holder.epoch),
-            on_message=lambda link, message: self._take_relay(region, link, message),
-            on_end=lambda _link, _reason: self._stream_broke(region, holder),
+        connector = self._dial(
+            owner.address,
+            on_up=lambda link: self._subscribe(region, link, owner.epoch),
+            on_message=lambda link, message: self._handle_relay_message(region, link, message),
+            on_end=lambda _link, _reason: self._stream_broke(region, owner),
         )
-        self._streams[region] = (holder, dialer)
+        self._streams[region] = (owner, connector)
 
     def _dial(self, address: str, *, on_up, on_message, on_end):
-        return peer_connection.Dialer(
+        return peer_connection.Connector(
             loop=self._loop,
             address=(address, self._port),
             on_up=on_up,
             on_message=on_message,
             on_end=on_end,
-            silence_s=self._silence_s,
+            peer_timeout_s=self._peer_timeout_s,
         )
 
     def _stop_stream(self, region: str) -> None:
-        _holder, dialer = self._streams.pop(region)
-        dialer.stop()
+        _owner, connector = self._streams.pop(region)
+        connector.stop()
 
     def stop(self) -> None:
         for region in list(self._streams):
             self._stop_stream(region)
-        self.follow_gateway(holder=None, regions=())
+        self.follow_gateway(owner=None, regions=())
 
     def _subscribe(self, region: str, link, epoch: int) -> None:
-        link.send(("subscribe", epoch, self.place.region, self.place.zone, self.place.epoch))
-        link.send(("sums", *self.sums.checkpoint(region=region)))
+        link.send(("subscribe", epoch, self.identity.region, self.identity.zone, self.identity.epoch))
+        link.send(("sums", *self.aggregates.checkpoint(region=region)))
 
     def _is_current(self, region: str, link) -> bool:
         known = self._streams.get(region)
         return known is not None and known[1].link is link
 
-    def _take_relay(self, region: str, link, message: tuple) -> None:
+    def _handle_relay_message(self, region: str, link, message: tuple) -> None:
         if not self._is_current(region, link):
             return
         if message[0] == "counted":
@@ -114,41 +127,41 @@
         else:
             self._publish(region, link, message, link.frame)
 
-    def _stream_broke(self, region: str, holder: Holder) -> None:
+    def _stream_broke(self, region: str, owner: RoleOwner) -> None:
         known = self._streams.get(region)
-        if known is not None and known[0] == holder:  # else it was stopped by this node
+        if known is not None and known[0] == owner:  # else it was stopped by this node
             self._broke(region)
 
     # The gateway of this region: streams to the other regions' relays.
-    def follow_gateway(self, *, holder: Holder | None, regions) -> None:
+    def follow_gateway(self, *, owner: RoleOwner | None, regions) -> None:
         known = self._gateway[0] if self._gateway is not None else None
-        if known == holder:
+        if known == owner:
             return
         if self._gateway is not None:
-            dialer = self._gateway[1]
+            connector = self._gateway[1]
             self._gateway = None
-            dialer.stop()
+            connector.stop()
         self._is_enrolled = False
         self._by_gateway = tuple(regions)
         for region in self._by_gateway:
             self._mirrors[region].fail()
-        if holder is not None:
-            dialer = self._dial(
-                holder.address,
-                on_up=lambda link: link.send(("enroll_digest", holder.epoch, self.place.zone, self.place.epoch)),
-                on_message=self._take_gateway,
-                on_end=lambda _link, _reason: self._gateway_broke(holder),
+        if owner is not None:
+            connector = self._dial(
+                owner.address,
+                on_up=lambda link: link.send(("enroll_digest", owner.epoch, self.identity.zone, self.identity.epoch)),
+                on_message=self._handle_gateway_message,
+                on_end=lambda _link, _reason: self._gateway_broke(owner),
             )
-            self._gateway = (holder, dialer)
+            self._gateway = (owner, connector)
 
-    def _take_gateway(self, link, message: tuple) -> None:
+    def _handle_gateway_message(self, link, message: tuple) -> None:
         if self._gateway is None or self._gateway[1].link is not link:
             return
         kind = message[0]
         if kind == "enrolled":
             self._is_enrolled = True
             for region in self._by_gateway:
-                link.send(("report", *self.sums.checkpoint(region=region)))
+                link.send(("report", *self.aggregates.checkpoint(region=region)))
         elif not self._is_enrolled or message[1] not in self._by_gateway:
             return
         elif kind == "relayed":
@@ -158,10 +171,10 @@
         elif kind == "broke":
             self._broke(message[1])
             # The region's next relay counts for all members anew, also for those with nothing new to tell.
-            link.send(("report", *self.sums.checkpoint(region=message[1])))
+            link.send(("report", *self.aggregates.checkpoint(region=message[1])))
 
-    def _gateway_broke(self, holder: Holder) -> None:
-        if self._gateway is None or self._gateway[0] != holder or not self._is_enrolled:
+    def _gateway_broke(self, owner: RoleOwner) -> None:
+        if self._gateway is None or self._gateway[0] != owner or not self._is_enrolled:
             return
         self._is_enrolled = False
         for region in self._by_gateway:
@@ -170,7 +183,7 @@
     # What comes back.
     def _credit(self, region: str, number: int) -> None:
         """The region's relay holds our cuts up to this number."""
-        for member, report in self.sums.counted(region=region, number=number).items():
+        for member, report in self.aggregates.counted(region=region, number=number).items():
             if member is OWN:
                 self._on_credit(region, report)
             else:
@@ -180,15 +193,15 @@
         """A frame of a region's relay: taken here, and passed on to the members."""
         try:
             self._mirrors[region].take(message)
-        except errors.FrameProblem as failure:
-            event_log.note("relay stream broken", fault=str(failure))
+        except errors.FrameError as failure:
+            event_log.record("relay stream broken", fault=str(failure))
             link.close(reason=str(failure))
             return
         if message[0] == "cut":
             for member in self.fanout.members:
                 self._queue_cut(member, region, message[1])
         else:
-            self.fanout.tell_publication(region=region, frame=frame, message=message)
+            self.fanout.forward_publication(region=region, frame=frame, message=message)
 
     def _queue_cut(self, link, region: str, pool: str) -> None:
         member = self.fanout.members[link]
@@ -198,8 +211,8 @@
 
     def _send_cuts(self) -> None:
         """Cuts that wait, as the mirrors stand now, inside the bytes of this tick."""
-        self._cut_room = min(CUT_BYTES_A_TICK, self._cut_room + CUT_BYTES_A_TICK)
-        while self._cuts and self._cut_room > 0:
+        self._cut_budget_bytes = min(MAX_CUT_BYTES_PER_TICK, self._cut_budget_bytes + MAX_CUT_BYTES_PER_TICK)
+        while self._cuts and self._cut_budget_bytes > 0:
             link, region, pool = self._cuts.popleft()
             member = self.fanout.members.get(link)
             if member is None:
@@ -209,18 +222,18 @@
             if mirror is not None and mirror.buckets is not None:
                 frame = frames.pack(("relayed", region, frames.pack(mirror.frame())))
                 link.send_bytes(frame)
-                self._cut_room -= len(frame)
+                self._cut_budget_bytes -= len(frame)
 
     def _broke(self, region: str) -> None:
         self._on_broke(region)
         self._mirrors[region].fail()
-        self.fanout.tell(frames.pack(("broke", region)))
+        self.fanout.broadcast(frames.pack(("broke", region)))
 
     # Members.
     def admit(self, link, *, address: str) -> None:
         """A member, with a cut of its own of all that this digest knows."""
         self.fanout.admit(link, address=address)
-        link.send(("enrolled", self.place.epoch))
+        link.send(("enrolled", self.identity.epoch))
         for region, mirror in self._mirrors.items():
             if mirror.broken_at is not None:
                 link.send(("broke", region))
@@ -235,21 +248,21 @@
         self.fanout.follow(link, keys=keys)
         for region, mirror in self._mirrors.items():
             if mirror.broken_at is None:
-                self.fanout.tell_one(link, region=region, message=mirror.load_frame())
+                self.fanout.send_load(link, region=region, message=mirror.load_frame())
 
-    def take_report(self, link, message: tuple) -> None:
-        self.sums.take(link, *message[1:])
+    def handle_report(self, link, message: tuple) -> None:
+        self.aggregates.take(link, *message[1:])
 
-    def take_own(self, report: tuple) -> None:
+    def handle_own_report(self, report: tuple) -> None:
         """A report of this proxy itself."""
-        self.sums.take(OWN, *report)
+        self.aggregates.take(OWN, *report)
 
-    def end_own(self) -> None:
-        self.sums.end(OWN)
+    def remove_own_report(self) -> None:
+        self.aggregates.end(OWN)
 
     def end(self, link) -> None:
         if self.fanout.end(link):
-            self.sums.end(link)
+            self.aggregates.end(link)
 
     def close_members(self, *, reason: str) -> None:
         for link in list(self.fanout.members):
@@ -261,27 +274,27 @@
         for region in self._mirrors:
             stream = self._streams.get(region)
             if stream is not None:
-                self._send_cut(region, stream[1].link, "sums")
+                self._send_batch(region, stream[1].link, "sums")
             elif region in self._by_gateway and self._gateway is not None and self._is_enrolled:
-                self._send_cut(region, self._gateway[1].link, "report")
+                self._send_batch(region, self._gateway[1].link, "report")
             else:
-                self.sums.discard(region=region)
+                self.aggregates.discard(region=region)
         self._send_cuts()
 
-    def _send_cut(self, region: str, link, kind: str) -> None:
+    def _send_batch(self, region: str, link, kind: str) -> None:
         if link is None or not link.is_up:
-            self.sums.discard(region=region)
+            self.aggregates.discard(region=region)
             return
-        cut = self.sums.cut(region=region)
-        if cut is not None:
-            link.send((kind, *cut))
+        take_batch = self.aggregates.take_batch(region=region)
+        if take_batch is not None:
+            link.send((kind, *take_batch))
 
-    def beat(self) -> None:
-        dialers = [dialer for _holder, dialer in self._streams.values()]
+    def send_heartbeats(self) -> None:
+        connectors = [connector for _owner, connector in self._streams.values()]
         if self._gateway is not None:
-            dialers.append(self._gateway[1])
-        for dialer in dialers:
-            if dialer.link is not None and dialer.link.is_up:
-                dialer.link.send(("beat", 0))
+            connectors.append(self._gateway[1])
+        for connector in connectors:
+            if connector.link is not None and connector.link.is_up:
+                connector.link.send(("beat", 0))
         for link in list(self.fanout.members):
             link.send(("beat", 0))
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -49,7 +49,7 @@
             for key in member.follows or ():
                 self._followers.setdefault(key, []).append(link)
 
-    def tell(self, frame: bytes) -> None:
+    def broadcast(self, frame: bytes) -> None:
         for link in list(self.members):
             self._send(link, frame)
 
@@ -59,55 +59,57 @@
             return
         link.send_bytes(frame)
 
-    def tell_publication(self, *, region: str, frame: bytes, message: tuple) -> None:
+    def forward_publication(self, *, region: str, frame: bytes, message: tuple) -> None:
         """`frame` holds the message, as the region's relay sent it."""
         if not self.members:
             return
         if message[0] == "delta":
-            self._tell_delta(region, message[1], frame)
+            self._broadcast_delta(region, message[1], frame)
             return
         if message[0] != "load" or not self._followers:
-            self.tell(frames.pack(("relayed", region, frame)))
+            self.broadcast(frames.pack(("relayed", region, frame)))
             return
-        whole = None
+        full_frame = None
         parts = self._parts(message)
         for link, member in list(self.members.items()):
             if member.follows is None:
-                whole = whole or frames.pack(("relayed", region, frame))
-                self._send(link, whole)
+                full_frame = full_frame or frames.pack(("relayed", region, frame))
+                self._send(link, full_frame)
             elif link in parts:
-                _kind, epoch, is_whole, _data = message
-                self._send(link, frames.pack(("relayed", region, frames.pack(("load", epoch, is_whole, parts[link])))))
+                _kind, epoch, is_snapshot, _data = message
+                self._send(
+                    link, frames.pack(("relayed", region, frames.pack(("load", epoch, is_snapshot, parts[link]))))
+                )
 
-    def _tell_delta(self, region: str, pool: str, frame: bytes) -> None:
+    def _broadcast_delta(self, region: str, pool: str, frame: bytes) -> None:
         """To all but those that wait for the cut: it will hold what the delta says."""
         packed = frames.pack(("relayed", region, frame))
         for link, member in list(self.members.items()):
             if (region, pool) not in member.waits_for:
                 self._send(link, packed)
 
-    def tell_one(self, link, *, region: str, message: tuple) -> None:
+    def send_load(self, link, *, region: str, message: tuple) -> None:
         """A load frame, to one member."""
         follows = self.members[link].follows
         if follows is not None:
-            _kind, epoch, is_whole, data = message
+            _kind, epoch, is_snapshot, data = message
             rows = [
                 row_codec.LOAD.pack(*row)
                 for row in row_codec.rows(shape=row_codec.LOAD, data=data)
                 if row[0] in follows or row[4] & load_feed.FULL
             ]
-            message = ("load", epoch, is_whole, b"".join(rows))
+            message = ("load", epoch, is_snapshot, b"".join(rows))
         self._send(link, frames.pack(("relayed", region, frames.pack(message))))
 
     def _parts(self, message: tuple) -> dict:
         """Rows of a load frame for each member that follows some replicas."""
-        _kind, _epoch, is_whole, data = message
+        _kind, _epoch, is_snapshot, data = message
         chosen = [link for link, member in self.members.items() if member.follows is not None]
-        parts = {link: [] for link in chosen} if is_whole else {}
+        parts = {link: [] for link in chosen} if is_snapshot else {}
         size = row_codec.LOAD.size
-        for place, row in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
+        for index, row in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
             for link in self._links_for(row[0], flags=row[4], chosen=chosen):
-                parts.setdefault(link, []).append(data[place * size : (place + 1) * size])
+                parts.setdefault(link, []).append(data[index * size : (index + 1) * size])
         return {link: b"".join(rows) for link, rows in parts.items()}
 
     def _links_for(self, key: bytes, *, flags: int, chosen: list) -> list:
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -15,10 +15,10 @@
 from ploverward.data_plane.relay import gateway as gateways
 from ploverward.data_plane.relay import host
 
-MOST_ADAPTER_ROWS = 2000
-ALONE_SHARE = (0.25, 0.75)  # of silence_s: how long a proxy waits for its zone's digest before it goes on alone
-LARGE_PACE = 2
-TICKS_CONTACT = 80  # reports in a contactMs, in a zone of one digest
+MAX_ADAPTER_ROWS = 2000
+SOLO_DELAY_SHARE = (0.25, 0.75)  # of silence_s: how long a proxy waits for its zone's digest before it goes on alone
+LARGE_ZONE_PACE = 2
+TICKS_PER_CONTACT = 80  # reports in a contactMs, in a zone of one digest
 
 
 class RelayMixin:
@@ -33,38 +33,38 @@
         self.gateway = None
         self.region_names = names
         self.regions = {name: mirror.Region(now=self.loop.now, trust_s=self.contact_s) for name in names}
-        self.source = report_source.Source(now=self.loop.now, regions=names, suspect_s=self.contact_s / 4)
-        self.digest_duty = ""  # the duty that this proxy holds
-        self.digest = self._new_digest(digest.Place(region=self.settings.region, zone=self.settings.zone))
-        self.digest_dialer = None  # (duty, Holder, dialer) to the digest that serves this proxy
+        self.source = report_source.Source(now=self.loop.now, regions=names, suspicion_s=self.contact_s / 4)
+        self.digest_role = ""  # the duty that this proxy holds
+        self.digest = self._new_digest(digest.DigestIdentity(region=self.settings.region, zone=self.settings.zone))
+        self.digest_connector = None  # (duty, Holder, dialer) to the digest that serves this proxy
         self.is_enrolled = False
         self.follows = None  # keys of the replicas whose load this proxy asked its digest for; None: all
-        self._alone_from = self.loop.now() + self.silence_s * random.uniform(*ALONE_SHARE)
-        self.loop.after(delay=self.silence_s * ALONE_SHARE[1], act=self._go_alone)
+        self._solo_from = self.loop.now() + self.peer_timeout_s * random.uniform(*SOLO_DELAY_SHARE)
+        self.loop.after(delay=self.peer_timeout_s * SOLO_DELAY_SHARE[1], callback=self._start_solo)
         self.adapters = adapter_counts.Counter(
             now=self.loop.now, window_s=self.contact_s * 6, trust_s=self.contact_s / 2
         )
         self._adapter_rows = {}  # (life, window): what members told, until the next telling
         self._waiting = {}  # links that came before this node knew of its duty: the message
-        self.port = peer_connection.Port(
+        self.port = peer_connection.PeerListener(
             loop=self.loop,
             address=(self.settings.ip, self.settings.proxy_port),
             on_link=lambda link: None,
-            on_message=self._take_inner,
-            on_end=self._inner_gone,
-            silence_s=self.silence_s,
+            on_message=self._handle_peer_message,
+            on_end=self._on_peer_gone,
+            peer_timeout_s=self.peer_timeout_s,
         )
 
-    def _new_digest(self, place: digest.Place) -> digest.Digest:
+    def _new_digest(self, identity: digest.DigestIdentity) -> digest.Digest:
         return digest.Digest(
             loop=self.loop,
-            place=place,
+            identity=identity,
             port=self.settings.proxy_port,
-            silence_s=self.silence_s,
+            peer_timeout_s=self.peer_timeout_s,
             regions=self.region_names,
             mirrors=self.regions,
             on_credit=lambda region, number: self.source.credit(region=region, number=number),
-            on_broke=lambda region: self.source.lose(region=region),
+            on_broke=lambda region: self.source.mark_lost(region=region),
         )
 
     # Duties.
@@ -72,85 +72,89 @@
         """Region: who holds its relay, where somebody does."""
         found = {}
         for region in self.region_names:
-            epoch, holder, _life = self.duties.get(singleton_roles.relay_name(region=region), (0, "", ""))
-            if holder:
-                found[region] = digest.Holder(epoch=epoch, address=holder)
+            epoch, owner, _incarnation = self.singleton_roles.get(
+                singleton_roles.relay_name(region=region), (0, "", "")
+            )
+            if owner:
+                found[region] = digest.RoleOwner(epoch=epoch, address=owner)
         return found
 
-    def _follow_duties(self) -> None:
+    def _follow_singleton_roles(self) -> None:
         own = singleton_roles.relay_name(region=self.settings.region)
-        if own in self.duties:
-            self._keep_relay(*self.duties[own])
+        if own in self.singleton_roles:
+            self._keep_relay(*self.singleton_roles[own])
         self._follow_digests()
-        self._dial_relays()
+        self._connect_to_relays()
         for link, message in list(self._waiting.items()):
             self._admit(link, message)
 
     def _follow_digests(self) -> None:
         """Which of the zone's digests this proxy holds, or which one serves it."""
         zone = self.settings.zone
-        held = {
-            name: (epoch, holder, life)
-            for name, (epoch, holder, life) in self.duties.items()
-            if holder and singleton_roles.is_digest_of(name=name, zone=zone)
+        assigned = {
+            name: (epoch, owner, incarnation)
+            for name, (epoch, owner, incarnation) in self.singleton_roles.items()
+            if owner and singleton_roles.is_digest_of(name=name, zone=zone)
         }
         mine = sorted(
-            name for name, (_epoch, holder, life) in held.items() if (holder, life) == (self.settings.ip, self.life)
+            name
+            for name, (_epoch, owner, incarnation) in assigned.items()
+            if (owner, incarnation) == (self.settings.ip, self.incarnation)
         )
-        self._hold_digest(mine[0] if mine else "", held[mine[0]][0] if mine else 0)
-        others = [name for name, (_epoch, holder, _life) in held.items() if holder != self.settings.ip]
+        self._hold_digest(mine[0] if mine else "", assigned[mine[0]][0] if mine else 0)
+        others = [name for name, (_epoch, owner, _incarnation) in assigned.items() if owner != self.settings.ip]
         if mine or not others:
             self._follow_digest("", None)
             return
         name = singleton_roles.digest_for(names=others, address=self.settings.ip)
-        epoch, holder, _life = held[name]
-        self._follow_digest(name, digest.Holder(epoch=epoch, address=holder))
+        epoch, owner, _incarnation = assigned[name]
+        self._follow_digest(name, digest.RoleOwner(epoch=epoch, address=owner))
 
     def _hold_digest(self, name: str, epoch: int) -> None:
         """A digest under another duty, another epoch or none starts anew: its members come back with all they have."""
-        if (name, epoch) == (self.digest_duty, self.digest.place.epoch):
+        if (name, epoch) == (self.digest_role, self.digest.identity.epoch):
             return
-        self.digest_duty = name
+        self.digest_role = name
         former = self.digest
         former.stop()
         former.close_members(reason="the digest is another's")
-        place = digest.Place(region=self.settings.region, zone=name or self.settings.zone, epoch=epoch)
-        self.digest = self._new_digest(place)
+        identity = digest.DigestIdentity(region=self.settings.region, zone=name or self.settings.zone, epoch=epoch)
+        self.digest = self._new_digest(identity)
 
-    def _follow_digest(self, name: str, holder: digest.Holder | None) -> None:
-        known = self.digest_dialer[:2] if self.digest_dialer is not None else ("", None)
-        if known == (name, holder):
+    def _follow_digest(self, name: str, owner: digest.RoleOwner | None) -> None:
+        known = self.digest_connector[:2] if self.digest_connector is not None else ("", None)
+        if known == (name, owner):
             return
-        if self.digest_dialer is not None:
-            dialer = self.digest_dialer[2]
-            self.digest_dialer = None
-            dialer.stop()
-        if holder is None:
+        if self.digest_connector is not None:
+            connector = self.digest_connector[2]
+            self.digest_connector = None
+            connector.stop()
+        if owner is None:
             return
         if not self.digest.is_dialled:
             self._wait_for_digest()
-        dialer = peer_connection.Dialer(
+        connector = peer_connection.Connector(
             loop=self.loop,
-            address=(holder.address, self.settings.proxy_port),
-            on_up=lambda link: link.send(("enroll", holder.epoch, self.settings.ip)),
-            on_message=self._take_digest,
-            on_end=self._digest_gone,
-            silence_s=self.silence_s,
+            address=(owner.address, self.settings.proxy_port),
+            on_up=lambda link: link.send(("enroll", owner.epoch, self.settings.ip)),
+            on_message=self._handle_digest_message,
+            on_end=self._on_digest_gone,
+            peer_timeout_s=self.peer_timeout_s,
         )
-        self.digest_dialer = (name, holder, dialer)
+        self.digest_connector = (name, owner, connector)
 
     def _wait_for_digest(self) -> None:
         """Many proxies that lose or find a digest at once must not all dial the relays."""
-        delay = self.silence_s * random.uniform(*ALONE_SHARE)
-        self._alone_from = self.loop.now() + delay
-        self.loop.after(delay=delay * 1.01, act=self._go_alone)
+        delay = self.peer_timeout_s * random.uniform(*SOLO_DELAY_SHARE)
+        self._solo_from = self.loop.now() + delay
+        self.loop.after(delay=delay * 1.01, callback=self._start_solo)
 
-    def _go_alone(self) -> None:
+    def _start_solo(self) -> None:
         if not self.is_enrolled:
-            self._dial_relays()
+            self._connect_to_relays()
 
-    def _keep_relay(self, epoch: int, holder: str, life: str) -> None:
-        is_mine = holder == self.settings.ip and life == self.life
+    def _keep_relay(self, epoch: int, owner: str, incarnation: str) -> None:
+        is_mine = owner == self.settings.ip and incarnation == self.incarnation
         if self.relay is not None and (not is_mine or self.relay.epoch != epoch):
             former, self.relay = self.relay, None
             for link in list(former.subscribers):
@@ -159,7 +163,7 @@
             gateway.stop()
         if is_mine and self.relay is None:
             self.relay = host.Host(
-                region=self.settings.region, epoch=epoch, now=self.loop.now, suspect_s=self.contact_s / 4
+                region=self.settings.region, epoch=epoch, now=self.loop.now, suspicion_s=self.contact_s / 4
             )
             self._sync_relay()
             self.gateway = gateways.Gateway(
@@ -167,16 +171,16 @@
                 region=self.settings.region,
                 epoch=epoch,
                 port=self.settings.proxy_port,
-                silence_s=self.silence_s,
+                peer_timeout_s=self.peer_timeout_s,
                 regions=self.region_names,
                 trust_s=self.contact_s,
             )
 
     # As a member.
     def _digest_link(self):
-        return self.digest_dialer[2].link if self.digest_dialer is not None else None
+        return self.digest_connector[2].link if self.digest_connector is not None else None
 
-    def _take_digest(self, link, message: tuple) -> None:
+    def _handle_digest_message(self, link, message: tuple) -> None:
         """What the holder of the zone's digest says to this member."""
         kind = message[0]
         if self._digest_link() is not link:
@@ -184,21 +188,21 @@
         if kind == "enrolled":
             self.is_enrolled = True
             self.digest.stop()
-            self.digest.end_own()
+            self.digest.remove_own_report()
             self.follows = None
             link.send(("report", *self.source.checkpoint(replicas=self._own_load())))
-            self._tell_follows()
+            self._send_followed_keys()
         elif not self.is_enrolled:
             return
         elif kind == "relayed":
             if message[1] in self.regions:
-                self._take_publication(message[1], link, frames.unpack(message[2]))
+                self._apply_publication(message[1], link, frames.unpack(message[2]))
         elif kind == "credited":
             self.source.credit(region=message[1], number=message[2])
         elif kind == "broke":
             self._region_broke(message[1])
 
-    def _tell_follows(self) -> None:
+    def _send_followed_keys(self) -> None:
         """Tells the digest which replicas' loads this proxy looks at, where these are not all."""
         follows = self.table.followed_keys()
         if not self.is_enrolled or follows == self.follows:
@@ -208,7 +212,7 @@
         if link is not None:
             link.send(("follow", follows is None, b"".join(sorted(follows or ()))))
 
-    def _digest_gone(self, _link, _reason) -> None:
+    def _on_digest_gone(self, _link, _reason) -> None:
         if not self.is_enrolled:
             return
         self.is_enrolled = False
@@ -219,65 +223,65 @@
     def _region_broke(self, region: str) -> None:
         if region in self.regions:
             self.regions[region].fail()
-        self.source.lose(region=region)
+        self.source.mark_lost(region=region)
 
-    def _take_publication(self, region: str, link, message: tuple) -> None:
+    def _apply_publication(self, region: str, link, message: tuple) -> None:
         try:
             self.regions[region].take(message)
-        except errors.FrameProblem as fault:
-            event_log.note("relay stream broken", fault=str(fault))
+        except errors.FrameError as fault:
+            event_log.record("relay stream broken", fault=str(fault))
             link.close(reason=str(fault))
 
     def _own_load(self) -> list:
         """Replicas that this proxy has attempts at, gone from the list or not."""
         found = {}
-        for passage in self.passages:
-            if passage.attempt is not None:
-                found[passage.attempt.replica.id] = passage.attempt.replica
+        for handler in self.passages:
+            if handler.attempt is not None:
+                found[handler.attempt.replica.id] = handler.attempt.replica
         return list(found.values())
 
     # Being a digest: of the zone by duty, or of this proxy alone.
-    def _dial_relays(self) -> None:
+    def _connect_to_relays(self) -> None:
         relays = self._relays()
         if self.gateway is not None:
             self.gateway.follow(relays=relays)
         if self.is_enrolled:
             return
-        is_holder = bool(self.digest_duty)
-        if not is_holder and not self.digest.is_dialled and self.loop.now() < self._alone_from:
+        is_digest_owner = bool(self.digest_role)
+        if not is_digest_owner and not self.digest.is_dialled and self.loop.now() < self._solo_from:
             return
         is_fresh = not self.digest.is_dialled
         own = self.settings.region
-        for region, holder in relays.items():
-            if region == own or not is_holder:
-                self.digest.follow_relay(region=region, holder=holder)
-        if is_holder:
+        for region, owner in relays.items():
+            if region == own or not is_digest_owner:
+                self.digest.follow_relay(region=region, owner=owner)
+        if is_digest_owner:
             far = [region for region in self.region_names if region != own]
-            self.digest.follow_gateway(holder=relays.get(own), regions=far)
+            self.digest.follow_gateway(owner=relays.get(own), regions=far)
         if is_fresh and self.digest.is_dialled:
-            self.digest.end_own()
-            self.digest.take_own(self.source.checkpoint(replicas=self._own_load()))
+            self.digest.remove_own_report()
+            self.digest.handle_own_report(self.source.checkpoint(replicas=self._own_load()))
 
     # Links that others opened to this node: subscribers of its relay, members of its digest or of its gateway.
-    def _take_inner(self, link, message: tuple) -> None:
+    def _handle_peer_message(self, link, message: tuple) -> None:
         kind = message[0]
         if kind in ("subscribe", "enroll", "enroll_digest"):
             self._waiting[link] = message
             self._admit(link, message)
         elif kind == "sums":
             if self.relay is not None:
-                self.relay.take_sums(link, message)
+                self.relay.handle_aggregates(link, message)
         elif link in self.digest.fanout.members:
-            self._take_member(link, message)
+            self._handle_member_message(link, message)
         elif self.gateway is not None and link in self.gateway.digest.fanout.members and kind == "report":
-            self.gateway.digest.take_report(link, message)
+            self.gateway.digest.handle_report(link, message)
 
-    def _take_member(self, link, message: tuple) -> None:
+    def _handle_member_message(self, link, message: tuple) -> None:
         kind = message[0]
         if kind == "report":
-            self.digest.take_report(link, message)
+            self.digest.handle_report(link, message)
         elif kind == "adapters":
-            self._take_adapters(message[1])
+            self._handle_adapter_report(message[1])
         elif kind == "follow":
             _kind, is_all, data = message
             self.digest.follow(link, keys=None if is_all else frozenset(row_codec.keys(data=data)))
@@ -285,7 +289,7 @@
     def _admit(self, link, message: tuple) -> None:
         kind, epoch, *about = message
         if kind == "enroll":
-            if self.digest_duty and self.digest.place.epoch >= epoch:
+            if self.digest_role and self.digest.identity.epoch >= epoch:
                 self._waiting.pop(link, None)
                 self.digest.admit(link, address=about[0])
             return
@@ -299,7 +303,7 @@
             zone, zone_epoch = about
             self.gateway.enroll(link, zone=zone, zone_epoch=zone_epoch)
 
-    def _inner_gone(self, link, _reason) -> None:
+    def _on_peer_gone(self, link, _reason) -> None:
         self._waiting.pop(link, None)
         self.digest.end(link)
         if self.gateway is not None:
@@ -307,12 +311,12 @@
         if self.relay is not None:
             self.relay.end(link)
 
-    def _beat_inner(self) -> None:
-        self.table.look_at_fleet()
-        self._tell_follows()
-        self.digest.beat()
+    def _send_peer_heartbeats(self) -> None:
+        self.table.refresh_fleet_size()
+        self._send_followed_keys()
+        self.digest.send_heartbeats()
         if self.gateway is not None:
-            self.gateway.digest.beat()
+            self.gateway.digest.send_heartbeats()
         link = self._digest_link()
         if link is not None and link.is_up:
             link.send(("beat", 0))
@@ -326,23 +330,23 @@
                 "service": replica.service,
                 "region": replica.region,
                 "models": replica.models,
-                "berths": replica.berths,
+                "berths": replica.batch_slots,
             }
             for replica in self.table.replicas.values()
         ]
         services = {name: row for name, row in self.table.services.items() if row["cache_tokens"]}
         self.relay.sync(services=services, replicas=rows)
 
-    def tell_send(self, *, replica, kind: int) -> None:
-        self.source.note(replica=replica, kind=kind)
+    def report_attempt(self, *, replica, kind: int) -> None:
+        self.source.record(replica=replica, kind=kind)
 
-    def tell_read(self, *, replica, service: str, model: str, parts, salt: str = "") -> None:
+    def report_prefill(self, *, replica, service: str, model: str, parts, salt: str = "") -> None:
         self.source.note_read(replica=replica, service=service, model=model, parts=parts, salt=salt)
 
     # What was counted of adapters goes to the core by way of the digest, in whole windows (docs/pins.md 3).
-    def tell_adapters(self) -> None:
+    def send_adapter_counts(self) -> None:
         rows = [
-            (self.settings.node, self.settings.zone, self.settings.region, self.life, window, number, data)
+            (self.settings.node, self.settings.zone, self.settings.region, self.incarnation, window, number, data)
             for window, number, data in self.adapters.report()
         ]
         rows += self._adapter_rows.values()
@@ -353,25 +357,25 @@
         if link is not None:
             link.send(("adapters", tuple(rows)))
 
-    def _take_adapters(self, rows: tuple) -> None:
+    def _handle_adapter_report(self, rows: tuple) -> None:
         """Of a member: a newer telling of a window replaces an older one that still waits here."""
         for row in rows:
             key = row[3:5]
-            if key in self._adapter_rows or len(self._adapter_rows) < MOST_ADAPTER_ROWS:
+            if key in self._adapter_rows or len(self._adapter_rows) < MAX_ADAPTER_ROWS:
                 self._adapter_rows[key] = row
 
     def _pace(self) -> int:
         """Reports go at half the pace where the zone has several digests."""
         second = singleton_roles.digest_name(zone=self.settings.zone, number=1)
-        _epoch, holder, _life = self.duties.get(second, (0, "", ""))
-        return LARGE_PACE if holder else 1
+        _epoch, owner, _incarnation = self.singleton_roles.get(second, (0, "", ""))
+        return LARGE_ZONE_PACE if owner else 1
 
     def _relay_tick(self) -> None:
-        report = self.source.cut()
+        report = self.source.take_batch()
         if report is not None:
             link = self._digest_link()
             if not self.is_enrolled:
-                self.digest.take_own(report)
+                self.digest.handle_own_report(report)
             elif link is not None:
                 link.send(("report", *report))
         if not self.is_enrolled or self.digest.fanout.members:
@@ -380,5 +384,5 @@
             self.gateway.digest.tick()
         if self.relay is not None:
             self.relay.tick()
-        self.follower.tick()
-        self.loop.after(delay=self.contact_s / TICKS_CONTACT * self._pace(), act=self._relay_tick)
+        self.subscriber.tick()
+        self.loop.after(delay=self.contact_s / TICKS_PER_CONTACT * self._pace(), callback=self._relay_tick)
