--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -21,10 +21,10 @@
         self.key = row_codec.key_of(name)
         self.region = region
         self.running = 0
-        self.to_read = {}
+        self.prefill_tokens = {}
 
 
-class Lane:
+class LinkDirection:
     """One way of a link: in order, delayed, gone when the link ends."""
 
     def __init__(self, *, world, act):
@@ -41,17 +41,17 @@
 class RelayLink:
     """A relay's end of a digest's link."""
 
-    def __init__(self, *, holder, region):
-        self.holder = holder
+    def __init__(self, *, owner, region):
+        self.owner = owner
         self.region = region
         self.is_open = True
-        self.up = Lane(world=holder.scene.world, act=self._take)
-        self.down = Lane(world=holder.scene.world, act=lambda data: holder.heard(self, frames.unpack(data)))
-        self.host = holder.scene.hosts[region]
-        self.host.subscribe(self, region=holder.region, zone="z", zone_epoch=holder.epoch)
+        self.up = LinkDirection(world=owner.scene.world, act=self._take)
+        self.down = LinkDirection(world=owner.scene.world, act=lambda data: owner.heard(self, frames.unpack(data)))
+        self.host = owner.scene.hosts[region]
+        self.host.subscribe(self, region=owner.region, zone="z", zone_epoch=owner.epoch)
 
     def _take(self, message):
-        self.host.take_sums(self, message)
+        self.host.handle_aggregates(self, message)
 
     def send(self, message):
         self.send_bytes(frames.pack(message))
@@ -66,17 +66,17 @@
         if self.is_open:
             self.is_open = self.up.is_open = self.down.is_open = False
             self.host.end(self)
-            self.holder.lost(self)
+            self.owner.lost(self)
 
 
-class Holder:
+class DigestOwner:
     """A digest with its streams to both relays: of several members, or of one proxy alone."""
 
     def __init__(self, *, scene, epoch):
         self.scene = scene
         self.epoch = epoch
         self.region = "north"
-        self.sums = aggregates.Sums(regions=REGIONS)
+        self.aggregates = aggregates.Aggregates(regions=REGIONS)
         self.links = {}
         self.members = {}  # member: lane down
         self.is_up = True
@@ -85,10 +85,10 @@
 
     def dial(self, region):
         if self.is_up:
-            link = RelayLink(holder=self, region=region)
+            link = RelayLink(owner=self, region=region)
             if link.is_open:
                 self.links[region] = link
-                link.up.send(("sums", *self.sums.checkpoint(region=region)))
+                link.up.send(("sums", *self.aggregates.checkpoint(region=region)))
 
     def lost(self, link):
         if self.links.get(link.region) is link:
@@ -100,7 +100,7 @@
 
     def heard(self, link, message):
         if message[0] == "counted":
-            for member, number in self.sums.counted(region=link.region, number=message[1]).items():
+            for member, number in self.aggregates.counted(region=link.region, number=message[1]).items():
                 if member in self.members:
                     self.members[member].send("credited", link.region, number)
         elif message[0] in ("catalogue", "load"):
@@ -109,9 +109,9 @@
 
     def tick(self):
         for region, link in list(self.links.items()):
-            cut = self.sums.cut(region=region)
-            if cut is not None:
-                link.up.send(("sums", *cut))
+            take_batch = self.aggregates.take_batch(region=region)
+            if take_batch is not None:
+                link.up.send(("sums", *take_batch))
 
     def stop(self):
         self.is_up = False
@@ -126,24 +126,24 @@
         self.scene = scene
         self.name = name
         self.own = {name: Replica(name, region) for name, region in scene.places.items()}
-        self.source = report_source.Source(now=scene.world.now, regions=REGIONS, suspect_s=0.5)
+        self.source = report_source.Source(now=scene.world.now, regions=REGIONS, suspicion_s=0.5)
         self.views = {region: mirror.Region(now=scene.world.now, trust_s=5.0) for region in REGIONS}
-        self.holder = None
+        self.owner = None
         self.up = self.down = None
 
-    def join(self, holder):
-        if self.holder is not None:
+    def join(self, owner):
+        if self.owner is not None:
             self.up.is_open = self.down.is_open = False
-            self.holder.members.pop(self, None)
-            self.holder.sums.end(self)
-        self.holder = holder
+            self.owner.members.pop(self, None)
+            self.owner.aggregates.end(self)
+        self.owner = owner
         for region in REGIONS:
             self.views[region] = mirror.Region(now=self.scene.world.now, trust_s=5.0)
-            self.source.lose(region=region)
-        self.up = Lane(world=self.scene.world, act=lambda report: holder.sums.take(self, *report))
-        self.down = Lane(world=self.scene.world, act=self.heard)
-        holder.members[self] = self.down
-        for region, link in holder.links.items():
+            self.source.mark_lost(region=region)
+        self.up = LinkDirection(world=self.scene.world, act=lambda report: owner.aggregates.take(self, *report))
+        self.down = LinkDirection(world=self.scene.world, act=self.heard)
+        owner.members[self] = self.down
+        for region, link in owner.links.items():
             host = link.host  # the relay's state as of now stands in for the holder's own mirror
             self.down.send("relayed", region, ("catalogue", host.epoch, ()))
             self.down.send(
@@ -155,7 +155,7 @@
 
     def heard(self, kind, region, about):
         if kind == "broke":
-            self.source.lose(region=region)
+            self.source.mark_lost(region=region)
             self.views[region].fail()
         elif kind == "credited":
             self.source.credit(region=region, number=about)
@@ -166,17 +166,17 @@
         replica = chance.choice(list(self.own.values()))
         if replica.running and chance.random() < 0.5:
             replica.running -= 1
-            if replica.to_read:
-                replica.to_read.popitem()
+            if replica.prefill_tokens:
+                replica.prefill_tokens.popitem()
             kind = chance.choice((report_source.DONE, report_source.FAILED, report_source.BROKEN))
         else:
             replica.running += 1
-            replica.to_read[chance.random()] = chance.randint(1, 5000)
+            replica.prefill_tokens[chance.random()] = chance.randint(1, 5000)
             kind = report_source.SENT
-        self.source.note(replica=replica, kind=kind)
+        self.source.record(replica=replica, kind=kind)
 
     def tick(self):
-        report = self.source.cut()
+        report = self.source.take_batch()
         if report is not None:
             self.up.send(report)
 
@@ -191,21 +191,22 @@
         for region in REGIONS:
             self.start_host(region)
         self.epoch = 1
-        self.holders = [Holder(scene=self, epoch=1)]
+        self.owners = [DigestOwner(scene=self, epoch=1)]
         self.members = [Member(scene=self, name=f"p{number}") for number in range(count)]
         for member in self.members:
-            member.join(self.holders[0])
+            member.join(self.owners[0])
         self.is_acting = True
         self.tick()
 
     def start_host(self, region):
         former = self.hosts.get(region)
-        self.hosts[region] = hosts.Host(region=region, epoch=self.epochs[region], now=self.world.now, suspect_s=1.0)
+        self.hosts[region] = hosts.Host(region=region, epoch=self.epochs[region], now=self.world.now, suspicion_s=1.0)
         self.epochs[region] += 1
         self.hosts[region].sync(
             services={},
             replicas=[
-                {"id": name, "service": "llm", "region": place, "models": []} for name, place in self.places.items()
+                {"id": name, "service": "llm", "region": region_name, "models": []}
+                for name, region_name in self.places.items()
             ],
         )
         if former is not None:
@@ -217,55 +218,55 @@
             if self.is_acting and self.chance.random() < 0.7:
                 member.act(self.chance)
             member.tick()
-        for holder in self.holders:
-            holder.tick()
+        for owner in self.owners:
+            owner.tick()
         for host in self.hosts.values():
             host.tick()
         self.world.later(0.05, self.tick)
 
-    def trouble(self):
+    def inject_fault(self):
         kind = self.chance.choice(("holder", "two", "relay", "stream", "member", "alone"))
         if kind in ("holder", "two"):
-            former = [holder for holder in self.holders if holder.epoch]
+            former = [owner for owner in self.owners if owner.epoch]
             if kind == "holder":
-                for holder in former:
-                    holder.stop()
-                    self.holders.remove(holder)
+                for owner in former:
+                    owner.stop()
+                    self.owners.remove(owner)
             self.epoch += 1
-            fresh = Holder(scene=self, epoch=self.epoch)  # "two": the former one goes on until it is fenced
-            self.holders.append(fresh)
+            fresh = DigestOwner(scene=self, epoch=self.epoch)  # "two": the former one goes on until it is fenced
+            self.owners.append(fresh)
             for member in self.members:
                 if kind == "holder" or self.chance.random() < 0.6:
                     member.join(fresh)
         elif kind == "relay":
             self.start_host(self.chance.choice(REGIONS))
         elif kind == "stream":
-            holder = self.chance.choice(self.holders)
-            for link in list(holder.links.values())[:1]:
+            owner = self.chance.choice(self.owners)
+            for link in list(owner.links.values())[:1]:
                 link.close()
         elif kind == "member":
             number = self.chance.randrange(len(self.members))
             gone = self.members[number]  # a new life: nothing of the old one runs on
             gone.up.is_open = gone.down.is_open = False
-            gone.holder.members.pop(gone, None)
-            gone.holder.sums.end(gone)
+            gone.owner.members.pop(gone, None)
+            gone.owner.aggregates.end(gone)
             self.members[number] = Member(scene=self, name=gone.name)
-            self.members[number].join(self.chance.choice([holder for holder in self.holders if holder.is_up]))
+            self.members[number].join(self.chance.choice([owner for owner in self.owners if owner.is_up]))
         else:
-            own = Holder(scene=self, epoch=0)
-            self.holders.append(own)
+            own = DigestOwner(scene=self, epoch=0)
+            self.owners.append(own)
             self.chance.choice(self.members).join(own)
 
-    def settle(self):
+    def converge(self):
         """All members at the newest holder or alone; older holders are fenced; then nothing happens for a while."""
-        newest = max(holder.epoch for holder in self.holders)
+        newest = max(owner.epoch for owner in self.owners)
         for member in self.members:
-            if 0 < member.holder.epoch < newest or not member.holder.is_up:
-                member.join(next(holder for holder in self.holders if holder.epoch == newest))
-        for holder in list(self.holders):
-            if 0 < holder.epoch < newest:
-                holder.stop()
-                self.holders.remove(holder)
+            if 0 < member.owner.epoch < newest or not member.owner.is_up:
+                member.join(next(owner for owner in self.owners if owner.epoch == newest))
+        for owner in list(self.owners):
+            if 0 < owner.epoch < newest:
+                owner.stop()
+                self.owners.remove(owner)
         self.is_acting = False
         self.world.run(until=self.world.time + 5.0)
 
@@ -275,7 +276,7 @@
     return {
         name: (
             sum(member.own[name].running for member in scene.members),
-            sum(sum(member.own[name].to_read.values()) for member in scene.members),
+            sum(sum(member.own[name].prefill_tokens.values()) for member in scene.members),
         )
         for name in scene.places
     }
@@ -289,25 +290,25 @@
         assert tuple(scene.hosts[region].totals.get(key, (0, 0, 0))[:2]) == truth[name], name
         for member in scene.members:
             total = member.views[region].load.get(key, (0, 0, 0, 0))
-            held = member.source.counted(member.own[name])
-            own = (member.own[name].running, sum(member.own[name].to_read.values()))
-            assert held[:2] == own
-            assert (total[0] - held[0] + own[0], total[1] - held[1] + own[1]) == truth[name]
+            sums = member.source.counted(member.own[name])
+            own = (member.own[name].running, sum(member.own[name].prefill_tokens.values()))
+            assert sums[:2] == own
+            assert (total[0] - sums[0] + own[0], total[1] - sums[1] + own[1]) == truth[name]
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_sums_converge_to_what_runs_whatever_went_before(seed):
+def test_aggregates_converge_to_what_runs_whatever_went_before(seed):
     scene = Scene(seed=seed)
     for _ in range(12):
         scene.world.run(until=scene.world.time + scene.chance.uniform(0.2, 2.0))
-        scene.trouble()
-    scene.settle()
+        scene.inject_fault()
+    scene.converge()
     assert any(running for running, _tokens in count(scene).values())
     check_converged(scene)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_shown_load_is_off_by_no_more_than_what_is_under_way(seed):
+def test_the_shown_load_is_off_by_no_more_than_what_is_in_flight(seed):
     """Invariant (docs/digest.md 3): without trouble, what a proxy takes for others' load was their load a moment ago."""
     scene = Scene(seed=seed)
     history = []
@@ -331,66 +332,66 @@
 def test_the_checker_sees_a_report_that_counts_twice():
     scene = Scene(seed=1)
     scene.world.run(until=2.0)
-    scene.settle()
+    scene.converge()
     check_converged(scene)
-    holder = scene.holders[0]
-    holder.sums.take("stranger", 1, recording_connections.load_row("i0", running=1), b"")
+    owner = scene.owners[0]
+    owner.aggregates.take("stranger", 1, recording_connections.load_row("i0", running=1), b"")
     scene.world.run(until=scene.world.time + 2.0)
     with pytest.raises(AssertionError):
         check_converged(scene)
 
 
 def test_reports_that_are_malformed_or_come_twice_change_nothing():
-    held = aggregates.Sums(regions=REGIONS)
-    held.take("p1", 1, recording_connections.load_row("i0", running=2, tokens=9), b"")
+    sums = aggregates.Aggregates(regions=REGIONS)
+    sums.take("p1", 1, recording_connections.load_row("i0", running=2, tokens=9), b"")
     key = row_codec.key_of("i0")
     for number, loads, reads in (
         (2, b"xx", b""),
         (2, recording_connections.load_row("i0", running=7), b"\x01"),
         (1, recording_connections.load_row("i0", running=7), b""),
     ):
-        with pytest.raises(errors.FrameProblem):
-            held.take("p1", number, loads, reads)
-        assert held.total(region="north", key=key) == (2, 9, 0)
-    held.take("p1", 2, recording_connections.load_row("i0", running=3, region=99), b"")  # a region that nobody knows
-    held.take("p1", 3, recording_connections.load_row("i0", running=1), b"")
-    assert held.total(region="north", key=key) == (1, 0, 0)
+        with pytest.raises(errors.FrameError):
+            sums.take("p1", number, loads, reads)
+        assert sums.total(region="north", key=key) == (2, 9, 0)
+    sums.take("p1", 2, recording_connections.load_row("i0", running=3, region=99), b"")  # a region that nobody knows
+    sums.take("p1", 3, recording_connections.load_row("i0", running=1), b"")
+    assert sums.total(region="north", key=key) == (1, 0, 0)
 
 
-def test_the_same_chain_read_at_the_same_replica_goes_on_once():
-    held = aggregates.Sums(regions=REGIONS)
+def test_the_same_chain_prefilled_at_the_same_replica_is_forwarded_once():
+    sums = aggregates.Aggregates(regions=REGIONS)
     read = recording_connections.read_row("i0", ("doc", 100))
-    held.take("p1", 1, b"", read + recording_connections.read_row("i0", ("doc", 100), ("own", 5)))
-    held.take("p2", 1, b"", read)
-    _number, loads, reads = held.cut(region="north")
+    sums.take("p1", 1, b"", read + recording_connections.read_row("i0", ("doc", 100), ("own", 5)))
+    sums.take("p2", 1, b"", read)
+    _number, loads, reads = sums.take_batch(region="north")
     assert loads == b"" and len(row_codec.split_reads(data=reads)) == 2
-    assert held.cut(region="north") is None
+    assert sums.take_batch(region="north") is None
 
 
 def test_a_digest_sends_a_row_for_each_changed_replica_and_not_for_each_request():
-    held = aggregates.Sums(regions=REGIONS)
+    sums = aggregates.Aggregates(regions=REGIONS)
     for member in range(20):
-        held.take(
+        sums.take(
             member,
             1,
             b"".join(recording_connections.load_row(f"i{number}", running=member + 1) for number in range(3)),
             b"",
         )
-    _number, loads, _reads = held.cut(region="north")
+    _number, loads, _reads = sums.take_batch(region="north")
     assert len(row_codec.rows(shape=row_codec.REPORTED, data=loads)) == 3
-    assert held.counted(region="north", number=10) == {member: 1 for member in range(20)}
+    assert sums.counted(region="north", number=10) == {member: 1 for member in range(20)}
 
 
 def test_without_a_relay_reads_and_outcomes_are_dropped_and_loads_stay():
-    held = aggregates.Sums(regions=REGIONS)
+    sums = aggregates.Aggregates(regions=REGIONS)
     for number in range(1, 50):
-        held.take(
+        sums.take(
             "p1",
             number,
             recording_connections.load_row("i0", running=number, ended=1),
             recording_connections.read_row("i0", (f"p{number}", 5)),
         )
-        held.discard(region="north")
-    _number, loads, reads = held.checkpoint(region="north")
+        sums.discard(region="north")
+    _number, loads, reads = sums.checkpoint(region="north")
     (row,) = row_codec.rows(shape=row_codec.REPORTED, data=loads)
     assert row[2] == 49 and row[5:] == (0, 0) and reads == b""
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -15,12 +15,12 @@
 KEYS = [row_codec.key_of(f"i{number}") for number in range(40)]
 
 
-def load(rows, *, is_whole=False):
+def load(rows, *, is_snapshot=False):
     data = b"".join(load_feed.Load(running=running, flags=flags).pack(key) for key, (running, flags) in rows.items())
-    return ("load", 1, is_whole, data)
+    return ("load", 1, is_snapshot, data)
 
 
-class Member(recording_connections.Wire):
+class Member(recording_connections.RecordingLink):
     """A link, and what its member's mirror makes of it."""
 
     def __init__(self):
@@ -32,7 +32,7 @@
         kind, _region, frame = frames.unpack(data)
         assert kind == "relayed"
         self.region.take(frames.unpack(frame))
-        self.told.append(frame)
+        self.sent.append(frame)
 
 
 def make(*follows):
@@ -47,7 +47,7 @@
 
 
 def publish(fanout, message):
-    fanout.tell_publication(region="north", frame=frames.pack(message), message=message)
+    fanout.forward_publication(region="north", frame=frames.pack(message), message=message)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -59,33 +59,33 @@
     for _ in range(80):
         rows = {key: (chance.randint(0, 9), 0) for key in chance.sample(KEYS, 6)}
         rows = {key: (running, load_feed.FULL if running > 7 else 0) for key, (running, _flags) in rows.items()}
-        is_whole = chance.random() < 0.05
-        if is_whole:
+        is_snapshot = chance.random() < 0.05
+        if is_snapshot:
             truth = {}
         truth.update(rows)
-        publish(fanout, load(rows, is_whole=is_whole))
+        publish(fanout, load(rows, is_snapshot=is_snapshot))
         for keys, member in zip(follows, members, strict=True):
             for key, (running, flags) in truth.items():
-                held = member.region.load.get(key, (0, 0, 0, 0))
+                entry_load = member.region.load.get(key, (0, 0, 0, 0))
                 if keys is None or key in keys or flags:
-                    assert held == (running, 0, 0, flags)
+                    assert entry_load == (running, 0, 0, flags)
                 else:
-                    assert not held[3], "it was told that the replica is no longer full"
+                    assert not entry_load[3], "it was told that the replica is no longer full"
 
 
-def test_a_member_that_follows_others_now_is_told_how_they_stand():
+def test_a_member_that_follows_others_now_is_sent_their_load():
     fanout, (member,) = make(frozenset(KEYS[:2]))
     mirrored = mirror.Region(now=lambda: 0.0, trust_s=5.0)
     mirrored.take(("catalogue", 1, ()))
-    first = load({key: (number, 0) for number, key in enumerate(KEYS[:6], start=1)}, is_whole=True)
+    first = load({key: (number, 0) for number, key in enumerate(KEYS[:6], start=1)}, is_snapshot=True)
     mirrored.take(first)
     publish(fanout, first)
     assert set(member.region.load) == set(KEYS[:2])
     fanout.follow(member, keys=frozenset(KEYS[3:5]))
-    fanout.tell_one(member, region="north", message=mirrored.load_frame())
+    fanout.send_load(member, region="north", message=mirrored.load_frame())
     assert member.region.load == {KEYS[3]: (4, 0, 0, 0), KEYS[4]: (5, 0, 0, 0)}
     fanout.follow(member, keys=None)
-    fanout.tell_one(member, region="north", message=mirrored.load_frame())
+    fanout.send_load(member, region="north", message=mirrored.load_frame())
     assert set(member.region.load) == set(KEYS[:6])
 
 
@@ -95,7 +95,7 @@
         keys = [row_codec.key_of(f"r{number}") for number in range(count)]
         fanout, (member,) = make(frozenset(keys[:20]))
         publish(fanout, load({key: (3, 0) for key in keys}))
-        sizes[count] = sum(len(frame) for frame in member.told)
+        sizes[count] = sum(len(frame) for frame in member.sent)
     assert sizes[50] == sizes[500]
 
 
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -39,7 +39,7 @@
     return loopback.own_address(host=number)
 
 
-class Follower:
+class Subscriber:
     def tick(self):
         pass
 
@@ -47,18 +47,18 @@
 class Node(relay_client.RelayMixin):
     """A proxy without its traffic and without the core: duties are handed to it."""
 
-    def __init__(self, *, loop, ip, zone, ports, life):
+    def __init__(self, *, loop, ip, zone, ports, incarnation):
         zones = {"za": "north", "zc": "north", "zb": "south"}
         self.settings = dataclasses.replace(
             loopback_proxy.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
         )
         self.loop = Pausable(loop=loop)
         self.contact_s = 1.0
-        self.silence_s = 0.25
-        self.life = life
-        self.duties = {}
+        self.peer_timeout_s = 0.25
+        self.incarnation = incarnation
+        self.singleton_roles = {}
         self.passages = set()
-        self.follower = Follower()
+        self.subscriber = Subscriber()
         self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
         self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
@@ -73,25 +73,25 @@
             counted=self.source.counted,
         )
         self._relay_tick()
-        self.loop.every(gap=self.silence_s / 3, act=self._beat_inner)
+        self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._send_peer_heartbeats)
 
     def begin(self, name):
         replica = self.table.replicas[name]
         replica.running += 1
-        self.passages.add(Passage(replica))
-        self.tell_send(replica=replica, kind=report_source.SENT)
+        self.passages.add(RequestHandler(replica))
+        self.report_attempt(replica=replica, kind=report_source.SENT)
 
     def end(self, name):
         replica = self.table.replicas[name]
         replica.running -= 1
         self.passages.discard(next(one for one in self.passages if one.attempt.replica is replica))
-        self.tell_send(replica=replica, kind=report_source.DONE)
+        self.report_attempt(replica=replica, kind=report_source.DONE)
 
     def sees(self, name):
         return self.chooser.load(self.table.replicas[name])[0]
 
 
-class Passage:
+class RequestHandler:
     def __init__(self, replica):
         self.attempt = self
         self.replica = replica
@@ -103,49 +103,49 @@
     def __init__(self, *, loop):
         self._loop = loop
         self.is_frozen = False
-        self._held = []
+        self._deferred = []
 
-    def _guard(self, act):
+    def _guard(self, callback):
         def run(*args):
             if self.is_frozen:
-                self._held.append((act, args))
+                self._deferred.append((callback, args))
             else:
-                act(*args)
+                callback(*args)
 
         return run
 
     def thaw(self):
         self.is_frozen = False
-        held, self._held = self._held, []
-        for act, args in held[-200:]:
-            act(*args)
+        deferred, self._deferred = self._deferred, []
+        for callback, args in deferred[-200:]:
+            callback(*args)
 
     def now(self):
         return self._loop.now()
 
-    def after(self, *, delay, act):
-        return self._loop.after(delay=delay, act=self._guard(act))
+    def after(self, *, delay, callback):
+        return self._loop.after(delay=delay, callback=self._guard(callback))
 
-    def at(self, *, when, act):
-        return self._loop.at(when=when, act=self._guard(act))
+    def at(self, *, when, callback):
+        return self._loop.at(when=when, callback=self._guard(callback))
 
-    def every(self, *, gap, act):
-        self._loop.every(gap=gap, act=lambda: None if self.is_frozen else act())
+    def every(self, *, interval_s, callback):
+        self._loop.every(interval_s=interval_s, callback=lambda: None if self.is_frozen else callback())
 
     def cancel(self, *, timer):
         self._loop.cancel(timer=timer)
 
-    def watch(self, *, sock, mask, act):
-        self._loop.watch(sock=sock, mask=mask, act=lambda ready: None if self.is_frozen else act(ready))
+    def watch(self, *, sock, mask, callback):
+        self._loop.watch(sock=sock, mask=mask, callback=lambda ready: None if self.is_frozen else callback(ready))
 
-    def rewatch(self, *, sock, mask, act):
-        self._loop.rewatch(sock=sock, mask=mask, act=lambda ready: None if self.is_frozen else act(ready))
+    def rewatch(self, *, sock, mask, callback):
+        self._loop.rewatch(sock=sock, mask=mask, callback=lambda ready: None if self.is_frozen else callback(ready))
 
     def unwatch(self, *, sock):
         self._loop.unwatch(sock=sock)
 
-    def command(self, *, act):
-        self._loop.command(act=act)
+    def command(self, *, callback):
+        self._loop.command(callback=callback)
 
 
 class Zones:
@@ -159,27 +159,30 @@
         ports = (port, port + 2)
         self.places = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
         self.nodes = {
-            ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, life=f"l{ip}") for ip, zone in self.places.items()
+            ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
+            for ip, zone in self.places.items()
         }
-        self.duties = {}
+        self.singleton_roles = {}
         self.live = set(self.nodes)
-        self.name_duties()
+        self.assign_roles()
 
-    def name_duties(self):
+    def assign_roles(self):
         listed = [
-            (ip, node.life, node.settings.zone, node.settings.region)
+            (ip, node.incarnation, node.settings.zone, node.settings.region)
             for ip, node in self.nodes.items()
             if ip in self.live
         ]
-        rows = singleton_roles.named(proxies=listed, duty=lambda name: tuple(self.duties.get(name, (0, "", ""))))
-        for name, (seen, holder, life) in rows.items():
-            self.duties[name] = (seen + 1, holder, life)
+        rows = singleton_roles.named(
+            proxies=listed, find_role=lambda name: tuple(self.singleton_roles.get(name, (0, "", "")))
+        )
+        for name, (seen, owner, incarnation) in rows.items():
+            self.singleton_roles[name] = (seen + 1, owner, incarnation)
         for ip in self.live:
-            self.tell(ip)
+            self.announce(ip)
 
-    def tell(self, ip):
-        self.nodes[ip].duties = dict(self.duties)
-        self.nodes[ip]._follow_duties()
+    def announce(self, ip):
+        self.nodes[ip].singleton_roles = dict(self.singleton_roles)
+        self.nodes[ip]._follow_singleton_roles()
 
     def truth(self, name):
         return sum(self.nodes[ip].table.replicas[name].running for ip in self.live)
@@ -187,7 +190,7 @@
     def agree(self):
         return all(self.nodes[ip].sees(row["id"]) == self.truth(row["id"]) for ip in self.live for row in ROWS)
 
-    def settle(self):
+    def converge(self):
         assert loopback.until(self.loop, self.agree), {
             ip: [(self.nodes[ip].sees(row["id"]), self.truth(row["id"])) for row in ROWS] for ip in self.live
         }
@@ -196,8 +199,8 @@
         node = self.nodes[ip]
         self.live.discard(ip)
         node.digest.stop()
-        if node.digest_dialer is not None:
-            node.digest_dialer[2].stop()
+        if node.digest_connector is not None:
+            node.digest_connector[2].stop()
         if node.gateway is not None:
             node.gateway.stop()
         for link in [*node.digest.fanout.members, *(node.relay.subscribers if node.relay is not None else ())]:
@@ -207,7 +210,7 @@
         node.loop.is_frozen = True
 
     def digest(self):
-        return self.duties["digest/za"][1]
+        return self.singleton_roles["digest/za"][1]
 
     def work(self, *, seed):
         chance = random.Random(seed)
@@ -219,122 +222,123 @@
 def test_members_report_to_the_digest_and_all_see_what_runs():
     zones = Zones()
     zones.work(seed=1)
-    zones.settle()
-    holder = zones.nodes[zones.digest()]
-    assert loopback.until(zones.loop, lambda: len(holder.digest.fanout.members) == 4)
+    zones.converge()
+    owner = zones.nodes[zones.digest()]
+    assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     for _ip, node in zones.nodes.items():
-        if node.settings.zone == "za" and node is not holder:
+        if node.settings.zone == "za" and node is not owner:
             assert node.is_enrolled and not node.digest.is_dialled
-    assert len(zones.nodes[zones.duties["relay/north"][1]].relay.subscribers) == 2  # one for each zone
+    assert len(zones.nodes[zones.singleton_roles["relay/north"][1]].relay.subscribers) == 2  # one for each zone
     zones.nodes[address(1)].end(
         next(name for name in ("i0", "i1", "i2") if zones.nodes[address(1)].table.replicas[name].running)
     )
-    zones.settle()
+    zones.converge()
 
 
 def test_a_digest_that_ends_leaves_its_members_on_their_own_and_the_next_one_takes_them():
     zones = Zones()
     zones.work(seed=2)
-    zones.settle()
+    zones.converge()
     former = zones.digest()
     zones.stop(former)
-    zones.settle()  # before anybody named another one: each is its own digest
+    zones.converge()  # before anybody named another one: each is its own digest
     assert all(node.digest.is_dialled for ip, node in zones.nodes.items() if ip in zones.live)
-    zones.name_duties()
+    zones.assign_roles()
     assert zones.digest() != former
     zones.work(seed=3)
-    zones.settle()
+    zones.converge()
     assert loopback.until(zones.loop, lambda: len(zones.nodes[zones.digest()].digest.fanout.members) == 3)
-    zones.settle()
+    zones.converge()
 
 
-def test_a_frozen_digest_stops_nobody_and_is_told_nothing_twice_when_it_thaws():
+def test_a_frozen_digest_stops_nobody_and_receives_nothing_twice_when_it_thaws():
     zones = Zones()
     zones.work(seed=4)
-    zones.settle()
+    zones.converge()
     former = zones.nodes[zones.digest()]
     former.loop.is_frozen = True
     zones.live.discard(former.settings.ip)
-    zones.settle()
-    zones.name_duties()
+    zones.converge()
+    zones.assign_roles()
     zones.work(seed=5)
-    zones.settle()
+    zones.converge()
     former.loop.thaw()
-    relay = zones.nodes[zones.duties["relay/north"][1]].relay
+    relay = zones.nodes[zones.singleton_roles["relay/north"][1]].relay
     epochs = []
 
     def refused():
         epochs.extend(known.zone_epoch for known in relay.subscribers.values() if known.zone == "digest/za")
         return any(
-            link is None or not link.is_open for link in [dialer.link for dialer in former.digest.streams().values()]
+            link is None or not link.is_open
+            for link in [connector.link for connector in former.digest.streams().values()]
         )
 
     assert loopback.until(zones.loop, refused)
-    zones.settle()  # it still takes itself for the holder; the relays refuse it under its old epoch
+    zones.converge()  # it still takes itself for the holder; the relays refuse it under its old epoch
     assert 1 not in epochs
     zones.live.add(former.settings.ip)
-    zones.tell(former.settings.ip)
-    zones.settle()
-    assert former.digest_duty == "" and loopback.until(zones.loop, lambda: former.is_enrolled)
-    zones.settle()
+    zones.announce(former.settings.ip)
+    zones.converge()
+    assert former.digest_role == "" and loopback.until(zones.loop, lambda: former.is_enrolled)
+    zones.converge()
 
 
 def test_relay_and_digest_lost_together():
     zones = Zones()
     zones.work(seed=6)
-    zones.settle()
-    for ip in {zones.digest(), zones.duties["relay/north"][1]}:
+    zones.converge()
+    for ip in {zones.digest(), zones.singleton_roles["relay/north"][1]}:
         zones.stop(ip)
-    zones.name_duties()
+    zones.assign_roles()
     zones.work(seed=7)
-    zones.settle()
+    zones.converge()
 
 
-def test_a_whole_zone_is_lost_and_its_load_with_it():
+def test_an_entire_zone_is_lost_and_its_load_with_it():
     zones = Zones()
     zones.work(seed=8)
-    zones.settle()
+    zones.converge()
     for ip in [ip for ip in zones.live if zones.places[ip] == "za"]:
         zones.stop(ip)
-    zones.name_duties()
-    zones.settle()
+    zones.assign_roles()
+    zones.converge()
     assert [ip for ip in zones.live] == [address(9)]
 
 
 def test_a_member_that_sends_nonsense_is_closed_and_changes_nothing():
     zones = Zones()
     zones.work(seed=9)
-    zones.settle()
-    holder = zones.nodes[zones.digest()]
+    zones.converge()
+    owner = zones.nodes[zones.digest()]
     member = next(node for node in zones.nodes.values() if node.is_enrolled)
-    link = member.digest_dialer[2].link
+    link = member.digest_connector[2].link
     link.send_bytes(frames.pack(("report", 10**6, b"nonsense", b"")))
     assert loopback.until(zones.loop, lambda: not link.is_open)
-    zones.settle()  # and it comes back with its whole state
-    assert loopback.until(zones.loop, lambda: len(holder.digest.fanout.members) == 4)
-    zones.settle()
+    zones.converge()  # and it comes back with its whole state
+    assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
+    zones.converge()
 
 
 def test_a_slow_member_loses_its_own_stream_only():
     zones = Zones()
     zones.work(seed=10)
-    zones.settle()
-    holder = zones.nodes[zones.digest()]
-    slow, *others = holder.digest.fanout.members
+    zones.converge()
+    owner = zones.nodes[zones.digest()]
+    slow, *others = owner.digest.fanout.members
     slow.queued = lambda: 10**9
     zones.work(seed=11)
     assert loopback.until(zones.loop, lambda: not slow.is_open)
     assert all(link.is_open for link in others)
-    zones.settle()
+    zones.converge()
 
 
 def test_a_region_read_anew_reaches_the_members_with_cut_and_sequence():
     zones = Zones()
     zones.work(seed=12)
-    zones.settle()
+    zones.converge()
     node = zones.nodes[address(9)]
     chain = (("doc", 100), ("own", 10))
-    node.tell_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
+    node.report_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
     def kept(one):
         from ploverward.data_plane.relay import cuckoo_filter
@@ -345,7 +349,7 @@
 
     assert loopback.until(zones.loop, lambda: all(kept(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values()))
     late = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
-    zones.nodes[late].digest_dialer[2].link.close(reason="test")  # it comes back and is given a cut of its own
+    zones.nodes[late].digest_connector[2].link.close(reason="test")  # it comes back and is given a cut of its own
     assert loopback.until(
         zones.loop, lambda: zones.nodes[late].is_enrolled and kept(zones.nodes[late]) == {"i0": 110, "i1": 0}
     )
@@ -354,15 +358,15 @@
 @pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
 def test_a_zone_of_few_proxies_has_no_digest(count, is_there):
     listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
-    rows = singleton_roles.named(proxies=listed, duty=lambda name: (0, "", ""))
+    rows = singleton_roles.named(proxies=listed, find_role=lambda name: (0, "", ""))
     assert ("digest/za" in rows) == is_there and "relay/north" in rows
     if is_there:
         assert rows["digest/za"][1] != rows["relay/north"][1]
-        held = {name: (epoch + 1, holder, life) for name, (epoch, holder, life) in rows.items()}
-        assert singleton_roles.named(proxies=listed, duty=lambda name: held.get(name, (0, "", ""))) == {}
+        deferred = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
+        assert singleton_roles.named(proxies=listed, find_role=lambda name: deferred.get(name, (0, "", ""))) == {}
         left = [row for row in listed if row[0] != rows["digest/za"][1]]
-        again = singleton_roles.named(proxies=left, duty=lambda name: held.get(name, (0, "", "")))
-        assert ("digest/za" in again) == (count - 1 > singleton_roles.FEW)
+        again = singleton_roles.named(proxies=left, find_role=lambda name: deferred.get(name, (0, "", "")))
+        assert ("digest/za" in again) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
 
 
 class Gates(Zones):
@@ -372,75 +376,75 @@
         super().__init__(more={address(number): "zc" for number in range(20, 25)} | dict(more))
 
     def relay(self, region):
-        return self.nodes[self.duties[f"relay/{region}"][1]]
+        return self.nodes[self.singleton_roles[f"relay/{region}"][1]]
 
     def far_subscribers(self):
         """Duties whose streams the south's relay serves."""
         return sorted(known.zone for known in self.relay("south").relay.subscribers.values())
 
 
-def test_one_stream_goes_to_the_other_region_however_many_digests_there_are():
+def test_one_stream_runs_to_the_other_region_however_many_digests_there_are():
     zones = Gates()
     zones.work(seed=20)
-    zones.settle()
+    zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
     assert not zones.relay("south").gateway.digest.is_dialled  # without members it keeps no streams
     zones.work(seed=21)
-    zones.settle()
+    zones.converge()
 
 
 def test_a_gateway_that_ends_takes_its_streams_along_and_its_successor_counts_nothing_twice():
     zones = Gates()
     zones.work(seed=22)
-    zones.settle()
-    zones.stop(zones.duties["relay/north"][1])
+    zones.converge()
+    zones.stop(zones.singleton_roles["relay/north"][1])
     zones.work(seed=23)
-    zones.name_duties()
+    zones.assign_roles()
     zones.work(seed=24)
-    zones.settle()
+    zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
-    zones.settle()
+    zones.converge()
 
 
 def test_a_frozen_gateway_is_refused_when_it_thaws():
     zones = Gates()
     zones.work(seed=25)
-    zones.settle()
+    zones.converge()
     former = zones.relay("north")
     former.loop.is_frozen = True
     zones.live.discard(former.settings.ip)
-    zones.name_duties()
+    zones.assign_roles()
     zones.work(seed=26)
-    zones.settle()
+    zones.converge()
     former.loop.thaw()
-    zones.settle()  # it takes itself for the gateway still; the south's relay refuses its older epoch
+    zones.converge()  # it takes itself for the gateway still; the south's relay refuses its older epoch
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
     epochs = [known.zone_epoch for known in zones.relay("south").relay.subscribers.values() if known.zone_epoch]
     assert epochs == [2]
 
 
-def test_the_far_relay_is_lost_and_its_region_read_anew_by_way_of_the_gateway():
+def test_a_lost_far_relay_is_read_anew_through_the_gateway():
     zones = Gates(more={address(8): "zb"})
     zones.work(seed=27)
-    zones.settle()
-    former = zones.duties["relay/south"][1]
+    zones.converge()
+    former = zones.singleton_roles["relay/south"][1]
     zones.stop(former)
     zones.work(seed=28)
     assert loopback.until(
         zones.loop, lambda: all(zones.nodes[ip].regions["south"].broken_at is not None for ip in zones.live)
     )
-    zones.name_duties()
-    assert zones.duties["relay/south"][1] != former
-    zones.settle()
+    zones.assign_roles()
+    assert zones.singleton_roles["relay/south"][1] != former
+    zones.converge()
 
 
 def test_nonsense_from_a_gateway_closes_its_link_and_changes_nothing():
     zones = Gates()
     zones.work(seed=28)
-    zones.settle()
+    zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     link = next(iter(gateway.digest.fanout.members))
@@ -448,13 +452,13 @@
     link.send(("relayed", "south", frames.pack(("load", gateway.digest._mirrors["south"].epoch, False, b"nonsense"))))
     assert loopback.until(zones.loop, lambda: not link.is_open)
     assert {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live} == before
-    zones.settle()  # and the digest comes back with its whole state
+    zones.converge()  # and the digest comes back with its whole state
 
 
 def test_a_digest_of_an_older_epoch_is_not_admitted_by_the_gateway():
     zones = Gates()
     zones.work(seed=29)
-    zones.settle()
+    zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
 
@@ -483,47 +487,49 @@
     assert member.sees("i1") == zones.truth("i1")
 
 
-def test_a_link_that_ends_at_a_beat_harms_no_other():
+def test_a_connection_that_ends_at_a_heartbeat_harms_no_other():
     zones = Gates()
-    zones.settle()
+    zones.converge()
     node = zones.relay("north")
     assert loopback.until(zones.loop, lambda: len(node.relay.subscribers) == 3)
     links = [*node.relay.subscribers, *node.digest.fanout.members, *node.gateway.digest.fanout.members]
     for link in links:
         link.send = lambda message, link=link: link.close(reason="ended as it was written to")
-    node._beat_inner()
+    node._send_peer_heartbeats()
     assert not any(link.is_open for link in links)
-    zones.settle()
+    zones.converge()
 
 
 def test_cuts_go_to_members_a_bounded_number_of_bytes_at_a_time():
     zones = Zones()
-    zones.settle()
-    holder = zones.nodes[zones.digest()]
-    assert loopback.until(zones.loop, lambda: len(holder.digest.fanout.members) == 4)
+    zones.converge()
+    owner = zones.nodes[zones.digest()]
+    assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     node = zones.nodes[address(9)]
     node.begin("i0")
-    zones.settle()
+    zones.converge()
     for number in range(600):
         parts = ((f"doc{number}", 100), (f"own{number}", 10))
-        node.tell_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
-    assert loopback.until(zones.loop, lambda: holder.regions["north"].mirrors)
+        node.report_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
+    assert loopback.until(zones.loop, lambda: owner.regions["north"].mirrors)
     sent = []
-    send_bytes = type(next(iter(holder.digest.fanout.members))).send_bytes
-    for link in holder.digest.fanout.members:
+    send_bytes = type(next(iter(owner.digest.fanout.members))).send_bytes
+    for link in owner.digest.fanout.members:
         link.send_bytes = lambda data, link=link: (sent.append((id(link), frames.unpack(data))), send_bytes(link, data))
-    for link in holder.digest.fanout.members:
-        for name in holder.regions["north"].mirrors:
-            holder.digest._queue_cut(link, "north", name)
-    holder.digest._cut_room = -digests.CUT_BYTES_A_TICK  # a large one was sent just before
-    holder.digest._send_cuts()
-    assert not sent and len(holder.digest._cuts) == 4
+    for link in owner.digest.fanout.members:
+        for name in owner.regions["north"].mirrors:
+            owner.digest._queue_cut(link, "north", name)
+    owner.digest._cut_budget_bytes = -digests.MAX_CUT_BYTES_PER_TICK  # a large one was sent just before
+    owner.digest._send_cuts()
+    assert not sent and len(owner.digest._cuts) == 4
     zones.work(seed=40)
-    zones.settle()
-    assert loopback.until(zones.loop, lambda: not holder.digest._cuts)  # also of pools that the work began
+    zones.converge()
+    assert loopback.until(zones.loop, lambda: not owner.digest._cuts)  # also of pools that the work began
     kinds = {}
     for link, message in sent:
         if message[0] == "relayed" and message[1] == "north":
             kinds.setdefault(link, []).append(frames.unpack(message[2])[0])
-    for told in kinds.values():
-        assert "cut" in told and "delta" not in told[: told.index("cut")]  # nothing that builds on it comes before it
+    for sent_kinds in kinds.values():
+        assert (
+            "cut" in sent_kinds and "delta" not in sent_kinds[: sent_kinds.index("cut")]
+        )  # nothing that builds on it comes before it
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -24,23 +24,23 @@
 class Proxy(core_sessions.FollowMixin, relay_client.RelayMixin, serving.ServeMixin):
     def __init__(self, *, settings):
         self.settings = settings
-        self.life = uuid.uuid4().hex[:12]
-        self.loop = event_loop.Loop(on_fault=lambda fault: event_log.spill("a step failed", fault=fault))
+        self.incarnation = uuid.uuid4().hex[:12]
+        self.loop = event_loop.Loop(on_fault=lambda fault: event_log.dump("a step failed", fault=fault))
         self.contact_s = settings.bound_s(name="contactMs")
-        self.silence_s = self.contact_s / 5
-        self.reach_s = self.contact_s / 16  # in about this time somebody else is found, or it comes back
+        self.peer_timeout_s = self.contact_s / 5
+        self.failover_s = self.contact_s / 16  # in about this time somebody else is found, or it comes back
         self.is_serving = False
-        self.is_leaving = False
-        self.leaving = graceful_shutdown.Leaving(now=self.loop.now, grace_s=settings.bound(name="graceS"))
-        self.duties = {}
+        self.is_draining = False
+        self.drain_window = graceful_shutdown.DrainWindow(now=self.loop.now, grace_s=settings.bound(name="graceS"))
+        self.singleton_roles = {}
         self.routes = route_table.Routes()
         self.older_homes = []  # (until, homes by route name, homes by tenant)
-        self.standing = tenant_admission.Standing(now=self.loop.now)
-        self.trust = tenant_admission.Trust.of(settings)
-        self.allowance = tenant_admission.Allowance(
-            now=self.loop.now, lease_s=self.contact_s * tenant_admission.LEASE_CONTACTS
+        self.configuration_freshness = tenant_admission.ConfigurationFreshness(now=self.loop.now)
+        self.credential_freshness = tenant_admission.CredentialFreshness.of(settings)
+        self.quota_allowance = tenant_admission.QuotaAllowance(
+            now=self.loop.now, lease_s=self.contact_s * tenant_admission.LEASE_SHARE
         )
-        self.batches = custody_trails.Batches(most=200)
+        self.batches = custody_trails.TrailBatches(most=200)
         self._set_limits({})
         self.quota = shared_limits.Quota(now=self.loop.now, settings=settings)
         self.rollouts = version_routing.Rollouts(
@@ -63,31 +63,31 @@
         self.start_serving()
         self.start_following()
         self._relay_tick()
-        self.loop.every(gap=self.silence_s / 3, act=self._beat)
-        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(act=self.leave))
-        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(act=self._reread))
+        self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._on_heartbeat_tick)
+        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self.leave))
+        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reread))
         self.loop.run()
         return 0
 
     def _running_elsewhere(self, service: str, target: str) -> int:
         """Attempts under way at replicas of a service that have another version than the target."""
         found = 0
-        for passage in self.passages:
-            replica = passage.attempt.replica if passage.attempt is not None else None
+        for handler in self.passages:
+            replica = handler.attempt.replica if handler.attempt is not None else None
             found += replica is not None and replica.service == service and replica.edition != target
         return found
 
-    def _beat(self) -> None:
+    def _on_heartbeat_tick(self) -> None:
         if self.beats % self.rollouts.pace == 0:
-            self.tell_evidence()
+            self.send_rollout_evidence()
         self.renew_entries()  # core nodes hear of this proxy by it
-        self._beat_inner()
+        self._send_peer_heartbeats()
         self.table.sweep()
-        self.table.try_suspects()
+        self.table.check_suspected_replicas()
         self.beats += 1
         if self.beats % 4 == 0:
-            self.tell_trails()
-            self.tell_adapters()
+            self.send_custody_trails()
+            self.send_adapter_counts()
             if self.file_watch.is_changed():
                 self._reread()
         self._check_serving()
@@ -95,7 +95,7 @@
     def _reread(self) -> None:
         try:
             self.settings = settings_files.load()
-        except errors.SettingsProblem as fault:
-            event_log.spill(f"the new settings are kept out: {fault}")
+        except errors.SettingsError as fault:
+            event_log.dump(f"the new settings are kept out: {fault}")
             return
-        self._dial_cores()
+        self._connect_to_cores()
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -12,40 +12,40 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.simulation import loopback_proxy
 
-SPEC = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
+SERVICES = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
 
 
 def make(*, share=0.5):
     clock = [100.0]
     quota = shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings())
     if share:
-        quota.take_entry("core", ("entry", share, share, 1000.0, share, 0, 8))
+        quota.handle_share_lease("core", ("entry", share, share, 1000.0, share, 0, 8))
     return quota, clock
 
 
-def test_without_an_entry_nothing_of_the_slack_is_spent():
+def test_without_a_share_lease_nothing_of_the_slack_is_spent():
     quota, _clock = make(share=0)
-    assert not quota.try_extra("llm")
+    assert not quota.charge_retry("llm")
     for _ in range(100):
-        quota.note_ask("llm")
-    assert sum(quota.try_extra("llm") for _ in range(100)) == 18
+        quota.record_request("llm")
+    assert sum(quota.charge_retry("llm") for _ in range(100)) == 18
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_extras_in_every_window_stay_inside_the_part(seed):
     chance = random.Random(seed)
     quota, clock = make(share=0.25)
-    asks, extras = [], []
+    request_times, extras = [], []
     for _ in range(3000):
         clock[0] += chance.random() * 0.05
         if chance.random() < 0.5:
-            quota.note_ask("llm")
-            asks.append(clock[0])
-        elif quota.try_extra("llm"):
+            quota.record_request("llm")
+            request_times.append(clock[0])
+        elif quota.charge_retry("llm"):
             extras.append(clock[0])
     for end in extras:
         mine = sum(1 for when in extras if end - 10 < when <= end)
-        assert mine <= 0.2 * sum(1 for when in asks if end - 10 <= when <= end) + 50 * 0.25
+        assert mine <= 0.2 * sum(1 for when in request_times if end - 10 <= when <= end) + 50 * 0.25
     assert extras
 
 
@@ -61,8 +61,8 @@
     sends = []
     for _ in range(2000):
         clock[0] += 0.01
-        if quota.may_send(replica=replica, service=SPEC["llm"], is_hard=True):
-            quota.note_send(replica=replica, service=SPEC["llm"])
+        if quota.may_send(replica=replica, service=SERVICES["llm"], is_hard=True):
+            quota.note_send(replica=replica, service=SERVICES["llm"])
             sends.append(clock[0])
     assert sends
     for end in sends:
@@ -72,21 +72,21 @@
     assert replica.sends[-1] == sends[-1]
 
 
-def test_an_entry_counts_from_its_renewal_and_once_for_each_core_node():
+def test_a_share_lease_counts_from_its_renewal_and_once_for_each_core_node():
     quota, clock = make(share=0)
     message = ("entry", 0.25, 0.25, 1.5, 0.25, 0, 8)
-    quota.take_entry("10.0.0.1:1", message, sent_at=99.0)
-    quota.take_entry("10.0.0.1:1", message, sent_at=99.8)  # by a link that was opened again
+    quota.handle_share_lease("10.0.0.1:1", message, sent_at=99.0)
+    quota.handle_share_lease("10.0.0.1:1", message, sent_at=99.8)  # by a link that was opened again
     assert quota.share() == 0.25
-    quota.take_entry("10.0.0.1:1", ("entry", 0.5, 0.5, 1.5, 0.25, 0, 8), sent_at=99.4)  # late
+    quota.handle_share_lease("10.0.0.1:1", ("entry", 0.5, 0.5, 1.5, 0.25, 0, 8), sent_at=99.4)  # late
     assert quota.share() == 0.25
-    quota.take_entry("10.0.0.2:1", message, sent_at=98.0)  # found by a thawed process: it has run out
+    quota.handle_share_lease("10.0.0.2:1", message, sent_at=98.0)  # found by a thawed process: it has run out
     assert quota.share() == 0.25
     clock[0] = 101.31
     assert quota.share() == 0.0
 
 
-class Held:
+class StubConnection:
     """A core node's end of a link, as far as an entry needs it."""
 
     def __init__(self, peer):
@@ -99,16 +99,16 @@
     """All nodes press at once, some come and go, some have old entries: what they send in any second is counted."""
     chance = random.Random(seed)
     clock = [100.0]
-    life_s, bound = 1.5, 10 * 1.5 + 5
-    books = [share_leases.Slots(now=lambda: clock[0], hold_s=life_s + 1.5) for _ in range(cores)]
-    links = [Held(f"10.0.0.{number}:1") for number in range(cores)]
+    lease_s, bound = 1.5, 10 * 1.5 + 5
+    books = [share_leases.RateSlots(now=lambda: clock[0], hold_s=lease_s + 1.5) for _ in range(cores)]
+    links = [StubConnection(f"10.0.0.{number}:1") for number in range(cores)]
     nodes = {}
-    lives = 0
+    started_nodes = 0
 
     def start():
-        nonlocal lives
-        lives += 1
-        nodes[f"n{lives}"] = (
+        nonlocal started_nodes
+        started_nodes += 1
+        nodes[f"n{started_nodes}"] = (
             shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings()),
             [
                 replica_table.Replica(
@@ -136,24 +136,24 @@
         if chance.random() < 0.2:
             nodes.pop(chance.choice(list(nodes)))
             start()
-        for name, (quota, held) in nodes.items():
+        for name, (quota, cold_replicas) in nodes.items():
             if step % 8 == 0:
-                for book, link in zip(books, links, strict=False):
+                for share_table, link in zip(books, links, strict=False):
                     if chance.random() < 0.9:
-                        quota.take_entry(
+                        quota.handle_share_lease(
                             link,
                             (
                                 "entry",
                                 0.9 / count / cores,
                                 0.9 / count / cores,
-                                life_s,
+                                lease_s,
                                 1 / cores,
-                                *book.renew(node=name),
+                                *share_table.renew(node=name),
                             ),
                         )
-            for replica in held:
-                if quota.may_send(replica=replica, service=SPEC["llm"], is_hard=True):
-                    quota.note_send(replica=replica, service=SPEC["llm"])
+            for replica in cold_replicas:
+                if quota.may_send(replica=replica, service=SERVICES["llm"], is_hard=True):
+                    quota.note_send(replica=replica, service=SERVICES["llm"])
                     sends[replica.id].append(clock[0])
     for times in sends.values():
         assert len(times) > 8  # they get something to do
@@ -165,26 +165,26 @@
 def test_no_two_nodes_that_may_act_hold_the_same_slot(seed):
     chance = random.Random(seed)
     clock = [0.0]
-    slots = share_leases.Slots(now=lambda: clock[0], hold_s=3.0)
-    told = []  # (node, slot, size, until)
+    slots = share_leases.RateSlots(now=lambda: clock[0], hold_s=3.0)
+    granted = []  # (node, slot, size, until)
     for _ in range(2000):
         clock[0] += chance.random() * 0.05
         node = f"n{chance.randrange(chance.choice((5, 40, 70)))}"
         slot, size = slots.renew(node=node)
         if size:
             assert slot < size
-            told = [row for row in told if row[3] > clock[0] and row[0] != node]
-            assert all(row[1] != slot and row[2] == size for row in told)
-            told.append((node, slot, size, clock[0] + 3.0))
-    assert told
+            granted = [row for row in granted if row[3] > clock[0] and row[0] != node]
+            assert all(row[1] != slot and row[2] == size for row in granted)
+            granted.append((node, slot, size, clock[0] + 3.0))
+    assert granted
 
 
 def make_chooser(rows):
     loop = event_loop.Loop()
     quota = shared_limits.Quota(now=loop.now, settings=loopback_proxy.settings())
-    quota.take_entry("core", ("entry", 1.0, 1.0, 1000.0, 1.0, 0, 8))
+    quota.handle_share_lease("core", ("entry", 1.0, 1.0, 1000.0, 1.0, 0, 8))
     table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
-    table.services = SPEC
+    table.services = SERVICES
     table.install_list(rows)
     return replica_chooser.Chooser(
         table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
@@ -215,14 +215,14 @@
     chooser, table = make_chooser(rows)
     chosen = []
     for step in range(200):
-        act = chance.random()
-        if act < 0.1:
+        callback = chance.random()
+        if callback < 0.1:
             table.install_evacuations(chance.sample(("za", "zb"), chance.randint(0, 2)))
-        elif act < 0.2:
+        elif callback < 0.2:
             rows = [{**one, "is_clearing": chance.random() < 0.3} for one in rows]
             table.install_list(rows)
-        elif act < 0.3 and table.replicas:
-            table.suspect(chance.choice(list(table.replicas.values())))
+        elif callback < 0.3 and table.replicas:
+            table.mark_suspected(chance.choice(list(table.replicas.values())))
         permitted = chance.choice((None, frozenset(("north",)), frozenset(("south",)), frozenset()))
         replica, _tokens, _is_any = chooser.choose(
             service="llm",
@@ -236,18 +236,18 @@
             chosen.append(replica)
             replica.running += 1
             assert permitted is None or zones[replica.zone] in permitted
-            assert replica.zone not in table.out_zones and not replica.is_clearing
+            assert replica.zone not in table.evacuated_zones and not replica.is_clearing
     assert len(chosen) > 20
 
 
-def test_a_new_life_during_traffic_counts_as_cold_and_so_does_a_zone_taken_back():
+def test_a_new_incarnation_during_traffic_is_warming_up_and_so_is_a_restored_zone():
     chooser, table = make_chooser([row("i1")])
-    assert table.replicas["i1"].cold_until == 0.0
+    assert table.replicas["i1"].warming_up_until == 0.0
     table.install_list([row("i1"), row("i2", zone="zb")])
-    assert table.replicas["i2"].cold_until > table._loop.now() + 2.5
+    assert table.replicas["i2"].warming_up_until > table._loop.now() + 2.5
     table.install_evacuations(("za",))
     table.install_evacuations(())
-    assert table.replicas["i1"].cold_until > table._loop.now() + 2.5
+    assert table.replicas["i1"].warming_up_until > table._loop.now() + 2.5
 
 
 def test_all_proxies_name_the_same_first_reader_of_unknown_shared_parts():
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -8,18 +8,18 @@
 from ploverward.data_plane.relay import cuckoo_filter
 
 BUCKET_COUNT = 1024  # to begin with, at least
-MOST_TO_BEGIN = 1 << 14
+MAX_INITIAL_BUCKETS = 1 << 14
 PART_TOKENS = 512  # of a kept part: what a filter is sized for, since one that grows is told anew to all
-FILL = 0.7  # of a filter's slots
-MOST_BUCKETS = 1 << 17
-SPARE_LANES = 1.5  # of the replicas listed: a roll-out has old and new lives side by side
+TARGET_LOAD_FACTOR = 0.7  # of a filter's slots
+MAX_BUCKETS = 1 << 17
+OWNER_BIT_HEADROOM = 1.5  # of the replicas listed: a roll-out has old and new lives side by side
 
 
 def buckets_for(*, cache_tokens: int, replicas: int) -> int:
     """Buckets of a filter for all that so many replicas keep, a power of two."""
-    wanted = cache_tokens / PART_TOKENS * replicas / (cuckoo_filter.SLOTS * FILL)
+    wanted = cache_tokens / PART_TOKENS * replicas / (cuckoo_filter.SLOTS * TARGET_LOAD_FACTOR)
     count = BUCKET_COUNT
-    while count < min(wanted, MOST_TO_BEGIN):
+    while count < min(wanted, MAX_INITIAL_BUCKETS):
         count *= 2
     return count
 
@@ -29,7 +29,7 @@
         self.cache_tokens = cache_tokens
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
         self.is_short = False  # the filter had no room for a hash
-        self.lanes = {}  # replica id: lane
+        self.owner_bits = {}  # replica id: lane
         self._kept = {}  # replica id: OrderedDict hash -> tokens, oldest first
         self._sizes = {}
         self._owners = {}  # hash: {replica id: True}, the first owner first
@@ -37,12 +37,12 @@
         self.omitted = 0
 
     def admit(self, replica: str) -> bool:
-        if replica in self.lanes:
+        if replica in self.owner_bits:
             return True
-        lane = 0 if self.is_wide else self._next_lane()
-        if not self.is_wide and lane >= self.filter.words * cuckoo_filter.WORD_LANES:
+        owner_bit = 0 if self.is_wide else self._next_owner_bit()
+        if not self.is_wide and owner_bit >= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD:
             return False
-        self.lanes[replica] = lane
+        self.owner_bits[replica] = owner_bit
         self._kept[replica] = collections.OrderedDict()
         self._sizes[replica] = 0
         return True
@@ -52,21 +52,24 @@
         """Whether slots name owners by tags: then a replica's lane says nothing."""
         return self.filter.words == cuckoo_filter.WIDE
 
-    def _next_lane(self) -> int:
-        held = set(self.lanes.values())
-        return next(lane for lane in range(len(held) + 1) if lane not in held)
+    def _next_owner_bit(self) -> int:
+        owned = set(self.owner_bits.values())
+        return next(owner_bit for owner_bit in range(len(owned) + 1) if owner_bit not in owned)
 
-    def has_lanes_for(self, *, replicas) -> bool:
-        return self.is_wide or len(set(self.lanes) | set(replicas)) <= self.filter.words * cuckoo_filter.WORD_LANES
+    def has_owner_bits_for(self, *, replicas) -> bool:
+        return (
+            self.is_wide
+            or len(set(self.owner_bits) | set(replicas)) <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
+        )
 
-    def resize(self, *, lanes: int) -> None:
+    def resize(self, *, owner_bits: int) -> None:
         """A larger filter, made from the exact ownership. Goes with a new generation. A wide pool stays wide."""
-        wanted = cuckoo_filter.words_for(lanes=lanes)
+        wanted = cuckoo_filter.words_for(owner_bits=owner_bits)
         words = (
             cuckoo_filter.WIDE if cuckoo_filter.WIDE in (wanted, self.filter.words) else max(self.filter.words, wanted)
         )
         bucket_count = self.filter.bucket_count
-        if self.is_short and bucket_count < MOST_BUCKETS:
+        if self.is_short and bucket_count < MAX_BUCKETS:
             bucket_count *= 2
         while True:
             self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
@@ -74,10 +77,10 @@
             for full_hash in self._owners:
                 self._groups.setdefault(self._group(full_hash), set()).add(full_hash)
             missed = sum(
-                not self.filter.put(full_hash=next(iter(held)), bits=self._bits(group))
-                for group, held in self._groups.items()
+                not self.filter.put(full_hash=next(iter(owned)), bits=self._bits(group))
+                for group, owned in self._groups.items()
             )
-            if not missed or bucket_count >= MOST_BUCKETS:
+            if not missed or bucket_count >= MAX_BUCKETS:
                 break
             bucket_count *= 2
         self.is_short = False
@@ -95,14 +98,14 @@
             return
         kept = self._kept[replica]
         last = len(rows) - 1
-        for place, (full_hash, tokens) in enumerate(rows):
+        for index, (full_hash, tokens) in enumerate(rows):
             if full_hash in kept:
                 kept.move_to_end(full_hash)
                 continue
             kept[full_hash] = tokens
             self._sizes[replica] += tokens
             # The last part is the request's own or its session's: until somebody else has it, few will look for it.
-            self._own(replica, full_hash, may_wait=place == last and full_hash not in self._owners)
+            self._own(replica, full_hash, may_wait=index == last and full_hash not in self._owners)
         # Children are used no later than their parents: walk back so that the root is the youngest.
         for full_hash, _tokens in reversed(rows):
             if full_hash in kept:
@@ -128,10 +131,12 @@
         for full_hash in kept:
             self._disown(replica, full_hash)
         self._sizes.pop(replica, None)
-        self.lanes.pop(replica, None)
+        self.owner_bits.pop(replica, None)
 
     def _group(self, full_hash: bytes) -> tuple:
-        fingerprint, first, second = cuckoo_filter.place_of(full_hash=full_hash, bucket_count=self.filter.bucket_count)
+        fingerprint, first, second = cuckoo_filter.fingerprint_and_buckets(
+            full_hash=full_hash, bucket_count=self.filter.bucket_count
+        )
         return fingerprint, min(first, second)
 
     def _bits(self, group: tuple) -> int:
@@ -141,7 +146,7 @@
         bits = 0
         for full_hash in self._groups.get(group, ()):
             for owner in self._owners.get(full_hash, ()):
-                bits |= 1 << self.lanes[owner]
+                bits |= 1 << self.owner_bits[owner]
         return bits
 
     def _wide_bits(self, group: tuple) -> int:
@@ -149,7 +154,7 @@
         if len(hashes) == 1:
             owners = self._owners.get(next(iter(hashes)), {})
         else:
-            owners = dict.fromkeys(owner for held in hashes for owner in self._owners.get(held, ()))
+            owners = dict.fromkeys(owner for owned in hashes for owner in self._owners.get(owned, ()))
         first = itertools.islice(owners, cuckoo_filter.OWNERS_NAMED)
         return cuckoo_filter.wide_value(
             count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
@@ -162,7 +167,7 @@
         self._groups.setdefault(group, set()).add(full_hash)
         if not self.filter.put(full_hash=full_hash, bits=self._bits(group), may_wait=may_wait):
             self.omitted += 1  # an observable omission; ownership stays exact
-            self.is_short = self.filter.bucket_count < MOST_BUCKETS
+            self.is_short = self.filter.bucket_count < MAX_BUCKETS
 
     def _disown(self, replica: str, full_hash: bytes) -> None:
         """A subscriber that hears of it late takes a part for kept that is read again, as it would be anyway."""
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -10,15 +10,17 @@
 import struct
 
 SLOTS = 4
-WORD_LANES = 32  # lane masks grow by such words, as many as the replicas that are listed need
-MOST_LANES = 16  # a pool that needs more is wide: when many replicas leave at once, their lanes cost a burst to clear
-MOST_LANE_WORDS = 4  # of an image that a mirror takes
+BITS_PER_MASK_WORD = 32  # lane masks grow by such words, as many as the replicas that are listed need
+MAX_OWNER_BITS = (
+    16  # a pool that needs more is wide: when many replicas leave at once, their lanes cost a burst to clear
+)
+MAX_MASK_WORDS = 4  # of an image that a mirror takes
 WIDE = 0  # stands in place of a count of words
 OWNERS_NAMED = 4  # of a wide pool's slot
 TAG_SIZE = 3  # the front of a replica's key: of a thousand replicas two are alike once in thirty pools
-MOST_OWNERS = 255  # a slot counts no further
+MAX_OWNERS = 255  # a slot counts no further
 _WIDE_SIZE = 1 + OWNERS_NAMED * TAG_SIZE
-MOST_KICKS = 64
+MAX_KICKS = 64
 
 
 def value_size(*, words: int) -> int:
@@ -31,14 +33,14 @@
     return struct.Struct(">" + f"H{value_size(words=words)}s" * SLOTS)
 
 
-def words_for(*, lanes: int) -> int:
-    return max(1, -(-lanes // WORD_LANES)) if lanes <= MOST_LANES else WIDE
+def words_for(*, owner_bits: int) -> int:
+    return max(1, -(-owner_bits // BITS_PER_MASK_WORD)) if owner_bits <= MAX_OWNER_BITS else WIDE
 
 
 def wide_value(*, count: int, tags) -> int:
     """What a wide pool's slot says: how many owners, and the tags of the first `OWNERS_NAMED` of them."""
     named = b"".join(tags).ljust(OWNERS_NAMED * TAG_SIZE, b"\0")
-    return int.from_bytes(bytes([min(count, MOST_OWNERS)]) + named, "big")
+    return int.from_bytes(bytes([min(count, MAX_OWNERS)]) + named, "big")
 
 
 def read_wide(value: int) -> tuple:
@@ -47,7 +49,7 @@
         return 0, ()
     data = value.to_bytes(_WIDE_SIZE, "big")
     count = data[0]
-    tags = tuple(data[place : place + TAG_SIZE] for place in range(1, _WIDE_SIZE, TAG_SIZE))
+    tags = tuple(data[position : position + TAG_SIZE] for position in range(1, _WIDE_SIZE, TAG_SIZE))
     return count, tags[: min(count, OWNERS_NAMED)]
 
 
@@ -55,7 +57,7 @@
     return bytes(_shape(words).size)
 
 
-def place_of(*, full_hash: bytes, bucket_count: int) -> tuple:
+def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> tuple:
     """(fingerprint, first bucket, second bucket). bucket_count is a power of two."""
     fingerprint = int.from_bytes(full_hash[:2], "big") or 1
     first = int.from_bytes(full_hash[2:6], "big") % bucket_count
@@ -84,8 +86,8 @@
     """Canonical sequence hashes from (token hash, tokens) in order."""
     rows = []
     parent = b""
-    for held, tokens in parts:
-        parent = sequence_hash(parent=parent, token_hash=held)
+    for stored_hash, tokens in parts:
+        parent = sequence_hash(parent=parent, token_hash=stored_hash)
         rows.append((parent, tokens))
     return tuple(rows)
 
@@ -95,25 +97,25 @@
 
     A fingerprint stands in one of its two buckets at most, so no two values are mixed.
     """
-    fingerprint, first, second = place_of(full_hash=full_hash, bucket_count=len(images))
+    fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(images))
     value = 0
     for index in (first, second):
         flat = _shape(words).unpack(images[index])
-        for place in range(0, 2 * SLOTS, 2):
-            if flat[place] == fingerprint:
-                value |= int.from_bytes(flat[place + 1], "big")
+        for position in range(0, 2 * SLOTS, 2):
+            if flat[position] == fingerprint:
+                value |= int.from_bytes(flat[position + 1], "big")
     return value
 
 
 def find(*, buckets, full_hash: bytes) -> int:
     """Lane bits of the owners by a list of bucket slots; 0 where unknown."""
-    fingerprint, first, second = place_of(full_hash=full_hash, bucket_count=len(buckets))
-    lanes = 0
+    fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(buckets))
+    owner_bits = 0
     for index in (first, second):
-        for held, bits in buckets[index]:
-            if held == fingerprint:
-                lanes |= bits
-    return lanes
+        for stored_hash, bits in buckets[index]:
+            if stored_hash == fingerprint:
+                owner_bits |= bits
+    return owner_bits
 
 
 class Filter:
@@ -128,12 +130,12 @@
 
     def _locate(self, fingerprint: int, first: int, second: int):
         for index in (first, second):
-            for slot, (held, _bits) in enumerate(self.buckets[index]):
-                if held == fingerprint:
+            for slot, (stored_hash, _bits) in enumerate(self.buckets[index]):
+                if stored_hash == fingerprint:
                     return index, slot
         return None
 
-    def take_dirty(self) -> tuple:
+    def pop_dirty(self) -> tuple:
         """(buckets that changed, those of them that may wait), since the last call."""
         taken = self.dirty, self.dirty_later - self.dirty
         self.dirty, self.dirty_later = set(), set()
@@ -144,54 +146,54 @@
 
         `may_wait`: subscribers lose little where they are told of it later than of others.
         """
-        fingerprint, first, second = place_of(full_hash=full_hash, bucket_count=self.bucket_count)
+        fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         found = self._locate(fingerprint, first, second)
         if found is not None:
             index, slot = found
             if self.buckets[index][slot][1] != bits:
                 self.buckets[index][slot] = (fingerprint, bits)
-                self._marks(may_wait).add(index)
+                self._dirty_set(may_wait).add(index)
             return True
-        return self._insert(fingerprint, bits, first, second, self._marks(may_wait))
+        return self._insert(fingerprint, bits, first, second, self._dirty_set(may_wait))
 
-    def _marks(self, may_wait: bool) -> set:
+    def _dirty_set(self, may_wait: bool) -> set:
         return self.dirty_later if may_wait else self.dirty
 
-    def _insert(self, fingerprint: int, bits: int, first: int, second: int, marks: set) -> bool:
+    def _insert(self, fingerprint: int, bits: int, first: int, second: int, dirty: set) -> bool:
         for index in (first, second):
-            for slot, (held, _bits) in enumerate(self.buckets[index]):
-                if held == 0:
+            for slot, (stored_hash, _bits) in enumerate(self.buckets[index]):
+                if stored_hash == 0:
                     self.buckets[index][slot] = (fingerprint, bits)
-                    marks.add(index)
+                    dirty.add(index)
                     return True
         moves = []
         index = first
         row = (fingerprint, bits)
-        for step in range(MOST_KICKS):
+        for step in range(MAX_KICKS):
             slot = (step + row[0]) % SLOTS
             moves.append((index, slot, self.buckets[index][slot]))
             row, self.buckets[index][slot] = self.buckets[index][slot], row
             index = other_bucket(bucket=index, fingerprint=row[0], bucket_count=self.bucket_count)
-            for free, (held, _bits) in enumerate(self.buckets[index]):
-                if held == 0:
+            for free, (stored_hash, _bits) in enumerate(self.buckets[index]):
+                if stored_hash == 0:
                     self.buckets[index][free] = row
-                    marks.add(index)
-                    marks.update(place for place, _slot, _old in moves)
+                    dirty.add(index)
+                    dirty.update(position for position, _slot, _old in moves)
                     return True
         for index, slot, old in reversed(moves):  # no room: nothing is left half moved
             self.buckets[index][slot] = old
         return False
 
     def remove(self, *, full_hash: bytes, may_wait: bool = False) -> None:
-        fingerprint, first, second = place_of(full_hash=full_hash, bucket_count=self.bucket_count)
+        fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         found = self._locate(fingerprint, first, second)
         if found is not None:
             index, slot = found
             self.buckets[index][slot] = (0, 0)
-            self._marks(may_wait).add(index)
+            self._dirty_set(may_wait).add(index)
 
     def image(self, index: int) -> bytes:
         flat = []
-        for held, bits in self.buckets[index]:
-            flat += (held, bits.to_bytes(value_size(words=self.words), "big"))
+        for stored_hash, bits in self.buckets[index]:
+            flat += (stored_hash, bits.to_bytes(value_size(words=self.words), "big"))
         return _shape(self.words).pack(*flat)
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -11,16 +11,16 @@
     It lives under the epoch of the region's relay.
     """
 
-    def __init__(self, *, loop, region: str, epoch: int, port: int, silence_s: float, regions, trust_s: float):
+    def __init__(self, *, loop, region: str, epoch: int, port: int, peer_timeout_s: float, regions, trust_s: float):
         self.epoch = epoch
         self.far = tuple(name for name in regions if name != region)
         self._relays = {}
         self._zone_epochs = {}  # duty: the newest epoch of it that enrolled
         self.digest = digest.Digest(
             loop=loop,
-            place=digest.Place(region=region, zone=singleton_roles.relay_name(region=region), epoch=epoch),
+            identity=digest.DigestIdentity(region=region, zone=singleton_roles.relay_name(region=region), epoch=epoch),
             port=port,
-            silence_s=silence_s,
+            peer_timeout_s=peer_timeout_s,
             regions=regions,
             mirrors={name: mirror.Region(now=loop.now, trust_s=trust_s) for name in self.far},
             on_credit=lambda region, number: None,
@@ -35,7 +35,7 @@
             return
         for region in self.far:
             if region in relays:
-                self.digest.follow_relay(region=region, holder=relays[region])
+                self.digest.follow_relay(region=region, owner=relays[region])
 
     def enroll(self, link, *, zone: str, zone_epoch: int) -> None:
         """A digest of this region. One of an older epoch of the same duty is refused."""
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -18,7 +18,7 @@
 from ploverward.data_plane.relay import resolution
 
 FAR_TICKS = 2  # what is told crosses regions so much less often
-LEAST_ROWS = 16  # loads told at a time, whatever the size of the region
+MIN_LOAD_ROWS = 16  # loads told at a time, whatever the size of the region
 ROWS_SHARE = 1 / 16  # of the region's replicas: the same in a large one
 NEAR_BUCKETS = 8  # buckets of each pool's filter told at a time
 FAR_BUCKETS = 6
@@ -34,13 +34,13 @@
         self.zone_epoch = zone_epoch
         self.parts = {}  # replica key: (running, tokens, marks)
         self.counted = 0
-        self.told_counted = 0
+        self.acknowledged_counted = 0
 
 
 class Host:
     """Only lives under one epoch; a new epoch makes a new one, with new generations."""
 
-    def __init__(self, *, region: str, epoch: int, now, suspect_s: float):
+    def __init__(self, *, region: str, epoch: int, now, suspicion_s: float):
         self.region = region
         self.epoch = epoch
         self.registry = pool_registry.Registry(
@@ -48,7 +48,7 @@
         )
         self.subscribers = {}  # link: Subscriber
         self.totals = {}  # replica key: [running, tokens, marks]
-        self._judge = outcomes.Judge(now=now, suspect_s=suspect_s)
+        self._judge = outcomes.Judge(now=now, suspicion_s=suspicion_s)
         self._zone_epochs = {}  # zone: the newest epoch of its digest
         self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether it goes far
         self._scales = {}  # replica key: load_feed.Scale
@@ -64,7 +64,7 @@
         self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
         self._scales = {
             row_codec.key_of(row["id"]): load_feed.Scale(
-                berths=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
+                batch_slots=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
             for row in replicas
         }
@@ -86,7 +86,7 @@
                 if known.is_far in new:
                     self.registry.join(pool=pool, link=link, is_far=known.is_far)
 
-    def _tell(self, message: tuple, *, links=None) -> None:
+    def _broadcast(self, message: tuple, *, links=None) -> None:
         """One frame, packed once. A subscriber that does not read loses its own stream alone."""
         frame = frames.pack(message)
         for link in list(self.subscribers if links is None else links):
@@ -96,10 +96,10 @@
             link.send_bytes(frame)
 
     def _withdrawn(self, pool) -> None:
-        self._tell(("withdrawn", pool.name, pool.generation))
+        self._broadcast(("withdrawn", pool.name, pool.generation))
 
     def _catalogue(self) -> None:
-        self._tell(("catalogue", self.epoch, self.registry.rows()))
+        self._broadcast(("catalogue", self.epoch, self.registry.rows()))
 
     def subscribe(self, link, *, region: str, zone: str = "", zone_epoch: int = 0) -> None:
         """A digest's stream. One of an older epoch of the same zone is over; one that comes under it is closed."""
@@ -113,10 +113,10 @@
                     other.close(reason="a newer digest of the zone")
         is_far = region != self.region
         self.subscribers[link] = Subscriber(is_far=is_far, zone=zone, zone_epoch=zone_epoch)
-        self._tell(("catalogue", self.epoch, self.registry.rows()), links=[link])
+        self._broadcast(("catalogue", self.epoch, self.registry.rows()), links=[link])
         for pool in self.registry.pools.values():
             self.registry.join(pool=pool, link=link, is_far=is_far)
-        self._tell(("load", self.epoch, True, self._feeds[is_far].whole()), links=[link])
+        self._broadcast(("load", self.epoch, True, self._feeds[is_far].snapshot()), links=[link])
 
     def end(self, link) -> None:
         """The digest is gone: its sums are withdrawn whole."""
@@ -129,17 +129,17 @@
 
     def _add(self, key: bytes, load: tuple, before: tuple) -> None:
         total = self.totals.setdefault(key, [0, 0, 0])
-        for place in range(3):
-            total[place] += load[place] - before[place]
+        for column in range(3):
+            total[column] += load[column] - before[column]
         if not any(total):
             del self.totals[key]
         self._note(key)
 
     def _note(self, key: bytes) -> None:
         for feed in self._feeds.values():
-            feed.note(key)
+            feed.record(key)
 
-    def take_sums(self, link, message: tuple) -> None:
+    def handle_aggregates(self, link, message: tuple) -> None:
         """One cut of a digest; a malformed one raises before anything changes."""
         known = self.subscribers.get(link)
         if known is None:
@@ -148,10 +148,10 @@
         loads = row_codec.rows(shape=row_codec.REPORTED, data=data)
         reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=read_data)]
         if number <= known.counted:
-            raise errors.FrameProblem(f"cut {number} after {known.counted}", step="sums")
+            raise errors.FrameError(f"cut {number} after {known.counted}", step="sums")
         is_new = False
-        for key, _region, running, tokens, marks, ended, failed in loads:
-            load = (running, tokens, marks)
+        for key, _region, running, tokens, suspect_count, ended, failed in loads:
+            load = (running, tokens, suspect_count)
             before = known.parts.get(key, NOTHING)
             if load != before:
                 self._add(key, load, before)
@@ -169,22 +169,25 @@
         if is_new:
             self._resolve()
         for key, domain, parts in reads:
-            self._take_read(key, domain.hex(), parts)
+            self._handle_read(key, domain.hex(), parts)
 
-    def _take_read(self, key: bytes, domain: str, parts) -> None:
+    def _handle_read(self, key: bytes, domain: str, parts) -> None:
         pool = self.registry.find_domain(domain=domain)
         name = self._ids.get(key)
-        if pool is not None and name in pool.actor.lanes:
+        if pool is not None and name in pool.actor.owner_bits:
             pool.actor.read(replica=name, rows=cuckoo_filter.extend(parts=parts))
 
     def _load_of(self, key: bytes) -> load_feed.Load:
-        running, tokens, marks = self.totals.get(key, NOTHING)
-        berths = self._scales.get(key, load_feed.NO_SCALE).berths
+        running, tokens, suspect_count = self.totals.get(key, NOTHING)
+        batch_slots = self._scales.get(key, load_feed.NO_SCALE).batch_slots
         flags = load_feed.FAILING if key in self._judge.failing else 0
-        if berths and running >= berths * load_feed.FULL_SHARE:
+        if batch_slots and running >= batch_slots * load_feed.FULL_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
-            running=row_codec.short(running), tokens=row_codec.long(tokens), marks=row_codec.short(marks), flags=flags
+            running=row_codec.short(running),
+            tokens=row_codec.long(tokens),
+            suspect_count=row_codec.short(suspect_count),
+            flags=flags,
         )
 
     def tick(self) -> None:
@@ -192,7 +195,7 @@
         self._join_new()
         self._ticks += 1
         for key in self._judge.look():
-            event_log.note("outcomes", replica=self._ids.get(key, ""), is_failing=key in self._judge.failing)
+            event_log.record("outcomes", replica=self._ids.get(key, ""), is_failing=key in self._judge.failing)
             self._note(key)
         self._publish(is_far=False)
         if self._ticks % FAR_TICKS == 0:
@@ -204,12 +207,14 @@
         links = [link for link, known in self.subscribers.items() if known.is_far == is_far]
         for link in links:
             known = self.subscribers[link]
-            if known.counted != known.told_counted:
-                known.told_counted = known.counted
+            if known.counted != known.acknowledged_counted:
+                known.acknowledged_counted = known.counted
                 link.send(("counted", known.counted))
-        most = max(LEAST_ROWS, math.ceil(len(self._ids) * ROWS_SHARE)) if links else len(self._ids) + len(self.totals)
+        most = (
+            max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE)) if links else len(self._ids) + len(self.totals)
+        )
         data = self._feeds[is_far].take(
             load_of=self._load_of, scale_of=lambda key: self._scales.get(key, load_feed.NO_SCALE), most=most
         )
         if data and links:
-            self._tell(("load", self.epoch, False, data), links=links)
+            self._broadcast(("load", self.epoch, False, data), links=links)
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -9,7 +9,7 @@
 ROW = struct.Struct(">II")  # bucket, its sequence; the image follows
 
 
-class Fenced(errors.Problem):
+class Fenced(errors.PloverwardError):
     """Identity, lease, sequence or encoding fault: the generation is over."""
 
 
@@ -49,7 +49,7 @@
     def subscriber_count(self) -> int:
         return len(self._subscribers)
 
-    def note(self, *, dirty, dirty_later) -> None:
+    def record(self, *, dirty, dirty_later) -> None:
         """Buckets of the filter that changed."""
         for index in sorted(dirty):
             self._waiting_later.pop(index, None)
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -15,12 +15,16 @@
 
     running: int = 0
     tokens: int = 0  # still to be read
-    marks: int = 0  # proxies that mark it as silent
+    suspect_count: int = 0  # proxies that mark it as silent
     flags: int = 0
 
     def pack(self, key: bytes) -> bytes:
         return row_codec.LOAD.pack(
-            key, row_codec.short(self.running), row_codec.long(self.tokens), row_codec.short(self.marks), self.flags
+            key,
+            row_codec.short(self.running),
+            row_codec.long(self.tokens),
+            row_codec.short(self.suspect_count),
+            self.flags,
         )
 
 
@@ -28,7 +32,7 @@
 class Scale:
     """What a replica takes at most: its places, and the tokens that it keeps."""
 
-    berths: int = 0  # 0: not known
+    batch_slots: int = 0  # 0: not known
     tokens: int = 1
 
 
@@ -40,16 +44,16 @@
     """What all subscribers of one pace were told, and what is still to be told to them."""
 
     def __init__(self):
-        self._told = {}  # replica key: Load; none is NO_LOAD
+        self._published = {}  # replica key: Load; none is NO_LOAD
         self._waiting = {}  # replica key: how often it was passed over
 
-    def note(self, key: bytes) -> None:
+    def record(self, key: bytes) -> None:
         """This replica's load changed."""
         self._waiting.setdefault(key, 0)
 
-    def whole(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Rows of all that was told: where a subscriber stands that joins now."""
-        return b"".join(self._told[key].pack(key) for key in sorted(self._told))
+        return b"".join(self._published[key].pack(key) for key in sorted(self._published))
 
     def take(self, *, load_of, scale_of, most: int) -> bytes:
         """Rows to be told now, at most so many: those that moved most, and in time each.
@@ -59,7 +63,7 @@
         moved = {}
         for key in list(self._waiting):
             load = load_of(key)
-            if load == self._told.get(key, NO_LOAD):
+            if load == self._published.get(key, NO_LOAD):
                 del self._waiting[key]
             else:
                 moved[key] = load
@@ -75,15 +79,15 @@
 
     def _moved_by(self, key: bytes, load: Load, scale: Scale) -> float:
         """How far the load is from what was told, in parts of what the replica takes."""
-        told = self._told.get(key, NO_LOAD)
-        moved = abs(load.running - told.running) / max(1, scale.berths)
-        moved += abs(load.tokens - told.tokens) / max(1, scale.tokens)
-        if (load.marks > 0, load.flags) != (told.marks > 0, told.flags):
+        published = self._published.get(key, NO_LOAD)
+        moved = abs(load.running - published.running) / max(1, scale.batch_slots)
+        moved += abs(load.tokens - published.tokens) / max(1, scale.tokens)
+        if (load.suspect_count > 0, load.flags) != (published.suspect_count > 0, published.flags):
             moved += 1.0
         return moved + self._waiting[key] * AGE_WEIGHT
 
     def _keep(self, key: bytes, load: Load) -> None:
         if load == NO_LOAD:
-            self._told.pop(key, None)
+            self._published.pop(key, None)
         else:
-            self._told[key] = load
+            self._published[key] = load
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -9,7 +9,7 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 
-MOST_PART = 0.5  # of a wide pool's replicas: a part that so many keep is taken to be kept by all
+ASSUMED_OWNERS_SHARE = 0.5  # of a wide pool's replicas: a part that so many keep is taken to be kept by all
 
 
 @dataclasses.dataclass(frozen=True)
@@ -20,20 +20,20 @@
     tags: tuple = ()
     is_most: bool = False  # so many that one that is not named is taken for an owner too
     bits: int = 0
-    lanes: dict | None = None
+    owner_bits: dict | None = None
 
     def names(self, key: bytes) -> bool:
         """Whether this replica is known to be an owner."""
-        if self.lanes is None:
+        if self.owner_bits is None:
             return key[: cuckoo_filter.TAG_SIZE] in self.tags
-        lane = self.lanes.get(key)
-        return lane is not None and bool(self.bits >> lane & 1)
+        owner_bit = self.owner_bits.get(key)
+        return owner_bit is not None and bool(self.bits >> owner_bit & 1)
 
     def some_tags(self) -> tuple:
         """Tags of the first few that are named."""
-        if self.lanes is None:
+        if self.owner_bits is None:
             return self.tags
-        keys = (key for key, lane in self.lanes.items() if self.bits >> lane & 1)
+        keys = (key for key, owner_bit in self.owner_bits.items() if self.bits >> owner_bit & 1)
         return tuple(key[: cuckoo_filter.TAG_SIZE] for key in itertools.islice(keys, cuckoo_filter.OWNERS_NAMED))
 
 
@@ -45,7 +45,7 @@
         self.service = service
         self.model = model
         self.generation = generation
-        self.lanes = {}  # replica key: lane
+        self.owner_bits = {}  # replica key: lane
         self.words = 1
         self.buckets = None  # images
         self.versions = None
@@ -53,23 +53,23 @@
     def _rows(self, data: bytes, *, size: int, bucket_count: int, step: str) -> list:
         width = hub.ROW.size + size
         if len(data) % width:
-            raise errors.FrameProblem(f"{len(data)} bytes of rows", step=step, peer=self.name)
+            raise errors.FrameError(f"{len(data)} bytes of rows", step=step, peer=self.name)
         rows = []
-        for place in range(0, len(data), width):
-            index, version = hub.ROW.unpack_from(data, place)
+        for offset in range(0, len(data), width):
+            index, version = hub.ROW.unpack_from(data, offset)
             if index >= bucket_count:
-                raise errors.FrameProblem(f"bucket {index}", step=step, peer=self.name)
-            rows.append((index, version, data[place + hub.ROW.size : place + width]))
+                raise errors.FrameError(f"bucket {index}", step=step, peer=self.name)
+            rows.append((index, version, data[offset + hub.ROW.size : offset + width]))
         return rows
 
     def install_cut(self, *, bucket_count: int, words: int, data: bytes) -> None:
         if (
             bucket_count < 1
             or bucket_count & (bucket_count - 1)
-            or bucket_count > actor.MOST_BUCKETS
-            or not 0 <= words <= cuckoo_filter.MOST_LANE_WORDS
+            or bucket_count > actor.MAX_BUCKETS
+            or not 0 <= words <= cuckoo_filter.MAX_MASK_WORDS
         ):
-            raise errors.FrameProblem("bucket count", step="cut", peer=self.name)
+            raise errors.FrameError("bucket count", step="cut", peer=self.name)
         blank = cuckoo_filter.empty_image(words=words)
         buckets = [blank] * bucket_count
         versions = [0] * bucket_count
@@ -81,13 +81,13 @@
     def install_delta(self, *, data: bytes) -> None:
         """Every bucket is checked before any is exposed."""
         if self.buckets is None:
-            raise errors.FrameProblem("a delta before the cut", step="delta", peer=self.name)
+            raise errors.FrameError("a delta before the cut", step="delta", peer=self.name)
         rows = self._rows(
             data, size=len(cuckoo_filter.empty_image(words=self.words)), bucket_count=len(self.buckets), step="delta"
         )
         for index, version, _image in rows:
             if version != self.versions[index] + 1:
-                raise errors.FrameProblem(f"bucket {index} at {version}", step="delta", peer=self.name)
+                raise errors.FrameError(f"bucket {index} at {version}", step="delta", peer=self.name)
         for index, version, image in rows:
             self.buckets[index] = image
             self.versions[index] = version
@@ -104,16 +104,18 @@
 
     def knows(self, key: bytes) -> bool:
         """Whether the pool may name this replica. A wide pool's replicas are those of the list."""
-        return self.words == cuckoo_filter.WIDE or key in self.lanes
+        return self.words == cuckoo_filter.WIDE or key in self.owner_bits
 
     def owners(self, full_hash: bytes, *, pool_size: int = 0) -> "Owners":
         value = cuckoo_filter.find_in_images(images=self.buckets, words=self.words, full_hash=full_hash)
         if self.words == cuckoo_filter.WIDE:
             count, tags = cuckoo_filter.read_wide(value)
             return Owners(
-                count=count, tags=tags, is_most=count >= min(cuckoo_filter.MOST_OWNERS, max(1, pool_size * MOST_PART))
+                count=count,
+                tags=tags,
+                is_most=count >= min(cuckoo_filter.MAX_OWNERS, max(1, pool_size * ASSUMED_OWNERS_SHARE)),
             )
-        return Owners(count=value.bit_count(), bits=value, lanes=self.lanes)
+        return Owners(count=value.bit_count(), bits=value, owner_bits=self.owner_bits)
 
 
 class Region:
@@ -140,7 +142,7 @@
     def take(self, message: tuple) -> None:
         kind = message[0]
         if kind == "catalogue":
-            self._take_catalogue(message)
+            self._handle_catalogue(message)
         elif kind in ("cut", "delta"):
             mirror = self.mirrors.get(message[1])
             if mirror is None or mirror.generation != message[2]:
@@ -154,14 +156,14 @@
             if mirror is not None and mirror.generation == message[2]:
                 del self.mirrors[message[1]]
         elif kind == "load":
-            self._take_load(message)
+            self._handle_load(message)
 
-    def _take_load(self, message: tuple) -> None:
-        _kind, epoch, is_whole, data = message
+    def _handle_load(self, message: tuple) -> None:
+        _kind, epoch, is_snapshot, data = message
         if epoch != self.epoch:
             return
         rows = row_codec.rows(shape=row_codec.LOAD, data=data)
-        if is_whole:
+        if is_snapshot:
             self.load = {}
         for key, *load in rows:
             if any(load):
@@ -177,7 +179,7 @@
                 mirror.service,
                 mirror.model,
                 mirror.generation,
-                b"".join(row_codec.LANE.pack(key, lane) for key, lane in mirror.lanes.items()),
+                b"".join(row_codec.OWNER_BIT.pack(key, owner_bit) for key, owner_bit in mirror.owner_bits.items()),
             )
             for mirror in self.mirrors.values()
         )
@@ -187,21 +189,21 @@
         """All loads, as a relay would tell them now."""
         return ("load", self.epoch, True, b"".join(row_codec.LOAD.pack(key, *load) for key, load in self.load.items()))
 
-    def _take_catalogue(self, message: tuple) -> None:
+    def _handle_catalogue(self, message: tuple) -> None:
         _kind, epoch, rows = message
         if epoch < self.epoch:
-            raise errors.FrameProblem(f"epoch {epoch} is below {self.epoch}", step="catalogue")
-        checked = [(row, dict(row_codec.rows(shape=row_codec.LANE, data=row[4]))) for row in rows]
+            raise errors.FrameError(f"epoch {epoch} is below {self.epoch}", step="catalogue")
+        checked = [(row, dict(row_codec.rows(shape=row_codec.OWNER_BIT, data=row[4]))) for row in rows]
         if epoch != self.epoch:
             self.load = {}
         self.epoch = epoch
         self.broken_at = None
         mirrors = {}
-        for (name, service, model, generation, _data), lanes in checked:
+        for (name, service, model, generation, _data), owner_bits in checked:
             mirror = self.mirrors.get(name)
             if mirror is None or mirror.generation != generation:
                 mirror = Mirror(name=name, service=service, model=model, generation=generation)
-            mirror.lanes = lanes
+            mirror.owner_bits = owner_bits
             mirrors[name] = mirror
         self.mirrors = mirrors
 
@@ -215,7 +217,7 @@
                 return mirror
         return None
 
-    def keepers(self, *, service: str, model: str, hashes, keys) -> set:
+    def find_cache_owners(self, *, service: str, model: str, hashes, keys) -> set:
         """Those of the replicas (keys) that keep any of these parts, as far as the mirror names them."""
         mirror = self._mirror(service=service, model=model)
         if mirror is None:
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -2,19 +2,19 @@
 
 import collections
 
-SPANS = 6  # a window has so many spans
+WINDOW_BUCKETS = 6  # a window has so many spans
 FAILING_SHARE = 0.25
-LEAST_FAILED = 4  # failures below which nothing is said
-MOST_REPEATS = 3
+MIN_FAILURES = 4  # failures below which nothing is said
+MAX_REPEATED_EJECTIONS = 3
 
 
 class Judge:
     """A replica fails while too large a share of what ended in the window failed; each repeat counts for longer."""
 
-    def __init__(self, *, now, suspect_s: float):
+    def __init__(self, *, now, suspicion_s: float):
         self._now = now
-        self._window_s = suspect_s * 3
-        self._eject_s = suspect_s * 2
+        self._window_s = suspicion_s * 3
+        self._eject_s = suspicion_s * 2
         self._spans = {}  # key: deque of [began, ended, failed]
         self._until = {}  # key: when it may be tried again
         self._repeats = {}  # key: (how often in a row, when the last one ends)
@@ -31,7 +31,7 @@
     def take(self, *, key: bytes, ended: int, failed: int) -> None:
         now = self._now()
         spans = self._spans.setdefault(key, collections.deque())
-        if not spans or now - spans[-1][0] > self._window_s / SPANS:
+        if not spans or now - spans[-1][0] > self._window_s / WINDOW_BUCKETS:
             spans.append([now, 0, 0])
         spans[-1][1] += ended
         spans[-1][2] += failed
@@ -55,10 +55,10 @@
                 continue
             ended = sum(span[1] for span in spans)
             failed = sum(span[2] for span in spans)
-            if failed < LEAST_FAILED or failed < FAILING_SHARE * ended:
+            if failed < MIN_FAILURES or failed < FAILING_SHARE * ended:
                 continue
             count, last = self._repeats.get(key, (0, 0.0))
-            count = min(count + 1, MOST_REPEATS) if now - last < self._window_s * 2 else 0
+            count = min(count + 1, MAX_REPEATED_EJECTIONS) if now - last < self._window_s * 2 else 0
             self._until[key] = now + self._eject_s * 2**count
             self._repeats[key] = (count, self._until[key])
             self.failing.add(key)
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -24,17 +24,17 @@
 
     def note_changes(self) -> None:
         """Hands to each hub what changed in the filter since the last call."""
-        dirty, dirty_later = self.actor.filter.take_dirty()
+        dirty, dirty_later = self.actor.filter.pop_dirty()
         for hub in self.hubs.values():
-            hub.note(dirty=dirty, dirty_later=dirty_later)
+            hub.record(dirty=dirty, dirty_later=dirty_later)
 
     def leave(self, link) -> None:
         for hub in self.hubs.values():
             hub.leave(link)
 
 
-def _lanes_for(replicas) -> int:
-    return int(len(replicas) * actors.SPARE_LANES) + 1
+def _owner_bits_for(replicas) -> int:
+    return int(len(replicas) * actors.OWNER_BIT_HEADROOM) + 1
 
 
 class Registry:
@@ -64,21 +64,21 @@
                     actor=actors.Actor(
                         cache_tokens=cache_tokens,
                         bucket_count=actors.buckets_for(cache_tokens=cache_tokens, replicas=len(replicas)),
-                        words=cuckoo_filter.words_for(lanes=_lanes_for(replicas)),
+                        words=cuckoo_filter.words_for(owner_bits=_owner_bits_for(replicas)),
                     ),
                 )
                 self.pools[identity] = pool
                 is_changed = True
-            for gone in set(pool.actor.lanes) - replicas:
+            for gone in set(pool.actor.owner_bits) - replicas:
                 pool.actor.drop(replica=gone)
-            if not pool.actor.has_lanes_for(replicas=replicas):
-                pool = self._renew(pool, lanes=_lanes_for(replicas))
+            if not pool.actor.has_owner_bits_for(replicas=replicas):
+                pool = self._renew(pool, owner_bits=_owner_bits_for(replicas))
                 is_changed = True
             for replica in sorted(replicas):
                 pool.actor.admit(replica)
-            lanes = {} if pool.actor.is_wide else pool.actor.lanes
-            if lanes != pool.catalogued:
-                pool.catalogued = dict(lanes)
+            owner_bits = {} if pool.actor.is_wide else pool.actor.owner_bits
+            if owner_bits != pool.catalogued:
+                pool.catalogued = dict(owner_bits)
                 is_changed = True
         if is_changed:
             # Cleared lanes are published before a lane can be told under another replica's name.
@@ -89,16 +89,16 @@
                         hub.flush()
             self._on_catalogue()
 
-    def _renew(self, pool, *, lanes: int):
+    def _renew(self, pool, *, owner_bits: int):
         """The filter is too small: the generation is withdrawn, the next one starts from the same exact ownership."""
         actor = pool.actor
         self.withdraw(identity=pool.identity)
         self._generation += 1
-        actor.resize(lanes=lanes)
+        actor.resize(owner_bits=owner_bits)
         fresh = Pool(
             identity=pool.identity, service=pool.service, model=pool.model, generation=self._generation, actor=actor
         )
-        fresh.catalogued = {} if actor.is_wide else dict(actor.lanes)
+        fresh.catalogued = {} if actor.is_wide else dict(actor.owner_bits)
         self.pools[pool.identity] = fresh
         return fresh
 
@@ -106,7 +106,7 @@
         """Pools whose filter had no room get a larger one."""
         short = [pool for pool in self.pools.values() if pool.actor.is_short]
         for pool in short:
-            self._renew(pool, lanes=len(pool.actor.lanes))
+            self._renew(pool, owner_bits=len(pool.actor.owner_bits))
         if short:
             self._on_catalogue()
 
@@ -118,8 +118,8 @@
                 pool.model,
                 pool.generation,
                 b"".join(
-                    row_codec.LANE.pack(row_codec.key_of(replica), lane)
-                    for replica, lane in sorted(pool.catalogued.items())
+                    row_codec.OWNER_BIT.pack(row_codec.key_of(replica), owner_bit)
+                    for replica, owner_bit in sorted(pool.catalogued.items())
                 ),
             )
             for pool in self.pools.values()
@@ -156,6 +156,6 @@
             try:
                 hub.check(generation=pool.generation)
                 hub.flush(most=most)
-            except (hubs.Fenced, errors.FrameProblem, ValueError) as fault:
-                event_log.spill(f"pool {pool.name} is fenced: {fault}")
+            except (hubs.Fenced, errors.FrameError, ValueError) as fault:
+                event_log.dump(f"pool {pool.name} is fenced: {fault}")
                 self.withdraw(identity=identity)
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -36,13 +36,13 @@
     chance = random.Random(seed)
     loop = loopback.new_loop()
     peers = [(types.SimpleNamespace(address=("127.0.0.1", 9)), zone) for zone in ZONES]
-    node = loopback_proxy.Entry(loop=loop, peers=peers)
+    node = loopback_proxy.LoopbackProxy(loop=loop, peers=peers)
     rows = [dict(row, is_clearing=chance.random() < 0.2) for row in node.rows]
     node.table.install_list(rows)
     replicas = list(node.table.replicas.values())
     for replica in replicas:
-        replica.is_suspect = chance.random() < 0.2
-    node.table.out_zones = frozenset(chance.sample(("za", "zb"), chance.randint(0, 1)))
+        replica.is_suspected = chance.random() < 0.2
+    node.table.evacuated_zones = frozenset(chance.sample(("za", "zb"), chance.randint(0, 1)))
     node.chooser._regions.update({name: FalseRegion(chance=chance, replicas=replicas) for name in ("north", "south")})
     permitted = chance.choice((None, {"north"}, {"south"}, set()))
     avoid = set(chance.sample([row["id"] for row in rows], 2))
@@ -50,18 +50,18 @@
         replica.id
         for replica in replicas
         if not replica.is_clearing
-        and not replica.is_suspect
-        and replica.zone not in node.table.out_zones
+        and not replica.is_suspected
+        and replica.zone not in node.table.evacuated_zones
         and replica.id not in avoid
         and (permitted is None or replica.region in permitted)
     }
-    chosen, to_read, is_any = node.chooser.choose(
+    chosen, prefill_tokens, is_any = node.chooser.choose(
         service="llm", permitted=permitted, model="m", chain=CHAIN, prompt_tokens=300, avoid=avoid
     )
     assert is_any == bool(usable)
     assert (chosen is None) == (not usable) and (chosen is None or chosen.id in usable)
-    assert 0 <= to_read <= 300
-    node.hall.stop_listening()
+    assert 0 <= prefill_tokens <= 300
+    node.server.stop_listening()
 
 
 def test_a_broken_mirror_is_trusted_for_what_is_kept_ten_times_as_long_as_for_load():
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -26,7 +26,7 @@
     return {"id": name, "service": service, "region": region, "models": ["m"]}
 
 
-def lanes(actor, full_hash):
+def owner_bits(actor, full_hash):
     return cuckoo_filter.find(buckets=actor.filter.buckets, full_hash=full_hash)
 
 
@@ -45,11 +45,11 @@
     chain = rows("a")
     actor.read(replica="r1", rows=chain)
     actor.read(replica="r2", rows=chain)
-    assert lanes(actor, chain[0][0]) == 0b11
+    assert owner_bits(actor, chain[0][0]) == 0b11
     actor.forget(replica="r1", full_hash=chain[0][0])
-    assert lanes(actor, chain[0][0]) == 0b10
+    assert owner_bits(actor, chain[0][0]) == 0b10
     actor.drop(replica="r2")
-    assert lanes(actor, chain[0][0]) == 0
+    assert owner_bits(actor, chain[0][0]) == 0
     assert actor.owners(chain[0][0]) == frozenset()
 
 
@@ -63,14 +63,14 @@
     assert actor.filter.buckets == before
 
 
-def test_least_lately_used_parts_give_way():
+def test_least_recently_used_parts_are_evicted():
     actor = actors.Actor(cache_tokens=40)
     for name in "abcd":
         actor.read(replica="r1", rows=rows(name))
     actor.read(replica="r1", rows=rows("a"))
     actor.read(replica="r1", rows=rows("e"))
-    assert lanes(actor, rows("b")[0][0]) == 0
-    assert lanes(actor, rows("a")[0][0]) == 1
+    assert owner_bits(actor, rows("b")[0][0]) == 0
+    assert owner_bits(actor, rows("a")[0][0]) == 1
     assert actor.kept_tokens("r1") == 40
 
 
@@ -86,22 +86,22 @@
         else:
             actor.read(replica=who, rows=rows(*chance.sample(names, 2)))
     for full_hash in actor._owners:
-        want = sum(1 << actor.lanes[owner] for owner in actor.owners(full_hash))
-        assert lanes(actor, full_hash) & want == want or actor.omitted
+        expected = sum(1 << actor.owner_bits[owner] for owner in actor.owners(full_hash))
+        assert owner_bits(actor, full_hash) & expected == expected or actor.omitted
 
 
-def test_no_room_leaves_nothing_half_moved():
+def test_a_full_filter_leaves_nothing_half_moved():
     table = cuckoo_filter.Filter(bucket_count=2)
     chance = random.Random(4)
-    held = []
+    inserted = []
     for _ in range(40):
         full_hash = chance.randbytes(8)
         before = [list(bucket) for bucket in table.buckets]
         if table.put(full_hash=full_hash, bits=1):
-            held.append(full_hash)
+            inserted.append(full_hash)
         else:
             assert table.buckets == before
-    assert all(cuckoo_filter.find(buckets=table.buckets, full_hash=full_hash) for full_hash in held)
+    assert all(cuckoo_filter.find(buckets=table.buckets, full_hash=full_hash) for full_hash in inserted)
 
 
 def test_pool_needs_a_live_replica_that_was_sent_requests():
@@ -127,38 +127,40 @@
 
 def make_host(*, epoch=1):
     clock = [0.0]
-    host = hosts.Host(region="north", epoch=epoch, now=lambda: clock[0], suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=epoch, now=lambda: clock[0], suspicion_s=1.0)
     host.sync(services=SERVICES, replicas=[replica("r1"), replica("r2")])
     return host, clock
 
 
-def tell(host, wire, *loads, reads=()):
+def send_report(host, wire, *loads, reads=()):
     """The next cut of the digest at the other end of `wire`."""
     if wire not in host.subscribers:
         host.subscribe(wire, region="north")
-    host.take_sums(wire, recording_connections.sums(host.subscribers[wire].counted + 1, loads=loads, reads=reads))
+    host.handle_aggregates(
+        wire, recording_connections.aggregates_message(host.subscribers[wire].counted + 1, loads=loads, reads=reads)
+    )
 
 
 def send(host, name="r1"):
     """One attempt at a replica has begun, told by a digest that only reports."""
-    source = recording_connections.Wire()
-    tell(host, source, recording_connections.load_row(name, running=1, tokens=20))
+    source = recording_connections.RecordingLink()
+    send_report(host, source, recording_connections.load_row(name, running=1, tokens=20))
     return source
 
 
 def read(host, source, name, *parts):
-    tell(host, source, reads=[recording_connections.read_row(name, *((part, 10) for part in parts))])
+    send_report(host, source, reads=[recording_connections.read_row(name, *((part, 10) for part in parts))])
 
 
 def feed(region, wire):
-    for message in wire.told:
+    for message in wire.sent:
         region.take(message)
-    wire.told.clear()
+    wire.sent.clear()
 
 
 def test_hub_is_lazy_and_each_subscriber_gets_a_cut_then_deltas():
     host, _clock = make_host()
-    one, two = recording_connections.Wire(), recording_connections.Wire()
+    one, two = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     registry = host.registry
     registry.sync(resolved={(1, "d", "north"): ("llm", "m", 100, frozenset({"r1"}))})
     assert registry.pools[(1, "d", "north")].hubs == {}  # nobody subscribed yet
@@ -180,7 +182,7 @@
 
 def test_a_wrong_sequence_installs_nothing():
     host, _clock = make_host()
-    wire = recording_connections.Wire()
+    wire = recording_connections.RecordingLink()
     source = send(host)
     host.subscribe(wire, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
@@ -188,14 +190,14 @@
     read(host, source, "r1", "a")
     read(host, source, "r1", "b")
     host.tick()
-    kind, name, generation, changed = next(message for message in wire.told if message[0] == "delta")
+    kind, name, generation, changed = next(message for message in wire.sent if message[0] == "delta")
     last = len(changed) - hubs.ROW.size - len(cuckoo_filter.empty_image(words=1))
     assert last > 0  # more than one bucket: the fault is in the last
     index, version = hubs.ROW.unpack_from(changed, last)
     broken = changed[:last] + hubs.ROW.pack(index, version + 1) + changed[last + hubs.ROW.size :]
     before = list(region.mirrors[name].buckets)
     for bad in (broken, changed[:-1], changed + b"x"):
-        with pytest.raises(errors.FrameProblem):
+        with pytest.raises(errors.FrameError):
             region.take((kind, name, generation, bad))
         assert region.mirrors[name].buckets == before
     region.take((kind, name, generation, changed))
@@ -224,7 +226,7 @@
     identity = (1, "d", "north")
     registry.sync(resolved={identity: ("llm", "m", 100, frozenset({"r1"}))})
     pool = registry.pools[identity]
-    registry.join(pool=pool, link=recording_connections.Wire(), is_far=False)
+    registry.join(pool=pool, link=recording_connections.RecordingLink(), is_far=False)
     pool.generation += 1
     registry.flush(is_far=False)
     assert [gone.name for gone in seen] == ["1/d/north"] and identity not in registry.pools
@@ -233,13 +235,13 @@
 def test_an_overflowing_subscriber_is_closed_alone():
     actor = actors.Actor(cache_tokens=1000)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
-    slow, quick = recording_connections.Wire(), recording_connections.Wire()
+    slow, quick = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     hub.join(slow)
     hub.join(quick)
     slow.queue = hubs.QUEUE_LIMIT_BYTES + 1
     actor.read(replica="r1", rows=rows("a"))
-    dirty, dirty_later = actor.filter.take_dirty()
-    hub.note(dirty=dirty, dirty_later=dirty_later)
+    dirty, dirty_later = actor.filter.pop_dirty()
+    hub.record(dirty=dirty, dirty_later=dirty_later)
     hub.flush()
     assert not slow.is_open and quick.is_open
     assert quick.kinds() == ["cut", "delta"] and hub.subscriber_count() == 1
@@ -248,7 +250,7 @@
 def test_a_lower_epoch_is_refused():
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     region.take(("catalogue", 3, ()))
-    with pytest.raises(errors.FrameProblem):
+    with pytest.raises(errors.FrameError):
         region.take(("catalogue", 2, ()))
 
 
@@ -262,7 +264,7 @@
 
 def test_a_broken_mirror_decides_for_a_time_then_counts_as_unknown():
     host, clock = make_host()
-    wire = recording_connections.Wire()
+    wire = recording_connections.RecordingLink()
     source = send(host)
     read(host, source, "r1", "a")
     host.subscribe(wire, region="north")
@@ -275,14 +277,14 @@
     assert region.kept(service="llm", model="m", chain=rows("a"), replicas=("r1",)) == {}
 
 
-def test_a_gone_replica_owns_nothing_and_its_lane_is_cleared_before_it_is_told_again():
+def test_a_removed_replica_owns_nothing_and_its_owner_bit_is_cleared_before_reuse():
     host, _clock = make_host()
-    wire = recording_connections.Wire()
+    wire = recording_connections.RecordingLink()
     source = send(host)
     read(host, source, "r1", "a")
     host.subscribe(wire, region="north")
     host.sync(services=SERVICES, replicas=[replica("r2"), replica("r9")])
-    tell(host, source, recording_connections.load_row("r2", running=1, tokens=20))
+    send_report(host, source, recording_connections.load_row("r2", running=1, tokens=20))
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     feed(region, wire)
     host.tick()
@@ -297,28 +299,32 @@
     return region.load
 
 
-def test_sums_of_digests_add_up_and_end_with_their_link():
+def test_aggregates_of_digests_add_up_and_end_with_their_link():
     host, _clock = make_host()
-    one, two, reader = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
+    one, two, reader = (
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+    )
     host.subscribe(reader, region="north")
-    tell(host, one, recording_connections.load_row("r1", running=2, tokens=50))
-    tell(
+    send_report(host, one, recording_connections.load_row("r1", running=2, tokens=50))
+    send_report(
         host,
         two,
-        recording_connections.load_row("r1", running=1, tokens=10, marks=1),
+        recording_connections.load_row("r1", running=1, tokens=10, suspect_count=1),
         recording_connections.load_row("r2", running=4),
     )
     host.tick()
-    tell(host, one, recording_connections.load_row("r1", running=2, tokens=30))
+    send_report(host, one, recording_connections.load_row("r1", running=2, tokens=30))
     host.tick()
-    told = [message for message in reader.told if message[0] == "load"]
-    assert [len(recording_connections.loads_of(message)) for message in told] == [0, 2, 1]  # only what changed
+    sent = [message for message in reader.sent if message[0] == "load"]
+    assert [len(recording_connections.loads_of(message)) for message in sent] == [0, 2, 1]  # only what changed
     key = row_codec.key_of
     assert last_load(reader) == {key("r1"): (3, 40, 1, 0), key("r2"): (4, 0, 0, 0)}
-    assert one.told[-2] == ("counted", 2)
+    assert one.sent[-2] == ("counted", 2)
     host.end(two)
     host.tick()
-    last = [message for message in reader.told if message[0] == "load"][-1]
+    last = [message for message in reader.sent if message[0] == "load"][-1]
     assert recording_connections.loads_of(last) == {key("r1"): (2, 30, 0, 0), key("r2"): (0, 0, 0, 0)}
     host.end(one)
     assert host.totals == {}
@@ -335,11 +341,11 @@
 
 def roll_out(count, *, more=1):
     """A pool whose replicas are replaced, old and new lives (so many times more) side by side, all keeping one part."""
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     old = [replica(f"old{number}") for number in range(count)]
     host.sync(services=SERVICES, replicas=old)
     source = send(host, "old0")
-    reader = recording_connections.Wire()
+    reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     for row in old:
@@ -347,7 +353,7 @@
     first = next(iter(host.registry.pools.values())).generation
     new = [replica(f"new{number}") for number in range(count * more)]
     host.sync(services=SERVICES, replicas=old + new)
-    tell(host, source, recording_connections.load_row("new0", running=1))
+    send_report(host, source, recording_connections.load_row("new0", running=1))
     for row in new:
         read(host, source, row["id"], "shared")
     drain(host)
@@ -355,13 +361,13 @@
     return host, region, reader, first, [row["id"] for row in old], [row["id"] for row in new], new
 
 
-def test_a_small_pool_has_a_lane_for_each_of_old_and_new_lives():
+def test_a_small_pool_has_an_owner_bit_for_each_old_and_new_incarnation():
     host, region, reader, first, old, new, rows_left = roll_out(10)
     names = old + new
     kept = region.kept(service="llm", model="m", chain=rows("shared"), replicas=names)
     assert kept == dict.fromkeys(names, 10)
     pool = next(iter(host.registry.pools.values()))
-    assert pool.generation == first and len(set(pool.actor.lanes.values())) == 20 and pool.actor.omitted == 0
+    assert pool.generation == first and len(set(pool.actor.owner_bits.values())) == 20 and pool.actor.omitted == 0
     assert not pool.actor.is_wide
     host.sync(services=SERVICES, replicas=rows_left)
     host.tick()
@@ -370,7 +376,7 @@
     assert kept == dict.fromkeys(new, 10)
 
 
-def test_a_pool_that_outgrows_its_lanes_is_wide_under_a_new_generation():
+def test_a_pool_that_outgrows_its_owner_bits_is_wide_under_a_new_generation():
     host, region, reader, first, old, new, rows_left = roll_out(10, more=4)
     names = old + new
     kept = region.kept(service="llm", model="m", chain=rows("shared"), replicas=names)
@@ -383,32 +389,32 @@
 def test_replicas_that_leave_a_wide_pool_at_once_cost_no_burst():
     """A release on bbs-ploverward-large: the digest's link stood still while lanes of those gone were cleared."""
     services = {"llm": {"models": ("m",), "cache_tokens": 10**6}}
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     names = [f"r{number}" for number in range(40)]
     host.sync(services=services, replicas=[replica(name) for name in names])
-    source, reader = send(host, "r0"), recording_connections.Wire()
+    source, reader = send(host, "r0"), recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     for name in names:
         read(host, source, name, *(f"{name}-{number}" for number in range(40)))
     drain(host)
-    reader.told.clear()
+    reader.sent.clear()
     host.sync(services=services, replicas=[replica(name) for name in names[:20]])
     sizes = []
     for _ in range(120):
         host.tick()
-        sizes.append(sum(len(message[3]) for message in reader.told if message[0] == "delta"))
-        reader.told.clear()
+        sizes.append(sum(len(message[3]) for message in reader.sent if message[0] == "delta"))
+        reader.sent.clear()
     row = hubs.ROW.size + len(cuckoo_filter.empty_image(words=cuckoo_filter.WIDE))
     assert max(sizes) == hosts.NEAR_BUCKETS * row and sizes[-1] == 0
 
 
-def test_a_pool_of_several_hundred_replicas_with_old_and_new_lives_keeps_all_in_choice():
+def test_a_pool_of_several_hundred_replicas_with_old_and_new_incarnations_keeps_all_in_choice():
     host, region, reader, first, old, new, rows_left = roll_out(300)
     names = old + new
     kept = region.kept(service="llm", model="m", chain=rows("shared"), replicas=names)
     assert kept == dict.fromkeys(names, 10)
     pool = next(iter(host.registry.pools.values()))
-    assert pool.actor.is_wide and len(pool.actor.lanes) == 600 and pool.actor.omitted == 0
+    assert pool.actor.is_wide and len(pool.actor.owner_bits) == 600 and pool.actor.omitted == 0
     assert pool.generation == first  # tags need no room: nothing is withdrawn for a roll-out
     full_hash = rows("shared")[0][0]
     assert pool.actor.owners(full_hash) == set(names)
@@ -422,11 +428,11 @@
 
 
 def test_a_wide_pool_names_the_first_owners_of_a_part_and_counts_the_others():
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     names = [f"r{number}" for number in range(200)]
     host.sync(services=SERVICES, replicas=[replica(name) for name in names])
     source = send(host, "r0")
-    reader = recording_connections.Wire()
+    reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     for name in names[:7]:
@@ -453,27 +459,27 @@
 
 def test_an_image_of_a_wide_pool_does_not_grow_with_its_replicas():
     sizes = {
-        count: len(cuckoo_filter.empty_image(words=cuckoo_filter.words_for(lanes=count)))
+        count: len(cuckoo_filter.empty_image(words=cuckoo_filter.words_for(owner_bits=count)))
         for count in (3, 16, 17, 200, 900, 4500)
     }
     assert sizes[3] == sizes[16] == 24
     assert sizes[17] == sizes[200] == sizes[900] == sizes[4500] == 60
 
 
-def test_parts_that_others_look_for_are_told_before_those_of_one_request():
+def test_parts_that_others_look_for_are_published_before_those_of_one_request():
     actor = actors.Actor(cache_tokens=10**6)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
-    reader = recording_connections.Wire()
+    reader = recording_connections.RecordingLink()
     hub.join(reader)
     region = mirrors.Mirror(name="p", service="llm", model="m", generation=1)
-    region.lanes = {row_codec.key_of("r1"): 0}
+    region.owner_bits = {row_codec.key_of("r1"): 0}
     chains = [rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
         actor.read(replica="r1", rows=chain)
-    dirty, dirty_later = actor.filter.take_dirty()
-    hub.note(dirty=dirty, dirty_later=dirty_later)
+    dirty, dirty_later = actor.filter.pop_dirty()
+    hub.record(dirty=dirty, dirty_later=dirty_later)
     hub.flush(most=len(dirty))
-    for message in reader.told:
+    for message in reader.sent:
         if message[0] == "cut":
             region.install_cut(bucket_count=message[3], words=message[4], data=message[5])
         else:
@@ -482,64 +488,64 @@
     assert sum(region.owners(own[0]).count for _shared, own in chains) < 10  # but for those in the same buckets
     assert hub.waiting()
     actor.read(replica="r2", rows=chains[0])  # a second replica reads the whole prompt: it is shared after all
-    dirty, _later = actor.filter.take_dirty()
+    dirty, _later = actor.filter.pop_dirty()
     assert dirty
 
 
 def crowd(count=40):
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     host.sync(services=SERVICES, replicas=[{**replica(f"r{number}"), "berths": 10} for number in range(count)])
-    source, reader = recording_connections.Wire(), recording_connections.Wire()
+    source, reader = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     host.subscribe(source, region="north")
     return host, source, reader
 
 
-def test_loads_are_told_a_bounded_number_at_a_time_those_that_moved_most_first_and_in_time_all():
+def test_loads_are_published_a_bounded_number_at_a_time_those_that_moved_most_first_and_in_time_all():
     host, source, reader = crowd()
-    tell(
+    send_report(
         host,
         source,
         *(recording_connections.load_row(f"r{number}", running=1 + (number in (3, 30)) * 8) for number in range(40)),
     )
     host.tick()
-    first = recording_connections.loads_of([message for message in reader.told if message[0] == "load"][-1])
-    assert len(first) == hosts.LEAST_ROWS
+    first = recording_connections.loads_of([message for message in reader.sent if message[0] == "load"][-1])
+    assert len(first) == hosts.MIN_LOAD_ROWS
     assert {row_codec.key_of("r3"), row_codec.key_of("r30")} <= first.keys()
     for _ in range(4):
         host.tick()
     assert {load[0] for load in last_load(reader).values()} == {1, 9} and len(host.totals) == 40
 
 
-def test_a_small_move_is_told_in_time_however_much_others_move():
+def test_a_small_change_is_published_in_time_however_much_others_change():
     host, source, reader = crowd()
-    told_after = None
-    tell(host, source, recording_connections.load_row("r39", running=1))
+    published_after = None
+    send_report(host, source, recording_connections.load_row("r39", running=1))
     for step in range(1, 60):
-        tell(
+        send_report(
             host,
             source,
             *(recording_connections.load_row(f"r{number}", running=5 * (step % 2)) for number in range(39)),
         )
         host.tick()
-        if told_after is None and row_codec.key_of("r39") in last_load_since(reader):
-            told_after = step
-    assert told_after is not None and told_after <= 20
+        if published_after is None and row_codec.key_of("r39") in last_load_since(reader):
+            published_after = step
+    assert published_after is not None and published_after <= 20
 
 
 def last_load_since(wire):
-    loads = [message for message in wire.told if message[0] == "load"]
-    wire.told.clear()
+    loads = [message for message in wire.sent if message[0] == "load"]
+    wire.sent.clear()
     return recording_connections.loads_of(loads[-1]) if loads else {}
 
 
 def test_a_subscriber_that_joins_while_rows_wait_stands_where_the_others_stand():
     host, source, reader = crowd()
-    tell(host, source, *(recording_connections.load_row(f"r{number}", running=2) for number in range(40)))
+    send_report(host, source, *(recording_connections.load_row(f"r{number}", running=2) for number in range(40)))
     host.tick()
-    late = recording_connections.Wire()
+    late = recording_connections.RecordingLink()
     host.subscribe(late, region="north")
-    tell(
+    send_report(
         host, source, *(recording_connections.load_row(f"r{number}", running=0) for number in range(40))
     )  # back before it was told
     for _ in range(6):
@@ -547,18 +553,18 @@
     assert last_load(late) == last_load(reader) == {}
 
 
-def test_a_filter_without_room_grows_under_a_new_generation_and_withdraws_the_old_one_first():
+def test_a_full_filter_grows_under_a_new_generation_and_withdraws_the_old_one_first():
     services = {"llm": {"models": ("m",), "cache_tokens": 10**5}}
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     host.sync(services=services, replicas=[replica("r1")])
     source = send(host)
-    reader = recording_connections.Wire()
+    reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
     feed(region, reader)
     names = [f"p{number}" for number in range(6000)]
     for start in range(0, len(names), 100):
-        tell(
+        send_report(
             host,
             source,
             reads=[recording_connections.read_row("r1", (name, 10)) for name in names[start : start + 100]],
@@ -567,7 +573,7 @@
     pool = next(iter(host.registry.pools.values()))
     while pool.hubs[False].waiting():  # so many buckets at a time are told
         host.tick()
-    kinds = [message[0] for message in reader.told if message[0] in ("withdrawn", "catalogue", "cut")]
+    kinds = [message[0] for message in reader.sent if message[0] in ("withdrawn", "catalogue", "cut")]
     assert kinds[:3] == ["withdrawn", "catalogue", "cut"]
     feed(region, reader)
     kept = [
@@ -580,53 +586,61 @@
 
 def test_a_digest_of_an_older_epoch_is_closed_and_its_part_is_withdrawn():
     host, _clock = make_host()
-    old, new, late = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
+    old, new, late = (
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+    )
     host.subscribe(old, region="north", zone="za", zone_epoch=3)
-    tell(host, old, recording_connections.load_row("r1", running=2))
+    send_report(host, old, recording_connections.load_row("r1", running=2))
     host.subscribe(new, region="north", zone="za", zone_epoch=4)
     assert not old.is_open and new.is_open
     host.end(old)
-    tell(host, new, recording_connections.load_row("r1", running=5))
+    send_report(host, new, recording_connections.load_row("r1", running=5))
     host.subscribe(late, region="north", zone="za", zone_epoch=3)
     assert not late.is_open and late not in host.subscribers
     assert host.totals[row_codec.key_of("r1")] == [5, 0, 0]
 
 
 @pytest.mark.parametrize("data", [b"x", b"x" * 22, recording_connections.load_row("r1", running=1)[:-1]])
-def test_malformed_sums_change_nothing(data):
+def test_malformed_aggregates_change_nothing(data):
     host, _clock = make_host()
-    wire = recording_connections.Wire()
-    tell(host, wire, recording_connections.load_row("r1", running=2, tokens=7))
+    wire = recording_connections.RecordingLink()
+    send_report(host, wire, recording_connections.load_row("r1", running=2, tokens=7))
     before = {key: list(total) for key, total in host.totals.items()}
     for loads, reads in (
         (data, b""),
         (recording_connections.load_row("r1", running=9), data),
         (recording_connections.load_row("r1", running=9), recording_connections.read_row("r1", ("a", 1))[:-1]),
     ):
-        with pytest.raises(errors.FrameProblem):
-            host.take_sums(wire, ("sums", 2, loads, reads))
+        with pytest.raises(errors.FrameError):
+            host.handle_aggregates(wire, ("sums", 2, loads, reads))
         assert host.totals == before and host.subscribers[wire].counted == 1
-    with pytest.raises(errors.FrameProblem):
-        host.take_sums(
-            wire, recording_connections.sums(1, loads=[recording_connections.load_row("r1", running=9)])
+    with pytest.raises(errors.FrameError):
+        host.handle_aggregates(
+            wire, recording_connections.aggregates_message(1, loads=[recording_connections.load_row("r1", running=9)])
         )  # told twice
     assert host.totals == before
 
 
-def test_outcomes_over_all_callers_mark_a_replica_for_a_time_that_grows():
+def test_outcomes_over_all_callers_eject_a_replica_for_a_time_that_grows():
     host, clock = make_host()
-    reader, one, two = recording_connections.Wire(), recording_connections.Wire(), recording_connections.Wire()
+    reader, one, two = (
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+        recording_connections.RecordingLink(),
+    )
     host.subscribe(reader, region="north")
     away = []
     for _round in range(3):
         for _step in range(3):  # each caller alone sees too little
-            tell(
+            send_report(
                 host,
                 one,
                 recording_connections.load_row("r1", ended=2, failed=1),
                 recording_connections.load_row("r2", ended=9),
             )
-            tell(host, two, recording_connections.load_row("r1", ended=2, failed=1))
+            send_report(host, two, recording_connections.load_row("r1", ended=2, failed=1))
         host.tick()
         load = last_load(reader)
         assert load[row_codec.key_of("r1")][3] == 1 and row_codec.key_of("r2") not in load
@@ -634,21 +648,21 @@
         while True:
             clock[0] += 0.1
             host.tick()
-            last = [message for message in reader.told if message[0] == "load"]
+            last = [message for message in reader.sent if message[0] == "load"]
             if last and recording_connections.loads_of(last[-1]).get(row_codec.key_of("r1")) == (0, 0, 0, 0):
                 break
             assert clock[0] - began < 60
         away.append(clock[0] - began)
-        reader.told.clear()
+        reader.sent.clear()
         host.end(reader)
         host.subscribe(reader, region="north")
     assert away[0] < away[1] < away[2]
 
 
-def test_a_few_failures_or_a_small_share_of_them_mark_nobody():
+def test_a_few_failures_or_a_small_share_of_them_eject_nobody():
     host, clock = make_host()
-    one = recording_connections.Wire()
-    tell(
+    one = recording_connections.RecordingLink()
+    send_report(
         host,
         one,
         recording_connections.load_row("r1", ended=3, failed=3),
@@ -657,6 +671,6 @@
     host.tick()
     assert not host._judge.failing
     clock[0] += 10.0  # what is past the window says nothing
-    tell(host, one, recording_connections.load_row("r1", ended=2, failed=2))
+    send_report(host, one, recording_connections.load_row("r1", ended=2, failed=2))
     host.tick()
     assert not host._judge.failing
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -8,8 +8,8 @@
 from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.relay import cuckoo_filter
 
-NOT_SERVING_PAUSE_S = 0.5  # until the client may come back while this proxy serves nothing yet
-AIM_PART = 0.25  # of the route's time, where it names no aim
+NOT_SERVING_RETRY_AFTER_S = 0.5  # until the client may come back while this proxy serves nothing yet
+DEFAULT_TARGET_FRACTION = 0.25  # of the route's time, where it names no aim
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,7 +40,7 @@
     """Until when the client waits, and within which time an answer earns its full worth."""
 
     deadline: float
-    aim_s: float
+    latency_target_s: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,20 +55,20 @@
     return routes.find(host=request.text(b"host"), target=request.target)
 
 
-def read_sender(*, request, route, proxy):
+def authenticate_tenant(*, request, route, proxy):
     """The tenant whose key the request bears, None where none is wanted, or Refused."""
-    senders = proxy.routes.senders
-    if senders is None or route.is_keyless:
+    tenant_directory = proxy.routes.tenant_directory
+    if tenant_directory is None or route.is_keyless:
         return None
     rows = [value for name, value in request.headers if name == b"authorization"]
     key = tenant_admission.key_of(rows[0]) if len(rows) == 1 else b""
-    sender = senders.find(key) if key else None
-    verdict = proxy.trust.verdict(sender=sender, has_key=bool(key), age_s=proxy.configuration_age_s())
+    tenant = tenant_directory.find(key) if key else None
+    verdict = proxy.credential_freshness.verdict(tenant=tenant, has_key=bool(key), age_s=proxy.configuration_age_s())
     if verdict is tenant_admission.Verdict.UNKNOWN:
         return Refused(status=401)
     if verdict is tenant_admission.Verdict.UNSURE:
-        return Refused(status=503, after_s=proxy.reach_s)
-    return sender
+        return Refused(status=503, after_s=proxy.failover_s)
+    return tenant
 
 
 def read_times(*, request, route):
@@ -80,7 +80,9 @@
             left_s = min(left_s, float(given) / 1000.0)
         except ValueError:
             return Refused(status=400)
-    return Times(deadline=request.begun_at + left_s, aim_s=route.target_s or left_s * AIM_PART)
+    return Times(
+        deadline=request.begun_at + left_s, latency_target_s=route.target_s or left_s * DEFAULT_TARGET_FRACTION
+    )
 
 
 def read_model(*, text: str, service: str, table) -> Model:
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -6,7 +6,7 @@
 
 from ploverward.data_plane.upstream import upstream_connection
 
-NOT_PASSED_ON = frozenset(
+NOT_FORWARDED = frozenset(
     (
         b"content-length",
         b"expect",
@@ -16,10 +16,10 @@
         b"x-urgency",
     )
 )
-TENANT_NAMES = frozenset(
+TENANT_HEADERS = frozenset(
     (b"authorization", b"x-sender")
 )  # a key goes nowhere, and a tenant is named by this system alone
-MOST_URGENCY = 9
+MAX_PRIORITY = 9
 
 
 class Meaning(enum.Enum):
@@ -27,48 +27,48 @@
 
     NOT_RUN = "not run"  # the replica says that it did not run the request
     SUCCESS = "success"
-    SPOILED = "spoiled"  # not to be passed on: a success that lacks its marks, or one that was not run
+    UNUSABLE = "spoiled"  # not to be passed on: a success that lacks its marks, or one that was not run
     FAILURE = "failure"
 
 
-def meaning_of(*, status: int, table: dict, is_framed: bool) -> Meaning:
+def classify_response(*, status: int, table: dict, is_framed: bool) -> Meaning:
     is_denied = b"x-not-run" in table
     if status == 421 or (is_denied and status >= 400):
         return Meaning.NOT_RUN
     if 200 <= status < 300:
-        is_whole = b"x-postmark" in table and b"content-encoding" not in table and is_framed
-        return Meaning.SUCCESS if is_whole and not is_denied else Meaning.SPOILED
-    return Meaning.SPOILED if is_denied else Meaning.FAILURE
+        is_complete = b"x-postmark" in table and b"content-encoding" not in table and is_framed
+        return Meaning.SUCCESS if is_complete and not is_denied else Meaning.UNUSABLE
+    return Meaning.UNUSABLE if is_denied else Meaning.FAILURE
 
 
-def kept_headers(*, headers, table: dict) -> list:
+def forwarded_headers(*, headers, table: dict) -> list:
     """What of a replica's head goes back to the client. A length beside chunks is none (RFC 9112, 6.3)."""
     has_chunks = b"transfer-encoding" in table
     return [
         (name, value)
         for name, value in headers
-        if name not in upstream_connection.HOP_NAMES and not (has_chunks and name == b"content-length")
+        if name not in upstream_connection.HOP_BY_HOP_HEADERS and not (has_chunks and name == b"content-length")
     ]
 
 
 def request_head(
-    *, request, route, replica_id: str, left_s: float, last_id, has_tenants: bool = False, sender=None
+    *, request, route, replica_id: str, left_s: float, last_id, has_tenants: bool = False, tenant=None
 ) -> h11.Request:
     """The client's head as one replica gets it. `sender`: the tenant; `has_tenants`: whether there are any."""
-    dropped = NOT_PASSED_ON | TENANT_NAMES if has_tenants else NOT_PASSED_ON
+    dropped = NOT_FORWARDED | TENANT_HEADERS if has_tenants else NOT_FORWARDED
     headers = [
         (name, value)
         for name, value in request.headers
-        if name not in upstream_connection.HOP_NAMES and name not in dropped
+        if name not in upstream_connection.HOP_BY_HOP_HEADERS and name not in dropped
     ]
-    urgency = route.urgency
-    if sender is not None:
-        headers.append((b"X-Sender", sender.name.encode()))
-        urgency = route.urgency if sender.urgency is None else sender.urgency
+    priority = route.priority
+    if tenant is not None:
+        headers.append((b"X-Sender", tenant.name.encode()))
+        priority = route.priority if tenant.priority is None else tenant.priority
     headers.append((b"X-Time-Left-Ms", b"%d" % max(1, int(left_s * 1000))))
     headers.append((b"X-Addressed-Replica", replica_id.encode()))
     if route.is_sticky:
-        headers.append((b"X-Urgency", b"%d" % max(0, min(MOST_URGENCY, urgency))))
+        headers.append((b"X-Urgency", b"%d" % max(0, min(MAX_PRIORITY, priority))))
     if last_id is not None:
         headers.append((b"Last-Event-Id", last_id))
     if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
@@ -79,14 +79,14 @@
 class Attempt:
     """One attempt at one replica. Its connection tells it what comes; once it is over, nothing more reaches the request."""
 
-    def __init__(self, *, passage, replica, outlet, number, to_read, permitted, now):
-        self.passage = passage
+    def __init__(self, *, handler, replica, connection, number, prefill_tokens, permitted, now):
+        self.handler = handler
         self.replica = replica
-        self.outlet = outlet
+        self.connection = connection
         self.number = number
-        self.to_read = to_read
+        self.prefill_tokens = prefill_tokens
         self.permitted = permitted
-        self.request_id = passage.request_id
+        self.request_id = handler.request_id
         self.status = 0
         self.meaning = None
         self.is_known_not_run = False  # by a whole answer of the replica that says so
@@ -98,19 +98,19 @@
         self.last_at = None
         self.sent_at = now
         self.heard_at = now
-        self.was_connected = outlet.is_up  # else its connection had to come up first
+        self.was_connected = connection.is_up  # else its connection had to come up first
         self.row = None
         self.arrival = None  # of an adapter (docs/pins.md 2)
 
     def on_head(self, *, status, headers, table, is_framed) -> None:
         if self.is_over:
             return
-        self.heard_at = self.passage.loop.now()
+        self.heard_at = self.handler.loop.now()
         self.status = status
-        self.meaning = meaning_of(status=status, table=table, is_framed=is_framed)
-        self.passage.take_head(self, headers=headers, table=table)
+        self.meaning = classify_response(status=status, table=table, is_framed=is_framed)
+        self.handler.handle_head(self, headers=headers, table=table)
 
-    def note_piece(self, *, now: float) -> None:
+    def note_event(self, *, now: float) -> None:
         """One event of a stream came whole."""
         self.pieces += 1
         self.first_at = self.first_at if self.first_at is not None else now
@@ -118,14 +118,14 @@
 
     def on_data(self, data: bytes) -> None:
         if not self.is_over:
-            self.heard_at = self.passage.loop.now()
-            self.passage.take_data(self, data)
+            self.heard_at = self.handler.loop.now()
+            self.handler.handle_data(self, data)
 
     def on_end(self) -> None:
         if not self.is_over:
             self.is_complete = True
-            self.passage.take_end(self)
+            self.handler.handle_end(self)
 
     def on_fail(self, *, reason: str, was_sent: bool, was_up: bool) -> None:
         if not self.is_over:
-            self.passage.take_fail(self, reason=reason, was_sent=was_sent, was_up=was_up)
+            self.handler.handle_failure(self, reason=reason, was_sent=was_sent, was_up=was_up)
--- a/ploverward/data_plane/requests/custody_trails.py
+++ b/ploverward/data_plane/requests/custody_trails.py
@@ -4,40 +4,40 @@
 import time
 
 
-def trail_of(*, passage, proxy, status: int) -> dict:
+def trail_of(*, handler, proxy, status: int) -> dict:
     return {
-        "id": passage.request_id.decode("latin-1"),
+        "id": handler.request_id.decode("latin-1"),
         "proxy": proxy.settings.node,
         "zone": proxy.settings.zone,
         "region": proxy.settings.region,
-        "life": proxy.life,
-        "arrived": round(time.time() - (proxy.loop.now() - passage.request.begun_at), 3),
-        "lasted_ms": round((proxy.loop.now() - passage.request.begun_at) * 1000),
-        "route": passage.route.name,
-        "service": passage.service,
-        "model": passage.model.name,
-        "edition": passage.edition,
-        "homes": sorted(passage.first_homes),
+        "life": proxy.incarnation,
+        "arrived": round(time.time() - (proxy.loop.now() - handler.request.begun_at), 3),
+        "lasted_ms": round((proxy.loop.now() - handler.request.begun_at) * 1000),
+        "route": handler.route.name,
+        "service": handler.service,
+        "model": handler.model.name,
+        "edition": handler.edition,
+        "homes": sorted(handler.first_homes),
         "status": status,
-        "goes": passage.custody,
-        "parts": [full_hash.hex() for full_hash, _tokens in passage.prompt.chain],
+        "goes": handler.custody,
+        "parts": [full_hash.hex() for full_hash, _tokens in handler.prompt.chain],
     }
 
 
-def attempt_row(*, attempt, passage, proxy) -> dict:
+def attempt_row(*, attempt, handler, proxy) -> dict:
     return {
         "replica": attempt.replica.id,
         "zone": attempt.replica.zone,
         "edition": proxy.routes.edition,
         "homes": sorted(attempt.permitted) if attempt.permitted is not None else [],
-        "from_ms": round((attempt.sent_at - passage.request.begun_at) * 1000),
+        "from_ms": round((attempt.sent_at - handler.request.begun_at) * 1000),
         "to_ms": None,
         "end": "",
-        "is_resumption": passage.has_head,
+        "is_resumption": handler.has_head,
     }
 
 
-class Batches:
+class TrailBatches:
     """Numbered within this life. What the core has not taken is told again, up to a bound; past that it is counted missing."""
 
     def __init__(self, *, most: int):
@@ -49,9 +49,9 @@
     def add(self, trail: dict) -> None:
         self._rows.append((trail["id"], json.dumps(trail, separators=(",", ":")).encode()))
         if len(self._rows) >= self._most:
-            self.cut()
+            self.close_batch()
 
-    def cut(self, *, is_last: bool = False) -> None:
+    def close_batch(self, *, is_last: bool = False) -> None:
         if self._rows or is_last:
             self._unsent.append((self._number, is_last, tuple(self._rows)))
             self._number += 1
--- a/ploverward/data_plane/requests/event_streams.py
+++ b/ploverward/data_plane/requests/event_streams.py
@@ -12,7 +12,7 @@
 
 
 def _event_end(data: bytes) -> int:
-    places = [place + len(mark) for mark in EVENT_ENDS if (place := data.find(mark)) >= 0]
+    places = [start + len(terminator) for terminator in EVENT_ENDS if (start := data.find(terminator)) >= 0]
     return min(places) if places else -1
 
 
@@ -43,11 +43,11 @@
         self._buffer += data
         found = []
         while True:
-            cut = _event_end(self._buffer)
-            if cut < 0:
+            event_end = _event_end(self._buffer)
+            if event_end < 0:
                 return found
-            event = self._buffer[:cut]
-            self._buffer = self._buffer[cut:]
+            event = self._buffer[:event_end]
+            self._buffer = self._buffer[event_end:]
             if self._is_new(event):
                 found.append(event)
 
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -10,13 +10,13 @@
         self.expiry_s = float(body["expiryMs"]) / 1000.0
         self.target_s = float(body.get("targetMs") or 0) / 1000.0
         self.gap_s = float(body.get("gapTargetMs") or 0) / 1000.0
-        self.urgency = int(body.get("urgency") or 0)
+        self.priority = int(body.get("urgency") or 0)
         self.tries = int(body.get("tries") or 1)
         self.is_keyless = bool(body.get("keyless"))
         self.is_sticky = bool(body.get("sticky"))
         self.is_stream = self.kind == "streaming"
         self.is_resumable = bool(body.get("resume"))
-        self.is_repeatable = self.kind == "retry_safe" or (self.is_stream and self.is_resumable)
+        self.is_idempotent = self.kind == "retry_safe" or (self.is_stream and self.is_resumable)
         self.homes = tuple(body.get("homeRegions") or ())
         if body.get("apportion") is not None:
             self.portions = [(part["destination"], float(part["share"])) for part in body["apportion"]]
@@ -35,7 +35,7 @@
 class Routes:
     def __init__(self, *, body=None):
         self.edition = body["edition"] if body else 0
-        self.senders = tenant_admission.senders_of(body)  # None: nobody needs a key
+        self.tenant_directory = tenant_admission.tenant_directory_of(body)  # None: nobody needs a key
         self._hosts = {}
         for row in (body or {}).get("routes", ()):
             self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route(body=row)
@@ -44,10 +44,10 @@
         """Route name: its home regions."""
         return {route.name: route.homes for table in self._hosts.values() for route in table.values()}
 
-    def sender_homes(self) -> dict:
+    def tenant_homes(self) -> dict:
         """Tenant: its home regions."""
-        named = self.senders.by_name if self.senders is not None else {}
-        return {name: sender.homes for name, sender in named.items()}
+        named = self.tenant_directory.by_name if self.tenant_directory is not None else {}
+        return {name: tenant.homes for name, tenant in named.items()}
 
     def find(self, *, host: str, target: bytes):
         prefixes = self._hosts.get(host.lower()) or self._hosts.get(host.lower().rpartition(":")[0])
@@ -58,13 +58,13 @@
             path = "/" + path[7:].partition("/")[2]
         end = len(path)
         while end >= 0:
-            cut = path.rfind("/", 0, end)
-            if cut < 0:
+            slash_offset = path.rfind("/", 0, end)
+            if slash_offset < 0:
                 return None
-            route = prefixes.get(path[: cut + 1])
+            route = prefixes.get(path[: slash_offset + 1])
             if route is not None:
                 return route
-            end = cut
+            end = slash_offset
         return None
 
 
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -38,7 +38,7 @@
     method: bytes
     target: bytes
     body: bytes
-    is_whole: bool = True
+    is_complete: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
@@ -98,7 +98,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def whole(status: int, which: bytes, headers=(), body: bytes = b"") -> bytes:
+def complete_answer(status: int, which: bytes, headers=(), body: bytes = b"") -> bytes:
     return answer_head(status, which, headers, length=len(body)) + body
 
 
@@ -157,7 +157,7 @@
             event = parser.next_event()
             kind = type(event)
             if kind is h11.Request:
-                self.take_head(number, event)
+                self.handle_head(number, event)
             elif kind is h11.Data:
                 self.requests[number].body += bytes(event.data)
             elif kind is h11.EndOfMessage:
@@ -169,7 +169,7 @@
             else:
                 return
 
-    def take_head(self, number, event):
+    def handle_head(self, number, event):
         table = dict(event.headers)
         heard = Heard(
             id=table.get(b"x-attempt-id", b""),
@@ -185,33 +185,33 @@
         if heard.addressed != self.name.encode():
             self.manners[number] = "another"
         elif manner == "early full":
-            self.act(number, [whole(503, heard.id, [b"X-Not-Run: 1"]), self.ending()])
+            self.callback(number, [complete_answer(503, heard.id, [b"X-Not-Run: 1"]), self.ending()])
         elif manner == "early end":
-            self.act(number, [self.ending()])
+            self.callback(number, [self.ending()])
 
     def ending(self):
         return self.chance.choice(("close", "reset"))
 
     def stamp(self, run, status, body):
-        mark = b"s%d" % run.number
-        self.log.stamps[mark] = (run.id, status, body)
-        return b"X-Postmark: " + mark
+        postmark = b"s%d" % run.number
+        self.log.stamps[postmark] = (run.id, status, body)
+        return b"X-Postmark: " + postmark
 
     def take(self, number, heard):
         manner = self.manners[number]
         stale = self.owed.pop(number, [])
         if manner == "another":
-            self.act(number, [*stale, whole(421, heard.id, [b"X-Replica-Id: " + self.name.encode()])])
+            self.callback(number, [*stale, complete_answer(421, heard.id, [b"X-Replica-Id: " + self.name.encode()])])
         elif manner in ("full", "full twice"):
-            refusal = whole(self.chance.choice((503, 429)), heard.id, [b"X-Not-Run: 1"])
-            self.act(number, [*stale, refusal])
+            refusal = complete_answer(self.chance.choice((503, 429)), heard.id, [b"X-Not-Run: 1"])
+            self.callback(number, [*stale, refusal])
             if manner == "full twice":
                 self.owed[number].append(refusal)
         elif manner in ("ends", "silent"):
             if self.chance.random() < 0.5:
                 self.log.begin(request=heard, replica=self.name)
             if manner == "ends":
-                self.act(number, [*stale, self.ending()])
+                self.callback(number, [*stale, self.ending()])
         else:
             self.run(number, heard, manner, stale)
 
@@ -231,7 +231,7 @@
         if is_stream:
             pieces = self.stream(run, which, headers)
         else:
-            pieces = [whole(status, which, headers, body)]
+            pieces = [complete_answer(status, which, headers, body)]
         if manner == "cut":
             data = b"".join(pieces)
             pieces = [data[: self.chance.randrange(1, len(data))], self.ending()]
@@ -247,7 +247,11 @@
         elif manner == "foreign" and self.chance.random() < 0.5:
             pieces = [
                 *pieces,
-                *(self.stream(run, heard.id, headers) if is_stream else [whole(200, heard.id, headers, body)]),
+                *(
+                    self.stream(run, heard.id, headers)
+                    if is_stream
+                    else [complete_answer(200, heard.id, headers, body)]
+                ),
             ]
         if manner == "late twice":
             self.owed[number] += pieces
@@ -256,13 +260,13 @@
             at = 0.0
             for piece in pieces:
                 at += self.chance.uniform(0.01, 0.1) if manner == "slow" else self.chance.uniform(0.1, 0.6)
-                self.loop.after(delay=at, act=lambda piece=piece: self.act(number, [piece]))
+                self.loop.after(delay=at, callback=lambda piece=piece: self.callback(number, [piece]))
             return
-        self.act(number, pieces)
+        self.callback(number, pieces)
         if self.chance.random() < 0.15:  # an idle connection that ends
             delay = self.chance.choice((0.0, 0.05, 1.0, 3.0))
             ending = self.ending()
-            self.loop.after(delay=delay, act=lambda: self.act(number, [ending]))
+            self.loop.after(delay=delay, callback=lambda: self.callback(number, [ending]))
 
     def stream(self, run, which, headers):
         first = run.first_event - (1 if run.first_event > 1 and self.chance.random() < 0.5 else 0)  # told again
@@ -285,7 +289,7 @@
     status: int = 0
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 class User(loopback.Client):
@@ -327,7 +331,7 @@
                     elif type(event) is h11.Data:
                         answer.body += bytes(event.data)
                     elif type(event) is h11.EndOfMessage:
-                        answer.is_whole = True
+                        answer.is_complete = True
                         rest = reader.trailing_data[0]
                         break
                     elif type(event) is h11.ConnectionClosed:
@@ -338,7 +342,7 @@
 
     def is_done(self) -> bool:
         found, _rest = self.answers()
-        return self.is_closed or all(sent.id in found and found[sent.id].is_whole for sent in self.requests)
+        return self.is_closed or all(sent.id in found and found[sent.id].is_complete for sent in self.requests)
 
 
 class Checker:
@@ -364,7 +368,7 @@
     def of_runs(self):
         for which, runs in self.runs.items():
             sent = self.log.sent.get(which)
-            if sent is None or not sent.is_whole:
+            if sent is None or not sent.is_complete:
                 yield f"UNASKED {which}"
                 continue
             for run in runs:
@@ -382,30 +386,30 @@
         if answer.status in PROMISES and sent.lead not in REPEATABLE and runs:
             yield "REFUSED"
         stamp = answer.headers.get(b"x-postmark")
-        told = self.log.stamps.get(stamp)
-        if stamp is not None and told is None:
+        reported_id = self.log.stamps.get(stamp)
+        if stamp is not None and reported_id is None:
             yield "MIXED unknown stamp"
-        if told is not None and told[0] != sent.id:
+        if reported_id is not None and reported_id[0] != sent.id:
             yield "MIXED another's stamp"
-        if told is not None and told[1] != answer.status:
+        if reported_id is not None and reported_id[1] != answer.status:
             yield "MIXED status"
         if answer.headers.get(b"x-attempt-id", sent.id) != sent.id:
             yield "MIXED another's id"
         if 200 <= answer.status < 300:
-            if told is None:
+            if reported_id is None:
                 yield "MIXED success without a stamp"
             elif sent.lead in STREAMS:
                 yield from self.of_stream(sent, answer)
-            elif answer.is_whole and answer.body != told[2]:
+            elif answer.is_complete and answer.body != reported_id[2]:
                 yield "MIXED body"
-            elif not told[2].startswith(answer.body):
+            elif not reported_id[2].startswith(answer.body):
                 yield "MIXED part of a body"
 
     def of_stream(self, sent, answer):
         wanted = [b"id: %d\ndata: %s %d\n\n" % (number, sent.id, number) for number in range(1, EVENTS + 1)]
         if not b"".join(wanted).startswith(answer.body):
             yield "ORDER"
-        if answer.is_whole and answer.body != b"".join(wanted):
+        if answer.is_complete and answer.body != b"".join(wanted):
             yield "ORDER ended as complete"
         if len(self.runs[sent.id]) > 1 and sent.lead not in REPEATABLE:
             yield "ORDER two runs"
@@ -419,7 +423,7 @@
         self.replicas = [
             Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}") for number in range(3)
         ]
-        self.entry = loopback_proxy.Entry(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
+        self.entry = loopback_proxy.LoopbackProxy(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
         self.users = []
         self.number = 0
 
@@ -432,7 +436,7 @@
 
     def wait(self, *, seconds: float) -> None:
         end = self.loop.now() + seconds
-        self.loop.after(delay=seconds, act=lambda: None)
+        self.loop.after(delay=seconds, callback=lambda: None)
         assert self.until(lambda: self.loop.now() >= end)
 
     def user(self):
@@ -463,8 +467,8 @@
             lines.append(b"Expect: 100-continue")
         if body and chance.random() < 0.4:
             lines.append(b"Transfer-Encoding: chunked")
-            cut = chance.randrange(len(body))
-            tail = b"".join(chunk(part) for part in (body[:cut], body[cut:]) if part) + b"0\r\n\r\n"
+            split_offset = chance.randrange(len(body))
+            tail = b"".join(chunk(part) for part in (body[:split_offset], body[split_offset:]) if part) + b"0\r\n\r\n"
         else:
             lines.append(b"Content-Length: %d" % len(body))
             tail = body
@@ -472,42 +476,42 @@
         data = b"\r\n".join(lines) + b"\r\n\r\n" + tail
         if tail and chance.random() < 0.05:
             data = data[: -chance.randrange(1, len(tail) + 1)]  # it will leave in the middle
-            sent.is_whole = False
+            sent.is_complete = False
         self.log.sent[which] = sent
         user.requests.append(sent)
         try:
             user.send(data)
         except OSError:
             return
-        if not sent.is_whole or chance.random() < 0.08:
+        if not sent.is_complete or chance.random() < 0.08:
             is_reset = chance.random() < 0.5
-            self.loop.after(delay=chance.uniform(0.0, 0.4), act=lambda: user.leave(is_reset=is_reset))
+            self.loop.after(delay=chance.uniform(0.0, 0.4), callback=lambda: user.leave(is_reset=is_reset))
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         chance = self.chance
-        act = chance.random()
-        if act < 0.15:  # a freeze: all timers are due at once
+        callback = chance.random()
+        if callback < 0.15:  # a freeze: all timers are due at once
             self.loop.skip(seconds=chance.choice((0.3, 3.0, 20.0)))
-        elif act < 0.3:
-            place = chance.randrange(len(self.replicas))
-            name = f"life{self.number}of{place}"
-            self.replicas[place].replace(name)
-            self.entry.rows[place] = dict(self.entry.rows[place], id=name)
+        elif callback < 0.3:
+            index = chance.randrange(len(self.replicas))
+            name = f"life{self.number}of{index}"
+            self.replicas[index].replace(name)
+            self.entry.rows[index] = dict(self.entry.rows[index], id=name)
             lag_s = chance.choice((0.0, 0.2, 1.0))
-            self.loop.after(delay=lag_s, act=lambda: self.entry.table.install_list(self.entry.list_rows()))
-        elif act < 0.4:
-            self.entry.table.suspect(chance.choice(list(self.entry.table.replicas.values())))
-        elif act < 0.6:
+            self.loop.after(delay=lag_s, callback=lambda: self.entry.table.install_list(self.entry.list_rows()))
+        elif callback < 0.4:
+            self.entry.table.mark_suspected(chance.choice(list(self.entry.table.replicas.values())))
+        elif callback < 0.6:
             self.wait(seconds=chance.choice((0.05, 0.5, 3.0, 11.0)))
 
     def play(self, *, rounds: int) -> list:
         for _ in range(rounds):
-            self.trouble()
+            self.inject_fault()
             for _ in range(self.chance.choice((1, 2, 6))):
                 user = self.user()
                 for _ in range(self.chance.choice((1, 1, 1, 3))):  # sent ahead
                     self.send(user)
-                    if not user.requests[-1].is_whole:
+                    if not user.requests[-1].is_complete:
                         break
             if self.chance.random() < 0.5:
                 assert self.until(lambda: not self.entry.passages and all(user.is_done() for user in self.users))
@@ -516,18 +520,18 @@
 
     def stop(self) -> None:
         """SIGTERM with attempts under way, as ServeMixin.leave goes on from it; then the process is gone."""
-        self.entry.hall.leave()
+        self.entry.server.leave()
         if self.chance.random() < 0.5:
             self.wait(seconds=self.chance.uniform(0.0, 0.5))
-            self.entry.hall.close_idle()
+            self.entry.server.close_idle()
             serving.end_requests(self.entry.passages)
         else:
             assert self.until(lambda: not self.entry.passages and all(user.is_done() for user in self.users))
-        for passage in list(self.entry.passages):
-            passage.gone()
-        for door in list(self.entry.hall.doors):
-            door.close(is_hard=True)
-        self.entry.hall.stop_listening()
+        for handler in list(self.entry.passages):
+            handler.on_client_gone()
+        for http_connection in list(self.entry.server.connections):
+            http_connection.close(is_hard=True)
+        self.entry.server.stop_listening()
         self.wait(seconds=3.0)  # what replicas still had to run has run by now
 
 
@@ -535,13 +539,13 @@
 def test_no_answer_is_anothers_nothing_runs_twice_and_promises_hold(seed):
     world = World(seed=seed)
     assert world.play(rounds=25) == []
-    whole_successes = [
+    complete_successes = [
         answer
         for user in world.users
         for answer in user.answers()[0].values()
-        if answer.status == 200 and answer.is_whole
+        if answer.status == 200 and answer.is_complete
     ]
-    assert len(whole_successes) > 15 and len(world.log.runs) > 30
+    assert len(complete_successes) > 15 and len(world.log.runs) > 30
 
 
 def _repeats_everything(monkeypatch):
@@ -549,23 +553,26 @@
 
     def begin_repeatable(self, **about):
         begin(self, **about)
-        self.is_repeatable = True
+        self.is_idempotent = True
 
     monkeypatch.setattr(route_table.Route, "__init__", begin_repeatable)
 
 
-def _pairs_by_place(monkeypatch):
-    monkeypatch.setattr(upstream_connection.Outlet, "_is_ours", lambda self, *, status, told: True)
+def _pairs_by_position(monkeypatch):
+    monkeypatch.setattr(upstream_connection.UpstreamConnection, "_is_ours", lambda self, *, status, reported_id: True)
 
 
 def _promises_always(monkeypatch):
     monkeypatch.setattr(
-        request_handler.Passage, "unclear", property(lambda self: 0, lambda self, _value: None), raising=False
+        request_handler.RequestHandler,
+        "unresolved_attempts",
+        property(lambda self: 0, lambda self, _value: None),
+        raising=False,
     )
 
 
 def _takes_any_success(monkeypatch):
-    monkeypatch.setattr(attempts, "meaning_of", lambda *, status, table, is_framed: _meaning(status, table))
+    monkeypatch.setattr(attempts, "classify_response", lambda *, status, table, is_framed: _meaning(status, table))
 
 
 def _meaning(status, table):
@@ -587,21 +594,25 @@
 
 
 def _ignores_tries(monkeypatch):
-    monkeypatch.setattr(request_handler.Passage, "may_try_again", lambda self: True)
+    monkeypatch.setattr(request_handler.RequestHandler, "may_retry", lambda self: True)
     monkeypatch.setattr(
-        request_handler.Passage, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
+        request_handler.RequestHandler, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
     )
 
 
 def _keeps_what_came_behind(monkeypatch):
-    monkeypatch.setattr(upstream_connection.Outlet, "_is_ours", lambda self, *, status, told: told != b"elsewhere")
+    monkeypatch.setattr(
+        upstream_connection.UpstreamConnection,
+        "_is_ours",
+        lambda self, *, status, reported_id: reported_id != b"elsewhere",
+    )
 
 
 @pytest.mark.parametrize(
     "plant, rule",
     [
         (_repeats_everything, "TWICE"),
-        (_pairs_by_place, "MIXED"),
+        (_pairs_by_position, "MIXED"),
         (_keeps_what_came_behind, "MIXED"),
         (_promises_always, "REFUSED"),
         (_takes_any_success, "MIXED"),
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -12,7 +12,7 @@
     return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)[nth]
 
 
-def is_whole(heard: bytes) -> bool:
+def is_complete(heard: bytes) -> bool:
     return heard.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", heard, re.I))
 
 
@@ -40,7 +40,7 @@
         self.loop = loopback.new_loop(faults=faults)
         self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
-        self.entry = loopback_proxy.Entry(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
+        self.entry = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
         self.client = loopback.Client(loop=self.loop, address=self.entry.address)
         self.number = 0
 
@@ -60,10 +60,10 @@
 
 
 def replying(number, heard):
-    return [answer(request_id(heard))] if is_whole(heard) else None
+    return [answer(request_id(heard))] if is_complete(heard) else None
 
 
-def test_a_whole_answer_comes_back_with_its_stamp_and_the_replica_is_named():
+def test_a_complete_answer_comes_back_with_its_stamp_and_the_replica_is_named():
     scene = Scene(replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_a_reused_connection_that_dies_after_the_request_is_not_sent_again(lead, end):
     def script(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         return [answer(request_id(heard))] if heard.count(b"\r\n\r\nbody") == 1 else [end]
 
@@ -90,7 +90,7 @@
     assert scene.arrivals() == 2
 
 
-def test_a_repeatable_one_goes_to_another_replica():
+def test_an_idempotent_request_is_retried_at_another_replica():
     scene = Scene(lambda number, heard: ["close"], replying)
     for _ in range(4):
         scene.client.got = b""
@@ -100,7 +100,7 @@
 
 def test_an_answer_too_many_at_the_head_of_the_next_is_read_past():
     def script(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         if heard.count(b"\r\n\r\nbody") == 1:
             return [answer(request_id(heard))]
@@ -119,7 +119,7 @@
     def script(number, heard):
         return (
             [answer(request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
-            if is_whole(heard)
+            if is_complete(heard)
             else None
         )
 
@@ -144,7 +144,7 @@
 )
 def test_a_spoiled_answer_is_never_a_success(spoiled):
     def script(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         return [spoiled.replace(b"%s", request_id(heard)), "close"]
 
@@ -159,7 +159,7 @@
     def full(number, heard):
         return (
             [answer(request_id(heard), status=b"503 Service Unavailable", more=b"X-Not-Run: 1\r\n")]
-            if is_whole(heard)
+            if is_complete(heard)
             else None
         )
 
@@ -175,7 +175,7 @@
 
 def test_a_failure_without_x_not_run_is_no_promise():
     def script(number, heard):
-        return [answer(request_id(heard), status=b"503 Service Unavailable", more=b"")] if is_whole(heard) else None
+        return [answer(request_id(heard), status=b"503 Service Unavailable", more=b"")] if is_complete(heard) else None
 
     scene = Scene(script)
     scene.request("unsafe")
@@ -183,12 +183,12 @@
     assert b"503" not in scene.client.got
 
 
-def test_a_stream_goes_on_at_another_replica_inside_one_answer():
+def test_a_stream_resumes_at_another_replica_inside_one_response():
     def cutting(number, heard):
-        return [head(request_id(heard)) + event(1) + event(2), "close"] if is_whole(heard) else None
+        return [head(request_id(heard)) + event(1) + event(2), "close"] if is_complete(heard) else None
 
     def going_on(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         last = re.search(rb"Last-Event-Id: (\d+)", heard, re.I)
         first = int(last[1]) + 1 if last else 1
@@ -202,9 +202,9 @@
         assert scene.client.got.count(b"HTTP/1.1 200") == 1
 
 
-def test_events_told_twice_are_passed_on_once():
+def test_duplicate_events_are_forwarded_once():
     def cutting(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
             return [head(request_id(heard)) + event(1) + event(2) + event(3)[:9], "close"]
@@ -218,7 +218,7 @@
 
 def test_a_stream_that_may_not_be_resumed_is_broken_visibly():
     def cutting(number, heard):
-        return [head(request_id(heard)) + event(1), "close"] if is_whole(heard) else None
+        return [head(request_id(heard)) + event(1), "close"] if is_complete(heard) else None
 
     scene = Scene(cutting)
     scene.request("once")
@@ -239,7 +239,7 @@
 
 def test_custody_names_each_go():
     def cutting(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
             return [head(request_id(heard)) + event(1), "close"]
@@ -255,11 +255,11 @@
     assert "body" not in str(trail) and all(len(part) == 16 for part in trail["parts"])
 
 
-def test_another_life_at_the_address_runs_nothing():
+def test_another_incarnation_at_the_address_runs_nothing():
     def other(number, heard):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
-            if is_whole(heard)
+            if is_complete(heard)
             else None
         )
 
@@ -269,7 +269,7 @@
     assert scene.arrivals() == 1
 
 
-def test_no_route_is_404_and_the_connection_goes_on():
+def test_no_route_is_404_and_the_connection_stays_open():
     scene = Scene(replying)
     scene.request("nothing")
     assert scene.until(b"HTTP/1.1 404")
@@ -297,7 +297,7 @@
 
 def test_a_client_that_leaves_ends_the_go():
     def script(number, heard):
-        return [head(request_id(heard)) + event(1)] if is_whole(heard) else None
+        return [head(request_id(heard)) + event(1)] if is_complete(heard) else None
 
     scene = Scene(script)
     scene.request("once")
@@ -320,7 +320,7 @@
     big = b"x" * 30000
 
     def script(number, heard):
-        if not is_whole(heard):
+        if not is_complete(heard):
             return None
         return [
             head(request_id(heard))
@@ -333,21 +333,21 @@
     scene = Scene(script)
     scene.loop.unwatch(sock=scene.client.sock)
     scene.request("once", left_ms=5000)
-    assert loopback.until(scene.loop, lambda: any(passage.has_head for passage in scene.entry.passages))
-    passage = next(iter(scene.entry.passages))
+    assert loopback.until(scene.loop, lambda: any(handler.has_head for handler in scene.entry.passages))
+    handler = next(iter(scene.entry.passages))
     number = 3
-    while not passage.attempt.outlet.is_paused and number < 1000:
+    while not handler.attempt.connection.is_paused and number < 1000:
         number += 1
-        passage.pass_event(b"id: %d\ndata: %s\n\n" % (number, big))
-    assert passage.attempt.outlet.is_paused and number < 1000
-    assert scene.entry.hall._held_bytes == 4
-    scene.loop.watch(sock=scene.client.sock, mask=1, act=scene.client._read)
-    assert loopback.until(scene.loop, lambda: not passage.attempt.outlet.is_paused)
+        handler.forward_event(b"id: %d\ndata: %s\n\n" % (number, big))
+    assert handler.attempt.connection.is_paused and number < 1000
+    assert scene.entry.server._buffered_bytes == 4
+    scene.loop.watch(sock=scene.client.sock, mask=1, callback=scene.client._read)
+    assert loopback.until(scene.loop, lambda: not handler.attempt.connection.is_paused)
 
 
-def test_bodies_held_are_bounded():
+def test_buffered_bodies_are_bounded():
     scene = Scene(replying)
-    scene.entry.hall._most_bytes = 3
+    scene.entry.server._most_bytes = 3
     scene.request("safe")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 0
