--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -22,7 +22,7 @@
     def script(number, heard):
         return (
             [test_request_path.answer(test_request_path.request_id(heard), body, **about)]
-            if test_request_path.is_whole(heard)
+            if test_request_path.is_complete(heard)
             else None
         )
 
@@ -38,64 +38,74 @@
 
 
 # What a replica may do with a request: script, and whether it promises that the request was not run.
-def _whole(make):
+def _on_complete_request(make):
     return lambda number, heard: (
-        make(test_request_path.request_id(heard)) if test_request_path.is_whole(heard) else None
+        make(test_request_path.request_id(heard)) if test_request_path.is_complete(heard) else None
     )
 
 
 BEHAVIOURS = {
-    "closes when it has the request": _whole(lambda which: ["close"]),
-    "resets when it has the request": _whole(lambda which: ["reset"]),
+    "closes when it has the request": _on_complete_request(lambda which: ["close"]),
+    "resets when it has the request": _on_complete_request(lambda which: ["reset"]),
     "closes in the middle of the request": lambda number, heard: ["close"],
     "resets in the middle of the request": lambda number, heard: ["reset"],
-    "closes in the middle of the head": _whole(lambda which: [test_request_path.answer(which)[:30], "close"]),
-    "closes in the middle of the body": _whole(
+    "closes in the middle of the head": _on_complete_request(
+        lambda which: [test_request_path.answer(which)[:30], "close"]
+    ),
+    "closes in the middle of the body": _on_complete_request(
         lambda which: [test_request_path.answer(which, b"long body")[:-4], "close"]
     ),
-    "resets in the middle of the body": _whole(
+    "resets in the middle of the body": _on_complete_request(
         lambda which: [test_request_path.answer(which, b"long body")[:-4], "reset"]
     ),
-    "answers for another request": _whole(lambda which: [test_request_path.answer(b"other")]),
-    "answers for others again and again": _whole(lambda which: [test_request_path.answer(b"other") * 4]),
-    "promises for another request": _whole(
+    "answers for another request": _on_complete_request(lambda which: [test_request_path.answer(b"other")]),
+    "answers for others again and again": _on_complete_request(lambda which: [test_request_path.answer(b"other") * 4]),
+    "promises for another request": _on_complete_request(
         lambda which: [test_request_path.answer(b"other", status=b"503 Full", more=NOT_RUN), "close"]
     ),
-    "answers without an id": _whole(lambda which: [b"HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok"]),
-    "answers nothing that is HTTP": _whole(lambda which: [b"\x00\x01\x02 what\r\n\r\n"]),
-    "answers without its stamp": _whole(lambda which: [test_request_path.answer(which, more=b"")]),
-    "answers an encoded body": _whole(
+    "answers without an id": _on_complete_request(
+        lambda which: [b"HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok"]
+    ),
+    "answers nothing that is HTTP": _on_complete_request(lambda which: [b"\x00\x01\x02 what\r\n\r\n"]),
+    "answers without its stamp": _on_complete_request(lambda which: [test_request_path.answer(which, more=b"")]),
+    "answers an encoded body": _on_complete_request(
         lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\nContent-Encoding: gzip\r\n")]
     ),
-    "answers without a length": _whole(
+    "answers without a length": _on_complete_request(
         lambda which: [b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\n\r\nok" % which, "close"]
     ),
-    "answers two lengths": _whole(
+    "answers two lengths": _on_complete_request(
         lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\nContent-Length: 1\r\n")]
     ),
-    "answers a length and chunks": _whole(
+    "answers a length and chunks": _on_complete_request(
         lambda which: [
             test_request_path.answer(
                 which, b"2\r\nok\r\n0\r\n\r\n", more=b"X-Postmark: p\r\nTransfer-Encoding: chunked\r\n"
             )
         ]
     ),
-    "answers a bad chunk": _whole(
+    "answers a bad chunk": _on_complete_request(
         lambda which: [
             b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"
             % which
         ]
     ),
-    "says 503 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"503 Full", more=b"")]),
-    "says 429 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"429 Slow", more=b"")]),
-    "says 408 without a promise": _whole(lambda which: [test_request_path.answer(which, status=b"408 Late", more=b"")]),
-    "promises and breaks off": _whole(
+    "says 503 without a promise": _on_complete_request(
+        lambda which: [test_request_path.answer(which, status=b"503 Full", more=b"")]
+    ),
+    "says 429 without a promise": _on_complete_request(
+        lambda which: [test_request_path.answer(which, status=b"429 Slow", more=b"")]
+    ),
+    "says 408 without a promise": _on_complete_request(
+        lambda which: [test_request_path.answer(which, status=b"408 Late", more=b"")]
+    ),
+    "promises and breaks off": _on_complete_request(
         lambda which: [test_request_path.answer(which, b"long", status=b"503 Full", more=NOT_RUN)[:-2], "close"]
     ),
-    "says success and not run": _whole(
+    "says success and not run": _on_complete_request(
         lambda which: [test_request_path.answer(which, more=b"X-Postmark: p\r\n" + NOT_RUN)]
     ),
-    "says elsewhere and not run": _whole(
+    "says elsewhere and not run": _on_complete_request(
         lambda which: [test_request_path.answer(which, status=b"307 There", more=NOT_RUN)]
     ),
     "is silent": lambda number, heard: None,
@@ -114,7 +124,7 @@
         return BEHAVIOURS[name](number, heard)
 
     scene = test_request_path.Scene(script, test_request_path.replying)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
     if is_reused:
         scene.request("unsafe")
         assert scene.until(b"\r\n\r\nok")
@@ -135,7 +145,7 @@
 @pytest.mark.parametrize("name", [name for name in BEHAVIOURS if name not in SILENT])
 def test_what_may_be_repeated_is_answered_by_another_replica_once(name):
     scene = test_request_path.Scene(BEHAVIOURS[name], answering(b"second"))
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe", left_ms=1000)
     assert settled(scene)
     if name.startswith(("says 429", "says 408", "says elsewhere")):
@@ -159,7 +169,7 @@
 
     failing = answering(b"a failure's own text", status=b"500 Broken")
     scene = test_request_path.Scene(cutting, failing)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t1" in scene.client.got and b"own text" not in scene.client.got
@@ -192,13 +202,13 @@
 
     scene = test_request_path.Scene(waking, going_on)
     table = scene.entry.table.replicas
-    table["i1"].away_until = scene.loop.now() + 1000.0
+    table["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
-    table["i0"].is_suspect = table["i0"].is_unproved = True
+    table["i0"].is_suspected = table["i0"].is_probe_failed = True
     assert scene.until(b"data: t2")  # silence moved it
-    scene.peers[0].act(0, [test_request_path.event(2) + test_request_path.event(3) + END])
-    scene.peers[1].act(0, [test_request_path.event(3) + END])
+    scene.peers[0].callback(0, [test_request_path.event(2) + test_request_path.event(3) + END])
+    scene.peers[1].callback(0, [test_request_path.event(3) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
@@ -210,37 +220,37 @@
         return [test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1)]
 
     scene = test_request_path.Scene(pausing, pausing, zones=zones)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
     return scene, scene.entry.table.replicas["i0"]
 
 
-def test_the_silence_of_a_replica_ends_nothing_where_no_other_one_can_go_on():
+def test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume():
     scene, replica = silent_in_a_stream(zones=["za", "za"])
-    scene.entry.table.replicas["i1"].is_suspect = True
-    replica.is_suspect = replica.is_unproved = True
+    scene.entry.table.replicas["i1"].is_suspected = True
+    replica.is_suspected = replica.is_probe_failed = True
     looked = []
-    prove = scene.entry.table.prove
-    scene.entry.table.prove = lambda *, replica: looked.append(replica.id)
+    probe = scene.entry.table.probe
+    scene.entry.table.probe = lambda *, replica: looked.append(replica.id)
     assert loopback.until(scene.loop, lambda: len(looked) >= 4)  # looked at again and again, and not left
-    scene.entry.table.prove = prove
-    scene.peers[0].act(0, [test_request_path.event(2) + END])
+    scene.entry.table.probe = probe
+    scene.peers[0].callback(0, [test_request_path.event(2) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
 
 
-def test_a_silent_replica_that_is_suspect_for_its_zone_alone_is_proved_first():
+def test_a_silent_replica_suspected_for_its_zone_alone_is_checked_first():
     scene, replica = silent_in_a_stream(zones=["za", "za"])
-    replica.is_suspect = True  # others of its zone did not come up; this one does
-    assert loopback.until(scene.loop, lambda: not replica.is_suspect)
-    scene.peers[0].act(0, [test_request_path.event(2) + END])
+    replica.is_suspected = True  # others of its zone did not come up; this one does
+    assert loopback.until(scene.loop, lambda: not replica.is_suspected)
+    scene.peers[0].callback(0, [test_request_path.event(2) + END])
     assert scene.until(END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
 
 
 @pytest.mark.parametrize("change", [{"kind": "retry_unsafe"}, {"tries": 1}])
-def test_a_configuration_that_forbids_a_second_attempt_binds_one_that_is_under_way(change):
+def test_a_configuration_that_forbids_a_retry_binds_a_request_in_progress(change):
     def script(number, heard):
         body = dict(loopback_proxy.CONFIGURATION, edition=4)
         body["routes"] = [
@@ -250,7 +260,7 @@
         return ["close"]
 
     scene = test_request_path.Scene(script, test_request_path.replying)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert settled(scene)
     assert scene.arrivals() == 1 and statuses(scene.client) == [502]
@@ -282,8 +292,8 @@
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
-    outlet = scene.entry.table.replicas["i0"].idle[0]
-    scene.loop.unwatch(sock=outlet.sock)  # its event stands behind the request's in the same step
+    connection = scene.entry.table.replicas["i0"].idle[0]
+    scene.loop.unwatch(sock=connection.sock)  # its event stands behind the request's in the same step
     scene.loop.skip(seconds=2.0)
     scene.peers[0].end(0, is_reset=end)
     scene.request("unsafe")
@@ -297,7 +307,9 @@
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
     scene.client.send(b"POST /once/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: late\r\nX-Time-Left-Ms: 900\r\n")
-    assert loopback.until(scene.loop, lambda: any(door._head_begun for door in scene.entry.hall.doors))
+    assert loopback.until(
+        scene.loop, lambda: any(http_connection._head_begun for http_connection in scene.entry.server.connections)
+    )
     scene.loop.skip(seconds=4.0)
     scene.client.send(b"Content-Length: 4\r\n\r\nbody")
     assert loopback.until(scene.loop, lambda: scene.client.got)
@@ -341,7 +353,7 @@
     scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once", left_ms=300)
     assert settled(scene)
-    scene.peers[0].act(0, [test_request_path.answer(b"a1", b"late")])
+    scene.peers[0].callback(0, [test_request_path.answer(b"a1", b"late")])
     scene.peers[0].script = answering(b"own")
     scene.request("unsafe")
     assert scene.until(b"own")
@@ -352,8 +364,8 @@
 @pytest.mark.parametrize("others", [0, 1])
 def test_a_connection_that_does_not_come_up_carried_nothing(others):
     scene = test_request_path.Scene(test_request_path.replying, *[test_request_path.replying] * others)
-    for place in range(others):
-        scene.entry.table.replicas[f"i{place + 1}"].away_until = scene.loop.now() + 1000.0
+    for index in range(others):
+        scene.entry.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
     scene.loop.unwatch(sock=scene.peers[0].sock)
     scene.peers[0].sock.close()
     scene.request("unsafe")
@@ -378,7 +390,7 @@
     if where == "first event":
         monkeypatch.setattr(scene.entry.chooser, "note_read", broken)
     else:
-        monkeypatch.setattr(upstream_connection.Outlet, "_ended", broken)
+        monkeypatch.setattr(upstream_connection.UpstreamConnection, "_on_response_end", broken)
         scene.peers[0].script = answering()
     scene.request("once", left_ms=300)
     assert settled(scene)
@@ -406,7 +418,7 @@
         if kind != report_source.SENT:
             raise RuntimeError("planted")
 
-    scene.entry.tell_send = broken
+    scene.entry.report_attempt = broken
     scene.request("once", left_ms=300)
     assert settled(scene)
     assert faults and statuses(scene.client)[0] in (502, 504) and scene.arrivals() == 1
@@ -430,9 +442,9 @@
         raise RuntimeError("planted")
 
     monkeypatch.setattr(event_streams.Stream, "take", broken_once)
-    scene.peers[0].act(0, [test_request_path.event(2)])
+    scene.peers[0].callback(0, [test_request_path.event(2)])
     assert loopback.until(scene.loop, lambda: faults)
-    scene.peers[0].act(0, [test_request_path.event(3) + END])
+    scene.peers[0].callback(0, [test_request_path.event(3) + END])
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t3" not in scene.client.got and not scene.client.got.endswith(END)
 
@@ -465,7 +477,7 @@
         ]
 
     scene = test_request_path.Scene(cutting, anew)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 1 and not scene.client.got.endswith(END)
@@ -481,13 +493,13 @@
         ]
 
     scene = test_request_path.Scene(cutting, test_request_path.replying)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 1 and not scene.client.got.endswith(END)
 
 
-def test_a_length_beside_chunks_never_makes_a_part_look_whole():
+def test_a_length_beside_chunks_never_makes_a_partial_answer_look_complete():
     body = b"x" * 700000
 
     def script(number, heard):
@@ -507,9 +519,9 @@
     scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
-    passage = next(iter(scene.entry.passages))
-    passage.request.door._write = lambda data: passage.request.door._gone()
-    scene.peers[0].act(0, [test_request_path.head(test_request_path.request_id(scene.peers[0].heard[0])) + END])
+    handler = next(iter(scene.entry.passages))
+    handler.request.http_connection._write = lambda data: handler.request.http_connection._gone()
+    scene.peers[0].callback(0, [test_request_path.head(test_request_path.request_id(scene.peers[0].heard[0])) + END])
     assert loopback.until(scene.loop, lambda: not scene.entry.passages)
     scene.loop.step()
     assert len(scene.entry.trails()) == 1
@@ -519,7 +531,9 @@
 def test_requests_sent_ahead_are_answered_in_order_each_with_its_own():
     def script(number, heard):
         ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
-        return [test_request_path.answer(ids[-1], b"body of " + ids[-1])] if test_request_path.is_whole(heard) else None
+        return (
+            [test_request_path.answer(ids[-1], b"body of " + ids[-1])] if test_request_path.is_complete(heard) else None
+        )
 
     scene = test_request_path.Scene(script)
     for lead in ("unsafe", "safe", "once", "unsafe"):
@@ -538,7 +552,7 @@
         except OSError:
             break
         for _ in range(3):
-            scene.loop.command(act=lambda: None)
+            scene.loop.command(callback=lambda: None)
             scene.loop.step()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert not scene.entry.passages and not scene.client.got  # long before the deadline
@@ -609,9 +623,9 @@
     open_ = replica_table.Table._open
 
     def opened(table, replica):
-        outlet = open_(table, replica)
-        outlet.sock = SlowSocket(outlet.sock, most=most)
-        return outlet
+        connection = open_(table, replica)
+        connection.sock = SlowSocket(connection.sock, most=most)
+        return connection
 
     monkeypatch.setattr(replica_table.Table, "_open", opened)
 
@@ -620,7 +634,7 @@
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
     scene = test_request_path.Scene(lambda number, heard: [end], test_request_path.replying)
-    scene.entry.table.replicas["i1"].away_until = scene.loop.now() + 1000.0
+    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     in_part(scene, monkeypatch, most=1)
     scene.request(lead)
     assert settled(scene)
@@ -658,7 +672,7 @@
     in_part(scene, monkeypatch, most=0)
     scene.request("once", left_ms=1000)
     assert loopback.until(scene.loop, lambda: scene.peers[0].socks)
-    scene.peers[0].act(0, [test_request_path.answer(b"a1", b"early")])
+    scene.peers[0].callback(0, [test_request_path.answer(b"a1", b"early")])
     assert settled(scene)
     assert statuses(scene.client) == [503]
 
@@ -754,12 +768,12 @@
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
     scene.request("unsafe")
-    door = next(iter(scene.entry.hall.doors))
+    http_connection = next(iter(scene.entry.server.connections))
     if by == "leaving":
-        scene.entry.hall.leave()
-        scene.entry.hall.close_idle()
+        scene.entry.server.leave()
+        scene.entry.server.close_idle()
     else:
-        door._idle()
+        http_connection._idle()
     assert settled(scene)
     assert statuses(scene.client) == [200]
 
@@ -768,17 +782,17 @@
     scene = test_request_path.Scene(test_request_path.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
-    scene.entry.hall.leave()
-    scene.entry.hall.close_idle()
+    scene.entry.server.leave()
+    scene.entry.server.close_idle()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
 
 
-def test_at_the_end_of_leaving_who_waits_is_told_that_it_has_not_run_and_who_was_sent_is_not():
+def test_at_the_end_of_draining_who_waits_is_answered_that_it_has_not_run_and_who_was_sent_is_not():
     scene = test_request_path.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     waiting = loopback.Client(loop=scene.loop, address=scene.entry.address)
-    scene.entry.table.replicas["i0"].is_suspect = True
+    scene.entry.table.replicas["i0"].is_suspected = True
     waiting.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: w\r\nX-Time-Left-Ms: 4000\r\n\r\n")
     assert loopback.until(scene.loop, lambda: len(scene.entry.passages) == 2)
     serving.end_requests(scene.entry.passages)
@@ -789,7 +803,7 @@
 def test_a_request_that_comes_once_the_end_of_leaving_began_is_refused():
     scene = test_request_path.Scene(test_request_path.replying)
     scene.entry.has_ended = True
-    scene.entry.hall._on_request = lambda request: serving.ServeMixin._on_request(scene.entry, request)
+    scene.entry.server._on_request = lambda request: serving.ServeMixin._on_request(scene.entry, request)
     scene.request("unsafe")
     assert settled(scene)
     assert statuses(scene.client) == [503] and scene.arrivals() == 0
@@ -797,13 +811,13 @@
 
 def leave(scene, *, since_s):
     """SIGTERM came so many seconds ago."""
-    scene.entry.hall.leave()
-    scene.entry.leaving.begin()
+    scene.entry.server.leave()
+    scene.entry.drain_window.begin()
     scene.loop.skip(seconds=since_s)
 
 
 @pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
-def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_cut(since_s, is_taken):
+def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_interrupt(since_s, is_taken):
     """graceS is 8, the stream's time 5 s. One that was begun 5.1 s after SIGTERM was cut at 7.5 s by a bbs-ploverward day."""
     scene = test_request_path.Scene(test_request_path.replying)
     leave(scene, since_s=since_s)
@@ -828,7 +842,7 @@
 def test_a_second_sigterm_gives_no_more_time():
     scene = test_request_path.Scene(test_request_path.replying)
     leave(scene, since_s=4.0)
-    scene.entry.leaving.begin()
+    scene.entry.drain_window.begin()
     scene.request("once", left_ms=5000)
     assert settled(scene)
     assert statuses(scene.client) == [503]
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -31,16 +31,16 @@
         for scene in scenes:
             region = mirror.Region(now=scene.loop.now, trust_s=4.0)
             scene.chooser._regions = {"south": region}
-            scene.tell_read = self.read
-            self.views.append((recording_connections.Wire(), region))
+            scene.report_prefill = self.read
+            self.views.append((recording_connections.RecordingLink(), region))
         self.fail_over()
 
     def fail_over(self):
         self.epoch += 1
         for wire, region in self.views:
             region.fail()
-            wire.told.clear()
-        self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspect_s=1.0)
+            wire.sent.clear()
+        self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
         self.host.sync(
             services={"llm": {"models": ("m",), "cache_tokens": 1000}},
             replicas=[
@@ -48,11 +48,12 @@
                 for row in self.scenes[0].rows
             ],
         )
-        self.digest = recording_connections.Wire()
+        self.digest = recording_connections.RecordingLink()
         self.number = 1
         self.host.subscribe(self.digest, region="south")
-        self.host.take_sums(
-            self.digest, recording_connections.sums(1, loads=[recording_connections.load_row("i2", ended=1)])
+        self.host.handle_aggregates(
+            self.digest,
+            recording_connections.aggregates_message(1, loads=[recording_connections.load_row("i2", ended=1)]),
         )
         for wire, _region in self.views:
             self.host.subscribe(wire, region="south")
@@ -60,19 +61,19 @@
     def read(self, *, replica, service, model, parts, salt):
         assert salt == model
         self.number += 1
-        self.host.take_sums(
+        self.host.handle_aggregates(
             self.digest,
-            recording_connections.sums(
+            recording_connections.aggregates_message(
                 self.number, reads=[recording_connections.read_row(replica.id, *parts, service=service, model=model)]
             ),
         )
 
-    def tell(self):
+    def publish(self):
         self.host.tick()
         for wire, region in self.views:
-            for message in wire.told:
+            for message in wire.sent:
                 region.take(message)
-            wire.told.clear()
+            wire.sent.clear()
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -106,7 +107,7 @@
     zones = ["za", "za", "zb", "zb", "zc"]
     peers = [loopback.Peer(loop=loop, script=script_of(zone)) for zone in zones]
     scenes = [
-        loopback_proxy.Entry(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
+        loopback_proxy.LoopbackProxy(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
     ]  # two entry proxies
     relay = Relay(scenes=scenes)
     configuration = copy.deepcopy(loopback_proxy.CONFIGURATION)
@@ -115,27 +116,27 @@
     homes = ("south",)
     number = 0
     for step in range(18):
-        act = chance.random() if step else 1.0  # the first requests find all well
-        if act < 0.25:
+        callback = chance.random() if step else 1.0  # the first requests find all well
+        if callback < 0.25:
             state[chance.choice(list(ZONES))] = chance.choice(("well", "well", "lost", "dark", "full"))
-        elif act < 0.4:
+        elif callback < 0.4:
             # Homes change in mid-flight: both the older and the newer ones bind from here on.
             homes = chance.choice((("south",), ("north", "south"), ("north",), ("south", "west")))
             home["homeRegions"] = list(homes)
             configuration["edition"] += 1
             for scene in scenes:
                 scene.configure(copy.deepcopy(configuration))
-        elif act < 0.5:
+        elif callback < 0.5:
             out = chance.sample(("za", "zb"), chance.randint(0, 1))
             for scene in scenes:
                 scene.table.install_evacuations(out)
-        elif act < 0.6:
+        elif callback < 0.6:
             clearing = chance.sample(["i0", "i2", "i4"], 1)
             for scene in scenes:
                 scene.table.install_list(scene.list_rows(clearing=clearing))
-        elif act < 0.7:
+        elif callback < 0.7:
             relay.fail_over()
-        relay.tell()
+        relay.publish()
         clients = []
         for _ in range(chance.choice((1, 1, 4))):
             number += 1
@@ -179,14 +180,14 @@
 
     trails = [trail for scene in scenes for trail in scene.trails()]
     assert trail_audit.summary(trails=trails, coverage=[], zones=ZONES)["outside"] == []
-    told = {
+    sent = {
         trail["id"].encode(): {
             (attempt["replica"], attempt["zone"]) for attempt in trail["goes"] if attempt["end"] != "not sent"
         }
         for trail in trails
     }
     for which, places in heard.items():
-        assert places <= told[which]
+        assert places <= sent[which]
 
     homed = next(
         trail for trail in trails if trail["homes"] and any(attempt["end"] != "not sent" for attempt in trail["goes"])
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -18,33 +18,33 @@
 KEY = b"replica1"
 
 
-def told_kinds(scene):
+def reported_kinds(scene):
     """What the proxy would report of each attempt: {replica: [kinds]}."""
     kinds = collections.defaultdict(list)
-    scene.entry.tell_send = lambda *, replica, kind: kinds[replica.id].append(kind)
+    scene.entry.report_attempt = lambda *, replica, kind: kinds[replica.id].append(kind)
     return kinds
 
 
 def refusing(number, heard):
     return (
         [test_request_path.answer(test_request_path.request_id(heard), b"no", status=b"500 Broken")]
-        if test_request_path.is_whole(heard)
+        if test_request_path.is_complete(heard)
         else None
     )
 
 
 @pytest.mark.parametrize("status", [b"500 Broken", b"502 Broken", b"200 OK"])
-def test_a_replica_that_fails_requests_is_told_by_its_outcomes_and_left_by_who_saw_it(status):
+def test_a_replica_that_fails_requests_is_detected_by_its_outcomes_and_avoided_by_who_saw_it(status):
     def script(number, heard):
         more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without its stamp is none
         return (
             [test_request_path.answer(test_request_path.request_id(heard), b"no", status=status, more=more)]
-            if test_request_path.is_whole(heard)
+            if test_request_path.is_complete(heard)
             else None
         )
 
     scene = test_request_path.Scene(script, test_request_path.replying)
-    kinds = told_kinds(scene)
+    kinds = reported_kinds(scene)
     for _ in range(12):
         scene.client.got = b""
         scene.request("safe")
@@ -60,7 +60,7 @@
         scene.client.got = b""
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
-    scene.entry.table.try_suspects()
+    scene.entry.table.check_suspected_replicas()
     scene.entry.table.sweep()
     heard = b"".join(heard for peer in scene.peers for heard in peer.heard)
     assert b"GET " not in heard and b"/health" not in heard
@@ -68,7 +68,7 @@
 
 def test_a_replica_that_flaps_is_out_for_longer_each_time_and_comes_back():
     clock = [0.0]
-    judge = outcomes.Judge(now=lambda: clock[0], suspect_s=1.0)
+    judge = outcomes.Judge(now=lambda: clock[0], suspicion_s=1.0)
     changes = []
     while clock[0] < 60.0:
         clock[0] += 0.1
@@ -79,10 +79,10 @@
             changes.append((clock[0], KEY in judge.failing))
     outs = [back - out for (out, is_out), (back, _is) in zip(changes, changes[1:], strict=False) if is_out]
     assert len(outs) >= 3 and outs[0] < outs[1] < outs[2] and max(outs) < 17.0
-    assert outcomes.Judge(now=lambda: 0.0, suspect_s=1.0).failing == set()
+    assert outcomes.Judge(now=lambda: 0.0, suspicion_s=1.0).failing == set()
 
 
-def test_marks_of_failing_ones_do_not_leave_nobody_to_choose():
+def test_failing_flags_on_all_replicas_do_not_leave_nobody_to_choose():
     scene = test_request_path.Scene(refusing, refusing)
     for _ in range(6):
         scene.client.got = b""
@@ -94,7 +94,7 @@
     assert replica is not None and is_any
 
 
-def test_a_way_that_carries_one_direction_is_no_link():
+def test_a_one_directional_network_path_is_no_link():
     """We can send and are not heard, or hear nothing: a held connection needs an answer to its beats."""
     loop = loopback.new_loop()
     server = socket.socket()
@@ -107,27 +107,27 @@
         sock, _address = server.accept()
         heard.append(sock)  # it is open and takes all, and nothing ever comes back
 
-    loop.watch(sock=server, mask=selectors.EVENT_READ, act=accept)
+    loop.watch(sock=server, mask=selectors.EVENT_READ, callback=accept)
     ended = []
-    dialer = peer_connection.Dialer(
+    connector = peer_connection.Connector(
         loop=loop,
         address=server.getsockname(),
         on_up=lambda link: None,
         on_message=lambda link, message: None,
         on_end=lambda link, reason: ended.append(reason),
-        silence_s=1.0,
+        peer_timeout_s=1.0,
     )
     beats = [0]
 
-    def beat():
-        if dialer.link is not None and dialer.link.is_up:
-            dialer.link.send(("beat", 0))
+    def send_heartbeats():
+        if connector.link is not None and connector.link.is_up:
+            connector.link.send(("beat", 0))
             beats[0] += 1
 
-    loop.every(gap=0.1, act=beat)
+    loop.every(interval_s=0.1, callback=send_heartbeats)
     assert loopback.until(loop, lambda: ended)
     assert ended[0] == "silent" and beats[0] >= 2
-    dialer.stop()
+    connector.stop()
     for sock in [server, *heard]:
         sock.close()
 
@@ -141,7 +141,7 @@
             service="llm", permitted=None, model="m", chain=(), prompt_tokens=chance.randint(100, 200), avoid=set()
         )
         replica.running += 1
-        replica.to_read[number] = tokens
+        replica.prefill_tokens[number] = tokens
         taken[replica.id] += 1
     assert min(taken.values()) >= 8 and len(taken) == 4
 
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
 def test_an_idle_connection_that_was_forgotten_says_nothing_of_its_replica(lead, is_answered):
     def script(number, heard):
-        if not test_request_path.is_whole(heard):
+        if not test_request_path.is_complete(heard):
             return None
         return (
             ["reset"]
@@ -158,7 +158,7 @@
         )
 
     scene = test_request_path.Scene(script, test_request_path.replying)
-    kinds = told_kinds(scene)
+    kinds = reported_kinds(scene)
     replica = scene.entry.table.replicas["i0"]
     scene.entry.table.replicas["i1"].is_clearing = True
     scene.request("safe")
@@ -170,7 +170,7 @@
     scene.request(lead)
     assert scene.until(b"\r\n\r\nok" if is_answered else b" 502 ")
     assert scene.arrivals() - arrivals == (2 if is_answered else 1)  # what may have run once does not run again
-    assert report_source.FAILED not in kinds["i0"] and replica.failed_lately(now=scene.loop.now()) == 0
+    assert report_source.FAILED not in kinds["i0"] and replica.recent_failures(now=scene.loop.now()) == 0
 
 
 @pytest.mark.parametrize("mask", [selectors.EVENT_READ, selectors.EVENT_WRITE])
@@ -181,12 +181,12 @@
     server.listen(1)
     near = socket.create_connection(server.getsockname())
     ended = []
-    link = peer_connection.Link(
+    link = peer_connection.PeerConnection(
         loop=loop,
         sock=near,
         on_message=lambda link, message: None,
         on_end=lambda link, reason: ended.append(reason),
-        silence_s=5.0,
+        peer_timeout_s=5.0,
         is_connecting=True,
     )
     link.close(reason="another event")
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -38,25 +38,25 @@
 def made(*, rollout=CANARY, chance=0.5, began=50.0):
     clock = Clock()
     clock.now = began
-    held = version_routing.Rollouts(now=clock, chance=lambda: chance, running=lambda service, target: 3)
-    held.install(payload(rollout))
-    return held, clock
+    tracker = version_routing.Rollouts(now=clock, chance=lambda: chance, running=lambda service, target: 3)
+    tracker.install(payload(rollout))
+    return tracker, clock
 
 
 def lease(*, share=0.1, replicas=(), number=1, step=2):
     return leases.Lease(service="pool", number=number, step=step, share=share, replicas=replicas)
 
 
-def give(held, *, life_s=2.5, **about):
-    number, _data = held.report()
-    held.take_leases(number=number, life_s=life_s, leases=[lease(**about)])
+def give(tracker, *, lease_s=2.5, **about):
+    number, _data = tracker.report()
+    tracker.handle_leases(number=number, lease_s=lease_s, leases=[lease(**about)])
 
 
-def editions(held, *, is_first=True):
+def editions(tracker, *, is_first=True):
     """Which of v1, v2, v3 each pool has, the preferred one first."""
     return [
         "".join(name for name in ("v1", "v2", "v3") if pool is None or pool.has(replica(name)))
-        for pool in held.pools(service="pool", is_first=is_first)
+        for pool in tracker.pools(service="pool", is_first=is_first)
     ]
 
 
@@ -74,61 +74,61 @@
     "stage, wanted", [(state.Stage.DRAINING, ["v2"]), (state.Stage.RETURNED, ["v1"]), (state.Stage.PROMOTING, ["v1"])]
 )
 def test_where_requests_go_without_a_lease(stage, wanted):
-    held, _clock = made(rollout=dataclasses.replace(CANARY, stage=stage, step=3))
-    assert editions(held) == wanted
+    tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=stage, step=3))
+    assert editions(tracker) == wanted
 
 
 def test_after_delivery_the_former_version_gets_nothing():
-    held, _clock = made(
+    tracker, _clock = made(
         rollout=dataclasses.replace(CANARY, stage=state.Stage.DELIVERED, admitted=("v2",), refused=(), step=5)
     )
-    assert editions(held) == ["v2"]
+    assert editions(tracker) == ["v2"]
 
 
 def test_a_lease_of_all_prefers_the_new_version():
-    held, _clock = made(rollout=dataclasses.replace(CANARY, stage=state.Stage.PROMOTING, step=3))
-    give(held, share=1.0, step=3)
-    assert editions(held) == ["v2", "v1"]
+    tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=state.Stage.PROMOTING, step=3))
+    give(tracker, share=1.0, step=3)
+    assert editions(tracker) == ["v2", "v1"]
 
 
-def test_what_failed_once_goes_to_the_former_version():
-    held, _clock = made(chance=0.99)
-    give(held, share=0.1)
-    assert editions(held, is_first=True) == ["v2", "v1"]
-    assert editions(held, is_first=False) == ["v1"]
+def test_a_retry_is_sent_to_the_former_version():
+    tracker, _clock = made(chance=0.99)
+    give(tracker, share=0.1)
+    assert editions(tracker, is_first=True) == ["v2", "v1"]
+    assert editions(tracker, is_first=False) == ["v1"]
 
 
 def test_a_lease_counts_from_when_its_report_was_sent():
-    held, clock = made(chance=0.99)
-    number, _data = held.report()
+    tracker, clock = made(chance=0.99)
+    number, _data = tracker.report()
     clock.now += 2.4
-    held.take_leases(number=number, life_s=2.5, leases=[lease()])
-    assert editions(held) == ["v2", "v1"]
+    tracker.handle_leases(number=number, lease_s=2.5, leases=[lease()])
+    assert editions(tracker) == ["v2", "v1"]
     clock.now += 0.2
-    assert editions(held) == ["v1"]
+    assert editions(tracker) == ["v1"]
 
 
 def test_a_lease_that_was_not_asked_for_or_is_of_an_older_order_or_step_counts_for_nothing():
-    held, _clock = made(chance=0.99)
-    held.take_leases(number=7, life_s=9.0, leases=[lease()])
-    give(held, number=2)
-    give(held, step=1)
-    assert editions(held) == ["v1"]
+    tracker, _clock = made(chance=0.99)
+    tracker.handle_leases(number=7, lease_s=9.0, leases=[lease()])
+    give(tracker, number=2)
+    give(tracker, step=1)
+    assert editions(tracker) == ["v1"]
 
 
-def test_a_late_answer_does_not_take_the_place_of_a_newer_lease():
-    held, clock = made(chance=0.99)
-    first, _data = held.report()
+def test_a_late_answer_does_not_replace_a_newer_lease():
+    tracker, clock = made(chance=0.99)
+    first, _data = tracker.report()
     clock.now += 0.4
-    give(held, share=0.0)
-    held.take_leases(number=first, life_s=2.5, leases=[lease(share=0.5)])
-    assert editions(held) == ["v1"]
+    give(tracker, share=0.0)
+    tracker.handle_leases(number=first, lease_s=2.5, leases=[lease(share=0.5)])
+    assert editions(tracker) == ["v1"]
 
 
 def test_a_canary_names_the_replicas_that_it_may_go_to():
-    held, _clock = made(chance=0.99)
-    give(held, replicas=("i7",))
-    assert held.pools(service="pool", is_first=True)[0].replicas == ("i7",)
+    tracker, _clock = made(chance=0.99)
+    give(tracker, replicas=("i7",))
+    assert tracker.pools(service="pool", is_first=True)[0].replicas == ("i7",)
 
 
 @pytest.mark.parametrize("proxies", [1, 60, 330])
@@ -139,14 +139,14 @@
     sent, sent_new = 0, 0
     for _proxy in range(proxies):
         requests = chance.randint(0, 80)
-        held, _clock = made(chance=chance.random())
-        give(held, share=share)
-        for turn in range(requests):
-            if turn == requests // 2 and chance.random() < 0.2:
-                held, _clock = made(chance=chance.random())
-                give(held, share=share)
-            edition = "v2" if editions(held)[0] == "v2" else "v1"
-            held.note_send(service="pool", replica=replica(edition))
+        tracker, _clock = made(chance=chance.random())
+        give(tracker, share=share)
+        for index in range(requests):
+            if index == requests // 2 and chance.random() < 0.2:
+                tracker, _clock = made(chance=chance.random())
+                give(tracker, share=share)
+            edition = "v2" if editions(tracker)[0] == "v2" else "v1"
+            tracker.note_send(service="pool", replica=replica(edition))
             sent += 1
             sent_new += edition == "v2"
     spread = 4.0 * (0.25 * proxies * 1.2) ** 0.5 + 1
@@ -154,24 +154,24 @@
 
 
 def test_what_could_not_be_sent_is_not_made_up_for_later():
-    held, _clock = made(chance=0.0)
-    give(held, share=0.5)
-    for _turn in range(200):
-        held.note_send(service="pool", replica=replica("v1"))
+    tracker, _clock = made(chance=0.0)
+    give(tracker, share=0.5)
+    for _index in range(200):
+        tracker.note_send(service="pool", replica=replica("v1"))
     burst = 0
-    for _turn in range(4):
-        if editions(held)[0] == "v2":
-            held.note_send(service="pool", replica=replica("v2"))
+    for _index in range(4):
+        if editions(tracker)[0] == "v2":
+            tracker.note_send(service="pool", replica=replica("v2"))
             burst += 1
         else:
-            held.note_send(service="pool", replica=replica("v1"))
+            tracker.note_send(service="pool", replica=replica("v1"))
     assert burst <= 3
 
 
 def attempt(edition="v2", **about):
-    told = {
+    fields = {
         "replica": replica(edition),
-        "outlet": types.SimpleNamespace(is_unsent=False),
+        "connection": types.SimpleNamespace(is_unsent=False),
         "meaning": attempts.Meaning.SUCCESS,
         "status": 200,
         "is_complete": True,
@@ -181,19 +181,19 @@
         "pieces": 6,
         "arrival": None,
     }
-    return types.SimpleNamespace(**{**told, **about})
+    return types.SimpleNamespace(**{**fields, **about})
 
 
 def counted(one, *, kind=report_source.DONE, began=40.0):
     """The tallies after one attempt's end; the order came at `began`."""
-    held, clock = made(began=began)
+    tracker, clock = made(began=began)
     clock.now = 50.0
-    held.note_end(service="pool", route="r", attempt=one, kind=kind, aim_s=0.6, expected_s=0.1)
-    reports = rollout_evidence.unpack(held.report()[1])
+    tracker.note_end(service="pool", route="r", attempt=one, kind=kind, latency_target_s=0.6, expected_s=0.1)
+    reports = rollout_evidence.unpack(tracker.report()[1])
     return [tally for tally in reports[0].tallies.values()]
 
 
-def test_a_whole_answer_counts_with_its_times():
+def test_a_complete_answer_counts_with_its_times():
     (tally,) = counted(attempt())
     assert (tally.ended, tally.failed, tally.broken) == (1, 0, 0)
     assert sum(tally.firsts.values()) == sum(tally.paces.values()) == 1
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize(
     "about",
     [
-        {"outlet": types.SimpleNamespace(is_unsent=True)},
+        {"connection": types.SimpleNamespace(is_unsent=True)},
         {"meaning": attempts.Meaning.NOT_RUN, "status": 503},
         {"is_complete": False},  # its client left in good time: that says nothing of the replica
     ],
@@ -233,18 +233,20 @@
     assert counted(attempt(), began=49.5) == []
 
 
-def test_reports_are_of_roll_outs_under_way_alone():
-    held, _clock = made()
-    (report,) = rollout_evidence.unpack(held.report()[1])
+def test_reports_are_of_roll_outs_in_progress_alone():
+    tracker, _clock = made()
+    (report,) = rollout_evidence.unpack(tracker.report()[1])
     assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
-    held.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
-    assert held.report() is None
+    tracker.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
+    assert tracker.report() is None
 
 
 def test_counts_begin_anew_with_each_order():
-    held, clock = made(began=40.0)
+    tracker, clock = made(began=40.0)
     clock.now = 50.0
-    held.note_end(service="pool", route="r", attempt=attempt(), kind=report_source.DONE, aim_s=0.6, expected_s=0.1)
-    held.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
-    (report,) = rollout_evidence.unpack(held.report()[1])
+    tracker.note_end(
+        service="pool", route="r", attempt=attempt(), kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
+    )
+    tracker.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
+    (report,) = rollout_evidence.unpack(tracker.report()[1])
     assert report.number == 2 and not report.tallies and report.sent == 0
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -12,8 +12,8 @@
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.load_reports import report_source
 
-MOST_CREDIT = 1.5  # requests that may be saved up while no replica of the new version can be named
-WHOLE_SHARE = 0.999
+MAX_CREDIT = 1.5  # requests that may be saved up while no replica of the new version can be named
+FULL_SHARE = 0.999
 
 
 def _first_bucket(took_s: float, expected_s: float) -> int:
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class Held:
+class TrackedRollout:
     """One service's roll-out as this proxy follows it."""
 
     rollout: state.Rollout
@@ -59,7 +59,7 @@
         self._now = now
         self._chance = chance
         self._running = running
-        self._held = {}  # service: Held
+        self._tracked = {}  # service: Held
         self._asked = {}  # number of a report: when it was sent
         self._number = 0
         self.pace = 1
@@ -68,22 +68,22 @@
         """The register's newest value."""
         now = self._now()
         for service, rollout in state.rollouts_of(payload).items():
-            held = self._held.get(service)
-            if held is not None and held.rollout.number == rollout.number:
-                held.rollout = rollout
-                held.began_at = min(held.began_at, now - rollout.age_s)
+            tracked = self._tracked.get(service)
+            if tracked is not None and tracked.rollout.number == rollout.number:
+                tracked.rollout = rollout
+                tracked.began_at = min(tracked.began_at, now - rollout.age_s)
                 continue
             # A phase of its own for each proxy: many of them begin at the same moment.
-            self._held[service] = Held(
+            self._tracked[service] = TrackedRollout(
                 rollout=rollout, began_at=now - rollout.age_s, credit=self._chance(), counts_from=now
             )
 
     # Which versions an attempt may go to.
-    def _share(self, held: Held) -> float:
-        if held.rollout.stage == state.Stage.DRAINING:
+    def _share(self, tracked: TrackedRollout) -> float:
+        if tracked.rollout.stage == state.Stage.DRAINING:
             return 1.0
-        lease = held.lease
-        if lease is None or self._now() >= held.lease_until or not held.rollout.is_under_way:
+        lease = tracked.lease
+        if lease is None or self._now() >= tracked.lease_until or not tracked.rollout.is_in_progress:
             return 0.0
         return lease.share
 
@@ -92,55 +92,57 @@
 
         `is_first`: no attempt of the request has reached a replica yet; what failed once goes to the former version.
         """
-        held = self._held.get(service)
-        if held is None:
+        tracked = self._tracked.get(service)
+        if tracked is None:
             return (None,)
-        rollout = held.rollout
+        rollout = tracked.rollout
         former = Pool(rollout=rollout, is_new=False)
-        if not rollout.is_under_way:
+        if not rollout.is_in_progress:
             return (former,)
-        share = self._share(held)
+        share = self._share(tracked)
         if rollout.stage == state.Stage.DRAINING:
             return (Pool(rollout=rollout, is_new=True),)
-        if share >= WHOLE_SHARE:
+        if share >= FULL_SHARE:
             return (Pool(rollout=rollout, is_new=True), former)
-        if is_first and share > 0.0 and held.credit + share >= 1.0:
-            return (Pool(rollout=rollout, is_new=True, replicas=held.lease.replicas), former)
+        if is_first and share > 0.0 and tracked.credit + share >= 1.0:
+            return (Pool(rollout=rollout, is_new=True, replicas=tracked.lease.replicas), former)
         return (former,)
 
     def note_send(self, *, service: str, replica) -> None:
         """One attempt begins."""
-        held = self._held.get(service)
-        if held is None or not held.rollout.is_under_way:
+        tracked = self._tracked.get(service)
+        if tracked is None or not tracked.rollout.is_in_progress:
             return
-        held.sent += 1
-        held.credit += self._share(held)
-        if replica.edition == held.rollout.target:
-            held.sent_new += 1
-            held.credit -= 1.0
-        held.credit = max(0.0, min(MOST_CREDIT, held.credit))
+        tracked.sent += 1
+        tracked.credit += self._share(tracked)
+        if replica.edition == tracked.rollout.target:
+            tracked.sent_new += 1
+            tracked.credit -= 1.0
+        tracked.credit = max(0.0, min(MAX_CREDIT, tracked.credit))
 
     # What is counted.
-    def note_end(self, *, service: str, route: str, attempt, kind: int, aim_s: float, expected_s: float) -> None:
+    def note_end(
+        self, *, service: str, route: str, attempt, kind: int, latency_target_s: float, expected_s: float
+    ) -> None:
         """One attempt is over. `expected_s`: until its first piece, by the way and by what was to be read.
 
         What comes sooner counts as just then: below it, times tell nothing of the replica.
         """
-        held = self._held.get(service)
-        if held is None or not held.rollout.is_under_way or attempt.outlet.is_unsent:
+        tracked = self._tracked.get(service)
+        if tracked is None or not tracked.rollout.is_in_progress or attempt.connection.is_unsent:
             return
-        if attempt.sent_at < held.counts_from:
+        if attempt.sent_at < tracked.counts_from:
             return
-        if attempt.meaning in (attempts.Meaning.NOT_RUN, attempts.Meaning.SPOILED):
+        if attempt.meaning in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE):
             return
-        is_new = attempt.replica.edition == held.rollout.target
+        is_new = attempt.replica.edition == tracked.rollout.target
         group = rollout_evidence.group_of(attempt.replica.key) if is_new else 0
-        tally = held.tallies.setdefault(
+        tally = tracked.tallies.setdefault(
             rollout_evidence.Key(route=route, is_new=is_new, group=group), rollout_evidence.Tally()
         )
-        self._count(tally, attempt, kind=kind, aim_s=aim_s, expected_s=expected_s)
+        self._count(tally, attempt, kind=kind, latency_target_s=latency_target_s, expected_s=expected_s)
 
-    def _count(self, tally, attempt, *, kind: int, aim_s: float, expected_s: float) -> None:
+    def _count(self, tally, attempt, *, kind: int, latency_target_s: float, expected_s: float) -> None:
         now = self._now()
         waited_s = now - attempt.sent_at
         if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= 500 and attempt.is_complete:
@@ -154,7 +156,7 @@
             if attempt.pieces > 1:
                 pace_s = (attempt.last_at - attempt.first_at) / (attempt.pieces - 1)
                 tally.paces[rollout_evidence.bucket_of(pace_s / rollout_evidence.UNIT_S)] += 1
-        elif attempt.first_at is None and waited_s > aim_s:
+        elif attempt.first_at is None and waited_s > latency_target_s:
             tally.ended += 1  # given up: it would have taken longer still
             tally.firsts[_first_bucket(waited_s, expected_s)] += 1
         elif kind in (report_source.BROKEN, report_source.FAILED):
@@ -167,16 +169,16 @@
         reports = [
             rollout_evidence.Report(
                 service=service,
-                number=held.rollout.number,
-                step=held.rollout.step,
-                age_s=self._now() - held.began_at,
-                sent=held.sent,
-                sent_new=held.sent_new,
-                running_old=self._running(service, held.rollout.target),
-                tallies=held.tallies,
+                number=tracked.rollout.number,
+                step=tracked.rollout.step,
+                age_s=self._now() - tracked.began_at,
+                sent=tracked.sent,
+                sent_new=tracked.sent_new,
+                running_old=self._running(service, tracked.rollout.target),
+                tallies=tracked.tallies,
             )
-            for service, held in self._held.items()
-            if held.rollout.is_under_way
+            for service, tracked in self._tracked.items()
+            if tracked.rollout.is_in_progress
         ]
         if not reports:
             return None
@@ -185,15 +187,15 @@
         self._asked[self._number] = self._now()
         return self._number, rollout_evidence.pack(reports)
 
-    def take_leases(self, *, number: int, life_s: float, leases: list) -> None:
+    def handle_leases(self, *, number: int, lease_s: float, leases: list) -> None:
         """Each counts from when its report was sent, and never takes the place of one that was asked for later."""
         asked_at = self._asked.get(number)
         if asked_at is None:
             return
         for lease in leases:
-            held = self._held.get(lease.service)
-            if held is None or held.rollout.number != lease.number or lease.step < held.rollout.step:
+            tracked = self._tracked.get(lease.service)
+            if tracked is None or tracked.rollout.number != lease.number or lease.step < tracked.rollout.step:
                 continue
-            if asked_at + life_s >= held.lease_until:
-                held.lease = lease
-                held.lease_until = asked_at + life_s
+            if asked_at + lease_s >= tracked.lease_until:
+                tracked.lease = lease
+                tracked.lease_until = asked_at + lease_s
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -8,11 +8,11 @@
 
 from ploverward.transport import peer_connection
 
-MOST_SKIPS = 2
-RESTED_S = 0.25  # a connection that was idle for longer is looked at before it is used
-KEEP_PART = 0.85  # of the idle time that a replica states; the rest is for the way
-UNTOLD_KEEP_S = 4.0  # where it states none
-HOP_NAMES = frozenset(
+MAX_SKIPPED_RESPONSES = 2
+UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is looked at before it is used
+KEEP_ALIVE_SHARE = 0.85  # of the idle time that a replica states; the rest is for the way
+DEFAULT_KEEP_ALIVE_S = 4.0  # where it states none
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,10 +27,10 @@
 )
 
 
-class Outlet:
+class UpstreamConnection:
     """One connection. The attempt that uses it is told: on_head, on_data, on_end, on_fail(reason, was sent)."""
 
-    def __init__(self, *, loop, replica, connect_s: float, silence_s: float, on_free, on_way):
+    def __init__(self, *, loop, replica, connect_s: float, peer_timeout_s: float, on_free, on_connected):
         self.loop = loop
         self.replica = replica
         self.is_open = True
@@ -39,10 +39,10 @@
         self.attempt = None
         self.served = 0
         self.last_request_id = None
-        self.rested_at = loop.now()
+        self.idle_since = loop.now()
         self.idle_until = 0.0
         self._on_free = on_free
-        self._on_way = on_way
+        self._on_connected = on_connected
         self._begun_at = loop.now()
         self._out = bytearray()
         self._sent_any = False
@@ -51,21 +51,21 @@
         self._is_head_seen = False
         self._is_tainted = False
         self._must_close = False
-        self._keep_s = None
+        self._keep_alive_s = None
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        peer_connection.tune(sock=self.sock, silence_s=silence_s)
+        peer_connection.configure_socket(sock=self.sock, peer_timeout_s=peer_timeout_s)
         code = self.sock.connect_ex(replica.endpoint)
         self._mask = selectors.EVENT_READ | selectors.EVENT_WRITE
         self._timer = None
         if code not in (0, errno.EINPROGRESS):
-            self._timer = loop.after(delay=0, act=lambda: self._broken(errno.errorcode.get(code, str(code))))
+            self._timer = loop.after(delay=0, callback=lambda: self._fail(errno.errorcode.get(code, str(code))))
             self._mask = 0
             return
-        loop.watch(sock=self.sock, mask=self._mask, act=self._ready)
+        loop.watch(sock=self.sock, mask=self._mask, callback=self._ready)
         self._timer = loop.after(
-            delay=connect_s, act=lambda: self._broken("connect timeout") if not self.is_up else None
+            delay=connect_s, callback=lambda: self._fail("connect timeout") if not self.is_up else None
         )
 
     def take(self, attempt, *, head: h11.Request, body: bytes) -> None:
@@ -89,7 +89,7 @@
         self.attempt = None
         self.close()
 
-    def is_fit(self, *, request_id: bytes) -> bool:
+    def is_reusable_for(self, *, request_id: bytes) -> bool:
         """Whether this idle connection may carry the request.
 
         Not where its former request bore the same id: an answer too many of that one could not be told from ours. And
@@ -98,7 +98,7 @@
         """
         if self.served and self.last_request_id == request_id:
             return False
-        if self.loop.now() - self.rested_at < RESTED_S:
+        if self.loop.now() - self.idle_since < UNCHECKED_IDLE_S:
             return True
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -131,9 +131,9 @@
         if not mask:
             self.loop.unwatch(sock=self.sock)
         elif not self._mask:
-            self.loop.watch(sock=self.sock, mask=mask, act=self._ready)
+            self.loop.watch(sock=self.sock, mask=mask, callback=self._ready)
         else:
-            self.loop.rewatch(sock=self.sock, mask=mask, act=self._ready)
+            self.loop.rewatch(sock=self.sock, mask=mask, callback=self._ready)
         self._mask = mask
 
     def _ready(self, mask) -> None:
@@ -143,15 +143,15 @@
             if not self.is_up:
                 code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if code:
-                    self._broken(errno.errorcode.get(code, str(code)))
+                    self._fail(errno.errorcode.get(code, str(code)))
                     return
                 self.is_up = True
                 self.loop.cancel(timer=self._timer)
                 self.replica.heard_at = self.loop.now()
-                self._on_way(self.replica, self.replica.heard_at - self._begun_at)
+                self._on_connected(self.replica, self.replica.heard_at - self._begun_at)
                 if self.attempt is None:
-                    self.rested_at = self.replica.heard_at
-                    self.idle_until = self.rested_at + UNTOLD_KEEP_S
+                    self.idle_since = self.replica.heard_at
+                    self.idle_until = self.idle_since + DEFAULT_KEEP_ALIVE_S
                     self._on_free(self)
             self._flush()
         if mask & selectors.EVENT_READ and self.is_open:
@@ -160,13 +160,13 @@
             except BlockingIOError:
                 return
             except OSError as fault:
-                self._broken(str(fault))
+                self._fail(str(fault))
                 return
             if self.attempt is None:
                 self.close()  # bytes that belong to no request, or the end of an idle connection
                 return
             if not data:
-                self._fed_end()
+                self._feed_end()
                 return
             self.replica.heard_at = self.loop.now()
             self._feed(data)
@@ -176,20 +176,20 @@
             self._h11.receive_data(data)
             self._pump()
         except h11.RemoteProtocolError as fault:
-            self._broken(f"not an answer: {fault}")
+            self._fail(f"not an answer: {fault}")
         except Exception:
             # What the broken step held is lost: nothing may follow it as if it were there.
-            self._broken("a step failed")
+            self._fail("a step failed")
             raise
 
-    def _fed_end(self) -> None:
+    def _feed_end(self) -> None:
         try:
             self._h11.receive_data(b"")
             self._pump()
         except h11.RemoteProtocolError:
             pass
         if self.is_open and self.attempt is not None:
-            self._broken("closed")
+            self._fail("closed")
         else:
             self.close()
 
@@ -203,14 +203,14 @@
                 continue
             if kind is h11.Response:
                 if not self._sent_any:
-                    self._broken("answer before its request")
+                    self._fail("answer before its request")
                     return
                 headers = dict(event.headers)
-                told = headers.get(b"x-attempt-id")
-                if not self._is_ours(status=event.status_code, told=told):
+                reported_id = headers.get(b"x-attempt-id")
+                if not self._is_ours(status=event.status_code, reported_id=reported_id):
                     # One answer too many at the head of ours: it is read past, and the connection ends after.
-                    if self._skips >= MOST_SKIPS or told is None:
-                        self._broken("answer of another request")
+                    if self._skips >= MAX_SKIPPED_RESPONSES or reported_id is None:
+                        self._fail("answer of another request")
                         return
                     self._skips += 1
                     self._is_skipping = True
@@ -219,7 +219,7 @@
                 connection = headers.get(b"connection", b"").lower()
                 self._must_close = b"close" in connection or event.http_version < b"1.1"
                 keep = headers.get(b"keep-alive", b"")
-                self._keep_s = _keep_seconds(keep)
+                self._keep_alive_s = _keep_alive_timeout_s(keep)
                 has_chunks = b"chunked" in headers.get(b"transfer-encoding", b"").lower()
                 is_framed = (b"content-length" in headers) != has_chunks  # both: which one holds is open to doubt
                 self._is_head_seen = True
@@ -241,16 +241,16 @@
                     if trailing:
                         self._h11.receive_data(trailing)
                     continue
-                self._ended()
+                self._on_response_end()
                 return
             elif kind is h11.ConnectionClosed:
-                self._broken("closed")
+                self._fail("closed")
                 return
 
-    def _is_ours(self, *, status: int, told) -> bool:
+    def _is_ours(self, *, status: int, reported_id) -> bool:
         """An answer is paired by its id. Without one, only a failure on a connection that carried nothing but this."""
-        if told is not None:
-            return told == self.attempt.request_id
+        if reported_id is not None:
+            return reported_id == self.attempt.request_id
         return self.served == 0 and self._skips == 0 and status >= 400
 
     def _body_size(self) -> int:
@@ -262,7 +262,7 @@
     def _request_has_body(self) -> bool:
         return self._body_size() > 0
 
-    def _ended(self) -> None:
+    def _on_response_end(self) -> None:
         attempt, self.attempt = self.attempt, None
         self.served += 1
         self.is_paused = False
@@ -278,8 +278,10 @@
         )
         if is_reusable:
             self._h11.start_next_cycle()
-            self.rested_at = self.loop.now()
-            self.idle_until = self.rested_at + (self._keep_s * KEEP_PART if self._keep_s is not None else UNTOLD_KEEP_S)
+            self.idle_since = self.loop.now()
+            self.idle_until = self.idle_since + (
+                self._keep_alive_s * KEEP_ALIVE_SHARE if self._keep_alive_s is not None else DEFAULT_KEEP_ALIVE_S
+            )
             self._on_free(self)
         else:
             self.close()
@@ -295,11 +297,11 @@
         except BlockingIOError:
             pass
         except OSError as fault:
-            self._broken(str(fault))
+            self._fail(str(fault))
             return
         self._set_mask()
 
-    def _broken(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         if not self.is_open:
             return
         attempt, self.attempt = self.attempt, None
@@ -318,7 +320,7 @@
         self.replica.forget(self)
 
 
-def _keep_seconds(value: bytes):
+def _keep_alive_timeout_s(value: bytes):
     for part in value.split(b","):
         name, _equals, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -52,7 +52,7 @@
 TICK_S = 0.075  # contactMs / 80 at a contactMs of 6,000
 
 
-class Frames(recording_connections.Wire):
+class Frames(recording_connections.RecordingLink):
     """A link that only counts bytes."""
 
     def __init__(self):
@@ -82,13 +82,13 @@
     return square, slope, y1 - square * x1 * x1 - slope * x1
 
 
-def clocked(act, *, repeats: int) -> float:
+def clocked(callback, *, repeats: int) -> float:
     """Seconds of processor time for one act: the least of some turns."""
     best = None
-    for _turn in range(TURNS):
+    for _index in range(TURNS):
         began = time.process_time()
         for _ in range(repeats):
-            act()
+            callback()
         took = (time.process_time() - began) / repeats
         best = took if best is None else min(best, took)
     return best
@@ -114,8 +114,8 @@
 class Loop:
     now = staticmethod(time.monotonic)
 
-    def command(self, *, act):
-        act()
+    def command(self, *, callback):
+        callback()
 
 
 def chain(chance, *, parts=3):
@@ -132,9 +132,9 @@
     quota = shared_limits.Quota(now=time.monotonic, settings=loopback_proxy.settings())
     region = mirror.Region(now=time.monotonic, trust_s=5.0)
     host = relay(count)
-    link = recording_connections.Wire()
+    link = recording_connections.RecordingLink()
     host.subscribe(link, region="north")
-    for message in link.told:
+    for message in link.sent:
         if message[0] in ("catalogue", "cut", "load"):
             region.take(message)
     chooser = replica_chooser.Chooser(
@@ -148,16 +148,16 @@
 
 
 def relay(count: int):
-    host = hosts.Host(region="north", epoch=1, now=time.monotonic, suspect_s=1.0)
+    host = hosts.Host(region="north", epoch=1, now=time.monotonic, suspicion_s=1.0)
     host.sync(
         services={"llm": {"models": ("m",), "cache_tokens": 200000}},
         replicas=[{"id": row["id"], "service": "llm", "region": "north", "models": ["m"]} for row in rows(count)],
     )
     feeder = Frames()
     host.subscribe(feeder, region="north")
-    host.take_sums(
+    host.handle_aggregates(
         feeder,
-        recording_connections.sums(
+        recording_connections.aggregates_message(
             1, loads=[recording_connections.load_row(row["id"], running=1) for row in rows(count)]
         ),
     )
@@ -176,9 +176,9 @@
 
     def tick():
         number[0] += 1
-        host.take_sums(
+        host.handle_aggregates(
             host.feeder,
-            recording_connections.sums(
+            recording_connections.aggregates_message(
                 number[0],
                 reads=[
                     recording_connections.read_row(chance.choice(names), ("all", 500), *chain(chance, parts=2))
@@ -211,7 +211,7 @@
         ]
         if number == 12:
             before = reader.bytes
-        host.take_sums(host.feeder, recording_connections.sums(number, loads=loads, reads=reads))
+        host.handle_aggregates(host.feeder, recording_connections.aggregates_message(number, loads=loads, reads=reads))
         host.tick()
     return (reader.bytes - before) / 10
 
@@ -222,12 +222,12 @@
     fanout = fanouts.Fanout()
     member = Frames()
     fanout.admit(member, address="p")
-    fanout.follow(member, keys=frozenset(keys[: replica_subset.LEAST_NEAR]))
+    fanout.follow(member, keys=frozenset(keys[: replica_subset.MIN_NEAR_REPLICAS]))
     chance = random.Random(6)
     for _ in range(20):
-        told = chance.sample(keys, min(count, max(hosts.LEAST_ROWS, int(count * hosts.ROWS_SHARE))))
-        message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in told))
-        fanout.tell_publication(region="north", frame=frames.pack(message), message=message)
+        sent = chance.sample(keys, min(count, max(hosts.MIN_LOAD_ROWS, int(count * hosts.ROWS_SHARE))))
+        message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in sent))
+        fanout.forward_publication(region="north", frame=frames.pack(message), message=message)
     return member.bytes / 20
 
 
@@ -239,21 +239,21 @@
     for number in range(members):
         member = Frames()
         fanout.admit(member, address=f"p{number}")
-        fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.LEAST_NEAR)))
+        fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.MIN_NEAR_REPLICAS)))
     message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
     frame = frames.pack(message)
-    return clocked(lambda: fanout.tell_publication(region="north", frame=frame, message=message), repeats=20)
+    return clocked(lambda: fanout.forward_publication(region="north", frame=frame, message=message), repeats=20)
 
 
 def change_bytes(count: int) -> float:
     """One replica of so many changes: the step of the list."""
-    told = endpoint_list.of_rows(rows=rows(count), read_at=0.0)
+    sent = endpoint_list.of_rows(rows=rows(count), read_at=0.0)
     changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in rows(count)[:8]] + rows(count)[8:]
-    change = told.change_to(rows=changed, read_at=1.0, is_same_clock=True)
+    change = sent.change_to(rows=changed, read_at=1.0, is_same_clock=True)
     return len(frames.pack(("changes", "list", 1, 1, ((1, 2, change.pack()),))))
 
 
-def sums_time(count: int) -> float:
+def aggregates_time(count: int) -> float:
     """One cut with so many changed replicas, taken and published at the relay."""
     host = relay(count)
     number, running = [1], [1]
@@ -261,9 +261,9 @@
     def tick():
         number[0] += 1
         running[0] = running[0] % 50 + 1
-        host.take_sums(
+        host.handle_aggregates(
             host.feeder,
-            recording_connections.sums(
+            recording_connections.aggregates_message(
                 number[0], loads=[recording_connections.load_row(row["id"], running=running[0]) for row in listed]
             ),
         )
@@ -275,7 +275,7 @@
 
 def digest_time(members: int, changed: int = 4) -> float:
     """One tick of a digest: so many members report a few changed replicas each, one cut."""
-    held = aggregates.Sums(regions=("north",))
+    retained = aggregates.Aggregates(regions=("north",))
     chance = random.Random(3)
     names = [row["id"] for row in rows(200)]
     reports = [
@@ -289,8 +289,8 @@
     def tick():
         number[0] += 1
         for member, report in enumerate(reports):
-            held.take(member, number[0], report, b"")
-        held.counted(region="north", number=held.cut(region="north")[0])
+            retained.take(member, number[0], report, b"")
+        retained.counted(region="north", number=retained.take_batch(region="north")[0])
 
     return clocked(tick, repeats=10)
 
@@ -308,13 +308,13 @@
     """A proxy's report of so many changed replicas."""
     table = replica_table.Table(loop=Loop(), settings=loopback_proxy.settings(), share=lambda: 1.0)
     table.install_list(rows(count))
-    source = report_source.Source(now=time.monotonic, regions=("north",), suspect_s=1.0)
+    source = report_source.Source(now=time.monotonic, regions=("north",), suspicion_s=1.0)
 
     def tick():
         for replica in table.replicas.values():
             replica.running += 1
-            source.note(replica=replica, kind=report_source.SENT)
-        number, loads, reads = source.cut()
+            source.record(replica=replica, kind=report_source.SENT)
+        number, loads, reads = source.take_batch()
         frames.pack(("report", number, loads, reads))
         source.credit(region="north", number=number)
 
@@ -323,41 +323,41 @@
 
 def lease_time(count: int) -> float:
     """A core node's beat: an entry for each of so many proxies."""
-    book = share_leases.Book(now=time.monotonic, life_s=1.5, window_s=10.0, quiet_until=0.0)
-    slots = share_leases.Slots(now=time.monotonic, hold_s=3.0)
+    share_table = share_leases.ShareTable(now=time.monotonic, lease_s=1.5, window_s=10.0, withheld_until=0.0)
+    slots = share_leases.RateSlots(now=time.monotonic, hold_s=3.0)
     names = [f"10.1.0.{number}" for number in range(count)]
 
-    def beat():
+    def send_heartbeats():
         for name in names:
             frames.pack(
-                ("entry", book.renew(node=name, part=0.2, live=count), 0.0, 1.5, 0.2, *slots.renew(node=name), 0)
+                ("entry", share_table.renew(node=name, part=0.2, live=count), 0.0, 1.5, 0.2, *slots.renew(node=name), 0)
             )
 
-    return clocked(beat, repeats=1)
+    return clocked(send_heartbeats, repeats=1)
 
 
 def list_bytes(count: int) -> float:
     return len(frames.pack(("image", "list", 1, 1, endpoint_list.of_rows(rows=rows(count), read_at=0.0).pack())))
 
 
-def offer_time(count: int) -> float:
+def announcement_time(count: int) -> float:
     """A core node's work to offer one change to so many proxies and to take what they have."""
-    desk = desks.Desk()
+    publisher = desks.Publisher()
     links = [Frames() for _ in range(count)]
     for link in links:
-        desk.join(link)
+        publisher.join(link)
     number = [0]
 
     def change():
         number[0] += 1
-        desk.publish(topic="spec", epoch=0, number=number[0], data=b"")
+        publisher.publish(topic="spec", epoch=0, number=number[0], data=b"")
         for link in links:
-            desk.take_have(link, frames.unpack(frames.pack(("have", (("spec", 0, number[0]),)))))
+            publisher.handle_acknowledgement(link, frames.unpack(frames.pack(("have", (("spec", 0, number[0]),)))))
 
     return clocked(change, repeats=3)
 
 
-def kept_memory(count: int) -> float:
+def retained_memory(count: int) -> float:
     """Bytes of a relay's exact ownership of so many parts."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -365,9 +365,9 @@
     chance = random.Random(4)
     names = [row["id"] for row in rows(20)]
     for number in range(2, count // 100 + 2):
-        host.take_sums(
+        host.handle_aggregates(
             host.feeder,
-            recording_connections.sums(
+            recording_connections.aggregates_message(
                 number,
                 reads=[
                     recording_connections.read_row(chance.choice(names), (f"{chance.getrandbits(40):x}", 10))
@@ -376,9 +376,9 @@
             ),
         )
         host.tick()
-    held = tracemalloc.get_traced_memory()[0] - before
+    retained = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return held
+    return retained
 
 
 PROBES = (
@@ -386,12 +386,12 @@
     ("proxy: a report", "changed replicas", "us", report_time, (5, 20, 80), 1e6),
     ("proxy: a load frame", "rows", "us", install_time, (10, 40, 160), 1e6),
     ("digest: a tick", "members", "us", digest_time, (5, 15, 45), 1e6),
-    ("relay: a cut with loads", "changed replicas", "us", sums_time, (50, 100, 200), 1e6),
+    ("relay: a cut with loads", "changed replicas", "us", aggregates_time, (50, 100, 200), 1e6),
     ("relay: reads in a tick", "prompts read", "us", lambda count: reads_time(count)[0], (5, 20, 80), 1e6),
     ("relay: published for reads", "prompts read", "bytes", lambda count: reads_time(count)[1], (5, 20, 80), 1),
-    ("relay: exact ownership", "kept parts", "bytes", kept_memory, (2000, 6000, 18000), 1),
+    ("relay: exact ownership", "kept parts", "bytes", retained_memory, (2000, 6000, 18000), 1),
     ("core: a beat of leases", "proxies", "us", lease_time, (60, 160, 330), 1e6),
-    ("core: a change offered and acknowledged", "proxies", "us", offer_time, (60, 160, 330), 1e6),
+    ("core: a change offered and acknowledged", "proxies", "us", announcement_time, (60, 160, 330), 1e6),
     ("core: the list as one image", "replicas", "bytes", list_bytes, (60, 240, 920), 1),
     ("core: a step of the list", "replicas", "bytes", change_bytes, (60, 240, 920), 1),
     ("relay: told in a tick", "replicas", "bytes", published_bytes, (30, 100, 300, 900), 1),
@@ -402,8 +402,8 @@
 
 def measure() -> dict:
     found = {}
-    for name, of, unit, act, sizes, scale in PROBES:
-        points = [(size, act(size) * scale) for size in sizes]
+    for name, of, unit, callback, sizes, scale in PROBES:
+        points = [(size, callback(size) * scale) for size in sizes]
         slope, base, off = fit(points)
         square = 0.0
         if off > CURVED:
@@ -432,7 +432,7 @@
     ticks = 1 / TICK_S / pace
     by_region = size["replicas"] / size["regions"]
     per_proxy = size["requests_s"] / size["proxies"]
-    members = min(singleton_roles.CELL, size["proxies"] / size["zones"])
+    members = min(singleton_roles.PROXIES_PER_DIGEST, size["proxies"] / size["zones"])
     cells = pace * size["zones"] / size["regions"]
     per_tick = size["requests_s"] / size["regions"] / ticks
     changed = min(by_region, 3 * per_tick)
@@ -456,7 +456,7 @@
         (
             "proxy",
             "load frames, part of a core",
-            ticks * size["regions"] * at("proxy: a load frame", hosts.LEAST_ROWS) / 1e6,
+            ticks * size["regions"] * at("proxy: a load frame", hosts.MIN_LOAD_ROWS) / 1e6,
             size["cpu_part"],
         ),
         ("proxy", "loads and buckets of all regions, at most, bytes a second", proxy_bytes, size["bytes_s"]),
--- a/ploverward/simulation/consensus_cluster.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -12,7 +12,7 @@
 from ploverward.simulation import simulated_world
 
 WRITE_S = (0.001, 0.01)
-BEAT_S = 0.3
+HEARTBEAT_INTERVAL_S = 0.3
 HELLO_S = 0.1  # until the other core nodes are in touch with a node that starts
 RECEIPT_S = 5.0
 CONTACT_S = 4.0
@@ -21,7 +21,7 @@
 NO_ROW = ("", 0, "", 0, "", 0, b"")
 
 
-class Ended:
+class CompletedWork:
     """What a finished piece of work on the pool looks like."""
 
     def __init__(self, failure):
@@ -36,51 +36,53 @@
 
     def __init__(self, *, node):
         self._node = node
-        self._life = node.life
+        self._incarnation = node.incarnation
         self.now = node.world.now
         self.work = None
 
-    def after(self, *, delay: float, act) -> None:
-        self._node.world.later(delay, lambda: act() if self._node.life == self._life else None)
+    def after(self, *, delay: float, callback) -> None:
+        self._node.world.later(delay, lambda: callback() if self._node.incarnation == self._incarnation else None)
 
-    def command(self, *, act) -> None:
-        self.after(delay=0.0, act=act)
+    def command(self, *, callback) -> None:
+        self.after(delay=0.0, callback=callback)
 
     def offload(self, *, work, done) -> None:
         self.work = work
         chance = self._node.world.chance
         start = max(self.now(), self._node.hangs_until)
-        self.after(delay=start - self.now() + chance.uniform(*WRITE_S), act=lambda: self._end_work(done))
+        self.after(delay=start - self.now() + chance.uniform(*WRITE_S), callback=lambda: self._end_work(done))
 
     def _end_work(self, done) -> None:
         if self._node.hangs_until > self.now():
-            self.after(delay=self._node.hangs_until - self.now(), act=lambda: self._end_work(done))
+            self.after(delay=self._node.hangs_until - self.now(), callback=lambda: self._end_work(done))
             return
         work, self.work = self.work, None
         failure = None
         try:
             work()
-        except OSError as told:
-            failure = told
-        done(Ended(failure))
+        except OSError as fault:
+            failure = fault
+        done(CompletedWork(failure))
 
 
-class Link:
+class PeerConnection:
     """The way back to who sent a message."""
 
-    def __init__(self, *, owner, target, life: int):
+    def __init__(self, *, owner, target, incarnation: int):
         self._owner = owner
         self._target = target
-        self._life = life
+        self._incarnation = incarnation
 
     def send(self, message: tuple) -> None:
-        self._owner.check_told(message)
+        self._owner.check_acknowledged(message)
         owner, target = self._owner, self._target
-        link = Link(owner=target, target=owner, life=owner.life)
+        link = PeerConnection(owner=target, target=owner, incarnation=owner.incarnation)
         self._owner.world.send(
             owner.name,
             target.name,
-            lambda: target.voting.take(owner.name, link, message) if target.life == self._life else None,
+            lambda: (
+                target.voting.handle(owner.name, link, message) if target.incarnation == self._incarnation else None
+            ),
         )
 
 
@@ -97,7 +99,7 @@
         self._voting_type = voting_type
         self.files = simulated_files.Files(chance=world.chance)
         self.hangs_until = 0.0
-        self.life = 0
+        self.incarnation = 0
         self.lost = []  # told, and not on the disk
         self.versions = {}
         self._ids = 0
@@ -108,7 +110,7 @@
         return f"{self.name}{self._ids}"
 
     def start(self, *, is_first_start=False) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.loop = Loop(node=self)
         self.versions = {}
         self.store = acceptor_storage.Store(
@@ -125,7 +127,7 @@
             receipt_s=RECEIPT_S,
             contact_s=CONTACT_S,
             send=self._send,
-            ask_cores=lambda message: [self._send(name, message) for name in self._nodes if name != self.name],
+            broadcast_to_cores=lambda message: [self._send(name, message) for name in self._nodes if name != self.name],
             members=lambda: self.voting.proposer.members(register_names.CORE_SET),
             publish=self._publish,
             on_value=lambda name, payload, members: None,
@@ -135,14 +137,14 @@
 
         def checked(member, link, message):
             if link is None:
-                self.check_told(message)
+                self.check_acknowledged(message)
             answer(member, link, message)
 
         self.voting._answer = checked
-        self.loop.after(delay=HELLO_S, act=self._hear_hello)
-        self._beat()
+        self.loop.after(delay=HELLO_S, callback=self._receive_hello)
+        self._on_heartbeat_tick()
 
-    def _hear_hello(self) -> None:
+    def _receive_hello(self) -> None:
         """As the core does when another core node says hello."""
         if self.voting.acceptor.votes:
             self.voting.read_unknown()
@@ -153,11 +155,11 @@
 
     @property
     def votes(self) -> bool:
-        return self.is_up and self.voting.journal.held.votes and not self.voting.proposer.is_learner
+        return self.is_up and self.voting.journal.accepted_state.votes and not self.voting.proposer.is_learner
 
-    def _beat(self) -> None:
-        self.voting.mend()
-        self.loop.after(delay=BEAT_S, act=self._beat)
+    def _on_heartbeat_tick(self) -> None:
+        self.voting.run_anti_entropy()
+        self.loop.after(delay=HEARTBEAT_INTERVAL_S, callback=self._on_heartbeat_tick)
 
     def _send(self, member: str, message: tuple) -> None:
         target = self._nodes.get(member)
@@ -166,9 +168,11 @@
 
         def arrive() -> None:
             if target.is_up:
-                target.voting.take(self.name, Link(owner=target, target=self, life=life), message)
+                target.voting.handle(
+                    self.name, PeerConnection(owner=target, target=self, incarnation=incarnation), message
+                )
 
-        life = self.life
+        incarnation = self.incarnation
         self.world.send(self.name, member, arrive)
 
     def _publish(self, name: str, rev: int, value: bytes) -> bool:
@@ -177,10 +181,10 @@
         self.versions[name] = rev
         for other in self._nodes.values():
             if other is not self:
-                self.world.send(self.name, other.name, lambda other=other: other.hear(name, rev, value))
+                self.world.send(self.name, other.name, lambda other=other: other.receive(name, rev, value))
         return True
 
-    def hear(self, name: str, rev: int, value: bytes) -> None:
+    def receive(self, name: str, rev: int, value: bytes) -> None:
         """News of a chosen value."""
         if self.is_up:
             self.voting.publish(name, rev, value)
@@ -195,7 +199,7 @@
             except (simulated_files.PowerLost, OSError):
                 pass
         self.loop.work = None
-        self.life += 1
+        self.incarnation += 1
         self.voting = None
         if is_wiped:
             self.files.wipe()
@@ -205,20 +209,20 @@
             self.files.end_process()
 
     # What is told has to be on the disk.
-    def check_told(self, message: tuple) -> None:
+    def check_acknowledged(self, message: tuple) -> None:
         for name, promised, accepted in claims(message):
-            kept = self._surely_kept().get(name, NO_ROW)
+            kept = self._durable_rows().get(name, NO_ROW)
             is_bare = accepted[0] > 0 and not kept[6]
             if (kept[1], kept[2]) < promised or (kept[3], kept[4]) < accepted or is_bare:
                 self.lost.append(
                     (round(self.world.now(), 4), self.name, message[0], name, promised, accepted, kept[:6])
                 )
 
-    def _surely_kept(self) -> dict:
+    def _durable_rows(self) -> dict:
         path = f"{simulated_files.FOLDER}/{acceptor_storage.FILE_NAME}"
         try:
-            rows, _size = acceptor_storage.read_rows(self.files.surely_kept(path))
-        except errors.StoreProblem:
+            rows, _size = acceptor_storage.read_rows(self.files.durable_bytes(path))
+        except errors.StorageError:
             return {}
         return acceptor_storage.newest_rows(rows)
 
@@ -284,30 +288,30 @@
         else:
             node.voting.proposer.change(name=NAME, edit=edit, done=done, next_set=to)
 
-    def wipe(self, name: str, *, back_s: float) -> None:
+    def wipe(self, name: str, *, restart_after_s: float) -> None:
         """Only one disk at a time is lost, and the next one once the first node votes again."""
         if self._wiped is not None and not self.nodes[self._wiped].votes:
             return
         if not all(node.votes for node in self.nodes.values()):
             return
         self._wiped = name
-        self.restart(name, back_s=back_s, is_wiped=True)
+        self.restart(name, restart_after_s=restart_after_s, is_wiped=True)
 
-    def restart(self, name: str, *, back_s: float, loses_power=False, is_wiped=False) -> None:
+    def restart(self, name: str, *, restart_after_s: float, loses_power=False, is_wiped=False) -> None:
         node = self.nodes[name]
         if not node.is_up:
             return
         node.stop(loses_power=loses_power, is_wiped=is_wiped)
-        self.world.later(back_s, node.start)
+        self.world.later(restart_after_s, node.start)
 
-    def fault(self, name: str, kind: str, *, lasts_s: float) -> None:
+    def fault(self, name: str, kind: str, *, duration_s: float) -> None:
         node = self.nodes[name]
         if kind == "hang":
-            node.hangs_until = max(node.hangs_until, self.world.now() + lasts_s)
+            node.hangs_until = max(node.hangs_until, self.world.now() + duration_s)
             return
         node.files.faults.add(kind)
-        self.world.later(lasts_s, lambda: node.files.faults.discard(kind))
+        self.world.later(duration_s, lambda: node.files.faults.discard(kind))
 
     @property
     def lost(self) -> list:
-        return [told for node in self.nodes.values() for told in node.lost]
+        return [fault for node in self.nodes.values() for fault in node.lost]
--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -11,12 +11,12 @@
 
 def check_orders(*, recorder, orders) -> None:
     """Configurations: compare-and-set on the base, each at most once; refused and invalid ones never in force."""
-    by_mark = {chosen.mark: chosen for chosen in recorder.configurations}
+    by_order_name = {chosen.order_name: chosen for chosen in recorder.configurations}
     bases = {}
     for order in orders:
         if order.kind not in CHANGES:
             continue
-        chosen = by_mark.get(order.name)
+        chosen = by_order_name.get(order.name)
         statuses = {attempt.status for attempt in order.attempts}
         if order.is_repeat:
             refusals = [attempt for attempt in order.attempts if 400 <= attempt.status < 500]
@@ -65,7 +65,7 @@
     for before, after in zip(rows, rows[1:], strict=False):
         if after.edition <= before.edition:
             recorder.find("configurations", f"edition {after.edition} follows {before.edition}")
-        order = by_name.get(after.mark)
+        order = by_name.get(after.order_name)
         if order is not None and order.base < before.edition:
             recorder.find("configurations", f"{order.name} on {order.base} follows edition {before.edition}")
 
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -138,9 +138,9 @@
         if self._platform.is_up:
             body = self._platform.body()
             delay = self._clock.chance.uniform(0.005, 0.05)
-            self._clock.later(delay=delay, act=lambda: done(None, 200, body), process=self._process)
+            self._clock.later(delay=delay, callback=lambda: done(None, 200, body), process=self._process)
         else:
-            self._clock.later(delay=limit_s, act=lambda: done(OSError("timed out"), 0, b""), process=self._process)
+            self._clock.later(delay=limit_s, callback=lambda: done(OSError("timed out"), 0, b""), process=self._process)
 
 
 class NoFileWatch:
@@ -165,13 +165,13 @@
         return simulated_clock.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
 
     def port(self, **about):
-        return simulated_network.Port(runtime=self, **about)
+        return simulated_network.PeerListener(runtime=self, **about)
 
-    def dialer(self, **about):
-        return simulated_network.Dialer(runtime=self, **about)
+    def connector(self, **about):
+        return simulated_network.Connector(runtime=self, **about)
 
-    def hall(self, **about):
-        return simulated_network.Hall(runtime=self, **about)
+    def http_server(self, **about):
+        return simulated_network.HttpServer(runtime=self, **about)
 
     def disk(self, *, folder: str):
         return self.machine.disk
@@ -198,15 +198,15 @@
 
 
 @dataclasses.dataclass
-class Running:
+class RunningNode:
     """A core node that runs, and what the world needs of it."""
 
     core: core_node.Core
     runtime: SimulatedRuntime
-    is_leaving: bool = False
+    is_draining: bool = False
 
 
-def start_core(*, network, machine, platform_model, node_settings, on_failure, on_stop, watcher) -> Running:
+def start_core(*, network, machine, platform_model, node_settings, on_failure, on_stop, watcher) -> RunningNode:
     """Starts a core node on this machine; `watcher(core)` is called before it runs."""
     machine.is_powered = True
     process = Program(clock=network.clock, name=machine.host, on_failure=on_failure)
@@ -231,5 +231,5 @@
     process.guard(begin)
     if not running:
         return None
-    machine.program = Running(core=running[0], runtime=runtime)
+    machine.program = RunningNode(core=running[0], runtime=runtime)
     return machine.program
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -27,21 +27,21 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Fault:
+class Mutant:
     """A planted fault, the days that are to show it within how many of them, and the checks that are to see it."""
 
     patches: typing.Callable  # () -> context managers
     checks: tuple
     plan: dict = dataclasses.field(default_factory=dict)
     first_seed: int = 0
-    most_seeds: int = 40
+    max_seeds: int = 40
 
 
 @dataclasses.dataclass(frozen=True)
-class Found:
+class Detection:
     """The day that showed a planted fault."""
 
-    day_number: int
+    run_number: int
     seed: int
     check: str
 
@@ -56,7 +56,7 @@
     return [mock.patch.object(consensus_node.Voting, "_load", _load)]
 
 
-def _votes_before_refill() -> list:
+def _votes_before_catch_up() -> list:
     """An emptied node takes a new name and votes at once, with nothing that it had promised or accepted."""
 
     def _look(self):
@@ -91,35 +91,35 @@
 
 def _moved_part_at_once() -> list:
     """A node whose part of the bounds grew hands it out without waiting for the older entries to run out."""
-    return [mock.patch.object(share_leases.Parts, "value", lambda self: self._part)]
+    return [mock.patch.object(share_leases.OwnedShare, "value", lambda self: self._part)]
 
 
-def _peek_ahead_of_disk() -> list:
+def _quorum_read_ahead_of_disk() -> list:
     """What is told without a wait is read from memory, whether or not the disk holds it."""
 
     def get(self):
         return self._acceptor if self._acceptor is not None else acceptor.Acceptor()
 
-    held = property(get, lambda self, _value: None)
-    return [mock.patch.object(write_ahead_log.Journal, "held", held, create=True)]
+    accepted_state = property(get, lambda self, _value: None)
+    return [mock.patch.object(write_ahead_log.Journal, "accepted_state", accepted_state, create=True)]
 
 
-def _told_before_durable() -> list:
+def _acknowledged_before_durable() -> list:
     """Answers go out before the disk holds what they tell."""
-    tell = write_ahead_log.Journal.tell
+    respond = write_ahead_log.Journal.respond
 
-    def early(self, *, key, act):
-        act()
-        tell(self, key=key, act=lambda: None)
+    def early(self, *, key, callback):
+        callback()
+        respond(self, key=key, callback=lambda: None)
 
-    return [mock.patch.object(write_ahead_log.Journal, "tell", early)]
+    return [mock.patch.object(write_ahead_log.Journal, "respond", early)]
 
 
-def _few_marks() -> list:
+def _few_order_ids() -> list:
     """Marks of taken orders are kept for the last few only."""
     return [
         mock.patch.object(orders, "trimmed", lambda *, rows, archived: rows[-4:]),
-        mock.patch.object(order_archive, "has", lambda *, payload, mark: False),
+        mock.patch.object(order_archive, "has", lambda *, payload, order_id: False),
     ]
 
 
@@ -153,10 +153,10 @@
 def _restarted_leader() -> list:
     """A node that held the watch duty goes on under the old epoch after a restart."""
 
-    def is_held(self):
-        return self._duties.holder(coordinator.WATCH)[1] == self._own
+    def is_owner(self):
+        return self._role_table.owner(coordinator.WATCH)[1] == self._own
 
-    return [mock.patch.object(coordinator.WatchDuty, "is_held", property(is_held))]
+    return [mock.patch.object(coordinator.ClusterCoordinator, "is_owner", property(is_owner))]
 
 
 def _contact_from_answers() -> list:
@@ -168,32 +168,32 @@
     return [mock.patch.object(majority_lease.Contact, "lease_until", lease_until)]
 
 
-def _news_go_back() -> list:
+def _versions_go_back() -> list:
     """A follower takes on any image that it is told."""
 
-    def take_image(self, link, message):
+    def handle_snapshot(self, link, message):
         _kind, topic, epoch, number, data = message
-        self._on_image(topic, epoch, number, data)
-        self.serials[topic] = (epoch, number)
+        self._on_snapshot(topic, epoch, number, data)
+        self.versions[topic] = (epoch, number)
         self._asked.pop(topic, None)
         return True
 
-    def take_offer(self, link, message):
+    def handle_announcement(self, link, message):
         for topic, epoch, number in message[1]:
             self._offered.setdefault(topic, {})[link] = (epoch, number)
             link.send(("want", topic, 0, 0))
 
     return [
-        mock.patch.object(publisher.Follower, "take_image", take_image),
-        mock.patch.object(publisher.Follower, "take_offer", take_offer),
+        mock.patch.object(publisher.Subscriber, "handle_snapshot", handle_snapshot),
+        mock.patch.object(publisher.Subscriber, "handle_announcement", handle_announcement),
     ]
 
 
-def _race_lost_and_taken() -> list:
+def _race_lost_and_accepted() -> list:
     """An order is taken whatever version it builds on."""
     edit_for = orders.edit_for
 
-    def careless(*, order, archived):
+    def unchecked_edit(*, order, archived):
         edit = edit_for(order=order, archived=archived)
 
         def taken(payload):
@@ -204,7 +204,7 @@
 
         return taken
 
-    return [mock.patch.object(orders, "edit_for", careless)]
+    return [mock.patch.object(orders, "edit_for", unchecked_edit)]
 
 
 HISTORY = (
@@ -220,61 +220,61 @@
 )
 POWER = {"troubles": ("all_power", "power"), "closing": ("all_power",), "disk": 3}
 FAULTS = {
-    "seeds as the default set": Fault(
-        patches=_seeds_as_default_set, checks=HISTORY, plan={"troubles": ("empty", "replace", "cut")}, most_seeds=200
+    "seeds as the default set": Mutant(
+        patches=_seeds_as_default_set, checks=HISTORY, plan={"troubles": ("empty", "replace", "cut")}, max_seeds=200
     ),
-    "votes before refill": Fault(
-        patches=_votes_before_refill,
+    "votes before refill": Mutant(
+        patches=_votes_before_catch_up,
         checks=HISTORY,
         plan={"troubles": ("empty", "cut", "freeze"), "closing": ("disks_lost", "disks_lost_others_power")},
-        most_seeds=200,
+        max_seeds=200,
     ),
-    "grants without contact": Fault(
+    "grants without contact": Mutant(
         patches=_grant_without_lease, checks=("grants",), plan={"troubles": ("cut", "replace", "replace_at_once")}
     ),
-    "a moved part at once": Fault(
+    "a moved part at once": Mutant(
         patches=_moved_part_at_once, checks=("grants",), plan={"troubles": ("replace", "replace_at_once", "cut")}
     ),
-    "peek ahead of the disk": Fault(patches=_peek_ahead_of_disk, checks=HISTORY, plan=POWER, most_seeds=200),
-    "told before durable": Fault(patches=_told_before_durable, checks=HISTORY, plan=POWER),
-    "few marks of orders": Fault(patches=_few_marks, checks=("resent orders", "refused orders")),
-    "the set stops at four": Fault(
+    "peek ahead of the disk": Mutant(patches=_quorum_read_ahead_of_disk, checks=HISTORY, plan=POWER, max_seeds=200),
+    "told before durable": Mutant(patches=_acknowledged_before_durable, checks=HISTORY, plan=POWER),
+    "few marks of orders": Mutant(patches=_few_order_ids, checks=("resent orders", "refused orders")),
+    "the set stops at four": Mutant(
         patches=_set_stops_at_four, checks=("core set",), plan={"machines": 5, "tolerated": 2}
     ),
-    "acknowledged by one": Fault(patches=_acknowledged_by_one, checks=HISTORY),
-    "a restarted node leads": Fault(
+    "acknowledged by one": Mutant(patches=_acknowledged_by_one, checks=HISTORY),
+    "a restarted node leads": Mutant(
         patches=_restarted_leader, checks=("topics",), plan={"troubles": ("kill", "all_killed")}
     ),
-    "contact without an end": Fault(
+    "contact without an end": Mutant(
         patches=_contact_from_answers,
         checks=("grants", "cut off", "topics"),
         plan={"troubles": ("cut", "freeze", "replace", "probe")},
     ),
-    "news go back": Fault(patches=_news_go_back, checks=("back",)),
-    "a lost race is taken": Fault(patches=_race_lost_and_taken, checks=("one base", "refused orders")),
+    "news go back": Mutant(patches=_versions_go_back, checks=("back",)),
+    "a lost race is taken": Mutant(patches=_race_lost_and_accepted, checks=("one base", "refused orders")),
 }
 
 
-def play(*, name: str, seed: int):
+def run_simulation(*, name: str, seed: int):
     """One day with this fault."""
     fault = FAULTS[name]
     with contextlib.ExitStack() as stack:
         for patch in fault.patches():
             stack.enter_context(patch)
-        return scenario.play(scenario.Plan(seed=seed, **fault.plan))
+        return scenario.run_simulation(scenario.Plan(seed=seed, **fault.plan))
 
 
 def search(name: str):
     """The first day that shows this fault, or None."""
     fault = FAULTS[name]
-    for number in range(fault.most_seeds):
-        report = play(name=name, seed=fault.first_seed + number)
+    for number in range(fault.max_seeds):
+        report = run_simulation(name=name, seed=fault.first_seed + number)
         seen = [finding.check for finding in report.findings if finding.check in fault.checks]
         if seen and not _is_seen_without(report.plan, seen[0]):
-            return Found(day_number=number + 1, seed=report.plan.seed, check=seen[0])
+            return Detection(run_number=number + 1, seed=report.plan.seed, check=seen[0])
     return None
 
 
 def _is_seen_without(plan, check: str) -> bool:
     """Whether the same day shows the same without the planted fault: then it is no proof."""
-    return any(finding.check == check for finding in scenario.play(plan).findings)
+    return any(finding.check == check for finding in scenario.run_simulation(plan).findings)
--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -8,9 +8,9 @@
 from ploverward.simulation.control_plane import simulated_network
 
 LOST_PART = 0.3  # of the answers, while answers are lost
-SILENCE_S = 1.0  # callers go to another node after so long
-MOST_REDIRECTS = 2
-MOST_REFUSALS = 3
+CALLER_TIMEOUT_S = 1.0  # callers go to another node after so long
+MAX_REDIRECTS = 2
+MAX_REJECTIONS = 3
 CLEAR = (400, 409, 412, 413, 422)
 PATH = "/ploverward/configuration"
 PUT, PATCH, EVACUATE, RESTORE = "put", "patch", "evacuate", "restore"
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass
-class Read:
+class ReadRequest:
     """One reading of the configuration or the evacuations that was answered."""
 
     what: str
@@ -60,15 +60,15 @@
     value: object
 
 
-def configuration(*, edition: int, mark: str, is_valid: bool = True) -> dict:
+def configuration(*, edition: int, order_name: str, is_valid: bool = True) -> dict:
     return {
         "edition": edition,
-        "routes": [_route(mark=mark, is_valid=is_valid)],
+        "routes": [_route(order_name=order_name, is_valid=is_valid)],
         "destinations": [{"name": "llm"}],
     }
 
 
-def _route(*, mark: str, is_valid: bool = True) -> dict:
+def _route(*, order_name: str, is_valid: bool = True) -> dict:
     return {
         "name": "r",
         "host": "h.example",
@@ -76,7 +76,7 @@
         "kind": "streaming",
         "expiryMs": 5000,
         "destination": "llm" if is_valid else "nobody",
-        "note": mark,
+        "note": order_name,
     }
 
 
@@ -103,9 +103,9 @@
         self._top = 0  # highest edition used in any order
 
     def start(self) -> None:
-        self._clock.later(delay=0.4, act=self._next_change)
-        self._clock.later(delay=2.0, act=self._next_evacuation)
-        self._clock.later(delay=1.0, act=self._next_read)
+        self._clock.later(delay=0.4, callback=self._next_change)
+        self._clock.later(delay=2.0, callback=self._next_evacuation)
+        self._clock.later(delay=1.0, callback=self._next_read)
 
     # Configurations: the next one follows the one before, as an operator does.
     def _next_change(self) -> None:
@@ -122,7 +122,7 @@
             self._change(then=self._pause)
 
     def _pause(self, _order=None) -> None:
-        self._clock.later(delay=self._chance.uniform(0.2, 1.8) * self._gap_s, act=self._next_change)
+        self._clock.later(delay=self._chance.uniform(0.2, 1.8) * self._gap_s, callback=self._next_change)
 
     def _new_edition(self) -> int:
         self._top = max(self._top, self.edition) + self._chance.randint(1, 3)
@@ -133,10 +133,10 @@
         order = Order(name=name, kind=PUT, base=self.edition, edition=edition, is_valid=is_valid)
         if self.edition and self._chance.random() < 0.4:
             order.kind = PATCH
-            patch = {"edition": edition, "upsert": {"routes": [_route(mark=name, is_valid=is_valid)]}}
+            patch = {"edition": edition, "upsert": {"routes": [_route(order_name=name, is_valid=is_valid)]}}
             body = json.dumps(patch).encode()
         else:
-            body = json.dumps(configuration(edition=edition, mark=name, is_valid=is_valid)).encode()
+            body = json.dumps(configuration(edition=edition, order_name=name, is_valid=is_valid)).encode()
         headers = (("If-Match", str(order.base)), ("Content-Type", "application/json"))
         order.request = (order.kind.upper(), PATH, headers, body)
         return order
@@ -193,23 +193,23 @@
         if self.is_stopped:
             return
         zone = self._chance.choice(sorted(machines.ZONES))
-        held = self.zones.get(zone)
-        if held is None or held.outcome:
-            kind = RESTORE if held is not None and held.kind == EVACUATE else EVACUATE
-            if held is not None and held.outcome == GIVEN_UP:
-                kind = held.kind
+        previous = self.zones.get(zone)
+        if previous is None or previous.outcome:
+            kind = RESTORE if previous is not None and previous.kind == EVACUATE else EVACUATE
+            if previous is not None and previous.outcome == GIVEN_UP:
+                kind = previous.kind
             order = Order(name=f"e{len(self.orders)}", kind=kind, zone=zone)
             method = "POST" if kind == EVACUATE else "DELETE"
             order.request = (method, f"/ploverward/evacuation/{zone}", (), b"")
             self.zones[zone] = order
             self._send(order, then=lambda _order: None, limit_s=self._receipt_s)
-        self._clock.later(delay=self._chance.uniform(0.5, 2.0) * max(1.0, self._gap_s), act=self._next_evacuation)
+        self._clock.later(delay=self._chance.uniform(0.5, 2.0) * max(1.0, self._gap_s), callback=self._next_evacuation)
 
     def _next_read(self) -> None:
         if self.is_stopped:
             return
         self.read(what=self._chance.choice(("configuration", "evacuation")), then=lambda _read: None, most=1)
-        self._clock.later(delay=self._chance.uniform(0.05, 1.0), act=self._next_read)
+        self._clock.later(delay=self._chance.uniform(0.05, 1.0), callback=self._next_read)
 
     def read(self, *, what: str, then, most: int = 60, host: str = "") -> None:
         """Reads until it is answered, at most so many times."""
@@ -227,16 +227,16 @@
                 self._note_read(what, node, begun_at, 0)
                 then(0)
             elif most > 1:
-                self._clock.later(delay=0.2, act=lambda: self.read(what=what, then=then, most=most - 1, host=host))
+                self._clock.later(delay=0.2, callback=lambda: self.read(what=what, then=then, most=most - 1, host=host))
             else:
                 then(None)
 
         target = PATH if what == "configuration" else "/ploverward/evacuation"
-        self._follow(node, "GET", target, (), b"", answered, redirects=MOST_REDIRECTS)
+        self._follow(node, "GET", target, (), b"", answered, redirects=MAX_REDIRECTS)
 
     def _note_read(self, what: str, host: str, begun_at: float, value) -> None:
-        self._recorder.note("read", what=what, host=host, value=value)
-        read = Read(what=what, host=host, begun_at=begun_at, ended_at=self._clock.time, value=value)
+        self._recorder.record("read", what=what, host=host, value=value)
+        read = ReadRequest(what=what, host=host, begun_at=begun_at, ended_at=self._clock.time, value=value)
         self.reads.append(read)
         if what == "configuration" and value > self.edition:
             self.edition = value
@@ -251,14 +251,14 @@
     def _send(self, order: Order, *, then, most: int = 10_000, limit_s: float = 10_000.0) -> None:
         order.begun_at = self._clock.time
         self.orders.append(order)
-        self._recorder.note("order", name=order.name, kind=order.kind, base=order.base, edition=order.edition)
+        self._recorder.record("order", name=order.name, kind=order.kind, base=order.base, edition=order.edition)
         self._moment(SENT)
         state = {"pause": 0.05, "hosts": self._shuffled(), "number": 0, "refusals": 0}
 
         def end(outcome):
             order.outcome = outcome
             order.ended_at = self._clock.time
-            self._recorder.note("order ended", name=order.name, outcome=outcome, zone=order.zone)
+            self._recorder.record("order ended", name=order.name, outcome=outcome, zone=order.zone)
             if outcome == ACKNOWLEDGED:
                 self._acknowledged(order)
             then(order)
@@ -279,7 +279,7 @@
                 host,
                 *order.request,
                 lambda answer: answered(made, answer),
-                redirects=MOST_REDIRECTS,
+                redirects=MAX_REDIRECTS,
                 on_lost=lost if self.loses_answers and self._chance.random() < LOST_PART else None,
             )
 
@@ -291,7 +291,7 @@
             made.answered_at = self._clock.time
             if answer is not None:
                 made.status, made.body = answer[0], answer[2]
-            self._recorder.note("answer", order=order.name, host=made.host, status=made.status, body=made.body[:90])
+            self._recorder.record("answer", order=order.name, host=made.host, status=made.status, body=made.body[:90])
             status = made.status
             if status == 200:
                 end(ACKNOWLEDGED)
@@ -299,7 +299,7 @@
                 end(REFUSED)
             elif 400 <= status < 500 and status not in (408, 429):
                 state["refusals"] += 1
-                if state["refusals"] >= MOST_REFUSALS:
+                if state["refusals"] >= MAX_REJECTIONS:
                     end(REFUSED)
                 else:
                     again()
@@ -309,18 +309,18 @@
         def again():
             pause = state["pause"]
             state["pause"] = min(pause * 1.6, 0.5)
-            self._clock.later(delay=pause, act=attempt)
+            self._clock.later(delay=pause, callback=attempt)
 
         attempt()
 
     def _follow(self, host, method, target, headers, body, done, *, redirects: int, on_lost=None) -> None:
         def answered(answer):
             if answer is not None and answer[0] == 307 and redirects:
-                place = urllib.parse.urlsplit(answer[1].get("location", ""))
+                location = urllib.parse.urlsplit(answer[1].get("location", ""))
                 self._follow(
-                    place.hostname or host,
+                    location.hostname or host,
                     method,
-                    place.path or target,
+                    location.path or target,
                     headers,
                     body,
                     done,
@@ -337,7 +337,7 @@
             target=target,
             headers=headers,
             body=body,
-            limit_s=SILENCE_S,
+            limit_s=CALLER_TIMEOUT_S,
             done=answered,
             on_lost=on_lost,
         )
@@ -350,6 +350,6 @@
         self._moment(ACKNOWLEDGED)
 
     def _moment(self, kind: str) -> None:
-        act = self.moments.pop(kind, None)
-        if act is not None:
-            act()
+        callback = self.moments.pop(kind, None)
+        if callback is not None:
+            callback()
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -22,117 +22,117 @@
         self.process = process
         self.settings = node_settings
         self.host = machine.host
-        self.life = f"{network.clock.chance.getrandbits(48):012x}"
+        self.incarnation = f"{network.clock.chance.getrandbits(48):012x}"
         self.network = network
         self.is_serving = False
-        self.is_leaving = False
+        self.is_draining = False
         self.edition = 0
-        self.serials = {}
+        self.versions = {}
         self._recorder = recorder
         self.loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
         self._contact_s = node_settings.bound_s(name="contactMs")
-        self._silence_s = self._contact_s / 5
+        self._peer_timeout_s = self._contact_s / 5
         self.quota = shared_limits.Quota(now=self.loop.now, settings=node_settings)
         self._list = None  # packed, as this proxy has it
-        self.follower = publisher.Follower(
+        self.subscriber = publisher.Subscriber(
             now=self.loop.now,
-            patience_s=self._contact_s / 12,
-            on_image=self._on_image,
+            fetch_timeout_s=self._contact_s / 12,
+            on_snapshot=self._on_snapshot,
             on_change=self._on_change,
             stepwise=("list",),
         )
-        self._floors = {}
+        self._minimum_versions = {}
         self._renewal = 0
         self._renewed_at = {}
         self._seeds = tuple(sorted({host for host, _port in node_settings.seeds}))
         self.members = self._seeds
-        self.dialers = {}
+        self.connectors = {}
         self._dial()
-        self.loop.every(gap=self._silence_s / 3, act=self._tick)
+        self.loop.every(interval_s=self._peer_timeout_s / 3, callback=self._tick)
 
     def chance(self) -> float:
         return self.network.clock.chance.random()
 
     def _dial(self) -> None:
         wanted = set(self.members) | set(self._seeds)
-        for host in sorted(wanted - self.dialers.keys()):
-            self.dialers[host] = simulated_network.Dialer(
+        for host in sorted(wanted - self.connectors.keys()):
+            self.connectors[host] = simulated_network.Connector(
                 runtime=self,
                 loop=self.loop,
                 address=(host, machines.INNER_PORT),
-                on_up=self._hail,
-                on_message=lambda link, message, host=host: self._take(host, link, message),
-                on_end=lambda link, _reason: self.follower.drop(link),
-                silence_s=self._silence_s,
+                on_up=self._send_handshake,
+                on_message=lambda link, message, host=host: self._handle_message(host, link, message),
+                on_end=lambda link, _reason: self.subscriber.drop(link),
+                peer_timeout_s=self._peer_timeout_s,
             )
-        for host in sorted(self.dialers.keys() - wanted):
-            self.dialers.pop(host).stop()
+        for host in sorted(self.connectors.keys() - wanted):
+            self.connectors.pop(host).stop()
 
-    def _hail(self, link) -> None:
-        about = (self.settings.ip, self.settings.zone, self.settings.region, self.life, f"{self.host}:8082")
+    def _send_handshake(self, link) -> None:
+        about = (self.settings.ip, self.settings.zone, self.settings.region, self.incarnation, f"{self.host}:8082")
         link.send(("hello", "proxy", *about))
-        link.send(("state", self.is_serving and not self.is_leaving, self.is_leaving))
+        link.send(("state", self.is_serving and not self.is_draining, self.is_draining))
 
-    def _tell(self, message: tuple) -> None:
-        for dialer in self.dialers.values():
-            if dialer.link is not None and dialer.link.is_up:
-                dialer.link.send(message)
+    def _send_to_cores(self, message: tuple) -> None:
+        for connector in self.connectors.values():
+            if connector.link is not None and connector.link.is_up:
+                connector.link.send(message)
 
     def _tick(self) -> None:
         self._renewal += 1
         self._renewed_at[self._renewal] = self.loop.now()
-        self._renewed_at.pop(self._renewal - core_sessions.RENEWALS_KEPT, None)
-        self._tell(("renew", self._renewal, b""))
-        self.follower.tick()
+        self._renewed_at.pop(self._renewal - core_sessions.MAX_PENDING_RENEWALS, None)
+        self._send_to_cores(("renew", self._renewal, b""))
+        self.subscriber.tick()
 
-    def _take(self, host: str, link, message: tuple) -> None:
+    def _handle_message(self, host: str, link, message: tuple) -> None:
         kind = message[0]
         if kind == "offer":
-            self.follower.take_offer(link, message)
+            self.subscriber.handle_announcement(link, message)
         elif kind in ("image", "changes"):
-            take = self.follower.take_image if kind == "image" else self.follower.take_changes
+            take = self.subscriber.handle_snapshot if kind == "image" else self.subscriber.handle_deltas
             if take(link, message):
                 topic = message[1]
-                self._tell(("have", ((topic, *self.follower.serials[topic]),)))
+                self._send_to_cores(("have", ((topic, *self.subscriber.versions[topic]),)))
         elif kind == "floor":
-            self._floors[host] = dict(message[1])
+            self._minimum_versions[host] = dict(message[1])
             self._check_serving()
         elif kind == "entry":
-            self._take_entry(host, message)
+            self._handle_share_lease(host, message)
 
-    def _take_entry(self, host: str, message: tuple) -> None:
+    def _handle_share_lease(self, host: str, message: tuple) -> None:
         sent_at = self._renewed_at.get(message[-1])
         if sent_at is not None:
-            self.quota.take_entry(host, message[:-1], sent_at=sent_at)
+            self.quota.handle_share_lease(host, message[:-1], sent_at=sent_at)
             self._recorder.shares(self)
 
     def _check_serving(self) -> None:
-        if self.is_serving or not ballots.has_majority(of=self.members, among=self._floors):
+        if self.is_serving or not ballots.has_majority(of=self.members, among=self._minimum_versions):
             return
-        serials = self.follower.serials
-        for name in register_names.FLOORED:
-            floor = max(floors.get(name, 0) for floors in self._floors.values())
-            if serials.get(name, (0, 0))[1] < floor:
+        versions = self.subscriber.versions
+        for name in register_names.MINIMUM_VERSION_REGISTERS:
+            minimum_version = max(minimum_versions.get(name, 0) for minimum_versions in self._minimum_versions.values())
+            if versions.get(name, (0, 0))[1] < minimum_version:
                 return
-        if serials.get("spec", (0, 0))[1] < 1 or "list" not in serials or "cores" not in serials:
+        if versions.get("spec", (0, 0))[1] < 1 or "list" not in versions or "cores" not in versions:
             return
         self.is_serving = True
-        self._tell(("state", True, self.is_leaving))
+        self._send_to_cores(("state", True, self.is_draining))
 
-    def _on_image(self, topic: str, epoch: int, number: int, data: bytes) -> None:
+    def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         self._recorder.applied(self, topic, epoch, number, data)
         if topic == "cores":
             self.members = ballots.unpack(data)[0]
-            self.loop.command(act=self._dial)
+            self.loop.command(callback=self._dial)
         elif topic == "list":
             endpoint_list.unpack_list(data)
             self._list = data
-        self.loop.command(act=self._check_serving)
+        self.loop.command(callback=self._check_serving)
 
     def _on_change(self, topic: str, epoch: int, number: int, data: bytes) -> None:
         """A step of the list: what it makes of the list held is checked against what a core node told whole."""
-        held = endpoint_list.unpack_list(self._list)
-        self._on_image(topic, epoch, number, held.changed_by(endpoint_list.unpack_change(data)).pack())
+        current = endpoint_list.unpack_list(self._list)
+        self._on_snapshot(topic, epoch, number, current.changed_by(endpoint_list.unpack_change(data)).pack())
 
 
 def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy:
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -17,7 +17,7 @@
 
 SIZES = (3, 5, 6, 7)
 START_SPREAD_S = 0.3
-TROUBLES_FROM_S = 5.0
+FAULTS_FROM_S = 5.0
 ISOLATED_FOR_S = 2.0  # from then on a node must know that it is cut off
 CLEAR_END_S = 1.05
 STOPPED_S = 60.0
@@ -66,7 +66,7 @@
         self.settings = None
 
 
-class Day:
+class SimulationRun:
     def __init__(self, *, plan: Plan):
         self.plan = plan
         self.clock = simulated_clock.Clock(seed=plan.seed)
@@ -86,9 +86,9 @@
         speed = plan.disk if plan.disk >= 0 else chance.choices((0, 1, 2), (2, 1, 1))[0]
         self._speed_s = simulated_disk.SPEEDS_S[speed]
         self.slots = []
-        self.edges = [START_SPREAD_S]  # moments at which a trouble of the core begins or ends
+        self.fault_edges = [START_SPREAD_S]  # moments at which a trouble of the core begins or ends
         self.isolated_since = {}
-        self.proxy_trouble = {}  # proxy: when its last trouble ends
+        self.proxy_fault_until = {}  # proxy: when its last trouble ends
         self.probes = []
         self._number = 0
         self._extra_hosts = []  # machines on their way out, that still run
@@ -102,7 +102,7 @@
             receipt_s=self.receipt_s,
         )
         self.operators.on_taken = self._check_applied
-        self.troubles = faults.Troubles(day=self, kinds=plan.troubles, gap_s=chance.choice((0.5, 1.5, 4.0)))
+        self.troubles = faults.FaultInjector(simulation=self, kinds=plan.troubles, gap_s=chance.choice((0.5, 1.5, 4.0)))
 
     # The machines.
     def core_hosts(self) -> list:
@@ -144,17 +144,17 @@
             slot.settings = self._settings(slot.machine, seeds=seeds, is_first=True)
             slot.lost_until = START_SPREAD_S + self.catch_up_s
             slot.is_down = True
-            self.clock.later(delay=chance.uniform(0, START_SPREAD_S), act=lambda slot=slot: self._start(slot))
+            self.clock.later(delay=chance.uniform(0, START_SPREAD_S), callback=lambda slot=slot: self._start(slot))
         for host in self._proxies:
             region = chance.choice(model_machines.REGIONS)
             self.network.machines[host] = model_machines.Machine(clock=self.clock, host=host, region=region)
             begin = chance.uniform(0, START_SPREAD_S)
-            self.clock.later(delay=begin, act=lambda host=host: self.start_proxy(host, seeds=seeds))
+            self.clock.later(delay=begin, callback=lambda host=host: self.start_proxy(host, seeds=seeds))
 
     def _start(self, slot) -> None:
         slot.is_down = False
         machine = slot.machine
-        self.recorder.note("starts", host=machine.host, seeds=[host for host, _port in slot.settings.seeds])
+        self.recorder.record("starts", host=machine.host, seeds=[host for host, _port in slot.settings.seeds])
         model_machines.start_core(
             network=self.network,
             machine=machine,
@@ -168,13 +168,13 @@
     def _ended(self, machine, process) -> None:
         """A program ended by itself."""
         if machine.process is process and process.is_alive:
-            self.recorder.note("ended", host=machine.host)
+            self.recorder.record("ended", host=machine.host)
             model_machines.stop(machine=machine)
             if not machine.is_removed:
                 self.recorder.find("ended", f"{machine.host} ended by itself")
 
     def stop(self, slot, *, is_power_lost: bool) -> None:
-        self.recorder.note("stopped", host=slot.machine.host, is_power_lost=is_power_lost)
+        self.recorder.record("stopped", host=slot.machine.host, is_power_lost=is_power_lost)
         slot.is_down = True
         model_machines.stop(machine=slot.machine, is_power_lost=is_power_lost)
         slot.machine.is_powered = not is_power_lost
@@ -196,7 +196,7 @@
     def remove(self, machine, *, is_in_order: bool) -> None:
         """The machine goes for good; in order, its program gets SIGTERM first and SIGKILL after graceS."""
         machine.is_removed = True
-        self.recorder.note("removed", host=machine.host, is_in_order=is_in_order)
+        self.recorder.record("removed", host=machine.host, is_in_order=is_in_order)
 
         def gone():
             model_machines.stop(machine=machine, is_power_lost=True)
@@ -206,14 +206,14 @@
             gone()
             return
         terminate = machine.program.runtime.on_terminate
-        self.clock.later(delay=0.0, act=terminate, process=machine.process, kind=simulated_clock.COMMAND)
-        self.clock.later(delay=self.bounds["graceS"], act=gone)
+        self.clock.later(delay=0.0, callback=terminate, process=machine.process, kind=simulated_clock.COMMAND)
+        self.clock.later(delay=self.bounds["graceS"], callback=gone)
 
     def start_proxy(self, host: str, *, seeds=None) -> None:
         machine = self.network.machines[host]
         if machine.process is not None and machine.process.is_alive:
             return
-        self.recorder.note("proxy starts", host=host)
+        self.recorder.record("proxy starts", host=host)
         node_settings = self._settings(machine, seeds=seeds or self._seeds(), is_first=False, is_core=False)
         proxies.start_proxy(
             network=self.network,
@@ -236,20 +236,20 @@
     def lose(self, slot) -> None:
         slot.lost += 1
 
-    def come_back(self, slot) -> None:
+    def recover(self, slot) -> None:
         slot.lost -= 1
         slot.lost_until = max(slot.lost_until, self.clock.time + self.catch_up_s)
 
-    def edge(self, text: str, slots) -> None:
-        self.edges.append(self.clock.time)
-        self.recorder.note(f"== {text}", hosts=",".join(slot.machine.host for slot in slots))
+    def record_fault_edge(self, text: str, slots) -> None:
+        self.fault_edges.append(self.clock.time)
+        self.recorder.record(f"== {text}", hosts=",".join(slot.machine.host for slot in slots))
 
     def calm(self, until: float) -> list:
         """(from, to) of the stretches in which no trouble of the core began or ended for contactMs."""
         rows = []
-        for edge, following in zip(self.edges, [*self.edges[1:], until], strict=True):
-            if following - edge > self.contact_s:
-                rows.append((edge + self.contact_s, following))
+        for record_fault_edge, following in zip(self.fault_edges, [*self.fault_edges[1:], until], strict=True):
+            if following - record_fault_edge > self.contact_s:
+                rows.append((record_fault_edge + self.contact_s, following))
         return rows
 
     def probe(self, host: str) -> None:
@@ -264,13 +264,13 @@
             attempt.answered_at = self.clock.time
             if answer is not None:
                 attempt.status, attempt.body = answer[0], answer[2]
-            self.recorder.note("probe answered", host=host, status=attempt.status)
+            self.recorder.record("probe answered", host=host, status=attempt.status)
             order.attempts.append(attempt)
             self._check_probe(order, attempt, since)
 
         order.name = f"probe{len(self.probes)}"
         order.is_alone = False
-        body = json.dumps(operators.configuration(edition=order.edition, mark=order.name)).encode()
+        body = json.dumps(operators.configuration(edition=order.edition, order_name=order.name)).encode()
         order.request = ("PUT", operators.PATH, order.request[2], body)
         self.probes.append((order, attempt))
         method, target, headers, body = order.request
@@ -286,8 +286,8 @@
         )
 
     def _check_probe(self, order, attempt, since: float) -> None:
-        is_still_cut = self.isolated_since.get(attempt.host) == since
-        if not is_still_cut or attempt.sent_at - since < ISOLATED_FOR_S:
+        is_still_isolated = self.isolated_since.get(attempt.host) == since
+        if not is_still_isolated or attempt.sent_at - since < ISOLATED_FOR_S:
             return
         machine = self.network.machines[attempt.host]
         process = machine.process
@@ -302,36 +302,36 @@
 
     def _check_applied(self, order) -> None:
         """A proxy without trouble has an acknowledged configuration within applyMs, if the core stays calm."""
-        edges = len(self.edges)
+        fault_edges = len(self.fault_edges)
         waiting = [host for host in self._proxies if self._is_calm_proxy(host)]
-        lives = {host: self.network.machines[host].process for host in waiting}
+        processes = {host: self.network.machines[host].process for host in waiting}
 
         def look():
-            if len(self.edges) != edges or self.clock.time - self.edges[-1] < self.contact_s:
+            if len(self.fault_edges) != fault_edges or self.clock.time - self.fault_edges[-1] < self.contact_s:
                 return
-            for host, process in lives.items():
+            for host, process in processes.items():
                 program = self.network.machines[host].program
                 if program.process is process and self._is_calm_proxy(host) and program.edition < order.edition:
                     self.recorder.find(
                         "applied in time", f"{host} has edition {program.edition}, {order.edition} was acknowledged"
                     )
 
-        self.clock.later(delay=self.bounds["applyMs"] / 1000, act=look)
+        self.clock.later(delay=self.bounds["applyMs"] / 1000, callback=look)
 
     def _is_calm_proxy(self, host: str) -> bool:
         process = self.network.machines[host].process
         if process is None or not process.is_alive or self.clock.time - process.begun_at < self.contact_s:
             return False
-        return self.clock.time - self.proxy_trouble.get(host, -self.contact_s) >= self.contact_s
+        return self.clock.time - self.proxy_fault_until.get(host, -self.contact_s) >= self.contact_s
 
     # The day.
     def run(self) -> Report:
         begun = time.process_time()
         self.build()
         self.operators.start()
-        troubles_until = TROUBLES_FROM_S + self.span_s
-        self.troubles.start(begin=TROUBLES_FROM_S, until=troubles_until)
-        self.clock.run(until=troubles_until)
+        faults_until = FAULTS_FROM_S + self.span_s
+        self.troubles.start(begin=FAULTS_FROM_S, until=faults_until)
+        self.clock.run(until=faults_until)
         self.troubles.is_over = True
         self.operators.moments.clear()
         self._close()
@@ -362,12 +362,12 @@
         self.operators.is_stopped = True
         self.clock.run(until=self.clock.time + 4.0)
 
-    def at_moment(self, act) -> None:
+    def at_moment(self, callback) -> None:
         """Acts right after the next acknowledgement or read, or soon after the next order was sent."""
         chance = self.clock.chance
         kind = chance.choice((operators.ACKNOWLEDGED, operators.SENT, operators.READ))
         delay = chance.uniform(0.0, 0.25) if kind == operators.SENT else chance.choice((0.0, 0.0, 0.01, 0.3))
-        self.operators.moments[kind] = lambda: self.clock.later(delay=delay, act=act)
+        self.operators.moments[kind] = lambda: self.clock.later(delay=delay, callback=callback)
 
     def _read_back(self) -> list:
         rows = []
@@ -377,11 +377,11 @@
                 host = slot.machine.host
                 left.append((host, what))
 
-                def told(value, host=host, what=what):
+                def on_read(value, host=host, what=what):
                     left.remove((host, what))
                     rows.append((host, what, value))
 
-                self.operators.read(what=what, then=told, most=8, host=host)
+                self.operators.read(what=what, then=on_read, most=8, host=host)
         self.clock.run(until=self.clock.time + 4.0)
         return rows + [(host, what, None) for host, what in left]
 
@@ -412,7 +412,7 @@
             tolerated=self.tolerated,
             orders=len(self.operators.orders),
             chosen=len(self.recorder.configurations),
-            troubles=len(self.edges) - 1,
+            troubles=len(self.fault_edges) - 1,
             steps=self.clock.steps,
             most=dict(self.recorder.most),
             took_s=took_s,
@@ -426,6 +426,6 @@
     log.propagate = False
 
 
-def play(plan: Plan) -> Report:
+def run_simulation(plan: Plan) -> Report:
     quiet()
-    return Day(plan=plan).run()
+    return SimulationRun(plan=plan).run()
--- a/ploverward/simulation/control_plane/simulated_clock.py
+++ b/ploverward/simulation/control_plane/simulated_clock.py
@@ -13,14 +13,14 @@
 class Event:
     """Something that happens at one moment in one process, or in the world itself (process None). Also a loop's timer."""
 
-    __slots__ = ("when", "order", "process", "kind", "act", "is_over")
+    __slots__ = ("when", "order", "process", "kind", "callback", "is_over")
 
-    def __init__(self, *, when, order, process, kind, act):
+    def __init__(self, *, when, order, process, kind, callback):
         self.when = when
         self.order = order
         self.process = process
         self.kind = kind
-        self.act = act
+        self.callback = callback
         self.is_over = False
 
 
@@ -34,14 +34,14 @@
         self._order = 0
         self._events = []
 
-    def schedule(self, *, when: float, act, process=None, kind: int = TIMER) -> Event:
+    def schedule(self, *, when: float, callback, process=None, kind: int = TIMER) -> Event:
         self._order += 1
-        event = Event(when=max(when, self.time), order=self._order, process=process, kind=kind, act=act)
+        event = Event(when=max(when, self.time), order=self._order, process=process, kind=kind, callback=callback)
         heapq.heappush(self._events, (event.when, event.order, event))
         return event
 
-    def later(self, *, delay: float, act, process=None, kind: int = TIMER) -> Event:
-        return self.schedule(when=self.time + delay, act=act, process=process, kind=kind)
+    def later(self, *, delay: float, callback, process=None, kind: int = TIMER) -> Event:
+        return self.schedule(when=self.time + delay, callback=callback, process=process, kind=kind)
 
     def run(self, *, until: float) -> None:
         events = self._events
@@ -53,7 +53,7 @@
             self.steps += 1
             if event.process is None:
                 event.is_over = True
-                event.act()
+                event.callback()
             else:
                 event.process.take(event)
         self.time = until
@@ -69,35 +69,35 @@
         self.begun_at = clock.time
         self.is_alive = True
         self.is_frozen = False
-        self._held = []
+        self._deferred = []
         self._on_failure = on_failure  # (process, text): an exception in one of its steps
 
     def take(self, event: Event) -> None:
         if not self.is_alive:
             return
         if self.is_frozen:
-            self._held.append(event)
+            self._deferred.append(event)
             return
         event.is_over = True
-        self.guard(event.act)
+        self.guard(event.callback)
 
-    def guard(self, act) -> None:
+    def guard(self, callback) -> None:
         try:
-            act()
+            callback()
         except Exception:  # a step that raises is a finding, whatever it raises
             self._on_failure(self, traceback.format_exc())
 
     def thaw(self) -> None:
         """What is due runs at once, in the order of a loop's step: data from sockets, commands, timers."""
         self.is_frozen = False
-        held, self._held = self._held, []
-        for event in sorted(held, key=lambda event: (event.kind, event.when, event.order)):
+        deferred, self._deferred = self._deferred, []
+        for event in sorted(deferred, key=lambda event: (event.kind, event.when, event.order)):
             if not event.is_over:
                 self.take(event)
 
     def end(self) -> None:
         self.is_alive = False
-        self._held = []
+        self._deferred = []
 
 
 class Outcome:
@@ -130,21 +130,21 @@
     def now(self) -> float:
         return self._clock.time + self._process.offset
 
-    def command(self, *, act) -> None:
-        self._clock.later(delay=0.0, act=act, process=self._process, kind=COMMAND)
+    def command(self, *, callback) -> None:
+        self._clock.later(delay=0.0, callback=callback, process=self._process, kind=COMMAND)
 
-    def at(self, *, when: float, act) -> Event:
-        return self._clock.schedule(when=when - self._process.offset, act=act, process=self._process)
+    def at(self, *, when: float, callback) -> Event:
+        return self._clock.schedule(when=when - self._process.offset, callback=callback, process=self._process)
 
-    def after(self, *, delay: float, act) -> Event:
-        return self._clock.later(delay=delay, act=act, process=self._process)
+    def after(self, *, delay: float, callback) -> Event:
+        return self._clock.later(delay=delay, callback=callback, process=self._process)
 
-    def every(self, *, gap: float, act) -> None:
+    def every(self, *, interval_s: float, callback) -> None:
         def tick():
-            self.after(delay=gap, act=tick)
-            act()
+            self.after(delay=interval_s, callback=tick)
+            callback()
 
-        self.after(delay=gap, act=tick)
+        self.after(delay=interval_s, callback=tick)
 
     def cancel(self, *, timer) -> None:
         if timer is not None:
@@ -170,7 +170,7 @@
             self._start_work()
             done(outcome)
 
-        self._clock.later(delay=took_s + HAND_OVER_S, act=ended, process=self._process, kind=COMMAND)
+        self._clock.later(delay=took_s + HAND_OVER_S, callback=ended, process=self._process, kind=COMMAND)
 
     def stop(self) -> None:
         self._on_stop()
--- a/ploverward/simulation/control_plane/simulated_disk.py
+++ b/ploverward/simulation/control_plane/simulated_disk.py
@@ -18,11 +18,11 @@
         self._speed_s = speed_s
         self.files = {}
         self.durable = {}
-        self.trouble = ""  # "", slow, stall, refuse, refuse_late, full
+        self.fault = ""  # "", slow, stall, refuse, refuse_late, full
         self.stalled_until = 0.0
         self._batch = []  # changes of the work that runs now: (name, content before, content after, is a rename)
         self._took_s = 0.0
-        self._under_way = []  # batches that are not yet synced
+        self._unsynced_batches = []  # batches that are not yet synced
         self._renamed = set()  # names whose content differs from what was synced by a rename alone
         self._dropped = {}  # name: (from, to) of what a failed sync may have dropped for good
 
@@ -34,13 +34,13 @@
         kept = (before or b"")[:size_before]
         kept += b"\0" * (size_before - len(kept))
         self._wait()
-        if self.trouble == "refuse":
+        if self.fault == "refuse":
             raise OSError(errno.EIO, "refused")
-        if self.trouble == "full":
+        if self.fault == "full":
             self.files[name] = kept + data[: self._clock.chance.randrange(len(data) + 1)]
             raise OSError(errno.ENOSPC, "full")
         self.files[name] = kept + data
-        if self.trouble == "refuse_late":
+        if self.fault == "refuse_late":
             self._dropped[name] = (size_before, len(self.files[name]))
             raise OSError(errno.EIO, "the sync failed")
         self._batch.append((name, before, kept + data, False))
@@ -59,12 +59,12 @@
     def sync(self, *, name: str) -> None:
         """Makes what reads see of a name durable."""
         self._wait()
-        if self.trouble.startswith("refuse"):
+        if self.fault.startswith("refuse"):
             raise OSError(errno.EIO, "the sync failed")
         self._batch.append((name, self.files.get(name), self.files.get(name), False))
 
     def _wait(self) -> None:
-        span = SLOW_S if self.trouble == "slow" else self._speed_s
+        span = SLOW_S if self.fault == "slow" else self._speed_s
         self._took_s += self._clock.chance.uniform(*span)
 
     def finish_batch(self) -> float:
@@ -74,8 +74,8 @@
         if took_s and self.stalled_until > self._clock.time:
             took_s += self.stalled_until - self._clock.time
         if batch:
-            self._under_way.append(batch)
-            self._clock.later(delay=took_s, act=lambda: self._sync(batch))
+            self._unsynced_batches.append(batch)
+            self._clock.later(delay=took_s, callback=lambda: self._sync(batch))
         return took_s
 
     def finish_now(self) -> None:
@@ -85,8 +85,8 @@
         self._make_durable(batch)
 
     def _sync(self, batch) -> None:
-        if batch in self._under_way:
-            self._under_way.remove(batch)
+        if batch in self._unsynced_batches:
+            self._unsynced_batches.remove(batch)
             self._make_durable(batch)
 
     def _make_durable(self, batch) -> None:
@@ -108,7 +108,7 @@
 
     def kill(self) -> None:
         """The process died: writes under way got to some stage; what the system holds in memory stays."""
-        batches, self._under_way = self._under_way, []
+        batches, self._unsynced_batches = self._unsynced_batches, []
         for batch in batches:
             done = self._clock.chance.randrange(len(batch) + 1)
             for index in reversed(range(done, len(batch))):
@@ -116,7 +116,7 @@
                 self._renamed.discard(name)
                 content = before
                 if index == done and not is_rename and after is not None:
-                    content = self._torn(before or b"", after)
+                    content = self._torn_write(before or b"", after)
                 self._put(name, content)
 
     def _put(self, name: str, content) -> None:
@@ -125,7 +125,7 @@
         else:
             self.files[name] = content
 
-    def _torn(self, before: bytes, after: bytes) -> bytes:
+    def _torn_write(self, before: bytes, after: bytes) -> bytes:
         start = 0
         while start < min(len(before), len(after)) and before[start] == after[start]:
             start += 1
@@ -140,13 +140,13 @@
                 continue
             choices = [seen, sure]
             if seen is not None and name not in self._renamed:
-                choices.append(self._torn(sure or b"", seen))
+                choices.append(self._torn_write(sure or b"", seen))
             self._put(name, self._clock.chance.choice(choices))
         self.durable = dict(self.files)
         self._renamed.clear()
 
     def empty(self) -> None:
-        self._under_way = []
+        self._unsynced_batches = []
         self._dropped = {}
         self.files = {}
         self.durable = {}
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -15,7 +15,7 @@
 NEAR_S = (0.0005, 0.004)
 FAR_S = (0.01, 0.05)
 GRAIN_S = 1e-6
-AGAIN_S = (0.0, 0.2)  # what a cut held back is sent again
+RETRY_S = (0.0, 0.2)  # what a cut held back is sent again
 pack = functools.lru_cache(maxsize=8192)(frames.pack)
 unpack = functools.lru_cache(maxsize=8192)(frames.unpack)
 
@@ -26,12 +26,12 @@
     def __init__(self, *, clock):
         self.clock = clock
         self.machines = {}  # host: Machine
-        self.cuts = {}  # (source, target): how many troubles cut it
+        self.partitions = {}  # (source, target): how many troubles cut it
         self.slow = {}  # host: delay added to each way
         self._connections = {}  # (source, target): connections that a cut may hold, in the order of their making
 
-    def is_cut(self, source: str, target: str) -> bool:
-        return bool(self.cuts) and self.cuts.get((source, target), 0) > 0
+    def is_partitioned(self, source: str, target: str) -> bool:
+        return bool(self.partitions) and self.partitions.get((source, target), 0) > 0
 
     def delay(self, source: str, target: str) -> float:
         one, other = self.machines.get(source), self.machines.get(target)
@@ -41,17 +41,17 @@
             delay += self.slow.get(source, 0.0) + self.slow.get(target, 0.0)
         return delay
 
-    def cut(self, *, pairs, is_reset: bool) -> None:
+    def partition(self, *, pairs, is_reset: bool) -> None:
         for pair in pairs:
-            self.cuts[pair] = self.cuts.get(pair, 0) + 1
+            self.partitions[pair] = self.partitions.get(pair, 0) + 1
         if is_reset:
             self.reset(pairs=pairs)
 
     def join(self, *, pairs) -> None:
         for pair in pairs:
-            self.cuts[pair] -= 1
-            if not self.cuts[pair]:
-                del self.cuts[pair]
+            self.partitions[pair] -= 1
+            if not self.partitions[pair]:
+                del self.partitions[pair]
         for source, target in pairs:
             for connection in self.between(source, target):
                 connection.flush()
@@ -69,9 +69,9 @@
         self._connections.setdefault(connection.hosts, []).append(connection)
 
     def drop(self, connection) -> None:
-        held = self._connections.get(connection.hosts, [])
-        if connection in held:
-            held.remove(connection)
+        open_connections = self._connections.get(connection.hosts, [])
+        if connection in open_connections:
+            open_connections.remove(connection)
 
 
 class Connection:
@@ -95,14 +95,14 @@
             return
         clock = self.network.clock
         source, target = self.hosts if direction == 0 else self.hosts[::-1]
-        if self._stuck[direction] or self.network.is_cut(source, target):
+        if self._stuck[direction] or self.network.is_partitioned(source, target):
             if not self._stuck[direction] and self.ends[direction] is not None:
                 self.ends[direction].watch_stuck()
             self._stuck[direction].append((clock.time, item))
             return
         when = max(clock.time + self.network.delay(source, target), self._last[direction])
         self._last[direction] = when
-        clock.schedule(when=when, act=lambda: self._arrive(direction, item))
+        clock.schedule(when=when, callback=lambda: self._arrive(direction, item))
 
     def stuck_for(self, direction: int) -> float:
         """How long the oldest data of this way has been held back: TCP_USER_TIMEOUT ends it."""
@@ -113,11 +113,11 @@
         clock = self.network.clock
         for direction in (0, 1):
             source, target = self.hosts if direction == 0 else self.hosts[::-1]
-            if not self._stuck[direction] or self.network.is_cut(source, target):
+            if not self._stuck[direction] or self.network.is_partitioned(source, target):
                 continue
             items = [item for _when, item in self._stuck[direction]]
             self._stuck[direction].clear()
-            pause = clock.chance.uniform(*AGAIN_S)
+            pause = clock.chance.uniform(*RETRY_S)
             self._last[direction] = max(self._last[direction], clock.time + pause)
             for item in items:
                 self.transmit(direction, item)
@@ -148,7 +148,7 @@
         else:
             clock = self.network.clock
             clock.schedule(
-                when=clock.time, act=lambda: end.arrived(item), process=end.process, kind=simulated_clock.DELIVERY
+                when=clock.time, callback=lambda: end.arrived(item), process=end.process, kind=simulated_clock.DELIVERY
             ) if end.process.is_frozen else end.process.guard(lambda: end.arrived(item))
 
     def _accept(self, machine) -> None:
@@ -158,10 +158,10 @@
             return
         self.transmit(1, OPENED)
         clock = self.network.clock
-        clock.later(delay=0.0, act=lambda: self._taken(port), process=port.process, kind=simulated_clock.DELIVERY)
+        clock.later(delay=0.0, callback=lambda: self._taken(port), process=port.process, kind=simulated_clock.DELIVERY)
 
     def _taken(self, port) -> None:
-        self.ends[1] = port.take(self)
+        self.ends[1] = port.handle(self)
         early, self._early = self._early, []
         for item in early:
             if self.ends[1].is_open:
@@ -173,10 +173,10 @@
         self.transmit(direction, item)
 
 
-class Link:
+class PeerConnection:
     """One end, with the interface of ploverward.transport.peer_connection.Link."""
 
-    def __init__(self, *, process, loop, on_message, on_end, silence_s, is_connecting, peer):
+    def __init__(self, *, process, loop, on_message, on_end, peer_timeout_s, is_connecting, peer):
         self.process = process
         self.loop = loop
         self.peer = peer
@@ -186,7 +186,7 @@
         self.heard_at = loop.now()
         self.has_heard = False
         self.opened_at = loop.now()
-        self.silence_s = silence_s
+        self.peer_timeout_s = peer_timeout_s
         self.frame = b""
         self.connection = None
         self._direction = 0 if is_connecting else 1
@@ -194,30 +194,32 @@
         self._on_end = on_end
         self._unsent = []
         process.links.add(self)
-        self._check = loop.after(delay=silence_s / 2, act=self._check_silence)
+        self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
 
-    def _check_silence(self) -> None:
+    def _check_peer_timeout(self) -> None:
         if not self.is_open:
             return
-        if self.loop.now() - self.heard_at > self.silence_s:
+        if self.loop.now() - self.heard_at > self.peer_timeout_s:
             self.close(reason="silent")
             return
         # The real one looks each quarter; the looks that can find nothing are left out.
-        quarter = self.silence_s / 4
-        left = self.silence_s - (self.loop.now() - self.heard_at)
-        self._check = self.loop.after(delay=quarter * max(1, math.ceil(left / quarter)), act=self._check_silence)
+        quarter = self.peer_timeout_s / 4
+        left = self.peer_timeout_s - (self.loop.now() - self.heard_at)
+        self._check = self.loop.after(
+            delay=quarter * max(1, math.ceil(left / quarter)), callback=self._check_peer_timeout
+        )
 
     def watch_stuck(self) -> None:
         """What was sent does not arrive: TCP_USER_TIMEOUT ends the connection unless it does in time."""
         if self.is_open:
-            self.loop.after(delay=self.silence_s, act=self._check_stuck)
+            self.loop.after(delay=self.peer_timeout_s, callback=self._check_stuck)
 
     def _check_stuck(self) -> None:
         stuck_s = self.connection.stuck_for(self._direction)
-        if self.is_open and stuck_s >= self.silence_s - GRAIN_S:
+        if self.is_open and stuck_s >= self.peer_timeout_s - GRAIN_S:
             self.close(reason="ETIMEDOUT")
         elif self.is_open and stuck_s:
-            self.loop.after(delay=self.silence_s - stuck_s, act=self._check_stuck)
+            self.loop.after(delay=self.peer_timeout_s - stuck_s, callback=self._check_stuck)
 
     def queued(self) -> int:
         return sum(len(frame) for frame in self._unsent)
@@ -264,10 +266,10 @@
         self._on_end(self, reason)
 
 
-class Dialer:
+class Connector:
     """The interface of ploverward.transport.peer_connection.Dialer."""
 
-    def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, silence_s, source_ip=""):
+    def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, peer_timeout_s, source_ip=""):
         self.loop = loop
         self.address = address
         self.link = None
@@ -275,21 +277,21 @@
         self._on_up = on_up
         self._on_message = on_message
         self._on_end = on_end
-        self._silence_s = silence_s
-        self._pause_s = silence_s / 40
+        self._peer_timeout_s = peer_timeout_s
+        self._pause_s = peer_timeout_s / 40
         self._is_stopped = False
-        self._dial()
+        self._connect()
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         if self._is_stopped:
             return
         host, port = self.address
-        self.link = Link(
+        self.link = PeerConnection(
             process=self._runtime.process,
             loop=self.loop,
             on_message=self._take,
             on_end=self._ended,
-            silence_s=self._silence_s,
+            peer_timeout_s=self._peer_timeout_s,
             is_connecting=True,
             peer="%s:%d" % self.address,
         )
@@ -301,21 +303,21 @@
         self._on_up(self.link)
 
     def _take(self, link, message) -> None:
-        self._pause_s = self._silence_s / 40
+        self._pause_s = self._peer_timeout_s / 40
         self._on_message(link, message)
 
     def _ended(self, link, reason) -> None:
         if self.link is link:
             self.link = None
         self._on_end(link, reason)
-        self._again()
+        self._schedule_reconnect()
 
-    def _again(self) -> None:
+    def _schedule_reconnect(self) -> None:
         if self._is_stopped:
             return
-        self._pause_s = min(self._pause_s * 1.6, self._silence_s / 4)
+        self._pause_s = min(self._pause_s * 1.6, self._peer_timeout_s / 4)
         pause = self._pause_s * (0.5 + 0.5 * self._runtime.chance())
-        self.loop.after(delay=pause, act=self._dial)
+        self.loop.after(delay=pause, callback=self._connect)
 
     def stop(self) -> None:
         self._is_stopped = True
@@ -323,25 +325,25 @@
             self.link.close(reason="stopped")
 
 
-class Port:
+class PeerListener:
     """The interface of ploverward.transport.peer_connection.Port."""
 
-    def __init__(self, *, runtime, loop, address, on_link, on_message, on_end, silence_s):
+    def __init__(self, *, runtime, loop, address, on_link, on_message, on_end, peer_timeout_s):
         self.process = runtime.process
         self._loop = loop
         self._on_link = on_link
         self._on_message = on_message
         self._on_end = on_end
-        self._silence_s = silence_s
+        self._peer_timeout_s = peer_timeout_s
         runtime.machine.ports[address[1]] = self
 
-    def take(self, connection) -> Link:
-        link = Link(
+    def handle(self, connection) -> PeerConnection:
+        link = PeerConnection(
             process=self.process,
             loop=self._loop,
             on_message=self._on_message,
             on_end=self._on_end,
-            silence_s=self._silence_s,
+            peer_timeout_s=self._peer_timeout_s,
             is_connecting=False,
             peer=connection.hosts[0],
         )
@@ -364,8 +366,8 @@
         self.on_drain = None
         self.is_answered = False
         self.is_started = False
-        self.note = None
-        self.door = self
+        self.record = None
+        self.http_connection = self
         self.is_open = True
         self._on_reply = on_reply  # (status, headers, body), or None where the connection ends without an answer
 
@@ -382,8 +384,8 @@
         if self.is_answered or self.is_started:
             return
         self.is_started = self.is_answered = True
-        told = {name.decode().lower(): value.decode() for name, value in headers}
-        self._on_reply((status, told, body))
+        reply_headers = {name.decode().lower(): value.decode() for name, value in headers}
+        self._on_reply((status, reply_headers, body))
 
     def abort(self) -> None:
         if not self.is_answered:
@@ -400,24 +402,26 @@
             self.on_gone()
 
 
-class Hall:
+class HttpServer:
     """The interface of ploverward.transport.http_server.Hall, as far as a core node uses it."""
 
-    def __init__(self, *, runtime, loop, address, on_request, limits=None, silence_s=0.0, most_doors=0, most_bytes=0):
+    def __init__(
+        self, *, runtime, loop, address, on_request, limits=None, peer_timeout_s=0.0, max_connections=0, max_bytes=0
+    ):
         self.loop = loop
         self.process = runtime.process
-        self.is_leaving = False
-        self.doors = set()
+        self.is_draining = False
+        self.connections = set()
         self._ports = runtime.machine.ports
         self._address = address
         self._on_request = on_request
         self._ports[address[1]] = self
 
-    def take(self, request) -> None:
+    def handle(self, request) -> None:
         self._on_request(request)
 
     def leave(self) -> None:
-        self.is_leaving = True
+        self.is_draining = True
 
     def close_idle(self) -> None:
         """Calls have a connection each here; none is idle."""
@@ -450,42 +454,42 @@
         def give_up():
             finish(None)
             request = state["request"]
-            if request is not None and not request.is_answered and not self._network.is_cut(self.host, host):
+            if request is not None and not request.is_answered and not self._network.is_partitioned(self.host, host):
                 process = state["process"]
                 self._clock.later(
                     delay=self._network.delay(self.host, host),
-                    act=request.gone,
+                    callback=request.gone,
                     process=process,
                     kind=simulated_clock.DELIVERY,
                 )
 
         def reply(answer):
-            if self._network.is_cut(host, self.host):
+            if self._network.is_partitioned(host, self.host):
                 return
             if on_lost is not None:
                 on_lost(answer)
                 return
-            self._clock.later(delay=self._network.delay(host, self.host), act=lambda: finish(answer))
+            self._clock.later(delay=self._network.delay(host, self.host), callback=lambda: finish(answer))
 
         def arrive():
             machine = self._network.machines.get(host)
-            if machine is None or not machine.is_powered or self._network.is_cut(self.host, host):
+            if machine is None or not machine.is_powered or self._network.is_partitioned(self.host, host):
                 return
-            hall = machine.ports.get(port)
-            if hall is None:
+            server = machine.ports.get(port)
+            if server is None:
                 reply(None)
                 return
-            state["process"] = hall.process
+            state["process"] = server.process
 
             def handle():
                 state["request"] = Request(
-                    method=method, target=target, headers=headers, body=body, at=hall.loop.now(), on_reply=reply
+                    method=method, target=target, headers=headers, body=body, at=server.loop.now(), on_reply=reply
                 )
-                hall.take(state["request"])
+                server.handle(state["request"])
                 if state["is_over"]:
                     state["request"].gone()
 
-            self._clock.later(delay=0.0, act=handle, process=hall.process, kind=simulated_clock.DELIVERY)
+            self._clock.later(delay=0.0, callback=handle, process=server.process, kind=simulated_clock.DELIVERY)
 
-        self._clock.later(delay=self._network.delay(self.host, host), act=arrive)
-        self._clock.later(delay=limit_s, act=give_up)
+        self._clock.later(delay=self._network.delay(self.host, host), callback=arrive)
+        self._clock.later(delay=limit_s, callback=give_up)
--- a/ploverward/simulation/control_plane/test_scenarios.py
+++ b/ploverward/simulation/control_plane/test_scenarios.py
@@ -63,7 +63,7 @@
     assert "configuration chosen" in first.stdout
 
 
-def test_an_unknown_trouble_is_told_in_one_line():
+def test_an_unknown_fault_kind_is_reported_in_one_line():
     ended = run("-m", "ploverward", "simulate", "--troubles=rain")
     assert ended.returncode == 2
     assert "'rain' is no trouble" in ended.stderr and ended.stderr.count("\n") == 1
--- a/ploverward/simulation/control_plane/test_simulation.py
+++ b/ploverward/simulation/control_plane/test_simulation.py
@@ -7,7 +7,7 @@
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_network
 
-SILENCE_S = 0.8
+PEER_TIMEOUT_S = 0.8
 
 
 class Node:
@@ -28,28 +28,28 @@
         return self.network.clock.chance.random()
 
     def listen(self) -> None:
-        simulated_network.Port(
+        simulated_network.PeerListener(
             runtime=self,
             loop=self.loop,
             address=("", 7),
             on_link=self.links.append,
             on_message=lambda _link, message: self.taken.append((self.network.clock.time, message)),
             on_end=lambda _link, reason: self.ended.append((self.network.clock.time, reason)),
-            silence_s=SILENCE_S,
+            peer_timeout_s=PEER_TIMEOUT_S,
         )
 
     def dial(self, host: str):
-        return simulated_network.Dialer(
+        return simulated_network.Connector(
             runtime=self,
             loop=self.loop,
             address=(host, 7),
             on_up=self.links.append,
             on_message=lambda _link, message: self.taken.append((self.network.clock.time, message)),
             on_end=lambda _link, reason: self.ended.append((self.network.clock.time, reason)),
-            silence_s=SILENCE_S,
+            peer_timeout_s=PEER_TIMEOUT_S,
         )
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         for link in self.links:
             link.send(("beat", 0))
 
@@ -61,12 +61,12 @@
     failures = []
     one, other = (Node(network=network, host=host, failures=failures) for host in ("a", "b"))
     other.listen()
-    dialer = one.dial("b")
+    connector = one.dial("b")
     for node in (one, other):
-        node.loop.every(gap=SILENCE_S / 3, act=node.beat)
+        node.loop.every(interval_s=PEER_TIMEOUT_S / 3, callback=node.send_heartbeats)
     clock.run(until=1.0)
-    assert dialer.link.is_up and not failures
-    yield clock, network, one, other, dialer
+    assert connector.link.is_up and not failures
+    yield clock, network, one, other, connector
     assert not failures
 
 
@@ -75,17 +75,17 @@
 
 
 def test_messages_keep_their_order_and_pass_the_codec(pair):
-    clock, _network, _one, other, dialer = pair
+    clock, _network, _one, other, connector = pair
     for number in range(20):
-        dialer.link.send(("want", f"t{number}", 0, 0))
+        connector.link.send(("want", f"t{number}", 0, 0))
     clock.run(until=2.0)
     assert numbers(other) == [f"t{number}" for number in range(20)]
 
 
-def test_a_cut_holds_messages_and_a_short_one_loses_none(pair):
-    clock, network, _one, other, dialer = pair
-    network.cut(pairs=[("a", "b")], is_reset=False)
-    dialer.link.send(("want", "held", 0, 0))
+def test_a_partition_holds_messages_and_a_short_one_loses_none(pair):
+    clock, network, _one, other, connector = pair
+    network.partition(pairs=[("a", "b")], is_reset=False)
+    connector.link.send(("want", "held", 0, 0))
     clock.run(until=1.3)
     assert numbers(other) == []
     network.join(pairs=[("a", "b")])
@@ -93,59 +93,59 @@
     assert numbers(other) == ["held"] and not other.ended
 
 
-def test_a_long_cut_of_one_way_ends_both_ends(pair):
-    clock, network, one, other, _dialer = pair
-    network.cut(pairs=[("a", "b")], is_reset=False)
-    clock.run(until=1.0 + 2.5 * SILENCE_S)
+def test_a_long_one_way_partition_closes_both_ends(pair):
+    clock, network, one, other, _connector = pair
+    network.partition(pairs=[("a", "b")], is_reset=False)
+    clock.run(until=1.0 + 2.5 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in other.ended] == ["silent"]
     assert [reason for _when, reason in one.ended][0] == "closed"  # told over the way that is open
 
 
-def test_what_is_not_taken_for_too_long_ends_its_sender(pair):
-    clock, network, one, _other, dialer = pair
-    network.cut(pairs=[("a", "b"), ("b", "a")], is_reset=False)
-    dialer.link.heard_at += 100.0  # as if the other way were heard
-    clock.run(until=1.0 + 2 * SILENCE_S)
+def test_what_is_not_read_for_too_long_ends_the_connection_of_its_sender(pair):
+    clock, network, one, _other, connector = pair
+    network.partition(pairs=[("a", "b"), ("b", "a")], is_reset=False)
+    connector.link.heard_at += 100.0  # as if the other way were heard
+    clock.run(until=1.0 + 2 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in one.ended][0] == "ETIMEDOUT"
 
 
-def test_a_dialer_comes_back_after_a_reset(pair):
-    clock, network, one, other, dialer = pair
+def test_a_connector_reconnects_after_a_reset(pair):
+    clock, network, one, other, connector = pair
     network.reset(pairs=[("a", "b")])
     assert [reason for _when, reason in one.ended] == ["ECONNRESET"]
     assert [reason for _when, reason in other.ended] == ["ECONNRESET"]
     clock.run(until=2.0)
-    assert dialer.link is not None and dialer.link.is_up
+    assert connector.link is not None and connector.link.is_up
 
 
 def test_a_killed_process_resets_and_a_machine_without_power_is_silent(pair):
-    clock, _network, one, other, _dialer = pair
+    clock, _network, one, other, _connector = pair
     machines.stop(machine=other.machine)
     clock.run(until=1.2)
     assert one.ended[0][1] == "ECONNRESET" and one.ended[0][0] < 1.2
 
 
 def test_a_machine_without_power_is_silent(pair):
-    clock, _network, one, other, _dialer = pair
+    clock, _network, one, other, _connector = pair
     machines.stop(machine=other.machine, is_power_lost=True)
     other.machine.is_powered = False
-    clock.run(until=1.0 + SILENCE_S * 0.9)
+    clock.run(until=1.0 + PEER_TIMEOUT_S * 0.9)
     assert not one.ended
-    clock.run(until=1.0 + SILENCE_S * 2)
+    clock.run(until=1.0 + PEER_TIMEOUT_S * 2)
     assert one.ended[0][1] == "silent"
 
 
-def test_a_frozen_process_takes_data_before_timers_when_it_goes_on(pair):
-    clock, _network, _one, other, dialer = pair
+def test_a_frozen_process_handles_data_before_timers_when_it_resumes(pair):
+    clock, _network, _one, other, connector = pair
     order = []
     other.process.is_frozen = True
-    other.loop.after(delay=0.05, act=lambda: order.append("timer"))
+    other.loop.after(delay=0.05, callback=lambda: order.append("timer"))
     clock.run(until=1.1)
-    dialer.link.send(("want", "late", 0, 0))
+    connector.link.send(("want", "late", 0, 0))
     clock.run(until=1.5)
     before = other.loop.now()
     taken = len(other.taken)
-    other.loop.command(act=lambda: order.append("command"))
+    other.loop.command(callback=lambda: order.append("command"))
     other.process.thaw()
     assert len(other.taken) == taken + 1
     assert order == ["timer"]  # the command comes with the next event, as it was given after the thaw began
@@ -153,15 +153,15 @@
     assert order == ["timer", "command"] and other.loop.now() > before
 
 
-def test_a_cancelled_timer_does_not_act_and_an_exception_is_told():
+def test_a_cancelled_timer_does_not_act_and_an_exception_is_reported():
     clock = simulated_clock.Clock(seed=1)
     failures = []
     process = simulated_clock.Process(clock=clock, name="p", on_failure=lambda _process, text: failures.append(text))
     loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
     acted = []
-    timer = loop.after(delay=1.0, act=lambda: acted.append(1))
+    timer = loop.after(delay=1.0, callback=lambda: acted.append(1))
     loop.cancel(timer=timer)
-    loop.after(delay=1.0, act=lambda: 1 / 0)
+    loop.after(delay=1.0, callback=lambda: 1 / 0)
     loop.offload(work=lambda: 1 / 0, done=lambda outcome: acted.append(type(outcome.exception())))
     clock.run(until=2.0)
     assert acted == [ZeroDivisionError] and len(failures) == 1 and "ZeroDivisionError" in failures[0]
@@ -184,7 +184,7 @@
         assert content.startswith(b"first") and b"firstsecond".startswith(content)
 
 
-def test_a_write_under_way_may_be_kept_lost_or_torn():
+def test_a_write_in_progress_may_be_kept_lost_or_torn():
     seen = set()
     for seed in range(60):
         clock = simulated_clock.Clock(seed=seed)
@@ -210,10 +210,10 @@
     assert seen == {b"old", b"new"}
 
 
-@pytest.mark.parametrize("trouble", ["refuse", "refuse_late", "full"])
-def test_a_disk_in_trouble_refuses(trouble):
+@pytest.mark.parametrize("fault", ["refuse", "refuse_late", "full"])
+def test_a_disk_with_a_fault_refuses(fault):
     disk = simulated_disk.Disk(clock=simulated_clock.Clock(seed=1))
-    disk.trouble = trouble
+    disk.fault = fault
     with pytest.raises(OSError):
         disk.append(name="f", data=b"x", size_before=0)
     assert not disk.durable
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -8,8 +8,8 @@
 from ploverward.transport import http_server
 from ploverward.transport import event_loop
 
-PATIENCE_S = 10.0
-SETTLE_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
+WAIT_TIMEOUT_S = 10.0
+SOCKET_WAIT_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
 RESET_AT_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
 PEERS_HOST = 254  # where scripted peers and doors listen; tests take other hosts for nodes of theirs
 
@@ -35,7 +35,7 @@
 
     def step_or_skip(self) -> None:
         """One step; where nothing waits on any socket, the time until the next timer is skipped first."""
-        if not self._commands and self._timers and not self._selector.select(SETTLE_S):
+        if not self._commands and self._timers and not self._selector.select(SOCKET_WAIT_S):
             self._skipped_s += max(0.0, self._timers[0].when - self.now())
         self.step()
 
@@ -51,12 +51,12 @@
 
 def until(loop, is_so) -> bool:
     """Steps the loop until `is_so()`; False where it never came."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     ticking = [True]
 
     def tick():
         if ticking[0]:
-            loop.after(delay=0.01, act=tick)
+            loop.after(delay=0.01, callback=tick)
 
     tick()
     while not is_so():
@@ -85,7 +85,7 @@
         self.sock.listen(50)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        loop.watch(sock=self.sock, mask=selectors.EVENT_READ, act=self._accept)
+        loop.watch(sock=self.sock, mask=selectors.EVENT_READ, callback=self._accept)
 
     def _accept(self, _mask):
         sock, _address = self.sock.accept()
@@ -93,7 +93,7 @@
         number = len(self.heard)
         self.heard.append(b"")
         self.socks[number] = sock
-        self.loop.watch(sock=sock, mask=selectors.EVENT_READ, act=lambda mask: self._read(sock, number))
+        self.loop.watch(sock=sock, mask=selectors.EVENT_READ, callback=lambda mask: self._read(sock, number))
 
     def _read(self, sock, number):
         try:
@@ -104,18 +104,18 @@
             self.end(number)
             return
         self.heard[number] += data
-        self.act(number, self.script(number, self.heard[number]) or ())
+        self.callback(number, self.script(number, self.heard[number]) or ())
 
-    def act(self, number: int, acts) -> None:
+    def callback(self, number: int, acts) -> None:
         """Sends bytes, or ends the connection by "close" or "reset", on connection `number`, if it is still there."""
-        for act in acts:
+        for callback in acts:
             if number not in self.socks:
                 return
-            if act in ("close", "reset"):
-                self.end(number, is_reset=act == "reset")
+            if callback in ("close", "reset"):
+                self.end(number, is_reset=callback == "reset")
                 continue
             try:
-                self.socks[number].sendall(act)
+                self.socks[number].sendall(callback)
             except OSError:
                 self.end(number)
 
@@ -138,7 +138,7 @@
         self.sock = socket.socket()
         self.sock.connect(address)
         self.sock.setblocking(False)
-        loop.watch(sock=self.sock, mask=selectors.EVENT_READ, act=self._read)
+        loop.watch(sock=self.sock, mask=selectors.EVENT_READ, callback=self._read)
 
     def _read(self, _mask):
         try:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -74,20 +74,20 @@
 }
 
 
-class Entry:
+class LoopbackProxy:
     """What a passage needs of the proxy."""
 
     def __init__(self, *, loop, peers, share=1.0):
         self.loop = loop
         self.settings = settings()
-        self.life = "l1"
-        self.reach_s = 1.0
+        self.incarnation = "l1"
+        self.failover_s = 1.0
         self.is_serving = True
-        self.is_leaving = False
-        self.leaving = graceful_shutdown.Leaving(now=loop.now, grace_s=self.settings.bound(name="graceS"))
+        self.is_draining = False
+        self.drain_window = graceful_shutdown.DrainWindow(now=loop.now, grace_s=self.settings.bound(name="graceS"))
         self.routes = route_table.Routes(body=CONFIGURATION)
         self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
-        self.quota.take_entry("core", ("entry", share, share, 1000.0, 1.0, 0, 8))
+        self.quota.handle_share_lease("core", ("entry", share, share, 1000.0, 1.0, 0, 8))
         self.rollouts = version_routing.Rollouts(now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0)
         self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.install_services(route_table.services(body=CONFIGURATION))
@@ -95,14 +95,14 @@
             table=self.table, settings=self.settings, regions={}, quota=self.quota, now=loop.now
         )
         self.passages = set()
-        self.batches = custody_trails.Batches(most=1000)
+        self.batches = custody_trails.TrailBatches(most=1000)
         self.adapters = adapter_counts.Counter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.faults = []
         self.older_homes = []
-        self.trust = tenant_admission.Trust.of(self.settings)
+        self.credential_freshness = tenant_admission.CredentialFreshness.of(self.settings)
         self.configuration_age = 0.0
-        self.allowance = tenant_admission.Allowance(now=loop.now, lease_s=1.0)
+        self.quota_allowance = tenant_admission.QuotaAllowance(now=loop.now, lease_s=1.0)
         self.rows = [
             {
                 "id": f"i{number}",
@@ -118,19 +118,19 @@
             for number, (peer, zone) in enumerate(peers)
         ]
         self.table.install_list(self.rows)
-        self.hall = http_server.Hall(
+        self.server = http_server.HttpServer(
             loop=loop,
             address=(loopback.own_address(), 0),
-            on_request=self.take,
+            on_request=self.handle,
             limits=lambda: loopback.limits(),
-            silence_s=5.0,
+            peer_timeout_s=5.0,
         )
-        self.address = self.hall._sock.getsockname()
+        self.address = self.server._sock.getsockname()
 
-    def take(self, request):
-        passage = request_handler.Passage(proxy=self, request=request)
-        self.passages.add(passage)
-        passage.begin()
+    def handle(self, request):
+        handler = request_handler.RequestHandler(proxy=self, request=request)
+        self.passages.add(handler)
+        handler.begin()
 
     # The real rule, and the real keeping of older homes.
     permitted = core_sessions.FollowMixin.permitted
@@ -150,28 +150,28 @@
         self.number += 1
         return self.number
 
-    def tell_send(self, **about):
+    def report_attempt(self, **about):
         pass
 
-    def tell_read(self, **about):
+    def report_prefill(self, **about):
         pass
 
-    def suspect(self, replica):
-        self.table.suspect(replica)
+    def mark_suspected(self, replica):
+        self.table.mark_suspected(replica)
 
     def note_fault(self, *, replica, reason, was_up):
         self.faults.append(reason)
         if not was_up:
-            self.table.suspect(replica)
+            self.table.mark_suspected(replica)
 
-    def wrong_replica(self, replica):
-        replica.away_until = self.loop.now() + 2.0
+    def note_wrong_replica(self, replica):
+        replica.backoff_until = self.loop.now() + 2.0
 
     def full(self, replica):
-        replica.away_until = self.loop.now() + 0.05
+        replica.backoff_until = self.loop.now() + 0.05
 
     def trails(self):
         import json
 
-        self.batches.cut()
+        self.batches.close_batch()
         return [json.loads(data) for _number, _last, rows in self.batches.drain() for _id, data in rows]
