--- a/ploverward/simulation/model_checker.py
+++ b/ploverward/simulation/model_checker.py
@@ -65,11 +65,11 @@
     proposer.learn_accepted(name=REGISTER, value=value)
 
 
-def make_refill(*, own: str, kind: str):
-    return REFILLS[kind](own=own, registers=(REGISTER,))
+def make_catch_up(*, own: str, kind: str):
+    return CATCH_UPS[kind](own=own, registers=(REGISTER,))
 
 
-def answer_refill(acceptor, request: tuple) -> tuple:
+def answer_catch_up(acceptor, request: tuple) -> tuple:
     """What `Voting._take_refill` tells: what is asked to be promised is promised first. All rows are told whole."""
     for name, ballot_n, ballot_p, *_known in request[2]:
         if ballot_n:
@@ -98,7 +98,7 @@
     if answer[0] == "promise":
         proposer.take_promise(member, answer)
     elif answer[0] == "peeked":
-        proposer.take_peeked(member, answer)
+        proposer.handle_quorum_read_reply(member, answer)
     else:
         proposer.take_accepted(member, answer)
 
@@ -112,9 +112,9 @@
         now=port.now,
         chance=port.chance,
         on_chosen=port.on_chosen,
-        held=port.held if is_naming else None,
+        accepted_state=port.accepted_state if is_naming else None,
         limit_s=1.0,
-        patience_s=0.5,
+        attempt_timeout_s=0.5,
     )
 
 
@@ -124,14 +124,14 @@
     return new
 
 
-def acceptor_form(held) -> tuple:
-    return (held.incarnation, tuple(sorted(held.table.items())))
+def acceptor_form(accepted_state) -> tuple:
+    return (accepted_state.incarnation, tuple(sorted(accepted_state.table.items())))
 
 
 # --- Copying and comparing live proposers ---------------------------------------------------------------------------
 
 
-class Fixed:
+class Immutable:
     """Never copied; compared by name. Everything of this module that a proposer holds on to."""
 
     name = ""
@@ -148,10 +148,14 @@
 
 def clone(item, memo: dict):
     """A deep copy that also copies closures, with their cells bound to the copies."""
-    if _is_plain(item) or isinstance(item, Fixed):
+    if _is_plain(item) or isinstance(item, Immutable):
         return item
     if isinstance(item, types.MethodType):
-        return item if isinstance(item.__self__, Fixed) else types.MethodType(item.__func__, clone(item.__self__, memo))
+        return (
+            item
+            if isinstance(item.__self__, Immutable)
+            else types.MethodType(item.__func__, clone(item.__self__, memo))
+        )
     if isinstance(item, types.FunctionType) and not item.__closure__ and not item.__defaults__:
         return item
     known = memo.get(id(item))
@@ -184,7 +188,7 @@
     """A hashable canonical form; an object met again is told by its place."""
     if item is None or isinstance(item, str | bytes | int | float):
         return item
-    if isinstance(item, Fixed):
+    if isinstance(item, Immutable):
         return item.name
     if isinstance(item, types.MethodType):
         return (item.__name__, form(item.__self__, memo))
@@ -205,26 +209,28 @@
     return (type(item).__name__, tuple((name, form(part, memo)) for name, part in _fields(item)))
 
 
-def _cells(act) -> dict:
-    if not isinstance(act, types.FunctionType):
+def _cells(action) -> dict:
+    if not isinstance(action, types.FunctionType):
         return {}
-    return dict(zip(act.__code__.co_freevars, [cell.cell_contents for cell in act.__closure__ or ()], strict=True))
+    return dict(
+        zip(action.__code__.co_freevars, [cell.cell_contents for cell in action.__closure__ or ()], strict=True)
+    )
 
 
-def is_stale(act) -> bool:
+def is_stale(action) -> bool:
     """A timer of an attempt that is over does nothing."""
-    held = _cells(act)
-    work = held.get("work")
-    return work is not None and (work.stage == "over" or work.number != held.get("number", work.number))
+    accepted_state = _cells(action)
+    work = accepted_state.get("work")
+    return work is not None and (work.stage == "over" or work.number != accepted_state.get("number", work.number))
 
 
-def is_pause(act) -> bool:
+def is_pause(action) -> bool:
     """The wait before a further attempt. It is left out: requests may be delayed as long, so it tells nothing new."""
-    work = _cells(act).get("work")
+    work = _cells(action).get("work")
     return work is not None and work.stage == "wait"
 
 
-class Port(Fixed):
+class Port(Immutable):
     """The outside of one proposer: what it sends, sets and tells is gathered here and taken after each step."""
 
     def __init__(self, *, name: str):
@@ -234,15 +240,15 @@
         self.facts = []
         self.row = acceptors.EMPTY
 
-    def held(self, _name: str) -> tuple:
+    def accepted_state(self, _name: str) -> tuple:
         """Accepted ballot, revision and value on the disk of the proposer's own node."""
         return self.row[1:]
 
     def send(self, member: str, message: tuple) -> None:
         self.sent.append((member, message))
 
-    def later(self, delay: float, act) -> None:
-        self.timers.append((delay, act))
+    def later(self, delay: float, action) -> None:
+        self.timers.append((delay, action))
 
     def now(self) -> float:
         return 0.0
@@ -250,11 +256,11 @@
     def chance(self) -> float:
         return 0.0
 
-    def on_chosen(self, _name, _ballot, rev, value, _is_news) -> None:
+    def on_chosen(self, _name, _ballot, rev, value, _is_newly_chosen) -> None:
         self.facts.append(("chosen", rev, value))
 
 
-class Edit(Fixed):
+class Edit(Immutable):
     """Adds its tag, and knows its own work again."""
 
     def __init__(self, *, tag: str):
@@ -267,7 +273,7 @@
         return [*payload, self.name], None
 
 
-class Done(Fixed):
+class Done(Immutable):
     def __init__(self, *, port: Port, call: str):
         self.name = call
         self._port = port
@@ -323,18 +329,18 @@
     members: tuple  # the first set
     nodes: tuple
     writers: tuple
-    holders: tuple = ()  # hold the first value; () for all members
+    first_value_members: tuple = ()  # hold the first value; () for all members
     rows: tuple = ()  # in place of the first value: a start in the middle of a history
     chosen: tuple = (FIRST_TAG,)  # the newest chosen value at the start
     chosen_set: tuple = ()  # its set; () for `members`
-    refill: str = "real"  # or a planted fault, see REFILLS
+    catch_up: str = "real"  # or a planted fault, see REFILLS
     wipes: tuple = ()  # one of these may lose its disk once
     restarts: tuple = ()  # one of these proposers may start again once
-    is_told: tuple = ()  # proposers that may hear of chosen values
+    learning_proposers: tuple = ()  # proposers that may hear of chosen values
     repeats: int = 0  # requests that may arrive twice
     is_split: bool = False
     crashes: tuple = ()  # their disks are slow, and one of them may lose what was not yet on its disk
-    is_peek_early: bool = False  # planted fault: a peek is answered from memory
+    is_quorum_read_early: bool = False  # planted fault: a peek is answered from memory
     learners: tuple = ()  # start without anything, and refill
 
 
@@ -354,14 +360,14 @@
     states: int
     seconds: float
     finding: Finding | None
-    is_whole: bool
+    is_exhaustive: bool
 
 
-class Broken(Exception):
+class InvariantError(Exception):
     """A rule is broken in this history."""
 
 
-class Part:
+class StateComponent:
     """A live object with its canonical form; never changed once it stands in a state."""
 
     __slots__ = ("live", "key")
@@ -382,7 +388,7 @@
         "latest",
         "left",
         "longest",
-        "news",
+        "latest_chosen",
         "budget",
         "gathered",
         "waits",
@@ -397,7 +403,7 @@
         new.latest = dict(self.latest)
         new.left = dict(self.left)
         new.longest = self.longest
-        new.news = self.news
+        new.latest_chosen = self.latest_chosen
         new.budget = dict(self.budget)
         new.gathered = dict(self.gathered)
         new.waits = dict(self.waits)
@@ -413,7 +419,7 @@
             tuple(self.budget.values()),
             self.pool,
             self.longest,
-            self.news,
+            self.latest_chosen,
             tuple(sorted(self.begun.items())),
             tuple(sorted((name, part.key) for name, part in self.gathered.items())),
             tuple(sorted(self.waits.items())),
@@ -442,21 +448,23 @@
     def _intern(self, key) -> int:
         return self._ids.setdefault(key, len(self._ids))
 
-    def _node(self, held, safe=None) -> Part:
+    def _node(self, accepted_state, safe=None) -> StateComponent:
         """`safe` is what the disk holds where that is older than what the node knows."""
-        safe = safe or held
-        return Part((held, safe), self._intern((acceptor_form(held), acceptor_form(safe))))
+        safe = safe or accepted_state
+        return StateComponent(
+            (accepted_state, safe), self._intern((acceptor_form(accepted_state), acceptor_form(safe)))
+        )
 
-    def _writer(self, proposer, timers) -> Part:
-        timers = [act for act in timers if not is_stale(act)]
+    def _writer(self, proposer, timers) -> StateComponent:
+        timers = [action for action in timers if not is_stale(action)]
         memo = {}
-        return Part((proposer, timers), self._intern((form(proposer, memo), form(timers, memo))))
+        return StateComponent((proposer, timers), self._intern((form(proposer, memo), form(timers, memo))))
 
-    def _silence(self, state: State, name: str) -> None:
+    def _retire_writer(self, state: State, name: str) -> None:
         """A writer without attempts left does nothing more: what it knows no longer tells states apart."""
         state.left[name] = -1
         state.latest[name] = (-1, ())
-        state.writers[name] = Part((state.writers[name].live[0], []), -1)
+        state.writers[name] = StateComponent((state.writers[name].live[0], []), -1)
 
     def _make_acceptor(self, incarnation: str):
         return self._acceptor_type(incarnation=incarnation)
@@ -480,17 +488,17 @@
         state.nodes = {}
         value = make_value(members=scenario.members, tags=(FIRST_TAG,))
         for name in scenario.nodes:
-            held = self._make_acceptor(f"{name}1")
-            if name in (scenario.holders or scenario.members):
-                held.table[REGISTER] = (FIRST_BALLOT, FIRST_BALLOT, 1, value)
-            state.nodes[name] = self._node(held)
+            accepted_state = self._make_acceptor(f"{name}1")
+            if name in (scenario.first_value_members or scenario.members):
+                accepted_state.table[REGISTER] = (FIRST_BALLOT, FIRST_BALLOT, 1, value)
+            state.nodes[name] = self._node(accepted_state)
         state.waits = {}
         for row in scenario.rows:
             safe = state.nodes[row.node].live[1]
-            held = self._copy_acceptor(safe)
+            accepted_state = self._copy_acceptor(safe)
             found = make_value(members=row.members, tags=row.tags, previous=row.previous)
-            held.table[REGISTER] = (row.ballot, row.ballot, len(row.tags), found)
-            state.nodes[row.node] = self._node(held, None if row.is_safe else safe)
+            accepted_state.table[REGISTER] = (row.ballot, row.ballot, len(row.tags), found)
+            state.nodes[row.node] = self._node(accepted_state, None if row.is_safe else safe)
             if not row.is_safe:
                 state.waits[row.node] = ()
         top = max([FIRST_BALLOT[0], *[row.ballot[0] for row in scenario.rows]])
@@ -500,7 +508,7 @@
         state.latest = {}
         state.left = {}
         state.longest = scenario.chosen
-        state.news = make_value(members=scenario.chosen_set or scenario.members, tags=scenario.chosen)
+        state.latest_chosen = make_value(members=scenario.chosen_set or scenario.members, tags=scenario.chosen)
         state.budget = {
             "wipe": int(bool(scenario.wipes)),
             "restart": int(bool(scenario.restarts)),
@@ -510,7 +518,7 @@
         state.gathered = {}
         for name in scenario.learners:
             state.nodes[name] = self._node(self._make_acceptor(""))
-            state.gathered[name] = self._refill(make_refill(own=name, kind=scenario.refill))
+            state.gathered[name] = self._catch_up(make_catch_up(own=name, kind=scenario.catch_up))
         for writer in scenario.writers:
             proposer = self._make_proposer(writer)
             proposer.note_top(name=REGISTER, number=top)
@@ -528,33 +536,33 @@
 
     # -- steps of proposers
 
-    def _act(self, state: State, name: str, step: tuple, act) -> None:
+    def _act(self, state: State, name: str, step: tuple, action) -> None:
         """Takes on what comes of a step: the proposer after it, what it sent, what it told."""
-        place = (state.writers[name].key, step)
+        slot = (state.writers[name].key, step)
         if self._writers[name].is_naming:
             part = state.nodes[self._writers[name].home]
             self.ports[name].row = part.live[1].get(REGISTER)
-            place = (*place, part.key)
-        if place not in self._moves:
-            self._moves[place] = self._play(state.writers[name], name, act)
-        part, sent, facts = self._moves[place]
+            slot = (*slot, part.key)
+        if slot not in self._moves:
+            self._moves[slot] = self._play(state.writers[name], name, action)
+        part, sent, facts = self._moves[slot]
         state.writers[name] = part
-        self._take_sent(state, name, sent)
+        self._handle_sent(state, name, sent)
         if state.left[name] < 0:
-            self._silence(state, name)
+            self._retire_writer(state, name)
         for fact in facts:
-            self._take_fact(state, name, fact)
+            self._handle_event(state, name, fact)
         if facts and all(state.begun.get(call.name) == OVER for call in self._writers[name].calls):
-            self._silence(state, name)
+            self._retire_writer(state, name)
 
-    def _play(self, part: Part, name: str, act) -> tuple:
+    def _play(self, part: StateComponent, name: str, action) -> tuple:
         """Lets `act(proposer, timers)` run on a copy."""
         port = self.ports[name]
         memo = {}
         proposer = clone(part.live[0], memo)
         timers = clone(part.live[1], memo)
-        act(proposer, timers)
-        for _turn in range(100):
+        action(proposer, timers)
+        for _index in range(100):
             due = [after for delay, after in port.timers if delay == 0 or is_pause(after)]
             timers += [after for delay, after in port.timers if delay > 0 and not is_pause(after)]
             port.timers = []
@@ -572,7 +580,7 @@
             self._items.append(item)
         return self._item_numbers[item]
 
-    def _take_sent(self, state: State, name: str, sent: tuple) -> None:
+    def _handle_sent(self, state: State, name: str, sent: tuple) -> None:
         pool = set(state.pool)
         for member, message in sent:
             number, ballot = state.latest[name]
@@ -591,18 +599,18 @@
         state.left[name] += call.attempts
         done = Done(port=self.ports[name], call=call_name)
 
-        def act(proposer, _timers):
+        def action(proposer, _timers):
             if call.kind == "read":
                 proposer.read(name=REGISTER, done=done)
             else:
                 edit = Edit(tag=call_name)
                 proposer.change(name=REGISTER, edit=edit, done=done, next_set=call.to or None)
 
-        self._act(state, name, ("begin", call_name), act)
+        self._act(state, name, ("begin", call_name), action)
 
     # -- rules
 
-    def _take_fact(self, state: State, name: str, fact: tuple) -> None:
+    def _handle_event(self, state: State, name: str, fact: tuple) -> None:
         if fact[0] == "failed":
             state.begun[fact[1]] = OVER
             return
@@ -611,21 +619,23 @@
         else:
             rev, tags = fact[2], fact[3]
         if rev != len(tags):
-            raise Broken(f"revision {rev} holds {tags}")
+            raise InvariantError(f"revision {rev} holds {tags}")
         size = min(len(tags), len(state.longest))
         if tags[:size] != state.longest[:size]:
-            raise Broken(f"{name}: {tags} is chosen at revision {rev}, and so was {state.longest}")
+            raise InvariantError(f"{name}: {tags} is chosen at revision {rev}, and so was {state.longest}")
         if fact[0] == "done":
             call = self._calls[fact[1]][1]
             if len(tags) < state.begun[fact[1]]:
-                raise Broken(f"{fact[1]} saw revision {rev}; {state.begun[fact[1]]} was acknowledged before it began")
+                raise InvariantError(
+                    f"{fact[1]} saw revision {rev}; {state.begun[fact[1]]} was acknowledged before it began"
+                )
             if call.kind != "read" and call.name not in tags:
-                raise Broken(f"{fact[1]} was acknowledged without its change: {tags}")
+                raise InvariantError(f"{fact[1]} was acknowledged without its change: {tags}")
             state.begun[fact[1]] = OVER
         if len(tags) > len(state.longest):
             state.longest = tags
             if fact[0] == "chosen":
-                state.news = fact[2]
+                state.latest_chosen = fact[2]
 
     # -- steps of nodes
 
@@ -636,37 +646,42 @@
             return
         part = state.nodes[member]
         if member not in self.scenario.crashes:
-            state.nodes[member], answer = self._ask(part, message)
+            state.nodes[member], answer = self._handle_durable_request(part, message)
             self._send_answer(state, name, member, answer)
             return
-        held, safe = part.live
+        accepted_state, safe = part.live
         if message[0] == "peek":
-            self._send_answer(state, name, member, (held if self.scenario.is_peek_early else safe).peek(message))
+            self._send_answer(
+                state,
+                name,
+                member,
+                (accepted_state if self.scenario.is_quorum_read_early else safe).quorum_read(message),
+            )
             return
-        acceptor, answer = self._ask_new(held, message)
-        is_waiting = held is not safe or acceptor_form(acceptor) != acceptor_form(held)
+        acceptor, answer = self._apply_request(accepted_state, message)
+        is_waiting = accepted_state is not safe or acceptor_form(acceptor) != acceptor_form(accepted_state)
         if not is_waiting:
             self._send_answer(state, name, member, answer)
             return
         state.nodes[member] = self._node(acceptor, safe)
         state.waits[member] = (*state.waits.get(member, ()), (name, answer))
 
-    def _ask(self, part: Part, message: tuple) -> tuple:
+    def _handle_durable_request(self, part: StateComponent, message: tuple) -> tuple:
         """The node after a request, all of it safe on its disk, and its answer."""
-        place = (part.key, message)
-        if place not in self._asked:
-            acceptor, answer = self._ask_new(part.live[0], message)
-            self._asked[place] = (self._node(acceptor), answer)
-        return self._asked[place]
-
-    def _ask_new(self, held, message: tuple) -> tuple:
-        acceptor = self._copy_acceptor(held)
+        slot = (part.key, message)
+        if slot not in self._asked:
+            acceptor, answer = self._apply_request(part.live[0], message)
+            self._asked[slot] = (self._node(acceptor), answer)
+        return self._asked[slot]
+
+    def _apply_request(self, accepted_state, message: tuple) -> tuple:
+        acceptor = self._copy_acceptor(accepted_state)
         if message[0] == "prepare":
             answer = acceptor.prepare(message)[0]
         elif message[0] == "accept":
             answer = acceptor.accept(message)[0]
         else:
-            answer = acceptor.peek(message)
+            answer = acceptor.quorum_read(message)
         return acceptor, answer
 
     def _send_answer(self, state: State, name: str, member: str, answer: tuple) -> None:
@@ -688,10 +703,10 @@
     def _gather(self, state: State, own: str, other: str) -> None:
         """An emptied node takes one more answer, and votes again once its refill is done."""
         part, source = state.gathered[own], state.nodes[other]
-        place = (part.key, source.key, own, other)
-        if place not in self._gathered:
-            self._gathered[place] = self._gather_new(part, source, own, other)
-        source, is_done, found = self._gathered[place]
+        slot = (part.key, source.key, own, other)
+        if slot not in self._gathered:
+            self._gathered[slot] = self._gather_new(part, source, own, other)
+        source, is_done, found = self._gathered[slot]
         state.nodes[other] = source
         if is_done:
             state.nodes[own] = found
@@ -699,21 +714,21 @@
         else:
             state.gathered[own] = found
 
-    def _gather_new(self, part: Part, source: Part, own: str, other: str) -> tuple:
+    def _gather_new(self, part: StateComponent, source: StateComponent, own: str, other: str) -> tuple:
         """(the node that answered, whether the refill is done, the emptied node or its refill)."""
-        refill = clone(part.live, {})
-        request = refill.request()
+        catch_up = clone(part.live, {})
+        request = catch_up.request()
         answering = self._copy_acceptor(source.live[0])
-        rows = answer_refill(answering, request)
-        refill.take(member=other, number=number_of(request), first_set=self.scenario.members, rows=rows)
-        if refill.stage != refills.DONE:
-            return self._node(answering), False, self._refill(refill)
+        rows = answer_catch_up(answering, request)
+        catch_up.handle(member=other, number=number_of(request), first_set=self.scenario.members, rows=rows)
+        if catch_up.stage != refills.DONE:
+            return self._node(answering), False, self._catch_up(catch_up)
         acceptor = self._make_acceptor("")
-        acceptor.refill(incarnation=f"{own}2", states=tuple(refill.answers.values()))
+        acceptor.catch_up(incarnation=f"{own}2", states=tuple(catch_up.answers.values()))
         return self._node(answering), True, self._node(acceptor)
 
-    def _refill(self, refill) -> Part:
-        return Part(refill, self._intern(("refill", form(refill, {}))))
+    def _catch_up(self, catch_up) -> StateComponent:
+        return StateComponent(catch_up, self._intern(("refill", form(catch_up, {}))))
 
     # -- the choice of steps
 
@@ -727,14 +742,14 @@
         for name, part in state.writers.items():
             if state.left[name] <= 0:
                 continue
-            for place in range(len(part.live[1])):
-                yield ("timer", name, place), lambda new, name=name, place=place: self._fire(new, name, place)
+            for slot in range(len(part.live[1])):
+                yield ("timer", name, slot), lambda new, name=name, slot=slot: self._fire(new, name, slot)
         for call in self._calls:
             if call not in state.begun:
                 yield ("begin", call), lambda new, call=call: self._begin(new, call)
-        for name in scenario.is_told:
-            if state.writers[name].live[0].known.get(REGISTER) != set_of(state.news):
-                yield ("told", name), lambda new, name=name: self._tell(new, name)
+        for name in scenario.learning_proposers:
+            if state.writers[name].live[0].known.get(REGISTER) != set_of(state.latest_chosen):
+                yield ("told", name), lambda new, name=name: self._notify_chosen(new, name)
         if state.budget["wipe"]:
             for name in scenario.wipes:
                 yield ("disk emptied", name), lambda new, name=name: self._wipe(new, name)
@@ -758,18 +773,18 @@
         state.budget["repeat"] -= 1
         self._deliver(state, item)
 
-    def _fire(self, state: State, name: str, place: int) -> None:
-        self._act(state, name, ("timer", place), lambda _proposer, timers: timers.pop(place)())
+    def _fire(self, state: State, name: str, slot: int) -> None:
+        self._act(state, name, ("timer", slot), lambda _proposer, timers: timers.pop(slot)())
 
-    def _tell(self, state: State, name: str) -> None:
-        value = state.news
+    def _notify_chosen(self, state: State, name: str) -> None:
+        value = state.latest_chosen
         self._act(state, name, ("told", value), lambda proposer, _timers: learn_chosen(proposer, value))
 
     def _wipe(self, state: State, name: str) -> None:
         state.budget["wipe"] -= 1
         state.nodes[name] = self._node(self._make_acceptor(""))
         state.waits.pop(name, None)
-        state.gathered[name] = self._refill(make_refill(own=name, kind=self.scenario.refill))
+        state.gathered[name] = self._catch_up(make_catch_up(own=name, kind=self.scenario.catch_up))
 
     def _crash(self, state: State, name: str) -> None:
         state.budget["crash"] -= 1
@@ -814,32 +829,33 @@
             return True
         return kind == "accept" and self._is_taken(state.nodes[member], message)
 
-    def _is_taken(self, part: Part, message: tuple) -> bool:
+    def _is_taken(self, part: StateComponent, message: tuple) -> bool:
         """Whether the node would accept this, and does not hold it already."""
-        place = (part.key, message)
-        if place not in self._takes:
-            held = part.live[0]
+        slot = (part.key, message)
+        if slot not in self._takes:
+            accepted_state = part.live[0]
             is_promiser = (
-                held.incarnation == named_incarnation(message) or self._acceptor_type is not acceptors.Acceptor
+                accepted_state.incarnation == named_incarnation(message)
+                or self._acceptor_type is not acceptors.Acceptor
             )
-            promised, accepted = held.get(REGISTER)[:2]
+            promised, accepted = accepted_state.get(REGISTER)[:2]
             ballot = request_ballot(message)
-            self._takes[place] = is_promiser and ballot >= promised and ballot != accepted
-        return self._takes[place]
+            self._takes[slot] = is_promiser and ballot >= promised and ballot != accepted
+        return self._takes[slot]
 
-    def run(self, *, most_states: int) -> Outcome:
+    def run(self, *, max_states: int) -> Outcome:
         begun = time.monotonic()
         first = self.start()
         seen = {first.key(): None}
         queue = collections.deque([(first, None)])
         finding = None
-        while queue and finding is None and len(seen) < most_states:
+        while queue and finding is None and len(seen) < max_states:
             state, trail = queue.popleft()
-            for label, act in self.steps(state):
+            for label, action in self.steps(state):
                 new = state.copy()
                 try:
-                    act(new)
-                except Broken as fault:
+                    action(new)
+                except InvariantError as fault:
                     finding = Finding(str(fault), history((label, trail)), len(seen))
                     break
                 self._prune(new)
@@ -847,8 +863,8 @@
                 if key not in seen:
                     seen[key] = None
                     queue.append((new, (label, trail)))
-        is_whole = finding is None and not queue
-        return Outcome(self.scenario.name, len(seen), time.monotonic() - begun, finding, is_whole)
+        is_exhaustive = finding is None and not queue
+        return Outcome(self.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
 
 
 def history(trail) -> tuple:
@@ -862,19 +878,19 @@
 def readable(label: tuple) -> tuple:
     """Values are told by their set and tags."""
 
-    def told(part):
+    def describe(part):
         if isinstance(part, bytes):
             return f"{''.join(set_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
-        return tuple(told(item) for item in part) if isinstance(part, tuple) else part
+        return tuple(describe(item) for item in part) if isinstance(part, tuple) else part
 
-    return told(label)
+    return describe(label)
 
 
 # --- Planted faults -------------------------------------------------------------------------------------------------
 
 
 @contextlib.contextmanager
-def majority_left_out(members: tuple):
+def majority_check_skipped(members: tuple):
     """Planted fault: nobody asks for a majority of this set."""
     real = ballots.has_majority
 
@@ -889,14 +905,14 @@
 
 
 @contextlib.contextmanager
-def set_before_left_out():
+def previous_set_skipped():
     """Planted fault: of a value found, only its own set counts, not the one before it."""
-    real = ballots.way
-    ballots.way = lambda value: real(value)[-1:]
+    real = ballots.member_sets
+    ballots.member_sets = lambda value: real(value)[-1:]
     try:
         yield
     finally:
-        ballots.way = real
+        ballots.member_sets = real
 
 
 class ForgetfulAcceptor(acceptors.Acceptor):
@@ -906,21 +922,21 @@
         return super().accept(with_incarnation(message, self.incarnation))
 
 
-class PlainRefill(refills.Refill):
+class UnfencedCatchUp(refills.LearnerCatchUp):
     """Planted fault: takes the rows as they are told, without a fence."""
 
     def _raise_fence(self) -> None:
         self.stage = refills.DONE
 
 
-class SingleRefill(refills.Refill):
+class SingleNodeCatchUp(refills.LearnerCatchUp):
     """Planted fault: one answer is enough."""
 
     def has_enough(self) -> bool:
         return bool(self.answers)
 
 
-REFILLS = {"real": refills.Refill, "plain": PlainRefill, "single": SingleRefill}
+CATCH_UPS = {"real": refills.LearnerCatchUp, "plain": UnfencedCatchUp, "single": SingleNodeCatchUp}
 
 
 # --- The scenarios --------------------------------------------------------------------------------------------------
@@ -1005,13 +1021,13 @@
         move_of(name="three to five at once", to=FIVE),
         move_of(name="shrink by one, requests twice", to=SHRUNK, repeats=1),
         move_of(name="shrink by one, answers apart from requests", to=SHRUNK, is_split=True),
-        move_of(name="swap, one member lags", to=SWAPPED, holders=("A", "B")),
+        move_of(name="swap, one member lags", to=SWAPPED, first_value_members=("A", "B")),
         half_moved(name="half a swap, two old ones write", writers=(write_by("Q"), write_by("R"))),
         half_moved(name="half a swap, one reads", writers=(read_by("Q", is_first=True), write_by("R"))),
         moved(
             name="an evicted member with the old state",
             writers=(write_by("Q"), write_by("R", known=SWAPPED)),
-            is_told=("Q",),
+            learning_proposers=("Q",),
         ),
         moved(name="an evicted member reads", writers=(read_by("Q"), write_by("R", known=SWAPPED))),
         moved(
@@ -1036,7 +1052,7 @@
     )
 
 
-def slow_disk(*, name: str, is_peek_early: bool = False) -> Scenario:
+def slow_disk(*, name: str, is_quorum_read_early: bool = False) -> Scenario:
     """P's value is accepted at A; B has it under way. One reads by a peek, another writes, B may lose its memory."""
     rows = accepted(nodes="AB", ballot=(2, "P"), members=OLD, tags=(FIRST_TAG, "p"))
     rows = (rows[0], dataclasses.replace(rows[1], is_safe=False))
@@ -1047,7 +1063,7 @@
         rows=rows,
         writers=(read_by("Q", is_first=True), write_by("R")),
         crashes=("B",),
-        is_peek_early=is_peek_early,
+        is_quorum_read_early=is_quorum_read_early,
     )
 
 
@@ -1080,7 +1096,7 @@
         moved(
             name="an evicted member with the old state, two attempts",
             writers=(write_by("Q", attempts=2), write_by("R", known=SWAPPED)),
-            is_told=("Q",),
+            learning_proposers=("Q",),
         ),
         move_of(name="swap, requests twice", to=SWAPPED, repeats=1),
         moved(
@@ -1110,44 +1126,44 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Fault:
+class Mutant:
     """A scenario with a fault put in, which has to be found."""
 
     scenario: Scenario
-    planted: collections.abc.Callable = contextlib.nullcontext  # puts the fault into the code for the time of the run
+    mutations: collections.abc.Callable = contextlib.nullcontext  # puts the fault into the code for the time of the run
     acceptor_type: type = acceptors.Acceptor
 
 
-def planted() -> tuple:
+def mutations() -> tuple:
     emptied = Scenario(name="", members=OLD, nodes=OLD, writers=(write_by("P"), write_by("R")), wipes=("A",))
     return (
-        Fault(
+        Mutant(
             scenario=move_of(name="majority of the new set only", to=SWAPPED),
-            planted=functools.partial(majority_left_out, OLD),
+            mutations=functools.partial(majority_check_skipped, OLD),
         ),
-        Fault(
+        Mutant(
             scenario=moved(name="majority of the old set only", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
-            planted=functools.partial(majority_left_out, SWAPPED),
+            mutations=functools.partial(majority_check_skipped, SWAPPED),
         ),
-        Fault(
+        Mutant(
             scenario=onward(name="the set before is not added", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
-            planted=set_before_left_out,
+            mutations=previous_set_skipped,
         ),
-        Fault(
+        Mutant(
             scenario=half_moved(
                 name="an accepted set taken as known after a restart",
                 writers=(write_by("Q", home="D"), write_by("R")),
                 restarts=("Q",),
             ),
-            planted=set_before_left_out,
+            mutations=previous_set_skipped,
         ),
-        Fault(
+        Mutant(
             scenario=dataclasses.replace(emptied, name="accept under another incarnation than promised"),
             acceptor_type=ForgetfulAcceptor,
         ),
-        Fault(scenario=dataclasses.replace(emptied, name="refill from one node", refill="single")),
-        Fault(scenario=dataclasses.replace(emptied, name="refill without a fence", refill="plain")),
-        Fault(
+        Mutant(scenario=dataclasses.replace(emptied, name="refill from one node", catch_up="single")),
+        Mutant(scenario=dataclasses.replace(emptied, name="refill without a fence", catch_up="plain")),
+        Mutant(
             scenario=Scenario(
                 name="seeds, all of them new, as the set of a newcomer",
                 members=OLD,
@@ -1155,8 +1171,8 @@
                 writers=(write_by("Q", known=(), seeds=NEW_SEEDS), write_by("R")),
             )
         ),
-        Fault(scenario=slow_disk(name="a peek of what no disk holds", is_peek_early=True)),
-        Fault(
+        Mutant(scenario=slow_disk(name="a peek of what no disk holds", is_quorum_read_early=True)),
+        Mutant(
             scenario=Scenario(
                 name="a value that leaves out the set before while its own was never chosen",
                 members=OLD,
@@ -1168,22 +1184,22 @@
     )
 
 
-def explore(*, scenario: Scenario, most_states: int) -> Outcome:
-    return Explorer(scenario=scenario).run(most_states=most_states)
+def explore(*, scenario: Scenario, max_states: int) -> Outcome:
+    return Explorer(scenario=scenario).run(max_states=max_states)
 
 
-def explore_fault(*, fault: Fault, most_states: int) -> Outcome:
+def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
     explorer = Explorer(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
-    with fault.planted():
-        return explorer.run(most_states=most_states)
+    with fault.mutations():
+        return explorer.run(max_states=max_states)
 
 
 SMALL_STATES = 100_000
 LARGE_STATES = 1_000_000
 
 
-def told(outcome: Outcome) -> str:
-    how = "all" if outcome.is_whole else "NOT ALL"
+def describe(outcome: Outcome) -> str:
+    how = "all" if outcome.is_exhaustive else "NOT ALL"
     how = "BROKEN" if outcome.finding is not None else how
     return f"{outcome.scenario}: {outcome.states} states in {outcome.seconds:.1f} s, {how}"
 
@@ -1200,17 +1216,17 @@
     most = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
     if chosen.budget == "planted":
         runs = [
-            (fault.scenario, lambda fault=fault: explore_fault(fault=fault, most_states=most)) for fault in planted()
+            (fault.scenario, lambda fault=fault: explore_mutant(fault=fault, max_states=most)) for fault in mutations()
         ]
     else:
         scenarios = large() if is_large else small()
-        runs = [(row, lambda row=row: explore(scenario=row, most_states=most)) for row in scenarios]
+        runs = [(row, lambda row=row: explore(scenario=row, max_states=most)) for row in scenarios]
     is_broken = False
     for scenario, run in runs:
         if chosen.scenario not in scenario.name:
             continue
         outcome = run()
-        print(told(outcome), flush=True)
+        print(describe(outcome), flush=True)
         if outcome.finding is not None:
             print(outcome.finding.text(), flush=True)
         is_broken = is_broken or (outcome.finding is not None) != (chosen.budget == "planted")
--- a/ploverward/simulation/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -15,7 +15,7 @@
 MEMBERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 REPEATS = 7
 ROUTES = (10, 260, 2000)
-MARKS = (64, 4096, order_archive.MARKS_KEPT)
+ORDER_ID_COUNTS = (64, 4096, order_archive.MAX_ARCHIVED_IDS)
 SERVICES = 40
 WINDOW = 128
 
@@ -55,15 +55,17 @@
     }
 
 
-def marks_of(count: int) -> list:
-    return [[number + 1, hashlib.sha256(b"%d" % number).hexdigest()[: orders.MARK_DIGITS]] for number in range(count)]
+def recent_orders(count: int) -> list:
+    return [
+        [number + 1, hashlib.sha256(b"%d" % number).hexdigest()[: orders.ORDER_ID_DIGITS]] for number in range(count)
+    ]
 
 
-def median_ms(act) -> float:
+def median_ms(callback) -> float:
     times = []
     for _ in range(REPEATS):
         begun = time.process_time()
-        act()
+        callback()
         times.append((time.process_time() - begun) * 1000)
     return round(statistics.median(times), 2)
 
@@ -74,19 +76,19 @@
     patch = json.dumps({"edition": 9, "upsert": {"routes": [{**body["routes"][0], "expiryMs": 4000}]}}).encode()
     put_order = orders.read(method="PUT", base=7, data=data)
     patch_order = orders.read(method="PATCH", base=7, data=patch)
-    held = {"edition": 7, "body": body, "recent": marks_of(WINDOW)}
+    base_body = {"edition": 7, "body": body, "recent": recent_orders(WINDOW)}
     edit = orders.edit_for(order=put_order, archived=0)
-    value = ballots.pack(members=MEMBERS, payload=held)
-    bare = ballots.pack(members=MEMBERS, payload={**held, "recent": []})
+    value = ballots.pack(members=MEMBERS, payload=base_body)
+    bare = ballots.pack(members=MEMBERS, payload={**base_body, "recent": []})
     return {
         "routes": routes,
         "body_bytes": len(data),
         "read_ms": median_ms(lambda: parser.read_json(data=data)),
         "check_ms": median_ms(lambda: schema.check(body=body)),
         "put_off_loop_ms": median_ms(lambda: orders.read(method="PUT", base=7, data=data)),
-        "patch_off_loop_ms": median_ms(lambda: orders.build(order=patch_order, held=body)),
-        "edit_on_loop_ms": median_ms(lambda: edit(held)),
-        "pack_on_loop_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=held)),
+        "patch_off_loop_ms": median_ms(lambda: orders.build(order=patch_order, base_body=body)),
+        "edit_on_loop_ms": median_ms(lambda: edit(base_body)),
+        "pack_on_loop_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=base_body)),
         "unpack_on_loop_ms": median_ms(lambda: ballots.unpack(value)),
         "get_on_loop_ms": median_ms(lambda: json.dumps(body)),
         "value_bytes": len(value),
@@ -94,8 +96,8 @@
     }
 
 
-def by_marks(count: int) -> dict:
-    rows = marks_of(count + orders.ARCHIVE_FROM)
+def by_order_ids(count: int) -> dict:
+    rows = recent_orders(count + orders.ARCHIVE_FROM)
     payload, _through = order_archive.edit_for(rows=rows[:count])(None)
     value = ballots.pack(members=MEMBERS, payload=payload)
     return {
@@ -104,13 +106,13 @@
         "append_ms": median_ms(lambda: order_archive.edit_for(rows=rows[count:])(payload)),
         "pack_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=payload)),
         "unpack_ms": median_ms(lambda: ballots.unpack(value)),
-        "miss_ms": median_ms(lambda: order_archive.has(payload=payload, mark="f" * orders.MARK_DIGITS)),
+        "miss_ms": median_ms(lambda: order_archive.has(payload=payload, order_id="f" * orders.ORDER_ID_DIGITS)),
         "bytes_a_change": round(len(value) / orders.ARCHIVE_FROM),
     }
 
 
 def main() -> int:
-    for row in [*map(by_routes, ROUTES), *map(by_marks, MARKS)]:
+    for row in [*map(by_routes, ROUTES), *map(by_order_ids, ORDER_ID_COUNTS)]:
         print(json.dumps(row))
     return 0
 
--- a/ploverward/simulation/order_history.py
+++ b/ploverward/simulation/order_history.py
@@ -7,12 +7,12 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentOrder:
     """One order as its operator sees it: sent from `begun`, ended with a status or with None for no clear answer."""
 
     method: str
     base: int
-    mark: str
+    order_id: str
     begun: float
     ended: float | None = None
     status: int | None = None
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ReadBack:
+class ConfigurationRead:
     """One reading of the configuration."""
 
     begun: float
@@ -30,32 +30,32 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Chosen:
+class ChosenConfiguration:
     """One configuration of the chain: the order that made it, on which version, and what it holds."""
 
     base: int
     edition: int
-    mark: str
+    order_id: str
     body: dict
 
 
 def faults(*, sent, read, chosen) -> list:
     """`chosen`: all configurations that were chosen, in any order. What is wrong, as lines of text; [] if nothing."""
     found = []
-    taken = {row.mark: row for row in chosen}
+    taken = {row.order_id: row for row in chosen}
     found += _chain_faults(chosen)
     confirmed = [order for order in sent if order.status == 200]
     bases = {}
     for order in confirmed:
-        if order.mark not in taken:
+        if order.order_id not in taken:
             found.append(f"an order on {order.base} was confirmed and never taken")
-        other = bases.setdefault(order.base, order.mark)
-        if other != order.mark:
+        other = bases.setdefault(order.base, order.order_id)
+        if other != order.order_id:
             found.append(f"two orders were confirmed on {order.base}")
     for order in sent:
         if order.status is None or order.status == 200:
             continue
-        if order.mark in taken:
+        if order.order_id in taken:
             again = " again" if order.is_again else ""
             found.append(f"an order on {order.base} was taken, sent{again} and refused with {order.status}")
     found += _read_faults(read, confirmed, taken)
@@ -68,7 +68,7 @@
     for row in chosen:
         if row.edition <= row.base:
             found.append(f"version {row.edition} stands on {row.base}")
-        if bases.setdefault(row.base, row.mark) != row.mark:
+        if bases.setdefault(row.base, row.order_id) != row.order_id:
             found.append(f"two orders were taken on {row.base}")
     return found
 
@@ -78,7 +78,9 @@
     bodies = {row.edition: row.body for row in taken.values()}
     for reading in read:
         acknowledged = [
-            taken[order.mark].edition for order in confirmed if order.mark in taken and order.ended < reading.begun
+            taken[order.order_id].edition
+            for order in confirmed
+            if order.order_id in taken and order.ended < reading.begun
         ]
         newest = max(acknowledged, default=0)
         if reading.edition < newest:
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -19,9 +19,9 @@
 
 RECEIPT_S = 6.0
 CONTROL_PORT = 80
-REFILL_GAP_S = 0.4
-CALLER_SILENCE_S = 1.0
-MOST_REDIRECTS = 2
+CATCH_UP_RETRY_S = 0.4
+CALLER_TIMEOUT_S = 1.0
+MAX_REDIRECTS = 2
 SETTLED_S = 400.0  # troubles and the operators' orders are over by then
 ZONES = ("za", "zb")
 
@@ -37,33 +37,33 @@
         self._on_chosen_value = on_chosen
         self._disk = {}  # register: row
         self._disk_incarnation = ""
-        self._life = 0
+        self._incarnation = 0
         self.is_up = False
         self.start(is_first=True)
 
     def start(self, *, is_first=False) -> None:
-        self._life += 1
+        self._incarnation += 1
         self.is_up = True
         self.loop = simulated_world.Loop(world=self.world)
         if is_first:
-            self._disk_incarnation = f"{self.name}{self._life}"
+            self._disk_incarnation = f"{self.name}{self._incarnation}"
         self.acceptor = acceptor.Acceptor(incarnation=self._disk_incarnation, rows=dict(self._disk))
         self.configuration = None
         self.proposer = proposer.Proposer(
-            own=f"{self.name}/{self._life}",
+            own=f"{self.name}/{self._incarnation}",
             seeds=self._seeds,
             send=self._send,
-            later=lambda delay, act: self.loop.after(delay=delay, act=act),
+            later=lambda delay, callback: self.loop.after(delay=delay, callback=callback),
             now=self.world.now,
             chance=self.world.chance.random,
             on_chosen=self._on_chosen,
             limit_s=RECEIPT_S / 2,
-            patience_s=RECEIPT_S / 10,
+            attempt_timeout_s=RECEIPT_S / 10,
         )
         self.dispatch = order_handlers.Dispatch(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.proposer.change, read=self.proposer.read),
-            applying=order_handlers.Applying(desk=publisher.Desk(), proxies=lambda *, is_listed=True: []),
+            applying=order_handlers.Applying(publisher=publisher.Publisher(), proxies=lambda *, is_listed=True: []),
             redirect=order_handlers.Redirect(
                 own=self.name, port=CONTROL_PORT, members=self.members, is_live=self._is_linked
             ),
@@ -75,11 +75,11 @@
         )
         self._handlers = {(rule.method, rule.path): rule.handler for rule in self.dispatch.rules()}
         if not self.acceptor.votes:
-            self._refill()
+            self._catch_up()
 
     def stop(self, *, is_wiped=False) -> None:
         self.is_up = self.loop.is_up = False
-        self._life += 1
+        self._incarnation += 1
         if is_wiped:
             self._disk = {}
             self._disk_incarnation = ""
@@ -89,7 +89,11 @@
 
     def _is_linked(self, other: str) -> bool:
         target = self._nodes[other]
-        return target.is_up and (self.name, other) not in self.world.cuts and (other, self.name) not in self.world.cuts
+        return (
+            target.is_up
+            and (self.name, other) not in self.world.partitions
+            and (other, self.name) not in self.world.partitions
+        )
 
     def _has_majority_contact(self) -> bool:
         members = self.members()
@@ -101,56 +105,60 @@
 
     def _send(self, member: str, message: tuple) -> None:
         target = self._nodes[member]
-        self.world.send(self.name, member, lambda: target.take(self, self._life, message) if target.is_up else None)
+        self.world.send(
+            self.name, member, lambda: target.handle(self, self._incarnation, message) if target.is_up else None
+        )
 
-    def _answer(self, source, life: int, message: tuple) -> None:
+    def _answer(self, source, incarnation: int, message: tuple) -> None:
         self.world.send(
             self.name,
             source.name,
-            lambda: source.take(self, 0, message) if source.is_up and source._life == life else None,
+            lambda: source.handle(self, 0, message) if source.is_up and source._incarnation == incarnation else None,
         )
 
-    def take(self, source, life: int, message: tuple) -> None:
+    def handle(self, source, incarnation: int, message: tuple) -> None:
         kind = message[0]
         if kind in ("prepare", "accept"):
             answer, row = (self.acceptor.prepare if kind == "prepare" else self.acceptor.accept)(message)
             if row is not None:
                 self._disk[row[0]] = row
-            self._answer(source, life, answer)
+            self._answer(source, incarnation, answer)
         elif kind == "peek":
-            self._answer(source, life, self.acceptor.peek(message))
+            self._answer(source, incarnation, self.acceptor.quorum_read(message))
         elif kind == "promise":
             self.proposer.take_promise(source.name, message)
         elif kind == "peeked":
-            self.proposer.take_peeked(source.name, message)
+            self.proposer.handle_quorum_read_reply(source.name, message)
         elif kind == "accepted":
             self.proposer.take_accepted(source.name, message)
         elif kind == "refill" and self.acceptor.votes:
-            self._answer(source, life, ("refilled", self.acceptor.rows()))
+            self._answer(source, incarnation, ("refilled", self.acceptor.rows()))
         elif kind == "refilled" and not self.acceptor.votes:
-            self._take_refilled(source.name, message[1])
+            self._handle_catch_up_reply(source.name, message[1])
 
-    def _refill(self) -> None:
+    def _catch_up(self) -> None:
         if self.acceptor.votes:
             return
-        self._refilled = {}
+        self._catch_up_replies = {}
         for other in self._nodes:
             if other != self.name:
                 self._send(other, ("refill",))
-        self.loop.after(delay=REFILL_GAP_S, act=self._refill)
+        self.loop.after(delay=CATCH_UP_RETRY_S, callback=self._catch_up)
 
-    def _take_refilled(self, name: str, rows: tuple) -> None:
-        self._refilled[name] = rows
-        sets = {self._seeds} | {ballots.unpack(row[6])[0] for held in self._refilled.values() for row in held if row[6]}
+    def _handle_catch_up_reply(self, name: str, rows: tuple) -> None:
+        self._catch_up_replies[name] = rows
+        sets = {self._seeds} | {
+            ballots.unpack(row[6])[0] for known in self._catch_up_replies.values() for row in known if row[6]
+        }
         if len(sets) > 1:
             sets.discard(self._seeds)
-        if any(set(members) - {self.name} - self._refilled.keys() for members in sets):
+        if any(set(members) - {self.name} - self._catch_up_replies.keys() for members in sets):
             return
-        self._disk_incarnation = f"{self.name}{self._life}"
-        rows = self.acceptor.refill(incarnation=self._disk_incarnation, states=tuple(self._refilled.values()))
+        self._disk_incarnation = f"{self.name}{self._incarnation}"
+        rows = self.acceptor.catch_up(incarnation=self._disk_incarnation, states=tuple(self._catch_up_replies.values()))
         self._disk = {row[0]: row for row in rows}
 
-    def _on_chosen(self, name: str, _ballot: tuple, _version: int, value: bytes, _is_news: bool) -> None:
+    def _on_chosen(self, name: str, _ballot: tuple, _version: int, value: bytes, _is_newly_chosen: bool) -> None:
         _members, payload = ballots.unpack(value)
         self._on_chosen_value(name, payload)
         if name == register_names.CONFIGURATION:
@@ -160,7 +168,7 @@
 
     # From operators.
 
-    def take_call(self, call) -> None:
+    def handle_call(self, call) -> None:
         path, values = call.target, {}
         if path.startswith("/ploverward/evacuation/"):
             path, values = "/ploverward/evacuation/<zone>", {"zone": path.rpartition("/")[2]}
@@ -193,13 +201,13 @@
 
 
 @dataclasses.dataclass
-class _Try:
+class _Attempt:
     number: int
     redirects: int
     at: float
 
 
-class Sending:
+class OrderAttempts:
     """One call of an operator, sent to node after node until it has a clear answer or `limit_s` is over."""
 
     def __init__(self, *, world, nodes, name, method, target, body, headers, limit_s, done):
@@ -224,7 +232,7 @@
         self._go(self._world.chance.choice(sorted(self._nodes)), 0)
 
     def _go(self, host: str, redirects: int) -> None:
-        attempt = _Try(number=next(self._tries), redirects=redirects, at=self._world.now())
+        attempt = _Attempt(number=next(self._tries), redirects=redirects, at=self._world.now())
         self._current = attempt
         node = self._nodes[host]
 
@@ -233,16 +241,16 @@
 
         def arrive():
             if node.is_up:
-                node.take_call(Call(**self._about, on_answer=answered))
+                node.handle_call(Call(**self._about, on_answer=answered))
 
         self._world.send(self._name, host, arrive)
-        self._world.later(CALLER_SILENCE_S, lambda: self._fail() if self._current is attempt else None)
+        self._world.later(CALLER_TIMEOUT_S, lambda: self._fail() if self._current is attempt else None)
 
     def _take(self, attempt, status, body, address) -> None:
         if self._current is not attempt:
             return  # the caller has gone on
         self.slowest_s = max(self.slowest_s, self._world.now() - attempt.at)
-        if status == 307 and attempt.redirects < MOST_REDIRECTS:
+        if status == 307 and attempt.redirects < MAX_REDIRECTS:
             self._go(address, attempt.redirects + 1)
         elif status == 307 or status >= 500:
             self._fail()
@@ -261,7 +269,7 @@
             done(status, body)
 
 
-class Scene:
+class OrderSimulation:
     """Nodes, what they chose, and the history of what operators sent."""
 
     def __init__(self, *, seed: int, names=("a", "b", "c"), seeds=("a", "b", "c")):
@@ -281,16 +289,20 @@
         if name != register_names.CONFIGURATION or not payload:
             return
         base = None if self.chosen else 0
-        for edition, mark in payload["recent"]:
+        for edition, order_id in payload["recent"]:
             body = payload["body"] if edition == payload["edition"] else None
-            held = self.chosen.get(edition)
-            if base is not None and (held is None or (held.body is None and body is not None)):
-                self.chosen[edition] = order_history.Chosen(base=base, edition=edition, mark=mark, body=body)
+            known = self.chosen.get(edition)
+            if base is not None and (known is None or (known.body is None and body is not None)):
+                self.chosen[edition] = order_history.ChosenConfiguration(
+                    base=base, edition=edition, order_id=order_id, body=body
+                )
             base = edition
 
     def send(self, *, method, base, data: bytes, done=None, limit_s=30.0, is_again=False) -> None:
-        mark = orders.digest(method=method, base=base, data=data)
-        order = order_history.Sent(method=method, base=base, mark=mark, begun=self.world.now(), is_again=is_again)
+        order_id = orders.digest(method=method, base=base, data=data)
+        order = order_history.SentOrder(
+            method=method, base=base, order_id=order_id, begun=self.world.now(), is_again=is_again
+        )
         self.sent.append(order)
 
         def ended(status, body):
@@ -306,10 +318,10 @@
 
         def ended(status, body):
             if status in (200, 404):
-                held = body if status == 200 else None
-                edition = held["edition"] if held else 0
+                known = body if status == 200 else None
+                edition = known["edition"] if known else 0
                 self.read.append(
-                    order_history.ReadBack(begun=begun, ended=self.world.now(), edition=edition, body=held)
+                    order_history.ConfigurationRead(begun=begun, ended=self.world.now(), edition=edition, body=known)
                 )
             if done is not None:
                 done(status, body)
@@ -324,7 +336,7 @@
         self._start("GET", "/ploverward/evacuation", b"", {}, limit_s, done)
 
     def _start(self, method, target, data, headers, limit_s, done) -> None:
-        Sending(
+        OrderAttempts(
             world=self.world,
             nodes=self.nodes,
             name=f"operator{next(self._operators)}",
@@ -336,7 +348,7 @@
             done=done,
         )
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """One node restarts, loses its disk, or is cut off from the others, for about a second."""
         if not all(node.is_up and node.acceptor.votes for node in self.nodes.values()):
             return
@@ -345,8 +357,8 @@
         span = self.world.chance.uniform(0.4, 2.0)
         if kind == "cut":
             for other in self.nodes:
-                self.world.cuts |= {(name, other), (other, name)}
-            self.world.later(span, self.world.cuts.clear)
+                self.world.partitions |= {(name, other), (other, name)}
+            self.world.later(span, self.world.partitions.clear)
         else:
             self.nodes[name].stop(is_wiped=kind == "wipe")
             self.world.later(span, self.nodes[name].start)
@@ -388,8 +400,8 @@
 class Operator:
     """Sends one change after the other, each on the version that it knows, and some of the older ones again."""
 
-    def __init__(self, *, scene, count: int, again: float):
-        self.scene = scene
+    def __init__(self, *, simulation, count: int, again: float):
+        self.simulation = simulation
         self.left = count
         self.again = again
         self.known = 0
@@ -400,10 +412,10 @@
         if self.left <= 0:
             return
         self.left -= 1
-        chance = self.scene.world.chance
+        chance = self.simulation.world.chance
         if self.ended and chance.random() < self.again:
             order, data = chance.choice(self.ended)
-            self.scene.send(
+            self.simulation.send(
                 method=order.method, base=order.base, data=data, is_again=True, done=lambda *_about: self.later()
             )
             return
@@ -422,9 +434,9 @@
                 self.known = max(self.known, edition)
                 self.later()
             else:
-                self.scene.read_back(done=self.read)
+                self.simulation.read_back(done=self.read)
 
-        self.scene.send(method=method, base=self.known, data=data, done=done)
+        self.simulation.send(method=method, base=self.known, data=data, done=done)
 
     def read(self, status, body) -> None:
         if status == 200:
@@ -432,78 +444,82 @@
         self.later()
 
     def later(self) -> None:
-        self.scene.world.later(self.scene.world.chance.random() * 0.05, self.step)
-
-
-def play(*, seed: int, operators: int, count: int, loss: float = 0.03, troubles: int = 6, again: float = 0.2):
-    scene = Scene(seed=seed)
-    scene.world.loss = loss
-    scene.world.delay = (0.001, 0.01)
-    crew = [Operator(scene=scene, count=count, again=again) for _ in range(operators)]
-    for number in range(troubles):
-        scene.world.later(1.0 + number * 6.0, scene.trouble)
-    scene.world.run(until=SETTLED_S)
-    scene.world.loss = 0.0
+        self.simulation.world.later(self.simulation.world.chance.random() * 0.05, self.step)
+
+
+def run_simulation(
+    *, seed: int, operators: int, count: int, loss: float = 0.03, fault_count: int = 6, again: float = 0.2
+):
+    simulation = OrderSimulation(seed=seed)
+    simulation.world.loss = loss
+    simulation.world.delay = (0.001, 0.01)
+    crew = [Operator(simulation=simulation, count=count, again=again) for _ in range(operators)]
+    for number in range(fault_count):
+        simulation.world.later(1.0 + number * 6.0, simulation.inject_fault)
+    simulation.world.run(until=SETTLED_S)
+    simulation.world.loss = 0.0
     for operator in crew:
         for order, data in operator.ended:
-            scene.send(method=order.method, base=order.base, data=data, is_again=True)
-    scene.read_back()
-    scene.world.run(until=SETTLED_S + 100.0)
-    return scene
+            simulation.send(method=order.method, base=order.base, data=data, is_again=True)
+    simulation.read_back()
+    simulation.world.run(until=SETTLED_S + 100.0)
+    return simulation
 
 
 @dataclasses.dataclass
-class EvacuationsTold:
+class EvacuationReport:
     """What a history of evacuations came to: numbers of orders after which the zones read back otherwise."""
 
     wrong: list
     acknowledged: int = 0
 
 
-def play_evacuations(*, seed: int, count: int = 30) -> EvacuationsTold:
+def run_evacuations(*, seed: int, count: int = 30) -> EvacuationReport:
     """One operator orders a zone out and back in turn, and reads back after each order that was acknowledged."""
-    scene = Scene(seed=seed)
-    scene.world.loss = 0.1
-    told = EvacuationsTold(wrong=[])
+    simulation = OrderSimulation(seed=seed)
+    simulation.world.loss = 0.1
+    report = EvacuationReport(wrong=[])
 
     def order(number):
         if number == count:
             return
         is_out = number % 2 == 0
-        scene.evacuate(zone=ZONES[0], is_out=is_out, done=lambda status, _body: ended(number, is_out, status))
+        simulation.evacuate(zone=ZONES[0], is_out=is_out, done=lambda status, _body: ended(number, is_out, status))
 
     def ended(number, is_out, status):
         if status != 200:
             order(number + 1)
             return
-        told.acknowledged += 1
-        pause = scene.world.chance.choice((0.0, 0.5, 3.5))
-        scene.world.later(pause, lambda: scene.read_evacuations(done=lambda _status, body: read(number, is_out, body)))
+        report.acknowledged += 1
+        pause = simulation.world.chance.choice((0.0, 0.5, 3.5))
+        simulation.world.later(
+            pause, lambda: simulation.read_evacuations(done=lambda _status, body: read(number, is_out, body))
+        )
 
     def read(number, is_out, body):
         if (ZONES[0] in body["zones"]) != is_out:
-            told.wrong.append(number)
+            report.wrong.append(number)
         order(number + 1)
 
     for number in range(8):
-        scene.world.later(2.0 + number * 5.0, scene.trouble)
+        simulation.world.later(2.0 + number * 5.0, simulation.inject_fault)
     order(0)
-    scene.world.run(until=600.0)
-    return told
+    simulation.world.run(until=600.0)
+    return report
 
 
-def hunt(*, first: int, count: int) -> int:
+def search_seeds(*, first: int, count: int) -> int:
     """Plays both kinds of history for each seed and names those with a fault. How many there were."""
     sent = chosen = found = 0
     for seed in range(first, first + count):
-        scene = play(seed=seed, operators=3, count=70, loss=0.08 if seed % 2 else 0.03, troubles=10)
-        lines = scene.faults()
+        simulation = run_simulation(seed=seed, operators=3, count=70, loss=0.08 if seed % 2 else 0.03, fault_count=10)
+        lines = simulation.faults()
         lines += [
-            f"not known again: {order}" for order in scene.sent if order.begun >= SETTLED_S and order.status != 200
+            f"not known again: {order}" for order in simulation.sent if order.begun >= SETTLED_S and order.status != 200
         ]
-        lines += [f"evacuation {number} reads back otherwise" for number in play_evacuations(seed=seed).wrong]
-        sent += len(scene.sent)
-        chosen += len(scene.chosen)
+        lines += [f"evacuation {number} reads back otherwise" for number in run_evacuations(seed=seed).wrong]
+        sent += len(simulation.sent)
+        chosen += len(simulation.chosen)
         found += bool(lines)
         for line in lines:
             print(f"seed {seed}: {line}", flush=True)
@@ -518,7 +534,7 @@
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--count", type=int, default=100)
     args = parser.parse_args()
-    return 1 if hunt(first=args.first, count=args.count) else 0
+    return 1 if search_seeds(first=args.first, count=args.count) else 0
 
 
 if __name__ == "__main__":
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -12,7 +12,7 @@
 from ploverward.data_plane.quotas import tenant_admission
 from ploverward.simulation import simulated_world
 
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 LEASE_S = 0.9
 BOUNDS = quota_meter.Bounds(window_s=5.0, excess=0.1, slack=20.0)
 START_AT = 12.0  # of traffic: by then the buckets are full
@@ -20,7 +20,7 @@
 USUAL_PART = 1 / 1.6  # of a tenant's limit, that it asks for on ordinary days
 CORES = 5
 RESTART_S = 0.6  # from a kill of all processes to the first that takes requests
-TROUBLES = (
+FAULT_KINDS = (
     "none",
     "hot",
     "cut_some",
@@ -39,7 +39,7 @@
     """What came of one day. `over`: (tenant, requests in the worst window beyond the bound); `worst`: of its error used."""
 
     seed: int
-    troubles: tuple
+    fault_kinds: tuple
     over: list = dataclasses.field(default_factory=list)
     worst: float = 0.0
     asked: int = 0
@@ -48,64 +48,67 @@
 
 
 class Core:
-    def __init__(self, *, day, name: str):
-        self.day = day
+    def __init__(self, *, simulation, name: str):
+        self.simulation = simulation
         self.name = name
         self.start()
 
     def start(self) -> None:
-        self.meter = quota_meter.Meter(now=self.day.world.now, bounds=BOUNDS, part=lambda: 1.0 / CORES)
-        self.meter.install(self.day.body)
+        self.meter = quota_meter.QuotaMeter(now=self.simulation.world.now, bounds=BOUNDS, part=lambda: 1.0 / CORES)
+        self.meter.install(self.simulation.body)
 
 
 class Proxy:
-    def __init__(self, *, day, name: str):
-        self.day = day
+    def __init__(self, *, simulation, name: str):
+        self.simulation = simulation
         self.name = name
-        self.is_cut = False
+        self.is_partitioned = False
         self.frozen_until = 0.0
-        self.life = 0
+        self.incarnation = 0
         self.start()
 
     def start(self) -> None:
-        self.life += 1
-        self.allowance = tenant_admission.Allowance(now=self.day.world.now, lease_s=LEASE_S)
-        self.allowance.install(self.day.body)
+        self.incarnation += 1
+        self.quota_allowance = tenant_admission.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
+        self.quota_allowance.install(self.simulation.body)
 
-    def beat(self) -> None:
-        day = self.day
-        if day.world.now() < self.frozen_until:
+    def send_heartbeats(self) -> None:
+        simulation = self.simulation
+        if simulation.world.now() < self.frozen_until:
             return
-        asked_at, allowance, life = day.world.now(), self.allowance, str(self.life)
-        if not self.is_cut:
-            for core in day.cores:
-                data = allowance.report(core=core.name)
-                day.world.later(day.chance.uniform(0.001, 0.08), self._tell(core, allowance, life, data, asked_at))
-        allowance.end_report()
-
-    def _tell(self, core: Core, allowance, life: str, data: bytes, asked_at: float):
-        def told():
-            if self.is_cut or life != str(self.life):
+        asked_at, quota_allowance, incarnation = simulation.world.now(), self.quota_allowance, str(self.incarnation)
+        if not self.is_partitioned:
+            for core in simulation.cores:
+                data = quota_allowance.report(core=core.name)
+                simulation.world.later(
+                    simulation.chance.uniform(0.001, 0.08),
+                    self._send_quota_status(core, quota_allowance, incarnation, data, asked_at),
+                )
+        quota_allowance.end_report()
+
+    def _send_quota_status(self, core: Core, quota_allowance, incarnation: str, data: bytes, asked_at: float):
+        def deliver():
+            if self.is_partitioned or incarnation != str(self.incarnation):
                 return
-            core.meter.take(proxy=self.name, life=life, rows=tenant_usage.unpack_usage(data))
+            core.meter.record(proxy=self.name, incarnation=incarnation, rows=tenant_usage.unpack_usage(data))
             credits = core.meter.credits(proxy=self.name)
             proxies = core.meter.proxies()
-            self.day.world.later(self.day.chance.uniform(0.001, 0.08), lambda: answered(credits, proxies))
+            self.simulation.world.later(self.simulation.chance.uniform(0.001, 0.08), lambda: answered(credits, proxies))
 
         def answered(credits, proxies):
-            if not self.is_cut and allowance is self.allowance:
-                allowance.take(core=core.name, asked_at=asked_at, proxies=proxies, credits=credits)
+            if not self.is_partitioned and quota_allowance is self.quota_allowance:
+                quota_allowance.record(core=core.name, asked_at=asked_at, proxies=proxies, credits=credits)
 
-        return told
+        return deliver
 
 
-class Day:
-    def __init__(self, *, seed: int, troubles: tuple | None = None, proxies: int = 0):
+class QuotaSimulation:
+    def __init__(self, *, seed: int, fault_kinds: tuple | None = None, proxies: int = 0):
         self.chance = chance = random.Random(seed)
         self.world = simulated_world.World(seed=seed)
-        self.troubles = tuple(chance.sample(TROUBLES, 2)) if troubles is None else tuple(troubles)
-        self.report = Report(seed=seed, troubles=self.troubles)
-        rates = [chance.uniform(20, 40), *(chance.uniform(0.5, 8.0) for _turn in range(9))]
+        self.fault_kinds = tuple(chance.sample(FAULT_KINDS, 2)) if fault_kinds is None else tuple(fault_kinds)
+        self.report = Report(seed=seed, fault_kinds=self.fault_kinds)
+        rates = [chance.uniform(20, 40), *(chance.uniform(0.5, 8.0) for _index in range(9))]
         self.limits = {f"t{number}": rate for number, rate in enumerate(rates)}
         self.body = {
             "senders": [{"name": name, "perS": rate, "burst": round(rate)} for name, rate in self.limits.items()]
@@ -114,9 +117,9 @@
         self.admitted = collections.defaultdict(list)  # tenant: times
         self.asked = collections.defaultdict(list)
         self.lowered_at = None
-        self.cores = [Core(day=self, name=f"k{number}") for number in range(CORES)]
+        self.cores = [Core(simulation=self, name=f"k{number}") for number in range(CORES)]
         count = proxies or chance.choice((12, 60, 120))
-        self.proxies = [Proxy(day=self, name=f"p{number}") for number in range(count)]
+        self.proxies = [Proxy(simulation=self, name=f"p{number}") for number in range(count)]
         # A tenant's clients sit on some proxies more than on others.
         self.weights = {name: [chance.expovariate(1.0) for _proxy in self.proxies] for name in self.limits}
 
@@ -126,7 +129,7 @@
         if now >= proxy.frozen_until:
             self.asked[name].append(now)
             self.report.asked += 1
-            if proxy.allowance.admit(tenant_usage.tenant_key(name)):
+            if proxy.quota_allowance.admit(tenant_usage.tenant_key(name)):
                 self.admitted[name].append(now)
             else:
                 self.report.refused += 1
@@ -141,15 +144,15 @@
         return recent <= self.limits[name] * BOUNDS.window_s + round(self.limits[name])
 
     # Troubles.
-    def _trouble(self, name: str) -> None:
+    def _inject_fault(self, name: str) -> None:
         chance = self.chance
         some = [proxy for proxy in self.proxies if chance.random() < (1 / 3 if name == "cut_region" else 0.15)]
         for_s = chance.uniform(2.0, 8.0)
         acts = {
             "none": lambda: None,
             "hot": lambda: self._heat(chance.uniform(3.0, 8.0), for_s),
-            "cut_some": lambda: self._cut(some, for_s),
-            "cut_region": lambda: self._cut(some, for_s),
+            "cut_some": lambda: self._partition(some, for_s),
+            "cut_region": lambda: self._partition(some, for_s),
             "freeze": lambda: self._freeze(some, for_s),
             "restart_some": lambda: [proxy.start() for proxy in some],
             "restart_cores": lambda: [core.start() for core in self.cores[: CORES // 2]],
@@ -173,26 +176,28 @@
         self.times = times
         self.world.later(for_s, lambda: setattr(self, "times", 1.0))
 
-    def _cut(self, proxies: list, for_s: float) -> None:
+    def _partition(self, proxies: list, for_s: float) -> None:
         for proxy in proxies:
-            proxy.is_cut = True
-            self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_cut", False))
+            proxy.is_partitioned = True
+            self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
     def _lower(self) -> None:
         self.body = {"senders": [{**row, "perS": row["perS"] * 0.3} for row in self.body["senders"]]}
         for node in self.cores:
             self.world.later(self.chance.uniform(0.0, 0.3), lambda node=node: node.meter.install(self.body))
         for proxy in self.proxies:
-            self.world.later(self.chance.uniform(0.0, 0.8), lambda proxy=proxy: proxy.allowance.install(self.body))
+            self.world.later(
+                self.chance.uniform(0.0, 0.8), lambda proxy=proxy: proxy.quota_allowance.install(self.body)
+            )
         self.lowered_at = self.world.now() + 4.0  # applyMs
 
     # The check.
     def _worst_window(self, times: list, window_s: float) -> int:
         worst, first = 0, 0
-        for place, when in enumerate(times):
+        for index, when in enumerate(times):
             while times[first] <= when - window_s:
                 first += 1
-            worst = max(worst, place - first + 1)
+            worst = max(worst, index - first + 1)
         return worst
 
     def _check(self) -> None:
@@ -209,25 +214,25 @@
                 if found > base + BOUNDS.error(limit):
                     self.report.over.append((name, round(found - base - BOUNDS.error(limit), 1)))
 
-    def play(self) -> Report:
+    def run_simulation(self) -> Report:
         for proxy in self.proxies:
             self._repeat(proxy)
         for name, rate in self.limits.items():
             self.world.later(START_AT + self.chance.expovariate(rate), lambda name=name: self._arrive(name))
-        for name in self.troubles:
-            self._trouble(name)
+        for name in self.fault_kinds:
+            self._inject_fault(name)
         self.world.run(until=END_AT)
         self._check()
         return self.report
 
     def _repeat(self, proxy: Proxy) -> None:
         def again():
-            proxy.beat()
-            self.world.later(BEAT_S, again)
+            proxy.send_heartbeats()
+            self.world.later(HEARTBEAT_INTERVAL_S, again)
 
-        self.world.later(self.chance.uniform(0.0, BEAT_S), again)
+        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), again)
 
 
-def play(seed: int, *, troubles: tuple | None = None, proxies: int = 0) -> Report:
+def run_simulation(seed: int, *, fault_kinds: tuple | None = None, proxies: int = 0) -> Report:
     """One day of the model."""
-    return Day(seed=seed, troubles=troubles, proxies=proxies).play()
+    return QuotaSimulation(seed=seed, fault_kinds=fault_kinds, proxies=proxies).run_simulation()
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -6,11 +6,11 @@
 from ploverward.data_plane.relay import resolution
 
 
-class Wire:
+class RecordingLink:
     """A link that keeps what it is told."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
         self.is_open = True
         self.queue = 0
 
@@ -18,7 +18,7 @@
         self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data):
-        self.told.append(frames.unpack(data))
+        self.sent.append(frames.unpack(data))
 
     def queued(self):
         return self.queue
@@ -27,11 +27,11 @@
         self.is_open = False
 
     def kinds(self):
-        return [message[0] for message in self.told]
+        return [message[0] for message in self.sent]
 
 
-def load_row(name, running=0, tokens=0, marks=0, ended=0, failed=0, region=0):
-    return row_codec.REPORTED.pack(row_codec.key_of(name), region, running, tokens, marks, ended, failed)
+def load_row(name, running=0, tokens=0, suspect_count=0, ended=0, failed=0, region=0):
+    return row_codec.REPORTED.pack(row_codec.key_of(name), region, running, tokens, suspect_count, ended, failed)
 
 
 def read_row(name, *parts, service="llm", model="m", region=0):
@@ -45,7 +45,7 @@
     )
 
 
-def sums(number, *, loads=(), reads=()):
+def aggregates_message(number, *, loads=(), reads=()):
     return ("sums", number, b"".join(loads), b"".join(reads))
 
 
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -30,8 +30,8 @@
 MEMBERS = 5
 MEASURED = 60
 LIMIT_BYTES = 8 * 1024 * 1024  # of the file, as with 128 MB of disk
-MARKS_IN_VALUE = 64
-MARKS_IN_ARCHIVE = 12288
+ORDER_IDS_IN_VALUE = 64
+ORDER_IDS_IN_ARCHIVE = 12288
 NAME = register_names.CONFIGURATION
 
 
@@ -53,17 +53,19 @@
 
 def payload_of(*, routes: int, changes: int) -> dict:
     """A configuration's value after so many changes: its body, and the marks of the orders taken last."""
-    marks = [
+    order_ids = [
         [number, hashlib.sha256(b"o%d" % number).hexdigest()[:20]]
-        for number in range(max(1, changes - MARKS_IN_VALUE + 1), changes + 1)
+        for number in range(max(1, changes - ORDER_IDS_IN_VALUE + 1), changes + 1)
     ]
-    return {"edition": changes, "body": {"routes": [route(number) for number in range(routes)]}, "recent": marks}
+    return {"edition": changes, "body": {"routes": [route(number) for number in range(routes)]}, "recent": order_ids}
 
 
 def archive_of(*, changes: int) -> dict:
     """The archive's value after so many changes: 8 bytes a mark."""
-    marks = b"".join(hashlib.sha256(b"o%d" % number).digest()[:8] for number in range(min(changes, MARKS_IN_ARCHIVE)))
-    return {"through": changes, "marks": base64.b64encode(marks).decode()}
+    order_ids = b"".join(
+        hashlib.sha256(b"o%d" % number).digest()[:8] for number in range(min(changes, ORDER_IDS_IN_ARCHIVE))
+    )
+    return {"through": changes, "marks": base64.b64encode(order_ids).decode()}
 
 
 class CountingDisk(acceptor_storage.Disk):
@@ -102,16 +104,16 @@
         return sum(os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder))
 
 
-class Meter:
+class QuotaMeter:
     """Sums of bytes by kind of frame and of processor seconds by step."""
 
     def __init__(self):
         self.bytes = collections.Counter()
         self.seconds = collections.Counter()
 
-    def timed(self, step: str, act):
+    def timed(self, step: str, callback):
         begun = time.process_time()
-        result = act()
+        result = callback()
         self.seconds[step] += time.process_time() - begun
         return result
 
@@ -119,24 +121,24 @@
 class Group:
     """Members and one proposer at the first of them; frames are packed, counted and read again."""
 
-    def __init__(self, *, folder: str, members: int, names_held: bool):
-        self.meter = Meter()
+    def __init__(self, *, folder: str, members: int, names_accepted_state: bool):
+        self.meter = QuotaMeter()
         names = tuple(f"10.0.0.{number}" for number in range(1, members + 1))
         self.members = {name: Member(name=name, folder=os.path.join(folder, name)) for name in names}
         self._own = names[0]
         self._queue = collections.deque()
-        held = (lambda name: self.members[self._own].acceptor.get(name)[1:]) if names_held else None
+        accepted_state = (lambda name: self.members[self._own].acceptor.get(name)[1:]) if names_accepted_state else None
         self.proposer = proposer.Proposer(
             own=f"{self._own}/abcdef",
             seeds=names,
             send=lambda member, message: self._queue.append((member, message)),
-            later=lambda _delay, act: self._queue.append((None, act)) if _delay == 0 else None,
+            later=lambda _delay, callback: self._queue.append((None, callback)) if _delay == 0 else None,
             now=lambda: 0.0,
             chance=lambda: 0.5,
             on_chosen=lambda *_row: None,
             limit_s=1.0,
-            patience_s=0.1,
-            held=held,
+            attempt_timeout_s=0.1,
+            accepted_state=accepted_state,
         )
 
     def _carry(self, message: tuple, *, is_local: bool) -> tuple:
@@ -160,23 +162,23 @@
         is_local = member == self._own
         node = self.members[member]
         arrived = self._carry(message, is_local=is_local)
-        act = node.acceptor.prepare if message[0] == "prepare" else node.acceptor.accept
-        answer, row = self.meter.timed("acceptor", lambda: act(arrived))
+        callback = node.acceptor.prepare if message[0] == "prepare" else node.acceptor.accept
+        answer, row = self.meter.timed("acceptor", lambda: callback(arrived))
         if row is not None:
             self.meter.timed("disk", lambda: node.save(row))
-        told = self._carry(answer, is_local=is_local)
-        take = self.proposer.take_promise if told[0] == "promise" else self.proposer.take_accepted
-        self.meter.timed("proposer", lambda: take(member, told))
+        received = self._carry(answer, is_local=is_local)
+        take = self.proposer.take_promise if received[0] == "promise" else self.proposer.take_accepted
+        self.meter.timed("proposer", lambda: take(member, received))
 
 
 def cost(
-    *, routes: int, changes: int, members: int = MEMBERS, measured: int = MEASURED, names_held: bool = True
+    *, routes: int, changes: int, members: int = MEMBERS, measured: int = MEASURED, names_accepted_state: bool = True
 ) -> dict:
     """Means of one change, made on a configuration of so many routes after so many changes."""
     with tempfile.TemporaryDirectory() as folder:
-        group = Group(folder=folder, members=members, names_held=names_held)
+        group = Group(folder=folder, members=members, names_accepted_state=names_accepted_state)
         group.change(edit=lambda _payload: (payload_of(routes=routes, changes=changes), None))
-        group.meter = Meter()
+        group.meter = QuotaMeter()
         before = [member.disk.written for member in group.members.values()]
         for number in range(changes + 1, changes + 1 + measured):
             value = payload_of(routes=routes, changes=number)
@@ -204,7 +206,7 @@
     """The largest file and the rewrites over so many changes at one member."""
     with tempfile.TemporaryDirectory() as folder:
         member = Member(name="a", folder=os.path.join(folder, "a"), limit_bytes=limit_bytes)
-        group = Group(folder=os.path.join(folder, "rest"), members=1, names_held=True)
+        group = Group(folder=os.path.join(folder, "rest"), members=1, names_accepted_state=True)
         group.change(edit=lambda _payload: (payload_of(routes=routes, changes=0), None))
         value = next(iter(group.members.values())).acceptor.get(NAME)[3]
         largest = 0
@@ -259,17 +261,17 @@
     early = 0
     step = 0.005
     while node.versions.get(NAME, 0) < newest or not node.votes:
-        early += node.votes and node.voting.journal.held.get(NAME)[2] < newest and how in ("emptied", "new")
+        early += node.votes and node.voting.journal.accepted_state.get(NAME)[2] < newest and how in ("emptied", "new")
         world.run(until=world.time + step)
         if world.time > end_s + 60.0:
             break
     return {"how": how, "changes": changes, "versions": newest, "caught_up_s": world.time - end_s, "voted_early": early}
 
 
-def refill_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> dict:
+def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> dict:
     """Bytes that an emptied member is sent, when all others answer at once, by the size of what is held."""
     with tempfile.TemporaryDirectory() as folder:
-        group = Group(folder=folder, members=members, names_held=True)
+        group = Group(folder=folder, members=members, names_accepted_state=True)
         group.change(edit=lambda _payload: (payload_of(routes=routes, changes=changes), None))
         group.change(name=register_names.ARCHIVE, edit=lambda _payload: (archive_of(changes=changes), None))
         answerers = list(group.members.values())[1:]
@@ -299,10 +301,11 @@
             "by changes": [cost(routes=routes[1], changes=count, measured=measured) for count in changes],
             "by routes": [cost(routes=count, changes=changes[1], measured=measured) for count in routes],
             "by routes, values in every promise": [
-                cost(routes=count, changes=changes[1], measured=measured, names_held=False) for count in routes
+                cost(routes=count, changes=changes[1], measured=measured, names_accepted_state=False)
+                for count in routes
             ],
-            "refill": [refill_bytes(routes=routes[1], changes=count) for count in changes]
-            + [refill_bytes(routes=routes[-1], changes=changes[-1])],
+            "refill": [catch_up_bytes(routes=routes[1], changes=count) for count in changes]
+            + [catch_up_bytes(routes=routes[-1], changes=changes[-1])],
             "file": [file_growth(routes=count, changes=changes[-1]) for count in (routes[0], routes[1])],
             "catch-up": [
                 max(
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -56,77 +56,80 @@
 class Core:
     """A core node: what it knows of the register, and the duty while it holds it."""
 
-    def __init__(self, *, day, name: str):
-        self.day = day
+    def __init__(self, *, simulation, name: str):
+        self.simulation = simulation
         self.name = name
-        self.is_cut = False
+        self.is_partitioned = False
         self.contact_until = 0.0
         self.start()
 
     def start(self) -> None:
-        day = self.day
+        simulation = self.simulation
         self.is_up = True
         self.proxies = {}  # Origin: when it was heard
-        self.duty = manager.RolloutDuty(
+        self.rollout_manager = manager.RolloutManager(
             settings=Settings(),
-            now=day.world.now,
+            now=simulation.world.now,
             change=self._change,
-            listed=day.listed,
+            listed=simulation.listed,
             zones=lambda: ZONES,
-            out_zones=lambda: (),
+            evacuated_zones=lambda: (),
             proxies=self._in_touch,
             contact_s=CONTACT_S,
             receipt_s=RECEIPT_S,
         )
-        self.duty.install(day.payload)
+        self.rollout_manager.install(simulation.payload)
 
     def _in_touch(self) -> list:
-        now = self.day.world.now()
+        now = self.simulation.world.now()
         return [origin for origin, when in self.proxies.items() if now - when < CONTACT_S / 5]
 
     def _change(self, *, name, edit, done) -> None:
-        day, duty = self.day, self.duty
-        if self.is_cut:
-            day.world.later(RECEIPT_S / 2, lambda: done(TimeoutError("no majority"), 0, None, None))
+        simulation, rollout_manager = self.simulation, self.rollout_manager
+        if self.is_partitioned:
+            simulation.world.later(RECEIPT_S / 2, lambda: done(TimeoutError("no majority"), 0, None, None))
             return
         # The round's end comes to the holder later than the choice.
-        day.world.later(day.chance.uniform(0.02, 0.3), lambda: day.edit(edit))
-        day.world.later(day.chance.uniform(0.3, 0.6), lambda: done(None, 0, None, None) if duty is self.duty else None)
+        simulation.world.later(simulation.chance.uniform(0.02, 0.3), lambda: simulation.edit(edit))
+        simulation.world.later(
+            simulation.chance.uniform(0.3, 0.6),
+            lambda: done(None, 0, None, None) if rollout_manager is self.rollout_manager else None,
+        )
 
-    def beat(self) -> None:
-        now = self.day.world.now()
-        if not self.is_cut:
+    def send_heartbeats(self) -> None:
+        now = self.simulation.world.now()
+        if not self.is_partitioned:
             self.contact_until = now + 0.3 * CONTACT_S
-        if self.is_up and self.day.holds_duty(self) and now < self.contact_until:
-            self.duty.tend()
+        if self.is_up and self.simulation.holds_coordinator_role(self) and now < self.contact_until:
+            self.rollout_manager.reconcile()
         else:
-            self.duty.rest()
+            self.rollout_manager.deactivate()
 
 
 class Proxy:
     """A proxy: its roll-outs, its traffic and its beat."""
 
-    def __init__(self, *, day, name: str, per_s: float):
-        self.day = day
+    def __init__(self, *, simulation, name: str, per_s: float):
+        self.simulation = simulation
         self.name = name
         self.per_s = per_s
-        self.is_cut = False
+        self.is_partitioned = False
         self.frozen_until = 0.0
-        self.cut_since = None
-        self.life = 0
+        self.partitioned_since = None
+        self.incarnation = 0
         self.start()
 
     def start(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.running = collections.Counter()  # edition: attempts under way
         self.asked_at = 0.0  # when its last report was sent
         self.answered_at = 0.0  # the latest of its reports that was answered by leases
         self.rollouts = version_routing.Rollouts(
-            now=self.day.world.now,
-            chance=self.day.chance.random,
+            now=self.simulation.world.now,
+            chance=self.simulation.chance.random,
             running=lambda service, target: self._elsewhere(target),
         )
-        self.install(self.day.payload)
+        self.install(self.simulation.payload)
         self.core = "k1"
 
     def _elsewhere(self, target: str) -> int:
@@ -138,82 +141,86 @@
 
     @property
     def is_in_touch(self) -> bool:
-        return not self.is_cut and self.day.world.now() >= self.frozen_until
+        return not self.is_partitioned and self.simulation.world.now() >= self.frozen_until
 
-    def beat(self) -> None:
-        day = self.day
-        if self.is_cut or day.world.now() < self.frozen_until:
+    def send_heartbeats(self) -> None:
+        simulation = self.simulation
+        if self.is_partitioned or simulation.world.now() < self.frozen_until:
             return
         report = self.rollouts.report()
-        self.asked_at = day.world.now()
-        origin = evidence_table.Origin(address=self.name, life=str(self.life))
-        if day.chance.random() < 0.3 or not day.cores[self.core].is_up:
-            self.core = day.holder  # news of the duty come late
-        core = day.cores[self.core]
+        self.asked_at = simulation.world.now()
+        origin = evidence_table.Origin(address=self.name, incarnation=str(self.incarnation))
+        if simulation.chance.random() < 0.3 or not simulation.cores[self.core].is_up:
+            self.core = simulation.coordinator  # news of the duty come late
+        core = simulation.cores[self.core]
         rollout = self.rollouts
-        day.world.later(day.chance.uniform(0.005, 0.08), lambda: self._told(core, origin, report, rollout))
+        simulation.world.later(
+            simulation.chance.uniform(0.005, 0.08), lambda: self._handle_report(core, origin, report, rollout)
+        )
 
-    def _told(self, core: Core, origin, report, rollout) -> None:
+    def _handle_report(self, core: Core, origin, report, rollout) -> None:
         if not core.is_up:
             return
-        core.proxies[origin] = self.day.world.now()
+        core.proxies[origin] = self.simulation.world.now()
         if report is None:
             return
         number, data = report
-        answer = core.duty.take_evidence(origin=origin, data=data)
+        answer = core.rollout_manager.take_evidence(origin=origin, data=data)
         if answer is None:
             return
-        self.day.note_answered(core)
+        self.simulation.note_answered(core)
         asked_at = self.asked_at
 
         def take():
-            if rollout is self.rollouts and not self.is_cut:
+            if rollout is self.rollouts and not self.is_partitioned:
                 self.answered_at = max(self.answered_at, asked_at)
-                rollout.take_leases(number=number, life_s=core.duty.lease_s, leases=leases.unpack(answer))
+                rollout.handle_leases(number=number, lease_s=core.rollout_manager.lease_s, leases=leases.unpack(answer))
 
-        self.day.world.later(self.day.chance.uniform(0.005, 0.4), take)
+        self.simulation.world.later(self.simulation.chance.uniform(0.005, 0.4), take)
 
     def request(self) -> None:
         """One request: to a pool's replica, and on to the former version where it fails."""
-        day = self.day
-        if day.world.now() < self.frozen_until:
+        simulation = self.simulation
+        if simulation.world.now() < self.frozen_until:
             return
-        self.send(route=day.chance.choice(ROUTES), is_first=True)
+        self.send(route=simulation.chance.choice(ROUTES), is_first=True)
 
     def send(self, *, route: str, is_first: bool) -> None:
-        day = self.day
+        simulation = self.simulation
         replica = None
         for pool in self.rollouts.pools(service=SERVICE, is_first=is_first):
             there = [
                 one
-                for one in day.replicas
+                for one in simulation.replicas
                 if (pool is None or pool.has(one))
                 and not one.is_gone
-                and one.id in day.seen_rows
+                and one.id in simulation.seen_rows
                 and (pool is None or not pool.replicas or one.id in pool.replicas)
             ]
             if there:
-                replica = day.chance.choice(there)
+                replica = simulation.chance.choice(there)
                 break
         if replica is None:
-            day.unserved += 1
+            simulation.unserved += 1
             return
         self.rollouts.note_send(service=SERVICE, replica=replica)
         self.running[replica.edition] += 1
-        day.note_send(self, replica)
-        attempt = day.attempt(replica, route)
-        rollout, life = self.rollouts, self.life
+        simulation.note_send(self, replica)
+        attempt = simulation.attempt(replica, route)
+        rollout, incarnation = self.rollouts, self.incarnation
 
         def end():
-            if life != self.life:
+            if incarnation != self.incarnation:
                 return
             self.running[replica.edition] -= 1
-            is_cut_off = replica.is_gone
-            kind = report_source.FAILED if is_cut_off or attempt.status >= 500 else report_source.DONE
-            attempt.is_complete = not is_cut_off
-            rollout.note_end(service=SERVICE, route=route, attempt=attempt, kind=kind, aim_s=0.8, expected_s=0.05)
-            day.note_answer(replica, attempt)
+            is_interrupted = replica.is_gone
+            kind = report_source.FAILED if is_interrupted or attempt.status >= 500 else report_source.DONE
+            attempt.is_complete = not is_interrupted
+            rollout.note_end(
+                service=SERVICE, route=route, attempt=attempt, kind=kind, latency_target_s=0.8, expected_s=0.05
+            )
+            simulation.note_answer(replica, attempt)
             if kind == report_source.FAILED and is_first:
                 self.send(route=route, is_first=False)
 
-        day.world.later(attempt.last_at - attempt.sent_at, end)
+        simulation.world.later(attempt.last_at - attempt.sent_at, end)
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -16,11 +16,11 @@
 from ploverward.simulation import rollout_nodes
 from ploverward.simulation import simulated_world
 
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 ORDER_AT = 2.0
 END_AT = 30.0
 BAD_KINDS = ("errors", "slow", "one_class", "late")
-TROUBLES = (
+FAULT_KINDS = (
     "none",
     "cut_proxies",
     "freeze_proxies",
@@ -53,7 +53,7 @@
 
     seed: int
     kind: str  # "good", or how the version is bad
-    troubles: tuple
+    fault_kinds: tuple
     stage: str = ""
     ended_s: float = 0.0  # the age of the order at its end
     sent: int = 0
@@ -61,17 +61,19 @@
     findings: list = dataclasses.field(default_factory=list)
 
 
-class Day:
+class RolloutSimulation:
     """One day, with all its nodes."""
 
-    def __init__(self, *, seed: int, kind: str = "", troubles: tuple | None = None):
+    def __init__(self, *, seed: int, kind: str = "", fault_kinds: tuple | None = None):
         self.chance = random.Random(seed)
         self.world = simulated_world.World(seed=seed)
         self.kind = kind or self.chance.choice(("good", *BAD_KINDS))
-        self.troubles = (
-            tuple(self.chance.sample(TROUBLES, self.chance.randint(1, 2))) if troubles is None else tuple(troubles)
+        self.fault_kinds = (
+            tuple(self.chance.sample(FAULT_KINDS, self.chance.randint(1, 2)))
+            if fault_kinds is None
+            else tuple(fault_kinds)
         )
-        self.report = Report(seed=seed, kind=self.kind, troubles=self.troubles)
+        self.report = Report(seed=seed, kind=self.kind, fault_kinds=self.fault_kinds)
         self.over_s = self.chance.uniform(12.0, 18.0)
         self.late_s = self.chance.uniform(2.0, 3.5)
         admitted = state.Rollout(admitted=(rollout_nodes.FORMER,), step=1)
@@ -83,14 +85,14 @@
         self.unserved = 0
         self.sends = []  # (when, is new, is in touch)
         self.bad_answers = []
-        self.cores = {name: rollout_nodes.Core(day=self, name=name) for name in CORES}
-        self.holder = "k1"
-        self.holder_lost_at = None
+        self.cores = {name: rollout_nodes.Core(simulation=self, name=name) for name in CORES}
+        self.coordinator = "k1"
+        self.coordinator_lost_at = None
         self.is_slow = self.former_fails = False
         per_s = self.chance.choice((40.0, 120.0, 200.0))
         count = self.chance.choice((12, 30, 60))
         self.proxies = [
-            rollout_nodes.Proxy(day=self, name=f"p{number}", per_s=per_s / count * self.chance.uniform(0.3, 1.7))
+            rollout_nodes.Proxy(simulation=self, name=f"p{number}", per_s=per_s / count * self.chance.uniform(0.3, 1.7))
             for number in range(count)
         ]
 
@@ -116,34 +118,34 @@
         row = state.rollouts_of(chosen).get(rollout_nodes.SERVICE, state.Rollout())
         self._note_stage(row)
         for core in self.cores.values():
-            self._tell_core(core, chosen)
+            self._notify_core(core, chosen)
         for proxy in self.proxies:
-            self._tell_proxy(proxy, chosen)
+            self._notify_proxy(proxy, chosen)
 
-    def _tell_core(self, core: rollout_nodes.Core, chosen) -> None:
-        def tell():
-            if core.is_cut:
-                self.world.later(0.3, tell)
+    def _notify_core(self, core: rollout_nodes.Core, chosen) -> None:
+        def notify():
+            if core.is_partitioned:
+                self.world.later(0.3, notify)
             elif core.is_up and chosen is self.payload:
-                core.duty.install(chosen)
+                core.rollout_manager.install(chosen)
 
-        self.world.later(self.chance.uniform(0.0, 0.1), tell)
+        self.world.later(self.chance.uniform(0.0, 0.1), notify)
 
-    def _tell_proxy(self, proxy: rollout_nodes.Proxy, chosen) -> None:
-        life = proxy.life
+    def _notify_proxy(self, proxy: rollout_nodes.Proxy, chosen) -> None:
+        incarnation = proxy.incarnation
 
-        def tell():
-            if proxy.life != life or chosen is not self.payload:
+        def notify():
+            if proxy.incarnation != incarnation or chosen is not self.payload:
                 return
             if proxy.is_in_touch:
                 proxy.install(chosen)
             else:
-                self.world.later(0.3, tell)
+                self.world.later(0.3, notify)
 
-        self.world.later(self.chance.uniform(0.02, 0.8), tell)
+        self.world.later(self.chance.uniform(0.02, 0.8), notify)
 
-    def holds_duty(self, core: rollout_nodes.Core) -> bool:
-        return self.holder == core.name or core.name == getattr(self, "former_holder", None)
+    def holds_coordinator_role(self, core: rollout_nodes.Core) -> bool:
+        return self.coordinator == core.name or core.name == getattr(self, "former_coordinator", None)
 
     def attempt(self, replica: rollout_nodes.Replica, route: str):
         now = self.world.now()
@@ -164,7 +166,7 @@
         pieces = 1 if failed else 10
         return types.SimpleNamespace(
             replica=replica,
-            outlet=types.SimpleNamespace(is_unsent=False),
+            connection=types.SimpleNamespace(is_unsent=False),
             meaning=attempts.Meaning.FAILURE if failed else attempts.Meaning.SUCCESS,
             status=500 if failed else 200,
             is_complete=True,
@@ -209,7 +211,7 @@
             replica.is_gone = replica.is_gone or replica.edition == rollout_nodes.FORMER
 
     def _had_losses(self) -> bool:
-        return bool({"cut_proxies", "freeze_proxies", "kill_proxies", "kill_all"} & set(self.troubles))
+        return bool({"cut_proxies", "freeze_proxies", "kill_proxies", "kill_all"} & set(self.fault_kinds))
 
     def note_send(self, proxy: rollout_nodes.Proxy, replica: rollout_nodes.Replica) -> None:
         now = self.world.now()
@@ -249,17 +251,17 @@
             self._find("exposure", f"{self.report.sent_new} of {len(during)}, {allowed:.0f} allowed")
 
     # Troubles.
-    def _trouble(self, name: str) -> None:
+    def _inject_fault(self, name: str) -> None:
         chance = self.chance
         when = chance.uniform(ORDER_AT - 1.0, ORDER_AT + self.over_s)
         for_s = chance.uniform(1.0, 7.0)
         some = [proxy for proxy in self.proxies if chance.random() < 0.3]
         acts = {
-            "cut_proxies": lambda: self._cut(some, for_s),
+            "cut_proxies": lambda: self._partition(some, for_s),
             "freeze_proxies": lambda: self._freeze(some, for_s),
             "kill_proxies": lambda: [proxy.start() for proxy in some],
-            "kill_holder": lambda: self._kill(self.cores[self.holder], 1.0),
-            "cut_holder": lambda: self._cut_holder(for_s),
+            "kill_holder": lambda: self._kill(self.cores[self.coordinator], 1.0),
+            "cut_holder": lambda: self._partition_lease_holder(for_s),
             "kill_all": lambda: [self._kill(core, 0.8) for core in self.cores.values()],
             "faulty_replica": lambda: self._make_faulty(for_s),
             "former_fails": lambda: self._set("former_fails", for_s),
@@ -278,10 +280,10 @@
         replica.is_faulty = True
         self.world.later(for_s, lambda: setattr(replica, "is_faulty", False))
 
-    def _cut(self, proxies: list, for_s: float) -> None:
+    def _partition(self, proxies: list, for_s: float) -> None:
         for proxy in proxies:
-            proxy.is_cut = True
-            self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_cut", False))
+            proxy.is_partitioned = True
+            self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
     def _freeze(self, proxies: list, for_s: float) -> None:
         for proxy in proxies:
@@ -289,30 +291,32 @@
 
     def _kill(self, core: rollout_nodes.Core, down_s: float) -> None:
         core.is_up = False
-        core.duty.rest()
+        core.rollout_manager.deactivate()
 
         def back():
             core.start()
-            core.is_cut = False
+            core.is_partitioned = False
 
         self.world.later(down_s, back)
         self.world.later(TAKE_OVER_S, self._take_over)
 
-    def _cut_holder(self, for_s: float) -> None:
+    def _partition_lease_holder(self, for_s: float) -> None:
         """It goes on until its contact runs out; another one takes the duty before it knows."""
-        core = self.cores[self.holder]
-        core.is_cut = True
-        self.former_holder = core.name
-        self.world.later(for_s, lambda: setattr(core, "is_cut", False))
+        core = self.cores[self.coordinator]
+        core.is_partitioned = True
+        self.former_coordinator = core.name
+        self.world.later(for_s, lambda: setattr(core, "is_partitioned", False))
         self.world.later(min(for_s, TAKE_OVER_S), self._take_over)
-        self.world.later(for_s + 0.5, lambda: setattr(self, "former_holder", None))
+        self.world.later(for_s + 0.5, lambda: setattr(self, "former_coordinator", None))
 
     def _take_over(self) -> None:
         others = [
-            name for name in CORES if name != self.holder and self.cores[name].is_up and not self.cores[name].is_cut
+            name
+            for name in CORES
+            if name != self.coordinator and self.cores[name].is_up and not self.cores[name].is_partitioned
         ]
         if others:
-            self.holder = others[0]
+            self.coordinator = others[0]
 
     # The day.
     def _order(self) -> None:
@@ -325,29 +329,29 @@
         self.replicas += fresh
         self.world.later(self.chance.uniform(0.0, 1.0), lambda: self.seen_rows.update(one.id for one in fresh))
 
-    def _repeat(self, gap: float, act) -> None:
+    def _repeat(self, interval_s: float, callback) -> None:
         def again():
-            act()
-            self.world.later(gap, again)
+            callback()
+            self.world.later(interval_s, again)
 
-        self.world.later(self.chance.uniform(0.0, gap), again)
+        self.world.later(self.chance.uniform(0.0, interval_s), again)
 
     def _arrive(self, proxy: rollout_nodes.Proxy) -> None:
         proxy.request()
         self.world.later(self.chance.expovariate(proxy.per_s), lambda: self._arrive(proxy))
 
-    def play(self) -> Report:
+    def run_simulation(self) -> Report:
         for core in self.cores.values():
-            self._repeat(BEAT_S, core.beat)
+            self._repeat(HEARTBEAT_INTERVAL_S, core.send_heartbeats)
         for proxy in self.proxies:
-            self._repeat(BEAT_S, proxy.beat)
+            self._repeat(HEARTBEAT_INTERVAL_S, proxy.send_heartbeats)
             self.world.later(self.chance.expovariate(proxy.per_s), lambda proxy=proxy: self._arrive(proxy))
         self.world.later(ORDER_AT, self._order)
         self.world.later(
             ORDER_AT + self.chance.uniform(-1.0, 0.5), self._start_new
         )  # the list may be ahead of the order
-        for name in self.troubles:
-            self._trouble(name)
+        for name in self.fault_kinds:
+            self._inject_fault(name)
         self.world.run(until=END_AT)
         self._check_exposure()
         row = state.rollouts_of(self.payload)[rollout_nodes.SERVICE]
@@ -355,6 +359,6 @@
         return self.report
 
 
-def play(seed: int, *, kind: str = "", troubles: tuple | None = None) -> Report:
+def run_simulation(seed: int, *, kind: str = "", fault_kinds: tuple | None = None) -> Report:
     """One day of the model."""
-    return Day(seed=seed, kind=kind, troubles=troubles).play()
+    return RolloutSimulation(seed=seed, kind=kind, fault_kinds=fault_kinds).run_simulation()
--- a/ploverward/simulation/simulated_files.py
+++ b/ploverward/simulation/simulated_files.py
@@ -78,13 +78,13 @@
         del self._handles[handle]
 
     def read(self, handle: int, size: int) -> bytes:
-        inode, place = self._handles[handle]
-        part = bytes(inode.data[place : place + size])
+        inode, offset = self._handles[handle]
+        part = bytes(inode.data[offset : offset + size])
         self._handles[handle][1] += len(part)
         return part
 
-    def lseek(self, handle: int, place: int, _whence: int) -> None:
-        self._handles[handle][1] = place
+    def lseek(self, handle: int, offset: int, _whence: int) -> None:
+        self._handles[handle][1] = offset
 
     def ftruncate(self, handle: int, size: int) -> None:
         self._count_call()
@@ -97,15 +97,15 @@
     def write(self, handle: int, data) -> int:
         """May write less than it is given; a full disk takes a part first."""
         self._count_call()
-        inode, place = self._handles[handle]
+        inode, offset = self._handles[handle]
         if "refuse" in self.faults:
             raise OSError(errno.EIO, "refused")
         if "full" in self.faults and (len(data) < 8 or self._chance.random() < 0.5):
             raise OSError(errno.ENOSPC, "full")
         is_short = "full" in self.faults or self._chance.random() < 0.2
         part = bytes(data[: max(1, len(data) // 2)]) if is_short else bytes(data)
-        inode.pending.append((place, part))
-        apply(inode.data, place, part)
+        inode.pending.append((offset, part))
+        apply(inode.data, offset, part)
         self._handles[handle][1] += len(part)
         return len(part)
 
@@ -152,12 +152,12 @@
     # Losses.
     def _after_loss(self, inode, *, keeps_none=False) -> bytearray:
         data = bytearray(inode.synced)
-        for place, written in inode.pending:
-            fate = MISSING if keeps_none else self._chance.choice((KEPT, MISSING, TORN))
-            if fate == TORN and written is not None:
+        for offset, written in inode.pending:
+            outcome = MISSING if keeps_none else self._chance.choice((KEPT, MISSING, TORN))
+            if outcome == TORN and written is not None:
                 written = written[: self._chance.randrange(len(written) + 1)]
-            if fate != MISSING:
-                apply(data, place, written)
+            if outcome != MISSING:
+                apply(data, offset, written)
         return data
 
     def lose_power(self) -> None:
@@ -184,7 +184,7 @@
         self._names, self._durable, self._pending_names = {}, {}, []
         self.end_process()
 
-    def surely_kept(self, path: str) -> bytes:
+    def durable_bytes(self, path: str) -> bytes:
         """What a loss of power that keeps nothing unsynced would leave of this file."""
         inode = self._durable.get(path)
         return bytes(inode.synced) if inode is not None else b""
--- a/ploverward/simulation/simulated_world.py
+++ b/ploverward/simulation/simulated_world.py
@@ -12,26 +12,26 @@
         self._order = 0
         self._events = []
         self.down = set()
-        self.cuts = set()  # (from, to)
+        self.partitions = set()  # (from, to)
         self.loss = 0.0
         self.delay = (0.001, 0.05)
 
     def now(self) -> float:
         return self.time
 
-    def later(self, delay: float, act) -> None:
+    def later(self, delay: float, callback) -> None:
         self._order += 1
-        heapq.heappush(self._events, (self.time + delay, self._order, act))
+        heapq.heappush(self._events, (self.time + delay, self._order, callback))
 
-    def send(self, source: str, target: str, act) -> None:
-        if (source, target) in self.cuts or self.chance.random() < self.loss:
+    def send(self, source: str, target: str, callback) -> None:
+        if (source, target) in self.partitions or self.chance.random() < self.loss:
             return
-        self.later(self.chance.uniform(*self.delay), act)
+        self.later(self.chance.uniform(*self.delay), callback)
 
     def run(self, *, until: float) -> None:
         while self._events and self._events[0][0] <= until:
-            self.time, _order, act = heapq.heappop(self._events)
-            act()
+            self.time, _order, callback = heapq.heappop(self._events)
+            callback()
         self.time = until
 
 
@@ -71,16 +71,16 @@
         self.is_up = True
         self._work_s = work_s
 
-    def after(self, *, delay: float, act):
-        timer = [act]
+    def after(self, *, delay: float, callback):
+        timer = [callback]
         self.world.later(max(0.0, delay), lambda: timer.pop()() if timer and self.is_up else None)
         return timer
 
     def cancel(self, *, timer) -> None:
         timer.clear()
 
-    def command(self, *, act) -> None:
-        self.after(delay=0.0, act=act)
+    def command(self, *, callback) -> None:
+        self.after(delay=0.0, callback=callback)
 
     def offload(self, *, work, done) -> None:
         future = concurrent.futures.Future()
@@ -88,4 +88,4 @@
             future.set_result(work())
         except Exception as error:
             future.set_exception(error)
-        self.after(delay=self.world.chance.uniform(*self._work_s), act=lambda: done(future))
+        self.after(delay=self.world.chance.uniform(*self._work_s), callback=lambda: done(future))
--- a/ploverward/simulation/stand_in.py
+++ b/ploverward/simulation/stand_in.py
@@ -47,7 +47,7 @@
     "exposureSlack": 50,
     "rollbackMs": 5000,
 }
-SPEC = {
+CONFIGURATION = {
     "edition": 1,
     "routes": [
         {
@@ -96,35 +96,35 @@
 }
 
 
-MOST_BUSY = 12  # requests under way
+MAX_BUSY = 12  # requests under way
 SLOWER = stand_in_versions.SLOW_TIMES
 LOAD_S = 0.9  # an adapter's load
 SLOTS = 2  # adapters that a replica holds
 ADAPTERS = ("drafts", "hearings", "moves", "coach")
 
 
-class Standin:
+class FakeCluster:
     def __init__(self, *, folder: str, base_port: int):
         self.loop = event_loop.Loop()
         self.folder = folder
         self.base = base_port
         self.rows = []
-        self.held = {}  # replica: {adapter: when it is loaded}, least lately used first
+        self.loaded = {}  # replica: {adapter: when it is loaded}, least lately used first
         self.nodes = []
         self.platform = f"127.0.100.1:{base_port + 50}"
         limits = lambda: loopback.limits(head_bytes=65536, body_bytes=10**6)  # noqa: E731
-        http_server.Hall(
+        http_server.HttpServer(
             loop=self.loop,
             address=("127.0.100.1", base_port + 50),
             on_request=self._list,
             limits=limits,
-            silence_s=10.0,
+            peer_timeout_s=10.0,
         )
         self._limits = limits
         self._starts = 0  # of versions: each has addresses of its own
         self.editions = {}  # replica: (edition, when it started)
         self.start_version("v1")
-        self.versions = stand_in_versions.Versions(
+        self.versions = stand_in_versions.FakeVersions(
             loop=self.loop,
             core=f"127.0.1.1:{base_port}",
             service="tutor",
@@ -154,14 +154,14 @@
                         "models": [{"name": "m", "edition": 1, "adapters": []}],
                     }
                 )
-                self.held[name] = {}
+                self.loaded[name] = {}
                 self.editions[name] = (edition, self.loop.now())
-                http_server.Hall(
+                http_server.HttpServer(
                     loop=self.loop,
                     address=address,
                     limits=self._limits,
-                    silence_s=10.0,
-                    on_request=lambda ask, name=name: self._serve(ask, name),
+                    peer_timeout_s=10.0,
+                    on_request=lambda request, name=name: self._serve(request, name),
                 )
 
     def drain_version(self, edition: str) -> None:
@@ -173,57 +173,61 @@
         """Replicas of these versions end: they answer nothing any more."""
         self.rows = [row for row in self.rows if not is_gone(row["edition"])]
 
-    def _list(self, ask):
+    def _list(self, request):
         for row in self.rows:
-            row["models"][0]["adapters"] = [name for name, at in self.held[row["id"]].items() if at <= self.loop.now()]
-        ask.reply(
+            row["models"][0]["adapters"] = [
+                name for name, at in self.loaded[row["id"]].items() if at <= self.loop.now()
+            ]
+        request.reply(
             status=200,
             headers=[(b"Content-Type", b"application/json")],
             body=json.dumps({"replicas": self.rows, "nextPage": None}).encode(),
         )
 
-    def _serve(self, ask, name):
-        known = [(b"X-Attempt-Id", ask.header(b"x-attempt-id")), (b"X-Postmark", uuid.uuid4().hex.encode())]
+    def _serve(self, request, name):
+        known = [(b"X-Attempt-Id", request.header(b"x-attempt-id")), (b"X-Postmark", uuid.uuid4().hex.encode())]
         edition, started_at = self.editions[name]
         bad = stand_in_versions.is_bad(
-            edition=edition, target=ask.target, age_s=self.loop.now() - started_at, chance=random.random()
+            edition=edition, target=request.target, age_s=self.loop.now() - started_at, chance=random.random()
         )
         slow = SLOWER if bad and stand_in_versions.is_slow(edition) else 1.0
         if all(row["id"] != name for row in self.rows):
-            ask.abort()
+            request.abort()
         elif bad and slow == 1.0:
-            ask.reply(status=500, headers=known)
-        elif ask.text(b"x-addressed-replica") != name:
-            ask.reply(status=421, headers=[(b"X-Replica-Id", name.encode())])
-        elif not ask.target.startswith(b"/chat/"):
-            self.loop.after(delay=0.02 * slow, act=lambda: ask.reply(status=200, headers=known, body=b"done"))
+            request.reply(status=500, headers=known)
+        elif request.text(b"x-addressed-replica") != name:
+            request.reply(status=421, headers=[(b"X-Replica-Id", name.encode())])
+        elif not request.target.startswith(b"/chat/"):
+            self.loop.after(delay=0.02 * slow, callback=lambda: request.reply(status=200, headers=known, body=b"done"))
         else:
-            ask.start(
+            request.start(
                 status=200,
                 headers=[*known, (b"Content-Type", b"text/event-stream"), (b"Transfer-Encoding", b"chunked")],
             )
-            number = int(ask.text(b"last-event-id", "0") or 0) + 1
-            self.loop.after(delay=self._load(name, ask.text(b"x-model")), act=lambda: self._event(ask, number, slow))
+            number = int(request.text(b"last-event-id", "0") or 0) + 1
+            self.loop.after(
+                delay=self._load(name, request.text(b"x-model")), callback=lambda: self._event(request, number, slow)
+            )
 
     def _load(self, name, adapter):
         """How long the first event waits for its adapter."""
-        held = self.held[name]
+        loaded = self.loaded[name]
         if adapter not in ADAPTERS:
             return 0.0
-        at = held.pop(adapter, None)
-        if at is None and len(held) >= SLOTS:
-            del held[next(iter(held))]
-        held[adapter] = at if at is not None else self.loop.now() + LOAD_S
-        return max(0.0, held[adapter] - self.loop.now())
+        at = loaded.pop(adapter, None)
+        if at is None and len(loaded) >= SLOTS:
+            del loaded[next(iter(loaded))]
+        loaded[adapter] = at if at is not None else self.loop.now() + LOAD_S
+        return max(0.0, loaded[adapter] - self.loop.now())
 
-    def _event(self, ask, number, slow):
-        if not ask.door.is_open:
+    def _event(self, request, number, slow):
+        if not request.http_connection.is_open:
             return
         if number > 8:
-            ask.end()
+            request.end()
             return
-        ask.data(b"id: %d\ndata: token\n\n" % number)
-        self.loop.after(delay=0.05 * slow, act=lambda: self._event(ask, number + 1, slow))
+        request.data(b"id: %d\ndata: token\n\n" % number)
+        self.loop.after(delay=0.05 * slow, callback=lambda: self._event(request, number + 1, slow))
 
     def start_nodes(self):
         for index, region in enumerate(REGIONS):
@@ -267,7 +271,7 @@
         request = urllib.request.Request(
             f"http://127.0.1.1:{self.base}/ploverward/configuration",
             method="PUT",
-            data=json.dumps(SPEC).encode(),
+            data=json.dumps(CONFIGURATION).encode(),
             headers={"If-Match": "0", "Content-Type": "application/json"},
         )
         try:
@@ -276,8 +280,8 @@
         except (urllib.error.URLError, OSError):
             return False
 
-    def ask(self, ask_id=None):
-        ask_id = ask_id or uuid.uuid4().hex[:16]
+    def request(self, request_id=None):
+        request_id = request_id or uuid.uuid4().hex[:16]
         lead = random.choice(("chat", "board"))
         request = urllib.request.Request(
             f"http://127.0.{random.randint(1, 3)}.2:{self.base + 2}/{lead}/x",
@@ -285,17 +289,17 @@
             data=b"hello",
             headers={
                 "Host": "club.example",
-                "X-Attempt-Id": ask_id,
+                "X-Attempt-Id": request_id,
                 "X-Model": random.choice(ADAPTERS) if lead == "chat" else "m",
                 "X-Token-Count": "120,40",
-                "X-Prompt-Lead": f"aa{random.randint(1, 5)}:80,{ask_id[:8]}:40",
+                "X-Prompt-Lead": f"aa{random.randint(1, 5)}:80,{request_id[:8]}:40",
                 "X-Time-Left-Ms": "3000",
             },
         )
         try:
             with urllib.request.urlopen(request, timeout=4) as reply:
                 reply.read()
-                return ask_id if reply.status == 200 else None
+                return request_id if reply.status == 200 else None
         except (urllib.error.URLError, OSError):
             return None
 
@@ -317,7 +321,7 @@
     args = parser.parse_args()
     folder = args.folder or tempfile.mkdtemp(prefix="ploverward-")
     os.makedirs(folder, exist_ok=True)
-    scene = Standin(folder=folder, base_port=args.port)
+    scene = FakeCluster(folder=folder, base_port=args.port)
     scene.start_nodes()
     is_on = [True]
 
@@ -333,10 +337,10 @@
             if state["busy"] == 0:
                 state["busy"] += 1
                 scene.loop.offload(work=scene.configure, done=configured)
-        elif state["busy"] < MOST_BUSY:
+        elif state["busy"] < MAX_BUSY:
             state["busy"] += 1
-            scene.loop.offload(work=scene.ask, done=asked)
-        scene.loop.after(delay=0.05 if state["is_configured"] else 0.2, act=tick)
+            scene.loop.offload(work=scene.request, done=asked)
+        scene.loop.after(delay=0.05 if state["is_configured"] else 0.2, callback=tick)
 
     def configured(future):
         state["busy"] -= 1
--- a/ploverward/simulation/stand_in_versions.py
+++ b/ploverward/simulation/stand_in_versions.py
@@ -30,7 +30,7 @@
     return edition.endswith("-slow")
 
 
-class Versions:
+class FakeVersions:
     """Follows the core's roll-outs. `start` (edition) starts replicas, `drain` (edition) marks them as leaving, `stop` (is_gone) ends
     those of whose edition is_gone says so."""
 
@@ -41,7 +41,7 @@
         self._drain = drain
         self._stop = stop
         self._seen = (0, "")  # number of the order, and its condition, that was acted on
-        self._loop.after(delay=POLL_S, act=self._poll)
+        self._loop.after(delay=POLL_S, callback=self._poll)
 
     def _poll(self) -> None:
         self._loop.offload(work=self._read, done=self._take)
@@ -54,7 +54,7 @@
             return None
 
     def _take(self, future) -> None:
-        self._loop.after(delay=POLL_S, act=self._poll)
+        self._loop.after(delay=POLL_S, callback=self._poll)
         row = future.result()
         if row is None:
             return
@@ -70,4 +70,4 @@
             self._stop(lambda edition: edition != target)
         elif row["condition"] == "returned":
             self._drain(target)
-            self._loop.after(delay=DRAIN_S, act=lambda: self._stop(lambda edition: edition == target))
+            self._loop.after(delay=DRAIN_S, callback=lambda: self._stop(lambda edition: edition == target))
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -17,33 +17,33 @@
 @pytest.mark.parametrize("first", range(0, DAYS, 8))
 def test_days_break_no_check(first):
     for seed in range(first, first + 8):
-        report = rollout_simulation.play(seed)
-        assert not report.findings, (report.seed, report.kind, report.troubles, report.findings[:3])
+        report = rollout_simulation.run_simulation(seed)
+        assert not report.findings, (report.seed, report.kind, report.fault_kinds, report.findings[:3])
 
 
 @pytest.mark.parametrize("kind", rollout_simulation.BAD_KINDS)
 def test_a_bad_version_is_returned_inside_its_term(kind):
     for seed in range(3):
-        report = rollout_simulation.play(seed, kind=kind, troubles=("none",))
+        report = rollout_simulation.run_simulation(seed, kind=kind, fault_kinds=("none",))
         assert report.stage == state.Stage.RETURNED, (seed, report)
 
 
 def test_a_good_version_is_delivered_inside_its_term():
     for seed in range(6):
-        report = rollout_simulation.play(seed, kind="good", troubles=("none",))
+        report = rollout_simulation.run_simulation(seed, kind="good", fault_kinds=("none",))
         assert report.stage == state.Stage.DELIVERED and report.ended_s < 18.0, (seed, report)
 
 
 def leases_without_end(monkeypatch):
-    real = version_routing.Rollouts.take_leases
+    real = version_routing.Rollouts.handle_leases
     monkeypatch.setattr(
         version_routing.Rollouts,
-        "take_leases",
-        lambda self, *, number, life_s, leases: real(self, number=number, life_s=life_s * 9, leases=leases),
+        "handle_leases",
+        lambda self, *, number, lease_s, leases: real(self, number=number, lease_s=lease_s * 9, leases=leases),
     )
 
 
-def a_stage_that_goes_back(monkeypatch):
+def a_stage_that_is_reverted(monkeypatch):
     """A holder that begins anew after the promotion, and a register that takes any step."""
     real = planner.next_move
 
@@ -53,15 +53,15 @@
         return real(view)
 
     monkeypatch.setattr(planner, "next_move", next_move)
-    monkeypatch.setattr(state, "NEXT_STAGES", dict.fromkeys(state.UNDER_WAY, tuple(state.Stage)))
+    monkeypatch.setattr(state, "NEXT_STAGES", dict.fromkeys(state.IN_PROGRESS_STAGES, tuple(state.Stage)))
 
 
-def a_holder_that_never_rests(monkeypatch):
-    monkeypatch.setattr(manager.RolloutDuty, "rest", lambda self: setattr(self, "_acting_until", 1e9))
+def a_coordinator_that_never_stops(monkeypatch):
+    monkeypatch.setattr(manager.RolloutManager, "deactivate", lambda self: setattr(self, "_acting_until", 1e9))
 
 
 def delivered_with_work_running(monkeypatch):
-    monkeypatch.setattr(evidence_table.Ledger, "is_drained", lambda self, *, origins, step: True)
+    monkeypatch.setattr(evidence_table.EvidenceTable, "is_drained", lambda self, *, origins, step: True)
 
 
 def the_list_before_the_order(monkeypatch):
@@ -69,9 +69,9 @@
 
 
 def a_judge_that_looks_only_at_the_beginning(monkeypatch):
-    real = judge.Judge.take
+    real = judge.Judge.record
 
-    def take(self, *, now, counted, has_times=True):
+    def record(self, *, now, counted, has_times=True):
         self.began = getattr(self, "began", now)
         if now - self.began < 2.0:
             real(self, now=now, counted=counted, has_times=has_times)
@@ -79,24 +79,24 @@
             for key, tally in counted.items():
                 self.answers[key.route, key.group] += tally.ended
 
-    monkeypatch.setattr(judge.Judge, "take", take)
+    monkeypatch.setattr(judge.Judge, "record", record)
 
 
 @pytest.mark.parametrize(
-    "plant, kind, troubles, check",
+    "plant, kind, fault_kinds, check",
     [
         (leases_without_end, "errors", ("kill_all", "cut_proxies"), "lease"),
-        (a_stage_that_goes_back, "good", ("none",), "stage"),
-        (a_holder_that_never_rests, "good", ("cut_holder",), "holder"),
+        (a_stage_that_is_reverted, "good", ("none",), "stage"),
+        (a_coordinator_that_never_stops, "good", ("cut_holder",), "holder"),
         (delivered_with_work_running, "good", ("none",), "delivered"),
         (the_list_before_the_order, "errors", ("none",), "admitted"),
         (a_judge_that_looks_only_at_the_beginning, "late", ("none",), "exposure"),
     ],
 )
-def test_planted_faults_are_found(monkeypatch, plant, kind, troubles, check):
+def test_planted_faults_are_found(monkeypatch, plant, kind, fault_kinds, check):
     plant(monkeypatch)
     for seed in range(MOST_SEEDS):
-        findings = rollout_simulation.play(seed, kind=kind, troubles=troubles).findings
+        findings = rollout_simulation.run_simulation(seed, kind=kind, fault_kinds=fault_kinds).findings
         if any(finding.check == check for finding in findings):
             return
     pytest.fail(f"{check} was not found in {MOST_SEEDS} days")
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -10,12 +10,12 @@
 
 
 class Timer:
-    __slots__ = ("when", "order", "act", "is_over")
+    __slots__ = ("when", "order", "callback", "is_over")
 
-    def __init__(self, *, when, order, act):
+    def __init__(self, *, when, order, callback):
         self.when = when
         self.order = order
-        self.act = act
+        self.callback = callback
         self.is_over = False
 
 
@@ -37,8 +37,8 @@
         return time.monotonic()
 
     # Commands from other threads and signal handlers.
-    def command(self, *, act) -> None:
-        self._commands.append(act)
+    def command(self, *, callback) -> None:
+        self._commands.append(callback)
         try:
             os.write(self._wake_out, b"w")
         except (BlockingIOError, BrokenPipeError):
@@ -55,34 +55,34 @@
         if self._pool is None:
             self._pool = concurrent.futures.ThreadPoolExecutor(max_workers=2)
         future = self._pool.submit(work)
-        future.add_done_callback(lambda ended: self.command(act=lambda: done(ended)))
+        future.add_done_callback(lambda ended: self.command(callback=lambda: done(ended)))
 
-    def at(self, *, when: float, act) -> Timer:
+    def at(self, *, when: float, callback) -> Timer:
         self._order += 1
-        timer = Timer(when=when, order=self._order, act=act)
+        timer = Timer(when=when, order=self._order, callback=callback)
         self._timers.add(timer)
         return timer
 
-    def after(self, *, delay: float, act) -> Timer:
-        return self.at(when=self.now() + delay, act=act)
+    def after(self, *, delay: float, callback) -> Timer:
+        return self.at(when=self.now() + delay, callback=callback)
 
-    def every(self, *, gap: float, act) -> None:
+    def every(self, *, interval_s: float, callback) -> None:
         def tick():
-            self.after(delay=gap, act=tick)
-            act()
+            self.after(delay=interval_s, callback=tick)
+            callback()
 
-        self.after(delay=gap, act=tick)
+        self.after(delay=interval_s, callback=tick)
 
     def cancel(self, *, timer) -> None:
         if timer is not None and not timer.is_over:
             timer.is_over = True
             self._timers.discard(timer)
 
-    def watch(self, *, sock, mask, act) -> None:
-        self._selector.register(sock, mask, act)
+    def watch(self, *, sock, mask, callback) -> None:
+        self._selector.register(sock, mask, callback)
 
-    def rewatch(self, *, sock, mask, act) -> None:
-        self._selector.modify(sock, mask, act)
+    def rewatch(self, *, sock, mask, callback) -> None:
+        self._selector.modify(sock, mask, callback)
 
     def unwatch(self, *, sock) -> None:
         try:
@@ -93,9 +93,9 @@
     def stop(self) -> None:
         self._is_running = False
 
-    def _guard(self, act, *args) -> None:
+    def _guard(self, callback, *args) -> None:
         try:
-            act(*args)
+            callback(*args)
         except Exception as fault:  # one broken act must not end the process; it is written out
             if self._on_fault is None:
                 raise
@@ -121,4 +121,4 @@
         while self._timers and self._timers[0].when <= now:
             timer = self._timers.pop(0)
             timer.is_over = True
-            self._guard(timer.act)
+            self._guard(timer.callback)
--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -7,7 +7,7 @@
 
 from ploverward.common import errors
 
-SIZE_LIMIT = 24 * 1024 * 1024
+MAX_FRAME_BYTES = 24 * 1024 * 1024
 TEXT = construct.PascalString(construct.VarInt, "utf8")
 BLOB = construct.Prefixed(construct.VarInt, construct.GreedyBytes)
 NUMBER = construct.VarInt
@@ -122,8 +122,8 @@
     frames = []
     while len(buffer) >= HEAD_SIZE:
         size, kind = _HEAD.unpack_from(buffer, 0)
-        if size > SIZE_LIMIT or kind not in _BY_NUMBER:
-            raise errors.FrameProblem(f"kind {kind}, size {size}", step="frame")
+        if size > MAX_FRAME_BYTES or kind not in _BY_NUMBER:
+            raise errors.FrameError(f"kind {kind}, size {size}", step="frame")
         if len(buffer) < HEAD_SIZE + size:
             break
         frames.append(bytes(buffer[: HEAD_SIZE + size]))
@@ -134,12 +134,12 @@
 def unpack(frame: bytes) -> tuple:
     """One whole frame."""
     if len(frame) < HEAD_SIZE or frame[4] not in _BY_NUMBER or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_SIZE:
-        raise errors.FrameProblem("no whole frame", step="frame")
+        raise errors.FrameError("no whole frame", step="frame")
     name, shape = _BY_NUMBER[frame[4]]
     try:
         fields = shape.parse(frame[HEAD_SIZE:])
     except (construct.ConstructError, UnicodeDecodeError) as fault:
-        raise errors.FrameProblem(f"{name}: {fault}", step="frame") from None
+        raise errors.FrameError(f"{name}: {fault}", step="frame") from None
     return (name, *_plain(list(fields[:-1])))
 
 
--- a/ploverward/transport/http_server.py
+++ b/ploverward/transport/http_server.py
@@ -29,8 +29,8 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-OUT_HIGH = 256 * 1024
-LATE_LOOK_S = 0.05  # until a connection whose time is over is looked at again, where bytes wait on it
+SEND_HIGH_WATERMARK_BYTES = 256 * 1024
+IDLE_RECHECK_S = 0.05  # until a connection whose time is over is looked at again, where bytes wait on it
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
 Limits = collections.namedtuple("Limits", "head_bytes body_bytes head_s idle_s")
 
@@ -39,7 +39,7 @@
     """One request of a user agent, whole, and the way to answer it."""
 
     __slots__ = (
-        "door",
+        "http_connection",
         "method",
         "target",
         "headers",
@@ -50,11 +50,11 @@
         "on_drain",
         "is_answered",
         "is_started",
-        "note",
+        "record",
     )
 
-    def __init__(self, *, door, method, target, headers, begun_at):
-        self.door = door
+    def __init__(self, *, http_connection, method, target, headers, begun_at):
+        self.http_connection = http_connection
         self.method = method
         self.target = target
         self.headers = headers
@@ -65,7 +65,7 @@
         self.on_drain = None
         self.is_answered = False
         self.is_started = False
-        self.note = None
+        self.record = None
 
     def header(self, name: bytes, default: bytes = b"") -> bytes:
         for key, value in self.headers:
@@ -85,31 +85,31 @@
 
     def start(self, *, status: int, headers, is_last=False) -> None:
         self.is_started = True
-        if self.door.is_answering(self):
-            self.door.start(status=status, headers=headers, is_last=is_last)
+        if self.http_connection.is_answering(self):
+            self.http_connection.start(status=status, headers=headers, is_last=is_last)
 
     def data(self, data: bytes) -> None:
-        if data and self.door.is_answering(self):
-            self.door.send(h11.Data(data=data))
+        if data and self.http_connection.is_answering(self):
+            self.http_connection.send(h11.Data(data=data))
 
     def end(self) -> None:
         self.is_answered = True
-        if self.door.is_answering(self):
-            self.door.finish()
+        if self.http_connection.is_answering(self):
+            self.http_connection.finish()
 
     def abort(self) -> None:
         """Ends the connection so that the answer can't look complete."""
         self.is_answered = True
-        if self.door.is_answering(self):
-            self.door.break_off()
+        if self.http_connection.is_answering(self):
+            self.http_connection.abort_response()
 
 
-class Door:
+class HttpConnection:
     """One accepted connection."""
 
-    def __init__(self, *, hall, sock):
-        self.hall = hall
-        self.loop = hall.loop
+    def __init__(self, *, server, sock):
+        self.server = server
+        self.loop = server.loop
         self.sock = sock
         self.is_open = True
         self.is_ending = False
@@ -122,13 +122,13 @@
         self._mask = selectors.EVENT_READ
         self._is_paused = False
         self._served = 0
-        self._limits = hall.limits()
+        self._limits = server.limits()
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self._limits.head_bytes)
         self._head_begun = None
         self._ahead = 0  # bytes read behind the request that is being answered
-        peer_connection.tune(sock=sock, silence_s=hall.silence_s)
-        self.loop.watch(sock=sock, mask=self._mask, act=self._ready)
-        self._timer = self.loop.after(delay=self._limits.idle_s, act=self._idle)
+        peer_connection.configure_socket(sock=sock, peer_timeout_s=server.peer_timeout_s)
+        self.loop.watch(sock=sock, mask=self._mask, callback=self._ready)
+        self._timer = self.loop.after(delay=self._limits.idle_s, callback=self._idle)
 
     def _idle(self) -> None:
         if not self.is_open:
@@ -136,7 +136,7 @@
         if self._request is not None and self._has_head is False:
             return
         if self._has_waiting():
-            self._arm(delay=LATE_LOOK_S)  # this process is late, not the client: what waits is read first
+            self._arm(delay=IDLE_RECHECK_S)  # this process is late, not the client: what waits is read first
             return
         if self._head_begun is not None or self._has_head:
             self._refuse(status=408)
@@ -155,7 +155,7 @@
         if self.is_idle() and not self._has_waiting():
             self.close(is_hard=True)
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Ends an answer so that it can't look complete. To a client that knows no chunks the end is the end of the
         body, so it gets a reset."""
         if self._h11.their_http_version is not None and self._h11.their_http_version < b"1.1":
@@ -164,7 +164,7 @@
 
     def _arm(self, *, delay: float) -> None:
         self.loop.cancel(timer=self._timer)
-        self._timer = self.loop.after(delay=delay, act=self._idle)
+        self._timer = self.loop.after(delay=delay, callback=self._idle)
 
     def _refuse(self, *, status: int) -> None:
         """An answer to what never became a whole request; the connection ends after it."""
@@ -245,7 +245,7 @@
                     self._refuse(status=413)
                     return
                 self._request = Request(
-                    door=self,
+                    http_connection=self,
                     method=event.method,
                     target=event.target,
                     headers=headers,
@@ -257,7 +257,7 @@
                 self._arm(delay=self._limits.idle_s)
             elif kind is h11.Data:
                 self._size += len(event.data)
-                if not self.hall.hold(door=self, size=self._size):
+                if not self.server.reserve_body_bytes(http_connection=self, size=self._size):
                     self._refuse(status=503)
                     return
                 if self._size > self._limits.body_bytes:
@@ -273,7 +273,7 @@
                 self._head_begun = None
                 self.loop.cancel(timer=self._timer)
                 self._served += 1
-                self.hall.take(request)
+                self.server.handle(request)
                 return
             elif kind is h11.ConnectionClosed:
                 self.close()
@@ -285,7 +285,7 @@
 
     def start(self, *, status: int, headers, is_last: bool) -> None:
         headers = [*headers]
-        if is_last or self.hall.is_leaving or self.is_ending:
+        if is_last or self.server.is_draining or self.is_ending:
             headers.append((b"Connection", b"close"))
         elif self._limits.idle_s > 2:
             headers.append((b"Keep-Alive", b"timeout=%d" % int(self._limits.idle_s * 0.7)))
@@ -302,16 +302,16 @@
         self.send(h11.EndOfMessage())
         if not self.is_open:
             return  # the client left at this very write
-        self.hall.let_go(door=self)
+        self.server.release_body_bytes(http_connection=self)
         self._request = None
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
-            self._limits = self.hall.limits()
+            self._limits = self.server.limits()
             self._h11.start_next_cycle()
             self._arm(delay=self._limits.idle_s)
             self._ahead = len(self._h11.trailing_data[0])
             if self._ahead:
                 self._head_begun = self.loop.now()
-                self.loop.command(act=self._pump)
+                self.loop.command(callback=self._pump)
         else:
             self.is_ending = True
             if not self._out:
@@ -346,7 +346,7 @@
         mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if self._out else 0)
         if self.is_open and mask != self._mask:
             self._mask = mask
-            self.loop.rewatch(sock=self.sock, mask=mask, act=self._ready)
+            self.loop.rewatch(sock=self.sock, mask=mask, callback=self._ready)
 
     def drop(self) -> None:
         """Ends the connection as if its client had left."""
@@ -367,8 +367,8 @@
         self.is_open = False
         self.loop.cancel(timer=self._timer)
         self.loop.unwatch(sock=self.sock)
-        self.hall.doors.discard(self)
-        self.hall.let_go(door=self)
+        self.server.connections.discard(self)
+        self.server.release_body_bytes(http_connection=self)
         if not is_hard:
             # Unread bytes would turn the close into a reset that can eat the answer.
             try:
@@ -379,7 +379,7 @@
         self.sock.close()
 
 
-class Hall:
+class HttpServer:
     """A listener and its connections. `on_request(request)` takes each whole request."""
 
     def __init__(
@@ -388,57 +388,57 @@
         loop,
         address,
         limits,
-        silence_s,
+        peer_timeout_s,
         on_request,
-        most_doors=3000,
-        most_bytes=64 * 1024 * 1024,
+        max_connections=3000,
+        max_bytes=64 * 1024 * 1024,
     ):
         self.loop = loop
         self.limits = limits
-        self.silence_s = silence_s
-        self.is_leaving = False
-        self.doors = set()
-        self._most_doors = most_doors
-        self._most_bytes = most_bytes
-        self._held = {}
-        self._held_bytes = 0
+        self.peer_timeout_s = peer_timeout_s
+        self.is_draining = False
+        self.connections = set()
+        self._max_connections = max_connections
+        self._most_bytes = max_bytes
+        self._buffered = {}
+        self._buffered_bytes = 0
         self._on_request = on_request
         self._sock = peer_connection.listen(address=address)
         self._is_listening = True
-        loop.watch(sock=self._sock, mask=selectors.EVENT_READ, act=self._ready)
+        loop.watch(sock=self._sock, mask=selectors.EVENT_READ, callback=self._ready)
 
     def _ready(self, _mask) -> None:
-        peer_connection.accept_all(sock=self._sock, act=self._take_door)
+        peer_connection.accept_all(sock=self._sock, callback=self._on_accept)
 
-    def _take_door(self, sock, _address) -> None:
-        if len(self.doors) >= self._most_doors:
+    def _on_accept(self, sock, _address) -> None:
+        if len(self.connections) >= self._max_connections:
             sock.close()
             return
-        self.doors.add(Door(hall=self, sock=sock))
+        self.connections.add(HttpConnection(server=self, sock=sock))
 
-    def take(self, request) -> None:
+    def handle(self, request) -> None:
         try:
             self._on_request(request)
         except Exception:
-            request.door.drop()  # nobody would answer it; a closed connection promises nothing
+            request.http_connection.drop()  # nobody would answer it; a closed connection promises nothing
             raise
 
-    def hold(self, *, door, size: int) -> bool:
+    def reserve_body_bytes(self, *, http_connection, size: int) -> bool:
         """Whether the bodies held of all connections stay inside the bound."""
-        self._held_bytes += size - self._held.get(door, 0)
-        self._held[door] = size
-        return self._held_bytes <= self._most_bytes
+        self._buffered_bytes += size - self._buffered.get(http_connection, 0)
+        self._buffered[http_connection] = size
+        return self._buffered_bytes <= self._most_bytes
 
-    def let_go(self, *, door) -> None:
-        self._held_bytes -= self._held.pop(door, 0)
+    def release_body_bytes(self, *, http_connection) -> None:
+        self._buffered_bytes -= self._buffered.pop(http_connection, 0)
 
     def leave(self) -> None:
         """Answers end their connections from now on; idle ones are closed after their lookups are old."""
-        self.is_leaving = True
+        self.is_draining = True
 
     def close_idle(self) -> None:
-        for door in list(self.doors):
-            door.close_if_idle()
+        for http_connection in list(self.connections):
+            http_connection.close_if_idle()
 
     def stop_listening(self) -> None:
         if self._is_listening:
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -9,15 +9,15 @@
 from ploverward.common import event_log
 from ploverward.transport import frames
 
-OUT_LIMIT = 32 * 1024 * 1024
+MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024
 
 
-def tune(*, sock, silence_s: float) -> None:
+def configure_socket(*, sock, peer_timeout_s: float) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(silence_s * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(peer_timeout_s * 1000))
     except OSError as fault:
-        event_log.note("no TCP_USER_TIMEOUT", fault=str(fault))
+        event_log.record("no TCP_USER_TIMEOUT", fault=str(fault))
 
 
 def listen(*, address: tuple, backlog: int = 512):
@@ -29,7 +29,7 @@
     return sock
 
 
-def accept_all(*, sock, act) -> None:
+def accept_all(*, sock, callback) -> None:
     """Takes all connections that wait; `act(sock, address)`."""
     while True:
         try:
@@ -37,16 +37,16 @@
         except (BlockingIOError, ConnectionError):
             return
         except OSError as fault:
-            event_log.note("accept", fault=str(fault))
+            event_log.record("accept", fault=str(fault))
             return
         taken.setblocking(False)
-        act(taken, address)
+        callback(taken, address)
 
 
-class Link:
+class PeerConnection:
     """One connection. `on_message(link, message)` and `on_end(link, reason)` are called on the loop."""
 
-    def __init__(self, *, loop, sock, on_message, on_end, silence_s, is_connecting=False, peer=""):
+    def __init__(self, *, loop, sock, on_message, on_end, peer_timeout_s, is_connecting=False, peer=""):
         self.loop = loop
         self.sock = sock
         self.peer = peer
@@ -56,24 +56,24 @@
         self.heard_at = loop.now()
         self.has_heard = False  # whether anything came: a frozen machine takes connections and says nothing
         self.opened_at = loop.now()
-        self.silence_s = silence_s
+        self.peer_timeout_s = peer_timeout_s
         self._on_message = on_message
         self._on_end = on_end
         self._in = bytearray()
         self._out = bytearray()
         self.frame = b""  # the bytes of the message that is being handed over
-        tune(sock=sock, silence_s=silence_s)
+        configure_socket(sock=sock, peer_timeout_s=peer_timeout_s)
         self._mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if is_connecting else 0)
-        loop.watch(sock=sock, mask=self._mask, act=self._ready)
-        self._check = loop.after(delay=silence_s / 2, act=self._check_silence)
+        loop.watch(sock=sock, mask=self._mask, callback=self._ready)
+        self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
 
-    def _check_silence(self) -> None:
+    def _check_peer_timeout(self) -> None:
         if not self.is_open:
             return
-        if self.loop.now() - self.heard_at > self.silence_s:
+        if self.loop.now() - self.heard_at > self.peer_timeout_s:
             self.close(reason="silent")
             return
-        self._check = self.loop.after(delay=self.silence_s / 4, act=self._check_silence)
+        self._check = self.loop.after(delay=self.peer_timeout_s / 4, callback=self._check_peer_timeout)
 
     def queued(self) -> int:
         return len(self._out)
@@ -84,7 +84,7 @@
     def send_bytes(self, data: bytes) -> None:
         if not self.is_open:
             return
-        if len(self._out) + len(data) > OUT_LIMIT:
+        if len(self._out) + len(data) > MAX_SEND_BUFFER_BYTES:
             self.close(reason="peer does not read")
             return
         was_empty = not self._out
@@ -108,7 +108,7 @@
         mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if self._out or not self.is_up else 0)
         if mask != self._mask and self.is_open:
             self._mask = mask
-            self.loop.rewatch(sock=self.sock, mask=mask, act=self._ready)
+            self.loop.rewatch(sock=self.sock, mask=mask, callback=self._ready)
 
     def _ready(self, mask) -> None:
         if not self.is_open:
@@ -145,7 +145,7 @@
                     self._on_message(self, message)
                     if not self.is_open:
                         return
-            except errors.FrameProblem as fault:
+            except errors.FrameError as fault:
                 self.close(reason=str(fault))
 
     def close(self, *, reason: str = "") -> None:
@@ -158,24 +158,24 @@
         self._on_end(self, reason)
 
 
-class Dialer:
+class Connector:
     """Keeps one link to an address, with growing pauses."""
 
-    def __init__(self, *, loop, address, on_up, on_message, on_end, silence_s, source_ip=""):
+    def __init__(self, *, loop, address, on_up, on_message, on_end, peer_timeout_s, source_ip=""):
         self.loop = loop
         self.address = address
         self.link = None
         self._on_up = on_up
         self._on_message = on_message
         self._on_end = on_end
-        self._silence_s = silence_s
+        self._peer_timeout_s = peer_timeout_s
         self._source_ip = source_ip
-        self._pause_s = silence_s / 40
+        self._pause_s = peer_timeout_s / 40
         self._is_stopped = False
-        self._is_told = False
-        self._dial()
+        self._is_notified = False
+        self._connect()
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         if self._is_stopped:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -183,34 +183,34 @@
         code = sock.connect_ex(self.address)
         if code not in (0, errno.EINPROGRESS):
             sock.close()
-            self._again()
+            self._schedule_reconnect()
             return
-        self.link = Link(
+        self.link = PeerConnection(
             loop=self.loop,
             sock=sock,
-            on_message=self._take,
-            on_end=self._ended,
-            silence_s=self._silence_s,
+            on_message=self._handle_incoming,
+            on_end=self._handle_end,
+            peer_timeout_s=self._peer_timeout_s,
             is_connecting=True,
             peer="%s:%d" % self.address,
         )
         self._on_up(self.link)
 
-    def _take(self, link, message) -> None:
-        self._pause_s = self._silence_s / 40
+    def _handle_incoming(self, link, message) -> None:
+        self._pause_s = self._peer_timeout_s / 40
         self._on_message(link, message)
 
-    def _ended(self, link, reason) -> None:
+    def _handle_end(self, link, reason) -> None:
         if self.link is link:
             self.link = None
         self._on_end(link, reason)
-        self._again()
+        self._schedule_reconnect()
 
-    def _again(self) -> None:
+    def _schedule_reconnect(self) -> None:
         if self._is_stopped:
             return
-        self._pause_s = min(self._pause_s * 1.6, self._silence_s / 4)
-        self.loop.after(delay=self._pause_s * random.uniform(0.5, 1.0), act=self._dial)
+        self._pause_s = min(self._pause_s * 1.6, self._peer_timeout_s / 4)
+        self.loop.after(delay=self._pause_s * random.uniform(0.5, 1.0), callback=self._connect)
 
     def stop(self) -> None:
         self._is_stopped = True
@@ -218,29 +218,29 @@
             self.link.close(reason="stopped")
 
 
-class Port:
+class PeerListener:
     """Takes links from others."""
 
-    def __init__(self, *, loop, address, on_link, on_message, on_end, silence_s):
+    def __init__(self, *, loop, address, on_link, on_message, on_end, peer_timeout_s):
         self.loop = loop
         self._sock = listen(address=address)
         self._on_link = on_link
         self._on_message = on_message
         self._on_end = on_end
-        self._silence_s = silence_s
-        loop.watch(sock=self._sock, mask=selectors.EVENT_READ, act=self._ready)
+        self._peer_timeout_s = peer_timeout_s
+        loop.watch(sock=self._sock, mask=selectors.EVENT_READ, callback=self._ready)
 
     def _ready(self, _mask) -> None:
-        accept_all(sock=self._sock, act=self._take)
+        accept_all(sock=self._sock, callback=self._handle_incoming)
 
-    def _take(self, sock, address) -> None:
+    def _handle_incoming(self, sock, address) -> None:
         self._on_link(
-            Link(
+            PeerConnection(
                 loop=self.loop,
                 sock=sock,
                 on_message=self._on_message,
                 on_end=self._on_end,
-                silence_s=self._silence_s,
+                peer_timeout_s=self._peer_timeout_s,
                 peer="%s:%d" % address[:2],
             )
         )
--- a/ploverward/transport/row_codec.py
+++ b/ploverward/transport/row_codec.py
@@ -13,12 +13,12 @@
     ">8sBHIHHH"
 )  # replica key, region, running, tokens to read, marks, ended and failed since the last
 LOAD = struct.Struct(">8sHIHB")  # replica key, running, tokens to read, marks, is failing
-LANE = struct.Struct(">8sH")
+OWNER_BIT = struct.Struct(">8sH")
 _KEY = struct.Struct(">8s")
 _READ = struct.Struct(">8sB8sB")  # replica key, region, domain, how many parts
 _PART = struct.Struct(">8sI")  # token hash, tokens
-MOST_SHORT = 0xFFFF
-MOST_LONG = 0xFFFFFFFF
+MAX_UINT16 = 0xFFFF
+MAX_UINT32 = 0xFFFFFFFF
 
 
 @functools.lru_cache(maxsize=16384)
@@ -29,7 +29,7 @@
 
 def rows(*, shape, data: bytes) -> list:
     if len(data) % shape.size:
-        raise errors.FrameProblem(f"{len(data)} bytes are no rows of {shape.size}", step="frame")
+        raise errors.FrameError(f"{len(data)} bytes are no rows of {shape.size}", step="frame")
     return list(shape.iter_unpack(data))
 
 
@@ -39,11 +39,11 @@
 
 
 def short(number: int) -> int:
-    return max(0, min(int(number), MOST_SHORT))
+    return max(0, min(int(number), MAX_UINT16))
 
 
 def long(number: int) -> int:
-    return max(0, min(int(number), MOST_LONG))
+    return max(0, min(int(number), MAX_UINT32))
 
 
 def pack_read(*, replica: bytes, region: int, domain: bytes, parts) -> bytes:
@@ -57,16 +57,16 @@
 def split_reads(*, data: bytes) -> list:
     """[(region, the read's own bytes)]"""
     found = []
-    place = 0
-    while place < len(data):
-        if place + _READ.size > len(data):
-            raise errors.FrameProblem("a read is cut short", step="frame")
-        _replica, region, _domain, count = _READ.unpack_from(data, place)
-        end = place + _READ.size + count * _PART.size
+    offset = 0
+    while offset < len(data):
+        if offset + _READ.size > len(data):
+            raise errors.FrameError("a read is cut short", step="frame")
+        _replica, region, _domain, count = _READ.unpack_from(data, offset)
+        end = offset + _READ.size + count * _PART.size
         if end > len(data):
-            raise errors.FrameProblem("a read is cut short", step="frame")
-        found.append((region, data[place:end]))
-        place = end
+            raise errors.FrameError("a read is cut short", step="frame")
+        found.append((region, data[offset:end]))
+        offset = end
     return found
 
 
@@ -74,5 +74,5 @@
     """(replica key, domain, ((token hash, tokens), ...))"""
     replica, _region, domain, count = _READ.unpack_from(data, 0)
     if len(data) != _READ.size + count * _PART.size:
-        raise errors.FrameProblem("a read of another length", step="frame")
+        raise errors.FrameError("a read of another length", step="frame")
     return replica, domain, tuple(_PART.iter_unpack(data[_READ.size :]))
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -82,7 +82,7 @@
 def _pack_loads(value) -> bytes:
     """Rows as the relay makes them: numbers that are too large are cut to the largest."""
     return b"".join(
-        load_feed.Load(running=running, tokens=unread, marks=marks, flags=flags).pack(key)
+        load_feed.Load(running=running, tokens=unread, suspect_count=marks, flags=flags).pack(key)
         for key, running, unread, marks, flags in value
     )
 
@@ -172,16 +172,16 @@
 
 def _pack_trail(value) -> bytes:
     """A request's trail: id, who served it, when, what it was, and a row for each attempt."""
-    request_id, node, zone, region, life, times, about, homes, status, attempts, chain = value
+    request_id, node, zone, region, incarnation, times, about, homes, status, attempts, chain = value
     arrived_s, begun_s, now_s = times
     route, service, model, edition = about
     proxy = types.SimpleNamespace(
         settings=types.SimpleNamespace(node=node, zone=zone, region=region),
-        life=life,
+        incarnation=incarnation,
         loop=types.SimpleNamespace(now=lambda: now_s),
         routes=types.SimpleNamespace(edition=edition),
     )
-    passage = types.SimpleNamespace(
+    handler = types.SimpleNamespace(
         request_id=request_id,
         request=types.SimpleNamespace(begun_at=begun_s),
         route=types.SimpleNamespace(name=route),
@@ -196,19 +196,19 @@
         attempt = types.SimpleNamespace(
             replica=types.SimpleNamespace(id=replica, zone=replica_zone), permitted=permitted, sent_at=sent_s
         )
-        passage.has_head = is_resumption
-        passage.custody.append(custody_trails.attempt_row(attempt=attempt, passage=passage, proxy=proxy))
-    batches = custody_trails.Batches(most=1)
+        handler.has_head = is_resumption
+        handler.custody.append(custody_trails.attempt_row(attempt=attempt, handler=handler, proxy=proxy))
+    batches = custody_trails.TrailBatches(most=1)
     with unittest.mock.patch.object(time, "time", return_value=arrived_s + now_s - begun_s):
-        batches.add(custody_trails.trail_of(passage=passage, proxy=proxy, status=status))
+        batches.add(custody_trails.trail_of(handler=handler, proxy=proxy, status=status))
     [(_number, _is_last, [(_id, data)])] = batches.drain()
     return data
 
 
 def _read_trail(data: bytes) -> list:
     """As operators get it from a core node."""
-    kept = trail_store.Ledger(now=lambda: 0.0, keep_s=1.0, most=1)
-    kept.take(node="node", life="life", number=0, is_last=False, rows=[("id", data)])
+    kept = trail_store.ReportStore(now=lambda: 0.0, keep_s=1.0, most=1)
+    kept.record(node="node", incarnation="life", number=0, is_last=False, rows=[("id", data)])
     return kept.find("id")
 
 
@@ -262,7 +262,7 @@
 
 def _read_register_value(data: bytes) -> list:
     members, payload = ballots.unpack(data)
-    *former, _members = ballots.way(data)
+    *former, _members = ballots.member_sets(data)
     assert ballots.members_of(data) == members
     return [members, payload, *((former[0], ballots.moved_at(data)) if former else ())]
 
@@ -333,7 +333,7 @@
 def _pack_configuration(value) -> bytes:
     held, edition, body, mark = value
     candidate = orders.Candidate(base=orders.edition_of(held), edition=edition, body=body)
-    order = orders.Order(method="PUT", base=candidate.base, mark=mark, body=body, candidate=candidate)
+    order = orders.Order(method="PUT", base=candidate.base, order_id=mark, body=body, candidate=candidate)
     payload, _outcome = orders.edit_for(order=order, archived=0)(held)
     return _json_bytes(payload)
 
@@ -353,8 +353,8 @@
 def _pack_duties(value) -> bytes:
     held, rows = value
     made = []
-    table = coordinator.Duties(change=lambda *, name, edit, done: made.append(edit(held)))
-    table.take(rows={name: row for name, *row in rows})
+    table = coordinator.SingletonRoleTable(change=lambda *, name, edit, done: made.append(edit(held)))
+    table.acquire(rows={name: row for name, *row in rows})
     [(payload, _nothing)] = made
     return _json_bytes(payload)
 
@@ -401,7 +401,7 @@
     return _json_bytes(
         {
             "registers": register_names.REGISTERS,
-            "floored": register_names.FLOORED,
+            "floored": register_names.MINIMUM_VERSION_REGISTERS,
             "list": coordinator.LIST,
             "first set": catch_up.first_set_row(("a", "b"))[:6],
             "identity": acceptor_storage.IDENTITY,
@@ -425,7 +425,7 @@
 CODECS = {
     "reported rows": Codec(_pack_struct(row_codec.REPORTED), _read_struct(row_codec.REPORTED)),
     "load rows": Codec(_pack_loads, _read_struct(row_codec.LOAD)),
-    "lane rows": Codec(_pack_struct(row_codec.LANE), _read_struct(row_codec.LANE)),
+    "lane rows": Codec(_pack_struct(row_codec.OWNER_BIT), _read_struct(row_codec.OWNER_BIT)),
     "replica keys": Codec(b"".join, lambda data: row_codec.keys(data=data)),
     "reads": Codec(_pack_reads, _read_reads),
     "replica key": Codec(row_codec.key_of),
@@ -439,7 +439,7 @@
     "leases": Codec(_pack_leases, _read_leases),
     "custody trail": Codec(_pack_trail, _read_trail),
     "adapter counts": Codec(_pack_counts, _read_counts),
-    "platform row": Codec(lambda value: _json_bytes(platform_client.read_row(entry=value))),
+    "platform row": Codec(lambda value: _json_bytes(platform_client.read_row(platform_replica=value))),
     "replica list": Codec(_pack_list, _read_list, is_compressed=True),
     "replica list change": Codec(_pack_list_change, _read_list_change, is_compressed=True),
     "register value": Codec(_pack_register_value, _read_register_value, is_compressed=True),
--- a/ploverward/transport/test_golden_frames.py
+++ b/ploverward/transport/test_golden_frames.py
@@ -91,7 +91,7 @@
     size, number = HEAD.unpack_from(bytes.fromhex(entry["frame"]))
     body = bytes.fromhex(entry["frame"])[HEAD.size :]
     for other in (body + b"\0", body[:-1]):
-        with pytest.raises(errors.FrameProblem):
+        with pytest.raises(errors.FrameError):
             Representation.decode(frame=HEAD.pack(len(other), number) + other)
 
 
