--- a/ploverward/__init__.py
+++ b/ploverward/__init__.py
@@ -0,0 +1,1 @@
+"""ploverward: serves a language model across regions (docs/architecture.md)."""
--- a/ploverward/command_line/core_client.py
+++ b/ploverward/command_line/core_client.py
@@ -7,7 +7,6 @@
 
 from ploverward.common import errors
 
-
 NO_ANSWER = (307, 408, 429)  # besides 5xx; 307 stays only where nodes send on to each other
 
 
--- a/ploverward/command_line/main.py
+++ b/ploverward/command_line/main.py
@@ -157,6 +157,7 @@
 
 def _keep(folder: str, edition: str) -> int:
     import json
+
     from ploverward.command_line import keep
 
     repository = keep.ConfigurationRepository(folder=folder)
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -8,9 +8,9 @@
 import time
 
 from ploverward.common import errors
-from ploverward.simulation.control_plane import scenario
-from ploverward.simulation.control_plane import mutants
 from ploverward.simulation.control_plane import faults
+from ploverward.simulation.control_plane import mutants
+from ploverward.simulation.control_plane import scenario
 
 HASH_SEED = "0"
 MAX_REPORTED_SEEDS = 20  # broken seeds that are told with their findings
--- a/ploverward/command_line/test_core_client.py
+++ b/ploverward/command_line/test_core_client.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import core_client as callers
+from ploverward.common import errors
 
 
 def make(statuses):
--- a/ploverward/command_line/test_drill.py
+++ b/ploverward/command_line/test_drill.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import drill
+from ploverward.common import errors
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from ploverward.transport import http_server as http_servers
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import state as rollout_states
 from ploverward.simulation import loopback
-from ploverward.simulation.control_plane import scenario
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import scenario
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.transport import http_server as http_servers
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 CALLS = json.loads((FOLDER / "core_calls.json").read_text(encoding="utf-8"))
--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ploverward.common import tenant_usage
-from ploverward.data_plane.requests import serving
 from ploverward.data_plane.quotas import test_tenant_admission
+from ploverward.data_plane.requests import serving
 from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback
 
--- a/ploverward/command_line/test_keep.py
+++ b/ploverward/command_line/test_keep.py
@@ -1,7 +1,7 @@
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import keep
+from ploverward.common import errors
 
 
 def body(edition, **more):
--- a/ploverward/command_line/test_pins.py
+++ b/ploverward/command_line/test_pins.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import pins
+from ploverward.common import errors
 
 ZONES = {"z1": "north", "z2": "south"}
 CONFIGURATION = {"routes": [{"name": "chat", "homeRegions": [], "urgency": 0, "targetMs": 600}]}
--- a/ploverward/command_line/test_rollout.py
+++ b/ploverward/command_line/test_rollout.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import rollout
+from ploverward.common import errors
 
 ROW = {
     "condition": "in_service",
--- a/ploverward/command_line/test_tenants.py
+++ b/ploverward/command_line/test_tenants.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ploverward.common import errors
 from ploverward.command_line import tenants
+from ploverward.common import errors
 
 ROW = {"keys": ["digest:ab"], "perS": 5, "burst": 5, "homeRegions": [], "level": 4.5, "depth": 9.0}
 
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -12,10 +12,10 @@
 
 from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.adapter_cache import pin_suggestion
+from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.load_balancing import replica_table
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import simulated_world
 
--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -7,9 +7,9 @@
 
 from ploverward.common import event_log
 from ploverward.control_plane.cluster import singleton_roles
+from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.consensus import ballots
 
 WATCH = "watch"
 LIST = "list"  # the topic of the platform's list
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -2,14 +2,13 @@
 
 from ploverward.common import event_log
 from ploverward.common import tenant_usage
+from ploverward.control_plane.cluster import coordinator as coordinators
 from ploverward.control_plane.cluster import majority_lease
 from ploverward.control_plane.cluster import voting_set
-from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.cluster import coordinator as coordinators
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.rollouts import evidence_table
 
-
 UNKNOWN_AGE_S = 1e6  # of a configuration of which this node knows nothing certain
 
 
--- a/ploverward/control_plane/cluster/test_voting_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -6,10 +6,10 @@
 import pytest
 
 from ploverward.control_plane.cluster import majority_lease
-from ploverward.control_plane.cluster import voting_set
-from ploverward.control_plane.quotas import share_leases
 from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.quotas import share_leases
 
 LEASE_S = 1.5
 SHARE_LEASE_S = 1.5
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -9,8 +9,8 @@
 import dataclasses
 
 from ploverward.common import event_log
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import register_names
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -8,9 +8,9 @@
 import hashlib
 
 from ploverward.common import errors
-from ploverward.control_plane.configuration import schema
-from ploverward.control_plane.configuration import patch
 from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import patch
+from ploverward.control_plane.configuration import schema
 
 RECENT_KEPT = 64  # marks that stay in the value although the archive has them
 ARCHIVE_FROM = 64  # marks that the archive lacks from which on they are put there
--- a/ploverward/control_plane/configuration/test_parser.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies
 
 from ploverward.common import errors
-from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import orders
-from ploverward.control_plane.configuration import patch as patchs
 from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import patch as patchs
+from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import test_schema
 
 GOOD = test_schema.GOOD
--- a/ploverward/control_plane/configuration/test_schema.py
+++ b/ploverward/control_plane/configuration/test_schema.py
@@ -6,10 +6,10 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import orders
-from ploverward.control_plane.configuration import patch as patchs
 from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import patch as patchs
+from ploverward.control_plane.configuration import schema
 
 GOOD = {
     "edition": 7,
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -2,13 +2,13 @@
 
 from ploverward.common import errors
 from ploverward.common import event_log
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
-from ploverward.control_plane.consensus import write_ahead_log
-from ploverward.control_plane.consensus import proposer as proposers
 from ploverward.control_plane.consensus import catch_up
-from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import proposer as proposers
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import write_ahead_log
 
 ATTEMPT_TIMEOUT_SHARE = 1 / 10  # of receiptMs: how long an attempt waits for a majority
 LIMIT_SHARE = 1 / 2  # of receiptMs: how long a round is tried again
--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -3,14 +3,14 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
-from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import catch_up as refills
-from ploverward.control_plane.consensus import acceptor_storage
-from ploverward.simulation import linearizability
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import register_names
 from ploverward.simulation import consensus_cluster
+from ploverward.simulation import linearizability
 
 SEEDS = ("a", "b", "c")
 MOVED = ("b", "c", "d")
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -4,9 +4,9 @@
 
 from ploverward.common import errors
 from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import proposer
-from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.simulation import linearizability
 from ploverward.simulation import simulated_world
 
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import acceptor as acceptors
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import write_ahead_log
-from ploverward.control_plane.consensus import acceptor_storage
-from ploverward.simulation import linearizability
 from ploverward.simulation import consensus_cluster
+from ploverward.simulation import linearizability
 
 SEEDS = ("a", "b", "c")
 DISK_FAULTS = ("refuse", "full", "sync", "rename", "folder", "hang")
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -14,17 +14,17 @@
 
 import pytest
 
-from ploverward.control_plane.configuration import order_archive
+from ploverward.command_line import keep
 from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders as configuration_orders
 from ploverward.control_plane.consensus import acceptor as acceptors
-from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.rollouts import orders as rollout_orders
 from ploverward.control_plane.rollouts import state
-from ploverward.command_line import keep
-from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -2,19 +2,19 @@
 
 from ploverward.common import errors
 from ploverward.common import event_log
-from ploverward.control_plane.quotas import share_leases
-from ploverward.control_plane.cluster import majority_lease
-from ploverward.control_plane.cluster import voting_set
-from ploverward.control_plane.operator_api import interfaces
-from ploverward.control_plane.cluster import peer_sessions
-from ploverward.control_plane.quotas import quota_meter
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane import node_runtime
-from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.configuration import evacuations
-from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.operator_api import interfaces
+from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.quotas import share_leases
 from ploverward.control_plane.rollouts import manager
 
 LEAVE_SHARE = 0.85  # of graceS: a leaving node ends by then, whatever is under way
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -1,9 +1,9 @@
 """Look-ups of clients and the views that operator tools read (design 4, 10)."""
 
 from ploverward.common import residency
-from ploverward.control_plane.operator_api import router
-from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.operator_api import router
 
 MAX_ADDRESSES = 64  # the protocol's figure
 RETRY_LATER = ((b"Retry-After", b"1"),)
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -5,10 +5,11 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.transport import frames
 from ploverward.control_plane.discovery import platform_client
-from ploverward.control_plane.distribution import publisher as desks
 from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 PLATFORM_REPLICA = {
     "id": "i",
@@ -80,7 +81,7 @@
         self.waiting = []
 
     def send(self, message):
-        self.waiting.append(frames.unpack(frames.pack(message)))
+        self.waiting.append(legacy_messages.unpack(frames.pack(message)))
 
 
 class Publisher:
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -9,12 +9,12 @@
 import signal
 import uuid
 
-from ploverward.transport import http_server as http_servers
-from ploverward.transport import peer_connection
-from ploverward.transport import event_loop
 from ploverward.common import settings
-from ploverward.control_plane.discovery import platform_client
 from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.discovery import platform_client
+from ploverward.transport import event_loop
+from ploverward.transport import http_server as http_servers
+from ploverward.transport import peer_connection
 
 DEFAULT_FOLDER = "/tmp"
 ID_DIGITS = 12
--- a/ploverward/control_plane/operator_api/interfaces.py
+++ b/ploverward/control_plane/operator_api/interfaces.py
@@ -3,12 +3,12 @@
 import dataclasses
 import typing
 
-from ploverward.transport import http_server as http_servers
 from ploverward.control_plane.discovery import directory
 from ploverward.control_plane.operator_api import order_handlers
 from ploverward.control_plane.operator_api import reports
 from ploverward.control_plane.operator_api import router
 from ploverward.control_plane.operator_api import tenant_views
+from ploverward.transport import http_server as http_servers
 
 HEAD_BYTES = 65536
 BODY_BYTES = 16 * 1024 * 1024
--- a/ploverward/control_plane/operator_api/order_handlers.py
+++ b/ploverward/control_plane/operator_api/order_handlers.py
@@ -4,11 +4,11 @@
 
 from ploverward.common import errors
 from ploverward.common import event_log
-from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.operator_api import router
-from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders as configuration_orders
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.operator_api import router
 from ploverward.control_plane.rollouts import orders as rollout_orders
 from ploverward.control_plane.rollouts import state
 
--- a/ploverward/control_plane/operator_api/reports.py
+++ b/ploverward/control_plane/operator_api/reports.py
@@ -1,9 +1,9 @@
 """Adapter counts and custody trails that proxies report, for operators (docs/pins.md, docs/residency.md)."""
 
-from ploverward.control_plane.operator_api import router
 from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.audit import trail_store
 from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.operator_api import router
 
 CUSTODY_CONTACTS = 720  # trails are kept for so many contactMs: an hour, at 5 s
 TRAILS_PER_MB = 60  # of the process's memory
--- a/ploverward/control_plane/operator_api/test_applying.py
+++ b/ploverward/control_plane/operator_api/test_applying.py
@@ -2,8 +2,8 @@
 
 import types
 
-from ploverward.control_plane.operator_api import order_handlers
 from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.operator_api import order_handlers
 from ploverward.simulation import simulated_world
 
 MAX_WAIT_S = 0.9
--- a/ploverward/control_plane/operator_api/test_order_handlers.py
+++ b/ploverward/control_plane/operator_api/test_order_handlers.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import evacuations
-from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.consensus import proposer
-from ploverward.simulation import order_simulation
 from ploverward.simulation import order_history
+from ploverward.simulation import order_simulation
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/ploverward/control_plane/operator_api/test_rollout_calls.py
+++ b/ploverward/control_plane/operator_api/test_rollout_calls.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.control_plane.operator_api import order_handlers
 from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.operator_api import order_handlers
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import state
 
--- a/ploverward/control_plane/quotas/test_share_leases.py
+++ b/ploverward/control_plane/quotas/test_share_leases.py
@@ -9,11 +9,12 @@
 
 from ploverward.common import errors
 from ploverward.common import settings
-from ploverward.transport import frames
-from ploverward.control_plane.quotas import share_leases
 from ploverward.control_plane.discovery import platform_client
 from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.quotas import share_leases
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 
 class Wire:
@@ -113,7 +114,7 @@
     got = []
     for start in range(0, len(data), 7):
         buffer += data[start : start + 7]
-        got += frames.unpack_from(buffer)
+        got += legacy_messages.unpack_from(buffer)
     assert got == messages and not buffer
 
 
@@ -128,7 +129,7 @@
 )
 def test_malformed_frames_are_frame_errors(data):
     with pytest.raises(errors.FrameError):
-        frames.unpack_from(bytearray(data))
+        legacy_messages.unpack_from(bytearray(data))
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -137,10 +138,10 @@
     data = bytearray(frames.pack(("offer", (("spec", 0, 3),))))
     data[chance.randrange(4, len(data))] ^= 1 << chance.randrange(8)
     try:
-        messages = frames.unpack_from(data)
+        messages = legacy_messages.unpack_from(data)
     except errors.FrameError:
         return
-    assert all(message[0] in frames.KINDS for message in messages)
+    assert all(message[0] in legacy_messages.KINDS for message in messages)
 
 
 def test_settings_skip_unknown_fields_and_name_what_is_missing():
@@ -262,4 +263,4 @@
             )
         )
     assert {"renew", "entry", "heartbeat", "have", "beat"} <= sent
-    assert sent <= set(frames.KINDS)
+    assert sent <= set(legacy_messages.KINDS)
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -7,16 +7,16 @@
 import collections
 import dataclasses
 
-from ploverward.common import rollout_evidence
-from ploverward.transport import row_codec
 from ploverward.common import event_log
+from ploverward.common import rollout_evidence
 from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.rollouts import evidence_table
 from ploverward.control_plane.rollouts import judge
 from ploverward.control_plane.rollouts import leases
-from ploverward.control_plane.rollouts import evidence_table
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import planner
 from ploverward.control_plane.rollouts import state
+from ploverward.transport import row_codec
 
 LEASE_PART = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
 SETTLED_RECEIPTS = 4  # an order may come again for receiptMs; after so many it is a new one
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -5,8 +5,8 @@
 import pydantic
 
 from ploverward.common import errors
-from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.rollouts import state
 
 MAX_NAME_LENGTH = 200  # characters
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -5,8 +5,8 @@
 import math
 
 from ploverward.common import rollout_evidence
-from ploverward.transport import row_codec
 from ploverward.control_plane.rollouts import state
+from ploverward.transport import row_codec
 
 PROMOTE_PART = 0.55  # of the term: a version may turn bad late
 JUDGED_S = 4.5  # the least time from the first answer of the new version to its promotion
--- a/ploverward/control_plane/rollouts/test_rollouts.py
+++ b/ploverward/control_plane/rollouts/test_rollouts.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from ploverward.common import rollout_evidence
 from ploverward.common import errors
-from ploverward.transport import row_codec
-from ploverward.control_plane.rollouts import manager
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import evidence_table as ledgers
 from ploverward.control_plane.rollouts import judge as judges
 from ploverward.control_plane.rollouts import leases
-from ploverward.control_plane.rollouts import evidence_table as ledgers
+from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import planner
 from ploverward.control_plane.rollouts import state
+from ploverward.transport import row_codec
 
 ORDER = orders.Order(service="pool", target="v2", over_s=16.0)
 OTHER = orders.Order(service="pool", target="v3", over_s=16.0)
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.discovery import platform_client
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.adapter_cache import adapter_usage
-from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.load_balancing import replica_table
 
 ADAPTERS = {"drafts": {"m"}, "reviews": {"m"}, "both": {"m", "n"}}
 
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -1,18 +1,17 @@
 """Following the core: held connections, news, leases, grant entries, and when to serve (design 4, 5, 8)."""
 
-from ploverward.transport import http_server
-from ploverward.transport import peer_connection
-from ploverward.common import residency
 from ploverward.common import event_log
+from ploverward.common import residency
 from ploverward.common import tenant_usage
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.cluster import coordinator as coordinators
-from ploverward.control_plane.distribution import publisher
-from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.rollouts import leases
 from ploverward.data_plane.requests import route_table
-
+from ploverward.transport import http_server
+from ploverward.transport import peer_connection
 
 MAX_PENDING_RENEWALS = 16  # entries that answer older renewals have run out
 
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -2,10 +2,10 @@
 
 import types
 
-from ploverward.transport import event_loop
 from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.load_reports import relay_client
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import event_loop
 
 
 def make():
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -3,12 +3,11 @@
 import collections
 import math
 
-from ploverward.transport import row_codec
-from ploverward.data_plane.upstream import upstream_connection
-from ploverward.data_plane.load_balancing import replica_subset
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.load_balancing import replica_subset
 from ploverward.data_plane.relay import cuckoo_filter
-
+from ploverward.data_plane.upstream import upstream_connection
+from ploverward.transport import row_codec
 
 MAX_CONCURRENT_PROBES = 24  # suspects to which connections are opened at a time
 
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from ploverward.transport import event_loop
-from ploverward.transport import row_codec
 from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.relay import mirror
-from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_balancing import replica_subset
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import event_loop
+from ploverward.transport import row_codec
 
 SERVICES = {"llm": {"warmup_s": 0.0, "cache_tokens": 100000, "max_conns": 1000, "models": ("m",)}}
 CHAIN = cuckoo_filter.chain(model="m", parts=(("doc", 3000), ("own", 100)))
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -7,12 +7,13 @@
 import collections
 import dataclasses
 
-from ploverward.transport import peer_connection
 from ploverward.common import errors
 from ploverward.common import event_log
-from ploverward.transport import frames
-from ploverward.data_plane.load_reports import fanout
 from ploverward.data_plane.load_reports import aggregates
+from ploverward.data_plane.load_reports import fanout
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+from ploverward.transport import peer_connection
 
 OWN = "own"  # the proxy itself, as a member of its own sums
 MAX_CUT_BYTES_PER_TICK = (
@@ -165,7 +166,7 @@
         elif not self._is_enrolled or message[1] not in self._by_gateway:
             return
         elif kind == "relayed":
-            self._publish(message[1], link, frames.unpack(message[2]), message[2])
+            self._publish(message[1], link, legacy_messages.unpack(message[2]), message[2])
         elif kind == "credited":
             self._credit(message[1], message[2])
         elif kind == "broke":
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
-from ploverward.transport import row_codec
-from ploverward.transport import frames
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
+from ploverward.transport import frames
+from ploverward.transport import row_codec
 
 
 @dataclasses.dataclass
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -2,18 +2,18 @@
 
 import random
 
-from ploverward.transport import peer_connection
 from ploverward.common import errors
-from ploverward.transport import row_codec
 from ploverward.common import event_log
-from ploverward.transport import frames
 from ploverward.control_plane.cluster import singleton_roles
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.load_reports import digest
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.relay import gateway as gateways
 from ploverward.data_plane.relay import host
+from ploverward.data_plane.relay import mirror
+from ploverward.transport import legacy_messages
+from ploverward.transport import peer_connection
+from ploverward.transport import row_codec
 
 MAX_ADAPTER_ROWS = 2000
 SOLO_DELAY_SHARE = (0.25, 0.75)  # of silence_s: how long a proxy waits for its zone's digest before it goes on alone
@@ -196,7 +196,7 @@
             return
         elif kind == "relayed":
             if message[1] in self.regions:
-                self._apply_publication(message[1], link, frames.unpack(message[2]))
+                self._apply_publication(message[1], link, legacy_messages.unpack(message[2]))
         elif kind == "credited":
             self.source.credit(region=message[1], number=message[2])
         elif kind == "broke":
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -2,9 +2,9 @@
 
 import collections
 
-from ploverward.transport import row_codec
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import resolution
+from ploverward.transport import row_codec
 
 SENT, READ, DONE, BROKEN, FAILED = 0, 1, 2, 3, 4
 MAX_READS = 4000
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -3,14 +3,15 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.transport import row_codec
-from ploverward.transport import frames
-from ploverward.data_plane.relay import mirror
-from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.load_reports import aggregates
+from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.relay import host as hosts
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import recording_connections
 from ploverward.simulation import simulated_world
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+from ploverward.transport import row_codec
 
 REGIONS = ("north", "south")
 
@@ -46,7 +47,9 @@
         self.region = region
         self.is_open = True
         self.up = LinkDirection(world=owner.scene.world, act=self._take)
-        self.down = LinkDirection(world=owner.scene.world, act=lambda data: owner.heard(self, frames.unpack(data)))
+        self.down = LinkDirection(
+            world=owner.scene.world, act=lambda data: owner.heard(self, legacy_messages.unpack(data))
+        )
         self.host = owner.scene.hosts[region]
         self.host.subscribe(self, region=owner.region, zone="z", zone_epoch=owner.epoch)
 
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -4,13 +4,14 @@
 
 import pytest
 
-from ploverward.transport import row_codec
-from ploverward.transport import frames
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.load_reports import fanout as fanouts
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import recording_connections
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+from ploverward.transport import row_codec
 
 KEYS = [row_codec.key_of(f"i{number}") for number in range(40)]
 
@@ -29,9 +30,9 @@
         self.region.take(("catalogue", 1, ()))
 
     def send_bytes(self, data):
-        kind, _region, frame = frames.unpack(data)
+        kind, _region, frame = legacy_messages.unpack(data)
         assert kind == "relayed"
-        self.region.take(frames.unpack(frame))
+        self.region.take(legacy_messages.unpack(frame))
         self.sent.append(frame)
 
 
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -7,16 +7,17 @@
 
 import pytest
 
-from ploverward.transport import frames
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.load_reports import relay_client
-from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_reports import digest as digests
+from ploverward.data_plane.load_reports import relay_client
 from ploverward.data_plane.load_reports import report_source
-from ploverward.simulation import loopback_proxy
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 ROWS = [
     {
@@ -515,7 +516,10 @@
     sent = []
     send_bytes = type(next(iter(owner.digest.fanout.members))).send_bytes
     for link in owner.digest.fanout.members:
-        link.send_bytes = lambda data, link=link: (sent.append((id(link), frames.unpack(data))), send_bytes(link, data))
+        link.send_bytes = lambda data, link=link: (
+            sent.append((id(link), legacy_messages.unpack(data))),
+            send_bytes(link, data),
+        )
     for link in owner.digest.fanout.members:
         for name in owner.regions["north"].mirrors:
             owner.digest._queue_cut(link, "north", name)
@@ -528,7 +532,7 @@
     kinds = {}
     for link, message in sent:
         if message[0] == "relayed" and message[1] == "north":
-            kinds.setdefault(link, []).append(frames.unpack(message[2])[0])
+            kinds.setdefault(link, []).append(legacy_messages.unpack(message[2])[0])
     for sent_kinds in kinds.values():
         assert (
             "cut" in sent_kinds and "delta" not in sent_kinds[: sent_kinds.index("cut")]
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -4,21 +4,21 @@
 import signal
 import uuid
 
-from ploverward.transport import event_loop
 from ploverward.common import errors
 from ploverward.common import event_log
 from ploverward.common import settings as settings_files
+from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_reports import relay_client
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import custody_trails
-from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.requests import graceful_shutdown
-from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.load_reports import relay_client
-from ploverward.data_plane.load_balancing import replica_table
-from ploverward.data_plane.rollouts import version_routing
 from ploverward.data_plane.requests import route_table
 from ploverward.data_plane.requests import serving
-from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.transport import event_loop
 
 
 class Proxy(core_sessions.FollowMixin, relay_client.RelayMixin, serving.ServeMixin):
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from ploverward.transport import event_loop
 from ploverward.control_plane.quotas import share_leases
 from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import event_loop
 
 SERVICES = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
 
--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -6,9 +6,9 @@
 
 from ploverward.common import tenant_usage
 from ploverward.control_plane.cluster import majority_lease
+from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import route_table
-from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import simulated_world
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -4,8 +4,8 @@
 import collections
 import itertools
 
-from ploverward.transport import row_codec
 from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.transport import row_codec
 
 BUCKET_COUNT = 1024  # to begin with, at least
 MAX_INITIAL_BUCKETS = 1 << 14
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -1,8 +1,8 @@
 """The gateway of a region, beside its relay: one stream each way between two regions (docs/scale.md 3)."""
 
 from ploverward.control_plane.cluster import singleton_roles
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.load_reports import digest
+from ploverward.data_plane.relay import mirror
 
 
 class Gateway:
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -7,15 +7,15 @@
 import math
 
 from ploverward.common import errors
-from ploverward.transport import row_codec
 from ploverward.common import event_log
-from ploverward.transport import frames
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
 from ploverward.data_plane.relay import outcomes
 from ploverward.data_plane.relay import pool_registry
 from ploverward.data_plane.relay import resolution
+from ploverward.transport import frames
+from ploverward.transport import row_codec
 
 FAR_TICKS = 2  # what is told crosses regions so much less often
 MIN_LOAD_ROWS = 16  # loads told at a time, whatever the size of the region
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -4,10 +4,10 @@
 import itertools
 
 from ploverward.common import errors
-from ploverward.transport import row_codec
 from ploverward.data_plane.relay import actor
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
+from ploverward.transport import row_codec
 
 ASSUMED_OWNERS_SHARE = 0.5  # of a wide pool's replicas: a part that so many keep is taken to be kept by all
 
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,11 +1,11 @@
 """The catalogue of live pool generations (docs/relay.md 4). Withdrawal always comes before teardown."""
 
 from ploverward.common import errors
-from ploverward.transport import row_codec
 from ploverward.common import event_log
 from ploverward.data_plane.relay import actor as actors
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub as hubs
+from ploverward.transport import row_codec
 
 
 class Pool:
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from ploverward.transport import row_codec
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.relay import cuckoo_filter
-from ploverward.simulation import loopback_proxy
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
+from ploverward.transport import row_codec
 
 ZONES = ("za", "za", "zb", "zb", "za")
 CHAIN = cuckoo_filter.chain(model="m", parts=(("aa", 100), ("bb", 200)))
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -5,15 +5,15 @@
 import pytest
 
 from ploverward.common import errors
-from ploverward.transport import row_codec
-from ploverward.data_plane.relay import mirror as mirrors
 from ploverward.data_plane.relay import actor as actors
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import host as hosts
 from ploverward.data_plane.relay import hub as hubs
+from ploverward.data_plane.relay import mirror as mirrors
 from ploverward.data_plane.relay import pool_registry
 from ploverward.data_plane.relay import resolution
 from ploverward.simulation import recording_connections
+from ploverward.transport import row_codec
 
 SERVICES = {"llm": {"models": ("m",), "cache_tokens": 1000}}
 
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -2,13 +2,13 @@
 
 import random
 
-from ploverward.transport import http_server
 from ploverward.common import event_log
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.requests import custody_trails
-from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import event_streams
-from ploverward.data_plane.load_reports import report_source
+from ploverward.transport import http_server
 
 BUFFER_LIMIT = 512 * 1024
 LIMITED_STATUSES = (408, 421, 429, 503)
--- a/ploverward/data_plane/requests/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -1,9 +1,9 @@
 """Serving: listeners, readiness, what attempts tell of replicas, and leaving (design 7, 9)."""
 
-from ploverward.transport import http_server
 from ploverward.common import event_log
 from ploverward.data_plane.requests import graceful_shutdown
 from ploverward.data_plane.requests import request_handler
+from ploverward.transport import http_server
 
 
 class ServeMixin:
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -11,15 +11,15 @@
 import h11
 import pytest
 
-from ploverward.transport import http_server
 from ploverward.data_plane.requests import attempts
-from ploverward.data_plane.upstream import upstream_connection
+from ploverward.data_plane.requests import event_streams
 from ploverward.data_plane.requests import request_handler
 from ploverward.data_plane.requests import route_table
 from ploverward.data_plane.requests import serving
-from ploverward.data_plane.requests import event_streams
-from ploverward.simulation import loopback_proxy
+from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
+from ploverward.transport import http_server
 
 PROMISES = (408, 421, 429, 503)
 TRIES = {row["name"]: row["tries"] for row in loopback_proxy.CONFIGURATION["routes"]}
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ploverward.simulation import loopback_proxy
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
 
 
 def request_id(heard: bytes, nth: int = -1) -> bytes:
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from ploverward.data_plane.upstream import upstream_connection
 from ploverward.data_plane.load_balancing import replica_table
-from ploverward.data_plane.requests import serving
+from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.requests import event_streams
+from ploverward.data_plane.requests import serving
 from ploverward.data_plane.requests import test_request_path
-from ploverward.data_plane.load_reports import report_source
-from ploverward.simulation import loopback_proxy
+from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
 
 END = test_request_path.END
 NOT_RUN = b"X-Not-Run: 1\r\n"
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -8,10 +8,10 @@
 import pytest
 
 from ploverward.control_plane.audit import trail_audit
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.relay import host
-from ploverward.simulation import loopback_proxy
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
 from ploverward.simulation import recording_connections
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from ploverward.transport import peer_connection
-from ploverward.data_plane.requests import test_request_path
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.relay import outcomes
+from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback
+from ploverward.transport import peer_connection
 
 KEY = b"replica1"
 
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -7,12 +7,12 @@
 import pytest
 
 from ploverward.common import rollout_evidence
-from ploverward.transport import row_codec
 from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.rollouts import version_routing
-from ploverward.data_plane.load_reports import report_source
+from ploverward.transport import row_codec
 
 CANARY = state.Rollout(
     admitted=("v1",), target="v2", over_s=16.0, stage=state.Stage.CANARY, number=1, step=2, age_s=0.0
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -9,8 +9,8 @@
 
 from ploverward.common import rollout_evidence
 from ploverward.control_plane.rollouts import state
-from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.requests import attempts
 
 MAX_CREDIT = 1.5  # requests that may be saved up while no replica of the new version can be named
 FULL_SHARE = 0.999
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -13,25 +13,26 @@
 import time
 import tracemalloc
 
-from ploverward.transport import row_codec
-from ploverward.transport import frames
 from ploverward.control_plane.cluster import singleton_roles
-from ploverward.control_plane.quotas import share_leases
-from ploverward.control_plane.distribution import publisher as desks
 from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.quotas import share_leases
 from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.relay import mirror
-from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_balancing import replica_subset
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_reports import aggregates
 from ploverward.data_plane.load_reports import fanout as fanouts
 from ploverward.data_plane.load_reports import report_source
-from ploverward.data_plane.load_reports import aggregates
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import host as hosts
 from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import mirror
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import recording_connections
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+from ploverward.transport import row_codec
 
 TURNS = 3
 # The operators' target, from their page: sizes only, no constant of any code.
@@ -301,7 +302,7 @@
     region.take(("catalogue", 1, ()))
     data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in rows(count))
     frame = frames.pack(("relayed", "north", frames.pack(("load", 1, False, data))))
-    return clocked(lambda: region.take(frames.unpack(frames.unpack(frame)[2])), repeats=20)
+    return clocked(lambda: region.take(legacy_messages.unpack(legacy_messages.unpack(frame)[2])), repeats=20)
 
 
 def report_time(count: int) -> float:
@@ -352,7 +353,9 @@
         number[0] += 1
         publisher.publish(topic="spec", epoch=0, number=number[0], data=b"")
         for link in links:
-            publisher.handle_acknowledgement(link, frames.unpack(frames.pack(("have", (("spec", 0, number[0]),)))))
+            publisher.handle_acknowledgement(
+                link, legacy_messages.unpack(frames.pack(("have", (("spec", 0, number[0]),))))
+            )
 
     return clocked(change, repeats=3)
 
--- a/ploverward/simulation/consensus_cluster.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -5,9 +5,9 @@
 """
 
 from ploverward.common import errors
-from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
 from ploverward.simulation import simulated_files
 from ploverward.simulation import simulated_world
 
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -5,8 +5,8 @@
 
 from ploverward.common import settings as settings_files
 from ploverward.control_plane import core_node
-from ploverward.control_plane.discovery import platform_client
 from ploverward.control_plane import node_runtime
+from ploverward.control_plane.discovery import platform_client
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -9,20 +9,20 @@
 import typing
 from unittest import mock
 
+from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import majority_lease
-from ploverward.control_plane.cluster import voting_set
-from ploverward.control_plane.quotas import share_leases
 from ploverward.control_plane.cluster import peer_sessions
-from ploverward.control_plane.consensus import consensus_node
-from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders
-from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.consensus import acceptor
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
-from ploverward.control_plane.consensus import write_ahead_log
+from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import proposer
-from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import write_ahead_log
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.quotas import share_leases
 from ploverward.simulation.control_plane import scenario
 
 
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -3,14 +3,14 @@
 It follows ploverward/data_plane/control_client/core_sessions.py, without the traffic. What it holds is what the checks of news and grants look at.
 """
 
+from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.distribution import publisher
 from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.quotas import shared_limits
-from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
 
 
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -4,8 +4,8 @@
 import functools
 import json
 
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import register_names
 
 EPSILON = 1e-6
 MAX_FINDINGS = 3  # of one check on one day
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -6,14 +6,14 @@
 import time
 
 from ploverward.simulation.control_plane import checks
-from ploverward.simulation.control_plane import simulated_clock
-from ploverward.simulation.control_plane import simulated_disk
+from ploverward.simulation.control_plane import faults
 from ploverward.simulation.control_plane import machines as model_machines
-from ploverward.simulation.control_plane import simulated_network
 from ploverward.simulation.control_plane import operators
 from ploverward.simulation.control_plane import proxies
 from ploverward.simulation.control_plane import recorder as recorders
-from ploverward.simulation.control_plane import faults
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_disk
+from ploverward.simulation.control_plane import simulated_network
 
 SIZES = (3, 5, 6, 7)
 START_SPREAD_S = 0.3
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -8,8 +8,9 @@
 import functools
 import math
 
-from ploverward.transport import frames
 from ploverward.simulation.control_plane import simulated_clock
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 OPEN, OPENED, END, RESET = "open", "opened", "end", "reset"
 NEAR_S = (0.0005, 0.004)
@@ -17,7 +18,7 @@
 GRAIN_S = 1e-6
 RETRY_S = (0.0, 0.2)  # what a cut held back is sent again
 pack = functools.lru_cache(maxsize=8192)(frames.pack)
-unpack = functools.lru_cache(maxsize=8192)(frames.unpack)
+unpack = functools.lru_cache(maxsize=8192)(legacy_messages.unpack)
 
 
 class Network:
--- a/ploverward/simulation/control_plane/test_simulation.py
+++ b/ploverward/simulation/control_plane/test_simulation.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
-from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_network
 
 PEER_TIMEOUT_S = 0.8
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -5,8 +5,8 @@
 import socket
 import time
 
-from ploverward.transport import http_server
 from ploverward.transport import event_loop
+from ploverward.transport import http_server
 
 WAIT_TIMEOUT_S = 10.0
 SOCKET_WAIT_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -2,20 +2,20 @@
 
 import dataclasses
 
-from ploverward.transport import http_server
 from ploverward.common import settings as settings_files
-from ploverward.data_plane.load_balancing import replica_chooser
-from ploverward.data_plane.requests import custody_trails
-from ploverward.data_plane.requests import request_handler
+from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.control_client import core_sessions
-from ploverward.data_plane.requests import graceful_shutdown
-from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
-from ploverward.data_plane.rollouts import version_routing
+from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.requests import graceful_shutdown
+from ploverward.data_plane.requests import request_handler
 from ploverward.data_plane.requests import route_table
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.rollouts import version_routing
 from ploverward.simulation import loopback
+from ploverward.transport import http_server
 
 SETTINGS = """
 node=p1
--- a/ploverward/simulation/model_checker.py
+++ b/ploverward/simulation/model_checker.py
@@ -27,8 +27,8 @@
 
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import ballots
-from ploverward.control_plane.consensus import proposer as proposers
 from ploverward.control_plane.consensus import catch_up as refills
+from ploverward.control_plane.consensus import proposer as proposers
 
 REGISTER = "r"
 FIRST_TAG = "v"
--- a/ploverward/simulation/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -7,9 +7,9 @@
 import time
 
 from ploverward.control_plane.configuration import order_archive
-from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import orders
 from ploverward.control_plane.configuration import parser
+from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.consensus import ballots
 
 MEMBERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -7,13 +7,13 @@
 import sys
 import types
 
-from ploverward.control_plane.operator_api import order_handlers
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.configuration import orders
-from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.consensus import acceptor
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.operator_api import order_handlers
 from ploverward.simulation import order_history
 from ploverward.simulation import simulated_world
 
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -1,9 +1,10 @@
 """Links that keep what they are told, and frames as digests send them, for tests."""
 
-from ploverward.transport import row_codec
-from ploverward.transport import frames
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import resolution
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+from ploverward.transport import row_codec
 
 
 class RecordingLink:
@@ -18,7 +19,7 @@
         self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data):
-        self.sent.append(frames.unpack(data))
+        self.sent.append(legacy_messages.unpack(data))
 
     def queued(self):
         return self.queue
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -18,12 +18,13 @@
 import tempfile
 import time
 
-from ploverward.transport import frames
-from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import acceptor
-from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import proposer
+from ploverward.control_plane.consensus import register_names
 from ploverward.simulation import consensus_cluster
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 CHANGES = (0, 100, 1000, 4100)
 ROUTES = (10, 100, 500, 2000)
@@ -147,7 +148,7 @@
             return message
         frame = self.meter.timed("frames", lambda: frames.pack(message))
         self.meter.bytes[message[0]] += len(frame)
-        return self.meter.timed("frames", lambda: frames.unpack(frame))
+        return self.meter.timed("frames", lambda: legacy_messages.unpack(frame))
 
     def change(self, *, edit, name=NAME) -> None:
         self.proposer.change(name=name, edit=edit, done=lambda *_row: None)
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -3,13 +3,13 @@
 
 import collections
 
-from ploverward.transport import row_codec
-from ploverward.control_plane.rollouts import manager
-from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import leases
+from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.rollouts import planner
-from ploverward.data_plane.rollouts import version_routing
 from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.transport import row_codec
 
 SERVICE, FORMER, NEW = "pool", "v1", "v2"
 CONTACT_S = 6.0
--- a/ploverward/simulation/stand_in.py
+++ b/ploverward/simulation/stand_in.py
@@ -16,10 +16,10 @@
 import urllib.request
 import uuid
 
-from ploverward.transport import http_server
-from ploverward.transport import event_loop
 from ploverward.simulation import loopback
 from ploverward.simulation import stand_in_versions
+from ploverward.transport import event_loop
+from ploverward.transport import http_server
 
 REGIONS = ("north", "south", "west")
 BOUNDS = {
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from ploverward.control_plane.rollouts import manager
-from ploverward.control_plane.rollouts import judge
 from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import judge
+from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.rollouts import planner
 from ploverward.control_plane.rollouts import state
 from ploverward.data_plane.rollouts import version_routing
--- a/ploverward/testing/test_known_failures.py
+++ b/ploverward/testing/test_known_failures.py
@@ -72,8 +72,7 @@
         ({"failed": [BROKEN], "code": 1}, 1, []),
         ({"listed": [BROKEN], "failed": [BROKEN], "code": 1}, 0, [f"known failure: {BROKEN}: a cause (#1)"]),
         ({"listed": [BROKEN], "failed": [BROKEN, SOUND], "code": 1}, 1, ["known failure"]),
-        ({"listed": [SOUND], "passed": [SOUND]}, 1, ["known failure", f"but passes: {SOUND}"],
-    ids=["none listed", "both listed"]),
+        ({"listed": [SOUND], "passed": [SOUND]}, 1, ["known failure", f"but passes: {SOUND}"]),
         ({"listed": [BROKEN]}, 1, ["known failure", f"but did not run: {BROKEN}"]),
         ({"listed": [BROKEN], "places": ["cases/second"]}, 0, []),
         ({"listed": [BROKEN], "places": ["."]}, 1, ["known failure", "but did not run"]),
@@ -92,7 +91,7 @@
         assert part in line
 
 
-def run_simulation(folder: pathlib.Path, *arguments: str, tests: str = TESTS, listed: str = ""):
+def run_tests(folder: pathlib.Path, *arguments: str, tests: str = TESTS, listed: str = ""):
     """Runs the runner on two folders of tests, of which only the first has these."""
     for name, text in (("first/test_a.py", tests), ("second/test_b.py", "def test_other():\n    pass\n")):
         path = folder / "cases" / name
@@ -114,7 +113,7 @@
 
 @pytest.mark.parametrize("workers", ["0", "2"])
 def test_just_the_listed_failure_is_passed_over(workers, tmp_path):
-    ended = run_simulation(tmp_path, "-n", workers, listed=f"{BROKEN} | a cause | #1\n")
+    ended = run_tests(tmp_path, "-n", workers, listed=f"{BROKEN} | a cause | #1\n")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert "1 failed, 2 passed in " in ended.stdout
     assert f"known failure: {BROKEN}: a cause (#1)" in ended.stdout
@@ -122,33 +121,35 @@
 
 @pytest.mark.parametrize("workers", ["0", "2"])
 @pytest.mark.parametrize(
-    "listed, told", [("", "1 failed, 2 passed in "), (f"{BROKEN} | a | #1\n{SOUND} | b | #2\n", f"passes: {SOUND}")]
+    "listed, told",
+    [("", "1 failed, 2 passed in "), (f"{BROKEN} | a | #1\n{SOUND} | b | #2\n", f"passes: {SOUND}")],
+    ids=["none listed", "both listed"],
 )
 def test_another_failure_or_a_listed_pass_fails_the_run(workers, listed, told, tmp_path):
-    ended = run_simulation(tmp_path, "-n", workers, listed=listed)
+    ended = run_tests(tmp_path, "-n", workers, listed=listed)
     assert ended.returncode == 1 and told in ended.stdout, ended.stdout + ended.stderr
 
 
 def test_a_folder_runs_alone(tmp_path):
-    ended = run_simulation(tmp_path, "-n", "2", "cases/second", listed=f"{BROKEN} | a cause | #1\n")
+    ended = run_tests(tmp_path, "-n", "2", "cases/second", listed=f"{BROKEN} | a cause | #1\n")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert "1 passed in " in ended.stdout and "known failure" not in ended.stdout
 
 
 def test_a_listed_test_that_further_arguments_leave_out_did_not_run(tmp_path):
-    ended = run_simulation(tmp_path, "-n", "2", "-k", "sound or other", listed=f"{BROKEN} | a cause | #1\n")
+    ended = run_tests(tmp_path, "-n", "2", "-k", "sound or other", listed=f"{BROKEN} | a cause | #1\n")
     assert ended.returncode == 1, ended.stdout + ended.stderr
     assert f"did not run: {BROKEN}" in ended.stdout and "2 passed" in ended.stdout
 
 
 @pytest.mark.parametrize("workers", ["0", "2"])
 def test_a_file_that_cannot_be_read_fails_the_run(workers, tmp_path):
-    ended = run_simulation(tmp_path, "-n", workers, tests="import nothing_of_this_name\n")
+    ended = run_tests(tmp_path, "-n", workers, tests="import nothing_of_this_name\n")
     assert ended.returncode != 0 and "1 error" in ended.stdout, ended.stdout + ended.stderr
 
 
 def test_a_worker_that_ends_in_a_test_fails_the_run(tmp_path):
-    ended = run_simulation(tmp_path, "-n", "2", tests="import os\n\ndef test_ends():\n    os._exit(3)\n")
+    ended = run_tests(tmp_path, "-n", "2", tests="import os\n\ndef test_ends():\n    os._exit(3)\n")
     assert ended.returncode == 1 and "test_ends" in ended.stdout, ended.stdout + ended.stderr
 
 
--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -1,11 +1,21 @@
-"""Frames between our own processes (design 2, 4, 5): a length, a kind, fields by construct; messages are tuples."""
+"""Frames: how messages between nodes are encoded (design 2, 4, 5).
+
+A frame is a head (size of the body and kind, five bytes) and a body whose fields `construct` encodes in the order of the
+message's type. `_FRAME_KINDS` gives each type of `ploverward.transport.messages` its number and the encoding of its fields.
+Other versions of the program may be at the other end, so numbers, order and encodings never change.
+
+A ballot or a version inside a message is two fields on the wire, one behind the other.
+"""
 
 import functools
 import struct
+import typing
 
 import construct
 
 from ploverward.common import errors
+from ploverward.common import identifiers
+from ploverward.transport import messages
 
 MAX_FRAME_BYTES = 24 * 1024 * 1024
 TEXT = construct.PascalString(construct.VarInt, "utf8")
@@ -15,134 +25,192 @@
 FLAG = construct.Flag
 
 
-def rows(*fields):
-    return construct.PrefixedArray(construct.VarInt, construct.Sequence(*fields))
-
-
-_HEAD = struct.Struct(">IB")  # size, kind
-HEAD_SIZE = _HEAD.size
-_BALLOT = (NUMBER, TEXT)
-KINDS = {
-    # both ways
-    "hello": (1, (TEXT, TEXT, TEXT, TEXT, TEXT, TEXT)),  # role, address, zone, region, life, public address
-    "beat": (2, (NUMBER,)),
-    # core to core: registers; prepare and peek name the accepted ballot whose value the proposer holds already
-    "prepare": (10, (NUMBER, TEXT, *_BALLOT, *_BALLOT)),
-    "promise": (11, (NUMBER, TEXT, FLAG, TEXT, *_BALLOT, *_BALLOT, NUMBER, BLOB)),
-    "accept": (12, (NUMBER, TEXT, *_BALLOT, TEXT, NUMBER, BLOB)),
-    "accepted": (13, (NUMBER, TEXT, FLAG, *_BALLOT)),
-    "chosen": (14, (TEXT, *_BALLOT, NUMBER)),
-    "peek": (17, (NUMBER, TEXT, *_BALLOT)),
-    "peeked": (18, (NUMBER, TEXT, FLAG, *_BALLOT, *_BALLOT, NUMBER, BLOB)),
-    "refill": (15, (NUMBER, rows(TEXT, *_BALLOT, *_BALLOT))),  # number; a register: ballot to promise, ballot known
-    "refilled": (16, (NUMBER, FLAG, rows(TEXT, *_BALLOT, *_BALLOT, NUMBER, BLOB))),
-    # news
-    "offer": (20, (rows(TEXT, NUMBER, NUMBER),)),
-    "floor": (21, (rows(TEXT, NUMBER),)),
-    "want": (22, (TEXT, NUMBER, NUMBER)),  # topic, version that the asker has; 0, 0: none
-    "image": (23, (TEXT, NUMBER, NUMBER, BLOB)),
-    # topic, version that the steps start from, and each step with the version that it leads to
-    "changes": (25, (TEXT, NUMBER, NUMBER, rows(NUMBER, NUMBER, BLOB))),
-    "have": (24, (rows(TEXT, NUMBER, NUMBER),)),
-    # leases and grants
-    "state": (30, (FLAG, FLAG)),  # is ready, is leaving
-    # share of slacks, share of rates, for how many seconds, the core node's own part, slot and slots (0: none), and the
-    # number of the renewal that it answers: the seconds run from when that was sent
-    "entry": (31, (REAL, REAL, REAL, REAL, NUMBER, NUMBER, NUMBER)),
-    "renew": (
-        32,
-        (NUMBER, BLOB),
-    ),  # a proxy asks for its entry, and tells what it admitted of tenants (ploverward/common/tenant_usage.py)
-    # core to core: contact with a majority (ploverward/control_plane/cluster/majority_lease.py); number, version of the core set
-    "heartbeat": (33, (NUMBER, NUMBER)),
-    "heartbeat_answer": (34, (NUMBER, NUMBER, NUMBER)),  # and the newest version of the configuration that it accepted
-    # how a proxy stands: the renewal answered, the newest configuration chosen, for how many seconds none may have been
-    # newer, proxies that count, credits for tenants close to their limits
-    "standing": (37, (NUMBER, NUMBER, REAL, NUMBER, BLOB)),
-    # roll-outs: a proxy's evidence to the holder of the watch duty (ploverward/common/rollout_evidence.py), which asks for leases, and these
-    "evidence": (35, (NUMBER, BLOB)),  # number, reports
-    "leases": (
-        36,
-        (NUMBER, REAL, NUMBER, BLOB),
-    ),  # number answered, for how many seconds, beats between reports, leases
-    # custody
-    "trails": (60, (TEXT, TEXT, NUMBER, FLAG, rows(TEXT, BLOB))),  # node, life, batch, is last, trails
-    "keeps": (61, (NUMBER, TEXT, TEXT, rows(BLOB))),  # service, model, canonical hashes
-    "kept": (62, (NUMBER, rows(TEXT, TEXT))),  # replica, zone
-    # digest: proxies to the digest of their zone, and back (docs/digest.md); blobs hold rows of ploverward/transport/row_codec.py
-    "enroll": (40, (NUMBER, TEXT)),  # epoch, address
-    "enrolled": (41, (NUMBER,)),
-    "report": (42, (NUMBER, BLOB, BLOB)),  # number, loads, reads
-    "credited": (43, (TEXT, NUMBER)),  # region, number of the report that its sums hold
-    "relayed": (44, (TEXT, BLOB)),  # region, a frame of its relay, unchanged
-    "broke": (45, (TEXT,)),  # region whose stream broke at the digest
-    "follow": (47, (FLAG, BLOB)),  # a member's wish: loads of all replicas, or of these (keys)
-    "enroll_digest": (48, (NUMBER, TEXT, NUMBER)),  # to the gateway: epoch of the relay, duty of the digest, its epoch
-    # adapters, by way of the digest to a core node (docs/pins.md): node, zone, region, life, window, number, counts
-    "adapters": (46, (rows(TEXT, TEXT, TEXT, TEXT, NUMBER, NUMBER, BLOB),)),
-    # digests to the relay of a region
-    "subscribe": (50, (NUMBER, TEXT, TEXT, NUMBER)),  # epoch, region, zone, epoch of the zone's digest
-    "sums": (56, (NUMBER, BLOB, BLOB)),  # number, loads, reads
-    # the relay to its subscribers
-    "catalogue": (51, (NUMBER, rows(TEXT, TEXT, TEXT, NUMBER, BLOB))),
-    "cut": (52, (TEXT, NUMBER, NUMBER, NUMBER, BLOB)),
-    "delta": (53, (TEXT, NUMBER, BLOB)),
-    "withdrawn": (54, (TEXT, NUMBER)),
-    "load": (55, (NUMBER, FLAG, BLOB)),  # epoch, is whole, rows
-    "counted": (57, (NUMBER,)),  # number of the subscriber's last sums that the load holds
+class Inline(typing.NamedTuple):
+    """A field that is a named tuple, whose own fields stand in the frame one behind the other."""
+
+    type: type
+    fields: tuple
+
+
+class Rows(typing.NamedTuple):
+    """A field that is a tuple of named tuples of one type: their count, then the fields of each."""
+
+    type: type
+    fields: tuple
+
+
+BALLOT = Inline(identifiers.Ballot, (NUMBER, TEXT))
+VERSION = Inline(identifiers.Version, (NUMBER, NUMBER))
+
+
+def _rows(row_type: type, *fields) -> Rows:
+    return Rows(row_type, fields)
+
+
+_FRAME_KINDS = {
+    messages.Handshake: (1, TEXT, TEXT, TEXT, TEXT, TEXT, TEXT),
+    messages.KeepAlive: (2, NUMBER),
+    messages.Prepare: (10, NUMBER, TEXT, BALLOT, BALLOT),
+    messages.Promise: (11, NUMBER, TEXT, FLAG, TEXT, BALLOT, BALLOT, NUMBER, BLOB),
+    messages.Accept: (12, NUMBER, TEXT, BALLOT, TEXT, NUMBER, BLOB),
+    messages.Accepted: (13, NUMBER, TEXT, FLAG, BALLOT),
+    messages.Chosen: (14, TEXT, BALLOT, NUMBER),
+    messages.CatchUpRequest: (15, NUMBER, _rows(messages.CatchUpFence, TEXT, BALLOT, BALLOT)),
+    messages.CatchUpReply: (16, NUMBER, FLAG, _rows(messages.RegisterRow, TEXT, BALLOT, BALLOT, NUMBER, BLOB)),
+    messages.QuorumRead: (17, NUMBER, TEXT, BALLOT),
+    messages.QuorumReadReply: (18, NUMBER, TEXT, FLAG, BALLOT, BALLOT, NUMBER, BLOB),
+    messages.Announcement: (20, _rows(messages.TopicVersion, TEXT, VERSION)),
+    messages.MinimumVersions: (21, _rows(messages.RegisterRevision, TEXT, NUMBER)),
+    messages.Fetch: (22, TEXT, VERSION),
+    messages.Snapshot: (23, TEXT, VERSION, BLOB),
+    messages.Acknowledgement: (24, _rows(messages.TopicVersion, TEXT, VERSION)),
+    messages.Deltas: (25, TEXT, VERSION, _rows(messages.Delta, VERSION, BLOB)),
+    messages.NodeState: (30, FLAG, FLAG),
+    messages.ShareLease: (31, REAL, REAL, REAL, REAL, NUMBER, NUMBER, NUMBER),
+    messages.RenewShares: (32, NUMBER, BLOB),
+    messages.Heartbeat: (33, NUMBER, NUMBER),
+    messages.HeartbeatReply: (34, NUMBER, NUMBER, NUMBER),
+    messages.RolloutEvidence: (35, NUMBER, BLOB),
+    messages.RolloutLeases: (36, NUMBER, REAL, NUMBER, BLOB),
+    messages.QuotaStatus: (37, NUMBER, NUMBER, REAL, NUMBER, BLOB),
+    messages.JoinDigest: (40, NUMBER, TEXT),
+    messages.DigestJoined: (41, NUMBER),
+    messages.LoadReport: (42, NUMBER, BLOB, BLOB),
+    messages.ReportCredited: (43, TEXT, NUMBER),
+    messages.RelayedFrame: (44, TEXT, BLOB),
+    messages.RegionLost: (45, TEXT),
+    messages.AdapterCounts: (46, _rows(messages.AdapterCount, TEXT, TEXT, TEXT, TEXT, NUMBER, NUMBER, BLOB)),
+    messages.FollowReplicas: (47, FLAG, BLOB),
+    messages.JoinGateway: (48, NUMBER, TEXT, NUMBER),
+    messages.Subscribe: (50, NUMBER, TEXT, TEXT, NUMBER),
+    messages.Catalogue: (51, NUMBER, _rows(messages.Pool, TEXT, TEXT, TEXT, NUMBER, BLOB)),
+    messages.PoolCut: (52, TEXT, NUMBER, NUMBER, NUMBER, BLOB),
+    messages.PoolDelta: (53, TEXT, NUMBER, BLOB),
+    messages.PoolWithdrawn: (54, TEXT, NUMBER),
+    messages.ReplicaLoads: (55, NUMBER, FLAG, BLOB),
+    messages.Aggregates: (56, NUMBER, BLOB, BLOB),
+    messages.AggregatesCounted: (57, NUMBER),
+    messages.CustodyTrails: (60, TEXT, TEXT, NUMBER, FLAG, _rows(messages.CustodyTrail, TEXT, BLOB)),
+    messages.FindCacheOwners: (61, NUMBER, TEXT, TEXT, _rows(messages.PromptHash, BLOB)),
+    messages.CacheOwners: (62, NUMBER, _rows(messages.CacheOwner, TEXT, TEXT)),
 }
-
-
-@functools.cache
-def _builder(name: str):
-    """A kind's number and its compiled shape: a third of the time to pack; made when the kind is first sent."""
-    number, fields = KINDS[name]
-    return number, construct.Sequence(*fields).compile()
-
-
-_BY_NUMBER = {
-    number: (name, construct.Sequence(*fields, construct.Terminated)) for name, (number, fields) in KINDS.items()
+_HEAD = struct.Struct(">IB")  # size of the body in bytes, kind
+HEAD_BYTES = _HEAD.size
+
+
+def _encodings(fields: tuple) -> list:
+    """The `construct` encodings of fields, with those of inline fields in their place."""
+    flat = []
+    for field in fields:
+        if isinstance(field, Inline):
+            flat += field.fields
+        elif isinstance(field, Rows):
+            flat.append(construct.PrefixedArray(construct.VarInt, construct.Sequence(*_encodings(field.fields))))
+        else:
+            flat.append(field)
+    return flat
+
+
+def _flatten(fields: tuple, values: tuple) -> list:
+    """The values of a message as its encoding takes them."""
+    flat = []
+    for field, value in zip(fields, values, strict=True):
+        if isinstance(field, Inline):
+            flat += value
+        elif isinstance(field, Rows):
+            flat.append([_flatten(field.fields, row) for row in value])
+        else:
+            flat.append(value)
+    return flat
+
+
+def _assemble(message_type: type, fields: tuple, flat) -> tuple:
+    """The message, or a row of one, that these values make: the reverse of `_flatten`."""
+    rest = iter(flat)
+    values = []
+    for field in fields:
+        if isinstance(field, Inline):
+            values.append(field.type(*(next(rest) for _part in field.fields)))
+        elif isinstance(field, Rows):
+            values.append(tuple(_assemble(field.type, field.fields, row) for row in next(rest)))
+        else:
+            values.append(next(rest))
+    return message_type(*values)
+
+
+class _FrameKind:
+    """The encoding of one type of message."""
+
+    def __init__(self, message_type: type, number: int, fields: tuple):
+        self.message_type = message_type
+        self.number = number
+        self.fields = fields
+        self.is_flat = not any(isinstance(field, Inline | Rows) for field in fields)
+        self.encodings = _encodings(fields)
+        self.parser = construct.Sequence(*self.encodings, construct.Terminated)
+
+    @functools.cached_property
+    def builder(self):
+        """Compiled when the first message of the kind is sent: packing takes a third of the time."""
+        return construct.Sequence(*self.encodings).compile()
+
+
+_BY_TYPE = {
+    message_type: _FrameKind(message_type, number, fields) for message_type, (number, *fields) in _FRAME_KINDS.items()
 }
+_BY_NUMBER = {kind.number: kind for kind in _BY_TYPE.values()}
 
 
 def pack(message: tuple) -> bytes:
-    number, shape = _builder(message[0])
-    body = shape.build(message[1:])
-    return _HEAD.pack(len(body), number) + body
+    """One frame.
 
+    Args:
+        message: of a type of `ploverward.transport.messages`.
+    """
+    if type(message) is tuple:
+        from ploverward.transport import legacy_messages
 
-def _plain(value):
-    if isinstance(value, list):
-        return tuple(_plain(item) for item in value)
-    return value
+        message = legacy_messages.to_typed(message)
+    kind = _BY_TYPE[type(message)]
+    body = kind.builder.build(message if kind.is_flat else _flatten(kind.fields, message))
+    return _HEAD.pack(len(body), kind.number) + body
 
 
 def split(buffer: bytearray) -> list:
-    """Takes all whole frames off the front of the buffer, as bytes."""
+    """Takes all complete frames off the front of the buffer, as bytes.
+
+    Raises:
+        FrameError: the bytes are no frames, or one is larger than `MAX_FRAME_BYTES`.
+    """
     frames = []
-    while len(buffer) >= HEAD_SIZE:
-        size, kind = _HEAD.unpack_from(buffer, 0)
-        if size > MAX_FRAME_BYTES or kind not in _BY_NUMBER:
-            raise errors.FrameError(f"kind {kind}, size {size}", step="frame")
-        if len(buffer) < HEAD_SIZE + size:
+    while len(buffer) >= HEAD_BYTES:
+        size, number = _HEAD.unpack_from(buffer, 0)
+        if size > MAX_FRAME_BYTES or number not in _BY_NUMBER:
+            raise errors.FrameError(f"kind {number}, size {size}", step="frame")
+        if len(buffer) < HEAD_BYTES + size:
             break
-        frames.append(bytes(buffer[: HEAD_SIZE + size]))
-        del buffer[: HEAD_SIZE + size]
+        frames.append(bytes(buffer[: HEAD_BYTES + size]))
+        del buffer[: HEAD_BYTES + size]
     return frames
 
 
 def unpack(frame: bytes) -> tuple:
-    """One whole frame."""
-    if len(frame) < HEAD_SIZE or frame[4] not in _BY_NUMBER or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_SIZE:
-        raise errors.FrameError("no whole frame", step="frame")
-    name, shape = _BY_NUMBER[frame[4]]
+    """The message of one complete frame.
+
+    Raises:
+        FrameError: the bytes are no frame of a known kind.
+    """
+    kind = _BY_NUMBER.get(frame[4]) if len(frame) >= HEAD_BYTES else None
+    if kind is None or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_BYTES:
+        raise errors.FrameError("not one complete frame", step="frame")
     try:
-        fields = shape.parse(frame[HEAD_SIZE:])
-    except (construct.ConstructError, UnicodeDecodeError) as fault:
-        raise errors.FrameError(f"{name}: {fault}", step="frame") from None
-    return (name, *_plain(list(fields[:-1])))
+        values = kind.parser.parse(frame[HEAD_BYTES:])
+    except (construct.ConstructError, UnicodeDecodeError) as error:
+        raise errors.FrameError(f"{kind.message_type.__name__}: {error}", step="frame") from None
+    values.pop()  # of `Terminated`
+    return kind.message_type(*values) if kind.is_flat else _assemble(kind.message_type, kind.fields, values)
 
 
 def unpack_from(buffer: bytearray) -> list:
-    """Takes all whole frames off the front of the buffer."""
+    """Takes all complete frames off the front of the buffer; their messages. Raises `FrameError` as `split` does."""
     return [unpack(frame) for frame in split(buffer)]
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -8,6 +8,7 @@
 from ploverward.common import errors
 from ploverward.common import event_log
 from ploverward.transport import frames
+from ploverward.transport import legacy_messages
 
 MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024
 
@@ -138,7 +139,7 @@
             self._in += data
             try:
                 for frame in frames.split(self._in):
-                    message = frames.unpack(frame)
+                    message = legacy_messages.unpack(frame)
                     if message[0] == "beat":
                         continue
                     self.frame = frame
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -19,30 +19,30 @@
 import pytest
 
 from ploverward.common import rollout_evidence
-from ploverward.transport import row_codec
 from ploverward.common import tenant_usage
-from ploverward.control_plane.cluster import singleton_roles
-from ploverward.control_plane.discovery import platform_client
-from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.adapter_cache import adapter_usage
-from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.audit import trail_store
+from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders
-from ploverward.control_plane.audit import trail_store
-from ploverward.control_plane.distribution import endpoint_list
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import catch_up
-from ploverward.control_plane.consensus import acceptor_storage
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import state
-from ploverward.data_plane.requests import custody_trails
-from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.relay import resolution
+from ploverward.data_plane.requests import custody_trails
+from ploverward.transport import row_codec
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 
--- a/ploverward/transport/test_golden_frames.py
+++ b/ploverward/transport/test_golden_frames.py
@@ -8,39 +8,117 @@
 import json
 import pathlib
 import struct
+import typing
 
 import pytest
 
 from ploverward.common import errors
-from ploverward.transport import frames as frames_module
+from ploverward.common import identifiers
+from ploverward.transport import frames
+from ploverward.transport import messages
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 HEAD = struct.Struct(">IB")  # size of the fields, number of the kind
 
+MESSAGE_TYPES = {  # by the name of the kind in the fixture
+    "hello": messages.Handshake,
+    "beat": messages.KeepAlive,
+    "prepare": messages.Prepare,
+    "promise": messages.Promise,
+    "accept": messages.Accept,
+    "accepted": messages.Accepted,
+    "chosen": messages.Chosen,
+    "refill": messages.CatchUpRequest,
+    "refilled": messages.CatchUpReply,
+    "peek": messages.QuorumRead,
+    "peeked": messages.QuorumReadReply,
+    "offer": messages.Announcement,
+    "floor": messages.MinimumVersions,
+    "want": messages.Fetch,
+    "image": messages.Snapshot,
+    "have": messages.Acknowledgement,
+    "changes": messages.Deltas,
+    "state": messages.NodeState,
+    "entry": messages.ShareLease,
+    "renew": messages.RenewShares,
+    "heartbeat": messages.Heartbeat,
+    "heartbeat_answer": messages.HeartbeatReply,
+    "evidence": messages.RolloutEvidence,
+    "leases": messages.RolloutLeases,
+    "standing": messages.QuotaStatus,
+    "enroll": messages.JoinDigest,
+    "enrolled": messages.DigestJoined,
+    "report": messages.LoadReport,
+    "credited": messages.ReportCredited,
+    "relayed": messages.RelayedFrame,
+    "broke": messages.RegionLost,
+    "adapters": messages.AdapterCounts,
+    "follow": messages.FollowReplicas,
+    "enroll_digest": messages.JoinGateway,
+    "subscribe": messages.Subscribe,
+    "catalogue": messages.Catalogue,
+    "cut": messages.PoolCut,
+    "delta": messages.PoolDelta,
+    "withdrawn": messages.PoolWithdrawn,
+    "load": messages.ReplicaLoads,
+    "sums": messages.Aggregates,
+    "counted": messages.AggregatesCounted,
+    "trails": messages.CustodyTrails,
+    "keeps": messages.FindCacheOwners,
+    "kept": messages.CacheOwners,
+}
+KIND_NAMES = {message_type: name for name, message_type in MESSAGE_TYPES.items()}
+INLINE = (identifiers.Ballot, identifiers.Version)  # their fields stand in the frame one behind the other
+
 
 class Representation:
     """How the code holds a message. The one place here that knows it, and the code's names."""
 
     @staticmethod
     def numbers() -> dict:
-        """Name of each kind today: its number."""
-        return {name: number for name, (number, _fields) in frames_module.KINDS.items()}
+        """Name of each kind: its number."""
+        return {KIND_NAMES[message_type]: row[0] for message_type, row in frames._FRAME_KINDS.items()}
 
     @staticmethod
     def encode(*, kind: str, fields: list) -> bytes:
         """The frame of a message of this kind, with these fields in the order of the wire."""
-        return frames_module.pack((kind, *fields))
+        return frames.pack(_build(MESSAGE_TYPES[kind], fields))
 
     @staticmethod
     def decode(*, frame: bytes) -> tuple:
         """(kind, its fields in the order of the wire)"""
-        kind, *fields = frames_module.unpack(frame)
-        return kind, fields
+        message = frames.unpack(frame)
+        return KIND_NAMES[type(message)], _flat(message)
 
     @staticmethod
     def split(*, data: bytes) -> list:
-        """The whole frames that stand one behind the other."""
-        return frames_module.split(bytearray(data))
+        """The complete frames that stand one behind the other."""
+        return frames.split(bytearray(data))
+
+
+def _build(row_type, flat):
+    """A message, or a row of one, by the types of its fields."""
+    rest = iter(flat)
+    values = []
+    for hint in typing.get_type_hints(row_type).values():
+        if hint in INLINE:
+            values.append(hint(next(rest), next(rest)))
+        elif typing.get_origin(hint) is tuple:
+            values.append(tuple(_build(typing.get_args(hint)[0], row) for row in next(rest)))
+        else:
+            values.append(next(rest))
+    assert not list(rest)
+    return row_type(*values)
+
+
+def _flat(row) -> list:
+    flat = []
+    for value in row:
+        if isinstance(value, INLINE):
+            flat += value
+        else:
+            flat.append([_flat(part) for part in value] if isinstance(value, tuple) else value)
+    return flat
 
 
 def _from_json(value):
