--- /dev/null
+++ b/ploverward/common/test_settings.py
@@ -0,0 +1,39 @@
+"""The settings file that a node starts with."""
+
+import pytest
+
+from ploverward.common import errors
+from ploverward.common import settings
+from ploverward.simulation import loopback_proxy
+
+
+def test_settings_skip_unknown_fields_and_name_what_is_missing():
+    found = settings.check(text=loopback_proxy.SETTINGS + "later.field=1\n")
+    assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
+    for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
+        text = "\n".join(line for line in loopback_proxy.SETTINGS.splitlines() if not line.startswith(name + "="))
+        with pytest.raises(errors.SettingsError) as sent:
+            settings.check(text=text)
+        assert name in str(sent.value)
+
+
+@pytest.mark.parametrize(
+    "line",
+    ["no equals sign", "seedNodes=10.0.0.1", "bounds.contactMs=soon", "firstStart=perhaps", "innerPortRange=9,1"],
+)
+def test_malformed_settings_are_one_clear_line(line):
+    with pytest.raises(errors.SettingsError) as sent:
+        settings.check(text=loopback_proxy.SETTINGS + line + "\n")
+    assert "\n" not in str(sent.value)
+
+
+def test_a_changed_settings_file_is_noticed_without_a_signal(tmp_path, monkeypatch):
+    path = tmp_path / "boot.conf"
+    path.write_text(loopback_proxy.SETTINGS)
+    monkeypatch.setenv(settings.PATH_VARIABLE, str(path))
+    watch = settings.FileWatch()
+    assert not watch.is_changed()
+    path.write_text(loopback_proxy.SETTINGS + "later=1\n")
+    assert watch.is_changed() and not watch.is_changed()
+    path.unlink()
+    assert not watch.is_changed()
--- /dev/null
+++ b/ploverward/transport/test_frames.py
@@ -0,0 +1,71 @@
+"""Frames of messages between nodes: packed, cut into pieces, malformed."""
+
+import pathlib
+import random
+import re
+
+import pytest
+
+from ploverward.common import errors
+from ploverward.transport import frames
+from ploverward.transport import legacy_messages
+
+
+def test_frames_come_back_as_they_went_and_in_pieces():
+    messages = [
+        ("offer", (("spec", 0, 3), ("list", 2, 9))),
+        ("beat", 0),
+        ("image", "list", 2, 9, b"x" * 3000),
+        ("entry", 0.25, 0.5, 2.5, 0.2, 3, 16, 7),
+        ("promise", 3, "spec", True, "abc", 1, "a", 2, "b", 7, b"v"),
+    ]
+    data = b"".join(frames.pack(message) for message in messages)
+    buffer = bytearray()
+    got = []
+    for start in range(0, len(data), 7):
+        buffer += data[start : start + 7]
+        got += legacy_messages.unpack_from(buffer)
+    assert got == messages and not buffer
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\xff\xff\xff\xff\x01",
+        b"\x00\x00\x00\x01\xee\x00",
+        frames.pack(("want", "spec", 0, 0))[:5] + b"\x7fabcd\x00\x00",
+        b"\x00\x00\x00\x06\x16\x04spec\x00",
+    ],
+)
+def test_malformed_frames_are_frame_errors(data):
+    with pytest.raises(errors.FrameError):
+        legacy_messages.unpack_from(bytearray(data))
+
+
+@pytest.mark.parametrize("seed", range(40))
+def test_no_bytes_make_a_frame_fail_otherwise(seed):
+    chance = random.Random(seed)
+    data = bytearray(frames.pack(("offer", (("spec", 0, 3),))))
+    data[chance.randrange(4, len(data))] ^= 1 << chance.randrange(8)
+    try:
+        messages = legacy_messages.unpack_from(data)
+    except errors.FrameError:
+        return
+    assert all(message[0] in legacy_messages.KINDS for message in messages)
+
+
+def test_every_message_that_is_sent_has_a_codec():
+    """A message without one fails only when it is packed: proxies once failed at every beat by it."""
+    folder = pathlib.Path(frames.__file__).parent.parent
+    sources = [
+        path for path in folder.rglob("*.py") if "simulation" not in path.parts and not path.name.startswith("test_")
+    ]
+    sent = set()
+    for path in sources:
+        sent |= set(
+            re.findall(
+                r"(?:send|_send_to_cores|_broadcast_to_cores|pack)\(\s*\(\s*\"(\w+)\"", path.read_text(encoding="utf-8")
+            )
+        )
+    assert {"renew", "entry", "heartbeat", "have", "beat"} <= sent
+    assert sent <= set(legacy_messages.KINDS)
