--- a/ploverward/control_plane/consensus/acceptor_storage.py
+++ b/ploverward/control_plane/consensus/acceptor_storage.py
@@ -156,7 +156,7 @@
             self._system.close(handle)
 
 
-class Store:
+class AcceptorStorage:
     """`write` is called on the pool, one call at a time; the rest on the loop.
 
     The first write of a process, and each one after a failed write, puts a whole new file in place of the old one: what
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -20,7 +20,7 @@
 MEGABYTE = 1024 * 1024
 
 
-class Voting:
+class ConsensusNode:
     """Votes, proposes, reads and learns for one node.
 
     `send` (member, message) and `ask_cores` (message) reach other core nodes; `publish` (name, rev, value) says whether
@@ -61,7 +61,7 @@
         self._catch_up = catch_up.LearnerCatchUp(own=own, registers=register_names.REGISTERS)
         self._catch_up_begun_at = loop.now()
         attempt_timeout_s = receipt_s * ATTEMPT_TIMEOUT_SHARE
-        self.journal = write_ahead_log.Journal(
+        self.write_ahead_log = write_ahead_log.WriteAheadLog(
             loop=loop, store=store, retry_s=receipt_s * RETRY_SHARE, hang_s=attempt_timeout_s * HANG_ATTEMPT_TIMEOUTS
         )
         self.proposer = proposers.Proposer(
@@ -74,7 +74,7 @@
             on_chosen=self._on_chosen,
             limit_s=receipt_s * LIMIT_SHARE,
             attempt_timeout_s=attempt_timeout_s,
-            accepted_state=lambda name: self.journal.accepted_state.get(name)[1:],
+            accepted_state=lambda name: self.write_ahead_log.accepted_state.get(name)[1:],
         )
         self.acceptor = acceptors.Acceptor()
         self._load(store, seeds, is_first_start)
@@ -108,7 +108,7 @@
             self.proposer.note_top(name=name, number=number)
             if value:
                 self.proposer.learn_accepted(name=name, value=value)
-        self.journal.begin(acceptor=self.acceptor, first_set=image.first_set, on_safe=on_safe)
+        self.write_ahead_log.begin(acceptor=self.acceptor, first_set=image.first_set, on_safe=on_safe)
 
     # Messages.
     def send(self, member: str, message: tuple) -> None:
@@ -131,7 +131,7 @@
         elif kind == "promise":
             self.proposer.take_promise(member, message)
         elif kind == "peek":
-            self._answer(member, link, self.journal.accepted_state.quorum_read(message))
+            self._answer(member, link, self.write_ahead_log.accepted_state.quorum_read(message))
         elif kind == "peeked":
             self.proposer.handle_quorum_read_reply(member, message)
         elif kind == "accepted":
@@ -149,9 +149,9 @@
     def _vote(self, member: str, link, message: tuple) -> None:
         is_prepare = message[0] == "prepare"
         name = message[2]
-        if self.journal.is_hindered:
+        if self.write_ahead_log.is_hindered:
             # Nothing changes here, so that the others can agree without this node.
-            accepted_state = self.journal.accepted_state
+            accepted_state = self.write_ahead_log.accepted_state
             self._answer(
                 member,
                 link,
@@ -160,8 +160,10 @@
             return
         answer, row = self.acceptor.prepare(message) if is_prepare else self.acceptor.accept(message)
         self.proposer.note_top(name=name, number=self.acceptor.get(name)[0][0])
-        self.journal.record(row=row)
-        self.journal.respond(key=(member, message[0], name), callback=lambda: self._answer(member, link, answer))
+        self.write_ahead_log.record(row=row)
+        self.write_ahead_log.respond(
+            key=(member, message[0], name), callback=lambda: self._answer(member, link, answer)
+        )
 
     def _handle_chosen(self, message: tuple) -> None:
         _kind, name, ballot_n, ballot_p, rev = message
@@ -175,14 +177,14 @@
         _kind, number, asked = message
         fences = {row[0]: (row[1], row[2]) for row in asked if row[1]}
         known = {row[0]: (row[3], row[4]) for row in asked}
-        if fences and self.journal.is_hindered:
+        if fences and self.write_ahead_log.is_hindered:
             return
         if self.acceptor.votes:
             for name, ballot in fences.items():
-                self.journal.record(row=self.acceptor.fence(name=name, ballot=ballot))
+                self.write_ahead_log.record(row=self.acceptor.fence(name=name, ballot=ballot))
 
         def respond() -> None:
-            accepted_state = self.journal.accepted_state
+            accepted_state = self.write_ahead_log.accepted_state
             rows = (
                 (catch_up.first_set_row(self.proposer.seeds), *accepted_state.rows(known=known))
                 if accepted_state.votes
@@ -191,7 +193,7 @@
             link.send(("refilled", number, accepted_state.votes, rows))
 
         if fences:
-            self.journal.respond(key=(member, "refill", ""), callback=respond)
+            self.write_ahead_log.respond(key=(member, "refill", ""), callback=respond)
         else:
             respond()
 
@@ -233,12 +235,16 @@
     @property
     def is_voter(self) -> bool:
         """Whether a majority may count on this node now: its disk holds its identity and takes writes."""
-        return self.journal.accepted_state.votes and not self.proposer.is_learner and not self.journal.is_hindered
+        return (
+            self.write_ahead_log.accepted_state.votes
+            and not self.proposer.is_learner
+            and not self.write_ahead_log.is_hindered
+        )
 
     # Reading and mending.
     def minimum_versions(self) -> tuple:
         """(register, newest version that this node's disk holds), for each register."""
-        return tuple((name, self.journal.accepted_state.get(name)[2]) for name in register_names.REGISTERS)
+        return tuple((name, self.write_ahead_log.accepted_state.get(name)[2]) for name in register_names.REGISTERS)
 
     def read_unknown(self) -> None:
         """What is on the disk but not yet known as chosen."""
@@ -260,7 +266,7 @@
         members = self._members()
         repair_after_beats = 2 + (members.index(self.own) if self.own in members else len(members))
         for name in register_names.REGISTERS:
-            _promised, _accepted, rev, value = self.journal.accepted_state.get(name)
+            _promised, _accepted, rev, value = self.write_ahead_log.accepted_state.get(name)
             is_open = rev > self._version(name)
             if not is_open and not (value and len(ballots.member_sets(value)) > 1):
                 self._behind.pop(name, None)
@@ -291,14 +297,14 @@
 
 
 class VotingMixin:
-    """Holds the `Voting` of a core node under the names that its other parts use."""
+    """Holds the `ConsensusNode` of a core node under the names that its other parts use."""
 
     def start_voting(self) -> None:
         disk_mb = max(self.settings.disk_mb, LEAST_DISK_MB)
-        self.store = acceptor_storage.Store(
+        self.store = acceptor_storage.AcceptorStorage(
             disk=self.runtime.disk(folder=self.settings.data_dir), limit_bytes=int(disk_mb * MEGABYTE * DISK_SHARE)
         )
-        self.voting = Voting(
+        self.voting = ConsensusNode(
             loop=self.loop,
             own=self.own,
             store=self.store,
--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -120,14 +120,14 @@
     node.voting.proposer.read(name=TEXT_NAME, done=lambda *row: results.append(row))
     model.world.run(until=8.1)  # at once, not after a round's patience
     assert [type(row[0]) for row in results] == [errors.QuorumUnavailableError] * 2
-    accepted_state = node.voting.journal.accepted_state
+    accepted_state = node.voting.write_ahead_log.accepted_state
     assert accepted_state.quorum_read(("peek", 1, TEXT_NAME, 0, ""))[3] is False
     assert node.voting.acceptor.prepare(("prepare", 1, TEXT_NAME, 99, "x"))[0][3] is False
     assert node.voting.acceptor.rows() == ()
     model.nodes["b"].start()
     model.world.run(until=12.0)
-    assert node.votes and accepted_state is not node.voting.journal.accepted_state
-    assert all(node.voting.journal.accepted_state.get(name)[2] >= 1 for name in register_names.REGISTERS)
+    assert node.votes and accepted_state is not node.voting.write_ahead_log.accepted_state
+    assert all(node.voting.write_ahead_log.accepted_state.get(name)[2] >= 1 for name in register_names.REGISTERS)
 
 
 # The arithmetic of a refill.
@@ -185,7 +185,9 @@
         model.nodes[name].check_acknowledged = lambda message: (answers.append(message), check(message))
     model.restart("c", restart_after_s=0.5, is_wiped=True)
     model.world.run(until=8.0)
-    assert node.votes and all(node.voting.journal.accepted_state.get(name)[3] for name in register_names.REGISTERS)
+    assert node.votes and all(
+        node.voting.write_ahead_log.accepted_state.get(name)[3] for name in register_names.REGISTERS
+    )
     filled = [message for message in answers if message[0] == "refilled" and message[2]]
     values = [sum(1 for row in message[3] if row[6]) for message in filled]
     assert values.count(len(register_names.REGISTERS)) <= 2 and 0 in values
@@ -320,7 +322,7 @@
     model = settled(others=("d", "e"))
     move(model, "a", ("c", "d", "e"), until=8.0)
     for name in "cde":
-        for row in model.nodes[name].voting.journal.accepted_state.rows():
+        for row in model.nodes[name].voting.write_ahead_log.accepted_state.rows():
             assert ballots.member_sets(row[6]) == (("c", "d", "e"),)
     for name in "ab":
         model.nodes[name].stop()
@@ -338,11 +340,13 @@
     for name in "abcd":  # chosen at all, and the proposer is gone before the round that drops the older set
         node = model.nodes[name]
         node.voting.acceptor.install(rows=[row])
-        node.voting.journal.record(row=row)
-        node.voting.journal.respond(key=("test", "", ""), callback=lambda: None)
+        node.voting.write_ahead_log.record(row=row)
+        node.voting.write_ahead_log.respond(key=("test", "", ""), callback=lambda: None)
     model.world.run(until=12.0)
     for name in MOVED:
-        assert ballots.member_sets(model.nodes[name].voting.journal.accepted_state.get(TEXT_NAME)[3]) == (MOVED,)
+        assert ballots.member_sets(model.nodes[name].voting.write_ahead_log.accepted_state.get(TEXT_NAME)[3]) == (
+            MOVED,
+        )
 
 
 def test_a_second_move_waits_until_the_first_is_chosen():
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -28,7 +28,7 @@
     def start(self, *, is_first=False):
         self.incarnation += 1
         self.is_up = True
-        self.store = acceptor_storage.Store(disk=self.disk, limit_bytes=4000)
+        self.store = acceptor_storage.AcceptorStorage(disk=self.disk, limit_bytes=4000)
         image = self.store.load()
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows={row[0]: row for row in image.rows})
         if not image.incarnation and is_first:
@@ -316,7 +316,7 @@
 
 def _filled(count):
     disk = simulated_world.Disk(chance=None)
-    store = acceptor_storage.Store(disk=disk, limit_bytes=10**6)
+    store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6)
     store.write(rows=(), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS))
     for number in range(1, count + 1):
         row = _row(number)
@@ -328,7 +328,7 @@
 def test_torn_tail_is_truncated_at_the_last_good_record(cut):
     disk = _filled(4)
     disk.tear(name=acceptor_storage.FILE_NAME, keep=len(disk.files[acceptor_storage.FILE_NAME]) - cut)
-    image = acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
+    image = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6).load()
     assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
@@ -338,19 +338,19 @@
     data[30] ^= 0xFF
     disk.files[acceptor_storage.FILE_NAME] = bytes(data)
     with pytest.raises(errors.StorageError):
-        acceptor_storage.Store(disk=disk, limit_bytes=10**6).load()
+        acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6).load()
 
 
 def test_long_file_is_rewritten_and_keeps_the_state():
     disk = simulated_world.Disk(chance=None)
-    store = acceptor_storage.Store(disk=disk, limit_bytes=500)
+    store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=500)
     row = ("spec", 1, "a", 1, "a", 1, b"x" * 90)
     image = acceptor_storage.Image(incarnation="i1", rows=(row,))
     store.write(rows=(), image=image)
     for _ in range(30):
         store.write(rows=(row,), image=image)
     assert len(disk.files[acceptor_storage.FILE_NAME]) < 1200
-    assert acceptor_storage.Store(disk=disk, limit_bytes=500).load() == image
+    assert acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=500).load() == image
 
 
 def test_refusing_disk_answers_nothing():
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -42,9 +42,9 @@
             model.restart(other, restart_after_s=0.8, loses_power=kind == "all lose power")
 
 
-def play(seed, *, others=(), voting_type=consensus_node.Voting):
+def play(seed, *, others=(), node_type=consensus_node.ConsensusNode):
     """A history of calls, moves of the set and troubles, then a quiet time with a read at each node."""
-    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others, voting_type=voting_type)
+    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others, node_type=node_type)
     chance = model.world.chance
     model.world.loss = chance.choice((0.0, 0.02, 0.05))
     names = sorted(model.nodes)
@@ -97,7 +97,7 @@
     assert not model.nodes["a"].voting.is_voter and model.nodes["b"].voting.is_voter
     ended = [call for call in model.history if call["ended"] is not None]
     assert len(ended) >= 38 and max(call["ended"] - call["begun"] for call in ended) < 1.5
-    assert len(model.nodes["a"].voting.journal._waiting) <= 2
+    assert len(model.nodes["a"].voting.write_ahead_log._waiting) <= 2
     model.world.run(until=24.0)
     assert model.nodes["a"].voting.is_voter
     model.restart("b", restart_after_s=90.0)  # now a is needed
@@ -129,7 +129,7 @@
     for number in range(1, 400):
         for member in "bc":
             node.voting.handle(member, connection, ("prepare", number, "spec", number, member))
-    assert len(node.voting.journal._waiting) == 2 and connection.heard == []
+    assert len(node.voting.write_ahead_log._waiting) == 2 and connection.heard == []
     model.world.run(until=2.5)  # longer than any attempt waits: from here on it votes for nothing
     node.voting.handle("b", connection, ("prepare", 400, "spec", 400, "b"))
     assert connection.heard[-1][3] is False and node.voting.acceptor.get("spec")[0] == (399, "c")
@@ -141,31 +141,31 @@
 # Planted faults: the former behaviour put back has to be seen.
 
 
-def found(seeds, *, others=(), voting_type=consensus_node.Voting):
+def found(seeds, *, others=(), node_type=consensus_node.ConsensusNode):
     """Whether the history of one of these seeds breaks a rule."""
-    models = (play(seed, others=others, voting_type=voting_type) for seed in seeds)
+    models = (play(seed, others=others, node_type=node_type) for seed in seeds)
     return any(model.lost or linearizability.faults(history=model.history) for model in models)
 
 
-class PeekingAhead(consensus_node.Voting):
+class PeekingAhead(consensus_node.ConsensusNode):
     """Answers a peek from memory while nothing is being written."""
 
     def handle(self, member, link, message):
-        if message[0] == "peek" and self.journal._writing_since is None:
+        if message[0] == "peek" and self.write_ahead_log._writing_since is None:
             self._answer(member, link, self.acceptor.quorum_read(message))
             return True
         return super().handle(member, link, message)
 
 
 def test_a_quorum_read_from_memory_after_a_failed_write_is_found():
-    assert found(range(6), voting_type=PeekingAhead)
+    assert found(range(6), node_type=PeekingAhead)
 
 
-class TellingAhead(consensus_node.Voting):
+class TellingAhead(consensus_node.ConsensusNode):
     """Tells a learner what is in memory."""
 
     def _handle_catch_up_request(self, member, link, message):
-        self.journal.accepted_state = self.acceptor
+        self.write_ahead_log.accepted_state = self.acceptor
         super()._handle_catch_up_request(member, link, message)
 
 
@@ -179,9 +179,9 @@
         self.heard.append(message)
 
 
-def _after_a_failed_write(voting_type=consensus_node.Voting):
+def _after_a_failed_write(node_type=consensus_node.ConsensusNode):
     """A node that accepted (5, x) while its disk refused: its answers to a peek and to a learner's look, by kind."""
-    model = consensus_cluster.Model(seed=1, seeds=SEEDS, voting_type=voting_type)
+    model = consensus_cluster.Model(seed=1, seeds=SEEDS, node_type=node_type)
     model.world.run(until=1.0)
     node, connection = model.nodes["b"], RecordingConnection()
     node.files.faults.add("refuse")
@@ -215,7 +215,7 @@
 
 
 def test_a_file_that_is_appended_to_after_a_failed_sync_is_found(monkeypatch):
-    write = acceptor_storage.Store.write
+    write = acceptor_storage.AcceptorStorage.write
 
     def trusting(self, *, rows, image):
         """Takes the failed append for written, as a program does that only syncs once more."""
@@ -228,12 +228,12 @@
                 self._needs_rewrite = False
             raise
 
-    monkeypatch.setattr(acceptor_storage.Store, "write", trusting)
+    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "write", trusting)
     assert found(range(6))
 
 
 def test_a_file_that_is_trusted_as_it_was_read_is_found(monkeypatch):
-    load = acceptor_storage.Store.load
+    load = acceptor_storage.AcceptorStorage.load
 
     def trusting(self):
         image = load(self)
@@ -243,7 +243,7 @@
             self._needs_rewrite = False
         return image
 
-    begin = write_ahead_log.Journal.begin
+    begin = write_ahead_log.WriteAheadLog.begin
 
     def telling(self, *, acceptor, first_set, on_safe):
         begin(self, acceptor=acceptor, first_set=first_set, on_safe=on_safe)
@@ -252,8 +252,8 @@
             incarnation=acceptor.incarnation, rows={row[0]: row for row in acceptor.rows()}
         )
 
-    monkeypatch.setattr(acceptor_storage.Store, "load", trusting)
-    monkeypatch.setattr(write_ahead_log.Journal, "begin", telling)
+    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "load", trusting)
+    monkeypatch.setattr(write_ahead_log.WriteAheadLog, "begin", telling)
     assert found(range(12, 24))
 
 
@@ -263,5 +263,7 @@
 
 
 def test_answers_that_do_not_wait_for_the_disk_are_found(monkeypatch):
-    monkeypatch.setattr(write_ahead_log.Journal, "respond", lambda self, *, key, callback: (callback(), self._write()))
+    monkeypatch.setattr(
+        write_ahead_log.WriteAheadLog, "respond", lambda self, *, key, callback: (callback(), self._write())
+    )
     assert found(range(3))
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -49,7 +49,7 @@
 
 
 def open_store(folder):
-    return acceptor_storage.Store(disk=acceptor_storage.Disk(folder=str(folder)), limit_bytes=LIMIT_BYTES)
+    return acceptor_storage.AcceptorStorage(disk=acceptor_storage.Disk(folder=str(folder)), limit_bytes=LIMIT_BYTES)
 
 
 def pack_record(rows) -> bytes:
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -13,7 +13,7 @@
 from ploverward.control_plane.consensus import acceptor_storage
 
 
-class Journal:
+class WriteAheadLog:
     """Writes one batch at a time on the pool of the loop."""
 
     def __init__(self, *, loop, store, retry_s: float, hang_s: float):
--- a/ploverward/simulation/consensus_cluster.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -90,13 +90,20 @@
     """One core node: its disk, and one Voting for each life."""
 
     def __init__(
-        self, *, world, name: str, nodes: dict, seeds: tuple, is_first_start: bool, voting_type=consensus_node.Voting
+        self,
+        *,
+        world,
+        name: str,
+        nodes: dict,
+        seeds: tuple,
+        is_first_start: bool,
+        node_type=consensus_node.ConsensusNode,
     ):
         self.world = world
         self.name = name
         self._nodes = nodes
         self._seeds = seeds
-        self._voting_type = voting_type
+        self._voting_type = node_type
         self.files = simulated_files.Files(chance=world.chance)
         self.hangs_until = 0.0
         self.incarnation = 0
@@ -113,7 +120,7 @@
         self.incarnation += 1
         self.loop = Loop(node=self)
         self.versions = {}
-        self.store = acceptor_storage.Store(
+        self.store = acceptor_storage.AcceptorStorage(
             disk=acceptor_storage.Disk(folder=simulated_files.FOLDER, system=self.files), limit_bytes=LIMIT_BYTES
         )
         self.voting = self._voting_type(
@@ -155,7 +162,7 @@
 
     @property
     def votes(self) -> bool:
-        return self.is_up and self.voting.journal.accepted_state.votes and not self.voting.proposer.is_learner
+        return self.is_up and self.voting.write_ahead_log.accepted_state.votes and not self.voting.proposer.is_learner
 
     def _on_heartbeat_tick(self) -> None:
         self.voting.run_anti_entropy()
@@ -247,7 +254,7 @@
 class Model:
     """Nodes, calls at them, and troubles, all from one seed."""
 
-    def __init__(self, *, seed: int, seeds=("a", "b", "c"), others=(), voting_type=consensus_node.Voting):
+    def __init__(self, *, seed: int, seeds=("a", "b", "c"), others=(), node_type=consensus_node.ConsensusNode):
         self.world = simulated_world.World(seed=seed)
         self.nodes = {}
         self.history = []
@@ -259,7 +266,7 @@
                 nodes=self.nodes,
                 seeds=seeds,
                 is_first_start=True,
-                voting_type=voting_type,
+                node_type=node_type,
             )
 
     def call(self, name: str, *, kind: str, to=None) -> None:
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -48,12 +48,12 @@
 
 def _seeds_as_default_set() -> list:
     """A node with an empty disk takes the seeds of its settings for the set in force, whenever it starts."""
-    load = consensus_node.Voting._load
+    load = consensus_node.ConsensusNode._load
 
     def _load(self, store, seeds, is_first_start):
         load(self, store, seeds, True)
 
-    return [mock.patch.object(consensus_node.Voting, "_load", _load)]
+    return [mock.patch.object(consensus_node.ConsensusNode, "_load", _load)]
 
 
 def _votes_before_catch_up() -> list:
@@ -62,7 +62,7 @@
     def _look(self):
         self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
 
-    load = consensus_node.Voting._load
+    load = consensus_node.ConsensusNode._load
 
     def _load(self, store, seeds, is_first_start):
         self.own_set = tuple(sorted(seeds))
@@ -70,8 +70,8 @@
         self.proposer.is_learner = False
 
     return [
-        mock.patch.object(consensus_node.Voting, "_look", _look),
-        mock.patch.object(consensus_node.Voting, "_load", _load),
+        mock.patch.object(consensus_node.ConsensusNode, "_look", _look),
+        mock.patch.object(consensus_node.ConsensusNode, "_load", _load),
     ]
 
 
@@ -101,18 +101,18 @@
         return self._acceptor if self._acceptor is not None else acceptor.Acceptor()
 
     accepted_state = property(get, lambda self, _value: None)
-    return [mock.patch.object(write_ahead_log.Journal, "accepted_state", accepted_state, create=True)]
+    return [mock.patch.object(write_ahead_log.WriteAheadLog, "accepted_state", accepted_state, create=True)]
 
 
 def _acknowledged_before_durable() -> list:
     """Answers go out before the disk holds what they tell."""
-    respond = write_ahead_log.Journal.respond
+    respond = write_ahead_log.WriteAheadLog.respond
 
     def early(self, *, key, callback):
         callback()
         respond(self, key=key, callback=lambda: None)
 
-    return [mock.patch.object(write_ahead_log.Journal, "respond", early)]
+    return [mock.patch.object(write_ahead_log.WriteAheadLog, "respond", early)]
 
 
 def _few_order_ids() -> list:
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -93,7 +93,7 @@
         self.folder = folder
         self.acceptor = acceptor.Acceptor(incarnation=name)
         self.disk = CountingDisk(folder=folder)
-        self.store = acceptor_storage.Store(disk=self.disk, limit_bytes=limit_bytes)
+        self.store = acceptor_storage.AcceptorStorage(disk=self.disk, limit_bytes=limit_bytes)
         self.save()
 
     def save(self, *rows) -> None:
@@ -218,7 +218,9 @@
                 member.save(row)
             largest = max(largest, member.file_bytes)
         begun = time.process_time()
-        acceptor_storage.Store(disk=acceptor_storage.Disk(folder=member.folder), limit_bytes=LIMIT_BYTES).load()
+        acceptor_storage.AcceptorStorage(
+            disk=acceptor_storage.Disk(folder=member.folder), limit_bytes=LIMIT_BYTES
+        ).load()
         loaded_s = time.process_time() - begun
         return {
             "routes": routes,
@@ -262,7 +264,11 @@
     early = 0
     step = 0.005
     while node.versions.get(NAME, 0) < newest or not node.votes:
-        early += node.votes and node.voting.journal.accepted_state.get(NAME)[2] < newest and how in ("emptied", "new")
+        early += (
+            node.votes
+            and node.voting.write_ahead_log.accepted_state.get(NAME)[2] < newest
+            and how in ("emptied", "new")
+        )
         world.run(until=world.time + step)
         if world.time > end_s + 60.0:
             break
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -290,7 +290,7 @@
     """The file after a first, whole write and one append."""
     incarnation, first_set, rows, appended = value
     disk = _Disk()
-    written = acceptor_storage.Store(disk=disk, limit_bytes=1 << 20)
+    written = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=1 << 20)
     for changed in ((), appended):
         image = acceptor_storage.Image(incarnation=incarnation, first_set=tuple(first_set), rows=tuple(rows))
         written.write(rows=changed, image=image)
@@ -298,7 +298,7 @@
 
 
 def _read_acceptor_file(data: bytes) -> list:
-    image = acceptor_storage.Store(disk=_Disk(data), limit_bytes=1 << 20).load()
+    image = acceptor_storage.AcceptorStorage(disk=_Disk(data), limit_bytes=1 << 20).load()
     return [image.incarnation, image.first_set, image.rows]
 
 
