--- a/ploverward/control_plane/configuration/order_archive.py
+++ b/ploverward/control_plane/configuration/order_archive.py
@@ -1,50 +1,66 @@
-"""Marks of orders taken long ago: a register of its own, {"through": edition, "marks": base64 of 8 bytes each}.
+"""The register with the identifiers of orders accepted long ago (docs/orders.md 3).
 
-Editions strictly rise, so `through` says which marks of the configuration's value are here already: an append that
-comes twice, or from several nodes, adds nothing twice and leaves no gap.
+The payload is `{"through": edition, "marks": base64 of 8 bytes for each order}`, the oldest first. Invariant: the
+archive holds the identifier of every accepted order up to edition "through", but for those beyond `MAX_ARCHIVED_IDS`.
+Editions strictly rise, so an append that comes twice, or from several nodes, adds nothing twice and leaves no gap.
 """
 
 import base64
+import collections.abc
+
+from ploverward.control_plane.configuration.orders import RecentOrder
+from ploverward.control_plane.configuration.register_payloads import Edit
+from ploverward.control_plane.configuration.register_payloads import Payload
 
 MAX_ARCHIVED_IDS = 12288  # about three days of 4,100 changes
-SHORT_ID_BYTES = 8
+SHORT_ID_BYTES = 8  # of each identifier; a false match has a chance below 12,288 / 2^64
+ARCHIVED_THROUGH_KEY = "through"
+SHORT_IDS_KEY = "marks"
 _SHORT_ID_DIGITS = SHORT_ID_BYTES * 2
 
 
-def through(payload) -> int:
-    """The edition up to which the archive holds all marks."""
-    return payload["through"] if payload else 0
+def archived_through(payload: Payload) -> int:
+    """The edition up to which the archive has all identifiers; 0 where it has none."""
+    return payload[ARCHIVED_THROUGH_KEY] if payload else 0
 
 
-def has(*, payload, order_id: str) -> bool:
-    wanted = _short(order_id)
-    data = _stored_ids(payload)
+def has(*, payload: Payload, order_id: str) -> bool:
+    """Whether the archive has this order."""
+    wanted = _short_id(order_id)
+    data = _short_ids(payload)
     offset = data.find(wanted)
     while offset >= 0:
         if offset % SHORT_ID_BYTES == 0:
             return True
-        offset = data.find(wanted, offset + 1)
+        offset = data.find(wanted, offset + 1)  # a match across two identifiers
     return False
 
 
-def edit_for(*, rows):
-    """The edit that appends what is missing of `rows`: (edition, mark) from a chosen value, the oldest first."""
+def edit_for(*, rows: collections.abc.Sequence[RecentOrder]) -> Edit:
+    """Makes the edit that appends the orders which the archive lacks.
+
+    Args:
+        rows: accepted orders from a chosen value of the configuration's register, the oldest first.
+
+    Returns:
+        The edit. Its result is the edition up to which the archive has all identifiers.
+    """
 
-    def edit(payload):
-        newer = [row for row in rows if row[0] > through(payload)]
+    def edit(payload: Payload) -> tuple[Payload, int]:
+        newer = [(edition, order_id) for edition, order_id in rows if edition > archived_through(payload)]
         if not newer:
-            return payload, through(payload)
-        last = newer[-1][0]
-        data = _stored_ids(payload) + b"".join(_short(order_id) for _edition, order_id in newer)
+            return payload, archived_through(payload)
+        last_edition, _order_id = newer[-1]
+        data = _short_ids(payload) + b"".join(_short_id(order_id) for _edition, order_id in newer)
         encoded_ids = base64.b64encode(data[-MAX_ARCHIVED_IDS * SHORT_ID_BYTES :]).decode()
-        return {"through": last, "marks": encoded_ids}, last
+        return {ARCHIVED_THROUGH_KEY: last_edition, SHORT_IDS_KEY: encoded_ids}, last_edition
 
     return edit
 
 
-def _short(order_id: str) -> bytes:
+def _short_id(order_id: str) -> bytes:
     return bytes.fromhex(order_id[:_SHORT_ID_DIGITS])
 
 
-def _stored_ids(payload) -> bytes:
-    return base64.b64decode(payload["marks"]) if payload else b""
+def _short_ids(payload: Payload) -> bytes:
+    return base64.b64decode(payload[SHORT_IDS_KEY]) if payload else b""
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -1,107 +1,169 @@
-"""Orders that change the configuration: what one makes of the register, and how it is known when it comes again.
+"""Orders that change the configuration: reading one, and its edit of the register (docs/orders.md 2, 3).
 
-The value of the register is {"edition", "body", "recent"}: `recent` holds (edition, mark) of the orders taken last. Older
-marks are in the archive (ploverward/control_plane/configuration/order_archive.py). docs/orders.md has the argument.
+The payload of the register is `{"edition": int, "body": configuration, "recent": [[edition, order identifier], ...]}`.
+Invariants: editions strictly rise; "recent" has the newest `RECENT_KEPT` accepted orders and all older ones that
+`order_archive` is not known to have. So an order that is sent again is recognised, whichever node gets it.
 """
 
+import collections.abc
 import dataclasses
+import enum
 import hashlib
+import http
+import typing
 
 from ploverward.common import errors
 from ploverward.control_plane.configuration import parser
 from ploverward.control_plane.configuration import patch
 from ploverward.control_plane.configuration import schema
+from ploverward.control_plane.configuration.register_payloads import Edit
+from ploverward.control_plane.configuration.register_payloads import Payload
 
-RECENT_KEPT = 64  # marks that stay in the value although the archive has them
-ARCHIVE_FROM = 64  # marks that the archive lacks from which on they are put there
-ORDER_ID_DIGITS = 20
-TAKEN = "taken"
-KNOWN = "known"
+RECENT_KEPT = 64  # orders that stay in the payload although the archive has them
+ARCHIVE_FROM = 64  # so many orders that the archive lacks are appended to it in one write
+ORDER_ID_DIGITS = 20  # hexadecimal: 80 bits
+EDITION_KEY = "edition"
+BODY_KEY = "body"
+RECENT_KEY = "recent"
 
+RecentOrder: typing.TypeAlias = collections.abc.Sequence  # [edition, order identifier], as JSON stores it
 
-@dataclasses.dataclass(frozen=True)
+
+class Outcome(enum.StrEnum):
+    """What an edit found of its order."""
+
+    TAKEN = "taken"  # it was accepted now
+    KNOWN = "known"  # it was accepted before
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A whole checked configuration that is built on version `base`."""
+    """A complete, checked configuration.
+
+    Attributes:
+        base: the edition that it replaces.
+        edition: its own edition.
+        body: the configuration as the operator wrote it.
+    """
 
     base: int
     edition: int
-    body: dict
+    body: dict[str, typing.Any]
 
 
-@dataclasses.dataclass(frozen=True)
+@dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One call to change the configuration; `mark` is the same for the same call sent again."""
+    """One call to change the configuration.
+
+    Attributes:
+        method: "PUT" or "PATCH".
+        base: the edition that the change builds on, from If-Match.
+        order_id: the same for the same call sent again (`digest`).
+        body: the object in the call's body: a configuration, or a patch of one.
+        candidate: the configuration that the order asks for; None for a PATCH that was not merged yet.
+    """
 
     method: str
     base: int
     order_id: str
-    body: dict
+    body: dict[str, typing.Any]
     candidate: Candidate | None = None
 
 
 def digest(*, method: str, base: int, data: bytes) -> str:
+    """The identifier of the order with this method, base edition and body bytes."""
     return hashlib.sha256(b"%s %d " % (method.encode(), base) + data).hexdigest()[:ORDER_ID_DIGITS]
 
 
 def read(*, method: str, base: int, data: bytes) -> Order:
-    """Reads a call, and checks it as far as that goes without the version it builds on."""
+    """Reads a call, and checks it as far as that is possible without the edition that it builds on.
+
+    Args:
+        method: "PUT" or "PATCH".
+        base: the edition in If-Match.
+        data: the call's body.
+
+    Raises:
+        InvalidConfigurationError: the body is not JSON or not a valid configuration.
+    """
     body = parser.read_json(data=data)
     order_id = digest(method=method, base=base, data=data)
-    order = Order(method=method, base=base, order_id=order_id, body=body)
-    if method == "PATCH":
-        return order
-    return dataclasses.replace(order, candidate=_candidate(base=base, body=body))
+    candidate = None if method == http.HTTPMethod.PATCH else _checked_candidate(base=base, body=body)
+    return Order(method=method, base=base, order_id=order_id, body=body, candidate=candidate)
+
+
+def build(*, order: Order, base_body: dict[str, typing.Any]) -> Order:
+    """The order of a PATCH with its candidate.
 
+    Args:
+        order: the order.
+        base_body: the configuration that it builds on.
+
+    Raises:
+        InvalidConfigurationError: the patch can't be merged, or the result is not valid.
+    """
+    return dataclasses.replace(order, candidate=_merged_candidate(order=order, base_body=base_body))
 
-def build(*, order: Order, base_body: dict) -> Order:
-    """A PATCH with its candidate; `held` is the body of the version it builds on."""
-    merged = patch.merge(body=base_body, patch=order.body)
-    return dataclasses.replace(order, candidate=_candidate(base=order.base, body=merged))
 
+def _merged_candidate(*, order: Order, base_body: dict[str, typing.Any]) -> Candidate:
+    return _checked_candidate(base=order.base, body=patch.merge(body=base_body, patch=order.body))
 
-def _candidate(*, base: int, body: dict) -> Candidate:
+
+def _checked_candidate(*, base: int, body: dict[str, typing.Any]) -> Candidate:
     edition = schema.check(body=body).edition
     return Candidate(base=base, edition=edition, body=body)
 
 
-def edition_of(payload) -> int:
-    return payload["edition"] if payload else 0
+def edition_of(payload: Payload) -> int:
+    """The edition in force; 0 where there is none yet."""
+    return payload[EDITION_KEY] if payload else 0
+
 
+def body_of(payload: Payload) -> dict[str, typing.Any] | None:
+    """The configuration in force; None where there is none yet."""
+    return payload[BODY_KEY] if payload else None
 
-def recent_of(payload) -> list:
-    """(edition, mark) of the orders taken last, the oldest first."""
-    return payload["recent"] if payload else []
 
+def recent_of(payload: Payload) -> list[RecentOrder]:
+    """[edition, order identifier] of the newest accepted orders, the oldest first."""
+    return payload[RECENT_KEY] if payload else []
 
-def is_recent(*, payload, order_id: str) -> bool:
+
+def _is_recent(*, payload: Payload, order_id: str) -> bool:
     return any(known == order_id for _edition, known in recent_of(payload))
 
 
-def edit_for(*, order: Order, archived: int):
-    """The edit of the register for one order. Raises inside the round where the order can't be taken.
+def edit_for(*, order: Order, archived: int) -> Edit:
+    """Makes the edit for one order. Its result is an `Outcome`.
+
+    Args:
+        order: the order; a PATCH without a candidate is merged and checked inside the edit.
+        archived: the edition up to which the archive is known to have all orders; only these may leave the payload.
 
-    `archived`: the edition up to which marks are known to be chosen in the archive; only these may leave the value.
+    Returns:
+        The edit. It raises `StaleVersionError` where the order builds on another edition than the present one, and
+        `InvalidConfigurationError` where its edition does not rise or its merged configuration is not valid.
     """
 
-    def edit(payload):
-        if is_recent(payload=payload, order_id=order.order_id):
-            return payload, KNOWN
+    def edit(payload: Payload) -> tuple[Payload, Outcome]:
+        if _is_recent(payload=payload, order_id=order.order_id):
+            return payload, Outcome.KNOWN
         current = edition_of(payload)
         if order.base != current:
             raise errors.StaleVersionError(current=current)
         candidate = order.candidate
         if candidate is None:
-            candidate = build(order=order, base_body=payload["body"] if payload else {}).candidate
+            candidate = _merged_candidate(order=order, base_body=body_of(payload) or {})
         if candidate.edition <= current:
             raise errors.InvalidConfigurationError(f"{candidate.edition} is not above {current}", field_path="edition")
         rows = [*recent_of(payload), [candidate.edition, order.order_id]]
         recent = trimmed(rows=rows, archived=archived)
-        return {"edition": candidate.edition, "body": candidate.body, "recent": recent}, TAKEN
+        return {EDITION_KEY: candidate.edition, BODY_KEY: candidate.body, RECENT_KEY: recent}, Outcome.TAKEN
 
     return edit
 
 
-def trimmed(*, rows: list, archived: int) -> list:
-    """The rows without those that the archive has; the newest ones always stay."""
+def trimmed(*, rows: list[RecentOrder], archived: int) -> list[RecentOrder]:
+    """The rows without those that the archive has; the newest `RECENT_KEPT` always stay."""
     older, newest = rows[:-RECENT_KEPT], rows[-RECENT_KEPT:]
     return [row for row in older if row[0] > archived] + newest
--- a/ploverward/control_plane/configuration/parser.py
+++ b/ploverward/control_plane/configuration/parser.py
@@ -1,30 +1,44 @@
-"""Reads the body of an operator's call: strict JSON whose meaning every node and every reader agrees on."""
+"""Reads the body of an operator's call as strict JSON (docs/orders.md 6).
+
+Refused is what two readers could understand differently or what can't be written again: duplicate keys, NaN, infinite
+numbers, deep nesting, lone surrogates.
+"""
 
 import json
 import math
+import typing
 
 from ploverward.common import errors
 
-MAX_NESTING_DEPTH = 64  # far below what the encoder bears, so that a stored body can always be written again
-BODY_PATH = "body"
+MAX_NESTING_DEPTH = 64  # levels; far below what the encoder bears, so a stored body can always be written again
+BODY_PATH = "body"  # the field path of an error in the body as a whole
+
+
+def read_json(*, data: bytes) -> dict[str, typing.Any]:
+    """Reads a JSON object.
 
+    Args:
+        data: the bytes of a call's body.
 
-def read_json(*, data: bytes) -> dict:
-    """The object that `data` holds. Raises InvalidConfiguration, and nothing else, for anything that is not one."""
+    Raises:
+        InvalidConfigurationError: the bytes are anything else. No other exception leaves this function.
+    """
     try:
         text = data.decode("utf-8")
-        body = json.loads(text, object_pairs_hook=_object, parse_constant=_constant, parse_float=_fraction)
+        body = json.loads(
+            text, object_pairs_hook=_unique_keys, parse_constant=_reject_constant, parse_float=_finite_float
+        )
     except (ValueError, RecursionError) as error:
         raise errors.InvalidConfigurationError(f"not readable as JSON: {error}", field_path=BODY_PATH) from None
     if not isinstance(body, dict):
         raise errors.InvalidConfigurationError("not an object", field_path=BODY_PATH)
-    _check_levels(body)
+    _check_nesting(body)
     if "\\u" in text:
-        _check_characters(body)
+        _check_surrogates(body)
     return body
 
 
-def _object(pairs: list) -> dict:
+def _unique_keys(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
     table = dict(pairs)
     if len(table) != len(pairs):
         names = [name for name, _value in pairs]
@@ -33,21 +47,21 @@
     return table
 
 
-def _constant(name: str):
+def _reject_constant(name: str) -> typing.NoReturn:
     raise ValueError(f"{name} is not a number of JSON")
 
 
-def _fraction(text: str) -> float:
+def _finite_float(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
         raise ValueError(f"{text[:20]} is too large a number")
     return number
 
 
-def _check_levels(body) -> None:
-    level = [body]
+def _check_nesting(body: dict[str, typing.Any]) -> None:
+    level: list[typing.Any] = [body]
     for _depth in range(MAX_NESTING_DEPTH):
-        below = []
+        below: list[typing.Any] = []
         for item in level:
             values = item.values() if isinstance(item, dict) else item
             below += [value for value in values if isinstance(value, (dict, list))]
@@ -57,8 +71,8 @@
     raise errors.InvalidConfigurationError(f"nested in more than {MAX_NESTING_DEPTH} levels", field_path=BODY_PATH)
 
 
-def _check_characters(body) -> None:
-    """Half a pair of surrogates can be written in JSON, but no text with it can be sent or compared."""
+def _check_surrogates(body: dict[str, typing.Any]) -> None:
+    """JSON can escape half of a surrogate pair, but text with it can be neither encoded nor compared."""
     try:
         json.dumps(body, ensure_ascii=False).encode()
     except UnicodeEncodeError:
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -1,146 +1,191 @@
-"""What an operator's configuration must be (design 5). Unknown fields are kept as they came."""
+"""The schema of an operator's configuration and the rules between its parts (docs/orders.md 6).
 
+The fields have the terms of the code; their aliases are the words of the protocol, which also stand in the field paths
+of errors. Unknown fields are allowed. A checked configuration is stored as the operator wrote it: the models here
+only check, they are never written back.
+"""
+
+import collections.abc
 import typing
 
 import pydantic
 
 from ploverward.common import errors
 
-MAX_EDITION = 2**63 - 1
+MAX_EDITION = 2**63 - 1  # what a signed 64-bit integer can store
 
 
-def _number(value):
-    """Text and truth values are not numbers, although Python would take them for some."""
+def _reject_text_and_booleans(value: object) -> object:
+    """Without this, pydantic would accept "5" and true as numbers."""
     if isinstance(value, (str, bool)):
-        raise ValueError("not a number")
+        raise ValueError("not a number")  # noqa: TRY004 - pydantic reports a ValueError at its field
     return value
 
 
-Integer = typing.Annotated[int, pydantic.BeforeValidator(_number)]
-Number = typing.Annotated[float, pydantic.BeforeValidator(_number)]
+Integer = typing.Annotated[int, pydantic.BeforeValidator(_reject_text_and_booleans)]
+Number = typing.Annotated[float, pydantic.BeforeValidator(_reject_text_and_booleans)]
 
 
-class _Open(pydantic.BaseModel):
+class _OpenModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="allow")
 
 
-class Portion(_Open):
-    destination: str
-    share: Number = pydantic.Field(ge=0)
+class WeightedService(_OpenModel):
+    """The weight of one service in a route's traffic split."""
+
+    service: str = pydantic.Field(alias="destination")
+    weight: Number = pydantic.Field(alias="share", ge=0)
+
 
+class Route(_OpenModel):
+    """Which requests go to which services, and how they are treated."""
 
-class Route(_Open):
     name: str = pydantic.Field(min_length=1)
     host: str = pydantic.Field(min_length=1)
-    pathLead: str = pydantic.Field(pattern=r"^/(.*/)?$")
+    path_prefix: str = pydantic.Field(alias="pathLead", pattern=r"^/(.*/)?$")
     kind: str = pydantic.Field(pattern=r"^(retry_safe|retry_unsafe|streaming)$")
-    expiryMs: Number = pydantic.Field(gt=0)
-    targetMs: Number = pydantic.Field(default=0, ge=0)
-    urgency: Integer = 0
-    tries: Integer = pydantic.Field(default=1, ge=1)
-    sticky: bool = False
-    keyless: bool = False
-    resume: bool = False
-    gapTargetMs: Number = 0
-    homeRegions: list[str] = []
-    destination: str | None = None
-    apportion: list[Portion] | None = None
-
-    def portions(self) -> list:
-        if self.apportion is not None:
-            return [(part.destination, part.share) for part in self.apportion]
-        return [(self.destination, 1.0)] if self.destination else []
-
-
-class Destination(_Open):
+    timeout_ms: Number = pydantic.Field(alias="expiryMs", gt=0)
+    latency_target_ms: Number = pydantic.Field(alias="targetMs", default=0, ge=0)
+    priority: Integer = pydantic.Field(alias="urgency", default=0)
+    max_attempts: Integer = pydantic.Field(alias="tries", default=1, ge=1)
+    has_session_affinity: bool = pydantic.Field(alias="sticky", default=False)
+    is_anonymous: bool = pydantic.Field(alias="keyless", default=False)
+    is_resumable: bool = pydantic.Field(alias="resume", default=False)
+    token_gap_target_ms: Number = pydantic.Field(alias="gapTargetMs", default=0)
+    home_regions: list[str] = pydantic.Field(alias="homeRegions", default=[])
+    service: str | None = pydantic.Field(alias="destination", default=None)
+    traffic_split: list[WeightedService] | None = pydantic.Field(alias="apportion", default=None)
+
+    def weights(self) -> list[tuple[str, float]]:
+        """(service, weight) of each service of this route; empty where it names none."""
+        if self.traffic_split is not None:
+            return [(target.service, target.weight) for target in self.traffic_split]
+        return [(self.service, 1.0)] if self.service else []
+
+
+class Service(_OpenModel):
+    """A service: replicas that serve the same."""
+
     name: str = pydantic.Field(min_length=1)
-    health: str = "/health"
-    maxConns: Integer = pydantic.Field(default=64, ge=1)
-    warmupS: Number = pydantic.Field(default=0, ge=0)
-    warmupPerS: Number = pydantic.Field(default=0, ge=0)
+    health_check_path: str = pydantic.Field(alias="health", default="/health")
+    max_connections: Integer = pydantic.Field(alias="maxConns", default=64, ge=1)
+    slow_start_s: Number = pydantic.Field(alias="warmupS", default=0, ge=0)
+    slow_start_per_s: Number = pydantic.Field(alias="warmupPerS", default=0, ge=0)
 
 
-class Tenant(_Open):
-    """A tenant: who may ask, and how much."""
+class Tenant(_OpenModel):
+    """A tenant: its API keys and its rate limit."""
 
     name: str = pydantic.Field(min_length=1)
-    apiKeys: list[typing.Annotated[str, pydantic.Field(min_length=1)]] = []
-    urgency: Integer | None = None
-    perS: Number = pydantic.Field(default=0, ge=0)
+    api_keys: list[typing.Annotated[str, pydantic.Field(min_length=1)]] = pydantic.Field(alias="apiKeys", default=[])
+    priority: Integer | None = pydantic.Field(alias="urgency", default=None)
+    rate_per_s: Number = pydantic.Field(alias="perS", default=0, ge=0)
     burst: Number = pydantic.Field(default=0, ge=0)
-    homeRegions: list[str] = []
+    home_regions: list[str] = pydantic.Field(alias="homeRegions", default=[])
+
+
+class Limits(_OpenModel):
+    """Limits of a client's request."""
 
+    head_bytes: Integer = pydantic.Field(alias="labelBytes", default=16384, ge=256)
+    body_bytes: Integer = pydantic.Field(alias="parcelBytes", default=4194304, ge=0)
+    head_timeout_ms: Number = pydantic.Field(alias="labelMs", default=3000, gt=0)
+    idle_timeout_ms: Number = pydantic.Field(alias="idleMs", default=15000, gt=0)
 
-class Limits(_Open):
-    labelBytes: Integer = pydantic.Field(default=16384, ge=256)
-    parcelBytes: Integer = pydantic.Field(default=4194304, ge=0)
-    labelMs: Number = pydantic.Field(default=3000, gt=0)
-    idleMs: Number = pydantic.Field(default=15000, gt=0)
 
+class Configuration(_OpenModel):
+    """A complete configuration."""
 
-class Configuration(_Open):
     edition: Integer = pydantic.Field(ge=1, le=MAX_EDITION, strict=True)
     routes: list[Route]
-    destinations: list[Destination]
+    services: list[Service] = pydantic.Field(alias="destinations")
     limits: Limits = Limits()
-    senders: list[Tenant] | None = None
+    tenants: list[Tenant] | None = pydantic.Field(alias="senders", default=None)
 
 
-def validated(model: type, body: dict):
-    """`body` as this pydantic model. Raises InvalidConfiguration with the place of the first fault."""
+Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
+
+
+def validated(model: type[Model], body: dict[str, typing.Any]) -> Model:
+    """Reads an object as a pydantic model.
+
+    Args:
+        model: the model.
+        body: the object.
+
+    Raises:
+        InvalidConfigurationError: the object does not fit; it has the path of the first field that is wrong.
+    """
     try:
         return model.model_validate(body)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        field_path = ".".join(str(part) for part in first["loc"])
+        field_path = ".".join(str(key) for key in first["loc"])
         raise errors.InvalidConfigurationError(first["msg"], field_path=field_path) from None
 
 
-def check(*, body: dict) -> Configuration:
-    """A whole configuration. Raises InvalidConfiguration, and nothing else."""
+def check(*, body: dict[str, typing.Any]) -> Configuration:
+    """Checks a complete configuration.
+
+    Args:
+        body: the configuration as the operator wrote it.
+
+    Raises:
+        InvalidConfigurationError: it can't be in force. No other exception leaves this function.
+    """
     configuration = validated(Configuration, body)
-    names = set()
-    for index, destination in enumerate(configuration.destinations):
-        if destination.name in names:
-            raise errors.InvalidConfigurationError(
-                f"'{destination.name}' stands twice", field_path=f"destinations.{index}.name"
-            )
-        names.add(destination.name)
-    places = {}
-    route_names = set()
-    for index, route in enumerate(configuration.routes):
-        if route.name in route_names:
-            raise errors.InvalidConfigurationError(f"'{route.name}' stands twice", field_path=f"routes.{index}.name")
-        route_names.add(route.name)
-        key = (route.host.lower(), route.pathLead)
-        if key in places:
-            raise errors.InvalidConfigurationError(
-                f"same host and prefix as '{places[key]}'", field_path=f"routes.{index}.pathLead"
-            )
-        places[key] = route.name
-        portions = route.portions()
-        if not portions:
-            raise errors.InvalidConfigurationError("no destination", field_path=f"routes.{index}.destination")
-        for name, _share in portions:
-            if name not in names:
-                raise errors.InvalidConfigurationError(
-                    f"unknown destination '{name}'", field_path=f"routes.{index}.destination"
-                )
-        if sum(share for _name, share in portions) <= 0:
-            raise errors.InvalidConfigurationError("the shares sum to 0", field_path=f"routes.{index}.apportion")
-    _check_tenants(configuration.senders or ())
+    _check_services(configuration.services)
+    _check_routes(configuration.routes, service_names={service.name for service in configuration.services})
+    _check_tenants(configuration.tenants or ())
     return configuration
 
 
-def _check_tenants(senders) -> None:
-    """Names and keys stand once. What is said of a key never repeats it."""
-    names, tenant_by_key = set(), {}
-    for index, tenant in enumerate(senders):
-        if tenant.name in names:
-            raise errors.InvalidConfigurationError(f"'{tenant.name}' stands twice", field_path=f"senders.{index}.name")
-        names.add(tenant.name)
-        for number, key in enumerate(tenant.apiKeys):
-            if tenant_by_key.setdefault(key, tenant.name) != tenant.name:
-                raise errors.InvalidConfigurationError(
-                    f"the key is held by '{tenant_by_key[key]}' too", field_path=f"senders.{index}.apiKeys.{number}"
-                )
+def _check_services(services: collections.abc.Iterable[Service]) -> None:
+    names: set[str] = set()
+    for index, service in enumerate(services):
+        _add_name(names, service.name, field_path=f"destinations.{index}.name")
+
+
+def _add_name(names: set[str], name: str, *, field_path: str) -> None:
+    if name in names:
+        raise errors.InvalidConfigurationError(f"'{name}' stands twice", field_path=field_path)
+    names.add(name)
+
+
+def _check_routes(routes: collections.abc.Iterable[Route], *, service_names: set[str]) -> None:
+    """Names, and pairs of host and path prefix, are unique; services exist; a traffic split has some weight."""
+    names: set[str] = set()
+    route_by_match: dict[tuple[str, str], str] = {}
+    for index, route in enumerate(routes):
+        field_path = f"routes.{index}"
+        _add_name(names, route.name, field_path=f"{field_path}.name")
+        match = (route.host.lower(), route.path_prefix)
+        if match in route_by_match:
+            text = f"same host and prefix as '{route_by_match[match]}'"
+            raise errors.InvalidConfigurationError(text, field_path=f"{field_path}.pathLead")
+        route_by_match[match] = route.name
+        _check_weights(route.weights(), service_names=service_names, field_path=field_path)
+
+
+def _check_weights(weights: list[tuple[str, float]], *, service_names: set[str], field_path: str) -> None:
+    if not weights:
+        raise errors.InvalidConfigurationError("no destination", field_path=f"{field_path}.destination")
+    for name, _weight in weights:
+        if name not in service_names:
+            text = f"unknown destination '{name}'"
+            raise errors.InvalidConfigurationError(text, field_path=f"{field_path}.destination")
+    if sum(weight for _name, weight in weights) <= 0:
+        raise errors.InvalidConfigurationError("the shares sum to 0", field_path=f"{field_path}.apportion")
+
+
+def _check_tenants(tenants: collections.abc.Iterable[Tenant]) -> None:
+    """Names are unique, and so are keys between tenants. The text of an error never repeats a key."""
+    names: set[str] = set()
+    tenant_by_key: dict[str, str] = {}
+    for index, tenant in enumerate(tenants):
+        _add_name(names, tenant.name, field_path=f"senders.{index}.name")
+        for number, key in enumerate(tenant.api_keys):
+            owner = tenant_by_key.setdefault(key, tenant.name)
+            if owner != tenant.name:
+                text = f"the key is held by '{owner}' too"
+                raise errors.InvalidConfigurationError(text, field_path=f"senders.{index}.apiKeys.{number}")
--- a/ploverward/control_plane/configuration/test_parser.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -135,7 +135,7 @@
     except (errors.InvalidConfigurationError, errors.StaleVersionError):
         new, outcome = stored_payload, None
     assert stored_payload == before
-    if outcome == orders.TAKEN:
+    if outcome == orders.Outcome.TAKEN:
         assert new["edition"] > base and schema.check(body=new["body"]).edition == new["edition"]
         assert json.loads(json.dumps(new, allow_nan=False)) == new
 
--- a/ploverward/control_plane/configuration/test_schema.py
+++ b/ploverward/control_plane/configuration/test_schema.py
@@ -134,8 +134,8 @@
 
 
 def test_tenants_are_read():
-    senders = with_tenants({"name": "a", "apiKeys": ["k", "l"], "perS": 2}, {"name": "b", "apiKeys": ["m"]}).senders
-    assert [(tenant.name, len(tenant.apiKeys)) for tenant in senders] == [("a", 2), ("b", 1)]
+    senders = with_tenants({"name": "a", "apiKeys": ["k", "l"], "perS": 2}, {"name": "b", "apiKeys": ["m"]}).tenants
+    assert [(tenant.name, len(tenant.api_keys)) for tenant in senders] == [("a", 2), ("b", 1)]
 
 
 @pytest.mark.parametrize(
@@ -164,4 +164,4 @@
     with pytest.raises(errors.InvalidConfigurationError):
         schema.check(body=merged)
     freed = patchs.merge(body=body, patch={"edition": 2, "withdraw": {"senders": ["a"]}})
-    assert schema.check(body=freed).senders == []
+    assert schema.check(body=freed).tenants == []
--- a/ploverward/control_plane/operator_api/order_handlers.py
+++ b/ploverward/control_plane/operator_api/order_handlers.py
@@ -150,7 +150,7 @@
 
     def learn_archive(self, payload) -> None:
         """The archive as it was chosen; called for each version that this node gets to know."""
-        self._archived = max(self._archived, order_archive.through(payload))
+        self._archived = max(self._archived, order_archive.archived_through(payload))
 
     # Calls that this node can't answer.
 
--- a/ploverward/control_plane/operator_api/test_order_handlers.py
+++ b/ploverward/control_plane/operator_api/test_order_handlers.py
@@ -252,8 +252,8 @@
     data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
     new, outcome = orders.edit_for(order=order, archived=0)(older)
-    assert outcome == orders.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.order_id]]
-    assert not order_archive.has(payload=None, order_id=order.order_id) and order_archive.through(None) == 0
+    assert outcome == orders.Outcome.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.order_id]]
+    assert not order_archive.has(payload=None, order_id=order.order_id) and order_archive.archived_through(None) == 0
     back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)({"zones": ["za", "zb"]})
     assert back["zones"] == ["zb"]
 
@@ -263,9 +263,9 @@
     payload = None
     for end in (100, 90, 260, 260, 400):
         payload, _last = order_archive.edit_for(rows=rows[max(0, end - 200) : end])(payload)
-    assert order_archive.through(payload) == 1200
+    assert order_archive.archived_through(payload) == 1200
     assert all(order_archive.has(payload=payload, order_id=order_id) for _edition, order_id in rows)
-    assert len(order_archive._stored_ids(payload)) == 400 * order_archive.SHORT_ID_BYTES
+    assert len(order_archive._short_ids(payload)) == 400 * order_archive.SHORT_ID_BYTES
     assert not order_archive.has(payload=payload, order_id="%020x" % 7)
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
@@ -291,7 +291,7 @@
     def edit_for(*, order, archived):
         def edit(payload):
             rows = [*orders.recent_of(payload), [order.candidate.edition, order.order_id]]
-            return {"edition": order.candidate.edition, "body": order.body, "recent": rows}, orders.TAKEN
+            return {"edition": order.candidate.edition, "body": order.body, "recent": rows}, orders.Outcome.TAKEN
 
         return edit
 
