--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -244,7 +244,7 @@
         if self.has_tenants:
             self.meter.record(proxy=peer.address, incarnation=peer.incarnation, rows=tenant_usage.unpack_usage(usage))
             credits = tenant_usage.pack_credits(self.meter.credits(proxy=peer.address))
-            link.send(("standing", number, *self._freshness(), self.meter.proxies(), credits))
+            link.send(("standing", number, *self._freshness(), self.meter.proxy_count(), credits))
 
     def _freshness(self) -> tuple:
         """(newest configuration known as chosen, for how many seconds none newer may have been acknowledged)."""
@@ -286,16 +286,16 @@
         """Shares of the bounds for one proxy."""
         members, version = self.agreed_set()
         own_part = self.part_of(members)
-        self.owned_slack_share.install(part=own_part, version=version)
-        self.owned_rate_share.install(part=own_part, version=version)
+        self.owned_slack_share.install(share=own_part, version=version)
+        self.owned_rate_share.install(share=own_part, version=version)
         live = self.proxy_count
         rate_part = self.owned_rate_share.value()
         slot = (0, 0)
         if rate_part > 0 and self.loop.now() >= self.rates_from:
             slot = self.slots.renew(node=peer.address)
         return (
-            self.slacks.renew(node=peer.address, part=self.owned_slack_share.value(), live=live),
-            self.rates.renew(node=peer.address, part=rate_part, live=live),
+            self.slacks.renew(node=peer.address, owned_share=self.owned_slack_share.value(), live_nodes=live),
+            self.rates.renew(node=peer.address, owned_share=rate_part, live_nodes=live),
             self.lease_s,
             rate_part,
             *slot,
--- a/ploverward/control_plane/cluster/test_voting_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -185,7 +185,9 @@
         self.members, self.version = members, 0
         self.accepted = 0
         self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=LEASE_S)
-        self.parts = share_leases.OwnedShare(now=world.now, wait_s=LEASE_S + SHARE_LEASE_S + WINDOW_S, first_part=part)
+        self.parts = share_leases.OwnedShare(
+            now=world.now, transfer_wait_s=LEASE_S + SHARE_LEASE_S + WINDOW_S, initial_share=part
+        )
         self.share_table = share_leases.ShareTable(
             now=world.now, lease_s=SHARE_LEASE_S, window_s=WINDOW_S, withheld_until=0.0
         )
@@ -196,16 +198,16 @@
         )
         if self.world.is_fenced and not is_leased:
             return 0.0
-        return self.share_table.renew(node=proxy, part=self.parts.value(), live=live)
+        return self.share_table.renew(node=proxy, owned_share=self.parts.value(), live_nodes=live)
 
     def learn(self, *, members, version):
         self.members, self.version = members, version
         self.accepted = max(self.accepted, version)
         part = 1.0 / len(members) if self.name in members else 0.0
         if self.world.is_fenced:
-            self.parts.install(part=part, version=version)
+            self.parts.install(share=part, version=version)
         else:
-            self.parts = share_leases.OwnedShare(now=self.world.now, wait_s=0.0, first_part=part)
+            self.parts = share_leases.OwnedShare(now=self.world.now, transfer_wait_s=0.0, initial_share=part)
 
 
 class World:
@@ -293,16 +295,16 @@
 
 def test_a_restarted_node_resumes_its_share_unless_the_core_set_was_changed():
     clock = [0.0]
-    parts = share_leases.OwnedShare(now=lambda: clock[0], wait_s=5.0)
-    parts.resume(part=0.2, version=4)
-    parts.install(part=0.2, version=4)
+    parts = share_leases.OwnedShare(now=lambda: clock[0], transfer_wait_s=5.0)
+    parts.resume(share=0.2, version=4)
+    parts.install(share=0.2, version=4)
     assert parts.value() == 0.2
-    parts.install(part=0.25, version=5)
+    parts.install(share=0.25, version=5)
     assert parts.value() == 0.2
     clock[0] = 5.1
     assert parts.value() == 0.25
-    parts.resume(part=0.2, version=4)
-    parts.install(part=0.2, version=6)  # one version was missed: this node may have been outside
+    parts.resume(share=0.2, version=4)
+    parts.install(share=0.2, version=6)  # one version was missed: this node may have been outside
     assert parts.value() == 0.0
 
 
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -14,7 +14,9 @@
 from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.operator_api import interfaces
 from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.quotas import rate_slots
 from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.quotas import token_bucket
 from ploverward.control_plane.rollouts import manager
 
 LEAVE_SHARE = 0.85  # of graceS: a leaving node ends by then, whatever is under way
@@ -44,7 +46,7 @@
         self.rates = share_leases.ShareTable(
             now=self.loop.now, lease_s=self.lease_s, window_s=RATE_WINDOW_S, withheld_until=start + rate_withhold_s
         )
-        self.slots = share_leases.RateSlots(now=self.loop.now, hold_s=self.lease_s + RATE_WINDOW_S)
+        self.slots = rate_slots.RateSlots(now=self.loop.now, reserved_s=self.lease_s + RATE_WINDOW_S)
         self.rates_from = start + rate_withhold_s
         self.publisher = publisher.Publisher()
         self.subscriber = publisher.Subscriber(
@@ -80,10 +82,10 @@
         # An evicted member may hand out entries until its contact ends; each counts for its life and its window.
         outlived_s = 2 * self.lease_s
         self.owned_slack_share = share_leases.OwnedShare(
-            now=self.loop.now, wait_s=outlived_s + window_s, first_part=first_part
+            now=self.loop.now, transfer_wait_s=outlived_s + window_s, initial_share=first_part
         )
         self.owned_rate_share = share_leases.OwnedShare(
-            now=self.loop.now, wait_s=outlived_s + RATE_WINDOW_S, first_part=first_part
+            now=self.loop.now, transfer_wait_s=outlived_s + RATE_WINDOW_S, initial_share=first_part
         )
         self.core_set_changer = voting_set.CoreSetChanger(
             change=lambda **about: self.proposer.change(**about), known_set=lambda name: self.proposer.members(name)
@@ -102,12 +104,12 @@
 
         self.meter = quota_meter.QuotaMeter(
             now=self.loop.now,
-            bounds=quota_meter.Bounds(
+            tolerance=token_bucket.QuotaTolerance(
                 window_s=self.settings.bound(name="quotaWindowS", default=5),
                 excess=self.settings.bound(name="quotaExcess"),
                 slack=self.settings.bound(name="quotaSlack"),
             ),
-            part=self.owned_rate_share.value,
+            owned_share=self.owned_rate_share.value,
         )
         self.rollout_manager = manager.RolloutManager(
             settings=self.settings,
@@ -191,8 +193,8 @@
             return
         members, _payload = ballots.unpack(value)
         part = self.part_of(members)
-        self.owned_slack_share.resume(part=part, version=version)
-        self.owned_rate_share.resume(part=part, version=version)
+        self.owned_slack_share.resume(share=part, version=version)
+        self.owned_rate_share.resume(share=part, version=version)
 
     def run(self) -> int:
         self.start()
--- a/ploverward/control_plane/operator_api/tenant_views.py
+++ b/ploverward/control_plane/operator_api/tenant_views.py
@@ -21,7 +21,9 @@
             return
         buckets = self._meter.view()
         rows = {row["name"]: self._row(row, buckets) for row in body.get("senders") or ()}
-        call.answer(status=200, body={"edition": body["edition"], "proxies": self._meter.proxies(), "tenants": rows})
+        call.answer(
+            status=200, body={"edition": body["edition"], "proxies": self._meter.proxy_count(), "tenants": rows}
+        )
 
     def _row(self, row: dict, buckets: dict) -> dict:
         answer = {
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -9,11 +9,12 @@
 from ploverward.common import errors
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.quotas import token_bucket
 from ploverward.simulation import quota_simulation
 
-BOUNDS = quota_meter.Bounds(window_s=5.0, excess=0.1, slack=20.0)
+TOLERANCE = token_bucket.QuotaTolerance(window_s=5.0, excess=0.1, slack=20.0)
 NAMES = ("a", "b", "c")
-MOST_REFUSED = 0.2  # of a day on which all core nodes restart
+MAX_REFUSED_SHARE = 0.2  # of a day on which all core nodes restart
 BODY = {"senders": [{"name": name, "perS": 10, "burst": 10} for name in NAMES] + [{"name": "free", "perS": 0}]}
 
 
@@ -25,9 +26,9 @@
         return self.now
 
 
-def meter(*, part=1.0, body=BODY):
+def meter(*, owned_share=1.0, body=BODY):
     clock = Clock()
-    made = quota_meter.QuotaMeter(now=clock, bounds=BOUNDS, part=lambda: part)
+    made = quota_meter.QuotaMeter(now=clock, tolerance=TOLERANCE, owned_share=lambda: owned_share)
     made.install(body)
     for proxy in ("p", "q", "p0"):
         made.record(proxy=proxy, incarnation="1", rows=[])  # the first report is what counts begin from
@@ -96,8 +97,8 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 10, 200])
-def test_credits_of_all_proxies_add_up_to_this_nodes_part(proxies):
-    made, clock = meter(part=0.2)
+def test_credits_of_all_proxies_add_up_to_this_nodes_share(proxies):
+    made, clock = meter(owned_share=0.2)
     chance = random.Random(proxies)
     given = 0.0
     names = [f"p{number}" for number in range(proxies)]
@@ -131,13 +132,17 @@
         made.record(proxy=name, incarnation="1", rows=[])
     clock.now += 3.0
     made.record(proxy="p", incarnation="1", rows=[])
-    assert made.proxies() == 2 and made._share() == pytest.approx(0.5)  # the third one was heard of a minute ago
+    assert made.proxy_count() == 2 and made._issuable_share() == pytest.approx(
+        0.5
+    )  # the third one was heard of a minute ago
 
 
 def test_a_lowered_limit_takes_off_what_was_saved_up():
     made, _clock = meter()
     made.install({"senders": [{"name": "a", "perS": 2, "burst": 1}]})
-    assert level(made) <= 1 + quota_meter.MAX_DEPTH_SHARE * BOUNDS.error(tenant_usage.Limit(per_s=2, burst=1))
+    assert level(made) <= 1 + token_bucket.MAX_DEPTH_TOLERANCE * TOLERANCE.allowed_overrun(
+        tenant_usage.Limit(per_s=2, burst=1)
+    )
     assert set(made.view()) == {tenant_usage.tenant_key("a").hex()}
 
 
@@ -169,20 +174,20 @@
     which nobody has the burst; with that debt it is a quarter of the day on the first of these."""
     for seed in range(2):
         report = quota_simulation.run_simulation(seed, fault_kinds=("restart_core",))
-        assert not report.over and report.refused_below <= MOST_REFUSED * report.asked, report
+        assert not report.over and report.refused_below <= MAX_REFUSED_SHARE * report.asked, report
 
 
 def test_mutants_that_count_whole_incarnations_are_found(monkeypatch):
     real = quota_meter.QuotaMeter.record
 
     def record(self, *, proxy, incarnation, rows):
-        if proxy not in self._incarnations:
+        if proxy not in self._usage:
             real(self, proxy=proxy, incarnation=incarnation, rows=[])
         real(self, proxy=proxy, incarnation=incarnation, rows=rows)
 
     monkeypatch.setattr(quota_meter.QuotaMeter, "record", record)
     report = quota_simulation.run_simulation(0, fault_kinds=("restart_core",))
-    assert report.refused_below > MOST_REFUSED * report.asked
+    assert report.refused_below > MAX_REFUSED_SHARE * report.asked
 
 
 def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
@@ -196,7 +201,8 @@
     """Each report counts as if it were new: tenants are refused although they ask little."""
 
     def record(self, *, proxy, incarnation, rows):
-        self._admitted[proxy] = {}
+        if proxy in self._usage:
+            self._usage[proxy].admitted.clear()
         real(self, proxy=proxy, incarnation=incarnation, rows=rows)
 
     real = quota_meter.QuotaMeter.record
--- a/ploverward/control_plane/quotas/test_share_leases.py
+++ b/ploverward/control_plane/quotas/test_share_leases.py
@@ -21,7 +21,7 @@
     for _ in range(600):
         clock[0] += chance.random() * 0.3
         node = chance.choice(nodes[: chance.randint(1, 12)])
-        share = share_table.renew(node=node, part=1 / 3, live=chance.randint(1, 12))
+        share = share_table.renew(node=node, owned_share=1 / 3, live_nodes=chance.randint(1, 12))
         assert not share or clock[0] >= 3.0
         if share:
             history.append((node, share, clock[0] + incarnation + window))
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ploverward.control_plane.quotas import share_leases
+from ploverward.control_plane.quotas import rate_slots
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.quotas import shared_limits
@@ -100,7 +100,7 @@
     chance = random.Random(seed)
     clock = [100.0]
     lease_s, bound = 1.5, 10 * 1.5 + 5
-    books = [share_leases.RateSlots(now=lambda: clock[0], hold_s=lease_s + 1.5) for _ in range(cores)]
+    books = [rate_slots.RateSlots(now=lambda: clock[0], reserved_s=lease_s + 1.5) for _ in range(cores)]
     links = [StubConnection(f"10.0.0.{number}:1") for number in range(cores)]
     nodes = {}
     started_nodes = 0
@@ -165,7 +165,7 @@
 def test_no_two_nodes_that_may_act_hold_the_same_slot(seed):
     chance = random.Random(seed)
     clock = [0.0]
-    slots = share_leases.RateSlots(now=lambda: clock[0], hold_s=3.0)
+    slots = rate_slots.RateSlots(now=lambda: clock[0], reserved_s=3.0)
     granted = []  # (node, slot, size, until)
     for _ in range(2000):
         clock[0] += chance.random() * 0.05
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -16,6 +16,7 @@
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.quotas import rate_slots
 from ploverward.control_plane.quotas import share_leases
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_subset
@@ -325,13 +326,21 @@
 def lease_time(count: int) -> float:
     """A core node's beat: an entry for each of so many proxies."""
     share_table = share_leases.ShareTable(now=time.monotonic, lease_s=1.5, window_s=10.0, withheld_until=0.0)
-    slots = share_leases.RateSlots(now=time.monotonic, hold_s=3.0)
+    slots = rate_slots.RateSlots(now=time.monotonic, reserved_s=3.0)
     names = [f"10.1.0.{number}" for number in range(count)]
 
     def send_heartbeats():
         for name in names:
             frames.pack(
-                ("entry", share_table.renew(node=name, part=0.2, live=count), 0.0, 1.5, 0.2, *slots.renew(node=name), 0)
+                (
+                    "entry",
+                    share_table.renew(node=name, owned_share=0.2, live_nodes=count),
+                    0.0,
+                    1.5,
+                    0.2,
+                    *slots.renew(node=name),
+                    0,
+                )
             )
 
     return clocked(send_heartbeats, repeats=1)
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -91,7 +91,7 @@
 
 def _moved_part_at_once() -> list:
     """A node whose part of the bounds grew hands it out without waiting for the older entries to run out."""
-    return [mock.patch.object(share_leases.OwnedShare, "value", lambda self: self._part)]
+    return [mock.patch.object(share_leases.OwnedShare, "value", lambda self: self._share)]
 
 
 def _quorum_read_ahead_of_disk() -> list:
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -9,12 +9,13 @@
 
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.quotas import token_bucket
 from ploverward.data_plane.quotas import tenant_admission
 from ploverward.simulation import simulated_world
 
 HEARTBEAT_INTERVAL_S = 0.4
 LEASE_S = 0.9
-BOUNDS = quota_meter.Bounds(window_s=5.0, excess=0.1, slack=20.0)
+TOLERANCE = token_bucket.QuotaTolerance(window_s=5.0, excess=0.1, slack=20.0)
 START_AT = 12.0  # of traffic: by then the buckets are full
 END_AT = 44.0
 USUAL_PART = 1 / 1.6  # of a tenant's limit, that it asks for on ordinary days
@@ -54,7 +55,9 @@
         self.start()
 
     def start(self) -> None:
-        self.meter = quota_meter.QuotaMeter(now=self.simulation.world.now, bounds=BOUNDS, part=lambda: 1.0 / CORES)
+        self.meter = quota_meter.QuotaMeter(
+            now=self.simulation.world.now, tolerance=TOLERANCE, owned_share=lambda: 1.0 / CORES
+        )
         self.meter.install(self.simulation.body)
 
 
@@ -92,7 +95,7 @@
                 return
             core.meter.record(proxy=self.name, incarnation=incarnation, rows=tenant_usage.unpack_usage(data))
             credits = core.meter.credits(proxy=self.name)
-            proxies = core.meter.proxies()
+            proxies = core.meter.proxy_count()
             self.simulation.world.later(self.simulation.chance.uniform(0.001, 0.08), lambda: answered(credits, proxies))
 
         def answered(credits, proxies):
@@ -140,8 +143,8 @@
 
     def _is_below(self, name: str, now: float) -> bool:
         """Whether the tenant has asked for no more than its limit over the window that ends now."""
-        recent = sum(1 for when in self.asked[name][-500:] if when > now - BOUNDS.window_s)
-        return recent <= self.limits[name] * BOUNDS.window_s + round(self.limits[name])
+        recent = sum(1 for when in self.asked[name][-500:] if when > now - TOLERANCE.window_s)
+        return recent <= self.limits[name] * TOLERANCE.window_s + round(self.limits[name])
 
     # Troubles.
     def _inject_fault(self, name: str) -> None:
@@ -208,11 +211,11 @@
                 spans = [([when for when in self.admitted[name] if when < self.lowered_at], rate), (after, rate * 0.3)]
             for times, per_s in spans:
                 limit = tenant_usage.Limit(per_s=per_s, burst=round(rate))
-                base = per_s * BOUNDS.window_s + limit.burst
-                found = self._worst_window(times, BOUNDS.window_s)
-                self.report.worst = max(self.report.worst, (found - base) / BOUNDS.error(limit))
-                if found > base + BOUNDS.error(limit):
-                    self.report.over.append((name, round(found - base - BOUNDS.error(limit), 1)))
+                base = per_s * TOLERANCE.window_s + limit.burst
+                found = self._worst_window(times, TOLERANCE.window_s)
+                self.report.worst = max(self.report.worst, (found - base) / TOLERANCE.allowed_overrun(limit))
+                if found > base + TOLERANCE.allowed_overrun(limit):
+                    self.report.over.append((name, round(found - base - TOLERANCE.allowed_overrun(limit), 1)))
 
     def run_simulation(self) -> Report:
         for proxy in self.proxies:
