--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -5,12 +5,15 @@
 its successor was heard. It acts only while it is in contact with a majority of the core set.
 """
 
-from ploverward.common import event_log
+import logging
+
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
 
+_log = logging.getLogger(__name__)
+
 WATCH = "watch"
 LIST = "list"  # the topic of the platform's list
 NOBODY = (0, "", "")
@@ -152,7 +155,7 @@
         """The first list that any holder tells: what nodes read by themselves before may differ from node to node."""
         data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
         self._publisher.publish(topic=LIST, epoch=self.epoch, number=1, data=data)
-        event_log.record("list", epoch=self.epoch, replicas=len(rows))
+        _log.debug("list_published", extra={"epoch": self.epoch, "replicas": len(rows)})
 
     def _publish_change(self, rows: list, at: float, *, is_first: bool, number: int) -> None:
         """What differs from the list told last, by this holder or by the one before it, whose clock was another."""
@@ -164,8 +167,14 @@
             change = endpoint_list.Change(rows=(), gone=(), read_at=at, is_same_clock=False)
         published = current.changed_by(change)
         self._publish_list(published, epoch=self.epoch, number=number, change=change.pack())
-        event_log.record(
-            "list", epoch=self.epoch, replicas=len(published.rows), changed=len(change.rows), gone=len(change.gone)
+        _log.debug(
+            "list_published",
+            extra={
+                "epoch": self.epoch,
+                "replicas": len(published.rows),
+                "changed": len(change.rows),
+                "gone": len(change.gone),
+            },
         )
 
     def follow_change(self, *, epoch: int, number: int, data: bytes) -> None:
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -1,6 +1,7 @@
 """Links to proxies and core nodes, leases, duties and the core set (design 4, 5)."""
 
-from ploverward.common import event_log
+import logging
+
 from ploverward.common import tenant_usage
 from ploverward.control_plane.cluster import coordinator as coordinators
 from ploverward.control_plane.cluster import majority_lease
@@ -9,6 +10,8 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.rollouts import evidence_table
 
+_log = logging.getLogger(__name__)
+
 UNKNOWN_AGE_S = 1e6  # of a configuration of which this node knows nothing certain
 
 
@@ -77,7 +80,7 @@
         self.subscriber.drop(link)
         if peer is not None and peer.role == "proxy":
             self.proxy_count -= 1
-            event_log.record("proxy gone", peer=peer.address, reason=reason)
+            _log.debug("proxy_disconnected", extra={"peer": peer.address, "reason": reason})
             self.interfaces.applying.check()
 
     def _handle_message(self, link, message: tuple) -> None:
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -7,11 +7,13 @@
 """
 
 import dataclasses
+import logging
 
-from ploverward.common import event_log
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 
+_log = logging.getLogger(__name__)
+
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class View:
@@ -71,7 +73,7 @@
         """
         if self.is_moving and target == self._target:
             return
-        event_log.record("core set moves", to=list(target))
+        _log.debug("core_set_moving", extra={"to": list(target)})
         self._target = target
         self._moving_registers = set(register_names.REGISTERS)
         for name in register_names.REGISTERS:
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -1,7 +1,8 @@
 """One core node's part in the registers: acceptor, proposer, disk, and how a learner comes by them (docs/register.md)."""
 
+import logging
+
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
@@ -10,6 +11,8 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import write_ahead_log
 
+_log = logging.getLogger(__name__)
+
 ATTEMPT_TIMEOUT_SHARE = 1 / 10  # of receiptMs: how long an attempt waits for a majority
 LIMIT_SHARE = 1 / 2  # of receiptMs: how long a round is tried again
 RETRY_SHARE = 1 / 20  # of receiptMs: from a failed write to the next try
@@ -83,11 +86,12 @@
         self.is_damaged = False
         try:
             image = store.load()
-            event_log.record(
-                "register read", incarnation=image.incarnation, registers={row[0]: row[5] for row in image.rows}
+            _log.debug(
+                "registers_loaded",
+                extra={"incarnation": image.incarnation, "registers": {row[0]: row[5] for row in image.rows}},
             )
         except (errors.StorageError, OSError) as failure:
-            event_log.dump(f"the register's file can't be read, this node refills: {failure}")
+            _log.error("registers_unreadable", extra={"fault": str(failure)})
             image = acceptor_storage.Image()
             self.is_damaged = True
         if not image.incarnation and is_first_start and not self.is_damaged:
@@ -204,7 +208,9 @@
         if self._loop.now() - self._catch_up_begun_at > self._contact_s:
             self._catch_up_begun_at = self._loop.now()
             self._catch_up.start()
-        event_log.record("refill asked", had={member: len(rows) for member, rows in self._catch_up.answers.items()})
+        _log.debug(
+            "catch_up_requested", extra={"had": {member: len(rows) for member, rows in self._catch_up.answers.items()}}
+        )
         self._broadcast_to_cores(self._catch_up.request())
         self._loop.after(delay=self._contact_s * LOOK_SHARE, callback=self._look)
 
@@ -227,7 +233,7 @@
         self._begin(image, on_safe=self._on_caught_up)
 
     def _on_caught_up(self) -> None:
-        event_log.record("refilled", incarnation=self.acceptor.incarnation)
+        _log.debug("catch_up_finished", extra={"incarnation": self.acceptor.incarnation})
         self.proposer.is_learner = False
         for name in register_names.REGISTERS:
             self.repair(name)
@@ -290,7 +296,7 @@
         """A value that is known to be chosen."""
         if not value or not self._publish(name, rev, value):
             return
-        event_log.record("chosen", register=name, rev=rev)
+        _log.debug("value_chosen", extra={"register": name, "rev": rev})
         members, payload = ballots.unpack(value)
         self.proposer.learn_chosen(name=name, rev=rev, value=value)
         self._on_value(name, payload, members)
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -8,10 +8,13 @@
 again, and while one hangs, `is_hindered` is true and the node votes for nothing.
 """
 
-from ploverward.common import event_log
+import logging
+
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import acceptor_storage
 
+_log = logging.getLogger(__name__)
+
 
 class WriteAheadLog:
     """Writes one batch at a time on the pool of the loop."""
@@ -101,7 +104,7 @@
 
     def _take_failure(self, failure) -> None:
         if not self._is_failing:
-            event_log.dump(f"the disk refused a write, this node votes for nothing until one goes through: {failure}")
+            _log.error("disk_write_failed", extra={"fault": str(failure)})
         self._is_failing = True
         self._waiting.clear()
         self._loop.after(delay=self._retry_s, callback=self._write)
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -1,7 +1,8 @@
 """The core program: register, leases, duties, news, dispatch and directory (design 1, 4, 5, 9)."""
 
+import logging
+
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.control_plane import node_runtime
 from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import majority_lease
@@ -19,6 +20,8 @@
 from ploverward.control_plane.quotas import token_bucket
 from ploverward.control_plane.rollouts import manager
 
+_log = logging.getLogger(__name__)
+
 LEAVE_SHARE = 0.85  # of graceS: a leaving node ends by then, whatever is under way
 RATE_WINDOW_S = 1.5  # the cold bound is stated for one second
 
@@ -29,7 +32,7 @@
         self.settings = settings
         self.own = settings.ip
         self.incarnation = self.runtime.unique_id()
-        self.loop = self.runtime.loop(on_fault=lambda fault: event_log.dump("a step failed", fault=fault))
+        self.loop = self.runtime.loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.receipt_s = settings.bound_s(name="receiptMs")
         self.peer_timeout_s = self.contact_s / 5
@@ -156,7 +159,7 @@
         self.watch.start()
         self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._on_heartbeat_tick)
         self.runtime.on_signals(loop=self.loop, on_terminate=self._leave, on_reread=self._reread)
-        event_log.record("core up", own=self.own, first=self.settings.first_start)
+        _log.debug("core_started", extra={"own": self.own, "first": self.settings.first_start})
 
     def _make_interfaces(self) -> None:
         self.interfaces = interfaces.Interfaces(
@@ -224,4 +227,4 @@
         try:
             self.settings = self.runtime.load_settings()
         except errors.SettingsError as fault:
-            event_log.dump(f"the new settings are kept out: {fault}")
+            _log.error("settings_rejected", extra={"fault": str(fault)})
--- a/ploverward/control_plane/operator_api/order_handlers.py
+++ b/ploverward/control_plane/operator_api/order_handlers.py
@@ -1,9 +1,9 @@
 """The operator's calls: configurations and evacuations (design 5, 9; docs/orders.md)."""
 
+import logging
 import re
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.control_plane.configuration import evacuations
 from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders as configuration_orders
@@ -12,6 +12,8 @@
 from ploverward.control_plane.rollouts import orders as rollout_orders
 from ploverward.control_plane.rollouts import state
 
+_log = logging.getLogger(__name__)
+
 CALLER_TIMEOUT_S = 1.0  # after so long a silence a caller goes to another node (the protocol's figure)
 ROUND_PART = 0.8  # of that silence: a round that has not ended by then is answered with 503
 APPLIED_PART = 0.9  # of that silence: an order that is taken is acknowledged by then, whoever has not applied it
@@ -193,7 +195,7 @@
             call.answer(status=400, body={"error": error.text, "place": error.field_path})
         else:
             if not isinstance(error, errors.PloverwardError):
-                event_log.dump("an order broke its handling", fault=error)
+                _log.error("order_failed", exc_info=error)
             call.unavailable(why=str(error))
 
     # Reading back.
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -6,8 +6,8 @@
 
 import collections
 import dataclasses
+import logging
 
-from ploverward.common import event_log
 from ploverward.common import rollout_evidence
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.rollouts import evidence_table
@@ -18,6 +18,8 @@
 from ploverward.control_plane.rollouts import state
 from ploverward.transport import row_codec
 
+_log = logging.getLogger(__name__)
+
 LEASE_PART = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
 SETTLED_RECEIPTS = 4  # an order may come again for receiptMs; after so many it is a new one
 REPORTS_A_S = 150  # evidence that the holder takes in a second: the pace follows the number of proxies
@@ -275,8 +277,10 @@
             sent_new=trial.evidence_table.sent_new,
             routes=_by_route(trial.evidence_table.totals()),
         )
-        event_log.log_event("roll-out", service=service, target=rollout.target, known=dataclasses.asdict(known))
-        event_log.record("roll-out times", tallies=_tally_fields(trial.evidence_table.totals()))
+        _log.info(
+            "rollout_changed", extra={"service": service, "target": rollout.target, "known": dataclasses.asdict(known)}
+        )
+        _log.debug("rollout_tallied", extra={"tallies": _tally_fields(trial.evidence_table.totals())})
         self._apply(service, orders.edit_to_stage(service=service, seen=rollout, known=known))
 
     def _view(self, service: str, rollout: state.Rollout, trial: Trial, age_s: float) -> planner.View:
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -1,6 +1,7 @@
 """Following the core: held connections, news, leases, grant entries, and when to serve (design 4, 5, 8)."""
 
-from ploverward.common import event_log
+import logging
+
 from ploverward.common import residency
 from ploverward.common import tenant_usage
 from ploverward.control_plane.cluster import coordinator as coordinators
@@ -13,6 +14,8 @@
 from ploverward.transport import http_server
 from ploverward.transport import peer_connection
 
+_log = logging.getLogger(__name__)
+
 MAX_PENDING_RENEWALS = 16  # entries that answer older renewals have run out
 
 
@@ -85,7 +88,7 @@
                 self._acknowledge_version(message[1])
         elif kind == "floor":
             if host not in self.minimum_versions:
-                event_log.record("floor", host=host)
+                _log.debug("minimum_version_received", extra={"host": host})
             self.minimum_versions[host] = dict(message[1])
             self._check_serving()
         elif kind == "keeps":
@@ -101,7 +104,7 @@
 
     def _acknowledge_version(self, topic: str) -> None:
         if not self.is_serving:
-            event_log.record("has", topic=topic)
+            _log.debug("topic_received", extra={"topic": topic})
         self._send_to_cores(("have", ((topic, *self.subscriber.versions[topic]),)))
 
     def renew_entries(self) -> None:
@@ -188,7 +191,7 @@
         if "cores" not in self.subscriber.versions:
             return  # the floors may be those of seeds that no longer vote
         self.is_serving = True
-        event_log.record("serving", edition=self.routes.edition)
+        _log.debug("serving_started", extra={"edition": self.routes.edition})
         self._send_to_cores(("state", True, self.is_draining))
 
     def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -6,15 +6,17 @@
 
 import collections
 import dataclasses
+import logging
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.data_plane.load_reports import aggregates
 from ploverward.data_plane.load_reports import fanout
 from ploverward.transport import frames
 from ploverward.transport import legacy_messages
 from ploverward.transport import peer_connection
 
+_log = logging.getLogger(__name__)
+
 OWN = "own"  # the proxy itself, as a member of its own sums
 MAX_CUT_BYTES_PER_TICK = (
     16 * 1024
@@ -195,7 +197,7 @@
         try:
             self._mirrors[region].take(message)
         except errors.FrameError as failure:
-            event_log.record("relay stream broken", fault=str(failure))
+            _log.debug("relay_stream_broken", extra={"fault": str(failure)})
             link.close(reason=str(failure))
             return
         if message[0] == "cut":
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -1,9 +1,9 @@
 """The relay and the digest by duty, and this proxy as a member of a digest (design 6, docs/digest.md, docs/scale.md)."""
 
+import logging
 import random
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.load_reports import digest
@@ -15,6 +15,8 @@
 from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
+_log = logging.getLogger(__name__)
+
 MAX_ADAPTER_ROWS = 2000
 SOLO_DELAY_SHARE = (0.25, 0.75)  # of silence_s: how long a proxy waits for its zone's digest before it goes on alone
 LARGE_ZONE_PACE = 2
@@ -229,7 +231,7 @@
         try:
             self.regions[region].take(message)
         except errors.FrameError as fault:
-            event_log.record("relay stream broken", fault=str(fault))
+            _log.debug("relay_stream_broken", extra={"fault": str(fault)})
             link.close(reason=str(fault))
 
     def _own_load(self) -> list:
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -1,11 +1,11 @@
 """The proxy program: its parts put together, its start and its beat (design 1)."""
 
+import logging
 import random
 import signal
 import uuid
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.common import settings as settings_files
 from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.load_balancing import replica_chooser
@@ -20,12 +20,14 @@
 from ploverward.data_plane.rollouts import version_routing
 from ploverward.transport import event_loop
 
+_log = logging.getLogger(__name__)
+
 
 class Proxy(core_sessions.FollowMixin, relay_client.RelayMixin, serving.ServeMixin):
     def __init__(self, *, settings):
         self.settings = settings
         self.incarnation = uuid.uuid4().hex[:12]
-        self.loop = event_loop.Loop(on_fault=lambda fault: event_log.dump("a step failed", fault=fault))
+        self.loop = event_loop.Loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.peer_timeout_s = self.contact_s / 5
         self.failover_s = self.contact_s / 16  # in about this time somebody else is found, or it comes back
@@ -96,6 +98,6 @@
         try:
             self.settings = settings_files.load()
         except errors.SettingsError as fault:
-            event_log.dump(f"the new settings are kept out: {fault}")
+            _log.error("settings_rejected", extra={"fault": str(fault)})
             return
         self._connect_to_cores()
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -4,10 +4,10 @@
 to digests, which pass it on unchanged.
 """
 
+import logging
 import math
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
@@ -17,6 +17,8 @@
 from ploverward.transport import frames
 from ploverward.transport import row_codec
 
+_log = logging.getLogger(__name__)
+
 FAR_TICKS = 2  # what is told crosses regions so much less often
 MIN_LOAD_ROWS = 16  # loads told at a time, whatever the size of the region
 ROWS_SHARE = 1 / 16  # of the region's replicas: the same in a large one
@@ -195,7 +197,10 @@
         self._join_new()
         self._ticks += 1
         for key in self._judge.look():
-            event_log.record("outcomes", replica=self._ids.get(key, ""), is_failing=key in self._judge.failing)
+            _log.debug(
+                "replica_outcomes_changed",
+                extra={"replica": self._ids.get(key, ""), "is_failing": key in self._judge.failing},
+            )
             self._note(key)
         self._publish(is_far=False)
         if self._ticks % FAR_TICKS == 0:
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,12 +1,15 @@
 """The catalogue of live pool generations (docs/relay.md 4). Withdrawal always comes before teardown."""
 
+import logging
+
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.data_plane.relay import actor as actors
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub as hubs
 from ploverward.transport import row_codec
 
+_log = logging.getLogger(__name__)
+
 
 class Pool:
     def __init__(self, *, identity, service, model, generation, actor):
@@ -157,5 +160,5 @@
                 hub.check(generation=pool.generation)
                 hub.flush(most=most)
             except (hubs.Fenced, errors.FrameError, ValueError) as fault:
-                event_log.dump(f"pool {pool.name} is fenced: {fault}")
+                _log.error("pool_fenced", extra={"pool": pool.name, "fault": str(fault)})
                 self.withdraw(identity=identity)
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -1,8 +1,8 @@
 """The way of a request through a proxy: filters, attempts at replicas, and one final answer (design 7, docs/requests.md)."""
 
+import logging
 import random
 
-from ploverward.common import event_log
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import attempts
@@ -10,6 +10,8 @@
 from ploverward.data_plane.requests import event_streams
 from ploverward.transport import http_server
 
+_log = logging.getLogger(__name__)
+
 BUFFER_LIMIT = 512 * 1024
 LIMITED_STATUSES = (408, 421, 429, 503)
 NOT_RUN_STATUSES = (429, 503)  # said here, they mean that the request has not run
@@ -579,7 +581,7 @@
             return
         self.is_over = True
         if self.trail and self.route is not None and self.is_slow():
-            event_log.record("slow request", route=self.route.name, trail=self.trail)
+            _log.debug("request_slow", extra={"route": self.route.name, "trail": self.trail})
         for timer in (self.retry_timer, self.watch_timer, self.limit_timer):
             self.loop.cancel(timer=timer)
         self.proxy.passages.discard(self)
--- a/ploverward/data_plane/requests/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -1,10 +1,13 @@
 """Serving: listeners, readiness, what attempts tell of replicas, and leaving (design 7, 9)."""
 
-from ploverward.common import event_log
+import logging
+
 from ploverward.data_plane.requests import graceful_shutdown
 from ploverward.data_plane.requests import request_handler
 from ploverward.transport import http_server
 
+_log = logging.getLogger(__name__)
+
 
 class ServeMixin:
     """Traffic, readiness, leaving (design 7, 9)."""
@@ -54,7 +57,7 @@
         self.table.mark_suspected(replica)
 
     def note_fault(self, *, replica, reason: str, was_up: bool) -> None:
-        event_log.record("attempt failed", replica=replica.id, reason=reason)
+        _log.debug("attempt_failed", extra={"replica": replica.id, "reason": reason})
         if not was_up:
             self.table.mark_suspected(replica)
 
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -1,15 +1,17 @@
 """Held connections between our own processes (design 4): beats, TCP_USER_TIMEOUT, bounded buffers, backoff with jitter."""
 
 import errno
+import logging
 import random
 import selectors
 import socket
 
 from ploverward.common import errors
-from ploverward.common import event_log
 from ploverward.transport import frames
 from ploverward.transport import legacy_messages
 
+_log = logging.getLogger(__name__)
+
 MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024
 
 
@@ -18,7 +20,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(peer_timeout_s * 1000))
     except OSError as fault:
-        event_log.record("no TCP_USER_TIMEOUT", fault=str(fault))
+        _log.debug("user_timeout_unsupported", extra={"fault": str(fault)})
 
 
 def listen(*, address: tuple, backlog: int = 512):
@@ -38,7 +40,7 @@
         except (BlockingIOError, ConnectionError):
             return
         except OSError as fault:
-            event_log.record("accept", fault=str(fault))
+            _log.debug("accept_failed", extra={"fault": str(fault)})
             return
         taken.setblocking(False)
         callback(taken, address)
