--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -7,16 +7,14 @@
 from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.requests import custody_trails
-from ploverward.data_plane.requests import event_streams
+from ploverward.data_plane.requests import retry_policy
+from ploverward.data_plane.requests import stream_resumption
 from ploverward.transport import http_server
 
 _log = logging.getLogger(__name__)
 
 BUFFER_LIMIT = 512 * 1024
 LIMITED_STATUSES = (408, 421, 429, 503)
-NOT_RUN_STATUSES = (429, 503)  # said here, they mean that the request has not run
-MAX_ATTEMPTS = 6  # with those of which no byte left
-MIN_TIME_LEFT_S = 0.05  # of a request's time, for one more attempt
 QUEUE_WAIT_SHARE = 0.2  # of the aim: how long a request waits for a replica that can be named
 STREAM_WAIT_FACTOR = 3  # of the aim: the same for a stream that was begun
 RETRY_INTERVAL_SHARE = 0.05  # of the aim, between two looks for a replica
@@ -45,12 +43,10 @@
         self.deadline = 0.0
         self.latency_target_s = 0.0
         self.attempt = None
-        self.attempts = 0
         self.turns = 0
-        self.arrivals = 0
+        self.policy = retry_policy.RetryPolicy()
         self.avoid = set()
         self.is_over = False
-        self.unresolved_attempts = 0  # attempts that may have run, or may run yet
         self.has_head = False
         self.forwarded_headers = []
         self.buffer = None
@@ -149,7 +145,7 @@
             self.wait_or_reject()
             return
         self.retry_after_s = self.latency_target_s * RETRY_AFTER_SHARE
-        if self.arrivals and not self.proxy.quota.charge_retry(self.service):
+        if self.policy.arrivals and not self.proxy.quota.charge_retry(self.service):
             self.give_up()
             return
         connection = self.proxy.table.connection(replica=replica, request_id=self.request_id)
@@ -162,9 +158,7 @@
     def follow_configuration(self) -> bool:
         """Whether a later turn may be, under the configuration now in force, and the stricter homes of both."""
         route = admission_filters.find_route(request=self.request, routes=self.proxy.routes)
-        if route is None or self.arrivals >= route.tries:
-            return False
-        if self.unresolved_attempts and not route.is_idempotent:
+        if route is None or not self.policy.may_continue_under(route):
             return False
         tenant = admission_filters.authenticate_tenant(request=self.request, route=route, proxy=self.proxy)
         if isinstance(tenant, admission_filters.Refused):
@@ -179,7 +173,9 @@
     def choose(self, *, avoid=None) -> tuple:
         """(replica or None, tokens to read there, whether any could be named), of the versions that may be asked."""
         is_any = False
-        for pool in self.proxy.rollouts.pools(service=self.service, is_first=self.arrivals_next() == 1):
+        for pool in self.proxy.rollouts.pools(
+            service=self.service, is_first=self.policy.next_arrival(is_sending=self.is_sending) == 1
+        ):
             replica, prefill_tokens, is_named = self._choose_of(pool=pool, avoid=avoid)
             if replica is not None:
                 return replica, prefill_tokens, True
@@ -200,10 +196,7 @@
         )
 
     def begin_attempt(self, *, replica, connection, prefill_tokens: int) -> None:
-        self.attempts += 1
-        self.unresolved_attempts += (
-            1  # until the contrary is known: a fault of ours on the way must not turn into a promise
-        )
+        self.policy.on_attempt_started()
         now = self.loop.now()
         attempt = attempts.Attempt(
             handler=self,
@@ -283,10 +276,14 @@
         return replica is not None and self.proxy.table.has_capacity(replica=replica)
 
     def may_retry(self) -> bool:
-        return self.arrivals_next() <= self.route.tries and self.loop.now() < self.deadline - MIN_TIME_LEFT_S
+        return self.policy.may_retry(
+            route=self.route, now=self.loop.now(), deadline=self.deadline, is_sending=self.is_sending
+        )
 
-    def arrivals_next(self) -> int:
-        return self.arrivals + 1 + (1 if self.attempt is not None and not self.attempt.connection.is_unsent else 0)
+    @property
+    def is_sending(self) -> bool:
+        """Whether a byte of a running attempt has left."""
+        return self.attempt is not None and not self.attempt.connection.is_unsent
 
     def end_attempt(self, attempt, *, kind: int) -> None:
         """The attempt is over; what it did to the replica's load ends with it."""
@@ -311,10 +308,7 @@
         )
         attempt.replica.running -= 1
         attempt.replica.prefill_tokens.pop(attempt.number, None)
-        if not attempt.connection.is_unsent:
-            self.arrivals += 1
-        if attempt.connection.is_unsent or attempt.is_known_not_run:
-            self.unresolved_attempts -= 1
+        self.policy.on_attempt_ended(is_unsent=attempt.connection.is_unsent, is_known_not_run=attempt.is_known_not_run)
         if kind in (report_source.FAILED, report_source.BROKEN):
             attempt.replica.note_failure(now=self.loop.now(), span=self.proxy.settings.bound_s(name="contactMs"))
         self.proxy.report_attempt(replica=attempt.replica, kind=kind)
@@ -347,7 +341,7 @@
                 (name, value) for name, value in self.forwarded_headers if name != b"content-length"
             ]
             if self.stream is None:
-                self.stream = event_streams.Stream(last_id=self.last_id)
+                self.stream = stream_resumption.ResumableStream(last_id=self.last_id)
             self.stream.begin_run()
             return
         self.stream = None
@@ -358,7 +352,7 @@
             return
         if self.stream is not None and attempt.meaning is attempts.Meaning.SUCCESS:
             self.record_prompt_read(attempt)
-            for event in self.stream.take(data):
+            for event in self.stream.receive_data(data):
                 attempt.note_event(now=self.loop.now())
                 self.forward_event(event)
             return
@@ -428,7 +422,7 @@
             self.end_answer(attempt)
 
     def end_stream(self, attempt) -> None:
-        rest = self.stream.rest()
+        rest = self.stream.take_remainder()
         self.end_attempt(attempt, kind=report_source.DONE)
         self.open_stream(status=attempt.status)
         if rest:
@@ -475,7 +469,7 @@
             return
         # No byte left this node: it has not run and is not an arrival.
         self.avoid.add(attempt.replica.id)
-        if self.attempts < MAX_ATTEMPTS and self.loop.now() < self.deadline:
+        if self.policy.may_reconnect(now=self.loop.now(), deadline=self.deadline):
             self.try_attempt()
         else:
             self.give_up()
@@ -503,11 +497,14 @@
 
     def may_resend(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        if not self.is_idempotent or not self.may_retry():
-            return False
-        if not self.has_head:
-            return True
-        return self.route.is_resumable and self.stream is not None and self.stream.is_resumable
+        return self.policy.may_resend(
+            route=self.route,
+            now=self.loop.now(),
+            deadline=self.deadline,
+            has_head=self.has_head,
+            stream=self.stream,
+            is_sending=self.is_sending,
+        )
 
     def on_unresolved_attempt(self, attempt) -> None:
         """Bytes of unclear fate."""
@@ -527,7 +524,7 @@
         if now >= min(until, self.deadline):
             self.give_up()
             return
-        if not self.arrivals:
+        if not self.policy.arrivals:
             self.avoid = set()
         self.retry_timer = self.loop.after(
             delay=max(0.02, self.latency_target_s * RETRY_INTERVAL_SHARE), callback=self.try_attempt
@@ -555,7 +552,7 @@
             self.drop(attempt, kind=self.silent_kind(attempt))
         if self.has_head:
             self.abort_response()
-        elif self.unresolved_attempts:
+        elif self.policy.unresolved_attempts:
             self.answer(status=504)
         else:
             self.reject(after_s=LATE_RETRY_AFTER_S)
@@ -563,7 +560,7 @@
     # Final answers.
     def reject(self, *, after_s: float) -> None:
         """It has not run and never will, and the client is told when to come back; where that is unclear, 502."""
-        if self.unresolved_attempts:
+        if self.policy.unresolved_attempts:
             self.answer(status=502)
             return
         self.answer(status=503, headers=[(b"Retry-After", b"%.2f" % after_s)])
@@ -585,7 +582,7 @@
         for timer in (self.retry_timer, self.watch_timer, self.limit_timer):
             self.loop.cancel(timer=timer)
         self.proxy.passages.discard(self)
-        if self.is_counted and not self.unresolved_attempts and not self.has_head and status in NOT_RUN_STATUSES:
+        if self.is_counted and not self.has_head and self.policy.is_promise_kept(status=status):
             self.proxy.quota_allowance.return_admission(self.tenant.key)
         if self.route is not None:
             self.proxy.batches.add(custody_trails.trail_of(handler=self, proxy=self.proxy, status=status))
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -12,10 +12,10 @@
 import pytest
 
 from ploverward.data_plane.requests import attempts
-from ploverward.data_plane.requests import event_streams
-from ploverward.data_plane.requests import request_handler
+from ploverward.data_plane.requests import retry_policy
 from ploverward.data_plane.requests import route_table
 from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import stream_resumption
 from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
@@ -564,7 +564,7 @@
 
 def _promises_always(monkeypatch):
     monkeypatch.setattr(
-        request_handler.RequestHandler,
+        retry_policy.RetryPolicy,
         "unresolved_attempts",
         property(lambda self: 0, lambda self, _value: None),
         raising=False,
@@ -583,10 +583,10 @@
 
 def _passes_events_twice(monkeypatch):
     def is_new(self, event):
-        self.last_id = event_streams.event_id(event)
+        self.last_id = stream_resumption.event_id(event)
         return True
 
-    monkeypatch.setattr(event_streams.Stream, "_is_new", is_new)
+    monkeypatch.setattr(stream_resumption.ResumableStream, "_is_new", is_new)
 
 
 def _ends_in_order(monkeypatch):
@@ -594,9 +594,9 @@
 
 
 def _ignores_tries(monkeypatch):
-    monkeypatch.setattr(request_handler.RequestHandler, "may_retry", lambda self: True)
+    monkeypatch.setattr(retry_policy.RetryPolicy, "may_retry", lambda self, **_about: True)
     monkeypatch.setattr(
-        request_handler.RequestHandler, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
+        retry_policy.RetryPolicy, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
     )
 
 
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -7,8 +7,8 @@
 
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_reports import report_source
-from ploverward.data_plane.requests import event_streams
 from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import stream_resumption
 from ploverward.data_plane.requests import test_request_path
 from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
@@ -435,13 +435,13 @@
     )
     scene.request("once")
     assert scene.until(b"data: t1")
-    take = event_streams.Stream.take
+    take = stream_resumption.ResumableStream.receive_data
 
     def broken_once(self, data):
-        monkeypatch.setattr(event_streams.Stream, "take", take)
+        monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", take)
         raise RuntimeError("planted")
 
-    monkeypatch.setattr(event_streams.Stream, "take", broken_once)
+    monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", broken_once)
     scene.peers[0].callback(0, [test_request_path.event(2)])
     assert loopback.until(scene.loop, lambda: faults)
     scene.peers[0].callback(0, [test_request_path.event(3) + END])
