--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -7,6 +7,7 @@
 
 import logging
 
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
@@ -141,8 +142,8 @@
         if not self.is_owner:
             # A core node that has just started reads once by itself. Its epoch is below every holder's: it serves
             # only those that have no list at all.
-            data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
-            self._publisher.publish(topic=LIST, epoch=READ_BY_ITSELF, number=1, data=data)
+            data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
+            self._publisher.publish(topic=LIST, version=Version(READ_BY_ITSELF, 1), data=data)
             self._watch.stop()
             return
         epoch, number = self._publisher.version(LIST)
@@ -153,19 +154,19 @@
 
     def _publish_snapshot(self, rows: list, at: float) -> None:
         """The first list that any holder tells: what nodes read by themselves before may differ from node to node."""
-        data = endpoint_list.of_rows(rows=rows, read_at=at).pack()
-        self._publisher.publish(topic=LIST, epoch=self.epoch, number=1, data=data)
+        data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
+        self._publisher.publish(topic=LIST, version=Version(self.epoch, 1), data=data)
         _log.debug("list_published", extra={"epoch": self.epoch, "replicas": len(rows)})
 
     def _publish_change(self, rows: list, at: float, *, is_first: bool, number: int) -> None:
         """What differs from the list told last, by this holder or by the one before it, whose clock was another."""
         current = self._current_list()
-        change = current.change_to(rows=rows, read_at=at, is_same_clock=not is_first)
+        change = current.delta_to(rows=rows, read_at=at, is_same_clock=not is_first)
         if change is None and not is_first:
             return
         if change is None:
-            change = endpoint_list.Change(rows=(), gone=(), read_at=at, is_same_clock=False)
-        published = current.changed_by(change)
+            change = endpoint_list.EndpointListDelta(rows=(), removed=(), read_at=at, is_same_clock=False)
+        published = current.apply(change)
         self._publish_list(published, epoch=self.epoch, number=number, change=change.pack())
         _log.debug(
             "list_published",
@@ -173,29 +174,29 @@
                 "epoch": self.epoch,
                 "replicas": len(published.rows),
                 "changed": len(change.rows),
-                "gone": len(change.gone),
+                "gone": len(change.removed),
             },
         )
 
     def follow_change(self, *, epoch: int, number: int, data: bytes) -> None:
         """One step of the list, as the holder of the duty told it, on the list that this node holds."""
-        published = self._current_list().changed_by(endpoint_list.unpack_change(data))
+        published = self._current_list().apply(endpoint_list.unpack_delta(data))
         self._publish_list(published, epoch=epoch, number=number, change=data)
 
     def listed(self) -> list:
         """Rows of the newest list that this node holds; none before it has one."""
         return list(self._current_list().rows.values()) if LIST in self._publisher.topics else []
 
-    def _current_list(self) -> endpoint_list.ReplicaList:
+    def _current_list(self) -> endpoint_list.EndpointList:
         """The list that the desk holds; it is read once for each version."""
-        data = self._publisher.get(LIST)[2]
+        data = self._publisher.get(LIST).data
         if self._read_list[0] is not data:
             self._read_list = (data, endpoint_list.unpack_list(data))
         return self._read_list[1]
 
-    def _publish_list(self, published: endpoint_list.ReplicaList, *, epoch: int, number: int, change: bytes) -> None:
+    def _publish_list(self, published: endpoint_list.EndpointList, *, epoch: int, number: int, change: bytes) -> None:
         data = published.pack()
-        if self._publisher.publish(topic=LIST, epoch=epoch, number=number, data=data, change=change):
+        if self._publisher.publish(topic=LIST, version=Version(epoch, number), data=data, delta=change):
             self._read_list = (data, published)
 
     def may_follow(self, *, epoch: int) -> bool:
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -9,6 +9,8 @@
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.rollouts import evidence_table
+from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 
 _log = logging.getLogger(__name__)
 
@@ -107,15 +109,15 @@
                     self._send_minimum_versions(link)
             return
         if kind == "offer":
-            self.subscriber.handle_announcement(link, message)
+            self.subscriber.handle_announcement(link, legacy_messages.to_typed(message))
         elif kind == "image":
-            self.subscriber.handle_snapshot(link, message)
+            self.subscriber.handle_snapshot(link, legacy_messages.to_typed(message))
         elif kind == "changes":
-            self.subscriber.handle_deltas(link, message)
+            self.subscriber.handle_deltas(link, legacy_messages.to_typed(message))
         elif kind == "want":
-            self.publisher.handle_fetch(link, message)
+            self.publisher.handle_fetch(link, legacy_messages.to_typed(message))
         elif kind == "have":
-            self.publisher.handle_acknowledgement(link, message)
+            self.publisher.handle_acknowledgement(link, legacy_messages.to_typed(message))
             self.interfaces.applying.check()
         elif kind == "trails":
             _kind, node, incarnation, number, is_last, rows = message
@@ -443,14 +445,16 @@
         staying = [host for host in members if host != self.own and host not in leaving and self.is_core_live(host)]
         return len(staying) >= ballots.majority(members)
 
-    def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
-        """News from another core node."""
+    def _on_snapshot(self, snapshot: messages.Snapshot) -> None:
+        """A value from another core node."""
+        topic, version, data = snapshot
         if topic in register_names.REGISTERS:
-            self._publish(topic, number, data)
-        elif self.cluster_coordinator.may_follow(epoch=epoch):
-            self.publisher.publish(topic=topic, epoch=epoch, number=number, data=data)
+            self._publish(topic, version.number, data)
+        elif self.cluster_coordinator.may_follow(epoch=version.epoch):
+            self.publisher.publish(topic=topic, version=version, data=data)
 
-    def _on_change(self, topic: str, epoch: int, number: int, data: bytes) -> None:
-        """A step of the list from another core node."""
+    def _on_delta(self, _topic: str, delta: messages.Delta) -> None:
+        """A delta of the list from another core node."""
+        epoch, number = delta.version
         if self.cluster_coordinator.may_follow(epoch=epoch):
-            self.cluster_coordinator.follow_change(epoch=epoch, number=number, data=data)
+            self.cluster_coordinator.follow_change(epoch=epoch, number=number, data=delta.data)
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -3,6 +3,7 @@
 import logging
 
 from ploverward.common import errors
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
@@ -323,7 +324,7 @@
             send=self._send_core,
             broadcast_to_cores=self._broadcast_to_cores,
             members=lambda: self.members(),
-            publish=lambda name, rev, value: self.publisher.publish(topic=name, epoch=0, number=rev, data=value),
+            publish=lambda name, rev, value: self.publisher.publish(topic=name, version=Version(0, rev), data=value),
             on_value=self._apply,
             version=lambda name: self.publisher.version(name)[1],
         )
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -13,6 +13,7 @@
 from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import subscriber
 from ploverward.control_plane.operator_api import interfaces
 from ploverward.control_plane.quotas import quota_meter
 from ploverward.control_plane.quotas import rate_slots
@@ -52,13 +53,13 @@
         self.slots = rate_slots.RateSlots(now=self.loop.now, reserved_s=self.lease_s + RATE_WINDOW_S)
         self.rates_from = start + rate_withhold_s
         self.publisher = publisher.Publisher()
-        self.subscriber = publisher.Subscriber(
+        self.subscriber = subscriber.Subscriber(
             now=self.loop.now,
             fetch_timeout_s=self.contact_s / 12,
             on_snapshot=self._on_snapshot,
-            on_change=self._on_change,
-            stepwise=(coordinator.LIST,),
-            holds=self.publisher.version,
+            on_delta=self._on_delta,
+            delta_topics=(coordinator.LIST,),
+            installed_version=self.publisher.version,
         )
         self.configuration = None
         self.evacuated_zones = set()
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -82,8 +82,8 @@
         if current is None:
             call.answer(status=503, body={"error": "no list of replicas yet"}, headers=RETRY_LATER)
             return
-        epoch, number, data = current
-        rows = endpoint_list.unpack_list(data).in_order()
+        epoch, number = current.version
+        rows = endpoint_list.unpack_list(current.data).sorted_rows()
         call.answer(status=200, body={"epoch": epoch, "number": number, "replicas": rows})
 
     def _get_nodes(self, call) -> None:
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -5,11 +5,14 @@
 import pytest
 
 from ploverward.common import errors
+from ploverward.common.identifiers import NO_VERSION
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.discovery import platform_client
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.distribution import publisher as publishers
+from ploverward.control_plane.distribution import subscriber as subscribers
 from ploverward.transport import frames
-from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 
 PLATFORM_REPLICA = {
     "id": "i",
@@ -26,32 +29,30 @@
 
 
 def test_a_change_is_what_matters_and_not_the_passing_of_a_cold_time():
-    published = endpoint_list.of_rows(rows=[row()], read_at=10.0)
-    assert published.change_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
-    later = published.change_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
-    assert later.rows == (row(),) and later.gone == ()
-    clearing = published.change_to(
-        rows=[row(condition="clearing", warmupLeftMs=2000)], read_at=11.0, is_same_clock=True
-    )
+    published = endpoint_list.from_rows(rows=[row()], read_at=10.0)
+    assert published.delta_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
+    later = published.delta_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
+    assert later.rows == (row(),) and later.removed == ()
+    clearing = published.delta_to(rows=[row(condition="clearing", warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
     assert clearing.rows[0]["is_clearing"]
-    assert published.change_to(rows=[], read_at=11.0, is_same_clock=True).gone == ("i",)
-    noticed = published.change_to(rows=[row(timeLeftMs=900, warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
+    assert published.delta_to(rows=[], read_at=11.0, is_same_clock=True).removed == ("i",)
+    noticed = published.delta_to(rows=[row(timeLeftMs=900, warmupLeftMs=2000)], read_at=11.0, is_same_clock=True)
     assert noticed.rows[0]["left_ms"] == 900
 
 
 def test_under_another_clock_a_warming_row_is_published_again():
-    published = endpoint_list.of_rows(rows=[row()], read_at=900.0)
-    assert published.change_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
-    assert published.change_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
+    published = endpoint_list.from_rows(rows=[row()], read_at=900.0)
+    assert published.delta_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
+    assert published.delta_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
 
 
 def test_cold_times_of_rows_that_are_not_named_run_down():
-    published = endpoint_list.of_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
-    change = published.change_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
-    after = published.changed_by(change)
+    published = endpoint_list.from_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
+    change = published.delta_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
+    after = published.apply(change)
     assert sorted(after.rows) == ["i", "k"] and after.rows["i"]["cold_ms"] == 2000.0
     assert endpoint_list.unpack_list(after.pack()) == after
-    assert endpoint_list.unpack_change(change.pack()) == change
+    assert endpoint_list.unpack_delta(change.pack()) == change
 
 
 @pytest.mark.parametrize(
@@ -61,7 +62,7 @@
         b"not zlib",
         endpoint_list._pack({"replicas": [{"id": "i"}], "at": 1.0, "rows": [{"id": 7}], "gone": [], "same": True}),
         endpoint_list._pack({"replicas": "x", "rows": ["x"], "gone": [], "at": 1.0, "same": True}),
-        endpoint_list.of_rows(rows=[row()], read_at=1.0).pack()[:-3],
+        endpoint_list.from_rows(rows=[row()], read_at=1.0).pack()[:-3],
         endpoint_list._pack({}),
     ],
 )
@@ -69,7 +70,7 @@
     with pytest.raises(errors.FrameError):
         endpoint_list.unpack_list(data)
     with pytest.raises(errors.FrameError):
-        endpoint_list.unpack_change(data)
+        endpoint_list.unpack_delta(data)
 
 
 class Wire:
@@ -81,27 +82,27 @@
         self.waiting = []
 
     def send(self, message):
-        self.waiting.append(legacy_messages.unpack(frames.pack(message)))
+        self.waiting.append(frames.unpack(frames.pack(message)))
 
 
 class Publisher:
     """A core node as far as news go: it holds the duty, or follows the holder."""
 
     def __init__(self):
-        self.publisher = desks.Publisher()
+        self.publisher = publishers.Publisher()
         self.published = {}  # version: rows by id
 
     def publish(self, *, rows, version, read_at):
         base = self.publisher.get("list")
-        if base is None or base[0] != version[0]:
-            data, change = endpoint_list.of_rows(rows=rows, read_at=read_at).pack(), None
+        if base is None or base.version.epoch != version.epoch:
+            data, change = endpoint_list.from_rows(rows=rows, read_at=read_at).pack(), None
         else:
-            current = endpoint_list.unpack_list(base[2])
-            change = current.change_to(rows=rows, read_at=read_at, is_same_clock=True)
+            current = endpoint_list.unpack_list(base.data)
+            change = current.delta_to(rows=rows, read_at=read_at, is_same_clock=True)
             if change is None:
                 return
-            data, change = current.changed_by(change).pack(), change.pack()
-        self.publisher.publish(topic="list", epoch=version[0], number=version[1], data=data, change=change)
+            data, change = current.apply(change).pack(), change.pack()
+        self.publisher.publish(topic="list", version=version, data=data, delta=change)
         self.published[version] = endpoint_list.unpack_list(data)
 
 
@@ -110,27 +111,27 @@
 
     def __init__(self, *, now):
         self.current = None
-        self.version = (0, 0)
-        self.images = self.steps = 0
-        self.subscriber = desks.Subscriber(
-            now=now, fetch_timeout_s=0.3, on_snapshot=self._image, on_change=self._change, stepwise=("list",)
+        self.version = NO_VERSION
+        self.snapshots = self.deltas = 0
+        self.subscriber = subscribers.Subscriber(
+            now=now, fetch_timeout_s=0.3, on_snapshot=self._snapshot, on_delta=self._delta, delta_topics=("list",)
         )
 
-    def _image(self, _topic, epoch, number, data):
-        self.current, self.version = endpoint_list.unpack_list(data), (epoch, number)
-        self.images += 1
+    def _snapshot(self, snapshot):
+        self.current, self.version = endpoint_list.unpack_list(snapshot.data), snapshot.version
+        self.snapshots += 1
 
-    def _change(self, _topic, epoch, number, data):
-        self.current, self.version = self.current.changed_by(endpoint_list.unpack_change(data)), (epoch, number)
-        self.steps += 1
+    def _delta(self, _topic, delta):
+        self.current, self.version = self.current.apply(endpoint_list.unpack_delta(delta.data)), delta.version
+        self.deltas += 1
 
-    def take(self, link, message):
-        take = {
-            "offer": self.subscriber.handle_announcement,
-            "image": self.subscriber.handle_snapshot,
-            "changes": self.subscriber.handle_deltas,
+    def handle(self, link, message):
+        handlers = {
+            messages.Announcement: self.subscriber.handle_announcement,
+            messages.Snapshot: self.subscriber.handle_snapshot,
+            messages.Deltas: self.subscriber.handle_deltas,
         }
-        take[message[0]](link, message)
+        handlers[type(message)](link, message)
 
 
 class History:
@@ -170,10 +171,10 @@
                 self.chance.shuffle(link.waiting)
             for message in link.waiting:
                 if self.chance.random() >= loss:
-                    listener.take(back, message)
+                    listener.handle(back, message)
             link.waiting = []
             for message in back.waiting:
-                if message[0] == "want" and self.chance.random() >= loss:
+                if isinstance(message, messages.Fetch) and self.chance.random() >= loss:
                     publisher.publisher.handle_fetch(link, message)
             back.waiting = []
             listener.subscriber.tick()
@@ -197,9 +198,11 @@
             for _ in range(self.chance.choice((0, 0, 1, 2))):
                 self.change_rows()
             number = 1 if step == 60 else number + 1
-            self.tellers[epoch - 1].publish(rows=list(self.rows.values()), version=(epoch, number), read_at=self.time)
+            self.tellers[epoch - 1].publish(
+                rows=list(self.rows.values()), version=Version(epoch, number), read_at=self.time
+            )
             if epoch == 2 and step % 7 == 0:  # the deposed holder tells on: nobody that heard of its successor listens
-                self.tellers[0].publish(rows=[row(id="stale")], version=(1, 1000 + step), read_at=self.time)
+                self.tellers[0].publish(rows=[row(id="stale")], version=Version(1, 1000 + step), read_at=self.time)
             if step in (30, 80):
                 self.join()
             self.carry(loss=0.2)
@@ -220,8 +223,8 @@
 def test_subscribers_have_only_lists_that_were_published_and_converge(seed):
     history = History(seed=seed)
     history.play()
-    assert sum(listener.steps for listener in history.listeners) > 20  # both ways were gone
-    assert sum(listener.images for listener in history.listeners) > 3
+    assert sum(listener.deltas for listener in history.listeners) > 20  # both ways were gone
+    assert sum(listener.snapshots for listener in history.listeners) > 3
 
 
 def failing_seeds(listener) -> int:
@@ -237,34 +240,33 @@
 class TakesAnySteps(Listener):
     """Planted: steps are applied whatever version they start from."""
 
-    def take(self, link, message):
-        if message[0] == "changes" and self.current is not None:
-            for epoch, number, data in message[4]:
-                self._change("list", epoch, number, data)
+    def handle(self, link, message):
+        if isinstance(message, messages.Deltas) and self.current is not None:
+            for delta in message.deltas:
+                self._delta("list", delta)
             self.subscriber.versions["list"] = self.version
             return
-        super().take(link, message)
+        super().handle(link, message)
 
 
 class SkipsAStep(Listener):
     """Planted: of several steps the last one alone is applied."""
 
-    def take(self, link, message):
-        if message[0] == "changes" and len(message[4]) > 1 and self.version == message[2:4]:
-            epoch, number, data = message[4][-1]
-            self._change("list", epoch, number, data)
+    def handle(self, link, message):
+        if isinstance(message, messages.Deltas) and len(message.deltas) > 1 and self.version == message.base:
+            self._delta("list", message.deltas[-1])
             self.subscriber.versions["list"] = self.version
             return
-        super().take(link, message)
+        super().handle(link, message)
 
 
 class TakesOlderEpochs(Listener):
     """Planted: a whole list counts though one of a newer epoch is held."""
 
-    def take(self, link, message):
-        if message[0] == "image":
+    def handle(self, link, message):
+        if isinstance(message, messages.Snapshot):
             self.subscriber.versions.pop("list", None)
-        super().take(link, message)
+        super().handle(link, message)
 
 
 @pytest.mark.parametrize("planted", [TakesAnySteps, SkipsAStep])
@@ -276,35 +278,37 @@
     for listener, expected in ((Listener, (2, 1)), (TakesOlderEpochs, (1, 9))):
         found = listener(now=lambda: 0.0)
         for version in ((2, 1), (1, 9)):
-            data = endpoint_list.of_rows(rows=[row()], read_at=0.0).pack()
-            found.take(Wire(), ("image", "list", *version, data))
+            data = endpoint_list.from_rows(rows=[row()], read_at=0.0).pack()
+            found.handle(Wire(), messages.Snapshot(topic="list", version=Version(*version), data=data))
         assert found.version == expected
 
 
 def test_a_publisher_sends_deltas_where_they_are_fewer_bytes_and_a_snapshot_otherwise():
     publisher = Publisher()
     rows = [row(id=f"i{number:04}", warmupLeftMs=0) for number in range(300)]
-    publisher.publish(rows=rows, version=(1, 1), read_at=0.0)
+    publisher.publish(rows=rows, version=Version(1, 1), read_at=0.0)
     for number in range(2, 6):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
-        publisher.publish(rows=rows, version=(1, number), read_at=float(number))
+        publisher.publish(rows=rows, version=Version(1, number), read_at=float(number))
     link = Wire()
-    publisher.publisher.handle_fetch(link, ("want", "list", 1, 2))
-    kind, _topic, *base, steps = link.waiting[-1]
-    assert kind == "changes" and base == [1, 2] and [step[:2] for step in steps] == [(1, 3), (1, 4), (1, 5)]
-    assert len(frames.pack(link.waiting[-1])) < len(publisher.publisher.get("list")[2])
+    publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(1, 2)))
+    deltas = link.waiting[-1]
+    assert isinstance(deltas, messages.Deltas) and deltas.base == (1, 2)
+    assert [delta.version for delta in deltas.deltas] == [(1, 3), (1, 4), (1, 5)]
+    assert len(frames.pack(link.waiting[-1])) < len(publisher.publisher.get("list").data)
     for unknown in ((0, 0), (1, 0), (7, 3)):
-        publisher.publisher.handle_fetch(link, ("want", "list", *unknown))
-        assert link.waiting[-1][0] == "image"
-    for number in range(6, 6 + desks.CHANGES_KEPT + 1):
+        publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(*unknown)))
+        assert isinstance(link.waiting[-1], messages.Snapshot)
+    for number in range(6, 6 + publishers.MAX_DELTAS + 1):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
-        publisher.publish(rows=rows, version=(1, number), read_at=float(number))
-    publisher.publisher.handle_fetch(link, ("want", "list", 1, 2))
-    assert link.waiting[-1][0] == "image"
+        publisher.publish(rows=rows, version=Version(1, number), read_at=float(number))
+    publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(1, 2)))
+    assert isinstance(link.waiting[-1], messages.Snapshot)
 
 
-def test_steps_without_order_are_a_frame_error():
+def test_deltas_without_order_are_a_frame_error():
     found = Listener(now=lambda: 0.0)
-    for steps in ((), ((1, 3, b""), (1, 3, b"")), ((1, 1, b""),)):
+    for numbers in ((), (3, 3), (1,)):
+        deltas = tuple(messages.Delta(version=Version(1, number), data=b"") for number in numbers)
         with pytest.raises(errors.FrameError):
-            found.take(Wire(), ("changes", "list", 1, 1, steps))
+            found.handle(Wire(), messages.Deltas(topic="list", base=Version(1, 1), deltas=deltas))
--- a/ploverward/control_plane/operator_api/reports.py
+++ b/ploverward/control_plane/operator_api/reports.py
@@ -26,7 +26,7 @@
 
     def _get_adapters(self, call) -> None:
         current = self._publisher.get("list")
-        listed = endpoint_list.unpack_list(current[2]).in_order() if current is not None else []
+        listed = endpoint_list.unpack_list(current.data).sorted_rows() if current is not None else []
         zones = self._settings().zones
         body = {
             "node": self._settings().node,
--- a/ploverward/control_plane/operator_api/test_applying.py
+++ b/ploverward/control_plane/operator_api/test_applying.py
@@ -2,9 +2,11 @@
 
 import types
 
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.distribution import publisher as desks
 from ploverward.control_plane.operator_api import order_handlers
 from ploverward.simulation import simulated_world
+from ploverward.transport import messages
 
 MAX_WAIT_S = 0.9
 
@@ -25,6 +27,10 @@
         self.answers.append((status, body))
 
 
+def acknowledgement(number):
+    return messages.Acknowledgement(versions=(messages.TopicVersion(topic="spec", version=Version(0, number)),))
+
+
 def make(links):
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     publisher = desks.Publisher()
@@ -43,10 +49,10 @@
     links = [PeerConnection(), PeerConnection()]
     applying, publisher, call, _loop = make(links)
     assert call.answers == []
-    publisher.handle_acknowledgement(links[0], ("have", (("spec", 0, 3),)))
+    publisher.handle_acknowledgement(links[0], acknowledgement(3))
     applying.check()
     assert call.answers == []
-    publisher.handle_acknowledgement(links[1], ("have", (("spec", 0, 4),)))
+    publisher.handle_acknowledgement(links[1], acknowledgement(4))
     applying.check()
     assert call.answers == [(200, {"serial": 3})]
 
@@ -54,7 +60,7 @@
 def test_a_proxy_whose_lease_ran_out_is_not_waited_for():
     links = [PeerConnection(), PeerConnection()]
     applying, publisher, call, _loop = make(links)
-    publisher.handle_acknowledgement(links[0], ("have", (("spec", 0, 3),)))
+    publisher.handle_acknowledgement(links[0], acknowledgement(3))
     links.pop()
     applying.check()
     assert len(call.answers) == 1
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -150,8 +150,8 @@
             row({"name": "m", "adapters": bad})["is_malformed"]
             and row({"name": "m", "adapters": bad})["adapters"] is None
         )
-    published = endpoint_list.of_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
+    published = endpoint_list.from_rows(rows=[row({"name": "m", "adapters": ["a"]})], read_at=1.0)
     same = [row({"name": "m", "adapters": ["a"]})]
-    assert published.change_to(rows=same, read_at=2.0, is_same_clock=True) is None
+    assert published.delta_to(rows=same, read_at=2.0, is_same_clock=True) is None
     changed = [row({"name": "m", "adapters": ["b"]})]
-    assert published.change_to(rows=changed, read_at=3.0, is_same_clock=True).rows == tuple(changed)
+    assert published.delta_to(rows=changed, read_at=3.0, is_same_clock=True).rows == tuple(changed)
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -8,10 +8,12 @@
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import subscriber
 from ploverward.control_plane.rollouts import leases
 from ploverward.data_plane.requests import route_table
 from ploverward.transport import http_server
+from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
 _log = logging.getLogger(__name__)
@@ -29,14 +31,14 @@
         self.near_cores = set()
         self.near_links = set()
         self.minimum_versions = {}  # core host: floor of the spec
-        self.subscriber = publisher.Subscriber(
+        self.subscriber = subscriber.Subscriber(
             now=self.loop.now,
             fetch_timeout_s=self.contact_s / 12,
             on_snapshot=self._on_snapshot,
             is_near=lambda link: link in self.near_links,
-            unwanted=(register_names.ARCHIVE,),
-            on_change=self._on_change,
-            stepwise=("list",),
+            ignored_topics=(register_names.ARCHIVE,),
+            on_delta=self._on_delta,
+            delta_topics=("list",),
         )
         self.core_members = tuple(sorted({host for host, _port in self.settings.seeds}))
         self._connect_to_cores()
@@ -79,12 +81,12 @@
                 self.near_cores.add(host)
                 self.near_links.add(link)
         elif kind == "offer":
-            self.subscriber.handle_announcement(link, message)
+            self.subscriber.handle_announcement(link, legacy_messages.to_typed(message))
         elif kind == "image":
-            if self.subscriber.handle_snapshot(link, message):
+            if self.subscriber.handle_snapshot(link, legacy_messages.to_typed(message)):
                 self._acknowledge_version(message[1])
         elif kind == "changes":
-            if self.subscriber.handle_deltas(link, message):
+            if self.subscriber.handle_deltas(link, legacy_messages.to_typed(message)):
                 self._acknowledge_version(message[1])
         elif kind == "floor":
             if host not in self.minimum_versions:
@@ -194,7 +196,8 @@
         _log.debug("serving_started", extra={"edition": self.routes.edition})
         self._send_to_cores(("state", True, self.is_draining))
 
-    def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
+    def _on_snapshot(self, snapshot: messages.Snapshot) -> None:
+        topic, _version, data = snapshot
         if topic in (
             *register_names.MINIMUM_VERSION_REGISTERS,
             register_names.SINGLETON_ROLES,
@@ -218,15 +221,15 @@
                 self.core_members = members
                 self._connect_to_cores()
         elif topic == "list":
-            self.table.install_list(endpoint_list.unpack_list(data).in_order())
+            self.table.install_list(endpoint_list.unpack_list(data).sorted_rows())
         self.loop.command(callback=self._check_serving)
         if topic in ("spec", "list") and self.relay is not None:
             self._sync_relay()
 
-    def _on_change(self, _topic: str, _epoch: int, _number: int, data: bytes) -> None:
-        """One step of the list of replicas."""
-        change = endpoint_list.unpack_change(data)
-        self.table.change_list(rows=change.rows, gone=change.gone)
+    def _on_delta(self, _topic: str, delta: messages.Delta) -> None:
+        """One delta of the list of replicas."""
+        change = endpoint_list.unpack_delta(delta.data)
+        self.table.change_list(rows=change.rows, gone=change.removed)
         if self.relay is not None:
             self._sync_relay()
 
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -13,6 +13,7 @@
 import time
 import tracemalloc
 
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as desks
@@ -249,9 +250,9 @@
 
 def change_bytes(count: int) -> float:
     """One replica of so many changes: the step of the list."""
-    sent = endpoint_list.of_rows(rows=rows(count), read_at=0.0)
+    sent = endpoint_list.from_rows(rows=rows(count), read_at=0.0)
     changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in rows(count)[:8]] + rows(count)[8:]
-    change = sent.change_to(rows=changed, read_at=1.0, is_same_clock=True)
+    change = sent.delta_to(rows=changed, read_at=1.0, is_same_clock=True)
     return len(frames.pack(("changes", "list", 1, 1, ((1, 2, change.pack()),))))
 
 
@@ -347,7 +348,7 @@
 
 
 def list_bytes(count: int) -> float:
-    return len(frames.pack(("image", "list", 1, 1, endpoint_list.of_rows(rows=rows(count), read_at=0.0).pack())))
+    return len(frames.pack(("image", "list", 1, 1, endpoint_list.from_rows(rows=rows(count), read_at=0.0).pack())))
 
 
 def announcement_time(count: int) -> float:
@@ -360,11 +361,9 @@
 
     def change():
         number[0] += 1
-        publisher.publish(topic="spec", epoch=0, number=number[0], data=b"")
+        publisher.publish(topic="spec", version=Version(0, number[0]), data=b"")
         for link in links:
-            publisher.handle_acknowledgement(
-                link, legacy_messages.unpack(frames.pack(("have", (("spec", 0, number[0]),))))
-            )
+            publisher.handle_acknowledgement(link, frames.unpack(frames.pack(("have", (("spec", 0, number[0]),)))))
 
     return clocked(change, repeats=3)
 
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -9,6 +9,7 @@
 import typing
 from unittest import mock
 
+from ploverward.common.identifiers import NO_VERSION
 from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import majority_lease
 from ploverward.control_plane.cluster import peer_sessions
@@ -21,9 +22,10 @@
 from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import write_ahead_log
-from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import subscriber
 from ploverward.control_plane.quotas import share_leases
 from ploverward.simulation.control_plane import scenario
+from ploverward.transport import messages
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -172,20 +174,19 @@
     """A follower takes on any image that it is told."""
 
     def handle_snapshot(self, link, message):
-        _kind, topic, epoch, number, data = message
-        self._on_snapshot(topic, epoch, number, data)
-        self.versions[topic] = (epoch, number)
-        self._asked.pop(topic, None)
+        self._on_snapshot(message)
+        self.versions[message.topic] = message.version
+        self._fetches.pop(message.topic, None)
         return True
 
     def handle_announcement(self, link, message):
-        for topic, epoch, number in message[1]:
-            self._offered.setdefault(topic, {})[link] = (epoch, number)
-            link.send(("want", topic, 0, 0))
+        for topic, version in message.versions:
+            self._announced.setdefault(topic, {})[link] = version
+            link.send(messages.Fetch(topic=topic, known=NO_VERSION))
 
     return [
-        mock.patch.object(publisher.Subscriber, "handle_snapshot", handle_snapshot),
-        mock.patch.object(publisher.Subscriber, "handle_announcement", handle_announcement),
+        mock.patch.object(subscriber.Subscriber, "handle_snapshot", handle_snapshot),
+        mock.patch.object(subscriber.Subscriber, "handle_announcement", handle_announcement),
     ]
 
 
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -6,12 +6,14 @@
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.distribution import publisher
+from ploverward.control_plane.distribution import subscriber
 from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 
 
 class Proxy:
@@ -34,12 +36,12 @@
         self._peer_timeout_s = self._contact_s / 5
         self.quota = shared_limits.Quota(now=self.loop.now, settings=node_settings)
         self._list = None  # packed, as this proxy has it
-        self.subscriber = publisher.Subscriber(
+        self.subscriber = subscriber.Subscriber(
             now=self.loop.now,
             fetch_timeout_s=self._contact_s / 12,
             on_snapshot=self._on_snapshot,
-            on_change=self._on_change,
-            stepwise=("list",),
+            on_delta=self._on_delta,
+            delta_topics=("list",),
         )
         self._minimum_versions = {}
         self._renewal = 0
@@ -88,10 +90,10 @@
     def _handle_message(self, host: str, link, message: tuple) -> None:
         kind = message[0]
         if kind == "offer":
-            self.subscriber.handle_announcement(link, message)
+            self.subscriber.handle_announcement(link, legacy_messages.to_typed(message))
         elif kind in ("image", "changes"):
             take = self.subscriber.handle_snapshot if kind == "image" else self.subscriber.handle_deltas
-            if take(link, message):
+            if take(link, legacy_messages.to_typed(message)):
                 topic = message[1]
                 self._send_to_cores(("have", ((topic, *self.subscriber.versions[topic]),)))
         elif kind == "floor":
@@ -119,8 +121,9 @@
         self.is_serving = True
         self._send_to_cores(("state", True, self.is_draining))
 
-    def _on_snapshot(self, topic: str, epoch: int, number: int, data: bytes) -> None:
-        self._recorder.applied(self, topic, epoch, number, data)
+    def _on_snapshot(self, snapshot: messages.Snapshot) -> None:
+        topic, version, data = snapshot
+        self._recorder.applied(self, topic, *version, data)
         if topic == "cores":
             self.members = ballots.unpack(data)[0]
             self.loop.command(callback=self._dial)
@@ -129,10 +132,11 @@
             self._list = data
         self.loop.command(callback=self._check_serving)
 
-    def _on_change(self, topic: str, epoch: int, number: int, data: bytes) -> None:
+    def _on_delta(self, topic: str, delta: messages.Delta) -> None:
         """A step of the list: what it makes of the list held is checked against what a core node told whole."""
         current = endpoint_list.unpack_list(self._list)
-        self._on_snapshot(topic, epoch, number, current.changed_by(endpoint_list.unpack_change(data)).pack())
+        published = current.apply(endpoint_list.unpack_delta(delta.data))
+        self._on_snapshot(messages.Snapshot(topic=topic, version=delta.version, data=published.pack()))
 
 
 def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy:
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -76,10 +76,10 @@
         publish = core.publisher.publish
         own = (core.own, core.incarnation)
 
-        def watched(*, topic, epoch, number, data, change=None):
-            is_new = publish(topic=topic, epoch=epoch, number=number, data=data, change=change)
+        def watched(*, topic, version, data, delta=None):
+            is_new = publish(topic=topic, version=version, data=data, delta=delta)
             if is_new:
-                self.published(own, topic, epoch, number, data)
+                self.published(own, topic, *version, data)
             return is_new
 
         core.publisher.publish = watched
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -236,22 +236,24 @@
 
 def _pack_list(value) -> bytes:
     rows, read_at = value
-    return endpoint_list.of_rows(rows=rows, read_at=read_at).pack()
+    return endpoint_list.from_rows(rows=rows, read_at=read_at).pack()
 
 
 def _read_list(data: bytes) -> list:
     told = endpoint_list.unpack_list(data)
-    return [told.in_order(), told.read_at]
+    return [told.sorted_rows(), told.read_at]
 
 
 def _pack_list_change(value) -> bytes:
     rows, gone, read_at, is_same_clock = value
-    return endpoint_list.Change(rows=tuple(rows), gone=tuple(gone), read_at=read_at, is_same_clock=is_same_clock).pack()
+    return endpoint_list.EndpointListDelta(
+        rows=tuple(rows), removed=tuple(gone), read_at=read_at, is_same_clock=is_same_clock
+    ).pack()
 
 
 def _read_list_change(data: bytes) -> list:
-    change = endpoint_list.unpack_change(data)
-    return [change.rows, change.gone, change.read_at, change.is_same_clock]
+    change = endpoint_list.unpack_delta(data)
+    return [change.rows, change.removed, change.read_at, change.is_same_clock]
 
 
 def _pack_register_value(value) -> bytes:
