--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -74,7 +74,7 @@
         write_level: int = logging.INFO,
         capacity: int = BUFFERED_EVENTS,
         now: Callable[[], float] = time.monotonic,
-    ):
+    ) -> None:
         super().__init__()
         self._target = target
         self._write_level = write_level
--- a/ploverward/common/log_formatter.py
+++ b/ploverward/common/log_formatter.py
@@ -19,7 +19,7 @@
         role: `core` or `proxy`.
     """
 
-    def __init__(self, *, node: str, role: str):
+    def __init__(self, *, node: str, role: str) -> None:
         super().__init__("%(asctime)s %(levelname)s %(message)s", static_fields={"node": node, "role": role})
 
     def add_fields(self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]) -> None:
--- a/ploverward/common/rollout_evidence.py
+++ b/ploverward/common/rollout_evidence.py
@@ -1,6 +1,7 @@
-"""What proxies count of a roll-out, and how it travels to the core (docs/rollouts.md 4).
+"""What proxies count of a roll-out, and how it travels to the core nodes (docs/rollouts.md 4).
 
-Counts are cumulative for one life of a proxy and one order, so a report that is lost or comes twice changes nothing.
+Counts are cumulative for one incarnation of a proxy and one order, so a report that is lost or comes twice changes
+nothing. Times are counted in buckets of the ratio between what was measured and what was expected.
 """
 
 import collections
@@ -8,78 +9,108 @@
 import json
 import math
 import zlib
+from collections.abc import Iterable
 
 from ploverward.common import errors
 
 GROUPS = 8  # replicas of the new version are told apart by so many groups
-STEPS_AN_OCTAVE = 3  # buckets of times: each is the third root of two times the one before
-BUCKETS = 48
-FIRST_BUCKET = 8  # the bucket of a ratio of one
-UNIT_S = 0.01  # what a ratio of one is, of a pause between pieces and of a first piece beyond what was expected
-MOST_BYTES = 1024 * 1024
+BUCKETS_PER_DOUBLING = 3  # each bucket's ratio is the third root of two times the one before
+BUCKETS = 48  # up to a ratio of 2 ** 13
+UNIT_BUCKET = 8  # the bucket of a ratio of one
+UNIT_S = 0.01  # a ratio of one, of a pause between chunks and of a first chunk beyond what was expected
+MAX_REPORT_BYTES = 1024 * 1024  # unpacked; what a peer sends must not fill the memory
+
+Histogram = collections.Counter[int]  # bucket: count
 
 
 def group_of(key: bytes) -> int:
-    """The group of a replica, by its key (ploverward/transport/row_codec.py)."""
+    """Returns the group of a replica, by its key (ploverward/transport/row_codec.py)."""
     return key[0] % GROUPS
 
 
 def bucket_of(ratio: float) -> int:
-    """The bucket of a time, given as a multiple of what was expected."""
+    """Returns the bucket of a time, given as a multiple of what was expected."""
     if ratio <= 0:
         return 0
-    return max(0, min(BUCKETS - 1, round(STEPS_AN_OCTAVE * math.log2(ratio)) + FIRST_BUCKET))
+    return max(0, min(BUCKETS - 1, round(BUCKETS_PER_DOUBLING * math.log2(ratio)) + UNIT_BUCKET))
 
 
-@dataclasses.dataclass
+@dataclasses.dataclass(slots=True)
 class Tally:
-    """Answers of one kind of request by one version. `failed`: with a status of 500 and more; `broken`: without an end."""
+    """Answers of one kind of request by one version.
+
+    Attributes:
+        ended: Answers that ended, well or not.
+        failed: Of these, with a status of 500 and more.
+        broken: Answers that broke off before their end.
+        firsts: Times to the first chunk, by bucket.
+        paces: Pauses between chunks, by bucket.
+    """
 
     ended: int = 0
     failed: int = 0
     broken: int = 0
-    firsts: collections.Counter = dataclasses.field(default_factory=collections.Counter)  # bucket: first pieces
-    paces: collections.Counter = dataclasses.field(default_factory=collections.Counter)  # bucket: pauses
+    firsts: Histogram = dataclasses.field(default_factory=collections.Counter)
+    paces: Histogram = dataclasses.field(default_factory=collections.Counter)
 
     def add(self, other: "Tally", *, sign: int = 1) -> None:
-        """Adds another tally, or takes it off."""
+        """Adds another tally; subtracts it with a `sign` of -1."""
         self.ended += sign * other.ended
         self.failed += sign * other.failed
         self.broken += sign * other.broken
-        for mine, theirs in ((self.firsts, other.firsts), (self.paces, other.paces)):
-            for bucket, count in theirs.items():
-                mine[bucket] += sign * count
+        for own, added in ((self.firsts, other.firsts), (self.paces, other.paces)):
+            for bucket, count in added.items():
+                own[bucket] += sign * count
 
     def copy(self) -> "Tally":
+        """Returns a tally with the same counts that changes by itself."""
         new = Tally()
         new.add(self)
         return new
 
 
-@dataclasses.dataclass(frozen=True, order=True)
+@dataclasses.dataclass(frozen=True, order=True, slots=True)
 class Key:
-    """Whose answers: a route's, by the new version or the former ones, and the replica's group (0 of former ones)."""
+    """Whose answers a tally counts.
+
+    Attributes:
+        route: The route's name.
+        is_new: Whether the roll-out's target answered, or a former version.
+        group: The replica's group; 0 of former versions.
+    """
 
     route: str
     is_new: bool
     group: int
 
 
-@dataclasses.dataclass(frozen=True, kw_only=True)
+@dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What one life of a proxy tells of one order."""
+    """What one incarnation of a proxy counted since one order.
+
+    Attributes:
+        service: The service that is rolled out.
+        number: The order's number.
+        step: The step of the roll-out that the proxy applies.
+        age_s: Seconds since the order, by the proxy's clock.
+        sent: Requests that arrived for the service since the order.
+        sent_new: Of these, sent to the new version.
+        running_old: Attempts in flight at replicas of other versions.
+        tallies: The answers.
+    """
 
     service: str
-    number: int  # of the order
-    step: int  # of the roll-out's row, as applied
-    age_s: float  # of the order, as this proxy reckons
-    sent: int  # arrivals at the service since the order
-    sent_new: int  # of these, at the new version
-    running_old: int  # attempts under way at replicas of other versions
-    tallies: dict  # Key: Tally
+    number: int
+    step: int
+    age_s: float
+    sent: int
+    sent_new: int
+    running_old: int
+    tallies: dict[Key, Tally]
 
 
-def pack(reports: list) -> bytes:
+def pack(reports: Iterable[Report]) -> bytes:
+    """Packs reports as compressed JSON; rows rather than objects, as the names would be most of it."""
     rows = [
         [
             report.service,
@@ -89,25 +120,29 @@
             report.sent,
             report.sent_new,
             report.running_old,
-            [
-                [key.route, int(key.is_new), key.group, tally.ended, tally.failed, tally.broken]
-                + [sorted(tally.firsts.items()), sorted(tally.paces.items())]
-                for key, tally in sorted(report.tallies.items())
-            ],
+            [_tally_row(key, tally) for key, tally in sorted(report.tallies.items())],
         ]
         for report in reports
     ]
     return zlib.compress(json.dumps(rows, separators=(",", ":")).encode(), 1)
 
 
-def unpack(data: bytes) -> list:
-    """Raises FrameProblem where the bytes are no reports."""
+def _tally_row(key: Key, tally: Tally) -> list:
+    counts = [key.route, int(key.is_new), key.group, tally.ended, tally.failed, tally.broken]
+    return [*counts, sorted(tally.firsts.items()), sorted(tally.paces.items())]
+
+
+def unpack(data: bytes) -> list[Report]:
+    """Unpacks what `pack` packed.
+
+    Raises:
+        FrameError: The bytes are no reports.
+    """
     try:
-        decoder = zlib.decompressobj()
-        text = decoder.decompress(data, MOST_BYTES)
+        text = zlib.decompressobj().decompress(data, MAX_REPORT_BYTES)
         return [_report(row) for row in json.loads(text)]
-    except (zlib.error, ValueError, TypeError, IndexError) as failure:
-        raise errors.FrameError(f"no evidence: {failure}", step="evidence") from None
+    except (zlib.error, ValueError, TypeError, IndexError) as error:
+        raise errors.FrameError(f"no evidence: {error}", step="evidence") from None
 
 
 def _report(row: list) -> Report:
