--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -276,12 +276,12 @@
         peer = self.peers.get(link)
         if peer is None or peer.role != "proxy":
             return
-        _kind, number, data = message
         origin = evidence_table.Origin(address=peer.address, incarnation=peer.incarnation)
-        leases = self.rollout_manager.take_evidence(origin=origin, data=data)
+        leases = self.rollout_manager.handle_evidence(
+            origin=origin, message=legacy_messages.to_typed(message), proxy_count=self.proxy_count
+        )
         if leases is not None and self.has_majority_contact():
-            pace = self.rollout_manager.pace(proxies=self.proxy_count)
-            link.send(("leases", number, self.rollout_manager.lease_s, pace, leases))
+            link.send(leases)
 
     def part_of(self, members) -> float:
         """The part of every bound that this node owns under a core set."""
--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self, *, now: Callable[[], float], tolerance: token_bucket.QuotaTolerance, owned_share: Callable[[], float]
-    ):
+    ) -> None:
         self._now = now
         self._tolerance = tolerance
         self._owned_share = owned_share
@@ -111,7 +111,7 @@
         return credits
 
     def view(self) -> dict[str, dict[str, float | bool]]:
-        """JSON for operators, by tenant key in hexadecimal: limit, level and depth of the bucket, whether it is scarce."""
+        """JSON for operators, by tenant key in hexadecimal: limit, level, depth, whether it is scarce."""
         now = self._now()
         owned_share = self._issuable_share()
         for bucket in self._buckets.values():
--- a/ploverward/control_plane/quotas/rate_slots.py
+++ b/ploverward/control_plane/quotas/rate_slots.py
@@ -41,7 +41,7 @@
         reserved_s: How long a node may act on a slot: its lease and the window of a rate.
     """
 
-    def __init__(self, *, now: Callable[[], float], reserved_s: float):
+    def __init__(self, *, now: Callable[[], float], reserved_s: float) -> None:
         self._now = now
         self._reserved_s = reserved_s
         self._reservations: dict[str, _Reservation] = {}  # by node
@@ -55,7 +55,7 @@
         """Reserves the node's slot for another `reserved_s`.
 
         Returns:
-            The slot; `NO_SLOT` after the slot count changed, until all reservations under the former count have expired.
+            The slot. After the slot count changed it is `NO_SLOT` until all reservations under the former one expired.
         """
         now = self._now()
         self._expire(now)
@@ -79,9 +79,7 @@
                 self._free.add(reservation.slot)
 
     def _allocate(self) -> int:
-        if self._free:
-            slot = self._free.pop(0)
-        else:
-            slot = self._used[-1] + 1 if self._used else 0
+        next_slot = self._used[-1] + 1 if self._used else 0
+        slot = self._free.pop(0) if self._free else next_slot
         self._used.add(slot)
         return slot
--- a/ploverward/control_plane/quotas/share_leases.py
+++ b/ploverward/control_plane/quotas/share_leases.py
@@ -34,7 +34,7 @@
         withheld_until: Nothing is leased before: leases from before a restart of this node may still bind.
     """
 
-    def __init__(self, *, now: Callable[[], float], lease_s: float, window_s: float, withheld_until: float):
+    def __init__(self, *, now: Callable[[], float], lease_s: float, window_s: float, withheld_until: float) -> None:
         self._now = now
         self._lease_s = lease_s
         self._window_s = window_s
@@ -111,7 +111,7 @@
         initial_share: What is owned before the first core set is known.
     """
 
-    def __init__(self, *, now: Callable[[], float], transfer_wait_s: float, initial_share: float = 0.0):
+    def __init__(self, *, now: Callable[[], float], transfer_wait_s: float, initial_share: float = 0.0) -> None:
         self._now = now
         self._transfer_wait_s = transfer_wait_s
         self._share = initial_share
--- a/ploverward/control_plane/quotas/token_bucket.py
+++ b/ploverward/control_plane/quotas/token_bucket.py
@@ -54,7 +54,7 @@
     `owned_share` in the methods below is this core node's share of the limit, 0 to 1.
     """
 
-    def __init__(self, *, limit: tenant_usage.Limit, tolerance: QuotaTolerance, now: float):
+    def __init__(self, *, limit: tenant_usage.Limit, tolerance: QuotaTolerance, now: float) -> None:
         self.demands: dict[str, ProxyDemand] = {}  # by proxy
         self._tolerance = tolerance
         self._refilled_at = now
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -1,50 +1,57 @@
-"""Evidence of one order, merged over all proxies (docs/rollouts.md 4): cumulative counts, one newest report an origin."""
+"""Evidence of one order, merged over all proxies (docs/rollouts.md 4).
+
+`EvidenceTable` owns the newest report of each origin. Reports are cumulative for one incarnation of a proxy and one
+order, a grow-only counter: the one with the most requests stands, so that reports that are lost, repeated or reordered
+change nothing (`test_reports_lost_repeated_and_out_of_order_count_once`).
+"""
 
 import dataclasses
+from collections.abc import Iterable
 
 from ploverward.common import rollout_evidence
 
+Tallies = dict[rollout_evidence.Key, rollout_evidence.Tally]
+
 
 @dataclasses.dataclass(frozen=True)
 class Origin:
-    """One life of a proxy."""
+    """One incarnation of a proxy."""
 
     address: str
     incarnation: str
 
 
 class EvidenceTable:
-    """The newest report of each origin; what came since the last look is told apart."""
+    """The newest report of each origin, and which counts were consumed already."""
 
-    def __init__(self):
-        self.reports = {}  # Origin: Report
-        self.heard_at = {}  # Origin: when its newest report came
-        self._looked = {}  # (Origin, Key): Tally as of the last look
+    def __init__(self) -> None:
+        self.reports: dict[Origin, rollout_evidence.Report] = {}
+        self._consumed: dict[tuple[Origin, rollout_evidence.Key], rollout_evidence.Tally] = {}
 
-    def record(self, *, origin: Origin, report, now: float) -> None:
+    def record(self, *, origin: Origin, report: rollout_evidence.Report) -> None:
+        """Merges a report; one that is older than the known one is ignored."""
         previous = self.reports.get(origin)
         if previous is None or report.sent >= previous.sent:
             self.reports[origin] = report
-            self.heard_at[origin] = now
 
-    def fresh(self) -> dict:
-        """Key: what was counted since the last call, over all origins."""
-        found = {}
+    def consume_new(self) -> Tallies:
+        """What was counted since the last call, over all origins."""
+        found: Tallies = {}
         for origin, report in self.reports.items():
             for key, tally in report.tallies.items():
-                looked = self._looked.get((origin, key))
-                if looked is not None and looked.ended == tally.ended:
+                consumed = self._consumed.get((origin, key))
+                if consumed is not None and consumed.ended == tally.ended:
                     continue
                 change = tally.copy()
-                if looked is not None:
-                    change.add(looked, sign=-1)
-                self._looked[origin, key] = tally
+                if consumed is not None:
+                    change.add(consumed, sign=-1)
+                self._consumed[origin, key] = tally
                 found.setdefault(key, rollout_evidence.Tally()).add(change)
         return found
 
-    def totals(self) -> dict:
-        """Key: all that was counted."""
-        found = {}
+    def totals(self) -> Tallies:
+        """All that was counted. The sum over all origins takes a while: one call a heartbeat is enough."""
+        found: Tallies = {}
         for report in self.reports.values():
             for key, tally in report.tallies.items():
                 found.setdefault(key, rollout_evidence.Tally()).add(tally)
@@ -52,13 +59,15 @@
 
     @property
     def sent(self) -> int:
+        """Requests to the service since the order."""
         return sum(report.sent for report in self.reports.values())
 
     @property
     def sent_new(self) -> int:
+        """Of these, those to the new version."""
         return sum(report.sent_new for report in self.reports.values())
 
-    def is_drained(self, *, origins, step: int) -> bool:
-        """Whether each of these origins has applied this step and runs nothing at the former versions."""
+    def is_drained(self, *, origins: Iterable[Origin], step: int) -> bool:
+        """Whether each of these origins has applied this step and runs nothing at former versions."""
         reports = [self.reports.get(origin) for origin in origins]
         return all(report is not None and report.step >= step and not report.running_old for report in reports)
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -1,164 +1,238 @@
-"""The judge: whether a new version fails or is slow, against the former one of the same seconds (docs/rollouts.md 5).
+"""The canary judge: whether a new version fails or is slow, against the former one of the same seconds.
 
-One cumulative sum (Page's test) for each kind of request, fault and group of replicas: each answer adds the logarithm of
-how much more likely it is from a bad version than from one like the former, and the sum never falls below 0, so that a
-version that turns bad late is found as soon as one that was bad from the start. No clock, no sockets.
+A sequential test (docs/rollouts.md 5). For each route, fault kind and group of replicas it runs one cumulative sum
+(CUSUM, Page's test): each answer adds the logarithm of how much more likely it is from a bad version than from one like
+the former, and the sum never falls below 0. So a version that turns bad late is found as soon as one that was bad from
+the start. A group of replicas contributes up to `GROUP_LIMIT`, since a single replica may be faulty by itself; several
+groups confirm a fault.
+
+`CanaryJudge` owns the sums and the window of the former version's answers. It has no clock and no I/O.
 """
 
 import collections
 import dataclasses
+import enum
 import math
+import typing
+from collections.abc import Mapping
 
 from ploverward.common import rollout_evidence
 
-FAULTS = ("failed", "broken", "first", "pace")
-TIME_FAULTS = ("first", "pace")
-BAD_SHARE = 0.3  # the least share of bad answers that a bad version is taken to have
-BAD_TIMES = 3.0  # and so many times the former version's share
-MAX_BAD_SHARE = 0.95
-BASELINE_FAULT_RATES = {"failed": 0.03, "broken": 0.1, "first": 0.06, "pace": 0.04}  # shares that are ordinary anywhere
-MAX_BASELINE_ERROR_RATE = 0.35  # where the former version does worse than this, nothing can be told
-LEAST_FORMER = 8  # answers of the former version in the window, below which its times say nothing
-SLOW_STEPS = 7  # buckets above the former version's median: five times as long
-GROUP_LIMIT = 5.0  # the most that one group of replicas counts: a single replica may be faulty by itself
-POOL_LIMIT = 8.0  # the sum over groups from which on the version is bad
-SUSPICION = 2.5
-CLEARING_ANSWERS = 12  # of other groups, that clear a version of what one group shows
+
+class FaultKind(enum.StrEnum):
+    """How an answer is bad. The values are part of the reason that is stored with a step."""
+
+    FAILED = "failed"  # a status of 500 and more
+    BROKEN = "broken"  # no end
+    FIRST = "first"  # a slow first piece
+    PACE = "pace"  # slow pieces after it
+
+
+TIME_FAULTS = (FaultKind.FIRST, FaultKind.PACE)
+ORDINARY_RATES = {  # shares of bad answers that are ordinary anywhere
+    FaultKind.FAILED: 0.03,
+    FaultKind.BROKEN: 0.1,
+    FaultKind.FIRST: 0.06,
+    FaultKind.PACE: 0.04,
+}
+MIN_BAD_RATE = 0.3  # share of bad answers that a bad version is assumed to have at least
+BAD_RATE_FACTOR = 3.0  # and so many times the former version's share
+MAX_BAD_RATE = 0.95
+MAX_ORDINARY_RATE = 0.35  # of the former version's bad answers; beyond it nothing is judged
+MIN_FORMER_ANSWERS = 8  # of the former version in the window, below which its times say nothing
+SLOW_BUCKETS = 7  # buckets above the former version's median: five times as long
+GROUP_LIMIT = 5.0  # the most that one group of replicas contributes to a score
+BAD_SCORE = 8.0  # the sum over groups from which on the version is bad
+DOUBTFUL_SCORE = 2.5  # of one group, or of all others together
+CLEARING_ANSWERS = 12  # of other groups that clear a version of what one group shows
 WINDOW_S = 6.0  # of the former version's answers
 
 
+class Verdict(enum.Enum):
+    """What the canary shows of a version."""
+
+    CLEAR = "clear"
+    DOUBTFUL = "doubtful"  # a fault stands out that other replicas neither confirm nor clear yet
+    BAD = "bad"
+
+
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """The fault that stands out most: of a route, with its sum over groups."""
+    """The fault that stands out most: its route and its score over all groups."""
 
     route: str
     fault: str
     score: float
 
 
-NOTHING_FOUND = Finding(route="", fault="", score=0.0)
+NO_FINDING = Finding(route="", fault="", score=0.0)
+
+
+class _SumKey(typing.NamedTuple):
+    route: str
+    fault: FaultKind
+    group: int
+
+
+class _Sample(typing.NamedTuple):
+    """Answers, and how many of them are bad."""
 
+    bad: int
+    total: int
 
-def _bad_counts(tally: rollout_evidence.Tally, fault: str, limit: int | None) -> tuple:
-    """(bad, all) of a tally for one fault; `limit`: the bucket from which on a time is slow, None: it can't be told."""
-    if fault in ("failed", "broken"):
-        return getattr(tally, fault), tally.ended
-    if limit is None:
-        return 0, 0
-    table = tally.firsts if fault == "first" else tally.paces
-    return sum(count for bucket, count in table.items() if bucket >= limit), sum(table.values())
 
+NO_SAMPLE = _Sample(bad=0, total=0)
 
-def _median(table: collections.Counter) -> int | None:
-    total = sum(table.values())
-    if total < LEAST_FORMER:
+
+def _sample(tally: rollout_evidence.Tally, fault: FaultKind, slow_bucket: int | None) -> _Sample:
+    """The sample of one fault kind. `slow_bucket`: from which on a time is slow; None: unknown."""
+    if fault is FaultKind.FAILED:
+        return _Sample(bad=tally.failed, total=tally.ended)
+    if fault is FaultKind.BROKEN:
+        return _Sample(bad=tally.broken, total=tally.ended)
+    if slow_bucket is None:
+        return NO_SAMPLE
+    histogram = _histogram(tally, fault)
+    return _Sample(
+        bad=sum(count for bucket, count in histogram.items() if bucket >= slow_bucket), total=sum(histogram.values())
+    )
+
+
+def _histogram(tally: rollout_evidence.Tally, fault: FaultKind) -> collections.Counter[int]:
+    return tally.firsts if fault is FaultKind.FIRST else tally.paces
+
+
+def _median(histogram: collections.Counter[int]) -> int | None:
+    total = sum(histogram.values())
+    if total < MIN_FORMER_ANSWERS:
         return None
     passed = 0
-    for bucket in sorted(table):
-        passed += table[bucket]
+    for bucket in sorted(histogram):
+        passed += histogram[bucket]
         if passed * 2 >= total:
             return bucket
     return None
 
 
-class Judge:
-    """Takes what was counted since the last look, by `evidence.Key`, and says what stands out."""
-
-    def __init__(self):
-        self.is_lone = False  # one replica alone has the new version: no other can confirm what it shows
-        self.cumulative_sums = {}  # (route, fault, group): cumulative sum
-        self.answers = collections.Counter()  # (route, group): answers of the new version
-        self._former = collections.deque()  # (when, {route: Tally}) of the former version
-        self._kept = {}  # route: the last window of the former version that said something
-
-    def record(self, *, now: float, counted: dict, has_times: bool = True) -> None:
-        """`has_times`: whether the former version's times are to be met. A replica under a load beyond the ordinary, or
-        one that keeps no prompts yet while all traffic moves to it, is slower whatever its version."""
-        faults = FAULTS if has_times else tuple(fault for fault in FAULTS if fault not in TIME_FAULTS)
-        former = {key.route: tally for key, tally in counted.items() if not key.is_new}
-        self._former.append((now, former))
+def _log_likelihood_ratio(sample: _Sample, *, ordinary: float) -> float:
+    """How much more likely the sample is from a bad version than from one with the ordinary share of bad answers."""
+    bad = min(MAX_BAD_RATE, max(MIN_BAD_RATE, BAD_RATE_FACTOR * ordinary))
+    good_answers = sample.total - sample.bad
+    return sample.bad * math.log(bad / ordinary) + good_answers * math.log((1 - bad) / (1 - ordinary))
+
+
+class CanaryJudge:
+    """The sequential test of one order.
+
+    Attributes:
+        is_lone: Whether one replica alone has the new version: no other can confirm what it shows.
+        answers: Answers of the new version, by (route, group).
+    """
+
+    def __init__(self, *, is_lone: bool = False) -> None:
+        self.is_lone = is_lone
+        self.answers: collections.Counter[tuple[str, int]] = collections.Counter()
+        self._sums: dict[_SumKey, float] = {}
+        self._former: collections.deque[tuple[float, dict[str, rollout_evidence.Tally]]] = collections.deque()
+        self._last_windows: dict[str, rollout_evidence.Tally] = {}  # by route: the last that said something
+
+    def record(
+        self, *, now: float, counted: Mapping[rollout_evidence.Key, rollout_evidence.Tally], has_times: bool = True
+    ) -> None:
+        """Adds what was counted since the last call.
+
+        Args:
+            now: Seconds on any clock that does not go back.
+            counted: New answers, by route, version and group.
+            has_times: Whether times are judged. A replica under extraordinary load, or one with a cold cache while all
+                traffic moves to it, is slower whatever its version.
+        """
+        faults = [fault for fault in FaultKind if has_times or fault not in TIME_FAULTS]
+        self._former.append((now, {key.route: tally for key, tally in counted.items() if not key.is_new}))
         while self._former and now - self._former[0][0] > WINDOW_S:
             self._former.popleft()
         baselines = self._baselines()
         for key, tally in counted.items():
             if key.is_new:
                 self.answers[key.route, key.group] += tally.ended
-                self._weigh(key, tally, baselines.get(key.route, rollout_evidence.Tally()), faults)
+                former = baselines.get(key.route, rollout_evidence.Tally())
+                for fault in faults:
+                    self._add(key, fault, tally=tally, former=former)
 
     def forget_times(self) -> None:
-        """What times have shown so far counts no longer."""
-        self.cumulative_sums = {
-            score_key: score for score_key, score in self.cumulative_sums.items() if score_key[1] not in TIME_FAULTS
-        }
-
-    def _baselines(self) -> dict:
-        """Route: what the former version did in the window; where it gets nothing any more, in the last that it had."""
-        window = {}
-        for _when, tallies in self._former:
+        """Drops what times have shown so far."""
+        self._sums = {key: score for key, score in self._sums.items() if key.fault not in TIME_FAULTS}
+
+    def _baselines(self) -> dict[str, rollout_evidence.Tally]:
+        """By route: the former version's answers in the window, or in the last window that had enough."""
+        window: dict[str, rollout_evidence.Tally] = {}
+        for _at, tallies in self._former:
             for route, tally in tallies.items():
                 window.setdefault(route, rollout_evidence.Tally()).add(tally)
         for route, tally in window.items():
-            if tally.ended >= LEAST_FORMER:
-                self._kept[route] = tally
-        return {**window, **self._kept}
-
-    def _weigh(self, key, tally, former, faults: tuple) -> None:
-        for fault in faults:
-            limit = None
-            if fault in TIME_FAULTS:
-                median = _median(former.firsts if fault == "first" else former.paces)
-                limit = None if median is None else median + SLOW_STEPS
-            bad, total = _bad_counts(tally, fault, limit)
-            if not total:
-                continue
-            former_bad, former_total = _bad_counts(former, fault, limit)
-            if fault == "broken" and former_total < LEAST_FORMER:
-                continue  # silence and resets may have any cause: they count only beside answers of the former version
-            ordinary = max(
-                BASELINE_FAULT_RATES[fault], (former_bad + 0.5) / (former_total + 5) if former_total else 0.0
-            )
-            if ordinary > MAX_BASELINE_ERROR_RATE:
-                continue
-            worse = min(MAX_BAD_SHARE, max(BAD_SHARE, BAD_TIMES * ordinary))
-            step = bad * math.log(worse / ordinary) + (total - bad) * math.log((1 - worse) / (1 - ordinary))
-            score_key = (key.route, fault, key.group)
-            self.cumulative_sums[score_key] = max(0.0, self.cumulative_sums.get(score_key, 0.0) + step)
+            if tally.ended >= MIN_FORMER_ANSWERS:
+                self._last_windows[route] = tally
+        return {**window, **self._last_windows}
+
+    def _add(
+        self,
+        key: rollout_evidence.Key,
+        fault: FaultKind,
+        *,
+        tally: rollout_evidence.Tally,
+        former: rollout_evidence.Tally,
+    ) -> None:
+        slow_bucket = None
+        if fault in TIME_FAULTS:
+            median = _median(_histogram(former, fault))
+            slow_bucket = None if median is None else median + SLOW_BUCKETS
+        sample = _sample(tally, fault, slow_bucket)
+        if not sample.total:
+            return
+        baseline = _sample(former, fault, slow_bucket)
+        if fault is FaultKind.BROKEN and baseline.total < MIN_FORMER_ANSWERS:
+            return  # time-outs and resets may have any cause: they count only beside answers of the former version
+        former_rate = (baseline.bad + 0.5) / (baseline.total + 5) if baseline.total else 0.0
+        ordinary = max(ORDINARY_RATES[fault], former_rate)
+        if ordinary > MAX_ORDINARY_RATE:
+            return
+        sum_key = _SumKey(route=key.route, fault=fault, group=key.group)
+        step = _log_likelihood_ratio(sample, ordinary=ordinary)
+        self._sums[sum_key] = max(0.0, self._sums.get(sum_key, 0.0) + step)
 
     def finding(self) -> Finding:
-        """What stands out most, over all groups; one group counts up to its limit."""
-        pooled = collections.Counter()
-        for (route, fault, _group), score in self.cumulative_sums.items():
-            pooled[route, fault] += min(GROUP_LIMIT, score)
+        """The fault that stands out most, over all groups."""
+        pooled: dict[tuple[str, FaultKind], float] = {}
+        for key, score in self._sums.items():
+            pooled[key.route, key.fault] = pooled.get((key.route, key.fault), 0.0) + min(GROUP_LIMIT, score)
         if not pooled:
-            return NOTHING_FOUND
+            return NO_FINDING
         (route, fault), score = max(pooled.items(), key=lambda row: row[1])
         return Finding(route=route, fault=fault, score=score)
 
     @property
-    def is_bad(self) -> bool:
-        return self.finding().score >= (GROUP_LIMIT if self.is_lone else POOL_LIMIT)
-
-    @property
-    def is_suspicious(self) -> bool:
-        """Whether a fault stands out that other groups of replicas do not clear: at one alone, it may be the replica's."""
-        by_fault = {}
-        for (route, fault, group), score in self.cumulative_sums.items():
-            by_fault.setdefault((route, fault), {})[group] = score
-        return any(self._is_doubtful(route, scores) for (route, _fault), scores in by_fault.items())
-
-    def _is_doubtful(self, route: str, scores: dict) -> bool:
-        worst = max(scores, key=scores.get)
+    def verdict(self) -> Verdict:
+        """What the sums show now; they may fall again."""
+        if self.finding().score >= (GROUP_LIMIT if self.is_lone else BAD_SCORE):
+            return Verdict.BAD
+        by_fault: dict[tuple[str, FaultKind], dict[int, float]] = {}
+        for key, score in self._sums.items():
+            by_fault.setdefault((key.route, key.fault), {})[key.group] = score
+        is_doubtful = any(self._is_doubtful(route, scores) for (route, _fault), scores in by_fault.items())
+        return Verdict.DOUBTFUL if is_doubtful else Verdict.CLEAR
+
+    def _is_doubtful(self, route: str, scores: Mapping[int, float]) -> bool:
+        """Whether a fault stands out that other groups do not clear: at one alone it may be the replica's."""
+        worst = max(scores, key=lambda group: scores[group])
         others = sum(score for group, score in scores.items() if group != worst)
-        if others >= SUSPICION:
+        if others >= DOUBTFUL_SCORE:
             return True
-        return scores[worst] >= SUSPICION and self.answers_of(route, without=worst) < CLEARING_ANSWERS
+        return scores[worst] >= DOUBTFUL_SCORE and self._answers_without(route, worst) < CLEARING_ANSWERS
 
-    def answers_of(self, route: str, *, without: int | None = None) -> int:
+    def _answers_without(self, route: str, excluded: int) -> int:
         """Answers of the new version on a route, of all groups but one."""
-        return sum(count for (name, group), count in self.answers.items() if name == route and group != without)
+        return sum(count for (name, group), count in self.answers.items() if name == route and group != excluded)
 
-    def bad_groups(self) -> frozenset:
+    def bad_groups(self) -> frozenset[int]:
         """Groups of replicas that have shown enough by themselves: others are to confirm it."""
-        return frozenset(
-            group for (_route, _fault, group), score in self.cumulative_sums.items() if score >= GROUP_LIMIT
-        )
+        return frozenset(key.group for key, score in self._sums.items() if score >= GROUP_LIMIT)
--- a/ploverward/control_plane/rollouts/leases.py
+++ b/ploverward/control_plane/rollouts/leases.py
@@ -1,32 +1,46 @@
-"""Leases of a new version, on their way from the holder of the watch duty to the proxies (docs/rollouts.md 3)."""
+"""Leases of a new version, as the coordinator sends them to proxies (docs/rollouts.md 3)."""
 
 import dataclasses
 import json
+from collections.abc import Iterable
 
 from ploverward.common import errors
 
 
 @dataclasses.dataclass(frozen=True)
-class Lease:
-    """What proxies may send to a new version: a part of a service's requests, to these replicas or (empty) to all."""
+class CanaryLease:
+    """How much of a service's requests a proxy may send to the new version.
+
+    Attributes:
+        service: The service.
+        number: The order that the lease belongs to.
+        step: The step of the service's row that it was granted on.
+        share: Of the proxy's own requests, 0 to 1.
+        replicas: The replicas that they may go to; empty: all of the new version.
+    """
 
     service: str
     number: int
     step: int
     share: float
-    replicas: tuple
+    replicas: tuple[str, ...]
 
 
-def pack(leases: list) -> bytes:
+def pack(leases: Iterable[CanaryLease]) -> bytes:
+    """Encodes leases for `ploverward.transport.messages.RolloutLeases`."""
     return json.dumps([dataclasses.astuple(lease) for lease in leases], separators=(",", ":")).encode()
 
 
-def unpack(data: bytes) -> list:
-    """Raises FrameProblem where the bytes are no leases."""
+def unpack(data: bytes) -> list[CanaryLease]:
+    """Decodes leases.
+
+    Raises:
+        FrameError: The bytes are no leases.
+    """
     try:
         return [
-            Lease(str(service), int(number), int(step), float(share), tuple(str(name) for name in names))
+            CanaryLease(str(service), int(number), int(step), float(share), tuple(str(name) for name in names))
             for service, number, step, share, names in json.loads(data)
         ]
-    except (ValueError, TypeError) as failure:
-        raise errors.FrameError(f"no leases: {failure}", step="leases") from None
+    except (ValueError, TypeError) as error:
+        raise errors.FrameError(f"no leases: {error}", step="leases") from None
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -1,6 +1,14 @@
-"""Orders of roll-outs and the edits of the register that orders and steps make (docs/rollouts.md 2)."""
+"""Orders of roll-outs, and the edits of the register that orders and steps make (docs/rollouts.md 2).
+
+An edit maps the register's value to a new one and a result. Consensus may apply it several times, to different values,
+before one is chosen; so edits are pure, and each changes nothing where the row is not the one that it was decided on.
+"""
 
 import dataclasses
+import enum
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Mapping
 
 import pydantic
 
@@ -11,16 +19,26 @@
 
 MAX_NAME_LENGTH = 200  # characters
 MAX_DURATION_S = 30 * 86400.0
-TAKEN = "taken"
-KNOWN = "known"
+
+
+class OrderOutcome(enum.StrEnum):
+    """What an order did to the register."""
+
+    TAKEN = "taken"
+    KNOWN = "known"  # the same order stands already
+
+
+Edit = Callable[[state.Payload], tuple[state.Payload, OrderOutcome | None]]
 
 
 class _Body(pydantic.BaseModel):
+    """The body of an order, with the protocol's names."""
+
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
     destination: str = pydantic.Field(min_length=1, max_length=MAX_NAME_LENGTH)
-    targetEdition: str = pydantic.Field(min_length=1, max_length=MAX_NAME_LENGTH)
-    overS: float = pydantic.Field(gt=0, le=MAX_DURATION_S)
+    target_edition: str = pydantic.Field(alias="targetEdition", min_length=1, max_length=MAX_NAME_LENGTH)
+    over_s: float = pydantic.Field(alias="overS", gt=0, le=MAX_DURATION_S)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,26 +51,37 @@
 
 
 def read(*, data: bytes) -> Order:
-    """The order in a call's body. Raises InvalidConfiguration, with the place of the fault."""
+    """Reads the order in a call's body.
+
+    Raises:
+        InvalidConfigurationError: The body is no order; the error names the field.
+    """
     checked = schema.validated(_Body, parser.read_json(data=data))
-    return Order(service=checked.destination, target=checked.targetEdition, over_s=checked.overS)
+    return Order(service=checked.destination, target=checked.target_edition, over_s=checked.over_s)
 
 
-def edit_for(*, order: Order, is_late):
-    """The edit for an order. Raises RolloutUnderWay where another order for the service is not done.
+def edit_for(*, order: Order, is_late: Callable[[], bool]) -> Edit:
+    """The edit for an order. The same order again changes nothing, so the caller may send it twice.
 
-    The same order again changes nothing, so a round may make several attempts and the caller may send it twice.
+    Args:
+        order: The order.
+        is_late: Whether the caller has been answered already: then the order must not begin any more.
+
+    Raises:
+        RolloutInProgressError: By the edit: another order for the service is in progress.
+        QuorumUnavailableError: By the edit: it is late.
     """
 
-    def edit(payload):
+    def edit(payload: state.Payload) -> tuple[state.Payload, OrderOutcome]:
         current = state.rollouts_of(payload).get(order.service, state.Rollout())
         if _is_same(current, order):
-            return payload, KNOWN
+            return payload, OrderOutcome.KNOWN
         if current.is_in_progress:
             raise errors.RolloutInProgressError(target=current.target, peer=order.service)
         if is_late():
             raise errors.QuorumUnavailableError("no majority in time", step="roll-out", peer=order.service)
-        return state.with_rollout(payload, service=order.service, rollout=_begun(current, order)), TAKEN
+        started = _started(current, order)
+        return state.with_rollout(payload, service=order.service, rollout=started), OrderOutcome.TAKEN
 
     return edit
 
@@ -63,30 +92,33 @@
     return (current.target, current.over_s) == (order.target, order.over_s)
 
 
-def _begun(current: state.Rollout, order: Order) -> state.Rollout:
-    is_there = current.admitted == (order.target,)
+def _started(current: state.Rollout, order: Order) -> state.Rollout:
+    is_serving = current.admitted == (order.target,)
     return dataclasses.replace(
         current,
         target=order.target,
         over_s=order.over_s,
-        stage=state.Stage.DELIVERED if is_there else state.Stage.CANARY,
+        stage=state.Stage.DELIVERED if is_serving else state.Stage.CANARY,
         number=current.number + 1,
         step=current.step + 1,
         age_s=0.0,
-        reason="this version serves already" if is_there else "",
+        reason="this version serves already" if is_serving else "",
         record=(),
         is_settled=False,
-        admitted=tuple(name for name in current.admitted if name != order.target or is_there),
+        admitted=tuple(name for name in current.admitted if name != order.target or is_serving),
         refused=tuple(name for name in current.refused if name != order.target),
     )
 
 
-def edit_to_stage(*, service: str, seen: state.Rollout, known: state.Evidence):
-    """The edit for a step, to the stage that `known` names. It changes nothing where the row changed since the holder
-    saw it."""
+def edit_to_stage(*, service: str, seen: state.Rollout, known: state.Evidence) -> Edit:
+    """The edit for a step to the stage that `known` names.
+
+    It changes nothing where the row is not the `seen` one any more: a second coordinator, or a late attempt of an
+    earlier round, has no effect (`test_a_step_counts_only_on_the_row_that_it_was_decided_on`).
+    """
     stage = state.Stage(known.stage)
 
-    def edit(payload):
+    def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         current = state.rollouts_of(payload).get(service, state.Rollout())
         if current.step != seen.step or stage not in state.NEXT_STAGES.get(current.stage, ()):
             return payload, None
@@ -103,12 +135,12 @@
     return edit
 
 
-def edit_to_finish(*, service: str, seen: state.Rollout):
-    """The edit that lets the same order be given again."""
+def edit_to_settle(*, service: str, seen: state.Rollout) -> Edit:
+    """The edit after which the same order again is a new one."""
 
-    def edit(payload):
+    def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         current = state.rollouts_of(payload).get(service, state.Rollout())
-        if current.step != seen.step or current.stage not in state.ENDED:
+        if current.step != seen.step or current.stage not in state.FINAL_STAGES:
             return payload, None
         settled = dataclasses.replace(current, step=current.step + 1, is_settled=True)
         return state.with_rollout(payload, service=service, rollout=settled), None
@@ -116,13 +148,13 @@
     return edit
 
 
-def edit_to_admit(*, seen: dict, editions: dict):
-    """The edit that admits versions of services: `editions`, service: versions, instead of what `seen` has."""
+def edit_to_admit(*, seen: Mapping[str, state.Rollout], versions: Mapping[str, Iterable[str]]) -> Edit:
+    """The edit that admits versions, by service, in place of those that the `seen` rows admit."""
 
-    def edit(payload):
+    def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         rollouts = state.rollouts_of(payload)
         changed = payload
-        for service, names in editions.items():
+        for service, names in versions.items():
             current = rollouts.get(service, state.Rollout())
             if current.is_in_progress or current.step != seen.get(service, state.Rollout()).step:
                 continue
--- /dev/null
+++ b/ploverward/control_plane/rollouts/replica_inventory.py
@@ -0,0 +1,92 @@
+"""The replicas of a service as roll-outs see them: parsed rows of the platform's list, zones and regions.
+
+`ReplicaInventory` owns nothing: it reads the coordinator's current list and configuration at each call.
+"""
+
+import dataclasses
+from collections.abc import Callable
+from collections.abc import Collection
+from collections.abc import Iterable
+from collections.abc import Mapping
+from typing import Any
+
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import state
+from ploverward.transport import row_codec
+
+MIN_CAPACITY = 0.8  # of the former version's batch slots in a region, that warm replicas of the new one must have
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class ListedReplica:
+    """A replica of the platform's list that is neither draining nor in an evacuated zone."""
+
+    id: str
+    region: str
+    version: str
+    batch_slots: int
+    is_warming_up: bool
+
+    @property
+    def group(self) -> int:
+        """The group in which the judge counts its answers."""
+        return rollout_evidence.group_of(row_codec.key_of(self.id))
+
+
+class ReplicaInventory:
+    """Views of the list.
+
+    Args:
+        listed: Returns the rows of the list.
+        zones: Returns the region of each zone.
+        evacuated_zones: Returns the zones that get no requests.
+    """
+
+    def __init__(
+        self,
+        *,
+        listed: Callable[[], Iterable[Mapping[str, Any]]],
+        zones: Callable[[], Mapping[str, str]],
+        evacuated_zones: Callable[[], Collection[str]],
+    ) -> None:
+        self._listed = listed
+        self._zones = zones
+        self._evacuated_zones = evacuated_zones
+
+    def replicas(self, service: str) -> list[ListedReplica]:
+        """The usable replicas of a service, in the order of the list."""
+        zones, evacuated_zones = self._zones(), self._evacuated_zones()
+        return [
+            ListedReplica(
+                id=row["id"],
+                region=zones.get(row["zone"], ""),
+                version=row.get("edition") or "",
+                batch_slots=row["berths"],
+                is_warming_up=row["cold_ms"] > 0,
+            )
+            for row in self._listed()
+            if row["service"] == service and not row["is_clearing"] and row["zone"] not in evacuated_zones
+        ]
+
+    def versions(self) -> dict[str, set[str]]:
+        """The listed versions by service, of replicas that are not draining, in any zone."""
+        found: dict[str, set[str]] = {}
+        for row in self._listed():
+            if not row["is_clearing"] and row.get("edition"):
+                found.setdefault(row["service"], set()).add(row["edition"])
+        return found
+
+
+def has_capacity(*, replicas: Iterable[ListedReplica], rollout: state.Rollout) -> bool:
+    """Whether warm replicas of the new version can carry the traffic of each region."""
+    former: dict[str, int] = {}
+    new: dict[str, int] = {}
+    for replica in replicas:
+        if replica.version == rollout.target:
+            if not replica.is_warming_up:
+                new[replica.region] = new.get(replica.region, 0) + replica.batch_slots
+        elif rollout.is_admitted(replica.version):
+            former[replica.region] = former.get(replica.region, 0) + replica.batch_slots
+    if not new:
+        return False
+    return all(new.get(region, 0) >= MIN_CAPACITY * batch_slots for region, batch_slots in former.items())
--- /dev/null
+++ b/ploverward/control_plane/rollouts/rollout_samples.py
@@ -0,0 +1,94 @@
+"""Rows, reports and lists that the tests of roll-outs share."""
+
+from typing import Any
+
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import state
+
+ORDER = orders.Order(service="pool", target="v2", over_s=16.0)
+
+
+def given(
+    payload: state.Payload, order: orders.Order, *, is_late: bool = False
+) -> tuple[state.Payload, orders.OrderOutcome | None]:
+    """The register after an order, and what the order did."""
+    return orders.edit_for(order=order, is_late=lambda: is_late)(payload)
+
+
+def admitted(*names: str, service: str = "pool") -> state.Payload:
+    """A register in which these versions are admitted."""
+    rollout = state.Rollout(admitted=names, step=1)
+    return state.with_rollout(None, service=service, rollout=rollout)
+
+
+def moved(payload: state.Payload, stage: state.Stage, *, age_s: float = 1.0, service: str = "pool") -> state.Payload:
+    """The register after a step to this stage."""
+    seen = state.rollouts_of(payload)[service]
+    known = state.Evidence(stage=str(stage), age_s=age_s, reason="")
+    return orders.edit_to_stage(service=service, seen=seen, known=known)(payload)[0]
+
+
+def row_of(payload: state.Payload, service: str = "pool") -> state.Rollout:
+    """The service's row."""
+    return state.rollouts_of(payload)[service]
+
+
+def tally(
+    *, ended: int, failed: int = 0, first: int = 8, slow: int = 0, slow_first: int = 17
+) -> rollout_evidence.Tally:
+    """Answers, with the bucket of their first pieces and that of the slow ones."""
+    made = rollout_evidence.Tally(ended=ended, failed=failed)
+    made.firsts[first] += ended - failed - slow
+    made.firsts[slow_first] += slow
+    return made
+
+
+def key(*, route: str = "r", is_new: bool = True, group: int = 0) -> rollout_evidence.Key:
+    """Whose answers."""
+    return rollout_evidence.Key(route=route, is_new=is_new, group=group)
+
+
+def report(
+    *,
+    tallies: dict[rollout_evidence.Key, rollout_evidence.Tally] | None = None,
+    step: int = 2,
+    running_old: int = 0,
+    sent: int = 10,
+    sent_new: int = 1,
+    number: int = 1,
+) -> rollout_evidence.Report:
+    """One proxy's report."""
+    return rollout_evidence.Report(
+        service="pool",
+        number=number,
+        step=step,
+        age_s=1.0,
+        sent=sent,
+        sent_new=sent_new,
+        running_old=running_old,
+        tallies=tallies or {},
+    )
+
+
+def listed(
+    *,
+    count: int = 30,
+    edition: str = "v2",
+    zones: tuple[str, ...] = ("a1", "a2", "b1"),
+    cold: int = 0,
+    first: int = 0,
+) -> list[dict[str, Any]]:
+    """Rows of the platform's list; those with numbers below `cold` are warming up."""
+    return [
+        {
+            "id": f"{edition}-{number}",
+            "service": "pool",
+            "zone": zones[number % len(zones)],
+            "edition": edition,
+            "berths": 16,
+            "is_clearing": False,
+            "cold_ms": 500.0 if number < cold else 0.0,
+        }
+        for number in range(first, first + count)
+    ]
--- a/ploverward/control_plane/rollouts/state.py
+++ b/ploverward/control_plane/rollouts/state.py
@@ -1,14 +1,22 @@
 """The replicated state of roll-outs: for each service the admitted versions and the newest order (docs/rollouts.md 2).
 
-The register holds {"services": {name: row}}; a row is a `Rollout` as a dictionary. Nodes of all roles read it.
+The register's value is {"services": {name: row}}; a row is a `Rollout` as a dictionary, with the names of its fields as
+keys: stored data of earlier versions has them. Nodes of all roles read it. Its invariant: `step` only rises, and a
+stage is followed by one of `NEXT_STAGES` alone.
 """
 
 import dataclasses
 import enum
+from collections.abc import Mapping
+from typing import Any
+
+Payload = Mapping[str, Any] | None  # the register's value; None before the first change
+
+MAX_ROUTES = 24  # in the evidence of a step: those with the most answers
 
 
 class Stage(enum.StrEnum):
-    """Where a roll-out stands. It only goes on in this order, or to RETURNED."""
+    """Where a roll-out stands. The values are those of the protocol and of stored data."""
 
     IDLE = "idle"  # no order yet: the row only names the admitted versions
     CANARY = "canary"
@@ -19,40 +27,56 @@
 
 
 IN_PROGRESS_STAGES = (Stage.CANARY, Stage.PROMOTING, Stage.DRAINING)
-ENDED = (Stage.DELIVERED, Stage.RETURNED)
-IN_SERVICE = "in_service"  # the protocol's word for a roll-out that is under way
+FINAL_STAGES = (Stage.DELIVERED, Stage.RETURNED)
 NEXT_STAGES = {
     Stage.CANARY: (Stage.PROMOTING, Stage.RETURNED),
     Stage.PROMOTING: (Stage.DRAINING, Stage.RETURNED),
     Stage.DRAINING: (Stage.DELIVERED, Stage.RETURNED),
 }
-
-
-MAX_ROUTES = 24  # of a step's evidence: those with the most answers
+IN_SERVICE = "in_service"  # the protocol's word for a roll-out in progress
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Evidence:
-    """What was known when a step was taken. `routes`: name: answers and failures of the former and the new version."""
+    """What was known when a step was taken; it is stored with the row.
+
+    Attributes:
+        stage: The stage that the step leads to.
+        age_s: Seconds since the order.
+        reason: Why, for operators.
+        sent: Requests to the service since the order.
+        sent_new: Of these, those to the new version.
+        routes: By route: answers of the former version, failed ones, answers of the new one, failed ones, broken ones.
+    """
 
     stage: str
     age_s: float
     reason: str
     sent: int = 0
     sent_new: int = 0
-    routes: dict = dataclasses.field(default_factory=dict)
+    routes: dict[str, list[int]] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rollout:
     """One service's row.
 
-    `admitted`: versions that may get requests without a lease; empty: all but those in `refused` and the target.
-    `number` counts the service's orders, `step` its changes of any kind. `age_s`: seconds from the order to this step.
+    Attributes:
+        admitted: Versions that get requests without a lease. Empty: all but the target and those in `refused`.
+        refused: Versions that were returned.
+        target: The new version of the newest order.
+        over_s: The term of that order, in seconds.
+        stage: Where the order stands.
+        number: Counts the service's orders.
+        step: Counts the changes of the row of any kind.
+        age_s: Seconds from the order to this step.
+        reason: Why the last step was taken.
+        record: Of this order: the `Evidence` of each step, as dictionaries.
+        is_settled: Whether it ended so long ago that the same order again is a new one.
     """
 
-    admitted: tuple = ()
-    refused: tuple = ()
+    admitted: tuple[str, ...] = ()
+    refused: tuple[str, ...] = ()
     target: str = ""
     over_s: float = 0.0
     stage: Stage = Stage.IDLE
@@ -60,38 +84,41 @@
     step: int = 0
     age_s: float = 0.0
     reason: str = ""
-    record: tuple = ()  # of this order: what was known at each step, as `Evidence` dictionaries
-    is_settled: bool = False  # it ended so long ago that the same order is a new one
+    record: tuple[dict[str, Any], ...] = ()
+    is_settled: bool = False
 
     @property
     def is_in_progress(self) -> bool:
+        """Whether an order is neither delivered nor returned yet."""
         return self.stage in IN_PROGRESS_STAGES
 
     @property
     def condition(self) -> str:
         """The protocol's word for the stage."""
-        return str(self.stage) if self.stage in ENDED else IN_SERVICE
+        return str(self.stage) if self.stage in FINAL_STAGES else IN_SERVICE
 
-    def is_admitted(self, edition: str) -> bool:
-        """Whether this version may get requests from every proxy, whatever it holds a lease for."""
+    def is_admitted(self, version: str) -> bool:
+        """Whether this version gets requests from every proxy, without a lease."""
         if self.admitted:
-            return edition in self.admitted
-        return edition not in self.refused and not (edition == self.target and self.stage != Stage.DELIVERED)
+            return version in self.admitted
+        return version not in self.refused and not (version == self.target and self.stage != Stage.DELIVERED)
 
 
-def rollouts_of(payload) -> dict:
-    """Service: its `Rollout`."""
+def rollouts_of(payload: Payload) -> dict[str, Rollout]:
+    """The rows of the register's value, by service."""
     rows = (payload or {}).get("services", {})
     return {name: _rollout(row) for name, row in rows.items()}
 
 
-def _rollout(row: dict) -> Rollout:
-    known = {field.name for field in dataclasses.fields(Rollout)}
-    about = {name: tuple(value) if isinstance(value, list) else value for name, value in row.items() if name in known}
-    return Rollout(**{**about, "stage": Stage(about["stage"])})
+def _rollout(row: Mapping[str, Any]) -> Rollout:
+    known = {field.name for field in dataclasses.fields(Rollout)}  # a newer version may have stored more
+    fields: dict[str, Any] = {
+        name: tuple(value) if isinstance(value, list) else value for name, value in row.items() if name in known
+    }
+    return Rollout(**{**fields, "stage": Stage(fields["stage"])})
 
 
-def with_rollout(payload, *, service: str, rollout: Rollout) -> dict:
+def with_rollout(payload: Payload, *, service: str, rollout: Rollout) -> dict[str, Any]:
     """The register's value with this row in place of the service's former one."""
     row = dataclasses.asdict(rollout)
     row["stage"] = str(rollout.stage)
--- /dev/null
+++ b/ploverward/control_plane/rollouts/test_evidence_table.py
@@ -0,0 +1,65 @@
+"""Reports of proxies, merged whatever is lost, repeated or reordered."""
+
+import collections
+import random
+
+import pytest
+
+from ploverward.common import errors
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import rollout_samples
+
+
+def test_reports_come_back_as_they_were_packed():
+    reports = [
+        rollout_samples.report(
+            tallies={
+                rollout_samples.key(): rollout_samples.tally(ended=9, failed=2, slow=1),
+                rollout_samples.key(is_new=False): rollout_samples.tally(ended=30),
+            }
+        )
+    ]
+    assert rollout_evidence.unpack(rollout_evidence.pack(reports)) == reports
+
+
+@pytest.mark.parametrize("data", [b"", b"x", rollout_evidence.pack([])[:4], __import__("zlib").compress(b'[["pool"]]')])
+def test_bytes_that_are_no_reports_are_refused(data):
+    with pytest.raises(errors.FrameError):
+        rollout_evidence.unpack(data)
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_reports_lost_repeated_and_out_of_order_count_once(seed):
+    chance = random.Random(seed)
+    table, counted, reports = evidence_table.EvidenceTable(), collections.Counter(), []
+    true = {name: rollout_evidence.Tally() for name in "abc"}
+    for step in range(120):
+        name = chance.choice("abc")
+        true[name].add(rollout_samples.tally(ended=chance.randint(0, 4)))
+        reports.append(
+            (name, rollout_samples.report(tallies={rollout_samples.key(): true[name].copy()}, sent=step + 1))
+        )
+        for reporter, one in chance.sample(reports, min(len(reports), chance.randint(0, 3))):
+            table.record(origin=evidence_table.Origin(address=reporter, incarnation="1"), report=one)
+        for found in table.consume_new().values():
+            assert found.ended >= 0
+            counted["ended"] += found.ended
+    for name in "abc":
+        last = [one for reporter, one in reports if reporter == name][-1]
+        table.record(origin=evidence_table.Origin(address=name, incarnation="1"), report=last)
+    counted["ended"] += sum(found.ended for found in table.consume_new().values())
+    assert counted["ended"] == sum(one.ended for one in true.values())
+
+
+def test_drained_is_who_applied_the_step_and_runs_nothing_elsewhere():
+    table = evidence_table.EvidenceTable()
+    first, second = (evidence_table.Origin(address=name, incarnation="1") for name in "ab")
+    table.record(origin=first, report=rollout_samples.report(step=3))
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=rollout_samples.report(step=2))
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=rollout_samples.report(step=3, running_old=1, sent=11))
+    assert not table.is_drained(origins={first, second}, step=3)
+    table.record(origin=second, report=rollout_samples.report(step=3, sent=12))
+    assert table.is_drained(origins={first, second}, step=3)
--- /dev/null
+++ b/ploverward/control_plane/rollouts/test_judge.py
@@ -0,0 +1,95 @@
+"""The judge: which versions it finds bad, and which it does not."""
+
+import random
+
+import pytest
+
+from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import judge as judges
+from ploverward.control_plane.rollouts import rollout_samples
+
+
+def played(*, chance, seconds=8.0, bad=0.0, bad_from=0.0, former_bad=0.0, slow=0.0, groups=2, per_s=6.0, times=9):
+    """The judge after some seconds of a canary; `bad` and `slow` are shares of the new version's answers."""
+    judge = judges.CanaryJudge()
+    found_at = None
+    for tick in range(int(seconds / 0.4)):
+        now = tick * 0.4
+        counted = {rollout_samples.key(is_new=False): former_answers(chance=chance, former_bad=former_bad, count=25)}
+        share = bad if now >= bad_from else 0.0
+        for group in range(groups):
+            ended = sum(chance.random() < 0.5 for _index in range(round(per_s * 0.8 / groups)))
+            failed = sum(chance.random() < max(share, former_bad) for _index in range(ended))
+            made = rollout_evidence.Tally(ended=ended, failed=failed)
+            for _index in range(ended - failed):
+                is_slow = chance.random() < slow
+                made.firsts[8 + chance.choice((-1, 0, 0, 1, 2)) + (times if is_slow else 0)] += 1
+            counted[rollout_samples.key(group=group)] = made
+        judge.record(now=now, counted=counted)
+        if judge.verdict is judges.Verdict.BAD and found_at is None:
+            found_at = now
+    return judge, found_at
+
+
+def former_answers(*, chance, former_bad, count):
+    failed = sum(chance.random() < former_bad for _index in range(count))
+    made = rollout_evidence.Tally(ended=count, failed=failed)
+    for _index in range(count - failed):
+        made.firsts[8 + chance.choice((-1, 0, 0, 1, 2))] += 1
+    return made
+
+
+@pytest.mark.parametrize("seed", range(60))
+def test_a_version_that_fails_half_of_its_answers_is_found(seed):
+    assert played(chance=random.Random(seed), bad=0.5, per_s=12.0)[1] is not None
+
+
+@pytest.mark.parametrize("seed", range(60))
+def test_a_version_that_turns_bad_late_is_found(seed):
+    _judge, found_at = played(chance=random.Random(seed), bad=0.5, bad_from=4.0, per_s=12.0, seconds=9.0)
+    assert found_at is not None and found_at >= 4.0
+
+
+@pytest.mark.parametrize("seed", range(60))
+def test_a_version_half_of_whose_answers_are_slow_is_found(seed):
+    assert played(chance=random.Random(seed), slow=0.5, per_s=12.0)[1] is not None
+
+
+@pytest.mark.parametrize("former_bad", [0.0, 0.02, 0.1, 0.2, 0.5])
+def test_a_version_that_does_as_the_former_one_is_not_found(former_bad):
+    found = [played(chance=random.Random(seed), former_bad=former_bad)[1] for seed in range(100)]
+    assert sum(when is not None for when in found) <= 1
+
+
+def test_one_faulty_replica_does_not_condemn_its_version():
+    judge = judges.CanaryJudge()
+    for step in range(30):
+        counted = {
+            rollout_samples.key(is_new=False): rollout_samples.tally(ended=20),
+            rollout_samples.key(group=1): rollout_samples.tally(ended=2, failed=2),
+        }
+        counted[rollout_samples.key(group=2)] = rollout_samples.tally(ended=2)
+        judge.record(now=step * 0.4, counted=counted)
+    assert judge.verdict is not judges.Verdict.BAD and judge.bad_groups() == {1}
+
+
+def test_a_lone_replica_condemns_its_version():
+    judge = judges.CanaryJudge()
+    judge.is_lone = True
+    judge.record(
+        now=0.0,
+        counted={
+            rollout_samples.key(is_new=False): rollout_samples.tally(ended=20),
+            rollout_samples.key(group=1): rollout_samples.tally(ended=8, failed=6),
+        },
+    )
+    assert judge.verdict is judges.Verdict.BAD
+
+
+def test_timeouts_count_only_beside_answers_of_the_former_version():
+    judge = judges.CanaryJudge()
+    silent = {rollout_samples.key(group=group): rollout_evidence.Tally(ended=9, broken=9) for group in range(3)}
+    judge.record(now=0.0, counted=silent)
+    assert judge.verdict is not judges.Verdict.BAD
+    judge.record(now=0.4, counted={**silent, rollout_samples.key(is_new=False): rollout_samples.tally(ended=20)})
+    assert judge.verdict is judges.Verdict.BAD
--- /dev/null
+++ b/ploverward/control_plane/rollouts/test_orders.py
@@ -0,0 +1,115 @@
+"""Orders of roll-outs and the stages: which edits count on which row."""
+
+import pytest
+
+from ploverward.common import errors
+from ploverward.control_plane.rollouts import orders
+from ploverward.control_plane.rollouts import rollout_samples
+from ploverward.control_plane.rollouts import state
+
+OTHER = orders.Order(service="pool", target="v3", over_s=16.0)
+
+
+@pytest.mark.parametrize(
+    "data, field_path",
+    [
+        (b"{", "body"),
+        (b"[]", "body"),
+        (b'{"targetEdition":"v2","overS":1}', "destination"),
+        (b'{"destination":"pool","overS":1}', "targetEdition"),
+        (b'{"destination":"pool","targetEdition":"","overS":1}', "targetEdition"),
+        (b'{"destination":"pool","targetEdition":2,"overS":1}', "targetEdition"),
+        (b'{"destination":"pool","targetEdition":"v2"}', "overS"),
+        (b'{"destination":"pool","targetEdition":"v2","overS":"9"}', "overS"),
+        (b'{"destination":"pool","targetEdition":"v2","overS":true}', "overS"),
+        (b'{"destination":"pool","targetEdition":"v2","overS":0}', "overS"),
+        (b'{"destination":"pool","targetEdition":"v2","overS":-4}', "overS"),
+        (b'{"destination":"pool","targetEdition":"v2","overS":NaN}', "body"),
+    ],
+)
+def test_an_order_that_is_none_names_the_field(data, field_path):
+    with pytest.raises(errors.InvalidConfigurationError) as caught:
+        orders.read(data=data)
+    assert caught.value.field_path == field_path
+
+
+def test_an_order_is_read():
+    assert orders.read(data=b'{"destination":"pool","targetEdition":"v2","overS":16}') == rollout_samples.ORDER
+
+
+def test_the_same_order_again_changes_nothing_at_any_stage():
+    payload, said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
+    assert said == orders.OrderOutcome.TAKEN
+    for stage in (None, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
+        payload = rollout_samples.moved(payload, stage) if stage else payload
+        assert rollout_samples.given(payload, rollout_samples.ORDER, is_late=True) == (
+            payload,
+            orders.OrderOutcome.KNOWN,
+        )
+
+
+def test_one_of_two_orders_wins_and_the_other_changes_nothing():
+    payload, _said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
+    with pytest.raises(errors.RolloutInProgressError) as caught:
+        rollout_samples.given(payload, OTHER)
+    assert caught.value.target == "v2"
+    done = rollout_samples.moved(payload, state.Stage.RETURNED)
+    assert rollout_samples.row_of(rollout_samples.given(done, OTHER)[0]).target == "v3"
+
+
+def test_an_order_whose_caller_was_left_is_not_begun():
+    with pytest.raises(errors.QuorumUnavailableError):
+        rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER, is_late=True)
+
+
+def test_a_version_that_serves_already_is_delivered_at_once():
+    row = rollout_samples.row_of(rollout_samples.given(rollout_samples.admitted("v2"), rollout_samples.ORDER)[0])
+    assert row.stage == state.Stage.DELIVERED and row.admitted == ("v2",)
+
+
+def test_an_order_that_was_settled_may_be_given_again():
+    payload = rollout_samples.moved(
+        rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.RETURNED
+    )
+    settled, _said = orders.edit_to_settle(service="pool", seen=rollout_samples.row_of(payload))(payload)
+    again, said = rollout_samples.given(settled, rollout_samples.ORDER)
+    assert (
+        said == orders.OrderOutcome.TAKEN
+        and rollout_samples.row_of(again).number == 2
+        and not rollout_samples.row_of(again).refused
+    )
+
+
+def test_a_stage_is_never_reverted():
+    payload = rollout_samples.moved(
+        rollout_samples.moved(
+            rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.PROMOTING
+        ),
+        state.Stage.RETURNED,
+    )
+    for stage in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
+        assert rollout_samples.moved(payload, stage) is payload
+
+
+def test_a_step_counts_only_on_the_row_that_it_was_decided_on():
+    payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
+    known = state.Evidence(stage=state.Stage.PROMOTING, age_s=2.0, reason="late")
+    late = orders.edit_to_stage(service="pool", seen=rollout_samples.row_of(payload), known=known)
+    returned = rollout_samples.moved(payload, state.Stage.RETURNED)
+    assert late(returned) == (returned, None)
+
+
+def test_admitted_versions_through_a_roll_out():
+    payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
+    assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
+    returned = rollout_samples.moved(payload, state.Stage.RETURNED)
+    assert rollout_samples.row_of(returned).is_admitted("v1") and not rollout_samples.row_of(returned).is_admitted("v2")
+    for stage in (state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
+        payload = rollout_samples.moved(payload, stage)
+    assert rollout_samples.row_of(payload).is_admitted("v2") and not rollout_samples.row_of(payload).is_admitted("v1")
+
+
+def test_without_a_known_set_all_but_the_target_and_what_was_returned_are_admitted():
+    payload = rollout_samples.given(None, rollout_samples.ORDER)[0]
+    assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
+    assert not rollout_samples.row_of(rollout_samples.moved(payload, state.Stage.RETURNED)).is_admitted("v2")
--- /dev/null
+++ b/ploverward/control_plane/rollouts/version_admitter.py
@@ -0,0 +1,59 @@
+"""Admits the listed versions of services that nobody rolled out (docs/rollouts.md 2).
+
+A service that has no row yet gets the versions that the first list shows. A service none of whose admitted versions has
+been listed for a while gets what is listed, but never a version that was returned: an operator who changed the platform
+by hand is served. `VersionAdmitter` owns since when such services are without an admitted version.
+"""
+
+from collections.abc import Callable
+from collections.abc import Collection
+from collections.abc import Mapping
+
+from ploverward.control_plane.rollouts import state
+
+
+class VersionAdmitter:
+    """Decides which versions to admit.
+
+    Args:
+        now: Clock of this process, in seconds.
+        grace_s: How long a service may be without an admitted version before what is listed is admitted.
+    """
+
+    def __init__(self, *, now: Callable[[], float], grace_s: float) -> None:
+        self._now = now
+        self._grace_s = grace_s
+        self._missing_since: dict[str, float] = {}  # by service
+
+    def versions_to_admit(
+        self,
+        *,
+        listed: Mapping[str, set[str]],
+        rollouts: Mapping[str, state.Rollout],
+        changing: Collection[str],
+    ) -> dict[str, set[str]]:
+        """Versions to admit, by service.
+
+        Args:
+            listed: Listed versions by service.
+            rollouts: The rows of the register.
+            changing: Services whose row is being changed: they are left out.
+        """
+        wanted = {}
+        for service, versions in listed.items():
+            rollout = rollouts.get(service, state.Rollout())
+            candidates = versions - set(rollout.refused)
+            if service in changing or rollout.is_in_progress or self._is_served(service, rollout, candidates):
+                continue
+            if candidates:
+                wanted[service] = candidates
+        return wanted
+
+    def _is_served(self, service: str, rollout: state.Rollout, candidates: set[str]) -> bool:
+        if not rollout.admitted:
+            return False
+        if candidates & set(rollout.admitted):
+            self._missing_since.pop(service, None)
+            return True
+        since = self._missing_since.setdefault(service, self._now())
+        return self._now() - since < self._grace_s
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -44,7 +44,7 @@
 
 
 def lease(*, share=0.1, replicas=(), number=1, step=2):
-    return leases.Lease(service="pool", number=number, step=step, share=share, replicas=replicas)
+    return leases.CanaryLease(service="pool", number=number, step=step, share=share, replicas=replicas)
 
 
 def give(tracker, *, lease_s=2.5, **about):
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -4,18 +4,19 @@
 import collections
 
 from ploverward.control_plane.rollouts import evidence_table
+from ploverward.control_plane.rollouts import exposure
 from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import manager
-from ploverward.control_plane.rollouts import planner
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.rollouts import version_routing
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 SERVICE, FORMER, NEW = "pool", "v1", "v2"
 CONTACT_S = 6.0
 RECEIPT_S = 8.0
 ROLLBACK_S = 5.0
-EXPOSURE = planner.Exposure(share=0.1, slack=50.0)
+EXPOSURE = exposure.ExposureBound(share=0.1, slack=50.0)
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
 ROUTES = ("draft", "query")
 
@@ -165,7 +166,8 @@
         if report is None:
             return
         number, data = report
-        answer = core.rollout_manager.take_evidence(origin=origin, data=data)
+        evidence = messages.RolloutEvidence(number=number, reports=data)
+        answer = core.rollout_manager.handle_evidence(origin=origin, message=evidence, proxy_count=len(core.proxies))
         if answer is None:
             return
         self.simulation.note_answered(core)
@@ -174,7 +176,7 @@
         def take():
             if rollout is self.rollouts and not self.is_partitioned:
                 self.answered_at = max(self.answered_at, asked_at)
-                rollout.handle_leases(number=number, lease_s=core.rollout_manager.lease_s, leases=leases.unpack(answer))
+                rollout.handle_leases(number=number, lease_s=answer.duration_s, leases=leases.unpack(answer.leases))
 
         self.simulation.world.later(self.simulation.chance.uniform(0.005, 0.4), take)
 
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -196,14 +196,14 @@
         if known is not None and row.stage not in ALLOWED_STAGES.get(known, ()):
             self._find("stage", f"{row.stage} after {known}")
         self.stages.append(row.stage)
-        if row.stage in state.ENDED:
+        if row.stage in state.FINAL_STAGES:
             self.report.ended_s = self.world.now() - ORDER_AT
         if row.stage == state.Stage.DELIVERED:
             self._deliver()
 
     def _deliver(self) -> None:
         """The former replicas stop at once."""
-        is_forced = self.world.now() - ORDER_AT >= planner.DELIVER_SILENT_PART * self.over_s
+        is_forced = self.world.now() - ORDER_AT >= planner.DELIVERY_WITHOUT_SILENT * self.over_s
         running = sum(proxy.running[rollout_nodes.FORMER] for proxy in self.proxies if proxy.is_in_touch)
         if running and not is_forced and not self._had_losses():
             self._find("delivered", f"{running} attempts run at the former version")
@@ -228,7 +228,7 @@
     def _check_lease(self, proxy: rollout_nodes.Proxy, is_new: bool, now: float) -> None:
         """Before all are to go there, a request to the new version wants a lease that was asked for lately."""
         is_leased = self.stages and self.stages[-1] in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.RETURNED)
-        if is_new and is_leased and now - proxy.answered_at > rollout_nodes.ROLLBACK_S * manager.LEASE_PART + 0.01:
+        if is_new and is_leased and now - proxy.answered_at > rollout_nodes.ROLLBACK_S * manager.LEASE_SHARE + 0.01:
             if state.Stage.DRAINING not in self.stages:
                 self._find("lease", f"{now - proxy.answered_at:.2f} s after its last lease was asked for")
 
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -11,7 +11,7 @@
 from ploverward.simulation import rollout_simulation
 
 DAYS = 40
-MOST_SEEDS = 60
+MAX_SEEDS = 60
 
 
 @pytest.mark.parametrize("first", range(0, DAYS, 8))
@@ -69,7 +69,7 @@
 
 
 def a_judge_that_looks_only_at_the_beginning(monkeypatch):
-    real = judge.Judge.record
+    real = judge.CanaryJudge.record
 
     def record(self, *, now, counted, has_times=True):
         self.began = getattr(self, "began", now)
@@ -79,7 +79,7 @@
             for key, tally in counted.items():
                 self.answers[key.route, key.group] += tally.ended
 
-    monkeypatch.setattr(judge.Judge, "record", record)
+    monkeypatch.setattr(judge.CanaryJudge, "record", record)
 
 
 @pytest.mark.parametrize(
@@ -95,8 +95,8 @@
 )
 def test_planted_faults_are_found(monkeypatch, plant, kind, fault_kinds, check):
     plant(monkeypatch)
-    for seed in range(MOST_SEEDS):
+    for seed in range(MAX_SEEDS):
         findings = rollout_simulation.run_simulation(seed, kind=kind, fault_kinds=fault_kinds).findings
         if any(finding.check == check for finding in findings):
             return
-    pytest.fail(f"{check} was not found in {MOST_SEEDS} days")
+    pytest.fail(f"{check} was not found in {MAX_SEEDS} days")
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -160,7 +160,7 @@
 def _pack_leases(value) -> bytes:
     return leases.pack(
         [
-            leases.Lease(service=service, number=number, step=step, share=share, replicas=tuple(replicas))
+            leases.CanaryLease(service=service, number=number, step=step, share=share, replicas=tuple(replicas))
             for service, number, step, share, replicas in value
         ]
     )
