--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -18,6 +18,7 @@
 from ploverward.simulation.control_plane import scenario
 from ploverward.simulation.control_plane import simulated_network
 from ploverward.transport import http_server as http_servers
+from ploverward.transport import messages
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 CALLS = json.loads((FOLDER / "core_calls.json").read_text(encoding="utf-8"))
@@ -99,18 +100,20 @@
     def counted(self) -> None:
         """A proxy has told of a request and of an adapter."""
         interfaces = self.core().interfaces
-        interfaces.custody.report_store.record(
-            node="n-p", incarnation="l1", number=0, is_last=False, rows=[("a1", json.dumps(TRAIL).encode())]
+        trails = (messages.CustodyTrail("a1", json.dumps(TRAIL).encode()),)
+        interfaces.handle_custody_trails(
+            messages.CustodyTrails(node="n-p", incarnation="l1", number=0, is_last=False, trails=trails)
         )
-        interfaces.adapters.report_store.record(
+        count = messages.AdapterCount(
             node="n-p",
             zone="znorth",
             region="north",
             incarnation="l1",
             window=0,
             number=1,
-            data=json.dumps(WINDOW).encode(),
+            counts=json.dumps(WINDOW).encode(),
         )
+        interfaces.handle_adapter_counts(messages.AdapterCounts(counts=(count,)))
 
     def returned(self) -> None:
         """The roll-out of llm goes to its next stage, and back."""
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -1,81 +1,128 @@
-"""What proxies counted of adapters, as one core node keeps it (docs/pins.md 3). A window of one life stands once:
-a newer number replaces it, an older one or a repeat does nothing."""
+"""What proxies counted of adapters, as one core node keeps it (docs/pins.md 3).
+
+Invariant: each window of an incarnation of a proxy is kept once. A report with a higher number replaces it; an older
+one, or the same once more, changes nothing. So reports may be resent and may come by several ways.
+"""
 
 import collections
+import collections.abc
+import dataclasses
 import json
+import typing
 
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.transport import messages
+
+KEEP_WINDOWS = 20  # so many windows back
+MAX_WINDOWS = 8000  # of all proxies together
+KEY_FIELDS = 5  # service, model, adapter, replica, route; the counts follow
+
+Json: typing.TypeAlias = dict[str, typing.Any]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _Window:
+    """The newest report of one window."""
 
-KEEP_WINDOWS = 20
-MAX_WINDOWS = 8000
+    count: messages.AdapterCount
+    begun_at: float  # when its first report came, seconds on the store's clock
+    table: Json
 
 
-class ReportStore:
-    def __init__(self, *, now, window_s: float):
+class AdapterUsageStore:
+    """Stores the counts of the last windows.
+
+    Attributes:
+        malformed: how many reports could not be read.
+
+    Args:
+        now: the clock, in seconds.
+        window_s: duration of a window.
+    """
+
+    def __init__(self, *, now: collections.abc.Callable[[], float], window_s: float) -> None:
         self._now = now
-        self._keep_s = window_s * KEEP_WINDOWS
-        self._windows = collections.OrderedDict()  # (life, window): (number, at, node, zone, region, data)
+        self._retention_s = window_s * KEEP_WINDOWS
+        # By incarnation and window, in the order of their first reports.
+        self._windows: collections.OrderedDict[tuple[str, int], _Window] = collections.OrderedDict()
         self.malformed = 0
 
-    def record(
-        self, *, node: str, zone: str, region: str, incarnation: str, window: int, number: int, data: bytes
-    ) -> None:
-        previous = self._windows.get((incarnation, window))
-        if previous is not None and previous[0] >= number:
+    def record(self, count: messages.AdapterCount) -> None:
+        """Stores a report unless a newer one of its window is here."""
+        key = (count.incarnation, count.window)
+        previous = self._windows.get(key)
+        if previous is not None and previous.count.number >= count.number:
             return
-        body = read(data=data)
-        if body is None:
+        table = read(data=count.counts)
+        if table is None:
             self.malformed += 1
             return
-        at = (
-            previous[1] if previous is not None else self._now()
-        )  # the age is that of the window, not of its last telling
-        self._windows[(incarnation, window)] = (number, at, node, zone, region, body)
+        begun_at = previous.begun_at if previous is not None else self._now()
+        self._windows[key] = _Window(count=count, begun_at=begun_at, table=table)
         self._trim()
 
-    def _trim(self) -> None:
-        oldest = self._now() - self._keep_s
-        while self._windows and (len(self._windows) > MAX_WINDOWS or next(iter(self._windows.values()))[1] < oldest):
-            self._windows.popitem(last=False)
-
-    def rows(self) -> list:
+    def rows(self) -> list[Json]:
+        """The windows as operators' tools read them; `age_s` is counted from the first report of a window."""
         self._trim()
         now = self._now()
         return [
             {
-                "life": incarnation,
-                "window": window,
-                "number": number,
-                "age_s": round(now - at, 1),
-                "node": node,
-                "zone": zone,
-                "region": region,
-                "rows": body["rows"],
-                "over": body["over"],
+                "life": window.count.incarnation,
+                "window": window.count.window,
+                "number": window.count.number,
+                "age_s": round(now - window.begun_at, 1),
+                "node": window.count.node,
+                "zone": window.count.zone,
+                "region": window.count.region,
+                "rows": window.table["rows"],
+                "over": window.table["over"],
             }
-            for (incarnation, window), (number, at, node, zone, region, body) in self._windows.items()
+            for window in self._windows.values()
         ]
 
+    def _trim(self) -> None:
+        oldest_kept = self._now() - self._retention_s
+        while self._windows and (
+            len(self._windows) > MAX_WINDOWS or next(iter(self._windows.values())).begun_at < oldest_kept
+        ):
+            self._windows.popitem(last=False)
+
+
+def read(*, data: bytes) -> Json | None:
+    """Reads a report as `adapter_counts` writes it.
 
-def read(*, data: bytes):
-    """{"rows", "over"}, or None where it is no table of counts."""
+    Returns:
+        `{"rows": [[service, model, adapter, replica, route, counts...], ...], "over": arrivals without a row}`, or None
+        where the bytes are something else.
+    """
     try:
         body = json.loads(data)
         rows = [list(row) for row in body["rows"]]
         over = int(body["over"])
     except (ValueError, KeyError, TypeError, UnicodeDecodeError):
         return None
-    for row in rows:
-        if len(row) != 5 + len(adapter_counts.FIELDS) or not all(isinstance(text, str) for text in row[:5]):
-            return None
-        if not all(isinstance(number, int) and number >= 0 for number in row[5:]):
-            return None
-    return {"rows": rows, "over": over}
+    return {"rows": rows, "over": over} if all(_is_row(row) for row in rows) else None
+
+
+def _is_row(row: list[typing.Any]) -> bool:
+    key, counts = row[:KEY_FIELDS], row[KEY_FIELDS:]
+    return (
+        len(row) == KEY_FIELDS + len(adapter_counts.FIELDS)
+        and all(isinstance(text, str) for text in key)
+        and all(isinstance(count, int) and count >= 0 for count in counts)
+    )
+
+
+def merge(*, tables: collections.abc.Iterable[collections.abc.Iterable[Json]]) -> dict[tuple[str, int], Json]:
+    """Merges what several core nodes have.
 
+    Args:
+        tables: the result of `AdapterUsageStore.rows` of each.
 
-def merge(*, tables) -> dict:
-    """One window of a life once, whichever core nodes told it: {(life, window): its newest telling}."""
-    merged = {}
+    Returns:
+        The newest row of each window, by incarnation and window.
+    """
+    merged: dict[tuple[str, int], Json] = {}
     for table in tables:
         for row in table:
             key = (row["life"], row["window"])
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -18,6 +18,7 @@
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import simulated_world
+from ploverward.transport import messages
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"}
 HOMES = {"hearing": ["north", "south"]}
@@ -130,7 +131,7 @@
         self.mix = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
         self.stray = 0.0  # share of requests for adapters that nobody expects
         self.suggestion = None
-        self.cores = [adapter_usage.ReportStore(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
+        self.cores = [adapter_usage.AdapterUsageStore(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
         for zone in ZONES:
             for _ in range(3):
                 self.start(zone)
@@ -193,13 +194,15 @@
                     self.cores, self.chance.choice((1, 1, 2))
                 ):  # any way, and sometimes twice
                     core.record(
-                        node=proxy.name,
-                        zone=proxy.zone,
-                        region=ZONES[proxy.zone],
-                        incarnation=proxy.incarnation,
-                        window=window,
-                        number=number,
-                        data=data,
+                        messages.AdapterCount(
+                            node=proxy.name,
+                            zone=proxy.zone,
+                            region=ZONES[proxy.zone],
+                            incarnation=proxy.incarnation,
+                            window=window,
+                            number=number,
+                            counts=data,
+                        )
                     )
 
     def follow(self):
--- a/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -8,6 +8,7 @@
 from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.adapter_cache import pin_suggestion
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.transport import messages
 
 ROUTES = {
     "r": {"homes": [], "urgency": 0, "target_ms": 600},
@@ -135,17 +136,19 @@
 
 def test_a_window_counts_once_whatever_order_and_however_often_it_is_reported():
     clock = [0.0]
-    usage = adapter_usage.ReportStore(now=lambda: clock[0], window_s=30.0)
+    usage = adapter_usage.AdapterUsageStore(now=lambda: clock[0], window_s=30.0)
 
     def record(number, count):
         usage.record(
-            node="p",
-            zone="n1",
-            region="north",
-            incarnation="l",
-            window=0,
-            number=number,
-            data=json.dumps({"rows": [list(row("a", cold=count))], "over": 0}).encode(),
+            messages.AdapterCount(
+                node="p",
+                zone="n1",
+                region="north",
+                incarnation="l",
+                window=0,
+                number=number,
+                counts=json.dumps({"rows": [list(row("a", cold=count))], "over": 0}).encode(),
+            )
         )
 
     for number, count in ((1, 3), (3, 9), (2, 6), (3, 9), (1, 3)):
@@ -171,7 +174,9 @@
     ],
 )
 def test_malformed_counts_are_skipped_and_counted(data):
-    usage = adapter_usage.ReportStore(now=lambda: 0.0, window_s=30.0)
-    usage.record(node="p", zone="n1", region="north", incarnation="l", window=0, number=1, data=data)
+    usage = adapter_usage.AdapterUsageStore(now=lambda: 0.0, window_s=30.0)
+    usage.record(
+        messages.AdapterCount(node="p", zone="n1", region="north", incarnation="l", window=0, number=1, counts=data)
+    )
     assert usage.rows() == [] and usage.malformed == 1
     assert len(adapter_counts.FIELDS) == 8
--- a/ploverward/control_plane/audit/trail_audit.py
+++ b/ploverward/control_plane/audit/trail_audit.py
@@ -1,51 +1,97 @@
-"""Checks custody trails against the rules, by the trails and the zones alone (docs/residency.md)."""
-
-
-def violations_of(*, trail: dict, zones: dict) -> list:
-    """What in one trail stands outside the permitted regions. `zones`: zone -> region, told by the core."""
-    found = []
-    for go in trail["goes"]:
-        if go["end"] == "not sent":
-            continue  # no byte left the proxy
-        homes = go["homes"]
-        region = zones.get(go["zone"])
-        if region is None:
-            found.append(f"{trail['id']}: {go['replica']} is in a zone that nobody knows, {go['zone']}")
-        elif homes and region not in homes:
-            found.append(
-                f"{trail['id']}: {go['replica']} in {region} held text and cache; permitted were {', '.join(homes)}"
-            )
-        elif homes and trail["homes"] and region not in trail["homes"]:
-            found.append(
-                f"{trail['id']}: {go['replica']} in {region}; at its arrival permitted were {', '.join(trail['homes'])}"
-            )
-    homes = [set(go["homes"]) for go in trail["goes"] if go["homes"]]
-    for kept in trail.get("kept", ()):
-        region = zones.get(kept["zone"], kept["zone"])
-        if any(region not in permitted for permitted in homes):
-            found.append(
-                f"{trail['id']}: {kept['replica']} in {region} still keeps parts outside the permitted regions"
+"""Checks custody trails against the residency rules, from the trails and the zones alone (docs/residency.md).
+
+Pure, and independent of the code that serves requests: it must not repeat that code's errors.
+"""
+
+import collections.abc
+import typing
+
+Json: typing.TypeAlias = dict[str, typing.Any]
+
+# Keys of a trail, as `ploverward.data_plane.requests.custody_trails` writes it.
+REQUEST_ID = "id"
+HOME_REGIONS = "homes"  # of the trail: permitted when the request came; of an attempt: when it was sent
+ATTEMPTS = "goes"
+END = "end"  # how the attempt ended
+NOT_SENT = "not sent"  # an end: no byte left the proxy
+REPLICA = "replica"
+ZONE = "zone"
+CACHED_AT = "kept"  # the replicas that still have parts of the prompt in their caches
+
+
+def violations_of(*, trail: Json, zones: collections.abc.Mapping[str, str]) -> list[str]:
+    """What of one request was outside the permitted regions.
+
+    Args:
+        trail: the trail.
+        zones: the region of each zone.
+
+    Returns:
+        A line for each violation.
+    """
+    violations = [
+        violation
+        for attempt in trail[ATTEMPTS]
+        if (violation := _violation_of_attempt(trail, attempt, zones)) is not None
+    ]
+    permitted = [set(attempt[HOME_REGIONS]) for attempt in trail[ATTEMPTS] if attempt[HOME_REGIONS]]
+    for cached in trail.get(CACHED_AT, ()):
+        region = zones.get(cached[ZONE], cached[ZONE])
+        if any(region not in regions for regions in permitted):
+            violations.append(
+                f"{trail[REQUEST_ID]}: {cached[REPLICA]} in {region} still keeps parts outside the permitted regions"
             )
-    return found
+    return violations
+
+
+def _violation_of_attempt(trail: Json, attempt: Json, zones: collections.abc.Mapping[str, str]) -> str | None:
+    if attempt[END] == NOT_SENT:
+        return None
+    request_id, replica, permitted = trail[REQUEST_ID], attempt[REPLICA], attempt[HOME_REGIONS]
+    region = zones.get(attempt[ZONE])
+    if region is None:
+        return f"{request_id}: {replica} is in a zone that nobody knows, {attempt[ZONE]}"
+    if permitted and region not in permitted:
+        return f"{request_id}: {replica} in {region} held text and cache; permitted were {', '.join(permitted)}"
+    if permitted and trail[HOME_REGIONS] and region not in trail[HOME_REGIONS]:
+        at_arrival = ", ".join(trail[HOME_REGIONS])
+        return f"{request_id}: {replica} in {region}; at its arrival permitted were {at_arrival}"
+    return None
 
 
-def summary(*, trails: list, coverage: list, zones: dict) -> dict:
-    found = []
-    for trail in trails:
-        found += violations_of(trail=trail, zones=zones)
-    gaps = [row for row in coverage if row["missing_batches"] or not (row["is_closed"] or row["is_live"])]
+def summary(
+    *,
+    trails: collections.abc.Collection[Json],
+    coverage: collections.abc.Collection[Json],
+    zones: collections.abc.Mapping[str, str],
+) -> Json:
+    """The audit of many trails.
+
+    Args:
+        trails: the trails.
+        coverage: rows of `trail_store.TrailStore.coverage`.
+        zones: the region of each zone.
+
+    Returns:
+        Counts, the violations ("outside"), and the incarnations of proxies of which trails are missing.
+    """
+    incomplete = [row for row in coverage if row["missing_batches"] or _ended_without_closing(row)]
     return {
         "trails": len(trails),
-        "homed": sum(1 for trail in trails if trail["homes"]),
-        "outside": found,
+        "homed": sum(1 for trail in trails if trail[HOME_REGIONS]),
+        "outside": [violation for trail in trails for violation in violations_of(trail=trail, zones=zones)],
         "lives": len(coverage),
         "lives_with_parts_missing": [
             {
                 "node": row["node"],
                 "life": row["life"],
                 "missing_batches": row["missing_batches"],
-                "ended_without_closing": not (row["is_closed"] or row["is_live"]),
+                "ended_without_closing": _ended_without_closing(row),
             }
-            for row in gaps
+            for row in incomplete
         ],
     }
+
+
+def _ended_without_closing(row: Json) -> bool:
+    return not (row["is_closed"] or row["is_live"])
--- a/ploverward/control_plane/audit/trail_store.py
+++ b/ploverward/control_plane/audit/trail_store.py
@@ -1,83 +1,143 @@
 """The custody trails that a core node keeps for the proxies of its region (design 10, docs/residency.md).
 
-Bounded: the oldest trails give way, and none is kept longer than `keep_s`. A proxy numbers its batches
-within one life and closes the life with a last one, so what is missing can be told from what is clean.
+Bounded: the oldest trails are dropped first, and none is kept longer than the retention time. A proxy numbers its
+batches within one incarnation and closes the incarnation with a last one. Invariant: `coverage` counts every batch that
+did not arrive, so "no violation found" and "not known" can be told apart.
 """
 
 import collections
+import collections.abc
+import dataclasses
+import itertools
 import json
+import typing
 
+from ploverward.transport import messages
 
-class ReportStore:
-    def __init__(self, *, now, keep_s: float, most: int):
+MAX_INCARNATIONS = 1000  # of proxies whose coverage is kept
+INCARNATIONS_DROPPED = 500  # the oldest, once there are more
+
+Json: typing.TypeAlias = dict[str, typing.Any]
+
+
+@dataclasses.dataclass(slots=True)
+class _BatchCounts:
+    """The batches of one incarnation of a proxy."""
+
+    next_number: int = 0
+    missing: int = 0
+    is_closed: bool = False
+    trails: int = 0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _StoredTrail:
+    request_id: str
+    stored_at: float  # seconds on the store's clock
+    data: bytes  # JSON
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class TrailPage:
+    """A page of trails.
+
+    Attributes:
+        trails: the trails, the oldest first.
+        last: the offset after which the next page begins.
+        has_more: whether there is a next page now.
+    """
+
+    trails: list[Json]
+    last: int
+    has_more: bool
+
+
+class TrailStore:
+    """Stores trails by request.
+
+    Args:
+        now: the clock, in seconds.
+        retention_s: how long a trail is kept.
+        max_trails: how many trails are kept.
+    """
+
+    def __init__(self, *, now: collections.abc.Callable[[], float], retention_s: float, max_trails: int) -> None:
         self._now = now
-        self._keep_s = keep_s
-        self._most = most
-        self._rows = collections.OrderedDict()  # (id, order): (at, data)
-        self._by_id = {}  # id: [keys]
-        self._order = 0
-        self.incarnations = {}  # (node, life): {"next", "missing", "is_closed", "gave_way"}
-
-    def record(self, *, node: str, incarnation: str, number: int, is_last: bool, rows) -> None:
-        state = self.incarnations.setdefault(
-            (node, incarnation), {"next": 0, "missing": 0, "is_closed": False, "rows": 0}
-        )
-        if number < state["next"]:
-            return  # told before
-        state["missing"] += number - state["next"]
-        state["next"] = number + 1
-        state["is_closed"] = state["is_closed"] or is_last
-        state["rows"] += len(rows)
-        for request_id, data in rows:
-            self._order += 1
-            key = (request_id, self._order)
-            self._rows[key] = (self._now(), data)
-            self._by_id.setdefault(request_id, []).append(key)
+        self._retention_s = retention_s
+        self._max_trails = max_trails
+        self._trails: collections.OrderedDict[int, _StoredTrail] = collections.OrderedDict()  # by offset, rising
+        self._offsets_by_request: dict[str, list[int]] = {}
+        self._offsets = itertools.count(1)
+        self._batch_counts: dict[tuple[str, str], _BatchCounts] = {}  # by node and incarnation
+
+    def record(self, batch: messages.CustodyTrails) -> None:
+        """Stores a batch; one that came before is ignored."""
+        counts = self._batch_counts.setdefault((batch.node, batch.incarnation), _BatchCounts())
+        if batch.number < counts.next_number:
+            return
+        counts.missing += batch.number - counts.next_number
+        counts.next_number = batch.number + 1
+        counts.is_closed = counts.is_closed or batch.is_last
+        counts.trails += len(batch.trails)
+        for request_id, data in batch.trails:
+            offset = next(self._offsets)
+            self._trails[offset] = _StoredTrail(request_id=request_id, stored_at=self._now(), data=data)
+            self._offsets_by_request.setdefault(request_id, []).append(offset)
         self._trim()
 
-    def _trim(self) -> None:
-        oldest = self._now() - self._keep_s
-        while self._rows and (len(self._rows) > self._most or next(iter(self._rows.values()))[0] < oldest):
-            key, _row = self._rows.popitem(last=False)
-            keys = self._by_id[key[0]]
-            keys.remove(key)
-            if not keys:
-                del self._by_id[key[0]]
-        if len(self.incarnations) > 1000:
-            for key in list(self.incarnations)[:500]:
-                del self.incarnations[key]
-
-    def find(self, request_id: str) -> list:
+    def find(self, request_id: str) -> list[Json]:
+        """The trails of a request, the oldest first; several where it came to several proxies."""
         self._trim()
-        return [json.loads(self._rows[key][1]) for key in self._by_id.get(request_id, ())]
+        return [json.loads(self._trails[offset].data) for offset in self._offsets_by_request.get(request_id, ())]
 
-    def page(self, *, after: int, most: int) -> tuple:
-        """(trails, the place to go on from, whether there are more)."""
+    def page(self, *, after: int, limit: int) -> TrailPage:
+        """Reads trails in the order in which they came.
+
+        Args:
+            after: the offset after which the page begins; 0 for the first page.
+            limit: how many trails it has at most.
+        """
         self._trim()
-        rows = []
+        trails: list[Json] = []
         last = after
-        for key, (_at, data) in self._rows.items():
-            if key[1] <= after:
+        for offset, trail in self._trails.items():
+            if offset <= after:
                 continue
-            if len(rows) == most:
-                return rows, last, True
-            rows.append(json.loads(data))
-            last = key[1]
-        return rows, last, False
-
-    def coverage(self, *, live) -> list:
-        """One row a proxy life: how much came, how many batches did not, and whether it ended openly."""
-        rows = []
-        for (node, incarnation), state in self.incarnations.items():
-            rows.append(
-                {
-                    "node": node,
-                    "life": incarnation,
-                    "trails": state["rows"],
-                    "batches": state["next"],
-                    "missing_batches": state["missing"],
-                    "is_closed": state["is_closed"],
-                    "is_live": (node, incarnation) in live,
-                }
-            )
-        return rows
+            if len(trails) == limit:
+                return TrailPage(trails=trails, last=last, has_more=True)
+            trails.append(json.loads(trail.data))
+            last = offset
+        return TrailPage(trails=trails, last=last, has_more=False)
+
+    def coverage(self, *, live_incarnations: collections.abc.Container[str]) -> list[Json]:
+        """What came and what is missing, a row for each incarnation of a proxy.
+
+        Args:
+            live_incarnations: the incarnations that are connected now.
+        """
+        return [
+            {
+                "node": node,
+                "life": incarnation,
+                "trails": counts.trails,
+                "batches": counts.next_number,
+                "missing_batches": counts.missing,
+                "is_closed": counts.is_closed,
+                "is_live": incarnation in live_incarnations,
+            }
+            for (node, incarnation), counts in self._batch_counts.items()
+        ]
+
+    def _trim(self) -> None:
+        oldest_kept = self._now() - self._retention_s
+        while self._trails and (
+            len(self._trails) > self._max_trails or next(iter(self._trails.values())).stored_at < oldest_kept
+        ):
+            offset, trail = self._trails.popitem(last=False)
+            offsets = self._offsets_by_request[trail.request_id]
+            offsets.remove(offset)
+            if not offsets:
+                del self._offsets_by_request[trail.request_id]
+        if len(self._batch_counts) > MAX_INCARNATIONS:
+            for key in list(self._batch_counts)[:INCARNATIONS_DROPPED]:
+                del self._batch_counts[key]
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -83,7 +83,7 @@
         if peer is not None and peer.role == "proxy":
             self.proxy_count -= 1
             _log.debug("proxy_disconnected", extra={"peer": peer.address, "reason": reason})
-            self.interfaces.applying.check()
+            self.interfaces.check_applied()
 
     def _handle_message(self, link, message: tuple) -> None:
         kind = message[0]
@@ -118,25 +118,13 @@
             self.publisher.handle_fetch(link, legacy_messages.to_typed(message))
         elif kind == "have":
             self.publisher.handle_acknowledgement(link, legacy_messages.to_typed(message))
-            self.interfaces.applying.check()
+            self.interfaces.check_applied()
         elif kind == "trails":
-            _kind, node, incarnation, number, is_last, rows = message
-            self.interfaces.custody.report_store.record(
-                node=node, incarnation=incarnation, number=number, is_last=is_last, rows=rows
-            )
+            self.interfaces.handle_custody_trails(legacy_messages.to_typed(message))
         elif kind == "adapters":
-            for node, zone, region, incarnation, window, number, data in message[1]:
-                self.interfaces.adapters.report_store.record(
-                    node=node,
-                    zone=zone,
-                    region=region,
-                    incarnation=incarnation,
-                    window=window,
-                    number=number,
-                    data=data,
-                )
+            self.interfaces.handle_adapter_counts(legacy_messages.to_typed(message))
         elif kind == "kept":
-            self.interfaces.custody.handle_cache_owners(number=message[1], rows=message[2])
+            self.interfaces.handle_cache_owners(legacy_messages.to_typed(message))
         elif kind == "renew":
             self._renew(link, message)
         elif kind == "evidence":
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -14,7 +14,8 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher
 from ploverward.control_plane.distribution import subscriber
-from ploverward.control_plane.operator_api import interfaces
+from ploverward.control_plane.operator_api import dependencies
+from ploverward.control_plane.operator_api import server
 from ploverward.control_plane.quotas import quota_meter
 from ploverward.control_plane.quotas import rate_slots
 from ploverward.control_plane.quotas import share_leases
@@ -140,7 +141,7 @@
         elif name == register_names.ROLLOUTS:
             self.rollout_manager.install(payload)
         elif name == register_names.ARCHIVE:
-            self.interfaces.dispatch.learn_archive(payload)
+            self.interfaces.learn_archive(payload)
         elif name == "cores":
             self.core_members = members
             self._connect_to_cores()
@@ -163,28 +164,27 @@
         _log.debug("core_started", extra={"own": self.own, "first": self.settings.first_start})
 
     def _make_interfaces(self) -> None:
-        self.interfaces = interfaces.Interfaces(
+        self.interfaces = server.OperatorApi(
             loop=self.loop,
             make_http_server=self.runtime.http_server,
-            settings=lambda: self.settings,
-            own=self.own,
-            publisher=self.publisher,
-            registers=interfaces.Registers(
+            registers=dependencies.Registers(
                 change=lambda **about: self.proposer.change(**about), read=lambda **about: self.proposer.read(**about)
             ),
-            members=self.members,
-            is_core_live=self.is_core_live,
-            is_learned=lambda: self.acceptor.votes,
-            has_majority_contact=self.has_majority_contact,
-            core_set=self.core_set_status,
-            proxies=self.proxies,
-            configuration=lambda: self.configuration,
-            singleton_roles=lambda: self.singleton_roles,
-            votes=lambda: self.acceptor.votes,
+            publisher=self.publisher,
             meter=self.meter,
-            ttl_s=self.ttl_s,
-            contact_s=self.contact_s,
-            receipt_s=self.receipt_s,
+            node=dependencies.NodeState(
+                own=self.own,
+                settings=lambda: self.settings,
+                members=self.members,
+                is_core_live=self.is_core_live,
+                has_majority_contact=self.has_majority_contact,
+                is_voting=lambda: self.acceptor.votes,
+                proxies=self.proxies,
+                configuration=lambda: self.configuration,
+                singleton_roles=lambda: self.singleton_roles,
+                core_set=self.core_set_status,
+            ),
+            timing=dependencies.Timing(ttl_s=self.ttl_s, contact_s=self.contact_s, receipt_s=self.receipt_s),
         )
 
     def _resume_parts(self) -> None:
@@ -210,7 +210,7 @@
         if self.is_draining:
             return
         self.is_draining = True
-        self.interfaces.leave()
+        self.interfaces.shut_down()
         self._broadcast_to_cores(("state", False, True))
         self._reconcile_roles()
         now = self.loop.now()
--- /dev/null
+++ b/ploverward/control_plane/operator_api/adapter_handlers.py
@@ -0,0 +1,103 @@
+"""Calls on adapters, for operators: which replicas have which, and how often each arrived cold (docs/pins.md 3)."""
+
+import http
+import typing
+
+from ploverward.control_plane.adapter_cache.adapter_usage import AdapterUsageStore
+from ploverward.control_plane.operator_api import node_handlers
+from ploverward.control_plane.operator_api.dependencies import EventLoop
+from ploverward.control_plane.operator_api.dependencies import Json
+from ploverward.control_plane.operator_api.dependencies import NodeState
+from ploverward.control_plane.operator_api.dependencies import Publisher
+from ploverward.control_plane.operator_api.router import Call
+from ploverward.control_plane.operator_api.router import Rule
+
+WINDOW_CONTACTS = 6  # adapters are counted over windows of so many contactMs
+
+
+class ReplicaBody(typing.TypedDict):
+    """One replica and the adapters that it has loaded; None where that is not known."""
+
+    id: str
+    service: str
+    zone: str
+    region: str
+    is_clearing: bool
+    models: list[str]
+    adapters: list[list[str]] | None
+
+
+class ProxyBody(typing.TypedDict):
+    """A proxy that reports to this node."""
+
+    address: str
+    life: str
+    zone: str
+
+
+class AdaptersBody(typing.TypedDict):
+    """Everything that the suggestion of pins needs (`ploverward.control_plane.adapter_cache.pin_suggestion`)."""
+
+    node: str
+    window_s: float
+    windows: list[Json]
+    malformed: int
+    malformed_replicas: list[str]
+    zones: dict[str, str]
+    replicas: list[ReplicaBody]
+    proxies: list[ProxyBody]
+
+
+class AdapterHandlers:
+    """Reads what proxies counted of adapters.
+
+    Attributes:
+        usage_store: the counts that proxies reported.
+
+    Args:
+        loop: the event loop.
+        publisher: has the newest endpoint list.
+        node: the state of this node.
+        contact_s: `contactMs` of the settings, in seconds.
+    """
+
+    def __init__(self, *, loop: EventLoop, publisher: Publisher, node: NodeState, contact_s: float) -> None:
+        self._publisher = publisher
+        self._node = node
+        self._window_s = contact_s * WINDOW_CONTACTS
+        self.usage_store = AdapterUsageStore(now=loop.now, window_s=self._window_s)
+
+    def rules(self) -> list[Rule]:
+        """The calls that are handled here."""
+        return [Rule("GET", "/ploverward/adapters", self.handle_get)]
+
+    def handle_get(self, call: Call) -> None:
+        """Answers with counts, replicas and proxies."""
+        replicas = node_handlers.listed_replicas(self._publisher)
+        settings = self._node.settings()
+        body = AdaptersBody(
+            node=settings.node,
+            window_s=self._window_s,
+            windows=self.usage_store.rows(),
+            malformed=self.usage_store.malformed,
+            malformed_replicas=[row["id"] for row in replicas if row.get("is_malformed")],
+            zones=settings.zones,
+            replicas=[_replica_body(row, settings.zones) for row in replicas],
+            proxies=[
+                ProxyBody(address=proxy.address, life=proxy.incarnation, zone=proxy.zone)
+                for proxy in self._node.proxies(is_listed=False)
+            ],
+        )
+        call.answer(status=http.HTTPStatus.OK, body=body)
+
+
+def _replica_body(row: Json, region_by_zone: dict[str, str]) -> ReplicaBody:
+    return ReplicaBody(
+        id=row["id"],
+        service=row["service"],
+        zone=row["zone"],
+        region=region_by_zone.get(row["zone"], ""),
+        is_clearing=row["is_clearing"],
+        models=row["models"],
+        adapters=row.get("adapters", []),
+    )
--- /dev/null
+++ b/ploverward/control_plane/operator_api/apply_barrier.py
@@ -0,0 +1,72 @@
+"""The barrier between a chosen change and its acknowledgement (docs/orders.md 5).
+
+An acknowledgement waits until the connected proxies have applied the change, but not beyond its limit: a chosen change
+can't be lost, so a proxy that does not answer must not delay the operator.
+"""
+
+import dataclasses
+import http
+import typing
+
+from ploverward.common.identifiers import Version
+from ploverward.control_plane.operator_api.dependencies import ListProxies
+from ploverward.control_plane.operator_api.dependencies import Publisher
+from ploverward.control_plane.operator_api.pending_response import PendingResponse
+
+
+class AcknowledgementBody(typing.TypedDict):
+    """The body of an acknowledgement: the version of the register that has the change."""
+
+    serial: int
+
+
+@dataclasses.dataclass(frozen=True, slots=True, eq=False)
+class _Waiter:
+    topic: str
+    number: int  # of the version
+    response: PendingResponse
+
+
+class ApplyBarrier:
+    """Holds acknowledgements back until the connected proxies have applied what is acknowledged.
+
+    Args:
+        publisher: knows what each proxy has acknowledged.
+        proxies: lists the connected proxies.
+    """
+
+    def __init__(self, *, publisher: Publisher, proxies: ListProxies) -> None:
+        self._publisher = publisher
+        self._proxies = proxies
+        self._waiters: list[_Waiter] = []
+
+    def wait(self, *, response: PendingResponse, topic: str, number: int, until: float) -> None:
+        """Acknowledges a change once the proxies have applied it.
+
+        Args:
+            response: the answer to give.
+            topic: the register, which is distributed under its own name.
+            number: the version of the register that has the change.
+            until: when to acknowledge at the latest, seconds on the loop's clock.
+        """
+        if response.is_over:
+            return
+        waiter = _Waiter(topic=topic, number=number, response=response)
+        response.extend(until=until, on_timeout=lambda _response: self._acknowledge(waiter))
+        self._waiters.append(waiter)
+        self.check()
+
+    def check(self) -> None:
+        """Acknowledges what all have applied. To be called when a proxy has applied something or is gone."""
+        for waiter in list(self._waiters):
+            links = [proxy.link for proxy in self._proxies(is_listed=False)]
+            version = Version(epoch=0, number=waiter.number)
+            if not self._publisher.lagging(topic=waiter.topic, version=version, links=links):
+                self._acknowledge(waiter)
+
+    def _acknowledge(self, waiter: _Waiter) -> None:
+        if waiter in self._waiters:
+            self._waiters.remove(waiter)
+        call = waiter.response.claim()
+        if call is not None:
+            call.answer(status=http.HTTPStatus.OK, body=AcknowledgementBody(serial=waiter.number))
--- /dev/null
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -0,0 +1,230 @@
+"""The life of a call that needs the registers: forwarded or begun, then answered in time (docs/orders.md 5).
+
+Invariant: a call that this node accepted is answered within `CALLER_TIMEOUT_S`, after which callers go to another node.
+A 503 says nothing about the order: its round may go on, and the same order sent again is recognised.
+"""
+
+import collections.abc
+import concurrent.futures
+import http
+import logging
+import typing
+
+from ploverward.common import errors
+from ploverward.control_plane.operator_api.apply_barrier import ApplyBarrier
+from ploverward.control_plane.operator_api.dependencies import EventLoop
+from ploverward.control_plane.operator_api.dependencies import Json
+from ploverward.control_plane.operator_api.dependencies import Registers
+from ploverward.control_plane.operator_api.pending_response import PendingResponse
+from ploverward.control_plane.operator_api.redirector import Redirector
+from ploverward.control_plane.operator_api.router import Call
+
+_log = logging.getLogger(__name__)
+
+CALLER_TIMEOUT_S = 1.0  # seconds of silence after which a caller goes to another node; the protocol's figure
+ROUND_SHARE = 0.8  # of CALLER_TIMEOUT_S: a round that has not ended by then is answered with 503
+APPLY_SHARE = 0.9  # of CALLER_TIMEOUT_S: an accepted order is acknowledged by then, whichever proxy has not applied it
+RECEIPT_PARTS = 8  # a round has at most receiptMs / 8, also where that is less than ROUND_SHARE
+
+
+class FieldErrorBody(typing.TypedDict):
+    """The body of a refusal that names the field which is wrong."""
+
+    error: str
+    place: str
+
+
+class StaleVersionBody(typing.TypedDict):
+    """The body of a refusal of an order on another edition: the edition in force."""
+
+    error: str
+    edition: int
+
+
+class RolloutInProgressBody(typing.TypedDict):
+    """The body of a refusal of a second roll-out: the version that the present one introduces."""
+
+    error: str
+    targetEdition: str
+
+
+def answer_field_error(call: Call, error: errors.InvalidConfigurationError) -> None:
+    """Refuses a call whose content is not valid."""
+    body = FieldErrorBody(error=error.text, place=error.field_path)
+    call.answer(status=http.HTTPStatus.BAD_REQUEST, body=body)
+
+
+def _answer_error(call: Call, error: BaseException) -> None:
+    """Answers a call that failed. What is not one of our errors is a defect: it is logged, and nothing is said of it."""
+    match error:
+        case errors.StaleVersionError():
+            stale_body = StaleVersionBody(error=str(error), edition=error.current)
+            call.answer(status=http.HTTPStatus.PRECONDITION_FAILED, body=stale_body)
+        case errors.RolloutInProgressError():
+            rollout_body = RolloutInProgressBody(error=str(error), targetEdition=error.target)
+            call.answer(status=http.HTTPStatus.CONFLICT, body=rollout_body)
+        case errors.InvalidConfigurationError():
+            answer_field_error(call, error)
+        case errors.PloverwardError():
+            call.unavailable(why=str(error))
+        case _:
+            _log.error("order_failed", exc_info=error)
+            call.unavailable(why=str(error))
+
+
+class CallLifecycle:
+    """What the calls on all registers have in common.
+
+    Args:
+        loop: the event loop.
+        registers: the replicated registers.
+        apply_barrier: gives the acknowledgements.
+        redirector: names other nodes.
+        receipt_s: `receiptMs` of the settings, in seconds.
+        is_voting: whether this node knows the registers and votes.
+        has_majority_contact: whether it is in contact with a majority.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: EventLoop,
+        registers: Registers,
+        apply_barrier: ApplyBarrier,
+        redirector: Redirector,
+        receipt_s: float,
+        is_voting: collections.abc.Callable[[], bool],
+        has_majority_contact: collections.abc.Callable[[], bool],
+    ) -> None:
+        self._loop = loop
+        self._registers = registers
+        self._apply_barrier = apply_barrier
+        self._redirector = redirector
+        self._is_voting = is_voting
+        self._has_majority_contact = has_majority_contact
+        self._round_limit_s = min(receipt_s / RECEIPT_PARTS, CALLER_TIMEOUT_S * ROUND_SHARE)
+        self._is_shutting_down = False
+
+    def shut_down(self) -> None:
+        """Forwards new calls from now on. Calls in progress get their answers, or none where the process ends first."""
+        self._is_shutting_down = True
+
+    def begin(self, call: Call) -> PendingResponse | None:
+        """Begins a call, or forwards it where this node can't answer it.
+
+        Returns:
+            The answer to give; None where the call was forwarded.
+        """
+        has_contact = self._has_majority_contact()
+        if not has_contact or not self._is_voting() or self._is_shutting_down:
+            self._forward(call, is_isolated=not has_contact)
+            return None
+        return PendingResponse(loop=self._loop, call=call, limit_s=self._round_limit_s, on_timeout=self._time_out)
+
+    def fail(self, response: PendingResponse, error: BaseException) -> None:
+        """Answers with the status for an error, where there is no answer yet."""
+        call = response.claim()
+        if call is not None:
+            _answer_error(call, error)
+
+    def acknowledge(self, response: PendingResponse, *, register: str, number: int) -> None:
+        """Acknowledges a change once proxies have applied it, at the latest after `APPLY_SHARE` of the caller's time-out.
+
+        Args:
+            response: the answer to give.
+            register: the register that was changed.
+            number: the version that has the change.
+        """
+        until = response.begun_at + CALLER_TIMEOUT_S * APPLY_SHARE
+        self._apply_barrier.wait(response=response, topic=register, number=number, until=until)
+
+    def change(self, response: PendingResponse, *, register: str, edit: typing.Any) -> None:
+        """Changes a register and acknowledges that. The round makes no further attempt once the answer was given."""
+
+        def done(error: Exception | None, number: int, _payload: Json | None, _result: object) -> None:
+            if error is not None:
+                self.fail(response, error)
+            else:
+                self.acknowledge(response, register=register, number=number)
+
+        self._registers.change(name=register, edit=edit, done=done, is_wanted=lambda: not response.is_over)
+
+    def read(
+        self, response: PendingResponse, *, register: str, then: collections.abc.Callable[[Json | None], None]
+    ) -> None:
+        """Reads a register at a majority.
+
+        Args:
+            response: the answer to give; an error is answered here.
+            register: the register.
+            then: called with the payload.
+        """
+
+        def done(error: Exception | None, _number: int, payload: Json | None, _result: object) -> None:
+            if error is not None:
+                self.fail(response, error)
+            else:
+                then(payload)
+
+        self._registers.read(name=register, done=done)
+
+    def answer_with_register(
+        self, call: Call, *, register: str, answer: collections.abc.Callable[[Call, Json | None], None]
+    ) -> None:
+        """Answers a call that reads a register.
+
+        Args:
+            call: the call.
+            register: the register.
+            answer: answers the call from the payload.
+        """
+        response = self.begin(call)
+        if response is None:
+            return
+
+        def respond(payload: Json | None) -> None:
+            claimed = response.claim()
+            if claimed is not None:
+                answer(claimed, payload)
+
+        self.read(response, register=register, then=respond)
+
+    def offload(
+        self,
+        response: PendingResponse,
+        *,
+        work: collections.abc.Callable[[], typing.Any],
+        then: collections.abc.Callable[[typing.Any], None],
+    ) -> None:
+        """Runs something that takes long on another thread.
+
+        Args:
+            response: the answer to give; an error is answered here.
+            work: what runs there.
+            then: called on the loop with its result.
+        """
+
+        def done(future: concurrent.futures.Future) -> None:
+            error = future.exception()
+            if error is not None:
+                self.fail(response, error)
+            else:
+                then(future.result())
+
+        self._loop.offload(work=work, done=done)
+
+    def _forward(self, call: Call, *, is_isolated: bool) -> None:
+        address = self._redirector.choose_address(is_isolated=is_isolated)
+        if address is not None:
+            call.redirect(address=address)
+        else:
+            call.unavailable(why="no other core node is known")
+
+    def _time_out(self, response: PendingResponse) -> None:
+        call = response.claim()
+        if call is None:
+            return
+        if self._has_majority_contact():
+            call.unavailable(why="no majority answered in time")
+        else:
+            self._forward(call, is_isolated=True)
--- /dev/null
+++ b/ploverward/control_plane/operator_api/order_archiver.py
@@ -0,0 +1,49 @@
+"""Moves the identifiers of accepted orders into the archive's register (docs/orders.md 3).
+
+Invariant: `archived` is an edition up to which the archive is known to be chosen, so `configuration.orders` may drop
+identifiers up to it from the configuration's register.
+"""
+
+from ploverward.control_plane.configuration import order_archive
+from ploverward.control_plane.configuration import orders
+from ploverward.control_plane.configuration.register_payloads import Payload
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.operator_api.dependencies import Registers
+
+
+class OrderArchiver:
+    """Appends to the archive, one write at a time.
+
+    Attributes:
+        archived: the edition up to which the archive is known to have all orders.
+
+    Args:
+        registers: the replicated registers.
+    """
+
+    def __init__(self, *, registers: Registers) -> None:
+        self._registers = registers
+        self.archived = 0
+        self._is_writing = False
+
+    def learn(self, payload: Payload) -> None:
+        """Takes note of a chosen value of the archive; called for each version that this node gets to know."""
+        self.archived = max(self.archived, order_archive.archived_through(payload))
+
+    def reconcile(self, payload: Payload) -> None:
+        """Archives the orders of a chosen configuration once there are `ARCHIVE_FROM` that the archive lacks.
+
+        Args:
+            payload: a chosen value of the configuration's register.
+        """
+        rows = [row for row in orders.recent_of(payload) if row[0] > self.archived]
+        if self._is_writing or len(rows) < orders.ARCHIVE_FROM:
+            return
+        self._is_writing = True
+
+        def done(error: Exception | None, _number: int, payload: Payload, _result: object) -> None:
+            self._is_writing = False
+            if error is None:
+                self.learn(payload)
+
+        self._registers.change(name=register_names.ARCHIVE, edit=order_archive.edit_for(rows=rows), done=done)
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -1,6 +1,11 @@
-"""Maps calls to the published interfaces of a core node to their handlers, by werkzeug."""
+"""Maps HTTP calls to their handlers, by werkzeug (docs/orders.md 6).
 
+Whatever stands in the head of a call, it gets one clear answer: a path or method that no rule has is answered here.
+"""
+
+import collections.abc
 import dataclasses
+import http
 import json
 import typing
 import urllib.parse
@@ -10,23 +15,35 @@
 import werkzeug.routing
 import werkzeug.sansio.request
 
-RETRY_AFTER = b"0.3"  # seconds: callers pause by themselves, this is for those that don't
+from ploverward.transport import http_server
 
+RETRY_AFTER = b"0.3"  # seconds; callers have a backoff of their own, this is for those that have none
+MAP_BINDING = "core"  # the host name that werkzeug wants; the rules do not depend on it
 
-@dataclasses.dataclass(frozen=True)
-class Rule:
-    """One address and method, and who handles it: `handler(call, **values)` with the values named in the path."""
+Header: typing.TypeAlias = tuple[bytes, bytes]
 
-    method: str
-    path: str
-    handler: typing.Callable
+
+class ErrorBody(typing.TypedDict):
+    """The body of a refusal."""
+
+    error: str
+
+
+class RedirectBody(typing.TypedDict):
+    """The body of a redirect: ADDRESS:PORT of the other node."""
+
+    location: str
 
 
 class Call:
-    """One call of an operator, a tool or a user agent, and the way to answer it."""
+    """One call of an operator, a tool or a client, and how to answer it.
 
-    def __init__(self, *, request):
-        self._request = request  # ploverward.transport.http_server's
+    Args:
+        request: the request, completely received.
+    """
+
+    def __init__(self, *, request: http_server.Request) -> None:
+        self._request = request
         self._head = werkzeug.sansio.request.Request(
             request.method.decode("latin-1"),
             "http",
@@ -41,63 +58,98 @@
 
     @property
     def method(self) -> str:
+        """The method, in upper case."""
         return self._head.method
 
     @property
     def path(self) -> str:
+        """The path, decoded, without the query."""
         return self._head.path
 
     @property
-    def target(self) -> bytes:
-        return self._request.target
-
-    @property
-    def query(self):
+    def query(self) -> collections.abc.Mapping[str, str]:
+        """The parameters in the query."""
         return self._head.args
 
     @property
-    def headers(self):
+    def headers(self) -> werkzeug.datastructures.Headers:
+        """The headers; names in any case."""
         return self._head.headers
 
     @property
     def body(self) -> bytes:
+        """The body."""
         return self._request.body
 
-    def answer(self, *, status: int, body, headers=()) -> None:
+    def answer(self, *, status: int, body: object, headers: collections.abc.Iterable[Header] = ()) -> None:
+        """Answers the call.
+
+        Args:
+            status: the HTTP status.
+            body: what is sent as JSON.
+            headers: further headers.
+        """
         self._request.reply(
-            status=status,
+            status=int(status),
             headers=[(b"Content-Type", b"application/json"), *headers],
             body=json.dumps(body, separators=(",", ":")).encode(),
         )
 
     def unavailable(self, *, why: str) -> None:
-        """No answer to what was asked: the caller tries again, here or at another node."""
-        self.answer(status=503, body={"error": why}, headers=[(b"Retry-After", RETRY_AFTER)])
+        """Says nothing about what was asked: the caller sends the call again, to this node or to another."""
+        body = ErrorBody(error=why)
+        self.answer(status=http.HTTPStatus.SERVICE_UNAVAILABLE, body=body, headers=[(b"Retry-After", RETRY_AFTER)])
+
+    def redirect(self, *, address: str) -> None:
+        """Sends the caller to another node.
 
-    def see_other_node(self, *, address: str) -> None:
-        location = b"http://%s%s" % (address.encode(), self.target)
-        self.answer(status=307, body={"location": address}, headers=[(b"Location", location)])
+        Args:
+            address: ADDRESS:PORT of that node.
+        """
+        location = b"http://%s%s" % (address.encode(), self._request.target)
+        body = RedirectBody(location=address)
+        self.answer(status=http.HTTPStatus.TEMPORARY_REDIRECT, body=body, headers=[(b"Location", location)])
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Rule:
+    """One method and path, and who handles it.
+
+    Attributes:
+        method: the method.
+        path: the path, with variables as werkzeug writes them.
+        handler: called with the call and the variables by name.
+    """
+
+    method: str
+    path: str
+    handler: collections.abc.Callable[..., None]
 
 
 class Router:
-    """Takes whole requests from the listeners and hands them on."""
+    """Passes each request from the listeners to its handler.
+
+    Args:
+        rules: all rules.
+    """
 
-    def __init__(self, *, rules):
+    def __init__(self, *, rules: collections.abc.Iterable[Rule]) -> None:
         self._map = werkzeug.routing.Map(
             [werkzeug.routing.Rule(rule.path, endpoint=rule.handler, methods=[rule.method]) for rule in rules],
             merge_slashes=False,
         )
 
-    def handle(self, request) -> None:
+    def handle(self, request: http_server.Request) -> None:
+        """Handles a request."""
         call = Call(request=request)
         try:
-            handler, values = self._map.bind("core").match(call.path, method=call.method)
+            handler, variables = self._map.bind(MAP_BINDING).match(call.path, method=call.method)
         except werkzeug.exceptions.HTTPException as error:
-            call.answer(status=error.code or 404, body={"error": error.name})
+            call.answer(status=error.code or http.HTTPStatus.NOT_FOUND, body=ErrorBody(error=error.name))
             return
-        handler(call, **values)
+        handler(call, **variables)
 
 
-def _split_target(target: bytes) -> tuple:
+def _split_target(target: bytes) -> tuple[str, bytes]:
     path, _separator, query = target.partition(b"?")
     return urllib.parse.unquote(path.decode("latin-1")), query
--- /dev/null
+++ b/ploverward/control_plane/operator_api/server.py
@@ -0,0 +1,153 @@
+"""The HTTP servers of a core node, and the wiring of everything that answers on them (design 4, 5, 9, 10).
+
+Besides calls, messages from proxies come in here that answer calls or are stored for them.
+"""
+
+import collections.abc
+import typing
+
+from ploverward.common import settings as node_settings
+from ploverward.control_plane.configuration.register_payloads import Payload
+from ploverward.control_plane.discovery import directory
+from ploverward.control_plane.operator_api.adapter_handlers import AdapterHandlers
+from ploverward.control_plane.operator_api.apply_barrier import ApplyBarrier
+from ploverward.control_plane.operator_api.custody_handlers import CustodyHandlers
+from ploverward.control_plane.operator_api.dependencies import EventLoop
+from ploverward.control_plane.operator_api.dependencies import NodeState
+from ploverward.control_plane.operator_api.dependencies import Publisher
+from ploverward.control_plane.operator_api.dependencies import Registers
+from ploverward.control_plane.operator_api.dependencies import TenantMeter
+from ploverward.control_plane.operator_api.dependencies import Timing
+from ploverward.control_plane.operator_api.node_handlers import NodeHandlers
+from ploverward.control_plane.operator_api.order_api import OrderApi
+from ploverward.control_plane.operator_api.redirector import Redirector
+from ploverward.control_plane.operator_api.router import Router
+from ploverward.control_plane.operator_api.tenant_handlers import TenantHandlers
+from ploverward.transport import http_server
+from ploverward.transport import messages
+
+HEAD_BYTES = 65536
+BODY_BYTES = 16 * 1024 * 1024  # a configuration of 2,000 routes has 0.7 MB
+IDLE_CONTACTS = 4  # a connection may be idle for so many contactMs
+MIN_CONNECTIONS = 200
+SERVED = ("control", "directory")  # names of bindings in the settings; both serve all calls
+
+
+class OperatorApi:
+    """Servers and handlers.
+
+    Args:
+        loop: the event loop.
+        make_http_server: makes a `ploverward.transport.http_server.HttpServer`; simulations put another one in its place.
+        registers: the replicated registers.
+        publisher: the publisher of distributed topics.
+        meter: counts what proxies admit for tenants.
+        node: the state of this node.
+        timing: durations from the settings.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: EventLoop,
+        make_http_server: collections.abc.Callable[..., typing.Any],
+        registers: Registers,
+        publisher: Publisher,
+        meter: TenantMeter,
+        node: NodeState,
+        timing: Timing,
+    ) -> None:
+        self._loop = loop
+        self._make_http_server = make_http_server
+        self._settings = node.settings
+        self._contact_s = timing.contact_s
+        self._servers: list[typing.Any] = []
+        self._apply_barrier = ApplyBarrier(publisher=publisher, proxies=node.proxies)
+        self._orders = OrderApi(
+            loop=loop,
+            registers=registers,
+            apply_barrier=self._apply_barrier,
+            redirector=Redirector(
+                own=node.own, port=_control_port(node.settings()), members=node.members, is_live=node.is_core_live
+            ),
+            configuration=node.configuration,
+            zones=lambda: node.settings().zones,
+            receipt_s=timing.receipt_s,
+            is_voting=node.is_voting,
+            has_majority_contact=node.has_majority_contact,
+        )
+        self._adapters = AdapterHandlers(loop=loop, publisher=publisher, node=node, contact_s=timing.contact_s)
+        self._custody = CustodyHandlers(loop=loop, node=node, contact_s=timing.contact_s, receipt_s=timing.receipt_s)
+        handlers = (
+            self._orders,
+            directory.Directory(
+                loop=loop,
+                members=node.members,
+                is_core_live=node.is_core_live,
+                proxies=node.proxies,
+                configuration=node.configuration,
+                ttl_s=timing.ttl_s,
+                contact_s=timing.contact_s,
+            ),
+            NodeHandlers(publisher=publisher, node=node),
+            self._adapters,
+            self._custody,
+            TenantHandlers(configuration=node.configuration, meter=meter),
+        )
+        self._router = Router(rules=[rule for part in handlers for rule in part.rules()])
+
+    def listen(self) -> None:
+        """Opens the servers that the settings name."""
+        settings = self._settings()
+        for name in SERVED:
+            if name in settings.bindings:
+                server = self._make_http_server(
+                    loop=self._loop,
+                    address=settings.bindings[name],
+                    on_request=self._router.handle,
+                    limits=self._limits,
+                    peer_timeout_s=self._contact_s,
+                    max_connections=max(MIN_CONNECTIONS, settings.handles // 2),
+                )
+                self._servers.append(server)
+
+    def shut_down(self) -> None:
+        """Accepts no new connections; calls on the open ones are forwarded to other nodes."""
+        self._orders.shut_down()
+        for server in self._servers:
+            server.stop_listening()
+            server.leave()
+
+    def check_applied(self) -> None:
+        """To be called when a proxy has applied something or is gone: acknowledgements may be due."""
+        self._apply_barrier.check()
+
+    def learn_archive(self, payload: Payload) -> None:
+        """Takes note of a chosen value of the register of old orders."""
+        self._orders.learn_archive(payload)
+
+    def handle_custody_trails(self, message: messages.CustodyTrails) -> None:
+        """Stores a batch of trails from a proxy."""
+        self._custody.trail_store.record(message)
+
+    def handle_adapter_counts(self, message: messages.AdapterCounts) -> None:
+        """Stores what proxies counted of adapters."""
+        for count in message.counts:
+            self._adapters.usage_store.record(count)
+
+    def handle_cache_owners(self, message: messages.CacheOwners) -> None:
+        """Takes a proxy's reply about what replicas have in their caches."""
+        self._custody.handle_cache_owners(message)
+
+    def _limits(self) -> http_server.Limits:
+        return http_server.Limits(
+            head_bytes=HEAD_BYTES,
+            body_bytes=BODY_BYTES,
+            head_s=self._contact_s,
+            idle_s=self._contact_s * IDLE_CONTACTS,
+        )
+
+
+def _control_port(settings: node_settings.Settings) -> int:
+    """The port of the operator API, which is the same on all machines; 0 where this one does not serve it."""
+    return settings.bindings["control"][1] if "control" in settings.bindings else 0
--- a/ploverward/control_plane/operator_api/test_applying.py
+++ b/ploverward/control_plane/operator_api/test_apply_barrier.py
@@ -4,7 +4,8 @@
 
 from ploverward.common.identifiers import Version
 from ploverward.control_plane.distribution import publisher as desks
-from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import apply_barrier
+from ploverward.control_plane.operator_api import pending_response
 from ploverward.simulation import simulated_world
 from ploverward.transport import messages
 
@@ -36,42 +37,42 @@
     publisher = desks.Publisher()
     for link in links:
         publisher.join(link)
-    applying = order_handlers.Applying(
+    barrier = apply_barrier.ApplyBarrier(
         publisher=publisher, proxies=lambda *, is_listed=True: [types.SimpleNamespace(link=link) for link in links]
     )
     call = Call()
-    reply = order_handlers.Reply(loop=loop, call=call, limit_s=0.75, at_limit=lambda reply: None)
-    applying.wait(reply=reply, topic="spec", version=3, until=reply.begun_at + MAX_WAIT_S)
-    return applying, publisher, call, loop
+    response = pending_response.PendingResponse(loop=loop, call=call, limit_s=0.75, on_timeout=lambda response: None)
+    barrier.wait(response=response, topic="spec", number=3, until=response.begun_at + MAX_WAIT_S)
+    return barrier, publisher, call, loop
 
 
 def test_the_operator_is_answered_once_all_live_proxies_applied_it():
     links = [PeerConnection(), PeerConnection()]
-    applying, publisher, call, _loop = make(links)
+    barrier, publisher, call, _loop = make(links)
     assert call.answers == []
     publisher.handle_acknowledgement(links[0], acknowledgement(3))
-    applying.check()
+    barrier.check()
     assert call.answers == []
     publisher.handle_acknowledgement(links[1], acknowledgement(4))
-    applying.check()
+    barrier.check()
     assert call.answers == [(200, {"serial": 3})]
 
 
 def test_a_proxy_whose_lease_ran_out_is_not_waited_for():
     links = [PeerConnection(), PeerConnection()]
-    applying, publisher, call, _loop = make(links)
+    barrier, publisher, call, _loop = make(links)
     publisher.handle_acknowledgement(links[0], acknowledgement(3))
     links.pop()
-    applying.check()
+    barrier.check()
     assert len(call.answers) == 1
 
 
 def test_the_wait_has_a_limit_and_one_answer_only():
-    applying, _publisher, call, loop = make([PeerConnection()])
+    barrier, _publisher, call, loop = make([PeerConnection()])
     loop.world.run(until=MAX_WAIT_S - 0.01)
     assert call.answers == []
     loop.world.run(until=MAX_WAIT_S + 0.01)
     assert call.answers == [(200, {"serial": 3})]
-    applying.check()
+    barrier.check()
     loop.world.run(until=5.0)
     assert len(call.answers) == 1
--- a/ploverward/control_plane/operator_api/test_order_handlers.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -85,7 +85,7 @@
     node = simulation.nodes["a"]
     changes = []
     change = node.proposer.change
-    node.dispatch._registers.change = lambda **about: (changes.append(about["name"]), change(**about))
+    node.registers.change = lambda **about: (changes.append(about["name"]), change(**about))
     data = order_simulation.encode(order_simulation.configuration(edition=1))
     outcome = []
     for _copy in range(4):
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("about", CALLS)
 def test_a_node_unaware_of_its_isolation_leaves_the_call_within_a_second(about):
     simulation = order_simulation.OrderSimulation(seed=2)
-    simulation.nodes["a"].dispatch._has_majority_contact = lambda: True
+    simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
     ((status, _address, seconds),) = _call_node(simulation, "a", **about)
     assert status == 503 and 0.5 < seconds < 0.9
@@ -159,7 +159,7 @@
     ((status, address, _seconds),) = _call_node(simulation, "a", **about)
     assert not simulation.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
     simulation = order_simulation.OrderSimulation(seed=2)
-    simulation.nodes["a"].dispatch.leave()
+    simulation.nodes["a"].order_api.shut_down()
     ((status, address, _seconds),) = _call_node(simulation, "a", **about)
     assert status == 307 and address in ("b", "c")
 
@@ -174,7 +174,7 @@
     simulation.nodes["a"].handle_call(
         order_simulation.Call(**about, on_answer=lambda status, *_about: outcome.append(status))
     )
-    simulation.world.later(simulation.world.chance.uniform(0.0, 0.6), simulation.nodes["a"].dispatch.leave)
+    simulation.world.later(simulation.world.chance.uniform(0.0, 0.6), simulation.nodes["a"].order_api.shut_down)
     simulation.world.later(0.65, simulation.nodes["a"].stop)
     simulation.world.run(until=3.0)
     assert outcome in ([], [200], [503])
@@ -218,7 +218,7 @@
 def test_orders_whose_time_ran_out_in_the_queue_do_not_block_the_node():
     """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
     simulation = order_simulation.OrderSimulation(seed=5)
-    simulation.nodes["a"].dispatch._has_majority_contact = lambda: True
+    simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
     for number in range(8):
         data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
@@ -227,7 +227,7 @@
     simulation.world.run(until=8.0)
     simulation.world.partitions.clear()
     ((status, _address, _seconds),) = _call_node(simulation, "a", **CALLS[0])
-    assert status == 200 and simulation.nodes["a"].dispatch._waiting_replies == {}
+    assert status == 200 and simulation.nodes["a"].order_api.rounds.is_idle
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/ploverward/control_plane/operator_api/test_rollout_calls.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -1,4 +1,4 @@
-"""Calls about roll-outs at a node that serves dispatch: what is acknowledged, what is refused, what changes nothing."""
+"""Calls about roll-outs at a core node: what is acknowledged, what is refused, what changes nothing."""
 
 import json
 import types
@@ -7,7 +7,9 @@
 
 from ploverward.common import errors
 from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import apply_barrier
+from ploverward.control_plane.operator_api import order_api
+from ploverward.control_plane.operator_api import redirector
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import state
 
@@ -26,7 +28,7 @@
     def unavailable(self, *, why):
         self.answer(status=503, body={"error": why})
 
-    def see_other_node(self, *, address):
+    def redirect(self, *, address):
         self.answer(status=307, body={"location": address})
 
 
@@ -55,15 +57,15 @@
         self.changes = 0
         self.loop = Loop()
         publisher = types.SimpleNamespace(lagging=lambda **_about: [])
-        self.dispatch = order_handlers.Dispatch(
+        self.order_api = order_api.OrderApi(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
-            applying=order_handlers.Applying(publisher=publisher, proxies=lambda is_listed: []),
-            redirect=order_handlers.Redirect(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
-            applied=lambda: applied,
+            apply_barrier=apply_barrier.ApplyBarrier(publisher=publisher, proxies=lambda is_listed: []),
+            redirector=redirector.Redirector(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
+            configuration=lambda: applied,
             zones=lambda: {"z": "r"},
             receipt_s=8.0,
-            is_learned=lambda: True,
+            is_voting=lambda: True,
             has_majority_contact=lambda: contact,
         )
 
@@ -85,12 +87,12 @@
 
     def post(self, **body):
         call = Call(json.dumps(body).encode())
-        self.dispatch._post_rollout(call)
+        self.order_api.rollouts.handle_post(call)
         return call.answered
 
     def get(self, service):
         call = Call()
-        self.dispatch._get_rollout(call, service)
+        self.order_api.rollouts.handle_get(call, service)
         return call.answered
 
 
--- a/ploverward/control_plane/operator_api/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -7,7 +7,8 @@
 import pytest
 from hypothesis import strategies
 
-from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import order_api
+from ploverward.control_plane.operator_api import redirector
 from ploverward.control_plane.operator_api import router
 from ploverward.simulation import simulated_world
 
@@ -31,19 +32,19 @@
 def make(*, has_contact=True):
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     changes = []
-    handling = order_handlers.Dispatch(
+    handling = order_api.OrderApi(
         loop=loop,
         registers=types.SimpleNamespace(
             change=lambda **about: changes.append(about["name"]), read=lambda **about: changes.append(about["name"])
         ),
-        applying=None,
-        redirect=order_handlers.Redirect(
+        apply_barrier=None,
+        redirector=redirector.Redirector(
             own="a", port=81, members=lambda: ("a", "b", "c"), is_live=lambda host: host == "b"
         ),
-        applied=lambda: None,
+        configuration=lambda: None,
         zones=lambda: {"za": "north", "z b": "north"},
         receipt_s=6.0,
-        is_learned=lambda: True,
+        is_voting=lambda: True,
         has_majority_contact=lambda: has_contact,
     )
     return router.Router(rules=handling.rules()), loop, changes
@@ -98,9 +99,10 @@
 
 
 def test_redirects_name_members_round_robin():
-    redirect = order_handlers.Redirect(
-        own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b"
+    redirect = redirector.Redirector(own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b")
+    assert {redirect.choose_address(is_isolated=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
+    assert {redirect.choose_address(is_isolated=False) for _ in range(6)} == {"b:81"}
+    assert (
+        redirector.Redirector(own="a", port=81, members=lambda: ("a",), is_live=None).choose_address(is_isolated=True)
+        is None
     )
-    assert {redirect.pick(is_isolated=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
-    assert {redirect.pick(is_isolated=False) for _ in range(6)} == {"b:81"}
-    assert order_handlers.Redirect(own="a", port=81, members=lambda: ("a",), is_live=None).pick(is_isolated=True) == ""
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -9,6 +9,7 @@
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.load_balancing import replica_table
+from ploverward.transport import messages
 
 ADAPTERS = {"drafts": {"m"}, "reviews": {"m"}, "both": {"m", "n"}}
 
@@ -115,11 +116,15 @@
 
 def test_windows_are_sent_complete_and_a_finished_one_again():
     scene = Scene()
-    usage = adapter_usage.ReportStore(now=lambda: scene.clock[0], window_s=30.0)
+    usage = adapter_usage.AdapterUsageStore(now=lambda: scene.clock[0], window_s=30.0)
 
     def send_counts():
         for window, number, data in scene.counter.report():
-            usage.record(node="p", zone="za", region="north", incarnation="l", window=window, number=number, data=data)
+            usage.record(
+                messages.AdapterCount(
+                    node="p", zone="za", region="north", incarnation="l", window=window, number=number, counts=data
+                )
+            )
 
     total = 0
     for step in range(40):
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -1,4 +1,4 @@
-"""Core nodes reduced to register and dispatch, in simulated time, and operators that call them as the protocol says."""
+"""Core nodes reduced to registers and order API, in simulated time, and operators that call them as the protocol says."""
 
 import argparse
 import dataclasses
@@ -13,7 +13,9 @@
 from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher
-from ploverward.control_plane.operator_api import order_handlers
+from ploverward.control_plane.operator_api import apply_barrier
+from ploverward.control_plane.operator_api import order_api
+from ploverward.control_plane.operator_api import redirector
 from ploverward.simulation import order_history
 from ploverward.simulation import simulated_world
 
@@ -27,7 +29,7 @@
 
 
 class Node:
-    """One core node: acceptor with rows that survive a stop, proposer, desk without proxies, dispatch."""
+    """One core node: acceptor with rows that survive a stop, proposer, publisher without proxies, order API."""
 
     def __init__(self, *, world, name: str, nodes: dict, seeds: tuple, on_chosen):
         self.world = world
@@ -60,20 +62,23 @@
             limit_s=RECEIPT_S / 2,
             attempt_timeout_s=RECEIPT_S / 10,
         )
-        self.dispatch = order_handlers.Dispatch(
+        self.registers = types.SimpleNamespace(change=self.proposer.change, read=self.proposer.read)
+        self.order_api = order_api.OrderApi(
             loop=self.loop,
-            registers=types.SimpleNamespace(change=self.proposer.change, read=self.proposer.read),
-            applying=order_handlers.Applying(publisher=publisher.Publisher(), proxies=lambda *, is_listed=True: []),
-            redirect=order_handlers.Redirect(
+            registers=self.registers,
+            apply_barrier=apply_barrier.ApplyBarrier(
+                publisher=publisher.Publisher(), proxies=lambda *, is_listed=True: []
+            ),
+            redirector=redirector.Redirector(
                 own=self.name, port=CONTROL_PORT, members=self.members, is_live=self._is_linked
             ),
-            applied=lambda: self.configuration,
+            configuration=lambda: self.configuration,
             zones=lambda: dict.fromkeys(ZONES),
             receipt_s=RECEIPT_S,
-            is_learned=lambda: self.acceptor.votes,
-            has_majority_contact=self._has_majority_contact,
+            is_voting=lambda: self.acceptor.votes,
+            has_majority_contact=lambda: self.has_majority_contact(),  # looked up each time: tests replace it
         )
-        self._handlers = {(rule.method, rule.path): rule.handler for rule in self.dispatch.rules()}
+        self._handlers = {(rule.method, rule.path): rule.handler for rule in self.order_api.rules()}
         if not self.acceptor.votes:
             self._catch_up()
 
@@ -95,7 +100,7 @@
             and (other, self.name) not in self.world.partitions
         )
 
-    def _has_majority_contact(self) -> bool:
+    def has_majority_contact(self) -> bool:
         members = self.members()
         return ballots.has_majority(
             of=members, among={other for other in members if other == self.name or self._is_linked(other)}
@@ -164,7 +169,7 @@
         if name == register_names.CONFIGURATION:
             self.configuration = payload["body"] if payload else None
         elif name == register_names.ARCHIVE:
-            self.dispatch.learn_archive(payload)
+            self.order_api.learn_archive(payload)
 
     # From operators.
 
@@ -195,7 +200,7 @@
     def unavailable(self, *, why: str) -> None:
         self.answer(status=503, body=why)
 
-    def see_other_node(self, *, address: str) -> None:
+    def redirect(self, *, address: str) -> None:
         self.is_answered = True
         self._on_answer(307, None, address.partition(":")[0])
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -42,6 +42,7 @@
 from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.relay import resolution
 from ploverward.data_plane.requests import custody_trails
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
@@ -207,8 +208,12 @@
 
 def _read_trail(data: bytes) -> list:
     """As operators get it from a core node."""
-    kept = trail_store.ReportStore(now=lambda: 0.0, keep_s=1.0, most=1)
-    kept.record(node="node", incarnation="life", number=0, is_last=False, rows=[("id", data)])
+    kept = trail_store.TrailStore(now=lambda: 0.0, retention_s=1.0, max_trails=1)
+    kept.record(
+        messages.CustodyTrails(
+            node="node", incarnation="life", number=0, is_last=False, trails=(messages.CustodyTrail("id", data),)
+        )
+    )
     return kept.find("id")
 
 
