--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -121,10 +121,10 @@
     scene = scene_of()
     request = types.SimpleNamespace(headers=[(b"authorization", b"Bearer old-key")])
     route = scene.entry.routes.find(host="h", target=b"/safe/x")
-    assert admission_filters.authenticate_tenant(request=request, route=route, proxy=scene.entry).name == "clerks"
+    assert admission_filters.authenticate_tenant(request=request, route=route, context=scene.entry).name == "clerks"
     left = [{**TENANTS[0], "apiKeys": [KEYS["clerks"]]}, TENANTS[1]]
     scene.entry.routes = route_table.Routes(body={**BODY, "senders": left})
-    refused = admission_filters.authenticate_tenant(request=request, route=route, proxy=scene.entry)
+    refused = admission_filters.authenticate_tenant(request=request, route=route, context=scene.entry)
     assert isinstance(refused, admission_filters.Refused) and refused.status == 401
 
 
--- /dev/null
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -0,0 +1,128 @@
+"""What an attempt's beginning, prefill and end mean for all that counts attempts.
+
+These are the load of its replica as this proxy knows it, the roll-out's evidence, the retry and slow-start quotas, the
+counts of adapters, and the load reports. The invariant: each count that `start` raises falls once, in `release`.
+
+`release` and `report_end` are apart: what is known of the attempt's fate is settled between them, so a fault of our own
+in a report leaves that as it is (`test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise`).
+"""
+
+from __future__ import annotations
+
+import typing
+
+from ploverward.data_plane.load_reports import report_source
+
+if typing.TYPE_CHECKING:
+    from ploverward.data_plane.requests import admission_filters
+    from ploverward.data_plane.requests import attempts
+    from ploverward.data_plane.requests import handler_context
+    from ploverward.data_plane.requests import route_table
+
+FAILING_SILENCE_FACTOR = 1.5  # of the latency target: a replica that is silent for longer has failed the attempt
+
+
+def start(
+    attempt: attempts.Attempt, *, facts: admission_filters.RequestFacts, context: handler_context.HandlerContext
+) -> None:
+    """The attempt begins: raises the counts, before a byte of it is handed to the connection."""
+    replica = attempt.replica
+    replica.running += 1
+    replica.prefill_tokens[attempt.number] = attempt.prefill_tokens
+    context.rollouts.note_send(service=facts.service, replica=replica)
+    context.quota.note_send(replica=replica, service=context.table.services.get(facts.service, {}))
+
+
+def report_start(
+    attempt: attempts.Attempt,
+    *,
+    facts: admission_filters.RequestFacts,
+    route: route_table.Route,
+    context: handler_context.HandlerContext,
+) -> None:
+    """Reports the beginning. An adapter that is not known counts too, as unknown: it is never guessed."""
+    context.chooser.note_send(replica=attempt.replica, chain=facts.prompt.chain)
+    context.report_attempt(replica=attempt.replica, kind=report_source.SENT)
+    model = facts.model
+    if route.is_sticky and (model.adapter or not model.is_adapter_known):
+        attempt.arrival = context.adapters.begin(
+            replica=attempt.replica,
+            service=facts.service,
+            model=model.name,
+            adapter=model.adapter,
+            route=route.name,
+            target_s=route.target_s,
+        )
+
+
+def note_prefilled(
+    attempt: attempts.Attempt, *, facts: admission_filters.RequestFacts, context: handler_context.HandlerContext
+) -> None:
+    """The first event shows that the prompt was prefilled: it counts as cached from now on."""
+    if attempt.arrival is not None:
+        context.adapters.ran(attempt.arrival)
+    replica = attempt.replica
+    replica.prefill_tokens.pop(attempt.number, None)
+    replica.is_suspected = False
+    network_latency_s = context.table.estimate_latency_s(replica) or 0.0
+    context.chooser.note_read(
+        service=facts.service,
+        tokens=attempt.prefill_tokens,
+        took_s=context.loop.now() - attempt.sent_at - network_latency_s,
+    )
+    context.report_attempt(replica=replica, kind=report_source.READ)
+    if facts.prompt.parts:
+        context.report_prefill(
+            replica=replica,
+            service=facts.service,
+            model=facts.model.name,
+            parts=facts.prompt.parts,
+            salt=facts.model.text,
+        )
+
+
+def release(
+    attempt: attempts.Attempt,
+    *,
+    kind: int,
+    facts: admission_filters.RequestFacts,
+    route: route_table.Route,
+    context: handler_context.HandlerContext,
+) -> None:
+    """The attempt is over: what it counted for at its replica ends with it.
+
+    Args:
+        attempt: The attempt.
+        kind: How it ended, one of `report_source`'s.
+        facts: Of its request.
+        route: The route in force for its request.
+        context: The proxy.
+    """
+    if attempt.arrival is not None:
+        context.adapters.note_not_run(attempt.arrival)  # does nothing where it has run
+    context.rollouts.note_end(
+        service=facts.service,
+        route=route.name,
+        attempt=attempt,
+        kind=kind,
+        latency_target_s=facts.latency_target_s,
+        expected_s=context.chooser.expected_s(
+            replica=attempt.replica, tokens=attempt.prefill_tokens, is_connected=attempt.was_connected
+        ),
+    )
+    attempt.replica.running -= 1
+    attempt.replica.prefill_tokens.pop(attempt.number, None)
+
+
+def report_end(attempt: attempts.Attempt, *, kind: int, context: handler_context.HandlerContext) -> None:
+    """Reports how the attempt ended. A failure also counts against the replica here, for one `contactMs`."""
+    if kind in (report_source.FAILED, report_source.BROKEN):
+        attempt.replica.note_failure(now=context.loop.now(), span=context.settings.bound_s(name="contactMs"))
+    context.report_attempt(replica=attempt.replica, kind=kind)
+
+
+def abandoned_kind(attempt: attempts.Attempt, *, latency_target_s: float, now: float) -> int:
+    """Returns how an attempt ends that is given up: failed where the replica got it and was silent for too long."""
+    if not attempt.connection.is_unsent and attempt.quiet_s(now=now) > latency_target_s * FAILING_SILENCE_FACTOR:
+        return report_source.FAILED
+    return report_source.DONE
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -1,11 +1,30 @@
-"""One attempt of a request at one replica: the head that it is sent with, and what its answer means (design 7)."""
+"""One attempt of a request at one replica: the head that it is sent with, and what its answer means (design 7).
+
+`Attempt` owns what is known of one attempt. Its invariant: once it is over, nothing that its connection still brings
+reaches the request, so a replica that answers late is heard by nobody (docs/requests.md 1.7).
+"""
+
+from __future__ import annotations
 
 import enum
+import typing
 
 import h11
 
 from ploverward.data_plane.upstream import upstream_connection
 
+if typing.TYPE_CHECKING:
+    from collections.abc import Collection
+    from collections.abc import Iterable
+
+    from ploverward.data_plane.adapter_cache import adapter_counts
+    from ploverward.data_plane.load_balancing import replica_table
+    from ploverward.data_plane.quotas import tenant_admission
+    from ploverward.data_plane.requests import custody_trails
+    from ploverward.data_plane.requests import route_table
+    from ploverward.transport import event_loop
+    from ploverward.transport import http_server
+
 NOT_FORWARDED = frozenset(
     (
         b"content-length",
@@ -16,10 +35,9 @@
         b"x-urgency",
     )
 )
-TENANT_HEADERS = frozenset(
-    (b"authorization", b"x-sender")
-)  # a key goes nowhere, and a tenant is named by this system alone
-MAX_PRIORITY = 9
+TENANT_HEADERS = frozenset((b"authorization", b"x-sender"))  # keys stay here, and only this system names a tenant
+MAX_PRIORITY = 9  # of X-Urgency, by the protocol
+STALE_RESET_S = 0.05  # beside two ways: so soon comes the reset of a connection that a replica had forgotten
 
 
 class Meaning(enum.Enum):
@@ -27,11 +45,18 @@
 
     NOT_RUN = "not run"  # the replica says that it did not run the request
     SUCCESS = "success"
-    UNUSABLE = "spoiled"  # not to be passed on: a success that lacks its marks, or one that was not run
+    UNUSABLE = "spoiled"  # not to be forwarded: a success that lacks its marks, or one that was not run
     FAILURE = "failure"
 
 
-def classify_response(*, status: int, table: dict, is_framed: bool) -> Meaning:
+def classify_response(*, status: int, table: dict[bytes, bytes], is_framed: bool) -> Meaning:
+    """Returns what a replica's answer means.
+
+    Args:
+        status: Of the answer.
+        table: Its headers.
+        is_framed: Whether its length is certain: by Content-Length or by chunks, not both.
+    """
     is_denied = b"x-not-run" in table
     if status == 421 or (is_denied and status >= 400):
         return Meaning.NOT_RUN
@@ -41,8 +66,10 @@
     return Meaning.UNUSABLE if is_denied else Meaning.FAILURE
 
 
-def forwarded_headers(*, headers, table: dict) -> list:
-    """What of a replica's head goes back to the client. A length beside chunks is none (RFC 9112, 6.3)."""
+def forwarded_headers(
+    *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
+) -> list[tuple[bytes, bytes]]:
+    """Returns what of a replica's head goes to the client. A length beside chunks does not count (RFC 9112, 6.3)."""
     has_chunks = b"transfer-encoding" in table
     return [
         (name, value)
@@ -52,9 +79,26 @@
 
 
 def request_head(
-    *, request, route, replica_id: str, left_s: float, last_id, has_tenants: bool = False, tenant=None
+    *,
+    request: http_server.Request,
+    route: route_table.Route,
+    replica_id: str,
+    left_s: float,
+    last_id: bytes | None,
+    has_tenants: bool = False,
+    tenant: tenant_admission.Tenant | None = None,
 ) -> h11.Request:
-    """The client's head as one replica gets it. `sender`: the tenant; `has_tenants`: whether there are any."""
+    """Returns the client's head as one replica gets it.
+
+    Args:
+        request: The client's request.
+        route: The route in force for it.
+        replica_id: The replica that is meant; another one at its address answers 421.
+        left_s: Seconds until the deadline.
+        last_id: The event behind which a stream continues, None for its beginning.
+        has_tenants: Whether the configuration names tenants: then a client's key is not forwarded.
+        tenant: Who sent the request.
+    """
     dropped = NOT_FORWARDED | TENANT_HEADERS if has_tenants else NOT_FORWARDED
     headers = [
         (name, value)
@@ -76,10 +120,61 @@
     return h11.Request(method=request.method, target=request.target, headers=headers)
 
 
-class Attempt:
-    """One attempt at one replica. Its connection tells it what comes; once it is over, nothing more reaches the request."""
+class AttemptListener(typing.Protocol):
+    """What an attempt notifies: the request handler."""
+
+    loop: event_loop.Loop
+    request_id: bytes
+
+    def handle_head(
+        self, attempt: Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
+    ) -> None:
+        """The head of an answer came; `attempt.meaning` is set."""
 
-    def __init__(self, *, handler, replica, connection, number, prefill_tokens, permitted, now):
+    def handle_data(self, attempt: Attempt, data: bytes) -> None:
+        """A part of its body came."""
+
+    def handle_end(self, attempt: Attempt) -> None:
+        """The answer came completely."""
+
+    def handle_failure(self, attempt: Attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
+        """The connection ended before that; `was_sent`: a byte of the request had left, `was_up`: it was connected."""
+
+
+class Attempt:
+    """One attempt at one replica. Its connection calls `on_head`, `on_data`, and then one of `on_end`, `on_fail`.
+
+    Attributes:
+        number: Of this attempt, within this process.
+        prefill_tokens: Tokens that the replica has to prefill, as far as this proxy knows.
+        permitted: Regions that were permitted when it began, None for all.
+        status: Of the answer, 0 before its head.
+        meaning: Of the answer, None before its head.
+        is_known_not_run: A complete answer of the replica says that it did not run it.
+        is_over: Nothing more of it is listened to.
+        is_read: The first event came, so the prompt is prefilled.
+        is_complete: The answer came completely, of whatever meaning.
+        pieces: Events of a stream that came.
+        first_at: When the first one came, in seconds on the loop's clock.
+        last_at: When the last one came.
+        sent_at: When the attempt began.
+        heard_at: When the replica last sent something on it.
+        was_connected: Whether its connection was up already when it began.
+        row: Its row in the custody trail.
+        arrival: Its place in the counts of adapters, None where it needs none (docs/pins.md 2).
+    """
+
+    def __init__(
+        self,
+        *,
+        handler: AttemptListener,
+        replica: replica_table.Replica,
+        connection: upstream_connection.UpstreamConnection,
+        number: int,
+        prefill_tokens: int,
+        permitted: Collection[str] | None,
+        now: float,
+    ) -> None:
         self.handler = handler
         self.replica = replica
         self.connection = connection
@@ -88,21 +183,24 @@
         self.permitted = permitted
         self.request_id = handler.request_id
         self.status = 0
-        self.meaning = None
-        self.is_known_not_run = False  # by a whole answer of the replica that says so
+        self.meaning: Meaning | None = None
+        self.is_known_not_run = False
         self.is_over = False
         self.is_read = False
-        self.is_complete = False  # a whole answer came, of whatever meaning
-        self.pieces = 0  # events of a stream
-        self.first_at = None  # when the first one came
-        self.last_at = None
+        self.is_complete = False
+        self.pieces = 0
+        self.first_at: float | None = None
+        self.last_at: float | None = None
         self.sent_at = now
         self.heard_at = now
-        self.was_connected = connection.is_up  # else its connection had to come up first
-        self.row = None
-        self.arrival = None  # of an adapter (docs/pins.md 2)
-
-    def on_head(self, *, status, headers, table, is_framed) -> None:
+        self.was_connected = connection.is_up
+        self.row: custody_trails.AttemptRow | None = None
+        self.arrival: adapter_counts.Arrival | None = None
+
+    def on_head(
+        self, *, status: int, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes], is_framed: bool
+    ) -> None:
+        """The head of the answer came."""
         if self.is_over:
             return
         self.heard_at = self.handler.loop.now()
@@ -111,21 +209,41 @@
         self.handler.handle_head(self, headers=headers, table=table)
 
     def note_event(self, *, now: float) -> None:
-        """One event of a stream came whole."""
+        """One complete event came."""
         self.pieces += 1
         self.first_at = self.first_at if self.first_at is not None else now
         self.last_at = now
 
     def on_data(self, data: bytes) -> None:
+        """A part of the body came."""
         if not self.is_over:
             self.heard_at = self.handler.loop.now()
             self.handler.handle_data(self, data)
 
     def on_end(self) -> None:
+        """The answer came completely."""
         if not self.is_over:
             self.is_complete = True
             self.handler.handle_end(self)
 
     def on_fail(self, *, reason: str, was_sent: bool, was_up: bool) -> None:
+        """The connection ended before the answer was complete."""
         if not self.is_over:
             self.handler.handle_failure(self, reason=reason, was_sent=was_sent, was_up=was_up)
+
+    @property
+    def is_connection_stale(self) -> bool:
+        """Whether it failed because its replica had forgotten an idle connection: that says nothing of the replica.
+
+        Taken to be so where a connection that had served others is reset at once, before any answer.
+        """
+        network_latency_s = self.replica.network_latency_s or 0.0
+        return (
+            self.connection.served > 0
+            and not self.status
+            and self.handler.loop.now() - self.sent_at < STALE_RESET_S + 2 * network_latency_s
+        )
+
+    def quiet_s(self, *, now: float) -> float:
+        """Returns the seconds since it was sent, or since the replica last sent something on it."""
+        return now - max(self.sent_at, self.heard_at)
--- a/ploverward/data_plane/requests/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -43,7 +43,7 @@
         if self.has_ended:
             request.reply(status=503)
             return
-        handler = request_handler.RequestHandler(proxy=self, request=request)
+        handler = request_handler.RequestHandler(context=self, request=request)
         self.passages.add(handler)
         handler.begin()
 
--- /dev/null
+++ b/ploverward/data_plane/requests/step_log.py
@@ -0,0 +1,37 @@
+"""The steps of one request, logged where it was slow (docs/operations.md)."""
+
+from __future__ import annotations
+
+import logging
+
+_log = logging.getLogger(__name__)
+
+PREFILLED = "read"  # the step at which the first event of a stream came
+
+
+class StepLog:
+    """Owns the steps of one request.
+
+    Args:
+        begun_at: When the request was complete, in seconds on the loop's clock.
+    """
+
+    __slots__ = ("_begun_at", "_steps")
+
+    def __init__(self, *, begun_at: float) -> None:
+        self._begun_at = begun_at
+        self._steps: list[tuple] = []  # (seconds since the request was complete, step, details)
+
+    def record(self, step: str, *details: object, now: float) -> None:
+        """Adds a step."""
+        self._steps.append((round(now - self._begun_at, 3), step, *details))
+
+    def is_slow(self, *, now: float, latency_target_s: float) -> bool:
+        """Whether the request took more than one attempt, or its first event came after the latency target."""
+        prefilled = [row[0] for row in self._steps if row[1] == PREFILLED]
+        return len(self._steps) > 2 or (prefilled[0] if prefilled else now - self._begun_at) > latency_target_s
+
+    def write_if_slow(self, *, route: str, now: float, latency_target_s: float) -> None:
+        """At the end of the request: logs the steps where it was slow."""
+        if self._steps and self.is_slow(now=now, latency_target_s=latency_target_s):
+            _log.debug("request_slow", extra={"route": route, "trail": self._steps})
--- a/ploverward/data_plane/requests/stream_resumption.py
+++ b/ploverward/data_plane/requests/stream_resumption.py
@@ -53,7 +53,7 @@
     def receive_data(self, data: bytes) -> list[bytes]:
         """Returns the complete events that are to be forwarded now, each once, in order."""
         self._buffer += data
-        found = []
+        found: list[bytes] = []
         while True:
             event_end = _event_end(self._buffer)
             if event_end < 0:
--- /dev/null
+++ b/ploverward/data_plane/requests/test_replica_watch.py
@@ -0,0 +1,107 @@
+"""When a silent replica is left, without a socket."""
+
+import types
+
+import pytest
+
+from ploverward.data_plane.requests import replica_watch
+
+
+class Clock:
+    """A loop of which the test makes time pass."""
+
+    def __init__(self):
+        self.time = 0.0
+        self.timers = []
+
+    def now(self):
+        return self.time
+
+    def after(self, *, delay, callback):
+        timer = types.SimpleNamespace(when=self.time + delay, callback=callback)
+        self.timers.append(timer)
+        return timer
+
+    def cancel(self, *, timer):
+        self.timers.remove(timer)
+
+    def run(self, *, until):
+        while self.timers and self.timers[0].when <= until:
+            timer = self.timers.pop(0)
+            self.time = timer.when
+            timer.callback()
+        self.time = until
+
+
+ROUTE = types.SimpleNamespace(gap_s=1.0)
+
+
+class Scene:
+    def __init__(self, *, may_fail_over=True, is_probe_failed=True):
+        self.clock = Clock()
+        self.probes = []
+        self.silent = []
+        self.attempt = types.SimpleNamespace(
+            is_over=False,
+            is_read=False,
+            heard_at=0.0,
+            replica=types.SimpleNamespace(heard_at=0.0, is_probe_failed=is_probe_failed),
+            connection=types.SimpleNamespace(is_up=True, is_paused=False),
+        )
+        self.watch = replica_watch.ReplicaWatch(
+            loop=self.clock,
+            table=types.SimpleNamespace(probe=lambda *, replica: self.probes.append(self.clock.time)),
+            may_fail_over=lambda attempt: may_fail_over,
+            on_silent=lambda attempt: self.silent.append(self.clock.time),
+        )
+
+    def run(self, *, until):
+        self.watch.check(self.attempt, route=ROUTE, latency_target_s=2.0)
+        self.clock.run(until=until)
+        return self
+
+
+def test_a_replica_that_is_gone_is_left_at_half_the_latency_target():
+    assert Scene().run(until=5.0).silent == [1.0]
+
+
+def test_a_busy_replica_is_checked_again_and_again_but_not_left():
+    scene = Scene(is_probe_failed=False).run(until=1.25)
+    assert scene.probes == pytest.approx([1.0, 1.1, 1.2]) and not scene.silent
+
+
+def test_nothing_is_left_where_no_other_replica_can_take_it():
+    scene = Scene(may_fail_over=False).run(until=5.0)
+    assert scene.probes and not scene.silent
+
+
+@pytest.mark.parametrize("name, value", [("is_up", False), ("is_paused", True)])
+def test_a_connection_that_is_not_up_or_that_we_paused_is_not_silent(name, value):
+    scene = Scene()
+    setattr(scene.attempt.connection, name, value)
+    assert not scene.run(until=5.0).silent and not scene.probes
+
+
+def test_what_came_on_another_connection_to_the_replica_counts():
+    scene = Scene()
+    scene.attempt.replica.heard_at = 0.6
+    assert scene.run(until=5.0).silent == pytest.approx([1.6])
+
+
+def test_a_watch_that_is_cancelled_or_whose_attempt_is_over_does_nothing():
+    scene = Scene()
+    scene.attempt.is_over = True
+    assert not scene.run(until=5.0).silent
+    scene = Scene().run(until=0.5)
+    scene.watch.cancel()
+    scene.watch.cancel()
+    scene.clock.run(until=5.0)
+    assert not scene.silent and not scene.clock.timers
+
+
+@pytest.mark.parametrize(
+    "gap_s, is_read, wanted", [(1.0, False, 1.0), (1.0, True, 0.45), (0.0, True, 0.9), (0.1, True, 0.2)]
+)
+def test_the_timeout_follows_the_latency_target_and_then_the_gap_between_events(gap_s, is_read, wanted):
+    route = types.SimpleNamespace(gap_s=gap_s)
+    assert replica_watch.silence_timeout_s(route=route, latency_target_s=2.0, is_read=is_read) == pytest.approx(wanted)
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -333,7 +333,7 @@
     scene = Scene(script)
     scene.loop.unwatch(sock=scene.client.sock)
     scene.request("once", left_ms=5000)
-    assert loopback.until(scene.loop, lambda: any(handler.has_head for handler in scene.entry.passages))
+    assert loopback.until(scene.loop, lambda: any(handler.writer.has_head for handler in scene.entry.passages))
     handler = next(iter(scene.entry.passages))
     number = 3
     while not handler.attempt.connection.is_paused and number < 1000:
--- /dev/null
+++ b/ploverward/data_plane/requests/test_response_writer.py
@@ -0,0 +1,107 @@
+"""What a client gets of its answer, with a request that records it in place of a connection."""
+
+import types
+
+import pytest
+
+from ploverward.data_plane.requests import response_writer
+from ploverward.transport import http_server
+
+
+class RecordingRequest:
+    """Stands in for `http_server.Request`."""
+
+    def __init__(self, *, last_event_id=b"", queued=0):
+        self.calls = []
+        self.last_event_id = last_event_id
+        self.http_connection = types.SimpleNamespace(queued=lambda: queued)
+
+    def header(self, name, default=b""):
+        return self.last_event_id if name == b"last-event-id" else default
+
+    def start(self, *, status, headers):
+        self.calls.append(("start", status, list(headers)))
+
+    def data(self, data):
+        self.calls.append(("data", data))
+
+    def end(self):
+        self.calls.append(("end",))
+
+    def reply(self, *, status, headers=(), body=b""):
+        self.calls.append(("reply", status, list(headers), body))
+
+    def abort(self):
+        self.calls.append(("abort",))
+
+
+def made(**about):
+    request = RecordingRequest(**about)
+    heads = []
+    writer = response_writer.ResponseWriter(request=request, on_head=lambda: heads.append(len(request.calls)))
+    return writer, request, heads
+
+
+LENGTH = (b"content-length", b"2")
+OTHER = (b"x-postmark", b"p")
+
+
+def test_a_short_body_waits_until_it_is_complete_and_gets_its_own_length():
+    writer, request, heads = made()
+    writer.begin_body([LENGTH, OTHER])
+    writer.write_body(b"o", status=200)
+    writer.write_body(b"k", status=200)
+    assert not writer.has_head and not request.calls
+    writer.end_body(status=200)
+    assert request.calls == [("reply", 200, [OTHER], b"ok")] and not heads
+
+
+def test_a_long_body_is_forwarded_with_its_length_and_only_once():
+    writer, request, heads = made()
+    writer.begin_body([LENGTH])
+    long = bytes(response_writer.BUFFER_LIMIT_BYTES + 1)
+    writer.write_body(long, status=200)
+    writer.write_body(b"more", status=200)
+    writer.end_body(status=200)
+    assert heads == [0] and writer.has_head
+    assert request.calls == [("start", 200, [LENGTH]), ("data", long), ("data", b"more"), ("data", b""), ("end",)]
+
+
+def test_what_a_failed_attempt_brought_is_dropped():
+    writer, request, _heads = made()
+    writer.begin_body([OTHER])
+    writer.write_body(b"failure", status=500)
+    writer.begin_next_attempt()
+    writer.write_body(b"late", status=500)
+    writer.begin_body([])
+    writer.write_body(b"ok", status=200)
+    writer.end_body(status=200)
+    assert request.calls == [("reply", 200, [], b"ok")]
+
+
+def test_a_stream_has_one_head_without_a_length_over_all_its_runs():
+    writer, request, heads = made()
+    for event in (b"id: 1\n\n", b"id: 2\n\n"):
+        writer.begin_stream([LENGTH, OTHER])
+        for complete in writer.stream.receive_data(event):
+            writer.write_event(complete, status=200)
+        writer.begin_next_attempt()
+    head = ("start", 200, [OTHER, (b"Transfer-Encoding", b"chunked")])
+    assert request.calls == [head, ("data", b"id: 1\n\n"), ("data", b"id: 2\n\n")] and heads == [0]
+
+
+@pytest.mark.parametrize("named, wanted", [(b"", None), (b"7", b"7")])
+def test_a_stream_begins_behind_what_the_client_has_and_continues_behind_what_was_forwarded(named, wanted):
+    writer, _request, _heads = made(last_event_id=named)
+    assert writer.last_event_id == wanted
+    writer.begin_stream([])
+    assert writer.last_event_id == wanted
+    writer.stream.receive_data(b"id: 9\n\n")
+    assert writer.last_event_id == b"9"
+
+
+@pytest.mark.parametrize("more, is_slow", [(0, False), (1, True)])
+def test_a_client_that_reads_slowly_is_noticed(more, is_slow):
+    writer, _request, _heads = made(queued=http_server.SEND_HIGH_WATERMARK_BYTES + more)
+    writer.begin_stream([])
+    assert writer.write_event(b"id: 1\n\n", status=200) is is_slow
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -128,7 +128,7 @@
         self.address = self.server._sock.getsockname()
 
     def handle(self, request):
-        handler = request_handler.RequestHandler(proxy=self, request=request)
+        handler = request_handler.RequestHandler(context=self, request=request)
         self.passages.add(handler)
         handler.begin()
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -185,23 +185,28 @@
     handler = types.SimpleNamespace(
         request_id=request_id,
         request=types.SimpleNamespace(begun_at=begun_s),
-        route=types.SimpleNamespace(name=route),
-        service=service,
-        model=types.SimpleNamespace(name=model),
+        facts=types.SimpleNamespace(
+            service=service,
+            model=types.SimpleNamespace(name=model),
+            first_homes=homes,
+            prompt=types.SimpleNamespace(chain=chain),
+        ),
         edition=edition,
-        first_homes=homes,
-        prompt=types.SimpleNamespace(chain=chain),
         custody=[],
     )
     for replica, replica_zone, permitted, sent_s, is_resumption in attempts:
         attempt = types.SimpleNamespace(
             replica=types.SimpleNamespace(id=replica, zone=replica_zone), permitted=permitted, sent_at=sent_s
         )
-        handler.has_head = is_resumption
-        handler.custody.append(custody_trails.attempt_row(attempt=attempt, handler=handler, proxy=proxy))
+        handler.custody.append(
+            custody_trails.begin_row(attempt=attempt, begun_at=begun_s, is_resumption=is_resumption, context=proxy)
+        )
     batches = custody_trails.TrailBatches(most=1)
     with unittest.mock.patch.object(time, "time", return_value=arrived_s + now_s - begun_s):
-        batches.add(custody_trails.trail_of(handler=handler, proxy=proxy, status=status))
+        trail = custody_trails.trail_of(
+            handler=handler, route=types.SimpleNamespace(name=route), context=proxy, status=status
+        )
+        batches.add(trail)
     [(_number, _is_last, [(_id, data)])] = batches.drain()
     return data
 
