--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -1,7 +1,7 @@
 """The subset of replicas that a proxy looks at: stable, even, and no bound on what a request may reach."""
 
 import collections
-import types
+import dataclasses
 
 import pytest
 
@@ -100,7 +100,7 @@
 def test_replicas_that_leave_or_are_evacuated_give_their_places_to_others():
     rows = [row(f"i{number}", zone="za" if number % 2 else "zb") for number in range(300)]
     table, _loop, settings = make(rows=rows)
-    table._settings = types.SimpleNamespace(**{**vars(settings), "zones": {"za": "north", "zb": "north"}})
+    table._settings = dataclasses.replace(settings, zones={"za": "north", "zb": "north"})
     for replica in table.replicas.values():
         replica.region = "north"
     table.change_list(rows=(), gone=())
