--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -185,7 +185,7 @@
     server = http_servers.HttpServer(
         loop=loop, address=("127.0.0.1", 0), on_request=take, limits=limits, peer_timeout_s=5.0
     )
-    client = loopback.Client(loop=loop, address=server._sock.getsockname())
+    client = loopback.Client(loop=loop, address=server.address)
     client.send(data.encode("latin-1"))
     assert loopback.until(loop, lambda: is_complete(client.got))
     return client.got.decode()
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -15,7 +15,7 @@
 import werkzeug.routing
 import werkzeug.sansio.request
 
-from ploverward.transport import http_server
+from ploverward.transport import http_request
 
 RETRY_AFTER = b"0.3"  # seconds; callers have a backoff of their own, this is for those that have none
 MAP_BINDING = "core"  # the host name that werkzeug wants; the rules do not depend on it
@@ -42,7 +42,7 @@
         request: the request, completely received.
     """
 
-    def __init__(self, *, request: http_server.Request) -> None:
+    def __init__(self, *, request: http_request.Request) -> None:
         self._request = request
         self._head = werkzeug.sansio.request.Request(
             request.method.decode("latin-1"),
@@ -139,7 +139,7 @@
             merge_slashes=False,
         )
 
-    def handle(self, request: http_server.Request) -> None:
+    def handle(self, request: http_request.Request) -> None:
         """Handles a request."""
         call = Call(request=request)
         try:
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -23,7 +23,7 @@
 from ploverward.control_plane.operator_api.redirector import Redirector
 from ploverward.control_plane.operator_api.router import Router
 from ploverward.control_plane.operator_api.tenant_handlers import TenantHandlers
-from ploverward.transport import http_server
+from ploverward.transport import http_request
 from ploverward.transport import messages
 
 HEAD_BYTES = 65536
@@ -139,8 +139,8 @@
         """Takes a proxy's reply about what replicas have in their caches."""
         self._custody.handle_cache_owners(message)
 
-    def _limits(self) -> http_server.Limits:
-        return http_server.Limits(
+    def _limits(self) -> http_request.Limits:
+        return http_request.Limits(
             head_bytes=HEAD_BYTES,
             body_bytes=BODY_BYTES,
             head_s=self._contact_s,
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -11,7 +11,7 @@
 from ploverward.control_plane.distribution import subscriber
 from ploverward.control_plane.rollouts import leases
 from ploverward.data_plane.requests import route_table
-from ploverward.transport import http_server
+from ploverward.transport import http_request
 from ploverward.transport import legacy_messages
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
@@ -254,7 +254,7 @@
         return residency.permitted(homes=route.homes, older=tuple(bound))
 
     def _set_limits(self, body: dict) -> None:
-        self.limits = http_server.Limits(
+        self.limits = http_request.Limits(
             head_bytes=int(body.get("labelBytes", 16384)),
             body_bytes=int(body.get("parcelBytes", 4194304)),
             head_s=float(body.get("labelMs", 3000)) / 1000.0,
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -20,7 +20,7 @@
     from ploverward.data_plane.load_balancing import replica_table
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
-    from ploverward.transport import http_server
+    from ploverward.transport import http_request
 
 NOT_SERVING_RETRY_AFTER_S = 0.5  # pause for a client while this proxy does not serve yet: about one start of it
 DRAINING_RETRY_AFTER_S = 0.02  # pause for a client whose node ends: any other node takes the request at once
@@ -119,7 +119,7 @@
 
 
 def admit(
-    *, request: http_server.Request, facts: RequestFacts, context: handler_context.HandlerContext
+    *, request: http_request.Request, facts: RequestFacts, context: handler_context.HandlerContext
 ) -> Refused | None:
     """Runs the filters.
 
@@ -162,7 +162,7 @@
 
 def readmit(
     *,
-    request: http_server.Request,
+    request: http_request.Request,
     facts: RequestFacts,
     route: route_table.Route,
     context: handler_context.HandlerContext,
@@ -185,13 +185,13 @@
     return True
 
 
-def find_route(*, request: http_server.Request, routes: route_table.Routes) -> route_table.Route | None:
+def find_route(*, request: http_request.Request, routes: route_table.Routes) -> route_table.Route | None:
     """Returns the route by host and longest path prefix, None where there is none."""
     return routes.find(host=request.text(b"host"), target=request.target)
 
 
 def authenticate_tenant(
-    *, request: http_server.Request, route: route_table.Route, context: handler_context.HandlerContext
+    *, request: http_request.Request, route: route_table.Route, context: handler_context.HandlerContext
 ) -> tenant_admission.Tenant | Refused | None:
     """Returns the tenant whose key the request has, None where no key is wanted, or why it is refused.
 
@@ -215,14 +215,14 @@
 
 
 def pick_service(
-    *, request: http_server.Request, facts: RequestFacts, route: route_table.Route, table: replica_table.Table
+    *, request: http_request.Request, facts: RequestFacts, route: route_table.Route, table: replica_table.Table
 ) -> None:
     """Draws one of the route's services by their shares, and reads what X-Model means for it."""
     facts.service = route.pick(random.random())
     facts.model = read_model(text=request.text(b"x-model"), service=facts.service, table=table)
 
 
-def read_times(*, request: http_server.Request, route: route_table.Route) -> Times | Refused:
+def read_times(*, request: http_request.Request, route: route_table.Route) -> Times | Refused:
     """Returns the request's times: X-Time-Left-Ms within the route's bound. Refused where that is not a number."""
     left_s = route.expiry_s
     given = request.text(b"x-time-left-ms")
@@ -253,7 +253,7 @@
     return tuple(rows)
 
 
-def read_prompt(*, request: http_server.Request, model_text: str, is_sticky: bool) -> Prompt:
+def read_prompt(*, request: http_request.Request, model_text: str, is_sticky: bool) -> Prompt:
     """Returns the prompt's parts and size. Routes without affinity look at no parts."""
     first_count = request.text(b"x-token-count").split(",")[0].strip()
     tokens = int(first_count) if first_count.isdigit() else 0
--- a/ploverward/data_plane/requests/attempt_runner.py
+++ b/ploverward/data_plane/requests/attempt_runner.py
@@ -25,7 +25,7 @@
     from ploverward.data_plane.requests import route_table
     from ploverward.data_plane.requests import step_log
     from ploverward.data_plane.upstream import upstream_connection
-    from ploverward.transport import http_server
+    from ploverward.transport import http_request
 
 
 class AttemptRunner:
@@ -69,7 +69,7 @@
         *,
         listener: attempts.AttemptListener,
         context: handler_context.HandlerContext,
-        request: http_server.Request,
+        request: http_request.Request,
         facts: admission_filters.RequestFacts,
         writer: response_writer.ResponseWriter,
         steps: step_log.StepLog,
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -23,7 +23,7 @@
     from ploverward.data_plane.requests import custody_trails
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import event_loop
-    from ploverward.transport import http_server
+    from ploverward.transport import http_request
 
 NOT_FORWARDED = frozenset(
     (
@@ -80,7 +80,7 @@
 
 def request_head(
     *,
-    request: http_server.Request,
+    request: http_request.Request,
     route: route_table.Route,
     replica_id: str,
     left_s: float,
--- a/ploverward/data_plane/requests/custody_trails.py
+++ b/ploverward/data_plane/requests/custody_trails.py
@@ -17,7 +17,7 @@
     from ploverward.data_plane.requests import attempts
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
-    from ploverward.transport import http_server
+    from ploverward.transport import http_request
 
 MAX_UNSENT_BATCHES = 20  # the oldest is dropped beyond: the gap in the numbers shows how many trails are missing
 
@@ -47,7 +47,7 @@
     """
 
     request_id: bytes
-    request: http_server.Request
+    request: http_request.Request
     facts: admission_filters.RequestFacts
     edition: int
     custody: list[AttemptRow]
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -30,7 +30,7 @@
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import event_loop
-    from ploverward.transport import http_server
+    from ploverward.transport import http_request
 
 LIMITED_STATUSES = (408, 421, 429, 503)  # of a replica: passed on, they would read as promises of this proxy
 QUEUE_WAIT_SHARE = 0.2  # of the latency target: how long a request waits for a replica that can be named
@@ -57,7 +57,7 @@
         custody: One row for each attempt (design 10).
     """
 
-    def __init__(self, *, context: handler_context.HandlerContext, request: http_server.Request) -> None:
+    def __init__(self, *, context: handler_context.HandlerContext, request: http_request.Request) -> None:
         self.context = context
         self.loop = context.loop
         self.request = request
--- a/ploverward/data_plane/requests/response_writer.py
+++ b/ploverward/data_plane/requests/response_writer.py
@@ -13,7 +13,8 @@
 import typing
 
 from ploverward.data_plane.requests import stream_resumption
-from ploverward.transport import http_server
+from ploverward.transport import http_connection
+from ploverward.transport import http_request
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,7 +39,7 @@
 
     __slots__ = ("has_head", "stream", "_request", "_on_head", "_client_last_id", "_headers", "_buffer")
 
-    def __init__(self, *, request: http_server.Request, on_head: Callable[[], None]) -> None:
+    def __init__(self, *, request: http_request.Request, on_head: Callable[[], None]) -> None:
         self.has_head = False
         self.stream: stream_resumption.ResumableStream | None = None
         self._request = request
@@ -81,7 +82,7 @@
         if not self.has_head:
             self.write_head(status=status)
         self._request.data(event)
-        return self._request.http_connection.queued() > http_server.SEND_HIGH_WATERMARK_BYTES
+        return self._request.http_connection.queued() > http_connection.SEND_HIGH_WATERMARK_BYTES
 
     def write(self, data: bytes) -> None:
         """Writes a part of the body."""
--- a/ploverward/data_plane/requests/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -4,6 +4,7 @@
 
 from ploverward.data_plane.requests import graceful_shutdown
 from ploverward.data_plane.requests import request_handler
+from ploverward.transport import http_request
 from ploverward.transport import http_server
 
 _log = logging.getLogger(__name__)
@@ -30,7 +31,7 @@
                 loop=self.loop,
                 address=self.settings.bindings["readiness"],
                 on_request=self._on_ready_request,
-                limits=lambda: http_server.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0),
+                limits=lambda: http_request.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0),
                 peer_timeout_s=self.contact_s,
                 max_connections=100,
             )
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -19,7 +19,7 @@
 from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
-from ploverward.transport import http_server
+from ploverward.transport import http_request
 
 PROMISES = (408, 421, 429, 503)
 TRIES = {row["name"]: row["tries"] for row in loopback_proxy.CONFIGURATION["routes"]}
@@ -590,7 +590,7 @@
 
 
 def _ends_in_order(monkeypatch):
-    monkeypatch.setattr(http_server.Request, "abort", http_server.Request.end)
+    monkeypatch.setattr(http_request.Request, "abort", http_request.Request.end)
 
 
 def _ignores_tries(monkeypatch):
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -340,14 +340,14 @@
         number += 1
         handler.forward_event(b"id: %d\ndata: %s\n\n" % (number, big))
     assert handler.attempt.connection.is_paused and number < 1000
-    assert scene.entry.server._buffered_bytes == 4
+    assert scene.entry.server.body_budget.reserved_bytes == 4
     scene.loop.watch(sock=scene.client.sock, mask=1, callback=scene.client._read)
     assert loopback.until(scene.loop, lambda: not handler.attempt.connection.is_paused)
 
 
 def test_buffered_bodies_are_bounded():
     scene = Scene(replying)
-    scene.entry.server._most_bytes = 3
+    scene.entry.server.body_budget.max_bytes = 3
     scene.request("safe")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 0
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -13,6 +13,7 @@
 from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import http_connection
 
 END = test_request_path.END
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -308,7 +309,8 @@
     scene.client.got = b""
     scene.client.send(b"POST /once/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: late\r\nX-Time-Left-Ms: 900\r\n")
     assert loopback.until(
-        scene.loop, lambda: any(http_connection._head_begun for http_connection in scene.entry.server.connections)
+        scene.loop,
+        lambda: any(each.state is http_connection.State.READING_HEAD for each in scene.entry.server.connections),
     )
     scene.loop.skip(seconds=4.0)
     scene.client.send(b"Content-Length: 4\r\n\r\nbody")
@@ -768,12 +770,12 @@
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
     scene.request("unsafe")
-    http_connection = next(iter(scene.entry.server.connections))
+    connection = next(iter(scene.entry.server.connections))
     if by == "leaving":
         scene.entry.server.leave()
         scene.entry.server.close_idle()
     else:
-        http_connection._idle()
+        connection._on_timeout()
     assert settled(scene)
     assert statuses(scene.client) == [200]
 
--- a/ploverward/data_plane/requests/test_response_writer.py
+++ b/ploverward/data_plane/requests/test_response_writer.py
@@ -5,11 +5,11 @@
 import pytest
 
 from ploverward.data_plane.requests import response_writer
-from ploverward.transport import http_server
+from ploverward.transport import http_connection
 
 
 class RecordingRequest:
-    """Stands in for `http_server.Request`."""
+    """Stands in for `http_request.Request`."""
 
     def __init__(self, *, last_event_id=b"", queued=0):
         self.calls = []
@@ -102,6 +102,6 @@
 
 @pytest.mark.parametrize("more, is_slow", [(0, False), (1, True)])
 def test_a_client_that_reads_slowly_is_noticed(more, is_slow):
-    writer, _request, _heads = made(queued=http_server.SEND_HIGH_WATERMARK_BYTES + more)
+    writer, _request, _heads = made(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + more)
     writer.begin_stream([])
     assert writer.write_event(b"id: 1\n\n", status=200) is is_slow
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -270,7 +270,7 @@
 class Connector:
     """The interface of ploverward.transport.peer_connection.Dialer."""
 
-    def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, peer_timeout_s, source_ip=""):
+    def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, peer_timeout_s):
         self.loop = loop
         self.address = address
         self.link = None
@@ -354,7 +354,7 @@
 
 
 class Request:
-    """One call at a node's request handler, with the parts of ploverward.transport.http_server.Request that handlers use."""
+    """One call at a node's request handler, with the parts of ploverward.transport.http_request.Request that handlers use."""
 
     def __init__(self, *, method: str, target: str, headers: tuple, body: bytes, at: float, on_reply):
         self.method = method.encode()
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -6,7 +6,7 @@
 import time
 
 from ploverward.transport import event_loop
-from ploverward.transport import http_server
+from ploverward.transport import http_request
 
 WAIT_TIMEOUT_S = 10.0
 SOCKET_WAIT_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
@@ -69,7 +69,7 @@
 
 
 def limits(**changed):
-    return http_server.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
+    return http_request.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
 
 
 class Peer:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -125,7 +125,7 @@
             limits=lambda: loopback.limits(),
             peer_timeout_s=5.0,
         )
-        self.address = self.server._sock.getsockname()
+        self.address = self.server.address
 
     def handle(self, request):
         handler = request_handler.RequestHandler(context=self, request=request)
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -1,18 +1,46 @@
-"""One loop on one thread (design 2). It owns all tables; other threads only hand it commands."""
+"""One loop on one thread (docs/design.md 2). It owns all tables; other threads only hand it commands.
+
+A step waits for sockets until the next timer is due, then calls back in this order: ready sockets, commands, timers
+that are due. Sockets come first, so that a process that was frozen reads what arrived meanwhile before its time-outs
+judge by the clock that their peers are silent.
+
+An exception of a callback ends that callback alone: it goes to `on_fault`, and the loop runs on. This is the one place
+that catches everything.
+"""
 
 import collections
 import concurrent.futures
+import contextlib
 import os
 import selectors
 import time
+from collections.abc import Callable
+from typing import Any
 
 import sortedcontainers
 
+from ploverward.transport.interfaces import Callback
+
+MAX_WAIT_S = 1.0  # of a step without timers
+WORKER_THREADS = 2  # one for the disk, one for the platform's list: neither waits for the other
+_WAKE_READ_BYTES = 4096
+
+SocketCallback = Callable[[int], object]  # called with the ready events, a mask of `selectors`
+
 
 class Timer:
+    """One call that is to come.
+
+    Attributes:
+        when: When, by the loop's clock in seconds.
+        order: Orders calls for the same time.
+        callback: What is called.
+        is_over: Whether it was called or cancelled.
+    """
+
     __slots__ = ("when", "order", "callback", "is_over")
 
-    def __init__(self, *, when, order, callback):
+    def __init__(self, *, when: float, order: int, callback: Callback) -> None:
         self.when = when
         self.order = order
         self.callback = callback
@@ -20,100 +48,104 @@
 
 
 class Loop:
-    def __init__(self, *, on_fault=None):
+    """The event loop of a process; `ploverward.transport.interfaces.Loop` documents its methods.
+
+    Args:
+        on_fault: Called with the exception of a callback. None: exceptions leave the loop, as tests want it.
+    """
+
+    def __init__(self, *, on_fault: Callable[[Exception], object] | None = None) -> None:
         self._selector = selectors.DefaultSelector()
         self._timers = sortedcontainers.SortedKeyList(key=lambda timer: (timer.when, timer.order))
         self._order = 0
-        self._commands = collections.deque()
+        self._commands: collections.deque[Callback] = collections.deque()
         self._wake_in, self._wake_out = os.pipe()
         os.set_blocking(self._wake_in, False)
         os.set_blocking(self._wake_out, False)
         self._selector.register(self._wake_in, selectors.EVENT_READ, self._drain_wake)
-        self._pool = None
+        self._pool: concurrent.futures.ThreadPoolExecutor | None = None
         self._is_running = True
         self._on_fault = on_fault
 
     def now(self) -> float:
+        """Returns a clock that only grows, in seconds."""
         return time.monotonic()
 
-    # Commands from other threads and signal handlers.
-    def command(self, *, callback) -> None:
+    def command(self, *, callback: Callback) -> None:
+        """Has a callback called soon; the one method that other threads and signal handlers may call."""
         self._commands.append(callback)
-        try:
+        with contextlib.suppress(BlockingIOError, BrokenPipeError):  # a full pipe wakes the loop as well
             os.write(self._wake_out, b"w")
-        except (BlockingIOError, BrokenPipeError):
-            pass
 
-    def _drain_wake(self, _mask) -> None:
-        try:
-            os.read(self._wake_in, 4096)
-        except BlockingIOError:
-            pass
+    def _drain_wake(self, _mask: int) -> None:
+        with contextlib.suppress(BlockingIOError):
+            os.read(self._wake_in, _WAKE_READ_BYTES)
 
-    # Work that blocks: its future comes back as a command.
-    def offload(self, *, work, done) -> None:
+    def offload(self, *, work: Callable[[], Any], done: Callable[[concurrent.futures.Future], object]) -> None:
+        """Runs `work` on another thread, then `done(future)` on the loop."""
         if self._pool is None:
-            self._pool = concurrent.futures.ThreadPoolExecutor(max_workers=2)
+            self._pool = concurrent.futures.ThreadPoolExecutor(max_workers=WORKER_THREADS)
         future = self._pool.submit(work)
         future.add_done_callback(lambda ended: self.command(callback=lambda: done(ended)))
 
-    def at(self, *, when: float, callback) -> Timer:
+    def at(self, *, when: float, callback: Callback) -> Timer:
+        """Has a callback called at a time of `now`; calls for the same time keep their order."""
         self._order += 1
         timer = Timer(when=when, order=self._order, callback=callback)
         self._timers.add(timer)
         return timer
 
-    def after(self, *, delay: float, callback) -> Timer:
+    def after(self, *, delay: float, callback: Callback) -> Timer:
+        """Has a callback called after so many seconds."""
         return self.at(when=self.now() + delay, callback=callback)
 
-    def every(self, *, interval_s: float, callback) -> None:
-        def tick():
+    def every(self, *, interval_s: float, callback: Callback) -> None:
+        """Has a callback called again and again; the next call is set up first, as this one may raise."""
+
+        def tick() -> None:
             self.after(delay=interval_s, callback=tick)
             callback()
 
         self.after(delay=interval_s, callback=tick)
 
-    def cancel(self, *, timer) -> None:
+    def cancel(self, *, timer: Timer | None) -> None:
+        """Takes a call back; does nothing where it was made already, or for None."""
         if timer is not None and not timer.is_over:
             timer.is_over = True
             self._timers.discard(timer)
 
-    def watch(self, *, sock, mask, callback) -> None:
+    def watch(self, *, sock: Any, mask: int, callback: SocketCallback) -> None:  # noqa: ANN401  # sockets and fakes
+        """Has `callback(events)` called whenever a socket is ready for one of the events of `mask`."""
         self._selector.register(sock, mask, callback)
 
-    def rewatch(self, *, sock, mask, callback) -> None:
+    def rewatch(self, *, sock: Any, mask: int, callback: SocketCallback) -> None:  # noqa: ANN401  # as in `watch`
+        """Changes the events and the callback of a watched socket."""
         self._selector.modify(sock, mask, callback)
 
-    def unwatch(self, *, sock) -> None:
-        try:
+    def unwatch(self, *, sock: Any) -> None:  # noqa: ANN401  # as in `watch`
+        """Ends the watch of a socket; does nothing where it is not watched."""
+        with contextlib.suppress(KeyError, ValueError):
             self._selector.unregister(sock)
-        except (KeyError, ValueError):
-            pass
 
     def stop(self) -> None:
+        """Ends `run` after the step in progress."""
         self._is_running = False
 
-    def _guard(self, callback, *args) -> None:
-        try:
-            callback(*args)
-        except Exception as fault:  # one broken act must not end the process; it is written out
-            if self._on_fault is None:
-                raise
-            self._on_fault(fault)
-
     def run(self) -> None:
+        """Makes all calls until `stop`; work on other threads that has not begun is dropped then."""
         while self._is_running:
             self.step()
         if self._pool is not None:
             self._pool.shutdown(wait=False, cancel_futures=True)
 
     def step(self) -> None:
-        wait = 1.0
+        """Waits for the next event and makes all calls that are due."""
+        wait_s = MAX_WAIT_S
         if self._commands:
-            wait = 0.0
+            wait_s = 0.0
         elif self._timers:
-            wait = min(wait, max(0.0, self._timers[0].when - self.now()))
-        for key, mask in self._selector.select(wait):
+            wait_s = min(wait_s, max(0.0, self._timers[0].when - self.now()))
+        for key, mask in self._selector.select(wait_s):
             self._guard(key.data, mask)
         while self._commands:
             self._guard(self._commands.popleft())
@@ -122,3 +154,11 @@
             timer = self._timers.pop(0)
             timer.is_over = True
             self._guard(timer.callback)
+
+    def _guard(self, callback: Callable, *args: int) -> None:
+        try:
+            callback(*args)
+        except Exception as error:  # one broken callback must not end the process; it is logged
+            if self._on_fault is None:
+                raise
+            self._on_fault(error)
--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -1,8 +1,9 @@
-"""Frames: how messages between nodes are encoded (design 2, 4, 5).
+"""Frames: how messages between nodes are encoded (docs/design.md 2, 4, 5).
 
-A frame is a head (size of the body and kind, five bytes) and a body whose fields `construct` encodes in the order of the
-message's type. `_FRAME_KINDS` gives each type of `ploverward.transport.messages` its number and the encoding of its fields.
-Other versions of the program may be at the other end, so numbers, order and encodings never change.
+A frame is a head (size of the body and kind, five bytes) and a body whose fields `construct` encodes in the order of
+the message's type. `_FRAME_KINDS` gives each type of `ploverward.transport.messages` its number and the encoding of its
+fields. Other versions of the program may be at the other end, so numbers, order and encodings never change
+(test_golden_frames.py).
 
 A ballot or a version inside a message is two fields on the wire, one behind the other.
 """
@@ -10,6 +11,8 @@
 import functools
 import struct
 import typing
+from collections.abc import Iterable
+from typing import Any
 
 import construct
 
@@ -17,7 +20,7 @@
 from ploverward.common import identifiers
 from ploverward.transport import messages
 
-MAX_FRAME_BYTES = 24 * 1024 * 1024
+MAX_FRAME_BYTES = 24 * 1024 * 1024  # above the largest configuration and the largest endpoint list
 TEXT = construct.PascalString(construct.VarInt, "utf8")
 BLOB = construct.Prefixed(construct.VarInt, construct.GreedyBytes)
 NUMBER = construct.VarInt
@@ -43,11 +46,11 @@
 VERSION = Inline(identifiers.Version, (NUMBER, NUMBER))
 
 
-def _rows(row_type: type, *fields) -> Rows:
+def _rows(row_type: type, *fields: Any) -> Rows:  # noqa: ANN401  # encodings of `construct`
     return Rows(row_type, fields)
 
 
-_FRAME_KINDS = {
+_FRAME_KINDS: dict[type, tuple] = {
     messages.Handshake: (1, TEXT, TEXT, TEXT, TEXT, TEXT, TEXT),
     messages.KeepAlive: (2, NUMBER),
     messages.Prepare: (10, NUMBER, TEXT, BALLOT, BALLOT),
@@ -98,9 +101,9 @@
 HEAD_BYTES = _HEAD.size
 
 
-def _encodings(fields: tuple) -> list:
+def _encodings(fields: tuple) -> list[Any]:
     """The `construct` encodings of fields, with those of inline fields in their place."""
-    flat = []
+    flat: list[Any] = []
     for field in fields:
         if isinstance(field, Inline):
             flat += field.fields
@@ -111,9 +114,9 @@
     return flat
 
 
-def _flatten(fields: tuple, values: tuple) -> list:
+def _flatten(fields: tuple, values: tuple) -> list[Any]:
     """The values of a message as its encoding takes them."""
-    flat = []
+    flat: list[Any] = []
     for field, value in zip(fields, values, strict=True):
         if isinstance(field, Inline):
             flat += value
@@ -124,24 +127,24 @@
     return flat
 
 
-def _assemble(message_type: type, fields: tuple, flat) -> tuple:
+def _assemble(message_type: type, fields: tuple, flat: Iterable[Any]) -> tuple:
     """The message, or a row of one, that these values make: the reverse of `_flatten`."""
-    rest = iter(flat)
-    values = []
+    remaining = iter(flat)
+    values: list[Any] = []
     for field in fields:
         if isinstance(field, Inline):
-            values.append(field.type(*(next(rest) for _part in field.fields)))
+            values.append(field.type(*(next(remaining) for _field in field.fields)))
         elif isinstance(field, Rows):
-            values.append(tuple(_assemble(field.type, field.fields, row) for row in next(rest)))
+            values.append(tuple(_assemble(field.type, field.fields, row) for row in next(remaining)))
         else:
-            values.append(next(rest))
+            values.append(next(remaining))
     return message_type(*values)
 
 
 class _FrameKind:
     """The encoding of one type of message."""
 
-    def __init__(self, message_type: type, number: int, fields: tuple):
+    def __init__(self, message_type: type, number: int, fields: tuple) -> None:
         self.message_type = message_type
         self.number = number
         self.fields = fields
@@ -150,22 +153,23 @@
         self.parser = construct.Sequence(*self.encodings, construct.Terminated)
 
     @functools.cached_property
-    def builder(self):
+    def builder(self) -> construct.Construct:
         """Compiled when the first message of the kind is sent: packing takes a third of the time."""
         return construct.Sequence(*self.encodings).compile()
 
 
 _BY_TYPE = {
-    message_type: _FrameKind(message_type, number, fields) for message_type, (number, *fields) in _FRAME_KINDS.items()
+    message_type: _FrameKind(message_type, number, tuple(fields))
+    for message_type, (number, *fields) in _FRAME_KINDS.items()
 }
 _BY_NUMBER = {kind.number: kind for kind in _BY_TYPE.values()}
 
 
 def pack(message: tuple) -> bytes:
-    """One frame.
+    """Returns the frame of a message.
 
     Args:
-        message: of a type of `ploverward.transport.messages`.
+        message: Of a type of `ploverward.transport.messages`.
     """
     if type(message) is tuple:
         from ploverward.transport import legacy_messages
@@ -176,11 +180,11 @@
     return _HEAD.pack(len(body), kind.number) + body
 
 
-def split(buffer: bytearray) -> list:
-    """Takes all complete frames off the front of the buffer, as bytes.
+def split(buffer: bytearray) -> list[bytes]:
+    """Removes all complete frames from the front of the buffer and returns them.
 
     Raises:
-        FrameError: the bytes are no frames, or one is larger than `MAX_FRAME_BYTES`.
+        FrameError: The bytes are no frames, or one is larger than `MAX_FRAME_BYTES`.
     """
     frames = []
     while len(buffer) >= HEAD_BYTES:
@@ -195,10 +199,10 @@
 
 
 def unpack(frame: bytes) -> tuple:
-    """The message of one complete frame.
+    """Returns the message of one complete frame.
 
     Raises:
-        FrameError: the bytes are no frame of a known kind.
+        FrameError: The bytes are no frame of a known kind.
     """
     kind = _BY_NUMBER.get(frame[4]) if len(frame) >= HEAD_BYTES else None
     if kind is None or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_BYTES:
@@ -211,6 +215,10 @@
     return kind.message_type(*values) if kind.is_flat else _assemble(kind.message_type, kind.fields, values)
 
 
-def unpack_from(buffer: bytearray) -> list:
-    """Takes all complete frames off the front of the buffer; their messages. Raises `FrameError` as `split` does."""
+def unpack_from(buffer: bytearray) -> list[tuple]:
+    """Removes all complete frames from the front of the buffer and returns their messages.
+
+    Raises:
+        FrameError: As by `split` and `unpack`.
+    """
     return [unpack(frame) for frame in split(buffer)]
--- a/ploverward/transport/legacy_messages.py
+++ b/ploverward/transport/legacy_messages.py
@@ -72,7 +72,7 @@
     return (_NAMES[kind.number], *_plain(frames._flatten(kind.fields, message)))
 
 
-def _plain(values):
+def _plain(values: list) -> tuple:
     return tuple(_plain(value) if isinstance(value, list) else value for value in values)
 
 
--- a/ploverward/transport/messages.py
+++ b/ploverward/transport/messages.py
@@ -1,11 +1,13 @@
-"""The messages that nodes send to each other, one type a frame (design 2, 4, 5).
+"""The messages that nodes send to each other, one type a frame (docs/design.md 2, 4, 5).
 
-`ploverward.transport.frames` encodes them; the order of the fields here is their order on the wire. They are named tuples
-and not dataclasses: creating the fifty types as frozen, slotted dataclasses adds 30 ms to the start of every process.
+`ploverward.transport.frames` encodes them; the order of the fields here is their order on the wire. They are named
+tuples and not dataclasses: creating the fifty types as frozen, slotted dataclasses adds 30 ms to the start of every
+process.
 
 Three kinds of field occur in several messages: `number` is chosen by the sender of a request and comes back in the
-reply, so that a late reply is never taken for that of a newer request; `epoch` is that of the singleton role under which
-a node acts (docs/control.md 1); fields named `rows` or `..._rows` are blobs that `ploverward.transport.row_codec` reads.
+reply, so that a late reply is never taken for that of a newer request; `epoch` is that of the singleton role under
+which a node acts (docs/control.md 1); fields named `rows` or `..._rows` are blobs that
+`ploverward.transport.row_codec` reads.
 """
 
 import typing
@@ -79,7 +81,7 @@
 
 
 class Chosen(typing.NamedTuple):
-    """A value that a majority accepted, told to the other members."""
+    """A value that a majority accepted, announced to the other members."""
 
     register: str
     ballot: Ballot
@@ -163,7 +165,7 @@
 
 
 class MinimumVersions(typing.NamedTuple):
-    """What a core node's disk holds: a starting proxy must reach the highest of a majority before it serves (design 5)."""
+    """The revisions on a core node's disk: a proxy that starts must reach the highest ones of a majority (design 5)."""
 
     revisions: tuple[RegisterRevision, ...]
 
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -1,29 +1,70 @@
-"""Held connections between our own processes (design 4): beats, TCP_USER_TIMEOUT, bounded buffers, backoff with jitter."""
+"""Connections between nodes: framed messages over TCP, found dead in time, made anew with backoff (docs/design.md 4).
 
+A `PeerConnection` is one established or pending connection. Its states (`State`):
+
+    CONNECTING --established--> UP
+    CONNECTING, UP --refused, silent, closed or malformed--> CLOSED   (final; `on_end` is called once, with the reason)
+
+A `Connector` keeps one connection to an address: whenever it is closed, the next is tried after a growing pause.
+A `PeerListener` accepts connections.
+
+A connection is never taken for a live peer by itself. TCP reports no error while nothing is sent: a peer whose machine
+lost power, or behind a partition, leaves a half-open connection that looks established for hours. Three things find it:
+
+* The sender finds out by `TCP_USER_TIMEOUT`: data that stays unacknowledged for `peer_timeout_s` ends the connection.
+* The receiver finds out by silence: each side sends heartbeats some times per `peer_timeout_s`, and a connection on
+  which nothing came for that long is closed. This also finds a process that is stopped, whose kernel acknowledges all
+  the same.
+* Whoever counts on a peer asks for `has_heard`: the kernel of a stopped process still accepts connections, so one that
+  is established shows nothing until its first byte came.
+
+Closing is a guess as well: the peer may be alive and have acted on what was sent. So what is sent over connections has
+to be idempotent, or fenced by an epoch.
+"""
+
+import enum
 import errno
 import logging
 import random
 import selectors
 import socket
+from collections.abc import Callable
 
 from ploverward.common import errors
 from ploverward.transport import frames
 from ploverward.transport import legacy_messages
+from ploverward.transport import messages
+from ploverward.transport.event_loop import Loop
 
 _log = logging.getLogger(__name__)
 
-MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024
+MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024  # above the largest frame; a peer that reads so little is as good as dead
+IO_BYTES = 256 * 1024  # read or written at a time; one peer's data must not keep the loop from the others
+LISTEN_BACKLOG = 512  # connections that wait for accept; all proxies come back at once after a partition
+SILENCE_CHECKS = 4  # within one peer time-out: silence is found at most a quarter late
+FIRST_BACKOFF_SHARE = 1 / 40  # of the peer time-out
+MAX_BACKOFF_SHARE = 1 / 4  # of the peer time-out: a peer that is back is found well within it
+BACKOFF_GROWTH = 1.6
+BACKOFF_JITTER = (0.5, 1.0)  # each pause is multiplied by a number from here, so that nodes do not come in waves
+
+SocketAddress = tuple[str, int]
 
 
-def configure_socket(*, sock, peer_timeout_s: float) -> None:
+def configure_socket(*, sock: socket.socket, peer_timeout_s: float) -> None:
+    """Has a socket send at once, and end when what it sent stays unacknowledged for so many seconds."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(peer_timeout_s * 1000))
-    except OSError as fault:
-        _log.debug("user_timeout_unsupported", extra={"fault": str(fault)})
+    except OSError as error:
+        _log.debug("user_timeout_unsupported", extra={"fault": str(error)})
 
 
-def listen(*, address: tuple, backlog: int = 512):
+def listen(*, address: SocketAddress, backlog: int = LISTEN_BACKLOG) -> socket.socket:
+    """Returns a socket that listens at an address.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -32,152 +73,232 @@
     return sock
 
 
-def accept_all(*, sock, callback) -> None:
-    """Takes all connections that wait; `act(sock, address)`."""
+def accept_all(*, sock: socket.socket, callback: Callable[[socket.socket, SocketAddress], object]) -> None:
+    """Accepts all connections that wait; calls `callback(socket, address)` for each."""
     while True:
         try:
-            taken, address = sock.accept()
+            accepted, address = sock.accept()
         except (BlockingIOError, ConnectionError):
             return
-        except OSError as fault:
-            _log.debug("accept_failed", extra={"fault": str(fault)})
+        except OSError as error:
+            _log.debug("accept_failed", extra={"fault": str(error)})
             return
-        taken.setblocking(False)
-        callback(taken, address)
+        accepted.setblocking(False)
+        callback(accepted, address)
 
 
-class PeerConnection:
-    """One connection. `on_message(link, message)` and `on_end(link, reason)` are called on the loop."""
+class State(enum.Enum):
+    """The states of a `PeerConnection`."""
 
-    def __init__(self, *, loop, sock, on_message, on_end, peer_timeout_s, is_connecting=False, peer=""):
+    CONNECTING = "connecting"
+    UP = "up"
+    CLOSED = "closed"
+
+
+class PeerConnection:
+    """One connection; `ploverward.transport.interfaces.Connection` documents what others use of it.
+
+    Args:
+        loop: Calls back.
+        sock: Connected, or connecting; it does not block.
+        on_message: Called with the connection and each message but heartbeats.
+        on_end: Called once with the connection and the reason, when it is closed by whichever side.
+        peer_timeout_s: A peer that is silent for so long is dead.
+        is_connecting: Whether the socket has yet to connect; what is sent meanwhile waits.
+        peer: ADDRESS:PORT of the other end.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        sock: socket.socket,
+        on_message: Callable[["PeerConnection", tuple], object],
+        on_end: Callable[["PeerConnection", str], object],
+        peer_timeout_s: float,
+        is_connecting: bool = False,
+        peer: str = "",
+    ) -> None:
         self.loop = loop
         self.sock = sock
         self.peer = peer
-        self.hello = None
-        self.is_open = True
-        self.is_up = not is_connecting
+        self.hello: tuple | None = None
+        self.state = State.CONNECTING if is_connecting else State.UP
         self.heard_at = loop.now()
-        self.has_heard = False  # whether anything came: a frozen machine takes connections and says nothing
+        self.has_heard = False
         self.opened_at = loop.now()
         self.peer_timeout_s = peer_timeout_s
         self._on_message = on_message
         self._on_end = on_end
         self._in = bytearray()
         self._out = bytearray()
-        self.frame = b""  # the bytes of the message that is being handed over
+        self.frame = b""
         configure_socket(sock=sock, peer_timeout_s=peer_timeout_s)
         self._mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if is_connecting else 0)
         loop.watch(sock=sock, mask=self._mask, callback=self._ready)
         self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
 
-    def _check_peer_timeout(self) -> None:
-        if not self.is_open:
-            return
-        if self.loop.now() - self.heard_at > self.peer_timeout_s:
-            self.close(reason="silent")
-            return
-        self._check = self.loop.after(delay=self.peer_timeout_s / 4, callback=self._check_peer_timeout)
+    @property
+    def is_open(self) -> bool:
+        """Whether it was not closed yet."""
+        return self.state is not State.CLOSED
+
+    @property
+    def is_up(self) -> bool:
+        """Whether it is established; a half-open connection is, too."""
+        return self.state is State.UP
 
     def queued(self) -> int:
+        """Returns how many bytes wait to be sent."""
         return len(self._out)
 
     def send(self, message: tuple) -> None:
+        """Sends a message; does nothing on a closed connection."""
         self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data: bytes) -> None:
-        if not self.is_open:
+        """Sends complete frames that are packed already; does nothing on a closed connection."""
+        if self.state is State.CLOSED:
             return
         if len(self._out) + len(data) > MAX_SEND_BUFFER_BYTES:
             self.close(reason="peer does not read")
             return
         was_empty = not self._out
         self._out += data
-        if was_empty and self.is_up:
+        if was_empty and self.state is State.UP:
             self._flush()
 
+    def close(self, *, reason: str = "") -> None:
+        """Ends the connection; `on_end` is called with the reason before this returns."""
+        if self.state is State.CLOSED:
+            return
+        self.state = State.CLOSED
+        self.loop.cancel(timer=self._check)
+        self.loop.unwatch(sock=self.sock)
+        self.sock.close()
+        self._on_end(self, reason)
+
+    def _check_peer_timeout(self) -> None:
+        if self.state is State.CLOSED:
+            return
+        if self.loop.now() - self.heard_at > self.peer_timeout_s:
+            self.close(reason="silent")
+            return
+        delay_s = self.peer_timeout_s / SILENCE_CHECKS
+        self._check = self.loop.after(delay=delay_s, callback=self._check_peer_timeout)
+
+    def _ready(self, mask: int) -> None:
+        if self.state is State.CLOSED:
+            return  # closed by an earlier event of the same step
+        if mask & selectors.EVENT_WRITE:
+            if self.state is State.CONNECTING and not self._finish_connecting():
+                return
+            self._flush()
+        if mask & selectors.EVENT_READ and self.state is not State.CLOSED:
+            self._receive()
+
+    def _finish_connecting(self) -> bool:
+        code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            self.close(reason=errno.errorcode.get(code, str(code)))
+            return False
+        self.state = State.UP
+        self.heard_at = self.loop.now()
+        return True
+
+    def _receive(self) -> None:
+        try:
+            data = self.sock.recv(IO_BYTES)
+        except BlockingIOError:
+            return
+        except OSError as error:
+            self.close(reason=str(error))
+            return
+        if not data:
+            self.close(reason="closed")
+            return
+        self.heard_at = self.loop.now()
+        self.has_heard = True
+        self._in += data
+        try:
+            self._deliver(frames.split(self._in))
+        except errors.FrameError as error:
+            # Raised by the codec or by the owner: a stream can't be read on after a frame that does not fit.
+            self.close(reason=str(error))
+
+    def _deliver(self, received: list[bytes]) -> None:
+        for frame in received:
+            message = frames.unpack(frame)
+            if type(message) is messages.KeepAlive:
+                continue
+            self.frame = frame
+            self._on_message(self, legacy_messages.to_tuple(message))
+            if self.state is State.CLOSED:
+                return
+
     def _flush(self) -> None:
         try:
             while self._out:
-                count = self.sock.send(memoryview(self._out)[:262144])
+                count = self.sock.send(memoryview(self._out)[:IO_BYTES])
                 del self._out[:count]
         except BlockingIOError:
             pass
-        except OSError as fault:
-            self.close(reason=str(fault))
+        except OSError as error:
+            self.close(reason=str(error))
             return
-        self._set_mask()
+        self._update_mask()
 
-    def _set_mask(self) -> None:
-        mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if self._out or not self.is_up else 0)
-        if mask != self._mask and self.is_open:
+    def _update_mask(self) -> None:
+        wants_write = self._out or self.state is State.CONNECTING
+        mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if wants_write else 0)
+        if mask != self._mask and self.state is not State.CLOSED:
             self._mask = mask
             self.loop.rewatch(sock=self.sock, mask=mask, callback=self._ready)
 
-    def _ready(self, mask) -> None:
-        if not self.is_open:
-            return  # closed by an earlier event of the same step
-        if mask & selectors.EVENT_WRITE:
-            if not self.is_up:
-                code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if code:
-                    self.close(reason=errno.errorcode.get(code, str(code)))
-                    return
-                self.is_up = True
-                self.heard_at = self.loop.now()
-            self._flush()
-        if mask & selectors.EVENT_READ and self.is_open:
-            try:
-                data = self.sock.recv(262144)
-            except BlockingIOError:
-                return
-            except OSError as fault:
-                self.close(reason=str(fault))
-                return
-            if not data:
-                self.close(reason="closed")
-                return
-            self.heard_at = self.loop.now()
-            self.has_heard = True
-            self._in += data
-            try:
-                for frame in frames.split(self._in):
-                    message = legacy_messages.unpack(frame)
-                    if message[0] == "beat":
-                        continue
-                    self.frame = frame
-                    self._on_message(self, message)
-                    if not self.is_open:
-                        return
-            except errors.FrameError as fault:
-                self.close(reason=str(fault))
-
-    def close(self, *, reason: str = "") -> None:
-        if not self.is_open:
-            return
-        self.is_open = False
-        self.loop.cancel(timer=self._check)
-        self.loop.unwatch(sock=self.sock)
-        self.sock.close()
-        self._on_end(self, reason)
-
 
 class Connector:
-    """Keeps one link to an address, with growing pauses."""
-
-    def __init__(self, *, loop, address, on_up, on_message, on_end, peer_timeout_s, source_ip=""):
+    """Keeps one connection to an address, with growing pauses between attempts.
+
+    Args:
+        loop: Calls back.
+        address: Where to connect to.
+        on_up: Called with each new connection, while it is still connecting; what it sends then goes out first.
+        on_message: As of `PeerConnection`.
+        on_end: As of `PeerConnection`; the next attempt follows by itself.
+        peer_timeout_s: As of `PeerConnection`.
+
+    Attributes:
+        address: As given.
+        link: The current connection; None between attempts.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        address: SocketAddress,
+        on_up: Callable[[PeerConnection], object],
+        on_message: Callable[[PeerConnection, tuple], object],
+        on_end: Callable[[PeerConnection, str], object],
+        peer_timeout_s: float,
+    ) -> None:
         self.loop = loop
         self.address = address
-        self.link = None
+        self.link: PeerConnection | None = None
         self._on_up = on_up
         self._on_message = on_message
         self._on_end = on_end
         self._peer_timeout_s = peer_timeout_s
-        self._source_ip = source_ip
-        self._pause_s = peer_timeout_s / 40
+        self._backoff_s = peer_timeout_s * FIRST_BACKOFF_SHARE
         self._is_stopped = False
-        self._is_notified = False
         self._connect()
 
+    def stop(self) -> None:
+        """Closes the connection and makes no other."""
+        self._is_stopped = True
+        if self.link is not None:
+            self.link.close(reason="stopped")
+
     def _connect(self) -> None:
         if self._is_stopped:
             return
@@ -191,19 +312,20 @@
         self.link = PeerConnection(
             loop=self.loop,
             sock=sock,
-            on_message=self._handle_incoming,
+            on_message=self._handle_message,
             on_end=self._handle_end,
             peer_timeout_s=self._peer_timeout_s,
             is_connecting=True,
-            peer="%s:%d" % self.address,
+            peer="{}:{}".format(*self.address),
         )
         self._on_up(self.link)
 
-    def _handle_incoming(self, link, message) -> None:
-        self._pause_s = self._peer_timeout_s / 40
+    def _handle_message(self, link: PeerConnection, message: tuple) -> None:
+        # Only a message resets the backoff: a stopped process still accepts, and would be tried without pause.
+        self._backoff_s = self._peer_timeout_s * FIRST_BACKOFF_SHARE
         self._on_message(link, message)
 
-    def _handle_end(self, link, reason) -> None:
+    def _handle_end(self, link: PeerConnection, reason: str) -> None:
         if self.link is link:
             self.link = None
         self._on_end(link, reason)
@@ -212,19 +334,35 @@
     def _schedule_reconnect(self) -> None:
         if self._is_stopped:
             return
-        self._pause_s = min(self._pause_s * 1.6, self._peer_timeout_s / 4)
-        self.loop.after(delay=self._pause_s * random.uniform(0.5, 1.0), callback=self._connect)
-
-    def stop(self) -> None:
-        self._is_stopped = True
-        if self.link is not None:
-            self.link.close(reason="stopped")
+        self._backoff_s = min(self._backoff_s * BACKOFF_GROWTH, self._peer_timeout_s * MAX_BACKOFF_SHARE)
+        self.loop.after(delay=self._backoff_s * random.uniform(*BACKOFF_JITTER), callback=self._connect)
 
 
 class PeerListener:
-    """Takes links from others."""
-
-    def __init__(self, *, loop, address, on_link, on_message, on_end, peer_timeout_s):
+    """Accepts connections of other nodes, for as long as the process runs.
+
+    Args:
+        loop: Calls back.
+        address: Where to listen.
+        on_link: Called with each new connection.
+        on_message: As of `PeerConnection`.
+        on_end: As of `PeerConnection`.
+        peer_timeout_s: As of `PeerConnection`.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        address: SocketAddress,
+        on_link: Callable[[PeerConnection], object],
+        on_message: Callable[[PeerConnection, tuple], object],
+        on_end: Callable[[PeerConnection, str], object],
+        peer_timeout_s: float,
+    ) -> None:
         self.loop = loop
         self._sock = listen(address=address)
         self._on_link = on_link
@@ -233,10 +371,10 @@
         self._peer_timeout_s = peer_timeout_s
         loop.watch(sock=self._sock, mask=selectors.EVENT_READ, callback=self._ready)
 
-    def _ready(self, _mask) -> None:
-        accept_all(sock=self._sock, callback=self._handle_incoming)
+    def _ready(self, _mask: int) -> None:
+        accept_all(sock=self._sock, callback=self._handle_accepted)
 
-    def _handle_incoming(self, sock, address) -> None:
+    def _handle_accepted(self, sock: socket.socket, address: SocketAddress) -> None:
         self._on_link(
             PeerConnection(
                 loop=self.loop,
@@ -244,6 +382,6 @@
                 on_message=self._on_message,
                 on_end=self._on_end,
                 peer_timeout_s=self._peer_timeout_s,
-                peer="%s:%d" % address[:2],
+                peer="{}:{}".format(*address[:2]),
             )
         )
