--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -216,22 +216,21 @@
                 self.rollouts.install(payload)
             elif topic == "duty":
                 self.singleton_roles = payload or {}
-                self._follow_singleton_roles()
+                self.relay_client.update_roles(self.singleton_roles)
             elif topic == "cores":
                 self.core_members = members
                 self._connect_to_cores()
         elif topic == "list":
             self.table.install_list(endpoint_list.unpack_list(data).sorted_rows())
         self.loop.command(callback=self._check_serving)
-        if topic in ("spec", "list") and self.relay is not None:
-            self._sync_relay()
+        if topic in ("spec", "list"):
+            self.relay_client.sync_relay()
 
     def _on_delta(self, _topic: str, delta: messages.Delta) -> None:
         """One delta of the list of replicas."""
         change = endpoint_list.unpack_delta(delta.data)
         self.table.change_list(rows=change.rows, gone=change.removed)
-        if self.relay is not None:
-            self._sync_relay()
+        self.relay_client.sync_relay()
 
     def _keep_older_homes(self) -> None:
         """Until the older configuration is gone everywhere, the stricter of the two binds (design 10)."""
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -19,7 +19,7 @@
     def __init__(self, *, table, settings, regions, quota, now, counted=lambda replica: (0, 0, 0)):
         self._table = table
         self._settings = settings
-        self._regions = regions  # region: mirror.Region
+        self._regions = regions  # region: mirror.RegionMirror
         self._quota = quota
         self._counted = counted  # replica: our part of the sums that are shown
         self._now = now
--- /dev/null
+++ b/ploverward/data_plane/load_reports/adapter_reports.py
@@ -0,0 +1,49 @@
+"""Counts of adapters on their way to the core, by way of the digest, in complete windows (docs/pins.md 3).
+
+`AdapterReports` owns the counts that members of this node's digest sent since the last time they were forwarded.
+Invariant: of one proxy's window, only the newest count that arrived is forwarded.
+"""
+
+from collections.abc import Callable
+
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.transport import messages
+
+MAX_MEMBER_COUNTS = 2000  # windows of members that wait here; later ones are dropped and come again
+
+
+class AdapterReports:
+    """Gathers this proxy's counts and those of its members.
+
+    Args:
+        counter: what this proxy itself counts.
+        settings: the settings in force.
+        incarnation: of this proxy.
+    """
+
+    def __init__(
+        self, *, counter: adapter_counts.Counter, settings: Callable[[], settings_files.Settings], incarnation: str
+    ) -> None:
+        self._counter = counter
+        self._settings = settings
+        self._incarnation = incarnation
+        self._of_members: dict[tuple[str, int], messages.AdapterCount] = {}  # by incarnation and window
+
+    def collect(self, message: messages.AdapterCounts) -> None:
+        """A member's counts: a newer count of a window replaces an older one that still waits here."""
+        for count in message.counts:
+            key = (count.incarnation, count.window)
+            if key in self._of_members or len(self._of_members) < MAX_MEMBER_COUNTS:
+                self._of_members[key] = count
+
+    def drain(self) -> messages.AdapterCounts | None:
+        """What is to be sent on; None where there is nothing."""
+        own = self._settings()
+        counts = [
+            messages.AdapterCount(own.node, own.zone, own.region, self._incarnation, window, number, data)
+            for window, number, data in self._counter.report()
+        ]
+        counts += self._of_members.values()
+        self._of_members = {}
+        return messages.AdapterCounts(tuple(counts)) if counts else None
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -1,156 +1,204 @@
-"""The sums of a zone's reports, at the proxy that holds the zone's digest (docs/digest.md 2, 3).
+"""The sums of the reports of a digest's members (docs/digest.md 2, 3).
 
-A digest is no actor: it adds loads up and passes reads on; ownership stays exact in the relay's actors alone.
+`LoadAggregates` owns each member's newest loads and, for each region, their sum and what its relay was not yet sent.
+Invariant: a region's total is the sum of the members' newest loads there. A digest is no actor: it adds up loads and
+passes reads on; exact ownership of prompt parts is in the relay's actors alone.
 """
 
 import collections
+import dataclasses
+import typing
+from collections.abc import Hashable
+from collections.abc import Iterable
 
 from ploverward.common import errors
+from ploverward.data_plane.relay.load_counts import NO_LOAD
+from ploverward.data_plane.relay.load_counts import LoadCounts
+from ploverward.data_plane.relay.load_counts import LoadTotal
+from ploverward.data_plane.relay.load_counts import OutcomeCounts
+from ploverward.data_plane.relay.load_counts import RegionLoad
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS = 20000
-MAX_UNACKNOWLEDGED_CUTS = 2000
-NOTHING = (0, 0, 0)
-
-
-class Aggregates:
-    def __init__(self, *, regions):
-        self._names = tuple(regions)
-        self._regions = {name: index for index, name in enumerate(regions)}
-        self.members = {}  # member: {key: (region, running, tokens, marks)}
-        self._numbers = {}  # member: the newest report of it
-        self._totals = [{} for _name in self._names]  # for each region {key: [running, tokens, marks]}
-        self._dirty = [set() for _name in self._names]
-        self._outcomes = [{} for _name in self._names]
-        self._reads = [{} for _name in self._names]
-        self._touched = [set() for _name in self._names]  # members whose reports are in the next cut
-        self._unacknowledged = [
-            collections.deque() for _name in self._names
-        ]  # (number of the cut, {member: number of its report})
-        self._batch_number = 0
-
-    def take(self, member, number: int, rows: bytes, reads: bytes) -> None:
-        """One report; malformed ones raise before they change anything."""
-        loads = row_codec.rows(shape=row_codec.REPORTED, data=rows)
-        split = row_codec.split_reads(data=reads)
-        if number <= self._numbers.get(member, 0):
-            raise errors.FrameError(f"report {number} after {self._numbers[member]}", step="report")
-        table = self.members.setdefault(member, {})
-        self._numbers[member] = number
-        for key, region, running, tokens, suspect_count, ended, failed in loads:
-            if region >= len(self._names):
+MAX_READS = 20000  # prompts that wait for one region's relay; later ones are dropped
+MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones get no credit
+
+
+_NO_TOTAL = LoadTotal()  # never changed
+
+MemberT = typing.TypeVar("MemberT", bound=Hashable)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _PendingBatch(typing.Generic[MemberT]):
+    """A batch that the region's relay has not acknowledged."""
+
+    number: int
+    report_numbers: dict[MemberT, int]  # member: its newest report in the batch
+
+
+class _RegionAggregates(typing.Generic[MemberT]):
+    """What is known of one region's replicas, and what its relay is still to be sent."""
+
+    __slots__ = ("changed", "index", "outcomes", "pending", "reads", "reporters", "totals")
+
+    def __init__(self, *, index: int) -> None:
+        self.index = index
+        self.totals: dict[bytes, LoadTotal] = {}  # by replica key
+        self.changed: set[bytes] = set()
+        self.outcomes: dict[bytes, OutcomeCounts] = {}
+        self.reads: dict[bytes, bool] = {}  # in order; the same chain at the same replica counts once
+        self.reporters: set[MemberT] = set()  # members whose reports are in the next batch
+        self.pending: collections.deque[_PendingBatch[MemberT]] = collections.deque()
+
+    def replace(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
+        total = self.totals.get(key)
+        if total is None:
+            total = self.totals[key] = LoadTotal()
+        total.replace(before, load)
+        self.changed.add(key)
+
+    def add_outcomes(self, key: bytes, *, ended: int, failed: int) -> None:
+        outcomes = self.outcomes.get(key)
+        if outcomes is None:
+            outcomes = self.outcomes[key] = OutcomeCounts()
+        outcomes.ended += ended
+        outcomes.failed += min(failed, ended)
+        self.changed.add(key)
+
+    def drain(self, keys: Iterable[bytes]) -> tuple[bytes, bytes]:
+        """The rows of these replicas and all reads that wait; nothing waits afterwards."""
+        rows = b"".join([self._pack_row(key) for key in keys])
+        reads = b"".join(self.reads)
+        self.changed = set()
+        self.discard()
+        return rows, reads
+
+    def discard(self) -> None:
+        self.reads = {}
+        self.outcomes = {}
+
+    def _pack_row(self, key: bytes) -> bytes:
+        total = self.totals.get(key)
+        if total is None:
+            total = _NO_TOTAL
+        elif total.is_zero:
+            del self.totals[key]
+        outcomes = self.outcomes.get(key)
+        ended, failed = (outcomes.ended, outcomes.failed) if outcomes is not None else (0, 0)
+        return row_codec.REPORTED.pack(
+            key,
+            self.index,
+            row_codec.short(total.running),
+            row_codec.long(total.prefill_tokens),
+            row_codec.short(total.suspect_count),
+            row_codec.short(ended),
+            row_codec.short(failed),
+        )
+
+
+class LoadAggregates(typing.Generic[MemberT]):
+    """Sums the members' reports for each region, in numbered batches."""
+
+    def __init__(self, *, regions: Iterable[str]) -> None:
+        names = tuple(regions)
+        self._regions: list[_RegionAggregates[MemberT]] = [
+            _RegionAggregates(index=index) for index in range(len(names))
+        ]
+        self._by_name = dict(zip(names, self._regions, strict=True))
+        self._loads: dict[MemberT, dict[bytes, RegionLoad]] = {}  # member: its loads by replica key
+        self._numbers: dict[MemberT, int] = {}  # member: its newest report
+        self._batch_number = 0  # over all regions
+
+    def handle_report(self, member: MemberT, report: messages.LoadReport) -> None:
+        """A member's report replaces what it reported earlier of the same replicas.
+
+        Raises:
+            FrameError: it is malformed, or not newer than the last one; nothing was changed.
+        """
+        rows = row_codec.rows(shape=row_codec.REPORTED, data=report.load_rows)
+        reads = row_codec.split_reads(data=report.read_rows)
+        if report.number <= self._numbers.get(member, 0):
+            raise errors.FrameError(f"report {report.number} after {self._numbers[member]}", step="report")
+        member_loads = self._loads.setdefault(member, {})
+        self._numbers[member] = report.number
+        for key, region, running, prefill_tokens, suspect_count, ended, failed in rows:
+            if region >= len(self._regions):
                 continue
-            self._set(table, key, region, (running, tokens, suspect_count))
+            aggregates = self._regions[region]
+            self._replace(member_loads, key, region, LoadCounts(running, prefill_tokens, suspect_count))
             if ended:
-                row = self._outcomes[region].setdefault(key, [0, 0])
-                row[0] += ended
-                row[1] += min(failed, ended)
-                self._dirty[region].add(key)
-            self._touched[region].add(member)
-        for region, read in split:
-            if region < len(self._names) and len(self._reads[region]) < MAX_READS:
-                self._reads[region][read] = True  # the same chain at the same replica counts once
-                self._touched[region].add(member)
-
-    def _set(self, table, key: bytes, region: int, load: tuple) -> None:
-        old = table.get(key)
-        before = old[1:] if old is not None and old[0] == region else NOTHING
-        if old is not None and old[0] != region:
-            self._add(old[0], key, NOTHING, old[1:])
-        if load == NOTHING:
-            table.pop(key, None)
+                aggregates.add_outcomes(key, ended=ended, failed=failed)
+            aggregates.reporters.add(member)
+        for region, read in reads:
+            if region < len(self._regions) and len(self._regions[region].reads) < MAX_READS:
+                self._regions[region].reads[read] = True
+                self._regions[region].reporters.add(member)
+
+    def _replace(self, member_loads: dict[bytes, RegionLoad], key: bytes, region: int, load: LoadCounts) -> None:
+        reported = member_loads.get(key)
+        before = NO_LOAD
+        if reported is not None:
+            if reported.region == region:
+                before = reported.load
+            else:
+                self._regions[reported.region].replace(key, before=reported.load, load=NO_LOAD)
+        if load == NO_LOAD:
+            member_loads.pop(key, None)
         else:
-            table[key] = (region, *load)
+            member_loads[key] = RegionLoad(region, load)
         if load != before:
-            self._add(region, key, load, before)
-
-    def _add(self, region: int, key: bytes, load: tuple, before: tuple) -> None:
-        total = self._totals[region].setdefault(key, [0, 0, 0])
-        for column in range(3):
-            total[column] += load[column] - before[column]
-        self._dirty[region].add(key)
-
-    def end(self, member) -> None:
-        """The member is gone, or reports elsewhere: its part is withdrawn."""
-        for key, (region, *load) in self.members.pop(member, {}).items():
-            self._add(region, key, NOTHING, tuple(load))
+            self._regions[region].replace(key, before=before, load=load)
+
+    def remove(self, member: MemberT) -> None:
+        """The member is gone, or reports elsewhere: its loads are withdrawn."""
+        for key, (region, load) in self._loads.pop(member, {}).items():
+            self._regions[region].replace(key, before=load, load=NO_LOAD)
         self._numbers.pop(member, None)
-        for touched in self._touched:
-            touched.discard(member)
-
-    def _pack(self, region: int, keys) -> bytes:
-        parts = []
-        totals, outcomes = self._totals[region], self._outcomes[region]
-        for key in keys:
-            total = totals.get(key, NOTHING)
-            ended, failed = outcomes.get(key, (0, 0))
-            parts.append(
-                row_codec.REPORTED.pack(
-                    key,
-                    region,
-                    row_codec.short(total[0]),
-                    row_codec.long(total[1]),
-                    row_codec.short(total[2]),
-                    row_codec.short(ended),
-                    row_codec.short(failed),
-                )
-            )
-            if key in totals and not any(total):
-                del totals[key]
-        return b"".join(parts)
-
-    def take_batch(self, *, region: str):
-        """(number, rows, reads) of what changed for one region's relay, or None."""
-        index = self._regions[region]
-        if not self._dirty[index] and not self._reads[index] and not self._touched[index]:
+        for aggregates in self._regions:
+            aggregates.reporters.discard(member)
+
+    def next_batch(self, *, region: str) -> messages.Aggregates | None:
+        """What changed for this region's relay since the last batch; None where nothing did."""
+        aggregates = self._by_name[region]
+        if not aggregates.changed and not aggregates.reads and not aggregates.reporters:
             return None
-        rows = self._pack(index, self._dirty[index])
-        reads = b"".join(self._reads[index])
-        self._dirty[index] = set()
-        self._outcomes[index] = {}
-        self._reads[index] = {}
-        return self._numbered(index, rows, reads)
-
-    def _numbered(self, index: int, rows: bytes, reads: bytes) -> tuple:
+        return self._batch(aggregates, aggregates.changed)
+
+    def checkpoint(self, *, region: str) -> messages.Aggregates:
+        """The complete sum, for a relay that knows nothing of this digest."""
+        aggregates = self._by_name[region]
+        aggregates.pending.clear()
+        aggregates.reporters = set(self._numbers)
+        return self._batch(aggregates, aggregates.totals.keys() | aggregates.outcomes.keys())
+
+    def _batch(self, aggregates: _RegionAggregates[MemberT], keys: Iterable[bytes]) -> messages.Aggregates:
+        rows, reads = aggregates.drain(keys)
         self._batch_number += 1
-        batches = self._unacknowledged[index]
-        batches.append(
-            (
-                self._batch_number,
-                {member: self._numbers[member] for member in self._touched[index] if member in self._numbers},
-            )
-        )
-        self._touched[index] = set()
-        while len(batches) > MAX_UNACKNOWLEDGED_CUTS:
-            batches.popleft()
-        return self._batch_number, rows, reads
-
-    def checkpoint(self, *, region: str) -> tuple:
-        """The whole sum, for a relay that has nothing of this digest."""
-        index = self._regions[region]
-        self._unacknowledged[index].clear()
-        self._touched[index] = set(self._numbers)
-        keys = set(self._totals[index]) | set(self._outcomes[index])
-        rows = self._pack(index, keys)
-        reads = b"".join(self._reads[index])
-        self._dirty[index] = set()
-        self._outcomes[index] = {}
-        self._reads[index] = {}
-        return self._numbered(index, rows, reads)
+        report_numbers = {member: self._numbers[member] for member in aggregates.reporters if member in self._numbers}
+        aggregates.reporters = set()
+        aggregates.pending.append(_PendingBatch(self._batch_number, report_numbers))
+        while len(aggregates.pending) > MAX_UNACKNOWLEDGED_BATCHES:
+            aggregates.pending.popleft()
+        return messages.Aggregates(self._batch_number, rows, reads)
 
     def discard(self, *, region: str) -> None:
-        """No relay takes this region's reads and outcomes now: they are dropped, the loads stay."""
-        index = self._regions[region]
-        self._reads[index] = {}
-        self._outcomes[index] = {}
-
-    def counted(self, *, region: str, number: int) -> dict:
-        """The relay holds our cuts up to this number: {member: the number of its report that is in them}."""
-        batches = self._unacknowledged[self._regions[region]]
-        credits = {}
-        while batches and batches[0][0] <= number:
-            credits.update(batches.popleft()[1])
+        """No relay can be sent this region's reads and outcomes now: they are dropped, the loads stay."""
+        self._by_name[region].discard()
+
+    def acknowledge(self, *, region: str, number: int) -> dict[MemberT, int]:
+        """The region's relay counted our batches up to this number.
+
+        Returns:
+            For each member with a report in them, the number of its newest one.
+        """
+        pending = self._by_name[region].pending
+        credits: dict[MemberT, int] = {}
+        while pending and pending[0].number <= number:
+            credits.update(pending.popleft().report_numbers)
         return credits
 
-    def total(self, *, region: str, key: bytes) -> tuple:
-        return tuple(self._totals[self._regions[region]].get(key, NOTHING))
+    def total(self, *, region: str, key: bytes) -> LoadCounts:
+        """The sum of all members' loads of this replica."""
+        total = self._by_name[region].totals.get(key)
+        return total.counts() if total is not None else NO_LOAD
--- /dev/null
+++ b/ploverward/data_plane/load_reports/digest_connection.py
@@ -0,0 +1,150 @@
+"""This node as a member of a digest elsewhere: of its zone's, or of the gateway of its region (docs/digest.md 4).
+
+A `DigestConnection` owns the connection to one owner of the singleton role. It is connecting, then connected (the join
+message is sent at once), then joined (the digest said so). Invariant: nothing that arrives before the digest's
+`DigestJoined`, or on an older connection, is handed on.
+"""
+
+import dataclasses
+import logging
+import typing
+from collections.abc import Callable
+
+from ploverward.common import errors
+from ploverward.data_plane.relay import mirror
+from ploverward.transport import event_loop
+from ploverward.transport import legacy_messages
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+_log = logging.getLogger(__name__)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class RoleOwner:
+    """Who owns the singleton role of a relay or a digest."""
+
+    epoch: int
+    address: str
+
+
+class Dialer:
+    """Connects to other proxies, all at the same port."""
+
+    def __init__(self, *, loop: event_loop.Loop, port: int, peer_timeout_s: float) -> None:
+        self._loop = loop
+        self._port = port
+        self._peer_timeout_s = peer_timeout_s
+
+    def connect(
+        self, address: str, *, on_up: Callable, on_message: Callable, on_end: Callable
+    ) -> peer_connection.Connector:
+        """A connector that keeps a connection to this address until it is stopped."""
+        return peer_connection.Connector(
+            loop=self._loop,
+            address=(address, self._port),
+            on_up=on_up,
+            on_message=on_message,
+            on_end=on_end,
+            peer_timeout_s=self._peer_timeout_s,
+        )
+
+
+class MemberEvents(typing.Protocol):
+    """What a member does with what its digest sends."""
+
+    def on_joined(self, connection: peer_connection.PeerConnection) -> None:
+        """The digest admitted this member, and knows nothing of it yet."""
+
+    def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
+        """A frame that this region's relay published."""
+
+    def on_credit(self, region: str, number: int) -> None:
+        """The loads that the region's relay publishes contain this member's reports up to this number."""
+
+    def on_region_lost(self, region: str, connection: peer_connection.PeerConnection) -> None:
+        """The digest lost its stream of this region's relay."""
+
+    def on_left(self) -> None:
+        """A connection that had joined ended."""
+
+
+class DigestConnection:
+    """A membership in the digest of one owner."""
+
+    def __init__(
+        self,
+        *,
+        dialer: Dialer,
+        owner: RoleOwner,
+        join_message: messages.JoinDigest | messages.JoinGateway,
+        events: MemberEvents,
+    ) -> None:
+        self.owner = owner
+        self.is_joined = False
+        self._events = events
+        self._handlers: dict[type, Callable] = {
+            messages.RelayedFrame: self._handle_relayed_frame,
+            messages.ReportCredited: self._handle_report_credited,
+            messages.RegionLost: self._handle_region_lost,
+        }
+        self.connector = dialer.connect(
+            owner.address,
+            on_up=lambda connection: connection.send(join_message),
+            on_message=self._handle_message,
+            on_end=self._handle_end,
+        )
+
+    @property
+    def connection(self) -> peer_connection.PeerConnection | None:
+        """The present connection, None between two."""
+        return self.connector.link
+
+    def stop(self) -> None:
+        """Ends the connection; a joined one is reported as left."""
+        self.connector.stop()
+
+    def _handle_message(self, connection: peer_connection.PeerConnection, message: tuple) -> None:
+        if self.connector.link is not connection:
+            return
+        message = legacy_messages.to_typed(message)
+        if isinstance(message, messages.DigestJoined):
+            self.is_joined = True
+            self._events.on_joined(connection)
+            return
+        handler = self._handlers.get(type(message))
+        if handler is not None and self.is_joined:
+            handler(connection, message)
+
+    def _handle_relayed_frame(self, connection: peer_connection.PeerConnection, message: messages.RelayedFrame) -> None:
+        self._events.on_publication(message.region, connection, message.frame)
+
+    def _handle_report_credited(
+        self, _connection: peer_connection.PeerConnection, message: messages.ReportCredited
+    ) -> None:
+        self._events.on_credit(message.region, message.number)
+
+    def _handle_region_lost(self, connection: peer_connection.PeerConnection, message: messages.RegionLost) -> None:
+        self._events.on_region_lost(message.region, connection)
+
+    def _handle_end(self, _connection: peer_connection.PeerConnection, _reason: str) -> None:
+        if self.is_joined:
+            self.is_joined = False
+            self._events.on_left()
+
+
+def install_publication(
+    region: mirror.RegionMirror, message: tuple, connection: peer_connection.PeerConnection
+) -> bool:
+    """Installs what a relay published in the region's mirror.
+
+    Returns:
+        Whether it fitted. A stream that doesn't is closed: it starts again with complete state.
+    """
+    try:
+        region.handle_publication(message)
+    except errors.FrameError as error:
+        _log.debug("relay_stream_broken", extra={"fault": str(error)})
+        connection.close(reason=str(error))
+        return False
+    return True
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -1,119 +1,148 @@
-"""Members of a digest: what they are told of the regions' publications, each in its own bounded queue (docs/digest.md 2)."""
+"""What members of a digest are sent of the relays' publications, each in its own bounded queue (docs/digest.md 2).
 
+`Fanout` owns the members and which replicas each follows; `CutQueue` owns the cuts of pools that members are still to
+be sent. Invariant: no member is sent a delta of a pool while a cut of it waits for that member.
+"""
+
+import collections
 import dataclasses
+from collections.abc import Iterator
+from collections.abc import Mapping
 
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
+from ploverward.data_plane.relay import mirror
 from ploverward.transport import frames
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
+MAX_CUT_BYTES_PER_TICK = 16 * 1024  # to members: many cuts at once would delay clients' responses on this machine
+
 
-@dataclasses.dataclass
+@dataclasses.dataclass(slots=True)
 class Member:
-    """One member at the other end of a link."""
+    """One member at the other end of a connection."""
 
     address: str
-    follows: frozenset | None = None  # keys of the replicas whose load it is told of; None: all
-    waits_for: set = dataclasses.field(default_factory=set)  # (region, pool) whose cut it is still to be sent
+    followed_keys: frozenset[bytes] | None = None  # replicas whose load it is sent; None: all
+    pending_cuts: set[tuple[str, str]] = dataclasses.field(default_factory=set)  # (region, pool)
 
 
 class Fanout:
-    """Publications go on unchanged, but for loads: a member that follows some replicas gets rows of these alone, and of
-    those that are full, wherever they are."""
+    """Sends publications to members.
 
-    def __init__(self):
-        self.members = {}  # link: Member
-        self._followers = {}  # replica key: links that follow it
-        self._full = set()  # keys of replicas that were told as full
+    They go on unchanged, but for loads: a member that follows some replicas gets rows of these alone, and of full
+    replicas wherever they are.
+    """
 
-    def admit(self, link, *, address: str) -> None:
-        """A newer link of a member ends the older one."""
+    def __init__(self) -> None:
+        self.members: dict[peer_connection.PeerConnection, Member] = {}
+        self._followers: dict[bytes, list[peer_connection.PeerConnection]] = {}  # by replica key
+        self._full: set[bytes] = set()  # replicas that were published as full
+
+    def admit(self, connection: peer_connection.PeerConnection, *, address: str) -> None:
+        """A newer connection of a member ends the older one."""
         for other in [other for other, member in self.members.items() if member.address == address]:
             other.close(reason="a newer link of the same member")
-        self.members[link] = Member(address=address)
+        self.members[connection] = Member(address=address)
 
-    def end(self, link) -> bool:
-        """Whether this was a member's link."""
-        if self.members.pop(link, None) is None:
+    def remove(self, connection: peer_connection.PeerConnection) -> bool:
+        """Whether this was a member's connection."""
+        if self.members.pop(connection, None) is None:
             return False
-        self._index()
+        self._index_followers()
         return True
 
-    def follow(self, link, *, keys: frozenset) -> None:
-        self.members[link].follows = keys
-        self._index()
+    def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
+        """The member wants the loads of these replicas alone, or of all."""
+        self.members[connection].followed_keys = keys
+        self._index_followers()
 
-    def _index(self) -> None:
+    def _index_followers(self) -> None:
         self._followers = {}
-        for link, member in self.members.items():
-            for key in member.follows or ():
-                self._followers.setdefault(key, []).append(link)
+        for connection, member in self.members.items():
+            for key in member.followed_keys or ():
+                self._followers.setdefault(key, []).append(connection)
 
     def broadcast(self, frame: bytes) -> None:
-        for link in list(self.members):
-            self._send(link, frame)
+        """Sends a frame to all members."""
+        for connection in list(self.members):
+            self._send(connection, frame)
 
-    def _send(self, link, frame: bytes) -> None:
-        if link.queued() > hub.QUEUE_LIMIT_BYTES:
-            link.close(reason="digest queue overflow")
+    def _send(self, connection: peer_connection.PeerConnection, frame: bytes) -> None:
+        if connection.queued() > hub.QUEUE_LIMIT_BYTES:
+            connection.close(reason="digest queue overflow")
             return
-        link.send_bytes(frame)
+        connection.send_bytes(frame)
 
     def forward_publication(self, *, region: str, frame: bytes, message: tuple) -> None:
-        """`frame` holds the message, as the region's relay sent it."""
+        """Sends what the region's relay published to the members that it concerns.
+
+        Args:
+            region: the relay's.
+            frame: as the relay sent it.
+            message: what the frame contains.
+        """
         if not self.members:
             return
-        if message[0] == "delta":
-            self._broadcast_delta(region, message[1], frame)
-            return
-        if message[0] != "load" or not self._followers:
-            self.broadcast(frames.pack(("relayed", region, frame)))
-            return
-        full_frame = None
-        parts = self._parts(message)
-        for link, member in list(self.members.items()):
-            if member.follows is None:
-                full_frame = full_frame or frames.pack(("relayed", region, frame))
-                self._send(link, full_frame)
-            elif link in parts:
-                _kind, epoch, is_snapshot, _data = message
-                self._send(
-                    link, frames.pack(("relayed", region, frames.pack(("load", epoch, is_snapshot, parts[link]))))
-                )
+        if isinstance(message, messages.PoolDelta):
+            self._broadcast_delta(region, message.pool, frame)
+        elif isinstance(message, messages.ReplicaLoads) and self._followers:
+            self._broadcast_loads(region, message, frame)
+        else:
+            self.broadcast(frames.pack(messages.RelayedFrame(region, frame)))
 
     def _broadcast_delta(self, region: str, pool: str, frame: bytes) -> None:
-        """To all but those that wait for the cut: it will hold what the delta says."""
-        packed = frames.pack(("relayed", region, frame))
-        for link, member in list(self.members.items()):
-            if (region, pool) not in member.waits_for:
-                self._send(link, packed)
-
-    def send_load(self, link, *, region: str, message: tuple) -> None:
-        """A load frame, to one member."""
-        follows = self.members[link].follows
-        if follows is not None:
-            _kind, epoch, is_snapshot, data = message
+        """To all but those that wait for the pool's cut: it will contain the delta."""
+        relayed = frames.pack(messages.RelayedFrame(region, frame))
+        for connection, member in list(self.members.items()):
+            if (region, pool) not in member.pending_cuts:
+                self._send(connection, relayed)
+
+    def _broadcast_loads(self, region: str, message: messages.ReplicaLoads, frame: bytes) -> None:
+        relayed = None
+        rows_by_member = self._rows_by_member(message)
+        for connection, member in list(self.members.items()):
+            if member.followed_keys is None:
+                relayed = relayed or frames.pack(messages.RelayedFrame(region, frame))
+                self._send(connection, relayed)
+            elif connection in rows_by_member:
+                self._send_loads(connection, region, message._replace(load_rows=rows_by_member[connection]))
+
+    def _send_loads(
+        self, connection: peer_connection.PeerConnection, region: str, message: messages.ReplicaLoads
+    ) -> None:
+        self._send(connection, frames.pack(messages.RelayedFrame(region, frames.pack(message))))
+
+    def send_load(
+        self, connection: peer_connection.PeerConnection, *, region: str, message: messages.ReplicaLoads
+    ) -> None:
+        """Sends one member what it follows of a region's loads."""
+        keys = self.members[connection].followed_keys
+        if keys is not None:
             rows = [
                 row_codec.LOAD.pack(*row)
-                for row in row_codec.rows(shape=row_codec.LOAD, data=data)
-                if row[0] in follows or row[4] & load_feed.FULL
+                for row in row_codec.rows(shape=row_codec.LOAD, data=message.load_rows)
+                if row[0] in keys or row[4] & load_feed.FULL
             ]
-            message = ("load", epoch, is_snapshot, b"".join(rows))
-        self._send(link, frames.pack(("relayed", region, frames.pack(message))))
-
-    def _parts(self, message: tuple) -> dict:
-        """Rows of a load frame for each member that follows some replicas."""
-        _kind, _epoch, is_snapshot, data = message
-        chosen = [link for link, member in self.members.items() if member.follows is not None]
-        parts = {link: [] for link in chosen} if is_snapshot else {}
-        size = row_codec.LOAD.size
+            message = message._replace(load_rows=b"".join(rows))
+        self._send_loads(connection, region, message)
+
+    def _rows_by_member(self, message: messages.ReplicaLoads) -> dict[peer_connection.PeerConnection, bytes]:
+        """Rows of a load frame for each member that follows some replicas; a snapshot concerns all of these."""
+        selective = [connection for connection, member in self.members.items() if member.followed_keys is not None]
+        found: dict[peer_connection.PeerConnection, list] = (
+            {connection: [] for connection in selective} if message.is_snapshot else {}
+        )
+        data, size = message.load_rows, row_codec.LOAD.size
         for index, row in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
-            for link in self._links_for(row[0], flags=row[4], chosen=chosen):
-                parts.setdefault(link, []).append(data[index * size : (index + 1) * size])
-        return {link: b"".join(rows) for link, rows in parts.items()}
+            for connection in self._recipients(row[0], flags=row[4], selective=selective):
+                found.setdefault(connection, []).append(data[index * size : (index + 1) * size])
+        return {connection: b"".join(rows) for connection, rows in found.items()}
 
-    def _links_for(self, key: bytes, *, flags: int, chosen: list) -> list:
-        """All hear when a replica becomes full, and when it is no longer."""
+    def _recipients(self, key: bytes, *, flags: int, selective: list) -> list:
+        """Who is sent this row: everyone where the replica becomes full, and where it no longer is."""
         is_full = bool(flags & load_feed.FULL)
         if not is_full and key not in self._full:
             return self._followers.get(key, [])
@@ -121,4 +150,53 @@
             self._full.add(key)
         else:
             self._full.discard(key)
-        return chosen
+        return selective
+
+
+class CutQueue:
+    """Cuts of pools that members are still to be sent, made from the mirrors when their turn comes."""
+
+    def __init__(
+        self,
+        *,
+        members: Mapping[peer_connection.PeerConnection, Member],
+        mirrors: Mapping[str, mirror.RegionMirror],
+    ) -> None:
+        self._members = members
+        self._mirrors = mirrors
+        self.pending: collections.deque[tuple[peer_connection.PeerConnection, str, str]] = collections.deque()
+        self.budget_bytes = 0  # what may be sent now; below 0 after a large cut
+
+    def add(self, connection: peer_connection.PeerConnection, region: str, pool: str) -> None:
+        """This member is to be sent a cut of this pool; once is enough."""
+        pending = self._members[connection].pending_cuts
+        if (region, pool) not in pending:
+            pending.add((region, pool))
+            self.pending.append((connection, region, pool))
+
+    def add_for_all(self, region: str, pool: str) -> None:
+        """All members are to be sent a cut of this pool."""
+        for connection in self._members:
+            self.add(connection, region, pool)
+
+    def send(self) -> None:
+        """Sends cuts as the mirrors are now, up to the bytes of one tick."""
+        self.budget_bytes = min(MAX_CUT_BYTES_PER_TICK, self.budget_bytes + MAX_CUT_BYTES_PER_TICK)
+        for connection, region, pool in self._due():
+            cut = self._cut(region, pool)
+            if cut is not None:
+                frame = frames.pack(messages.RelayedFrame(region, frames.pack(cut)))
+                connection.send_bytes(frame)
+                self.budget_bytes -= len(frame)
+
+    def _due(self) -> Iterator[tuple[peer_connection.PeerConnection, str, str]]:
+        while self.pending and self.budget_bytes > 0:
+            connection, region, pool = self.pending.popleft()
+            member = self._members.get(connection)
+            if member is not None:
+                member.pending_cuts.discard((region, pool))
+                yield connection, region, pool
+
+    def _cut(self, region: str, pool: str) -> messages.PoolCut | None:
+        found = self._mirrors[region].pools.get(pool)
+        return found.cut() if found is not None and found.buckets else None
--- /dev/null
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -0,0 +1,144 @@
+"""The relay of this node's region and the gateway beside it, while this node owns the singleton role (docs/relay.md 1).
+
+`RelayRole` owns both. Invariant: both live under one epoch; a new epoch, or another owner, ends them before anything
+else is started.
+"""
+
+from collections.abc import Callable
+from collections.abc import Mapping
+from collections.abc import Sequence
+
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_reports import digest_connection
+from ploverward.data_plane.relay import gateway as gateways
+from ploverward.data_plane.relay import host as hosts
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+
+class RelayRole:
+    """The relay's and the gateway's lifetime, and their part of what this node does in each tick.
+
+    Args:
+        settings: the settings in force.
+        incarnation: of this proxy; a role that an earlier one owned is not this one's.
+        region_names: of all regions.
+        dialer: connects the gateway to the other regions' relays.
+        now: the loop's clock, in seconds.
+        contact_s: after this time without contact a lease is over.
+        table: the replicas and services that the relay serves.
+    """
+
+    def __init__(
+        self,
+        *,
+        settings: Callable[[], settings_files.Settings],
+        incarnation: str,
+        region_names: Sequence[str],
+        dialer: digest_connection.Dialer,
+        now: Callable[[], float],
+        contact_s: float,
+        table: replica_table.Table,
+    ) -> None:
+        self.host: hosts.Host | None = None
+        self.gateway: gateways.Gateway | None = None
+        self._settings = settings
+        self._incarnation = incarnation
+        self._region_names = region_names
+        self._dialer = dialer
+        self._now = now
+        self._contact_s = contact_s
+        self._table = table
+
+    def update(self, *, epoch: int, address: str, incarnation: str) -> None:
+        """The singleton role has this owner now, under this epoch."""
+        is_owner = (address, incarnation) == (self._settings().ip, self._incarnation)
+        if self.host is not None and (not is_owner or self.host.epoch != epoch):
+            self._end()
+        if is_owner and self.host is None:
+            self._begin(epoch)
+
+    def _begin(self, epoch: int) -> None:
+        region = self._settings().region
+        self.host = hosts.Host(region=region, epoch=epoch, now=self._now, suspicion_s=self._contact_s / 4)
+        self.sync()
+        self.gateway = gateways.Gateway(
+            region=region,
+            epoch=epoch,
+            regions=self._region_names,
+            dialer=self._dialer,
+            now=self._now,
+            trust_s=self._contact_s,
+        )
+
+    def _end(self) -> None:
+        host, self.host = self.host, None
+        for connection in list(host.subscribers) if host is not None else ():
+            connection.close(reason="the relay is another's")
+        gateway, self.gateway = self.gateway, None
+        if gateway is not None:
+            gateway.stop()
+
+    def sync(self) -> None:
+        """The list of replicas or the configuration changed."""
+        if self.host is None:
+            return
+        rows = [
+            {
+                "id": replica.id,
+                "service": replica.service,
+                "region": replica.region,
+                "models": replica.models,
+                "berths": replica.batch_slots,
+            }
+            for replica in self._table.replicas.values()
+        ]
+        services = {name: row for name, row in self._table.services.items() if row["cache_tokens"]}
+        self.host.sync(services=services, replicas=rows)
+
+    def follow_relays(self, relays: Mapping[str, digest_connection.RoleOwner]) -> None:
+        """These are the relays of the regions now."""
+        if self.gateway is not None:
+            self.gateway.follow_relays(relays)
+
+    def admit(
+        self, connection: peer_connection.PeerConnection, message: messages.Subscribe | messages.JoinGateway
+    ) -> bool:
+        """Whether this node owns the relay under the epoch that a subscriber or a digest names, or a newer one."""
+        if self.host is None or self.gateway is None or self.host.epoch < message.epoch:
+            return False
+        if isinstance(message, messages.Subscribe):
+            self.host.subscribe(connection, region=message.region, zone=message.zone, zone_epoch=message.zone_epoch)
+        else:
+            self.gateway.join(connection, message)
+        return True
+
+    def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
+        """A subscriber's sums. Raises `FrameError` where they are malformed or out of order."""
+        if self.host is not None:
+            self.host.handle_aggregates(connection, message)
+
+    def handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
+        """The report of a digest that is a member of the gateway. Raises `FrameError` as `handle_aggregates` does."""
+        if self.gateway is not None and connection in self.gateway.digest.fanout.members:
+            self.gateway.digest.handle_report(connection, message)
+
+    def remove(self, connection: peer_connection.PeerConnection) -> None:
+        """A connection ended."""
+        if self.gateway is not None:
+            self.gateway.remove(connection)
+        if self.host is not None:
+            self.host.remove(connection)
+
+    def tick(self) -> None:
+        """Publishes what changed."""
+        if self.gateway is not None:
+            self.gateway.digest.tick()
+        if self.host is not None:
+            self.host.tick()
+
+    def send_heartbeats(self) -> None:
+        """Shows the relay's subscribers that this node is running."""
+        for connection in list(self.host.subscribers) if self.host is not None else ():
+            connection.send(messages.KeepAlive(0))
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -1,149 +1,220 @@
-"""What one proxy reports of itself, and how much of it the sums that come back hold already (docs/digest.md 2, 3)."""
+"""What one proxy reports of itself, and which of it the published loads contain already (docs/digest.md 2, 3).
+
+`ReportSource` owns the numbers of this proxy's reports and, for each region, the loads that its relay is known to have
+counted. Invariant: published total - `counted` + own load now = what runs, up to reports in flight.
+"""
 
 import collections
+import enum
+import typing
+from collections.abc import Callable
+from collections.abc import Iterable
 
+from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import resolution
+from ploverward.data_plane.relay.load_counts import NO_LOAD
+from ploverward.data_plane.relay.load_counts import UNKNOWN_REGION
+from ploverward.data_plane.relay.load_counts import UNKNOWN_REPLICA
+from ploverward.data_plane.relay.load_counts import LoadCounts
+from ploverward.data_plane.relay.load_counts import OutcomeCounts
+from ploverward.data_plane.relay.load_counts import RegionLoad
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-SENT, READ, DONE, BROKEN, FAILED = 0, 1, 2, 3, 4
-MAX_READS = 4000
-MAX_UNACKNOWLEDGED_REPORTS = 1000
-NOTHING = (0, 0, 0)
+MAX_READS = 4000  # prompts in one report; later ones are left out
+MAX_UNACKNOWLEDGED_REPORTS = 1000  # for each region; without credits, a later checkpoint starts anew
+
+
+class AttemptEvent(enum.IntEnum):
+    """What happened to an attempt at a replica."""
+
+    SENT = 0
+    READ = 1  # its prompt was processed
+    DONE = 2
+    BROKEN = 3  # its connection broke: the replica is suspected too
+    FAILED = 4
+
+
+SENT, READ, DONE, BROKEN, FAILED = AttemptEvent
+_ENDINGS = (DONE, BROKEN, FAILED)
+
+
+class _Suspicion(typing.NamedTuple):
+    replica: replica_table.Replica
+    until_s: float  # on the loop's clock
+
+
+class _PendingReport(typing.NamedTuple):
+    """A report that a region's relay is not known to have counted."""
 
+    number: int
+    loads: dict[bytes, LoadCounts]  # by replica key
+    is_snapshot: bool  # whether the loads replace all earlier ones
 
-class Source:
-    """Rows are absolute for each replica that changed; outcomes are what ended since the last report."""
 
-    def __init__(self, *, now, regions, suspicion_s: float):
+class ReportSource:
+    """Makes the reports of one proxy: absolute loads of the replicas that changed, and what ended since the last one."""
+
+    def __init__(self, *, now: Callable[[], float], regions: Iterable[str], suspicion_s: float) -> None:
         self._now = now
-        self._regions = {name: index for index, name in enumerate(regions)}
         self._names = tuple(regions)
+        self._regions = {name: index for index, name in enumerate(self._names)}
         self._suspicion_s = suspicion_s
         self._number = 0
-        self._dirty = {}  # key: replica
-        self._suspected = {}  # key: (replica, until)
-        self._reported = {}  # key: (region, running, tokens, marks), as of the last report; zero rows are left out
-        self._outcomes = {}  # key: [ended, failed]
-        self._reads = []
-        # For each region: reports that its sums are not known to hold, as (number, {key: load}, is whole).
-        self._open = [collections.deque() for _name in self._names]
-        self._counted = [{} for _name in self._names]  # for each region {key: load}, as its sums hold it
-        self._lost = set(regions)  # regions whose sums hold nothing of ours
-
-    def record(self, *, replica, kind: int) -> None:
+        self._dirty: dict[bytes, replica_table.Replica] = {}
+        self._suspected: dict[bytes, _Suspicion] = {}
+        self._reported: dict[bytes, RegionLoad] = {}  # as of the last report; replicas without load are left out
+        self._outcomes: dict[bytes, OutcomeCounts] = {}
+        self._reads: list[bytes] = []
+        self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._names]
+        self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._names]
+        self._lost = set(self._names)  # regions whose published loads contain nothing of ours
+
+    def record(self, *, replica: replica_table.Replica, kind: int) -> None:
+        """An attempt at this replica was sent, or something became of it.
+
+        Args:
+            replica: as the table has it; its load is read when the report is made.
+            kind: an `AttemptEvent`.
+        """
         key = row_codec.key_of(replica.id)
         self._dirty[key] = replica
         if kind == BROKEN:
-            self._suspected[key] = (replica, self._now() + self._suspicion_s)
-        if kind in (DONE, BROKEN, FAILED):
-            row = self._outcomes.setdefault(key, [0, 0])
-            row[0] += 1
-            row[1] += kind != DONE
-
-    def note_read(self, *, replica, service: str, model: str, parts, salt: str = "") -> None:
-        """`salt`: what X-Model said, where it names an adapter: parts of different adapters are never the same."""
-        if len(self._reads) < MAX_READS and replica.region in self._regions:
-            self._reads.append(
-                row_codec.pack_read(
-                    replica=row_codec.key_of(replica.id),
-                    region=self._regions[replica.region],
-                    domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
-                    parts=tuple(
-                        (cuckoo_filter.token_hash(model=salt or model, part=part, tokens=tokens), tokens)
-                        for part, tokens in parts
-                    ),
-                )
+            self._suspected[key] = _Suspicion(replica, self._now() + self._suspicion_s)
+        if kind in _ENDINGS:
+            outcomes = self._outcomes.get(key)
+            if outcomes is None:
+                outcomes = self._outcomes[key] = OutcomeCounts()
+            outcomes.ended += 1
+            outcomes.failed += kind != DONE
+
+    def record_read(
+        self,
+        *,
+        replica: replica_table.Replica,
+        service: str,
+        model: str,
+        parts: Iterable[tuple[str, int]],
+        salt: str = "",
+    ) -> None:
+        """A replica processed a prompt, so its parts are in its cache now.
+
+        Args:
+            replica: which one.
+            service: its service.
+            model: the model that processed the prompt.
+            parts: (name, tokens) of each part, from the front of the prompt.
+            salt: what X-Model said, where it names an adapter: parts of different adapters are never the same.
+        """
+        if len(self._reads) >= MAX_READS or replica.region not in self._regions:
+            return
+        self._reads.append(
+            row_codec.pack_read(
+                replica=row_codec.key_of(replica.id),
+                region=self._regions[replica.region],
+                domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
+                parts=tuple(
+                    (cuckoo_filter.token_hash(model=salt or model, part=part, tokens=tokens), tokens)
+                    for part, tokens in parts
+                ),
             )
-
-    def _row(self, key: bytes, replica) -> tuple:
-        return (
-            self._regions.get(replica.region, 255),
-            row_codec.short(replica.running),
-            row_codec.long(sum(replica.prefill_tokens.values())),
-            int(key in self._suspected),
         )
 
-    def _look(self) -> None:
-        now = self._now()
-        for key in [key for key, (_replica, until) in self._suspected.items() if until <= now]:
-            self._dirty[key] = self._suspected.pop(key)[0]
-
-    def _build(self, changed: dict, is_snapshot: bool) -> tuple:
-        self._number += 1
-        parts = []
-        for key in changed.keys() | self._outcomes.keys():
-            region, *load = changed.get(key) or self._reported.get(key) or (255, *NOTHING)
-            ended, failed = self._outcomes.get(key, NOTHING[:2])
-            parts.append(row_codec.REPORTED.pack(key, region, *load, row_codec.short(ended), row_codec.short(failed)))
-        self._outcomes = {}
-        reads, self._reads = self._reads, []
-        for index, waiting in enumerate(self._open):
-            rows = {key: row[1:] for key, row in changed.items() if row[0] == index}
-            if rows or is_snapshot:
-                waiting.append((self._number, rows, is_snapshot))
-            while len(waiting) > MAX_UNACKNOWLEDGED_REPORTS:  # nobody counts them: a later whole report starts anew
-                waiting.popleft()
-        return self._number, b"".join(parts), b"".join(reads)
-
-    def take_batch(self):
-        """(number, rows, reads) of what changed, or None."""
-        self._look()
+    def next_report(self) -> messages.LoadReport | None:
+        """What changed since the last report; None where nothing did."""
+        self._end_suspicions()
         changed = {}
         for key, replica in self._dirty.items():
             row = self._row(key, replica)
-            if row != self._reported.get(key, (row[0], *NOTHING)):
+            reported = self._reported.get(key)
+            if (row != reported) if reported is not None else (row.load != NO_LOAD):
                 changed[key] = row
-                self._keep(key, row)
+                self._note_reported(key, row)
             elif key in self._outcomes:
                 changed[key] = row  # names the region
         self._dirty = {}
         if not changed and not self._reads and not self._outcomes:
             return None
-        return self._build(changed, False)
+        return self._report(changed, is_snapshot=False)
 
-    def _keep(self, key, row) -> None:
-        if row[1:] == NOTHING:
-            self._reported.pop(key, None)
-        else:
-            self._reported[key] = row
+    def checkpoint(self, *, replicas: Iterable[replica_table.Replica]) -> messages.LoadReport:
+        """The complete state, for a digest that knows nothing of this proxy.
 
-    def checkpoint(self, *, replicas) -> tuple:
-        """The whole state, for a holder that knows nothing of this proxy."""
-        self._look()
+        Args:
+            replicas: those with attempts of this proxy in flight, also if the endpoint list has them no more.
+        """
+        self._end_suspicions()
         self._dirty = {}
         self._reported = {}
-        for waiting in self._open:
-            waiting.clear()
+        for pending in self._pending:
+            pending.clear()
         self._lost = set(self._names)
         for replica in replicas:
             key = row_codec.key_of(replica.id)
-            self._keep(key, self._row(key, replica))
-        return self._build(dict(self._reported), True)
+            self._note_reported(key, self._row(key, replica))
+        return self._report(dict(self._reported), is_snapshot=True)
+
+    def _row(self, key: bytes, replica: replica_table.Replica) -> RegionLoad:
+        load = LoadCounts(
+            row_codec.short(replica.running),
+            row_codec.long(sum(replica.prefill_tokens.values())),
+            int(key in self._suspected),
+        )
+        return RegionLoad(self._regions.get(replica.region, UNKNOWN_REGION), load)
+
+    def _end_suspicions(self) -> None:
+        now = self._now()
+        for key in [key for key, suspicion in self._suspected.items() if suspicion.until_s <= now]:
+            self._dirty[key] = self._suspected.pop(key).replica
+
+    def _note_reported(self, key: bytes, row: RegionLoad) -> None:
+        if row.load == NO_LOAD:
+            self._reported.pop(key, None)
+        else:
+            self._reported[key] = row
+
+    def _report(self, changed: dict[bytes, RegionLoad], *, is_snapshot: bool) -> messages.LoadReport:
+        self._number += 1
+        outcomes, self._outcomes = self._outcomes, {}
+        reads, self._reads = self._reads, []
+        rows = []
+        for key in changed.keys() | outcomes.keys():
+            region, load = changed.get(key) or self._reported.get(key) or UNKNOWN_REPLICA
+            ended_here = outcomes.get(key)
+            ended, failed = (ended_here.ended, ended_here.failed) if ended_here is not None else (0, 0)
+            rows.append(row_codec.REPORTED.pack(key, region, *load, row_codec.short(ended), row_codec.short(failed)))
+        for index, pending in enumerate(self._pending):
+            loads = {key: row.load for key, row in changed.items() if row.region == index}
+            if loads or is_snapshot:
+                pending.append(_PendingReport(self._number, loads, is_snapshot))
+            while len(pending) > MAX_UNACKNOWLEDGED_REPORTS:
+                pending.popleft()
+        return messages.LoadReport(self._number, b"".join(rows), b"".join(reads))
 
     def credit(self, *, region: str, number: int) -> None:
-        """The sums of this region hold our reports up to this number."""
+        """The loads that this region's relay publishes contain our reports up to this number."""
         index = self._regions.get(region)
         if index is None:
             return
-        waiting = self._open[index]
-        while waiting and waiting[0][0] <= number:
-            _number, changed, is_snapshot = waiting.popleft()
-            if is_snapshot:
-                self._counted[index] = {}
-            for key, row in changed.items():
-                if row == NOTHING:
-                    self._counted[index].pop(key, None)
+        pending, counted = self._pending[index], self._counted[index]
+        while pending and pending[0].number <= number:
+            report = pending.popleft()
+            if report.is_snapshot:
+                counted.clear()
+            for key, load in report.loads.items():
+                if load == NO_LOAD:
+                    counted.pop(key, None)
                 else:
-                    self._counted[index][key] = row
+                    counted[key] = load
         self._lost.discard(region)
 
     def mark_lost(self, *, region: str) -> None:
-        """The sums of this region hold nothing of ours until they say so again."""
+        """The published loads of this region contain nothing of ours until a credit says so again."""
         self._lost.add(region)
 
-    def counted(self, replica) -> tuple:
-        """(running, tokens, marks) of ours inside the sum that is shown for this replica."""
+    def counted(self, replica: replica_table.Replica) -> LoadCounts:
+        """The part of the replica's published load that is ours."""
         if replica.region in self._lost or replica.region not in self._regions:
-            return NOTHING
-        return self._counted[self._regions[replica.region]].get(row_codec.key_of(replica.id), NOTHING)
+            return NO_LOAD
+        return self._counted[self._regions[replica.region]].get(row_codec.key_of(replica.id), NO_LOAD)
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -1,22 +1,28 @@
-"""The actor of one pool generation (docs/relay.md 2): exact ownership for each replica id, refcounts, the
-filter. It hears no evictions, so it models them: an LRU over the replica's cacheTokens."""
+"""The actor of one pool generation (docs/relay.md 2).
+
+An `Actor` owns the exact ownership of prompt parts for each replica id, and the filter made from it. Replicas announce no
+evictions, so each one's cache is modelled as a least-recently-used list over its cache tokens. Invariant: a filter's slot
+says what the exact ownership says of the hashes that share it, but for omissions, which are counted.
+"""
 
 import collections
 import itertools
+from collections.abc import Collection
+from collections.abc import Sequence
 
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.transport import row_codec
 
-BUCKET_COUNT = 1024  # to begin with, at least
+BUCKET_COUNT = 1024  # of a new filter, at least
 MAX_INITIAL_BUCKETS = 1 << 14
-PART_TOKENS = 512  # of a kept part: what a filter is sized for, since one that grows is told anew to all
+PART_TOKENS = 512  # of a cached part: what a filter is sized for, since one that grows is published anew to all
 TARGET_LOAD_FACTOR = 0.7  # of a filter's slots
 MAX_BUCKETS = 1 << 17
-OWNER_BIT_HEADROOM = 1.5  # of the replicas listed: a roll-out has old and new lives side by side
+OWNER_BIT_HEADROOM = 1.5  # owner bits for each replica listed: a roll-out has old and new ones side by side
 
 
 def buckets_for(*, cache_tokens: int, replicas: int) -> int:
-    """Buckets of a filter for all that so many replicas keep, a power of two."""
+    """Buckets of a filter for all that so many replicas have in their caches, a power of two."""
     wanted = cache_tokens / PART_TOKENS * replicas / (cuckoo_filter.SLOTS * TARGET_LOAD_FACTOR)
     count = BUCKET_COUNT
     while count < min(wanted, MAX_INITIAL_BUCKETS):
@@ -25,18 +31,27 @@
 
 
 class Actor:
-    def __init__(self, *, cache_tokens: int, bucket_count: int = BUCKET_COUNT, words: int = 1):
+    """Exact ownership, reference counts and the filter of one pool.
+
+    Args:
+        cache_tokens: of each replica.
+        bucket_count: of the filter, a power of two.
+        words: of the filter's slots, see `cuckoo_filter.words_for`.
+    """
+
+    def __init__(self, *, cache_tokens: int, bucket_count: int = BUCKET_COUNT, words: int = 1) -> None:
         self.cache_tokens = cache_tokens
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
         self.is_short = False  # the filter had no room for a hash
-        self.owner_bits = {}  # replica id: lane
-        self._kept = {}  # replica id: OrderedDict hash -> tokens, oldest first
-        self._sizes = {}
-        self._owners = {}  # hash: {replica id: True}, the first owner first
-        self._groups = {}  # (fingerprint, lower bucket): hashes that share one slot
-        self.omitted = 0
+        self.owner_bits: dict[str, int] = {}  # by replica id
+        self._kept: dict[str, collections.OrderedDict[bytes, int]] = {}  # replica id: tokens by hash, oldest first
+        self._sizes: dict[str, int] = {}  # replica id: tokens in its cache
+        self._owners: dict[bytes, dict[str, bool]] = {}  # hash: its owners, the first one first
+        self._groups: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # hashes that share one slot
+        self.omitted = 0  # reads and hashes that had no room
 
     def admit(self, replica: str) -> bool:
+        """Whether the replica has an owner bit now; in a wide pool it needs none."""
         if replica in self.owner_bits:
             return True
         owner_bit = 0 if self.is_wide else self._next_owner_bit()
@@ -49,50 +64,60 @@
 
     @property
     def is_wide(self) -> bool:
-        """Whether slots name owners by tags: then a replica's lane says nothing."""
+        """Whether slots name owners by tags: then a replica's owner bit says nothing."""
         return self.filter.words == cuckoo_filter.WIDE
 
     def _next_owner_bit(self) -> int:
         owned = set(self.owner_bits.values())
         return next(owner_bit for owner_bit in range(len(owned) + 1) if owner_bit not in owned)
 
-    def has_owner_bits_for(self, *, replicas) -> bool:
-        return (
-            self.is_wide
-            or len(set(self.owner_bits) | set(replicas)) <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
-        )
+    def has_owner_bits_for(self, *, replicas: Collection[str]) -> bool:
+        """Whether these replicas all fit in, beside those that are there."""
+        count = len(set(self.owner_bits) | set(replicas))
+        return self.is_wide or count <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
 
     def resize(self, *, owner_bits: int) -> None:
-        """A larger filter, made from the exact ownership. Goes with a new generation. A wide pool stays wide."""
+        """Makes a larger filter from the exact ownership, for a new generation. A wide pool stays wide.
+
+        Args:
+            owner_bits: how many replicas it has to have room for.
+        """
         wanted = cuckoo_filter.words_for(owner_bits=owner_bits)
-        words = (
-            cuckoo_filter.WIDE if cuckoo_filter.WIDE in (wanted, self.filter.words) else max(self.filter.words, wanted)
-        )
+        is_wide = cuckoo_filter.WIDE in (wanted, self.filter.words)
+        words = cuckoo_filter.WIDE if is_wide else max(self.filter.words, wanted)
         bucket_count = self.filter.bucket_count
         if self.is_short and bucket_count < MAX_BUCKETS:
             bucket_count *= 2
-        while True:
-            self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
-            self._groups = {}
-            for full_hash in self._owners:
-                self._groups.setdefault(self._group(full_hash), set()).add(full_hash)
-            missed = sum(
-                not self.filter.put(full_hash=next(iter(owned)), bits=self._bits(group))
-                for group, owned in self._groups.items()
-            )
-            if not missed or bucket_count >= MAX_BUCKETS:
-                break
+        while self._rebuild(bucket_count=bucket_count, words=words) and bucket_count < MAX_BUCKETS:
             bucket_count *= 2
         self.is_short = False
 
-    def owners(self, full_hash: bytes) -> frozenset:
+    def _rebuild(self, *, bucket_count: int, words: int) -> int:
+        """How many slots had no room in a filter of this size."""
+        self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
+        self._groups = {}
+        for full_hash in self._owners:
+            self._groups.setdefault(self._group(full_hash), set()).add(full_hash)
+        return sum(
+            not self.filter.put(full_hash=next(iter(owned)), bits=self._bits(group))
+            for group, owned in self._groups.items()
+        )
+
+    def owners(self, full_hash: bytes) -> frozenset[str]:
+        """Ids of the replicas that have this part."""
         return frozenset(self._owners.get(full_hash, ()))
 
     def kept_tokens(self, replica: str) -> int:
+        """Tokens in a replica's cache, by the model."""
         return self._sizes.get(replica, 0)
 
-    def read(self, *, replica: str, rows) -> None:
-        """The replica has read this prompt: rows of (canonical hash, tokens), in order."""
+    def read(self, *, replica: str, rows: Sequence[cuckoo_filter.HashedPart]) -> None:
+        """The replica processed this prompt.
+
+        Args:
+            replica: its id.
+            rows: (canonical sequence hash, tokens) of the prompt's parts, from the front.
+        """
         if not self.admit(replica):
             self.omitted += 1
             return
@@ -124,7 +149,7 @@
         self._disown(replica, full_hash)
 
     def drop(self, *, replica: str) -> None:
-        """The replica's life is over: all that it owned goes."""
+        """The replica is gone, and all that it owned with it."""
         kept = self._kept.pop(replica, None)
         if kept is None:
             return
@@ -133,13 +158,13 @@
         self._sizes.pop(replica, None)
         self.owner_bits.pop(replica, None)
 
-    def _group(self, full_hash: bytes) -> tuple:
+    def _group(self, full_hash: bytes) -> cuckoo_filter.SlotId:
         fingerprint, first, second = cuckoo_filter.fingerprint_and_buckets(
             full_hash=full_hash, bucket_count=self.filter.bucket_count
         )
         return fingerprint, min(first, second)
 
-    def _bits(self, group: tuple) -> int:
+    def _bits(self, group: cuckoo_filter.SlotId) -> int:
         """What the group's slot says of its owners."""
         if self.is_wide:
             return self._wide_bits(group)
@@ -149,8 +174,9 @@
                 bits |= 1 << self.owner_bits[owner]
         return bits
 
-    def _wide_bits(self, group: tuple) -> int:
-        hashes = self._groups.get(group, ())
+    def _wide_bits(self, group: cuckoo_filter.SlotId) -> int:
+        hashes = self._groups.get(group, set())
+        owners: Collection[str]
         if len(hashes) == 1:
             owners = self._owners.get(next(iter(hashes)), {})
         else:
@@ -170,7 +196,7 @@
             self.is_short = self.filter.bucket_count < MAX_BUCKETS
 
     def _disown(self, replica: str, full_hash: bytes) -> None:
-        """A subscriber that hears of it late takes a part for kept that is read again, as it would be anyway."""
+        """This may wait: a subscriber that does not know yet only expects a part in a cache that is not there."""
         owners = self._owners[full_hash]
         owners.pop(replica, None)
         group = self._group(full_hash)
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -1,26 +1,65 @@
 """The fingerprint filter of a pool (docs/relay.md 3): a cuckoo filter whose slots also say which replicas own.
 
-The source's filter says that some replica of the pool holds a prefix. Choosing one needs to know which. In a pool of few
-replicas each slot carries a lane bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks would
+The source's filter says that some replica of the pool has a prefix. Choosing one needs to know which. In a pool of few
+replicas each slot carries an owner bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks would
 cost more than they tell: a slot carries how many owners there are and the tags of the first few. Bucket images are absolute.
+
+Invariant: a fingerprint stands in one of its two buckets at most.
 """
 
 import functools
 import hashlib
 import struct
-
-SLOTS = 4
-BITS_PER_MASK_WORD = 32  # lane masks grow by such words, as many as the replicas that are listed need
-MAX_OWNER_BITS = (
-    16  # a pool that needs more is wide: when many replicas leave at once, their lanes cost a burst to clear
-)
-MAX_MASK_WORDS = 4  # of an image that a mirror takes
+import typing
+from collections.abc import Iterable
+from collections.abc import Sequence
+
+SLOTS = 4  # of a bucket
+BITS_PER_MASK_WORD = 32  # masks of owner bits grow by such words, as many as the replicas that are listed need
+MAX_OWNER_BITS = 16  # a pool that needs more is wide: if many replicas leave at once, to clear their bits costs a burst
+MAX_MASK_WORDS = 4  # of an image that a mirror accepts
 WIDE = 0  # stands in place of a count of words
 OWNERS_NAMED = 4  # of a wide pool's slot
-TAG_SIZE = 3  # the front of a replica's key: of a thousand replicas two are alike once in thirty pools
+TAG_SIZE = 3  # bytes, the front of a replica's key: of a thousand replicas two are alike once in thirty pools
 MAX_OWNERS = 255  # a slot counts no further
 _WIDE_SIZE = 1 + OWNERS_NAMED * TAG_SIZE
-MAX_KICKS = 64
+MAX_KICKS = 64  # slots moved for one insertion, before the filter counts as full
+
+HashedPart = tuple[bytes, int]  # hash, tokens: plain tuples, as every request makes one for each part of its prompt
+SlotId = tuple[int, int]  # fingerprint, the lower of its two buckets
+
+
+class FingerprintAndBuckets(typing.NamedTuple):
+    """Where a hash may stand."""
+
+    fingerprint: int
+    first: int
+    second: int
+
+
+class WideValue(typing.NamedTuple):
+    """What a wide pool's slot says."""
+
+    owner_count: int
+    tags: tuple[bytes, ...]  # of the first few
+
+
+class Slot(typing.NamedTuple):
+    """One fingerprint and what it says of its owners."""
+
+    fingerprint: int  # 0: the slot is free
+    bits: int
+
+
+class _Move(typing.NamedTuple):
+    """A slot that an insertion changed, and what was there before."""
+
+    bucket: int
+    position: int
+    before: Slot
+
+
+FREE_SLOT = Slot(0, 0)
 
 
 def value_size(*, words: int) -> int:
@@ -29,42 +68,46 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _shape(words: int):
+def _shape(words: int) -> struct.Struct:
     return struct.Struct(">" + f"H{value_size(words=words)}s" * SLOTS)
 
 
 def words_for(*, owner_bits: int) -> int:
+    """Words of a slot's mask for so many owners, or `WIDE`."""
     return max(1, -(-owner_bits // BITS_PER_MASK_WORD)) if owner_bits <= MAX_OWNER_BITS else WIDE
 
 
-def wide_value(*, count: int, tags) -> int:
+def wide_value(*, count: int, tags: Iterable[bytes]) -> int:
     """What a wide pool's slot says: how many owners, and the tags of the first `OWNERS_NAMED` of them."""
     named = b"".join(tags).ljust(OWNERS_NAMED * TAG_SIZE, b"\0")
     return int.from_bytes(bytes([min(count, MAX_OWNERS)]) + named, "big")
 
 
-def read_wide(value: int) -> tuple:
-    """(how many owners, the tags of the first few)"""
+def read_wide(value: int) -> WideValue:
+    """What `wide_value` made."""
     if not value:
-        return 0, ()
+        return WideValue(0, ())
     data = value.to_bytes(_WIDE_SIZE, "big")
     count = data[0]
     tags = tuple(data[position : position + TAG_SIZE] for position in range(1, _WIDE_SIZE, TAG_SIZE))
-    return count, tags[: min(count, OWNERS_NAMED)]
+    return WideValue(count, tags[: min(count, OWNERS_NAMED)])
 
 
 def empty_image(*, words: int) -> bytes:
+    """The image of a bucket whose slots are all free."""
     return bytes(_shape(words).size)
 
 
-def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> tuple:
-    """(fingerprint, first bucket, second bucket). bucket_count is a power of two."""
+def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> FingerprintAndBuckets:
+    """Where a hash may stand in a filter of so many buckets, a power of two."""
     fingerprint = int.from_bytes(full_hash[:2], "big") or 1
     first = int.from_bytes(full_hash[2:6], "big") % bucket_count
-    return fingerprint, first, other_bucket(bucket=first, fingerprint=fingerprint, bucket_count=bucket_count)
+    second = other_bucket(bucket=first, fingerprint=fingerprint, bucket_count=bucket_count)
+    return FingerprintAndBuckets(fingerprint, first, second)
 
 
 def other_bucket(*, bucket: int, fingerprint: int, bucket_count: int) -> int:
+    """The other one of a fingerprint's two buckets."""
     return bucket ^ ((fingerprint * 0x5BD1E995 >> 3) % bucket_count)
 
 
@@ -74,15 +117,21 @@
 
 
 def token_hash(*, model: str, part: str, tokens: int) -> bytes:
+    """The hash of one part of a prompt, whatever comes before it."""
     return hashlib.blake2b(f"{model}\0{part}\0{tokens}".encode(), digest_size=8).digest()
 
 
-def chain(*, model: str, parts) -> tuple:
-    """Canonical sequence hashes of a prompt: ((hash, tokens), ...)."""
+def chain(*, model: str, parts: Iterable[tuple[str, int]]) -> tuple[HashedPart, ...]:
+    """Canonical sequence hashes of a prompt.
+
+    Args:
+        model: which processes it.
+        parts: (name, tokens) of each part, from the front.
+    """
     return extend(parts=tuple((token_hash(model=model, part=part, tokens=tokens), tokens) for part, tokens in parts))
 
 
-def extend(*, parts) -> tuple:
+def extend(*, parts: Iterable[HashedPart]) -> tuple[HashedPart, ...]:
     """Canonical sequence hashes from (token hash, tokens) in order."""
     rows = []
     parent = b""
@@ -92,11 +141,8 @@
     return tuple(rows)
 
 
-def find_in_images(*, images, words: int, full_hash: bytes) -> int:
-    """What the slot of this hash says of its owners, by a list of bucket images; 0 where unknown.
-
-    A fingerprint stands in one of its two buckets at most, so no two values are mixed.
-    """
+def find_in_images(*, images: Sequence[bytes], words: int, full_hash: bytes) -> int:
+    """What the slot of this hash says of its owners, by the bucket images of a filter; 0 where unknown."""
     fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(images))
     value = 0
     for index in (first, second):
@@ -107,93 +153,101 @@
     return value
 
 
-def find(*, buckets, full_hash: bytes) -> int:
-    """Lane bits of the owners by a list of bucket slots; 0 where unknown."""
-    fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(buckets))
-    owner_bits = 0
-    for index in (first, second):
-        for stored_hash, bits in buckets[index]:
-            if stored_hash == fingerprint:
-                owner_bits |= bits
-    return owner_bits
+class Filter:
+    """A cuckoo filter.
 
+    Args:
+        bucket_count: a power of two.
+        words: of 32 bits of each slot's mask, or `WIDE`.
+    """
 
-class Filter:
-    def __init__(self, *, bucket_count: int, words: int = 1):
+    def __init__(self, *, bucket_count: int, words: int = 1) -> None:
         if bucket_count & (bucket_count - 1):
             raise ValueError("bucket_count must be a power of two")
         self.bucket_count = bucket_count
         self.words = words
-        self.buckets = [[(0, 0)] * SLOTS for _ in range(bucket_count)]
-        self.dirty = set()  # buckets that changed since they were taken
-        self.dirty_later = set()  # the same, where nobody waits for it
+        self.buckets = [[FREE_SLOT] * SLOTS for _ in range(bucket_count)]
+        self.dirty: set[int] = set()  # buckets that changed since the last `pop_dirty`
+        self.dirty_later: set[int] = set()  # the same, where nobody waits for it
 
-    def _locate(self, fingerprint: int, first: int, second: int):
+    def _locate(self, fingerprint: int, first: int, second: int) -> tuple[int, int] | None:
+        """(bucket, position) of a fingerprint's slot."""
         for index in (first, second):
-            for slot, (stored_hash, _bits) in enumerate(self.buckets[index]):
-                if stored_hash == fingerprint:
-                    return index, slot
+            for position, (stored, _bits) in enumerate(self.buckets[index]):
+                if stored == fingerprint:
+                    return index, position
         return None
 
-    def pop_dirty(self) -> tuple:
-        """(buckets that changed, those of them that may wait), since the last call."""
-        taken = self.dirty, self.dirty_later - self.dirty
+    def pop_dirty(self) -> tuple[set[int], set[int]]:
+        """(buckets that changed, others that changed and may wait), since the last call."""
+        dirty, dirty_later = self.dirty, self.dirty_later - self.dirty
         self.dirty, self.dirty_later = set(), set()
-        return taken
+        return dirty, dirty_later
 
     def put(self, *, full_hash: bytes, bits: int, may_wait: bool = False) -> bool:
-        """Sets what a slot says of a fingerprint's owners, inserting it; False where there is no room.
+        """Sets what the slot of a hash says of its owners, inserting it.
+
+        Args:
+            full_hash: whose fingerprint it is.
+            bits: a mask of owner bits, or a `wide_value`.
+            may_wait: whether subscribers lose little where this is published later than other changes.
 
-        `may_wait`: subscribers lose little where they are told of it later than of others.
+        Returns:
+            False where there is no room; nothing was changed.
         """
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
+        dirty = self.dirty_later if may_wait else self.dirty
         found = self._locate(fingerprint, first, second)
-        if found is not None:
-            index, slot = found
-            if self.buckets[index][slot][1] != bits:
-                self.buckets[index][slot] = (fingerprint, bits)
-                self._dirty_set(may_wait).add(index)
-            return True
-        return self._insert(fingerprint, bits, first, second, self._dirty_set(may_wait))
-
-    def _dirty_set(self, may_wait: bool) -> set:
-        return self.dirty_later if may_wait else self.dirty
+        if found is None:
+            return self._insert(Slot(fingerprint, bits), first, second, dirty)
+        index, position = found
+        if self.buckets[index][position].bits != bits:
+            self.buckets[index][position] = Slot(fingerprint, bits)
+            dirty.add(index)
+        return True
+
+    def _fill_free(self, index: int, row: Slot) -> bool:
+        """Whether the bucket had a free slot for the row."""
+        bucket = self.buckets[index]
+        for position, (stored, _bits) in enumerate(bucket):
+            if stored == 0:
+                bucket[position] = row
+                return True
+        return False
 
-    def _insert(self, fingerprint: int, bits: int, first: int, second: int, dirty: set) -> bool:
+    def _insert(self, row: Slot, first: int, second: int, dirty: set[int]) -> bool:
         for index in (first, second):
-            for slot, (stored_hash, _bits) in enumerate(self.buckets[index]):
-                if stored_hash == 0:
-                    self.buckets[index][slot] = (fingerprint, bits)
-                    dirty.add(index)
-                    return True
+            if self._fill_free(index, row):
+                dirty.add(index)
+                return True
         moves = []
         index = first
-        row = (fingerprint, bits)
         for step in range(MAX_KICKS):
-            slot = (step + row[0]) % SLOTS
-            moves.append((index, slot, self.buckets[index][slot]))
-            row, self.buckets[index][slot] = self.buckets[index][slot], row
-            index = other_bucket(bucket=index, fingerprint=row[0], bucket_count=self.bucket_count)
-            for free, (stored_hash, _bits) in enumerate(self.buckets[index]):
-                if stored_hash == 0:
-                    self.buckets[index][free] = row
-                    dirty.add(index)
-                    dirty.update(position for position, _slot, _old in moves)
-                    return True
-        for index, slot, old in reversed(moves):  # no room: nothing is left half moved
-            self.buckets[index][slot] = old
+            position = (step + row.fingerprint) % SLOTS
+            moves.append(_Move(index, position, self.buckets[index][position]))
+            row, self.buckets[index][position] = self.buckets[index][position], row
+            index = other_bucket(bucket=index, fingerprint=row.fingerprint, bucket_count=self.bucket_count)
+            if self._fill_free(index, row):
+                dirty.add(index)
+                dirty.update(move.bucket for move in moves)
+                return True
+        for move in reversed(moves):  # no room: every slot goes back to where it was
+            self.buckets[move.bucket][move.position] = move.before
         return False
 
     def remove(self, *, full_hash: bytes, may_wait: bool = False) -> None:
+        """Frees the slot of a hash; an unknown one does nothing. `may_wait`: as in `put`."""
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         found = self._locate(fingerprint, first, second)
         if found is not None:
-            index, slot = found
-            self.buckets[index][slot] = (0, 0)
-            self._dirty_set(may_wait).add(index)
+            index, position = found
+            self.buckets[index][position] = FREE_SLOT
+            (self.dirty_later if may_wait else self.dirty).add(index)
 
     def image(self, index: int) -> bytes:
-        flat = []
-        for stored_hash, bits in self.buckets[index]:
-            flat += (stored_hash, bits.to_bytes(value_size(words=self.words), "big"))
+        """A bucket as frames carry it."""
+        size = value_size(words=self.words)
+        flat: list[int | bytes] = []
+        for fingerprint, bits in self.buckets[index]:
+            flat += (fingerprint, bits.to_bytes(size, "big"))
         return _shape(self.words).pack(*flat)
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -1,11 +1,17 @@
-"""The relay of a region, while its proxy holds the duty (docs/relay.md 1, 5): ingest, publication, load beside the pools.
+"""The relay of a region, at the node that owns the singleton role (docs/relay.md 1, 5).
 
-What it takes are the sums of digests, one row for each replica that changed (docs/digest.md 2); what it publishes goes
-to digests, which pass it on unchanged.
+It ingests the aggregates of digests, one row for each replica that changed (docs/digest.md 2), and publishes pools and loads
+to digests, which pass them on unchanged.
+
+A `Host` owns its subscribers and the sums of their loads. It lives under one epoch; a new epoch makes a new one, with new
+generations. Invariant: a total is the sum of the subscribers' newest loads; a subscriber that ends takes its part with it.
 """
 
+import dataclasses
 import logging
 import math
+from collections.abc import Callable
+from collections.abc import Iterable
 
 from ploverward.common import errors
 from ploverward.data_plane.relay import cuckoo_filter
@@ -14,53 +20,72 @@
 from ploverward.data_plane.relay import outcomes
 from ploverward.data_plane.relay import pool_registry
 from ploverward.data_plane.relay import resolution
+from ploverward.data_plane.relay.load_counts import NO_LOAD
+from ploverward.data_plane.relay.load_counts import LoadCounts
+from ploverward.data_plane.relay.load_counts import LoadTotal
 from ploverward.transport import frames
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
 _log = logging.getLogger(__name__)
 
-FAR_TICKS = 2  # what is told crosses regions so much less often
-MIN_LOAD_ROWS = 16  # loads told at a time, whatever the size of the region
-ROWS_SHARE = 1 / 16  # of the region's replicas: the same in a large one
-NEAR_BUCKETS = 8  # buckets of each pool's filter told at a time
-FAR_BUCKETS = 6
-NOTHING = (0, 0, 0)
+FAR_TICKS = 2  # ticks between two publications to other regions, whose bytes are priced
+MIN_LOAD_ROWS = 16  # loads published at a time, however small the region is
+ROWS_SHARE = 1 / 16  # of the region's replicas: loads published at a time in a large region
+NEAR_BUCKETS = 8  # buckets of each pool's filter published at a time in this region
+FAR_BUCKETS = 6  # the same, to other regions
 
 
+@dataclasses.dataclass(slots=True)
 class Subscriber:
-    """One digest: what it told, and what it is still to be told."""
+    """One digest, or the gateway of another region."""
 
-    def __init__(self, *, is_far: bool, zone: str, zone_epoch: int):
-        self.is_far = is_far
-        self.zone = zone
-        self.zone_epoch = zone_epoch
-        self.parts = {}  # replica key: (running, tokens, marks)
-        self.counted = 0
-        self.acknowledged_counted = 0
+    is_far: bool  # whether it is in another region
+    zone: str  # its zone, or the name of its singleton role
+    zone_epoch: int  # of that role; 0: it serves one proxy alone
+    loads: dict[bytes, LoadCounts] = dataclasses.field(default_factory=dict)  # by replica key
+    counted: int = 0  # its newest batch in the totals
+    acknowledged: int = 0  # the newest one that it was told of
 
 
 class Host:
-    """Only lives under one epoch; a new epoch makes a new one, with new generations."""
+    """One relay under one epoch.
+
+    Args:
+        region: its own.
+        epoch: of the singleton role.
+        now: the loop's clock, in seconds.
+        suspicion_s: for how long a silent replica is suspected; failing ones are ejected for multiples of it.
+    """
 
-    def __init__(self, *, region: str, epoch: int, now, suspicion_s: float):
+    def __init__(self, *, region: str, epoch: int, now: Callable[[], float], suspicion_s: float) -> None:
         self.region = region
         self.epoch = epoch
         self.registry = pool_registry.Registry(
-            on_withdraw=self._withdrawn, on_catalogue=self._catalogue, first_generation=epoch * 1000000
+            on_withdraw=self._broadcast_withdrawn,
+            on_catalogue=self._broadcast_catalogue,
+            first_generation=epoch * 1000000,
         )
-        self.subscribers = {}  # link: Subscriber
-        self.totals = {}  # replica key: [running, tokens, marks]
+        self.subscribers: dict[peer_connection.PeerConnection, Subscriber] = {}
+        self._totals: dict[bytes, LoadTotal] = {}  # by replica key
         self._judge = outcomes.Judge(now=now, suspicion_s=suspicion_s)
-        self._zone_epochs = {}  # zone: the newest epoch of its digest
-        self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether it goes far
-        self._scales = {}  # replica key: load_feed.Scale
+        self._zone_epochs: dict[str, int] = {}  # zone: the newest epoch of its digest
+        self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether subscribers are far
+        self._scales: dict[bytes, load_feed.Scale] = {}  # by replica key
         self._ticks = 0
-        self._sent = set()
-        self._ids = {}  # replica key: id
-        self._replicas = []
-        self._services = {}
+        self._sent: set[str] = set()  # ids of replicas that were sent requests
+        self._ids: dict[bytes, str] = {}  # by replica key
+        self._replicas: list[dict] = []
+        self._services: dict[str, dict] = {}
 
-    def sync(self, *, services: dict, replicas: list) -> None:
+    def sync(self, *, services: dict[str, dict], replicas: list[dict]) -> None:
+        """The configuration or the list of replicas changed.
+
+        Args:
+            services: of the configuration, with `models` and `cache_tokens`, by name.
+            replicas: rows of the list.
+        """
         self._services = services
         self._replicas = replicas
         self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
@@ -79,147 +104,196 @@
             region=self.region, services=self._services, replicas=self._replicas, sent=self._sent
         )
         self.registry.sync(resolved=pools, conflicts=conflicts)
-        self._join_new()
+        self._join_new_pools()
 
-    def _join_new(self) -> None:
+    def _join_new_pools(self) -> None:
         for pool in self.registry.pools.values():
             new = {is_far for is_far in (False, True) if is_far not in pool.hubs}
-            for link, known in list(self.subscribers.items()):
-                if known.is_far in new:
-                    self.registry.join(pool=pool, link=link, is_far=known.is_far)
+            for connection, subscriber in list(self.subscribers.items()):
+                if subscriber.is_far in new:
+                    self.registry.join(pool=pool, connection=connection, is_far=subscriber.is_far)
 
-    def _broadcast(self, message: tuple, *, links=None) -> None:
-        """One frame, packed once. A subscriber that does not read loses its own stream alone."""
+    # Publication.
+    def _broadcast(
+        self, message: tuple, *, connections: Iterable[peer_connection.PeerConnection] | None = None
+    ) -> None:
+        """Sends one frame, packed once. A subscriber that does not read loses its own stream alone."""
         frame = frames.pack(message)
-        for link in list(self.subscribers if links is None else links):
-            if link.queued() > hub.QUEUE_LIMIT_BYTES:
-                link.close(reason="relay queue overflow")
+        for connection in list(self.subscribers if connections is None else connections):
+            if connection.queued() > hub.QUEUE_LIMIT_BYTES:
+                connection.close(reason="relay queue overflow")
                 continue
-            link.send_bytes(frame)
-
-    def _withdrawn(self, pool) -> None:
-        self._broadcast(("withdrawn", pool.name, pool.generation))
-
-    def _catalogue(self) -> None:
-        self._broadcast(("catalogue", self.epoch, self.registry.rows()))
-
-    def subscribe(self, link, *, region: str, zone: str = "", zone_epoch: int = 0) -> None:
-        """A digest's stream. One of an older epoch of the same zone is over; one that comes under it is closed."""
-        if zone_epoch:
-            if zone_epoch < self._zone_epochs.get(zone, 0):
-                link.close(reason=f"digest of {zone} under epoch {zone_epoch}")
-                return
-            self._zone_epochs[zone] = zone_epoch
-            for other, known in list(self.subscribers.items()):
-                if known.zone == zone and 0 < known.zone_epoch < zone_epoch and other is not link:
-                    other.close(reason="a newer digest of the zone")
-        is_far = region != self.region
-        self.subscribers[link] = Subscriber(is_far=is_far, zone=zone, zone_epoch=zone_epoch)
-        self._broadcast(("catalogue", self.epoch, self.registry.rows()), links=[link])
-        for pool in self.registry.pools.values():
-            self.registry.join(pool=pool, link=link, is_far=is_far)
-        self._broadcast(("load", self.epoch, True, self._feeds[is_far].snapshot()), links=[link])
+            connection.send_bytes(frame)
 
-    def end(self, link) -> None:
-        """The digest is gone: its sums are withdrawn whole."""
-        known = self.subscribers.pop(link, None)
-        for pool in self.registry.pools.values():
-            pool.leave(link)
-        if known is not None:
-            for key, load in known.parts.items():
-                self._add(key, NOTHING, load)
-
-    def _add(self, key: bytes, load: tuple, before: tuple) -> None:
-        total = self.totals.setdefault(key, [0, 0, 0])
-        for column in range(3):
-            total[column] += load[column] - before[column]
-        if not any(total):
-            del self.totals[key]
-        self._note(key)
-
-    def _note(self, key: bytes) -> None:
-        for feed in self._feeds.values():
-            feed.record(key)
+    def _broadcast_withdrawn(self, pool: pool_registry.Pool) -> None:
+        self._broadcast(messages.PoolWithdrawn(pool.name, pool.generation))
 
-    def handle_aggregates(self, link, message: tuple) -> None:
-        """One cut of a digest; a malformed one raises before anything changes."""
-        known = self.subscribers.get(link)
-        if known is None:
-            return
-        _kind, number, data, read_data = message
-        loads = row_codec.rows(shape=row_codec.REPORTED, data=data)
-        reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=read_data)]
-        if number <= known.counted:
-            raise errors.FrameError(f"cut {number} after {known.counted}", step="sums")
-        is_new = False
-        for key, _region, running, tokens, suspect_count, ended, failed in loads:
-            load = (running, tokens, suspect_count)
-            before = known.parts.get(key, NOTHING)
-            if load != before:
-                self._add(key, load, before)
-                if load == NOTHING:
-                    del known.parts[key]
-                else:
-                    known.parts[key] = load
-            if ended and key in self._ids:
-                self._judge.take(key=key, ended=ended, failed=failed)
-            name = self._ids.get(key)
-            if name is not None and name not in self._sent:
-                self._sent.add(name)
-                is_new = True
-        known.counted = number
-        if is_new:
-            self._resolve()
-        for key, domain, parts in reads:
-            self._handle_read(key, domain.hex(), parts)
+    def _catalogue(self) -> messages.Catalogue:
+        return messages.Catalogue(self.epoch, self.registry.rows())
 
-    def _handle_read(self, key: bytes, domain: str, parts) -> None:
-        pool = self.registry.find_domain(domain=domain)
-        name = self._ids.get(key)
-        if pool is not None and name in pool.actor.owner_bits:
-            pool.actor.read(replica=name, rows=cuckoo_filter.extend(parts=parts))
-
-    def _load_of(self, key: bytes) -> load_feed.Load:
-        running, tokens, suspect_count = self.totals.get(key, NOTHING)
-        batch_slots = self._scales.get(key, load_feed.NO_SCALE).batch_slots
-        flags = load_feed.FAILING if key in self._judge.failing else 0
-        if batch_slots and running >= batch_slots * load_feed.FULL_SHARE:
-            flags |= load_feed.FULL
-        return load_feed.Load(
-            running=row_codec.short(running),
-            tokens=row_codec.long(tokens),
-            suspect_count=row_codec.short(suspect_count),
-            flags=flags,
-        )
+    def _broadcast_catalogue(self) -> None:
+        self._broadcast(self._catalogue())
 
     def tick(self) -> None:
+        """Publishes what changed, to other regions in every second tick."""
         self.registry.grow()
-        self._join_new()
+        self._join_new_pools()
         self._ticks += 1
-        for key in self._judge.look():
+        for key in self._judge.update():
             _log.debug(
                 "replica_outcomes_changed",
                 extra={"replica": self._ids.get(key, ""), "is_failing": key in self._judge.failing},
             )
-            self._note(key)
+            self._record_change(key)
         self._publish(is_far=False)
         if self._ticks % FAR_TICKS == 0:
             self._publish(is_far=True)
 
     def _publish(self, *, is_far: bool) -> None:
-        """To all subscribers of one pace: what of the filters and of the loads is to be told now."""
+        """Sends buckets, acknowledgements and loads to the subscribers of one kind."""
         self.registry.flush(is_far=is_far, most=FAR_BUCKETS if is_far else NEAR_BUCKETS)
-        links = [link for link, known in self.subscribers.items() if known.is_far == is_far]
-        for link in links:
-            known = self.subscribers[link]
-            if known.counted != known.acknowledged_counted:
-                known.acknowledged_counted = known.counted
-                link.send(("counted", known.counted))
-        most = (
-            max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE)) if links else len(self._ids) + len(self.totals)
-        )
-        data = self._feeds[is_far].take(
-            load_of=self._load_of, scale_of=lambda key: self._scales.get(key, load_feed.NO_SCALE), most=most
+        connections = [connection for connection, subscriber in self.subscribers.items() if subscriber.is_far == is_far]
+        for connection in connections:
+            subscriber = self.subscribers[connection]
+            if subscriber.counted != subscriber.acknowledged:
+                subscriber.acknowledged = subscriber.counted
+                connection.send(messages.AggregatesCounted(subscriber.counted))
+        if connections:
+            most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE))
+        else:  # nobody is sent them, so nothing is left over for later
+            most = len(self._ids) + len(self._totals)
+        rows = self._feeds[is_far].next_rows(load_of=self._load_of, scale_of=self._scale_of, most=most)
+        if rows and connections:
+            loads = messages.ReplicaLoads(self.epoch, is_snapshot=False, load_rows=rows)
+            self._broadcast(loads, connections=connections)
+
+    def _scale_of(self, key: bytes) -> load_feed.Scale:
+        return self._scales.get(key, load_feed.NO_SCALE)
+
+    def _load_of(self, key: bytes) -> load_feed.Load:
+        flags = load_feed.FAILING if key in self._judge.failing else 0
+        total = self._totals.get(key)
+        if total is None:
+            return load_feed.Load(flags=flags) if flags else load_feed.NO_LOAD
+        batch_slots = self._scale_of(key).batch_slots
+        if batch_slots and total.running >= batch_slots * load_feed.FULL_SHARE:
+            flags |= load_feed.FULL
+        return load_feed.Load(
+            row_codec.short(total.running),
+            row_codec.long(total.prefill_tokens),
+            row_codec.short(total.suspect_count),
+            flags,
         )
-        if data and links:
-            self._broadcast(("load", self.epoch, False, data), links=links)
+
+    # Subscribers.
+    def subscribe(
+        self, connection: peer_connection.PeerConnection, *, region: str, zone: str = "", zone_epoch: int = 0
+    ) -> None:
+        """Starts a stream to a digest, or closes the connection.
+
+        The stream of an older epoch of the same zone ends; a subscriber that comes late under an older one is refused.
+
+        Args:
+            connection: to the digest.
+            region: of the digest.
+            zone: of the digest, or the name of its singleton role.
+            zone_epoch: of that role; 0: it serves one proxy alone.
+        """
+        if zone_epoch and not self._fence_older(connection, zone, zone_epoch):
+            return
+        is_far = region != self.region
+        self.subscribers[connection] = Subscriber(is_far=is_far, zone=zone, zone_epoch=zone_epoch)
+        self._broadcast(self._catalogue(), connections=[connection])
+        for pool in self.registry.pools.values():
+            self.registry.join(pool=pool, connection=connection, is_far=is_far)
+        loads = messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=self._feeds[is_far].snapshot())
+        self._broadcast(loads, connections=[connection])
+
+    def _fence_older(self, connection: peer_connection.PeerConnection, zone: str, zone_epoch: int) -> bool:
+        """Whether this epoch of the zone's digest is the newest one; streams of older ones are closed."""
+        if zone_epoch < self._zone_epochs.get(zone, 0):
+            connection.close(reason=f"digest of {zone} under epoch {zone_epoch}")
+            return False
+        self._zone_epochs[zone] = zone_epoch
+        for other, subscriber in list(self.subscribers.items()):
+            if subscriber.zone == zone and 0 < subscriber.zone_epoch < zone_epoch and other is not connection:
+                other.close(reason="a newer digest of the zone")
+        return True
+
+    def remove(self, connection: peer_connection.PeerConnection) -> None:
+        """A connection ended: the digest's loads are withdrawn completely."""
+        subscriber = self.subscribers.pop(connection, None)
+        for pool in self.registry.pools.values():
+            pool.leave(connection)
+        if subscriber is not None:
+            for key, load in subscriber.loads.items():
+                self._replace(key, before=load, load=NO_LOAD)
+
+    # Ingest.
+    def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
+        """One batch of a digest; one of a connection that does not subscribe is ignored.
+
+        Raises:
+            FrameError: it is malformed, or not newer than the last one; nothing was changed.
+        """
+        subscriber = self.subscribers.get(connection)
+        if subscriber is None:
+            return
+        rows = row_codec.rows(shape=row_codec.REPORTED, data=message.load_rows)
+        reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=message.read_rows)]
+        if message.number <= subscriber.counted:
+            raise errors.FrameError(f"cut {message.number} after {subscriber.counted}", step="sums")
+        is_new = False
+        for key, _region, running, prefill_tokens, suspect_count, ended, failed in rows:
+            self._count(subscriber, key, LoadCounts(running, prefill_tokens, suspect_count))
+            replica_id = self._ids.get(key)
+            if replica_id is None:
+                continue
+            if ended:
+                self._judge.record(key=key, ended=ended, failed=failed)
+            if replica_id not in self._sent:
+                self._sent.add(replica_id)
+                is_new = True
+        subscriber.counted = message.number
+        if is_new:
+            self._resolve()
+        for key, domain, parts in reads:
+            self._handle_read(key, domain.hex(), parts)
+
+    def _count(self, subscriber: Subscriber, key: bytes, load: LoadCounts) -> None:
+        before = subscriber.loads.get(key, NO_LOAD)
+        if load == before:
+            return
+        self._replace(key, before=before, load=load)
+        if load == NO_LOAD:
+            del subscriber.loads[key]
+        else:
+            subscriber.loads[key] = load
+
+    def _replace(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
+        total = self._totals.get(key)
+        if total is None:
+            total = self._totals[key] = LoadTotal()
+        total.replace(before, load)
+        if total.is_zero:
+            del self._totals[key]
+        self._record_change(key)
+
+    def _record_change(self, key: bytes) -> None:
+        for feed in self._feeds.values():
+            feed.record(key)
+
+    def _handle_read(self, key: bytes, domain: str, parts: tuple) -> None:
+        pool = self.registry.find_domain(domain=domain)
+        replica_id = self._ids.get(key)
+        if pool is not None and replica_id in pool.actor.owner_bits:
+            pool.actor.read(replica=replica_id, rows=cuckoo_filter.extend(parts=parts))
+
+    def total(self, key: bytes) -> LoadCounts:
+        """The sum of all subscribers' loads of this replica."""
+        total = self._totals.get(key)
+        return total.counts() if total is not None else NO_LOAD
+
+    def totals(self) -> dict[bytes, LoadCounts]:
+        """The sums by replica key, of the replicas that have load."""
+        return {key: total.counts() for key, total in self._totals.items()}
