--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -1,56 +1,82 @@
-"""The hub of one producer generation (docs/relay.md 4): lazy, one mirror, a cut and a bounded queue for each subscriber."""
+"""The hub of one producer generation (docs/relay.md 4): lazy, one mirror, a cut and a bounded queue for each subscriber.
+
+A `Hub` owns the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: what a
+subscriber's cut and the deltas after it say is what the hub's images are.
+"""
 
 import struct
+from collections.abc import Iterable
+from collections.abc import Sequence
 
 from ploverward.common import errors
+from ploverward.data_plane.relay import actor as actors
 from ploverward.transport import frames
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
 
-QUEUE_LIMIT_BYTES = 512 * 1024
+QUEUE_LIMIT_BYTES = 512 * 1024  # unsent bytes of a subscriber at which its stream is closed
 ROW = struct.Struct(">II")  # bucket, its sequence; the image follows
 
 
-class Fenced(errors.PloverwardError):
+class FencedError(errors.PloverwardError):
     """Identity, lease, sequence or encoding fault: the generation is over."""
 
 
+def pack_rows(*, versions: Sequence[int], images: Sequence[bytes], blank: bytes) -> bytes:
+    """Rows of a cut: buckets that were ever published or are not empty."""
+    return b"".join(
+        ROW.pack(index, version) + image
+        for index, (version, image) in enumerate(zip(versions, images, strict=True))
+        if version or image != blank
+    )
+
+
 class Hub:
-    """Publishes one filter to subscribers that are told at the same pace.
+    """Publishes one filter to subscribers that are sent deltas at the same interval.
+
+    Buckets that changed wait here until they are published: those that subscribers wait for first, each kind in the order
+    in which they changed. A bucket that changes again while it waits is published once, as it is then.
 
-    Buckets that changed wait here until they are told: those that subscribers wait for first, each kind in the order in
-    which they changed. A bucket that changes again while it waits is told once, as it is then.
+    Args:
+        identity: the pool's name.
+        generation: the pool's.
+        actor: owns the filter.
     """
 
-    def __init__(self, *, identity: str, generation: int, actor):
+    def __init__(self, *, identity: str, generation: int, actor: actors.Actor) -> None:
         self.identity = identity
         self.generation = generation
         self._actor = actor
         self._images = [actor.filter.image(index) for index in range(actor.filter.bucket_count)]
         self._versions = [0] * actor.filter.bucket_count
-        self._waiting = {}  # bucket: True
-        self._waiting_later = {}
-        self._subscribers = {}
+        self._waiting: dict[int, bool] = {}  # bucket: True; in order
+        self._waiting_later: dict[int, bool] = {}
+        self._subscribers: dict[peer_connection.PeerConnection, bool] = {}  # in order
         self.is_fenced = False
 
-    def join(self, link) -> None:
-        """The subscriber's own cut: what was told and isn't empty, with its sequence; deltas follow on the same link."""
-        blank = bytes(len(self._images[0]))
-        rows = b"".join(
-            ROW.pack(index, version) + image
-            for index, (version, image) in enumerate(zip(self._versions, self._images, strict=False))
-            if version or image != blank
+    def join(self, connection: peer_connection.PeerConnection) -> None:
+        """Sends a subscriber its own cut of what was published; deltas follow on the same connection."""
+        rows = pack_rows(versions=self._versions, images=self._images, blank=bytes(len(self._images[0])))
+        self._subscribers[connection] = True
+        connection.send(
+            messages.PoolCut(self.identity, self.generation, len(self._images), self._actor.filter.words, rows)
         )
-        self._subscribers[link] = True
-        link.send(("cut", self.identity, self.generation, len(self._images), self._actor.filter.words, rows))
 
-    def leave(self, link) -> None:
-        """Cancelling one stream closes only it."""
-        self._subscribers.pop(link, None)
+    def leave(self, connection: peer_connection.PeerConnection) -> None:
+        """Ends one subscriber's stream alone."""
+        self._subscribers.pop(connection, None)
 
     def subscriber_count(self) -> int:
+        """How many streams there are."""
         return len(self._subscribers)
 
-    def record(self, *, dirty, dirty_later) -> None:
-        """Buckets of the filter that changed."""
+    def record(self, *, dirty: Iterable[int], dirty_later: Iterable[int]) -> None:
+        """Buckets of the filter changed.
+
+        Args:
+            dirty: those that subscribers wait for.
+            dirty_later: the others.
+        """
         for index in sorted(dirty):
             self._waiting_later.pop(index, None)
             self._waiting.setdefault(index, True)
@@ -59,12 +85,31 @@
                 self._waiting_later.setdefault(index, True)
 
     def waiting(self) -> int:
-        """How many buckets are still to be told."""
+        """How many buckets are still to be published."""
         return len(self._waiting) + len(self._waiting_later)
 
     def flush(self, *, most: int | None = None) -> None:
-        """Tells buckets that changed: all of them, or so many as `most` says."""
-        rows = []
+        """Publishes buckets that changed.
+
+        Args:
+            most: how many at most; None: all.
+        """
+        rows = self._next_rows(most)
+        if not rows:
+            return
+        rows.sort()
+        delta = messages.PoolDelta(self.identity, self.generation, b"".join(row for _index, row in rows))
+        frame = frames.pack(delta)
+        for connection in list(self._subscribers):
+            if connection.queued() > QUEUE_LIMIT_BYTES:
+                self.leave(connection)
+                connection.close(reason="relay queue overflow")
+                continue
+            connection.send_bytes(frame)
+
+    def _next_rows(self, most: int | None) -> list[tuple[int, bytes]]:
+        """(bucket, its row) of those whose image is another than the published one."""
+        rows: list[tuple[int, bytes]] = []
         for waiting in (self._waiting, self._waiting_later):
             while waiting and (most is None or len(rows) < most):
                 index = next(iter(waiting))
@@ -75,18 +120,10 @@
                 self._images[index] = image
                 self._versions[index] += 1
                 rows.append((index, ROW.pack(index, self._versions[index]) + image))
-        if not rows:
-            return
-        rows.sort()
-        frame = frames.pack(("delta", self.identity, self.generation, b"".join(row for _index, row in rows)))
-        for link in list(self._subscribers):
-            if link.queued() > QUEUE_LIMIT_BYTES:
-                self.leave(link)
-                link.close(reason="relay queue overflow")
-                continue
-            link.send_bytes(frame)
+        return rows
 
     def check(self, *, generation: int) -> None:
+        """Raises `FencedError` where the pool has another generation, or the hub was fenced before."""
         if generation != self.generation or self.is_fenced:
             self.is_fenced = True
-            raise Fenced("another generation", step="publish", peer=self.identity)
+            raise FencedError("another generation", step="publish", peer=self.identity)
--- /dev/null
+++ b/ploverward/data_plane/relay/load_counts.py
@@ -0,0 +1,65 @@
+"""What is counted of one replica's load and of how attempts at it ended, in reports, aggregates and the relay's totals.
+
+Reports and aggregates carry absolute numbers, so a newer row replaces an older one and totals are adjusted by the
+difference (docs/digest.md 2, 3).
+"""
+
+import typing
+
+
+class LoadCounts(typing.NamedTuple):
+    """The load of one replica, of one proxy or summed over several."""
+
+    running: int = 0  # attempts in flight
+    prefill_tokens: int = 0  # prompt tokens that the replica has still to process
+    suspect_count: int = 0  # proxies that suspect the replica
+
+
+NO_LOAD = LoadCounts()
+
+
+class RegionLoad(typing.NamedTuple):
+    """The load of one replica, with the index of its region."""
+
+    region: int  # index into the sorted names of all regions; `UNKNOWN_REGION` where it is none of them
+    load: LoadCounts
+
+
+UNKNOWN_REGION = 255
+UNKNOWN_REPLICA = RegionLoad(region=UNKNOWN_REGION, load=NO_LOAD)
+
+
+class LoadTotal:
+    """A sum of `LoadCounts` that is adjusted in place: one exists for each replica, and reports arrive all the time."""
+
+    __slots__ = ("prefill_tokens", "running", "suspect_count")
+
+    def __init__(self) -> None:
+        self.running = 0
+        self.prefill_tokens = 0
+        self.suspect_count = 0
+
+    def replace(self, before: LoadCounts, load: LoadCounts) -> None:
+        """One of the summed loads is `load` now; it was `before`."""
+        self.running += load.running - before.running
+        self.prefill_tokens += load.prefill_tokens - before.prefill_tokens
+        self.suspect_count += load.suspect_count - before.suspect_count
+
+    @property
+    def is_zero(self) -> bool:
+        """Whether nothing is left of any load."""
+        return not (self.running or self.prefill_tokens or self.suspect_count)
+
+    def counts(self) -> LoadCounts:
+        """The sum as it is now."""
+        return LoadCounts(self.running, self.prefill_tokens, self.suspect_count)
+
+
+class OutcomeCounts:
+    """How many attempts at a replica ended, and how many of these failed."""
+
+    __slots__ = ("ended", "failed")
+
+    def __init__(self) -> None:
+        self.ended = 0
+        self.failed = 0
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -1,24 +1,30 @@
-"""Loads of replicas as they are told to subscribers at one pace: what moved most first, a bounded number at a time."""
+"""Loads of replicas as they are published at one interval: what moved most first, a bounded number of rows at a time.
+
+A `LoadFeed` owns what its subscribers were sent. Invariant: a replica whose published load is not its present one waits, and
+the longer it was passed over the sooner its turn comes (docs/scale.md 4).
+"""
 
 import dataclasses
 import typing
+from collections.abc import Callable
 
 from ploverward.transport import row_codec
 
 FAILING, FULL = 1, 2  # flags of a load frame's row
-FULL_SHARE = 0.75  # of a replica's places: from there on it is told as full
-AGE_WEIGHT = 1 / 16  # of a whole replica's places, for each time that a row was passed over
+FULL_SHARE = 0.75  # of a replica's batch slots: with so many attempts running it is published as full
+AGE_WEIGHT = 1 / 16  # of all batch slots of a replica, for each time that its row was passed over
 
 
 class Load(typing.NamedTuple):
-    """One replica's load, summed over all proxies, as a load frame carries it."""
+    """One replica's load, summed over all proxies, as a row of a load frame has it."""
 
-    running: int = 0
-    tokens: int = 0  # still to be read
-    suspect_count: int = 0  # proxies that mark it as silent
-    flags: int = 0
+    running: int = 0  # attempts in flight
+    tokens: int = 0  # prompt tokens still to be processed
+    suspect_count: int = 0  # proxies that suspect it
+    flags: int = 0  # `FAILING`, `FULL`
 
     def pack(self, key: bytes) -> bytes:
+        """The row, for the replica of this key; numbers that are too large become the largest."""
         return row_codec.LOAD.pack(
             key,
             row_codec.short(self.running),
@@ -30,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scale:
-    """What a replica takes at most: its places, and the tokens that it keeps."""
+    """The capacity of a replica."""
 
     batch_slots: int = 0  # 0: not known
-    tokens: int = 1
+    tokens: int = 1  # of its cache
 
 
 NO_LOAD = Load()
@@ -41,24 +47,27 @@
 
 
 class LoadFeed:
-    """What all subscribers of one pace were told, and what is still to be told to them."""
+    """What all subscribers of one kind were sent, and what is still to be sent to them."""
 
-    def __init__(self):
-        self._published = {}  # replica key: Load; none is NO_LOAD
-        self._waiting = {}  # replica key: how often it was passed over
+    def __init__(self) -> None:
+        self._published: dict[bytes, Load] = {}  # by replica key; those without load are left out
+        self._waiting: dict[bytes, int] = {}  # replica key: how often it was passed over
 
     def record(self, key: bytes) -> None:
         """This replica's load changed."""
         self._waiting.setdefault(key, 0)
 
     def snapshot(self) -> bytes:
-        """Rows of all that was told: where a subscriber stands that joins now."""
+        """Rows of all that was published: what a subscriber is sent that joins now."""
         return b"".join(self._published[key].pack(key) for key in sorted(self._published))
 
-    def take(self, *, load_of, scale_of, most: int) -> bytes:
-        """Rows to be told now, at most so many: those that moved most, and in time each.
+    def next_rows(self, *, load_of: Callable[[bytes], Load], scale_of: Callable[[bytes], Scale], most: int) -> bytes:
+        """Rows to be published now: of the replicas whose load moved most, and in time of each.
 
-        `load_of` and `scale_of` give a Load and a Scale for a replica's key.
+        Args:
+            load_of: gives the present load of a replica key.
+            scale_of: gives the capacity of a replica key.
+            most: how many rows at most.
         """
         moved = {}
         for key in list(self._waiting):
@@ -67,18 +76,18 @@
                 del self._waiting[key]
             else:
                 moved[key] = load
-        chosen = moved
+        chosen = list(moved)
         if len(moved) > most:
             chosen = sorted(moved, key=lambda key: -self._moved_by(key, moved[key], scale_of(key)))[:most]
         for key in chosen:
             del self._waiting[key]
-            self._keep(key, moved[key])
+            self._note_published(key, moved[key])
         for key in self._waiting:
             self._waiting[key] += 1
         return b"".join(moved[key].pack(key) for key in sorted(chosen))
 
     def _moved_by(self, key: bytes, load: Load, scale: Scale) -> float:
-        """How far the load is from what was told, in parts of what the replica takes."""
+        """How far the load is from the published one, in shares of the replica's capacity."""
         published = self._published.get(key, NO_LOAD)
         moved = abs(load.running - published.running) / max(1, scale.batch_slots)
         moved += abs(load.tokens - published.tokens) / max(1, scale.tokens)
@@ -86,7 +95,7 @@
             moved += 1.0
         return moved + self._waiting[key] * AGE_WEIGHT
 
-    def _keep(self, key: bytes, load: Load) -> None:
+    def _note_published(self, key: bytes, load: Load) -> None:
         if load == NO_LOAD:
             self._published.pop(key, None)
         else:
--- a/ploverward/data_plane/relay/resolution.py
+++ b/ploverward/data_plane/relay/resolution.py
@@ -1,44 +1,76 @@
-"""Which pools there should be (docs/relay.md 1). Our replicas send no cards: the facts come from the
-configuration, the platform's list, and the requests seen sent."""
+"""Which pools there should be (docs/relay.md 1): a pure function of the configuration, the list and the requests seen sent.
+
+The source's replicas send cards; ours do not, so the facts are derived.
+"""
 
 import hashlib
+import typing
+from collections.abc import Callable
+from collections.abc import Collection
 
 IDENTITY_VERSION = 1
-HASH_FORMAT = "part-id/blake2b-8/v1"
+HASH_FORMAT = "part-id/blake2b-8/v1"  # part of every domain: pools of two hash formats never mix
+
+
+class PoolId(typing.NamedTuple):
+    """What identifies a pool."""
+
+    version: int  # of the identity itself
+    domain: str  # of the indexer: service, model and hash format
+    region: str
+
+
+class ResolvedPool(typing.NamedTuple):
+    """A pool that there should be."""
+
+    service: str
+    model: str
+    cache_tokens: int  # of each replica
+    replicas: frozenset[str]  # ids of the live ones
+
+
+class Resolution(typing.NamedTuple):
+    """All pools that there should be."""
+
+    pools: dict[PoolId, ResolvedPool]
+    conflicts: tuple[PoolId, ...]  # identities that several pools would have
 
 
 def domain_id(*, service: str, model: str) -> str:
+    """The indexer domain, in hex."""
     return hashlib.blake2b(f"{service}\0{model}\0{HASH_FORMAT}".encode(), digest_size=8).hexdigest()
 
 
-def pool_id(*, service: str, model: str, region: str, domain=domain_id) -> tuple:
-    return (IDENTITY_VERSION, domain(service=service, model=model), region)
+def pool_id(*, service: str, model: str, region: str, domain: Callable[..., str] = domain_id) -> PoolId:
+    """The identity of a pool."""
+    return PoolId(IDENTITY_VERSION, domain(service=service, model=model), region)
 
 
-def resolve(*, region: str, services: dict, replicas: list, sent: set, domain=domain_id) -> tuple:
-    """(pools, conflicts). pools: PoolId -> (service, model, cache tokens, live replica ids).
+def resolve(
+    *,
+    region: str,
+    services: dict[str, dict],
+    replicas: list[dict],
+    sent: Collection[str],
+    domain: Callable[..., str] = domain_id,
+) -> Resolution:
+    """The pools of a region.
 
-    A pool is there where its identity resolves without conflict, its source is unambiguous (each
-    replica id stands once, with one service and one address), and a live replica has been sent requests.
+    A pool is there where its identity resolves without conflict, its source is unambiguous (each replica id stands once,
+    with one service and one address), and a live replica has been sent requests.
+
+    Args:
+        region: of the relay.
+        services: of the configuration, with `models` and `cache_tokens`, by name.
+        replicas: rows of the list.
+        sent: ids of replicas that were sent requests.
+        domain: gives the domain of a service and a model.
     """
-    rows_by_id = {}
-    for row in replicas:
-        rows_by_id.setdefault(row["id"], []).append(row)
-    expected = {}
-    for replica, rows in rows_by_id.items():
-        if len(rows) > 1 or rows[0]["region"] != region:
-            continue
-        row = rows[0]
-        if row["service"] not in services:
-            continue
-        for model in row["models"]:
-            if model in services[row["service"]]["models"]:
-                expected.setdefault((row["service"], model), set()).add(replica)
-    by_id = {}
+    expected = _expected_replicas(region, services, replicas)
+    by_id: dict[PoolId, list[tuple[str, str]]] = {}
     for service, model in expected:
-        by_id.setdefault(pool_id(service=service, model=model, region=region, domain=domain), []).append(
-            (service, model)
-        )
+        identity = pool_id(service=service, model=model, region=region, domain=domain)
+        by_id.setdefault(identity, []).append((service, model))
     pools = {}
     conflicts = []
     for identity, owners in by_id.items():
@@ -46,7 +78,23 @@
             conflicts.append(identity)  # colliding live PoolIds are fenced, never merged
             continue
         service, model = owners[0]
-        live = expected[owners[0]]
-        if live & sent:
-            pools[identity] = (service, model, services[service]["cache_tokens"], frozenset(live))
-    return pools, tuple(conflicts)
+        live = expected[service, model]
+        if not live.isdisjoint(sent):
+            pools[identity] = ResolvedPool(service, model, services[service]["cache_tokens"], frozenset(live))
+    return Resolution(pools, tuple(conflicts))
+
+
+def _expected_replicas(region: str, services: dict[str, dict], replicas: list[dict]) -> dict[tuple[str, str], set[str]]:
+    """Ids of the region's replicas by service and model; one that the list has twice is left out."""
+    rows_by_id: dict[str, list[dict]] = {}
+    for row in replicas:
+        rows_by_id.setdefault(row["id"], []).append(row)
+    expected: dict[tuple[str, str], set[str]] = {}
+    for replica_id, rows in rows_by_id.items():
+        row = rows[0]
+        if len(rows) > 1 or row["region"] != region or row["service"] not in services:
+            continue
+        for model in row["models"]:
+            if model in services[row["service"]]["models"]:
+                expected.setdefault((row["service"], model), set()).add(replica_id)
+    return expected
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -9,6 +9,7 @@
 from ploverward.data_plane.relay import mirror
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 ZONES = ("za", "za", "zb", "zb", "za")
@@ -66,9 +67,9 @@
 
 def test_a_broken_mirror_is_trusted_for_what_is_kept_ten_times_as_long_as_for_load():
     clock = [0.0]
-    region = mirror.Region(now=lambda: clock[0], trust_s=5.0)
-    region.take(("catalogue", 1, ()))
-    region.take(("load", 1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
+    region = mirror.RegionMirror(now=lambda: clock[0], trust_s=5.0)
+    region.handle_publication(messages.Catalogue(1, ()))
+    region.handle_publication(messages.ReplicaLoads(1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
     assert region.is_trusted and region.is_fresh  # it is told of each change: silence alone is no break
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -10,12 +10,16 @@
 from ploverward.data_plane.relay import host as hosts
 from ploverward.data_plane.relay import hub as hubs
 from ploverward.data_plane.relay import mirror as mirrors
+from ploverward.data_plane.relay import pool_mirror
 from ploverward.data_plane.relay import pool_registry
 from ploverward.data_plane.relay import resolution
 from ploverward.simulation import recording_connections
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 SERVICES = {"llm": {"models": ("m",), "cache_tokens": 1000}}
+POOL_ID = resolution.PoolId(1, "d", "north")
+RESOLVED = resolution.ResolvedPool("llm", "m", 100, frozenset({"r1"}))
 
 
 def rows(*names, tokens=10):
@@ -26,8 +30,19 @@
     return {"id": name, "service": service, "region": region, "models": ["m"]}
 
 
+def find_bits(table, full_hash):
+    """What the slot of a hash says of its owners; 0 where it has none."""
+    fingerprint, *buckets = cuckoo_filter.fingerprint_and_buckets(full_hash=full_hash, bucket_count=table.bucket_count)
+    found = 0
+    for index in buckets:
+        for stored, bits in table.buckets[index]:
+            if stored == fingerprint:
+                found |= bits
+    return found
+
+
 def owner_bits(actor, full_hash):
-    return cuckoo_filter.find(buckets=actor.filter.buckets, full_hash=full_hash)
+    return find_bits(actor.filter, full_hash)
 
 
 def test_sequence_hash_root_is_the_token_hash_and_children_extend():
@@ -101,14 +116,14 @@
             inserted.append(full_hash)
         else:
             assert table.buckets == before
-    assert all(cuckoo_filter.find(buckets=table.buckets, full_hash=full_hash) for full_hash in inserted)
+    assert all(find_bits(table, full_hash) for full_hash in inserted)
 
 
 def test_pool_needs_a_live_replica_that_was_sent_requests():
     row = [replica("r1")]
     assert resolution.resolve(region="north", services=SERVICES, replicas=row, sent=set())[0] == {}
-    assert resolution.resolve(region="south", services=SERVICES, replicas=row, sent={"r1"})[0] == {}
-    assert resolution.resolve(region="north", services=SERVICES, replicas=row + row, sent={"r1"})[0] == {}
+    assert resolution.resolve(region="south", services=SERVICES, replicas=row, sent={"r1"}).pools == {}
+    assert resolution.resolve(region="north", services=SERVICES, replicas=row + row, sent={"r1"}).pools == {}
     pools, _conflicts = resolution.resolve(region="north", services=SERVICES, replicas=row, sent={"r1"})
     assert list(pools.values()) == [("llm", "m", 1000, frozenset({"r1"}))]
 
@@ -153,17 +168,17 @@
 
 
 def feed(region, wire):
-    for message in wire.sent:
-        region.take(message)
-    wire.sent.clear()
+    for message in wire.messages:
+        region.handle_publication(message)
+    wire.clear()
 
 
 def test_hub_is_lazy_and_each_subscriber_gets_a_cut_then_deltas():
     host, _clock = make_host()
     one, two = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     registry = host.registry
-    registry.sync(resolved={(1, "d", "north"): ("llm", "m", 100, frozenset({"r1"}))})
-    assert registry.pools[(1, "d", "north")].hubs == {}  # nobody subscribed yet
+    registry.sync(resolved={POOL_ID: RESOLVED})
+    assert registry.pools[POOL_ID].hubs == {}  # nobody subscribed yet
     registry.sync(resolved={})
     source = send(host)
     read(host, source, "r1", "a", "b")
@@ -174,7 +189,7 @@
     host.subscribe(two, region="north")
     views = []
     for wire in (one, two):
-        region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+        region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
         feed(region, wire)
         views.append(region.kept(service="llm", model="m", chain=rows("a", "b"), replicas=("r1", "r2")))
     assert views == [{"r1": 20, "r2": 10}] * 2
@@ -185,23 +200,24 @@
     wire = recording_connections.RecordingLink()
     source = send(host)
     host.subscribe(wire, region="north")
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     feed(region, wire)
     read(host, source, "r1", "a")
     read(host, source, "r1", "b")
     host.tick()
-    kind, name, generation, changed = next(message for message in wire.sent if message[0] == "delta")
+    delta = wire.of_type(messages.PoolDelta)[0]
+    name, changed = delta.pool, delta.bucket_rows
     last = len(changed) - hubs.ROW.size - len(cuckoo_filter.empty_image(words=1))
     assert last > 0  # more than one bucket: the fault is in the last
     index, version = hubs.ROW.unpack_from(changed, last)
     broken = changed[:last] + hubs.ROW.pack(index, version + 1) + changed[last + hubs.ROW.size :]
-    before = list(region.mirrors[name].buckets)
+    before = list(region.pools[name].buckets)
     for bad in (broken, changed[:-1], changed + b"x"):
         with pytest.raises(errors.FrameError):
-            region.take((kind, name, generation, bad))
-        assert region.mirrors[name].buckets == before
-    region.take((kind, name, generation, changed))
-    assert region.mirrors[name].buckets != before
+            region.handle_publication(delta._replace(bucket_rows=bad))
+        assert region.pools[name].buckets == before
+    region.handle_publication(delta)
+    assert region.pools[name].buckets != before
 
 
 def test_withdrawal_comes_before_teardown_and_a_new_generation_follows():
@@ -211,22 +227,22 @@
         on_catalogue=lambda: None,
         first_generation=5,
     )
-    identity = (1, "d", "north")
-    registry.sync(resolved={identity: ("llm", "m", 100, frozenset({"r1"}))})
+    identity = POOL_ID
+    registry.sync(resolved={identity: RESOLVED})
     first = registry.pools[identity]
     registry.sync(resolved={})
     assert seen == [("1/d/north", True)] and first.actor is None
-    registry.sync(resolved={identity: ("llm", "m", 100, frozenset({"r1"}))})
+    registry.sync(resolved={identity: RESOLVED})
     assert registry.pools[identity].generation > first.generation
 
 
 def test_a_fault_in_publication_fences_the_generation():
     seen = []
     registry = pool_registry.Registry(on_withdraw=seen.append, on_catalogue=lambda: None, first_generation=0)
-    identity = (1, "d", "north")
-    registry.sync(resolved={identity: ("llm", "m", 100, frozenset({"r1"}))})
+    identity = POOL_ID
+    registry.sync(resolved={identity: RESOLVED})
     pool = registry.pools[identity]
-    registry.join(pool=pool, link=recording_connections.RecordingLink(), is_far=False)
+    registry.join(pool=pool, connection=recording_connections.RecordingLink(), is_far=False)
     pool.generation += 1
     registry.flush(is_far=False)
     assert [gone.name for gone in seen] == ["1/d/north"] and identity not in registry.pools
@@ -248,10 +264,10 @@
 
 
 def test_a_lower_epoch_is_refused():
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
-    region.take(("catalogue", 3, ()))
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
+    region.handle_publication(messages.Catalogue(3, ()))
     with pytest.raises(errors.FrameError):
-        region.take(("catalogue", 2, ()))
+        region.handle_publication(messages.Catalogue(2, ()))
 
 
 def test_a_new_relay_starts_new_generations():
@@ -268,7 +284,7 @@
     source = send(host)
     read(host, source, "r1", "a")
     host.subscribe(wire, region="north")
-    region = mirrors.Region(now=lambda: clock[0], trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: clock[0], trust_s=5.0)
     feed(region, wire)
     region.fail()
     clock[0] = 4.9
@@ -285,7 +301,7 @@
     host.subscribe(wire, region="north")
     host.sync(services=SERVICES, replicas=[replica("r2"), replica("r9")])
     send_report(host, source, recording_connections.load_row("r2", running=1, tokens=20))
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     feed(region, wire)
     host.tick()
     feed(region, wire)
@@ -294,7 +310,7 @@
 
 def last_load(wire):
     """What a subscriber holds after all load frames that it was told."""
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     feed(region, wire)
     return region.load
 
@@ -317,17 +333,17 @@
     host.tick()
     send_report(host, one, recording_connections.load_row("r1", running=2, tokens=30))
     host.tick()
-    sent = [message for message in reader.sent if message[0] == "load"]
+    sent = reader.of_type(messages.ReplicaLoads)
     assert [len(recording_connections.loads_of(message)) for message in sent] == [0, 2, 1]  # only what changed
     key = row_codec.key_of
     assert last_load(reader) == {key("r1"): (3, 40, 1, 0), key("r2"): (4, 0, 0, 0)}
-    assert one.sent[-2] == ("counted", 2)
-    host.end(two)
+    assert one.messages[-2] == messages.AggregatesCounted(2)
+    host.remove(two)
     host.tick()
-    last = [message for message in reader.sent if message[0] == "load"][-1]
+    last = reader.of_type(messages.ReplicaLoads)[-1]
     assert recording_connections.loads_of(last) == {key("r1"): (2, 30, 0, 0), key("r2"): (0, 0, 0, 0)}
-    host.end(one)
-    assert host.totals == {}
+    host.remove(one)
+    assert host.totals() == {}
 
 
 def drain(host):
@@ -347,7 +363,7 @@
     source = send(host, "old0")
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     for row in old:
         read(host, source, row["id"], "shared")
     first = next(iter(host.registry.pools.values())).generation
@@ -397,13 +413,13 @@
     for name in names:
         read(host, source, name, *(f"{name}-{number}" for number in range(40)))
     drain(host)
-    reader.sent.clear()
+    reader.clear()
     host.sync(services=services, replicas=[replica(name) for name in names[:20]])
     sizes = []
     for _ in range(120):
         host.tick()
-        sizes.append(sum(len(message[3]) for message in reader.sent if message[0] == "delta"))
-        reader.sent.clear()
+        sizes.append(sum(len(delta.bucket_rows) for delta in reader.of_type(messages.PoolDelta)))
+        reader.clear()
     row = hubs.ROW.size + len(cuckoo_filter.empty_image(words=cuckoo_filter.WIDE))
     assert max(sizes) == hosts.NEAR_BUCKETS * row and sizes[-1] == 0
 
@@ -422,7 +438,7 @@
     drain(host)
     feed(region, reader)
     assert pool.actor.owners(full_hash) == set(new)
-    (mirror,) = region.mirrors.values()
+    (mirror,) = region.pools.values()
     owners = mirror.owners(full_hash, pool_size=300)
     assert owners.is_most and not any(owners.names(row_codec.key_of(name)) for name in old)
 
@@ -434,7 +450,7 @@
     source = send(host, "r0")
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     for name in names[:7]:
         read(host, source, name, "root", "leaf")
     for name in names[7:150]:
@@ -471,7 +487,7 @@
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
     reader = recording_connections.RecordingLink()
     hub.join(reader)
-    region = mirrors.Mirror(name="p", service="llm", model="m", generation=1)
+    region = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
     region.owner_bits = {row_codec.key_of("r1"): 0}
     chains = [rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
@@ -479,11 +495,11 @@
     dirty, dirty_later = actor.filter.pop_dirty()
     hub.record(dirty=dirty, dirty_later=dirty_later)
     hub.flush(most=len(dirty))
-    for message in reader.sent:
-        if message[0] == "cut":
-            region.install_cut(bucket_count=message[3], words=message[4], data=message[5])
+    for message in reader.messages:
+        if isinstance(message, messages.PoolCut):
+            region.install_cut(bucket_count=message.bucket_count, words=message.words, data=message.bucket_rows)
         else:
-            region.install_delta(data=message[3])
+            region.install_delta(data=message.bucket_rows)
     assert all(region.owners(shared[0]).count == 1 for shared, _own in chains)
     assert sum(region.owners(own[0]).count for _shared, own in chains) < 10  # but for those in the same buckets
     assert hub.waiting()
@@ -509,12 +525,12 @@
         *(recording_connections.load_row(f"r{number}", running=1 + (number in (3, 30)) * 8) for number in range(40)),
     )
     host.tick()
-    first = recording_connections.loads_of([message for message in reader.sent if message[0] == "load"][-1])
+    first = recording_connections.loads_of(reader.of_type(messages.ReplicaLoads)[-1])
     assert len(first) == hosts.MIN_LOAD_ROWS
     assert {row_codec.key_of("r3"), row_codec.key_of("r30")} <= first.keys()
     for _ in range(4):
         host.tick()
-    assert {load[0] for load in last_load(reader).values()} == {1, 9} and len(host.totals) == 40
+    assert {load[0] for load in last_load(reader).values()} == {1, 9} and len(host.totals()) == 40
 
 
 def test_a_small_change_is_published_in_time_however_much_others_change():
@@ -534,8 +550,8 @@
 
 
 def last_load_since(wire):
-    loads = [message for message in wire.sent if message[0] == "load"]
-    wire.sent.clear()
+    loads = wire.of_type(messages.ReplicaLoads)
+    wire.clear()
     return recording_connections.loads_of(loads[-1]) if loads else {}
 
 
@@ -560,7 +576,7 @@
     source = send(host)
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
-    region = mirrors.Region(now=lambda: 0.0, trust_s=5.0)
+    region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     feed(region, reader)
     names = [f"p{number}" for number in range(6000)]
     for start in range(0, len(names), 100):
@@ -595,11 +611,11 @@
     send_report(host, old, recording_connections.load_row("r1", running=2))
     host.subscribe(new, region="north", zone="za", zone_epoch=4)
     assert not old.is_open and new.is_open
-    host.end(old)
+    host.remove(old)
     send_report(host, new, recording_connections.load_row("r1", running=5))
     host.subscribe(late, region="north", zone="za", zone_epoch=3)
     assert not late.is_open and late not in host.subscribers
-    assert host.totals[row_codec.key_of("r1")] == [5, 0, 0]
+    assert host.totals()[row_codec.key_of("r1")] == (5, 0, 0)
 
 
 @pytest.mark.parametrize("data", [b"x", b"x" * 22, recording_connections.load_row("r1", running=1)[:-1]])
@@ -607,20 +623,20 @@
     host, _clock = make_host()
     wire = recording_connections.RecordingLink()
     send_report(host, wire, recording_connections.load_row("r1", running=2, tokens=7))
-    before = {key: list(total) for key, total in host.totals.items()}
+    before = host.totals()
     for loads, reads in (
         (data, b""),
         (recording_connections.load_row("r1", running=9), data),
         (recording_connections.load_row("r1", running=9), recording_connections.read_row("r1", ("a", 1))[:-1]),
     ):
         with pytest.raises(errors.FrameError):
-            host.handle_aggregates(wire, ("sums", 2, loads, reads))
-        assert host.totals == before and host.subscribers[wire].counted == 1
+            host.handle_aggregates(wire, messages.Aggregates(2, loads, reads))
+        assert host.totals() == before and host.subscribers[wire].counted == 1
     with pytest.raises(errors.FrameError):
         host.handle_aggregates(
             wire, recording_connections.aggregates_message(1, loads=[recording_connections.load_row("r1", running=9)])
         )  # told twice
-    assert host.totals == before
+    assert host.totals() == before
 
 
 def test_outcomes_over_all_callers_eject_a_replica_for_a_time_that_grows():
@@ -648,13 +664,13 @@
         while True:
             clock[0] += 0.1
             host.tick()
-            last = [message for message in reader.sent if message[0] == "load"]
+            last = reader.of_type(messages.ReplicaLoads)
             if last and recording_connections.loads_of(last[-1]).get(row_codec.key_of("r1")) == (0, 0, 0, 0):
                 break
             assert clock[0] - began < 60
         away.append(clock[0] - began)
-        reader.sent.clear()
-        host.end(reader)
+        reader.clear()
+        host.remove(reader)
         host.subscribe(reader, region="north")
     assert away[0] < away[1] < away[2]
 
--- a/ploverward/data_plane/requests/serving.py
+++ b/ploverward/data_plane/requests/serving.py
@@ -87,7 +87,7 @@
         self.server.stop_listening()
         end_requests(self.passages)
         self.send_custody_trails(is_last=True)
-        self.send_adapter_counts()
+        self.relay_client.send_adapter_counts()
         self.loop.after(delay=flush_grace_s(self.settings), callback=self.loop.stop)
 
     def _end_when_idle(self) -> None:
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -29,7 +29,7 @@
         self.epoch = 0
         self.views = []
         for scene in scenes:
-            region = mirror.Region(now=scene.loop.now, trust_s=4.0)
+            region = mirror.RegionMirror(now=scene.loop.now, trust_s=4.0)
             scene.chooser._regions = {"south": region}
             scene.report_prefill = self.read
             self.views.append((recording_connections.RecordingLink(), region))
@@ -39,7 +39,7 @@
         self.epoch += 1
         for wire, region in self.views:
             region.fail()
-            wire.sent.clear()
+            wire.clear()
         self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
         self.host.sync(
             services={"llm": {"models": ("m",), "cache_tokens": 1000}},
@@ -71,9 +71,9 @@
     def publish(self):
         self.host.tick()
         for wire, region in self.views:
-            for message in wire.sent:
-                region.take(message)
-            wire.sent.clear()
+            for message in wire.messages:
+                region.handle_publication(message)
+            wire.clear()
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -166,7 +166,7 @@
                 loop.unwatch(sock=client.sock)
             client.sock.close()
 
-    assert all(region.mirrors and region.epoch == relay.epoch for _wire, region in relay.views)
+    assert all(region.pools and region.epoch == relay.epoch for _wire, region in relay.views)
 
     heard = {}
     for index, (peer, zone) in enumerate(zip(peers, zones, strict=False)):
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -74,8 +74,8 @@
         clock[0] += 0.1
         is_down = clock[0] % 2.0 < 1.0
         if KEY not in judge.failing:
-            judge.take(key=KEY, ended=2, failed=2 if is_down else 0)
-        for _key in judge.look():
+            judge.record(key=KEY, ended=2, failed=2 if is_down else 0)
+        for _key in judge.update():
             changes.append((clock[0], KEY in judge.failing))
     outs = [back - out for (out, is_out), (back, _is) in zip(changes, changes[1:], strict=False) if is_out]
     assert len(outs) >= 3 and outs[0] < outs[1] < outs[2] and max(outs) < 17.0
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -34,6 +34,7 @@
 from ploverward.simulation import recording_connections
 from ploverward.transport import frames
 from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 TURNS = 3
@@ -133,13 +134,12 @@
     table.install_services({"llm": {"models": ("m",), "cache_tokens": 200000, "max_conns": 500}})
     table.install_list(rows(count))
     quota = shared_limits.Quota(now=time.monotonic, settings=loopback_proxy.settings())
-    region = mirror.Region(now=time.monotonic, trust_s=5.0)
+    region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
     host = relay(count)
     link = recording_connections.RecordingLink()
     host.subscribe(link, region="north")
-    for message in link.sent:
-        if message[0] in ("catalogue", "cut", "load"):
-            region.take(message)
+    for message in link.messages:
+        region.handle_publication(message)
     chooser = replica_chooser.Chooser(
         table=table, settings=loopback_proxy.settings(), regions={"north": region}, quota=quota, now=time.monotonic
     )
@@ -229,7 +229,7 @@
     chance = random.Random(6)
     for _ in range(20):
         sent = chance.sample(keys, min(count, max(hosts.MIN_LOAD_ROWS, int(count * hosts.ROWS_SHARE))))
-        message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in sent))
+        message = messages.ReplicaLoads(1, False, b"".join(load_feed.Load(running=3).pack(key) for key in sent))
         fanout.forward_publication(region="north", frame=frames.pack(message), message=message)
     return member.bytes / 20
 
@@ -243,7 +243,7 @@
         member = Frames()
         fanout.admit(member, address=f"p{number}")
         fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.MIN_NEAR_REPLICAS)))
-    message = ("load", 1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
+    message = messages.ReplicaLoads(1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
     frame = frames.pack(message)
     return clocked(lambda: fanout.forward_publication(region="north", frame=frame, message=message), repeats=20)
 
@@ -278,7 +278,7 @@
 
 def digest_time(members: int, changed: int = 4) -> float:
     """One tick of a digest: so many members report a few changed replicas each, one cut."""
-    retained = aggregates.Aggregates(regions=("north",))
+    retained = aggregates.LoadAggregates(regions=("north",))
     chance = random.Random(3)
     names = [row["id"] for row in rows(200)]
     reports = [
@@ -292,34 +292,34 @@
     def tick():
         number[0] += 1
         for member, report in enumerate(reports):
-            retained.take(member, number[0], report, b"")
-        retained.counted(region="north", number=retained.take_batch(region="north")[0])
+            retained.handle_report(member, messages.LoadReport(number[0], report, b""))
+        retained.acknowledge(region="north", number=retained.next_batch(region="north").number)
 
     return clocked(tick, repeats=10)
 
 
 def install_time(count: int) -> float:
     """A proxy takes a load frame of so many rows, passed on by its digest."""
-    region = mirror.Region(now=time.monotonic, trust_s=5.0)
-    region.take(("catalogue", 1, ()))
+    region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
+    region.handle_publication(messages.Catalogue(1, ()))
     data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in rows(count))
-    frame = frames.pack(("relayed", "north", frames.pack(("load", 1, False, data))))
-    return clocked(lambda: region.take(legacy_messages.unpack(legacy_messages.unpack(frame)[2])), repeats=20)
+    frame = frames.pack(messages.RelayedFrame("north", frames.pack(messages.ReplicaLoads(1, False, data))))
+    return clocked(lambda: region.handle_publication(frames.unpack(frames.unpack(frame).frame)), repeats=20)
 
 
 def report_time(count: int) -> float:
     """A proxy's report of so many changed replicas."""
     table = replica_table.Table(loop=Loop(), settings=loopback_proxy.settings(), share=lambda: 1.0)
     table.install_list(rows(count))
-    source = report_source.Source(now=time.monotonic, regions=("north",), suspicion_s=1.0)
+    source = report_source.ReportSource(now=time.monotonic, regions=("north",), suspicion_s=1.0)
 
     def tick():
         for replica in table.replicas.values():
             replica.running += 1
             source.record(replica=replica, kind=report_source.SENT)
-        number, loads, reads = source.take_batch()
-        frames.pack(("report", number, loads, reads))
-        source.credit(region="north", number=number)
+        report = source.next_report()
+        frames.pack(report)
+        source.credit(region="north", number=report.number)
 
     return clocked(tick, repeats=10)
 
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -1,41 +1,75 @@
-"""Links that keep what they are told, and frames as digests send them, for tests."""
+"""Connections that keep what they are sent, and rows and messages as digests send them, for tests."""
+
+from collections.abc import Iterable
 
 from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.data_plane.relay import load_feed
 from ploverward.data_plane.relay import resolution
 from ploverward.transport import frames
 from ploverward.transport import legacy_messages
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 
 class RecordingLink:
-    """A link that keeps what it is told."""
+    """A connection that keeps what it is sent, after a way through the frames' codec.
+
+    `messages` has the typed messages; `sent` has the same as tuples, until no folder uses these any more.
+    """
 
-    def __init__(self):
-        self.sent = []
+    def __init__(self) -> None:
+        self.sent: list[tuple] = []
+        self.messages: list[tuple] = []
         self.is_open = True
-        self.queue = 0
+        self.queue = 0  # unsent bytes, as `queued` reports them
 
-    def send(self, message):
+    def send(self, message: tuple) -> None:
+        """As a `PeerConnection` does."""
         self.send_bytes(frames.pack(message))
 
-    def send_bytes(self, data):
-        self.sent.append(legacy_messages.unpack(data))
+    def send_bytes(self, data: bytes) -> None:
+        """As a `PeerConnection` does."""
+        message = frames.unpack(data)
+        self.messages.append(message)
+        self.sent.append(legacy_messages.to_tuple(message))
 
-    def queued(self):
+    def queued(self) -> int:
+        """As a `PeerConnection` does."""
         return self.queue
 
-    def close(self, *, reason=""):
+    def close(self, *, reason: str = "") -> None:
+        """As a `PeerConnection` does, but that nobody is told of its end."""
         self.is_open = False
 
-    def kinds(self):
+    def kinds(self) -> list[str]:
+        """The kinds of what was sent."""
         return [message[0] for message in self.sent]
 
-
-def load_row(name, running=0, tokens=0, suspect_count=0, ended=0, failed=0, region=0):
+    def of_type(self, message_type: type) -> list:
+        """What was sent of one type of message."""
+        return [message for message in self.messages if isinstance(message, message_type)]
+
+    def clear(self) -> None:
+        """Forgets what was sent."""
+        self.sent.clear()
+        self.messages.clear()
+
+
+def load_row(
+    name: str,
+    running: int = 0,
+    tokens: int = 0,
+    suspect_count: int = 0,
+    ended: int = 0,
+    failed: int = 0,
+    region: int = 0,
+) -> bytes:
+    """One replica's row of a load report or of aggregates."""
     return row_codec.REPORTED.pack(row_codec.key_of(name), region, running, tokens, suspect_count, ended, failed)
 
 
-def read_row(name, *parts, service="llm", model="m", region=0):
+def read_row(name: str, *parts: tuple[str, int], service: str = "llm", model: str = "m", region: int = 0) -> bytes:
+    """A prompt of these (name, tokens) that a replica processed."""
     return row_codec.pack_read(
         replica=row_codec.key_of(name),
         region=region,
@@ -46,10 +80,12 @@
     )
 
 
-def aggregates_message(number, *, loads=(), reads=()):
-    return ("sums", number, b"".join(loads), b"".join(reads))
+def aggregates_message(number: int, *, loads: Iterable[bytes] = (), reads: Iterable[bytes] = ()) -> messages.Aggregates:
+    """A batch of a digest, of the rows that `load_row` and `read_row` make."""
+    return messages.Aggregates(number, b"".join(loads), b"".join(reads))
 
 
-def loads_of(message):
-    """{replica key: (running, tokens, marks, is failing)} of a load frame."""
-    return {key: tuple(load) for key, *load in row_codec.rows(shape=row_codec.LOAD, data=message[3])}
+def loads_of(message: messages.ReplicaLoads) -> dict[bytes, load_feed.Load]:
+    """The rows of a load frame by replica key."""
+    rows = row_codec.rows(shape=row_codec.LOAD, data=message.load_rows)
+    return {key: load_feed.Load(*load) for key, *load in rows}
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -39,7 +39,7 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
-from ploverward.data_plane.relay import mirror
+from ploverward.data_plane.relay import pool_mirror
 from ploverward.data_plane.relay import resolution
 from ploverward.data_plane.requests import custody_trails
 from ploverward.transport import messages
@@ -328,7 +328,7 @@
 def _read_buckets(data: bytes, *, value) -> list:
     """What a mirror that takes the cut says of each hash."""
     words, bucket_count, puts = value
-    taken = mirror.Mirror(name="pool", service="service", model="model", generation=1)
+    taken = pool_mirror.PoolMirror(name="pool", service="service", model="model", generation=1)
     taken.install_cut(bucket_count=bucket_count, words=words, data=data)
     found = [
         (full_hash, cuckoo_filter.find_in_images(images=taken.buckets, words=words, full_hash=full_hash))
