--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -33,7 +33,6 @@
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import recording_connections
 from ploverward.transport import frames
-from ploverward.transport import legacy_messages
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
