--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -80,7 +80,7 @@
         self._now = now
         self._role_table = role_table
         self._publisher = publisher
-        self._watch = watch  # reads the platform's list (ploverward.control_plane.discovery.platform_client.Watch)
+        self._watch = watch  # reads the platform's list (ploverward.control_plane.discovery.endpoint_list_poller)
         self._takeover_after_s = takeover_after_s
         self._stale_after_s = stale_after_s
         self._read_list = (b"", None)  # the newest packed list that was read, and what it says
--- a/ploverward/control_plane/discovery/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -1,19 +1,16 @@
 """A core node that is cut off from the others stops telling user agents where to go, for a time."""
 
-import types
-
 from ploverward.control_plane.discovery import directory
 
 
 def make(live):
     clock = [0.0]
     node = directory.Directory(
-        loop=types.SimpleNamespace(now=lambda: clock[0]),
+        now=lambda: clock[0],
         members=lambda: ("a", "b", "c"),
         is_core_live=lambda host: host in live,
         proxies=lambda **_about: [],
         configuration=lambda: None,
-        ttl_s=1,
         contact_s=4.0,
     )
     return node, clock
--- /dev/null
+++ b/ploverward/control_plane/discovery/test_platform_connection.py
@@ -0,0 +1,70 @@
+"""Requests to the platform over real sockets."""
+
+import http.server
+import socket
+import threading
+
+import pytest
+
+from ploverward.control_plane.discovery import platform_connection
+from ploverward.transport import event_loop
+
+LIMIT_S = 2.0
+
+
+class Handler(http.server.BaseHTTPRequestHandler):
+    def do_GET(self):
+        body = self.path.encode() * 20000
+        self.send_response(200 if self.headers["Accept"] == "application/json" else 406)
+        self.send_header("Content-Length", str(len(body)))
+        self.end_headers()
+        self.wfile.write(body)
+
+    def log_message(self, *_about):
+        pass
+
+
+@pytest.fixture
+def address():
+    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
+    threading.Thread(target=server.serve_forever, daemon=True).start()
+    yield f"127.0.0.1:{server.server_port}"
+    server.shutdown()
+    server.server_close()
+
+
+def responses_of(*urls, limit_s=LIMIT_S):
+    """What each request gives; all are sent at once."""
+    loop = event_loop.Loop()
+    connection = platform_connection.PlatformConnection(loop=loop)
+    responses = {}
+
+    def done(url, response):
+        responses[url] = response
+        if len(responses) == len(urls):
+            loop.stop()
+
+    for url in urls:
+        connection.get(url=url, limit_s=limit_s, done=lambda response, url=url: done(url, response))
+    loop.after(delay=3 * LIMIT_S, callback=loop.stop)
+    loop.run()
+    return [responses[url] for url in urls]
+
+
+def test_requests_sent_at_once_get_their_own_bodies(address):
+    first, second = responses_of(f"http://{address}/first", f"http://{address}/second")
+    assert (first.status, first.error, first.body) == (200, None, b"/first" * 20000)
+    assert (second.status, second.error, second.body) == (200, None, b"/second" * 20000)
+
+
+def test_a_platform_that_does_not_answer_is_given_up_at_the_limit():
+    with socket.create_server(("127.0.0.1", 0)) as silent:
+        (response,) = responses_of(f"http://127.0.0.1:{silent.getsockname()[1]}/replicas", limit_s=0.2)
+    assert response.error is not None and response.status == 0
+
+
+def test_a_platform_that_refuses_the_connection_is_an_error():
+    with socket.create_server(("127.0.0.1", 0)) as closed:
+        port = closed.getsockname()[1]
+    (response,) = responses_of(f"http://127.0.0.1:{port}/replicas")
+    assert response.error is not None and response.body == b""
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -19,10 +19,10 @@
 MAX_JSON_BYTES = 64 * 1024 * 1024
 ROW_FIELDS = frozenset(
     ("id", "service", "address", "zone", "berths", "is_clearing", "cold_ms", "left_ms", "models")
-)  # of ploverward.control_plane.discovery.platform_client.read_row; others may be there
+)  # of ploverward.control_plane.discovery.platform_replicas.read_row; others may be there
 NOT_COMPARED = frozenset(("cold_ms", "left_ms"))  # they run down by themselves
 
-Row = dict[str, typing.Any]  # as platform_client.read_row makes them
+Row = dict[str, typing.Any]  # as platform_replicas.read_row makes them
 
 
 def _pack(body: dict) -> bytes:
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -7,7 +7,7 @@
 from ploverward.common import errors
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.common.identifiers import Version
-from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.discovery import platform_replicas
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 from ploverward.control_plane.distribution import subscriber as subscribers
@@ -25,7 +25,7 @@
 
 
 def row(**changed):
-    return platform_client.read_row(platform_replica={**PLATFORM_REPLICA, **changed})
+    return platform_replicas.read_row(platform_replica={**PLATFORM_REPLICA, **changed})
 
 
 def test_a_change_is_what_matters_and_not_the_passing_of_a_cold_time():
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -11,7 +11,7 @@
 
 from ploverward.common import settings
 from ploverward.control_plane.consensus import acceptor_storage
-from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.discovery import endpoint_list_poller
 from ploverward.transport import event_loop
 from ploverward.transport import http_server as http_servers
 from ploverward.transport import peer_connection
@@ -45,8 +45,8 @@
         return acceptor_storage.Disk(folder=folder)
 
     def watch(self, **about):
-        """Reads the platform's list: the arguments of `ploverward.control_plane.discovery.platform_client.Watch`."""
-        return platform_client.Watch(**about)
+        """Reads the platform's list: the arguments of `EndpointListPoller`."""
+        return endpoint_list_poller.EndpointListPoller(**about)
 
     def file_watch(self):
         return settings.FileWatch()
--- a/ploverward/control_plane/operator_api/node_handlers.py
+++ b/ploverward/control_plane/operator_api/node_handlers.py
@@ -8,12 +8,12 @@
 from ploverward.control_plane.operator_api.dependencies import NodeState
 from ploverward.control_plane.operator_api.dependencies import Proxy
 from ploverward.control_plane.operator_api.dependencies import Publisher
+from ploverward.control_plane.operator_api.router import RETRY_LATER
 from ploverward.control_plane.operator_api.router import Call
 from ploverward.control_plane.operator_api.router import ErrorBody
 from ploverward.control_plane.operator_api.router import Rule
 
 ENDPOINT_LIST_TOPIC = "list"
-RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds
 
 
 class ReplicasBody(typing.TypedDict):
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -18,6 +18,7 @@
 from ploverward.control_plane.operator_api.dependencies import Registers
 from ploverward.control_plane.operator_api.dependencies import TenantMeter
 from ploverward.control_plane.operator_api.dependencies import Timing
+from ploverward.control_plane.operator_api.lookup_handlers import LookupHandlers
 from ploverward.control_plane.operator_api.node_handlers import NodeHandlers
 from ploverward.control_plane.operator_api.order_api import OrderApi
 from ploverward.control_plane.operator_api.redirector import Redirector
@@ -78,17 +79,17 @@
         )
         self._adapters = AdapterHandlers(loop=loop, publisher=publisher, node=node, contact_s=timing.contact_s)
         self._custody = CustodyHandlers(loop=loop, node=node, contact_s=timing.contact_s, receipt_s=timing.receipt_s)
+        proxy_directory = directory.Directory(
+            now=loop.now,
+            members=node.members,
+            is_core_live=node.is_core_live,
+            proxies=node.proxies,
+            configuration=node.configuration,
+            contact_s=timing.contact_s,
+        )
         handlers = (
             self._orders,
-            directory.Directory(
-                loop=loop,
-                members=node.members,
-                is_core_live=node.is_core_live,
-                proxies=node.proxies,
-                configuration=node.configuration,
-                ttl_s=timing.ttl_s,
-                contact_s=timing.contact_s,
-            ),
+            LookupHandlers(proxy_directory=proxy_directory, ttl_s=timing.ttl_s),
             NodeHandlers(publisher=publisher, node=node),
             self._adapters,
             self._custody,
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ploverward.control_plane.adapter_cache import adapter_usage
-from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.discovery import platform_replicas
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.data_plane.load_balancing import replica_table
@@ -144,7 +144,7 @@
     platform_replica = {"id": "i", "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     def row(*models):
-        return platform_client.read_row(platform_replica={**platform_replica, "models": list(models)})
+        return platform_replicas.read_row(platform_replica={**platform_replica, "models": list(models)})
 
     assert row({"name": "m", "adapters": ["a", "b"]})["adapters"] == [["m", "a"], ["m", "b"]]
     assert "adapters" not in row({"name": "m", "adapters": []})
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -119,7 +119,7 @@
         return self._settings.zones.get(zone, "")
 
     def install_list(self, rows: list) -> None:
-        """The whole list, as rows of `ploverward.control_plane.discovery.platform_client.read_row`."""
+        """The whole list, as rows of `ploverward.control_plane.discovery.platform_replicas.read_row`."""
         gone = self.replicas.keys() - {row["id"] for row in rows}
         self.change_list(rows=rows, gone=gone)
         self._has_list = True
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -6,7 +6,8 @@
 from ploverward.common import settings as settings_files
 from ploverward.control_plane import core_node
 from ploverward.control_plane import node_runtime
-from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.discovery import endpoint_list_poller
+from ploverward.control_plane.discovery.platform_connection import PlatformResponse
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
@@ -124,8 +125,8 @@
         return json.dumps({"replicas": [row], "nextPage": None}).encode()
 
 
-class PlatformCaller:
-    """Stands in for ploverward.control_plane.discovery.platform_client.Caller."""
+class SimulatedPlatformConnection:
+    """Stands in for ploverward.control_plane.discovery.platform_connection.PlatformConnection."""
 
     def __init__(self, *, platform_model, machine, process):
         self._platform = platform_model
@@ -138,9 +139,12 @@
         if self._platform.is_up:
             body = self._platform.body()
             delay = self._clock.chance.uniform(0.005, 0.05)
-            self._clock.later(delay=delay, callback=lambda: done(None, 200, body), process=self._process)
+            self._clock.later(
+                delay=delay, callback=lambda: done(PlatformResponse(status=200, body=body)), process=self._process
+            )
         else:
-            self._clock.later(delay=limit_s, callback=lambda: done(OSError("timed out"), 0, b""), process=self._process)
+            response = PlatformResponse(error=OSError("timed out"))
+            self._clock.later(delay=limit_s, callback=lambda: done(response), process=self._process)
 
 
 class NoFileWatch:
@@ -177,9 +181,10 @@
         return self.machine.disk
 
     def watch(self, **about):
-        watch = platform_client.Watch(**about)
-        watch._caller = PlatformCaller(platform_model=self._platform, machine=self.machine, process=self.process)
-        return watch
+        connection = SimulatedPlatformConnection(
+            platform_model=self._platform, machine=self.machine, process=self.process
+        )
+        return endpoint_list_poller.EndpointListPoller(connection=connection, **about)
 
     def file_watch(self):
         return NoFileWatch()
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -31,7 +31,7 @@
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import catch_up
 from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.discovery import platform_client
+from ploverward.control_plane.discovery import platform_replicas
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import state
@@ -451,7 +451,7 @@
     "leases": Codec(_pack_leases, _read_leases),
     "custody trail": Codec(_pack_trail, _read_trail),
     "adapter counts": Codec(_pack_counts, _read_counts),
-    "platform row": Codec(lambda value: _json_bytes(platform_client.read_row(platform_replica=value))),
+    "platform row": Codec(lambda value: _json_bytes(platform_replicas.read_row(platform_replica=value))),
     "replica list": Codec(_pack_list, _read_list, is_compressed=True),
     "replica list change": Codec(_pack_list_change, _read_list_change, is_compressed=True),
     "register value": Codec(_pack_register_value, _read_register_value, is_compressed=True),
