--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -10,8 +10,8 @@
 from ploverward.common import tenant_usage
 from ploverward.data_plane.quotas import test_tenant_admission
 from ploverward.data_plane.requests import serving
-from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback
+from ploverward.simulation import request_scene
 
 FOLDER = pathlib.Path(__file__).parent / "golden"
 ANSWERS = json.loads((FOLDER / "proxy_answers.json").read_text(encoding="utf-8"))
@@ -23,8 +23,8 @@
 # What follows names parts of the program.
 
 
-def plain(script=test_request_path.replying, zone="za"):
-    return test_request_path.Scene(script, zones=[zone])
+def plain(script=request_scene.replying, zone="za"):
+    return request_scene.Scene(script, zones=[zone])
 
 
 def with_tenants(**about):
@@ -52,33 +52,25 @@
 
 
 def resetting(number, heard):
-    return ["reset"] if test_request_path.is_complete(heard) else None
+    return ["reset"] if request_scene.is_complete(heard) else None
 
 
 def promising(number, heard):
-    which = test_request_path.request_id(heard)
-    return (
-        [test_request_path.answer(which, status=b"503 Full", more=NOT_RUN)]
-        if test_request_path.is_complete(heard)
-        else None
-    )
+    which = request_scene.request_id(heard)
+    return [request_scene.answer(which, status=b"503 Full", more=NOT_RUN)] if request_scene.is_complete(heard) else None
 
 
 def misdirected(number, heard):
-    which = test_request_path.request_id(heard)
+    which = request_scene.request_id(heard)
     return (
-        [test_request_path.answer(which, status=b"421 Another", more=NOT_RUN)]
-        if test_request_path.is_complete(heard)
-        else None
+        [request_scene.answer(which, status=b"421 Another", more=NOT_RUN)] if request_scene.is_complete(heard) else None
     )
 
 
 def streaming(number, heard):
-    if not test_request_path.is_complete(heard):
+    if not request_scene.is_complete(heard):
         return None
-    return [
-        test_request_path.head(test_request_path.request_id(heard)) + test_request_path.event(1) + test_request_path.END
-    ]
+    return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.END]
 
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
@@ -92,7 +84,7 @@
 
 CASES = {
     "200": (plain, {"lead": "safe"}),
-    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": test_request_path.END}),
+    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": request_scene.END}),
     "200 for a tenant": (
         with_tenants,
         {"lead": "resume", "more": b"Authorization: Bearer key-of-clerks\r\nX-Sender: other\r\n"},
--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -9,8 +9,8 @@
 from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import admission_filters
 from ploverward.data_plane.requests import route_table
-from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback_proxy
+from ploverward.simulation import request_scene
 from ploverward.simulation import simulated_world
 
 KEYS = {"clerks": "key-of-clerks", "players": "key-of-players"}
@@ -22,7 +22,7 @@
 
 
 def scene_of(*, body=BODY, age_s=0.0, **bounds):
-    scene = test_request_path.Scene(test_request_path.replying, test_request_path.replying, zones=["za", "zb"])
+    scene = request_scene.Scene(request_scene.replying, request_scene.replying, zones=["za", "zb"])
     scene.entry.routes = route_table.Routes(body=body)
     scene.entry.quota_allowance.install(body)
     scene.entry.quota_allowance.record(core="k", asked_at=scene.loop.now() + 60.0, proxies=1, credits=[])
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -3,8 +3,8 @@
 A `RequestHandler` lives as long as its request and decides what follows what: a filter's verdict, the choice of a
 replica, each end of an attempt, the deadline, a client that leaves. `request_state` explains the states, and what holds
 in them. The parts stand in modules of their own: `admission_filters` (may it enter), `replica_selection` (where to),
-`retry_policy` (may it be sent again), `replica_watch` (is the replica silent), `response_writer` and `stream_resumption`
-(what the client gets), `attempt_runner`, `attempt_accounting` and `custody_trails` (who records what).
+`retry_policy` (may it be sent again), `replica_watch` (is the replica silent), `response_writer` and
+`stream_resumption` (what the client gets), `attempt_runner`, `attempt_accounting` and `custody_trails` (the records).
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/requests/retry_policy.py
+++ b/ploverward/data_plane/requests/retry_policy.py
@@ -24,17 +24,19 @@
 
 
 class RetryRules(Protocol):
-    """What a route says of retries (`route_table.Route`).
+    """What a route says of retries (`route_table.Route`)."""
 
-    Attributes:
-        tries: Replicas that may receive the request, at most.
-        is_idempotent: Whether it may run more than once.
-        is_resumable: Whether another replica may continue its stream.
-    """
+    @property
+    def tries(self) -> int:
+        """Replicas that may receive the request, at most."""
 
-    tries: int
-    is_idempotent: bool
-    is_resumable: bool
+    @property
+    def is_idempotent(self) -> bool:
+        """Whether it may run more than once."""
+
+    @property
+    def is_resumable(self) -> bool:
+        """Whether another replica may continue its stream."""
 
 
 class StreamProgress(Protocol):
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -1,55 +1,120 @@
-"""Routes of the configuration in force: by host and longest prefix (design 7)."""
+"""Routes and services of the configuration in force (design 7), as the data plane uses them.
+
+`Routes` owns the routes of one version and never changes: a new configuration is a new object. The keys that the
+operators' pages give are read here, once (docs/glossary.md).
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import typing
 
 from ploverward.data_plane.quotas import tenant_admission
 
+if typing.TYPE_CHECKING:
+    from collections.abc import Mapping
 
+DEFAULT_MAX_CONNECTIONS = 64  # to one replica, of all proxies together, where the service names none
+
+
+@dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    def __init__(self, *, body: dict):
-        self.name = body["name"]
-        self.kind = body["kind"]
-        self.expiry_s = float(body["expiryMs"]) / 1000.0
-        self.target_s = float(body.get("targetMs") or 0) / 1000.0
-        self.gap_s = float(body.get("gapTargetMs") or 0) / 1000.0
-        self.priority = int(body.get("urgency") or 0)
-        self.tries = int(body.get("tries") or 1)
-        self.is_keyless = bool(body.get("keyless"))
-        self.is_sticky = bool(body.get("sticky"))
-        self.is_stream = self.kind == "streaming"
-        self.is_resumable = bool(body.get("resume"))
-        self.is_idempotent = self.kind == "retry_safe" or (self.is_stream and self.is_resumable)
-        self.homes = tuple(body.get("homeRegions") or ())
+    """One route.
+
+    Attributes:
+        name: Of the route.
+        expiry_s: Seconds that a client may wait, at most.
+        target_s: Latency target in seconds, 0 where none is named.
+        gap_s: The longest pause between events that is still in time, in seconds; 0 where none is named.
+        priority: 0 first.
+        tries: Replicas that may receive a request, at most.
+        is_keyless: Whether no key is wanted.
+        is_sticky: Whether prompt prefixes and models count in the choice of a replica.
+        is_stream: Whether its answers are streams of events.
+        is_resumable: Whether another replica may continue a stream.
+        is_idempotent: Whether a request may run more than once.
+        homes: Regions that may serve it; empty: all.
+        portions: (service, share) of each service that it picks from.
+    """
+
+    name: str
+    expiry_s: float
+    target_s: float
+    gap_s: float
+    priority: int
+    tries: int
+    is_keyless: bool
+    is_sticky: bool
+    is_stream: bool
+    is_resumable: bool
+    is_idempotent: bool
+    homes: tuple[str, ...]
+    portions: tuple[tuple[str, float], ...]
+
+    @classmethod
+    def of(cls, body: Mapping[str, typing.Any]) -> Route:
+        """Reads a route of a checked configuration."""
+        is_stream = body["kind"] == "streaming"
+        is_resumable = bool(body.get("resume"))
         if body.get("apportion") is not None:
-            self.portions = [(part["destination"], float(part["share"])) for part in body["apportion"]]
+            portions = tuple((part["destination"], float(part["share"])) for part in body["apportion"])
         else:
-            self.portions = [(body["destination"], 1.0)]
+            portions = ((body["destination"], 1.0),)
+        return cls(
+            name=body["name"],
+            expiry_s=float(body["expiryMs"]) / 1000.0,
+            target_s=float(body.get("targetMs") or 0) / 1000.0,
+            gap_s=float(body.get("gapTargetMs") or 0) / 1000.0,
+            priority=int(body.get("urgency") or 0),
+            tries=int(body.get("tries") or 1),
+            is_keyless=bool(body.get("keyless")),
+            is_sticky=bool(body.get("sticky")),
+            is_stream=is_stream,
+            is_resumable=is_resumable,
+            is_idempotent=body["kind"] == "retry_safe" or (is_stream and is_resumable),
+            homes=tuple(body.get("homeRegions") or ()),
+            portions=portions,
+        )
 
     def pick(self, chance: float) -> str:
+        """Returns one of its services by their shares; `chance`: drawn evenly from 0 to 1."""
         left = chance * sum(share for _name, share in self.portions)
         for name, share in self.portions:
             left -= share
             if left < 0:
                 return name
-        return [name for name, share in self.portions if share > 0][-1]
+        return [name for name, share in self.portions if share > 0][-1]  # a rounding error at the end of the shares
 
 
 class Routes:
-    def __init__(self, *, body=None):
-        self.edition = body["edition"] if body else 0
-        self.tenant_directory = tenant_admission.tenant_directory_of(body)  # None: nobody needs a key
-        self._hosts = {}
+    """All routes of one configuration, by host and longest path prefix.
+
+    Args:
+        body: A checked configuration, None before the first one came.
+
+    Attributes:
+        edition: Version of the configuration, 0 before the first one.
+        tenant_directory: Its tenants by their keys, None where nobody needs a key.
+    """
+
+    def __init__(self, *, body: Mapping[str, typing.Any] | None = None) -> None:
+        self.edition: int = body["edition"] if body else 0
+        self.tenant_directory = tenant_admission.tenant_directory_of(body)
+        self._hosts: dict[str, dict[str, Route]] = {}  # by host, by path prefix
         for row in (body or {}).get("routes", ()):
-            self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route(body=row)
+            self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route.of(row)
 
-    def homes(self) -> dict:
-        """Route name: its home regions."""
+    def homes(self) -> dict[str, tuple[str, ...]]:
+        """Returns the home regions of each route."""
         return {route.name: route.homes for table in self._hosts.values() for route in table.values()}
 
-    def tenant_homes(self) -> dict:
-        """Tenant: its home regions."""
+    def tenant_homes(self) -> dict[str, tuple[str, ...]]:
+        """Returns the home regions of each tenant."""
         named = self.tenant_directory.by_name if self.tenant_directory is not None else {}
         return {name: tenant.homes for name, tenant in named.items()}
 
-    def find(self, *, host: str, target: bytes):
+    def find(self, *, host: str, target: bytes) -> Route | None:
+        """Returns the route of a request's target, None where there is none. Prefixes end at a slash."""
         prefixes = self._hosts.get(host.lower()) or self._hosts.get(host.lower().rpartition(":")[0])
         if not prefixes:
             return None
@@ -68,17 +133,18 @@
         return None
 
 
-def _names(value) -> list:
+def _names(value: object) -> list[str]:
     return [name for name in value if isinstance(name, str)] if isinstance(value, list) else []
 
 
-def services(*, body: dict) -> dict:
-    table = {}
+def services(*, body: Mapping[str, typing.Any]) -> dict[str, dict[str, typing.Any]]:
+    """Returns what the data plane needs of each service; times in seconds, rates in requests a second."""
+    table: dict[str, dict[str, typing.Any]] = {}
     for row in body.get("destinations", ()):
         engine = row.get("engine") or {}
         table[row["name"]] = {
             "health": row.get("health", "/health"),
-            "max_conns": int(row.get("maxConns") or 64),
+            "max_conns": int(row.get("maxConns") or DEFAULT_MAX_CONNECTIONS),
             "warmup_s": float(row.get("warmupS") or 0),
             "warmup_per_s": float(row.get("warmupPerS") or 0),
             "cache_tokens": int(engine.get("cacheTokens") or 0),
--- /dev/null
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -0,0 +1,172 @@
+"""The client's side of a request: sent ahead, left, smuggled (docs/requests.md 4)."""
+
+import re
+import socket
+
+import pytest
+
+from ploverward.simulation import loopback
+from ploverward.simulation import request_scene
+
+
+# The client's side.
+def test_requests_sent_ahead_are_answered_in_order_each_with_its_own():
+    def script(number, heard):
+        ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
+        return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(heard) else None
+
+    scene = request_scene.Scene(script)
+    for lead in ("unsafe", "safe", "once", "unsafe"):
+        scene.request(lead)
+    assert scene.until(b"body of a4") or scene.until(b"a4")
+    assert re.findall(rb"X-Attempt-Id: (\w+)", scene.client.got, re.I) == [b"a1", b"a2", b"a3", b"a4"]
+
+
+def test_what_is_sent_ahead_is_bounded():
+    scene = request_scene.Scene(lambda number, heard: None)
+    scene.request("once", left_ms=4000)
+    assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
+    for _ in range(40):
+        try:
+            scene.client.send(b"x" * 1000)
+        except OSError:
+            break
+        for _ in range(3):
+            scene.loop.command(callback=lambda: None)
+            scene.loop.step()
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed)
+    assert not scene.entry.passages and not scene.client.got  # long before the deadline
+
+
+def test_a_request_that_is_over_cannot_touch_the_next_one_on_its_connection():
+    scene = request_scene.Scene(request_scene.replying)
+    scene.request("safe")
+    assert loopback.until(scene.loop, lambda: scene.entry.passages)
+    first = next(iter(scene.entry.passages)).request
+    assert scene.until(b"\r\n\r\nok")
+    scene.peers[0].script = lambda number, heard: None
+    scene.request("once", left_ms=400)
+    assert loopback.until(scene.loop, lambda: scene.arrivals() == 2)
+    scene.client.got = b""
+    first.data(b"stray")
+    first.end()
+    first.abort()
+    assert request_scene.settled(scene)
+    assert (
+        request_scene.statuses(scene.client) == [504]
+        and b"stray" not in scene.client.got
+        and not scene.client.is_closed
+    )
+
+
+def test_expect_100_continue_is_answered_here_and_not_passed_on():
+    scene = request_scene.Scene(request_scene.replying)
+    scene.client.send(
+        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
+    )
+    assert scene.until(b"HTTP/1.1 100")
+    assert scene.arrivals() == 0
+    scene.client.send(b"body")
+    assert scene.until(b"\r\n\r\nok")
+    assert b"xpect" not in scene.peers[0].heard[0] and request_scene.statuses(scene.client) == [100, 200]
+
+
+@pytest.mark.parametrize("is_reset", [False, True])
+def test_a_client_that_leaves_takes_its_attempt_along_and_comes_back_as_another(is_reset):
+    scene = request_scene.Scene(lambda number, heard: None)
+    scene.request("once", left_ms=4000)
+    assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
+    scene.client.leave(is_reset=is_reset)
+    assert loopback.until(scene.loop, lambda: not scene.entry.passages and not scene.peers[0].socks)
+    scene.client = loopback.Client(loop=scene.loop, address=scene.entry.address)
+    scene.peers[0].script = request_scene.replying
+    scene.request("once")
+    assert scene.until(b"0\r\n\r\n")
+    assert request_scene.statuses(scene.client) == [200]
+
+
+def test_a_client_that_closes_its_half_is_taken_to_have_left():
+    """The protocol's clients keep both halves open; one that closes its own can't be told from one that is gone."""
+    scene = request_scene.Scene(lambda number, heard: None)
+    scene.request("once", left_ms=4000)
+    assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
+    scene.client.sock.shutdown(socket.SHUT_WR)
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed and not scene.peers[0].socks)
+    assert not scene.client.got and not scene.entry.passages
+
+
+@pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
+def test_an_upgrade_is_not_passed_on_and_the_answer_is_a_plain_one(more):
+    scene = request_scene.Scene(request_scene.replying)
+    scene.request("unsafe", more=more)
+    assert scene.until(b"\r\n\r\nok")
+    assert b"pgrade" not in scene.peers[0].heard[0]
+    scene.request("unsafe")
+    assert loopback.until(scene.loop, lambda: request_scene.statuses(scene.client) == [200, 200])
+
+
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+        b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
+        b"Content-Length: 4\r\nContent-Length: 5\r\n",
+        b"Content-Length: 4, 5\r\n",
+        b"Content-Length: +4\r\n",
+        b"Transfer-Encoding: identity\r\n",
+        b"Transfer-Encoding: chunked, chunked\r\n",
+        b"Transfer-Encoding : chunked\r\n",
+        b"X: a\rTransfer-Encoding: chunked\r\n",
+    ],
+)
+def test_no_request_is_smuggled_inside_another(head):
+    """A doubtful length ends the connection: what stands behind it is never read as a request."""
+    scene = request_scene.Scene(request_scene.replying)
+    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+    scene.client.send(
+        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s" % (head, inner)
+    )
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed)
+    assert scene.arrivals() == 0 and len(request_scene.statuses(scene.client)) == 1
+
+
+def test_a_body_that_looks_like_a_request_stays_a_body():
+    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+    scene = request_scene.Scene(
+        lambda number, heard: [request_scene.answer(b"outer")] if heard.endswith(inner) else None
+    )
+    scene.client.send(
+        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\nTransfer-Encoding: chunked\r\n\r\n"
+        b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner), inner)
+    )
+    assert request_scene.settled(scene)
+    heard = scene.peers[0].heard[0]
+    assert heard.count(b"HTTP/1.1") == 2 and b"trailer" not in heard
+    assert b"content-length: %d\r\n" % len(inner) in heard.lower()
+
+
+def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks():
+    def cutting(number, heard):
+        return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
+
+    scene = request_scene.Scene(cutting)
+    scene.client.send(b"GET /once/x HTTP/1.0\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n")
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed)
+    assert scene.client.is_reset
+
+
+@pytest.mark.parametrize("by", ["leaving", "idle time"])
+def test_a_request_that_waits_on_a_rested_connection_is_not_thrown_away_with_it(by):
+    scene = request_scene.Scene(request_scene.replying)
+    scene.request("safe")
+    assert scene.until(b"\r\n\r\nok")
+    scene.client.got = b""
+    scene.request("unsafe")
+    connection = next(iter(scene.entry.server.connections))
+    if by == "leaving":
+        scene.entry.server.leave()
+        scene.entry.server.close_idle()
+    else:
+        connection._on_timeout()
+    assert request_scene.settled(scene)
+    assert request_scene.statuses(scene.client) == [200]
--- /dev/null
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -0,0 +1,70 @@
+"""What a proxy that is to end still accepts, and what it answers to those who wait (docs/requests.md, SIGTERM)."""
+
+import pytest
+
+from ploverward.data_plane.requests import serving
+from ploverward.simulation import loopback
+from ploverward.simulation import request_scene
+
+
+def test_rested_connections_are_closed_when_leaving():
+    scene = request_scene.Scene(request_scene.replying)
+    scene.request("safe")
+    assert scene.until(b"\r\n\r\nok")
+    scene.entry.server.leave()
+    scene.entry.server.close_idle()
+    assert loopback.until(scene.loop, lambda: scene.client.is_closed)
+
+
+def test_at_the_end_of_draining_who_waits_is_answered_that_it_has_not_run_and_who_was_sent_is_not():
+    scene = request_scene.Scene(lambda number, heard: None)
+    scene.request("once")
+    assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
+    waiting = loopback.Client(loop=scene.loop, address=scene.entry.address)
+    scene.entry.table.replicas["i0"].is_suspected = True
+    waiting.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: w\r\nX-Time-Left-Ms: 4000\r\n\r\n")
+    assert loopback.until(scene.loop, lambda: len(scene.entry.passages) == 2)
+    serving.end_requests(scene.entry.passages)
+    assert loopback.until(scene.loop, lambda: waiting.got)
+    assert request_scene.statuses(waiting) == [503] and not request_scene.statuses(scene.client)
+
+
+def test_a_request_that_comes_once_the_end_of_leaving_began_is_refused():
+    scene = request_scene.Scene(request_scene.replying)
+    scene.entry.has_ended = True
+    scene.entry.server._on_request = lambda request: serving.ServeMixin._on_request(scene.entry, request)
+    scene.request("unsafe")
+    assert request_scene.settled(scene)
+    assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
+
+
+@pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
+def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_interrupt(since_s, is_taken):
+    """graceS is 8, the stream's time 5 s. One that was begun 5.1 s after SIGTERM was cut at 7.5 s by a bbs-ploverward day."""
+    scene = request_scene.Scene(request_scene.replying)
+    request_scene.leave(scene, since_s=since_s)
+    scene.request("once", left_ms=5000)
+    assert request_scene.settled(scene)
+    if is_taken:
+        assert scene.arrivals() == 1
+        return
+    assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
+    head = scene.client.got.lower()
+    assert b"retry-after: 0.0" in head and b"connection: close" in head
+
+
+def test_long_after_sigterm_what_ends_in_time_is_still_taken():
+    scene = request_scene.Scene(request_scene.replying)
+    request_scene.leave(scene, since_s=4.0)
+    scene.request("safe", left_ms=3000)
+    assert scene.until(b"\r\n\r\nok")
+    assert request_scene.statuses(scene.client) == [200]
+
+
+def test_a_second_sigterm_gives_no_more_time():
+    scene = request_scene.Scene(request_scene.replying)
+    request_scene.leave(scene, since_s=4.0)
+    scene.entry.drain_window.begin()
+    scene.request("once", left_ms=5000)
+    assert request_scene.settled(scene)
+    assert request_scene.statuses(scene.client) == [503]
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -1,70 +1,15 @@
-"""The traps of the wire, with scripted peers on real sockets: nothing runs twice, nothing is mixed, nothing looks complete that is not."""
+"""The traps of the wire, with scripted peers: nothing runs twice, is mixed, or looks complete that is not."""
 
 import re
 
 import pytest
 
 from ploverward.simulation import loopback
-from ploverward.simulation import loopback_proxy
-
-
-def request_id(heard: bytes, nth: int = -1) -> bytes:
-    return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)[nth]
-
-
-def is_complete(heard: bytes) -> bool:
-    return heard.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", heard, re.I))
-
-
-def answer(which: bytes, body: bytes = b"ok", *, status=b"200 OK", more=b"X-Postmark: p\r\n") -> bytes:
-    return b"HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, which, more, len(body), body)
-
-
-def head(which: bytes, *, more=b"") -> bytes:
-    return (
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Type: text/event-stream\r\n%sTransfer-Encoding: chunked\r\n\r\n"
-        % (which, more)
-    )
-
-
-def event(number: int) -> bytes:
-    text = b"id: %d\ndata: t%d\n\n" % (number, number)
-    return b"%x\r\n%s\r\n" % (len(text), text)
-
-
-END = b"0\r\n\r\n"
-
-
-class Scene:
-    def __init__(self, *scripts, zones=None, faults=None):
-        self.loop = loopback.new_loop(faults=faults)
-        self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
-        zones = zones or ["za"] * len(scripts)
-        self.entry = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
-        self.client = loopback.Client(loop=self.loop, address=self.entry.address)
-        self.number = 0
-
-    def request(self, lead: str, *, left_ms=3000, more=b""):
-        self.number += 1
-        self.client.send(
-            b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
-            b"X-Prompt-Lead: aa:10,b%d:20\r\nX-Time-Left-Ms: %d\r\n%sContent-Length: 4\r\n\r\nbody"
-            % (lead.encode(), self.number, self.number, left_ms, more)
-        )
-
-    def until(self, what: bytes) -> bool:
-        return loopback.until(self.loop, lambda: what in self.client.got)
-
-    def arrivals(self) -> int:
-        return sum(len(re.findall(rb"X-Attempt-Id", heard, re.I)) for peer in self.peers for heard in peer.heard)
-
-
-def replying(number, heard):
-    return [answer(request_id(heard))] if is_complete(heard) else None
+from ploverward.simulation import request_scene
 
 
 def test_a_complete_answer_comes_back_with_its_stamp_and_the_replica_is_named():
-    scene = Scene(replying)
+    scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     assert b"200 OK" in scene.client.got and re.search(rb"x-postmark: p", scene.client.got, re.I)
@@ -76,11 +21,11 @@
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_a_reused_connection_that_dies_after_the_request_is_not_sent_again(lead, end):
     def script(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
-        return [answer(request_id(heard))] if heard.count(b"\r\n\r\nbody") == 1 else [end]
+        return [request_scene.answer(request_scene.request_id(heard))] if heard.count(b"\r\n\r\nbody") == 1 else [end]
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.request(lead)
@@ -91,7 +36,7 @@
 
 
 def test_an_idempotent_request_is_retried_at_another_replica():
-    scene = Scene(lambda number, heard: ["close"], replying)
+    scene = request_scene.Scene(lambda number, heard: ["close"], request_scene.replying)
     for _ in range(4):
         scene.client.got = b""
         scene.request("safe")
@@ -100,13 +45,16 @@
 
 def test_an_answer_too_many_at_the_head_of_the_next_is_read_past():
     def script(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         if heard.count(b"\r\n\r\nbody") == 1:
-            return [answer(request_id(heard))]
-        return [answer(request_id(heard, 0), b"stale"), answer(request_id(heard), b"mine")]
+            return [request_scene.answer(request_scene.request_id(heard))]
+        return [
+            request_scene.answer(request_scene.request_id(heard, 0), b"stale"),
+            request_scene.answer(request_scene.request_id(heard), b"mine"),
+        ]
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.request("unsafe")
@@ -118,12 +66,12 @@
 def test_bytes_after_an_answer_belong_to_no_request():
     def script(number, heard):
         return (
-            [answer(request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
-            if is_complete(heard)
+            [request_scene.answer(request_scene.request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
+            if request_scene.is_complete(heard)
             else None
         )
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     for _ in range(3):
         scene.client.got = b""
         scene.request("safe")
@@ -144,11 +92,11 @@
 )
 def test_a_spoiled_answer_is_never_a_success(spoiled):
     def script(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
-        return [spoiled.replace(b"%s", request_id(heard)), "close"]
+        return [spoiled.replace(b"%s", request_scene.request_id(heard)), "close"]
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.request("unsafe")
     assert scene.until(b"HTTP/1.1 502")
     assert b"200 OK" not in scene.client.got
@@ -158,15 +106,19 @@
 def test_not_run_may_go_on_inside_tries_and_ends_in_a_promise():
     def full(number, heard):
         return (
-            [answer(request_id(heard), status=b"503 Service Unavailable", more=b"X-Not-Run: 1\r\n")]
-            if is_complete(heard)
+            [
+                request_scene.answer(
+                    request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"X-Not-Run: 1\r\n"
+                )
+            ]
+            if request_scene.is_complete(heard)
             else None
         )
 
-    scene = Scene(full, replying)
+    scene = request_scene.Scene(full, request_scene.replying)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
-    scene = Scene(full)
+    scene = request_scene.Scene(full)
     scene.request("once")
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after: [\d.]+", scene.client.got, re.I)
@@ -175,9 +127,13 @@
 
 def test_a_failure_without_x_not_run_is_no_promise():
     def script(number, heard):
-        return [answer(request_id(heard), status=b"503 Service Unavailable", more=b"")] if is_complete(heard) else None
+        return (
+            [request_scene.answer(request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"")]
+            if request_scene.is_complete(heard)
+            else None
+        )
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.request("unsafe")
     assert scene.until(b"HTTP/1.1 502")
     assert b"503" not in scene.client.got
@@ -185,17 +141,28 @@
 
 def test_a_stream_resumes_at_another_replica_inside_one_response():
     def cutting(number, heard):
-        return [head(request_id(heard)) + event(1) + event(2), "close"] if is_complete(heard) else None
+        return (
+            [
+                request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.event(2),
+                "close",
+            ]
+            if request_scene.is_complete(heard)
+            else None
+        )
 
     def going_on(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         last = re.search(rb"Last-Event-Id: (\d+)", heard, re.I)
         first = int(last[1]) + 1 if last else 1
-        return [head(request_id(heard)) + b"".join(event(nth) for nth in range(first, 5)) + END]
+        return [
+            request_scene.head(request_scene.request_id(heard))
+            + b"".join(request_scene.event(nth) for nth in range(first, 5))
+            + request_scene.END
+        ]
 
     for scripts in ((cutting, going_on), (going_on, cutting)):
-        scene = Scene(*scripts)
+        scene = request_scene.Scene(*scripts)
         scene.request("resume")
         assert scene.until(b"0\r\n\r\n")
         assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3", b"4"]
@@ -204,13 +171,24 @@
 
 def test_duplicate_events_are_forwarded_once():
     def cutting(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
-            return [head(request_id(heard)) + event(1) + event(2) + event(3)[:9], "close"]
-        return [head(request_id(heard)) + event(2) + event(3) + END]
+            return [
+                request_scene.head(request_scene.request_id(heard))
+                + request_scene.event(1)
+                + request_scene.event(2)
+                + request_scene.event(3)[:9],
+                "close",
+            ]
+        return [
+            request_scene.head(request_scene.request_id(heard))
+            + request_scene.event(2)
+            + request_scene.event(3)
+            + request_scene.END
+        ]
 
-    scene = Scene(cutting, cutting)
+    scene = request_scene.Scene(cutting, cutting)
     scene.request("resume")
     assert scene.until(b"0\r\n\r\n")
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
@@ -218,9 +196,13 @@
 
 def test_a_stream_that_may_not_be_resumed_is_broken_visibly():
     def cutting(number, heard):
-        return [head(request_id(heard)) + event(1), "close"] if is_complete(heard) else None
+        return (
+            [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
+            if request_scene.is_complete(heard)
+            else None
+        )
 
-    scene = Scene(cutting)
+    scene = request_scene.Scene(cutting)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t1" in scene.client.got and scene.arrivals() == 1
@@ -228,7 +210,7 @@
 
 
 def test_homed_requests_wait_or_are_refused_never_moved():
-    scene = Scene(replying, zones=["za"])  # north; the route's home is south
+    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # north; the route's home is south
     scene.request("home")
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after", scene.client.got, re.I)
@@ -239,13 +221,13 @@
 
 def test_custody_names_each_go():
     def cutting(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
-            return [head(request_id(heard)) + event(1), "close"]
-        return [head(request_id(heard)) + event(2) + END]
+            return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
+        return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2) + request_scene.END]
 
-    scene = Scene(cutting, cutting, zones=["zb", "zb"])
+    scene = request_scene.Scene(cutting, cutting, zones=["zb", "zb"])
     scene.request("home")
     assert scene.until(b"0\r\n\r\n")
     trail = scene.entry.trails()[0]
@@ -259,18 +241,18 @@
     def other(number, heard):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
-            if is_complete(heard)
+            if request_scene.is_complete(heard)
             else None
         )
 
-    scene = Scene(other)
+    scene = request_scene.Scene(other)
     scene.request("once")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 1
 
 
 def test_no_route_is_404_and_the_connection_stays_open():
-    scene = Scene(replying)
+    scene = request_scene.Scene(request_scene.replying)
     scene.request("nothing")
     assert scene.until(b"HTTP/1.1 404")
     scene.request("safe")
@@ -288,7 +270,7 @@
     ],
 )
 def test_bad_framing_is_refused_and_the_connection_closed(data, status):
-    scene = Scene(replying)
+    scene = request_scene.Scene(request_scene.replying)
     scene.client.send(data)
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.client.got.startswith(b"HTTP/1.1 " + status)
@@ -297,9 +279,13 @@
 
 def test_a_client_that_leaves_ends_the_go():
     def script(number, heard):
-        return [head(request_id(heard)) + event(1)] if is_complete(heard) else None
+        return (
+            [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
+            if request_scene.is_complete(heard)
+            else None
+        )
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.request("once")
     assert scene.until(b"data: t1")
     scene.client.sock.close()
@@ -310,7 +296,7 @@
 
 
 def test_out_of_time_is_504_when_it_was_sent():
-    scene = Scene(lambda number, heard: None)
+    scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=200)
     assert scene.until(b"HTTP/1.1 504")
     assert scene.arrivals() == 1
@@ -320,17 +306,17 @@
     big = b"x" * 30000
 
     def script(number, heard):
-        if not is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         return [
-            head(request_id(heard))
+            request_scene.head(request_scene.request_id(heard))
             + b"".join(
                 b"%x\r\n%s\r\n" % (len(text), text)
                 for text in (b"id: %d\ndata: %s\n\n" % (nth, big) for nth in range(1, 3))
             )
         ]
 
-    scene = Scene(script)
+    scene = request_scene.Scene(script)
     scene.loop.unwatch(sock=scene.client.sock)
     scene.request("once", left_ms=5000)
     assert loopback.until(scene.loop, lambda: any(handler.writer.has_head for handler in scene.entry.passages))
@@ -346,7 +332,7 @@
 
 
 def test_buffered_bodies_are_bounded():
-    scene = Scene(replying)
+    scene = request_scene.Scene(request_scene.replying)
     scene.entry.server.body_budget.max_bytes = 3
     scene.request("safe")
     assert scene.until(b"HTTP/1.1 503")
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -1,5 +1,6 @@
-"""The troubles that came with growth: ill replicas with a good word for themselves, false health, flapping, ways that carry one
-direction, jumps of traffic, idle connections forgotten without a word."""
+"""Faults that came with growth: unhealthy replicas that claim to be well, false health, flapping, paths that carry one
+direction only, jumps of traffic, idle connections forgotten without notice.
+"""
 
 import collections
 import random
@@ -11,8 +12,8 @@
 
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.relay import outcomes
-from ploverward.data_plane.requests import test_request_path
 from ploverward.simulation import loopback
+from ploverward.simulation import request_scene
 from ploverward.transport import peer_connection
 
 KEY = b"replica1"
@@ -27,8 +28,8 @@
 
 def refusing(number, heard):
     return (
-        [test_request_path.answer(test_request_path.request_id(heard), b"no", status=b"500 Broken")]
-        if test_request_path.is_complete(heard)
+        [request_scene.answer(request_scene.request_id(heard), b"no", status=b"500 Broken")]
+        if request_scene.is_complete(heard)
         else None
     )
 
@@ -38,12 +39,12 @@
     def script(number, heard):
         more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without its stamp is none
         return (
-            [test_request_path.answer(test_request_path.request_id(heard), b"no", status=status, more=more)]
-            if test_request_path.is_complete(heard)
+            [request_scene.answer(request_scene.request_id(heard), b"no", status=status, more=more)]
+            if request_scene.is_complete(heard)
             else None
         )
 
-    scene = test_request_path.Scene(script, test_request_path.replying)
+    scene = request_scene.Scene(script, request_scene.replying)
     kinds = reported_kinds(scene)
     for _ in range(12):
         scene.client.got = b""
@@ -55,7 +56,7 @@
 
 
 def test_health_is_never_asked_so_a_false_answer_moves_nothing():
-    scene = test_request_path.Scene(test_request_path.replying, test_request_path.replying)
+    scene = request_scene.Scene(request_scene.replying, request_scene.replying)
     for _ in range(8):
         scene.client.got = b""
         scene.request("safe")
@@ -83,7 +84,7 @@
 
 
 def test_failing_flags_on_all_replicas_do_not_leave_nobody_to_choose():
-    scene = test_request_path.Scene(refusing, refusing)
+    scene = request_scene.Scene(refusing, refusing)
     for _ in range(6):
         scene.client.got = b""
         scene.request("safe")
@@ -133,7 +134,7 @@
 
 
 def test_a_jump_of_traffic_is_spread_before_anybody_reports():
-    scene = test_request_path.Scene(*[test_request_path.replying] * 4)
+    scene = request_scene.Scene(*[request_scene.replying] * 4)
     chance = random.Random(3)
     taken = collections.Counter()
     for number in range(64):
@@ -149,15 +150,15 @@
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
 def test_an_idle_connection_that_was_forgotten_says_nothing_of_its_replica(lead, is_answered):
     def script(number, heard):
-        if not test_request_path.is_complete(heard):
+        if not request_scene.is_complete(heard):
             return None
         return (
             ["reset"]
             if len(re.findall(rb"x-attempt-id", heard, re.I)) > 1
-            else [test_request_path.answer(test_request_path.request_id(heard))]
+            else [request_scene.answer(request_scene.request_id(heard))]
         )
 
-    scene = test_request_path.Scene(script, test_request_path.replying)
+    scene = request_scene.Scene(script, request_scene.replying)
     kinds = reported_kinds(scene)
     replica = scene.entry.table.replicas["i0"]
     scene.entry.table.replicas["i1"].is_clearing = True
