--- /dev/null
+++ b/ploverward/testing/test_docs.py
@@ -0,0 +1,43 @@
+"""The pages name only files that exist."""
+
+import pathlib
+import re
+
+import pytest
+
+ROOT = pathlib.Path(__file__).parents[2]
+PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
+SOURCE_PATH = re.compile(r"(?<![\w/])ploverward/[\w/]*\w(?:\.py)?(?![\w*])")
+SOURCE_FILE = re.compile(r"`([\w/]*\w\.py)`")
+PAGE_LINK = re.compile(r"`(?:docs/)?([\w/-]+\.md)`")
+
+
+def names(pattern, page: pathlib.Path) -> set:
+    return set(pattern.findall(page.read_text(encoding="utf-8")))
+
+
+def has_source(name: str) -> bool:
+    """Whether a path, or a file name alone, is that of a source file or folder."""
+    return (ROOT / name).exists() or any(path.match(name) for path in ROOT.glob("ploverward/**/*.py"))
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_every_source_file_that_a_page_names_exists(page):
+    missing = {name for name in names(SOURCE_PATH, page) | names(SOURCE_FILE, page) if not has_source(name)}
+    assert not missing
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_every_page_that_a_page_names_exists(page):
+    missing = {
+        name
+        for name in names(PAGE_LINK, page)
+        if not any((ROOT / folder / name).exists() for folder in ("", "docs", "docs/incidents"))
+    }
+    assert not missing
+
+
+def test_the_readme_leads_to_each_page():
+    """A newcomer finds every page of docs/ from the README; incidents and the journal by the pages that name them."""
+    listed = names(PAGE_LINK, ROOT / "README.md")
+    assert {page.name for page in ROOT.glob("docs/*.md")} <= listed
