--- a/ploverward/command_line/core_client.py
+++ b/ploverward/command_line/core_client.py
@@ -1,32 +1,70 @@
-"""Calls of operator tools to the published interfaces of the core nodes, by pycurl."""
+"""Calls of operators' tools to the published interfaces of the core nodes, by pycurl."""
 
 import io
 import json
+from collections.abc import Iterable
+from typing import Any
 
 import pycurl
 
+from ploverward.command_line import options
 from ploverward.common import errors
+from ploverward.common import settings as settings_files
 
-NO_ANSWER = (307, 408, 429)  # besides 5xx; 307 stays only where nodes send on to each other
+NO_ANSWER = (307, 408, 429)  # besides 5xx; 307 is seen only where nodes redirect to each other without end
+CALL_TIMEOUT_S = 5.0  # above the second within which a core node answers or gives up
+MAX_REDIRECTS = 3
+
+Answer = tuple[int, Any]  # HTTP status; the body as JSON says it, None where it is none
+Missed = dict[str, str]  # why a node could not be reached, by its address
 
 
 class CoreClient:
-    """Tries the given core nodes in turn; names those that it can't reach."""
+    """Calls the given core nodes.
+
+    Args:
+        addresses: ADDRESS:PORT of each.
+        limit_s: Seconds for one call.
+
+    Raises:
+        InvalidArgumentError: No address is given.
+    """
 
-    def __init__(self, *, addresses, limit_s: float = 5.0):
-        if not addresses:
-            raise errors.PloverwardError(
+    def __init__(self, *, addresses: Iterable[str], limit_s: float = CALL_TIMEOUT_S) -> None:
+        self.addresses = tuple(addresses)
+        if not self.addresses:
+            raise errors.InvalidArgumentError(
                 "no core node named: use --core ADDRESS:PORT or PLOVERWARD_NODE_FILE", step="call"
             )
-        self.addresses = tuple(addresses)
         self._limit_s = limit_s
 
-    def one(self, *, address: str, method: str, path: str, data: bytes = b"", max_redirects: int = 3) -> tuple:
-        """(status, body) of one node, or raises Unreachable."""
+    def one(
+        self, *, address: str, method: str, path: str, data: bytes = b"", max_redirects: int = MAX_REDIRECTS
+    ) -> Answer:
+        """Calls one node, and those that it redirects to.
+
+        Raises:
+            CoreUnreachableError: A connection failed, or there was no answer in time.
+        """
         url = f"http://{address}{path}"
-        for _round in range(max_redirects):
-            curl = pycurl.Curl()
-            body = io.BytesIO()
+        status, text = 0, b""
+        for _attempt in range(max_redirects):
+            try:
+                status, text, target = self._perform(url=url, method=method, data=data)
+            except pycurl.error as error:
+                raise errors.CoreUnreachableError(str(error.args[-1]), step=f"{method} {path}", peer=address) from None
+            if status != 307 or not target:
+                break
+            url = target
+        try:
+            return status, json.loads(text or b"null")
+        except ValueError:
+            return status, None
+
+    def _perform(self, *, url: str, method: str, data: bytes) -> tuple[int, bytes, str | None]:
+        curl = pycurl.Curl()
+        body = io.BytesIO()
+        try:
             curl.setopt(pycurl.URL, url)
             curl.setopt(pycurl.CUSTOMREQUEST, method)
             if data:
@@ -36,45 +74,49 @@
             curl.setopt(pycurl.NOSIGNAL, 1)
             curl.setopt(pycurl.TIMEOUT_MS, int(self._limit_s * 1000))
             curl.setopt(pycurl.WRITEFUNCTION, body.write)
-            try:
-                curl.perform()
-                status = curl.getinfo(pycurl.RESPONSE_CODE)
-                following = curl.getinfo(pycurl.REDIRECT_URL)
-            except pycurl.error as fault:
-                raise errors.QuorumUnavailableError(
-                    str(fault.args[-1]), step=f"{method} {path}", peer=address
-                ) from None
-            finally:
-                curl.close()
-            if status == 307 and following:
-                url = following
-                continue
-            break
-        try:
-            return status, json.loads(body.getvalue() or b"null")
-        except ValueError:
-            return status, None
+            curl.perform()
+            return curl.getinfo(pycurl.RESPONSE_CODE), body.getvalue(), curl.getinfo(pycurl.REDIRECT_URL)
+        finally:
+            curl.close()
+
+    def any(self, *, method: str, path: str, data: bytes = b"") -> Answer:
+        """Returns the answer of the first node that gives a clear one.
 
-    def any(self, *, method: str, path: str, data: bytes = b"") -> tuple:
-        """(status, body) of the first node that gives a clear answer."""
-        last = None
+        Raises:
+            CoreUnreachableError: None does; says why the last one did not.
+        """
+        last: errors.CoreUnreachableError | None = None
         for address in self.addresses:
             try:
                 status, body = self.one(address=address, method=method, path=path, data=data)
-            except errors.QuorumUnavailableError as fault:
-                last = fault
+            except errors.CoreUnreachableError as error:
+                last = error
                 continue
             if status < 500 and status not in NO_ANSWER:
                 return status, body
-            last = errors.QuorumUnavailableError(f"answered {status}", step=f"{method} {path}", peer=address)
+            last = errors.CoreUnreachableError(f"answered {status}", step=f"{method} {path}", peer=address)
+        assert last is not None
         raise last
 
-    def all(self, *, path: str) -> tuple:
-        """({address: (status, body)}, {address: why it could not be reached})."""
-        responses, missed = {}, {}
+    def all(self, *, path: str) -> tuple[dict[str, Answer], Missed]:
+        """Reads a path from each node; returns the answers by address, and which nodes could not be reached."""
+        responses: dict[str, Answer] = {}
+        missed: Missed = {}
         for address in self.addresses:
             try:
                 responses[address] = self.one(address=address, method="GET", path=path)
-            except errors.QuorumUnavailableError as fault:
-                missed[address] = fault.text
+            except errors.CoreUnreachableError as error:
+                missed[address] = error.text
         return responses, missed
+
+
+def connect() -> CoreClient:
+    """Returns a client for the core nodes of `--core`, else for the seeds of the settings file.
+
+    Raises:
+        SettingsError: The settings file, or an address, is missing or malformed.
+    """
+    addresses = options.FLAGS.core or [f"{host}:{port}" for host, port in settings_files.load().seeds]
+    for address in addresses:
+        settings_files.parse_address(text=address, field="--core")
+    return CoreClient(addresses=addresses)
--- a/ploverward/command_line/core_set.py
+++ b/ploverward/command_line/core_set.py
@@ -1,12 +1,53 @@
-"""ploverward core-set: who votes, who learns, how far each core node is, and what may still be lost (docs/core-set.md)."""
+"""`ploverward core-set`: who votes, who learns, how far each node is, what may be lost (docs/core-set.md)."""
 
-import json
+from typing import Any
 
-WELL, SHORT, PARTS_MISSING = 0, 1, 3
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 
+PATH = "/ploverward/core-set"
 
-def follow_members(*, core_client, responses: dict, missed: dict) -> None:
-    """Asks the members that the answers name as well, at the port of the node that named them."""
+Body = dict[str, Any]  # what one core node answers
+Responses = dict[str, Body]  # by the node's address
+
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Prints the core set as the core nodes see it."""
+    if arguments:
+        raise exit_codes.UsageError
+    return run(core_client=core_clients.connect(), as_json=options.FLAGS.json, out=print)
+
+
+def run(*, core_client: core_clients.CoreClient, as_json: bool, out: output.Out) -> int:
+    """Prints the core set.
+
+    Returns:
+        `WELL` where it tolerates the losses that it should, `BROKEN` where it does not, `PARTS_MISSING` where it does
+        and some nodes are out of reach.
+    """
+    answers, missed = core_client.all(path=PATH)
+    responses = {address: body for address, (status, body) in answers.items() if status == 200}
+    follow_members(core_client=core_client, responses=responses, missed=missed)
+    newest, faults = judge(responses=responses)
+    if as_json:
+        output.print_json({"told": responses, "unreachable": missed, "faults": faults}, out=out, sort_keys=True)
+    else:
+        output.print_lines((*table(responses=responses, missed=missed, newest=newest), *faults), out=out)
+    if faults:
+        return exit_codes.ExitCode.BROKEN
+    return exit_codes.ExitCode.PARTS_MISSING if missed else exit_codes.ExitCode.WELL
+
+
+def follow_members(*, core_client: core_clients.CoreClient, responses: Responses, missed: core_clients.Missed) -> None:
+    """Asks the members that the answers name as well, at the port of the node that named them.
+
+    Args:
+        core_client: Its type makes the clients for further nodes.
+        responses: Gets the further answers.
+        missed: Gets the further nodes that are out of reach.
+    """
     asked = set(responses) | set(missed)
     for address, body in list(responses.items()):
         port = address.rpartition(":")[2]
@@ -14,13 +55,18 @@
             other = f"{host}:{port}"
             if other not in asked:
                 asked.add(other)
-                found, unreachable = type(core_client)(addresses=(other,)).all(path="/ploverward/core-set")
+                found, unreachable = type(core_client)(addresses=(other,)).all(path=PATH)
                 responses.update({one: row for one, (status, row) in found.items() if status == 200})
                 missed.update(unreachable)
 
 
-def judge(*, responses: dict) -> tuple:
-    """(the newest answer from a node with a majority, or None; sentences on what is not as it should be)."""
+def judge(*, responses: Responses) -> tuple[Body | None, list[str]]:
+    """Compares the answers with what they should say.
+
+    Returns:
+        The newest answer of a node in contact with a majority, None where there is no such node; and a sentence on each
+        thing that is not as it should be.
+    """
     backed = [body for body in responses.values() if body["has_majority_contact"]]
     if not backed:
         return None, ["no node is in contact with a majority: no order is taken, nothing is agreed"]
@@ -40,35 +86,20 @@
     return newest, faults
 
 
-def table(*, responses: dict, missed: dict, newest) -> list:
-    """Lines for people."""
+def table(*, responses: Responses, missed: core_clients.Missed, newest: Body | None) -> list[str]:
+    """Returns lines for people: the set, then a line for each node."""
     lines = []
+    members = () if newest is None else newest["members"]
     if newest is not None:
-        lines.append(f"core set, version {newest['version']}: {', '.join(newest['members'])}")
+        lines.append(f"core set, version {newest['version']}: {', '.join(members)}")
         lines.append(f"watch: {newest['watch'] or 'nobody'}; further losses borne now: {newest['losses_borne']}")
-    for address, body in sorted(responses.items()):
-        is_member = newest is not None and body["address"] in newest["members"]
-        role = "votes" if body["votes"] and is_member else "learns" if not body["votes"] else "outside the set"
-        contact = "in contact" if body["has_majority_contact"] else "no majority"
-        versions = " ".join(
-            f"{name}={row['on_disk']}/{row['known']}" for name, row in sorted(body["registers"].items())
-        )
-        lines.append(f"{address}  {role:15}  {contact:11}  {versions}")
-    lines += [f"{address}  unreachable: {why}" for address, why in sorted(missed.items())]
-    return lines
-
-
-def run(*, core_client, as_json: bool, out) -> int:
-    """Prints the core set. 0: it bears what it should; 1: it does not; 3: it does, with nodes out of reach."""
-    answers, missed = core_client.all(path="/ploverward/core-set")
-    responses = {address: body for address, (status, body) in answers.items() if status == 200}
-    follow_members(core_client=core_client, responses=responses, missed=missed)
-    newest, faults = judge(responses=responses)
-    if as_json:
-        out(json.dumps({"told": responses, "unreachable": missed, "faults": faults}, indent=2, sort_keys=True))
-    else:
-        for line in (*table(responses=responses, missed=missed, newest=newest), *faults):
-            out(line)
-    if faults:
-        return SHORT
-    return PARTS_MISSING if missed else WELL
+    lines += [_node_line(address, body, members) for address, body in sorted(responses.items())]
+    return lines + output.unreachable_lines(missed, template="{address}  unreachable: {why}")
+
+
+def _node_line(address: str, body: Body, members: tuple | list) -> str:
+    voting_role = "votes" if body["address"] in members else "outside the set"
+    role = voting_role if body["votes"] else "learns"
+    contact = "in contact" if body["has_majority_contact"] else "no majority"
+    versions = " ".join(f"{name}={row['on_disk']}/{row['known']}" for name, row in sorted(body["registers"].items()))
+    return f"{address}  {role:15}  {contact:11}  {versions}"
--- a/ploverward/command_line/custody.py
+++ b/ploverward/command_line/custody.py
@@ -1,99 +1,155 @@
-"""ploverward custody: which nodes held a request's text and cache, and the audit of all trails (docs/residency.md)."""
+"""`ploverward custody`: which nodes had a request's text and cache; the audit of all trails (docs/residency.md)."""
 
-import json
 import urllib.parse
+from typing import Any
+from typing import NamedTuple
 
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 from ploverward.common import errors
 from ploverward.control_plane.audit import trail_audit
 
+PATH = "/ploverward/custody"
 
-def show(*, core_client, request_id: str, as_json: bool, out) -> int:
-    responses, missed = core_client.all(path="/ploverward/custody/" + urllib.parse.quote(request_id, safe=""))
-    trails = []
-    kept_known = True
-    for _address, (status, body) in sorted(responses.items()):
-        if status == 200 and body:
-            trails += body["trails"]
-            kept_known = kept_known and body["kept_known"]
+Trail = dict[str, Any]  # one request's trail, as a core node answers it
+Cursors = dict[str, int]  # up to where each core node's trails were read, by its address
+
+
+class Collected(NamedTuple):
+    """The trails of all core nodes in reach."""
+
+    trails: list[Trail]
+    coverage: list[dict[str, Any]]  # a row for each incarnation of a proxy: whether its trails are complete
+    missed: core_clients.Missed
+    zones: dict[str, str]  # region by zone
+
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Shows one request's trail, or audits all of them."""
+    as_json = options.FLAGS.json
+    if options.FLAGS.audit:
+        if arguments:
+            raise exit_codes.UsageError
+        return audit(core_client=core_clients.connect(), as_json=as_json, out=print)
+    if len(arguments) != 1:
+        raise exit_codes.UsageError
+    return show(core_client=core_clients.connect(), request_id=arguments[0], as_json=as_json, out=print)
+
+
+def show(*, core_client: core_clients.CoreClient, request_id: str, as_json: bool, out: output.Out) -> int:
+    """Prints the trail of one request.
+
+    Returns:
+        `BROKEN` where no trail is found, `PARTS_MISSING` where some nodes are out of reach, else `WELL`.
+    """
+    responses, missed = core_client.all(path=f"{PATH}/" + urllib.parse.quote(request_id, safe=""))
+    bodies = [body for _address, (status, body) in sorted(responses.items()) if status == 200 and body]
+    trails = [trail for body in bodies for trail in body["trails"]]
+    kept_known = all(body["kept_known"] for body in bodies)
     if as_json:
-        out(json.dumps({"id": request_id, "trails": trails, "unreachable": missed, "kept_known": kept_known}, indent=2))
+        output.print_json(
+            {"id": request_id, "trails": trails, "unreachable": missed, "kept_known": kept_known}, out=out
+        )
     else:
         for trail in trails:
-            for line in lines_of(trail=trail, kept_known=kept_known):
-                out(line)
-        for address, why in sorted(missed.items()):
-            out(f"unreachable: {address} ({why}); its part of the trail is missing")
-    if not trails:
-        if not as_json:
+            output.print_lines(lines_of(trail=trail, kept_known=kept_known), out=out)
+        template = "unreachable: {address} ({why}); its part of the trail is missing"
+        output.print_lines(output.unreachable_lines(missed, template=template), out=out)
+        if not trails:
             out(f"no trail of '{request_id}' on the nodes in reach: never seen, too long ago, or lost with its proxy")
-        return 1
-    return 3 if missed else 0
+    if not trails:
+        return exit_codes.ExitCode.BROKEN
+    return exit_codes.ExitCode.PARTS_MISSING if missed else exit_codes.ExitCode.WELL
+
 
+def lines_of(*, trail: Trail, kept_known: bool) -> list[str]:
+    """Returns lines for people: the request, its attempts, and who keeps parts of it.
 
-def lines_of(*, trail: dict, kept_known: bool) -> list:
+    Args:
+        trail: The request's trail.
+        kept_known: Whether all nodes said which replicas keep parts of it.
+    """
     homes = ", ".join(trail["homes"]) or "any region"
     lines = [
         f"{trail['id']}  route {trail['route']}  configuration {trail['edition']}  permitted: {homes}",
-        f"  proxy    {trail['proxy']} ({trail['region']})  held the text from arrival for {trail['lasted_ms']} ms, answered {trail['status'] or 'nothing whole'}",
+        f"  proxy    {trail['proxy']} ({trail['region']})  held the text from arrival for {trail['lasted_ms']} ms,"
+        f" answered {trail['status'] or 'nothing whole'}",
     ]
-    for go in trail["goes"]:
-        what = "resumed at" if go["is_resumption"] else "sent to"
-        end = "until now" if go["to_ms"] is None else f"to {go['to_ms']} ms"
-        lines.append(f"  {what:<10} {go['replica']} in {go['zone']}  from {go['from_ms']} ms {end}  ({go['end']})")
+    lines += [_attempt_line(attempt) for attempt in trail["goes"]]
     if trail.get("kept"):
-        for kept in trail["kept"]:
-            lines.append(f"  keeps parts, as modelled: {kept['replica']} in {kept['zone']}")
+        lines += [f"  keeps parts, as modelled: {kept['replica']} in {kept['zone']}" for kept in trail["kept"]]
     elif trail["parts"]:
         lines.append("  keeps parts: " + ("none, as modelled" if kept_known else "could not be asked"))
     return lines
 
 
-def collect(*, core_client, cursors=None) -> tuple:
-    """(trails, coverage, unreachable, zones) of all core nodes; `marks` keeps the place in each between calls."""
+def _attempt_line(attempt: dict[str, Any]) -> str:
+    what = "resumed at" if attempt["is_resumption"] else "sent to"
+    end = "until now" if attempt["to_ms"] is None else f"to {attempt['to_ms']} ms"
+    where = f"{attempt['replica']} in {attempt['zone']}"
+    return f"  {what:<10} {where}  from {attempt['from_ms']} ms {end}  ({attempt['end']})"
+
+
+def collect(*, core_client: core_clients.CoreClient, cursors: Cursors | None = None) -> Collected:
+    """Reads the trails of all core nodes.
+
+    Args:
+        core_client: Calls them.
+        cursors: Where to read on; moved forward, so that the next call gets later trails alone. None: all trails.
+    """
     cursors = {} if cursors is None else cursors
-    trails, coverage, missed, zones = [], [], {}, {}
+    found = Collected(trails=[], coverage=[], missed={}, zones={})
     for address in core_client.addresses:
-        while True:
-            try:
-                status, body = core_client.one(
-                    address=address, method="GET", path=f"/ploverward/custody?after={cursors.get(address, 0)}"
-                )
-            except errors.QuorumUnavailableError as fault:
-                missed[address] = fault.text
-                break
-            if status != 200 or not body:
-                missed[address] = f"answered {status}"
-                break
-            trails += body["trails"]
-            zones.update(body["zones"])
-            cursors[address] = body["last"]
-            if not body["has_more"]:
-                coverage += body["coverage"]
-                break
-    return trails, coverage, missed, zones
-
-
-def audit(*, core_client, as_json: bool, out) -> int:
-    """0: all trails clean and covered; 1: a node outside held something; 3: clean as far as seen, with parts missing."""
-    trails, coverage, missed, zones = collect(core_client=core_client)
-    found = trail_audit.summary(trails=trails, coverage=coverage, zones=zones)
-    found["unreachable"] = missed
+        try:
+            _collect_from(address, core_client=core_client, cursors=cursors, found=found)
+        except errors.CoreUnreachableError as error:
+            found.missed[address] = error.text
+    return found
+
+
+def _collect_from(address: str, *, core_client: core_clients.CoreClient, cursors: Cursors, found: Collected) -> None:
+    while True:
+        path = f"{PATH}?after={cursors.get(address, 0)}"
+        status, body = core_client.one(address=address, method="GET", path=path)
+        if status != 200 or not body:
+            found.missed[address] = f"answered {status}"
+            return
+        found.trails.extend(body["trails"])
+        found.zones.update(body["zones"])
+        cursors[address] = body["last"]
+        if not body["has_more"]:
+            found.coverage.extend(body["coverage"])
+            return
+
+
+def audit(*, core_client: core_clients.CoreClient, as_json: bool, out: output.Out) -> int:
+    """Checks all trails against the permitted regions.
+
+    Returns:
+        `BROKEN` where a node outside held something, `PARTS_MISSING` where not all trails could be read, else `WELL`.
+    """
+    collected = collect(core_client=core_client)
+    found = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
+    found["unreachable"] = collected.missed
     if as_json:
-        out(json.dumps(found, indent=2))
+        output.print_json(found, out=out)
     else:
-        out(f"{found['trails']} trails, {found['homed']} of them bound to regions; {found['lives']} proxy lives")
-        for line in found["outside"]:
-            out(f"OUTSIDE: {line}")
-        for row in found["lives_with_parts_missing"]:
-            why = (
-                "ended without closing"
-                if row["ended_without_closing"]
-                else f"{row['missing_batches']} batches did not come"
-            )
-            out(f"missing: {row['node']} life {row['life']}: {why}")
-        for address, why in sorted(missed.items()):
-            out(f"unreachable: {address} ({why})")
-        out("outside: none" if not found["outside"] else f"outside: {len(found['outside'])}")
+        output.print_lines(_audit_lines(found), out=out)
     if found["outside"]:
-        return 1
-    return 3 if found["lives_with_parts_missing"] or missed or not trails else 0
+        return exit_codes.ExitCode.BROKEN
+    is_partial = found["lives_with_parts_missing"] or collected.missed or not collected.trails
+    return exit_codes.ExitCode.PARTS_MISSING if is_partial else exit_codes.ExitCode.WELL
+
+
+def _audit_lines(found: dict[str, Any]) -> list[str]:
+    lines = [f"{found['trails']} trails, {found['homed']} of them bound to regions; {found['lives']} proxy lives"]
+    lines += [f"OUTSIDE: {line}" for line in found["outside"]]
+    for row in found["lives_with_parts_missing"]:
+        has_ended = row["ended_without_closing"]
+        why = "ended without closing" if has_ended else f"{row['missing_batches']} batches did not come"
+        lines.append(f"missing: {row['node']} life {row['life']}: {why}")
+    lines += output.unreachable_lines(found["unreachable"], template="unreachable: {address} ({why})")
+    lines.append("outside: none" if not found["outside"] else f"outside: {len(found['outside'])}")
+    return lines
--- a/ploverward/command_line/drill.py
+++ b/ploverward/command_line/drill.py
@@ -1,191 +1,247 @@
-"""ploverward drill ZONE: takes a zone out, watches the promises, takes it back (docs/drill.md)."""
-
-import json
-
+"""`ploverward drill`: takes a zone out, watches the promises, takes it back (docs/drill.md).
+
+Once the zone was ordered out it is ordered back whatever happens, also on SIGINT and SIGTERM.
+"""
+
+import enum
+import signal
+import time
+from collections.abc import Callable
+from typing import Any
+
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import custody
+from ploverward.command_line import drill_check
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 from ploverward.common import errors
 
-KEPT, BROKEN, NOT_SEEN = "kept", "broken", "not seen"
 POLL_INTERVAL_S = 0.5
+POLLS_PER_RECEIPT = 10  # an order is sent again at least so often within receiptMs
+CLOCK_SLACK_S = 1.0  # by how much the nodes' times of day may differ
+NOT_RUN_ENDS = ("not sent", "421")  # ends of attempts that no replica ran
+NOTE_OF_INTERRUPTION = "interrupted"
+
+
+class Verdict(enum.StrEnum):
+    """What was seen of a promise."""
+
+    KEPT = "kept"
+    BROKEN = "broken"
+    NOT_SEEN = "not seen"
+
 
+class Promise(enum.StrEnum):
+    """What a drill watches."""
 
-class DrillRefusedError(errors.PloverwardError):
-    """Said before anything was done."""
+    EVACUATED = "evacuation acknowledged in time"
+    EMPTY = "nothing new is sent to the zone"
+    SERVING = "serving goes on"
+    HOMES = "homed requests stay home"
+    RESTORED = "zone taken back in time"
 
 
 class DrillInterruptedError(errors.PloverwardError):
-    pass
+    """The operator ended the drill; raised by the signal handlers, and ends the watch at once."""
 
 
 class Drill:
-    """Talks only through `call(method, path)` -> (status, body); time comes from `clock` and `pause`."""
+    """One drill. It sees the system by `call` and `trails` alone, and time by `clock` and `pause`.
+
+    Args:
+        zone: The zone.
+        call: Calls the core.
+        trails: Returns the custody trails that came since its last call.
+        clock: Time of day in seconds, as trails have it.
+        pause: Waits for so many seconds.
+        watch_s: Seconds that the zone stays out once it is empty.
+        receipt_s: The bound receiptMs, in seconds: an order is acknowledged within it.
+        evacuate_s: The bound evacuateMs, in seconds: nothing new is sent to the zone after it.
+        slack_s: Seconds by which the nodes' times of day may differ.
+        out: Gets each line.
+
+    Attributes:
+        promises: The verdict on each promise.
+        notes: What was seen of broken promises, and how long orders took.
+    """
 
     def __init__(
         self,
         *,
         zone: str,
-        call,
-        trails,
-        clock,
-        pause,
+        call: drill_check.Call,
+        trails: Callable[[], list[custody.Trail]],
+        clock: Callable[[], float],
+        pause: Callable[[float], object],
         watch_s: float,
         receipt_s: float,
         evacuate_s: float,
         slack_s: float,
-        out,
-    ):
+        out: output.Out,
+    ) -> None:
         self.zone = zone
         self.call = call
-        self.trails = trails  # the custody trails told since the last look
+        self.trails = trails
         self.clock = clock
         self.pause = pause
         self.watch_s = watch_s
         self.receipt_s = receipt_s
         self.evacuate_s = evacuate_s
-        self.slack_s = slack_s  # by how much the nodes' times of day may differ
+        self.slack_s = slack_s
         self.out = out
-        self.promises = {
-            "evacuation acknowledged in time": NOT_SEEN,
-            "nothing new is sent to the zone": NOT_SEEN,
-            "serving goes on": NOT_SEEN,
-            "homed requests stay home": NOT_SEEN,
-            "zone taken back in time": NOT_SEEN,
-        }
-        self.notes = []
-        self._refused = 0
-
-    def _judge(self, promise: str, verdict: str, note: str = "") -> None:
-        if self.promises[promise] != BROKEN:
-            self.promises[promise] = verdict
-        if note:
-            self.notes.append(f"{promise}: {note}")
-
-    def check_first(self) -> None:
-        status, nodes = self.call("GET", "/ploverward/nodes")
-        if status != 200:
-            raise DrillRefusedError(f"the core answers {status}; nothing was done", step="check")
-        if self.zone not in nodes["zones"]:
-            raise DrillRefusedError(
-                f"unknown zone '{self.zone}'; known: {', '.join(sorted(nodes['zones']))}", step="check"
-            )
-        status, out = self.call("GET", "/ploverward/evacuation")
-        if status != 200:
-            raise DrillRefusedError(f"evacuations can't be read ({status}); nothing was done", step="check")
-        if self.zone in out["zones"]:
-            raise DrillRefusedError(f"{self.zone} is already out; nothing was done", step="check")
-        status, configuration = self.call("GET", "/ploverward/configuration")
-        if status != 200:
-            raise DrillRefusedError(f"the configuration can't be read ({status}); nothing was done", step="check")
-        status, listed = self.call("GET", "/ploverward/replicas")
-        if status != 200:
-            raise DrillRefusedError(f"the replicas can't be read ({status}); nothing was done", step="check")
-        left = {}
-        for row in listed["replicas"]:
-            if row["zone"] != self.zone and row["zone"] not in out["zones"] and not row["is_clearing"]:
-                left.setdefault(row["service"], set()).add(nodes["zones"].get(row["zone"]))
-        for route in configuration["routes"]:
-            homes = set(route.get("homeRegions") or ())
-            portions = route.get("apportion") or [{"destination": route.get("destination"), "share": 1}]
-            for part in portions:
-                regions = left.get(part["destination"], set())
-                if part["share"] > 0 and not (regions & homes if homes else regions):
-                    raise DrillRefusedError(
-                        f"without {self.zone}, route {route['name']} has no replica of {part['destination']}"
-                        f"{' in ' + ', '.join(sorted(homes)) if homes else ''}; nothing was done",
-                        step="check",
-                    )
-        self.zones = nodes["zones"]
-
-    def _order(self, method: str) -> tuple:
-        """(whether a 2xx came within receiptMs, seconds). Sent again until then."""
-        begun = self.clock()
-        while True:
-            try:
-                status, _body = self.call(method, f"/ploverward/evacuation/{self.zone}")
-            except errors.QuorumUnavailableError:
-                status = 0
-            took = self.clock() - begun
-            if 200 <= status < 300:
-                return took <= self.receipt_s, took
-            if took >= self.receipt_s:
-                return False, took
-            self.pause(min(POLL_INTERVAL_S, self.receipt_s / 10))
+        self.promises = dict.fromkeys(Promise, Verdict.NOT_SEEN)
+        self.notes: list[str] = []
+        self._zones: dict[str, str] = {}  # region by zone
+        self._refused = 0  # requests that got a 5xx before any was served
 
     def run(self) -> int:
-        self.check_first()
-        was_restored = None
+        """Runs the drill and prints its report.
+
+        Returns:
+            `NOT_RESTORED`, `INTERRUPTED`, `BROKEN` or `WELL`, the first that holds.
+
+        Raises:
+            DrillRefusedError: The zone can't be taken out; nothing was done.
+        """
+        self._zones = drill_check.check(zone=self.zone, call=self.call)
+        was_restored = False
         try:
             self._take_out()
         except DrillInterruptedError:
             self.out("interrupted: the zone is taken back")
-            self.notes.append("interrupted")
+            self.notes.append(NOTE_OF_INTERRUPTION)
         finally:
             was_restored = self._take_back()
-        self.report()
+        self._report()
         if not was_restored:
             self.out(f"{self.zone} could NOT be taken back: send DELETE /ploverward/evacuation/{self.zone}")
-            return 4
-        if "interrupted" in self.notes:
-            return 5
-        return 1 if BROKEN in self.promises.values() else 0
+            return exit_codes.ExitCode.NOT_RESTORED
+        if NOTE_OF_INTERRUPTION in self.notes:
+            return exit_codes.ExitCode.INTERRUPTED
+        is_broken = Verdict.BROKEN in self.promises.values()
+        return exit_codes.ExitCode.BROKEN if is_broken else exit_codes.ExitCode.WELL
+
+    def result(self) -> dict[str, Any]:
+        """Returns the report for programs."""
+        return {"zone": self.zone, "promises": self.promises, "notes": self.notes}
+
+    def _report(self) -> None:
+        for promise, verdict in self.promises.items():
+            self.out(f"{verdict:>9}  {promise}")
+        for note in self.notes:
+            self.out(f"           {note}")
+
+    def _judge(self, promise: Promise, verdict: Verdict, note: str = "") -> None:
+        """Notes a verdict; a promise that was broken once stays broken."""
+        if self.promises[promise] is not Verdict.BROKEN:
+            self.promises[promise] = verdict
+        if note:
+            self.notes.append(f"{promise}: {note}")
+
+    def _order(self, method: str) -> tuple[bool, float]:
+        """Sends an order until it is acknowledged or late; returns whether it was in time, and the seconds it took."""
+        begun = self.clock()
+        while True:
+            try:
+                status, _body = self.call(method, f"/ploverward/evacuation/{self.zone}")
+            except errors.CoreUnreachableError:
+                status = 0
+            took_s = self.clock() - begun
+            if 200 <= status < 300:
+                return took_s <= self.receipt_s, took_s
+            if took_s >= self.receipt_s:
+                return False, took_s
+            self.pause(min(POLL_INTERVAL_S, self.receipt_s / POLLS_PER_RECEIPT))
 
     def _take_out(self) -> None:
-        in_time, took = self._order("POST")
-        self._judge(
-            "evacuation acknowledged in time", KEPT if in_time else BROKEN, f"{took:.2f} s of {self.receipt_s:g} s"
-        )
-        if not in_time:
+        is_in_time, took_s = self._order("POST")
+        verdict = Verdict.KEPT if is_in_time else Verdict.BROKEN
+        self._judge(Promise.EVACUATED, verdict, f"{took_s:.2f} s of {self.receipt_s:g} s")
+        if not is_in_time:
             return
-        quiet_from = self.clock() + self.evacuate_s + self.slack_s
+        empty_from = self.clock() + self.evacuate_s + self.slack_s
         end = self.clock() + self.evacuate_s + self.watch_s
         while self.clock() < end:
             self.pause(POLL_INTERVAL_S)
             for trail in self.trails():
-                self._look(trail, quiet_from)
-
-    def _look(self, trail: dict, quiet_from: float) -> None:
-        began = trail["arrived"]
-        is_late = False
-        for go in trail["goes"]:
-            if go["end"] in ("not sent", "421"):
-                continue
-            sent = began + go["from_ms"] / 1000.0
-            if go["zone"] == self.zone and sent > quiet_from:
-                is_late = True
-            if go["homes"] and self.zones.get(go["zone"]) not in go["homes"]:
-                self._judge("homed requests stay home", BROKEN, f"{trail['id']} at {go['replica']} in {go['zone']}")
-            elif go["homes"]:
-                self._judge("homed requests stay home", KEPT)
-        if began > quiet_from - self.evacuate_s:
-            if 200 <= trail["status"] < 300:
-                self._judge("serving goes on", KEPT)
-            elif self.promises["serving goes on"] == NOT_SEEN and trail["status"] >= 500:
-                self._refused += 1
-        if is_late:
-            self._judge("nothing new is sent to the zone", BROKEN, f"{trail['id']} after {self.evacuate_s:g} s")
-        elif began > quiet_from:
-            self._judge("nothing new is sent to the zone", KEPT)
+                self._judge_trail(trail, empty_from=empty_from)
+
+    def _judge_trail(self, trail: custody.Trail, *, empty_from: float) -> None:
+        arrived = trail["arrived"]
+        attempts = [attempt for attempt in trail["goes"] if attempt["end"] not in NOT_RUN_ENDS]
+        for attempt in attempts:
+            self._judge_homes(attempt, request_id=trail["id"])
+        if arrived > empty_from - self.evacuate_s:
+            self._judge_serving(trail["status"])
+        if any(
+            attempt["zone"] == self.zone and arrived + attempt["from_ms"] / 1000.0 > empty_from for attempt in attempts
+        ):
+            self._judge(Promise.EMPTY, Verdict.BROKEN, f"{trail['id']} after {self.evacuate_s:g} s")
+        elif arrived > empty_from:
+            self._judge(Promise.EMPTY, Verdict.KEPT)
+
+    def _judge_homes(self, attempt: dict[str, Any], *, request_id: str) -> None:
+        if not attempt["homes"]:
+            return
+        if self._zones.get(attempt["zone"]) in attempt["homes"]:
+            self._judge(Promise.HOMES, Verdict.KEPT)
+        else:
+            where = f"{attempt['replica']} in {attempt['zone']}"
+            self._judge(Promise.HOMES, Verdict.BROKEN, f"{request_id} at {where}")
+
+    def _judge_serving(self, status: int) -> None:
+        if 200 <= status < 300:
+            self._judge(Promise.SERVING, Verdict.KEPT)
+        elif self.promises[Promise.SERVING] is Verdict.NOT_SEEN and status >= 500:
+            self._refused += 1
 
     def _take_back(self) -> bool:
-        if self.promises["serving goes on"] == NOT_SEEN and self._refused:
-            self._judge("serving goes on", BROKEN, f"{self._refused} requests seen, none served")
+        if self.promises[Promise.SERVING] is Verdict.NOT_SEEN and self._refused:
+            self._judge(Promise.SERVING, Verdict.BROKEN, f"{self._refused} requests seen, none served")
         try:
-            in_time, took = self._order("DELETE")
+            is_in_time, took_s = self._order("DELETE")
             status, out = self.call("GET", "/ploverward/evacuation")
-        except errors.PloverwardError as fault:
-            self._judge("zone taken back in time", BROKEN, str(fault))
+        except errors.PloverwardError as error:
+            self._judge(Promise.RESTORED, Verdict.BROKEN, str(error))
             return False
         is_back = status == 200 and self.zone not in out["zones"]
-        self._judge(
-            "zone taken back in time", KEPT if in_time and is_back else BROKEN, f"{took:.2f} s of {self.receipt_s:g} s"
-        )
+        verdict = Verdict.KEPT if is_in_time and is_back else Verdict.BROKEN
+        self._judge(Promise.RESTORED, verdict, f"{took_s:.2f} s of {self.receipt_s:g} s")
         return is_back
 
-    def report(self) -> None:
-        for promise, verdict in self.promises.items():
-            self.out(f"{verdict:>9}  {promise}")
-        for note in self.notes:
-            self.out(f"           {note}")
-
 
-def as_json(drill) -> str:
-    return json.dumps({"zone": drill.zone, "promises": drill.promises, "notes": drill.notes}, indent=2)
+def command(_verb: str, arguments: list[str]) -> int:
+    """Runs a drill of one zone."""
+    if len(arguments) != 1:
+        raise exit_codes.UsageError
+    core_client = core_clients.connect()
+    status, nodes = core_client.any(method="GET", path="/ploverward/nodes")
+    if status != 200:
+        raise errors.UnexpectedAnswerError(status=status, step="drill")
+    bounds = nodes["bounds"]
+    signal.signal(signal.SIGINT, _interrupt)
+    signal.signal(signal.SIGTERM, _interrupt)
+    cursors: custody.Cursors = {}
+    custody.collect(core_client=core_client, cursors=cursors)  # what came before the drill does not count
+    gathered: list[str] = []
+    drill = Drill(
+        zone=arguments[0],
+        call=lambda method, path: core_client.any(method=method, path=path),
+        trails=lambda: custody.collect(core_client=core_client, cursors=cursors).trails,
+        clock=time.time,
+        pause=time.sleep,
+        watch_s=options.FLAGS.watch_s,
+        receipt_s=bounds["receiptMs"] / 1000.0,
+        evacuate_s=bounds["evacuateMs"] / 1000.0,
+        slack_s=CLOCK_SLACK_S,
+        out=gathered.append if options.FLAGS.json else print,
+    )
+    code = drill.run()
+    if options.FLAGS.json:
+        output.print_json(drill.result(), out=print)
+    return code
+
+
+def _interrupt(*_about: object) -> None:
+    raise DrillInterruptedError("interrupted", step="drill")
--- a/ploverward/command_line/keep.py
+++ b/ploverward/command_line/keep.py
@@ -1,20 +1,51 @@
-"""ploverward keep: the configuration in force, kept in a Git object store by dulwich (docs/operations.md)."""
+"""`ploverward keep`: the configuration in force, kept in a Git repository by dulwich (docs/operations.md)."""
 
 import json
 import os
+from typing import Any
 
 from dulwich import porcelain
 from dulwich import repo as repos
 
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import exit_codes
+from ploverward.command_line import output
 from ploverward.common import errors
 from ploverward.common import tenant_usage
 
 FILE_NAME = "configuration.json"
 AUTHOR = b"ploverward <ploverward@localhost>"
 
+Body = dict[str, Any]  # a configuration as operators send it
 
-def without_keys(body: dict) -> dict:
-    """The configuration with a digest in place of each key of a tenant."""
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Keeps the configuration in force in a folder, or prints the one of an edition that is kept there."""
+    match arguments:
+        case [folder]:
+            return _keep(folder)
+        case [folder, edition] if edition.isdigit():
+            return _show(folder, edition=int(edition))
+    raise exit_codes.UsageError
+
+
+def _keep(folder: str) -> int:
+    repository = ConfigurationRepository(folder=folder)
+    status, body = core_clients.connect().any(method="GET", path="/ploverward/configuration")
+    if status != 200:
+        raise errors.UnexpectedAnswerError(status=status, step="keep")
+    made = repository.keep(body=body)
+    print(f"edition {body['edition']}: {made or 'kept already'}")
+    return exit_codes.ExitCode.WELL
+
+
+def _show(folder: str, *, edition: int) -> int:
+    output.print_json(ConfigurationRepository(folder=folder).show(edition=edition), out=print, sort_keys=True)
+    return exit_codes.ExitCode.WELL
+
+
+def without_keys(body: Body) -> Body:
+    """Returns the configuration with a digest in place of each key of a tenant."""
     if not body.get("senders"):
         return body
     tenant_rows = [
@@ -25,7 +56,16 @@
 
 
 class ConfigurationRepository:
-    def __init__(self, *, folder: str):
+    """A folder with one commit for each edition that was kept; editions only rise.
+
+    Args:
+        folder: Is made a repository where it is none.
+
+    Attributes:
+        folder: As given.
+    """
+
+    def __init__(self, *, folder: str) -> None:
         self.folder = folder
         if os.path.isdir(os.path.join(folder, ".git")):
             self._repo = repos.Repo(folder)
@@ -34,24 +74,22 @@
             self._repo = repos.Repo.init(folder)
 
     def close(self) -> None:
+        """Closes the repository's files."""
         self._repo.close()
 
-    def _commits(self) -> list:
-        try:
-            return [entry.commit for entry in self._repo.get_walker()]
-        except KeyError:
-            return []
+    def log(self) -> list[tuple[int, str]]:
+        """Returns (edition, commit id) of all that is kept, newest first."""
+        return [(self._body_at(commit)["edition"], commit.id.decode()) for commit in self._commits()]
 
-    def _body_at(self, commit) -> dict:
-        _mode, sha = self._repo[commit.tree][FILE_NAME.encode()]
-        return json.loads(self._repo[sha].data)
+    def keep(self, *, body: Body) -> str | None:
+        """Commits a configuration; keys of tenants are kept as digests.
 
-    def log(self) -> list:
-        """(edition, commit id), newest first."""
-        return [(self._body_at(commit)["edition"], commit.id.decode()) for commit in self._commits()]
+        Returns:
+            The new commit's id, None where the newest one holds the same.
 
-    def keep(self, *, body: dict):
-        """The new commit's id, or None where the newest one holds the same. Keys of tenants are kept as digests."""
+        Raises:
+            KeptEditionError: The newest one kept is another one and has this edition or a higher one.
+        """
         body = without_keys(body)
         commits = self._commits()
         if commits:
@@ -59,7 +97,7 @@
             if newest == body:
                 return None
             if newest["edition"] >= body["edition"]:
-                raise errors.PloverwardError(
+                raise errors.KeptEditionError(
                     f"edition {body['edition']} is not above {newest['edition']}, the newest one kept",
                     step="keep",
                     peer=self.folder,
@@ -72,9 +110,25 @@
         made = porcelain.commit(self._repo, message=b"edition %d" % body["edition"], author=AUTHOR, committer=AUTHOR)
         return made.decode()
 
-    def show(self, *, edition: int) -> dict:
+    def show(self, *, edition: int) -> Body:
+        """Returns the configuration of an edition.
+
+        Raises:
+            KeptEditionError: It is not kept here.
+        """
         for commit in self._commits():
             body = self._body_at(commit)
             if body["edition"] == edition:
                 return body
-        raise errors.PloverwardError(f"edition {edition} is not kept here", step="show", peer=self.folder)
+        raise errors.KeptEditionError(f"edition {edition} is not kept here", step="show", peer=self.folder)
+
+    def _commits(self) -> list[Any]:
+        try:
+            return [entry.commit for entry in self._repo.get_walker()]
+        except KeyError:
+            return []  # a repository without commits has no HEAD
+
+    def _body_at(self, commit: Any) -> Body:  # noqa: ANN401  # dulwich's commit
+        objects: Any = self._repo  # their types depend on the repository's content
+        _mode, sha = objects[commit.tree][FILE_NAME.encode()]
+        return json.loads(objects[sha].data)
--- /dev/null
+++ b/ploverward/command_line/output.py
@@ -0,0 +1,40 @@
+"""How verbs print: lines for people, JSON for programs, errors as one line on standard error."""
+
+import json
+import sys
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Mapping
+from typing import Any
+
+from ploverward.common import errors
+
+PROGRAM = "ploverward"
+
+Out = Callable[[str], object]  # `print`, or what gathers lines in a test
+
+
+def print_lines(lines: Iterable[str], *, out: Out) -> None:
+    """Prints lines for people."""
+    for line in lines:
+        out(line)
+
+
+def print_json(value: Any, *, out: Out, sort_keys: bool = False) -> None:  # noqa: ANN401  # whatever JSON can say
+    """Prints a value for programs."""
+    out(json.dumps(value, indent=2, sort_keys=sort_keys))
+
+
+def print_error(error: errors.PloverwardError | str) -> None:
+    """Prints why nothing was done."""
+    print(f"{PROGRAM}: {error}", file=sys.stderr)
+
+
+def unreachable_lines(missed: Mapping[str, str], *, template: str) -> list[str]:
+    """Returns a line for each node that could not be reached.
+
+    Args:
+        missed: Why, by the node's address.
+        template: The line, with `{address}` and `{why}`.
+    """
+    return [template.format(address=address, why=why) for address, why in sorted(missed.items())]
--- /dev/null
+++ b/ploverward/command_line/pin_report.py
@@ -0,0 +1,155 @@
+"""The report of `ploverward pins`: the suggestion, and the evidence that it rests on (docs/pins.md 6)."""
+
+import collections
+import dataclasses
+from collections.abc import Collection
+from collections.abc import Iterable
+from collections.abc import Mapping
+from typing import Any
+
+from ploverward.common import errors
+from ploverward.control_plane.adapter_cache import pin_suggestion
+from ploverward.data_plane.adapter_cache import adapter_counts
+
+Json = dict[str, Any]
+
+
+@dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
+class Filter:
+    """What the operator wants to see; empty: everything.
+
+    Attributes:
+        service: Only this service.
+        model: Only evidence of this model.
+        zone: Only replicas of this zone.
+        replica: Only this replica.
+    """
+
+    service: str = ""
+    model: str = ""
+    zone: str = ""
+    replica: str = ""
+
+    def check(self, *, known: Mapping[str, Collection[str]]) -> None:
+        """Checks that each name is known: an empty table would say that there is nothing to pin.
+
+        Raises:
+            InvalidArgumentError: A name is unknown.
+        """
+        for kind, name in dataclasses.asdict(self).items():
+            if name and name not in known[kind]:
+                raise errors.InvalidArgumentError(
+                    f"unknown {kind} '{name}'; known: {', '.join(sorted(known[kind])) or 'none'}", step="pins"
+                )
+
+
+def make(*, seen: Json, routes: Json, capacity: int, previous: Json, wanted: Filter) -> Json:
+    """Makes the report.
+
+    Args:
+        seen: What the core nodes know, as `pins.collect` returns it.
+        routes: As `pins.read_routes` returns them.
+        capacity: Pins a replica; 0: as many as one is seen to hold.
+        previous: An earlier suggestion, which the new one changes no more than it must.
+        wanted: What to report; the suggestion is made for all replicas all the same.
+
+    Raises:
+        InvalidArgumentError: The filter names something unknown.
+    """
+    replicas = [
+        {**row, "adapters": None if row["adapters"] is None else [tuple(pair) for pair in row["adapters"]]}
+        for row in seen["replicas"]
+        if not row["is_clearing"]
+    ]
+    wanted.check(known=_known_names(seen))
+    capacities = capacity_of(replicas=replicas, given=capacity)
+    suggestion = pin_suggestion.suggest(
+        windows=seen["windows"], replicas=replicas, routes=routes, capacity=capacities, previous=previous
+    )
+    suggestion["replicas"] = {
+        name: row
+        for name, row in suggestion["replicas"].items()
+        if wanted.service in ("", row["service"]) and wanted.zone in ("", row["zone"]) and wanted.replica in ("", name)
+    }
+    return {
+        "suggestion": suggestion,
+        "evidence": _evidence(seen["windows"], routes=routes, wanted=wanted),
+        "nodes": _by_node(seen["windows"]),
+        "capacity": capacities,
+        "coverage": _coverage(seen),
+    }
+
+
+def _known_names(seen: Json) -> dict[str, set[str]]:
+    return {
+        "service": {row["service"] for row in seen["replicas"]},
+        "zone": set(seen["zones"]),
+        "model": {model for row in seen["replicas"] for model in row["models"]},
+        "replica": {row["id"] for row in seen["replicas"]},
+    }
+
+
+def capacity_of(*, replicas: Iterable[Json], given: int) -> dict[str, int]:
+    """Returns the pins a replica by service: as given, else the most that any replica of it is seen to hold at once."""
+    found: collections.Counter[str] = collections.Counter()
+    for row in replicas:
+        found[row["service"]] = max(found[row["service"]], given or len(row["adapters"] or ()))
+    return dict(found)
+
+
+def _evidence(windows: list[Json], *, routes: Json, wanted: Filter) -> list[Json]:
+    demand = pin_suggestion.demand(windows=windows, routes=routes)
+    return [
+        {
+            "service": service,
+            "model": model,
+            "adapter": adapter,
+            "region": region,
+            **{field: row[field] for field in adapter_counts.FIELDS},
+        }
+        for (service, model, adapter), regions in sorted(demand.items())
+        if wanted.service in ("", service) and wanted.model in ("", model)
+        for region, row in sorted(regions.items())
+    ]
+
+
+def _by_node(windows: list[Json]) -> list[Json]:
+    """Returns which adapters arrive cold as each proxy sees it, most first: where the work lands."""
+    table: dict[tuple, list[int]] = collections.defaultdict(lambda: [0, 0])  # cold, arrivals
+    for window in windows:
+        for service, model, adapter, _replica, _route, *numbers in window["rows"]:
+            counts = table[(window["node"], window["zone"], service, model, adapter)]
+            fields = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
+            counts[0] += fields["cold"]
+            counts[1] += pin_suggestion.arrivals(fields)
+    return [
+        {
+            "node": node,
+            "zone": zone,
+            "service": service,
+            "model": model,
+            "adapter": adapter,
+            "cold": cold,
+            "arrivals": arrivals,
+        }
+        for (node, zone, service, model, adapter), (cold, arrivals) in sorted(
+            table.items(), key=lambda item: (-item[1][0], item[0])
+        )
+        if cold
+    ]
+
+
+def _coverage(seen: Json) -> Json:
+    windows = seen["windows"]
+    reporting = {window["life"] for window in windows}
+    return {
+        "windows": len(windows),
+        "oldest_s": max((row["age_s"] for row in windows), default=0),
+        "newest_s": min((row["age_s"] for row in windows), default=0),
+        "proxies_in_touch": len(seen["proxies"]),
+        "proxies_heard": len(reporting & set(seen["proxies"])),
+        "unreachable": seen["unreachable"],
+        "malformed_counts": seen["malformed"],
+        "malformed_replicas": seen["malformed_replicas"],
+        "uncounted": sum(row["over"] for row in windows),
+    }
--- a/ploverward/command_line/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -1,85 +1,144 @@
-"""Roll-outs for operators: start one, see where it stands and why, watch it to its end (docs/rollouts.md 8)."""
+"""`ploverward rollout`: start a roll-out, see where it stands and why, watch it to its end (docs/rollouts.md 8)."""
 
 import json
 import time
+from collections.abc import Callable
+from typing import Any
 
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 from ploverward.common import errors
 from ploverward.control_plane.rollouts import state
 
 PATH = "/ploverward/rollouts"
 WATCH_INTERVAL_S = 1.0
-DONE, WRONG, MISSING = 0, 1, 3
 
+Call = Callable[[str, str, bytes], core_clients.Answer]  # method, path, body
+Row = dict[str, Any]  # what the core says of one service's roll-out
 
-def start(*, call, service: str, edition: str, over_s: float, out) -> int:
-    """Orders a roll-out. 0: taken, or known already; 1: refused, with the reason."""
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Runs one of `start`, `status` and `watch`."""
+    if not arguments:
+        raise exit_codes.UsageError
+    core_client = core_clients.connect()
+
+    def call(method: str, path: str, data: bytes) -> core_clients.Answer:
+        return core_client.any(method=method, path=path, data=data)
+
+    as_json, over_s = options.FLAGS.json, options.FLAGS.over_s
+    match arguments:
+        case ["start", service, edition] if over_s > 0:
+            return start(call=call, service=service, edition=edition, over_s=over_s, out=print)
+        case ["status"]:
+            return status(call=call, service="", as_json=as_json, out=print)
+        case ["status", service]:
+            return status(call=call, service=service, as_json=as_json, out=print)
+        case ["watch", service]:
+            return watch(call=call, service=service, as_json=as_json, out=print)
+    raise exit_codes.UsageError
+
+
+def start(*, call: Call, service: str, edition: str, over_s: float, out: output.Out) -> int:
+    """Orders a roll-out.
+
+    Returns:
+        `WELL` where the order is taken, or was before; `BROKEN` where it is refused, with the reason.
+    """
     body = json.dumps({"destination": service, "targetEdition": edition, "overS": over_s}).encode()
-    status, answer = call("POST", PATH, body)
-    if 200 <= status < 300:
+    answer_status, answer = call("POST", PATH, body)
+    if 200 <= answer_status < 300:
         out(f"{service}: roll-out to {edition} over {over_s:g} s is ordered")
-        return DONE
-    out(f"{service}: {(answer or {}).get('error', status)}")
-    return WRONG
+        return exit_codes.ExitCode.WELL
+    out(f"{service}: {(answer or {}).get('error', answer_status)}")
+    return exit_codes.ExitCode.BROKEN
 
 
-def read(*, call, service: str = "") -> dict:
-    """Service: what the core says of its roll-out. Raises Problem where the core can't be sure."""
-    status, answer = call("GET", PATH, b"")
-    if status != 200:
-        raise errors.PloverwardError(f"the core answers {status}", step="roll-outs")
-    rows = answer["rollouts"]
-    return {name: row for name, row in rows.items() if not service or name == service}
+def read(*, call: Call, service: str = "") -> dict[str, Row]:
+    """Returns what the core says of each service's roll-out, or of that of one service.
 
+    Raises:
+        UnexpectedAnswerError: The core can't be sure.
+    """
+    answer_status, answer = call("GET", PATH, b"")
+    if answer_status != 200:
+        raise errors.UnexpectedAnswerError(status=answer_status, step="roll-outs")
+    return {name: row for name, row in answer["rollouts"].items() if not service or name == service}
 
-def lines(*, service: str, row: dict) -> list:
-    """What stands, and the evidence of each step, for people."""
+
+def lines(*, service: str, row: Row) -> list[str]:
+    """Returns lines for people: the stage, and the evidence of each step."""
     if not row["number"]:
         return [f"{service}: no roll-out; versions in service: {', '.join(row['admitted']) or 'all'}"]
-    lines = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
+    found = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
     if row["reason"]:
-        lines.append(f"  why: {row['reason']}")
-    lines.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
+        found.append(f"  why: {row['reason']}")
+    found.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
     for step in row["record"]:
-        lines.append(
-            f"  {step['age_s']:7.1f} s  {step['stage']:<10} {step['sent_new']} of {step['sent']} requests: {step['reason']}"
+        found += _step_lines(step)
+    return found
+
+
+def _step_lines(step: Row) -> list[str]:
+    found = [
+        f"  {step['age_s']:7.1f} s  {step['stage']:<10} {step['sent_new']} of {step['sent']} requests: {step['reason']}"
+    ]
+    for route, (former, former_failed, new, new_failed, broken) in step["routes"].items():
+        found.append(
+            f"             {route}: former {former} answers, {former_failed} failed;"
+            f" new {new} answers, {new_failed} failed, {broken} broken off"
         )
-        for route, (former, former_failed, new, new_failed, broken) in step["routes"].items():
-            lines.append(
-                f"             {route}: former {former} answers, {former_failed} failed;"
-                f" new {new} answers, {new_failed} failed, {broken} broken off"
-            )
-    return lines
+    return found
 
 
-def status(*, call, service: str, as_json: bool, out) -> int:
-    """3 where the service named has no roll-out and no admitted version is known."""
+def status(*, call: Call, service: str, as_json: bool, out: output.Out) -> int:
+    """Prints where each roll-out stands, or that of one service.
+
+    Returns:
+        `PARTS_MISSING` where nothing is known of the service, else `WELL`.
+    """
     rows = read(call=call, service=service)
     if as_json:
-        out(json.dumps(rows, indent=2))
+        output.print_json(rows, out=out)
     else:
         for name, row in sorted(rows.items()):
-            for line in lines(service=name, row=row):
-                out(line)
+            output.print_lines(lines(service=name, row=row), out=out)
         if not rows:
             out(f"{service or 'no service'}: nothing is known")
-    return DONE if rows else MISSING
+    return exit_codes.ExitCode.WELL if rows else exit_codes.ExitCode.PARTS_MISSING
+
 
+def watch(
+    *,
+    call: Call,
+    service: str,
+    as_json: bool,
+    out: output.Out,
+    pause: Callable[[float], object] = time.sleep,
+    clock: Callable[[], float] = time.monotonic,
+    limit_s: float | None = None,
+) -> int:
+    """Prints each change until the roll-out is done.
 
-def watch(*, call, service: str, as_json: bool, out, pause=time.sleep, clock=time.monotonic, limit_s=None) -> int:
-    """Tells each change until the roll-out is done: 0 delivered, 1 returned, 3 not known or over `limit_s`."""
+    Returns:
+        `WELL` where it is delivered, `BROKEN` where it was rolled back, `PARTS_MISSING` where there is none, or it is
+        not done after `limit_s` seconds.
+    """
     begun, last = clock(), None
     while limit_s is None or clock() - begun < limit_s:
         row = read(call=call, service=service).get(service)
         if row is None or not row["number"]:
             out(f"{service}: no roll-out")
-            return MISSING
+            return exit_codes.ExitCode.PARTS_MISSING
         shown = (row["stage"], row["reason"], row["number"])
         if shown != last:
             last = shown
             out(json.dumps(row) if as_json else "\n".join(lines(service=service, row=row)))
         if row["stage"] == state.Stage.DELIVERED:
-            return DONE
+            return exit_codes.ExitCode.WELL
         if row["stage"] == state.Stage.RETURNED:
-            return WRONG
+            return exit_codes.ExitCode.BROKEN
         pause(WATCH_INTERVAL_S)
-    return MISSING
+    return exit_codes.ExitCode.PARTS_MISSING
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -1,4 +1,4 @@
-"""`ploverward simulate`: plays days of the model world and says which checks broke (docs/simulate.md)."""
+"""`ploverward simulate`: plays simulation runs of the control plane and reports broken checks (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -7,34 +7,75 @@
 import sys
 import time
 
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 from ploverward.common import errors
 from ploverward.simulation.control_plane import faults
 from ploverward.simulation.control_plane import mutants
 from ploverward.simulation.control_plane import scenario
 
 HASH_SEED = "0"
-MAX_REPORTED_SEEDS = 20  # broken seeds that are told with their findings
-CHUNK = 4  # days handed to a process at a time
+MAX_REPORTED_SEEDS = 20  # broken seeds that are printed with their findings
+CHUNK_RUNS = 4  # runs handed to a process at a time
+
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Plays what the flags say."""
+    if arguments:
+        raise exit_codes.UsageError
+    flags = options.FLAGS
+    fix_hash_seed()
+    if flags.world == "rollouts":
+        from ploverward.command_line import simulate_rollouts
+
+        return simulate_rollouts.run(first=flags.first, seeds=flags.seeds, jobs=flags.jobs, out=print)
+    if flags.planted:
+        return run_planted(jobs=flags.jobs, out=print)
+    has_history = flags.history >= 0
+    chosen = plans(
+        first=flags.history if has_history else flags.first,
+        seeds=1 if has_history else flags.seeds,
+        machines=flags.machines,
+        tolerated=flags.tolerate,
+        troubles=flags.troubles,
+    )
+    if has_history:
+        return show(plan=chosen[0], out=print)
+    return run(plans=chosen, jobs=flags.jobs, out=print)
 
 
 def fix_hash_seed() -> None:
-    """A seed names one history only where sets of strings have one order: starts this program anew where they have not."""
+    """Starts this program anew unless strings hash alike in each process: a seed names one history only then."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
         os.execve(sys.executable, [sys.executable, *sys.argv], environment)
 
 
-def parse_fault_kinds(*, text: str) -> tuple:
-    """Kinds by commas; none: all of them."""
+def parse_fault_kinds(*, text: str) -> tuple[str, ...]:
+    """Returns the kinds of faults that are named, by commas; all of them where none is.
+
+    Raises:
+        InvalidArgumentError: There is no such kind.
+    """
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
         if kind not in faults.WEIGHTS:
             known = ", ".join(faults.WEIGHTS)
-            raise errors.PloverwardError(f"'{kind}' is no trouble; there are {known}", step="simulate")
+            raise errors.InvalidArgumentError(f"'{kind}' is no trouble; there are {known}", step="simulate")
     return kinds or tuple(faults.WEIGHTS)
 
 
-def plans(*, first: int, seeds: int, machines: int, tolerated: int, troubles: str) -> list:
+def plans(*, first: int, seeds: int, machines: int, tolerated: int, troubles: str) -> list[scenario.Plan]:
+    """Returns the plans of a range of seeds.
+
+    Args:
+        first: The first seed.
+        seeds: How many.
+        machines: Core machines; 0: drawn by the seed.
+        tolerated: Machines that may be lost at once; 0: drawn by the seed.
+        troubles: Kinds of faults, by commas; empty: all.
+    """
     kinds = parse_fault_kinds(text=troubles)
     return [
         scenario.Plan(seed=seed, machines=machines, tolerated=tolerated, troubles=kinds)
@@ -42,26 +83,26 @@
     ]
 
 
-def run(*, plans: list, jobs: int, out) -> int:
-    """Plays all days; 1 where a check broke."""
+def run(*, plans: list[scenario.Plan], jobs: int, out: output.Out) -> int:
+    """Plays all plans on so many processes; `BROKEN` where a check broke."""
     begun = time.monotonic()
     broken = []
-    totals = collections.Counter()
+    totals: collections.Counter[str] = collections.Counter()
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
-        for report in pool.map(scenario.run_simulation, plans, chunksize=CHUNK):
+        for report in pool.map(scenario.run_simulation, plans, chunksize=CHUNK_RUNS):
             totals.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
             if report.findings:
                 broken.append(report)
-    for report in broken[:MAX_REPORTED_SEEDS]:
-        out(_broken_line(report))
+    output.print_lines(map(_broken_line, broken[:MAX_REPORTED_SEEDS]), out=out)
     out(
-        f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions, {totals['troubles']} moments of trouble, "
-        f"{len(broken)} days broke a check, {time.monotonic() - begun:.0f} s"
+        f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions,"
+        f" {totals['troubles']} moments of trouble,"
+        f" {len(broken)} days broke a check, {time.monotonic() - begun:.0f} s"
     )
-    return 1 if broken else 0
+    return exit_codes.ExitCode.BROKEN if broken else exit_codes.ExitCode.WELL
 
 
-def _broken_line(report) -> str:
+def _broken_line(report: scenario.Report) -> str:
     first = report.findings[0]
     checks = ", ".join(sorted({finding.check for finding in report.findings}))
     return (
@@ -70,19 +111,19 @@
     )
 
 
-def show(*, plan, out) -> int:
-    """One day with all that happened."""
+def show(*, plan: scenario.Plan, out: output.Out) -> int:
+    """Plays one plan and prints all that happened; `BROKEN` where a check broke."""
     report = scenario.run_simulation(dataclasses.replace(plan, keeps_history=True))
     for when, text in report.history:
         out(f"{when:9.3f} {text}")
     for finding in report.findings:
         out(f"BROKEN {finding.check} at {finding.when:.3f}: {finding.text}")
     out(f"{report.machines} machines, {report.tolerated} tolerated, {len(report.findings)} findings")
-    return 1 if report.findings else 0
+    return exit_codes.ExitCode.BROKEN if report.findings else exit_codes.ExitCode.WELL
 
 
-def run_planted(*, jobs: int, out) -> int:
-    """Plays each planted fault until a check finds it; 1 where one is not found in its stated number of days."""
+def run_planted(*, jobs: int, out: output.Out) -> int:
+    """Plays each mutant until a check finds it; `BROKEN` where one is not found in its stated number of runs."""
     missed = 0
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for name, found in zip(mutants.FAULTS, pool.map(mutants.search, mutants.FAULTS), strict=True):
@@ -92,4 +133,4 @@
             else:
                 out(f"{name}: found on day {found.run_number} (seed {found.seed}): {found.check}")
     out(f"{len(mutants.FAULTS) - missed} of {len(mutants.FAULTS)} planted faults were found")
-    return 1 if missed else 0
+    return exit_codes.ExitCode.BROKEN if missed else exit_codes.ExitCode.WELL
--- a/ploverward/command_line/tenants.py
+++ b/ploverward/command_line/tenants.py
@@ -1,30 +1,48 @@
-"""ploverward tenants: limits of tenants, how they stand, which keys they have, by digest (docs/quotas.md 6)."""
+"""`ploverward tenants`: limits of tenants, how they stand, which keys they have, by digest (docs/quotas.md 6)."""
 
-import json
+from typing import Any
 
+from ploverward.command_line import core_client as core_clients
+from ploverward.command_line import exit_codes
+from ploverward.command_line import options
+from ploverward.command_line import output
 from ploverward.common import errors
 
 PATH = "/ploverward/tenants"
-DONE, MISSING = 0, 3
 
+Responses = dict[str, dict[str, Any]]  # what each core node answers, by its address
 
-def run(*, core_client, as_json: bool, out) -> int:
-    """Tells what each core node in reach reckons. 3 where one is out of reach or names no tenants."""
+
+def command(_verb: str, arguments: list[str]) -> int:
+    """Prints the tenants as the core nodes see them."""
+    if arguments:
+        raise exit_codes.UsageError
+    return run(core_client=core_clients.connect(), as_json=options.FLAGS.json, out=print)
+
+
+def run(*, core_client: core_clients.CoreClient, as_json: bool, out: output.Out) -> int:
+    """Prints what each core node in reach counts.
+
+    Returns:
+        `PARTS_MISSING` where a node is out of reach or none names a tenant, else `WELL`.
+
+    Raises:
+        InsufficientDataError: No core node answers.
+    """
     answers, missed = core_client.all(path=PATH)
     responses = {address: body for address, (status, body) in answers.items() if status == 200}
     if not responses:
-        raise errors.PloverwardError("no core node answers", step="tenants")
+        raise errors.InsufficientDataError("no core node answers", step="tenants")
     if as_json:
-        out(json.dumps({"told": responses, "unreachable": missed}, indent=2))
+        output.print_json({"told": responses, "unreachable": missed}, out=out)
     else:
-        for line in lines(responses=responses, missed=missed):
-            out(line)
+        output.print_lines(lines(responses=responses, missed=missed), out=out)
     has_tenants = any(body["tenants"] for body in responses.values())
-    return DONE if has_tenants and not missed else MISSING
+    return exit_codes.ExitCode.WELL if has_tenants and not missed else exit_codes.ExitCode.PARTS_MISSING
 
 
-def lines(*, responses: dict, missed: dict) -> list:
-    """One line a tenant; levels as the core nodes reckon them, the least of them first."""
+def lines(*, responses: Responses, missed: core_clients.Missed) -> list[str]:
+    """Returns a line for each tenant of the newest edition, with the lowest and the highest level that nodes count."""
     newest = max(responses.values(), key=lambda body: body["edition"])
     found = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(responses)} core nodes answer"]
     for name, row in sorted(newest["tenants"].items()):
@@ -33,19 +51,18 @@
         )
     if not newest["tenants"]:
         found.append("no tenants: nobody needs a key")
-    found += [f"{address}: out of reach: {why}" for address, why in sorted(missed.items())]
-    return found
+    return found + output.unreachable_lines(missed, template="{address}: out of reach: {why}")
 
 
-def _limit(row: dict) -> str:
+def _limit(row: dict[str, Any]) -> str:
     return f"{row['perS']:g} a second and {row['burst']:g} at once" if row["perS"] else "no limit"
 
 
-def _quota_status(name: str, responses: dict) -> str:
+def _quota_status(name: str, responses: Responses) -> str:
     rows = [body["tenants"].get(name, {}) for body in responses.values()]
     levels = sorted(row["level"] for row in rows if "level" in row)
     if not levels:
         return "not counted"
     wanting = sum(bool(row.get("wantsCredits")) for row in rows)
-    state = f", wants credits by {wanting} of {len(rows)}" if wanting else ""
-    return f"left {levels[0]:g} to {levels[-1]:g}{state}"
+    credit_note = f", wants credits by {wanting} of {len(rows)}" if wanting else ""
+    return f"left {levels[0]:g} to {levels[-1]:g}{credit_note}"
--- a/ploverward/command_line/test_command.py
+++ b/ploverward/command_line/test_command.py
@@ -1,11 +1,14 @@
 """The command line as a new user meets it: clear lines and exit codes, no tracebacks."""
 
+import importlib
+import inspect
 import os
 import subprocess
 import sys
 
 import pytest
 
+from ploverward.command_line import main
 from ploverward.simulation import loopback_proxy
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
@@ -49,3 +52,14 @@
     for words in (("custody", "a1"), ("drill", "za"), ("nodes",)):
         done = run(*words, "--core", "127.0.0.1:9")
         assert done.returncode != 0 and "127.0.0.1:9" in done.stdout + done.stderr and "Traceback" not in done.stderr
+
+
+def test_the_stand_in_has_flags_of_its_own():
+    done = run("stand-in", "--help")
+    assert done.returncode == 0 and "--for_s" in done.stdout
+
+
+def test_each_verb_has_a_module_with_a_command():
+    for name in set(main.MODULES.values()):
+        module = importlib.import_module(f"ploverward.command_line.{name}")
+        assert list(inspect.signature(module.command).parameters)[1] == "arguments"
--- a/ploverward/command_line/test_core_client.py
+++ b/ploverward/command_line/test_core_client.py
@@ -23,6 +23,6 @@
 
 
 def test_no_clear_answer_at_all_is_unreachable():
-    with pytest.raises(errors.QuorumUnavailableError) as caught:
+    with pytest.raises(errors.CoreUnreachableError) as caught:
         make({"a": 503, "b": 307}).any(method="GET", path="/x")
     assert "307" in str(caught.value) and "b" in str(caught.value)
--- a/ploverward/command_line/test_core_set.py
+++ b/ploverward/command_line/test_core_set.py
@@ -5,6 +5,7 @@
 import pytest
 
 from ploverward.command_line import core_set
+from ploverward.command_line import exit_codes
 
 
 def node(address, *, members="abc", version=4, votes=True, contact=True, borne=1, **sets):
@@ -46,13 +47,13 @@
 
 def test_a_complete_set_is_healthy_and_members_are_found_by_one_address():
     code, text = run([node("a"), node("b"), node("c")])
-    assert code == core_set.WELL and text.count("votes") == 3
+    assert code == exit_codes.ExitCode.WELL and text.count("votes") == 3
     assert "version 4: a, b, c" in text and "further losses borne now: 1" in text
 
 
 def test_a_member_out_of_reach_is_named():
     code, text = run([node("a"), node("b")])
-    assert code == core_set.PARTS_MISSING and "c:8166  unreachable" in text
+    assert code == exit_codes.ExitCode.PARTS_MISSING and "c:8166  unreachable" in text
 
 
 @pytest.mark.parametrize(
@@ -66,13 +67,13 @@
 )
 def test_what_is_not_as_it_should_be_is_said_and_exits_1(nodes, said):
     code, text = run(nodes)
-    assert code == core_set.SHORT and said in text
+    assert code == exit_codes.ExitCode.BROKEN and said in text
 
 
 def test_an_evicted_member_with_an_older_version_does_not_speak_for_the_set():
     code, text = run([node("a", members="abx", version=2, contact=False), node("b"), node("c")])
     assert "version 4: a, b, c" in text
-    assert code == core_set.PARTS_MISSING
+    assert code == exit_codes.ExitCode.PARTS_MISSING
 
 
 def test_json_holds_all_responses():
--- a/ploverward/command_line/test_drill.py
+++ b/ploverward/command_line/test_drill.py
@@ -3,6 +3,7 @@
 import pytest
 
 from ploverward.command_line import drill
+from ploverward.command_line import drill_check
 from ploverward.common import errors
 
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
@@ -60,7 +61,7 @@
             self.out_since = self.time
             return 200, {}
         if self.fault == "no way back":
-            raise errors.QuorumUnavailableError("silent")
+            raise errors.CoreUnreachableError("silent")
         if self.fault != "stays out":
             self.out.discard(zone)
         return 200, {}
@@ -109,7 +110,7 @@
     stand_in = StandIn()
     code, work, lines = run(stand_in)
     assert code == 0
-    assert set(work.promises.values()) == {drill.KEPT}
+    assert set(work.promises.values()) == {drill.Verdict.KEPT}
     assert stand_in.out == set()
     assert lines == snapshot
 
@@ -127,14 +128,14 @@
 )
 def test_each_broken_promise_is_reported(fault, promise, code):
     got, work, _lines = run(StandIn(fault=fault))
-    assert work.promises[promise] == drill.BROKEN
+    assert work.promises[promise] == drill.Verdict.BROKEN
     assert got == code
 
 
 def test_without_traffic_promises_are_not_seen():
     code, work, _lines = run(StandIn(request_interval_s=10**6))
-    assert work.promises["nothing new is sent to the zone"] == drill.NOT_SEEN
-    assert work.promises["serving goes on"] == drill.NOT_SEEN
+    assert work.promises["nothing new is sent to the zone"] == drill.Verdict.NOT_SEEN
+    assert work.promises["serving goes on"] == drill.Verdict.NOT_SEEN
     assert code == 0
 
 
@@ -157,6 +158,6 @@
     ],
 )
 def test_refused_before_anything_is_done(stand_in, zone):
-    with pytest.raises(drill.DrillRefusedError):
+    with pytest.raises(drill_check.DrillRefusedError):
         run(stand_in, zone=zone)
     assert stand_in.orders == []
--- a/ploverward/command_line/test_keep.py
+++ b/ploverward/command_line/test_keep.py
@@ -18,7 +18,7 @@
     repository.close()
     again = keep.ConfigurationRepository(folder=str(tmp_path / "specs"))
     assert again.show(edition=3) == body(3) and again.show(edition=7) == body(7, limits={"idleMs": 5})
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.KeptEditionError):
         again.show(edition=5)
     again.close()
 
@@ -27,7 +27,7 @@
     repository = keep.ConfigurationRepository(folder=str(tmp_path))
     repository.keep(body=body(7))
     for older in (body(6), body(7, limits={})):
-        with pytest.raises(errors.PloverwardError):
+        with pytest.raises(errors.KeptEditionError):
             repository.keep(body=older)
     assert [edition for edition, _commit in repository.log()] == [7]
     repository.close()
--- a/ploverward/command_line/test_pins.py
+++ b/ploverward/command_line/test_pins.py
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("kind", ["service", "model", "zone", "replica"])
 def test_an_unknown_name_is_one_clear_line(kind):
-    with pytest.raises(errors.PloverwardError) as result:
+    with pytest.raises(errors.InvalidArgumentError) as result:
         run(CoreClient(body(window())), wanted=pins.Filter(**{kind: "nobody"}))
     assert f"unknown {kind} 'nobody'; known:" in str(result.value) and "\n" not in str(result.value)
 
@@ -113,9 +113,9 @@
 def test_nodes_out_of_reach_are_named_and_the_exit_says_so():
     code, text = run(CoreClient(body(window()), missed={"10.0.0.9:1": "timed out"}))
     assert code == 3 and "unreachable: 10.0.0.9:1 (timed out)" in text
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.InsufficientDataError):
         run(CoreClient(missed={"10.0.0.9:1": "timed out"}))
-    with pytest.raises(errors.PloverwardError):  # without homes nothing is suggested
+    with pytest.raises(errors.InsufficientDataError):  # without homes nothing is suggested
         run(CoreClient(body(window()), configuration_status=503))
 
 
@@ -137,7 +137,7 @@
     first, second = (json.loads(one)["suggestion"]["replicas"] for one in (text, again))
     assert all(second[name]["pins"] == row["pins"] for name, row in first.items() if row["pins"])
     path.write_text("[]")
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.InvalidArgumentError):
         run(CoreClient(body(window())), previous=str(path))
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.InvalidArgumentError):
         run(CoreClient(body(window())), capacity=-1)
--- a/ploverward/command_line/test_rollout.py
+++ b/ploverward/command_line/test_rollout.py
@@ -95,5 +95,5 @@
 
 def test_a_core_that_is_not_sure_is_reported_as_an_error():
     core = Core((503, None))
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.UnexpectedAnswerError):
         rollout.status(call=core.call, service="", as_json=False, out=core.lines.append)
--- a/ploverward/command_line/test_tenants.py
+++ b/ploverward/command_line/test_tenants.py
@@ -44,7 +44,7 @@
 
 
 def test_no_node_at_all_is_an_error():
-    with pytest.raises(errors.PloverwardError):
+    with pytest.raises(errors.InsufficientDataError):
         run(a=None)
 
 
--- a/ploverward/simulation/stand_in.py
+++ b/ploverward/simulation/stand_in.py
@@ -313,12 +313,12 @@
                 node.kill()
 
 
-def main():
+def main(arguments: list[str] | None = None) -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--folder", default="")
     parser.add_argument("--port", type=int, default=18100)
     parser.add_argument("--for_s", type=float, default=0.0, help="end by itself after so long")
-    args = parser.parse_args()
+    args = parser.parse_args(arguments)
     folder = args.folder or tempfile.mkdtemp(prefix="ploverward-")
     os.makedirs(folder, exist_ok=True)
     scene = FakeCluster(folder=folder, base_port=args.port)
