--- a/ploverward/control_plane/configuration/register_payloads.py
+++ b/ploverward/control_plane/configuration/register_payloads.py
@@ -7,7 +7,7 @@
 import collections.abc
 import typing
 
-Payload: typing.TypeAlias = dict[str, typing.Any] | None  # None: the register was never written
+Payload: typing.TypeAlias = collections.abc.Mapping[str, typing.Any] | None  # None: the register was never written
 
 # Makes the new payload of the present one, and a result for the caller of the change. An edit that changes nothing
 # returns the payload it got. It may run several times for one change, so it has to recognise its own earlier work.
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -14,6 +14,7 @@
 import pycurl
 
 from ploverward.common import errors
+from ploverward.transport import event_loop
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,12 +52,12 @@
         loop: the event loop.
     """
 
-    def __init__(self, *, loop: typing.Any) -> None:
+    def __init__(self, *, loop: event_loop.Loop) -> None:
         self._loop = loop
         self._multi = pycurl.CurlMulti()
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
-        self._timer: object = None
+        self._timer: event_loop.Timer | None = None
         self._watched: set[int] = set()  # sockets
         self._transfers: dict[pycurl.Curl, _Transfer] = {}
 
--- a/ploverward/control_plane/operator_api/adapter_handlers.py
+++ b/ploverward/control_plane/operator_api/adapter_handlers.py
@@ -5,12 +5,12 @@
 
 from ploverward.control_plane.adapter_cache.adapter_usage import AdapterUsageStore
 from ploverward.control_plane.operator_api import node_handlers
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.dependencies import Json
 from ploverward.control_plane.operator_api.dependencies import NodeState
 from ploverward.control_plane.operator_api.dependencies import Publisher
 from ploverward.control_plane.operator_api.router import Call
 from ploverward.control_plane.operator_api.router import Rule
+from ploverward.transport.interfaces import Loop
 
 WINDOW_CONTACTS = 6  # adapters are counted over windows of so many contactMs
 
@@ -61,7 +61,7 @@
         contact_s: `contactMs` of the settings, in seconds.
     """
 
-    def __init__(self, *, loop: EventLoop, publisher: Publisher, node: NodeState, contact_s: float) -> None:
+    def __init__(self, *, loop: Loop, publisher: Publisher, node: NodeState, contact_s: float) -> None:
         self._publisher = publisher
         self._node = node
         self._window_s = contact_s * WINDOW_CONTACTS
--- a/ploverward/control_plane/operator_api/call_lifecycle.py
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -5,19 +5,20 @@
 """
 
 import collections.abc
-import concurrent.futures
 import http
 import logging
 import typing
 
 from ploverward.common import errors
+from ploverward.control_plane.configuration.register_payloads import Edit
+from ploverward.control_plane.configuration.register_payloads import Payload
 from ploverward.control_plane.operator_api.apply_barrier import ApplyBarrier
-from ploverward.control_plane.operator_api.dependencies import EventLoop
-from ploverward.control_plane.operator_api.dependencies import Json
 from ploverward.control_plane.operator_api.dependencies import Registers
 from ploverward.control_plane.operator_api.pending_response import PendingResponse
 from ploverward.control_plane.operator_api.redirector import Redirector
 from ploverward.control_plane.operator_api.router import Call
+from ploverward.transport.interfaces import Loop
+from ploverward.transport.interfaces import Outcome
 
 _log = logging.getLogger(__name__)
 
@@ -88,7 +89,7 @@
     def __init__(
         self,
         *,
-        loop: EventLoop,
+        loop: Loop,
         registers: Registers,
         apply_barrier: ApplyBarrier,
         redirector: Redirector,
@@ -138,10 +139,10 @@
         until = response.begun_at + CALLER_TIMEOUT_S * APPLY_SHARE
         self._apply_barrier.wait(response=response, topic=register, number=number, until=until)
 
-    def change(self, response: PendingResponse, *, register: str, edit: typing.Any) -> None:
+    def change(self, response: PendingResponse, *, register: str, edit: Edit) -> None:
         """Changes a register and acknowledges that. The round makes no further attempt once the answer was given."""
 
-        def done(error: Exception | None, number: int, _payload: Json | None, _result: object) -> None:
+        def done(error: Exception | None, number: int, _payload: Payload, _result: object) -> None:
             if error is not None:
                 self.fail(response, error)
             else:
@@ -150,7 +151,7 @@
         self._registers.change(name=register, edit=edit, done=done, is_wanted=lambda: not response.is_over)
 
     def read(
-        self, response: PendingResponse, *, register: str, then: collections.abc.Callable[[Json | None], None]
+        self, response: PendingResponse, *, register: str, then: collections.abc.Callable[[Payload], None]
     ) -> None:
         """Reads a register at a majority.
 
@@ -160,7 +161,7 @@
             then: called with the payload.
         """
 
-        def done(error: Exception | None, _number: int, payload: Json | None, _result: object) -> None:
+        def done(error: Exception | None, _number: int, payload: Payload, _result: object) -> None:
             if error is not None:
                 self.fail(response, error)
             else:
@@ -169,7 +170,7 @@
         self._registers.read(name=register, done=done)
 
     def answer_with_register(
-        self, call: Call, *, register: str, answer: collections.abc.Callable[[Call, Json | None], None]
+        self, call: Call, *, register: str, answer: collections.abc.Callable[[Call, Payload], None]
     ) -> None:
         """Answers a call that reads a register.
 
@@ -182,7 +183,7 @@
         if response is None:
             return
 
-        def respond(payload: Json | None) -> None:
+        def respond(payload: Payload) -> None:
             claimed = response.claim()
             if claimed is not None:
                 answer(claimed, payload)
@@ -204,7 +205,7 @@
             then: called on the loop with its result.
         """
 
-        def done(future: concurrent.futures.Future) -> None:
+        def done(future: Outcome) -> None:
             error = future.exception()
             if error is not None:
                 self.fail(response, error)
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -6,7 +6,6 @@
 """
 
 import collections.abc
-import concurrent.futures
 import typing
 
 from ploverward.common import errors
@@ -16,11 +15,12 @@
 from ploverward.control_plane.configuration.register_payloads import Payload
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.operator_api.call_lifecycle import CallLifecycle
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.dependencies import Json
 from ploverward.control_plane.operator_api.dependencies import Registers
 from ploverward.control_plane.operator_api.order_archiver import OrderArchiver
 from ploverward.control_plane.operator_api.pending_response import PendingResponse
+from ploverward.transport.interfaces import Loop
+from ploverward.transport.interfaces import Outcome
 
 
 class ConfigurationRounds:
@@ -37,7 +37,7 @@
     def __init__(
         self,
         *,
-        loop: EventLoop,
+        loop: Loop,
         registers: Registers,
         lifecycle: CallLifecycle,
         archiver: OrderArchiver,
@@ -97,7 +97,7 @@
     def _build_on(self, order: orders.Order, base_body: Json) -> None:
         """Merges and checks off the loop: both take long where there are many routes."""
 
-        def done(future: concurrent.futures.Future) -> None:
+        def done(future: Outcome) -> None:
             error = future.exception()
             if error is not None:
                 self._end(order, error)
--- a/ploverward/control_plane/operator_api/custody_handlers.py
+++ b/ploverward/control_plane/operator_api/custody_handlers.py
@@ -10,12 +10,13 @@
 import typing
 
 from ploverward.control_plane.audit.trail_store import TrailStore
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.dependencies import Json
 from ploverward.control_plane.operator_api.dependencies import NodeState
 from ploverward.control_plane.operator_api.router import Call
 from ploverward.control_plane.operator_api.router import Rule
 from ploverward.transport import messages
+from ploverward.transport.interfaces import Loop
+from ploverward.transport.interfaces import Timer
 
 RETENTION_CONTACTS = 720  # trails are kept for so many contactMs: an hour, at 5 s
 TRAILS_PER_MB = 60  # of the process's memory
@@ -58,7 +59,7 @@
     call: Call
     trails: list[Json]
     trail: Json  # the one of them that the query is about
-    timer: object
+    timer: Timer
 
 
 class CustodyHandlers:
@@ -74,7 +75,7 @@
         receipt_s: `receiptMs` of the settings, in seconds.
     """
 
-    def __init__(self, *, loop: EventLoop, node: NodeState, contact_s: float, receipt_s: float) -> None:
+    def __init__(self, *, loop: Loop, node: NodeState, contact_s: float, receipt_s: float) -> None:
         self._loop = loop
         self._node = node
         self._retention_s = contact_s * RETENTION_CONTACTS
--- a/ploverward/control_plane/operator_api/dependencies.py
+++ b/ploverward/control_plane/operator_api/dependencies.py
@@ -1,7 +1,6 @@
 """What the operator API needs of its node, as types; the node and the simulations provide it."""
 
 import collections.abc
-import concurrent.futures
 import dataclasses
 import typing
 
@@ -10,6 +9,7 @@
 from ploverward.control_plane.configuration.register_payloads import Edit
 from ploverward.control_plane.configuration.register_payloads import Payload
 from ploverward.transport import messages
+from ploverward.transport.interfaces import Connection
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
@@ -17,27 +17,6 @@
 RoundDone: typing.TypeAlias = collections.abc.Callable[[Exception | None, int, Payload, typing.Any], None]
 
 
-class EventLoop(typing.Protocol):
-    """The part of the event loop that is used here. Times are in seconds on its clock."""
-
-    def now(self) -> float:
-        """The present time."""
-
-    def after(self, *, delay: float, callback: collections.abc.Callable[[], None]) -> object:
-        """Calls back in `delay` seconds. Returns a timer."""
-
-    def cancel(self, *, timer: object) -> None:
-        """Stops a timer; one that has run is ignored."""
-
-    def offload(
-        self,
-        *,
-        work: collections.abc.Callable[[], typing.Any],
-        done: collections.abc.Callable[[concurrent.futures.Future], None],
-    ) -> None:
-        """Runs `work` on another thread and `done` on the loop."""
-
-
 class ChangeRegister(typing.Protocol):
     """Starts a consensus round that changes a register.
 
@@ -79,13 +58,6 @@
     read: ReadRegister
 
 
-class Connection(typing.Protocol):
-    """A connection to a proxy."""
-
-    def send(self, message: tuple) -> None:
-        """Sends a message of `ploverward.transport.messages`."""
-
-
 class Proxy(typing.Protocol):
     """A proxy that is connected to this node."""
 
--- a/ploverward/control_plane/operator_api/order_api.py
+++ b/ploverward/control_plane/operator_api/order_api.py
@@ -7,7 +7,6 @@
 from ploverward.control_plane.operator_api.call_lifecycle import CallLifecycle
 from ploverward.control_plane.operator_api.configuration_handlers import ConfigurationHandlers
 from ploverward.control_plane.operator_api.configuration_rounds import ConfigurationRounds
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.dependencies import Json
 from ploverward.control_plane.operator_api.dependencies import Registers
 from ploverward.control_plane.operator_api.evacuation_handlers import EvacuationHandlers
@@ -15,6 +14,7 @@
 from ploverward.control_plane.operator_api.redirector import Redirector
 from ploverward.control_plane.operator_api.rollout_handlers import RolloutHandlers
 from ploverward.control_plane.operator_api.router import Rule
+from ploverward.transport.interfaces import Loop
 
 
 class OrderApi:
@@ -39,7 +39,7 @@
     def __init__(
         self,
         *,
-        loop: EventLoop,
+        loop: Loop,
         registers: Registers,
         apply_barrier: ApplyBarrier,
         redirector: Redirector,
--- a/ploverward/control_plane/operator_api/pending_response.py
+++ b/ploverward/control_plane/operator_api/pending_response.py
@@ -5,8 +5,8 @@
 
 import collections.abc
 
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.router import Call
+from ploverward.transport.interfaces import Loop
 
 
 class PendingResponse:
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        loop: EventLoop,
+        loop: Loop,
         call: Call,
         limit_s: float,
         on_timeout: collections.abc.Callable[["PendingResponse"], None],
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -12,7 +12,6 @@
 from ploverward.control_plane.operator_api.adapter_handlers import AdapterHandlers
 from ploverward.control_plane.operator_api.apply_barrier import ApplyBarrier
 from ploverward.control_plane.operator_api.custody_handlers import CustodyHandlers
-from ploverward.control_plane.operator_api.dependencies import EventLoop
 from ploverward.control_plane.operator_api.dependencies import NodeState
 from ploverward.control_plane.operator_api.dependencies import Publisher
 from ploverward.control_plane.operator_api.dependencies import Registers
@@ -26,6 +25,7 @@
 from ploverward.control_plane.operator_api.tenant_handlers import TenantHandlers
 from ploverward.transport import http_request
 from ploverward.transport import messages
+from ploverward.transport.interfaces import Loop
 
 HEAD_BYTES = 65536
 BODY_BYTES = 16 * 1024 * 1024  # a configuration of 2,000 routes has 0.7 MB
@@ -50,7 +50,7 @@
     def __init__(
         self,
         *,
-        loop: EventLoop,
+        loop: Loop,
         make_http_server: collections.abc.Callable[..., typing.Any],
         registers: Registers,
         publisher: Publisher,
