--- a/ploverward/testing/__init__.py
+++ b/ploverward/testing/__init__.py
@@ -0,0 +1,1 @@
+"""What runs the tests: known failures are passed over, printed, and listed in KNOWN-RED.txt."""
--- a/ploverward/testing/known_failures.py
+++ b/ploverward/testing/known_failures.py
@@ -1,26 +1,35 @@
-"""Runs the tests on several cores. Passes over just what KNOWN-RED.txt lists, prints it, and fails where a listed test
-passes or did not run.
+"""Runs the tests on several cores; passes over what KNOWN-RED.txt lists, and nothing else.
+
+A run fails where a test fails that is not listed, and where a listed one passes or does not run: the list can't outlive
+its faults. All listed tests of the run are printed.
 
     python3 -m ploverward.testing.known_failures                   all tests
     python3 -m ploverward.testing.known_failures ploverward/common -n 0      one folder, in this process
 
-All arguments go to pytest, behind the default ones; paths among them replace `pytest.ini`'s.
+All arguments go to pytest, behind the default ones; paths among them replace those of pyproject.toml (DEVELOPERS.md).
 """
 
 import dataclasses
 import os
 import sys
+from collections.abc import Sequence
 
 import pytest
 
 LIST_NAME = "KNOWN-RED.txt"
-MOST_WORKERS = 8
+MAX_WORKERS = 8  # more do not help: the slowest file is then what takes the time
 ID_SEPARATORS = ("/", "::", "[")  # between a path, its parts, the tests in it and their parameters
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class KnownFailure:
-    """One line of the list: the id of a test, why it fails, and the issue that mends it."""
+    """One line of the list.
+
+    Attributes:
+        test: The id of the test.
+        cause: Why it fails.
+        issue: The issue under which it will be repaired.
+    """
 
     test: str
     cause: str
@@ -28,7 +37,14 @@
 
 
 def read(*, path: str) -> list[KnownFailure]:
-    """One line each: test id, cause, issue, by '|'. Empty lines and those that begin with '#' say nothing."""
+    """Reads the list: test id, cause, issue in a line, parted by '|'; empty lines and those with '#' are skipped.
+
+    Args:
+        path: The file; one that is missing lists nothing.
+
+    Raises:
+        ValueError: A line has other than three parts.
+    """
     if not os.path.exists(path):
         return []
     with open(path, encoding="utf-8") as handle:
@@ -41,62 +57,81 @@
     return listed
 
 
-def is_below(*, test: str, place: str) -> bool:
-    """Whether a test's id lies in a place: a folder, a file, a class or the test itself, as pytest takes them."""
-    return test == place or any(test.startswith(place + separator) for separator in ID_SEPARATORS)
+def is_below(*, test: str, target: str) -> bool:
+    """Whether a test's id is of a target as pytest takes them: a folder, a file, a class or the test itself."""
+    return test == target or any(test.startswith(target + separator) for separator in ID_SEPARATORS)
 
 
 class FailureCollector:
-    """A pytest plugin: which tests passed and failed, and which places were asked for.
+    """A pytest plugin that collects outcomes.
 
-    Under xdist it stands in the process that hands the tests out, where the reports of all workers arrive.
+    Under xdist it is in the process that distributes the tests, where the reports of all workers arrive.
+
+    Attributes:
+        passed: Ids of the tests that passed.
+        failed: Ids of the tests, or files, that failed, in whichever phase.
+        targets: What the run was asked for: paths and ids relative to the root, as test ids are.
     """
 
-    def __init__(self):
-        self.passed = set()
-        self.failed = set()
-        self.places = []
+    def __init__(self) -> None:
+        self.passed: set[str] = set()
+        self.failed: set[str] = set()
+        self.targets: list[str] = []
 
-    def pytest_configure(self, config):
-        """Notes the places of the run, relative to the root, as test ids are."""
+    def pytest_configure(self, config: pytest.Config) -> None:
+        """Notes the targets of the run."""
         for argument in config.args:
             path, separator, inside = argument.partition("::")
             path = os.path.relpath(os.path.join(config.invocation_params.dir, path), config.rootpath)
-            self.places.append(path.replace(os.sep, "/") + separator + inside)
+            self.targets.append(path.replace(os.sep, "/") + separator + inside)
 
-    def pytest_collectreport(self, report):
+    def pytest_collectreport(self, report: pytest.CollectReport) -> None:
+        """Notes a file that can't be imported."""
         if report.failed:
             self.failed.add(report.nodeid)
 
-    def pytest_runtest_logreport(self, report):
+    def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        """Notes the outcome of a test's setup, call or teardown."""
         if report.failed:
             self.failed.add(report.nodeid)
         elif report.when == "call" and report.passed:
             self.passed.add(report.nodeid)
 
     def is_asked_for(self, test: str) -> bool:
-        return any(place == "." or is_below(test=test, place=place) for place in self.places)
+        """Whether a test belongs to what the run was asked for."""
+        return any(target == "." or is_below(test=test, target=target) for target in self.targets)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Verdict:
-    """The exit code of the run, and what to print below pytest's own lines."""
+    """How the run ends.
+
+    Attributes:
+        code: Its exit code.
+        lines: What to print below pytest's own lines.
+    """
 
     code: int
     lines: list[str]
 
 
 def verdict(*, listed: list[KnownFailure], collector: FailureCollector, code: int) -> Verdict:
-    """Judges a run that pytest ended with `code`; a listed test outside of the run's places counts for nothing."""
+    """Judges a run.
+
+    Args:
+        listed: The known failures; one that the run was not asked for counts for nothing.
+        collector: What became of each test.
+        code: What pytest ended with.
+    """
     known = sorted((failure for failure in listed if collector.is_asked_for(failure.test)), key=lambda one: one.test)
     names = [failure.test for failure in known]
-    mended = [test for test in names if test in collector.passed and test not in collector.failed]
+    repaired = [test for test in names if test in collector.passed and test not in collector.failed]
     absent = [test for test in names if test not in collector.passed and test not in collector.failed]
     new = collector.failed.difference(names)
     lines = [f"known failure: {failure.test}: {failure.cause} ({failure.issue})" for failure in known]
-    lines += [f"listed in {LIST_NAME} but passes: {test}" for test in mended]
+    lines += [f"listed in {LIST_NAME} but passes: {test}" for test in repaired]
     lines += [f"listed in {LIST_NAME} but did not run: {test}" for test in absent]
-    if mended or absent or new:
+    if repaired or absent or new:
         return Verdict(code=1, lines=lines)
     if code == pytest.ExitCode.TESTS_FAILED and collector.failed:
         return Verdict(code=0, lines=lines)  # all of them are listed
@@ -104,11 +139,12 @@
 
 
 def worker_count() -> int:
-    """As many processes as this one may use cores, up to `MOST_WORKERS`."""
-    return min(MOST_WORKERS, len(os.sched_getaffinity(0)))
+    """Returns as many as this process may use cores, up to `MAX_WORKERS`."""
+    return min(MAX_WORKERS, len(os.sched_getaffinity(0)))
 
 
-def main(arguments: list[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
+    """Runs pytest and returns the exit code of the run."""
     collector = FailureCollector()
     defaults = ["-q", "-n", str(worker_count()), "--dist", "worksteal"]
     code = int(pytest.main([*defaults, *arguments], plugins=[collector]))
--- a/ploverward/testing/test_known_failures.py
+++ b/ploverward/testing/test_known_failures.py
@@ -25,11 +25,11 @@
     return known_failures.KnownFailure(test=test, cause="a cause", issue="#1")
 
 
-def judged(*, listed=(), passed=(), failed=(), places=("cases",), code=0) -> known_failures.Verdict:
+def judged(*, listed=(), passed=(), failed=(), targets=("cases",), code=0) -> known_failures.Verdict:
     collector = known_failures.FailureCollector()
     collector.passed.update(passed)
     collector.failed.update(failed)
-    collector.places.extend(places)
+    collector.targets.extend(targets)
     return known_failures.verdict(listed=[failure(test) for test in listed], collector=collector, code=code)
 
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "place, is_in",
+    "target, is_in",
     [
         ("cases", True),
         ("cases/first", True),
@@ -60,9 +60,9 @@
         (BROKEN + "_more", False),
     ],
 )
-def test_places_hold_what_is_below_them(place, is_in):
-    assert known_failures.is_below(test=BROKEN, place=place) == is_in
-    assert known_failures.is_below(test=BROKEN + "[2]", place=place) == is_in
+def test_a_target_covers_the_tests_below_it(target, is_in):
+    assert known_failures.is_below(test=BROKEN, target=target) == is_in
+    assert known_failures.is_below(test=BROKEN + "[2]", target=target) == is_in
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
         ({"listed": [BROKEN], "failed": [BROKEN, SOUND], "code": 1}, 1, ["known failure"]),
         ({"listed": [SOUND], "passed": [SOUND]}, 1, ["known failure", f"but passes: {SOUND}"]),
         ({"listed": [BROKEN]}, 1, ["known failure", f"but did not run: {BROKEN}"]),
-        ({"listed": [BROKEN], "places": ["cases/second"]}, 0, []),
-        ({"listed": [BROKEN], "places": ["."]}, 1, ["known failure", "but did not run"]),
+        ({"listed": [BROKEN], "targets": ["cases/second"]}, 0, []),
+        ({"listed": [BROKEN], "targets": ["."]}, 1, ["known failure", "but did not run"]),
         # its call passed, and what it leaves behind failed: that is a failure
         ({"listed": [BROKEN], "passed": [BROKEN], "failed": [BROKEN], "code": 1}, 0, ["known failure"]),
         ({"code": 1}, 1, []),  # pytest itself fails a run in which no test failed
