--- /dev/null
+++ b/ploverward/transport/test_http_server.py
@@ -0,0 +1,146 @@
+"""The HTTP server: refusals by whose fault, the memory of bodies, pipelined requests, time-outs."""
+
+import h11
+import pytest
+
+from ploverward.simulation import loopback
+from ploverward.transport import http_request
+from ploverward.transport import http_server
+from ploverward.transport.http_connection import State
+
+REQUEST = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
+
+
+class Scene:
+    def __init__(self, *, max_bytes=1000, **limits):
+        self.loop = loopback.new_loop()
+        self.requests = []
+        self.server = http_server.HttpServer(
+            loop=self.loop,
+            address=(loopback.own_address(), 0),
+            limits=lambda: loopback.limits(**limits),
+            peer_timeout_s=5.0,
+            on_request=self.requests.append,
+            max_bytes=max_bytes,
+        )
+        self.client = loopback.Client(loop=self.loop, address=self.server.address)
+
+    def until(self, is_so) -> bool:
+        return loopback.until(self.loop, is_so)
+
+    def connection(self):
+        assert self.until(lambda: self.server.connections)
+        return next(iter(self.server.connections))
+
+    def until_state(self, state) -> bool:
+        connection = self.connection()
+        return self.until(lambda: connection.state is state)
+
+
+def test_a_connection_passes_through_its_states():
+    scene = Scene()
+    connection = scene.connection()
+    assert connection.state is State.IDLE and connection.is_idle()
+    scene.client.send(REQUEST[:10])
+    assert scene.until_state(State.READING_HEAD)
+    scene.client.send(REQUEST[10:-1])
+    assert scene.until_state(State.READING_BODY)
+    scene.client.send(REQUEST[-1:])
+    assert scene.until_state(State.ANSWERING)
+    assert scene.requests[0].body == b"ab" and not connection.is_idle()
+    scene.requests[0].reply(status=200, body=b"ok")
+    assert connection.state is State.IDLE
+    connection.close()
+    assert connection.state is State.CLOSED and not scene.server.connections
+
+
+def test_pipelined_requests_are_answered_one_after_the_other():
+    scene = Scene()
+    scene.client.send(REQUEST * 3)
+    for number in range(3):
+        assert scene.until(lambda number=number: len(scene.requests) == number + 1)
+        scene.requests[number].reply(status=200, body=b"%d" % number)
+    assert scene.until(lambda: scene.client.got.endswith(b"2"))
+    assert scene.client.got.count(b"HTTP/1.1 200") == 3
+
+
+def test_an_answer_that_ends_the_connection_is_sent_before_it_closes():
+    scene = Scene()
+    scene.client.send(REQUEST)
+    assert scene.until(lambda: scene.requests)
+    scene.requests[0].reply(status=200, body=b"ok", is_last=True)
+    assert scene.until(lambda: scene.client.is_closed)
+    assert b"close" in scene.client.got and scene.client.got.endswith(b"ok")
+
+
+@pytest.mark.parametrize(
+    "text, status",
+    [
+        (b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /" + b"x" * 300 + b" HTTP/1.1\r\nHost: h\r\n\r\n", 431),
+        (b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n", 413),
+        (b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n" + b"x" * 99, 413),
+    ],
+)
+def test_a_request_that_the_client_has_to_correct_is_refused_and_its_connection_ends(text, status):
+    scene = Scene(head_bytes=200, body_bytes=50)
+    scene.client.send(text)
+    assert scene.until(lambda: scene.client.is_closed)
+    assert scene.client.got.startswith(b"HTTP/1.1 %d " % status) and not scene.requests
+
+
+def test_bodies_beyond_the_memory_of_all_connections_are_refused_with_503_and_given_back():
+    scene = Scene(max_bytes=3)
+    scene.client.send(REQUEST)
+    assert scene.until(lambda: scene.requests)
+    assert scene.server.body_budget.reserved_bytes == 2
+    other = loopback.Client(loop=scene.loop, address=scene.server.address)
+    other.send(REQUEST)
+    assert scene.until(lambda: other.is_closed)
+    assert other.got.startswith(b"HTTP/1.1 503 ")
+    scene.requests[0].reply(status=200)
+    assert scene.server.body_budget.reserved_bytes == 0
+
+
+def test_a_request_that_does_not_come_to_its_end_gets_408_and_an_idle_connection_is_closed_without_an_answer():
+    scene = Scene(head_s=0.1, idle_s=0.2)
+    scene.client.send(REQUEST[:10])
+    idle = loopback.Client(loop=scene.loop, address=scene.server.address)
+    assert scene.until(lambda: scene.client.is_closed and idle.is_closed)
+    assert scene.client.got.startswith(b"HTTP/1.1 408 ") and idle.got == b""
+
+
+def test_a_client_that_leaves_is_reported_to_the_handler_unless_its_request_was_answered():
+    gone = []
+    scene = Scene()
+    scene.client.send(REQUEST)
+    assert scene.until(lambda: scene.requests)
+    scene.requests[0].on_gone = lambda: gone.append(1)
+    scene.client.leave()
+    assert scene.until(lambda: gone) and not scene.server.connections
+
+
+def test_a_handler_that_raises_ends_the_connection():
+    faults = []
+    loop = loopback.new_loop(faults=faults)
+    server = http_server.HttpServer(
+        loop=loop,
+        address=(loopback.own_address(), 0),
+        limits=loopback.limits,
+        peer_timeout_s=5.0,
+        on_request=lambda _request: 1 / 0,
+    )
+    client = loopback.Client(loop=loop, address=server.address)
+    client.send(REQUEST)
+    assert loopback.until(loop, lambda: client.is_closed)
+    assert client.got == b"" and isinstance(faults[0], ZeroDivisionError)
+
+
+def test_a_refusal_says_whose_fault_it_is():
+    head = h11.Request(method="POST", target="/x", headers=[("Host", "h"), ("Content-Length", "11")])
+    with pytest.raises(http_request.ClientRequestError) as caught:
+        http_request.check_head(head=head, limits=loopback.limits(body_bytes=10))
+    assert caught.value.status == 413
+    assert issubclass(http_request.ServerOverloadedError, http_request.RefusedRequestError)
+    assert not issubclass(http_request.ServerOverloadedError, http_request.ClientRequestError)
--- /dev/null
+++ b/ploverward/transport/test_peer_connection.py
@@ -0,0 +1,142 @@
+"""Connections between nodes: half-open ones, stopped peers, malformed frames, backoff."""
+
+import pytest
+
+from ploverward.simulation import loopback
+from ploverward.transport import frames
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+PEER_TIMEOUT_S = 0.4
+KEEP_ALIVE = messages.KeepAlive(0)
+
+
+class Scene:
+    """A scripted peer on loopback, and a connector to it."""
+
+    def __init__(self, *, script=lambda _number, _heard: None):
+        self.loop = loopback.new_loop()
+        self.peer = loopback.Peer(loop=self.loop, script=script)
+        self.made, self.received, self.ends = [], [], []
+        self.connector = peer_connection.Connector(
+            loop=self.loop,
+            address=self.peer.address,
+            on_up=self.made.append,
+            on_message=lambda _link, message: self.received.append(message),
+            on_end=lambda _link, reason: self.ends.append(reason),
+            peer_timeout_s=PEER_TIMEOUT_S,
+        )
+
+    def until(self, is_so) -> bool:
+        return loopback.until(self.loop, is_so)
+
+    def until_up(self) -> bool:
+        return self.until(lambda: self.connector.link is not None and self.connector.link.is_up)
+
+
+def test_a_connection_is_connecting_then_up_then_closed():
+    scene = Scene()
+    link = scene.connector.link
+    assert link.state is peer_connection.State.CONNECTING and link.is_open and not link.is_up
+    assert scene.until_up()
+    assert link.state is peer_connection.State.UP
+    scene.connector.stop()
+    assert link.state is peer_connection.State.CLOSED and scene.ends == ["stopped"]
+    link.close(reason="again")
+    link.send(KEEP_ALIVE)
+    assert scene.ends == ["stopped"] and scene.connector.link is None and link.queued() == 0
+
+
+def test_what_is_sent_while_connecting_is_sent_once_it_is_up():
+    scene = Scene()
+    scene.connector.link.send(KEEP_ALIVE)
+    assert scene.until(lambda: scene.peer.heard and scene.peer.heard[0] == frames.pack(KEEP_ALIVE))
+
+
+def test_a_peer_that_accepts_and_says_nothing_is_closed_as_silent_and_was_never_heard():
+    """A stopped process: its kernel accepts and acknowledges, so the connection is up, and shows nothing."""
+    scene = Scene()
+    assert scene.until_up()
+    link = scene.connector.link
+    assert not link.has_heard
+    assert scene.until(lambda: scene.ends)
+    assert scene.ends == ["silent"] and not link.has_heard
+
+
+def test_heartbeats_keep_a_connection_and_are_not_delivered():
+    scene = Scene()
+    assert scene.until_up()
+    link = scene.connector.link
+    end = scene.loop.now() + 2.5 * PEER_TIMEOUT_S
+
+    def beat():
+        scene.peer.callback(0, (frames.pack(KEEP_ALIVE),))
+        scene.loop.after(delay=PEER_TIMEOUT_S / 4, callback=beat)
+
+    assert scene.until(lambda: scene.peer.socks)
+    beat()
+    assert scene.until(lambda: scene.loop.now() > end)
+    assert scene.connector.link is link and link.has_heard and not scene.ends and not scene.received
+
+
+@pytest.mark.parametrize("data", [b"\xff\xff\xff\xff\x01", frames.pack(KEEP_ALIVE)[:4] + b"\xee\x00"])
+def test_bytes_that_are_no_frame_end_the_connection_and_another_is_made(data):
+    sent = []
+
+    def script(number, _heard):
+        if number == 0 and not sent:
+            sent.append(number)
+            return (data,)
+        return None
+
+    scene = Scene(script=script)
+    scene.connector.link.send(KEEP_ALIVE)
+    assert scene.until(lambda: len(scene.made) == 2)
+    assert len(scene.ends) == 1 and "kind" in scene.ends[0]
+
+
+def test_the_pause_grows_while_no_message_comes_and_stays_below_a_quarter_of_the_time_out(monkeypatch):
+    pauses = []
+    monkeypatch.setattr(peer_connection.random, "uniform", lambda _low, high: high)
+    scene = Scene()
+    after = scene.loop.after
+
+    def recording_after(*, delay, callback):
+        if callback == scene.connector._connect:
+            pauses.append(delay)
+        return after(delay=delay, callback=callback)
+
+    monkeypatch.setattr(scene.loop, "after", recording_after)
+    for _attempt in range(7):
+        assert scene.until_up()
+        ended = len(scene.ends)
+        scene.connector.link.close(reason="refused")
+        assert len(scene.ends) == ended + 1
+    assert pauses == sorted(pauses) and pauses[0] < pauses[1]
+    assert pauses[-1] == pytest.approx(PEER_TIMEOUT_S * peer_connection.MAX_BACKOFF_SHARE)
+
+
+def test_a_peer_that_does_not_read_is_closed_before_it_fills_the_memory():
+    scene = Scene()
+    assert scene.until_up()
+    link = scene.connector.link
+    link.sock = _FullSocket(link.sock)
+    chunk = b"x" * (peer_connection.MAX_SEND_BUFFER_BYTES // 2)
+    link.send_bytes(chunk)
+    link.send_bytes(chunk)
+    assert link.is_open and link.queued() == peer_connection.MAX_SEND_BUFFER_BYTES
+    link.send_bytes(b"x")
+    assert scene.ends == ["peer does not read"]
+
+
+class _FullSocket:
+    """A socket whose send buffer is full."""
+
+    def __init__(self, sock):
+        self._sock = sock
+
+    def send(self, _data):
+        raise BlockingIOError
+
+    def __getattr__(self, name):
+        return getattr(self._sock, name)
