--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -9,7 +9,7 @@
 
 ROLES = ("core", "proxy")
 # Of gc.set_threshold: objects, then collections of the younger generation. Most of what a node makes ends without the
-# cyclic collector; with the default numbers it would run some hundred times a second for nothing.
+# cyclic collector, so it runs less often than by default (700, 10, 10).
 COLLECTOR_THRESHOLDS = (10000, 20, 20)
 
 
--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -17,7 +17,7 @@
 import time
 from collections.abc import Callable
 
-BUFFERED_EVENTS = 200  # some seconds of a node in trouble; a node in order logs a few events a minute
+BUFFERED_EVENTS = 200  # a few screens of lines
 DUMP_INTERVAL_S = 5.0  # between two dumps of the memory: errors may come by the thousand, their cause comes once
 
 _LOGGER_NAME = "ploverward"
--- a/ploverward/common/tenant_usage.py
+++ b/ploverward/common/tenant_usage.py
@@ -15,7 +15,7 @@
 from ploverward.transport import row_codec
 
 NAME_DIGEST_BYTES = 8  # among 100,000 names two share a digest once in four billion configurations
-DIGEST_CACHE_NAMES = 8192  # more tenants than one configuration has
+DIGEST_CACHE_NAMES = 8192  # an evicted name is only hashed again
 USAGE = struct.Struct(">8sHI")  # tenant, demand, admitted
 CREDIT = struct.Struct(">8sf")  # tenant, tokens
 MAX_DEMAND = 0xFFFF  # what the row's field can say; more demand than that counts as this
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -27,15 +27,15 @@
         return event_loop.Loop(on_fault=on_fault)
 
     def port(self, **about):
-        """Takes links from others: the arguments of `ploverward.transport.peer_connection.Port`."""
+        """Takes links from others: the arguments of `ploverward.transport.peer_connection.PeerListener`."""
         return peer_connection.PeerListener(**about)
 
     def connector(self, **about):
-        """Keeps one link to an address: the arguments of `ploverward.transport.peer_connection.Dialer`."""
+        """Keeps one link to an address: the arguments of `ploverward.transport.peer_connection.Connector`."""
         return peer_connection.Connector(**about)
 
     def http_server(self, **about):
-        """Listens for calls: the arguments of `ploverward.transport.http_server.Hall`."""
+        """Listens for calls: the arguments of `ploverward.transport.http_server.HttpServer`."""
         return http_servers.HttpServer(**about)
 
     def disk(self, *, folder: str):
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -175,7 +175,7 @@
 
 
 class PeerConnection:
-    """One end, with the interface of ploverward.transport.peer_connection.Link."""
+    """One end, with the interface of ploverward.transport.peer_connection.PeerConnection."""
 
     def __init__(self, *, process, loop, on_message, on_end, peer_timeout_s, is_connecting, peer):
         self.process = process
@@ -268,7 +268,7 @@
 
 
 class Connector:
-    """The interface of ploverward.transport.peer_connection.Dialer."""
+    """The interface of ploverward.transport.peer_connection.Connector."""
 
     def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, peer_timeout_s):
         self.loop = loop
@@ -327,7 +327,7 @@
 
 
 class PeerListener:
-    """The interface of ploverward.transport.peer_connection.Port."""
+    """The interface of ploverward.transport.peer_connection.PeerListener."""
 
     def __init__(self, *, runtime, loop, address, on_link, on_message, on_end, peer_timeout_s):
         self.process = runtime.process
@@ -404,7 +404,7 @@
 
 
 class HttpServer:
-    """The interface of ploverward.transport.http_server.Hall, as far as a core node uses it."""
+    """The interface of ploverward.transport.http_server.HttpServer, as far as a core node uses it."""
 
     def __init__(
         self, *, runtime, loop, address, on_request, limits=None, peer_timeout_s=0.0, max_connections=0, max_bytes=0
--- a/ploverward/testing/known_failures.py
+++ b/ploverward/testing/known_failures.py
@@ -17,7 +17,7 @@
 import pytest
 
 LIST_NAME = "KNOWN-RED.txt"
-MAX_WORKERS = 8  # more do not help: the slowest file is then what takes the time
+MAX_WORKERS = 8  # tests start programs of their own, which need processors as well
 ID_SEPARATORS = ("/", "::", "[")  # between a path, its parts, the tests in it and their parameters
 
 
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -22,7 +22,7 @@
 from ploverward.transport.interfaces import Callback
 
 MAX_WAIT_S = 1.0  # of a step without timers
-WORKER_THREADS = 2  # one for the disk, one for the platform's list: neither waits for the other
+WORKER_THREADS = 2  # one for the disk, one for building a configuration, which must not delay a vote
 _WAKE_READ_BYTES = 4096
 
 SocketCallback = Callable[[int], object]  # called with the ready events, a mask of `selectors`
--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -20,7 +20,7 @@
 from ploverward.common import identifiers
 from ploverward.transport import messages
 
-MAX_FRAME_BYTES = 24 * 1024 * 1024  # above the largest configuration and the largest endpoint list
+MAX_FRAME_BYTES = 24 * 1024 * 1024  # what a peer may have this process buffer for one message
 TEXT = construct.PascalString(construct.VarInt, "utf8")
 BLOB = construct.Prefixed(construct.VarInt, construct.GreedyBytes)
 NUMBER = construct.VarInt
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -12,7 +12,7 @@
 lost power, or behind a partition, leaves a half-open connection that looks established for hours. Three things find it:
 
 * The sender finds out by `TCP_USER_TIMEOUT`: data that stays unacknowledged for `peer_timeout_s` ends the connection.
-* The receiver finds out by silence: each side sends heartbeats some times per `peer_timeout_s`, and a connection on
+* The receiver finds out by silence: each side sends heartbeats three times per `peer_timeout_s`, and a connection on
   which nothing came for that long is closed. This also finds a process that is stopped, whose kernel acknowledges all
   the same.
 * Whoever counts on a peer asks for `has_heard`: the kernel of a stopped process still accepts connections, so one that
