--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -29,7 +29,7 @@
         self.is_listed = True
         self.warming_up_until = 0.0
         self.idle = []
-        self.outlets = set()
+        self.connections = set()
         self.heard_at = now
         self.backoff_until = 0.0  # not to be chosen before then
         self.is_suspected = False  # not to be chosen before a connection of ours came up
@@ -51,7 +51,7 @@
         )
 
     def forget(self, connection) -> None:
-        self.outlets.discard(connection)
+        self.connections.discard(connection)
         if connection is self.probe_connection:
             self.probe_connection = None
             if not connection.is_up and self.on_probe_failed is not None:
@@ -263,7 +263,7 @@
         return max(4, int(self.services.get(replica.service, {}).get("max_conns", 64) * self.last_share * 0.9))
 
     def has_capacity(self, *, replica) -> bool:
-        return bool(replica.idle) or len(replica.outlets) < self._max_connections(replica)
+        return bool(replica.idle) or len(replica.connections) < self._max_connections(replica)
 
     def connection(self, *, replica, request_id: bytes = b""):
         """An idle connection, or a new one inside this proxy's share of maxConns, or None."""
@@ -278,7 +278,7 @@
             if is_trusted and connection.is_reusable_for(request_id=request_id):
                 return connection
             connection.close()
-        if len(replica.outlets) >= self._max_connections(replica):
+        if len(replica.connections) >= self._max_connections(replica):
             return None
         return self._open(replica)
 
@@ -314,7 +314,7 @@
             on_free=self._free,
             on_connected=self._record_connect,
         )
-        replica.outlets.add(connection)
+        replica.connections.add(connection)
         return connection
 
     def probe(self, *, replica) -> None:
@@ -363,7 +363,7 @@
                     self.connection(replica=replica)
 
     def _needs_probe(self, replica) -> bool:
-        return replica.is_suspected and self._is_in_service(replica) and not replica.outlets
+        return replica.is_suspected and self._is_in_service(replica) and not replica.connections
 
     def _free(self, connection) -> None:
         replica = connection.replica
--- a/ploverward/data_plane/requests/attempt_runner.py
+++ b/ploverward/data_plane/requests/attempt_runner.py
@@ -145,7 +145,7 @@
             has_tenants=context.routes.tenant_directory is not None,
             tenant=facts.tenant,
         )
-        connection.take(attempt, head=head, body=self._request.body)
+        connection.send_request(attempt, head=head, body=self._request.body)
         if attempt is self.attempt and route.is_idempotent:  # else it has failed within that call
             if self._watch is None:
                 self._watch = replica_watch.ReplicaWatch(
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -244,7 +244,7 @@
             self._steps.record(step_log.PREFILLED, now=self.loop.now())
             attempt_accounting.note_prefilled(attempt, facts=self.facts, context=self.context)
         for event in stream.receive_data(data):
-            attempt.note_event(now=self.loop.now())
+            attempt.note_event(now=attempt.heard_at)
             self.forward_event(event)
 
     def forward_event(self, event: bytes) -> None:
--- a/ploverward/data_plane/requests/stream_resumption.py
+++ b/ploverward/data_plane/requests/stream_resumption.py
@@ -54,14 +54,15 @@
         """Returns the complete events that are to be forwarded now, each once, in order."""
         self._buffer += data
         found: list[bytes] = []
-        while True:
+        while self._buffer:
             event_end = _event_end(self._buffer)
             if event_end < 0:
-                return found
+                break
             event = self._buffer[:event_end]
             self._buffer = self._buffer[event_end:]
             if self._is_new(event):
                 found.append(event)
+        return found
 
     def take_remainder(self) -> bytes:
         """Returns, once, what follows the last complete event of a run that ended in order."""
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -14,7 +14,7 @@
 from ploverward.data_plane.requests import route_table
 from ploverward.data_plane.requests import serving
 from ploverward.data_plane.requests import stream_resumption
-from ploverward.data_plane.upstream import upstream_connection
+from ploverward.data_plane.upstream import response_reader
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import request_history
@@ -164,7 +164,7 @@
 
 
 def _pairs_by_position(monkeypatch):
-    monkeypatch.setattr(upstream_connection.UpstreamConnection, "_is_ours", lambda self, *, status, reported_id: True)
+    monkeypatch.setattr(response_reader.ResponseReader, "_is_ours", lambda self, *, status, reported_id: True)
 
 
 def _promises_always(monkeypatch):
@@ -207,7 +207,7 @@
 
 def _keeps_what_came_behind(monkeypatch):
     monkeypatch.setattr(
-        upstream_connection.UpstreamConnection,
+        response_reader.ResponseReader,
         "_is_ours",
         lambda self, *, status, reported_id: reported_id != b"elsewhere",
     )
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -292,7 +292,7 @@
     scene.loop.unwatch(sock=scene.client.sock)
     assert loopback.until(scene.loop, lambda: not scene.entry.passages)
     replica = next(iter(scene.entry.table.replicas.values()))
-    assert replica.running == 0 and not replica.outlets
+    assert replica.running == 0 and not replica.connections
 
 
 def test_out_of_time_is_504_when_it_was_sent():
--- /dev/null
+++ b/ploverward/data_plane/upstream/test_response_reader.py
@@ -0,0 +1,113 @@
+"""Which answer belongs to a request, and whether another may follow, without a socket."""
+
+import h11
+import pytest
+
+from ploverward.data_plane.upstream import response_reader
+from ploverward.data_plane.upstream import upstream_errors
+from ploverward.data_plane.upstream.response_reader import Signal
+
+REQUEST = h11.Request(method="POST", target="/x", headers=[("Host", "h"), ("Content-Length", "4")])
+
+
+def sent(reader=None, *, request_id=b"mine"):
+    reader = reader or response_reader.ResponseReader()
+    assert reader.send_request(request_id=request_id, head=REQUEST, body=b"body").endswith(b"\r\n\r\nbody")
+    return reader
+
+
+def answer(which, body=b"ok", *, status=b"200 OK", more=b""):
+    named = b"X-Attempt-Id: %s\r\n" % which if which else b""
+    return b"HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s" % (status, named, more, len(body), body)
+
+
+def events(reader, data=b"", *, is_unsent=False):
+    """What comes of the data: statuses of heads, bytes, and the end."""
+    reader.receive_data(data)
+    found = []
+    while (event := reader.next_event(is_unsent=is_unsent)) is not Signal.NEED_DATA:
+        found.append(event.status if isinstance(event, response_reader.ResponseHead) else event)
+        if event is Signal.RESPONSE_END:
+            break
+    return found
+
+
+def test_an_answer_comes_out_in_parts_and_another_request_may_follow():
+    reader = sent()
+    data = answer(b"mine")
+    assert events(reader, data[:-1]) == [200, b"o"]
+    assert events(reader, data[-1:]) == [b"k", Signal.RESPONSE_END]
+    assert reader.served == 1 and reader.begin_next_cycle()
+    assert events(sent(reader, request_id=b"next"), answer(b"next")) == [200, b"ok", Signal.RESPONSE_END]
+
+
+@pytest.mark.parametrize("others", [1, 2])
+def test_answers_too_many_at_the_head_of_ours_are_skipped_and_the_connection_is_not_used_again(others):
+    reader = sent()
+    assert events(reader, answer(b"other", b"theirs") * others + answer(b"mine")) == [200, b"ok", Signal.RESPONSE_END]
+    assert not reader.begin_next_cycle()
+
+
+def test_more_answers_of_others_than_that_are_an_error():
+    with pytest.raises(upstream_errors.RemoteProtocolError):
+        events(sent(), answer(b"other") * (response_reader.MAX_SKIPPED_RESPONSES + 1))
+
+
+def test_an_answer_before_a_byte_of_its_request_left_is_nobodys():
+    with pytest.raises(upstream_errors.RemoteProtocolError):
+        events(sent(), answer(b"mine"), is_unsent=True)
+
+
+def test_without_an_id_only_a_failure_on_an_unused_connection_is_ours():
+    assert events(sent(), answer(b"", status=b"500 No")) == [500, b"ok", Signal.RESPONSE_END]
+    with pytest.raises(upstream_errors.RemoteProtocolError):
+        events(sent(), answer(b""))
+    reader = sent()
+    events(reader, answer(b"mine"))
+    assert reader.begin_next_cycle()
+    with pytest.raises(upstream_errors.RemoteProtocolError):
+        events(sent(reader, request_id=b"next"), answer(b"", status=b"500 No"))
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        answer(b"mine") + b"HTTP/1.1 200 OK\r\n",
+        answer(b"mine", more=b"Connection: close\r\n"),
+        answer(b"mine").replace(b"HTTP/1.1", b"HTTP/1.0"),
+    ],
+)
+def test_a_connection_is_not_used_again_behind_more_bytes_a_close_or_an_older_protocol(data):
+    reader = sent()
+    assert events(reader, data)[-1] is Signal.RESPONSE_END and not reader.begin_next_cycle()
+
+
+@pytest.mark.parametrize(
+    "more, is_framed", [(b"", True), (b"Transfer-Encoding: chunked\r\n", False), (b"X-Other: 1\r\n", True)]
+)
+def test_two_lengths_are_no_certain_length(more, is_framed):
+    reader = sent()
+    reader.receive_data(answer(b"mine", b"2\r\nok\r\n0\r\n\r\n", more=more))
+    assert reader.next_event(is_unsent=False).is_framed is is_framed
+
+
+def test_informational_answers_are_passed_over_and_what_is_not_http_is_an_error():
+    assert events(sent(), b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"mine"))[0] == 200
+    with pytest.raises(h11.RemoteProtocolError):
+        events(sent(), b"\x00 what\r\n\r\n")
+
+
+def test_an_end_before_the_answer_and_one_in_the_middle_are_told_apart_from_one_behind_it():
+    with pytest.raises((upstream_errors.ConnectionEndedError, h11.RemoteProtocolError)):
+        events(sent())
+    reader = sent()
+    assert events(reader, answer(b"mine", b"long")[:-1]) == [200, b"lon"]
+    with pytest.raises(h11.RemoteProtocolError):
+        events(reader)
+
+
+@pytest.mark.parametrize(
+    "value, wanted", [(b"timeout=7", 7.0), (b"max=3, Timeout=4", 4.0), (b"timeout=soon", None), (b"", None)]
+)
+def test_the_stated_idle_time_is_read(value, wanted):
+    assert response_reader.keep_alive_timeout_s(value) == wanted
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -1,17 +1,44 @@
-"""The way to one replica: connections by h11, strictly one request at a time on each (design 3, 7)."""
+"""One connection to a replica: the socket, and the attempt that uses it (design 3, docs/requests.md 2).
 
+`UpstreamConnection` owns the socket, what is still to be written, and the one attempt that uses it at a time. The
+protocol is `response_reader`'s. The states:
+
+    CONNECTING --> IDLE <--> BUSY --> CLOSED      (every state may lead to CLOSED)
+         \\------------------^
+
+* CONNECTING: the socket is not up. It may have an attempt already, of which nothing is handed to the kernel yet.
+* IDLE: it is up and carries no request. Its end, or any byte that comes, closes it.
+* BUSY: an attempt uses it, until its answer is complete, the connection ends, or the attempt is given up.
+* CLOSED: nothing of it reaches anybody. An attempt that is given up takes its connection along, in the same step.
+
+The invariant: `is_unsent` turns false with the first byte that the kernel accepts, and never back for that request. An
+attempt that ends unsent has run nowhere.
+"""
+
+from __future__ import annotations
+
+import enum
 import errno
 import selectors
 import socket
+import typing
 
 import h11
 
+from ploverward.data_plane.upstream import response_reader
+from ploverward.data_plane.upstream import upstream_errors
 from ploverward.transport import peer_connection
 
-MAX_SKIPPED_RESPONSES = 2
-UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is looked at before it is used
-KEEP_ALIVE_SHARE = 0.85  # of the idle time that a replica states; the rest is for the way
-DEFAULT_KEEP_ALIVE_S = 4.0  # where it states none
+if typing.TYPE_CHECKING:
+    from collections.abc import Callable
+    from collections.abc import Iterable
+
+    from ploverward.transport import event_loop
+
+UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is looked at before it is used: a system call
+KEEP_ALIVE_SHARE = 0.85  # of the idle time that a replica states: the rest is for a request on its way
+DEFAULT_KEEP_ALIVE_S = 4.0  # where it states none: a guess, below what servers commonly have
+IO_BYTES = 131072  # read or written in one system call
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -27,65 +54,130 @@
 )
 
 
+class ConnectionState(enum.Enum):
+    """Where a connection stands; see the head of this module."""
+
+    CONNECTING = "connecting"
+    IDLE = "idle"
+    BUSY = "busy"
+    CLOSED = "closed"
+
+
+class Upstream(typing.Protocol):
+    """What a connection needs of its replica (`replica_table.Replica`).
+
+    Attributes:
+        endpoint: Its address and port.
+        heard_at: When anything last came from it, in seconds on the loop's clock.
+    """
+
+    endpoint: tuple[str, int]
+    heard_at: float
+
+    def forget(self, connection: UpstreamConnection) -> None:
+        """The connection is closed."""
+
+
+class UpstreamAttempt(typing.Protocol):
+    """What a connection notifies: the attempt that uses it (`attempts.Attempt`)."""
+
+    request_id: bytes
+
+    def on_head(
+        self, *, status: int, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes], is_framed: bool
+    ) -> None:
+        """The head of its answer came."""
+
+    def on_data(self, data: bytes) -> None:
+        """A part of the body came."""
+
+    def on_end(self) -> None:
+        """The answer is complete, and the connection is not its any more."""
+
+    def on_fail(self, *, reason: str, was_sent: bool, was_up: bool) -> None:
+        """The connection ended before that."""
+
+
 class UpstreamConnection:
-    """One connection. The attempt that uses it is told: on_head, on_data, on_end, on_fail(reason, was sent)."""
+    """One connection.
+
+    Args:
+        loop: The event loop.
+        replica: The replica to connect to.
+        connect_s: Seconds after which it counts as not coming up.
+        peer_timeout_s: Seconds after which the kernel gives up a peer that acknowledges nothing.
+        on_free: Called when it came up without an attempt, or has become idle.
+        on_connected: Called when it came up, with the replica and the seconds that took.
 
-    def __init__(self, *, loop, replica, connect_s: float, peer_timeout_s: float, on_free, on_connected):
+    Attributes:
+        state: Where it stands.
+        is_up: Whether it ever came up.
+        is_paused: Whether the replica is not read, because the client does not read.
+        is_unsent: Whether no byte of the last request was accepted by the kernel.
+        attempt: The attempt that uses it, None where there is none.
+        idle_since: When it last became idle, in seconds on the loop's clock.
+        idle_until: When it is too old to be used.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: event_loop.Loop,
+        replica: Upstream,
+        connect_s: float,
+        peer_timeout_s: float,
+        on_free: Callable[[UpstreamConnection], None],
+        on_connected: Callable[[typing.Any, float], None],
+    ) -> None:
         self.loop = loop
-        self.replica = replica
-        self.is_open = True
+        self.replica: typing.Any = replica
+        self.state = ConnectionState.CONNECTING
         self.is_up = False
         self.is_paused = False
-        self.attempt = None
-        self.served = 0
-        self.last_request_id = None
+        self.is_unsent = True
+        self.attempt: UpstreamAttempt | None = None
         self.idle_since = loop.now()
         self.idle_until = 0.0
         self._on_free = on_free
         self._on_connected = on_connected
         self._begun_at = loop.now()
         self._out = bytearray()
-        self._sent_any = False
-        self._skips = 0
-        self._is_skipping = False
-        self._is_head_seen = False
-        self._is_tainted = False
-        self._must_close = False
-        self._keep_alive_s = None
-        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
+        self._reader = response_reader.ResponseReader()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         peer_connection.configure_socket(sock=self.sock, peer_timeout_s=peer_timeout_s)
         code = self.sock.connect_ex(replica.endpoint)
         self._mask = selectors.EVENT_READ | selectors.EVENT_WRITE
-        self._timer = None
         if code not in (0, errno.EINPROGRESS):
-            self._timer = loop.after(delay=0, callback=lambda: self._fail(errno.errorcode.get(code, str(code))))
+            # After this step: the attempt that is to use it has to know it first.
+            self._timer = loop.after(delay=0, callback=lambda: self._fail(_connect_error(code)))
             self._mask = 0
             return
         loop.watch(sock=self.sock, mask=self._mask, callback=self._ready)
-        self._timer = loop.after(
-            delay=connect_s, callback=lambda: self._fail("connect timeout") if not self.is_up else None
-        )
+        self._timer = loop.after(delay=connect_s, callback=self._on_connect_timeout)
+
+    @property
+    def is_open(self) -> bool:
+        """Whether it is not closed."""
+        return self.state is not ConnectionState.CLOSED
 
-    def take(self, attempt, *, head: h11.Request, body: bytes) -> None:
+    @property
+    def served(self) -> int:
+        """Answers that came on it completely."""
+        return self._reader.served
+
+    # Requests.
+    def send_request(self, attempt: UpstreamAttempt, *, head: h11.Request, body: bytes) -> None:
+        """An attempt begins to use it. The connection may fail, and notify the attempt, within this call."""
         self.attempt = attempt
-        self.last_request_id = attempt.request_id
-        self._request = head
-        self._skips = 0
-        self._is_skipping = False
-        self._is_head_seen = False
-        self._sent_any = False
-        data = self._h11.send(head)
-        if body:
-            data += self._h11.send(h11.Data(data=body))
-        data += self._h11.send(h11.EndOfMessage())
-        self._out += data
+        self.is_unsent = True
+        self._out += self._reader.send_request(request_id=attempt.request_id, head=head, body=body)
         if self.is_up:
+            self.state = ConnectionState.BUSY
             self._flush()
 
     def drop_attempt(self) -> None:
-        """The attempt is not wanted any more: the connection ends with it."""
+        """The attempt is given up: the connection ends with it."""
         self.attempt = None
         self.close()
 
@@ -93,10 +185,10 @@
         """Whether this idle connection may carry the request.
 
         Not where its former request bore the same id: an answer too many of that one could not be told from ours. And
-        not where something waits on it (its end, or bytes of no request) that the loop has not looked at yet; one that
-        was in use a moment ago is not looked at, which spares a system call for most requests.
+        not where something waits on it (its end, or bytes of no request) that the loop has not read yet; one that was
+        in use a moment ago is not looked at, which spares a system call for most requests.
         """
-        if self.served and self.last_request_id == request_id:
+        if self.served and self._reader.last_request_id == request_id:
             return False
         if self.loop.now() - self.idle_since < UNCHECKED_IDLE_S:
             return True
@@ -108,25 +200,23 @@
             return False
         return False
 
-    @property
-    def is_unsent(self) -> bool:
-        return not self._sent_any
-
+    # Flow control.
     def pause(self) -> None:
-        """The user agent does not read: its replica is not read either."""
+        """The client does not read: its replica is not read either."""
         self.is_paused = True
-        self._set_mask()
+        self._update_mask()
 
     def resume(self) -> None:
+        """The client reads again."""
         if self.is_paused:
             self.is_paused = False
-            self._set_mask()
+            self._update_mask()
 
-    def _set_mask(self) -> None:
+    def _update_mask(self) -> None:
         mask = (0 if self.is_paused else selectors.EVENT_READ) | (
             selectors.EVENT_WRITE if self._out or not self.is_up else 0
         )
-        if not self.is_open or mask == self._mask:
+        if mask == self._mask or not self.is_open:
             return
         if not mask:
             self.loop.unwatch(sock=self.sock)
@@ -136,151 +226,107 @@
             self.loop.rewatch(sock=self.sock, mask=mask, callback=self._ready)
         self._mask = mask
 
-    def _ready(self, mask) -> None:
+    # The socket.
+    def _ready(self, mask: int) -> None:
         if not self.is_open:
             return  # closed by an earlier event of the same step
         if mask & selectors.EVENT_WRITE:
-            if not self.is_up:
-                code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if code:
-                    self._fail(errno.errorcode.get(code, str(code)))
-                    return
-                self.is_up = True
-                self.loop.cancel(timer=self._timer)
-                self.replica.heard_at = self.loop.now()
-                self._on_connected(self.replica, self.replica.heard_at - self._begun_at)
-                if self.attempt is None:
-                    self.idle_since = self.replica.heard_at
-                    self.idle_until = self.idle_since + DEFAULT_KEEP_ALIVE_S
-                    self._on_free(self)
+            if not self.is_up and not self._finish_connecting():
+                return
             self._flush()
         if mask & selectors.EVENT_READ and self.is_open:
-            try:
-                data = self.sock.recv(131072)
-            except BlockingIOError:
-                return
-            except OSError as fault:
-                self._fail(str(fault))
-                return
-            if self.attempt is None:
-                self.close()  # bytes that belong to no request, or the end of an idle connection
-                return
-            if not data:
-                self._feed_end()
-                return
-            self.replica.heard_at = self.loop.now()
-            self._feed(data)
+            self._read()
+
+    def _on_connect_timeout(self) -> None:
+        if not self.is_up:
+            self._fail(upstream_errors.ConnectionFailedError("connect timeout"))
+
+    def _finish_connecting(self) -> bool:
+        code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            self._fail(_connect_error(code))
+            return False
+        now = self.loop.now()
+        self.is_up = True
+        self.state = ConnectionState.IDLE if self.attempt is None else ConnectionState.BUSY
+        self.loop.cancel(timer=self._timer)
+        self.replica.heard_at = now
+        self._on_connected(self.replica, now - self._begun_at)
+        if self.attempt is None:
+            self.idle_since = now
+            self.idle_until = now + DEFAULT_KEEP_ALIVE_S
+            self._on_free(self)
+        return True
 
-    def _feed(self, data: bytes) -> None:
+    def _read(self) -> None:
+        try:
+            data = self.sock.recv(IO_BYTES)
+        except BlockingIOError:
+            return
+        except OSError as error:
+            self._fail(upstream_errors.ConnectionFailedError(str(error)))
+            return
+        if self.attempt is None:
+            self.close()  # bytes that belong to no request, or the end of an idle connection
+            return
+        if not data:
+            self._on_remote_end()
+            return
+        self.replica.heard_at = self.loop.now()
         try:
-            self._h11.receive_data(data)
-            self._pump()
-        except h11.RemoteProtocolError as fault:
-            self._fail(f"not an answer: {fault}")
+            self._reader.receive_data(data)
+            self._deliver_events()
+        except h11.RemoteProtocolError as error:
+            self._fail(upstream_errors.RemoteProtocolError(f"not an answer: {error}"))
         except Exception:
-            # What the broken step held is lost: nothing may follow it as if it were there.
-            self._fail("a step failed")
+            # What the broken step had in hand is lost: nothing may follow it as if it had been forwarded
+            # (test_a_fault_of_our_own_in_the_middle_of_a_stream_leaves_no_gap).
+            self._fail(upstream_errors.LocalError("a step failed"))
             raise
 
-    def _feed_end(self) -> None:
+    def _on_remote_end(self) -> None:
         try:
-            self._h11.receive_data(b"")
-            self._pump()
+            self._reader.receive_data(b"")
+            self._deliver_events()
         except h11.RemoteProtocolError:
-            pass
-        if self.is_open and self.attempt is not None:
-            self._fail("closed")
+            pass  # the answer is incomplete
+        if self.attempt is not None:
+            self._fail(upstream_errors.ConnectionEndedError("closed"))
         else:
             self.close()
 
-    def _pump(self) -> None:
-        while self.is_open and self.attempt is not None:
-            event = self._h11.next_event()
-            if event is h11.NEED_DATA or event is h11.PAUSED:
+    def _deliver_events(self) -> None:
+        reader = self._reader
+        # The attempt may give up, or the connection close, within each call.
+        while self.attempt is not None:
+            try:
+                event = reader.next_event(is_unsent=self.is_unsent)
+            except upstream_errors.UpstreamError as error:
+                self._fail(error)
                 return
-            kind = type(event)
-            if kind is h11.InformationalResponse:
-                continue
-            if kind is h11.Response:
-                if not self._sent_any:
-                    self._fail("answer before its request")
-                    return
-                headers = dict(event.headers)
-                reported_id = headers.get(b"x-attempt-id")
-                if not self._is_ours(status=event.status_code, reported_id=reported_id):
-                    # One answer too many at the head of ours: it is read past, and the connection ends after.
-                    if self._skips >= MAX_SKIPPED_RESPONSES or reported_id is None:
-                        self._fail("answer of another request")
-                        return
-                    self._skips += 1
-                    self._is_skipping = True
-                    self._is_tainted = True
-                    continue
-                connection = headers.get(b"connection", b"").lower()
-                self._must_close = b"close" in connection or event.http_version < b"1.1"
-                keep = headers.get(b"keep-alive", b"")
-                self._keep_alive_s = _keep_alive_timeout_s(keep)
-                has_chunks = b"chunked" in headers.get(b"transfer-encoding", b"").lower()
-                is_framed = (b"content-length" in headers) != has_chunks  # both: which one holds is open to doubt
-                self._is_head_seen = True
+            if isinstance(event, bytes):
+                self.attempt.on_data(event)
+            elif isinstance(event, response_reader.ResponseHead):
                 self.attempt.on_head(
-                    status=event.status_code, headers=event.headers, table=headers, is_framed=is_framed
+                    status=event.status, headers=event.headers, table=event.table, is_framed=event.is_framed
                 )
-            elif kind is h11.Data:
-                if not self._is_skipping:
-                    self.attempt.on_data(bytes(event.data))
-            elif kind is h11.EndOfMessage:
-                if self._is_skipping:
-                    trailing = self._h11.trailing_data[0]
-                    self._is_skipping = False
-                    self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
-                    self._h11.send(self._request)
-                    if self._request_has_body():
-                        self._h11.send(h11.Data(data=bytes(self._body_size())))
-                    self._h11.send(h11.EndOfMessage())
-                    if trailing:
-                        self._h11.receive_data(trailing)
-                    continue
-                self._on_response_end()
+            else:
+                if event is response_reader.Signal.RESPONSE_END:
+                    self._on_response_end()
                 return
-            elif kind is h11.ConnectionClosed:
-                self._fail("closed")
-                return
-
-    def _is_ours(self, *, status: int, reported_id) -> bool:
-        """An answer is paired by its id. Without one, only a failure on a connection that carried nothing but this."""
-        if reported_id is not None:
-            return reported_id == self.attempt.request_id
-        return self.served == 0 and self._skips == 0 and status >= 400
-
-    def _body_size(self) -> int:
-        for name, value in self._request.headers:
-            if name == b"content-length":
-                return int(value)
-        return 0
-
-    def _request_has_body(self) -> bool:
-        return self._body_size() > 0
 
     def _on_response_end(self) -> None:
         attempt, self.attempt = self.attempt, None
-        self.served += 1
+        assert attempt is not None
         self.is_paused = False
-        self._set_mask()
-        has_more = bool(self._h11.trailing_data[0])
-        is_reusable = (
-            not has_more
-            and not self._is_tainted
-            and not self._must_close
-            and not self._out
-            and self._h11.our_state is h11.DONE
-            and self._h11.their_state is h11.DONE
-        )
-        if is_reusable:
-            self._h11.start_next_cycle()
+        self._update_mask()
+        # An answer that came before all of its request had left leaves the connection in the middle of that request.
+        if not self._out and self._reader.begin_next_cycle():
+            self.state = ConnectionState.IDLE
+            stated_s = self._reader.keep_alive_s
             self.idle_since = self.loop.now()
             self.idle_until = self.idle_since + (
-                self._keep_alive_s * KEEP_ALIVE_SHARE if self._keep_alive_s is not None else DEFAULT_KEEP_ALIVE_S
+                stated_s * KEEP_ALIVE_SHARE if stated_s is not None else DEFAULT_KEEP_ALIVE_S
             )
             self._on_free(self)
         else:
@@ -290,39 +336,37 @@
     def _flush(self) -> None:
         try:
             while self._out:
-                count = self.sock.send(memoryview(self._out)[:131072])
+                count = self.sock.send(memoryview(self._out)[:IO_BYTES])
                 if count:
-                    self._sent_any = True
+                    self.is_unsent = False
                 del self._out[:count]
         except BlockingIOError:
             pass
-        except OSError as fault:
-            self._fail(str(fault))
+        except OSError as error:
+            self._fail(upstream_errors.ConnectionFailedError(str(error)))
             return
-        self._set_mask()
+        self._update_mask()
 
-    def _fail(self, reason: str) -> None:
+    # The end.
+    def _fail(self, error: upstream_errors.UpstreamError) -> None:
         if not self.is_open:
             return
         attempt, self.attempt = self.attempt, None
         was_up = self.is_up
         self.close()
         if attempt is not None:
-            attempt.on_fail(reason=reason, was_sent=self._sent_any, was_up=was_up)
+            attempt.on_fail(reason=error.text, was_sent=not self.is_unsent, was_up=was_up)
 
     def close(self) -> None:
+        """Closes it; an attempt that uses it is not notified."""
         if not self.is_open:
             return
-        self.is_open = False
+        self.state = ConnectionState.CLOSED
         self.loop.cancel(timer=self._timer)
         self.loop.unwatch(sock=self.sock)
         self.sock.close()
         self.replica.forget(self)
 
 
-def _keep_alive_timeout_s(value: bytes):
-    for part in value.split(b","):
-        name, _equals, number = part.strip().partition(b"=")
-        if name.lower() == b"timeout" and number.strip().isdigit():
-            return float(number)
-    return None
+def _connect_error(code: int) -> upstream_errors.ConnectionFailedError:
+    return upstream_errors.ConnectionFailedError(errno.errorcode.get(code, str(code)))
