--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -17,7 +17,7 @@
 FAR_S = (0.01, 0.05)
 GRAIN_S = 1e-6
 RETRY_S = (0.0, 0.2)  # what a cut held back is sent again
-pack = functools.lru_cache(maxsize=8192)(frames.pack)
+pack = functools.lru_cache(maxsize=8192, typed=True)(frames.pack)
 unpack = functools.lru_cache(maxsize=8192)(legacy_messages.unpack)
 
 
--- a/ploverward/simulation/control_plane/test_simulation.py
+++ b/ploverward/simulation/control_plane/test_simulation.py
@@ -2,10 +2,13 @@
 
 import pytest
 
+from ploverward.common.identifiers import Version
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.transport import frames
+from ploverward.transport import messages
 
 PEER_TIMEOUT_S = 0.8
 
@@ -217,3 +220,13 @@
     with pytest.raises(OSError):
         disk.append(name="f", data=b"x", size_before=0)
     assert not disk.durable
+
+
+def test_messages_of_different_types_with_equal_fields_are_packed_as_what_they_are():
+    versions = (messages.TopicVersion(topic="list", version=Version(epoch=0, number=1)),)
+    sent = [messages.Announcement(versions=versions), messages.Acknowledgement(versions=versions)]
+    assert sent[0] == sent[1]  # as named tuples, so a cache of frames must look at their types
+    assert [frames.unpack(simulated_network.pack(message)).__class__ for message in sent] == [
+        messages.Announcement,
+        messages.Acknowledgement,
+    ]
