--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -92,8 +92,13 @@
         self.incarnation = f"{name}-{scene.chance.random():.6f}"
         now = scene.world.now
         settings = loopback_proxy.settings(zones=ZONES, zone=zone, region=ZONES[zone])
-        self.quota = shared_limits.Quota(now=now, settings=settings)
-        self.quota.handle_share_lease("core", ("entry", 1.0, 1.0, 1e9, 1.0, 0, 8))
+        self.quota = shared_limits.SharedLimits(now=now, settings=settings)
+        self.quota.handle_share_lease(
+            "core",
+            messages.ShareLease(
+                slack_share=1.0, rate_share=1.0, duration_s=1e9, core_share=1.0, slot=0, slot_count=8, number=1
+            ),
+        )
         self.table = replica_table.Table(loop=scene, settings=settings, share=self.quota.rate_share)
         self.table.install_services(
             {
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -10,6 +10,7 @@
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import quota_meter
 from ploverward.control_plane.quotas import token_bucket
+from ploverward.data_plane.quotas import quota_allowance
 from ploverward.simulation import quota_simulation
 
 TOLERANCE = token_bucket.QuotaTolerance(window_s=5.0, excess=0.1, slack=20.0)
@@ -191,9 +192,7 @@
 
 
 def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
-    from ploverward.data_plane.quotas import tenant_admission
-
-    monkeypatch.setattr(tenant_admission.QuotaAllowance, "_may_admit", lambda self, tenant, limit: True)
+    monkeypatch.setattr(quota_allowance.QuotaAllowance, "_may_admit", lambda self, tenant, limit: True)
     assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).over for seed in range(4))
 
 
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -121,19 +121,25 @@
         self.quota_allowance.end_report()
 
     def _handle_share_lease(self, link, message: tuple) -> None:
-        sent_at = self._renewed_at.get(message[-1])
+        lease = legacy_messages.to_typed(message)
+        sent_at = self._renewed_at.get(lease.number)
         if sent_at is not None:
             # By the core node's address: the entry of an ended link and that of its successor are one.
-            self.quota.handle_share_lease(link.peer, message[:-1], sent_at=sent_at)
+            self.quota.handle_share_lease(link.peer, lease, sent_at=sent_at)
 
     def _handle_quota_status(self, host: str, message: tuple) -> None:
         """How fresh the configuration here is, and what may be admitted: as of when it was asked."""
-        _kind, number, version, age_s, proxies, credits = message
-        asked_at = self._renewed_at.get(number)
+        status = legacy_messages.to_typed(message)
+        asked_at = self._renewed_at.get(status.number)
         if asked_at is not None:
-            self.configuration_freshness.record(core=host, version=version, asked_at=asked_at, age_s=age_s)
+            self.configuration_freshness.record(
+                core=host, version=status.configuration_version, asked_at=asked_at, age_s=status.age_s
+            )
             self.quota_allowance.record(
-                core=host, asked_at=asked_at, proxies=proxies, credits=tenant_usage.unpack_credits(credits)
+                core=host,
+                asked_at=asked_at,
+                proxy_count=status.proxy_count,
+                credits=tenant_usage.unpack_credits(status.credit_rows),
             )
 
     def configuration_age_s(self) -> float:
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -114,7 +114,7 @@
 
 
 def chooser_for(table, loop, settings, regions):
-    quota = shared_limits.Quota(now=loop.now, settings=settings)
+    quota = shared_limits.SharedLimits(now=loop.now, settings=settings)
     return replica_chooser.Chooser(table=table, settings=settings, regions=regions, quota=quota, now=loop.now)
 
 
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -52,7 +52,7 @@
         self.loop = Pausable(loop=loop)
         self.incarnation = incarnation
         self.passages = set()
-        self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
+        self.quota = shared_limits.SharedLimits(now=loop.now, settings=self.settings)
         self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
         self.table.install_list(ROWS)
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -12,8 +12,9 @@
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_reports import relay_client
+from ploverward.data_plane.quotas import credential_freshness
+from ploverward.data_plane.quotas import quota_allowance
 from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import custody_trails
 from ploverward.data_plane.requests import graceful_shutdown
 from ploverward.data_plane.requests import route_table
@@ -38,14 +39,14 @@
         self.singleton_roles = {}
         self.routes = route_table.Routes()
         self.older_homes = []  # (until, homes by route name, homes by tenant)
-        self.configuration_freshness = tenant_admission.ConfigurationFreshness(now=self.loop.now)
-        self.credential_freshness = tenant_admission.CredentialFreshness.of(settings)
-        self.quota_allowance = tenant_admission.QuotaAllowance(
-            now=self.loop.now, lease_s=self.contact_s * tenant_admission.LEASE_SHARE
+        self.configuration_freshness = credential_freshness.ConfigurationFreshness(now=self.loop.now)
+        self.credential_freshness = credential_freshness.CredentialFreshness.of(settings)
+        self.quota_allowance = quota_allowance.QuotaAllowance(
+            now=self.loop.now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
         self.batches = custody_trails.TrailBatches(most=200)
         self._set_limits({})
-        self.quota = shared_limits.Quota(now=self.loop.now, settings=settings)
+        self.quota = shared_limits.SharedLimits(now=self.loop.now, settings=settings)
         self.rollouts = version_routing.Rollouts(
             now=self.loop.now, chance=random.random, running=self._running_elsewhere
         )
--- /dev/null
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -0,0 +1,141 @@
+"""What a proxy may admit of each tenant (docs/quotas.md 3).
+
+A tenant that most core nodes in contact take to be far from its limit is admitted freely. One that is scarce needs a
+credit for each request; core nodes send them with their replies to reports. While no core node is in contact the proxy
+has an isolated allowance.
+
+`QuotaAllowance` owns the counts of this incarnation. They only grow, so that core nodes can merge reports in any order
+(a G-counter, `ploverward.control_plane.quotas.quota_meter`).
+"""
+
+import collections
+import typing
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Mapping
+from typing import Any
+
+from ploverward.common import tenant_usage
+from ploverward.data_plane.quotas import isolated_allowance
+
+LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply counts
+BASE_CREDITS = 1.0  # a proxy keeps so many beside its newest: each core node sends a fraction of a credit at a time
+
+
+class _CoreReply(typing.NamedTuple):
+    until: float
+    scarce_tenants: frozenset[bytes]
+
+
+class QuotaAllowance:
+    """Admits requests of tenants with limits.
+
+    Args:
+        now: Clock of this process, in seconds.
+        lease_s: How long a core node's reply counts, from when its report was sent.
+    """
+
+    def __init__(self, *, now: Callable[[], float], lease_s: float) -> None:
+        self._now = now
+        self._lease_s = lease_s
+        self._limits: dict[bytes, tenant_usage.Limit] = {}  # by tenant key, as all below
+        self._admitted: collections.Counter[bytes] = collections.Counter()  # in this incarnation
+        self._demand: collections.Counter[bytes] = collections.Counter()  # since the last report
+        self._returned: dict[bytes, collections.deque[float]] = {}  # until when each returned admission may be used
+        self._credits: dict[bytes, float] = {}
+        self._core_replies: dict[str, _CoreReply] = {}  # by core node
+        self._reported: dict[str, dict[bytes, int]] = {}  # by core node: admitted, as reported last
+        self._isolated = isolated_allowance.IsolatedAllowance(now=now)
+
+    def install(self, configuration: Mapping[str, Any] | None) -> None:
+        """Installs the limits of a configuration."""
+        self._limits = tenant_usage.limits_of(configuration)
+        self._credits = {tenant: tokens for tenant, tokens in self._credits.items() if tenant in self._limits}
+        self._isolated.keep_only(self._limits.keys())
+
+    @property
+    def is_on(self) -> bool:
+        """Whether any tenant has a limit."""
+        return bool(self._limits)
+
+    def admit(self, tenant: bytes) -> bool:
+        """Admits one more request of this tenant and counts it, or refuses it."""
+        limit = self._limits.get(tenant)
+        if limit is None:
+            return True
+        self._demand[tenant] += 1
+        if self._use_returned_admission(tenant):
+            return True
+        if not self._may_admit(tenant, limit):
+            return False
+        self._admitted[tenant] += 1
+        return True
+
+    def return_admission(self, tenant: bytes) -> None:
+        """Returns the admission of a request that will never run. It stays counted, for one more request."""
+        if tenant in self._limits:
+            self._returned.setdefault(tenant, collections.deque()).append(self._now() + self._lease_s)
+
+    def _use_returned_admission(self, tenant: bytes) -> bool:
+        returned = self._returned.get(tenant)
+        while returned:
+            if returned.popleft() > self._now():
+                return True
+        return False
+
+    def _may_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
+        now = self._now()
+        live = [reply.scarce_tenants for reply in self._core_replies.values() if reply.until > now]
+        if not live:
+            return self._isolated.may_admit(tenant, limit)
+        if 2 * sum(tenant in scarce for scarce in live) < len(live):
+            return True  # a core node that has just started has no counts: the majority of the replies decides
+        if self._credits.get(tenant, 0.0) < 1.0:
+            return False
+        self._credits[tenant] -= 1.0
+        return True
+
+    def report(self, *, core: str) -> bytes:
+        """The rows that changed since the last report to this core node, packed for `messages.RenewShares`."""
+        reported = self._reported.setdefault(core, {})
+        rows = []
+        for tenant in self._limits:
+            demand = self._demand[tenant]
+            admitted = self._admitted[tenant]
+            if demand or admitted != reported.get(tenant, 0):
+                rows.append(tenant_usage.Usage(tenant=tenant, demand=demand, admitted=admitted))
+                reported[tenant] = admitted
+        return tenant_usage.pack_usage(rows)
+
+    def end_report(self) -> None:
+        """Counts demand anew: all core nodes have got their reports."""
+        self._demand.clear()
+        now = self._now()
+        if any(reply.until > now for reply in self._core_replies.values()):
+            self._isolated.update_rates(tenants=self._limits, admitted=self._admitted)
+
+    def forget(self, *, core: str) -> None:
+        """The connection to this core node ended: its last report may not have arrived, so all is reported again."""
+        self._reported.pop(core, None)
+
+    def record(self, *, core: str, asked_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
+        """Records a core node's reply.
+
+        Args:
+            core: The core node.
+            asked_at: When the report that it answers was sent, on this proxy's clock.
+            proxy_count: How many proxies there are.
+            credits: The scarce tenants, with this proxy's credits.
+        """
+        until = asked_at + self._lease_s
+        current = self._core_replies.get(core)
+        if current is not None and current.until >= until:
+            return
+        credits = list(credits)
+        self._core_replies[core] = _CoreReply(until, frozenset(credit.tenant for credit in credits))
+        self._isolated.proxy_count = max(1, proxy_count)
+        self._isolated.was_in_contact = True
+        for credit in credits:
+            if credit.tenant in self._limits:
+                most = BASE_CREDITS + credit.tokens * len(self._core_replies)
+                self._credits[credit.tenant] = min(most, self._credits.get(credit.tenant, 0.0) + credit.tokens)
--- /dev/null
+++ b/ploverward/data_plane/quotas/tenant_directory.py
@@ -0,0 +1,89 @@
+"""The tenants of a configuration, found by the key that a request has (docs/keys.md 1).
+
+`TenantDirectory` keeps no keys: it finds them by a keyed digest with a salt that each configuration and process draws
+anew, so that nothing in memory, in logs or on the wire tells a key.
+"""
+
+import dataclasses
+import hashlib
+import os
+from collections.abc import Mapping
+from typing import Any
+
+from ploverward.common import tenant_usage
+
+BEARER = b"bearer "
+DIGEST_BYTES = 16
+
+
+@dataclasses.dataclass(frozen=True)
+class Tenant:
+    """A tenant as the configuration has it.
+
+    Attributes:
+        name: Its name, which replicas get.
+        priority: Takes the place of the route's; None: the route's stands.
+        homes: Regions that its requests may go to; empty: all.
+        limit: Its quota; None: unlimited.
+    """
+
+    name: str
+    priority: int | None
+    homes: tuple[str, ...]
+    limit: tenant_usage.Limit | None
+
+    @property
+    def key(self) -> bytes:
+        """Eight bytes that stand for its name between nodes."""
+        return tenant_usage.tenant_key(self.name)
+
+
+def bearer_key(header: bytes) -> bytes:
+    """The key in the value of an Authorization header; empty where there is none."""
+    text = header.strip()
+    if text[: len(BEARER)].lower() != BEARER:
+        return b""
+    return text[len(BEARER) :].strip()
+
+
+class TenantDirectory:
+    """The tenants of one configuration.
+
+    Attributes:
+        by_name: All tenants.
+    """
+
+    def __init__(self, *, configuration: Mapping[str, Any]) -> None:
+        self.by_name: dict[str, Tenant] = {}
+        self._salt = os.urandom(16)
+        self._by_digest: dict[bytes, Tenant] = {}
+        for row in configuration["senders"]:
+            tenant = _tenant(row)
+            self.by_name[tenant.name] = tenant
+            for key in row.get("apiKeys") or ():
+                self._by_digest[self._digest(key.encode())] = tenant
+
+    def _digest(self, key: bytes) -> bytes:
+        return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=self._salt).digest()
+
+    def find(self, key: bytes) -> Tenant | None:
+        """The tenant that has this key."""
+        return self._by_digest.get(self._digest(key))
+
+
+def _tenant(row: Mapping[str, Any]) -> Tenant:
+    per_s = float(row.get("perS") or 0)
+    priority = row.get("urgency")
+    return Tenant(
+        name=row["name"],
+        priority=None if priority is None else int(priority),
+        homes=tuple(row.get("homeRegions") or ()),
+        limit=tenant_usage.Limit(per_s=per_s, burst=float(row.get("burst") or 0)) if per_s > 0 else None,
+    )
+
+
+def tenant_directory_of(configuration: Mapping[str, Any] | None) -> TenantDirectory | None:
+    """The directory of a configuration; None where it names no tenants, so that requests need no key."""
+    if not configuration or configuration.get("senders") is None:
+        return None
+    return TenantDirectory(configuration=configuration)
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -11,24 +11,38 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.simulation import loopback_proxy
 from ploverward.transport import event_loop
+from ploverward.transport import messages
 
 SERVICES = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
 
 
+def share_lease(share, *, duration_s=1000.0, core_share=1.0, rate_slot=(0, 8)):
+    slot, slot_count = rate_slot
+    return messages.ShareLease(
+        slack_share=share,
+        rate_share=share,
+        duration_s=duration_s,
+        core_share=core_share,
+        slot=slot,
+        slot_count=slot_count,
+        number=1,
+    )
+
+
 def make(*, share=0.5):
     clock = [100.0]
-    quota = shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings())
+    quota = shared_limits.SharedLimits(now=lambda: clock[0], settings=loopback_proxy.settings())
     if share:
-        quota.handle_share_lease("core", ("entry", share, share, 1000.0, share, 0, 8))
+        quota.handle_share_lease("core", share_lease(share, core_share=share))
     return quota, clock
 
 
 def test_without_a_share_lease_nothing_of_the_slack_is_spent():
     quota, _clock = make(share=0)
-    assert not quota.charge_retry("llm")
+    assert not quota.retry_budget.charge("llm")
     for _ in range(100):
-        quota.record_request("llm")
-    assert sum(quota.charge_retry("llm") for _ in range(100)) == 18
+        quota.retry_budget.record_request("llm")
+    assert sum(quota.retry_budget.charge("llm") for _ in range(100)) == 18
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -39,9 +53,9 @@
     for _ in range(3000):
         clock[0] += chance.random() * 0.05
         if chance.random() < 0.5:
-            quota.record_request("llm")
+            quota.retry_budget.record_request("llm")
             request_times.append(clock[0])
-        elif quota.charge_retry("llm"):
+        elif quota.retry_budget.charge("llm"):
             extras.append(clock[0])
     for end in extras:
         mine = sum(1 for when in extras if end - 10 < when <= end)
@@ -74,23 +88,16 @@
 
 def test_a_share_lease_counts_from_its_renewal_and_once_for_each_core_node():
     quota, clock = make(share=0)
-    message = ("entry", 0.25, 0.25, 1.5, 0.25, 0, 8)
+    message = share_lease(0.25, duration_s=1.5, core_share=0.25)
     quota.handle_share_lease("10.0.0.1:1", message, sent_at=99.0)
     quota.handle_share_lease("10.0.0.1:1", message, sent_at=99.8)  # by a link that was opened again
-    assert quota.share() == 0.25
-    quota.handle_share_lease("10.0.0.1:1", ("entry", 0.5, 0.5, 1.5, 0.25, 0, 8), sent_at=99.4)  # late
-    assert quota.share() == 0.25
+    assert quota.slack_share() == 0.25
+    quota.handle_share_lease("10.0.0.1:1", share_lease(0.5, duration_s=1.5, core_share=0.25), sent_at=99.4)  # late
+    assert quota.slack_share() == 0.25
     quota.handle_share_lease("10.0.0.2:1", message, sent_at=98.0)  # found by a thawed process: it has run out
-    assert quota.share() == 0.25
+    assert quota.slack_share() == 0.25
     clock[0] = 101.31
-    assert quota.share() == 0.0
-
-
-class StubConnection:
-    """A core node's end of a link, as far as an entry needs it."""
-
-    def __init__(self, peer):
-        self.peer = peer
+    assert quota.slack_share() == 0.0
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -100,8 +107,8 @@
     chance = random.Random(seed)
     clock = [100.0]
     lease_s, bound = 1.5, 10 * 1.5 + 5
-    books = [rate_slots.RateSlots(now=lambda: clock[0], reserved_s=lease_s + 1.5) for _ in range(cores)]
-    links = [StubConnection(f"10.0.0.{number}:1") for number in range(cores)]
+    tables = [rate_slots.RateSlots(now=lambda: clock[0], reserved_s=lease_s + 1.5) for _ in range(cores)]
+    addresses = [f"10.0.0.{number}:1" for number in range(cores)]
     nodes = {}
     started_nodes = 0
 
@@ -109,7 +116,7 @@
         nonlocal started_nodes
         started_nodes += 1
         nodes[f"n{started_nodes}"] = (
-            shared_limits.Quota(now=lambda: clock[0], settings=loopback_proxy.settings()),
+            shared_limits.SharedLimits(now=lambda: clock[0], settings=loopback_proxy.settings()),
             [
                 replica_table.Replica(
                     row={
@@ -138,17 +145,15 @@
             start()
         for name, (quota, cold_replicas) in nodes.items():
             if step % 8 == 0:
-                for share_table, link in zip(books, links, strict=False):
+                for rate_slot_table, core in zip(tables, addresses, strict=True):
                     if chance.random() < 0.9:
                         quota.handle_share_lease(
-                            link,
-                            (
-                                "entry",
-                                0.9 / count / cores,
+                            core,
+                            share_lease(
                                 0.9 / count / cores,
-                                lease_s,
-                                1 / cores,
-                                *share_table.renew(node=name),
+                                duration_s=lease_s,
+                                core_share=1 / cores,
+                                rate_slot=rate_slot_table.renew(node=name),
                             ),
                         )
             for replica in cold_replicas:
@@ -181,8 +186,8 @@
 
 def make_chooser(rows):
     loop = event_loop.Loop()
-    quota = shared_limits.Quota(now=loop.now, settings=loopback_proxy.settings())
-    quota.handle_share_lease("core", ("entry", 1.0, 1.0, 1000.0, 1.0, 0, 8))
+    quota = shared_limits.SharedLimits(now=loop.now, settings=loopback_proxy.settings())
+    quota.handle_share_lease("core", share_lease(1.0))
     table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
     table.services = SERVICES
     table.install_list(rows)
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -13,7 +13,8 @@
 import random
 import typing
 
-from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.quotas import credential_freshness
+from ploverward.data_plane.quotas import tenant_directory as tenant_directories
 from ploverward.data_plane.relay import cuckoo_filter
 
 if typing.TYPE_CHECKING:
@@ -108,7 +109,7 @@
     """
 
     route: route_table.Route | None = None
-    tenant: tenant_admission.Tenant | None = None
+    tenant: tenant_directories.Tenant | None = None
     service: str = ""
     model: Model = NO_MODEL
     prompt: Prompt = NO_PROMPT
@@ -192,7 +193,7 @@
 
 def authenticate_tenant(
     *, request: http_request.Request, route: route_table.Route, context: handler_context.HandlerContext
-) -> tenant_admission.Tenant | Refused | None:
+) -> tenant_directories.Tenant | Refused | None:
     """Returns the tenant whose key the request has, None where no key is wanted, or why it is refused.
 
     More than one Authorization header counts as no key. A key that this proxy does not know is refused with 401 only
@@ -202,14 +203,14 @@
     if tenant_directory is None or route.is_keyless:
         return None
     rows = [value for name, value in request.headers if name == b"authorization"]
-    key = tenant_admission.key_of(rows[0]) if len(rows) == 1 else b""
+    key = tenant_directories.bearer_key(rows[0]) if len(rows) == 1 else b""
     tenant = tenant_directory.find(key) if key else None
     verdict = context.credential_freshness.verdict(
         tenant=tenant, has_key=bool(key), age_s=context.configuration_age_s()
     )
-    if verdict is tenant_admission.Verdict.UNKNOWN:
+    if verdict is credential_freshness.CredentialVerdict.UNKNOWN:
         return Refused(status=401)
-    if verdict is tenant_admission.Verdict.UNSURE:
+    if verdict is credential_freshness.CredentialVerdict.UNSURE:
         return Refused(status=503, after_s=context.failover_s)
     return tenant
 
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -19,7 +19,7 @@
 
     from ploverward.data_plane.adapter_cache import adapter_counts
     from ploverward.data_plane.load_balancing import replica_table
-    from ploverward.data_plane.quotas import tenant_admission
+    from ploverward.data_plane.quotas import tenant_directory
     from ploverward.data_plane.requests import custody_trails
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import event_loop
@@ -86,7 +86,7 @@
     left_s: float,
     last_id: bytes | None,
     has_tenants: bool = False,
-    tenant: tenant_admission.Tenant | None = None,
+    tenant: tenant_directory.Tenant | None = None,
 ) -> h11.Request:
     """Returns the client's head as one replica gets it.
 
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -15,8 +15,10 @@
     from ploverward.data_plane.adapter_cache import adapter_counts
     from ploverward.data_plane.load_balancing import replica_chooser
     from ploverward.data_plane.load_balancing import replica_table
+    from ploverward.data_plane.quotas import credential_freshness
+    from ploverward.data_plane.quotas import quota_allowance
     from ploverward.data_plane.quotas import shared_limits
-    from ploverward.data_plane.quotas import tenant_admission
+    from ploverward.data_plane.quotas import tenant_directory
     from ploverward.data_plane.requests import custody_trails
     from ploverward.data_plane.requests import graceful_shutdown
     from ploverward.data_plane.requests import request_handler
@@ -55,9 +57,9 @@
     is_serving: bool
     drain_window: graceful_shutdown.DrainWindow
     routes: route_table.Routes
-    quota: shared_limits.Quota
-    quota_allowance: tenant_admission.QuotaAllowance
-    credential_freshness: tenant_admission.CredentialFreshness
+    quota: shared_limits.SharedLimits
+    quota_allowance: quota_allowance.QuotaAllowance
+    credential_freshness: credential_freshness.CredentialFreshness
     rollouts: version_routing.Rollouts
     table: replica_table.Table
     chooser: replica_chooser.Chooser
@@ -66,7 +68,7 @@
     passages: set[request_handler.RequestHandler]
 
     def permitted(
-        self, *, route: route_table.Route, first_homes: Collection[str], tenant: tenant_admission.Tenant | None
+        self, *, route: route_table.Route, first_homes: Collection[str], tenant: tenant_directory.Tenant | None
     ) -> frozenset[str] | None:
         """Returns the regions that may serve a request, None for all; `first_homes` bind besides those in force."""
 
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -123,7 +123,7 @@
                 self._answer(status=refused.status)
             return
         self._on(request_state.RequestEvent.ADMITTED)
-        self.context.quota.record_request(facts.service)
+        self.context.quota.retry_budget.record_request(facts.service)
         self._deadline_timer = self.loop.at(when=facts.deadline, callback=self.on_deadline)
         self._wait_until = self.request.at + facts.latency_target_s * QUEUE_WAIT_SHARE
         self._try_attempt()
@@ -145,7 +145,7 @@
                 self._retry_after_s = max(self._retry_after_s, self.context.failover_s)
             self._wait_or_reject()
             return
-        if self.policy.arrivals and not self.context.quota.charge_retry(facts.service):
+        if self.policy.arrivals and not self.context.quota.retry_budget.charge(facts.service):
             self._give_up()
             return
         connection = self.context.table.connection(replica=replica, request_id=self.request_id)
@@ -201,7 +201,7 @@
         may_retry = self.policy.may_retry(
             route=route, now=self.loop.now(), deadline=self.facts.deadline, is_sending=self._runner.is_sending
         )
-        if not may_retry or not self.context.quota.has_retry_budget(self.facts.service):
+        if not may_retry or not self.context.quota.retry_budget.has_budget(self.facts.service):
             return False
         replica = self._choose(route=route, avoided=self._selection.avoided | {attempt.replica.id}).replica
         return replica is not None and self.context.table.has_capacity(replica=replica)
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -9,7 +9,7 @@
 import dataclasses
 import typing
 
-from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.quotas import tenant_directory
 
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
@@ -99,7 +99,7 @@
 
     def __init__(self, *, body: Mapping[str, typing.Any] | None = None) -> None:
         self.edition: int = body["edition"] if body else 0
-        self.tenant_directory = tenant_admission.tenant_directory_of(body)
+        self.tenant_directory = tenant_directory.tenant_directory_of(body)
         self._hosts: dict[str, dict[str, Route]] = {}  # by host, by path prefix
         for row in (body or {}).get("routes", ()):
             self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route.of(row)
--- a/ploverward/simulation/capacity.py
+++ b/ploverward/simulation/capacity.py
@@ -132,7 +132,7 @@
     table = replica_table.Table(loop=Loop(), settings=loopback_proxy.settings(), share=lambda: share)
     table.install_services({"llm": {"models": ("m",), "cache_tokens": 200000, "max_conns": 500}})
     table.install_list(rows(count))
-    quota = shared_limits.Quota(now=time.monotonic, settings=loopback_proxy.settings())
+    quota = shared_limits.SharedLimits(now=time.monotonic, settings=loopback_proxy.settings())
     region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
     host = relay(count)
     link = recording_connections.RecordingLink()
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -34,7 +34,7 @@
         self.loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
         self._contact_s = node_settings.bound_s(name="contactMs")
         self._peer_timeout_s = self._contact_s / 5
-        self.quota = shared_limits.Quota(now=self.loop.now, settings=node_settings)
+        self.quota = shared_limits.SharedLimits(now=self.loop.now, settings=node_settings)
         self._list = None  # packed, as this proxy has it
         self.subscriber = subscriber.Subscriber(
             now=self.loop.now,
@@ -103,9 +103,10 @@
             self._handle_share_lease(host, message)
 
     def _handle_share_lease(self, host: str, message: tuple) -> None:
-        sent_at = self._renewed_at.get(message[-1])
+        lease = legacy_messages.to_typed(message)
+        sent_at = self._renewed_at.get(lease.number)
         if sent_at is not None:
-            self.quota.handle_share_lease(host, message[:-1], sent_at=sent_at)
+            self.quota.handle_share_lease(host, lease, sent_at=sent_at)
             self._recorder.shares(self)
 
     def _check_serving(self) -> None:
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -165,8 +165,8 @@
         now, offset = self._clock.time, proxy.process.offset
         rows = self._shares.setdefault(proxy.incarnation, {SLACKS: [], RATES: []})
         self._proxies[proxy.incarnation] = proxy
-        entries = [lease for lease in proxy.quota._leases.values() if lease[2] - offset > now]
-        ends = sorted({lease[2] for lease in entries})
+        entries = [lease for lease in proxy.quota.leases.values() if lease.until - offset > now]
+        ends = sorted({lease.until for lease in entries})
         for column, kind in enumerate((SLACKS, RATES)):
             since = now - self._windows[kind]
             known = rows[kind]
@@ -175,7 +175,7 @@
             known = [row for row in known if row[0] < now]
             # Without a further entry the share falls as those held run out.
             for begin in (now + offset, *ends):
-                share = sum(lease[column] for lease in entries if lease[2] > begin)
+                share = sum(lease[column] for lease in entries if lease.until > begin)
                 if not known or known[-1][1] != share:
                     known.append((begin - offset, share))
             rows[kind] = known
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -7,8 +7,9 @@
 from ploverward.data_plane.control_client import core_sessions
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.quotas import credential_freshness
+from ploverward.data_plane.quotas import quota_allowance
 from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.quotas import tenant_admission
 from ploverward.data_plane.requests import custody_trails
 from ploverward.data_plane.requests import graceful_shutdown
 from ploverward.data_plane.requests import request_handler
@@ -16,6 +17,7 @@
 from ploverward.data_plane.rollouts import version_routing
 from ploverward.simulation import loopback
 from ploverward.transport import http_server
+from ploverward.transport import messages
 
 SETTINGS = """
 node=p1
@@ -86,8 +88,13 @@
         self.is_draining = False
         self.drain_window = graceful_shutdown.DrainWindow(now=loop.now, grace_s=self.settings.bound(name="graceS"))
         self.routes = route_table.Routes(body=CONFIGURATION)
-        self.quota = shared_limits.Quota(now=loop.now, settings=self.settings)
-        self.quota.handle_share_lease("core", ("entry", share, share, 1000.0, 1.0, 0, 8))
+        self.quota = shared_limits.SharedLimits(now=loop.now, settings=self.settings)
+        self.quota.handle_share_lease(
+            "core",
+            messages.ShareLease(
+                slack_share=share, rate_share=share, duration_s=1000.0, core_share=1.0, slot=0, slot_count=8, number=1
+            ),
+        )
         self.rollouts = version_routing.Rollouts(now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0)
         self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.install_services(route_table.services(body=CONFIGURATION))
@@ -100,9 +107,9 @@
         self.number = 0
         self.faults = []
         self.older_homes = []
-        self.credential_freshness = tenant_admission.CredentialFreshness.of(self.settings)
+        self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
         self.configuration_age = 0.0
-        self.quota_allowance = tenant_admission.QuotaAllowance(now=loop.now, lease_s=1.0)
+        self.quota_allowance = quota_allowance.QuotaAllowance(now=loop.now, lease_s=1.0)
         self.rows = [
             {
                 "id": f"i{number}",
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -10,7 +10,7 @@
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import quota_meter
 from ploverward.control_plane.quotas import token_bucket
-from ploverward.data_plane.quotas import tenant_admission
+from ploverward.data_plane.quotas import quota_allowance as quota_allowances
 from ploverward.simulation import simulated_world
 
 HEARTBEAT_INTERVAL_S = 0.4
@@ -72,7 +72,7 @@
 
     def start(self) -> None:
         self.incarnation += 1
-        self.quota_allowance = tenant_admission.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
+        self.quota_allowance = quota_allowances.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
         self.quota_allowance.install(self.simulation.body)
 
     def send_heartbeats(self) -> None:
@@ -100,7 +100,7 @@
 
         def answered(credits, proxies):
             if not self.is_partitioned and quota_allowance is self.quota_allowance:
-                quota_allowance.record(core=core.name, asked_at=asked_at, proxies=proxies, credits=credits)
+                quota_allowance.record(core=core.name, asked_at=asked_at, proxy_count=proxies, credits=credits)
 
         return deliver
 
