--- /dev/null
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -0,0 +1,125 @@
+"""Two digests of a region share the gateway beside its relay: one stream to the other region, whoever ends or freezes."""
+
+from ploverward.simulation import loopback
+from ploverward.simulation import zone_proxies
+from ploverward.transport import frames
+from ploverward.transport import messages
+
+
+def test_one_stream_runs_to_the_other_region_however_many_digests_there_are():
+    zones = zone_proxies.Gates()
+    zones.work(seed=20)
+    zones.converge()
+    gateway = zones.relay("north").gateway
+    assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
+    assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
+    assert not zones.relay("south").gateway.digest.is_connected  # without members it keeps no streams
+    zones.work(seed=21)
+    zones.converge()
+
+
+def test_a_gateway_that_ends_takes_its_streams_along_and_its_successor_counts_nothing_twice():
+    zones = zone_proxies.Gates()
+    zones.work(seed=22)
+    zones.converge()
+    zones.stop(zones.singleton_roles["relay/north"][1])
+    zones.work(seed=23)
+    zones.assign_roles()
+    zones.work(seed=24)
+    zones.converge()
+    gateway = zones.relay("north").gateway
+    assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
+    zones.converge()
+
+
+def test_a_frozen_gateway_is_refused_when_it_thaws():
+    zones = zone_proxies.Gates()
+    zones.work(seed=25)
+    zones.converge()
+    former = zones.relay("north")
+    former.loop.is_frozen = True
+    zones.live.discard(former.settings.ip)
+    zones.assign_roles()
+    zones.work(seed=26)
+    zones.converge()
+    former.loop.thaw()
+    zones.converge()  # it takes itself for the gateway still; the south's relay refuses its older epoch
+    assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
+    epochs = [known.zone_epoch for known in zones.relay("south").relay.subscribers.values() if known.zone_epoch]
+    assert epochs == [2]
+
+
+def test_a_lost_far_relay_is_read_anew_through_the_gateway():
+    zones = zone_proxies.Gates(more={zone_proxies.address(8): "zb"})
+    zones.work(seed=27)
+    zones.converge()
+    former = zones.singleton_roles["relay/south"][1]
+    zones.stop(former)
+    zones.work(seed=28)
+    assert loopback.until(
+        zones.loop, lambda: all(zones.nodes[ip].regions["south"].broken_at is not None for ip in zones.live)
+    )
+    zones.assign_roles()
+    assert zones.singleton_roles["relay/south"][1] != former
+    zones.converge()
+
+
+def test_nonsense_from_a_gateway_closes_its_link_and_changes_nothing():
+    zones = zone_proxies.Gates()
+    zones.work(seed=28)
+    zones.converge()
+    gateway = zones.relay("north").gateway
+    assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
+    link = next(iter(gateway.digest.fanout.members))
+    before = {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live}
+    loads = messages.ReplicaLoads(gateway.digest.mirrors["south"].epoch, False, b"nonsense")
+    link.send(messages.RelayedFrame("south", frames.pack(loads)))
+    assert loopback.until(zones.loop, lambda: not link.is_open)
+    assert {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live} == before
+    zones.converge()  # and the digest comes back with its whole state
+
+
+def test_a_digest_of_an_older_epoch_is_not_admitted_by_the_gateway():
+    zones = zone_proxies.Gates()
+    zones.work(seed=29)
+    zones.converge()
+    gateway = zones.relay("north").gateway
+    assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
+
+    class Late:
+        is_open = True
+
+        def close(self, *, reason=""):
+            self.is_open = False
+
+    late = Late()
+    gateway.join(late, messages.JoinGateway(epoch=1, digest="digest/za", digest_epoch=0))
+    assert not late.is_open and late not in gateway.digest.fanout.members
+
+
+def test_members_that_follow_some_replicas_see_those_exactly():
+    zones = zone_proxies.Gates()
+    member = zones.nodes[zone_proxies.address(1)]
+    assert loopback.until(zones.loop, lambda: member.is_member)
+    member.table.followed_keys = lambda: frozenset([member.table.replicas["i1"].key])
+    zones.work(seed=30)
+    assert loopback.until(zones.loop, lambda: all(member.sees("i1") == zones.truth("i1") for _ in (0,)))
+    others = [node for ip, node in zones.nodes.items() if ip != zone_proxies.address(1)]
+    assert loopback.until(
+        zones.loop,
+        lambda: all(node.sees(row["id"]) == zones.truth(row["id"]) for node in others for row in zone_proxies.ROWS),
+    )
+    assert member.sees("i1") == zones.truth("i1")
+
+
+def test_a_connection_that_ends_at_a_heartbeat_harms_no_other():
+    zones = zone_proxies.Gates()
+    zones.converge()
+    node = zones.relay("north")
+    assert loopback.until(zones.loop, lambda: len(node.relay.subscribers) == 3)
+    links = [*node.relay.subscribers, *node.digest.fanout.members, *node.gateway.digest.fanout.members]
+    for link in links:
+        link.send = lambda message, link=link: link.close(reason="ended as it was written to")
+    node.client.send_heartbeats()
+    assert not any(link.is_open for link in links)
+    zones.converge()
--- /dev/null
+++ b/ploverward/data_plane/relay/test_actor.py
@@ -0,0 +1,107 @@
+"""The actor and its filter: exact ownership, reference counts, evictions, what fits into a slot."""
+
+import random
+
+import pytest
+
+from ploverward.data_plane.relay import actor as actors
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.simulation import relay_hosts
+
+
+def find_bits(table, full_hash):
+    """What the slot of a hash says of its owners; 0 where it has none."""
+    fingerprint, *buckets = cuckoo_filter.fingerprint_and_buckets(full_hash=full_hash, bucket_count=table.bucket_count)
+    found = 0
+    for index in buckets:
+        for stored, bits in table.buckets[index]:
+            if stored == fingerprint:
+                found |= bits
+    return found
+
+
+def owner_bits(actor, full_hash):
+    return find_bits(actor.filter, full_hash)
+
+
+def test_sequence_hash_root_is_the_token_hash_and_children_extend():
+    first = cuckoo_filter.token_hash(model="m", part="a", tokens=10)
+    one, two = relay_hosts.rows("a", "b")
+    assert one[0] == first
+    assert two[0] == cuckoo_filter.sequence_hash(
+        parent=first, token_hash=cuckoo_filter.token_hash(model="m", part="b", tokens=10)
+    )
+    assert relay_hosts.rows("x", "b")[1][0] != two[0]
+
+
+def test_first_owner_inserts_and_last_exit_removes():
+    actor = actors.Actor(cache_tokens=1000)
+    chain = relay_hosts.rows("a")
+    actor.read(replica="r1", rows=chain)
+    actor.read(replica="r2", rows=chain)
+    assert owner_bits(actor, chain[0][0]) == 0b11
+    actor.forget(replica="r1", full_hash=chain[0][0])
+    assert owner_bits(actor, chain[0][0]) == 0b10
+    actor.drop(replica="r2")
+    assert owner_bits(actor, chain[0][0]) == 0
+    assert actor.owners(chain[0][0]) == frozenset()
+
+
+def test_unknown_removals_do_nothing():
+    actor = actors.Actor(cache_tokens=1000)
+    actor.read(replica="r1", rows=relay_hosts.rows("a"))
+    before = [list(bucket) for bucket in actor.filter.buckets]
+    actor.forget(replica="r1", full_hash=b"12345678")
+    actor.forget(replica="nobody", full_hash=relay_hosts.rows("a")[0][0])
+    actor.drop(replica="nobody")
+    assert actor.filter.buckets == before
+
+
+def test_least_recently_used_parts_are_evicted():
+    actor = actors.Actor(cache_tokens=40)
+    for name in "abcd":
+        actor.read(replica="r1", rows=relay_hosts.rows(name))
+    actor.read(replica="r1", rows=relay_hosts.rows("a"))
+    actor.read(replica="r1", rows=relay_hosts.rows("e"))
+    assert owner_bits(actor, relay_hosts.rows("b")[0][0]) == 0
+    assert owner_bits(actor, relay_hosts.rows("a")[0][0]) == 1
+    assert actor.kept_tokens("r1") == 40
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_filter_agrees_with_exact_ownership(seed):
+    chance = random.Random(seed)
+    actor = actors.Actor(cache_tokens=400, bucket_count=64)
+    names = [f"p{number}" for number in range(60)]
+    for _ in range(600):
+        who = chance.choice(("r1", "r2", "r3"))
+        if chance.random() < 0.03:
+            actor.drop(replica=who)
+        else:
+            actor.read(replica=who, rows=relay_hosts.rows(*chance.sample(names, 2)))
+    for full_hash in actor._owners:
+        expected = sum(1 << actor.owner_bits[owner] for owner in actor.owners(full_hash))
+        assert owner_bits(actor, full_hash) & expected == expected or actor.omitted
+
+
+def test_a_full_filter_leaves_nothing_half_moved():
+    table = cuckoo_filter.Filter(bucket_count=2)
+    chance = random.Random(4)
+    inserted = []
+    for _ in range(40):
+        full_hash = chance.randbytes(8)
+        before = [list(bucket) for bucket in table.buckets]
+        if table.put(full_hash=full_hash, bits=1):
+            inserted.append(full_hash)
+        else:
+            assert table.buckets == before
+    assert all(find_bits(table, full_hash) for full_hash in inserted)
+
+
+def test_an_image_of_a_wide_pool_does_not_grow_with_its_replicas():
+    sizes = {
+        count: len(cuckoo_filter.empty_image(words=cuckoo_filter.words_for(owner_bits=count)))
+        for count in (3, 16, 17, 200, 900, 4500)
+    }
+    assert sizes[3] == sizes[16] == 24
+    assert sizes[17] == sizes[200] == sizes[900] == sizes[4500] == 60
--- /dev/null
+++ b/ploverward/simulation/zone_proxies.py
@@ -0,0 +1,254 @@
+"""Proxies of two regions on real sockets, without traffic and without the core: singleton roles are handed to them."""
+
+import dataclasses
+import random
+import socket
+
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_reports import relay_client
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.simulation import loopback
+from ploverward.simulation import loopback_proxy
+
+ROWS = [
+    {
+        "id": f"i{number}",
+        "service": "llm",
+        "address": "127.0.0.1:9",
+        "zone": zone,
+        "berths": 8,
+        "is_clearing": False,
+        "cold_ms": 0,
+        "left_ms": None,
+        "models": ["m"],
+    }
+    for number, zone in enumerate(("za", "za", "zb"))
+]
+
+
+def address(number: int) -> str:
+    """Of the proxy with this number."""
+    return loopback.own_address(host=number)
+
+
+class RequestHandler:
+    def __init__(self, replica):
+        self.attempt = self
+        self.replica = replica
+
+
+class Node:
+    """A proxy without its traffic and without the core: singleton roles are handed to it."""
+
+    def __init__(self, *, loop, ip, zone, ports, incarnation):
+        zones = {"za": "north", "zc": "north", "zb": "south"}
+        self.settings = dataclasses.replace(
+            loopback_proxy.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
+        )
+        self.loop = Pausable(loop=loop)
+        self.incarnation = incarnation
+        self.passages = set()
+        self.quota = shared_limits.SharedLimits(now=loop.now, settings=self.settings)
+        self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
+        self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
+        self.table.install_list(ROWS)
+        self.client = relay_client.RelayClient(
+            loop=self.loop,
+            settings=lambda: self.settings,
+            incarnation=incarnation,
+            contact_s=1.0,
+            peer_timeout_s=0.25,
+            table=self.table,
+            adapters=adapter_counts.Counter(now=loop.now, window_s=6.0, trust_s=0.5),
+            replicas_in_use=lambda: {handler.replica for handler in self.passages},
+            near_core=lambda: None,
+        )
+        self.regions = self.client.regions
+        self.chooser = replica_chooser.Chooser(
+            table=self.table,
+            settings=self.settings,
+            regions=self.regions,
+            quota=self.quota,
+            now=loop.now,
+            counted=self.client.source.counted,
+        )
+        self.tick()
+        self.loop.every(interval_s=0.25 / 3, callback=self.client.send_heartbeats)
+
+    @property
+    def digest(self):
+        return self.client.zone_digest.digest
+
+    @property
+    def relay(self):
+        return self.client.relay_role.host
+
+    @property
+    def gateway(self):
+        return self.client.relay_role.gateway
+
+    @property
+    def is_member(self):
+        return self.client.zone_digest.is_joined
+
+    @property
+    def digest_connector(self):
+        return self.client.zone_digest.membership.connection.connector
+
+    def tick(self):
+        self.client.tick()
+        self.loop.after(delay=self.client.report_interval_s(), callback=self.tick)
+
+    def begin(self, name):
+        replica = self.table.replicas[name]
+        replica.running += 1
+        self.passages.add(RequestHandler(replica))
+        self.client.source.record(replica=replica, kind=report_source.SENT)
+
+    def end(self, name):
+        replica = self.table.replicas[name]
+        replica.running -= 1
+        self.passages.discard(next(one for one in self.passages if one.attempt.replica is replica))
+        self.client.source.record(replica=replica, kind=report_source.DONE)
+
+    def sees(self, name):
+        return self.chooser.load(self.table.replicas[name])[0]
+
+
+class Pausable:
+    """One node's view of the loop that all nodes of a test share: it can freeze, or end."""
+
+    def __init__(self, *, loop):
+        self._loop = loop
+        self.is_frozen = False
+        self._deferred = []
+
+    def _guard(self, callback):
+        def run(*args):
+            if self.is_frozen:
+                self._deferred.append((callback, args))
+            else:
+                callback(*args)
+
+        return run
+
+    def thaw(self):
+        self.is_frozen = False
+        deferred, self._deferred = self._deferred, []
+        for callback, args in deferred[-200:]:
+            callback(*args)
+
+    def now(self):
+        return self._loop.now()
+
+    def after(self, *, delay, callback):
+        return self._loop.after(delay=delay, callback=self._guard(callback))
+
+    def at(self, *, when, callback):
+        return self._loop.at(when=when, callback=self._guard(callback))
+
+    def every(self, *, interval_s, callback):
+        self._loop.every(interval_s=interval_s, callback=lambda: None if self.is_frozen else callback())
+
+    def cancel(self, *, timer):
+        self._loop.cancel(timer=timer)
+
+    def watch(self, *, sock, mask, callback):
+        self._loop.watch(sock=sock, mask=mask, callback=lambda ready: None if self.is_frozen else callback(ready))
+
+    def rewatch(self, *, sock, mask, callback):
+        self._loop.rewatch(sock=sock, mask=mask, callback=lambda ready: None if self.is_frozen else callback(ready))
+
+    def unwatch(self, *, sock):
+        self._loop.unwatch(sock=sock)
+
+    def command(self, *, callback):
+        self._loop.command(callback=callback)
+
+
+class Zones:
+    """Five proxies of one zone, one of another; duties as the watch would name them."""
+
+    def __init__(self, *, more=()):
+        self.loop = loopback.new_loop()
+        with socket.socket() as probe:
+            probe.bind((loopback.own_address(), 0))
+            port = probe.getsockname()[1]
+        ports = (port, port + 2)
+        self.places = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
+        self.nodes = {
+            ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
+            for ip, zone in self.places.items()
+        }
+        self.singleton_roles = {}
+        self.live = set(self.nodes)
+        self.assign_roles()
+
+    def assign_roles(self):
+        listed = [
+            (ip, node.incarnation, node.settings.zone, node.settings.region)
+            for ip, node in self.nodes.items()
+            if ip in self.live
+        ]
+        rows = singleton_roles.named(
+            proxies=listed, find_role=lambda name: tuple(self.singleton_roles.get(name, (0, "", "")))
+        )
+        for name, (seen, owner, incarnation) in rows.items():
+            self.singleton_roles[name] = (seen + 1, owner, incarnation)
+        for ip in self.live:
+            self.announce(ip)
+
+    def announce(self, ip):
+        self.nodes[ip].client.update_roles(dict(self.singleton_roles))
+
+    def truth(self, name):
+        return sum(self.nodes[ip].table.replicas[name].running for ip in self.live)
+
+    def agree(self):
+        return all(self.nodes[ip].sees(row["id"]) == self.truth(row["id"]) for ip in self.live for row in ROWS)
+
+    def converge(self):
+        assert loopback.until(self.loop, self.agree), {
+            ip: [(self.nodes[ip].sees(row["id"]), self.truth(row["id"])) for row in ROWS] for ip in self.live
+        }
+
+    def stop(self, ip):
+        node = self.nodes[ip]
+        self.live.discard(ip)
+        node.digest.stop()
+        if node.client.zone_digest.membership is not None:
+            node.digest_connector.stop()
+        if node.gateway is not None:
+            node.gateway.stop()
+        for link in [*node.digest.fanout.members, *(node.relay.subscribers if node.relay is not None else ())]:
+            link.close()
+        node.loop.unwatch(sock=node.client.listener._sock)
+        node.client.listener._sock.close()
+        node.loop.is_frozen = True
+
+    def digest(self):
+        return self.singleton_roles["digest/za"][1]
+
+    def work(self, *, seed):
+        chance = random.Random(seed)
+        for ip in self.live:
+            for _ in range(4):
+                self.nodes[ip].begin(chance.choice(ROWS)["id"])
+
+
+class Gates(Zones):
+    """A second zone of the north: two digests share the gateway beside the north's relay."""
+
+    def __init__(self, *, more=()):
+        super().__init__(more={address(number): "zc" for number in range(20, 25)} | dict(more))
+
+    def relay(self, region):
+        return self.nodes[self.singleton_roles[f"relay/{region}"][1]]
+
+    def far_subscribers(self):
+        """Duties whose streams the south's relay serves."""
+        return sorted(known.zone for known in self.relay("south").relay.subscribers.values())
