--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -27,7 +27,7 @@
     from ploverward.data_plane import proxy_node
 
     _tune_collector()
-    return proxy_node.Proxy(settings=settings).run()
+    return proxy_node.ProxyNode(settings=settings).run()
 
 
 def _tune_collector() -> None:
--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -3,13 +3,12 @@
 import json
 import pathlib
 import re
-import types
 
 import pytest
 
 from ploverward.common import tenant_usage
 from ploverward.data_plane.quotas import test_tenant_admission
-from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import http_front_end
 from ploverward.simulation import loopback
 from ploverward.simulation import request_scene
 
@@ -75,11 +74,7 @@
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
     """The status that the readiness listener answers."""
-    told = []
-    request = types.SimpleNamespace(target=target.encode(), reply=lambda *, status: told.append(status))
-    state = types.SimpleNamespace(is_serving=is_serving, is_draining=is_draining)
-    serving.ServeMixin._on_ready_request(state, request)
-    return told[0]
+    return http_front_end.readiness_status(target=target.encode(), is_serving=is_serving, is_draining=is_draining)
 
 
 CASES = {
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -14,6 +14,7 @@
 
 from ploverward.common import errors
 
+TOPIC = "list"  # its name on the wire
 COMPRESSION_LEVEL = 6  # zlib's default: the rows of one fleet are much alike
 WARM_UP_TOLERANCE_MS = 400.0  # a warm-up that ends so much later than published is a change; less is the platform's lag
 MAX_JSON_BYTES = 64 * 1024 * 1024
--- /dev/null
+++ b/ploverward/data_plane/control_client/core_connections.py
@@ -0,0 +1,134 @@
+"""The connections from a proxy to all core nodes (docs/design.md 5).
+
+The state is one connector for each core node: the members of the core set and the seeds of the settings, since a
+member may be unknown here and a seed may come back. Connectors reconnect by themselves. Each new connection begins
+with the handshake and the state of this proxy. Core nodes of the same region are known by their handshake; they are
+preferred where one core node is enough.
+"""
+
+import functools
+from collections.abc import Callable
+from collections.abc import Iterator
+
+from ploverward.common import settings as settings_files
+from ploverward.transport import event_loop
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+
+class CoreConnections:
+    """Connects to the core nodes and sends to them.
+
+    Attributes:
+        members: addresses of the core set as far as it is known here; the seeds at first.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: event_loop.Loop,
+        settings: Callable[[], settings_files.Settings],
+        incarnation: str,
+        peer_timeout_s: float,
+        node_state: Callable[[], messages.NodeState],
+        on_message: Callable[[str, peer_connection.PeerConnection, tuple], None],
+        on_end: Callable[[str, peer_connection.PeerConnection], None],
+    ) -> None:
+        """Creates no connection yet; `connect` does.
+
+        Args:
+            loop: the node's event loop.
+            settings: the settings in force; they may be read anew while the node runs.
+            incarnation: of this proxy.
+            peer_timeout_s: silence after which a connection is given up.
+            node_state: how this proxy stands now.
+            on_message: (address, connection, message) from a core node.
+            on_end: (address, connection) that ended.
+        """
+        self._loop = loop
+        self._settings = settings
+        self._incarnation = incarnation
+        self._peer_timeout_s = peer_timeout_s
+        self._node_state = node_state
+        self._on_message = on_message
+        self._on_end = on_end
+        self.members: tuple[str, ...] = tuple(sorted(self._seeds()))
+        self._connectors: dict[str, peer_connection.Connector] = {}
+        self._near_hosts: set[str] = set()
+        self._near_connections: set[peer_connection.PeerConnection] = set()
+
+    def _seeds(self) -> set[str]:
+        return {host for host, _port in self._settings().seeds}
+
+    def connect(self) -> None:
+        """Connects to members and seeds that have no connector, and stops those that are neither any longer."""
+        wanted = set(self.members) | self._seeds()
+        for host in wanted - self._connectors.keys():
+            self._connectors[host] = peer_connection.Connector(
+                loop=self._loop,
+                address=(host, self._settings().core_port),
+                on_up=self._send_handshake,
+                on_message=functools.partial(self._on_message, host),
+                on_end=functools.partial(self._handle_end, host),
+                peer_timeout_s=self._peer_timeout_s,
+            )
+        for host in self._connectors.keys() - wanted:
+            self._connectors.pop(host).stop()
+
+    def install_members(self, members: tuple[str, ...]) -> None:
+        """A newer core set was agreed."""
+        self.members = members
+        self.connect()
+
+    def _send_handshake(self, connection: peer_connection.PeerConnection) -> None:
+        settings = self._settings()
+        connection.send(
+            messages.Handshake(
+                role="proxy",
+                address=settings.ip,
+                zone=settings.zone,
+                region=settings.region,
+                incarnation=self._incarnation,
+                public_address="{}:{}".format(*settings.bindings["counter"]),
+            )
+        )
+        connection.send(self._node_state())
+
+    def _handle_end(self, host: str, connection: peer_connection.PeerConnection, _reason: str) -> None:
+        self._near_connections.discard(connection)
+        self._on_end(host, connection)
+
+    def handle_handshake(
+        self, host: str, connection: peer_connection.PeerConnection, message: messages.Handshake
+    ) -> None:
+        """Records whether the core node is in the region of this proxy."""
+        if message.region == self._settings().region:
+            self._near_hosts.add(host)
+            self._near_connections.add(connection)
+
+    def is_near(self, connection: peer_connection.PeerConnection) -> bool:
+        """Whether it leads to a core node of the own region."""
+        return connection in self._near_connections
+
+    def established(self) -> Iterator[tuple[str, peer_connection.PeerConnection]]:
+        """The core nodes that can be sent to now: address and connection."""
+        for host, connector in self._connectors.items():
+            if connector.link is not None and connector.link.is_up:
+                yield host, connector.link
+
+    def to(self, host: str) -> peer_connection.PeerConnection | None:
+        """The connection to one core node; None where it can't be sent to now."""
+        return dict(self.established()).get(host)
+
+    def nearest(self) -> peer_connection.PeerConnection | None:
+        """The connection to a core node of the own region, or else to another; None where there is none."""
+        found = None
+        for host, connection in sorted(self.established()):
+            if found is None or host in self._near_hosts:
+                found = connection
+        return found
+
+    def broadcast(self, message: tuple) -> None:
+        """Sends to all core nodes that can be sent to now."""
+        for _host, connection in self.established():
+            connection.send(message)
--- /dev/null
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -0,0 +1,88 @@
+"""What a proxy reports to core nodes by itself: evidence of roll-outs and custody trails.
+
+Roll-out evidence goes to the cluster coordinator, which answers with leases (docs/rollouts.md 3, 4). Custody trails go
+to one core node of the own region, or to another where there is none (docs/residency.md).
+"""
+
+from collections.abc import Callable
+
+from ploverward.common import settings as settings_files
+from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.rollouts import leases
+from ploverward.data_plane.control_client import core_connections
+from ploverward.data_plane.requests import custody_trails
+from ploverward.data_plane.rollouts import version_routing
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+
+class RolloutReports:
+    """Sends the evidence of roll-outs in progress, and installs the leases that answer it."""
+
+    def __init__(
+        self,
+        *,
+        connections: core_connections.CoreConnections,
+        rollouts: version_routing.Rollouts,
+        singleton_roles: Callable[[], dict[str, tuple]],
+    ) -> None:
+        self._connections = connections
+        self._rollouts = rollouts
+        self._singleton_roles = singleton_roles
+
+    def send(self) -> None:
+        """Sends what was counted since the last report, where the coordinator can be reached."""
+        _epoch, owner, _incarnation = self._singleton_roles().get(coordinator.WATCH, (0, "", ""))
+        connection = self._connections.to(owner)
+        if connection is None:
+            return
+        report = self._rollouts.report()
+        if report is not None:
+            connection.send(messages.RolloutEvidence(*report))
+
+    def handle_leases(
+        self, _host: str, _connection: peer_connection.PeerConnection, message: messages.RolloutLeases
+    ) -> None:
+        """Installs how much of its traffic this proxy may send to new versions."""
+        self._rollouts.pace = max(1, message.report_interval)
+        self._rollouts.handle_leases(
+            number=message.number, lease_s=message.duration_s, leases=leases.unpack(message.leases)
+        )
+
+
+class CustodyReports:
+    """Sends the custody trails of requests that ended."""
+
+    def __init__(
+        self,
+        *,
+        connections: core_connections.CoreConnections,
+        batches: custody_trails.TrailBatches,
+        settings: Callable[[], settings_files.Settings],
+        incarnation: str,
+    ) -> None:
+        self._connections = connections
+        self._batches = batches
+        self._settings = settings
+        self._incarnation = incarnation
+
+    def send(self, *, is_last: bool = False) -> None:
+        """Sends all batches; without a core node in reach they wait.
+
+        Args:
+            is_last: whether the process is about to end.
+        """
+        connection = self._connections.nearest()
+        if connection is None:
+            return
+        self._batches.close_batch(is_last=is_last)
+        for number, is_end, rows in self._batches.drain():
+            connection.send(
+                messages.CustodyTrails(
+                    node=self._settings().node,
+                    incarnation=self._incarnation,
+                    number=number,
+                    is_last=is_end,
+                    trails=tuple(messages.CustodyTrail(*row) for row in rows),
+                )
+            )
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -1,69 +1,120 @@
-"""A proxy serves nothing before it has what a majority of the core may have acknowledged; cut off, it serves on."""
+"""Messages of core nodes are handled by their type; the proxy says that it is ready once its serving gate opens."""
 
 import types
 
+from ploverward.common.identifiers import Version
 from ploverward.data_plane.control_client import core_sessions
-from ploverward.simulation import loopback_proxy
-
-
-def make():
-    sent = []
-    node = types.SimpleNamespace(
-        is_serving=False,
-        is_draining=False,
-        core_members=("a", "b", "c"),
-        minimum_versions={},
-        routes=types.SimpleNamespace(edition=1),
-        subscriber=types.SimpleNamespace(versions={}),
-        _send_to_cores=sent.append,
-    )
-    return node, sent
-
-
-def test_no_serving_before_a_majority_answered_and_its_newest_is_here():
-    node, sent = make()
-    node.subscriber.versions = {"spec": (0, 4), "evac": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    node.minimum_versions = {"a": {"spec": 4, "evac": 1}}
-    core_sessions.FollowMixin._check_serving(node)
-    assert not node.is_serving
-    node.minimum_versions["b"] = {"spec": 5, "evac": 1}  # one of them may have acknowledged a newer one
-    core_sessions.FollowMixin._check_serving(node)
-    assert not node.is_serving
-    node.subscriber.versions["spec"] = (0, 5)
-    core_sessions.FollowMixin._check_serving(node)
-    assert node.is_serving and sent == [("state", True, False)]
-
-
-def test_no_serving_without_a_list_a_configuration_or_an_agreed_core_set():
-    complete = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    for missing in complete:
-        versions = {topic: version for topic, version in complete.items() if topic != missing}
-        node, _sent = make()
-        node.subscriber.versions = versions
-        node.minimum_versions = {"a": {}, "b": {}, "c": {}}
-        core_sessions.FollowMixin._check_serving(node)
-        assert not node.is_serving
-
-
-def test_when_isolated_it_keeps_serving_with_what_it_has():
-    node, _sent = make()
-    node.subscriber.versions = {"spec": (0, 1), "list": (1, 1), "cores": (0, 1)}
-    node.minimum_versions = {"a": {"spec": 1}, "b": {"spec": 1}}
-    core_sessions.FollowMixin._check_serving(node)
-    node.minimum_versions = {}
-    node.core_members = ("x", "y", "z")
-    core_sessions.FollowMixin._check_serving(node)
-    assert node.is_serving
-
-
-def test_older_homes_bind_until_their_time_is_over():
-    clock = [0.0]
-    loop = types.SimpleNamespace(now=lambda: clock[0])
-    node = types.SimpleNamespace(
-        loop=loop, settings=loopback_proxy.settings(), older_homes=[(2.5, {"chat": ("north",)}, {})]
-    )
-    route = types.SimpleNamespace(name="chat", homes=("north", "south"))
-    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=()) == {"north"}
-    clock[0] = 2.6
-    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=()) == {"north", "south"}
-    assert core_sessions.FollowMixin.permitted(node, route=route, first_homes=("south",)) == {"south"}
+from ploverward.data_plane.control_client import serving_gate
+from ploverward.transport import messages
+
+
+class Connection:
+    """A connection to a core node that keeps what is sent."""
+
+    is_open = True
+
+    def __init__(self):
+        self.sent = []
+
+    def send(self, message):
+        self.sent.append(message)
+
+
+class Sessions:
+    """Real sessions between stand-ins for the connections and for what messages are handed to."""
+
+    def __init__(self):
+        self.broadcasts, self.installed, self.handled, self.commands = [], [], [], []
+        self.endpoint_changes = 0
+        self.connections = types.SimpleNamespace(
+            members=("a", "b", "c"),
+            is_near=lambda _connection: True,
+            handle_handshake=self._handle,
+            broadcast=self.broadcasts.append,
+        )
+        self.gate = serving_gate.ServingGate()
+        self.sessions = core_sessions.CoreSessions(
+            loop=types.SimpleNamespace(now=lambda: 0.0, command=lambda *, callback: self.commands.append(callback)),
+            contact_s=4.0,
+            connections=self.connections,
+            gate=self.gate,
+            installer=types.SimpleNamespace(
+                install=self.installed.append,
+                install_delta=self.installed.append,
+                routes=types.SimpleNamespace(edition=1),
+            ),
+            renewals=types.SimpleNamespace(handle_share_lease=self._handle, handle_quota_status=self._handle),
+            rollout_reports=types.SimpleNamespace(handle_leases=self._handle),
+            find_cache_owners=lambda message: messages.CacheOwners(number=message.number, owners=()),
+            is_draining=lambda: False,
+            on_endpoints_changed=self._count_change,
+        )
+
+    def _handle(self, _host, _connection, message):
+        self.handled.append(type(message))
+
+    def _count_change(self):
+        self.endpoint_changes += 1
+
+    def receive(self, message, *, host="a"):
+        connection = Connection()
+        self.sessions.handle_message(host, connection, message)
+        return connection
+
+    def run_commands(self):
+        while self.commands:
+            self.commands.pop(0)()
+
+
+def snapshot(topic, version):
+    return messages.Snapshot(topic=topic, version=version, data=b"")
+
+
+def acknowledgement(topic, version):
+    return messages.Acknowledgement(versions=(messages.TopicVersion(topic=topic, version=version),))
+
+
+def test_the_proxy_says_that_it_is_ready_once_its_gate_opens():
+    scene = Sessions()
+    for topic in ("spec", "list", "cores"):
+        scene.receive(snapshot(topic, Version(1, 1)))
+    scene.run_commands()
+    assert [type(message) for message in scene.broadcasts] == [messages.Acknowledgement] * 3
+    scene.broadcasts.clear()
+    revisions = (messages.RegisterRevision(register="spec", revision=1),)
+    for host in ("a", "b", "c"):
+        scene.receive(messages.MinimumVersions(revisions=revisions), host=host)
+        assert scene.gate.is_open == (host != "a")
+    assert scene.broadcasts == [messages.NodeState(is_ready=True, is_draining=False)]
+
+
+def test_the_value_that_opens_the_gate_counts_once_it_is_installed():
+    scene = Sessions()
+    for host in ("a", "b"):
+        scene.receive(messages.MinimumVersions(revisions=()), host=host)
+    for topic in ("spec", "list", "cores"):
+        assert not scene.gate.is_open
+        scene.receive(snapshot(topic, Version(1, 1)))
+        scene.run_commands()
+    assert scene.gate.is_open
+
+
+def test_values_are_installed_once_and_acknowledged_to_all_core_nodes():
+    scene = Sessions()
+    for version in (Version(1, 2), Version(1, 1), Version(1, 2)):
+        scene.receive(snapshot("list", version))
+    delta = messages.Delta(version=Version(1, 3), data=b"")
+    scene.receive(messages.Deltas(topic="list", base=Version(1, 2), deltas=(delta,)))
+    assert scene.installed == [snapshot("list", Version(1, 2)), delta] and scene.endpoint_changes == 2
+    assert scene.broadcasts == [acknowledgement("list", Version(1, 2)), acknowledgement("list", Version(1, 3))]
+
+
+def test_messages_find_the_handler_of_their_type_and_others_are_passed_over():
+    scene = Sessions()
+    found = scene.receive(messages.FindCacheOwners(number=7, service="llm", model="m", hashes=()))
+    assert found.sent == [messages.CacheOwners(number=7, owners=())]
+    scene.receive(messages.QuotaStatus(1, 1, 0.0, 1, b""))
+    scene.receive(messages.RolloutLeases(1, 1.0, 1, b"[]"))
+    scene.receive(("entry", 1.0, 1.0, 1.0, 1.0, 0, 0, 1))  # as connections deliver it
+    scene.receive(messages.ReportCredited(region="north", number=1))
+    assert scene.handled == [messages.QuotaStatus, messages.RolloutLeases, messages.ShareLease]
--- /dev/null
+++ b/ploverward/data_plane/control_client/test_residency_history.py
@@ -0,0 +1,22 @@
+"""Homes of replaced configurations bind until their time is over."""
+
+import types
+
+from ploverward.data_plane.control_client import residency_history
+
+
+def test_older_homes_bind_until_their_time_is_over():
+    clock = [0.0]
+    history = residency_history.ResidencyHistory(now=lambda: clock[0], binds_for_s=lambda: 2.5)
+    history.retire(types.SimpleNamespace(edition=1, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
+    route = types.SimpleNamespace(name="chat", homes=("north", "south"))
+    assert history.permitted(route=route, first_homes=()) == {"north"}
+    clock[0] = 2.6
+    assert history.permitted(route=route, first_homes=()) == {"north", "south"}
+    assert history.permitted(route=route, first_homes=("south",)) == {"south"}
+
+
+def test_the_empty_configuration_of_a_start_binds_nothing():
+    history = residency_history.ResidencyHistory(now=lambda: 0.0, binds_for_s=lambda: 2.5)
+    history.retire(types.SimpleNamespace(edition=0, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
+    assert history.permitted(route=types.SimpleNamespace(name="chat", homes=()), first_homes=()) is None
--- /dev/null
+++ b/ploverward/data_plane/control_client/test_serving_gate.py
@@ -0,0 +1,46 @@
+"""A proxy serves nothing before it has what a majority of the core may have acknowledged; cut off, it serves on."""
+
+import pytest
+
+from ploverward.common.identifiers import Version
+from ploverward.data_plane.control_client import serving_gate
+from ploverward.transport import messages
+
+MEMBERS = ("a", "b", "c")
+COMPLETE = {"spec": Version(0, 1), "list": Version(1, 1), "cores": Version(0, 1)}
+
+
+def minimum(**revisions):
+    rows = tuple(messages.RegisterRevision(register=name, revision=number) for name, number in revisions.items())
+    return messages.MinimumVersions(revisions=rows)
+
+
+def test_no_serving_before_a_majority_answered_and_its_newest_is_here():
+    gate = serving_gate.ServingGate()
+    versions = {"spec": Version(0, 4), "evac": Version(0, 1), "list": Version(1, 1), "cores": Version(0, 1)}
+    gate.handle_minimum_versions("a", minimum(spec=4, evac=1))
+    assert not gate.open_if_ready(members=MEMBERS, versions=versions) and not gate.is_open
+    gate.handle_minimum_versions("b", minimum(spec=5, evac=1))  # one of them may have acknowledged a newer one
+    assert not gate.open_if_ready(members=MEMBERS, versions=versions) and not gate.is_open
+    versions["spec"] = Version(0, 5)
+    assert gate.open_if_ready(members=MEMBERS, versions=versions) and gate.is_open
+    assert not gate.open_if_ready(members=MEMBERS, versions=versions) and gate.is_open  # it opens once
+
+
+@pytest.mark.parametrize("missing", COMPLETE)
+def test_no_serving_without_a_list_a_configuration_or_an_agreed_core_set(missing):
+    gate = serving_gate.ServingGate()
+    for host in MEMBERS:
+        gate.handle_minimum_versions(host, minimum())
+    versions = {topic: version for topic, version in COMPLETE.items() if topic != missing}
+    assert not gate.open_if_ready(members=MEMBERS, versions=versions) and not gate.is_open
+    assert gate.open_if_ready(members=MEMBERS, versions=COMPLETE)
+
+
+def test_when_isolated_it_keeps_serving_with_what_it_has():
+    gate = serving_gate.ServingGate()
+    for host in ("a", "b"):
+        gate.handle_minimum_versions(host, minimum(spec=1))
+    assert gate.open_if_ready(members=MEMBERS, versions=COMPLETE)
+    gate.open_if_ready(members=("x", "y", "z"), versions={})
+    assert gate.is_open
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -1,5 +1,10 @@
-"""The proxy program: its parts put together, its start and its beat (design 1)."""
+"""The proxy program: its parts, their wiring and its heartbeat (docs/design.md 1, 5, 7).
 
+`ProxyNode` holds no state of its own but the settings in force and the count of heartbeats; each part owns its own.
+Everything runs in one thread, on one event loop.
+"""
+
+import functools
 import logging
 import random
 import signal
@@ -8,7 +13,13 @@
 from ploverward.common import errors
 from ploverward.common import settings as settings_files
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.control_client import configuration_installer
+from ploverward.data_plane.control_client import core_connections
+from ploverward.data_plane.control_client import core_reports
 from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.control_client import residency_history
+from ploverward.data_plane.control_client import serving_gate
+from ploverward.data_plane.control_client import share_renewals
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_reports import relay_client
@@ -17,48 +28,130 @@
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.data_plane.requests import custody_trails
 from ploverward.data_plane.requests import graceful_shutdown
+from ploverward.data_plane.requests import http_front_end
+from ploverward.data_plane.requests import replica_feedback
+from ploverward.data_plane.requests import request_handler
 from ploverward.data_plane.requests import route_table
-from ploverward.data_plane.requests import serving
 from ploverward.data_plane.rollouts import version_routing
 from ploverward.transport import event_loop
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
 
 _log = logging.getLogger(__name__)
 
+PEER_TIMEOUTS_PER_CONTACT = 5
+FAILOVERS_PER_CONTACT = 16
+HEARTBEATS_PER_PEER_TIMEOUT = 3  # two may be lost
+SLOW_TASKS_HEARTBEATS = 4  # heartbeats between two rounds of trails, adapter counts and a look at the settings file
+MAX_TRAILS_PER_BATCH = 200
+ADAPTER_WINDOW_CONTACTS = 6  # contactMs in a window of counts
+ADAPTER_TRUST_CONTACTS = 1 / 2  # contactMs for which an adapter counts as loaded without a sign of it
+
+
+class ProxyNode:
+    """One process that serves requests. It is the `HandlerContext` of the requests' handlers.
+
+    Attributes:
+        settings: in force; read anew at SIGHUP and when the file changes.
+        incarnation: differs for each start of the process.
+        contact_s: the bound `contactMs`, from which most time-outs follow.
+        peer_timeout_s: silence after which a connection to another node is given up.
+        failover_s: in about this time another node takes over, or the one that failed comes back.
+    """
 
-class Proxy(core_sessions.FollowMixin, serving.ServeMixin):
-    def __init__(self, *, settings):
+    def __init__(self, *, settings: settings_files.Settings) -> None:
+        """Creates all parts. Other proxies may connect from here on; clients and core nodes have to wait for `run`."""
         self.settings = settings
         self.incarnation = uuid.uuid4().hex[:12]
         self.loop = event_loop.Loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
         self.contact_s = settings.bound_s(name="contactMs")
-        self.peer_timeout_s = self.contact_s / 5
-        self.failover_s = self.contact_s / 16  # in about this time somebody else is found, or it comes back
-        self.is_serving = False
-        self.is_draining = False
-        self.drain_window = graceful_shutdown.DrainWindow(now=self.loop.now, grace_s=settings.bound(name="graceS"))
-        self.singleton_roles = {}
-        self.routes = route_table.Routes()
-        self.older_homes = []  # (until, homes by route name, homes by tenant)
-        self.configuration_freshness = credential_freshness.ConfigurationFreshness(now=self.loop.now)
-        self.credential_freshness = credential_freshness.CredentialFreshness.of(settings)
+        self.peer_timeout_s = self.contact_s / PEER_TIMEOUTS_PER_CONTACT
+        self.failover_s = self.contact_s / FAILOVERS_PER_CONTACT
+        self._heartbeats = 0
+        self._file_watch = settings_files.FileWatch()
+        self._make_limits()
+        self._make_connections()
+        self._make_front_end()
+        self._make_balancing()
+        self._make_control_client()
+
+    def _make_limits(self) -> None:
+        """Quotas, roll-outs and replicas."""
+        now = self.loop.now
+        self.quota = shared_limits.SharedLimits(now=now, settings=self.settings)
+        self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
         self.quota_allowance = quota_allowance.QuotaAllowance(
-            now=self.loop.now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
-        )
-        self.batches = custody_trails.TrailBatches(most=200)
-        self._set_limits({})
-        self.quota = shared_limits.SharedLimits(now=self.loop.now, settings=settings)
-        self.rollouts = version_routing.Rollouts(
-            now=self.loop.now, chance=random.random, running=self._running_elsewhere
+            now=now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
-        self.table = replica_table.Table(loop=self.loop, settings=settings, share=self.quota.rate_share)
+        self.rollouts = version_routing.Rollouts(now=now, chance=random.random, running=self._running_elsewhere)
+        self.table = replica_table.Table(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
         self.adapters = adapter_counts.Counter(
-            now=self.loop.now, window_s=self.contact_s * 6, trust_s=self.contact_s / 2
+            now=now,
+            window_s=self.contact_s * ADAPTER_WINDOW_CONTACTS,
+            trust_s=self.contact_s * ADAPTER_TRUST_CONTACTS,
         )
+        feedback = replica_feedback.ReplicaFeedback(now=now, table=self.table, contact_s=self.contact_s)
+        self.note_fault = feedback.note_fault
+        self.note_wrong_replica = feedback.note_wrong_replica
+        self.full = feedback.note_full
 
-    def run(self) -> int:
-        self.beats = 0
-        self.file_watch = settings_files.FileWatch()
-        self.relay_client = relay_client.RelayClient(
+    def _make_connections(self) -> None:
+        """Connections to core nodes, and what this proxy sends there by itself."""
+        self.batches = custody_trails.TrailBatches(most=MAX_TRAILS_PER_BATCH)
+        self._connections = core_connections.CoreConnections(
+            loop=self.loop,
+            settings=lambda: self.settings,
+            incarnation=self.incarnation,
+            peer_timeout_s=self.peer_timeout_s,
+            node_state=self._node_state,
+            on_message=self._handle_core_message,
+            on_end=self._handle_core_end,
+        )
+        self._renewals = share_renewals.ShareRenewals(
+            now=self.loop.now,
+            connections=self._connections,
+            quota=self.quota,
+            quota_allowance=self.quota_allowance,
+            configuration_freshness=credential_freshness.ConfigurationFreshness(now=self.loop.now),
+        )
+        self._rollout_reports = core_reports.RolloutReports(
+            connections=self._connections,
+            rollouts=self.rollouts,
+            singleton_roles=lambda: self._installer.singleton_roles,
+        )
+        self._custody_reports = core_reports.CustodyReports(
+            connections=self._connections,
+            batches=self.batches,
+            settings=lambda: self.settings,
+            incarnation=self.incarnation,
+        )
+
+    def _make_front_end(self) -> None:
+        """Traffic from clients, and its end."""
+        self._gate = serving_gate.ServingGate()
+        self._front_end = http_front_end.HttpFrontEnd(
+            loop=self.loop,
+            settings=self.settings,
+            contact_s=self.contact_s,
+            limits=lambda: self._installer.limits,
+            is_serving=lambda: self._gate.is_open,
+            is_draining=lambda: self._shutdown.is_draining,
+            make_handler=lambda request: request_handler.RequestHandler(context=self, request=request),
+        )
+        self.next_number = self._front_end.next_number
+        self.passages = self._front_end.requests
+        self._shutdown = graceful_shutdown.ProxyShutdown(
+            loop=self.loop,
+            settings=lambda: self.settings,
+            front_end=self._front_end,
+            announce=lambda: self._connections.broadcast(messages.NodeState(is_ready=False, is_draining=True)),
+            send_last_reports=self._send_last_reports,
+        )
+        self.drain_window = self._shutdown.drain_window
+
+    def _make_balancing(self) -> None:
+        """Loads and caches of all replicas, and the choice among them."""
+        self._relay_client = relay_client.RelayClient(
             loop=self.loop,
             settings=lambda: self.settings,
             incarnation=self.incarnation,
@@ -67,76 +160,123 @@
             table=self.table,
             adapters=self.adapters,
             replicas_in_use=self._replicas_in_use,
-            near_core=self._near_core,
+            near_core=self._connections.nearest,
         )
-        # What requests and the answers to core nodes use of it.
-        self.regions = self.relay_client.regions
-        self.source = self.relay_client.source
+        self.report_attempt = self._relay_client.source.record
+        self.report_prefill = self._relay_client.source.record_read
         self.chooser = replica_chooser.Chooser(
             table=self.table,
             settings=self.settings,
-            regions=self.regions,
+            regions=self._relay_client.regions,
             quota=self.quota,
             now=self.loop.now,
-            counted=self.source.counted,
+            counted=self._relay_client.source.counted,
+        )
+
+    def _make_control_client(self) -> None:
+        """What core nodes distribute, and when that is enough to serve."""
+        residency = residency_history.ResidencyHistory(
+            now=self.loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
+        )
+        self.permitted = residency.permitted
+        self._installer = configuration_installer.ConfigurationInstaller(
+            table=self.table,
+            rollouts=self.rollouts,
+            quota_allowance=self.quota_allowance,
+            residency=residency,
+            on_core_set=self._connections.install_members,
+            on_singleton_roles=self._relay_client.update_roles,
         )
-        self.start_serving()
-        self.start_following()
+        self._sessions = core_sessions.CoreSessions(
+            loop=self.loop,
+            contact_s=self.contact_s,
+            connections=self._connections,
+            gate=self._gate,
+            installer=self._installer,
+            renewals=self._renewals,
+            rollout_reports=self._rollout_reports,
+            find_cache_owners=functools.partial(
+                core_sessions.find_cache_owners, table=self.table, regions=self._relay_client.regions
+            ),
+            is_draining=lambda: self._shutdown.is_draining,
+            on_endpoints_changed=self._relay_client.sync_relay,
+        )
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether requests are served; False until the configuration is known to be new enough."""
+        return self._gate.is_open
+
+    @property
+    def routes(self) -> route_table.Routes:
+        """Of the configuration in force."""
+        return self._installer.routes
+
+    def configuration_age_s(self) -> float:
+        """Seconds since a moment at which nothing newer was acknowledged than the configuration in force."""
+        return self._renewals.configuration_age_s(self._sessions.subscriber)
+
+    def run(self) -> int:
+        """Serves until SIGTERM and the end of the graceful shutdown. Returns the status of the process."""
+        self._front_end.start()
+        self._connections.connect()
         self._on_report_tick()
-        self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._on_heartbeat_tick)
-        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self.leave))
-        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reread))
+        self.loop.every(interval_s=self.peer_timeout_s / HEARTBEATS_PER_PEER_TIMEOUT, callback=self._on_heartbeat_tick)
+        # A signal may arrive between any two instructions: what follows is left to the loop.
+        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self._shutdown.begin))
+        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reread_settings))
         self.loop.run()
         return 0
 
     def _on_report_tick(self) -> None:
-        self.relay_client.tick()
-        self.subscriber.tick()
-        self.loop.after(delay=self.relay_client.report_interval_s(), callback=self._on_report_tick)
-
-    def _replicas_in_use(self) -> list:
-        """Replicas that this proxy has attempts at, gone from the list or not."""
-        found = {}
-        for handler in self.passages:
-            if handler.attempt is not None:
-                found[handler.attempt.replica.id] = handler.attempt.replica
-        return list(found.values())
-
-    def report_attempt(self, *, replica, kind: int) -> None:
-        """An attempt was sent, or something became of it."""
-        self.source.record(replica=replica, kind=kind)
-
-    def report_prefill(self, *, replica, service: str, model: str, parts, salt: str = "") -> None:
-        """A replica processed a prompt."""
-        self.source.record_read(replica=replica, service=service, model=model, parts=parts, salt=salt)
-
-    def _running_elsewhere(self, service: str, target: str) -> int:
-        """Attempts under way at replicas of a service that have another version than the target."""
-        found = 0
-        for handler in self.passages:
-            replica = handler.attempt.replica if handler.attempt is not None else None
-            found += replica is not None and replica.service == service and replica.edition != target
-        return found
+        self._relay_client.tick()
+        self._sessions.subscriber.tick()
+        self.loop.after(delay=self._relay_client.report_interval_s(), callback=self._on_report_tick)
 
     def _on_heartbeat_tick(self) -> None:
-        if self.beats % self.rollouts.pace == 0:
-            self.send_rollout_evidence()
-        self.renew_entries()  # core nodes hear of this proxy by it
-        self.relay_client.send_heartbeats()
+        if self._heartbeats % self.rollouts.pace == 0:
+            self._rollout_reports.send()
+        self._renewals.renew()  # it also shows core nodes that this proxy runs
+        self._relay_client.send_heartbeats()
         self.table.sweep()
         self.table.check_suspected_replicas()
-        self.beats += 1
-        if self.beats % 4 == 0:
-            self.send_custody_trails()
-            self.relay_client.send_adapter_counts()
-            if self.file_watch.is_changed():
-                self._reread()
-        self._check_serving()
-
-    def _reread(self) -> None:
+        self._heartbeats += 1
+        if self._heartbeats % SLOW_TASKS_HEARTBEATS == 0:
+            self._custody_reports.send()
+            self._relay_client.send_adapter_counts()
+            if self._file_watch.is_changed():
+                self._reread_settings()
+        self._sessions.check_serving()
+
+    def _reread_settings(self) -> None:
         try:
             self.settings = settings_files.load()
-        except errors.SettingsError as fault:
-            _log.error("settings_rejected", extra={"fault": str(fault)})
+        except errors.SettingsError as error:
+            _log.error("settings_rejected", extra={"fault": str(error)})
             return
-        self._connect_to_cores()
+        self._connections.connect()
+
+    def _send_last_reports(self) -> None:
+        self._custody_reports.send(is_last=True)
+        self._relay_client.send_adapter_counts()
+
+    def _node_state(self) -> messages.NodeState:
+        is_draining = self._shutdown.is_draining
+        return messages.NodeState(is_ready=self.is_serving and not is_draining, is_draining=is_draining)
+
+    def _handle_core_message(self, host: str, connection: peer_connection.PeerConnection, message: tuple) -> None:
+        self._sessions.handle_message(host, connection, message)
+
+    def _handle_core_end(self, host: str, connection: peer_connection.PeerConnection) -> None:
+        self._renewals.handle_end(host)
+        self._sessions.handle_end(connection)
+
+    def _replicas_in_use(self) -> list[replica_table.Replica]:
+        """The replicas with attempts of this proxy in progress, also those that are listed no longer."""
+        attempts = (handler.attempt for handler in self.passages if handler.attempt is not None)
+        return list({attempt.replica.id: attempt.replica for attempt in attempts}.values())
+
+    def _running_elsewhere(self, service: str, target: str) -> int:
+        """Attempts in progress at replicas of a service that have another version than the target."""
+        replicas = (handler.attempt.replica for handler in self.passages if handler.attempt is not None)
+        return sum(replica.service == service and replica.edition != target for replica in replicas)
--- a/ploverward/data_plane/requests/graceful_shutdown.py
+++ b/ploverward/data_plane/requests/graceful_shutdown.py
@@ -1,27 +1,114 @@
-"""What a proxy that was told to end still takes (design 9): nothing that it may have to give up."""
+"""Graceful shutdown of a proxy after SIGTERM (docs/design.md 9).
 
-ACCEPT_UNTIL_S = 2.8  # after SIGTERM: the protocol's clients have other addresses by 3 s, less a way and a look-up
+The proxy is at once taken out of the answers to look-ups. While clients may still have its address it serves on, but
+accepts nothing that it may have to give up (`DrainWindow`). From `IDLE_FROM_SHARE` of `graceS` on it ends as soon as
+nothing is in progress, and at `END_SHARE` of it whatever is in progress.
+"""
+
+from collections.abc import Callable
+
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.requests import http_front_end
+from ploverward.transport import event_loop
+
+ACCEPT_UNTIL_S = 2.8  # after SIGTERM: clients have other addresses by 3 s, less the time on the network and a look-up
 ACCEPT_UNTIL_SHARE = 0.35  # of graceS: the same where that is shorter
-END_SHARE = 0.92  # of graceS: from there on the process ends, whatever is under way
+IDLE_FROM_SHARE = 0.6  # of graceS: from there on idle connections are closed and the process ends once it is idle
+END_SHARE = 0.92  # of graceS: from there on the process ends, whatever is in progress
+FLUSH_SHARE = 1 / 80  # of graceS: for the last reports to leave
+IDLE_CHECK_S = 0.05
 
 
 class DrainWindow:
     """The time of a process between SIGTERM and its end."""
 
-    def __init__(self, *, now, grace_s: float):
+    def __init__(self, *, now: Callable[[], float], grace_s: float) -> None:
+        """Creates a window that has not begun.
+
+        Args:
+            now: seconds on a monotonic clock.
+            grace_s: the bound `graceS`, after which the process is killed.
+        """
         self._now = now
         self._grace_s = grace_s
-        self._begun_at = None
+        self._begun_at: float | None = None
 
     def begin(self) -> None:
-        """SIGTERM. A second one changes nothing."""
+        """SIGTERM arrived; a second one changes nothing."""
         if self._begun_at is None:
             self._begun_at = self._now()
 
     def may_accept(self, *, deadline: float) -> bool:
-        """Whether a request that comes now is taken. Late ones are only if their time ends before this process does:
-        its client goes to another node at once, while one that is cut off later is lost."""
+        """Whether a request that arrives now is accepted.
+
+        A late one is only if its deadline is before the end of this process: when it is refused its client goes to
+        another node at once, while a request that is cut off later is lost (docs/incidents/late-stream.md).
+
+        Args:
+            deadline: of the request, in seconds on the same clock.
+        """
         if self._begun_at is None:
             return True
         late_from = self._begun_at + min(ACCEPT_UNTIL_S, self._grace_s * ACCEPT_UNTIL_SHARE)
         return self._now() < late_from or deadline <= self._begun_at + self._grace_s * END_SHARE
+
+
+class ProxyShutdown:
+    """The steps between SIGTERM and the end of the process.
+
+    Attributes:
+        is_draining: whether SIGTERM arrived.
+        drain_window: which requests are accepted meanwhile.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: event_loop.Loop,
+        settings: Callable[[], settings_files.Settings],
+        front_end: http_front_end.HttpFrontEnd,
+        announce: Callable[[], None],
+        send_last_reports: Callable[[], None],
+    ) -> None:
+        """Creates the shutdown of a process that was not asked to end.
+
+        Args:
+            loop: the node's event loop; it is stopped at the end.
+            settings: the settings in force.
+            front_end: accepts the requests.
+            announce: says to the core nodes that this proxy is draining.
+            send_last_reports: sends what is left to be reported, once all requests ended.
+        """
+        self._loop = loop
+        self._settings = settings
+        self._front_end = front_end
+        self._announce = announce
+        self._send_last_reports = send_last_reports
+        self.is_draining = False
+        self.drain_window = DrainWindow(now=loop.now, grace_s=self._grace_s())
+
+    def _grace_s(self) -> float:
+        return self._settings().bound(name="graceS")
+
+    def begin(self) -> None:
+        """SIGTERM arrived; a second one changes nothing."""
+        if self.is_draining:
+            return
+        self.is_draining = True
+        self.drain_window.begin()
+        self._announce()
+        self._front_end.drain()
+        grace_s = self._grace_s()
+        self._loop.after(delay=grace_s * IDLE_FROM_SHARE, callback=self._end_when_idle)
+        self._loop.after(delay=grace_s * END_SHARE, callback=self._end)
+
+    def _end_when_idle(self) -> None:
+        if self._front_end.close_idle():
+            self._end()
+        else:
+            self._loop.after(delay=IDLE_CHECK_S, callback=self._end_when_idle)
+
+    def _end(self) -> None:
+        self._front_end.end()
+        self._send_last_reports()
+        self._loop.after(delay=self._grace_s() * FLUSH_SHARE, callback=self._loop.stop)
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -36,9 +36,7 @@
         incarnation: Id of this run of the process.
         failover_s: Seconds in which another node takes over, or a lost one comes back: the pause for a client whose
             request nobody can serve.
-        is_serving: Whether this proxy has what it needs to serve (docs/control.md).
         drain_window: What may still be accepted after SIGTERM.
-        routes: Of the configuration in force.
         quota: This proxy's share of the limits that hold over all machines: retries and slow starts.
         quota_allowance: What may be admitted of each tenant.
         credential_freshness: How old a configuration may be that keys are checked by.
@@ -54,9 +52,7 @@
     settings: settings_files.Settings
     incarnation: str
     failover_s: float
-    is_serving: bool
     drain_window: graceful_shutdown.DrainWindow
-    routes: route_table.Routes
     quota: shared_limits.SharedLimits
     quota_allowance: quota_allowance.QuotaAllowance
     credential_freshness: credential_freshness.CredentialFreshness
@@ -67,6 +63,14 @@
     batches: custody_trails.TrailBatches
     passages: set[request_handler.RequestHandler]
 
+    @property
+    def is_serving(self) -> bool:
+        """Whether this proxy has what it needs to serve (docs/control.md)."""
+
+    @property
+    def routes(self) -> route_table.Routes:
+        """The routes of the configuration in force."""
+
     def permitted(
         self, *, route: route_table.Route, first_homes: Collection[str], tenant: tenant_directory.Tenant | None
     ) -> frozenset[str] | None:
--- /dev/null
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -0,0 +1,132 @@
+"""The HTTP listeners of a proxy: traffic and readiness (docs/design.md 7, 9).
+
+The state is the requests in progress and whether new ones are refused because the process is about to end. Invariant:
+a request is in `requests` from its arrival until its last byte is sent or its client is gone; the request handler
+takes itself out.
+"""
+
+from collections.abc import Callable
+
+from ploverward.common import settings as settings_files
+from ploverward.data_plane.requests import request_handler
+from ploverward.transport import event_loop
+from ploverward.transport import http_request
+from ploverward.transport import http_server
+
+READINESS_PATH = b"/ploverward/ready"
+TRAFFIC_HANDLES_SHARE = 0.6  # of the process's file handles; connections to replicas need most of the others
+TRAFFIC_MEMORY_SHARE = 0.3  # of the process's memory, for bodies of requests
+TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # contactMs after which a client that does not read is given up
+MAX_READINESS_CONNECTIONS = 100
+READINESS_LIMITS = http_request.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0)
+BYTES_PER_MB = 1024 * 1024
+
+
+def readiness_status(*, target: bytes, is_serving: bool, is_draining: bool) -> int:
+    """The status that a health check of the platform gets."""
+    is_ready = is_serving and not is_draining and target.partition(b"?")[0] == READINESS_PATH
+    return 200 if is_ready else 503
+
+
+class HttpFrontEnd:
+    """Accepts requests and counts those in progress.
+
+    Attributes:
+        requests: the handlers of the requests in progress.
+        server: the listener for traffic, once started.
+        has_ended: whether requests that arrive are refused, because the process is about to end.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: event_loop.Loop,
+        settings: settings_files.Settings,
+        contact_s: float,
+        limits: Callable[[], http_request.Limits],
+        is_serving: Callable[[], bool],
+        is_draining: Callable[[], bool],
+        make_handler: Callable[[http_request.Request], request_handler.RequestHandler],
+    ) -> None:
+        """Creates a front end that does not listen yet.
+
+        Args:
+            loop: the node's event loop.
+            settings: addresses of the listeners and bounds of their connections.
+            contact_s: the bound `contactMs`.
+            limits: of HTTP messages, by the configuration in force.
+            is_serving: whether the proxy may serve.
+            is_draining: whether it is shutting down.
+            make_handler: the handler of a request.
+        """
+        self._loop = loop
+        self._settings = settings
+        self._contact_s = contact_s
+        self._limits = limits
+        self._is_serving = is_serving
+        self._is_draining = is_draining
+        self._make_handler = make_handler
+        self.requests: set[request_handler.RequestHandler] = set()
+        self.has_ended = False
+        self._number = 0
+
+    def start(self) -> None:
+        """Listens for traffic, and for health checks where the settings bind an address for them."""
+        bindings = self._settings.bindings
+        self.server = http_server.HttpServer(
+            loop=self._loop,
+            address=bindings["counter"],
+            on_request=self.handle_request,
+            limits=self._limits,
+            peer_timeout_s=self._contact_s * TRAFFIC_PEER_TIMEOUT_CONTACTS,
+            max_connections=int(self._settings.handles * TRAFFIC_HANDLES_SHARE),
+            max_bytes=int(self._settings.memory_mb * BYTES_PER_MB * TRAFFIC_MEMORY_SHARE),
+        )
+        if "readiness" in bindings:
+            self._readiness_server = http_server.HttpServer(
+                loop=self._loop,
+                address=bindings["readiness"],
+                on_request=self._handle_health_check,
+                limits=lambda: READINESS_LIMITS,
+                peer_timeout_s=self._contact_s,
+                max_connections=MAX_READINESS_CONNECTIONS,
+            )
+
+    def next_number(self) -> int:
+        """A number that no other attempt of this process has."""
+        self._number += 1
+        return self._number
+
+    def handle_request(self, request: http_request.Request) -> None:
+        """Begins to handle a request; 503 once the process is about to end."""
+        if self.has_ended:
+            request.reply(status=503)
+            return
+        handler = self._make_handler(request)
+        self.requests.add(handler)
+        handler.begin()
+
+    def _handle_health_check(self, request: http_request.Request) -> None:
+        status = readiness_status(target=request.target, is_serving=self._is_serving(), is_draining=self._is_draining())
+        request.reply(status=status)
+
+    def drain(self) -> None:
+        """Asks clients to come back on other connections; requests are handled all the same."""
+        self.server.leave()
+
+    def close_idle(self) -> bool:
+        """Closes connections without a request in progress. Returns whether nothing is left."""
+        self.server.close_idle()
+        return not self.server.connections and not self.requests
+
+    def end(self) -> None:
+        """Refuses all further requests and ends those in progress."""
+        self.has_ended = True
+        self.server.stop_listening()
+        end_requests(self.requests)
+
+
+def end_requests(handlers: set[request_handler.RequestHandler]) -> None:
+    """Ends the requests in progress. One that no replica got is refused as not run, and never runs later."""
+    for handler in list(handlers):
+        handler.abort_for_shutdown()
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from ploverward.data_plane.requests import serving
+from ploverward.data_plane.requests import http_front_end
+from ploverward.data_plane.requests import request_handler
 from ploverward.simulation import loopback
 from ploverward.simulation import request_scene
 
@@ -24,15 +25,24 @@
     scene.entry.table.replicas["i0"].is_suspected = True
     waiting.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: w\r\nX-Time-Left-Ms: 4000\r\n\r\n")
     assert loopback.until(scene.loop, lambda: len(scene.entry.passages) == 2)
-    serving.end_requests(scene.entry.passages)
+    http_front_end.end_requests(scene.entry.passages)
     assert loopback.until(scene.loop, lambda: waiting.got)
     assert request_scene.statuses(waiting) == [503] and not request_scene.statuses(scene.client)
 
 
 def test_a_request_that_comes_once_the_end_of_leaving_began_is_refused():
     scene = request_scene.Scene(request_scene.replying)
-    scene.entry.has_ended = True
-    scene.entry.server._on_request = lambda request: serving.ServeMixin._on_request(scene.entry, request)
+    front_end = http_front_end.HttpFrontEnd(
+        loop=scene.loop,
+        settings=scene.entry.settings,
+        contact_s=4.0,
+        limits=loopback.limits,
+        is_serving=lambda: True,
+        is_draining=lambda: True,
+        make_handler=lambda request: request_handler.RequestHandler(context=scene.entry, request=request),
+    )
+    front_end.has_ended = True
+    scene.entry.server._on_request = front_end.handle_request
     scene.request("unsafe")
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -10,9 +10,9 @@
 import pytest
 
 from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.requests import http_front_end
 from ploverward.data_plane.requests import retry_policy
 from ploverward.data_plane.requests import route_table
-from ploverward.data_plane.requests import serving
 from ploverward.data_plane.requests import stream_resumption
 from ploverward.data_plane.upstream import response_reader
 from ploverward.simulation import loopback
@@ -129,12 +129,12 @@
         return request_history.Checker(log=self.log, users=self.users).found()
 
     def stop(self) -> None:
-        """SIGTERM with attempts under way, as ServeMixin.leave goes on from it; then the process is gone."""
+        """SIGTERM with attempts under way, as ProxyShutdown goes on from it; then the process is gone."""
         self.entry.server.leave()
         if self.chance.random() < 0.5:
             self.wait(seconds=self.chance.uniform(0.0, 0.5))
             self.entry.server.close_idle()
-            serving.end_requests(self.entry.passages)
+            http_front_end.end_requests(self.entry.passages)
         else:
             assert self.until(lambda: not self.entry.passages and all(user.is_done() for user in self.users))
         for handler in list(self.entry.passages):
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -1,13 +1,17 @@
-"""A model of a proxy's control side: news, floors, acknowledgements and grant entries, with the real Follower and Quota.
+"""A model of a proxy's control side, with the real `Subscriber`, `ServingGate`, `RenewalLog` and `SharedLimits` (docs/simulate.md).
 
-It follows ploverward/data_plane/control_client/core_sessions.py, without the traffic. What it holds is what the checks of news and grants look at.
+It follows ploverward/data_plane/control_client without the traffic: distributed values are recorded, not installed.
+The state is what the checks of versions and of share leases look at.
 """
 
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.distribution import subscriber
+from ploverward.control_plane.distribution import subscriber as subscribers
+from ploverward.data_plane import proxy_node
 from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.control_client import serving_gate
+from ploverward.data_plane.control_client import share_renewals
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_clock
@@ -17,45 +21,71 @@
 
 
 class Proxy:
-    """One life of a model proxy. `recorder` is told of what it applies and of its shares."""
-
-    def __init__(self, *, network, machine, process, node_settings, recorder):
+    """One incarnation of a model proxy.
+
+    Attributes:
+        machine: where it runs.
+        process: in which it runs; the process may be stopped, frozen or slowed.
+        settings: of the node.
+        host: its address.
+        incarnation: of this start.
+        is_serving: whether the serving gate opened.
+        members: the core set as far as it is known here.
+        quota: the shares that core nodes leased to it.
+        subscriber: the versions that it has.
+        edition: of the newest configuration here; the recorder keeps it.
+        versions: of each topic as the recorder saw them; the recorder keeps them.
+    """
+
+    def __init__(self, *, network, machine, process, node_settings, recorder) -> None:
+        """Starts the model; `recorder` gets what it installs and each change of its shares."""
         self.machine = machine
         self.process = process
         self.settings = node_settings
         self.host = machine.host
         self.incarnation = f"{network.clock.chance.getrandbits(48):012x}"
         self.network = network
-        self.is_serving = False
-        self.is_draining = False
-        self.edition = 0
-        self.versions = {}
         self._recorder = recorder
+        self.edition = 0
+        self.versions: dict = {}
         self.loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
-        self._contact_s = node_settings.bound_s(name="contactMs")
-        self._peer_timeout_s = self._contact_s / 5
+        contact_s = node_settings.bound_s(name="contactMs")
+        self._peer_timeout_s = contact_s / proxy_node.PEER_TIMEOUTS_PER_CONTACT
         self.quota = shared_limits.SharedLimits(now=self.loop.now, settings=node_settings)
-        self._list = None  # packed, as this proxy has it
-        self.subscriber = subscriber.Subscriber(
+        self._gate = serving_gate.ServingGate()
+        self._renewals = share_renewals.RenewalLog(now=self.loop.now)
+        self._list = b""  # packed, as this proxy has it
+        self.subscriber = subscribers.Subscriber(
             now=self.loop.now,
-            fetch_timeout_s=self._contact_s / 12,
-            on_snapshot=self._on_snapshot,
-            on_delta=self._on_delta,
-            delta_topics=("list",),
+            fetch_timeout_s=contact_s / core_sessions.FETCHES_PER_CONTACT,
+            on_snapshot=self._install_snapshot,
+            on_delta=self._install_delta,
+            delta_topics=(endpoint_list.TOPIC,),
         )
-        self._minimum_versions = {}
-        self._renewal = 0
-        self._renewed_at = {}
+        self._handlers = {
+            messages.Announcement: self._handle_announcement,
+            messages.Snapshot: self._handle_snapshot,
+            messages.Deltas: self._handle_deltas,
+            messages.MinimumVersions: self._handle_minimum_versions,
+            messages.ShareLease: self._handle_share_lease,
+        }
         self._seeds = tuple(sorted({host for host, _port in node_settings.seeds}))
         self.members = self._seeds
-        self.connectors = {}
-        self._dial()
-        self.loop.every(interval_s=self._peer_timeout_s / 3, callback=self._tick)
+        self.connectors: dict[str, simulated_network.Connector] = {}
+        self._connect()
+        interval_s = self._peer_timeout_s / proxy_node.HEARTBEATS_PER_PEER_TIMEOUT
+        self.loop.every(interval_s=interval_s, callback=self._on_heartbeat_tick)
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether the serving gate opened."""
+        return self._gate.is_open
 
     def chance(self) -> float:
+        """A random number of the simulation's one generator."""
         return self.network.clock.chance.random()
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         wanted = set(self.members) | set(self._seeds)
         for host in sorted(wanted - self.connectors.keys()):
             self.connectors[host] = simulated_network.Connector(
@@ -70,77 +100,81 @@
         for host in sorted(self.connectors.keys() - wanted):
             self.connectors.pop(host).stop()
 
-    def _send_handshake(self, link) -> None:
-        about = (self.settings.ip, self.settings.zone, self.settings.region, self.incarnation, f"{self.host}:8082")
-        link.send(("hello", "proxy", *about))
-        link.send(("state", self.is_serving and not self.is_draining, self.is_draining))
+    def _send_handshake(self, link: simulated_network.PeerConnection) -> None:
+        link.send(
+            messages.Handshake(
+                role="proxy",
+                address=self.settings.ip,
+                zone=self.settings.zone,
+                region=self.settings.region,
+                incarnation=self.incarnation,
+                public_address=f"{self.host}:8082",
+            )
+        )
+        link.send(messages.NodeState(is_ready=self.is_serving, is_draining=False))
 
-    def _send_to_cores(self, message: tuple) -> None:
+    def _broadcast(self, message: tuple) -> None:
         for connector in self.connectors.values():
             if connector.link is not None and connector.link.is_up:
                 connector.link.send(message)
 
-    def _tick(self) -> None:
-        self._renewal += 1
-        self._renewed_at[self._renewal] = self.loop.now()
-        self._renewed_at.pop(self._renewal - core_sessions.MAX_PENDING_RENEWALS, None)
-        self._send_to_cores(("renew", self._renewal, b""))
+    def _on_heartbeat_tick(self) -> None:
+        self._broadcast(messages.RenewShares(number=self._renewals.begin(), usage_rows=b""))
         self.subscriber.tick()
 
-    def _handle_message(self, host: str, link, message: tuple) -> None:
-        kind = message[0]
-        if kind == "offer":
-            self.subscriber.handle_announcement(link, legacy_messages.to_typed(message))
-        elif kind in ("image", "changes"):
-            take = self.subscriber.handle_snapshot if kind == "image" else self.subscriber.handle_deltas
-            if take(link, legacy_messages.to_typed(message)):
-                topic = message[1]
-                self._send_to_cores(("have", ((topic, *self.subscriber.versions[topic]),)))
-        elif kind == "floor":
-            self._minimum_versions[host] = dict(message[1])
-            self._check_serving()
-        elif kind == "entry":
-            self._handle_share_lease(host, message)
-
-    def _handle_share_lease(self, host: str, message: tuple) -> None:
-        lease = legacy_messages.to_typed(message)
-        sent_at = self._renewed_at.get(lease.number)
+    def _handle_message(self, host: str, link: simulated_network.PeerConnection, message: tuple) -> None:
+        message = legacy_messages.to_typed(message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(host, link, message)
+
+    def _handle_announcement(self, _host, link, message: messages.Announcement) -> None:
+        self.subscriber.handle_announcement(link, message)
+
+    def _handle_snapshot(self, _host, link, message: messages.Snapshot) -> None:
+        if self.subscriber.handle_snapshot(link, message):
+            self._acknowledge(message.topic)
+
+    def _handle_deltas(self, _host, link, message: messages.Deltas) -> None:
+        if self.subscriber.handle_deltas(link, message):
+            self._acknowledge(message.topic)
+
+    def _acknowledge(self, topic: str) -> None:
+        installed = messages.TopicVersion(topic=topic, version=self.subscriber.versions[topic])
+        self._broadcast(messages.Acknowledgement(versions=(installed,)))
+
+    def _handle_minimum_versions(self, host, _link, message: messages.MinimumVersions) -> None:
+        self._gate.handle_minimum_versions(host, message)
+        self._check_serving()
+
+    def _handle_share_lease(self, host, _link, message: messages.ShareLease) -> None:
+        sent_at = self._renewals.sent_at(message.number)
         if sent_at is not None:
-            self.quota.handle_share_lease(host, lease, sent_at=sent_at)
+            self.quota.handle_share_lease(host, message, sent_at=sent_at)
             self._recorder.shares(self)
 
     def _check_serving(self) -> None:
-        if self.is_serving or not ballots.has_majority(of=self.members, among=self._minimum_versions):
-            return
-        versions = self.subscriber.versions
-        for name in register_names.MINIMUM_VERSION_REGISTERS:
-            minimum_version = max(minimum_versions.get(name, 0) for minimum_versions in self._minimum_versions.values())
-            if versions.get(name, (0, 0))[1] < minimum_version:
-                return
-        if versions.get("spec", (0, 0))[1] < 1 or "list" not in versions or "cores" not in versions:
-            return
-        self.is_serving = True
-        self._send_to_cores(("state", True, self.is_draining))
-
-    def _on_snapshot(self, snapshot: messages.Snapshot) -> None:
-        topic, version, data = snapshot
-        self._recorder.applied(self, topic, *version, data)
-        if topic == "cores":
-            self.members = ballots.unpack(data)[0]
-            self.loop.command(callback=self._dial)
-        elif topic == "list":
-            endpoint_list.unpack_list(data)
-            self._list = data
+        if self._gate.open_if_ready(members=self.members, versions=self.subscriber.versions):
+            self._broadcast(messages.NodeState(is_ready=True, is_draining=False))
+
+    def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
+        self._recorder.applied(self, snapshot.topic, *snapshot.version, snapshot.data)
+        if snapshot.topic == register_names.CORE_SET:
+            self.members = ballots.unpack(snapshot.data)[0]
+            self.loop.command(callback=self._connect)
+        elif snapshot.topic == endpoint_list.TOPIC:
+            endpoint_list.unpack_list(snapshot.data)  # raises as a proxy would
+            self._list = snapshot.data
         self.loop.command(callback=self._check_serving)
 
-    def _on_delta(self, topic: str, delta: messages.Delta) -> None:
-        """A step of the list: what it makes of the list held is checked against what a core node told whole."""
-        current = endpoint_list.unpack_list(self._list)
-        published = current.apply(endpoint_list.unpack_delta(delta.data))
-        self._on_snapshot(messages.Snapshot(topic=topic, version=delta.version, data=published.pack()))
+    def _install_delta(self, topic: str, delta: messages.Delta) -> None:
+        """What a delta makes of the list here is checked against the complete list that a core node published."""
+        published = endpoint_list.unpack_list(self._list).apply(endpoint_list.unpack_delta(delta.data))
+        self._install_snapshot(messages.Snapshot(topic=topic, version=delta.version, data=published.pack()))
 
 
-def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy:
+def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy | None:
+    """Switches the machine on and starts a proxy in a process of its own; None where its start failed."""
     machine.is_powered = True
     machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
     made = []
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -4,7 +4,7 @@
 
 from ploverward.common import settings as settings_files
 from ploverward.data_plane.adapter_cache import adapter_counts
-from ploverward.data_plane.control_client import core_sessions
+from ploverward.data_plane.control_client import residency_history
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.quotas import credential_freshness
@@ -106,7 +106,10 @@
         self.adapters = adapter_counts.Counter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.faults = []
-        self.older_homes = []
+        self.residency = residency_history.ResidencyHistory(
+            now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
+        )
+        self.permitted = self.residency.permitted
         self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
         self.configuration_age = 0.0
         self.quota_allowance = quota_allowance.QuotaAllowance(now=loop.now, lease_s=1.0)
@@ -139,12 +142,8 @@
         self.passages.add(handler)
         handler.begin()
 
-    # The real rule, and the real keeping of older homes.
-    permitted = core_sessions.FollowMixin.permitted
-    _keep_older_homes = core_sessions.FollowMixin._keep_older_homes
-
     def configure(self, body):
-        self._keep_older_homes()
+        self.residency.retire(self.routes)
         self.routes = route_table.Routes(body=body)
 
     def configuration_age_s(self):
