--- a/ploverward/command_line/pin_report.py
+++ b/ploverward/command_line/pin_report.py
@@ -8,8 +8,9 @@
 from typing import Any
 
 from ploverward.common import errors
+from ploverward.control_plane.adapter_cache import adapter_demand
 from ploverward.control_plane.adapter_cache import pin_suggestion
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import count_table
 
 Json = dict[str, Any]
 
@@ -98,14 +99,14 @@
 
 
 def _evidence(windows: list[Json], *, routes: Json, wanted: Filter) -> list[Json]:
-    demand = pin_suggestion.demand(windows=windows, routes=routes)
+    demand = adapter_demand.demand(windows=windows, routes=routes)
     return [
         {
             "service": service,
             "model": model,
             "adapter": adapter,
             "region": region,
-            **{field: row[field] for field in adapter_counts.FIELDS},
+            **row.counts._asdict(),
         }
         for (service, model, adapter), regions in sorted(demand.items())
         if wanted.service in ("", service) and wanted.model in ("", model)
@@ -117,11 +118,10 @@
     """Returns which adapters arrive cold as each proxy sees it, most first: where the work lands."""
     table: dict[tuple, list[int]] = collections.defaultdict(lambda: [0, 0])  # cold, arrivals
     for window in windows:
-        for service, model, adapter, _replica, _route, *numbers in window["rows"]:
-            counts = table[(window["node"], window["zone"], service, model, adapter)]
-            fields = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
-            counts[0] += fields["cold"]
-            counts[1] += pin_suggestion.arrivals(fields)
+        for key, counts in count_table.rows_of(window):
+            row = table[(window["node"], window["zone"], key.service, key.model, key.adapter)]
+            row[0] += counts.cold
+            row[1] += counts.arrivals
     return [
         {
             "node": node,
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -7,15 +7,13 @@
 import collections
 import collections.abc
 import dataclasses
-import json
 import typing
 
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import count_table
 from ploverward.transport import messages
 
 KEEP_WINDOWS = 20  # so many windows back
 MAX_WINDOWS = 8000  # of all proxies together
-KEY_FIELDS = 5  # service, model, adapter, replica, route; the counts follow
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
@@ -26,7 +24,7 @@
 
     count: messages.AdapterCount
     begun_at: float  # when its first report came, seconds on the store's clock
-    table: Json
+    table: count_table.Table
 
 
 class AdapterUsageStore:
@@ -53,7 +51,7 @@
         previous = self._windows.get(key)
         if previous is not None and previous.count.number >= count.number:
             return
-        table = read(data=count.counts)
+        table = count_table.read(data=count.counts)
         if table is None:
             self.malformed += 1
             return
@@ -74,8 +72,8 @@
                 "node": window.count.node,
                 "zone": window.count.zone,
                 "region": window.count.region,
-                "rows": window.table["rows"],
-                "over": window.table["over"],
+                count_table.ROWS_KEY: window.table[count_table.ROWS_KEY],
+                count_table.OVER_KEY: window.table[count_table.OVER_KEY],
             }
             for window in self._windows.values()
         ]
@@ -88,31 +86,6 @@
             self._windows.popitem(last=False)
 
 
-def read(*, data: bytes) -> Json | None:
-    """Reads a report as `adapter_counts` writes it.
-
-    Returns:
-        `{"rows": [[service, model, adapter, replica, route, counts...], ...], "over": arrivals without a row}`, or None
-        where the bytes are something else.
-    """
-    try:
-        body = json.loads(data)
-        rows = [list(row) for row in body["rows"]]
-        over = int(body["over"])
-    except (ValueError, KeyError, TypeError, UnicodeDecodeError):
-        return None
-    return {"rows": rows, "over": over} if all(_is_row(row) for row in rows) else None
-
-
-def _is_row(row: list[typing.Any]) -> bool:
-    key, counts = row[:KEY_FIELDS], row[KEY_FIELDS:]
-    return (
-        len(row) == KEY_FIELDS + len(adapter_counts.FIELDS)
-        and all(isinstance(text, str) for text in key)
-        and all(isinstance(count, int) and count >= 0 for count in counts)
-    )
-
-
 def merge(*, tables: collections.abc.Iterable[collections.abc.Iterable[Json]]) -> dict[tuple[str, int], Json]:
     """Merges what several core nodes have.
 
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -13,6 +13,7 @@
 from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.adapter_cache import pin_suggestion
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import count_table
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.quotas import shared_limits
@@ -112,7 +113,7 @@
         )
         for far, region in ZONES.items():
             self.table.ways[far] = 0.002 if region == ZONES[zone] else 0.08
-        self.counter = adapter_counts.Counter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
+        self.counter = adapter_counts.AdapterCounter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
         self.chooser = replica_chooser.Chooser(
             table=self.table, settings=settings, regions={}, quota=self.quota, now=now
         )
@@ -255,7 +256,7 @@
             prompt_tokens=0,
             avoid=avoid,
             latency_target_s=latency_target_of(kind),
-            load_s=lambda one: proxy.counter.cost_s(replica=one, model=model, adapter=adapter),
+            load_s=lambda one: proxy.counter.expected_load_s(replica=one, model=model, adapter=adapter),
         )
         if replica is None:
             self.answer(request, is_good=False)
@@ -293,7 +294,7 @@
             self.world.later(waited + READ_S, first)
 
         def seen(waited):
-            proxy.counter.ran(arrival)
+            proxy.counter.note_run(arrival)
             at = self.world.time
             self.world.later(RUN_S, lambda: done(at, waited))
 
@@ -420,14 +421,8 @@
     scene.traffic = lambda: None
     scene.world.run(until=70.0 + 1e-6)
     windows = adapter_usage.merge(tables=[core.rows() for core in scene.cores]).values()
-    counted = sum(
-        pin_suggestion.arrivals(dict(zip(adapter_counts.FIELDS, row[5:], strict=False)))
-        for window in windows
-        for row in window["rows"]
-    )
+    counted = sum(counts.arrivals for window in windows for _key, counts in count_table.rows_of(window))
     seen = sum(1 for _request, _at, first_at, *_rest in scene.log if first_at <= 68.0)
     assert seen - 20 <= counted <= len(scene.log) + 60
-    waits = sum(
-        dict(zip(adapter_counts.FIELDS, row[5:], strict=False))["waits"] for window in windows for row in window["rows"]
-    )
+    waits = sum(counts.waits for window in windows for _key, counts in count_table.rows_of(window))
     assert 0 < waits
--- a/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -5,9 +5,10 @@
 
 import pytest
 
+from ploverward.control_plane.adapter_cache import adapter_demand
 from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.adapter_cache import pin_suggestion
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import count_table
 from ploverward.transport import messages
 
 ROUTES = {
@@ -126,7 +127,7 @@
     ]
     windows = [window(*rows[:10]), window(*rows[10:], region="south", incarnation="k")]
     suggestion = made(windows, capacity=chance.randint(1, 3))
-    homes = pin_suggestion.homes_of(windows=windows, routes=ROUTES)
+    homes = adapter_demand.homes_of(windows=windows, routes=ROUTES)
     for one in suggestion["replicas"].values():
         assert len(one["pins"]) <= 3 and len(set(one["pins"])) == len(one["pins"])
         for pair in one["pins"]:
@@ -179,4 +180,4 @@
         messages.AdapterCount(node="p", zone="n1", region="north", incarnation="l", window=0, number=1, counts=data)
     )
     assert usage.rows() == [] and usage.malformed == 1
-    assert len(adapter_counts.FIELDS) == 8
+    assert len(count_table.FIELDS) == 8
--- /dev/null
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -0,0 +1,87 @@
+"""The codec of the counts of one window: JSON `{"rows": [[key fields..., counts...], ...], "over": number}` (docs/pins.md 3).
+
+Proxies write it, core nodes store and check it, operators' tools read its rows.
+"""
+
+import collections.abc
+import json
+import typing
+
+ROWS_KEY = "rows"
+OVER_KEY = "over"  # arrivals that found no row, as the table was full
+
+Table: typing.TypeAlias = dict[str, typing.Any]
+
+
+class CountKey(typing.NamedTuple):
+    """What a row of counts is about. Replicas are told apart by incarnation: a new one begins with nothing loaded."""
+
+    service: str
+    model: str
+    adapter: str  # "" where the request named none that is known
+    replica: str
+    route: str
+
+
+class ArrivalCounts(typing.NamedTuple):
+    """Counts of the attempts that ran."""
+
+    warm: int = 0  # the adapter was loaded when the request was sent
+    cold: int = 0  # it was not
+    unknown: int = 0  # that was not known
+    loads: int = 0  # cold arrivals that met one load count once
+    waits: int = 0  # cold arrivals
+    wait_ms: int = 0  # until their first events, in sum
+    most_wait_ms: int = 0  # the longest
+    late: int = 0  # waits beyond the latency target
+
+    @property
+    def arrivals(self) -> int:
+        """All attempts that ran."""
+        return self.warm + self.cold + self.unknown
+
+    def plus(self, other: "ArrivalCounts") -> "ArrivalCounts":
+        """The counts of both."""
+        sums = ArrivalCounts(*map(sum, zip(self, other, strict=True)))
+        return sums._replace(most_wait_ms=max(self.most_wait_ms, other.most_wait_ms))
+
+
+FIELDS = ArrivalCounts._fields
+_KEY_LENGTH = len(CountKey._fields)
+
+
+def pack(*, counts: collections.abc.Mapping[CountKey, collections.abc.Mapping[str, int]], over: int) -> bytes:
+    """Writes a table.
+
+    Args:
+        counts: the rows; each has all `FIELDS`.
+        over: arrivals that found no row.
+    """
+    rows = [[*key, *(row[field] for field in FIELDS)] for key, row in sorted(counts.items())]
+    return json.dumps({ROWS_KEY: rows, OVER_KEY: over}, separators=(",", ":")).encode()
+
+
+def read(*, data: bytes) -> Table | None:
+    """Reads a table as JSON gives it; None where the bytes are something else."""
+    try:
+        body = json.loads(data)
+        rows = [list(row) for row in body[ROWS_KEY]]
+        over = int(body[OVER_KEY])
+    except (ValueError, KeyError, TypeError):
+        return None
+    return {ROWS_KEY: rows, OVER_KEY: over} if all(_is_row(row) for row in rows) else None
+
+
+def _is_row(row: list[typing.Any]) -> bool:
+    key, counts = row[:_KEY_LENGTH], row[_KEY_LENGTH:]
+    return (
+        len(row) == _KEY_LENGTH + len(FIELDS)
+        and all(isinstance(text, str) for text in key)
+        and all(isinstance(count, int) and count >= 0 for count in counts)
+    )
+
+
+def rows_of(window: collections.abc.Mapping[str, typing.Any]) -> list[tuple[CountKey, ArrivalCounts]]:
+    """The rows of a table, or of a window that has the rows of one. Counts that a later version added are left out."""
+    end = _KEY_LENGTH + len(FIELDS)
+    return [(CountKey(*row[:_KEY_LENGTH]), ArrivalCounts(*row[_KEY_LENGTH:end])) for row in window[ROWS_KEY]]
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -8,6 +8,8 @@
 from ploverward.control_plane.discovery import platform_replicas
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import adapter_names
+from ploverward.data_plane.adapter_cache import count_table
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.transport import messages
 
@@ -26,7 +28,7 @@
     ],
 )
 def test_an_adapter_is_known_by_the_list_or_not_at_all(text, found):
-    assert adapter_counts.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
+    assert adapter_names.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
 
 
 def replica(name="i1", adapters=()):
@@ -45,7 +47,7 @@
 class Scene:
     def __init__(self):
         self.clock = [0.0]
-        self.counter = adapter_counts.Counter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
+        self.counter = adapter_counts.AdapterCounter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
 
     def begin(self, one, adapter="drafts", target_s=0.6):
         return self.counter.begin(replica=one, service="llm", model="m", adapter=adapter, route="r", target_s=target_s)
@@ -54,7 +56,7 @@
         found = {}
         for _window, _number, data in self.counter.report():
             for _service, _model, adapter, name, _route, *numbers in json.loads(data)["rows"]:
-                found[(adapter, name)] = dict(zip(adapter_counts.FIELDS, numbers, strict=False))
+                found[(adapter, name)] = dict(zip(count_table.FIELDS, numbers, strict=False))
         return found
 
 
@@ -63,9 +65,9 @@
     cold = replica()
     one, two = scene.begin(cold), scene.begin(cold)
     scene.clock[0] = 0.9
-    scene.counter.ran(one)
-    scene.counter.ran(two)
-    scene.counter.ran(scene.begin(cold))  # loaded by now, by our own evidence
+    scene.counter.note_run(one)
+    scene.counter.note_run(two)
+    scene.counter.note_run(scene.begin(cold))  # loaded by now, by our own evidence
     row = scene.rows()[("drafts", "i1")]
     assert (row["cold"], row["waits"], row["loads"], row["warm"], row["late"]) == (2, 2, 1, 1, 2)
     assert row["wait_ms"] == 1800 and row["most_wait_ms"] == 900
@@ -77,16 +79,16 @@
     scene.counter.note_not_run(scene.begin(cold))
     assert scene.rows() == {}
     arrival = scene.begin(cold)
-    scene.counter.ran(arrival)
+    scene.counter.note_run(arrival)
     scene.counter.note_not_run(arrival)  # its end, later: nothing more
     assert scene.rows()[("drafts", "i1")]["loads"] == 1
 
 
 def test_warm_cold_and_unknown_are_three_counts():
     scene = Scene()
-    scene.counter.ran(scene.begin(replica("warm", [["m", "drafts"]])))
-    scene.counter.ran(scene.begin(replica("cold", [["m", "reviews"]])))
-    scene.counter.ran(scene.begin(replica("dark", None)))
+    scene.counter.note_run(scene.begin(replica("warm", [["m", "drafts"]])))
+    scene.counter.note_run(scene.begin(replica("cold", [["m", "reviews"]])))
+    scene.counter.note_run(scene.begin(replica("dark", None)))
     rows = scene.rows()
     assert [
         rows[("drafts", name)][state] for name, state in (("warm", "warm"), ("cold", "cold"), ("dark", "unknown"))
@@ -97,7 +99,7 @@
 def test_a_new_incarnation_starts_empty_and_our_own_evidence_ends():
     scene = Scene()
     first = replica("i1")
-    scene.counter.ran(scene.begin(first))
+    scene.counter.note_run(scene.begin(first))
     assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.WARM
     assert scene.counter.state(replica=replica("i2"), model="m", adapter="drafts") == adapter_counts.COLD
     scene.clock[0] = 4.1  # by now the list would say so
@@ -108,7 +110,7 @@
     monkeypatch.setattr(adapter_counts, "MAX_ROWS", 3)
     scene = Scene()
     for number in range(5):
-        scene.counter.ran(scene.begin(replica(f"i{number}")))
+        scene.counter.note_run(scene.begin(replica(f"i{number}")))
     ((_window, _number, data),) = scene.counter.report()
     body = json.loads(data)
     assert len(body["rows"]) == 3 and body["over"] == 2
@@ -129,7 +131,7 @@
     total = 0
     for step in range(40):
         scene.clock[0] = step * 2.0
-        scene.counter.ran(scene.begin(replica(f"i{step % 3}")))
+        scene.counter.note_run(scene.begin(replica(f"i{step % 3}")))
         total += 1
         if step % 2:
             send_counts()
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -3,7 +3,7 @@
 import collections
 import math
 
-from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import adapter_names
 from ploverward.data_plane.load_balancing import replica_subset
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.upstream import upstream_connection
@@ -111,7 +111,7 @@
 
     def resolve(self, *, service: str, text: str) -> tuple:
         """(model, adapter, is it known) that X-Model names for this service."""
-        return adapter_counts.resolve(
+        return adapter_names.resolve(
             text=text, models=self.services.get(service, {}).get("models", ()), adapters=self.adapters.get(service, {})
         )
 
--- a/ploverward/data_plane/load_reports/adapter_reports.py
+++ b/ploverward/data_plane/load_reports/adapter_reports.py
@@ -23,7 +23,11 @@
     """
 
     def __init__(
-        self, *, counter: adapter_counts.Counter, settings: Callable[[], settings_files.Settings], incarnation: str
+        self,
+        *,
+        counter: adapter_counts.AdapterCounter,
+        settings: Callable[[], settings_files.Settings],
+        incarnation: str,
     ) -> None:
         self._counter = counter
         self._settings = settings
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -56,7 +56,7 @@
         contact_s: float,
         peer_timeout_s: float,
         table: replica_table.Table,
-        adapters: adapter_counts.Counter,
+        adapters: adapter_counts.AdapterCounter,
         replicas_in_use: Callable[[], Iterable[replica_table.Replica]],
         near_core: Callable[[], peer_connection.PeerConnection | None],
     ) -> None:
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -85,7 +85,7 @@
         )
         self.rollouts = version_routing.Rollouts(now=now, chance=random.random, running=self._running_elsewhere)
         self.table = replica_table.Table(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
-        self.adapters = adapter_counts.Counter(
+        self.adapters = adapter_counts.AdapterCounter(
             now=now,
             window_s=self.contact_s * ADAPTER_WINDOW_CONTACTS,
             trust_s=self.contact_s * ADAPTER_TRUST_CONTACTS,
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -60,7 +60,7 @@
 ) -> None:
     """The first event shows that the prompt was prefilled: it counts as cached from now on."""
     if attempt.arrival is not None:
-        context.adapters.ran(attempt.arrival)
+        context.adapters.note_run(attempt.arrival)
     replica = attempt.replica
     replica.prefill_tokens.pop(attempt.number, None)
     replica.is_suspected = False
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -59,7 +59,7 @@
     rollouts: version_routing.Rollouts
     table: replica_table.Table
     chooser: replica_chooser.Chooser
-    adapters: adapter_counts.Counter
+    adapters: adapter_counts.AdapterCounter
     batches: custody_trails.TrailBatches
     passages: set[request_handler.RequestHandler]
 
--- a/ploverward/data_plane/requests/replica_selection.py
+++ b/ploverward/data_plane/requests/replica_selection.py
@@ -82,4 +82,4 @@
 
     def _adapter_load_s(self, replica: replica_table.Replica) -> float:
         model = self._facts.model
-        return self._context.adapters.cost_s(replica=replica, model=model.name, adapter=model.adapter)
+        return self._context.adapters.expected_load_s(replica=replica, model=model.name, adapter=model.adapter)
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -103,7 +103,7 @@
         )
         self.passages = set()
         self.batches = custody_trails.TrailBatches(most=1000)
-        self.adapters = adapter_counts.Counter(now=loop.now, window_s=24.0, trust_s=4.0)
+        self.adapters = adapter_counts.AdapterCounter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.faults = []
         self.residency = residency_history.ResidencyHistory(
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -63,7 +63,7 @@
             contact_s=1.0,
             peer_timeout_s=0.25,
             table=self.table,
-            adapters=adapter_counts.Counter(now=loop.now, window_s=6.0, trust_s=0.5),
+            adapters=adapter_counts.AdapterCounter(now=loop.now, window_s=6.0, trust_s=0.5),
             replicas_in_use=lambda: {handler.replica for handler in self.passages},
             near_core=lambda: None,
         )
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -20,7 +20,6 @@
 
 from ploverward.common import rollout_evidence
 from ploverward.common import tenant_usage
-from ploverward.control_plane.adapter_cache import adapter_usage
 from ploverward.control_plane.audit import trail_store
 from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import singleton_roles
@@ -37,6 +36,7 @@
 from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import state
 from ploverward.data_plane.adapter_cache import adapter_counts
+from ploverward.data_plane.adapter_cache import count_table
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.data_plane.relay import hub
 from ploverward.data_plane.relay import load_feed
@@ -226,7 +226,7 @@
 def _pack_counts(value) -> bytes:
     """Counts of arrivals: (service, model, adapter, replica, route, what the replica holds, seconds waited, target)."""
     clock = [0.0]
-    counter = adapter_counts.Counter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
+    counter = adapter_counts.AdapterCounter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
     for service, model, adapter, replica_id, route, held, wait_s, target_s in value:
         adapters = None if held is None else {tuple(pair): 0.0 for pair in held}
         replica = types.SimpleNamespace(id=replica_id, service=service, adapters=adapters)
@@ -234,14 +234,14 @@
             replica=replica, service=service, model=model, adapter=adapter, route=route, target_s=target_s
         )
         clock[0] += wait_s
-        counter.ran(arrival)
+        counter.note_run(arrival)
         clock[0] += 1.0
     [(_window, _number, data)] = counter.report()
     return data
 
 
 def _read_counts(data: bytes) -> list:
-    body = adapter_usage.read(data=data)
+    body = count_table.read(data=data)
     return [body["rows"], body["over"]]
 
 
