--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -50,7 +50,7 @@
         self,
         *,
         table: replica_table.Table,
-        rollouts: version_routing.Rollouts,
+        rollouts: version_routing.VersionRouter,
         quota_allowance: quota_allowances.QuotaAllowance,
         residency: residency_history.ResidencyHistory,
         on_core_set: Callable[[tuple[str, ...]], None],
--- a/ploverward/data_plane/control_client/core_reports.py
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -8,7 +8,6 @@
 
 from ploverward.common import settings as settings_files
 from ploverward.control_plane.cluster import coordinator
-from ploverward.control_plane.rollouts import leases
 from ploverward.data_plane.control_client import core_connections
 from ploverward.data_plane.requests import custody_trails
 from ploverward.data_plane.rollouts import version_routing
@@ -23,7 +22,7 @@
         self,
         *,
         connections: core_connections.CoreConnections,
-        rollouts: version_routing.Rollouts,
+        rollouts: version_routing.VersionRouter,
         singleton_roles: Callable[[], dict[str, tuple]],
     ) -> None:
         self._connections = connections
@@ -38,16 +37,13 @@
             return
         report = self._rollouts.report()
         if report is not None:
-            connection.send(messages.RolloutEvidence(*report))
+            connection.send(report)
 
     def handle_leases(
         self, _host: str, _connection: peer_connection.PeerConnection, message: messages.RolloutLeases
     ) -> None:
         """Installs how much of its traffic this proxy may send to new versions."""
-        self._rollouts.pace = max(1, message.report_interval)
-        self._rollouts.handle_leases(
-            number=message.number, lease_s=message.duration_s, leases=leases.unpack(message.leases)
-        )
+        self._rollouts.handle_leases(message)
 
 
 class CustodyReports:
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -83,7 +83,7 @@
         self.quota_allowance = quota_allowance.QuotaAllowance(
             now=now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
-        self.rollouts = version_routing.Rollouts(now=now, chance=random.random, running=self._running_elsewhere)
+        self.rollouts = version_routing.VersionRouter(now=now, chance=random.random, running=self._running_elsewhere)
         self.table = replica_table.Table(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
         self.adapters = adapter_counts.AdapterCounter(
             now=now,
@@ -234,7 +234,7 @@
         self.loop.after(delay=self._relay_client.report_interval_s(), callback=self._on_report_tick)
 
     def _on_heartbeat_tick(self) -> None:
-        if self._heartbeats % self.rollouts.pace == 0:
+        if self._heartbeats % self.rollouts.report_interval == 0:
             self._rollout_reports.send()
         self._renewals.renew()  # it also shows core nodes that this proxy runs
         self._relay_client.send_heartbeats()
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -56,7 +56,7 @@
     quota: shared_limits.SharedLimits
     quota_allowance: quota_allowance.QuotaAllowance
     credential_freshness: credential_freshness.CredentialFreshness
-    rollouts: version_routing.Rollouts
+    rollouts: version_routing.VersionRouter
     table: replica_table.Table
     chooser: replica_chooser.Chooser
     adapters: adapter_counts.AdapterCounter
--- /dev/null
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -0,0 +1,64 @@
+"""What the end of an attempt says of the version that ran it (docs/rollouts.md 5). Pure functions."""
+
+from ploverward.common import rollout_evidence
+from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.requests import attempts
+
+MIN_ERROR_STATUS = 500
+
+
+def is_evidence(attempt: attempts.Attempt) -> bool:
+    """Whether the end of an attempt says anything of its version: not where the replica did not run the request."""
+    if attempt.connection.is_unsent:
+        return False
+    return attempt.meaning not in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE)
+
+
+def count(
+    tally: rollout_evidence.Tally,
+    attempt: attempts.Attempt,
+    *,
+    kind: int,
+    now: float,
+    latency_target_s: float,
+    expected_s: float,
+) -> None:
+    """Counts the end of an attempt.
+
+    Args:
+        tally: Where it is counted.
+        attempt: The attempt.
+        kind: A `report_source.AttemptEvent`.
+        now: The loop's clock, in seconds.
+        latency_target_s: Of its request. An attempt that was given up later than this was slow; one that was given up
+            earlier says nothing of the replica.
+        expected_s: Expected time to the first piece, by network latency and prefill. What comes sooner counts as just
+            then: times below it say nothing of the replica.
+    """
+    waited_s = now - attempt.sent_at
+    if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= MIN_ERROR_STATUS and attempt.is_complete:
+        tally.ended += 1
+        tally.failed += 1
+    elif attempt.is_complete:
+        tally.ended += 1
+        _count_times(tally, attempt, now=now, expected_s=expected_s)
+    elif attempt.first_at is None and waited_s > latency_target_s:
+        tally.ended += 1  # given up: it would have taken longer still
+        tally.firsts[_first_bucket(waited_s, expected_s)] += 1
+    elif kind in (report_source.AttemptEvent.BROKEN, report_source.AttemptEvent.FAILED):
+        tally.ended += 1
+        tally.broken += 1
+
+
+def _count_times(tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float) -> None:
+    if attempt.arrival is None:  # else its adapter may have had to be loaded first
+        first_s = (attempt.first_at or now) - attempt.sent_at
+        tally.firsts[_first_bucket(first_s, expected_s)] += 1
+    if attempt.pieces > 1 and attempt.first_at is not None and attempt.last_at is not None:
+        pause_s = (attempt.last_at - attempt.first_at) / (attempt.pieces - 1)
+        tally.paces[rollout_evidence.bucket_of(pause_s / rollout_evidence.UNIT_S)] += 1
+
+
+def _first_bucket(took_s: float, expected_s: float) -> int:
+    """The bucket of a first piece, by what the replica took beyond network latency and prefill."""
+    return rollout_evidence.bucket_of(1.0 + max(0.0, took_s - expected_s) / rollout_evidence.UNIT_S)
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -12,6 +12,7 @@
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.rollouts import version_routing
+from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 CANARY = state.Rollout(
@@ -38,7 +39,7 @@
 def made(*, rollout=CANARY, chance=0.5, began=50.0):
     clock = Clock()
     clock.now = began
-    tracker = version_routing.Rollouts(now=clock, chance=lambda: chance, running=lambda service, target: 3)
+    tracker = version_routing.VersionRouter(now=clock, chance=lambda: chance, running=lambda service, target: 3)
     tracker.install(payload(rollout))
     return tracker, clock
 
@@ -47,9 +48,15 @@
     return leases.CanaryLease(service="pool", number=number, step=step, share=share, replicas=replicas)
 
 
+def answer(tracker, *, number, lease_s, granted):
+    """The coordinator's reply to a report."""
+    tracker.handle_leases(
+        messages.RolloutLeases(number=number, duration_s=lease_s, report_interval=1, leases=leases.pack(granted))
+    )
+
+
 def give(tracker, *, lease_s=2.5, **about):
-    number, _data = tracker.report()
-    tracker.handle_leases(number=number, lease_s=lease_s, leases=[lease(**about)])
+    answer(tracker, number=tracker.report().number, lease_s=lease_s, granted=[lease(**about)])
 
 
 def editions(tracker, *, is_first=True):
@@ -100,9 +107,9 @@
 
 def test_a_lease_counts_from_when_its_report_was_sent():
     tracker, clock = made(chance=0.99)
-    number, _data = tracker.report()
+    number = tracker.report().number
     clock.now += 2.4
-    tracker.handle_leases(number=number, lease_s=2.5, leases=[lease()])
+    answer(tracker, number=number, lease_s=2.5, granted=[lease()])
     assert editions(tracker) == ["v2", "v1"]
     clock.now += 0.2
     assert editions(tracker) == ["v1"]
@@ -110,7 +117,7 @@
 
 def test_a_lease_that_was_not_asked_for_or_is_of_an_older_order_or_step_counts_for_nothing():
     tracker, _clock = made(chance=0.99)
-    tracker.handle_leases(number=7, lease_s=9.0, leases=[lease()])
+    answer(tracker, number=7, lease_s=9.0, granted=[lease()])
     give(tracker, number=2)
     give(tracker, step=1)
     assert editions(tracker) == ["v1"]
@@ -118,10 +125,10 @@
 
 def test_a_late_answer_does_not_replace_a_newer_lease():
     tracker, clock = made(chance=0.99)
-    first, _data = tracker.report()
+    first = tracker.report().number
     clock.now += 0.4
     give(tracker, share=0.0)
-    tracker.handle_leases(number=first, lease_s=2.5, leases=[lease(share=0.5)])
+    answer(tracker, number=first, lease_s=2.5, granted=[lease(share=0.5)])
     assert editions(tracker) == ["v1"]
 
 
@@ -189,7 +196,7 @@
     tracker, clock = made(began=began)
     clock.now = 50.0
     tracker.note_end(service="pool", route="r", attempt=one, kind=kind, latency_target_s=0.6, expected_s=0.1)
-    reports = rollout_evidence.unpack(tracker.report()[1])
+    reports = rollout_evidence.unpack(tracker.report().reports)
     return [tally for tally in reports[0].tallies.values()]
 
 
@@ -235,7 +242,7 @@
 
 def test_reports_are_of_roll_outs_in_progress_alone():
     tracker, _clock = made()
-    (report,) = rollout_evidence.unpack(tracker.report()[1])
+    (report,) = rollout_evidence.unpack(tracker.report().reports)
     assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
     tracker.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
     assert tracker.report() is None
@@ -248,5 +255,5 @@
         service="pool", route="r", attempt=attempt(), kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
     tracker.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
-    (report,) = rollout_evidence.unpack(tracker.report()[1])
+    (report,) = rollout_evidence.unpack(tracker.report().reports)
     assert report.number == 2 and not report.tallies and report.sent == 0
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -1,35 +1,46 @@
-"""Roll-outs at a proxy: which versions a request may go to, and what is counted of them (docs/rollouts.md 3, 4).
+"""Which versions the requests of a proxy may go to, and what it counts of them (docs/rollouts.md 3, 4).
 
-An admitted version may get requests always. A new one gets them under a lease alone, which counts from when it was asked
-for, as a part of this proxy's own requests: of each request a fraction is saved up, and a whole one buys one attempt, so
-that the part holds at every moment and over any number of proxies.
+An admitted version may get requests always. A new one gets them under a lease, which counts from when its report was
+sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a credit, and an
+attempt at the new version takes one. So the share holds at every moment, and over any number of proxies
+(`test_the_sum_over_all_proxies_keeps_to_the_share`).
+
+`VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
+incarnation and begin anew with each order.
 """
 
 import dataclasses
+from collections.abc import Callable
 
 from ploverward.common import rollout_evidence
+from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import state
-from ploverward.data_plane.load_reports import report_source
+from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.requests import attempts
+from ploverward.data_plane.rollouts import attempt_tally
+from ploverward.transport import messages
 
-MAX_CREDIT = 1.5  # requests that may be saved up while no replica of the new version can be named
-FULL_SHARE = 0.999
-
-
-def _first_bucket(took_s: float, expected_s: float) -> int:
-    """By what the replica itself took, beyond the way there and the reading of the prompt."""
-    return rollout_evidence.bucket_of(1.0 + max(0.0, took_s - expected_s) / rollout_evidence.UNIT_S)
+MAX_CREDIT = 1.5  # requests that may be saved up while no replica of the new version is usable
+FULL_SHARE = 0.999  # from here on the new version is preferred for all requests; the share in a lease is rounded
+MAX_PENDING_REPORTS = 8  # whose replies still count; those of older ones would have expired
 
 
 @dataclasses.dataclass(frozen=True)
-class Pool:
-    """The replicas of a service that one attempt may go to."""
+class VersionPool:
+    """The replicas of a service that one attempt may go to.
+
+    Attributes:
+        rollout: The service's row.
+        is_new: Whether they are those of the new version, or those of the admitted ones.
+        replicas: Ids; empty: all of these versions.
+    """
 
     rollout: state.Rollout
     is_new: bool
-    replicas: tuple = ()  # ids; empty: all of these versions
+    replicas: tuple[str, ...] = ()
 
-    def has(self, replica) -> bool:
+    def has(self, replica: replica_table.Replica) -> bool:
+        """Whether the replica's version is one of these; a replica without a version counts as admitted."""
         if not replica.edition:
             return not self.is_new
         if self.is_new:
@@ -37,49 +48,73 @@
         return self.rollout.is_admitted(replica.edition)
 
 
-@dataclasses.dataclass
+@dataclasses.dataclass(slots=True)
 class TrackedRollout:
-    """One service's roll-out as this proxy follows it."""
+    """One service's roll-out as this proxy follows it.
+
+    Attributes:
+        rollout: The service's row.
+        ordered_at: When the order came, on this proxy's clock.
+        credit: Requests that may go to the new version.
+        counts_from: Attempts that began before are not counted.
+        lease: The newest lease.
+        lease_until: Its end.
+        sent: Attempts since the order.
+        sent_new: Of these, those at the new version.
+        tallies: What their ends say.
+    """
 
     rollout: state.Rollout
-    began_at: float  # when the order came, on this proxy's clock
-    credit: float  # of a request to the new version
-    counts_from: float  # attempts that began before are not counted
-    lease: object = None
+    ordered_at: float
+    credit: float
+    counts_from: float
+    lease: leases.CanaryLease | None = None
     lease_until: float = 0.0
     sent: int = 0
     sent_new: int = 0
-    tallies: dict = dataclasses.field(default_factory=dict)  # evidence.Key: Tally
+    tallies: dict[rollout_evidence.Key, rollout_evidence.Tally] = dataclasses.field(default_factory=dict)
+
 
+class VersionRouter:
+    """Roll-outs of all services.
 
-class Rollouts:
-    """`chance()` is a random number from 0 to below 1; `running(service, target)` counts attempts at other versions."""
+    Args:
+        now: The loop's clock, in seconds.
+        chance: Draws a number from 0 to below 1.
+        running: Counts the attempts in progress at other versions of a service: `running(service, target)`.
 
-    def __init__(self, *, now, chance, running):
+    Attributes:
+        report_interval: Heartbeats between two reports, as the coordinator asks for it.
+    """
+
+    def __init__(
+        self, *, now: Callable[[], float], chance: Callable[[], float], running: Callable[[str, str], int]
+    ) -> None:
+        self.report_interval = 1
         self._now = now
         self._chance = chance
         self._running = running
-        self._tracked = {}  # service: Held
-        self._asked = {}  # number of a report: when it was sent
+        self._tracked: dict[str, TrackedRollout] = {}  # by service
         self._number = 0
-        self.pace = 1
+        self._sent_at: dict[int, float] = {}  # by number of a pending report
 
-    def install(self, payload) -> None:
-        """The register's newest value."""
+    def install(self, payload: state.Payload) -> None:
+        """Installs the register's newest value."""
         now = self._now()
         for service, rollout in state.rollouts_of(payload).items():
+            ordered_at = now - rollout.age_s
             tracked = self._tracked.get(service)
             if tracked is not None and tracked.rollout.number == rollout.number:
                 tracked.rollout = rollout
-                tracked.began_at = min(tracked.began_at, now - rollout.age_s)
+                tracked.ordered_at = min(tracked.ordered_at, ordered_at)
                 continue
-            # A phase of its own for each proxy: many of them begin at the same moment.
+            # Each proxy begins with a random credit: else all would send to the new version at the same time.
             self._tracked[service] = TrackedRollout(
-                rollout=rollout, began_at=now - rollout.age_s, credit=self._chance(), counts_from=now
+                rollout=rollout, ordered_at=ordered_at, credit=self._chance(), counts_from=now
             )
 
-    # Which versions an attempt may go to.
     def _share(self, tracked: TrackedRollout) -> float:
+        """The share of the requests that may go to the new version now."""
         if tracked.rollout.stage == state.Stage.DRAINING:
             return 1.0
         lease = tracked.lease
@@ -87,28 +122,33 @@
             return 0.0
         return lease.share
 
-    def pools(self, *, service: str, is_first: bool) -> tuple:
-        """Pools for one attempt, the preferred first; None stands for every replica of the service.
+    def pools(self, *, service: str, is_first: bool) -> tuple[VersionPool | None, ...]:
+        """The pools for one attempt, the preferred one first.
 
-        `is_first`: no attempt of the request has reached a replica yet; what failed once goes to the former version.
+        Args:
+            service: The service.
+            is_first: Whether no attempt of the request has reached a replica yet: a retry goes to the former version.
+
+        Returns:
+            The pools; None stands for all replicas of the service.
         """
         tracked = self._tracked.get(service)
         if tracked is None:
             return (None,)
         rollout = tracked.rollout
-        former = Pool(rollout=rollout, is_new=False)
+        former = VersionPool(rollout=rollout, is_new=False)
         if not rollout.is_in_progress:
             return (former,)
-        share = self._share(tracked)
         if rollout.stage == state.Stage.DRAINING:
-            return (Pool(rollout=rollout, is_new=True),)
+            return (VersionPool(rollout=rollout, is_new=True),)
+        share = self._share(tracked)
         if share >= FULL_SHARE:
-            return (Pool(rollout=rollout, is_new=True), former)
-        if is_first and share > 0.0 and tracked.credit + share >= 1.0:
-            return (Pool(rollout=rollout, is_new=True, replicas=tracked.lease.replicas), former)
+            return (VersionPool(rollout=rollout, is_new=True), former)
+        if is_first and share > 0.0 and tracked.lease is not None and tracked.credit + share >= 1.0:
+            return (VersionPool(rollout=rollout, is_new=True, replicas=tracked.lease.replicas), former)
         return (former,)
 
-    def note_send(self, *, service: str, replica) -> None:
+    def note_send(self, *, service: str, replica: replica_table.Replica) -> None:
         """One attempt begins."""
         tracked = self._tracked.get(service)
         if tracked is None or not tracked.rollout.is_in_progress:
@@ -120,58 +160,43 @@
             tracked.credit -= 1.0
         tracked.credit = max(0.0, min(MAX_CREDIT, tracked.credit))
 
-    # What is counted.
     def note_end(
-        self, *, service: str, route: str, attempt, kind: int, latency_target_s: float, expected_s: float
+        self,
+        *,
+        service: str,
+        route: str,
+        attempt: attempts.Attempt,
+        kind: int,
+        latency_target_s: float,
+        expected_s: float,
     ) -> None:
-        """One attempt is over. `expected_s`: until its first piece, by the way and by what was to be read.
-
-        What comes sooner counts as just then: below it, times tell nothing of the replica.
-        """
+        """One attempt is over; the arguments are those of `attempt_tally.count`."""
         tracked = self._tracked.get(service)
-        if tracked is None or not tracked.rollout.is_in_progress or attempt.connection.is_unsent:
-            return
-        if attempt.sent_at < tracked.counts_from:
+        if tracked is None or not tracked.rollout.is_in_progress:
             return
-        if attempt.meaning in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE):
+        if attempt.sent_at < tracked.counts_from or not attempt_tally.is_evidence(attempt):
             return
         is_new = attempt.replica.edition == tracked.rollout.target
         group = rollout_evidence.group_of(attempt.replica.key) if is_new else 0
-        tally = tracked.tallies.setdefault(
-            rollout_evidence.Key(route=route, is_new=is_new, group=group), rollout_evidence.Tally()
+        key = rollout_evidence.Key(route=route, is_new=is_new, group=group)
+        attempt_tally.count(
+            tracked.tallies.setdefault(key, rollout_evidence.Tally()),
+            attempt,
+            kind=kind,
+            now=self._now(),
+            latency_target_s=latency_target_s,
+            expected_s=expected_s,
         )
-        self._count(tally, attempt, kind=kind, latency_target_s=latency_target_s, expected_s=expected_s)
 
-    def _count(self, tally, attempt, *, kind: int, latency_target_s: float, expected_s: float) -> None:
+    def report(self) -> messages.RolloutEvidence | None:
+        """The evidence to be sent to the coordinator now; None where no roll-out is in progress."""
         now = self._now()
-        waited_s = now - attempt.sent_at
-        if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= 500 and attempt.is_complete:
-            tally.ended += 1
-            tally.failed += 1
-        elif attempt.is_complete:
-            tally.ended += 1
-            first_s = (attempt.first_at or now) - attempt.sent_at
-            if attempt.arrival is None:  # else its adapter may have had to be loaded first
-                tally.firsts[_first_bucket(first_s, expected_s)] += 1
-            if attempt.pieces > 1:
-                pace_s = (attempt.last_at - attempt.first_at) / (attempt.pieces - 1)
-                tally.paces[rollout_evidence.bucket_of(pace_s / rollout_evidence.UNIT_S)] += 1
-        elif attempt.first_at is None and waited_s > latency_target_s:
-            tally.ended += 1  # given up: it would have taken longer still
-            tally.firsts[_first_bucket(waited_s, expected_s)] += 1
-        elif kind in (report_source.BROKEN, report_source.FAILED):
-            tally.ended += 1
-            tally.broken += 1
-
-    # To the holder of the watch duty, and back.
-    def report(self) -> tuple | None:
-        """(number, bytes) to be sent now; None where no roll-out is under way."""
         reports = [
             rollout_evidence.Report(
                 service=service,
                 number=tracked.rollout.number,
                 step=tracked.rollout.step,
-                age_s=self._now() - tracked.began_at,
+                age_s=now - tracked.ordered_at,
                 sent=tracked.sent,
                 sent_new=tracked.sent_new,
                 running_old=self._running(service, tracked.rollout.target),
@@ -183,19 +208,28 @@
         if not reports:
             return None
         self._number += 1
-        self._asked = {number: when for number, when in self._asked.items() if number > self._number - 8}
-        self._asked[self._number] = self._now()
-        return self._number, rollout_evidence.pack(reports)
-
-    def handle_leases(self, *, number: int, lease_s: float, leases: list) -> None:
-        """Each counts from when its report was sent, and never takes the place of one that was asked for later."""
-        asked_at = self._asked.get(number)
-        if asked_at is None:
+        self._sent_at[self._number] = now
+        self._sent_at.pop(self._number - MAX_PENDING_REPORTS, None)
+        return messages.RolloutEvidence(number=self._number, reports=rollout_evidence.pack(reports))
+
+    def handle_leases(self, message: messages.RolloutLeases) -> None:
+        """Takes the coordinator's reply to a report.
+
+        A lease counts from when its report was sent, and never replaces one whose report was sent later.
+
+        Raises:
+            FrameError: The message holds no leases.
+        """
+        self.report_interval = max(1, message.report_interval)
+        granted = leases.unpack(message.leases)
+        sent_at = self._sent_at.get(message.number)
+        if sent_at is None:
             return
-        for lease in leases:
+        until = sent_at + message.duration_s
+        for lease in granted:
             tracked = self._tracked.get(lease.service)
             if tracked is None or tracked.rollout.number != lease.number or lease.step < tracked.rollout.step:
                 continue
-            if asked_at + lease_s >= tracked.lease_until:
+            if until >= tracked.lease_until:
                 tracked.lease = lease
-                tracked.lease_until = asked_at + lease_s
+                tracked.lease_until = until
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -95,7 +95,9 @@
                 slack_share=share, rate_share=share, duration_s=1000.0, core_share=1.0, slot=0, slot_count=8, number=1
             ),
         )
-        self.rollouts = version_routing.Rollouts(now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0)
+        self.rollouts = version_routing.VersionRouter(
+            now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0
+        )
         self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.install_services(route_table.services(body=CONFIGURATION))
         self.chooser = replica_chooser.Chooser(
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -5,11 +5,9 @@
 
 from ploverward.control_plane.rollouts import evidence_table
 from ploverward.control_plane.rollouts import exposure
-from ploverward.control_plane.rollouts import leases
 from ploverward.control_plane.rollouts import manager
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.rollouts import version_routing
-from ploverward.transport import messages
 from ploverward.transport import row_codec
 
 SERVICE, FORMER, NEW = "pool", "v1", "v2"
@@ -125,7 +123,7 @@
         self.running = collections.Counter()  # edition: attempts under way
         self.asked_at = 0.0  # when its last report was sent
         self.answered_at = 0.0  # the latest of its reports that was answered by leases
-        self.rollouts = version_routing.Rollouts(
+        self.rollouts = version_routing.VersionRouter(
             now=self.simulation.world.now,
             chance=self.simulation.chance.random,
             running=lambda service, target: self._elsewhere(target),
@@ -165,9 +163,7 @@
         core.proxies[origin] = self.simulation.world.now()
         if report is None:
             return
-        number, data = report
-        evidence = messages.RolloutEvidence(number=number, reports=data)
-        answer = core.rollout_manager.handle_evidence(origin=origin, message=evidence, proxy_count=len(core.proxies))
+        answer = core.rollout_manager.handle_evidence(origin=origin, message=report, proxy_count=len(core.proxies))
         if answer is None:
             return
         self.simulation.note_answered(core)
@@ -176,7 +172,7 @@
         def take():
             if rollout is self.rollouts and not self.is_partitioned:
                 self.answered_at = max(self.answered_at, asked_at)
-                rollout.handle_leases(number=number, lease_s=answer.duration_s, leases=leases.unpack(answer.leases))
+                rollout.handle_leases(answer)
 
         self.simulation.world.later(self.simulation.chance.uniform(0.005, 0.4), take)
 
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -35,11 +35,11 @@
 
 
 def leases_without_end(monkeypatch):
-    real = version_routing.Rollouts.handle_leases
+    real = version_routing.VersionRouter.handle_leases
     monkeypatch.setattr(
-        version_routing.Rollouts,
+        version_routing.VersionRouter,
         "handle_leases",
-        lambda self, *, number, lease_s, leases: real(self, number=number, lease_s=lease_s * 9, leases=leases),
+        lambda self, message: real(self, message._replace(duration_s=message.duration_s * 9)),
     )
 
 
