--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -1,26 +1,37 @@
-"""A model of quotas: the real meters of core nodes and the real allowances of proxies on a simulated network.
+"""A simulation of quotas: the real meters of core nodes and the real allowances of proxies on a simulated network.
 
-Every admission is counted by itself, in sliding windows, over all proxies, in touch or not. `play(seed)` is one day.
+Every admission is counted by itself, in sliding windows, over all proxies, in contact or isolated (docs/quotas.md 1).
+`QuotaSimulation` owns the nodes, the traffic of ten tenants and the faults; `run_simulation(seed)` runs one of some
+forty simulated seconds.
 """
 
 import collections
 import dataclasses
 import random
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Sequence
+from typing import Any
 
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import quota_meter
 from ploverward.control_plane.quotas import token_bucket
-from ploverward.data_plane.quotas import quota_allowance as quota_allowances
+from ploverward.data_plane.quotas import quota_allowance
 from ploverward.simulation import simulated_world
 
 HEARTBEAT_INTERVAL_S = 0.4
 LEASE_S = 0.9
 TOLERANCE = token_bucket.QuotaTolerance(window_s=5.0, excess=0.1, slack=20.0)
-START_AT = 12.0  # of traffic: by then the buckets are full
-END_AT = 44.0
-USUAL_PART = 1 / 1.6  # of a tenant's limit, that it asks for on ordinary days
+START_AT_S = 12.0  # start of the traffic: by then the buckets are full
+END_AT_S = 44.0
+FIRST_FAULT_S, LAST_FAULT_S = START_AT_S + 4.0, START_AT_S + 16.0
+USUAL_LIMIT_SHARE = 1 / 1.6  # of a tenant's limit, that it asks for without faults
 CORES = 5
-RESTART_S = 0.6  # from a kill of all processes to the first that takes requests
+RESTART_S = 0.6  # from the end of all processes to the first that takes requests
+APPLY_S = 4.0  # until a changed configuration binds, applyMs
+LOWERED_LIMIT_SHARE = 0.3
+RECENT_REQUESTS = 500  # that are looked at for the demand of one window
+DELAY_S = (0.001, 0.08)  # of a message
 FAULT_KINDS = (
     "none",
     "hot",
@@ -35,34 +46,60 @@
 )
 
 
+@dataclasses.dataclass(frozen=True)
+class Overrun:
+    """A tenant whose worst window had more requests than the bound allows, and how many more."""
+
+    tenant: str
+    requests: float
+
+
 @dataclasses.dataclass
 class Report:
-    """What came of one day. `over`: (tenant, requests in the worst window beyond the bound); `worst`: of its error used."""
+    """The result of one simulation.
+
+    Attributes:
+        seed: Of its randomness.
+        fault_kinds: The injected faults.
+        over: Tenants beyond their bound.
+        worst: The largest share of the allowed overrun that any tenant used.
+        asked: Requests.
+        refused: Of these, refused ones.
+        refused_below: Of these, those of tenants that asked for no more than their limit.
+    """
 
     seed: int
-    fault_kinds: tuple
-    over: list = dataclasses.field(default_factory=list)
+    fault_kinds: tuple[str, ...]
+    over: list[Overrun] = dataclasses.field(default_factory=list)
     worst: float = 0.0
     asked: int = 0
     refused: int = 0
-    refused_below: int = 0  # although the tenant asked less than its limit
+    refused_below: int = 0
 
 
 class Core:
-    def __init__(self, *, simulation, name: str):
+    """A core node, as far as quotas need it."""
+
+    def __init__(self, *, simulation: "QuotaSimulation", name: str) -> None:
         self.simulation = simulation
         self.name = name
         self.start()
 
     def start(self) -> None:
-        self.meter = quota_meter.QuotaMeter(
-            now=self.simulation.world.now, tolerance=TOLERANCE, owned_share=lambda: 1.0 / CORES
-        )
-        self.meter.install(self.simulation.body)
+        """Starts the process anew, without what it had counted."""
+        world = self.simulation.world
+        self.meter = quota_meter.QuotaMeter(now=world.now, tolerance=TOLERANCE, owned_share=lambda: 1.0 / CORES)
+        self.install()
+
+    def install(self) -> None:
+        """Installs the configuration in force."""
+        self.meter.install(self.simulation.configuration)
 
 
 class Proxy:
-    def __init__(self, *, simulation, name: str):
+    """A proxy, as far as quotas need it."""
+
+    def __init__(self, *, simulation: "QuotaSimulation", name: str) -> None:
         self.simulation = simulation
         self.name = name
         self.is_partitioned = False
@@ -71,171 +108,204 @@
         self.start()
 
     def start(self) -> None:
+        """Starts the process anew."""
         self.incarnation += 1
-        self.quota_allowance = quota_allowances.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
-        self.quota_allowance.install(self.simulation.body)
-
-    def send_heartbeats(self) -> None:
-        simulation = self.simulation
-        if simulation.world.now() < self.frozen_until:
+        self.allowance = quota_allowance.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
+        self.install()
+
+    def install(self) -> None:
+        """Installs the configuration in force."""
+        self.allowance.install(self.simulation.configuration)
+
+    def send_reports(self) -> None:
+        """Reports to all core nodes, as at each heartbeat."""
+        simulation, allowance = self.simulation, self.allowance
+        now = simulation.world.now()
+        if now < self.frozen_until:
             return
-        asked_at, quota_allowance, incarnation = simulation.world.now(), self.quota_allowance, str(self.incarnation)
         if not self.is_partitioned:
             for core in simulation.cores:
-                data = quota_allowance.report(core=core.name)
-                simulation.world.later(
-                    simulation.chance.uniform(0.001, 0.08),
-                    self._send_quota_status(core, quota_allowance, incarnation, data, asked_at),
-                )
-        quota_allowance.end_report()
-
-    def _send_quota_status(self, core: Core, quota_allowance, incarnation: str, data: bytes, asked_at: float):
-        def deliver():
+                data = allowance.report(core=core.name)
+                simulation.send(self._delivery(core, allowance, data=data, asked_at=now))
+        allowance.end_report()
+
+    def _delivery(
+        self, core: Core, allowance: quota_allowance.QuotaAllowance, *, data: bytes, asked_at: float
+    ) -> Callable[[], None]:
+        """The arrival of a report at a core node, which replies."""
+        incarnation = str(self.incarnation)
+
+        def deliver() -> None:
             if self.is_partitioned or incarnation != str(self.incarnation):
                 return
             core.meter.record(proxy=self.name, incarnation=incarnation, rows=tenant_usage.unpack_usage(data))
             credits = core.meter.credits(proxy=self.name)
-            proxies = core.meter.proxy_count()
-            self.simulation.world.later(self.simulation.chance.uniform(0.001, 0.08), lambda: answered(credits, proxies))
+            proxy_count = core.meter.proxy_count()
+            self.simulation.send(lambda: handle_reply(credits, proxy_count))
 
-        def answered(credits, proxies):
-            if not self.is_partitioned and quota_allowance is self.quota_allowance:
-                quota_allowance.record(core=core.name, asked_at=asked_at, proxy_count=proxies, credits=credits)
+        def handle_reply(credits: Sequence[tenant_usage.Credit], proxy_count: int) -> None:
+            if not self.is_partitioned and allowance is self.allowance:
+                allowance.record(core=core.name, asked_at=asked_at, proxy_count=proxy_count, credits=credits)
 
         return deliver
 
 
 class QuotaSimulation:
-    def __init__(self, *, seed: int, fault_kinds: tuple | None = None, proxies: int = 0):
+    """One simulation.
+
+    Args:
+        seed: Of its randomness; the same one gives the same result.
+        fault_kinds: Of `FAULT_KINDS`; two random ones where that is None.
+        proxies: How many; a random number where that is 0.
+    """
+
+    def __init__(self, *, seed: int, fault_kinds: Iterable[str] | None = None, proxies: int = 0) -> None:
         self.chance = chance = random.Random(seed)
         self.world = simulated_world.World(seed=seed)
         self.fault_kinds = tuple(chance.sample(FAULT_KINDS, 2)) if fault_kinds is None else tuple(fault_kinds)
         self.report = Report(seed=seed, fault_kinds=self.fault_kinds)
         rates = [chance.uniform(20, 40), *(chance.uniform(0.5, 8.0) for _index in range(9))]
-        self.limits = {f"t{number}": rate for number, rate in enumerate(rates)}
-        self.body = {
+        self.limits = {f"t{number}": rate for number, rate in enumerate(rates)}  # by tenant: requests a second
+        self.configuration: dict[str, list[dict[str, Any]]] = {
             "senders": [{"name": name, "perS": rate, "burst": round(rate)} for name, rate in self.limits.items()]
         }
-        self.times = 1.0  # of its usual, that the first tenant asks for
-        self.admitted = collections.defaultdict(list)  # tenant: times
-        self.asked = collections.defaultdict(list)
-        self.lowered_at = None
+        self.hot_factor = 1.0  # of its usual demand, that the first tenant asks for
+        self.admitted: dict[str, list[float]] = collections.defaultdict(list)  # by tenant: times
+        self.asked: dict[str, list[float]] = collections.defaultdict(list)
+        self.lowered_at: float | None = None
         self.cores = [Core(simulation=self, name=f"k{number}") for number in range(CORES)]
         count = proxies or chance.choice((12, 60, 120))
         self.proxies = [Proxy(simulation=self, name=f"p{number}") for number in range(count)]
-        # A tenant's clients sit on some proxies more than on others.
+        # A tenant's clients are at some proxies more than at others.
         self.weights = {name: [chance.expovariate(1.0) for _proxy in self.proxies] for name in self.limits}
 
+    def send(self, deliver: Callable[[], None]) -> None:
+        """Delivers a message after a random delay."""
+        self.world.later(self.chance.uniform(*DELAY_S), deliver)
+
     def _arrive(self, name: str) -> None:
+        """One request of a tenant, and the next one later."""
         proxy = self.chance.choices(self.proxies, self.weights[name])[0]
         now = self.world.now()
         if now >= proxy.frozen_until:
             self.asked[name].append(now)
             self.report.asked += 1
-            if proxy.quota_allowance.admit(tenant_usage.tenant_key(name)):
+            if proxy.allowance.admit(tenant_usage.tenant_key(name)):
                 self.admitted[name].append(now)
             else:
                 self.report.refused += 1
-                self.report.refused_below += self._is_below(name, now)
-        times = self.times if name == "t0" else 1.0
-        rate = self.limits[name] * USUAL_PART * times
+                self.report.refused_below += self._is_below_limit(name, now)
+        factor = self.hot_factor if name == "t0" else 1.0
+        rate = self.limits[name] * USUAL_LIMIT_SHARE * factor
         self.world.later(self.chance.expovariate(rate), lambda: self._arrive(name))
 
-    def _is_below(self, name: str, now: float) -> bool:
+    def _is_below_limit(self, name: str, now: float) -> bool:
         """Whether the tenant has asked for no more than its limit over the window that ends now."""
-        recent = sum(1 for when in self.asked[name][-500:] if when > now - TOLERANCE.window_s)
+        recent = sum(1 for at in self.asked[name][-RECENT_REQUESTS:] if at > now - TOLERANCE.window_s)
         return recent <= self.limits[name] * TOLERANCE.window_s + round(self.limits[name])
 
-    # Troubles.
-    def _inject_fault(self, name: str) -> None:
+    def _schedule_fault(self, name: str) -> None:
         chance = self.chance
         some = [proxy for proxy in self.proxies if chance.random() < (1 / 3 if name == "cut_region" else 0.15)]
         for_s = chance.uniform(2.0, 8.0)
-        acts = {
+        acts: dict[str, Callable[[], None]] = {
             "none": lambda: None,
             "hot": lambda: self._heat(chance.uniform(3.0, 8.0), for_s),
             "cut_some": lambda: self._partition(some, for_s),
             "cut_region": lambda: self._partition(some, for_s),
             "freeze": lambda: self._freeze(some, for_s),
-            "restart_some": lambda: [proxy.start() for proxy in some],
-            "restart_cores": lambda: [core.start() for core in self.cores[: CORES // 2]],
-            "restart_core": lambda: [core.start() for core in self.cores],
+            "restart_some": lambda: self._restart(some),
+            "restart_cores": lambda: self._restart(self.cores[: CORES // 2]),
+            "restart_core": lambda: self._restart(self.cores),
             "restart_all": self._restart_all,
             "lower": self._lower,
         }
-        self.world.later(chance.uniform(START_AT + 4.0, START_AT + 16.0), acts[name])
+        self.world.later(chance.uniform(FIRST_FAULT_S, LAST_FAULT_S), acts[name])
 
-    def _restart_all(self) -> None:
-        """All processes are killed, and come back together."""
-        for node in (*self.cores, *self.proxies):
+    def _restart(self, nodes: Iterable[Core | Proxy]) -> None:
+        for node in nodes:
             node.start()
+
+    def _restart_all(self) -> None:
+        """All processes end, and come back together."""
+        self._restart((*self.cores, *self.proxies))
         self._freeze(self.proxies, RESTART_S)
 
-    def _freeze(self, proxies: list, for_s: float) -> None:
+    def _freeze(self, proxies: Iterable[Proxy], for_s: float) -> None:
         for proxy in proxies:
             proxy.frozen_until = self.world.now() + for_s
 
-    def _heat(self, times: float, for_s: float) -> None:
-        self.times = times
-        self.world.later(for_s, lambda: setattr(self, "times", 1.0))
+    def _heat(self, factor: float, for_s: float) -> None:
+        self.hot_factor = factor
+        self.world.later(for_s, self._cool)
 
-    def _partition(self, proxies: list, for_s: float) -> None:
+    def _cool(self) -> None:
+        self.hot_factor = 1.0
+
+    def _partition(self, proxies: Iterable[Proxy], for_s: float) -> None:
         for proxy in proxies:
             proxy.is_partitioned = True
             self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
     def _lower(self) -> None:
-        self.body = {"senders": [{**row, "perS": row["perS"] * 0.3} for row in self.body["senders"]]}
-        for node in self.cores:
-            self.world.later(self.chance.uniform(0.0, 0.3), lambda node=node: node.meter.install(self.body))
+        """Lowers all limits; core nodes learn of it sooner than proxies."""
+        rows = self.configuration["senders"]
+        self.configuration = {"senders": [{**row, "perS": row["perS"] * LOWERED_LIMIT_SHARE} for row in rows]}
+        for core in self.cores:
+            self.world.later(self.chance.uniform(0.0, 0.3), core.install)
         for proxy in self.proxies:
-            self.world.later(
-                self.chance.uniform(0.0, 0.8), lambda proxy=proxy: proxy.quota_allowance.install(self.body)
-            )
-        self.lowered_at = self.world.now() + 4.0  # applyMs
-
-    # The check.
-    def _worst_window(self, times: list, window_s: float) -> int:
-        worst, first = 0, 0
-        for index, when in enumerate(times):
-            while times[first] <= when - window_s:
-                first += 1
-            worst = max(worst, index - first + 1)
-        return worst
+            self.world.later(self.chance.uniform(0.0, 0.8), proxy.install)
+        self.lowered_at = self.world.now() + APPLY_S
 
     def _check(self) -> None:
         for name, rate in self.limits.items():
-            spans = [(self.admitted[name], rate)]
-            if self.lowered_at is not None:
-                after = [when for when in self.admitted[name] if when >= self.lowered_at]
-                spans = [([when for when in self.admitted[name] if when < self.lowered_at], rate), (after, rate * 0.3)]
-            for times, per_s in spans:
-                limit = tenant_usage.Limit(per_s=per_s, burst=round(rate))
-                base = per_s * TOLERANCE.window_s + limit.burst
-                found = self._worst_window(times, TOLERANCE.window_s)
-                self.report.worst = max(self.report.worst, (found - base) / TOLERANCE.allowed_overrun(limit))
-                if found > base + TOLERANCE.allowed_overrun(limit):
-                    self.report.over.append((name, round(found - base - TOLERANCE.allowed_overrun(limit), 1)))
+            admitted = self.admitted[name]
+            if self.lowered_at is None:
+                self._check_bound(name, admitted, per_s=rate)
+            else:
+                self._check_bound(name, [at for at in admitted if at < self.lowered_at], per_s=rate)
+                after = [at for at in admitted if at >= self.lowered_at]
+                self._check_bound(name, after, per_s=rate * LOWERED_LIMIT_SHARE)
+
+    def _check_bound(self, name: str, times: Sequence[float], *, per_s: float) -> None:
+        """Checks the worst window of one tenant under one limit."""
+        limit = tenant_usage.Limit(per_s=per_s, burst=round(self.limits[name]))
+        excess = _worst_window(times, TOLERANCE.window_s) - (per_s * TOLERANCE.window_s + limit.burst)
+        allowed = TOLERANCE.allowed_overrun(limit)
+        self.report.worst = max(self.report.worst, excess / allowed)
+        if excess > allowed:
+            self.report.over.append(Overrun(tenant=name, requests=round(excess - allowed, 1)))
 
     def run_simulation(self) -> Report:
+        """Runs it to its end and checks every window."""
         for proxy in self.proxies:
-            self._repeat(proxy)
+            self._start_heartbeats(proxy)
         for name, rate in self.limits.items():
-            self.world.later(START_AT + self.chance.expovariate(rate), lambda name=name: self._arrive(name))
+            self.world.later(START_AT_S + self.chance.expovariate(rate), lambda name=name: self._arrive(name))
         for name in self.fault_kinds:
-            self._inject_fault(name)
-        self.world.run(until=END_AT)
+            self._schedule_fault(name)
+        self.world.run(until=END_AT_S)
         self._check()
         return self.report
 
-    def _repeat(self, proxy: Proxy) -> None:
-        def again():
-            proxy.send_heartbeats()
-            self.world.later(HEARTBEAT_INTERVAL_S, again)
+    def _start_heartbeats(self, proxy: Proxy) -> None:
+        def beat() -> None:
+            proxy.send_reports()
+            self.world.later(HEARTBEAT_INTERVAL_S, beat)
+
+        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), beat)
+
 
-        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), again)
+def _worst_window(times: Sequence[float], window_s: float) -> int:
+    """The most of these times within any window of this length."""
+    worst, first = 0, 0
+    for index, at in enumerate(times):
+        while times[first] <= at - window_s:
+            first += 1
+        worst = max(worst, index - first + 1)
+    return worst
 
 
-def run_simulation(seed: int, *, fault_kinds: tuple | None = None, proxies: int = 0) -> Report:
-    """One day of the model."""
+def run_simulation(seed: int, *, fault_kinds: Iterable[str] | None = None, proxies: int = 0) -> Report:
+    """Runs one simulation; the arguments are those of `QuotaSimulation`."""
     return QuotaSimulation(seed=seed, fault_kinds=fault_kinds, proxies=proxies).run_simulation()
