--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -112,7 +112,7 @@
             }
         )
         for far, region in ZONES.items():
-            self.table.ways[far] = 0.002 if region == ZONES[zone] else 0.08
+            self.table.latencies.by_zone[far] = 0.002 if region == ZONES[zone] else 0.08
         self.counter = adapter_counts.AdapterCounter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
         self.chooser = replica_chooser.Chooser(
             table=self.table, settings=settings, regions={}, quota=self.quota, now=now
@@ -266,7 +266,7 @@
             replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=latency_target_of(kind)
         )
         replica.running += 1
-        one_way_s = proxy.table.ways[replica.zone] / 2
+        one_way_s = proxy.table.latencies.by_zone[replica.zone] / 2
         sim = self.sims.get(replica.id)
 
         def lost():
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from ploverward.data_plane.load_balancing import outlier_detection
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_subset
 from ploverward.data_plane.load_balancing import replica_table
@@ -165,9 +166,9 @@
 def test_suspected_replicas_of_a_lost_zone_are_checked_some_at_a_time():
     table, loop, _settings = make(rows=[row(f"i{number}") for number in range(300)], proxies=4)
     opened = []
-    table.connection = lambda *, replica, request_id=b"": opened.append(replica)
+    table.pool.connection = lambda *, replica, request_id=b"": opened.append(replica)
     for replica in table.replicas.values():
         replica.is_suspected = True
-    assert len(table.subset("llm")) > replica_table.MAX_CONCURRENT_PROBES
+    assert len(table.subset("llm")) > outlier_detection.MAX_CONCURRENT_PROBES
     table.check_suspected_replicas()
-    assert len(opened) == replica_table.MAX_CONCURRENT_PROBES and names(opened) <= names(table.subset("llm"))
+    assert len(opened) == outlier_detection.MAX_CONCURRENT_PROBES and names(opened) <= names(table.subset("llm"))
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -261,8 +261,12 @@
     for order in (rows, rows[::-1]):
         chooser, _table = make_chooser(order)
         kept = {}
-        chooser._name_owner(
-            list(_table.replicas.values()), cuckoo_filter.chain(model="m", parts=(("doc", 500),)), kept, "llm", None
+        chooser.affinity.credit_owner(
+            list(_table.replicas.values()),
+            shared=cuckoo_filter.chain(model="m", parts=(("doc", 500),)),
+            cached=kept,
+            service="llm",
+            permitted=None,
         )
         named |= set(kept)
     assert len(named) == 1
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -30,7 +30,7 @@
         self.views = []
         for scene in scenes:
             region = mirror.RegionMirror(now=scene.loop.now, trust_s=4.0)
-            scene.chooser._regions = {"south": region}
+            scene.chooser._regions["south"] = region
             scene.report_prefill = self.read
             self.views.append((recording_connections.RecordingLink(), region))
         self.fail_over()
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -2,7 +2,7 @@
 
 import re
 
-from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.load_balancing import connection_pool
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
 
@@ -100,14 +100,14 @@
 
 def in_part(scene, monkeypatch, *, most):
     """Connections to replicas take only so many bytes of a request."""
-    open_ = replica_table.Table._open
+    open_ = connection_pool.ConnectionPool.open
 
-    def opened(table, replica):
-        connection = open_(table, replica)
+    def opened(pool, replica):
+        connection = open_(pool, replica)
         connection.sock = SlowSocket(connection.sock, most=most)
         return connection
 
-    monkeypatch.setattr(replica_table.Table, "_open", opened)
+    monkeypatch.setattr(connection_pool.ConnectionPool, "open", opened)
 
 
 def leave(scene, *, since_s):
