--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -1,24 +1,30 @@
-"""A model of roll-outs: the real holder, judge and proxies' side on a simulated network, with versions good and bad.
+"""A simulation of roll-outs: the real coordinator, judge and routers on a simulated network, good and bad versions.
 
-One replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one), three core nodes of which one holds the
-duty, proxies with traffic, replicas of two versions. Troubles cut, freeze and kill nodes. `play(seed)` is one day.
+One replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one), three core nodes
+of which one has the coordinator's role, proxies with traffic, replicas of two versions. Faults partition, freeze and end
+nodes. `RolloutSimulation` owns the world and the faults, `ploverward.simulation.rollout_checks` the checks;
+`run_simulation(seed)` runs one of thirty simulated seconds.
 """
 
-import dataclasses
 import random
-import types
+from collections.abc import Callable
+from collections.abc import Iterable
+from typing import Any
 
-from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.rollouts import orders
-from ploverward.control_plane.rollouts import planner
 from ploverward.control_plane.rollouts import state
 from ploverward.data_plane.requests import attempts
+from ploverward.simulation import rollout_checks
 from ploverward.simulation import rollout_nodes
 from ploverward.simulation import simulated_world
 
 HEARTBEAT_INTERVAL_S = 0.4
-ORDER_AT = 2.0
-END_AT = 30.0
+END_AT_S = 30.0
+TAKE_OVER_S = 1.5  # from the loss of a coordinator to the next one
+WARM_UP_S = 2.0  # of a replica of the new version
+LEARN_RETRY_S = 0.3  # until a node out of contact asks again for the register's value
+REPLICAS = 24  # of each version
+CORES = ("k1", "k2", "k3")
 BAD_KINDS = ("errors", "slow", "one_class", "late")
 FAULT_KINDS = (
     "none",
@@ -32,62 +38,35 @@
     "former_fails",
     "slow_all",
 )
-CORES = ("k1", "k2", "k3")
-ALLOWED_STAGES = dict(state.NEXT_STAGES)  # as they should be, whatever is planted
-BAD_ANSWERS = 50
-TAKE_OVER_S = 1.5
-
-
-@dataclasses.dataclass(frozen=True)
-class Finding:
-    """A check that a day broke."""
-
-    check: str
-    when: float
-    text: str
-
-
-@dataclasses.dataclass
-class Report:
-    """What came of one day."""
-
-    seed: int
-    kind: str  # "good", or how the version is bad
-    fault_kinds: tuple
-    stage: str = ""
-    ended_s: float = 0.0  # the age of the order at its end
-    sent: int = 0
-    sent_new: int = 0
-    findings: list = dataclasses.field(default_factory=list)
 
 
 class RolloutSimulation:
-    """One day, with all its nodes."""
+    """One simulation, with all its nodes.
 
-    def __init__(self, *, seed: int, kind: str = "", fault_kinds: tuple | None = None):
+    Args:
+        seed: Of its randomness; the same one gives the same result.
+        kind: "good" or one of `BAD_KINDS`; random where it is empty.
+        fault_kinds: Of `FAULT_KINDS`; one or two random ones where that is None.
+    """
+
+    def __init__(self, *, seed: int, kind: str = "", fault_kinds: Iterable[str] | None = None) -> None:
         self.chance = random.Random(seed)
         self.world = simulated_world.World(seed=seed)
         self.kind = kind or self.chance.choice(("good", *BAD_KINDS))
-        self.fault_kinds = (
-            tuple(self.chance.sample(FAULT_KINDS, self.chance.randint(1, 2)))
-            if fault_kinds is None
-            else tuple(fault_kinds)
-        )
-        self.report = Report(seed=seed, kind=self.kind, fault_kinds=self.fault_kinds)
+        if fault_kinds is None:
+            fault_kinds = self.chance.sample(FAULT_KINDS, self.chance.randint(1, 2))
+        self.report = rollout_checks.Report(seed=seed, kind=self.kind, fault_kinds=tuple(fault_kinds))
         self.over_s = self.chance.uniform(12.0, 18.0)
-        self.late_s = self.chance.uniform(2.0, 3.5)
+        self.checks = rollout_checks.RolloutChecks(report=self.report, now=self.world.now, over_s=self.over_s)
+        self.bad_after_s = self.chance.uniform(2.0, 3.5)  # when a version that turns bad late does so
         admitted = state.Rollout(admitted=(rollout_nodes.FORMER,), step=1)
-        self.payload = state.with_rollout(None, service=rollout_nodes.SERVICE, rollout=admitted)
-        self.stages = []
-        self.replicas = [self._replica(rollout_nodes.FORMER, number) for number in range(24)]
-        self.seen_rows = {one.id for one in self.replicas}
-        self.new_from = None
-        self.unserved = 0
-        self.sends = []  # (when, is new, is in touch)
-        self.bad_answers = []
+        self.payload: state.Payload = state.with_rollout(None, service=rollout_nodes.SERVICE, rollout=admitted)
+        self.replicas = [_replica(rollout_nodes.FORMER, number) for number in range(REPLICAS)]
+        self.listed_ids = {replica.id for replica in self.replicas}
+        self.new_from = 0.0  # start of the new version's replicas
         self.cores = {name: rollout_nodes.Core(simulation=self, name=name) for name in CORES}
         self.coordinator = "k1"
-        self.coordinator_lost_at = None
+        self.former_coordinator: str | None = None  # one that does not know yet that it lost the role
         self.is_slow = self.former_fails = False
         per_s = self.chance.choice((40.0, 120.0, 200.0))
         count = self.chance.choice((12, 30, 60))
@@ -96,212 +75,163 @@
             for number in range(count)
         ]
 
-    def _replica(self, edition: str, number: int) -> rollout_nodes.Replica:
-        zones = tuple(rollout_nodes.ZONES)
-        return rollout_nodes.Replica(name=f"{edition}-{number}", zone=zones[number % len(zones)], edition=edition)
+    # The world, as its nodes see it.
 
-    # The world.
-    def listed(self) -> list:
+    def listed(self) -> list[dict[str, Any]]:
+        """Rows of the platform's list."""
         now = self.world.now()
         return [
-            one.row(cold=one.edition == rollout_nodes.NEW and now < self.new_from + 2.0)
-            for one in self.replicas
-            if one.id in self.seen_rows and not one.is_gone
+            replica.row(is_warming_up=replica.edition == rollout_nodes.NEW and now < self.new_from + WARM_UP_S)
+            for replica in self.replicas
+            if replica.id in self.listed_ids and not replica.is_gone
         ]
 
-    def edit(self, edit) -> None:
-        """One round of the register: the value is chosen now, and comes to each node later."""
-        chosen, said = edit(self.payload)
+    def holds_coordinator_role(self, core: rollout_nodes.Core) -> bool:
+        """Whether the node has the coordinator's role, or believes so."""
+        return core.name in (self.coordinator, self.former_coordinator)
+
+    def edit(self, edit: orders.Edit) -> None:
+        """One round of the register: the value is chosen now, and each node learns it later."""
+        chosen, _result = edit(self.payload)
         if chosen is self.payload:
             return
         self.payload = chosen
         row = state.rollouts_of(chosen).get(rollout_nodes.SERVICE, state.Rollout())
-        self._note_stage(row)
+        if self.checks.note_stage(row) and row.stage == state.Stage.DELIVERED:
+            self._stop_former_replicas()
         for core in self.cores.values():
             self._notify_core(core, chosen)
         for proxy in self.proxies:
             self._notify_proxy(proxy, chosen)
 
-    def _notify_core(self, core: rollout_nodes.Core, chosen) -> None:
-        def notify():
+    def _notify_core(self, core: rollout_nodes.Core, chosen: state.Payload) -> None:
+        def notify() -> None:
             if core.is_partitioned:
-                self.world.later(0.3, notify)
+                self.world.later(LEARN_RETRY_S, notify)
             elif core.is_up and chosen is self.payload:
                 core.rollout_manager.install(chosen)
 
         self.world.later(self.chance.uniform(0.0, 0.1), notify)
 
-    def _notify_proxy(self, proxy: rollout_nodes.Proxy, chosen) -> None:
+    def _notify_proxy(self, proxy: rollout_nodes.Proxy, chosen: state.Payload) -> None:
         incarnation = proxy.incarnation
 
-        def notify():
+        def notify() -> None:
             if proxy.incarnation != incarnation or chosen is not self.payload:
                 return
-            if proxy.is_in_touch:
+            if proxy.is_in_contact:
                 proxy.install(chosen)
             else:
-                self.world.later(0.3, notify)
+                self.world.later(LEARN_RETRY_S, notify)
 
         self.world.later(self.chance.uniform(0.02, 0.8), notify)
 
-    def holds_coordinator_role(self, core: rollout_nodes.Core) -> bool:
-        return self.coordinator == core.name or core.name == getattr(self, "former_coordinator", None)
-
-    def attempt(self, replica: rollout_nodes.Replica, route: str):
+    def attempt(self, replica: rollout_nodes.Replica, route: str) -> rollout_nodes.SimulatedAttempt:
+        """An attempt that begins now, with the answer that it will get."""
         now = self.world.now()
         is_bad = self._is_bad(replica, route, now)
-        failed = is_bad and self.kind != "slow"
-        if replica.is_faulty:
-            failed = failed or self.chance.random() < 0.5
-        if self.former_fails:
-            failed = failed or self.chance.random() < 0.15
+        is_failed = self._is_failed(replica, is_bad=is_bad)
         first_s = 0.05 + self.chance.expovariate(1 / 0.03)
-        rest_s = self.chance.expovariate(1 / 0.8)
+        decode_s = self.chance.expovariate(1 / 0.8)
         if self.is_slow:
-            first_s, rest_s = first_s * 4, rest_s * 3
+            first_s, decode_s = first_s * 4, decode_s * 3
         if is_bad and self.kind == "slow":
-            first_s, rest_s = first_s * 8, rest_s * 8
-        if failed:
-            first_s, rest_s = 0.02, 0.0
-        pieces = 1 if failed else 10
-        return types.SimpleNamespace(
+            first_s, decode_s = first_s * 8, decode_s * 8
+        if is_failed:
+            first_s, decode_s = 0.02, 0.0
+        return rollout_nodes.SimulatedAttempt(
             replica=replica,
-            connection=types.SimpleNamespace(is_unsent=False),
-            meaning=attempts.Meaning.FAILURE if failed else attempts.Meaning.SUCCESS,
-            status=500 if failed else 200,
-            is_complete=True,
+            meaning=attempts.Meaning.FAILURE if is_failed else attempts.Meaning.SUCCESS,
+            status=500 if is_failed else 200,
             is_bad=is_bad,
-            arrival=None,
             sent_at=now,
             first_at=now + first_s,
-            last_at=now + first_s + rest_s,
-            pieces=pieces,
+            last_at=now + first_s + decode_s,
+            pieces=1 if is_failed else 10,
         )
 
+    def _is_failed(self, replica: rollout_nodes.Replica, *, is_bad: bool) -> bool:
+        is_failed = is_bad and self.kind != "slow"
+        if replica.is_faulty:
+            is_failed = is_failed or self.chance.random() < 0.5
+        if self.former_fails:
+            is_failed = is_failed or self.chance.random() < 0.15
+        return is_failed
+
     def _is_bad(self, replica: rollout_nodes.Replica, route: str, now: float) -> bool:
+        """Whether the fault of a bad version shows: at half of the answers."""
         if self.kind == "good" or replica.edition != rollout_nodes.NEW or self.chance.random() >= 0.5:
             return False
         if self.kind == "one_class":
             return route == rollout_nodes.ROUTES[0]
-        return self.kind != "late" or now >= self.new_from + self.late_s
-
-    # Checks.
-    def _find(self, check: str, text: str) -> None:
-        self.report.findings.append(Finding(check=check, when=round(self.world.now(), 3), text=text))
+        return self.kind != "late" or now >= self.new_from + self.bad_after_s
 
-    def _note_stage(self, row: state.Rollout) -> None:
-        if not row.number or (self.stages and self.stages[-1] == row.stage):
-            return
-        known = self.stages[-1] if self.stages else None
-        if known is not None and row.stage not in ALLOWED_STAGES.get(known, ()):
-            self._find("stage", f"{row.stage} after {known}")
-        self.stages.append(row.stage)
-        if row.stage in state.FINAL_STAGES:
-            self.report.ended_s = self.world.now() - ORDER_AT
-        if row.stage == state.Stage.DELIVERED:
-            self._deliver()
-
-    def _deliver(self) -> None:
-        """The former replicas stop at once."""
-        is_forced = self.world.now() - ORDER_AT >= planner.DELIVERY_WITHOUT_SILENT * self.over_s
-        running = sum(proxy.running[rollout_nodes.FORMER] for proxy in self.proxies if proxy.is_in_touch)
-        if running and not is_forced and not self._had_losses():
-            self._find("delivered", f"{running} attempts run at the former version")
+    def _stop_former_replicas(self) -> None:
+        self.checks.note_delivered(self.proxies)
         for replica in self.replicas:
             replica.is_gone = replica.is_gone or replica.edition == rollout_nodes.FORMER
 
-    def _had_losses(self) -> bool:
-        return bool({"cut_proxies", "freeze_proxies", "kill_proxies", "kill_all"} & set(self.fault_kinds))
+    # Faults.
 
-    def note_send(self, proxy: rollout_nodes.Proxy, replica: rollout_nodes.Replica) -> None:
-        now = self.world.now()
-        is_new = replica.edition == rollout_nodes.NEW
-        if is_new and not self.stages:
-            self._find("admitted", "a request to a version that nobody let in")
-        self._check_lease(proxy, is_new, now)
-        is_in_touch = proxy.is_in_touch
-        self.sends.append((now, is_new, is_in_touch))
-        if is_new and is_in_touch and self.kind != "good" and len(self.bad_answers) >= BAD_ANSWERS:
-            if now > self.bad_answers[BAD_ANSWERS - 1] + rollout_nodes.ROLLBACK_S:
-                self._find("rollback", f"{now - self.bad_answers[BAD_ANSWERS - 1]:.2f} s after the bad answers")
-
-    def _check_lease(self, proxy: rollout_nodes.Proxy, is_new: bool, now: float) -> None:
-        """Before all are to go there, a request to the new version wants a lease that was asked for lately."""
-        is_leased = self.stages and self.stages[-1] in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.RETURNED)
-        if is_new and is_leased and now - proxy.answered_at > rollout_nodes.ROLLBACK_S * manager.LEASE_SHARE + 0.01:
-            if state.Stage.DRAINING not in self.stages:
-                self._find("lease", f"{now - proxy.answered_at:.2f} s after its last lease was asked for")
-
-    def note_answered(self, core: rollout_nodes.Core) -> None:
-        """A core node hands out leases: it must be in contact, or have been so a moment ago."""
-        if self.world.now() > core.contact_until + rollout_nodes.CONTACT_S / 5:
-            self._find("holder", f"{core.name} hands out leases without contact")
-
-    def note_answer(self, replica: rollout_nodes.Replica, attempt) -> None:
-        if replica.edition == rollout_nodes.NEW and attempt.is_bad:
-            self.bad_answers.append(self.world.now())
-
-    def _check_exposure(self) -> None:
-        term = ORDER_AT + self.over_s
-        during = [row for row in self.sends if ORDER_AT <= row[0] <= term]
-        self.report.sent = len(during)
-        self.report.sent_new = sum(is_new for _when, is_new, is_in_touch in during if is_in_touch)
-        allowed = rollout_nodes.EXPOSURE.share * len(during) + rollout_nodes.EXPOSURE.slack
-        if self.kind != "good" and self.report.sent_new > allowed:
-            self._find("exposure", f"{self.report.sent_new} of {len(during)}, {allowed:.0f} allowed")
-
-    # Troubles.
-    def _inject_fault(self, name: str) -> None:
+    def _schedule_fault(self, name: str) -> None:
         chance = self.chance
-        when = chance.uniform(ORDER_AT - 1.0, ORDER_AT + self.over_s)
+        at_s = chance.uniform(rollout_checks.ORDER_AT_S - 1.0, rollout_checks.ORDER_AT_S + self.over_s)
         for_s = chance.uniform(1.0, 7.0)
         some = [proxy for proxy in self.proxies if chance.random() < 0.3]
-        acts = {
+        acts: dict[str, Callable[[], None]] = {
+            "none": lambda: None,
             "cut_proxies": lambda: self._partition(some, for_s),
             "freeze_proxies": lambda: self._freeze(some, for_s),
-            "kill_proxies": lambda: [proxy.start() for proxy in some],
-            "kill_holder": lambda: self._kill(self.cores[self.coordinator], 1.0),
-            "cut_holder": lambda: self._partition_lease_holder(for_s),
-            "kill_all": lambda: [self._kill(core, 0.8) for core in self.cores.values()],
+            "kill_proxies": lambda: self._restart(some),
+            "kill_holder": lambda: self._end(self.cores[self.coordinator], 1.0),
+            "cut_holder": lambda: self._partition_coordinator(for_s),
+            "kill_all": self._end_all,
             "faulty_replica": lambda: self._make_faulty(for_s),
-            "former_fails": lambda: self._set("former_fails", for_s),
-            "slow_all": lambda: self._set("is_slow", for_s),
-            "none": lambda: None,
+            "former_fails": lambda: self._set_for("former_fails", for_s),
+            "slow_all": lambda: self._set_for("is_slow", for_s),
         }
-        self.world.later(when, acts[name])
+        self.world.later(at_s, acts[name])
 
-    def _set(self, name: str, for_s: float) -> None:
+    def _set_for(self, name: str, for_s: float) -> None:
         setattr(self, name, True)
         self.world.later(for_s, lambda: setattr(self, name, False))
 
     def _make_faulty(self, for_s: float) -> None:
-        fresh = [one for one in self.replicas if one.edition == rollout_nodes.NEW] or self.replicas
-        replica = self.chance.choice(fresh)
+        new = [replica for replica in self.replicas if replica.edition == rollout_nodes.NEW] or self.replicas
+        replica = self.chance.choice(new)
         replica.is_faulty = True
         self.world.later(for_s, lambda: setattr(replica, "is_faulty", False))
 
-    def _partition(self, proxies: list, for_s: float) -> None:
+    def _partition(self, proxies: Iterable[rollout_nodes.Proxy], for_s: float) -> None:
         for proxy in proxies:
             proxy.is_partitioned = True
             self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
-    def _freeze(self, proxies: list, for_s: float) -> None:
+    def _freeze(self, proxies: Iterable[rollout_nodes.Proxy], for_s: float) -> None:
         for proxy in proxies:
             proxy.frozen_until = self.world.now() + for_s
 
-    def _kill(self, core: rollout_nodes.Core, down_s: float) -> None:
+    def _restart(self, proxies: Iterable[rollout_nodes.Proxy]) -> None:
+        for proxy in proxies:
+            proxy.start()
+
+    def _end(self, core: rollout_nodes.Core, down_s: float) -> None:
         core.is_up = False
         core.rollout_manager.deactivate()
 
-        def back():
+        def start() -> None:
             core.start()
             core.is_partitioned = False
 
-        self.world.later(down_s, back)
+        self.world.later(down_s, start)
         self.world.later(TAKE_OVER_S, self._take_over)
 
-    def _partition_lease_holder(self, for_s: float) -> None:
-        """It goes on until its contact runs out; another one takes the duty before it knows."""
+    def _end_all(self) -> None:
+        for core in self.cores.values():
+            self._end(core, 0.8)
+
+    def _partition_coordinator(self, for_s: float) -> None:
+        """It acts on until its contact expires; another one takes the role before it knows."""
         core = self.cores[self.coordinator]
         core.is_partitioned = True
         self.former_coordinator = core.name
@@ -312,53 +242,62 @@
     def _take_over(self) -> None:
         others = [
             name
-            for name in CORES
-            if name != self.coordinator and self.cores[name].is_up and not self.cores[name].is_partitioned
+            for name, core in self.cores.items()
+            if name != self.coordinator and core.is_up and not core.is_partitioned
         ]
         if others:
             self.coordinator = others[0]
 
-    # The day.
+    # The run.
+
     def _order(self) -> None:
         order = orders.Order(service=rollout_nodes.SERVICE, target=rollout_nodes.NEW, over_s=self.over_s)
         self.edit(orders.edit_for(order=order, is_late=lambda: False))
 
-    def _start_new(self) -> None:
+    def _start_new_replicas(self) -> None:
         self.new_from = self.world.now()
-        fresh = [self._replica(rollout_nodes.NEW, number) for number in range(24)]
-        self.replicas += fresh
-        self.world.later(self.chance.uniform(0.0, 1.0), lambda: self.seen_rows.update(one.id for one in fresh))
+        new = [_replica(rollout_nodes.NEW, number) for number in range(REPLICAS)]
+        self.replicas += new
+        listed_after_s = self.chance.uniform(0.0, 1.0)
+        self.world.later(listed_after_s, lambda: self.listed_ids.update(replica.id for replica in new))
+
+    def _repeat(self, callback: Callable[[], None]) -> None:
+        """Calls back at each heartbeat, from a random phase on."""
 
-    def _repeat(self, interval_s: float, callback) -> None:
-        def again():
+        def beat() -> None:
             callback()
-            self.world.later(interval_s, again)
+            self.world.later(HEARTBEAT_INTERVAL_S, beat)
 
-        self.world.later(self.chance.uniform(0.0, interval_s), again)
+        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), beat)
 
     def _arrive(self, proxy: rollout_nodes.Proxy) -> None:
+        """One request at a proxy, and the next one later."""
         proxy.request()
         self.world.later(self.chance.expovariate(proxy.per_s), lambda: self._arrive(proxy))
 
-    def run_simulation(self) -> Report:
+    def run_simulation(self) -> rollout_checks.Report:
+        """Runs it to its end."""
         for core in self.cores.values():
-            self._repeat(HEARTBEAT_INTERVAL_S, core.send_heartbeats)
+            self._repeat(core.tick)
         for proxy in self.proxies:
-            self._repeat(HEARTBEAT_INTERVAL_S, proxy.send_heartbeats)
+            self._repeat(proxy.send_report)
             self.world.later(self.chance.expovariate(proxy.per_s), lambda proxy=proxy: self._arrive(proxy))
-        self.world.later(ORDER_AT, self._order)
-        self.world.later(
-            ORDER_AT + self.chance.uniform(-1.0, 0.5), self._start_new
-        )  # the list may be ahead of the order
-        for name in self.fault_kinds:
-            self._inject_fault(name)
-        self.world.run(until=END_AT)
-        self._check_exposure()
-        row = state.rollouts_of(self.payload)[rollout_nodes.SERVICE]
-        self.report.stage = str(row.stage)
+        self.world.later(rollout_checks.ORDER_AT_S, self._order)
+        # The platform's list may show the new version before the order comes.
+        self.world.later(rollout_checks.ORDER_AT_S + self.chance.uniform(-1.0, 0.5), self._start_new_replicas)
+        for name in self.report.fault_kinds:
+            self._schedule_fault(name)
+        self.world.run(until=END_AT_S)
+        self.checks.check_exposure()
+        self.report.stage = str(state.rollouts_of(self.payload)[rollout_nodes.SERVICE].stage)
         return self.report
 
 
-def run_simulation(seed: int, *, kind: str = "", fault_kinds: tuple | None = None) -> Report:
-    """One day of the model."""
+def _replica(version: str, number: int) -> rollout_nodes.Replica:
+    zones = tuple(rollout_nodes.ZONES)
+    return rollout_nodes.Replica(name=f"{version}-{number}", zone=zones[number % len(zones)], edition=version)
+
+
+def run_simulation(seed: int, *, kind: str = "", fault_kinds: Iterable[str] | None = None) -> rollout_checks.Report:
+    """Runs one simulation; the arguments are those of `RolloutSimulation`."""
     return RolloutSimulation(seed=seed, kind=kind, fault_kinds=fault_kinds).run_simulation()
