--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -23,7 +23,7 @@
         from ploverward.control_plane import core_node
 
         _tune_collector()
-        return core_node.Core(settings=settings).run()
+        return core_node.CoreNode(settings=settings).run()
     from ploverward.data_plane import proxy_node
 
     _tune_collector()
--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -46,13 +46,13 @@
 
 def routes(core) -> list:
     """[method, path] of all that a core node serves; HEAD comes with GET."""
-    rules = core.interfaces._router._map.iter_rules()
+    rules = core.operator_api._router._map.iter_rules()
     return sorted([method, rule.rule] for rule in rules for method in rule.methods - {"HEAD"})
 
 
 def wire_parts(core) -> tuple:
     """Who takes a request, and the limits of the listener."""
-    return core.interfaces._router.handle, core.interfaces._limits
+    return core.operator_api._router.handle, core.operator_api._limits
 
 
 class World:
@@ -99,9 +99,9 @@
 
     def counted(self) -> None:
         """A proxy has told of a request and of an adapter."""
-        interfaces = self.core().interfaces
+        operator_api = self.core().operator_api
         trails = (messages.CustodyTrail("a1", json.dumps(TRAIL).encode()),)
-        interfaces.handle_custody_trails(
+        operator_api.handle_custody_trails(
             messages.CustodyTrails(node="n-p", incarnation="l1", number=0, is_last=False, trails=trails)
         )
         count = messages.AdapterCount(
@@ -113,7 +113,7 @@
             number=1,
             counts=json.dumps(WINDOW).encode(),
         )
-        interfaces.handle_adapter_counts(messages.AdapterCounts(counts=(count,)))
+        operator_api.handle_adapter_counts(messages.AdapterCounts(counts=(count,)))
 
     def returned(self) -> None:
         """The roll-out of llm goes to its next stage, and back."""
@@ -127,7 +127,7 @@
                 row = rollout_states.rollouts_of(payload)["llm"]
                 return orders.edit_to_stage(service="llm", seen=row, known=known)(payload)
 
-            core.proposer.change(name=register_names.ROLLOUTS, edit=edit, done=lambda *_about: None)
+            core.consensus.proposer.change(name=register_names.ROLLOUTS, edit=edit, done=lambda *_about: None)
             self.run(1.0)
 
     def just_cut_off(self) -> None:
--- a/ploverward/control_plane/adapter_cache/pin_assignment.py
+++ b/ploverward/control_plane/adapter_cache/pin_assignment.py
@@ -1,8 +1,8 @@
 """Assigns pins to replicas (docs/pins.md 4).
 
 What was pinned before stays. Then copy by copy to the claim with the highest value, each to the zone that has fewest.
-Invariants: a replica has at most the capacity of its service, only adapters that may be loaded in its region, and no pin
-that was set in this run is replaced in it, so that the assignment ends.
+Invariants: a replica has at most the capacity of its service, only adapters that may be loaded in its region, and no
+pin that was set in this run is replaced in it, so that the assignment ends.
 """
 
 import collections.abc
@@ -147,7 +147,7 @@
         return weight / len(copies)
 
     def _candidates(self, claim: Claim) -> list[Replica]:
-        """Where a copy may be set: in the region; a second one, where no other zone there can have it, elsewhere too."""
+        """Where a copy may be set: in the region; a second one, where no other zone there can have it, elsewhere."""
         of_service = [replica for replica in self._replicas if replica.service == claim.service]
         candidates = [replica for replica in of_service if replica.region == claim.region]
         if self.copies(*claim) and self._is_redundancy(claim):
--- a/ploverward/control_plane/adapter_cache/pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/pin_suggestion.py
@@ -1,4 +1,4 @@
-"""Suggests which adapters each replica should keep pinned (docs/pins.md 4): from counts to a suggestion, without effects.
+"""Suggests which adapters each replica should keep pinned (docs/pins.md 4): from counts to a suggestion, no effects.
 
 The suggestion is JSON: operators' tools print it, and read it again as the previous one.
 """
@@ -165,8 +165,8 @@
 ) -> dict[str, dict[str, list[list[str]]]]:
     """What a replica that starts in a zone should load first, by service and zone.
 
-    What has the fewest copies for its weight comes first, so that replicas that are exchanged one by one do not all come
-    to have the same.
+    What has the fewest copies for its weight comes first, so that replicas that are exchanged one by one do not all
+    come to have the same.
     """
     loads: dict[str, dict[str, list[list[str]]]] = {}
     for replica in replicas:
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -1,5 +1,5 @@
-"""A simulated world whose replicas load adapters slowly: with the suggestions followed nobody waits behind a load, every
-answer comes in time and exactly once, on any node and region; without them the same checker sees cold waits.
+"""A simulated world whose replicas load adapters slowly: with the suggestions followed nobody waits behind a load,
+every answer comes in time and exactly once, on any node and region; without them the same checker sees cold waits.
 
 Real parts: the table of replicas, the choice, the counting, the ledgers of two core nodes, the suggestion. Simulated:
 time, ways, replicas, the platform's list, the operator who follows what is suggested.
@@ -314,7 +314,7 @@
 
 
 def check(scene, *, since, spared=()):
-    """Exactly once for all requests; in time and behind no load for those asked after `since`, but for `spared` spans."""
+    """Exactly once for all requests; in time and behind no load for those asked after `since`, but for `spared`."""
     end = scene.world.time - 5.0
     runs = collections.defaultdict(list)
     for (request, _replica), count in scene.runs.items():
@@ -368,7 +368,8 @@
             scene.start(zone)
     scene.lost_zones = set()
     run(until=at + 60.0)
-    # While the loss is not yet on the list, what was under way at the lost replicas fails or comes late; LAG_S, and the list's step.
+    # While the loss is not yet on the list, what was under way at the lost replicas fails or comes late; LAG_S, and the
+    # list's step.
     return scene, [(at - 1.0, at + LAG_S + 0.6)]
 
 
--- a/ploverward/control_plane/audit/__init__.py
+++ b/ploverward/control_plane/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Custody trails: where the content of requests was sent and cached. Stored by core nodes, audited by operators' tools."""
+"""Custody trails: where requests' content was sent and cached. Stored by core nodes, audited by operators' tools."""
--- /dev/null
+++ b/ploverward/control_plane/cluster/core_set_reconciler.py
@@ -0,0 +1,97 @@
+"""Brings the core set to what it should be, and reports it to operators (docs/control.md 1, docs/core-set.md).
+
+The cluster coordinator builds a `CoreSetView` each heartbeat interval, `voting_set.next_set` decides by that view
+alone, and a `CoreSetChanger` moves the registers.
+"""
+
+from collections.abc import Callable
+
+from ploverward.control_plane.cluster import core_liveness
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.consensus import register_names
+
+LOST_TIMEOUTS = 0.5  # peer time-outs after which a member may be swapped, and a newcomer is taken as here to stay
+GONE_TIMEOUTS = 2.0  # peer time-outs after which a member of a set that is larger than needed is dropped
+
+
+class CoreSetReconciler:
+    """Sees the core machines, decides on the next core set, and starts the move to it.
+
+    Args:
+        now: The clock, in seconds.
+        sessions: Which core nodes are in touch.
+        membership: The core set as this node knows it.
+        lease: Which of them reply to heartbeats.
+        liveness: Since when members fail.
+        changer: Moves the registers.
+        wanted_voters: 2 t + 1, where t machines may be lost at once.
+        peer_timeout_s: After which a silent connection ends, in seconds.
+    """
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        sessions: peer_sessions.PeerSessions,
+        membership: core_membership.CoreMembership,
+        lease: majority_lease.MajorityLease,
+        liveness: core_liveness.CoreLiveness,
+        changer: voting_set.CoreSetChanger,
+        wanted_voters: int,
+        peer_timeout_s: float,
+    ) -> None:
+        self._now = now
+        self._sessions = sessions
+        self._membership = membership
+        self._lease = lease
+        self._liveness = liveness
+        self._changer = changer
+        self._wanted_voters = wanted_voters
+        self._peer_timeout_s = peer_timeout_s
+
+    def view(self) -> voting_set.CoreSetView:
+        """Returns what this node sees of the core machines."""
+        members = self._membership.members()
+        learners = self._learners(members)
+        newest_at = max((opened_at for opened_at, _address in learners), default=self._now())
+        lost = self._liveness.lost_for(members=members, span_s=self._peer_timeout_s * LOST_TIMEOUTS)
+
+        def has_replied(host: str) -> bool:
+            return not self._liveness.is_lost(host) and self._lease.has_reply_since(member=host, when=newest_at)
+
+        return voting_set.CoreSetView(
+            members=tuple(members),
+            learners=tuple(address for _opened_at, address in learners),
+            silent=tuple(host for host in members if host not in lost and not has_replied(host)),
+            lost=lost,
+            gone=self._liveness.lost_for(members=members, span_s=self._peer_timeout_s * GONE_TIMEOUTS),
+            leaving=tuple(sorted(peer.address for peer in self._sessions.cores() if peer.is_draining)),
+        )
+
+    def _learners(self, members: tuple[str, ...]) -> list[tuple[float, str]]:
+        """(Since when in touch, address) of the machines that may be taken into the set, longest in touch first.
+
+        A machine that replies to heartbeats votes, so its disk has every register.
+        """
+        now = self._now()
+        return sorted(
+            (peer.link.opened_at, peer.address)
+            for peer in self._sessions.cores()
+            if peer.address not in members
+            and not peer.is_draining
+            and now - peer.link.opened_at > self._peer_timeout_s * LOST_TIMEOUTS
+            and self._lease.has_reply_within(member=peer.address, span_s=self._peer_timeout_s)
+        )
+
+    def reconcile(self) -> None:
+        """Moves the registers to the set that should be next, and finishes what another coordinator left half done."""
+        view = self.view()
+        if not view.members:
+            return
+        target = voting_set.next_set(view=view, wanted=self._wanted_voters)
+        is_agreed = self._membership.chosen_version(register_names.CORE_SET) > 0
+        if not is_agreed or target != tuple(sorted(view.members)) or self._changer.needs_move(target=target):
+            self._changer.move(target=target)
--- /dev/null
+++ b/ploverward/control_plane/cluster/core_set_status.py
@@ -0,0 +1,86 @@
+"""What operators read of the core set: who votes, who learns, what may still be lost (docs/core-set.md).
+
+The keys are those of the published interface `/ploverward/core-set`.
+"""
+
+from collections.abc import Callable
+
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import core_set_reconciler
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import voting_set
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
+
+
+class CoreSetStatus:
+    """The core set as one node reports it.
+
+    Args:
+        own: Address of this node.
+        node_name: Returns the name of this node.
+        sessions: Which core nodes are in touch.
+        membership: The core set as this node knows it.
+        consensus: This node's registers.
+        reconciler: What this node sees of the core machines.
+        changer: Whether a move is in progress.
+        coordinator_address: Returns the address of the cluster coordinator; empty where there is none.
+        wanted_voters: 2 t + 1, where t machines may be lost at once.
+    """
+
+    def __init__(
+        self,
+        *,
+        own: str,
+        node_name: Callable[[], str],
+        sessions: peer_sessions.PeerSessions,
+        membership: core_membership.CoreMembership,
+        consensus: consensus_node.ConsensusNode,
+        reconciler: core_set_reconciler.CoreSetReconciler,
+        changer: voting_set.CoreSetChanger,
+        coordinator_address: Callable[[], str],
+        wanted_voters: int,
+    ) -> None:
+        self._own = own
+        self._node_name = node_name
+        self._sessions = sessions
+        self._membership = membership
+        self._consensus = consensus
+        self._reconciler = reconciler
+        self._changer = changer
+        self._coordinator_address = coordinator_address
+        self._wanted_voters = wanted_voters
+
+    def report(self) -> dict:
+        """Returns the body of the interface."""
+        view = self._reconciler.view()
+        agreed = self._membership.agreed()
+        known = set(self._membership.members()) | self._sessions.core_addresses() | {self._own}
+        in_touch = sorted(host for host in known if self._sessions.is_core_live(host))
+        return {
+            "node": self._node_name(),
+            "address": self._own,
+            "votes": self._consensus.acceptor.votes,
+            "members": list(agreed.members),
+            "version": agreed.version,
+            "has_majority_contact": self._membership.has_majority_lease(),
+            "wanted_voters": self._wanted_voters,
+            "losses_borne": voting_set.tolerated_losses(members=agreed.members, in_touch=in_touch),
+            "in_touch": in_touch,
+            "learners": list(view.learners),
+            "leaving": list(view.leaving),
+            "is_moving": self._changer.is_moving,
+            "watch": self._coordinator_address(),
+            "registers": self._registers(),
+        }
+
+    def _registers(self) -> dict[str, dict]:
+        on_disk = dict(self._consensus.minimum_versions())
+        return {
+            name: {
+                "known": self._membership.chosen_version(name),
+                "on_disk": on_disk.get(name, 0),
+                "members": list(self._consensus.proposer.members(name)),
+            }
+            for name in register_names.REGISTERS
+        }
--- /dev/null
+++ b/ploverward/control_plane/cluster/heartbeats.py
@@ -0,0 +1,64 @@
+"""Heartbeats between core nodes: they renew the majority lease and show which node is behind (docs/control.md 2)."""
+
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
+from ploverward.transport import interfaces
+from ploverward.transport import messages
+
+
+class HeartbeatExchange:
+    """Sends heartbeats to the other core nodes, and replies to theirs.
+
+    Args:
+        sessions: Connections to core nodes.
+        membership: The core set as this node knows it.
+        lease: Counts the replies.
+        consensus: Whether this node votes; reads the core set where this node is behind.
+    """
+
+    def __init__(
+        self,
+        *,
+        sessions: peer_sessions.PeerSessions,
+        membership: core_membership.CoreMembership,
+        lease: majority_lease.MajorityLease,
+        consensus: consensus_node.ConsensusNode,
+    ) -> None:
+        self._sessions = sessions
+        self._membership = membership
+        self._lease = lease
+        self._consensus = consensus
+
+    def send(self) -> None:
+        """Sends the heartbeat of this interval to all core nodes."""
+        version = self._membership.agreed().version
+        self._sessions.broadcast_to_cores(self._lease.next_heartbeat(version=version))
+
+    def handle_heartbeat(self, connection: interfaces.Connection, message: messages.Heartbeat) -> None:
+        """Replies where this node votes: only then may the sender count on it."""
+        if self._consensus.is_voter:
+            configuration_version = self._membership.accepted_version(register_names.CONFIGURATION)
+            connection.send(
+                messages.HeartbeatReply(
+                    number=message.number,
+                    core_set_version=self._membership.accepted_version(register_names.CORE_SET),
+                    configuration_version=configuration_version,
+                )
+            )
+        self._read_newer_core_set(message.core_set_version)
+
+    def handle_reply(self, connection: interfaces.Connection, message: messages.HeartbeatReply) -> None:
+        """Counts the reply of a core node."""
+        member = self._sessions.core_address_of(connection)
+        if member:
+            self._lease.handle_reply(member=member, reply=message)
+        self._read_newer_core_set(message.core_set_version)
+
+    def _read_newer_core_set(self, version: int) -> None:
+        """Reads the core set where another node knows a newer version of it."""
+        is_behind = version > self._membership.chosen_version(register_names.CORE_SET)
+        if is_behind and self._consensus.acceptor.votes and not self._consensus.is_reading(register_names.CORE_SET):
+            self._consensus.repair(register_names.CORE_SET)
--- a/ploverward/control_plane/cluster/majority_lease.py
+++ b/ploverward/control_plane/cluster/majority_lease.py
@@ -1,118 +1,141 @@
 """Contact with a majority of the core set: a lease from answered heartbeats (docs/control.md 2).
 
-A node sends numbered heartbeats that name the version of the core set which it knows. A voter answers with the newest
-version that it has accepted. An answer counts from the moment when its heartbeat was *sent*, so neither a slow link nor
-a frozen process can stretch it, and only while the answering voter knows nothing newer. A change of the set is accepted
-by a majority of the older set before it is chosen; every majority of answers to an evicted member therefore holds one
-that was sent before that, and its lease ends at most `lease_s` after the change was chosen.
+A node sends numbered heartbeats that name the version of the core set which it knows. A voter replies with the newest
+version that it has accepted. A reply counts from the moment when its heartbeat was *sent*, so neither a slow connection
+nor a frozen process can stretch the lease, and it counts only while the replying voter knows nothing newer.
+
+Invariant: a change of the set is accepted by a majority of the older set before it is chosen. Every majority of replies
+to an evicted member therefore contains one to a heartbeat that was sent before that acceptance, so the evicted member's
+lease ends at most `lease_s` after the change was chosen.
 """
 
 import dataclasses
+from collections.abc import Callable
 
 from ploverward.control_plane.consensus import ballots
+from ploverward.transport import messages
 
-SENT_KEPT = 64  # heartbeats whose answers are still looked for, over all peers
+MAX_PENDING_HEARTBEATS = 64  # heartbeats, over all peers, whose replies are still counted
 
 
-@dataclasses.dataclass(frozen=True, kw_only=True)
-class Heartbeat:
-    """What a node tells another core node about itself; `version` is of the core set that it knows."""
+@dataclasses.dataclass(frozen=True, slots=True)
+class _Confirmation:
+    """The newest heartbeat that one member replied to.
 
-    number: int
-    version: int
+    Attributes:
+        sent_at: When the heartbeat was sent, in seconds on this node's clock.
+        core_set_version: The newest version of the core set that the member had accepted.
+        configuration_version: The newest configuration that the member had accepted.
+    """
 
+    sent_at: float
+    core_set_version: int
+    configuration_version: int
 
-@dataclasses.dataclass(frozen=True, kw_only=True)
-class Answer:
-    """A voter's answer: the newest versions of the core set and of the configuration that it has accepted."""
 
-    number: int
-    version: int
-    configuration: int = 0
+class MajorityLease:
+    """The time until which a majority of the core set confirms that this node is in touch.
 
+    Args:
+        own: Address of this node.
+        now: The clock, in seconds.
+        lease_s: How long a confirmed heartbeat counts, from when it was sent.
 
-class Contact:
-    """Tells whether this node was in contact with a majority of the core set within `lease_s` seconds."""
+    Attributes:
+        newest_version: The newest version of the core set that any voter named.
+    """
 
-    def __init__(self, *, own: str, now, lease_s: float):
+    def __init__(self, *, own: str, now: Callable[[], float], lease_s: float) -> None:
         self._own = own
         self._now = now
         self._lease_s = lease_s
         self._number = 0
-        self._sent = {}  # number: time of sending
-        self._heard = {}  # member: (sent at, version) of the newest heartbeat that it answered
-        self._configurations = {}  # member: the configuration that it told with that answer
+        self._sent_at: dict[int, float] = {}  # by heartbeat number
+        self._confirmations: dict[str, _Confirmation] = {}  # by member
         self._fresh_as_of = float("-inf")
-        self.newest_version = 0  # the newest version that any voter told
+        self.newest_version = 0
+
+    def next_heartbeat(self, *, version: int) -> messages.Heartbeat:
+        """Creates the heartbeat of this interval, the same for all peers.
 
-    def next_heartbeat(self, *, version: int) -> Heartbeat:
-        """The heartbeat of this round, the same for all peers."""
+        Args:
+            version: The core set that this node knows as chosen.
+        """
         self._number += 1
-        self._sent[self._number] = self._now()
-        self._sent.pop(self._number - SENT_KEPT, None)
-        return Heartbeat(number=self._number, version=version)
+        self._sent_at[self._number] = self._now()
+        self._sent_at.pop(self._number - MAX_PENDING_HEARTBEATS, None)
+        return messages.Heartbeat(number=self._number, core_set_version=version)
 
-    def handle_answer(self, *, member: str, answer: Answer) -> None:
-        """Counts an answer from the time when its heartbeat was sent. Answers to unknown numbers are ignored."""
-        sent_at = self._sent.get(answer.number)
+    def handle_reply(self, *, member: str, reply: messages.HeartbeatReply) -> None:
+        """Counts a reply from the time when its heartbeat was sent. Replies to unknown numbers are ignored."""
+        sent_at = self._sent_at.get(reply.number)
         if sent_at is None:
             return
-        self.newest_version = max(self.newest_version, answer.version)
-        latest = self._heard.get(member)
-        if latest is None or sent_at > latest[0]:
-            self._heard[member] = (sent_at, answer.version)
-            self._configurations[member] = answer.configuration
-
-    def answered_within(self, *, member: str, span_s: float) -> bool:
-        """Whether this voter answered a heartbeat sent within the last `span_s` seconds."""
-        latest = self._heard.get(member)
-        return member == self._own or (latest is not None and self._now() - latest[0] <= span_s)
-
-    def answered_since(self, *, member: str, when: float) -> bool:
-        """Whether this voter answered a heartbeat that was sent after this time."""
-        latest = self._heard.get(member)
-        return member == self._own or (latest is not None and latest[0] >= when)
-
-    def lease_until(self, *, members: tuple, version: int, is_supporting: bool = True) -> float:
-        """The end of the lease under this version of the set, on this node's clock; 0.0 where there is none.
-
-        `is_supporting`: whether this node itself votes and has accepted nothing newer.
+        self.newest_version = max(self.newest_version, reply.core_set_version)
+        latest = self._confirmations.get(member)
+        if latest is None or sent_at > latest.sent_at:
+            self._confirmations[member] = _Confirmation(
+                sent_at=sent_at,
+                core_set_version=reply.core_set_version,
+                configuration_version=reply.configuration_version,
+            )
+
+    def has_reply_within(self, *, member: str, span_s: float) -> bool:
+        """Whether this voter replied to a heartbeat sent within the last `span_s` seconds."""
+        latest = self._confirmations.get(member)
+        return member == self._own or (latest is not None and self._now() - latest.sent_at <= span_s)
+
+    def has_reply_since(self, *, member: str, when: float) -> bool:
+        """Whether this voter replied to a heartbeat that was sent at this time or later."""
+        latest = self._confirmations.get(member)
+        return member == self._own or (latest is not None and latest.sent_at >= when)
+
+    def lease_until(self, *, members: tuple[str, ...], version: int, is_supporting: bool = True) -> float:
+        """Returns the end of the lease under this version of the set, on this node's clock; 0.0 where there is none.
+
+        Args:
+            members: The core set of this version.
+            version: Replies of voters that accepted a newer one don't count.
+            is_supporting: Whether this node itself votes and has accepted nothing newer.
         """
         if not members:
             return 0.0
-        supported = []
-        for member in members:
-            if member == self._own:
-                if is_supporting:
-                    supported.append(self._now())
-                continue
-            sent_at, reported_version = self._heard.get(member, (0.0, 0))
-            if sent_at and reported_version <= version:
-                supported.append(sent_at)
+        supported = [reply.sent_at for reply in self._supporting(members, version)]
+        if is_supporting and self._own in members:
+            supported.append(self._now())
         needed = ballots.majority(members)
         if len(supported) < needed:
             return 0.0
         return sorted(supported, reverse=True)[needed - 1] + self._lease_s
 
+    def has_majority(self, *, members: tuple[str, ...], version: int, is_supporting: bool = True) -> bool:
+        """Whether a majority of these members confirmed this version within the lease."""
+        return self._now() < self.lease_until(members=members, version=version, is_supporting=is_supporting)
+
     def fresh_as_of(
-        self, *, members: tuple, version: int, known: int, accepted: int, is_supporting: bool = True
+        self, *, members: tuple[str, ...], version: int, known: int, accepted: int, is_supporting: bool = True
     ) -> float:
-        """The latest moment, on this node's clock, at which no configuration newer than `known` was acknowledged.
+        """Returns the latest moment, on this node's clock, when no configuration newer than `known` was acknowledged.
+
+        A configuration is accepted by a majority before it is acknowledged, so a majority of replies to heartbeats that
+        were sent later names it.
 
-        What is acknowledged was accepted by a majority before; so a majority of answers to heartbeats sent later names it.
-        `known`: the newest version that this node knows to be chosen; `accepted`: the newest that it accepted itself.
+        Args:
+            members: The core set of this version.
+            version: Replies of voters that accepted a newer core set don't count.
+            known: The newest configuration that this node knows as chosen.
+            accepted: The newest configuration that this node accepted itself.
+            is_supporting: As for `lease_until`.
         """
         rows = [(self._now(), accepted)] if is_supporting and self._own in members else []
-        for member in members:
-            sent_at, reported_version = self._heard.get(member, (0.0, 0))
-            if member != self._own and sent_at and reported_version <= version:
-                rows.append((sent_at, self._configurations[member]))
+        rows += [(reply.sent_at, reply.configuration_version) for reply in self._supporting(members, version)]
         needed = ballots.majority(members) if members else 1
         newest = sorted(rows, reverse=True)[:needed]
-        if len(newest) == needed and all(answered_version <= known for _sent_at, answered_version in newest):
+        if len(newest) == needed and all(confirmed <= known for _sent_at, confirmed in newest):
             self._fresh_as_of = max(self._fresh_as_of, newest[-1][0])
         return self._fresh_as_of
 
-    def has_majority(self, *, members: tuple, version: int, is_supporting: bool = True) -> bool:
-        """Whether a majority of these members confirmed this version within the lease."""
-        return self._now() < self.lease_until(members=members, version=version, is_supporting=is_supporting)
+    def _supporting(self, members: tuple[str, ...], version: int) -> list[_Confirmation]:
+        """Confirmations by other members that know no newer core set."""
+        replies = (self._confirmations.get(member) for member in members if member != self._own)
+        return [reply for reply in replies if reply is not None and reply.core_set_version <= version]
--- /dev/null
+++ b/ploverward/control_plane/cluster/node_shutdown.py
@@ -0,0 +1,116 @@
+"""Shutting down in order: no calls any more, roles are handed over, and voting stops last (docs/control.md 1).
+
+SIGTERM starts it. The process ends once the other core nodes can agree without this one, and at the latest when
+`GRACE_SHARE` of graceS is over, whatever is in progress.
+"""
+
+from collections.abc import Callable
+
+from ploverward.control_plane import core_timing
+from ploverward.control_plane import node_runtime
+from ploverward.control_plane import node_status
+from ploverward.control_plane.cluster import coordinator as coordinators
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import core_set_reconciler
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.consensus import ballots
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
+from ploverward.transport import interfaces
+from ploverward.transport import messages
+
+GRACE_SHARE = 0.85  # of graceS: leaves the platform's own limit a margin
+FIRST_CHECK_SHARE = 1 / 6  # of receiptMs: calls in progress get so long before the first check
+CHECK_SHARE = 1 / 20  # of the peer time-out: from one check to the next
+
+
+class NodeShutdown:
+    """Ends this node once the others can do without it.
+
+    Args:
+        own: Address of this node.
+        loop: The event loop.
+        timing: Durations of this node.
+        settings: The settings in force; graceS is read when the shutdown starts.
+        status: Set here to draining.
+        sessions: The other core nodes.
+        membership: The core set as this node knows it.
+        consensus: The sets that the registers are under.
+        coordinator: Whether this node still owns the role.
+        core_set: What this node sees of the core machines.
+        wanted_voters: 2 t + 1, where t machines may be lost at once.
+        stop_serving: Ends the operators' and clients' interfaces.
+        reconcile_roles: Gives away the role at once, where this node owns it.
+        end: Ends the process.
+    """
+
+    def __init__(
+        self,
+        *,
+        own: str,
+        loop: interfaces.Loop,
+        timing: core_timing.CoreTiming,
+        settings: node_runtime.ReloadableSettings,
+        status: node_status.NodeStatus,
+        sessions: peer_sessions.PeerSessions,
+        membership: core_membership.CoreMembership,
+        consensus: consensus_node.ConsensusNode,
+        coordinator: coordinators.ClusterCoordinator,
+        core_set: core_set_reconciler.CoreSetReconciler,
+        wanted_voters: int,
+        stop_serving: Callable[[], None],
+        reconcile_roles: Callable[[], None],
+        end: Callable[[], None],
+    ) -> None:
+        self._own = own
+        self._loop = loop
+        self._timing = timing
+        self._settings = settings
+        self._status = status
+        self._sessions = sessions
+        self._membership = membership
+        self._consensus = consensus
+        self._coordinator = coordinator
+        self._core_set = core_set
+        self._wanted_voters = wanted_voters
+        self._stop_serving = stop_serving
+        self._reconcile_roles = reconcile_roles
+        self._end = end
+
+    def start(self) -> None:
+        """Begins to drain; a second call changes nothing."""
+        if self._status.is_draining:
+            return
+        self._status.is_draining = True
+        self._stop_serving()
+        self._sessions.broadcast_to_cores(messages.NodeState(is_ready=False, is_draining=True))
+        self._reconcile_roles()
+        deadline = self._loop.now() + self._settings.current.bound(name="graceS") * GRACE_SHARE
+        self._loop.after(
+            delay=self._timing.receipt_s * FIRST_CHECK_SHARE, callback=lambda: self._end_when_free(deadline)
+        )
+
+    def _end_when_free(self, deadline: float) -> None:
+        if self.may_end() or self._loop.now() >= deadline:
+            self._end()
+            return
+        self._loop.after(
+            delay=self._timing.peer_timeout_s * CHECK_SHARE, callback=lambda: self._end_when_free(deadline)
+        )
+
+    def may_end(self) -> bool:
+        """Whether the others go on without this node: no role here, no successor waiting, a majority beside it."""
+        if all(self._own not in self._consensus.proposer.members(name) for name in register_names.REGISTERS):
+            return True
+        if self._coordinator.is_owner and self._membership.has_majority_lease():
+            return False
+        members = self._membership.members()
+        view = self._core_set.view()
+        if view.learners or len(members) > self._wanted_voters or self._own not in members:
+            return False  # the coordinator takes this node out of the set first
+        staying = [
+            host
+            for host in members
+            if host != self._own and host not in view.leaving and self._sessions.is_core_live(host)
+        ]
+        return len(staying) >= ballots.majority(members)
--- /dev/null
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -0,0 +1,87 @@
+"""What a core node does with the coordinator role at each heartbeat interval (docs/control.md 1, 2).
+
+The order of the steps matters: who is lost is known before the role is decided on, and what a coordinator does (roles
+of proxies, roll-outs, core set) comes only after it is known to own the role and to have the majority lease.
+"""
+
+from ploverward.control_plane import node_status
+from ploverward.control_plane.cluster import coordinator as coordinators
+from ploverward.control_plane.cluster import core_liveness
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import core_set_reconciler
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import singleton_roles
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.rollouts import manager
+
+
+class RoleReconciler:
+    """Decides who coordinates, and does the coordinator's work where it is this node.
+
+    Args:
+        status: Whether this node is draining: it takes no role and gives away the one that it owns.
+        sessions: Who is in touch.
+        membership: The core set, and whether this node has the majority lease.
+        liveness: Since when members fail; brought up to date here.
+        consensus: Whether this node votes.
+        coordinator: The role.
+        rollout_manager: Roll-outs advance at the coordinator.
+        core_set: The core set is changed by the coordinator.
+    """
+
+    def __init__(
+        self,
+        *,
+        status: node_status.NodeStatus,
+        sessions: peer_sessions.PeerSessions,
+        membership: core_membership.CoreMembership,
+        liveness: core_liveness.CoreLiveness,
+        consensus: consensus_node.ConsensusNode,
+        coordinator: coordinators.ClusterCoordinator,
+        rollout_manager: manager.RolloutManager,
+        core_set: core_set_reconciler.CoreSetReconciler,
+    ) -> None:
+        self._status = status
+        self._sessions = sessions
+        self._membership = membership
+        self._liveness = liveness
+        self._consensus = consensus
+        self._coordinator = coordinator
+        self._rollout_manager = rollout_manager
+        self._core_set = core_set
+
+    def reconcile(self) -> None:
+        """Takes, keeps or gives away the role, and acts on it."""
+        members = self._membership.members()
+        self._liveness.update(members)
+        is_acting = self._coordinator.reconcile(
+            members=members,
+            live=[host for host in members if self._sessions.is_core_live(host)],
+            lost_since=self._liveness.lost_since,
+            has_majority=self._membership.has_majority_lease(),
+            may_acquire=self._consensus.acceptor.votes and not self._status.is_draining,
+        )
+        if not is_acting:
+            self._rollout_manager.deactivate()
+            return
+        if self._status.is_draining:
+            self._hand_over()
+            return
+        self._coordinator.assign_owners(
+            proxies=[
+                singleton_roles.ProxyIdentity(
+                    address=peer.address, incarnation=peer.incarnation, zone=peer.zone, region=peer.region
+                )
+                for peer in self._sessions.proxies()
+            ]
+        )
+        self._rollout_manager.reconcile()
+        self._core_set.reconcile()
+
+    def _hand_over(self) -> None:
+        """Gives the coordinator role to the first other live member."""
+        members = self._membership.members()
+        for peer in sorted(self._sessions.cores(), key=lambda peer: peer.address):
+            if not peer.is_draining and peer.address in members and self._sessions.is_core_live(peer.address):
+                self._coordinator.hand_over(successor=peer.address, incarnation=peer.incarnation)
+                return
--- /dev/null
+++ b/ploverward/control_plane/cluster/share_lease_granter.py
@@ -0,0 +1,174 @@
+"""Grants proxies their shares of the limits that hold over all machines (design 8, docs/control.md 2, docs/quotas.md).
+
+Owns this core node's part of every limit, and what it has leased of that part. Invariant: all leases of all core nodes
+that still count never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted. That is
+why nothing is granted without the majority lease, and why a part that grows counts only after a wait.
+"""
+
+from collections.abc import Callable
+from collections.abc import Collection
+
+from ploverward.common import tenant_usage
+from ploverward.control_plane import core_timing
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.quotas import quota_meter
+from ploverward.control_plane.quotas import rate_slots
+from ploverward.control_plane.quotas import share_leases
+from ploverward.transport import interfaces
+from ploverward.transport import messages
+
+RATE_WINDOW_S = 1.5  # a rate counts for one second at the proxy; the rest is slack for late clocks
+OUTLIVED_LEASES = 2  # share leases that an evicted member may still grant until its majority lease ends, and their life
+
+
+class OwnedShares:
+    """This core node's part of every limit: of retry slack and of rates.
+
+    Two kinds, because what is spent counts for retryWindowS, and a rate only for its second and a little.
+
+    Args:
+        own: Address of this node.
+        now: The clock, in seconds.
+        timing: Durations of this node.
+        first_members: The core set of a first start; empty for any other start, which owns nothing at first.
+
+    Attributes:
+        slack: The part of the retry slack.
+        rate: The part of the rates.
+    """
+
+    def __init__(
+        self,
+        *,
+        own: str,
+        now: Callable[[], float],
+        timing: core_timing.CoreTiming,
+        first_members: Collection[str],
+    ) -> None:
+        self._own = own
+        initial_share = self._share_under(first_members)
+        # An evicted member may grant leases until its majority lease ends; each counts for its life and its window.
+        outlived_s = OUTLIVED_LEASES * timing.lease_s
+        self.slack = share_leases.OwnedShare(
+            now=now, transfer_wait_s=outlived_s + timing.retry_window_s, initial_share=initial_share
+        )
+        self.rate = share_leases.OwnedShare(
+            now=now, transfer_wait_s=outlived_s + RATE_WINDOW_S, initial_share=initial_share
+        )
+
+    def install(self, agreed: core_membership.AgreedCoreSet) -> None:
+        """Takes on this node's part under the agreed core set."""
+        share = self._share_under(agreed.members)
+        self.slack.install(share=share, version=agreed.version)
+        self.rate.install(share=share, version=agreed.version)
+
+    def resume(self, agreed: core_membership.AgreedCoreSet) -> None:
+        """Goes on with the part of this node's earlier incarnation, whose disk has this core set as agreed.
+
+        Nobody else can have had that part under this version. Leases of the earlier incarnation are waited for by the
+        tables of leases.
+        """
+        share = self._share_under(agreed.members)
+        self.slack.resume(share=share, version=agreed.version)
+        self.rate.resume(share=share, version=agreed.version)
+
+    def _share_under(self, members: Collection[str]) -> float:
+        return 1.0 / len(members) if self._own in members else 0.0
+
+
+class ShareLeaseGranter:
+    """Replies to proxies that renew their share leases.
+
+    Args:
+        now: The clock, in seconds.
+        timing: Durations of this node.
+        started_at: When this process started, on that clock; leases of its earlier incarnation are waited for from
+            then.
+        is_first_start: Whether the whole system starts: nobody has leases of an earlier incarnation.
+        owned: This node's part of every limit.
+        membership: The agreed core set, and whether this node has the majority lease.
+        sessions: The proxies in touch.
+        meter: What tenants used, and their credits.
+        has_tenants: Returns whether the configuration has tenants.
+    """
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        timing: core_timing.CoreTiming,
+        started_at: float,
+        is_first_start: bool,
+        owned: OwnedShares,
+        membership: core_membership.CoreMembership,
+        sessions: peer_sessions.PeerSessions,
+        meter: quota_meter.QuotaMeter,
+        has_tenants: Callable[[], bool],
+    ) -> None:
+        self._now = now
+        self._lease_s = timing.lease_s
+        self._owned = owned
+        self._membership = membership
+        self._sessions = sessions
+        self._meter = meter
+        self._has_tenants = has_tenants
+        withhold_s = timing.peer_timeout_s * 2 if is_first_start else timing.lease_s + timing.retry_window_s
+        rate_withhold_s = min(withhold_s, timing.lease_s + RATE_WINDOW_S)
+        self._rates_from = started_at + rate_withhold_s
+        self._slack_table = share_leases.ShareTable(
+            now=now, lease_s=timing.lease_s, window_s=timing.retry_window_s, withheld_until=started_at + withhold_s
+        )
+        self._rate_table = share_leases.ShareTable(
+            now=now, lease_s=timing.lease_s, window_s=RATE_WINDOW_S, withheld_until=self._rates_from
+        )
+        self._slots = rate_slots.RateSlots(now=now, reserved_s=timing.lease_s + RATE_WINDOW_S)
+
+    def handle_renewal(self, connection: interfaces.Connection, message: messages.RenewShares) -> None:
+        """Replies to a proxy with its share lease, and with its quota status where there are tenants.
+
+        A draining proxy gets no lease: it spends what it has until that ends. Without the majority lease nothing is
+        granted; older leases end by themselves.
+        """
+        proxy = self._sessions.proxy_of(connection)
+        if proxy is None or not self._membership.has_majority_lease():
+            return
+        if not proxy.is_draining:
+            connection.send(self._grant(proxy, message.number))
+        if self._has_tenants():
+            self._meter.record(
+                proxy=proxy.address,
+                incarnation=proxy.incarnation,
+                rows=tenant_usage.unpack_usage(message.usage_rows),
+            )
+            connection.send(self._quota_status(proxy, message.number))
+
+    def _grant(self, proxy: peer_sessions.Peer, number: int) -> messages.ShareLease:
+        self._owned.install(self._membership.agreed())
+        live_proxies = self._sessions.proxy_count
+        rate_share = self._owned.rate.value()
+        slot = rate_slots.NO_SLOT
+        if rate_share > 0 and self._now() >= self._rates_from:
+            slot = self._slots.renew(node=proxy.address)
+        return messages.ShareLease(
+            slack_share=self._slack_table.renew(
+                node=proxy.address, owned_share=self._owned.slack.value(), live_nodes=live_proxies
+            ),
+            rate_share=self._rate_table.renew(node=proxy.address, owned_share=rate_share, live_nodes=live_proxies),
+            duration_s=self._lease_s,
+            core_share=rate_share,
+            slot=slot.slot,
+            slot_count=slot.slot_count,
+            number=number,
+        )
+
+    def _quota_status(self, proxy: peer_sessions.Peer, number: int) -> messages.QuotaStatus:
+        credit_rows = tenant_usage.pack_credits(self._meter.credits(proxy=proxy.address))
+        age = self._membership.configuration_age()
+        return messages.QuotaStatus(
+            number=number,
+            configuration_version=age.version,
+            age_s=age.age_s,
+            proxy_count=self._meter.proxy_count(),
+            credit_rows=credit_rows,
+        )
--- a/ploverward/control_plane/cluster/test_singleton_roles.py
+++ b/ploverward/control_plane/cluster/test_singleton_roles.py
@@ -1,32 +1,106 @@
-"""Duties under epochs."""
+"""How many digests a zone has, who holds them and whom they serve, while proxies come and go."""
 
-from ploverward.control_plane.cluster import coordinator
+import random
 
+import pytest
 
-def acquire(payload, rows):
-    """What taking these duties makes of a payload."""
-    made = []
-    table = coordinator.SingletonRoleTable(change=lambda *, name, edit, done: made.append((name, edit(payload)[0])))
-    table.acquire(rows=rows)
-    assert table.is_acquiring
-    return made[0]
+from ploverward.control_plane.cluster import singleton_roles
 
 
-def test_a_role_is_taken_under_the_next_epoch():
-    assert acquire(None, {"watch": (0, "a", "l1")}) == ("duty", {"watch": [1, "a", "l1"]})
-    assert acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "a", "l2")}) == ("duty", {"watch": [5, "a", "l2"]})
+class Register:
+    """The duties' register as the watch keeps it."""
 
+    def __init__(self):
+        self.table = {}
 
-def test_of_two_who_take_one_role_the_later_changes_nothing():
-    first = acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "b", "l2")})[1]
-    assert acquire(first, {"watch": (4, "c", "l3")})[1] is first
+    def find_role(self, name):
+        return self.table.get(name, (0, "", ""))
 
+    def reconcile(self, listed):
+        rows = singleton_roles.role_changes(proxies=listed, find_role=self.find_role)
+        for name, (epoch, owner, incarnation) in rows.items():
+            assert epoch == self.find_role(name)[0]
+            self.table[name] = (epoch + 1, owner, incarnation)
+        return rows
 
-def test_open_roles_are_taken_together():
-    payload = {"watch": [1, "a", "l"], "relay/north": [3, "p", "l"]}
-    rows = {"relay/north": (3, "q", "m"), "relay/south": (0, "r", "n")}
-    assert acquire(payload, rows)[1] == {
-        "watch": [1, "a", "l"],
-        "relay/north": [4, "q", "m"],
-        "relay/south": [1, "r", "n"],
-    }
+    def owners(self, zone="za"):
+        return {
+            name: owner
+            for name, (_epoch, owner, _incarnation) in self.table.items()
+            if owner and singleton_roles.is_digest_of(name=name, zone=zone)
+        }
+
+
+def listed(count, *, zone="za"):
+    return [(f"10.0.{number // 200}.{number % 200 + 10}", f"l{number}", zone, "north") for number in range(count)]
+
+
+@pytest.mark.parametrize("count, digests", [(3, 0), (4, 1), (14, 1), (15, 2), (33, 3), (50, 4), (120, 9)])
+def test_a_zone_has_as_many_digests_as_its_proxies_need(count, digests):
+    register = Register()
+    register.reconcile(listed(count))
+    owners = register.owners()
+    assert len(owners) == len(set(owners.values())) == digests
+    assert register.reconcile(listed(count)) == {}  # settled
+    if digests:
+        assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in owners
+
+
+def test_proxies_are_spread_over_the_digests_and_few_change_when_one_is_added():
+    addresses = [address for address, *_about in listed(150)]
+    names = [singleton_roles.digest_name(zone="za", number=number) for number in range(10)]
+    before = {address: singleton_roles.digest_for(names=names, address=address) for address in addresses}
+    sizes = [sum(1 for name in before.values() if name == one) for one in names]
+    assert min(sizes) > 0 and max(sizes) <= 30
+    more = [*names, singleton_roles.digest_name(zone="za", number=10)]
+    after = {address: singleton_roles.digest_for(names=more, address=address) for address in addresses}
+    moved = [address for address in addresses if before[address] != after[address]]
+    assert 0 < len(moved) < 45 and all(after[address] == more[-1] for address in moved)
+
+
+def test_a_lost_owner_is_replaced_by_one_that_owns_no_other_digest():
+    register = Register()
+    proxies = listed(40)
+    register.reconcile(proxies)
+    gone = register.owners()["digest/za/1"]
+    left = [row for row in proxies if row[0] != gone]
+    rows = register.reconcile(left)
+    assert list(rows) == ["digest/za/1"] and len(set(register.owners().values())) == 3
+    newer = [
+        (address, "another life" if address == register.owners()["digest/za"] else incarnation, zone, region)
+        for address, incarnation, zone, region in left
+    ]
+    assert list(register.reconcile(newer)) == ["digest/za"]  # a new life is another holder, under the next epoch
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_while_proxies_join_and_leave_every_digest_named_is_owned_by_a_live_one(seed):
+    chance = random.Random(seed)
+    register = Register()
+    everybody = listed(90)
+    live = everybody[:40]
+    changes = 0
+    for _ in range(60):
+        size = min(90, max(4, len(live) + chance.randint(-12, 12)))
+        live = chance.sample(everybody, size)
+        register.reconcile(live)
+        changes += len(register.reconcile(live))  # a second look changes nothing
+        addresses = {address for address, *_about in live}
+        owners = register.owners()
+        assert set(owners.values()) <= addresses
+        assert len(owners) >= -(-len(live) // singleton_roles.PROXIES_PER_DIGEST)
+        assert len(set(owners.values())) == len(owners) or len(live) < len(owners) * 2
+    assert changes == 0
+
+
+def test_a_zone_that_shrinks_a_little_keeps_its_digests():
+    register = Register()
+    register.reconcile(listed(30))
+    assert len(register.owners()) == 3
+    owners = set(register.owners().values())
+    few = [row for row in listed(30) if row[0] in owners] + [row for row in listed(30) if row[0] not in owners][:22]
+    assert register.reconcile(few) == {}
+    fewer = few[:8]
+    register.reconcile(fewer)
+    assert len(register.owners()) == 1
+    assert register.find_role("digest/za/2")[0] == 2  # an end is told under an epoch too
--- a/ploverward/control_plane/cluster/test_voting_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -1,15 +1,14 @@
 """Which machines vote next, contact with a majority, and the parts of the bounds while the core set changes."""
 
 import random
-import types
 
 import pytest
 
 from ploverward.control_plane.cluster import majority_lease
-from ploverward.control_plane.cluster import peer_sessions
 from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.quotas import share_leases
+from ploverward.transport import messages
 
 LEASE_S = 1.5
 SHARE_LEASE_S = 1.5
@@ -17,7 +16,7 @@
 
 
 def view(members, *, learners="", silent="", lost="", gone="", leaving=""):
-    return voting_set.View(
+    return voting_set.CoreSetView(
         members=tuple(members),
         learners=tuple(learners),
         silent=tuple(silent),
@@ -27,6 +26,10 @@
     )
 
 
+def reply_to(heartbeat, *, version):
+    return messages.HeartbeatReply(number=heartbeat.number, core_set_version=version, configuration_version=0)
+
+
 def following(members, *, wanted=3, **about) -> str:
     return "".join(voting_set.next_set(view=view(members, **about), wanted=wanted))
 
@@ -147,33 +150,33 @@
 
 def test_an_answer_counts_from_when_its_heartbeat_was_sent():
     clock = [10.0]
-    contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
-    heartbeat = contact.next_heartbeat(version=1)
+    lease = majority_lease.MajorityLease(own="a", now=lambda: clock[0], lease_s=LEASE_S)
+    heartbeat = lease.next_heartbeat(version=1)
     clock[0] = 10.5
-    contact.handle_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=1))
-    assert contact.lease_until(members=("a", "b", "c"), version=1) == 10.0 + LEASE_S
+    lease.handle_reply(member="b", reply=reply_to(heartbeat, version=1))
+    assert lease.lease_until(members=("a", "b", "c"), version=1) == 10.0 + LEASE_S
     clock[0] = 10.0 + LEASE_S
-    assert not contact.has_majority(members=("a", "b", "c"), version=1)  # also after a freeze: nothing was extended
+    assert not lease.has_majority(members=("a", "b", "c"), version=1)  # also after a freeze: nothing was extended
 
 
 def test_an_answer_from_a_voter_that_accepted_a_newer_set_does_not_count():
     clock = [10.0]
-    contact = majority_lease.Contact(own="a", now=lambda: clock[0], lease_s=LEASE_S)
-    heartbeat = contact.next_heartbeat(version=1)
-    contact.handle_answer(member="b", answer=majority_lease.Answer(number=heartbeat.number, version=2))
-    assert not contact.has_majority(members=("a", "b", "c"), version=1)
-    assert contact.newest_version == 2
-    contact.handle_answer(member="c", answer=majority_lease.Answer(number=heartbeat.number, version=1))
-    assert contact.has_majority(members=("a", "b", "c"), version=1)
-    assert not contact.has_majority(members=("a", "b", "c"), version=1, is_supporting=False)
-    assert not contact.has_majority(members=("x", "y", "z"), version=1)
-    assert not contact.has_majority(members=(), version=1)
+    lease = majority_lease.MajorityLease(own="a", now=lambda: clock[0], lease_s=LEASE_S)
+    heartbeat = lease.next_heartbeat(version=1)
+    lease.handle_reply(member="b", reply=reply_to(heartbeat, version=2))
+    assert not lease.has_majority(members=("a", "b", "c"), version=1)
+    assert lease.newest_version == 2
+    lease.handle_reply(member="c", reply=reply_to(heartbeat, version=1))
+    assert lease.has_majority(members=("a", "b", "c"), version=1)
+    assert not lease.has_majority(members=("a", "b", "c"), version=1, is_supporting=False)
+    assert not lease.has_majority(members=("x", "y", "z"), version=1)
+    assert not lease.has_majority(members=(), version=1)
 
 
 def test_answers_to_unknown_numbers_are_ignored():
-    contact = majority_lease.Contact(own="a", now=lambda: 1.0, lease_s=LEASE_S)
-    contact.handle_answer(member="b", answer=majority_lease.Answer(number=9, version=1))
-    assert not contact.answered_within(member="b", span_s=100.0)
+    lease = majority_lease.MajorityLease(own="a", now=lambda: 1.0, lease_s=LEASE_S)
+    lease.handle_reply(member="b", reply=reply_to(messages.Heartbeat(number=9, core_set_version=0), version=1))
+    assert not lease.has_reply_within(member="b", span_s=100.0)
 
 
 class Node:
@@ -184,7 +187,7 @@
         self.name = name
         self.members, self.version = members, 0
         self.accepted = 0
-        self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=LEASE_S)
+        self.lease = majority_lease.MajorityLease(own=name, now=world.now, lease_s=LEASE_S)
         self.parts = share_leases.OwnedShare(
             now=world.now, transfer_wait_s=LEASE_S + SHARE_LEASE_S + WINDOW_S, initial_share=part
         )
@@ -193,7 +196,7 @@
         )
 
     def grant(self, *, proxy, live):
-        is_leased = self.contact.has_majority(
+        is_leased = self.lease.has_majority(
             members=self.members, version=self.version, is_supporting=self.accepted <= self.version
         )
         if self.world.is_fenced and not is_leased:
@@ -235,11 +238,11 @@
 
     def heartbeat(self, name):
         node = self.nodes[name]
-        sent = node.contact.next_heartbeat(version=node.version)
+        sent = node.lease.next_heartbeat(version=node.version)
         for other in self.names:
             if other != name and self.are_joined(name, other):
-                answer = majority_lease.Answer(number=sent.number, version=self.nodes[other].accepted)
-                node.contact.handle_answer(member=other, answer=answer)
+                reply = reply_to(sent, version=self.nodes[other].accepted)
+                node.lease.handle_reply(member=other, reply=reply)
 
     def change_set(self):
         """Accepted by a majority of the older and of the new set, as the register's rounds see to."""
@@ -316,13 +319,3 @@
             world.step()
         most = max(most, world.most)
     assert most > 1.2
-
-
-def test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch():
-    """A frozen machine: its system accepts, its process does not answer (docs/incidents/frozen-holder.md)."""
-    link = types.SimpleNamespace(is_up=True, has_heard=False)
-    node = types.SimpleNamespace(own="a", connectors={"b": types.SimpleNamespace(link=link)})
-    assert not peer_sessions.MembersMixin.is_core_live(node, "b")
-    link.has_heard = True
-    assert peer_sessions.MembersMixin.is_core_live(node, "b")
-    assert not peer_sessions.MembersMixin.is_core_live(node, "c")
--- /dev/null
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -0,0 +1,106 @@
+"""Versions of topics between this node and its peers: what it publishes, fetches and is told (docs/scale.md 2).
+
+Chosen register values and the endpoint list are topics. Those that come from another core node are handed to their
+owners here: registers to consensus, the list to its publisher. Invariant: a topic under the epoch of a coordinator that
+is known as replaced is not passed on.
+"""
+
+from collections.abc import Callable
+
+from ploverward.control_plane.cluster import coordinator as coordinators
+from ploverward.control_plane.cluster import endpoint_list_publisher
+from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.consensus import consensus_node
+from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import publisher as publishers
+from ploverward.control_plane.distribution import subscriber as subscribers
+from ploverward.transport import interfaces
+from ploverward.transport import messages
+
+
+class TopicExchange:
+    """Exchanges versions of topics with the nodes in touch.
+
+    Args:
+        now: The clock, in seconds.
+        fetch_timeout_s: After which a fetch is sent to another node.
+        publisher: The newest version of each topic.
+        consensus: Takes chosen register values of other core nodes.
+        coordinator: Tells which epochs may be followed.
+        endpoint_lists: Applies deltas of the endpoint list.
+        check_applied: Called when a proxy has a newer version or is gone: orders wait until all in touch have theirs.
+    """
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        fetch_timeout_s: float,
+        publisher: publishers.Publisher,
+        consensus: consensus_node.ConsensusNode,
+        coordinator: coordinators.ClusterCoordinator,
+        endpoint_lists: endpoint_list_publisher.EndpointListPublisher,
+        check_applied: Callable[[], None],
+    ) -> None:
+        self._publisher = publisher
+        self._consensus = consensus
+        self._coordinator = coordinator
+        self._endpoint_lists = endpoint_lists
+        self._check_applied = check_applied
+        self._subscriber = subscribers.Subscriber(
+            now=now,
+            fetch_timeout_s=fetch_timeout_s,
+            on_snapshot=self._install_snapshot,
+            on_delta=self._install_delta,
+            delta_topics=(coordinators.ENDPOINT_LIST,),
+            installed_version=publisher.version,
+        )
+
+    def handlers(self) -> dict[type, Callable]:
+        """Returns the handlers of this part's messages, by type."""
+        return {
+            messages.Announcement: self._subscriber.handle_announcement,
+            messages.Snapshot: self._subscriber.handle_snapshot,
+            messages.Deltas: self._subscriber.handle_deltas,
+            messages.Fetch: self._publisher.handle_fetch,
+            messages.Acknowledgement: self._handle_acknowledgement,
+        }
+
+    def handle_joined(self, peer: peer_sessions.Peer) -> None:
+        """Announces all topics to a node that came in touch."""
+        self._publisher.join(peer.link)
+
+    def handle_ended(self, connection: interfaces.Connection, peer: peer_sessions.Peer | None) -> None:
+        """Forgets a connection. Orders no longer wait for a proxy that is gone."""
+        self._publisher.leave(connection)
+        self._subscriber.drop(connection)
+        if peer is not None and peer.role is peer_sessions.NodeRole.PROXY:
+            self._check_applied()
+
+    def send_minimum_versions(self, connection: interfaces.Connection) -> None:
+        """Tells a starting proxy what this node's disk has: it must reach the highest of a majority (design 5).
+
+        A chosen value is on the disks of a majority, so no majority of minimum versions is below it.
+        """
+        if self._consensus.write_ahead_log.durable.votes:
+            connection.send(messages.MinimumVersions(revisions=self._consensus.minimum_versions()))
+
+    def tick(self) -> None:
+        """Fetches again what did not come."""
+        self._subscriber.tick()
+
+    def _handle_acknowledgement(self, connection: interfaces.Connection, message: messages.Acknowledgement) -> None:
+        self._publisher.handle_acknowledgement(connection, message)
+        self._check_applied()
+
+    def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
+        """A version from another core node."""
+        if snapshot.topic in register_names.REGISTERS:
+            self._consensus.publish(snapshot.topic, snapshot.version.number, snapshot.data)
+        elif self._coordinator.may_follow(epoch=snapshot.version.epoch):
+            self._publisher.publish(topic=snapshot.topic, version=snapshot.version, data=snapshot.data)
+
+    def _install_delta(self, _topic: str, delta: messages.Delta) -> None:
+        """A delta of the endpoint list from another core node."""
+        if self._coordinator.may_follow(epoch=delta.version.epoch):
+            self._endpoint_lists.apply_delta(delta)
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -1,13 +1,15 @@
 """The core set: which machines vote, and how the set is changed by agreement (docs/control.md 1).
 
-A newcomer is a learner until it holds every register on its disk. It is then swapped in for a member that is out of
-touch, or added, in one change of each register. The first register that was moved and the last one may stand under
-different sets for a moment, which is safe: each register is written at a majority of its old and of its new set. The
-holder of the watch duty makes the changes; a change that its former holder left half done is finished by the next one.
+A newcomer is a learner until its disk has every register. It is then swapped in for a member that is out of touch, or
+added, in one change of each register. The first register that was moved and the last one may be under different sets
+for a moment, which is safe: each register is written at a majority of its old and of its new set. The cluster
+coordinator makes the changes; a change that a former coordinator left half done is finished by the next one.
 """
 
 import dataclasses
 import logging
+from collections.abc import Callable
+from collections.abc import Collection
 
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
@@ -15,22 +17,33 @@
 _log = logging.getLogger(__name__)
 
 
-@dataclasses.dataclass(frozen=True, kw_only=True)
-class View:
-    """What the holder of the watch duty sees of the core machines."""
+@dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
+class CoreSetView:
+    """What the cluster coordinator sees of the core machines at one moment.
 
-    members: tuple  # the agreed set
-    learners: tuple  # machines in touch outside the set that hold every register, longest in touch first
-    silent: tuple  # members not lost that have not answered since the newest learner came: it waits for their place
-    lost: tuple  # members out of touch long enough to be swapped for a learner, longest first
-    gone: tuple  # members out of touch long enough to be dropped without a successor, longest first
-    leaving: tuple  # members that are ending in order
+    Attributes:
+        members: The agreed set.
+        learners: Machines in touch outside the set that have every register, longest in touch first.
+        silent: Members not lost that have not replied since the newest learner came; it waits for their place.
+        lost: Members out of touch long enough to be swapped for a learner, longest first.
+        gone: Members out of touch long enough to be dropped without a successor, longest first.
+        leaving: Members that are shutting down in order.
+    """
+
+    members: tuple[str, ...]
+    learners: tuple[str, ...]
+    silent: tuple[str, ...]
+    lost: tuple[str, ...]
+    gone: tuple[str, ...]
+    leaving: tuple[str, ...]
 
 
-def next_set(*, view: View, wanted: int) -> tuple:
-    """The set that should stand next, sorted; the present one where nothing is to be done.
+def next_set(*, view: CoreSetView, wanted: int) -> tuple[str, ...]:
+    """Returns the set that should be in force next, sorted; the present one where nothing is to be done.
 
-    `wanted` is 2 t + 1 voters, where t machines may be lost at once: the set never shrinks below that by choice.
+    Args:
+        view: What is seen of the core machines.
+        wanted: 2 t + 1 voters, where t machines may be lost at once. The set never shrinks below that by choice.
     """
     replaceable = list(dict.fromkeys(member for member in (*view.leaving, *view.lost) if member in view.members))
     swapped_out = replaceable[: len(view.learners)]
@@ -43,33 +56,39 @@
     return tuple(sorted(target))
 
 
-def tolerated_losses(*, members: tuple, in_touch) -> int:
-    """How many further members may be lost now with a majority left; -1 where there is none."""
+def tolerated_losses(*, members: Collection[str], in_touch: Collection[str]) -> int:
+    """Returns how many further members may be lost now with a majority left; -1 where there is none."""
     live = sum(1 for member in members if member in in_touch)
     return live - ballots.majority(members)
 
 
 class CoreSetChanger:
-    """Moves every register to a set, all at once. Each is safe by itself; one that fails is moved again."""
+    """Moves every register to a set, all at once. Each move is safe by itself; one that fails is made again.
+
+    Args:
+        change: Starts a round of a register: (name, edit, done, next_set, is_wanted).
+        known_set: Returns the set that a register is known to be under.
+    """
 
-    def __init__(self, *, change, known_set):
-        self._change = change  # (name, edit, done, next_set, is_wanted): a round of the register
-        self._known_set = known_set  # (name) -> the set that the register is known to stand under
-        self._target = ()
-        self._moving_registers = set()  # registers
+    def __init__(self, *, change: Callable[..., None], known_set: Callable[[str], tuple[str, ...]]) -> None:
+        self._change = change
+        self._known_set = known_set
+        self._target: tuple[str, ...] = ()
+        self._moving_registers: set[str] = set()
 
     @property
     def is_moving(self) -> bool:
+        """Whether a move is in progress."""
         return bool(self._moving_registers)
 
-    def needs_move(self, *, target: tuple) -> bool:
-        """Whether any register is known to stand under another set than this one."""
+    def needs_move(self, *, target: tuple[str, ...]) -> bool:
+        """Whether any register is known to be under another set than this one."""
         return any(tuple(self._known_set(name)) != target for name in register_names.REGISTERS)
 
-    def move(self, *, target: tuple) -> None:
+    def move(self, *, target: tuple[str, ...]) -> None:
         """Starts to move all registers to `target`, in place of an older target that is not reached yet.
 
-        Where a round fails, the next heartbeat begins again.
+        Where a round fails, the next heartbeat interval starts again.
         """
         if self.is_moving and target == self._target:
             return
@@ -79,8 +98,8 @@
         for name in register_names.REGISTERS:
             self._move_one(name, target)
 
-    def _move_one(self, name: str, target: tuple) -> None:
-        def done(_failure, _revision=0, _payload=None, _result=None):
+    def _move_one(self, name: str, target: tuple[str, ...]) -> None:
+        def done(_error: object, _revision: int = 0, _payload: object = None, _result: object = None) -> None:
             if self._target == target:
                 self._moving_registers.discard(name)
 
@@ -93,7 +112,8 @@
         )
 
 
-def _edit_for(name: str):
+def _edit_for(name: str) -> Callable:
+    """Returns the edit of a move: payloads stay, but the core set's own is a counter that has to differ."""
     if name == register_names.CORE_SET:
         return lambda payload: ((payload or 0) + 1, None)
     return lambda payload: (payload, None)
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -11,7 +11,6 @@
 
 from ploverward.common import errors
 from ploverward.common.identifiers import Ballot
-from ploverward.common.identifiers import Version
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
@@ -32,9 +31,6 @@
 HANG_ATTEMPT_TIMEOUTS = 2  # a write that takes longer helps no attempt: this node votes for nothing meanwhile
 CATCH_UP_INTERVAL_SHARE = 1 / 16  # of `contact_s`: how often a learner asks
 REPAIR_AFTER_HEARTBEATS = 2  # at the first member; each further one waits one more
-DISK_SHARE = 1 / 16  # of the node's disk: the limit of the register's file
-MIN_DISK_MB = 8.0  # assumed where the settings give less
-MEGABYTE = 1024 * 1024  # bytes
 
 
 class Connection(typing.Protocol):
@@ -380,63 +376,3 @@
         members, payload = ballots.unpack(value)
         self.proposer.known_sets.learn_chosen(register=name, revision=revision, value=value)
         self._on_value(name, payload, members)
-
-
-class VotingMixin:
-    """Holds the `ConsensusNode` of a core node under the names that its other parts use."""
-
-    def start_voting(self) -> None:
-        disk_mb = max(self.settings.disk_mb, MIN_DISK_MB)
-        self.store = acceptor_storage.AcceptorStorage(
-            disk=self.runtime.disk(folder=self.settings.data_dir), limit_bytes=int(disk_mb * MEGABYTE * DISK_SHARE)
-        )
-        self.voting = ConsensusNode(
-            loop=self.loop,
-            own=self.own,
-            store=self.store,
-            seeds=tuple(host for host, _port in self.settings.seeds),
-            is_first_start=self.settings.first_start,
-            chance=self.runtime.chance,
-            unique_id=self.runtime.unique_id,
-            receipt_s=self.receipt_s,
-            contact_s=self.contact_s,
-            send=self._send_core,
-            broadcast_to_cores=self._broadcast_to_cores,
-            members=lambda: self.members(),
-            publish=lambda name, rev, value: self.publisher.publish(topic=name, version=Version(0, rev), data=value),
-            on_value=self._apply,
-            version=lambda name: self.publisher.version(name)[1],
-        )
-
-    @property
-    def acceptor(self):
-        return self.voting.acceptor
-
-    @property
-    def proposer(self):
-        return self.voting.proposer
-
-    def _send_core(self, member: str, message: tuple) -> None:
-        connector = self.connectors.get(member)
-        if connector is not None and connector.link is not None:
-            connector.link.send(message)
-
-    def _broadcast_to_cores(self, message: tuple) -> None:
-        for connector in self.connectors.values():
-            if connector.link is not None and connector.link.is_up:
-                connector.link.send(message)
-
-    def _handle_register_message(self, member: str, link, message: tuple) -> bool:
-        return self.voting.handle(member, link, message)
-
-    def _read_unknown(self) -> None:
-        self.voting.read_unknown()
-
-    def _repair(self, name: str) -> None:
-        self.voting.repair(name)
-
-    def _run_anti_entropy(self) -> None:
-        self.voting.run_anti_entropy()
-
-    def _publish(self, name: str, rev: int, value: bytes) -> None:
-        self.voting.publish(name, rev, value)
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -210,10 +210,10 @@
         return status, json.loads(data) if data else None, headers.get("etag", "")
 
     def core_set(self, host: str) -> list:
-        return list(self.cores[host].core_members)
+        return list(self.cores[host].membership.chosen_members)
 
     def duties(self, host: str) -> dict:
-        return self.cores[host].singleton_roles
+        return self.cores[host].role_table.table
 
 
 # Tests.
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -1,231 +1,415 @@
-"""The core program: register, leases, duties, news, dispatch and directory (design 1, 4, 5, 9)."""
+"""A core node: its parts and how they are wired (design 1, 4, 5, 9; docs/control.md).
+
+`CoreNode` owns no state of its own. Its constructor makes each part and gives it what it needs; its other methods are
+what happens in the order that matters: at the start, at each heartbeat interval, when a peer joins, when a value was
+chosen. Some parts need each other: consensus sends over sessions, and sessions connect to the set that consensus agreed
+on. There one of the two gets a method of this class, which looks the other one up when it is called.
+"""
 
 import logging
+from collections.abc import Callable
 
-from ploverward.common import errors
+from ploverward.common import settings as node_settings
+from ploverward.common.identifiers import Version
+from ploverward.control_plane import core_timing
+from ploverward.control_plane import installed_state
 from ploverward.control_plane import node_runtime
+from ploverward.control_plane import node_status
+from ploverward.control_plane.cluster import consensus_channel
 from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import core_liveness
+from ploverward.control_plane.cluster import core_membership
+from ploverward.control_plane.cluster import core_set_reconciler
+from ploverward.control_plane.cluster import core_set_status
+from ploverward.control_plane.cluster import endpoint_list_publisher
+from ploverward.control_plane.cluster import heartbeats
 from ploverward.control_plane.cluster import majority_lease
+from ploverward.control_plane.cluster import message_router
+from ploverward.control_plane.cluster import node_shutdown
 from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import role_reconciler
+from ploverward.control_plane.cluster import rollout_lease_granter
+from ploverward.control_plane.cluster import share_lease_granter
+from ploverward.control_plane.cluster import singleton_role_table
+from ploverward.control_plane.cluster import topic_exchange
 from ploverward.control_plane.cluster import voting_set
-from ploverward.control_plane.configuration import evacuations
+from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher
-from ploverward.control_plane.distribution import subscriber
 from ploverward.control_plane.operator_api import dependencies
 from ploverward.control_plane.operator_api import server
 from ploverward.control_plane.quotas import quota_meter
-from ploverward.control_plane.quotas import rate_slots
-from ploverward.control_plane.quotas import share_leases
 from ploverward.control_plane.quotas import token_bucket
 from ploverward.control_plane.rollouts import manager
+from ploverward.transport import interfaces
+from ploverward.transport import messages
 
 _log = logging.getLogger(__name__)
 
-LEAVE_SHARE = 0.85  # of graceS: a leaving node ends by then, whatever is under way
-RATE_WINDOW_S = 1.5  # the cold bound is stated for one second
+REGISTER_EPOCH = 0  # of topics that are registers: their revisions rise without a coordinator
+DISK_SHARE = 1 / 16  # of the disk: the registers' file is rewritten once it is longer
+MIN_DISK_MB = 8.0  # assumed where the settings give less
+BYTES_PER_MB = 1024 * 1024
+INTERVALS_PER_SETTINGS_CHECK = 4  # heartbeat intervals between two looks at the settings file
+
+
+class CoreNode:
+    """One core node of a running system.
 
+    Args:
+        settings: The settings with which the process was started.
+        runtime: What the node uses of its machine; the real one by default.
 
-class Core(consensus_node.VotingMixin, peer_sessions.MembersMixin):
-    def __init__(self, *, settings, runtime=None):
-        self.runtime = runtime if runtime is not None else node_runtime.Runtime()
-        self.settings = settings
+    Attributes:
+        own: Address of this node.
+        incarnation: Identifies this start of the process.
+        publisher: The newest version of each topic.
+        consensus: Acceptor, proposer and storage of the registers.
+        membership: The core set as this node knows it.
+        role_table: Who owns which singleton role.
+        operator_api: What operators and clients call.
+    """
+
+    def __init__(self, *, settings: node_settings.Settings, runtime: node_runtime.NodeRuntime | None = None) -> None:
+        self.runtime = runtime if runtime is not None else node_runtime.NodeRuntime()
+        self.settings = node_runtime.ReloadableSettings(runtime=self.runtime, initial=settings)
         self.own = settings.ip
         self.incarnation = self.runtime.unique_id()
-        self.loop = self.runtime.loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
-        self.contact_s = settings.bound_s(name="contactMs")
-        self.receipt_s = settings.bound_s(name="receiptMs")
-        self.peer_timeout_s = self.contact_s / 5
-        self.lease_s = self.peer_timeout_s * 1.5
-        window_s = settings.bound(name="retryWindowS", default=10)
-        self.ttl_s = max(1, int(settings.bound(name="ttl_max_s", default=5) * 0.2))
-        start = self.loop.now()
-        withhold_s = self.peer_timeout_s * 2 if settings.first_start else self.lease_s + window_s
-        # Two kinds of bound: what is spent counts for retryWindowS, a rate only for its second (and a little).
-        self.slacks = share_leases.ShareTable(
-            now=self.loop.now, lease_s=self.lease_s, window_s=window_s, withheld_until=start + withhold_s
-        )
-        rate_withhold_s = min(withhold_s, self.lease_s + RATE_WINDOW_S)
-        self.rates = share_leases.ShareTable(
-            now=self.loop.now, lease_s=self.lease_s, window_s=RATE_WINDOW_S, withheld_until=start + rate_withhold_s
-        )
-        self.slots = rate_slots.RateSlots(now=self.loop.now, reserved_s=self.lease_s + RATE_WINDOW_S)
-        self.rates_from = start + rate_withhold_s
+        self.loop = self.runtime.loop(on_fault=lambda error: _log.error("step_failed", exc_info=error))
+        self.started_at = self.loop.now()
+        self.timing = core_timing.CoreTiming.from_settings(settings)
+        self.status = node_status.NodeStatus()
+        self.state = installed_state.InstalledState()
         self.publisher = publisher.Publisher()
-        self.subscriber = subscriber.Subscriber(
-            now=self.loop.now,
-            fetch_timeout_s=self.contact_s / 12,
-            on_snapshot=self._on_snapshot,
-            on_delta=self._on_delta,
-            delta_topics=(coordinator.LIST,),
-            installed_version=self.publisher.version,
-        )
-        self.configuration = None
-        self.evacuated_zones = set()
-        self.has_tenants = False
-        self._beats = 0
-        self.file_watch = self.runtime.file_watch()
-        self.watch = self.runtime.watch(
-            loop=self.loop,
-            address=settings.cloud_address,
-            gap_s=max(settings.bound_s(name="drainMs") / 8, 4 / settings.cloud_per_s),
-            limit_s=self.contact_s / 4,
-            on_list=lambda rows, at: self.cluster_coordinator.handle_list(rows, at),
-            zones=settings.zones,
-        )
-        self.is_draining = False
         self.wanted_voters = 2 * settings.tolerated_machines + 1
-        self.core_members = ()  # the newest core set that was chosen, once there is one
-        self._start_membership_objects(window_s=window_s)
+        self._interval_count = 0
+        self._make_cluster(settings)
+        self._make_coordinator(settings)
+        self._make_granters(settings)
+        self._make_services()
+        self._add_handlers()
 
-    def _start_membership_objects(self, *, window_s: float) -> None:
-        self.contact = majority_lease.Contact(own=self.own, now=self.loop.now, lease_s=self.lease_s)
-        seeds = {host for host, _port in self.settings.seeds}
-        first_part = self.part_of(seeds) if self.settings.first_start else 0.0
-        # An evicted member may hand out entries until its contact ends; each counts for its life and its window.
-        outlived_s = 2 * self.lease_s
-        self.owned_slack_share = share_leases.OwnedShare(
-            now=self.loop.now, transfer_wait_s=outlived_s + window_s, initial_share=first_part
+    def _make_cluster(self, settings: node_settings.Settings) -> None:
+        """Sessions, consensus, and what is known of the core set."""
+        self.router = message_router.MessageRouter()
+        self.sessions = peer_sessions.PeerSessions(
+            runtime=self.runtime,
+            loop=self.loop,
+            settings=self.settings,
+            status=self.status,
+            incarnation=self.incarnation,
+            peer_timeout_s=self.timing.peer_timeout_s,
+            members=self._members,
+            on_message=self.router.handle,
+            on_joined=self._on_peer_joined,
+            on_ended=self._on_connection_ended,
+        )
+        disk_bytes = max(settings.disk_mb, MIN_DISK_MB) * BYTES_PER_MB
+        self.consensus = consensus_node.ConsensusNode(
+            loop=self.loop,
+            own=self.own,
+            store=acceptor_storage.AcceptorStorage(
+                disk=self.runtime.disk(folder=settings.data_dir), limit_bytes=int(disk_bytes * DISK_SHARE)
+            ),
+            seeds=tuple(host for host, _port in settings.seeds),
+            is_first_start=settings.first_start,
+            chance=self.runtime.chance,
+            unique_id=self.runtime.unique_id,
+            receipt_s=self.timing.receipt_s,
+            contact_s=self.timing.contact_s,
+            send=self.sessions.send_to_core,
+            broadcast_to_cores=self.sessions.broadcast_to_cores,
+            members=self._members,
+            publish=self._publish_chosen,
+            on_value=self._install_chosen,
+            version=self._chosen_version,
         )
-        self.owned_rate_share = share_leases.OwnedShare(
-            now=self.loop.now, transfer_wait_s=outlived_s + RATE_WINDOW_S, initial_share=first_part
+        self.lease = majority_lease.MajorityLease(own=self.own, now=self.loop.now, lease_s=self.timing.lease_s)
+        self.membership = core_membership.CoreMembership(
+            now=self.loop.now, consensus=self.consensus, publisher=self.publisher, lease=self.lease
         )
-        self.core_set_changer = voting_set.CoreSetChanger(
-            change=lambda **about: self.proposer.change(**about), known_set=lambda name: self.proposer.members(name)
+        self.heartbeats = heartbeats.HeartbeatExchange(
+            sessions=self.sessions, membership=self.membership, lease=self.lease, consensus=self.consensus
         )
-        self.role_table = coordinator.SingletonRoleTable(change=lambda **about: self.proposer.change(**about))
-        self.cluster_coordinator = coordinator.ClusterCoordinator(
+        self.liveness = core_liveness.CoreLiveness(
+            own=self.own,
+            now=self.loop.now,
+            lease=self.lease,
+            is_live=self.sessions.is_core_live,
+            peer_timeout_s=self.timing.peer_timeout_s,
+        )
+
+    def _make_coordinator(self, settings: node_settings.Settings) -> None:
+        """What the cluster coordinator does, should this node become it."""
+        self.watch = self.runtime.platform_watch(
+            loop=self.loop,
+            address=settings.cloud_address,
+            gap_s=self.timing.platform_gap_s,
+            limit_s=self.timing.platform_limit_s,
+            on_list=self._on_endpoint_list,
+            zones=settings.zones,
+        )
+        self.role_table = singleton_role_table.SingletonRoleTable(change=self.consensus.proposer.change)
+        self.coordinator = coordinator.ClusterCoordinator(
             own=self.own,
             incarnation=self.incarnation,
             now=self.loop.now,
             role_table=self.role_table,
             publisher=self.publisher,
             watch=self.watch,
-            takeover_after_s=self.peer_timeout_s / 4,
-            stale_after_s=self.contact_s,
+            takeover_after_s=self.timing.takeover_after_s,
+        )
+        self.endpoint_lists = endpoint_list_publisher.EndpointListPublisher(
+            now=self.loop.now,
+            coordinator=self.coordinator,
+            publisher=self.publisher,
+            watch=self.watch,
+            stale_after_s=self.timing.contact_s,
+        )
+        self.rollout_manager = manager.RolloutManager(
+            settings=settings,
+            now=self.loop.now,
+            change=self.consensus.proposer.change,
+            listed=self.endpoint_lists.rows,
+            zones=lambda: self.settings.current.zones,
+            evacuated_zones=lambda: self.state.evacuated_zones,
+            proxies=self._proxy_origins,
+            contact_s=self.timing.contact_s,
+            receipt_s=self.timing.receipt_s,
+        )
+        self.core_set_changer = voting_set.CoreSetChanger(
+            change=self.consensus.proposer.change, known_set=self.consensus.proposer.members
+        )
+        self.core_set = core_set_reconciler.CoreSetReconciler(
+            now=self.loop.now,
+            sessions=self.sessions,
+            membership=self.membership,
+            lease=self.lease,
+            liveness=self.liveness,
+            changer=self.core_set_changer,
+            wanted_voters=self.wanted_voters,
+            peer_timeout_s=self.timing.peer_timeout_s,
+        )
+        self.roles = role_reconciler.RoleReconciler(
+            status=self.status,
+            sessions=self.sessions,
+            membership=self.membership,
+            liveness=self.liveness,
+            consensus=self.consensus,
+            coordinator=self.coordinator,
+            rollout_manager=self.rollout_manager,
+            core_set=self.core_set,
         )
 
+    def _make_granters(self, settings: node_settings.Settings) -> None:
+        """What is granted to proxies."""
+        self.owned_shares = share_lease_granter.OwnedShares(
+            own=self.own,
+            now=self.loop.now,
+            timing=self.timing,
+            first_members={host for host, _port in settings.seeds} if settings.first_start else (),
+        )
         self.meter = quota_meter.QuotaMeter(
             now=self.loop.now,
             tolerance=token_bucket.QuotaTolerance(
-                window_s=self.settings.bound(name="quotaWindowS", default=5),
-                excess=self.settings.bound(name="quotaExcess"),
-                slack=self.settings.bound(name="quotaSlack"),
+                window_s=settings.bound(name="quotaWindowS", default=5),
+                excess=settings.bound(name="quotaExcess"),
+                slack=settings.bound(name="quotaSlack"),
             ),
-            owned_share=self.owned_rate_share.value,
+            owned_share=self.owned_shares.rate.value,
         )
-        self.rollout_manager = manager.RolloutManager(
-            settings=self.settings,
+        self.share_granter = share_lease_granter.ShareLeaseGranter(
             now=self.loop.now,
-            change=lambda **about: self.proposer.change(**about),
-            listed=self.cluster_coordinator.listed,
-            zones=lambda: self.settings.zones,
-            evacuated_zones=lambda: self.evacuated_zones,
-            proxies=self.proxy_origins,
-            contact_s=self.contact_s,
-            receipt_s=self.receipt_s,
-        )
-
-    def _apply(self, name: str, payload, members: tuple) -> None:
-        if name == "duty":
-            self.role_table.install(payload=payload)
-            self.loop.command(callback=self._reconcile_roles)
-        elif name == "spec":
-            self.configuration = payload["body"] if payload else None
-            self.has_tenants = (self.configuration or {}).get("senders") is not None
-            self.meter.install(self.configuration)
-        elif name == register_names.EVACUATIONS:
-            self.evacuated_zones = evacuations.zones_of(payload)
-        elif name == register_names.ROLLOUTS:
-            self.rollout_manager.install(payload)
-        elif name == register_names.ARCHIVE:
-            self.interfaces.learn_archive(payload)
-        elif name == "cores":
-            self.core_members = members
-            self._connect_to_cores()
-
-    @property
-    def singleton_roles(self) -> dict:
-        """Duty: [epoch, holder, the holder's life], as far as this node knows."""
-        return self.role_table.table
-
-    def start(self) -> None:
-        self.start_members()
-        self._make_interfaces()
-        self.start_voting()
-        self._resume_parts()
-        self._connect_to_cores()
-        self.interfaces.listen()
-        self.watch.start()
-        self.loop.every(interval_s=self.peer_timeout_s / 3, callback=self._on_heartbeat_tick)
-        self.runtime.on_signals(loop=self.loop, on_terminate=self._leave, on_reread=self._reread)
-        _log.debug("core_started", extra={"own": self.own, "first": self.settings.first_start})
+            timing=self.timing,
+            started_at=self.started_at,
+            is_first_start=settings.first_start,
+            owned=self.owned_shares,
+            membership=self.membership,
+            sessions=self.sessions,
+            meter=self.meter,
+            has_tenants=lambda: self.state.has_tenants,
+        )
+        self.rollout_granter = rollout_lease_granter.RolloutLeaseGranter(
+            sessions=self.sessions, membership=self.membership, rollout_manager=self.rollout_manager
+        )
 
-    def _make_interfaces(self) -> None:
-        self.interfaces = server.OperatorApi(
+    def _make_services(self) -> None:
+        """Interfaces for operators and clients, topics for other nodes, and the shutdown."""
+        self.core_set_status = core_set_status.CoreSetStatus(
+            own=self.own,
+            node_name=lambda: self.settings.current.node,
+            sessions=self.sessions,
+            membership=self.membership,
+            consensus=self.consensus,
+            reconciler=self.core_set,
+            changer=self.core_set_changer,
+            coordinator_address=lambda: self.coordinator.address,
+            wanted_voters=self.wanted_voters,
+        )
+        self.operator_api = server.OperatorApi(
             loop=self.loop,
             make_http_server=self.runtime.http_server,
-            registers=dependencies.Registers(
-                change=lambda **about: self.proposer.change(**about), read=lambda **about: self.proposer.read(**about)
-            ),
+            registers=dependencies.Registers(change=self.consensus.proposer.change, read=self.consensus.proposer.read),
             publisher=self.publisher,
             meter=self.meter,
             node=dependencies.NodeState(
                 own=self.own,
-                settings=lambda: self.settings,
-                members=self.members,
-                is_core_live=self.is_core_live,
-                has_majority_contact=self.has_majority_contact,
-                is_voting=lambda: self.acceptor.votes,
-                proxies=self.proxies,
-                configuration=lambda: self.configuration,
-                singleton_roles=lambda: self.singleton_roles,
-                core_set=self.core_set_status,
+                settings=lambda: self.settings.current,
+                members=self.membership.members,
+                is_core_live=self.sessions.is_core_live,
+                has_majority_contact=self.membership.has_majority_lease,
+                is_voting=self._votes,
+                proxies=self.sessions.proxies,
+                configuration=lambda: self.state.configuration,
+                singleton_roles=lambda: self.role_table.table,
+                core_set=self.core_set_status.report,
+            ),
+            timing=dependencies.Timing(
+                ttl_s=self.timing.ttl_s, contact_s=self.timing.contact_s, receipt_s=self.timing.receipt_s
             ),
-            timing=dependencies.Timing(ttl_s=self.ttl_s, contact_s=self.contact_s, receipt_s=self.receipt_s),
+        )
+        self.topics = topic_exchange.TopicExchange(
+            now=self.loop.now,
+            fetch_timeout_s=self.timing.fetch_timeout_s,
+            publisher=self.publisher,
+            consensus=self.consensus,
+            coordinator=self.coordinator,
+            endpoint_lists=self.endpoint_lists,
+            check_applied=self.operator_api.check_applied,
+        )
+        self.shutdown = node_shutdown.NodeShutdown(
+            own=self.own,
+            loop=self.loop,
+            timing=self.timing,
+            settings=self.settings,
+            status=self.status,
+            sessions=self.sessions,
+            membership=self.membership,
+            consensus=self.consensus,
+            coordinator=self.coordinator,
+            core_set=self.core_set,
+            wanted_voters=self.wanted_voters,
+            stop_serving=self.operator_api.shut_down,
+            reconcile_roles=self.roles.reconcile,
+            end=self._end,
         )
 
-    def _resume_parts(self) -> None:
-        """A restarted node goes on with the part that it had, where its disk holds the core set as agreed.
+    def _add_handlers(self) -> None:
+        self.router.add(
+            {
+                messages.Handshake: self.sessions.handle_handshake,
+                messages.NodeState: self.sessions.handle_state,
+                messages.Heartbeat: self.heartbeats.handle_heartbeat,
+                messages.HeartbeatReply: self.heartbeats.handle_reply,
+                messages.RenewShares: self.share_granter.handle_renewal,
+                messages.RolloutEvidence: self.rollout_granter.handle_evidence,
+            }
+        )
+        self.router.add(self.topics.handlers())
+        self.router.add(
+            {
+                messages.CustodyTrails: lambda _connection, message: self.operator_api.handle_custody_trails(message),
+                messages.CacheOwners: lambda _connection, message: self.operator_api.handle_cache_owners(message),
+                messages.AdapterCounts: lambda _connection, message: self.operator_api.handle_adapter_counts(message),
+            }
+        )
+        self.router.add(consensus_channel.ConsensusChannel(sessions=self.sessions, consensus=self.consensus).handlers())
+        self._installers: dict[str, Callable[[dict | None, tuple[str, ...]], None]] = {
+            register_names.SINGLETON_ROLES: self._install_roles,
+            register_names.CONFIGURATION: self._install_configuration,
+            register_names.EVACUATIONS: lambda payload, _members: self.state.install_evacuations(payload),
+            register_names.ROLLOUTS: lambda payload, _members: self.rollout_manager.install(payload),
+            register_names.ARCHIVE: lambda payload, _members: self.operator_api.learn_archive(payload),
+            register_names.CORE_SET: self._install_core_set,
+        }
 
-        Nobody else can have had that part under this version; entries of the earlier life are waited for by the books.
-        """
-        _promised, _accepted, version, value = self.acceptor.get(register_names.CORE_SET)
-        if not value or len(ballots.member_sets(value)) > 1:
-            return
-        members, _payload = ballots.unpack(value)
-        part = self.part_of(members)
-        self.owned_slack_share.resume(share=part, version=version)
-        self.owned_rate_share.resume(share=part, version=version)
+    def start(self) -> None:
+        """Resumes what the disk has, connects, and listens."""
+        self._resume_shares()
+        self.sessions.connect_to_cores()
+        self.operator_api.listen()
+        self.watch.start()
+        self.loop.every(interval_s=self.timing.heartbeat_interval_s, callback=self._on_heartbeat_interval)
+        self.runtime.on_signals(loop=self.loop, on_terminate=self.shutdown.start, on_reread=self.settings.reload)
+        _log.debug("core_started", extra={"own": self.own, "first": self.settings.current.first_start})
 
     def run(self) -> int:
+        """Runs until the node was shut down; returns the exit code of the process."""
         self.start()
         self.loop.run()
         return 0
 
-    def _leave(self) -> None:
-        """SIGTERM: no calls any more, duties are handed over, and voting stops last."""
-        if self.is_draining:
+    def _resume_shares(self) -> None:
+        """Goes on with the owned shares of the earlier incarnation, where no change of the core set was in progress."""
+        state = self.consensus.acceptor.get(register_names.CORE_SET)
+        if not state.value or len(ballots.member_sets(state.value)) > 1:
             return
-        self.is_draining = True
-        self.interfaces.shut_down()
-        self._broadcast_to_cores(("state", False, True))
-        self._reconcile_roles()
-        now = self.loop.now()
-        latest = now + self.settings.bound(name="graceS") * LEAVE_SHARE
-        self.loop.after(delay=self.receipt_s / 6, callback=lambda: self._end_when_free(latest))
-
-    def _end_when_free(self, latest: float) -> None:
-        if self.may_end() or self.loop.now() >= latest:
-            self.watch.stop()
-            self.loop.stop()
-            return
-        self.loop.after(delay=self.peer_timeout_s / 20, callback=lambda: self._end_when_free(latest))
+        members, _payload = ballots.unpack(state.value)
+        self.owned_shares.resume(core_membership.AgreedCoreSet(members=members, version=state.revision))
+
+    def _end(self) -> None:
+        self.watch.stop()
+        self.loop.stop()
+
+    def _on_heartbeat_interval(self) -> None:
+        for peer in self.sessions.peers():
+            peer.link.send(messages.KeepAlive(number=0))
+            if peer.role is peer_sessions.NodeRole.PROXY and not peer.is_ready:
+                self.topics.send_minimum_versions(peer.link)
+        self.heartbeats.send()
+        self._interval_count += 1
+        if self._interval_count % INTERVALS_PER_SETTINGS_CHECK == 0:
+            self.settings.reload_if_changed()
+        self.sessions.connect_to_cores()
+        self.topics.tick()
+        self.consensus.run_anti_entropy()
+        self.roles.reconcile()
+
+    def _on_peer_joined(self, peer: peer_sessions.Peer) -> None:
+        """A peer said who it is. A core node may know register values that were chosen while this node was away."""
+        if peer.role is peer_sessions.NodeRole.CORE and self._votes():
+            self.consensus.read_unknown()
+        if peer.role is not peer_sessions.NodeRole.UNKNOWN:
+            self.topics.handle_joined(peer)
+        if peer.role is peer_sessions.NodeRole.PROXY:
+            self.sessions.send_handshake(peer.link)
+            self.topics.send_minimum_versions(peer.link)
+
+    def _on_connection_ended(self, connection: interfaces.Connection, peer: peer_sessions.Peer | None) -> None:
+        self.topics.handle_ended(connection, peer)
+
+    def _on_endpoint_list(self, rows: list[dict], at: float) -> None:
+        self.endpoint_lists.handle_list(rows, at)
+
+    def _members(self) -> tuple[str, ...]:
+        return self.membership.members()
+
+    def _chosen_version(self, register: str) -> int:
+        return self.membership.chosen_version(register)
+
+    def _publish_chosen(self, name: str, revision: int, value: bytes) -> bool:
+        return self.publisher.publish(topic=name, version=Version(REGISTER_EPOCH, revision), data=value)
+
+    def _install_chosen(self, name: str, payload: dict | None, members: tuple[str, ...]) -> None:
+        """Hands a register's chosen value to the part that acts on it."""
+        self._installers[name](payload, members)
+
+    def _install_roles(self, payload: dict | None, _members: tuple[str, ...]) -> None:
+        self.role_table.install(payload=payload)
+        self.loop.command(callback=self.roles.reconcile)
+
+    def _install_configuration(self, payload: dict | None, _members: tuple[str, ...]) -> None:
+        self.state.install_configuration(payload)
+        self.meter.install(self.state.configuration)
+
+    def _install_core_set(self, _payload: object, members: tuple[str, ...]) -> None:
+        self.membership.install(members)
+        self.sessions.connect_to_cores()
+
+    def _proxy_origins(self) -> list:
+        return [rollout_lease_granter.origin_of(proxy) for proxy in self.sessions.proxies(is_listed=False)]
 
-    def _reread(self) -> None:
-        try:
-            self.settings = self.runtime.load_settings()
-        except errors.SettingsError as fault:
-            _log.error("settings_rejected", extra={"fault": str(fault)})
+    def _votes(self) -> bool:
+        return self.consensus.acceptor.votes
--- a/ploverward/control_plane/discovery/endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/endpoint_list_poller.py
@@ -5,11 +5,11 @@
 """
 
 import collections.abc
-import typing
 
 from ploverward.control_plane.discovery import endpoint_list_reader
 from ploverward.control_plane.discovery import platform_connection
 from ploverward.control_plane.distribution.endpoint_list import Row
+from ploverward.transport import event_loop
 
 BACKOFF_FACTOR = 1.5  # of the pause, after each reading that failed
 MAX_BACKOFF = 3  # times the normal pause
@@ -34,7 +34,7 @@
     def __init__(
         self,
         *,
-        loop: typing.Any,
+        loop: event_loop.Loop,
         address: str,
         gap_s: float,
         limit_s: float,
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's replicas as a distributed value: complete, or as what changed since an earlier version (docs/scale.md 2).
+"""The platform's replicas as a distributed value: complete, or as what changed since a version (docs/scale.md 2).
 
 An `EndpointList` is immutable: `delta_to` says what leads from one to another, `apply` gives the list after a delta.
 The core node that reads the platform publishes what its own delta makes of the list published before. Invariant: all
--- a/ploverward/control_plane/distribution/publisher.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -14,8 +14,8 @@
 
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.common.identifiers import Version
+from ploverward.transport import interfaces
 from ploverward.transport import messages
-from ploverward.transport import peer_connection
 
 MAX_DELTAS = 64  # of a topic; a subscriber that is further behind gets a snapshot
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.topics: dict[str, messages.Snapshot] = {}
         self._steps: dict[str, collections.deque[_Step]] = {}  # each starts from the version where the last one ended
-        self._acknowledged: dict[peer_connection.PeerConnection, dict[str, Version]] = {}
+        self._acknowledged: dict[interfaces.Connection, dict[str, Version]] = {}
 
     def get(self, topic: str) -> messages.Snapshot | None:
         """The newest value of the topic; None before there is one."""
@@ -77,18 +77,18 @@
                 connection.send(announcement)
         return True
 
-    def join(self, connection: peer_connection.PeerConnection) -> None:
+    def join(self, connection: interfaces.Connection) -> None:
         """A connection begins: it is sent the versions of all topics."""
         self._acknowledged[connection] = {}
         if self.topics:
             versions = tuple(messages.TopicVersion(current.topic, current.version) for current in self.topics.values())
             connection.send(messages.Announcement(versions=versions))
 
-    def leave(self, connection: peer_connection.PeerConnection) -> None:
+    def leave(self, connection: interfaces.Connection) -> None:
         """A connection ended."""
         self._acknowledged.pop(connection, None)
 
-    def handle_fetch(self, connection: peer_connection.PeerConnection, message: messages.Fetch) -> None:
+    def handle_fetch(self, connection: interfaces.Connection, message: messages.Fetch) -> None:
         """Sends the deltas since the version that the subscriber has, or the complete value where that is smaller."""
         current = self.topics.get(message.topic)
         if current is None:
@@ -107,9 +107,7 @@
                 return tuple(later.delta for later in steps[index:])
         return ()
 
-    def handle_acknowledgement(
-        self, connection: peer_connection.PeerConnection, message: messages.Acknowledgement
-    ) -> None:
+    def handle_acknowledgement(self, connection: interfaces.Connection, message: messages.Acknowledgement) -> None:
         """Records which versions the subscriber has installed."""
         acknowledged = self._acknowledged.get(connection)
         if acknowledged is None:
@@ -118,7 +116,7 @@
             acknowledged[topic] = max(acknowledged.get(topic, NO_VERSION), version)
 
     def lagging(
-        self, *, topic: str, version: tuple[int, int], links: Iterable[peer_connection.PeerConnection]
-    ) -> list[peer_connection.PeerConnection]:
+        self, *, topic: str, version: tuple[int, int], links: Iterable[interfaces.Connection]
+    ) -> list[interfaces.Connection]:
         """Those of the connections that have not acknowledged this version of the topic or a newer one."""
         return [link for link in links if self._acknowledged.get(link, {}).get(topic, NO_VERSION) < version]
--- a/ploverward/control_plane/distribution/subscriber.py
+++ b/ploverward/control_plane/distribution/subscriber.py
@@ -20,8 +20,8 @@
 from ploverward.common import errors
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.common.identifiers import Version
+from ploverward.transport import interfaces
 from ploverward.transport import messages
-from ploverward.transport import peer_connection
 
 FAR_WAIT_SHARE = 0.5  # of fetch_timeout_s: how long a topic announced in another region waits for a nearer publisher
 
@@ -47,7 +47,7 @@
         now: Callable[[], float],
         fetch_timeout_s: float,
         on_snapshot: Callable[[messages.Snapshot], None],
-        is_near: Callable[[peer_connection.PeerConnection], bool] | None = None,
+        is_near: Callable[[interfaces.Connection], bool] | None = None,
         ignored_topics: Iterable[str] = (),
         on_delta: Callable[[str, messages.Delta], None] | None = None,
         delta_topics: Iterable[str] = (),
@@ -76,13 +76,13 @@
         self._delta_topics = frozenset(delta_topics)
         self.versions: dict[str, Version] = {}
         self._installed_version = installed_version if installed_version is not None else self._version
-        self._announced: dict[str, dict[peer_connection.PeerConnection, Version]] = {}
+        self._announced: dict[str, dict[interfaces.Connection, Version]] = {}
         self._fetches: dict[str, _OutstandingFetch] = {}
 
     def _version(self, topic: str) -> Version:
         return self.versions.get(topic, NO_VERSION)
 
-    def handle_announcement(self, connection: peer_connection.PeerConnection, message: messages.Announcement) -> None:
+    def handle_announcement(self, connection: interfaces.Connection, message: messages.Announcement) -> None:
         """Fetches the versions that are newer; those that are not are acknowledged."""
         for topic, version in message.versions:
             if topic in self._ignored_topics:
@@ -98,7 +98,7 @@
                 waits_from = self._now() - self._fetch_timeout_s * FAR_WAIT_SHARE
                 self._fetches.setdefault(topic, _OutstandingFetch(sent_at=waits_from, version=NO_VERSION))
 
-    def _fetch_unless_outstanding(self, topic: str, connection: peer_connection.PeerConnection) -> None:
+    def _fetch_unless_outstanding(self, topic: str, connection: interfaces.Connection) -> None:
         fetch = self._fetches.get(topic)
         is_asked_for = fetch is not None and fetch.version >= self._announced[topic][connection]
         if not (is_asked_for and self._is_outstanding(fetch)):
@@ -107,7 +107,7 @@
     def _is_outstanding(self, fetch: _OutstandingFetch | None) -> bool:
         return fetch is not None and self._now() - fetch.sent_at < self._fetch_timeout_s
 
-    def _fetch(self, topic: str, connection: peer_connection.PeerConnection) -> None:
+    def _fetch(self, topic: str, connection: interfaces.Connection) -> None:
         version = self._announced[topic][connection]
         self._fetches[topic] = _OutstandingFetch(sent_at=self._now(), version=version)
         known = self._installed_version(topic) if topic in self._delta_topics else NO_VERSION
@@ -127,7 +127,7 @@
                 newer = near
             self._fetch(topic, newer[int(self._now() / self._fetch_timeout_s) % len(newer)])
 
-    def handle_snapshot(self, _connection: peer_connection.PeerConnection, message: messages.Snapshot) -> bool:
+    def handle_snapshot(self, _connection: interfaces.Connection, message: messages.Snapshot) -> bool:
         """Installs a complete value.
 
         Returns:
@@ -139,7 +139,7 @@
         self._note_installed(message.topic, message.version)
         return True
 
-    def handle_deltas(self, _connection: peer_connection.PeerConnection, message: messages.Deltas) -> bool:
+    def handle_deltas(self, _connection: interfaces.Connection, message: messages.Deltas) -> bool:
         """Installs deltas, if they start from exactly the installed version; any others change nothing.
 
         Returns:
@@ -167,7 +167,7 @@
         if fetch is not None and fetch.version <= version:
             del self._fetches[topic]
 
-    def drop(self, connection: peer_connection.PeerConnection) -> None:
+    def drop(self, connection: interfaces.Connection) -> None:
         """A connection ended: what it announced counts no longer, and a fetch may have been lost with it."""
         for topic, announced in self._announced.items():
             if announced.pop(connection, None) is not None:
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of replicas by steps: what matters, and histories with loss, reordering, restarts, old epochs and late joiners."""
+"""The list of replicas by deltas: histories with loss, reordering, restarts, old epochs and late joiners."""
 
 import random
 
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -1,14 +1,19 @@
-"""What a core node takes from its machine: loop, links, disk, platform, randomness, signals (design 2).
+"""What a core node uses of its machine: loop, connections, disk, platform, randomness, signals, settings (design 2).
 
-`Runtime` is the real one. The model world (ploverward/simulation/control_plane) puts a simulated one with the same methods in its place, so
-nothing else under ploverward/control_plane makes a socket, a file, a thread, a clock or a random number of its own.
+`NodeRuntime` is the real one. The simulation (ploverward/simulation/control_plane) puts one with the same methods in
+its place, so nothing else under ploverward/control_plane opens a socket or a file, starts a thread, reads a clock or
+draws a random number of its own.
 """
 
+import logging
 import os
 import random
 import signal
 import uuid
+from collections.abc import Callable
+from collections.abc import Collection
 
+from ploverward.common import errors
 from ploverward.common import settings
 from ploverward.control_plane.consensus import disk
 from ploverward.control_plane.discovery import endpoint_list_poller
@@ -16,52 +21,147 @@
 from ploverward.transport import http_server as http_servers
 from ploverward.transport import peer_connection
 
+_log = logging.getLogger(__name__)
+
 DEFAULT_FOLDER = "/tmp"
-ID_DIGITS = 12
+ID_DIGITS = 12  # hexadecimal digits of a unique id: 48 random bits
 
 
-class Runtime:
+class NodeRuntime:
     """The real machine."""
 
-    def loop(self, *, on_fault):
+    def loop(self, *, on_fault: Callable[[BaseException], None]) -> event_loop.Loop:
+        """Creates the event loop; `on_fault` is called with the error of a callback that failed."""
         return event_loop.Loop(on_fault=on_fault)
 
-    def port(self, **about):
-        """Takes links from others: the arguments of `ploverward.transport.peer_connection.PeerListener`."""
-        return peer_connection.PeerListener(**about)
-
-    def connector(self, **about):
-        """Keeps one link to an address: the arguments of `ploverward.transport.peer_connection.Connector`."""
-        return peer_connection.Connector(**about)
-
-    def http_server(self, **about):
-        """Listens for calls: the arguments of `ploverward.transport.http_server.HttpServer`."""
-        return http_servers.HttpServer(**about)
-
-    def disk(self, *, folder: str):
-        """The folder of the register's files; it is made where it is missing."""
+    def peer_listener(
+        self,
+        *,
+        loop: event_loop.Loop,
+        address: tuple[str, int],
+        on_link: Callable,
+        on_message: Callable,
+        on_end: Callable,
+        peer_timeout_s: float,
+    ) -> peer_connection.PeerListener:
+        """Accepts connections of other nodes; the arguments are those of `PeerListener`."""
+        return peer_connection.PeerListener(
+            loop=loop,
+            address=address,
+            on_link=on_link,
+            on_message=on_message,
+            on_end=on_end,
+            peer_timeout_s=peer_timeout_s,
+        )
+
+    def connector(
+        self,
+        *,
+        loop: event_loop.Loop,
+        address: tuple[str, int],
+        on_up: Callable,
+        on_message: Callable,
+        on_end: Callable,
+        peer_timeout_s: float,
+    ) -> peer_connection.Connector:
+        """Keeps one connection to an address; the arguments are those of `Connector`."""
+        return peer_connection.Connector(
+            loop=loop, address=address, on_up=on_up, on_message=on_message, on_end=on_end, peer_timeout_s=peer_timeout_s
+        )
+
+    def http_server(
+        self,
+        *,
+        loop: event_loop.Loop,
+        address: tuple[str, int],
+        on_request: Callable,
+        limits: Callable,
+        peer_timeout_s: float,
+        max_connections: int,
+    ) -> http_servers.HttpServer:
+        """Listens for HTTP requests; the arguments are those of `HttpServer`."""
+        return http_servers.HttpServer(
+            loop=loop,
+            address=address,
+            on_request=on_request,
+            limits=limits,
+            peer_timeout_s=peer_timeout_s,
+            max_connections=max_connections,
+        )
+
+    def disk(self, *, folder: str) -> disk.Disk:
+        """Opens the folder of the registers' files, which is created where it is missing."""
         folder = folder or DEFAULT_FOLDER
         os.makedirs(folder, exist_ok=True)
         return disk.Disk(folder=folder)
 
-    def watch(self, **about):
-        """Reads the platform's list: the arguments of `EndpointListPoller`."""
-        return endpoint_list_poller.EndpointListPoller(**about)
-
-    def file_watch(self):
+    def platform_watch(
+        self,
+        *,
+        loop: event_loop.Loop,
+        address: str,
+        gap_s: float,
+        limit_s: float,
+        on_list: Callable[[list, float], None],
+        zones: Collection[str],
+    ) -> endpoint_list_poller.EndpointListPoller:
+        """Reads the platform's list of replicas; the arguments are those of `EndpointListPoller`."""
+        return endpoint_list_poller.EndpointListPoller(
+            loop=loop, address=address, gap_s=gap_s, limit_s=limit_s, on_list=on_list, zones=zones
+        )
+
+    def file_watch(self) -> settings.FileWatch:
+        """Watches the settings file for changes."""
         return settings.FileWatch()
 
-    def load_settings(self):
+    def load_settings(self) -> settings.Settings:
+        """Reads the settings file.
+
+        Raises:
+            SettingsError: The file can't be read or is not valid.
+        """
         return settings.load()
 
     def chance(self) -> float:
-        """A random number from 0 to below 1."""
+        """Returns a random number from 0 to below 1."""
         return random.random()
 
     def unique_id(self) -> str:
+        """Returns an identifier that no other call returns on any machine."""
         return uuid.uuid4().hex[:ID_DIGITS]
 
-    def on_signals(self, *, loop, on_terminate, on_reread) -> None:
-        """The handlers only hand commands to the loop."""
+    def on_signals(
+        self, *, loop: event_loop.Loop, on_terminate: Callable[[], None], on_reread: Callable[[], None]
+    ) -> None:
+        """Calls these on the loop at SIGTERM and SIGHUP. The signal handlers themselves only queue them."""
         signal.signal(signal.SIGTERM, lambda *_: loop.command(callback=on_terminate))
         signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reread))
+
+
+class ReloadableSettings:
+    """The settings in force, and how newer ones replace them.
+
+    Args:
+        runtime: Reads the settings file and watches it.
+        initial: The settings with which the process was started.
+
+    Attributes:
+        current: The settings in force; a file that is not valid leaves them as they are.
+    """
+
+    def __init__(self, *, runtime: NodeRuntime, initial: settings.Settings) -> None:
+        self._runtime = runtime
+        self._file_watch = runtime.file_watch()
+        self.current = initial
+
+    def reload(self) -> None:
+        """Reads the settings file again."""
+        try:
+            self.current = self._runtime.load_settings()
+        except errors.SettingsError as error:
+            _log.error("settings_rejected", extra={"fault": str(error)})
+
+    def reload_if_changed(self) -> None:
+        """Reads the settings file again where it was changed, for operators that send no signal."""
+        if self._file_watch.is_changed():
+            self.reload()
--- a/ploverward/control_plane/operator_api/call_lifecycle.py
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -56,7 +56,7 @@
 
 
 def _answer_error(call: Call, error: BaseException) -> None:
-    """Answers a call that failed. What is not one of our errors is a defect: it is logged, and nothing is said of it."""
+    """Answers a call that failed. What is not one of our errors is a defect: it is logged alone."""
     match error:
         case errors.StaleVersionError():
             stale_body = StaleVersionBody(error=str(error), edition=error.current)
@@ -129,7 +129,7 @@
             _answer_error(call, error)
 
     def acknowledge(self, response: PendingResponse, *, register: str, number: int) -> None:
-        """Acknowledges a change once proxies have applied it, at the latest after `APPLY_SHARE` of the caller's time-out.
+        """Acknowledges a change once proxies have applied it, `APPLY_SHARE` of the caller's time-out at the latest.
 
         Args:
             response: the answer to give.
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -6,7 +6,6 @@
 """
 
 import collections.abc
-import typing
 
 from ploverward.common import errors
 from ploverward.control_plane.configuration import order_archive
@@ -107,7 +106,7 @@
         self._loop.offload(work=lambda: orders.build(order=order, base_body=base_body), done=done)
 
     def _start_round(self, order: orders.Order) -> None:
-        def done(error: Exception | None, number: int, payload: Payload, _result: typing.Any) -> None:
+        def done(error: Exception | None, number: int, payload: Payload, _result: object) -> None:
             if isinstance(error, errors.StaleVersionError) and order.base < error.current:
                 self._look_up(order, error)
             elif error is not None:
@@ -126,7 +125,7 @@
     def _look_up(self, order: orders.Order, stale: errors.StaleVersionError) -> None:
         """Finds out whether an order on an older edition was accepted so long ago that only the archive has it."""
 
-        def done(error: Exception | None, _number: int, payload: Payload, _result: typing.Any) -> None:
+        def done(error: Exception | None, _number: int, payload: Payload, _result: object) -> None:
             if error is not None:
                 self._end(order, error)
             elif order_archive.has(payload=payload, order_id=order.order_id):
--- a/ploverward/control_plane/operator_api/order_api.py
+++ b/ploverward/control_plane/operator_api/order_api.py
@@ -1,4 +1,4 @@
-"""The calls that read and change the replicated registers: configuration, evacuations and roll-outs (docs/orders.md)."""
+"""Calls that read and change the replicated registers: configuration, evacuations and roll-outs (docs/orders.md)."""
 
 import collections.abc
 
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -39,7 +39,7 @@
 
     Args:
         loop: the event loop.
-        make_http_server: makes a `ploverward.transport.http_server.HttpServer`; simulations put another one in its place.
+        make_http_server: makes a `ploverward.transport.http_server.HttpServer`; simulations make another one.
         registers: the replicated registers.
         publisher: the publisher of distributed topics.
         meter: counts what proxies admit for tenants.
--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -1,6 +1,7 @@
-"""Orders in seeded histories: several nodes and operators, lost answers, restarts, emptied disks, cuts, moves of the set.
+"""Orders in seeded histories: several nodes and operators, lost answers, restarts, emptied disks, cuts, set moves.
 
-What must hold is in ploverward/simulation/order_history.py and docs/orders.md. No history uses more than simulated time.
+What must hold is in ploverward/simulation/order_history.py and docs/orders.md. No history uses more than simulated
+time.
 """
 
 import pytest
@@ -266,7 +267,7 @@
     assert order_archive.archived_through(payload) == 1200
     assert all(order_archive.has(payload=payload, order_id=order_id) for _edition, order_id in rows)
     assert len(order_archive._short_ids(payload)) == 400 * order_archive.SHORT_ID_BYTES
-    assert not order_archive.has(payload=payload, order_id="%020x" % 7)
+    assert not order_archive.has(payload=payload, order_id=f"{7:020x}")
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
--- a/ploverward/data_plane/control_client/core_connections.py
+++ b/ploverward/data_plane/control_client/core_connections.py
@@ -12,6 +12,7 @@
 
 from ploverward.common import settings as settings_files
 from ploverward.transport import event_loop
+from ploverward.transport import interfaces
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
@@ -106,7 +107,7 @@
             self._near_hosts.add(host)
             self._near_connections.add(connection)
 
-    def is_near(self, connection: peer_connection.PeerConnection) -> bool:
+    def is_near(self, connection: interfaces.Connection) -> bool:
         """Whether it leads to a core node of the own region."""
         return connection in self._near_connections
 
--- a/ploverward/data_plane/control_client/core_reports.py
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ploverward.common import settings as settings_files
-from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import singleton_roles
 from ploverward.data_plane.control_client import core_connections
 from ploverward.data_plane.requests import custody_trails
 from ploverward.data_plane.rollouts import version_routing
@@ -31,7 +31,7 @@
 
     def send(self) -> None:
         """Sends what was counted since the last report, where the coordinator can be reached."""
-        _epoch, owner, _incarnation = self._singleton_roles().get(coordinator.WATCH, (0, "", ""))
+        _epoch, owner, _incarnation = self._singleton_roles().get(singleton_roles.COORDINATOR, (0, "", ""))
         connection = self._connections.to(owner)
         if connection is None:
             return
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -150,14 +150,16 @@
 @pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
 def test_a_zone_of_few_proxies_has_no_digest(count, is_there):
     listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
-    rows = singleton_roles.named(proxies=listed, find_role=lambda name: (0, "", ""))
+    rows = singleton_roles.role_changes(proxies=listed, find_role=lambda name: (0, "", ""))
     assert ("digest/za" in rows) == is_there and "relay/north" in rows
     if is_there:
         assert rows["digest/za"][1] != rows["relay/north"][1]
         deferred = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
-        assert singleton_roles.named(proxies=listed, find_role=lambda name: deferred.get(name, (0, "", ""))) == {}
+        assert (
+            singleton_roles.role_changes(proxies=listed, find_role=lambda name: deferred.get(name, (0, "", ""))) == {}
+        )
         left = [row for row in listed if row[0] != rows["digest/za"][1]]
-        again = singleton_roles.named(proxies=left, find_role=lambda name: deferred.get(name, (0, "", "")))
+        again = singleton_roles.role_changes(proxies=left, find_role=lambda name: deferred.get(name, (0, "", "")))
         assert ("digest/za" in again) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
 
 
--- a/ploverward/data_plane/quotas/test_credential_freshness.py
+++ b/ploverward/data_plane/quotas/test_credential_freshness.py
@@ -5,6 +5,7 @@
 from ploverward.control_plane.cluster import majority_lease
 from ploverward.data_plane.quotas import credential_freshness
 from ploverward.simulation import simulated_world
+from ploverward.transport import messages
 
 
 def test_freshness_counts_from_when_it_was_asked_and_for_versions_that_are_here():
@@ -28,10 +29,10 @@
     def __init__(self, *, world, name):
         self.world, self.name = world, name
         self.accepted = self.known = 1
-        self.contact = majority_lease.Contact(own=name, now=world.now, lease_s=1.2)
+        self.lease = majority_lease.MajorityLease(own=name, now=world.now, lease_s=1.2)
 
     def freshness(self):
-        as_of = self.contact.fresh_as_of(members=CORES, version=1, known=self.known, accepted=self.accepted)
+        as_of = self.lease.fresh_as_of(members=CORES, version=1, known=self.known, accepted=self.accepted)
         return self.known, self.world.now() - as_of
 
 
@@ -56,7 +57,7 @@
 
     def send_heartbeats(self):
         for core in self.cores.values():
-            heartbeat = core.contact.next_heartbeat(version=1)
+            heartbeat = core.lease.next_heartbeat(version=1)
             for other in self.cores.values():
                 if other is not core and self.can(core.name, other.name):
                     self._heartbeat(core, other, heartbeat)
@@ -64,8 +65,10 @@
 
     def _heartbeat(self, core, other, heartbeat):
         def answer():
-            answered = majority_lease.Answer(number=heartbeat.number, version=1, configuration=other.accepted)
-            self.world.later(delay(), lambda: core.contact.handle_answer(member=other.name, answer=answered))
+            answered = messages.HeartbeatReply(
+                number=heartbeat.number, core_set_version=1, configuration_version=other.accepted
+            )
+            self.world.later(delay(), lambda: core.lease.handle_reply(member=other.name, reply=answered))
 
         def delay():
             return self.chance.uniform(0.01, 0.1) if self.chance.random() < 0.95 else self.chance.uniform(0.5, 4.0)
@@ -152,5 +155,5 @@
 
 
 def test_planted_freshness_without_a_majority_is_found(monkeypatch):
-    monkeypatch.setattr(majority_lease.Contact, "fresh_as_of", lambda self, **_about: self._now())
+    monkeypatch.setattr(majority_lease.MajorityLease, "fresh_as_of", lambda self, **_about: self._now())
     assert any(Keys(seed=seed).play() for seed in range(10))
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -152,7 +152,7 @@
         return False
 
 
-class SimulatedRuntime(node_runtime.Runtime):
+class SimulatedRuntime(node_runtime.NodeRuntime):
     """Everything that a core node takes from its machine, simulated."""
 
     def __init__(self, *, network, machine, process, platform_model, node_settings, on_stop):
@@ -168,7 +168,7 @@
     def loop(self, *, on_fault=None):
         return simulated_clock.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
 
-    def port(self, **about):
+    def peer_listener(self, **about):
         return simulated_network.PeerListener(runtime=self, **about)
 
     def connector(self, **about):
@@ -180,7 +180,7 @@
     def disk(self, *, folder: str):
         return self.machine.disk
 
-    def watch(self, **about):
+    def platform_watch(self, **about):
         connection = SimulatedPlatformConnection(
             platform_model=self._platform, machine=self.machine, process=self.process
         )
@@ -206,7 +206,7 @@
 class RunningNode:
     """A core node that runs, and what the world needs of it."""
 
-    core: core_node.Core
+    core: core_node.CoreNode
     runtime: SimulatedRuntime
     is_draining: bool = False
 
@@ -227,7 +227,7 @@
     running = []
 
     def begin():
-        core = core_node.Core(settings=node_settings, runtime=runtime)
+        core = core_node.CoreNode(settings=node_settings, runtime=runtime)
         watcher(core)
         core.start()
         machine.disk.finish_now()
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -12,7 +12,8 @@
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import majority_lease
-from ploverward.control_plane.cluster import peer_sessions
+from ploverward.control_plane.cluster import share_lease_granter
+from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.configuration import order_archive
 from ploverward.control_plane.configuration import orders
@@ -78,16 +79,13 @@
 
 def _grant_without_lease() -> list:
     """Entries are handed out without contact with a majority."""
-    renew = peer_sessions.MembersMixin._renew
+    handle = share_lease_granter.ShareLeaseGranter.handle_renewal
 
-    def _renew(self, link, message):
-        self.has_majority_contact = lambda: True
-        try:
-            renew(self, link, message)
-        finally:
-            del self.has_majority_contact
+    def handle_renewal(self, connection, message):
+        with mock.patch.object(self._membership, "has_majority_lease", lambda: True):
+            handle(self, connection, message)
 
-    return [mock.patch.object(peer_sessions.MembersMixin, "_renew", _renew)]
+    return [mock.patch.object(share_lease_granter.ShareLeaseGranter, "handle_renewal", handle_renewal)]
 
 
 def _moved_part_at_once() -> list:
@@ -155,7 +153,7 @@
     """A node that held the watch duty goes on under the old epoch after a restart."""
 
     def is_owner(self):
-        return self._role_table.owner(coordinator.WATCH)[1] == self._own
+        return self._role_table.owner(singleton_roles.COORDINATOR).address == self._own
 
     return [mock.patch.object(coordinator.ClusterCoordinator, "is_owner", property(is_owner))]
 
@@ -163,10 +161,10 @@
 def _contact_from_answers() -> list:
     """Contact counts from when an answer came, not from when its heartbeat was sent; newer sets told are ignored."""
 
-    def lease_until(self, *, members, version, is_voter=True):
+    def lease_until(self, *, members, version, is_supporting=True):
         return self._now() + self._lease_s
 
-    return [mock.patch.object(majority_lease.Contact, "lease_until", lease_until)]
+    return [mock.patch.object(majority_lease.MajorityLease, "lease_until", lease_until)]
 
 
 def _versions_go_back() -> list:
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -223,7 +223,7 @@
             for ip, node in self.nodes.items()
             if ip in self.live
         ]
-        rows = singleton_roles.named(
+        rows = singleton_roles.role_changes(
             proxies=listed, find_role=lambda name: tuple(self.singleton_roles.get(name, (0, "", "")))
         )
         for name, (seen, owner, incarnation) in rows.items():
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -19,6 +19,7 @@
 
 import sortedcontainers
 
+from ploverward.transport import interfaces
 from ploverward.transport.interfaces import Callback
 
 MAX_WAIT_S = 1.0  # of a step without timers
@@ -108,7 +109,7 @@
 
         self.after(delay=interval_s, callback=tick)
 
-    def cancel(self, *, timer: Timer | None) -> None:
+    def cancel(self, *, timer: interfaces.Timer | None) -> None:
         """Takes a call back; does nothing where it was made already, or for None."""
         if timer is not None and not timer.is_over:
             timer.is_over = True
--- a/ploverward/transport/interfaces.py
+++ b/ploverward/transport/interfaces.py
@@ -74,8 +74,6 @@
     Attributes:
         peer: ADDRESS:PORT of the other end, or its host.
         hello: What the peer's handshake said, as the owner of the connection noted it; None before.
-        is_open: Whether it was not closed yet.
-        is_up: Whether it was established.
         has_heard: Whether any byte came from the peer.
         heard_at: When the peer was last heard of, by the loop's clock in seconds.
         opened_at: When this end was made, by the loop's clock in seconds.
@@ -84,13 +82,19 @@
 
     peer: str
     hello: tuple | None
-    is_open: bool
-    is_up: bool
     has_heard: bool
     heard_at: float
     opened_at: float
     frame: bytes
 
+    @property
+    def is_open(self) -> bool:
+        """Whether it was not closed yet."""
+
+    @property
+    def is_up(self) -> bool:
+        """Whether it was established."""
+
     def send(self, message: Message) -> None:
         """Sends a message; does nothing on a closed connection."""
 
--- a/ploverward/transport/test_frames.py
+++ b/ploverward/transport/test_frames.py
@@ -77,12 +77,20 @@
     sources = [
         path for path in folder.rglob("*.py") if "simulation" not in path.parts and not path.name.startswith("test_")
     ]
-    sent = set()
+    sent, created = set(), set()
     for path in sources:
-        sent |= set(
-            re.findall(
-                r"(?:send|_send_to_cores|_broadcast_to_cores|pack)\(\s*\(\s*\"(\w+)\"", path.read_text(encoding="utf-8")
-            )
-        )
-    assert {"renew", "entry", "heartbeat", "have", "beat"} <= sent
+        text = path.read_text(encoding="utf-8")
+        sent |= set(re.findall(r"(?:send|_send_to_cores|broadcast_to_cores|pack)\(\s*\(\s*\"(\w+)\"", text))
+        created |= set(re.findall(r"\bmessages\.([A-Z]\w+)\(", text))
     assert sent <= set(legacy_messages.KINDS)
+    packed = {message_type.__name__ for message_type in frames._BY_TYPE}
+    rows = {
+        field.type.__name__
+        for kind in frames._BY_TYPE.values()
+        for field in kind.fields
+        if isinstance(field, frames.Rows)
+    }
+    assert created <= packed | rows
+    kinds = {legacy_messages._NUMBERS[name] for name in sent}
+    kinds |= {kind.number for kind in frames._BY_TYPE.values() if kind.message_type.__name__ in created}
+    assert {legacy_messages._NUMBERS[name] for name in ("renew", "entry", "heartbeat", "have", "beat")} <= kinds
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -22,6 +22,7 @@
 from ploverward.common import tenant_usage
 from ploverward.control_plane.audit import trail_store
 from ploverward.control_plane.cluster import coordinator
+from ploverward.control_plane.cluster import singleton_role_table
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.configuration import evacuations
 from ploverward.control_plane.configuration import order_archive
@@ -370,7 +371,7 @@
 def _pack_duties(value) -> bytes:
     held, rows = value
     made = []
-    table = coordinator.SingletonRoleTable(change=lambda *, name, edit, done: made.append(edit(held)))
+    table = singleton_role_table.SingletonRoleTable(change=lambda *, name, edit, done: made.append(edit(held)))
     table.acquire(rows={name: row for name, *row in rows})
     [(payload, _nothing)] = made
     return _json_bytes(payload)
@@ -419,10 +420,10 @@
         {
             "registers": register_names.REGISTERS,
             "floored": register_names.MINIMUM_VERSION_REGISTERS,
-            "list": coordinator.LIST,
+            "list": coordinator.ENDPOINT_LIST,
             "first set": log_records.flatten(catch_up.first_set_row(("a", "b")))[:6],
             "identity": acceptor_storage.IDENTITY,
-            "watch": coordinator.WATCH,
+            "watch": singleton_roles.COORDINATOR,
             "relay": singleton_roles.relay_name(region="r"),
             "digests": [singleton_roles.digest_name(zone="z"), singleton_roles.digest_name(zone="z", number=2)],
         }
