--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -33,19 +33,19 @@
 def over_quota():
     scene = with_tenants()
     credit = tenant_usage.Credit(tenant_usage.tenant_key("players"), 0.0)
-    scene.entry.quota_allowance.record(core="k", asked_at=scene.loop.now() + 61.0, proxy_count=1, credits=[credit])
+    scene.proxy.quota_allowance.record(core="k", asked_at=scene.loop.now() + 61.0, proxy_count=1, credits=[credit])
     return scene
 
 
 def not_serving():
     scene = plain()
-    scene.entry.is_serving = False
+    scene.proxy.is_serving = False
     return scene
 
 
 def leaving():
     scene = plain()
-    scene.entry.drain_window.begin()
+    scene.proxy.drain_window.begin()
     scene.loop.skip(seconds=7.0)
     return scene
 
@@ -139,7 +139,7 @@
     heard = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
     sent = heard[-1][heard[-1].rindex(b"POST ") :] if heard else b""
     told = {"client": names(scene.client.got), "replica": names(sent) if sent else []}
-    trails = scene.entry.trails()
+    trails = scene.proxy.trails()
     told["trail"] = sorted(trails[-1]) if trails else []
     told["goes"] = sorted(trails[-1]["goes"][-1]) if trails and trails[-1]["goes"] else []
     return told
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -93,7 +93,7 @@
         feedback = replica_feedback.ReplicaFeedback(now=now, table=self.table, contact_s=self.contact_s)
         self.note_fault = feedback.note_fault
         self.note_wrong_replica = feedback.note_wrong_replica
-        self.full = feedback.note_full
+        self.note_full = feedback.note_full
 
     def _make_connections(self) -> None:
         """Connections to core nodes, and what this proxy sends there by itself."""
@@ -139,7 +139,7 @@
             make_handler=lambda request: request_handler.RequestHandler(context=self, request=request),
         )
         self.next_number = self._front_end.next_number
-        self.passages = self._front_end.requests
+        self.handlers = self._front_end.requests
         self._shutdown = graceful_shutdown.ProxyShutdown(
             loop=self.loop,
             settings=lambda: self.settings,
@@ -273,10 +273,10 @@
 
     def _replicas_in_use(self) -> list[replica_table.Replica]:
         """The replicas with attempts of this proxy in progress, also those that are listed no longer."""
-        attempts = (handler.attempt for handler in self.passages if handler.attempt is not None)
+        attempts = (handler.attempt for handler in self.handlers if handler.attempt is not None)
         return list({attempt.replica.id: attempt.replica for attempt in attempts}.values())
 
     def _running_elsewhere(self, service: str, target: str) -> int:
         """Attempts in progress at replicas of a service that have another version than the target."""
-        replicas = (handler.attempt.replica for handler in self.passages if handler.attempt is not None)
+        replicas = (handler.attempt.replica for handler in self.handlers if handler.attempt is not None)
         return sum(replica.service == service and replica.edition != target for replica in replicas)
--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -22,13 +22,13 @@
 
 def scene_of(*, body=BODY, age_s=0.0, **bounds):
     scene = request_scene.Scene(request_scene.replying, request_scene.replying, zones=["za", "zb"])
-    scene.entry.routes = route_table.Routes(body=body)
-    scene.entry.quota_allowance.install(body)
-    scene.entry.quota_allowance.record(core="k", asked_at=scene.loop.now() + 60.0, proxy_count=1, credits=[])
-    scene.entry.configuration_age = age_s
+    scene.proxy.routes = route_table.Routes(body=body)
+    scene.proxy.quota_allowance.install(body)
+    scene.proxy.quota_allowance.record(core="k", asked_at=scene.loop.now() + 60.0, proxy_count=1, credits=[])
+    scene.proxy.configuration_age = age_s
     if bounds:
-        scene.entry.settings.bounds.update(bounds)
-        scene.entry.credential_freshness = credential_freshness.CredentialFreshness.of(scene.entry.settings)
+        scene.proxy.settings.bounds.update(bounds)
+        scene.proxy.credential_freshness = credential_freshness.CredentialFreshness.of(scene.proxy.settings)
     return scene
 
 
@@ -105,7 +105,7 @@
 
 def test_beyond_the_quota_the_answer_is_429_with_when_to_come_back():
     scene = scene_of()
-    quota_allowance = scene.entry.quota_allowance
+    quota_allowance = scene.proxy.quota_allowance
     assert send_request(scene, key=KEYS["players"])[0] == 200  # free
     key = tenant_usage.tenant_key("players")
     quota_allowance.record(
@@ -119,11 +119,11 @@
 def test_a_key_that_is_taken_away_gets_no_further_try():
     scene = scene_of()
     request = types.SimpleNamespace(headers=[(b"authorization", b"Bearer old-key")])
-    route = scene.entry.routes.find(host="h", target=b"/safe/x")
-    assert admission_filters.authenticate_tenant(request=request, route=route, context=scene.entry).name == "clerks"
+    route = scene.proxy.routes.find(host="h", target=b"/safe/x")
+    assert admission_filters.authenticate_tenant(request=request, route=route, context=scene.proxy).name == "clerks"
     left = [{**TENANTS[0], "apiKeys": [KEYS["clerks"]]}, TENANTS[1]]
-    scene.entry.routes = route_table.Routes(body={**BODY, "senders": left})
-    refused = admission_filters.authenticate_tenant(request=request, route=route, context=scene.entry)
+    scene.proxy.routes = route_table.Routes(body={**BODY, "senders": left})
+    refused = admission_filters.authenticate_tenant(request=request, route=route, context=scene.proxy)
     assert isinstance(refused, admission_filters.Refused) and refused.status == 401
 
 
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -31,7 +31,6 @@
     """The proxy, as far as a request handler uses it.
 
     Attributes:
-        loop: The event loop; its clock is the clock of all deadlines.
         settings: Of this node.
         incarnation: Id of this run of the process.
         failover_s: Seconds in which another node takes over, or a lost one comes back: the pause for a client whose
@@ -45,10 +44,9 @@
         chooser: Scores replicas.
         adapters: Counts of adapter loads.
         batches: Custody trails on their way to the core nodes.
-        passages: The handlers of all requests under way; a handler leaves it at its end.
+        handlers: The handlers of all requests under way; a handler leaves it at its end.
     """
 
-    loop: event_loop.Loop
     settings: settings_files.Settings
     incarnation: str
     failover_s: float
@@ -61,7 +59,11 @@
     chooser: replica_chooser.Chooser
     adapters: adapter_counts.AdapterCounter
     batches: custody_trails.TrailBatches
-    passages: set[request_handler.RequestHandler]
+    handlers: set[request_handler.RequestHandler]
+
+    @property
+    def loop(self) -> event_loop.Loop:
+        """The event loop; its clock is the clock of all deadlines."""
 
     @property
     def is_serving(self) -> bool:
@@ -96,5 +98,5 @@
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
         """421: another replica has the address."""
 
-    def full(self, replica: replica_table.Replica) -> None:
+    def note_full(self, replica: replica_table.Replica) -> None:
         """The replica declined a request: it is left alone for a moment."""
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -323,7 +323,7 @@
         if attempt.status == 421:
             self.context.note_wrong_replica(attempt.replica)
         else:
-            self.context.full(attempt.replica)
+            self.context.note_full(attempt.replica)
         self._selection.avoided.add(attempt.replica.id)
         if self.policy.may_retry(
             route=self.route, now=self.loop.now(), deadline=self.facts.deadline, is_sending=self._runner.is_sending
@@ -417,7 +417,7 @@
         self._runner.close()
         for timer in (self._retry_timer, self._deadline_timer):
             self.loop.cancel(timer=timer)
-        self.context.passages.discard(self)
+        self.context.handlers.discard(self)
         if (
             facts.tenant is not None
             and facts.is_counted
--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -35,14 +35,14 @@
             scene.loop.command(callback=lambda: None)
             scene.loop.step()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    assert not scene.entry.passages and not scene.client.got  # long before the deadline
+    assert not scene.proxy.handlers and not scene.client.got  # long before the deadline
 
 
 def test_a_request_that_is_over_cannot_touch_the_next_one_on_its_connection():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
-    assert loopback.until(scene.loop, lambda: scene.entry.passages)
-    first = next(iter(scene.entry.passages)).request
+    assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
+    first = next(iter(scene.proxy.handlers)).request
     assert scene.until(b"\r\n\r\nok")
     scene.peers[0].script = lambda number, heard: None
     scene.request("once", left_ms=400)
@@ -77,8 +77,8 @@
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.leave(is_reset=is_reset)
-    assert loopback.until(scene.loop, lambda: not scene.entry.passages and not scene.peers[0].socks)
-    scene.client = loopback.Client(loop=scene.loop, address=scene.entry.address)
+    assert loopback.until(scene.loop, lambda: not scene.proxy.handlers and not scene.peers[0].socks)
+    scene.client = loopback.Client(loop=scene.loop, address=scene.proxy.address)
     scene.peers[0].script = request_scene.replying
     scene.request("once")
     assert scene.until(b"0\r\n\r\n")
@@ -92,7 +92,7 @@
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.sock.shutdown(socket.SHUT_WR)
     assert loopback.until(scene.loop, lambda: scene.client.is_closed and not scene.peers[0].socks)
-    assert not scene.client.got and not scene.entry.passages
+    assert not scene.client.got and not scene.proxy.handlers
 
 
 @pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
@@ -162,10 +162,10 @@
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
     scene.request("unsafe")
-    connection = next(iter(scene.entry.server.connections))
+    connection = next(iter(scene.proxy.server.connections))
     if by == "leaving":
-        scene.entry.server.leave()
-        scene.entry.server.close_idle()
+        scene.proxy.server.leave()
+        scene.proxy.server.close_idle()
     else:
         connection._on_timeout()
     assert request_scene.settled(scene)
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -12,8 +12,8 @@
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
-    scene.entry.server.leave()
-    scene.entry.server.close_idle()
+    scene.proxy.server.leave()
+    scene.proxy.server.close_idle()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
 
 
@@ -21,11 +21,11 @@
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
-    waiting = loopback.Client(loop=scene.loop, address=scene.entry.address)
-    scene.entry.table.replicas["i0"].is_suspected = True
+    waiting = loopback.Client(loop=scene.loop, address=scene.proxy.address)
+    scene.proxy.table.replicas["i0"].is_suspected = True
     waiting.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: w\r\nX-Time-Left-Ms: 4000\r\n\r\n")
-    assert loopback.until(scene.loop, lambda: len(scene.entry.passages) == 2)
-    http_front_end.end_requests(scene.entry.passages)
+    assert loopback.until(scene.loop, lambda: len(scene.proxy.handlers) == 2)
+    http_front_end.end_requests(scene.proxy.handlers)
     assert loopback.until(scene.loop, lambda: waiting.got)
     assert request_scene.statuses(waiting) == [503] and not request_scene.statuses(scene.client)
 
@@ -34,15 +34,15 @@
     scene = request_scene.Scene(request_scene.replying)
     front_end = http_front_end.HttpFrontEnd(
         loop=scene.loop,
-        settings=scene.entry.settings,
+        settings=scene.proxy.settings,
         contact_s=4.0,
         limits=loopback.limits,
         is_serving=lambda: True,
         is_draining=lambda: True,
-        make_handler=lambda request: request_handler.RequestHandler(context=scene.entry, request=request),
+        make_handler=lambda request: request_handler.RequestHandler(context=scene.proxy, request=request),
     )
     front_end.has_ended = True
-    scene.entry.server._on_request = front_end.handle_request
+    scene.proxy.server._on_request = front_end.handle_request
     scene.request("unsafe")
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
@@ -74,7 +74,7 @@
 def test_a_second_sigterm_gives_no_more_time():
     scene = request_scene.Scene(request_scene.replying)
     request_scene.leave(scene, since_s=4.0)
-    scene.entry.drain_window.begin()
+    scene.proxy.drain_window.begin()
     scene.request("once", left_ms=5000)
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [503]
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -30,7 +30,7 @@
             request_history.Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}")
             for number in range(3)
         ]
-        self.entry = loopback_proxy.LoopbackProxy(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
+        self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
         self.users = []
         self.number = 0
 
@@ -51,7 +51,7 @@
         rested = [user for user in self.users if not user.is_closed and user.requests and user.is_done()]
         if rested and self.chance.random() < 0.6:
             return self.chance.choice(rested)
-        user = request_history.User(loop=self.loop, address=self.entry.address)
+        user = request_history.User(loop=self.loop, address=self.proxy.address)
         self.users.append(user)
         return user
 
@@ -106,11 +106,11 @@
             index = chance.randrange(len(self.replicas))
             name = f"life{self.number}of{index}"
             self.replicas[index].replace(name)
-            self.entry.rows[index] = dict(self.entry.rows[index], id=name)
+            self.proxy.rows[index] = dict(self.proxy.rows[index], id=name)
             lag_s = chance.choice((0.0, 0.2, 1.0))
-            self.loop.after(delay=lag_s, callback=lambda: self.entry.table.install_list(self.entry.list_rows()))
+            self.loop.after(delay=lag_s, callback=lambda: self.proxy.table.install_list(self.proxy.list_rows()))
         elif callback < 0.4:
-            self.entry.table.mark_suspected(chance.choice(list(self.entry.table.replicas.values())))
+            self.proxy.table.mark_suspected(chance.choice(list(self.proxy.table.replicas.values())))
         elif callback < 0.6:
             self.wait(seconds=chance.choice((0.05, 0.5, 3.0, 11.0)))
 
@@ -124,24 +124,24 @@
                     if not user.requests[-1].is_complete:
                         break
             if self.chance.random() < 0.5:
-                assert self.until(lambda: not self.entry.passages and all(user.is_done() for user in self.users))
+                assert self.until(lambda: not self.proxy.handlers and all(user.is_done() for user in self.users))
         self.stop()
         return request_history.Checker(log=self.log, users=self.users).found()
 
     def stop(self) -> None:
         """SIGTERM with attempts under way, as ProxyShutdown goes on from it; then the process is gone."""
-        self.entry.server.leave()
+        self.proxy.server.leave()
         if self.chance.random() < 0.5:
             self.wait(seconds=self.chance.uniform(0.0, 0.5))
-            self.entry.server.close_idle()
-            http_front_end.end_requests(self.entry.passages)
+            self.proxy.server.close_idle()
+            http_front_end.end_requests(self.proxy.handlers)
         else:
-            assert self.until(lambda: not self.entry.passages and all(user.is_done() for user in self.users))
-        for handler in list(self.entry.passages):
+            assert self.until(lambda: not self.proxy.handlers and all(user.is_done() for user in self.users))
+        for handler in list(self.proxy.handlers):
             handler.on_client_gone()
-        for http_connection in list(self.entry.server.connections):
+        for http_connection in list(self.proxy.server.connections):
             http_connection.close(is_hard=True)
-        self.entry.server.stop_listening()
+        self.proxy.server.stop_listening()
         self.wait(seconds=3.0)  # what replicas still had to run has run by now
 
 
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -215,7 +215,7 @@
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after", scene.client.got, re.I)
     assert scene.arrivals() == 0
-    trail = scene.entry.trails()[0]
+    trail = scene.proxy.trails()[0]
     assert trail["goes"] == [] and trail["homes"] == ["south"] and trail["status"] == 503
 
 
@@ -230,7 +230,7 @@
     scene = request_scene.Scene(cutting, cutting, zones=["zb", "zb"])
     scene.request("home")
     assert scene.until(b"0\r\n\r\n")
-    trail = scene.entry.trails()[0]
+    trail = scene.proxy.trails()[0]
     assert trail["id"] == "a1" and trail["status"] == 200
     assert [attempt["zone"] for attempt in trail["goes"]] == ["zb", "zb"]
     assert [attempt["is_resumption"] for attempt in trail["goes"]] == [False, True]
@@ -290,8 +290,8 @@
     assert scene.until(b"data: t1")
     scene.client.sock.close()
     scene.loop.unwatch(sock=scene.client.sock)
-    assert loopback.until(scene.loop, lambda: not scene.entry.passages)
-    replica = next(iter(scene.entry.table.replicas.values()))
+    assert loopback.until(scene.loop, lambda: not scene.proxy.handlers)
+    replica = next(iter(scene.proxy.table.replicas.values()))
     assert replica.running == 0 and not replica.connections
 
 
@@ -319,21 +319,21 @@
     scene = request_scene.Scene(script)
     scene.loop.unwatch(sock=scene.client.sock)
     scene.request("once", left_ms=5000)
-    assert loopback.until(scene.loop, lambda: any(handler.writer.has_head for handler in scene.entry.passages))
-    handler = next(iter(scene.entry.passages))
+    assert loopback.until(scene.loop, lambda: any(handler.writer.has_head for handler in scene.proxy.handlers))
+    handler = next(iter(scene.proxy.handlers))
     number = 3
     while not handler.attempt.connection.is_paused and number < 1000:
         number += 1
         handler.forward_event(b"id: %d\ndata: %s\n\n" % (number, big))
     assert handler.attempt.connection.is_paused and number < 1000
-    assert scene.entry.server.body_budget.reserved_bytes == 4
+    assert scene.proxy.server.body_budget.reserved_bytes == 4
     scene.loop.watch(sock=scene.client.sock, mask=1, callback=scene.client._read)
     assert loopback.until(scene.loop, lambda: not handler.attempt.connection.is_paused)
 
 
 def test_buffered_bodies_are_bounded():
     scene = request_scene.Scene(request_scene.replying)
-    scene.entry.server.body_budget.max_bytes = 3
+    scene.proxy.server.body_budget.max_bytes = 3
     scene.request("safe")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 0
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -98,7 +98,7 @@
         return BEHAVIOURS[name](number, heard)
 
     scene = request_scene.Scene(script, request_scene.replying)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
     if is_reused:
         scene.request("unsafe")
         assert scene.until(b"\r\n\r\nok")
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("name", [name for name in BEHAVIOURS if name not in SILENT])
 def test_what_may_be_repeated_is_answered_by_another_replica_once(name):
     scene = request_scene.Scene(BEHAVIOURS[name], request_scene.answering(b"second"))
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe", left_ms=1000)
     assert request_scene.settled(scene)
     if name.startswith(("says 429", "says 408", "says elsewhere")):
@@ -143,7 +143,7 @@
 
     failing = request_scene.answering(b"a failure's own text", status=b"500 Broken")
     scene = request_scene.Scene(cutting, failing)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t1" in scene.client.got and b"own text" not in scene.client.got
@@ -161,7 +161,7 @@
     scene = request_scene.Scene(
         cutting, request_scene.answering(b"text", status=b"500 Broken"), going_on, zones=["zb"] * 3
     )
-    table = scene.entry.table.replicas
+    table = scene.proxy.table.replicas
     table["i1"].running, table["i2"].running = 4, 8
     scene.request("home")  # three tries
     assert scene.until(request_scene.END)
@@ -177,7 +177,7 @@
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2)]
 
     scene = request_scene.Scene(waking, going_on)
-    table = scene.entry.table.replicas
+    table = scene.proxy.table.replicas
     table["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
@@ -196,21 +196,21 @@
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
 
     scene = request_scene.Scene(pausing, pausing, zones=zones)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
-    return scene, scene.entry.table.replicas["i0"]
+    return scene, scene.proxy.table.replicas["i0"]
 
 
 def test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume():
     scene, replica = silent_in_a_stream(zones=["za", "za"])
-    scene.entry.table.replicas["i1"].is_suspected = True
+    scene.proxy.table.replicas["i1"].is_suspected = True
     replica.is_suspected = replica.is_probe_failed = True
     looked = []
-    probe = scene.entry.table.probe
-    scene.entry.table.probe = lambda *, replica: looked.append(replica.id)
+    probe = scene.proxy.table.probe
+    scene.proxy.table.probe = lambda *, replica: looked.append(replica.id)
     assert loopback.until(scene.loop, lambda: len(looked) >= 4)  # looked at again and again, and not left
-    scene.entry.table.probe = probe
+    scene.proxy.table.probe = probe
     scene.peers[0].callback(0, [request_scene.event(2) + request_scene.END])
     assert scene.until(request_scene.END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
@@ -232,11 +232,11 @@
         body["routes"] = [
             dict(row, **(change if row["name"] == "safe" else {})) for row in loopback_proxy.CONFIGURATION["routes"]
         ]
-        scene.entry.configure(body)
+        scene.proxy.configure(body)
         return ["close"]
 
     scene = request_scene.Scene(script, request_scene.replying)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert request_scene.settled(scene)
     assert scene.arrivals() == 1 and request_scene.statuses(scene.client) == [502]
@@ -276,7 +276,7 @@
         faults=faults,
     )
     if where == "first event":
-        monkeypatch.setattr(scene.entry.chooser, "note_read", broken)
+        monkeypatch.setattr(scene.proxy.chooser, "note_read", broken)
     else:
         monkeypatch.setattr(upstream_connection.UpstreamConnection, "_on_response_end", broken)
         scene.peers[0].script = request_scene.answering()
@@ -292,7 +292,7 @@
     def broken(**_about):
         raise RuntimeError("planted")
 
-    scene.entry.note_fault = broken
+    scene.proxy.note_fault = broken
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
     assert faults and request_scene.statuses(scene.client) == [504]
@@ -306,7 +306,7 @@
         if kind != report_source.SENT:
             raise RuntimeError("planted")
 
-    scene.entry.report_attempt = broken
+    scene.proxy.report_attempt = broken
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
     assert faults and request_scene.statuses(scene.client)[0] in (502, 504) and scene.arrivals() == 1
@@ -342,10 +342,10 @@
     def broken(**_about):
         raise RuntimeError("planted")
 
-    scene.entry.chooser.choose = broken
+    scene.proxy.chooser.choose = broken
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    assert faults and not scene.client.got and not scene.entry.passages and scene.arrivals() == 0
+    assert faults and not scene.client.got and not scene.proxy.handlers and scene.arrivals() == 0
 
 
 def test_a_repeatable_answer_in_events_is_not_resumed_where_the_route_does_not_resume():
@@ -363,7 +363,7 @@
         ]
 
     scene = request_scene.Scene(cutting, anew)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 1 and not scene.client.got.endswith(request_scene.END)
@@ -379,7 +379,7 @@
         ]
 
     scene = request_scene.Scene(cutting, request_scene.replying)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 1 and not scene.client.got.endswith(request_scene.END)
@@ -405,11 +405,11 @@
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
-    handler = next(iter(scene.entry.passages))
+    handler = next(iter(scene.proxy.handlers))
     handler.request.http_connection._write = lambda data: handler.request.http_connection._gone()
     scene.peers[0].callback(
         0, [request_scene.head(request_scene.request_id(scene.peers[0].heard[0])) + request_scene.END]
     )
-    assert loopback.until(scene.loop, lambda: not scene.entry.passages)
+    assert loopback.until(scene.loop, lambda: not scene.proxy.handlers)
     scene.loop.step()
-    assert len(scene.entry.trails()) == 1
+    assert len(scene.proxy.trails()) == 1
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -154,7 +154,7 @@
         assert loopback.until(
             loop,
             lambda clients=clients: (
-                not any(scene.passages for scene in scenes)
+                not any(scene.handlers for scene in scenes)
                 and all(
                     client.is_closed or client.got.endswith(b"0\r\n\r\n") or b"HTTP/1.1 50" in client.got
                     for client in clients
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -22,7 +22,7 @@
 def reported_kinds(scene):
     """What the proxy would report of each attempt: {replica: [kinds]}."""
     kinds = collections.defaultdict(list)
-    scene.entry.report_attempt = lambda *, replica, kind: kinds[replica.id].append(kind)
+    scene.proxy.report_attempt = lambda *, replica, kind: kinds[replica.id].append(kind)
     return kinds
 
 
@@ -61,8 +61,8 @@
         scene.client.got = b""
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
-    scene.entry.table.check_suspected_replicas()
-    scene.entry.table.sweep()
+    scene.proxy.table.check_suspected_replicas()
+    scene.proxy.table.sweep()
     heard = b"".join(heard for peer in scene.peers for heard in peer.heard)
     assert b"GET " not in heard and b"/health" not in heard
 
@@ -89,7 +89,7 @@
         scene.client.got = b""
         scene.request("safe")
         assert scene.until(b" 50")
-    replica, _tokens, is_any = scene.entry.chooser.choose(
+    replica, _tokens, is_any = scene.proxy.chooser.choose(
         service="llm", permitted=None, model="", chain=(), prompt_tokens=0, avoid=set()
     )
     assert replica is not None and is_any
@@ -138,7 +138,7 @@
     chance = random.Random(3)
     taken = collections.Counter()
     for number in range(64):
-        replica, tokens, _is_any = scene.entry.chooser.choose(
+        replica, tokens, _is_any = scene.proxy.chooser.choose(
             service="llm", permitted=None, model="m", chain=(), prompt_tokens=chance.randint(100, 200), avoid=set()
         )
         replica.running += 1
@@ -160,12 +160,12 @@
 
     scene = request_scene.Scene(script, request_scene.replying)
     kinds = reported_kinds(scene)
-    replica = scene.entry.table.replicas["i0"]
-    scene.entry.table.replicas["i1"].is_clearing = True
+    replica = scene.proxy.table.replicas["i0"]
+    scene.proxy.table.replicas["i1"].is_clearing = True
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
-    scene.entry.table.replicas["i1"].is_clearing = False
-    scene.entry.table.replicas["i1"].running = 50  # the idle connection is taken again
+    scene.proxy.table.replicas["i1"].is_clearing = False
+    scene.proxy.table.replicas["i1"].running = 50  # the idle connection is taken again
     scene.client.got = b""
     arrivals = scene.arrivals()
     scene.request(lead)
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -35,7 +35,7 @@
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
-    connection = scene.entry.table.replicas["i0"].idle[0]
+    connection = scene.proxy.table.replicas["i0"].idle[0]
     scene.loop.unwatch(sock=connection.sock)  # its event stands behind the request's in the same step
     scene.loop.skip(seconds=2.0)
     scene.peers[0].end(0, is_reset=end)
@@ -52,14 +52,14 @@
     scene.client.send(b"POST /once/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: late\r\nX-Time-Left-Ms: 900\r\n")
     assert loopback.until(
         scene.loop,
-        lambda: any(each.state is http_connection.State.READING_HEAD for each in scene.entry.server.connections),
+        lambda: any(each.state is http_connection.State.READING_HEAD for each in scene.proxy.server.connections),
     )
     scene.loop.skip(seconds=4.0)
     scene.client.send(b"Content-Length: 4\r\n\r\nbody")
     assert loopback.until(scene.loop, lambda: scene.client.got)
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 1
     scene.loop.skip(seconds=16.0)
-    scene.client = loopback.Client(loop=scene.loop, address=scene.entry.address)
+    scene.client = loopback.Client(loop=scene.loop, address=scene.proxy.address)
     scene.request("unsafe")
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [200]
@@ -81,14 +81,14 @@
         scene.loop.skip(seconds=0.7)
     assert told == [200, 502, 200, 200, 200]
     scene.loop.skip(seconds=4.0)  # contactMs later it is tried again
-    assert scene.entry.table.pool.trusted_s(service="llm", now=scene.loop.now()) is None
+    assert scene.proxy.table.pool.trusted_s(service="llm", now=scene.loop.now()) is None
 
 
 @pytest.mark.parametrize("others", [0, 1])
 def test_a_connection_that_does_not_come_up_carried_nothing(others):
     scene = request_scene.Scene(request_scene.replying, *[request_scene.replying] * others)
     for index in range(others):
-        scene.entry.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
+        scene.proxy.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
     scene.loop.unwatch(sock=scene.peers[0].sock)
     scene.peers[0].sock.close()
     scene.request("unsafe")
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
     scene = request_scene.Scene(lambda number, heard: [end], request_scene.replying)
-    scene.entry.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     request_scene.in_part(scene, monkeypatch, most=1)
     scene.request(lead)
     assert request_scene.settled(scene)
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -1,9 +1,14 @@
-"""Real sockets on the loopback range with scripted peers, for the traps of the wire. Steps the loop; never sleeps."""
+"""Real sockets on the loopback range with scripted peers. Tests step the loop themselves; nothing sleeps."""
+
+from __future__ import annotations
 
 import os
 import selectors
 import socket
 import time
+import typing
+from collections.abc import Callable
+from collections.abc import Iterable
 
 from ploverward.transport import event_loop
 from ploverward.transport import http_request
@@ -14,23 +19,33 @@
 PEERS_HOST = 254  # where scripted peers and doors listen; tests take other hosts for nodes of theirs
 
 
+Act = bytes | str  # bytes to send, "close" or "reset"
+Script = Callable[[int, bytes], Iterable[Act] | None]
+
+
 def own_address(*, host: int = PEERS_HOST) -> str:
-    """An address that no other process of tests binds, so that a port which this one closed stays closed. `host`: 1 to 254."""
+    """Returns an address that no other process of tests binds, so that a port which this one closed stays closed.
+
+    Args:
+        host: 1 to 254.
+    """
     process = os.getpid()
     return f"127.{1 + process // 256 % 254}.{process % 256}.{host}"
 
 
 class SkippingLoop(event_loop.Loop):
-    """A loop whose clock can skip: what a frozen process sees when it goes on. All timers of that time are due at once."""
+    """A loop whose clock can skip, as a frozen process sees it: all timers of that time are due at once."""
 
-    def __init__(self, *, on_fault=None):
+    def __init__(self, *, on_fault: Callable[[Exception], object] | None = None) -> None:
         super().__init__(on_fault=on_fault)
         self._skipped_s = 0.0
 
     def now(self) -> float:
+        """Returns the clock, with what was skipped."""
         return super().now() + self._skipped_s
 
     def skip(self, *, seconds: float) -> None:
+        """Time passes in which nothing runs."""
         self._skipped_s += seconds
 
     def step_or_skip(self) -> None:
@@ -40,21 +55,21 @@
         self.step()
 
 
-def new_loop(*, faults=None):
-    """Faults in a step are raised, or gathered in `faults`, as the programs gather them."""
+def new_loop(*, faults: list[Exception] | None = None) -> SkippingLoop:
+    """Returns a loop. What a step raises is raised, or gathered in `faults`, as the programs gather it."""
 
-    def raise_it(fault):
-        raise fault
+    def raise_it(error: Exception) -> None:
+        raise error
 
     return SkippingLoop(on_fault=raise_it if faults is None else faults.append)
 
 
-def until(loop, is_so) -> bool:
-    """Steps the loop until `is_so()`; False where it never came."""
+def until(loop: event_loop.Loop, is_so: Callable[[], object]) -> bool:
+    """Steps the loop until `is_so()`; returns False where that did not come within `WAIT_TIMEOUT_S`."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     ticking = [True]
 
-    def tick():
+    def tick() -> None:
         if ticking[0]:
             loop.after(delay=0.01, callback=tick)
 
@@ -68,18 +83,30 @@
     return True
 
 
-def limits(**changed):
+def limits(**changed: typing.Any) -> http_request.Limits:  # noqa: ANN401  # of any field
+    """Returns limits of an HTTP server, with some changed."""
     return http_request.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
 
 
 class Peer:
-    """A scripted server: `script(connection number, bytes so far)` gives bytes to send, None to wait, or "close"/"reset"."""
+    """A scripted server.
+
+    Args:
+        loop: The event loop.
+        script: Called with the connection's number and all bytes that came on it so far; returns what to do in turn:
+            bytes to send, "close" or "reset"; None to wait for more.
 
-    def __init__(self, *, loop, script):
+    Attributes:
+        heard: The bytes that came, by connection.
+        socks: The sockets of open connections, by connection.
+        address: Where it listens.
+    """
+
+    def __init__(self, *, loop: event_loop.Loop, script: Script) -> None:
         self.loop = loop
         self.script = script
-        self.heard = []
-        self.socks = {}  # connection number: socket, while it is open
+        self.heard: list[bytes] = []
+        self.socks: dict[int, socket.socket] = {}
         self.sock = socket.socket()
         self.sock.bind((own_address(), 0))
         self.sock.listen(50)
@@ -87,7 +114,7 @@
         self.address = self.sock.getsockname()
         loop.watch(sock=self.sock, mask=selectors.EVENT_READ, callback=self._accept)
 
-    def _accept(self, _mask):
+    def _accept(self, _mask: int) -> None:
         sock, _address = self.sock.accept()
         sock.setblocking(False)
         number = len(self.heard)
@@ -95,7 +122,7 @@
         self.socks[number] = sock
         self.loop.watch(sock=sock, mask=selectors.EVENT_READ, callback=lambda mask: self._read(sock, number))
 
-    def _read(self, sock, number):
+    def _read(self, sock: socket.socket, number: int) -> None:
         try:
             data = sock.recv(65536)
         except OSError:
@@ -106,20 +133,21 @@
         self.heard[number] += data
         self.callback(number, self.script(number, self.heard[number]) or ())
 
-    def callback(self, number: int, acts) -> None:
-        """Sends bytes, or ends the connection by "close" or "reset", on connection `number`, if it is still there."""
-        for callback in acts:
+    def callback(self, number: int, acts: Iterable[Act]) -> None:
+        """Sends bytes, or ends the connection, as a script says, on connection `number`, if it is still there."""
+        for act in acts:
             if number not in self.socks:
                 return
-            if callback in ("close", "reset"):
-                self.end(number, is_reset=callback == "reset")
+            if isinstance(act, str):
+                self.end(number, is_reset=act == "reset")
                 continue
             try:
-                self.socks[number].sendall(callback)
+                self.socks[number].sendall(act)
             except OSError:
                 self.end(number)
 
     def end(self, number: int, *, is_reset: bool = False) -> None:
+        """Ends a connection, if it is still there."""
         sock = self.socks.pop(number, None)
         if sock is None:
             return
@@ -130,7 +158,19 @@
 
 
 class Client:
-    def __init__(self, *, loop, address):
+    """A client's connection.
+
+    Args:
+        loop: The event loop.
+        address: Of the server.
+
+    Attributes:
+        got: The bytes that came.
+        is_closed: Whether either side has ended it.
+        is_reset: Whether the server has reset it.
+    """
+
+    def __init__(self, *, loop: event_loop.Loop, address: tuple[str, int]) -> None:
         self.loop = loop
         self.got = b""
         self.is_closed = False
@@ -140,7 +180,7 @@
         self.sock.setblocking(False)
         loop.watch(sock=self.sock, mask=selectors.EVENT_READ, callback=self._read)
 
-    def _read(self, _mask):
+    def _read(self, _mask: int) -> None:
         try:
             data = self.sock.recv(65536)
         except OSError:
@@ -152,7 +192,8 @@
             return
         self.got += data
 
-    def send(self, data: bytes):
+    def send(self, data: bytes) -> None:
+        """Sends bytes."""
         self.sock.sendall(data)
 
     def leave(self, *, is_reset: bool = False) -> None:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -1,6 +1,14 @@
-"""A proxy's way of a request on the loopback, with its control side stood in for."""
+"""A proxy's request path on the loopback range, with its control side stood in for.
+
+`LoopbackProxy` provides `handler_context.HandlerContext` with the real parts of a proxy; what comes from core nodes and
+relays in production is installed directly.
+"""
+
+from __future__ import annotations
 
 import dataclasses
+import json
+import typing
 
 from ploverward.common import settings as settings_files
 from ploverward.data_plane.adapter_cache import adapter_counts
@@ -16,6 +24,7 @@
 from ploverward.data_plane.requests import route_table
 from ploverward.data_plane.rollouts import version_routing
 from ploverward.simulation import loopback
+from ploverward.transport import http_request
 from ploverward.transport import http_server
 from ploverward.transport import messages
 
@@ -43,11 +52,13 @@
 """
 
 
-def settings(**changed):
+def settings(**changed: typing.Any) -> settings_files.Settings:  # noqa: ANN401  # of any field
+    """Returns settings of a proxy, with some fields changed."""
     return dataclasses.replace(settings_files.check(text=SETTINGS), **changed)
 
 
-def route(name, lead, **more):
+def route(name: str, lead: str, **more: object) -> dict[str, typing.Any]:
+    """Returns a route of a configuration: a stream that is sent once, with some keys changed or added."""
     return {
         "name": name,
         "host": "h",
@@ -77,9 +88,23 @@
 
 
 class LoopbackProxy:
-    """What a passage needs of the proxy."""
-
-    def __init__(self, *, loop, peers, share=1.0):
+    """What a request handler needs of the proxy.
+
+    Args:
+        loop: The event loop.
+        peers: The scripted replicas, each with its zone; they are named i0, i1, ...
+        share: This proxy's share of the limits that hold over all machines.
+
+    Attributes:
+        faults: The reasons of attempts that failed.
+        rows: The endpoint list.
+        configuration_age: Seconds since the configuration was certainly the newest.
+        address: Where clients connect.
+    """
+
+    def __init__(
+        self, *, loop: loopback.SkippingLoop, peers: list[tuple[loopback.Peer, str]], share: float = 1.0
+    ) -> None:
         self.loop = loop
         self.settings = settings()
         self.incarnation = "l1"
@@ -103,11 +128,11 @@
         self.chooser = replica_chooser.Chooser(
             table=self.table, settings=self.settings, regions={}, quota=self.quota, now=loop.now
         )
-        self.passages = set()
+        self.handlers: set[request_handler.RequestHandler] = set()
         self.batches = custody_trails.TrailBatches(most=1000)
         self.adapters = adapter_counts.AdapterCounter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
-        self.faults = []
+        self.faults: list[str] = []
         self.residency = residency_history.ResidencyHistory(
             now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
@@ -115,11 +140,11 @@
         self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
         self.configuration_age = 0.0
         self.quota_allowance = quota_allowance.QuotaAllowance(now=loop.now, lease_s=1.0)
-        self.rows = [
+        self.rows: list[dict[str, typing.Any]] = [
             {
                 "id": f"i{number}",
                 "service": "llm",
-                "address": "%s:%d" % peer.address,
+                "address": f"{peer.address[0]}:{peer.address[1]}",
                 "zone": zone,
                 "berths": 8,
                 "is_clearing": False,
@@ -134,52 +159,56 @@
             loop=loop,
             address=(loopback.own_address(), 0),
             on_request=self.handle,
-            limits=lambda: loopback.limits(),
+            limits=loopback.limits,
             peer_timeout_s=5.0,
         )
         self.address = self.server.address
 
-    def handle(self, request):
+    def handle(self, request: http_request.Request) -> None:
+        """A client sent a request."""
         handler = request_handler.RequestHandler(context=self, request=request)
-        self.passages.add(handler)
+        self.handlers.add(handler)
         handler.begin()
 
-    def configure(self, body):
+    def configure(self, body: dict[str, typing.Any]) -> None:
+        """A newer configuration came; the homes of the former one still bind for a while."""
         self.residency.retire(self.routes)
         self.routes = route_table.Routes(body=body)
 
-    def configuration_age_s(self):
+    def configuration_age_s(self) -> float:
+        """Returns `configuration_age`."""
         return self.configuration_age
 
-    def list_rows(self, *, clearing=()):
+    def list_rows(self, *, clearing: typing.Container[str] = ()) -> list[dict[str, typing.Any]]:
+        """Returns the endpoint list with some replicas draining."""
         return [{**row, "is_clearing": row["id"] in clearing} for row in self.rows]
 
-    def next_number(self):
+    def next_number(self) -> int:
+        """Returns a number that no other attempt has."""
         self.number += 1
         return self.number
 
-    def report_attempt(self, **about):
-        pass
-
-    def report_prefill(self, **about):
-        pass
+    def report_attempt(self, **about: object) -> None:
+        """Goes to the relay in production."""
 
-    def mark_suspected(self, replica):
-        self.table.mark_suspected(replica)
+    def report_prefill(self, **about: object) -> None:
+        """Goes to the relay in production."""
 
-    def note_fault(self, *, replica, reason, was_up):
+    def note_fault(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
+        """An attempt failed."""
         self.faults.append(reason)
         if not was_up:
             self.table.mark_suspected(replica)
 
-    def note_wrong_replica(self, replica):
+    def note_wrong_replica(self, replica: replica_table.Replica) -> None:
+        """421: left alone for 2 s."""
         replica.backoff_until = self.loop.now() + 2.0
 
-    def full(self, replica):
+    def note_full(self, replica: replica_table.Replica) -> None:
+        """Declined: left alone for 50 ms."""
         replica.backoff_until = self.loop.now() + 0.05
 
-    def trails(self):
-        import json
-
+    def trails(self) -> list[dict[str, typing.Any]]:
+        """Returns the custody trails since the last call."""
         self.batches.close_batch()
         return [json.loads(data) for _number, _last, rows in self.batches.drain() for _id, data in rows]
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -1,25 +1,36 @@
 """Requests through a proxy on the loopback, with scripted replicas: what tests of the request path have in common."""
 
 import re
+import socket
+
+import pytest
 
 from ploverward.data_plane.load_balancing import connection_pool
+from ploverward.data_plane.load_balancing import replica as replicas
+from ploverward.data_plane.upstream import upstream_connection
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
 
 
 def request_id(heard: bytes, nth: int = -1) -> bytes:
+    """Returns the id of the last request in the bytes, or of the nth."""
     return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)[nth]
 
 
 def is_complete(heard: bytes) -> bool:
+    """Whether each request in the bytes has its body."""
     return heard.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", heard, re.I))
 
 
-def answer(which: bytes, body: bytes = b"ok", *, status=b"200 OK", more=b"X-Postmark: p\r\n") -> bytes:
+def answer(
+    which: bytes, body: bytes = b"ok", *, status: bytes = b"200 OK", more: bytes = b"X-Postmark: p\r\n"
+) -> bytes:
+    """Returns a complete answer; `more`: headers."""
     return b"HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, which, more, len(body), body)
 
 
-def head(which: bytes, *, more=b"") -> bytes:
+def head(which: bytes, *, more: bytes = b"") -> bytes:
+    """Returns the head of a stream."""
     return (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Type: text/event-stream\r\n%s"
         b"Transfer-Encoding: chunked\r\n\r\n" % (which, more)
@@ -27,6 +38,7 @@
 
 
 def event(number: int) -> bytes:
+    """Returns one event of a stream, as a chunk."""
     text = b"id: %d\ndata: t%d\n\n" % (number, number)
     return b"%x\r\n%s\r\n" % (len(text), text)
 
@@ -38,15 +50,29 @@
 
 
 class Scene:
-    def __init__(self, *scripts, zones=None, faults=None):
+    """A proxy, its scripted replicas, and one client.
+
+    Args:
+        scripts: One for each replica.
+        zones: Of the replicas, in that order; za where none are given.
+        faults: Gathers what steps of the loop raise; without it, that is raised.
+    """
+
+    def __init__(
+        self,
+        *scripts: loopback.Script,
+        zones: list[str] | None = None,
+        faults: list[Exception] | None = None,
+    ) -> None:
         self.loop = loopback.new_loop(faults=faults)
         self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
-        self.entry = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
-        self.client = loopback.Client(loop=self.loop, address=self.entry.address)
+        self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
+        self.client = loopback.Client(loop=self.loop, address=self.proxy.address)
         self.number = 0
 
-    def request(self, lead: str, *, left_ms=3000, more=b""):
+    def request(self, lead: str, *, left_ms: int = 3000, more: bytes = b"") -> None:
+        """Sends a request by the route of a path prefix; `more`: headers."""
         self.number += 1
         self.client.send(
             b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
@@ -55,42 +81,50 @@
         )
 
     def until(self, what: bytes) -> bool:
+        """Steps the loop until the client got these bytes; returns whether it did."""
         return loopback.until(self.loop, lambda: what in self.client.got)
 
     def arrivals(self) -> int:
+        """Returns how many requests the replicas heard of."""
         return sum(len(re.findall(rb"X-Attempt-Id", heard, re.I)) for peer in self.peers for heard in peer.heard)
 
 
-def replying(number, heard):
+def replying(number: int, heard: bytes) -> list[loopback.Act] | None:
+    """A script: answers each complete request."""
     return [answer(request_id(heard))] if is_complete(heard) else None
 
 
-def answering(body=b"ok", **about):
-    def script(number, heard):
+def answering(body: bytes = b"ok", **about: bytes) -> loopback.Script:
+    """Returns a script that gives this answer to each complete request."""
+
+    def script(number: int, heard: bytes) -> list[loopback.Act] | None:
         return [answer(request_id(heard), body, **about)] if is_complete(heard) else None
 
     return script
 
 
-def statuses(client) -> list:
+def statuses(client: loopback.Client) -> list[int]:
+    """Returns the statuses of all answers that a client got."""
     return [int(status) for status in re.findall(rb"HTTP/1\.1 (\d+)", client.got)]
 
 
-def settled(scene) -> bool:
-    return loopback.until(scene.loop, lambda: scene.client.got and not scene.entry.passages)
+def settled(scene: Scene) -> bool:
+    """Steps the loop until the client got something and no request is under way; returns whether that came."""
+    return loopback.until(scene.loop, lambda: scene.client.got and not scene.proxy.handlers)
 
 
 class SlowSocket:
     """Lets so many bytes out, then none."""
 
-    def __init__(self, sock, *, most):
+    def __init__(self, sock: socket.socket, *, most: int) -> None:
         self.sock = sock
         self.left = most
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> object:
         return getattr(self.sock, name)
 
-    def send(self, data):
+    def send(self, data: bytes) -> int:
+        """Sends what is still allowed."""
         if not self.left:
             raise BlockingIOError
         count = self.sock.send(data[: self.left])
@@ -98,20 +132,22 @@
         return count
 
 
-def in_part(scene, monkeypatch, *, most):
+def in_part(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
     """Connections to replicas take only so many bytes of a request."""
     open_ = connection_pool.ConnectionPool.open
 
-    def opened(pool, replica):
+    def opened(
+        pool: connection_pool.ConnectionPool, replica: replicas.Replica
+    ) -> upstream_connection.UpstreamConnection:
         connection = open_(pool, replica)
-        connection.sock = SlowSocket(connection.sock, most=most)
+        connection.sock = SlowSocket(connection.sock, most=most)  # type: ignore[assignment]
         return connection
 
     monkeypatch.setattr(connection_pool.ConnectionPool, "open", opened)
 
 
-def leave(scene, *, since_s):
+def leave(scene: Scene, *, since_s: float) -> None:
     """SIGTERM came so many seconds ago."""
-    scene.entry.server.leave()
-    scene.entry.drain_window.begin()
+    scene.proxy.server.leave()
+    scene.proxy.drain_window.begin()
     scene.loop.skip(seconds=since_s)
