--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -122,9 +122,11 @@
         keys = self.members[connection].followed_keys
         if keys is not None:
             rows = [
-                row_codec.LOAD.pack(*row)
-                for row in row_codec.rows(shape=row_codec.LOAD, data=message.load_rows)
-                if row[0] in keys or row[4] & load_feed.FULL
+                row_codec.LOAD.pack(key, running, tokens, suspect_count, flags)
+                for key, running, tokens, suspect_count, flags in row_codec.rows(
+                    shape=row_codec.LOAD, data=message.load_rows
+                )
+                if key in keys or flags & load_feed.FULL
             ]
             message = message._replace(load_rows=b"".join(rows))
         self._send_loads(connection, region, message)
@@ -136,8 +138,8 @@
             {connection: [] for connection in selective} if message.is_snapshot else {}
         )
         data, size = message.load_rows, row_codec.LOAD.size
-        for index, row in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
-            for connection in self._recipients(row[0], flags=row[4], selective=selective):
+        for index, (key, *_counts, flags) in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
+            for connection in self._recipients(key, flags=flags, selective=selective):
                 found.setdefault(connection, []).append(data[index * size : (index + 1) * size])
         return {connection: b"".join(rows) for connection, rows in found.items()}
 
