--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -4,10 +4,15 @@
 
 import pytest
 
-from ploverward.simulation import model_checker
+from ploverward.simulation.model_checker import command_line
+from ploverward.simulation.model_checker import live_objects
+from ploverward.simulation.model_checker import moves
+from ploverward.simulation.model_checker import mutants
+from ploverward.simulation.model_checker import scenarios
+from ploverward.simulation.model_checker import search
 
-SCENARIOS = model_checker.small()
-FAULTS = model_checker.mutations()
+SCENARIOS = scenarios.small()
+FAULTS = mutants.mutations()
 
 
 def name_of(row) -> str:
@@ -20,14 +25,14 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=name_of)
 def test_no_order_of_steps_breaks_a_rule(scenario):
-    outcome = model_checker.explore(scenario=scenario, max_states=model_checker.SMALL_STATES)
+    outcome = search.explore(scenario=scenario, max_states=command_line.SMALL_STATES)
     assert outcome.finding is None, outcome.finding.text()
     assert outcome.is_exhaustive
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=name_of_fault)
 def test_a_planted_fault_is_found(fault):
-    outcome = model_checker.explore_mutant(fault=fault, max_states=model_checker.SMALL_STATES)
+    outcome = mutants.explore_mutant(fault=fault, max_states=command_line.SMALL_STATES)
     assert outcome.finding is not None
 
 
@@ -35,13 +40,13 @@
     """The scenarios of faults in the code around them are sound by themselves: the fault is what is found."""
     for fault in FAULTS:
         if fault.mutations is not contextlib.nullcontext and not fault.scenario.restarts:
-            outcome = model_checker.explore(scenario=fault.scenario, max_states=model_checker.SMALL_STATES)
+            outcome = search.explore(scenario=fault.scenario, max_states=command_line.SMALL_STATES)
             assert outcome.finding is None, outcome.finding.text()
             assert outcome.is_exhaustive
 
 
 def explorer_of(scenario):
-    return model_checker.Explorer(scenario=scenario)
+    return moves.Moves(scenario=scenario)
 
 
 def state_after(explorer, state, count):
@@ -50,7 +55,7 @@
         label, callback = min(explorer.steps(state), key=lambda step: str(step[0]))
         new = state.copy()
         callback(new)
-        explorer._prune(new)
+        explorer.prune(new)
         state = new
     return state
 
@@ -71,8 +76,8 @@
     for order in ((first, second), (second, first)):
         state = explorer.start().copy()
         for number in order:
-            explorer._deliver_once(state, number)
-            explorer._prune(state)
+            explorer.deliver_once(state, number)
+            explorer.prune(state)
         keys.add(state.key())
     assert len(keys) == 1
 
@@ -81,24 +86,24 @@
     explorer = explorer_of(SCENARIOS[0])
     state = state_after(explorer, explorer.start(), 3)
     proposer, timers = state.writers["Q"].live
-    copied, copied_timers = model_checker.clone((proposer, timers), {})
-    assert model_checker.form((copied, copied_timers), {}) == model_checker.form((proposer, timers), {})
-    before = model_checker.form((proposer, timers), {})
+    copied, copied_timers = live_objects.clone((proposer, timers), {})
+    assert live_objects.form((copied, copied_timers), {}) == live_objects.form((proposer, timers), {})
+    before = live_objects.form((proposer, timers), {})
     for callback in copied_timers:
         callback()
     explorer.ports["Q"].sent.clear()
     explorer.ports["Q"].timers.clear()
-    assert model_checker.form((proposer, timers), {}) == before
+    assert live_objects.form((proposer, timers), {}) == before
 
 
 def test_a_history_of_a_fault_is_printed_step_by_step(capsys):
     name = FAULTS[0].scenario.name
-    assert model_checker.main(["--budget", "planted", "--scenario", name]) == 0
+    assert command_line.main(["--budget", "planted", "--scenario", name]) == 0
     output = capsys.readouterr().out
     assert "is chosen at revision" in output
     assert "('deliver'" in output
 
 
 def test_the_command_says_when_not_all_states_were_seen(capsys):
-    assert model_checker.main(["--scenario", SCENARIOS[0].name, "--states", "50"]) == 0
+    assert command_line.main(["--scenario", SCENARIOS[0].name, "--states", "50"]) == 0
     assert "NOT ALL" in capsys.readouterr().out
--- /dev/null
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -0,0 +1,48 @@
+"""The command: explores scenarios or mutants and prints what was found."""
+
+import argparse
+
+from ploverward.simulation.model_checker.mutants import explore_mutant
+from ploverward.simulation.model_checker.mutants import mutations
+from ploverward.simulation.model_checker.scenarios import large
+from ploverward.simulation.model_checker.scenarios import small
+from ploverward.simulation.model_checker.search import Outcome
+from ploverward.simulation.model_checker.search import explore
+
+SMALL_STATES = 100_000
+LARGE_STATES = 1_000_000
+
+
+def describe(outcome: Outcome) -> str:
+    how = "all" if outcome.is_exhaustive else "NOT ALL"
+    how = "BROKEN" if outcome.finding is not None else how
+    return f"{outcome.scenario}: {outcome.states} states in {outcome.seconds:.1f} s, {how}"
+
+
+def main(arguments=None) -> int:
+    parser = argparse.ArgumentParser(
+        prog="python3 -m ploverward.simulation.model_checker", description="Moves of the set, step by step."
+    )
+    parser.add_argument("--budget", choices=("small", "large", "planted"), default="small")
+    parser.add_argument("--scenario", default="", help="only those whose name holds this text")
+    parser.add_argument("--states", type=int, default=0, help="most states of one scenario")
+    chosen = parser.parse_args(arguments)
+    is_large = chosen.budget == "large"
+    most = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
+    if chosen.budget == "planted":
+        runs = [
+            (fault.scenario, lambda fault=fault: explore_mutant(fault=fault, max_states=most)) for fault in mutations()
+        ]
+    else:
+        scenarios = large() if is_large else small()
+        runs = [(row, lambda row=row: explore(scenario=row, max_states=most)) for row in scenarios]
+    is_broken = False
+    for scenario, run in runs:
+        if chosen.scenario not in scenario.name:
+            continue
+        outcome = run()
+        print(describe(outcome), flush=True)
+        if outcome.finding is not None:
+            print(outcome.finding.text(), flush=True)
+        is_broken = is_broken or (outcome.finding is not None) != (chosen.budget == "planted")
+    return int(is_broken)
--- a/ploverward/simulation/simulated_files.py
+++ b/ploverward/simulation/simulated_files.py
@@ -169,7 +169,7 @@
         self._pending_names = []
         self._names = {name: inode for name, inode in self._durable.items() if inode is not None}
         self._durable = dict(self._names)
-        for inode in set(self._names.values()):
+        for inode in dict.fromkeys(self._names.values()):  # in order, so that a seed gives one history
             inode.data = self._after_loss(inode, keeps_none=keeps_none)
             inode.synced = bytearray(inode.data)
             inode.pending = []
