--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -18,7 +18,7 @@
 from ploverward.control_plane.consensus import proposer as proposers
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.consensus import write_ahead_log
-from ploverward.transport import event_loop
+from ploverward.transport import interfaces
 from ploverward.transport import messages
 
 _log = logging.getLogger(__name__)
@@ -32,14 +32,7 @@
 REPAIR_AFTER_HEARTBEATS = 2  # at the first member; each further one waits one more
 
 
-class Connection(typing.Protocol):
-    """Where a request came from."""
-
-    def send(self, message: tuple) -> None:
-        """Sends a reply."""
-
-
-Handler = collections.abc.Callable[[str, Connection | None, typing.Any], None]
+Handler = collections.abc.Callable[[str, interfaces.Connection | None, typing.Any], None]
 
 
 class ConsensusNode:
@@ -72,7 +65,7 @@
     def __init__(
         self,
         *,
-        loop: event_loop.Loop,
+        loop: interfaces.Loop,
         own: str,
         store: acceptor_storage.AcceptorStorage,
         seeds: tuple[str, ...],
@@ -180,13 +173,13 @@
         else:
             self._send_other(member, message)
 
-    def _answer(self, member: str, link: Connection | None, message: tuple) -> None:
+    def _answer(self, member: str, link: interfaces.Connection | None, message: tuple) -> None:
         if link is None:
             self.handle(member, None, message)
         else:
             link.send(message)
 
-    def handle(self, member: str, link: Connection | None, message: tuple) -> bool:
+    def handle(self, member: str, link: interfaces.Connection | None, message: tuple) -> bool:
         """Handles a message of the registers.
 
         Args:
@@ -204,13 +197,13 @@
         return True
 
     # Requests to the acceptor. While the disk fails nothing changes here: the others can agree without this node.
-    def _handle_prepare(self, member: str, link: Connection | None, request: messages.Prepare) -> None:
+    def _handle_prepare(self, member: str, link: interfaces.Connection | None, request: messages.Prepare) -> None:
         if self.write_ahead_log.is_hindered:
             self._answer(member, link, self.write_ahead_log.durable.reject_prepare(request))
         else:
             self._answer_when_durable(member, link, request, self.acceptor.prepare(request))
 
-    def _handle_accept(self, member: str, link: Connection | None, request: messages.Accept) -> None:
+    def _handle_accept(self, member: str, link: interfaces.Connection | None, request: messages.Accept) -> None:
         if self.write_ahead_log.is_hindered:
             self._answer(member, link, self.write_ahead_log.durable.reject_accept(request))
         else:
@@ -219,7 +212,7 @@
     def _answer_when_durable(
         self,
         member: str,
-        link: Connection | None,
+        link: interfaces.Connection | None,
         request: messages.Prepare | messages.Accept,
         decision: acceptors.Decision,
     ) -> None:
@@ -230,16 +223,20 @@
             key=(member, type(request), name), callback=lambda: self._answer(member, link, decision.reply)
         )
 
-    def _handle_quorum_read(self, member: str, link: Connection | None, request: messages.QuorumRead) -> None:
+    def _handle_quorum_read(
+        self, member: str, link: interfaces.Connection | None, request: messages.QuorumRead
+    ) -> None:
         self._answer(member, link, self.write_ahead_log.durable.quorum_read(request))
 
-    def _handle_chosen(self, _member: str, _link: Connection | None, message: messages.Chosen) -> None:
+    def _handle_chosen(self, _member: str, _link: interfaces.Connection | None, message: messages.Chosen) -> None:
         state = self.acceptor.get(message.register)
         if state.accepted == message.ballot:
             self.publish(message.register, message.revision, state.value)
 
     # Catch-up.
-    def _handle_catch_up_request(self, member: str, link: Connection | None, request: messages.CatchUpRequest) -> None:
+    def _handle_catch_up_request(
+        self, member: str, link: interfaces.Connection | None, request: messages.CatchUpRequest
+    ) -> None:
         """A learner asks for what this node's disk holds. What it asks to be promised is promised first."""
         assert link is not None  # a learner does not ask itself
         fences = {fence.register: fence.fence for fence in request.fences if fence.fence.number}
@@ -254,7 +251,7 @@
         else:
             self._send_rows(link, request)
 
-    def _send_rows(self, link: Connection, request: messages.CatchUpRequest) -> None:
+    def _send_rows(self, link: interfaces.Connection, request: messages.CatchUpRequest) -> None:
         durable = self.write_ahead_log.durable
         rows: tuple[messages.RegisterRow, ...] = ()
         if durable.votes:
@@ -275,7 +272,9 @@
         self._broadcast_to_cores(self._catch_up.request())
         self._loop.after(delay=self._contact_s * CATCH_UP_INTERVAL_SHARE, callback=self._look)
 
-    def _handle_catch_up_reply(self, member: str, _link: Connection | None, reply: messages.CatchUpReply) -> None:
+    def _handle_catch_up_reply(
+        self, member: str, _link: interfaces.Connection | None, reply: messages.CatchUpReply
+    ) -> None:
         if self.acceptor.votes or not reply.is_voter:
             return
         stage = self._catch_up.stage
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -10,12 +10,11 @@
 """
 
 import collections.abc
-import concurrent.futures
 import logging
 
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.control_plane.consensus import acceptor_storage
-from ploverward.transport import event_loop
+from ploverward.transport import interfaces
 from ploverward.transport import messages
 
 _log = logging.getLogger(__name__)
@@ -39,7 +38,7 @@
     def __init__(
         self,
         *,
-        loop: event_loop.Loop,
+        loop: interfaces.Loop,
         storage: acceptor_storage.AcceptorStorage,
         retry_s: float,
         hang_s: float,
@@ -113,9 +112,9 @@
         rows = tuple(row for row in image.rows if row.register in names)
         self._writing_since = self._loop.now()
 
-        def done(future: concurrent.futures.Future) -> None:
+        def done(outcome: interfaces.Outcome) -> None:
             self._writing_since = None
-            error = future.exception()
+            error = outcome.exception()
             if error is None:
                 self._on_written(image, change)
             else:
