--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -1,9 +1,12 @@
-"""A model of a proxy's control side, with the real `Subscriber`, `ServingGate`, `RenewalLog` and `SharedLimits` (docs/simulate.md).
+"""A model of a proxy's control side, with the real parts that versions and share leases depend on (docs/simulate.md).
 
 It follows ploverward/data_plane/control_client without the traffic: distributed values are recorded, not installed.
 The state is what the checks of versions and of share leases look at.
 """
 
+from collections.abc import Callable
+
+from ploverward.common import settings as settings_files
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
@@ -14,6 +17,7 @@
 from ploverward.data_plane.control_client import share_renewals
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
 from ploverward.transport import messages
@@ -36,7 +40,15 @@
         versions: of each topic as the recorder saw them; the recorder keeps them.
     """
 
-    def __init__(self, *, network, machine, process, node_settings, recorder) -> None:
+    def __init__(
+        self,
+        *,
+        network: simulated_network.Network,
+        machine: machines.Machine,
+        process: simulated_clock.Process,
+        node_settings: settings_files.Settings,
+        recorder: recorders.Recorder,
+    ) -> None:
         """Starts the model; `recorder` gets what it installs and each change of its shares."""
         self.machine = machine
         self.process = process
@@ -61,7 +73,7 @@
             on_delta=self._install_delta,
             delta_topics=(endpoint_list.TOPIC,),
         )
-        self._handlers = {
+        self._handlers: dict[type, Callable] = {
             messages.Announcement: self._handle_announcement,
             messages.Snapshot: self._handle_snapshot,
             messages.Deltas: self._handle_deltas,
@@ -126,14 +138,16 @@
         if handler is not None:
             handler(host, link, message)
 
-    def _handle_announcement(self, _host, link, message: messages.Announcement) -> None:
+    def _handle_announcement(
+        self, _host: str, link: simulated_network.PeerConnection, message: messages.Announcement
+    ) -> None:
         self.subscriber.handle_announcement(link, message)
 
-    def _handle_snapshot(self, _host, link, message: messages.Snapshot) -> None:
+    def _handle_snapshot(self, _host: str, link: simulated_network.PeerConnection, message: messages.Snapshot) -> None:
         if self.subscriber.handle_snapshot(link, message):
             self._acknowledge(message.topic)
 
-    def _handle_deltas(self, _host, link, message: messages.Deltas) -> None:
+    def _handle_deltas(self, _host: str, link: simulated_network.PeerConnection, message: messages.Deltas) -> None:
         if self.subscriber.handle_deltas(link, message):
             self._acknowledge(message.topic)
 
@@ -141,11 +155,15 @@
         installed = messages.TopicVersion(topic=topic, version=self.subscriber.versions[topic])
         self._broadcast(messages.Acknowledgement(versions=(installed,)))
 
-    def _handle_minimum_versions(self, host, _link, message: messages.MinimumVersions) -> None:
+    def _handle_minimum_versions(
+        self, host: str, _link: simulated_network.PeerConnection, message: messages.MinimumVersions
+    ) -> None:
         self._gate.handle_minimum_versions(host, message)
         self._check_serving()
 
-    def _handle_share_lease(self, host, _link, message: messages.ShareLease) -> None:
+    def _handle_share_lease(
+        self, host: str, _link: simulated_network.PeerConnection, message: messages.ShareLease
+    ) -> None:
         sent_at = self._renewals.sent_at(message.number)
         if sent_at is not None:
             self.quota.handle_share_lease(host, message, sent_at=sent_at)
@@ -171,11 +189,18 @@
         self._install_snapshot(messages.Snapshot(topic=topic, version=delta.version, data=published.pack()))
 
 
-def start_proxy(*, network, machine, node_settings, on_failure, recorder) -> Proxy | None:
+def start_proxy(
+    *,
+    network: simulated_network.Network,
+    machine: machines.Machine,
+    node_settings: settings_files.Settings,
+    on_failure: Callable,
+    recorder: recorders.Recorder,
+) -> Proxy | None:
     """Switches the machine on and starts a proxy in a process of its own; None where its start failed."""
     machine.is_powered = True
     machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
-    made = []
+    made: list[Proxy] = []
     machine.process.guard(
         lambda: made.append(
             Proxy(
