--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -115,7 +115,7 @@
             given += sum(row.tokens for row in made.credits(proxy=name))
     assert (
         0 < given <= 0.2 * 10 * 10.0 + left + 2.0
-    )  # its part of the rate, what was in the bucket, and what one beat hides
+    )  # its part of the rate, what was in the bucket, and what one heartbeat hides
 
 
 def test_in_debt_nothing_is_given_and_the_debt_has_an_end():
@@ -171,7 +171,7 @@
 
 
 def test_a_restart_of_all_core_nodes_costs_the_tenants_little():
-    """What proxies admitted in their whole lives is no debt of now. Most of what is left is refused in the seconds in
+    """What proxies admitted in a former time is no debt of now. Most of what is left is refused in the seconds in
     which nobody has the burst; with that debt it is a quarter of the day on the first of these."""
     for seed in range(2):
         report = quota_simulation.run_simulation(seed, fault_kinds=("restart_core",))
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -117,7 +117,7 @@
             The leases that answer it; None where this node may grant none.
 
         Raises:
-            FrameError: The message holds no reports.
+            FrameError: The message contains no reports.
         """
         for report in rollout_evidence.unpack(message.reports):
             rollout = self.rollouts.get(report.service)
--- a/ploverward/control_plane/rollouts/test_manager.py
+++ b/ploverward/control_plane/rollouts/test_manager.py
@@ -38,7 +38,7 @@
 
 
 class World:
-    """Holders on one register, with rounds that end at once or are held back."""
+    """Coordinators on one register, whose changes end at once, with an error while it is partitioned."""
 
     def __init__(self):
         self.now = 100.0
--- a/ploverward/data_plane/quotas/credential_freshness.py
+++ b/ploverward/data_plane/quotas/credential_freshness.py
@@ -55,7 +55,7 @@
 
 
 class CredentialVerdict(enum.Enum):
-    """What becomes of a request as far as its key goes."""
+    """What becomes of a request because of its key."""
 
     ADMITTED = "admitted"
     UNKNOWN = "unknown"  # 401: no configuration has this key
--- a/ploverward/data_plane/quotas/test_credential_freshness.py
+++ b/ploverward/data_plane/quotas/test_credential_freshness.py
@@ -125,7 +125,7 @@
         self.world.later(self.chance.uniform(1.0, 9.0), lambda: self.partitioned_pairs.difference_update(pairs))
         self.world.later(self.chance.uniform(2.0, 8.0), self.inject_fault)
 
-    def look(self):
+    def check_revocation(self):
         """A request that is sent now: does the proxy run it with a key that was taken away over REVOKE_S ago?"""
         now = self.world.now()
         for proxy, configuration_freshness in self.configuration_freshness.items():
@@ -136,10 +136,16 @@
                 continue
             newer = [when for version, when in self.acknowledged.items() if version > self.version[proxy]]
             self.late += bool(newer) and now > min(newer) + REVOKE_S
-        self.world.later(0.05, self.look)
+        self.world.later(0.05, self.check_revocation)
 
     def play(self):
-        for callback in (self.send_heartbeats, self.send_request, self.change, self.inject_fault, self.look):
+        for callback in (
+            self.send_heartbeats,
+            self.send_request,
+            self.change,
+            self.inject_fault,
+            self.check_revocation,
+        ):
             self.world.later(self.chance.uniform(0.0, 0.4), callback)
         self.world.run(until=90.0)
         return self.late
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -2,7 +2,7 @@
 
 An admitted version may get requests always. A new one gets them under a lease, which counts from when its report was
 sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a credit, and an
-attempt at the new version takes one. So the share holds at every moment, and over any number of proxies
+attempt at the new version takes one. So the share is kept at every moment, and over any number of proxies
 (`test_the_sum_over_all_proxies_keeps_to_the_share`).
 
 `VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
@@ -127,7 +127,7 @@
 
         Args:
             service: The service.
-            is_first: Whether no attempt of the request has reached a replica yet: a retry goes to the former version.
+            is_first: Whether no attempt of the request has reached a replica yet: a retry uses the former version.
 
         Returns:
             The pools; None stands for all replicas of the service.
@@ -218,7 +218,7 @@
         A lease counts from when its report was sent, and never replaces one whose report was sent later.
 
         Raises:
-            FrameError: The message holds no leases.
+            FrameError: The message contains no leases.
         """
         self.report_interval = max(1, message.report_interval)
         granted = leases.unpack(message.leases)
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -289,11 +289,11 @@
         return self.report
 
     def _start_heartbeats(self, proxy: Proxy) -> None:
-        def beat() -> None:
+        def tick() -> None:
             proxy.send_reports()
-            self.world.later(HEARTBEAT_INTERVAL_S, beat)
+            self.world.later(HEARTBEAT_INTERVAL_S, tick)
 
-        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), beat)
+        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), tick)
 
 
 def _worst_window(times: Sequence[float], window_s: float) -> int:
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -1,8 +1,8 @@
 """A simulation of roll-outs: the real coordinator, judge and routers on a simulated network, good and bad versions.
 
 One replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one), three core nodes
-of which one has the coordinator's role, proxies with traffic, replicas of two versions. Faults partition, freeze and end
-nodes. `RolloutSimulation` owns the world and the faults, `ploverward.simulation.rollout_checks` the checks;
+of which one has the coordinator's role, proxies with traffic, replicas of two versions. Faults partition, freeze and
+end nodes. `RolloutSimulation` owns the world and the faults, `ploverward.simulation.rollout_checks` the checks;
 `run_simulation(seed)` runs one of thirty simulated seconds.
 """
 
@@ -264,11 +264,11 @@
     def _repeat(self, callback: Callable[[], None]) -> None:
         """Calls back at each heartbeat, from a random phase on."""
 
-        def beat() -> None:
+        def tick() -> None:
             callback()
-            self.world.later(HEARTBEAT_INTERVAL_S, beat)
+            self.world.later(HEARTBEAT_INTERVAL_S, tick)
 
-        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), beat)
+        self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), tick)
 
     def _arrive(self, proxy: rollout_nodes.Proxy) -> None:
         """One request at a proxy, and the next one later."""
