--- a/ploverward/data_plane/test_proxy_node.py
+++ b/ploverward/data_plane/test_proxy_node.py
@@ -16,7 +16,6 @@
 from ploverward.data_plane import proxy_node
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
-from ploverward.transport import legacy_messages
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
@@ -46,7 +45,6 @@
         )
 
     def _handle_message(self, connection, message):
-        message = legacy_messages.to_typed(message)
         self.received.append(message)
         if isinstance(message, messages.Handshake):
             self.connection = connection
