--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -10,9 +10,9 @@
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.discovery import endpoint_list_poller
+from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 
-ENDPOINT_LIST = "list"  # the topic of the platform's list of replicas
 READ_BY_ITSELF = 0  # epoch of a list that a core node read before any coordinator published one
 
 
@@ -91,7 +91,7 @@
                 return False
             self._watch.start()
             return True
-        if self._publisher.get(ENDPOINT_LIST) is not None:
+        if self._publisher.get(endpoint_list.TOPIC) is not None:
             self._watch.stop()
         if may_acquire and self._own in members and self._is_open(members=members, live=live, lost_since=lost_since):
             self._acquire(address=self._own, incarnation=self._incarnation)
--- a/ploverward/control_plane/cluster/endpoint_list_publisher.py
+++ b/ploverward/control_plane/cluster/endpoint_list_publisher.py
@@ -61,10 +61,10 @@
             # only those that have no list at all.
             data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
             version = Version(epoch=coordinators.READ_BY_ITSELF, number=1)
-            self._publisher.publish(topic=coordinators.ENDPOINT_LIST, version=version, data=data)
+            self._publisher.publish(topic=endpoint_list.TOPIC, version=version, data=data)
             self._watch.stop()
             return
-        current = self._publisher.version(coordinators.ENDPOINT_LIST)
+        current = self._publisher.version(endpoint_list.TOPIC)
         if current.epoch == coordinators.READ_BY_ITSELF:
             self._publish_snapshot(rows, at)
             return
@@ -76,7 +76,7 @@
         epoch = self._coordinator.epoch
         data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
         version = Version(epoch=epoch, number=1)
-        self._publisher.publish(topic=coordinators.ENDPOINT_LIST, version=version, data=data)
+        self._publisher.publish(topic=endpoint_list.TOPIC, version=version, data=data)
         _log.debug("list_published", extra={"epoch": epoch, "replicas": len(rows)})
 
     def _publish_delta(self, rows: list[dict], at: float, *, is_first: bool, number: int) -> None:
@@ -107,12 +107,12 @@
 
     def rows(self) -> list[dict]:
         """Returns the rows of the newest version that this node has; none before it has one."""
-        has_list = self._publisher.get(coordinators.ENDPOINT_LIST) is not None
+        has_list = self._publisher.get(endpoint_list.TOPIC) is not None
         return list(self._current().rows.values()) if has_list else []
 
     def _current(self) -> endpoint_list.EndpointList:
         """The list that the publisher has; it is unpacked once for each version."""
-        published = self._publisher.get(coordinators.ENDPOINT_LIST)
+        published = self._publisher.get(endpoint_list.TOPIC)
         if published is None:
             raise LookupError("no endpoint list was published here")
         if self._unpacked is None or self._packed is not published.data:
@@ -121,5 +121,5 @@
 
     def _publish(self, published: endpoint_list.EndpointList, *, version: Version, delta: bytes) -> None:
         data = published.pack()
-        if self._publisher.publish(topic=coordinators.ENDPOINT_LIST, version=version, data=data, delta=delta):
+        if self._publisher.publish(topic=endpoint_list.TOPIC, version=version, data=data, delta=delta):
             self._packed, self._unpacked = data, published
--- a/ploverward/control_plane/cluster/topic_exchange.py
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -12,6 +12,7 @@
 from ploverward.control_plane.cluster import peer_sessions
 from ploverward.control_plane.consensus import consensus_node
 from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 from ploverward.control_plane.distribution import subscriber as subscribers
 from ploverward.transport import interfaces
@@ -52,7 +53,7 @@
             fetch_timeout_s=fetch_timeout_s,
             on_snapshot=self._install_snapshot,
             on_delta=self._install_delta,
-            delta_topics=(coordinators.ENDPOINT_LIST,),
+            delta_topics=(endpoint_list.TOPIC,),
             installed_version=publisher.version,
         )
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -21,7 +21,6 @@
 from ploverward.common import rollout_evidence
 from ploverward.common import tenant_usage
 from ploverward.control_plane.audit import trail_store
-from ploverward.control_plane.cluster import coordinator
 from ploverward.control_plane.cluster import singleton_role_table
 from ploverward.control_plane.cluster import singleton_roles
 from ploverward.control_plane.configuration import evacuations
@@ -420,7 +419,7 @@
         {
             "registers": register_names.REGISTERS,
             "floored": register_names.MINIMUM_VERSION_REGISTERS,
-            "list": coordinator.ENDPOINT_LIST,
+            "list": endpoint_list.TOPIC,
             "first set": log_records.flatten(catch_up.first_set_row(("a", "b")))[:6],
             "identity": acceptor_storage.IDENTITY,
             "watch": singleton_roles.COORDINATOR,
