--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -49,7 +49,8 @@
     """Starts this program anew unless strings hash alike in each process: a seed names one history only then."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
-        os.execve(sys.executable, [sys.executable, *sys.argv], environment)
+        # `sys.argv` names the file of __main__, which would not find its package; `sys.orig_argv` has `-m ploverward`.
+        os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], environment)
 
 
 def parse_fault_kinds(*, text: str) -> tuple[str, ...]:
