--- a/ploverward/simulation/linearizability.py
+++ b/ploverward/simulation/linearizability.py
@@ -5,9 +5,17 @@
 most once and on the version before it, and no call saw less than what had ended before it began.
 """
 
+import collections.abc
+import typing
 
-def faults(*, history) -> list:
-    """history: dicts with begun, ended (None if no clear answer), kind (change, read), base, made or saw."""
+
+def faults(*, history: collections.abc.Collection[collections.abc.Mapping[str, typing.Any]]) -> list[str]:
+    """What no order of the calls explains; empty for a linearizable history.
+
+    Args:
+        history: a mapping for each call, with `begun` and `ended` (seconds; `ended` is None without a clear answer), and
+            `kind`: a "change" has `base`, the version it was built on, and `made`, its own; a "read" has `saw`.
+    """
     found = []
     made = {}
     for call in history:
