--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -61,10 +61,10 @@
     """
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
-        if kind not in faults.WEIGHTS:
-            known = ", ".join(faults.WEIGHTS)
+        if kind not in faults.KINDS:
+            known = ", ".join(faults.KINDS)
             raise errors.InvalidArgumentError(f"'{kind}' is no trouble; there are {known}", step="simulate")
-    return kinds or tuple(faults.WEIGHTS)
+    return kinds or tuple(faults.KINDS)
 
 
 def plans(*, first: int, seeds: int, machines: int, tolerated: int, troubles: str) -> list[scenario.Plan]:
--- /dev/null
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -0,0 +1,81 @@
+"""What every kind of fault needs: the run, a bounded duration, and which slots may be lost (docs/simulate.md).
+
+It keeps the invariant of a run's faults: no more than the tolerated number of core machines are lost at once. Faults of
+all machines at once are the exception; they keep the disks.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from ploverward.simulation.control_plane import simulated_clock
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import scenario
+
+MIN_DURATION_S = 0.05
+
+
+class FaultScene:
+    """The run in which faults begin and end.
+
+    Attributes:
+        simulation: The run.
+        until: When the time for faults is over, by the simulated clock in seconds.
+    """
+
+    def __init__(self, *, simulation: scenario.SimulationRun) -> None:
+        self.simulation = simulation
+        self.until = 0.0
+
+    @property
+    def clock(self) -> simulated_clock.Clock:
+        """The clock of the run."""
+        return self.simulation.clock
+
+    @property
+    def chance(self) -> random.Random:
+        """The one generator of the run."""
+        return self.simulation.clock.chance
+
+    def after(self, delay_s: float, callback: Callable[[], object]) -> None:
+        """Has a callback called after so many seconds."""
+        self.clock.later(delay=delay_s, callback=callback)
+
+    def draw_duration_s(self, bounds_s: tuple[float, float]) -> float:
+        """Draws a duration between two bounds, each order of magnitude alike, that ends before `until`."""
+        low, high = bounds_s
+        duration_s = low * (high / low) ** self.chance.random()
+        return max(MIN_DURATION_S, min(duration_s, self.until - self.clock.time))
+
+    def healthy_slots(self) -> list[scenario.Slot]:
+        """Returns the slots that are not lost now."""
+        return [slot for slot in self.simulation.slots if not self.simulation.is_lost(slot)]
+
+    def free_losses(self) -> int:
+        """Returns how many more slots may be lost now."""
+        return self.simulation.tolerated - len(self.simulation.lost_slots())
+
+    def pick_slots(self) -> list[scenario.Slot]:
+        """Draws slots that may be lost now, in addition to those that are; often several at once, or none."""
+        free = self.free_losses()
+        healthy = self.healthy_slots()
+        if free <= 0 or not healthy:
+            return []
+        count = min(len(healthy), self.chance.randint(1, free))
+        return self.chance.sample(healthy, count)
+
+    def begin(self, name: str, slots: Sequence[scenario.Slot]) -> None:
+        """Counts slots as lost, and records that their fault begins."""
+        for slot in slots:
+            self.simulation.lose(slot)
+        self.simulation.record_fault_edge(f"{name} begins", slots)
+
+    def end(self, name: str, slots: Sequence[scenario.Slot]) -> None:
+        """Counts slots as recovered, and records that their fault ends."""
+        for slot in slots:
+            self.simulation.recover(slot)
+        self.simulation.record_fault_edge(f"{name} ends", slots)
--- /dev/null
+++ b/ploverward/simulation/control_plane/link_faults.py
@@ -0,0 +1,98 @@
+"""Faults of the links of core machines: partitions, resets and delays (docs/simulate.md).
+
+Each function begins one fault and schedules its end.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from ploverward.simulation.control_plane.fault_scene import FaultScene
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import scenario
+    from ploverward.simulation.control_plane import simulated_network
+
+PARTITION_S = (1.0, 14.0)  # how long links are cut, slow or lose answers
+ADDED_DELAY_S = (0.05, 0.6)  # on each link of a slow machine, each way
+RESET_CHANCE = 0.3  # that a partition also resets the connections
+
+
+def partition(scene: FaultScene) -> None:
+    """Machines are cut off in both directions."""
+    _isolate(scene, "cut", is_out=True, is_in=True)
+
+
+def partition_one_way(scene: FaultScene) -> None:
+    """Machines are cut off in one direction."""
+    is_out = scene.chance.random() < 0.5
+    _isolate(scene, "cut one way", is_out=is_out, is_in=not is_out)
+
+
+def _isolate(scene: FaultScene, name: str, *, is_out: bool, is_in: bool) -> None:
+    slots = scene.pick_slots()
+    if not slots:
+        return
+    simulation = scene.simulation
+    duration_s = scene.draw_duration_s(PARTITION_S)
+    pairs = _draw_pairs(scene, slots, duration_s=duration_s, is_out=is_out, is_in=is_in)
+    scene.begin(name, slots)
+    simulation.network.partition(pairs=pairs, is_reset=scene.chance.random() < RESET_CHANCE)
+    for slot in slots:
+        simulation.isolated_since[slot.machine.host] = scene.clock.time
+
+    def end() -> None:
+        for slot in slots:
+            simulation.isolated_since.pop(slot.machine.host, None)
+        simulation.network.join(pairs=pairs)
+        scene.end(name, slots)
+
+    scene.after(duration_s, end)
+
+
+def _draw_pairs(
+    scene: FaultScene, slots: Sequence[scenario.Slot], *, duration_s: float, is_out: bool, is_in: bool
+) -> list[simulated_network.HostPair]:
+    """Returns the pairs of hosts between which links are cut; some proxies may be on the lost side."""
+    simulation = scene.simulation
+    own = [slot.machine.host for slot in slots]
+    beside = [host for host in simulation.proxy_hosts() if scene.chance.random() < 0.4]
+    inside = set(own) | set(beside)
+    others = [host for host in (*simulation.core_hosts(), *simulation.proxy_hosts()) if host not in inside]
+    if scene.chance.random() < 0.5:
+        inside = set(own)  # the proxies reach both sides
+        others = [host for host in simulation.core_hosts() if host not in own]
+    for host in inside - set(own):
+        simulation.proxy_fault_until[host] = scene.clock.time + duration_s
+    pairs = [(one, other) for one in sorted(inside) for other in others]
+    return (pairs if is_out else []) + ([(other, one) for one, other in pairs] if is_in else [])
+
+
+def reset(scene: FaultScene) -> None:
+    """Connections of one machine are reset; nothing is lost by it."""
+    simulation = scene.simulation
+    host = scene.chance.choice(simulation.core_hosts())
+    others = [other for other in (*simulation.core_hosts(), *simulation.proxy_hosts()) if other != host]
+    simulation.record_fault_edge(f"reset of {host}", ())
+    simulation.network.reset(pairs=[(host, other) for other in others])
+
+
+def slow_down(scene: FaultScene) -> None:
+    """Links of some machines are slow."""
+    slots = scene.pick_slots()
+    if not slots:
+        return
+    duration_s = scene.draw_duration_s(PARTITION_S)
+    scene.begin("slow", slots)
+    added_delays_s = scene.simulation.network.added_delays_s
+    hosts = [slot.machine.host for slot in slots]
+    for host in hosts:
+        added_delays_s[host] = scene.chance.uniform(*ADDED_DELAY_S)
+
+    def end() -> None:
+        for host in hosts:
+            added_delays_s.pop(host, None)
+        scene.end("slow", slots)
+
+    scene.after(duration_s, end)
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -1,5 +1,7 @@
 """Simulated machines: what a core node runs on, and the settings files they start with."""
 
+from __future__ import annotations
+
 import dataclasses
 import json
 
@@ -72,6 +74,12 @@
         self.process = None
         self.program = None  # the Core or the model proxy
 
+    @property
+    def running_process(self) -> Program:
+        """The process of a machine that was started."""
+        assert self.process is not None
+        return self.process
+
 
 class Program(simulated_clock.Process):
     """A process with links."""
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -30,7 +30,7 @@
     seed: int
     machines: int = 0
     tolerated: int = 0
-    troubles: tuple = tuple(faults.WEIGHTS)
+    troubles: tuple = tuple(faults.KINDS)
     closing: tuple = faults.CLOSING
     span_s: float = 0.0
     disk: int = -1  # index of the disks' speed; -1: drawn, but never the last one
@@ -206,7 +206,7 @@
             gone()
             return
         terminate = machine.program.runtime.on_terminate
-        self.clock.later(delay=0.0, callback=terminate, process=machine.process, kind=simulated_clock.COMMAND)
+        self.clock.later(delay=0.0, callback=terminate, process=machine.process, kind=simulated_clock.EventKind.COMMAND)
         self.clock.later(delay=self.bounds["graceS"], callback=gone)
 
     def start_proxy(self, host: str, *, seeds=None) -> None:
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -12,6 +12,7 @@
 from ploverward.transport import frames
 from ploverward.transport import messages
 
+HostPair = tuple[str, str]  # (source, target) of one direction
 OPEN, OPENED, END, RESET = "open", "opened", "end", "reset"
 NEAR_S = (0.0005, 0.004)
 FAR_S = (0.01, 0.05)
@@ -28,7 +29,7 @@
         self.clock = clock
         self.machines = {}  # host: Machine
         self.partitions = {}  # (source, target): how many troubles cut it
-        self.slow = {}  # host: delay added to each way
+        self.added_delays_s = {}  # host: delay added to each way
         self._connections = {}  # (source, target): connections that a cut may hold, in the order of their making
 
     def is_partitioned(self, source: str, target: str) -> bool:
@@ -38,8 +39,8 @@
         one, other = self.machines.get(source), self.machines.get(target)
         is_near = one is not None and other is not None and one.region == other.region
         delay = self.clock.chance.uniform(*(NEAR_S if is_near else FAR_S))
-        if self.slow:
-            delay += self.slow.get(source, 0.0) + self.slow.get(target, 0.0)
+        if self.added_delays_s:
+            delay += self.added_delays_s.get(source, 0.0) + self.added_delays_s.get(target, 0.0)
         return delay
 
     def partition(self, *, pairs, is_reset: bool) -> None:
@@ -149,7 +150,10 @@
         else:
             clock = self.network.clock
             clock.schedule(
-                when=clock.time, callback=lambda: end.arrived(item), process=end.process, kind=simulated_clock.DELIVERY
+                when=clock.time,
+                callback=lambda: end.arrived(item),
+                process=end.process,
+                kind=simulated_clock.EventKind.DELIVERY,
             ) if end.process.is_frozen else end.process.guard(lambda: end.arrived(item))
 
     def _accept(self, machine) -> None:
@@ -159,7 +163,9 @@
             return
         self.transmit(1, OPENED)
         clock = self.network.clock
-        clock.later(delay=0.0, callback=lambda: self._taken(port), process=port.process, kind=simulated_clock.DELIVERY)
+        clock.later(
+            delay=0.0, callback=lambda: self._taken(port), process=port.process, kind=simulated_clock.EventKind.DELIVERY
+        )
 
     def _taken(self, port) -> None:
         self.ends[1] = port.handle(self)
@@ -461,7 +467,7 @@
                     delay=self._network.delay(self.host, host),
                     callback=request.gone,
                     process=process,
-                    kind=simulated_clock.DELIVERY,
+                    kind=simulated_clock.EventKind.DELIVERY,
                 )
 
         def reply(answer):
@@ -490,7 +496,9 @@
                 if state["is_over"]:
                     state["request"].gone()
 
-            self._clock.later(delay=0.0, callback=handle, process=server.process, kind=simulated_clock.DELIVERY)
+            self._clock.later(
+                delay=0.0, callback=handle, process=server.process, kind=simulated_clock.EventKind.DELIVERY
+            )
 
         self._clock.later(delay=self._network.delay(self.host, host), callback=arrive)
         self._clock.later(delay=limit_s, callback=give_up)
