--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -3,6 +3,7 @@
 import json
 import pathlib
 import re
+import types
 
 import pytest
 
@@ -74,7 +75,19 @@
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
     """The status that the readiness listener answers."""
-    return http_front_end.readiness_status(target=target.encode(), is_serving=is_serving, is_draining=is_draining)
+    statuses = []
+    request = types.SimpleNamespace(target=target.encode(), reply=lambda *, status: statuses.append(status))
+    front_end = http_front_end.HttpFrontEnd(
+        loop=None,
+        settings=None,
+        contact_s=1.0,
+        limits=None,
+        is_serving=lambda: is_serving,
+        is_draining=lambda: is_draining,
+        make_handler=None,
+    )
+    front_end._handle_health_check(request)
+    return statuses[0]
 
 
 CASES = {
