--- a/ploverward/data_plane/adapter_cache/__init__.py
+++ b/ploverward/data_plane/adapter_cache/__init__.py
@@ -1,1 +1,5 @@
-"""How often adapters arrive cold at replicas, as one proxy sees it, and what the choice of a replica expects of a load."""
+"""Counts of adapter loads at replicas, as one proxy sees them.
+
+`adapter_counts` counts the arrivals that had to load their adapter and estimates load times for the choice of a
+replica. `count_table` is the codec of the counts.
+"""
--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -1,8 +1,8 @@
-"""Counts how often adapters arrive cold, and measures how long their loads take (docs/pins.md 2, 3, 5).
+"""Counts requests whose adapter was not loaded, and measures how long loads take (docs/pins.md 2, 3, 5).
 
-A proxy owns one `AdapterCounter`. An attempt is begun when it is sent and counted when its first event comes; what never
-ran counts nothing. Counts are reported in complete, numbered windows, so a report that is resent, or comes to the core
-by another way, counts nothing twice.
+A proxy owns one `AdapterCounter`. An attempt is recorded when it is sent and counted when its first event arrives;
+attempts that never ran are not counted. Counts are reported in complete, numbered windows, so a report that is
+resent, or that reaches another core node, is counted once.
 """
 
 import collections.abc
--- a/ploverward/data_plane/adapter_cache/count_table.py
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -1,6 +1,7 @@
-"""The codec of the counts of one window: JSON `{"rows": [[key fields..., counts...], ...], "over": number}` (docs/pins.md 3).
+"""The codec of the adapter counts of one window (docs/pins.md 3).
 
-Proxies write it, core nodes store and check it, operators' tools read its rows.
+The format is JSON: `{"rows": [[key fields..., counts...], ...], "over": number}`. Proxies write it, core nodes check
+and store it, and the operators' tools read its rows.
 """
 
 import collections.abc
--- a/ploverward/data_plane/load_balancing/outlier_detection.py
+++ b/ploverward/data_plane/load_balancing/outlier_detection.py
@@ -1,10 +1,10 @@
-"""Suspected replicas: found by connections that do not come up, checked in the background (design 7).
+"""Suspected replicas: replicas that accept no connection, probed in the background (design 7).
 
-A suspected replica is not chosen: a request is better rejected at once than spent on finding out. What ends the suspicion
-is a connection that comes up. Where a second replica of a zone is suspected, the whole zone is checked: its replicas are
-likely to be lost together, and each would cost requests otherwise.
+A suspected replica is not chosen: rejecting a request at once is better than using it as a probe. A connection that
+is established ends the suspicion. When a second replica of a zone is suspected, all replicas of the zone are probed,
+as a zone's replicas are likely to fail together and each would cost requests otherwise.
 
-Two other signs make a replica less likely to be chosen without ejecting it: failures that this proxy saw
+Two other signals make a replica less likely to be chosen without ejecting it: failures that this proxy saw
 (`Replica.recent_failures`) and the relay's judge (docs/digest.md 5). `scoring` weighs them.
 """
 
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -1,8 +1,8 @@
 """The choice of a replica for one attempt (design 6): candidates, their scores, the best one.
 
-`Chooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts `prefix_affinity`'s,
-replicas the table's. A replica that may not be used is never a candidate, whatever its score: a mirror that is wrong
-costs time, and breaks no rule (docs/requests.md 6, `test_broken_mirror.py`).
+`Chooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts
+`prefix_affinity`'s, replicas the table's. A replica that may not be used is never a candidate, whatever its score: a
+mirror that is wrong costs time, and breaks no rule (docs/requests.md 6, `test_broken_mirror.py`).
 """
 
 from __future__ import annotations
@@ -80,7 +80,10 @@
         self.rates.record(service=service, tokens=tokens, took_s=took_s)
 
     def expected_s(self, *, replica: replicas.Replica, tokens: int, is_connected: bool) -> float:
-        """Returns the seconds to the first event at an idle replica: the way, twice by a new connection, and prefill."""
+        """Returns the seconds to the first event at an idle replica.
+
+        The network latency, which counts twice for a new connection, plus the time to prefill.
+        """
         network_s = (self._table.estimate_latency_s(replica) or 0.0) * (1 if is_connected else 2)
         if not self._table.services.get(replica.service, {}).get("cache_tokens"):
             return network_s
@@ -114,8 +117,8 @@
     ) -> list[replicas.Replica]:
         """Returns the replicas that may be chosen.
 
-        Those of the subset that this proxy looks at, those that have most of the prompt cached, and the one that is to
-        prefill it first; of all replicas, where that leaves nobody.
+        Those of the subset that this proxy looks at, those that have most of the prompt cached, and the one that is
+        to prefill it first; of all replicas, where that leaves nobody.
 
         Args:
             service: The service.
--- a/ploverward/data_plane/load_balancing/replica_subset.py
+++ b/ploverward/data_plane/load_balancing/replica_subset.py
@@ -1,7 +1,8 @@
 """Which replicas a proxy looks at where there are many: a stable subset by rendezvous hash (docs/scale.md 5).
 
-Each proxy ranks the replicas of a service by a hash of its own address and the replica's id, and uses the first ones. A
-replica that comes or goes changes one entry of the subsets that it is in. In a small region the subset is everything.
+Each proxy ranks the replicas of a service by a hash of its own address and the replica's id, and uses the first ones.
+A replica that comes or goes changes one entry of the subsets that it is in. In a small region the subset is
+everything.
 
 `Subsets` owns the subsets of one proxy, `Ring` an order of replicas that all proxies share, and `SubsetView` both of
 them, made anew when the list, the evacuations or the size of the fleet change.
@@ -92,8 +93,10 @@
             count = size(replicas=len(rows), proxies=proxies, is_near=region == self._region)
             if count < len(rows):
                 self._has_all_replicas[service] = False
-                rows = heapq.nsmallest(count, rows, key=self._rank)
-            self._chosen[service, region] = rows
+                nearest = heapq.nsmallest(count, rows, key=self._rank)
+            else:
+                nearest = rows
+            self._chosen[service, region] = nearest
 
     def _rank(self, replica: replicas_of.Replica) -> bytes:
         known = self._ranks.get(replica.id)
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -1,8 +1,8 @@
 """The replicas of all services, as the endpoint list names them (design 5, 7, 8).
 
-`Table` owns the replicas and the services, and is made of parts that each own a rule: `subsets` (which replicas this proxy
-looks at), `pool` (connections), `outliers` (suspected replicas), `latencies` (network latencies). Others go through the
-table, so that they need not know which part it is.
+`Table` owns the replicas and the services. Its components each own a rule: `subsets` (which replicas this proxy
+uses), `pool` (connections), `outliers` (suspected replicas), `latencies` (network latencies). Callers go through the
+table and need not know its components.
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/load_balancing/scoring.py
+++ b/ploverward/data_plane/load_balancing/scoring.py
@@ -1,23 +1,25 @@
-"""The score of a replica for one request: milliseconds to its first event, and what the choice costs others (design 6).
-
-The replica with the lowest score is chosen. A score is the sum of these terms, all in milliseconds:
-
-| term | value |
-| --- | --- |
-| prefill | tokens to prefill, of this request and of those that wait there, over the measured prefill rate |
-| contention | the same time of this request alone, times the share of the batch slots in use, times `CONTENTION_WEIGHT`: a long prefill slows all that run beside it |
-| network | the way there and back, twice where a new connection is needed; times `NETWORK_SHARE` where a prompt is to be prefilled |
-| load | `PREFILL_LOAD_MS` (`PLAIN_LOAD_MS` without prefill) times the share of the batch slots in use |
-| lateness | `LATENESS_WEIGHT` for each millisecond of network and prefill beyond `ON_TIME_MS` a second of latency target |
-| overload | where all batch slots are in use: `OVERLOAD_MS`, and `QUEUE_MS` for each slot's worth of requests beyond |
-| region | `REGION_MS` for each second of the price of a crossing, for a replica of another region |
-| connection | `CONNECTION_MS` for each second of that price, where no idle connection is there |
-| suspicion | `SUSPECTED_MS` where another proxy suspects it, `FAILING_MS` where the relay's judge has marked it |
-| failures | `FAILURE_MS` for each second of that price, for each recent failure that this proxy saw |
-| slow start | `WARMING_UP_MS` while it warms up, `RATE_EXCEEDED_MS` where its rate is used up |
-
-The price of a crossing is a fiftieth of `contactMs`. What other replicas have cached, and an adapter that is to be loaded,
-are added by `replica_chooser`.
+"""The score of a replica for one request (design 6).
+
+A score estimates the milliseconds to the first event, and what the choice costs other requests. The replica with the
+lowest score is chosen. A score is the sum of these terms, all in milliseconds:
+
+* prefill: tokens to prefill, of this request and of those that wait there, over the measured prefill rate
+* contention: the same time of this request alone, times the share of the batch slots in use, times
+  `CONTENTION_WEIGHT`: a long prefill slows all that run beside it
+* network: the round trip, twice where a new connection is needed; times `NETWORK_SHARE` where a prompt is to be
+  prefilled
+* load: `PREFILL_LOAD_MS` (`PLAIN_LOAD_MS` without prefill) times the share of the batch slots in use
+* lateness: `LATENESS_WEIGHT` for each millisecond of network and prefill beyond `ON_TIME_MS` a second of latency
+  target
+* overload: where all batch slots are in use: `OVERLOAD_MS`, and `QUEUE_MS` for each slot's worth of requests beyond
+* region: `REGION_MS` for each second of the price of a crossing, for a replica of another region
+* connection: `CONNECTION_MS` for each second of the price of a crossing, where no idle connection is there
+* suspicion: `SUSPECTED_MS` where another proxy suspects it, `FAILING_MS` where the relay's judge has marked it
+* failures: `FAILURE_MS` for each second of the price of a crossing, for each recent failure that this proxy saw
+* slow start: `WARMING_UP_MS` while it warms up, `RATE_EXCEEDED_MS` where its rate is used up
+
+The price of a crossing is a fiftieth of `contactMs`. `replica_chooser` adds the terms for what other
+replicas have cached and for an adapter that is to be loaded.
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -1,10 +1,12 @@
-"""A digest: reports of its members to the relays of the regions, and what these publish back to the members.
+"""A digest: sums its members' load reports for the relays, and forwards to the members what the relays publish.
 
-The same code serves three places (docs/scale.md 3): a proxy that is its own digest, the owner of a zone's digest, and the
-gateway of a region, whose members are digests and which keeps the streams to the relays of the other regions for them.
+The same code runs in three places (docs/scale.md 3): in a proxy that is its own digest, in the owner of a zone's
+digest, and in the gateway of a region, whose members are digests and which keeps the streams to the other regions'
+relays.
 
-A `Digest` owns the streams to the relays, the members and their sums. Each region is reached by a stream of its own or by
-way of the gateway. Invariant: a stream starts with a checkpoint, so a relay never counts a batch on top of another's.
+A `Digest` owns the streams to the relays, the members and their aggregates. It reaches each region by a stream of its
+own or through the gateway. Invariant: a stream starts with a checkpoint, so a relay never adds a batch to another
+digest's.
 """
 
 import dataclasses
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -1,8 +1,9 @@
-"""Load reports and relays at one proxy: its parts put together (docs/digest.md, docs/relay.md, docs/scale.md 3).
+"""A proxy's side of load reports and relays, composed (docs/digest.md, docs/relay.md, docs/scale.md 3).
 
-`RelayClient` owns the mirrors of all regions and the listener that other proxies connect to; `ReportSource`, `ZoneDigest`,
-`RelayRole` and `AdapterReports` own the rest. Invariant: a connection that asks for a singleton role which this node does
-not own yet waits until it does; the other side ends it, in its own time, if that never comes.
+`RelayClient` owns the mirrors of all regions and the listener that other proxies connect to. `ReportSource`,
+`ZoneDigest`, `RelayRole` and `AdapterReports` own the remaining state. Invariant: a connection that requests a
+singleton role which this node does not own yet is kept until it does; if that never happens, the peer closes the
+connection after its own time-out.
 """
 
 from collections.abc import Callable
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -1,7 +1,7 @@
-"""What one proxy reports of itself, and which of it the published loads contain already (docs/digest.md 2, 3).
+"""What one proxy reports, and which of its reports the published loads include already (docs/digest.md 2, 3).
 
-`ReportSource` owns the numbers of this proxy's reports and, for each region, the loads that its relay is known to have
-counted. Invariant: published total - `counted` + own load now = what runs, up to reports in flight.
+`ReportSource` owns the numbers of this proxy's reports and, for each region, the loads that its relay is known to
+have counted. Invariant: published total - `counted` + own load now = what runs, up to reports in flight.
 """
 
 import collections
@@ -54,7 +54,10 @@
 
 
 class ReportSource:
-    """Makes the reports of one proxy: absolute loads of the replicas that changed, and what ended since the last one."""
+    """Makes the reports of one proxy.
+
+    A report has the absolute loads of the replicas that changed, and the attempts that ended since the last report.
+    """
 
     def __init__(self, *, now: Callable[[], float], regions: Iterable[str], suspicion_s: float) -> None:
         self._now = now
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -1,4 +1,7 @@
-"""Digests: histories of reports, sums and credits, with loss, delay, restarts, two holders; then an independent count."""
+"""Digests: random histories of reports, aggregates and credits, compared with an independent count.
+
+The histories include loss, delay, restarts and two owners of a digest at a time.
+"""
 
 import pytest
 
@@ -307,7 +310,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_shown_load_is_off_by_no_more_than_what_is_in_flight(seed):
-    """Invariant (docs/digest.md 3): without trouble, what a proxy takes for others' load was their load a moment ago."""
+    """Invariant (docs/digest.md 3): without faults, what a proxy takes for others' load was their load a moment ago."""
     scene = Scene(seed=seed)
     history = []
     for _ in range(100):
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -1,4 +1,4 @@
-"""What members of a digest are told: publications unchanged, loads of the replicas that they follow and of full ones."""
+"""What a digest forwards to its members: publications unchanged, and loads of replicas they follow and of full ones."""
 
 import random
 
--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -1,4 +1,4 @@
-"""Two digests of a region share the gateway beside its relay: one stream to the other region, whoever ends or freezes."""
+"""Two digests of a region share its gateway: one stream to the other region, also when a process ends or freezes."""
 
 from ploverward.simulation import loopback
 from ploverward.simulation import zone_proxies
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -1,5 +1,7 @@
-"""The zone's digest and the relay among several proxies on real sockets: singleton roles change, owners end, freeze or are
-partitioned; what each proxy takes for the load is compared with what runs."""
+"""The zone's digest and the relay among several proxies on real sockets.
+
+Singleton roles change, owners end, freeze or are partitioned; the load that each proxy sees is compared with what runs.
+"""
 
 import pytest
 
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -1,8 +1,8 @@
-"""How this proxy's reports reach the relays: by a digest that it owns, by one that it joins, or alone (docs/digest.md 4).
+"""How a proxy's reports reach the relays: by a digest it owns, by one it joins, or directly (docs/digest.md 4).
 
-`ZoneDigest` owns this node's digest and its membership in another's. A proxy whose zone has no digest in reach is its own:
-the same sums, with itself as the only member. Invariant: at any time the proxy's own load is reported in one way only.
-While it waits for its zone's digest, after a start or a loss, it reports in none.
+`ZoneDigest` owns this node's digest and its membership in another's. A proxy that can reach no digest of its zone is
+its own digest, with itself as the only member. Invariant: at any time the proxy's own load is reported on one path
+only. While it waits for its zone's digest, after a start or a loss, it does not report.
 """
 
 import dataclasses
--- a/ploverward/data_plane/relay/__init__.py
+++ b/ploverward/data_plane/relay/__init__.py
@@ -1,5 +1,5 @@
 """KV DC Relay: which replica has which prompt parts in its cache, and the load of each (docs/relay.md).
 
-On the relay's side: `Host` with its `Registry` of pools, each with an `Actor` and hubs. On every proxy's side: `RegionMirror`.
-Between regions: `Gateway`.
+The relay has a `Host` with its `Registry` of pools, each with an `Actor` and hubs. Every proxy has a `RegionMirror`
+for each region. `Gateway` connects regions.
 """
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -1,8 +1,9 @@
 """The actor of one pool generation (docs/relay.md 2).
 
-An `Actor` owns the exact ownership of prompt parts for each replica id, and the filter made from it. Replicas announce no
-evictions, so each one's cache is modelled as a least-recently-used list over its cache tokens. Invariant: a filter's slot
-says what the exact ownership says of the hashes that share it, but for omissions, which are counted.
+An `Actor` owns the exact record of which prompt parts each replica has cached, and the filter made from it. Replicas
+announce no evictions, so each one's cache is modelled as a least-recently-used list over its cache tokens. Invariant:
+a slot of the filter agrees with the exact record of the hashes that share it, except for omissions, which are
+counted.
 """
 
 import collections
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -1,10 +1,11 @@
 """The fingerprint filter of a pool (docs/relay.md 3): a cuckoo filter whose slots also say which replicas own.
 
-The source's filter says that some replica of the pool has a prefix. Choosing one needs to know which. In a pool of few
-replicas each slot carries an owner bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks would
-cost more than they tell: a slot carries how many owners there are and the tags of the first few. Bucket images are absolute.
+The paper's filter says that some replica of the pool has a prefix; choosing a replica needs to know which. In a pool
+of few replicas each slot has an owner bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks
+would cost more than they are worth: a slot has the number of owners and the tags of the first few. Bucket images are
+absolute.
 
-Invariant: a fingerprint stands in one of its two buckets at most.
+Invariant: a fingerprint is in one of its two buckets at most.
 """
 
 import functools
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -1,6 +1,6 @@
 """The gateway of a region, beside its relay: one stream each way between two regions (docs/scale.md 3).
 
-A `Gateway` owns a digest whose members are the region's digests, and mirrors of the other regions. It lives under the epoch
+A `Gateway` owns a digest whose members are the region's digests, and mirrors of the other regions. Its epoch is that
 of the region's relay. Invariant: of each digest's singleton role only the newest epoch that ever joined is admitted.
 """
 
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -1,10 +1,10 @@
 """The relay of a region, at the node that owns the singleton role (docs/relay.md 1, 5).
 
-It ingests the aggregates of digests, one row for each replica that changed (docs/digest.md 2), and publishes pools and loads
-to digests, which pass them on unchanged.
+It ingests the aggregates of digests, one row for each replica that changed (docs/digest.md 2), and publishes pools
+and loads to digests, which forward them unchanged.
 
-A `Host` owns its subscribers and the sums of their loads. It lives under one epoch; a new epoch makes a new one, with new
-generations. Invariant: a total is the sum of the subscribers' newest loads; a subscriber that ends takes its part with it.
+A `Host` owns its subscribers and the totals of their loads. It has one epoch; for a new epoch a new host is made,
+with new generations. Invariant: a total is the sum of the connected subscribers' newest loads.
 """
 
 import dataclasses
@@ -191,7 +191,8 @@
     ) -> None:
         """Starts a stream to a digest, or closes the connection.
 
-        The stream of an older epoch of the same zone ends; a subscriber that comes late under an older one is refused.
+        The stream of an older epoch of the same zone ends; a subscriber that comes late under an older one is
+        refused.
 
         Args:
             connection: to the digest.
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -1,7 +1,8 @@
-"""The hub of one producer generation (docs/relay.md 4): lazy, one mirror, a cut and a bounded queue for each subscriber.
+"""The hub of one producer generation (docs/relay.md 4).
 
-A `Hub` owns the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: what a
-subscriber's cut and the deltas after it say is what the hub's images are.
+A hub starts with its first subscriber, and has one mirror, and a cut and a bounded queue for each subscriber. It owns
+the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: what a subscriber's
+cut and the deltas after it say is what the hub's images are.
 """
 
 import struct
@@ -34,8 +35,8 @@
 class Hub:
     """Publishes one filter to subscribers that are sent deltas at the same interval.
 
-    Buckets that changed wait here until they are published: those that subscribers wait for first, each kind in the order
-    in which they changed. A bucket that changes again while it waits is published once, as it is then.
+    Buckets that changed are queued until they are published: those that subscribers wait for first, each kind in the
+    order in which they changed. A bucket that changes again while it is queued is published once, as it is then.
 
     Args:
         identity: the pool's name.
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -1,7 +1,7 @@
-"""Loads of replicas as they are published at one interval: what moved most first, a bounded number of rows at a time.
+"""Loads of replicas as published at one interval: largest changes first, a bounded number of rows at a time.
 
-A `LoadFeed` owns what its subscribers were sent. Invariant: a replica whose published load is not its present one waits, and
-the longer it was passed over the sooner its turn comes (docs/scale.md 4).
+A `LoadFeed` owns what its subscribers were sent. Invariant: a replica whose published load differs from its current
+load is queued, and its priority grows each time that it is passed over (docs/scale.md 4).
 """
 
 import dataclasses
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -26,8 +26,8 @@
 class RegionMirror:
     """What one region's relay publishes: pools, and loads beside them.
 
-    While its stream is broken, it is used for `trust_s` more and counts as unknown afterwards; loads change much faster
-    than what replicas have in their caches, and count as unknown after a tenth of that.
+    While its stream is broken, it is used for `trust_s` more and counts as unknown afterwards; loads change much
+    faster than what replicas have in their caches, and count as unknown after a tenth of that.
 
     Args:
         now: the loop's clock, in seconds.
@@ -138,6 +138,7 @@
         return messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=rows)
 
     def fail(self) -> None:
+        """Records that the mirror's connection failed, and when; a later failure does not change the time."""
         if self.broken_at is None:
             self.broken_at = self._now()
 
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -1,4 +1,6 @@
-"""Replicas judged by how attempts at them ended, over all proxies of the system (docs/digest.md 5): never by health alone.
+"""Replicas judged by the outcomes of attempts at them, over all proxies (docs/digest.md 5).
+
+Health checks alone never mark a replica as failing.
 
 A `Judge` owns the window of each replica's outcomes, and which replicas are failing and until when.
 """
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,7 +1,7 @@
 """The catalogue of live pool generations (docs/relay.md 1, 4).
 
-A `Registry` owns all pools of one relay. Invariant: a generation is withdrawn from the catalogue before it is torn down, and
-no generation number is used twice under one epoch.
+A `Registry` owns all pools of one relay. Invariant: a generation is withdrawn from the catalogue before it is torn
+down, and no generation number is used twice under one epoch.
 """
 
 import logging
--- a/ploverward/data_plane/relay/resolution.py
+++ b/ploverward/data_plane/relay/resolution.py
@@ -1,6 +1,7 @@
-"""Which pools there should be (docs/relay.md 1): a pure function of the configuration, the list and the requests seen sent.
+"""Which pools there should be (docs/relay.md 1).
 
-The source's replicas send cards; ours do not, so the facts are derived.
+A pure function of the configuration, the endpoint list and the replicas that were sent requests. In the paper
+replicas send cards; ours do not, so the facts are derived.
 """
 
 import hashlib
@@ -56,8 +57,8 @@
 ) -> Resolution:
     """The pools of a region.
 
-    A pool is there where its identity resolves without conflict, its source is unambiguous (each replica id stands once,
-    with one service and one address), and a live replica has been sent requests.
+    A pool exists if its identity resolves without conflict, its source is unambiguous (each replica id is listed
+    once, with one service and one address), and a live replica has been sent requests.
 
     Args:
         region: of the relay.
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -50,7 +50,10 @@
 
 @pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
 def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_interrupt(since_s, is_taken):
-    """graceS is 8, the stream's time 5 s. One that was begun 5.1 s after SIGTERM was cut at 7.5 s by a bbs-ploverward day."""
+    """With a graceS of 8 and a stream time of 5 s, a stream begun 5.1 s after SIGTERM was cut off at 7.5 s.
+
+    That happened in a simulation run of bbs-ploverward.
+    """
     scene = request_scene.Scene(request_scene.replying)
     request_scene.leave(scene, since_s=since_s)
     scene.request("once", left_ms=5000)
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -85,7 +85,8 @@
     [
         b"not an answer at all\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\nok",  # no stamp
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Encoding: gzip\r\n"
+        b"Content-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # cut short
     ],
--- a/ploverward/data_plane/upstream/response_reader.py
+++ b/ploverward/data_plane/upstream/response_reader.py
@@ -1,7 +1,8 @@
 """The protocol of one connection to a replica, without I/O: requests to bytes, bytes to events (design 3).
 
 `ResponseReader` owns the h11 state of the connection and decides which answer belongs to the request. One request is
-sent at a time. An answer is ours if it bears our request's id and a byte of the request has left (docs/requests.md 1.3):
+sent at a time. An answer is ours if it has our request's id and a byte of the request was sent (docs/requests.md
+1.3):
 
 * An answer of another request at the head of ours is one that the replica sent twice. It is skipped, two of them at
   most, and the connection is not used again.
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -1,18 +1,18 @@
-"""One connection to a replica: the socket, and the attempt that uses it (design 3, docs/requests.md 2).
+r"""One connection to a replica: the socket, and the attempt that uses it (design 3, docs/requests.md 2).
 
 `UpstreamConnection` owns the socket, what is still to be written, and the one attempt that uses it at a time. The
 protocol is `response_reader`'s. The states:
 
     CONNECTING --> IDLE <--> BUSY --> CLOSED      (every state may lead to CLOSED)
-         \\------------------^
+         \------------------^
 
 * CONNECTING: the socket is not up. It may have an attempt already, of which nothing is handed to the kernel yet.
 * IDLE: it is up and carries no request. Its end, or any byte that comes, closes it.
 * BUSY: an attempt uses it, until its answer is complete, the connection ends, or the attempt is given up.
 * CLOSED: nothing of it reaches anybody. An attempt that is given up takes its connection along, in the same step.
 
-The invariant: `is_unsent` turns false with the first byte that the kernel accepts, and never back for that request. An
-attempt that ends unsent has run nowhere.
+The invariant: `is_unsent` turns false with the first byte that the kernel accepts, and never back for that request.
+An attempt that ends unsent has run nowhere.
 """
 
 from __future__ import annotations
