--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -16,7 +16,7 @@
 from ploverward.simulation import loopback
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import scenario
-from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_http
 from ploverward.transport import http_server as http_servers
 from ploverward.transport import messages
 
@@ -64,14 +64,14 @@
         )
         self.day._proxies = [PROXY]
         self.day.build()
-        self.core_client = simulated_network.Caller(network=self.day.network, host="operators")
+        self.core_client = simulated_http.Caller(network=self.day.network, host="operators")
         self.run(0.35)
 
     def run(self, seconds: float) -> None:
         self.day.clock.run(until=self.day.clock.time + seconds)
 
     def core(self, node: int = 0):
-        return self.day.slots[node].machine.program.core
+        return self.day.slots[node].machine.core.core
 
     def call(self, *, node: int, method: str, target: str, headers, body: bytes):
         """(status, {name: value}, body), or None where there is no answer."""
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -27,8 +27,11 @@
 from ploverward.control_plane.rollouts import orders as rollout_orders
 from ploverward.control_plane.rollouts import state
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import platform_model
 from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_http
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_runtime
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 LIMIT_BYTES = 512 * 1024
@@ -146,8 +149,8 @@
         self.folder = pathlib.Path(folder)
         self.clock = simulated_clock.Clock(seed=seed)
         self.network = simulated_network.Network(clock=self.clock)
-        self.platform = machines.Platform(network=self.network)
-        self.caller = simulated_network.Caller(network=self.network, host="operator")
+        self.platform = platform_model.Platform()
+        self.caller = simulated_http.Caller(network=self.network, host="operator")
         self.cores = {}
         self.failures = []
 
@@ -170,10 +173,10 @@
         machine = self._machine(host)
         (self.folder / host).mkdir(exist_ok=True)
         machine.disk = Disk(folder=str(self.folder / host))
-        running = machines.start_core(
+        running = simulated_runtime.start_core(
             network=self.network,
             machine=machine,
-            platform_model=self.platform,
+            platform=self.platform,
             node_settings=self._settings(machine, seeds=seeds, is_first=is_first),
             on_failure=lambda _process, text: self.failures.append(text),
             on_stop=lambda machine, process: self.failures.append(f"{machine.host} ended by itself"),
--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -5,7 +5,7 @@
 import urllib.parse
 
 from ploverward.simulation.control_plane import machines
-from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_http
 
 LOST_PART = 0.3  # of the answers, while answers are lost
 CALLER_TIMEOUT_S = 1.0  # callers go to another node after so long
@@ -99,7 +99,7 @@
         self._hosts = hosts
         self._gap_s = gap_s
         self._receipt_s = receipt_s
-        self._caller = simulated_network.Caller(network=network, host="operators")
+        self._caller = simulated_http.Caller(network=network, host="operators")
         self._top = 0  # highest edition used in any order
 
     def start(self) -> None:
--- /dev/null
+++ b/ploverward/simulation/control_plane/platform_model.py
@@ -0,0 +1,69 @@
+"""A model of the platform: its list of replicas, and the connection over which a core node reads it (docs/simulate.md)."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ploverward.control_plane.discovery.platform_connection import PlatformResponse
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import simulated_clock
+
+ANSWER_S = (0.005, 0.05)  # how long the platform takes to answer
+
+
+class Platform:
+    """The platform's list of replicas. While it is down it is silent.
+
+    Attributes:
+        is_up: Whether it answers.
+        number: How many times the list changed; part of the one replica's name.
+        calls: How many times it was called.
+    """
+
+    def __init__(self) -> None:
+        self.is_up = True
+        self.number = 0
+        self.calls = 0
+
+    def change(self) -> None:
+        """Puts another replica in the place of the one there is."""
+        self.number += 1
+
+    def body(self) -> bytes:
+        """Returns the answer to a read of the list."""
+        row = {
+            "id": f"i-{self.number}",
+            "destination": "llm",
+            "address": "10.9.0.1:8080",
+            "zone": "znorth",
+            "edition": "v1",
+            "berths": 8,
+            "condition": "accepting",
+            "warmupLeftMs": 0,
+            "models": [],
+        }
+        return json.dumps({"replicas": [row], "nextPage": None}).encode()
+
+
+class SimulatedPlatformConnection:
+    """The twin of ploverward.control_plane.discovery.platform_connection.PlatformConnection."""
+
+    def __init__(self, *, platform: Platform, process: simulated_clock.Process) -> None:
+        """Connects a process with the platform."""
+        self._platform = platform
+        self._process = process
+        self._clock = process.clock
+
+    def get(self, *, url: str, limit_s: float, done: Callable[[PlatformResponse], object]) -> None:
+        """Reads the list, whatever the URL; `done(response)` after at most `limit_s` seconds."""
+        self._platform.calls += 1
+        if self._platform.is_up:
+            response = PlatformResponse(status=200, body=self._platform.body())
+            delay = self._clock.chance.uniform(*ANSWER_S)
+        else:
+            response = PlatformResponse(error=OSError("timed out"))
+            delay = limit_s
+        self._clock.later(delay=delay, callback=lambda: done(response), process=self._process)
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -20,6 +20,7 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_peers
 from ploverward.transport import messages
 
 
@@ -82,7 +83,7 @@
         }
         self._seeds = tuple(sorted({host for host, _port in node_settings.seeds}))
         self.members = self._seeds
-        self.connectors: dict[str, simulated_network.Connector] = {}
+        self.connectors: dict[str, simulated_peers.Connector] = {}
         self._connect()
         interval_s = self._peer_timeout_s / proxy_node.HEARTBEATS_PER_PEER_TIMEOUT
         self.loop.every(interval_s=interval_s, callback=self._on_heartbeat_tick)
@@ -99,7 +100,7 @@
     def _connect(self) -> None:
         wanted = set(self.members) | set(self._seeds)
         for host in sorted(wanted - self.connectors.keys()):
-            self.connectors[host] = simulated_network.Connector(
+            self.connectors[host] = simulated_peers.Connector(
                 runtime=self,
                 loop=self.loop,
                 address=(host, machines.INNER_PORT),
@@ -111,7 +112,7 @@
         for host in sorted(self.connectors.keys() - wanted):
             self.connectors.pop(host).stop()
 
-    def _send_handshake(self, link: simulated_network.PeerConnection) -> None:
+    def _send_handshake(self, link: simulated_peers.PeerConnection) -> None:
         link.send(
             messages.Handshake(
                 role="proxy",
@@ -133,21 +134,21 @@
         self._broadcast(messages.RenewShares(number=self._renewals.begin(), usage_rows=b""))
         self.subscriber.tick()
 
-    def _handle_message(self, host: str, link: simulated_network.PeerConnection, message: tuple) -> None:
+    def _handle_message(self, host: str, link: simulated_peers.PeerConnection, message: tuple) -> None:
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(host, link, message)
 
     def _handle_announcement(
-        self, _host: str, link: simulated_network.PeerConnection, message: messages.Announcement
+        self, _host: str, link: simulated_peers.PeerConnection, message: messages.Announcement
     ) -> None:
         self.subscriber.handle_announcement(link, message)
 
-    def _handle_snapshot(self, _host: str, link: simulated_network.PeerConnection, message: messages.Snapshot) -> None:
+    def _handle_snapshot(self, _host: str, link: simulated_peers.PeerConnection, message: messages.Snapshot) -> None:
         if self.subscriber.handle_snapshot(link, message):
             self._acknowledge(message.topic)
 
-    def _handle_deltas(self, _host: str, link: simulated_network.PeerConnection, message: messages.Deltas) -> None:
+    def _handle_deltas(self, _host: str, link: simulated_peers.PeerConnection, message: messages.Deltas) -> None:
         if self.subscriber.handle_deltas(link, message):
             self._acknowledge(message.topic)
 
@@ -156,13 +157,13 @@
         self._broadcast(messages.Acknowledgement(versions=(installed,)))
 
     def _handle_minimum_versions(
-        self, host: str, _link: simulated_network.PeerConnection, message: messages.MinimumVersions
+        self, host: str, _link: simulated_peers.PeerConnection, message: messages.MinimumVersions
     ) -> None:
         self._gate.handle_minimum_versions(host, message)
         self._check_serving()
 
     def _handle_share_lease(
-        self, host: str, _link: simulated_network.PeerConnection, message: messages.ShareLease
+        self, host: str, _link: simulated_peers.PeerConnection, message: messages.ShareLease
     ) -> None:
         sent_at = self._renewals.sent_at(message.number)
         if sent_at is not None:
@@ -212,5 +213,5 @@
             )
         )
     )
-    machine.program = made[0] if made else None
-    return machine.program
+    machine.proxy = made[0] if made else None
+    return machine.proxy
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -9,11 +9,13 @@
 from ploverward.simulation.control_plane import faults
 from ploverward.simulation.control_plane import machines as model_machines
 from ploverward.simulation.control_plane import operators
+from ploverward.simulation.control_plane import platform_model
 from ploverward.simulation.control_plane import proxies
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_runtime
 
 SIZES = (3, 5, 6, 7)
 START_SPREAD_S = 0.3
@@ -82,7 +84,7 @@
         self.recorder = recorders.Recorder(
             clock=self.clock, window_s=self.bounds["retryWindowS"], keeps_history=plan.keeps_history
         )
-        self.platform = model_machines.Platform(network=self.network)
+        self.platform = platform_model.Platform()
         speed = plan.disk if plan.disk >= 0 else chance.choices((0, 1, 2), (2, 1, 1))[0]
         self._speed_s = simulated_disk.SPEEDS_S[speed]
         self.slots = []
@@ -155,10 +157,10 @@
         slot.is_down = False
         machine = slot.machine
         self.recorder.record("starts", host=machine.host, seeds=[host for host, _port in slot.settings.seeds])
-        model_machines.start_core(
+        simulated_runtime.start_core(
             network=self.network,
             machine=machine,
-            platform_model=self.platform,
+            platform=self.platform,
             node_settings=slot.settings,
             on_failure=self.recorder.failed_step,
             on_stop=self._ended,
@@ -202,10 +204,10 @@
             model_machines.stop(machine=machine, is_power_lost=True)
             machine.is_powered = False
 
-        if not is_in_order or machine.program is None or not machine.process.is_alive:
+        if not is_in_order or machine.core is None or not machine.process.is_alive:
             gone()
             return
-        terminate = machine.program.runtime.on_terminate
+        terminate = machine.core.runtime.on_terminate
         self.clock.later(delay=0.0, callback=terminate, process=machine.process, kind=simulated_clock.EventKind.COMMAND)
         self.clock.later(delay=self.bounds["graceS"], callback=gone)
 
@@ -310,7 +312,7 @@
             if len(self.fault_edges) != fault_edges or self.clock.time - self.fault_edges[-1] < self.contact_s:
                 return
             for host, process in processes.items():
-                program = self.network.machines[host].program
+                program = self.network.machines[host].proxy
                 if program.process is process and self._is_calm_proxy(host) and program.edition < order.edition:
                     self.recorder.find(
                         "applied in time", f"{host} has edition {program.edition}, {order.edition} was acknowledged"
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -1,41 +1,80 @@
-"""Simulated links between processes: the interfaces of ploverward/transport/peer_connection.py and ploverward/transport/http_server.py without sockets.
+"""Simulated links between machines: delays, partitions, resets, and the wires that connections run on (docs/simulate.md).
 
-A connection keeps the order of what is sent and loses nothing while it lives: what a cut holds back comes when the cut
-ends. The system of a machine takes connections and data while its process is frozen, answers for a dead process with a
-reset, and is silent while the machine is down.
+`Network` owns the machines, the partitions and the open wires. A `Wire` carries both directions of one connection. It
+keeps the order of what is sent and loses nothing while it lives: what a partition holds back arrives when the partition
+ends. The system of a machine accepts connections and data while its process is frozen, answers for a dead process with
+a reset, and is silent while the machine has no power.
+
+What runs on the wires is in simulated_peers.py; calls of operators, in simulated_http.py, need no wire.
 """
 
-import functools
-import math
+from __future__ import annotations
+
+import enum
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ploverward.simulation.control_plane import simulated_clock
-from ploverward.transport import frames
-from ploverward.transport import messages
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import machines
+
+NEAR_S = (0.0005, 0.004)  # one way, between machines of one region
+FAR_S = (0.01, 0.05)  # one way, between regions
+RETRY_S = (0.0, 0.2)  # from a partition's end until what it held back is sent again
 
 HostPair = tuple[str, str]  # (source, target) of one direction
-OPEN, OPENED, END, RESET = "open", "opened", "end", "reset"
-NEAR_S = (0.0005, 0.004)
-FAR_S = (0.01, 0.05)
-GRAIN_S = 1e-6
-RETRY_S = (0.0, 0.2)  # what a cut held back is sent again
-pack = functools.lru_cache(maxsize=8192, typed=True)(frames.pack)
-unpack = functools.lru_cache(maxsize=8192)(frames.unpack)
+
+
+class Signal(enum.Enum):
+    """What a wire carries besides bytes."""
+
+    OPEN = "open"  # the dialer's first
+    OPENED = "opened"  # the answer to it
+    END = "end"
+    RESET = "reset"
+
+
+Item = bytes | Signal
+
+
+class WireEnd(Protocol):
+    """What a wire uses of the connection at one of its ends."""
+
+    process: machines.Program
+    is_open: bool
+
+    def handle_item(self, item: Item) -> None:
+        """Handles what arrived."""
+
+    def watch_stuck(self) -> None:
+        """Hears that a partition begins to hold back what this end sent."""
 
 
 class Network:
-    """Which machines there are, which ways are cut or slow, and the connections between them."""
+    """Which machines there are, which links are cut or slow, and the wires between them.
 
-    def __init__(self, *, clock):
+    Attributes:
+        clock: The clock of the run.
+        machines: By host.
+        partitions: How many faults cut each pair (source, target).
+        added_delays_s: What is added to each direction of a slow host's links, in seconds.
+    """
+
+    def __init__(self, *, clock: simulated_clock.Clock) -> None:
         self.clock = clock
-        self.machines = {}  # host: Machine
-        self.partitions = {}  # (source, target): how many troubles cut it
-        self.added_delays_s = {}  # host: delay added to each way
-        self._connections = {}  # (source, target): connections that a cut may hold, in the order of their making
+        self.machines: dict[str, machines.Machine] = {}
+        self.partitions: dict[HostPair, int] = {}
+        self.added_delays_s: dict[str, float] = {}
+        self._wires: dict[HostPair, list[Wire]] = {}  # by (dialer, target), in the order of their making
 
     def is_partitioned(self, source: str, target: str) -> bool:
+        """Whether a fault cuts this direction."""
         return bool(self.partitions) and self.partitions.get((source, target), 0) > 0
 
     def delay(self, source: str, target: str) -> float:
+        """Draws how long the next item takes, in seconds."""
         one, other = self.machines.get(source), self.machines.get(target)
         is_near = one is not None and other is not None and one.region == other.region
         delay = self.clock.chance.uniform(*(NEAR_S if is_near else FAR_S))
@@ -43,462 +82,164 @@
             delay += self.added_delays_s.get(source, 0.0) + self.added_delays_s.get(target, 0.0)
         return delay
 
-    def partition(self, *, pairs, is_reset: bool) -> None:
+    def partition(self, *, pairs: Sequence[HostPair], is_reset: bool) -> None:
+        """Cuts these directions once more, until `join`; `is_reset`: the connections are reset too."""
         for pair in pairs:
             self.partitions[pair] = self.partitions.get(pair, 0) + 1
         if is_reset:
             self.reset(pairs=pairs)
 
-    def join(self, *, pairs) -> None:
+    def join(self, *, pairs: Sequence[HostPair]) -> None:
+        """Takes one `partition` of these directions back."""
         for pair in pairs:
             self.partitions[pair] -= 1
             if not self.partitions[pair]:
                 del self.partitions[pair]
         for source, target in pairs:
-            for connection in self.between(source, target):
-                connection.flush()
-
-    def between(self, source: str, target: str) -> list:
-        found = self._connections.get((source, target), []) + self._connections.get((target, source), [])
-        return list(found)
+            for wire in self._between(source, target):
+                wire.flush()
 
-    def reset(self, *, pairs) -> None:
+    def reset(self, *, pairs: Sequence[HostPair]) -> None:
+        """Resets all connections between these hosts, whoever dialed."""
         for source, target in pairs:
-            for connection in self.between(source, target):
-                connection.reset()
+            for wire in self._between(source, target):
+                wire.reset()
+
+    def _between(self, source: str, target: str) -> list[Wire]:
+        return [*self._wires.get((source, target), ()), *self._wires.get((target, source), ())]
 
-    def add(self, connection) -> None:
-        self._connections.setdefault(connection.hosts, []).append(connection)
+    def add(self, wire: Wire) -> None:
+        """Notes a wire that a partition may hold back."""
+        self._wires.setdefault(wire.hosts, []).append(wire)
 
-    def drop(self, connection) -> None:
-        open_connections = self._connections.get(connection.hosts, [])
-        if connection in open_connections:
-            open_connections.remove(connection)
+    def drop(self, wire: Wire) -> None:
+        """Forgets a wire; does nothing where it is forgotten already."""
+        wires = self._wires.get(wire.hosts, [])
+        if wire in wires:
+            wires.remove(wire)
 
 
-class Connection:
-    """One connection; direction 0 is from its dialer."""
+class Wire:
+    """Both directions of one connection; direction 0 is from its dialer.
+
+    Attributes:
+        network: Where it runs.
+        hosts: The dialer's and the other.
+        ends: The connection objects at both ends; the second is None until its process accepted.
+        port: That was dialed.
+        is_over: Whether nothing arrives any more.
+    """
 
     __slots__ = ("network", "hosts", "ends", "port", "_stuck", "_last", "_early", "is_over")
 
-    def __init__(self, *, network, dialer_end, source: str, target: str, port: int):
+    def __init__(self, *, network: Network, dialer_end: WireEnd, source: str, target: str, port: int) -> None:
         self.network = network
         self.hosts = (source, target)
-        self.ends = [dialer_end, None]
+        self.ends: list[WireEnd | None] = [dialer_end, None]
         self.port = port
-        self._stuck = ([], [])
-        self._last = [0.0, 0.0]
-        self._early = []  # what came before the process took the connection
         self.is_over = False
+        self._stuck: tuple[list[tuple[float, Item]], ...] = ([], [])  # (sent at, item) that a partition holds back
+        self._last = [0.0, 0.0]  # when the newest item of each direction arrives
+        self._early: list[Item] = []  # what came before the process accepted the connection
         network.add(self)
 
-    def transmit(self, direction: int, item) -> None:
+    def transmit(self, direction: int, item: Item) -> None:
+        """Sends an item in one direction."""
         if self.is_over:
             return
         clock = self.network.clock
         source, target = self.hosts if direction == 0 else self.hosts[::-1]
-        if self._stuck[direction] or self.network.is_partitioned(source, target):
-            if not self._stuck[direction] and self.ends[direction] is not None:
-                self.ends[direction].watch_stuck()
-            self._stuck[direction].append((clock.time, item))
+        stuck = self._stuck[direction]
+        if stuck or self.network.is_partitioned(source, target):
+            end = self.ends[direction]
+            if not stuck and end is not None:
+                end.watch_stuck()
+            stuck.append((clock.time, item))
             return
         when = max(clock.time + self.network.delay(source, target), self._last[direction])
         self._last[direction] = when
         clock.schedule(when=when, callback=lambda: self._arrive(direction, item))
 
     def stuck_for(self, direction: int) -> float:
-        """How long the oldest data of this way has been held back: TCP_USER_TIMEOUT ends it."""
+        """Returns for how many seconds the oldest data of a direction has been held back."""
         stuck = self._stuck[direction]
         return self.network.clock.time - stuck[0][0] if stuck else 0.0
 
     def flush(self) -> None:
+        """Sends again what was held back, in the directions that are not cut any more."""
         clock = self.network.clock
-        for direction in (0, 1):
+        for direction, stuck in enumerate(self._stuck):
             source, target = self.hosts if direction == 0 else self.hosts[::-1]
-            if not self._stuck[direction] or self.network.is_partitioned(source, target):
+            if not stuck or self.network.is_partitioned(source, target):
                 continue
-            items = [item for _when, item in self._stuck[direction]]
-            self._stuck[direction].clear()
-            pause = clock.chance.uniform(*RETRY_S)
-            self._last[direction] = max(self._last[direction], clock.time + pause)
+            items = [item for _when, item in stuck]
+            stuck.clear()
+            pause_s = clock.chance.uniform(*RETRY_S)
+            self._last[direction] = max(self._last[direction], clock.time + pause_s)
             for item in items:
                 self.transmit(direction, item)
 
     def reset(self) -> None:
+        """Resets both ends at once."""
         for direction in (0, 1):
-            self._arrive(direction, RESET)
-        self.finish()
+            self._arrive(direction, Signal.RESET)
+        self._finish()
 
-    def finish(self) -> None:
+    def close(self, end: WireEnd, *, signal: Signal) -> None:
+        """Sends the last signal of an end that its process closed, or whose process died on a living machine."""
+        self.transmit(0 if end is self.ends[0] else 1, signal)
+
+    def _finish(self) -> None:
         self.is_over = True
         self.network.drop(self)
 
-    def _arrive(self, direction: int, item) -> None:
+    def _arrive(self, direction: int, item: Item) -> None:
         target = self.network.machines.get(self.hosts[1 - direction])
         if self.is_over or target is None or not target.is_powered:
             return
         end = self.ends[1 - direction]
-        if direction == 0 and item is OPEN:
-            self._accept(target)
+        if direction == 0 and item is Signal.OPEN:
+            self._open(target)
         elif end is None and direction == 0:
             self._early.append(item)
         elif end is None or not end.is_open or not end.process.is_alive:
-            if item not in (END, RESET):
-                self.transmit(1 - direction, RESET)
-            if item in (END, RESET):
-                self.finish()
+            self._refuse(direction, item)
         else:
-            clock = self.network.clock
-            clock.schedule(
-                when=clock.time,
-                callback=lambda: end.arrived(item),
-                process=end.process,
-                kind=simulated_clock.EventKind.DELIVERY,
-            ) if end.process.is_frozen else end.process.guard(lambda: end.arrived(item))
-
-    def _accept(self, machine) -> None:
-        port = machine.ports.get(self.port)
-        if port is None:
-            self.transmit(1, RESET)
-            return
-        self.transmit(1, OPENED)
-        clock = self.network.clock
-        clock.later(
-            delay=0.0, callback=lambda: self._taken(port), process=port.process, kind=simulated_clock.EventKind.DELIVERY
-        )
-
-    def _taken(self, port) -> None:
-        self.ends[1] = port.handle(self)
-        early, self._early = self._early, []
-        for item in early:
-            if self.ends[1].is_open:
-                self.ends[1].arrived(item)
-
-    def left(self, end, *, item) -> None:
-        """An end was closed by its process, or its process died on a living machine."""
-        direction = 0 if end is self.ends[0] else 1
-        self.transmit(direction, item)
-
-
-class PeerConnection:
-    """One end, with the interface of ploverward.transport.peer_connection.PeerConnection."""
-
-    def __init__(self, *, process, loop, on_message, on_end, peer_timeout_s, is_connecting, peer):
-        self.process = process
-        self.loop = loop
-        self.peer = peer
-        self.hello = None
-        self.is_open = True
-        self.is_up = not is_connecting
-        self.heard_at = loop.now()
-        self.has_heard = False
-        self.opened_at = loop.now()
-        self.peer_timeout_s = peer_timeout_s
-        self.frame = b""
-        self.connection = None
-        self._direction = 0 if is_connecting else 1
-        self._on_message = on_message
-        self._on_end = on_end
-        self._unsent = []
-        process.links.add(self)
-        self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
-
-    def _check_peer_timeout(self) -> None:
-        if not self.is_open:
-            return
-        if self.loop.now() - self.heard_at > self.peer_timeout_s:
-            self.close(reason="silent")
-            return
-        # The real one looks each quarter; the looks that can find nothing are left out.
-        quarter = self.peer_timeout_s / 4
-        left = self.peer_timeout_s - (self.loop.now() - self.heard_at)
-        self._check = self.loop.after(
-            delay=quarter * max(1, math.ceil(left / quarter)), callback=self._check_peer_timeout
-        )
+            self._deliver(end, item)
 
-    def watch_stuck(self) -> None:
-        """What was sent does not arrive: TCP_USER_TIMEOUT ends the connection unless it does in time."""
-        if self.is_open:
-            self.loop.after(delay=self.peer_timeout_s, callback=self._check_stuck)
-
-    def _check_stuck(self) -> None:
-        stuck_s = self.connection.stuck_for(self._direction)
-        if self.is_open and stuck_s >= self.peer_timeout_s - GRAIN_S:
-            self.close(reason="ETIMEDOUT")
-        elif self.is_open and stuck_s:
-            self.loop.after(delay=self.peer_timeout_s - stuck_s, callback=self._check_stuck)
-
-    def queued(self) -> int:
-        return sum(len(frame) for frame in self._unsent)
-
-    def send(self, message: tuple) -> None:
-        self.send_bytes(pack(message))
-
-    def send_bytes(self, data: bytes) -> None:
-        if not self.is_open:
-            return
-        if self.is_up:
-            self.connection.transmit(self._direction, data)
+    def _refuse(self, direction: int, item: Item) -> None:
+        """The system answers for a connection that its process closed, or that died with it."""
+        if item is Signal.END or item is Signal.RESET:
+            self._finish()
         else:
-            self._unsent.append(data)
+            self.transmit(1 - direction, Signal.RESET)
 
-    def arrived(self, item) -> None:
-        if not self.is_open:
+    def _deliver(self, end: WireEnd, item: Item) -> None:
+        if not end.process.is_frozen:
+            end.process.guard(lambda: end.handle_item(item))
             return
-        if item is OPENED:
-            self.is_up = True
-            self.heard_at = self.loop.now()
-            unsent, self._unsent = self._unsent, []
-            for data in unsent:
-                self.connection.transmit(self._direction, data)
-            return
-        if item is END or item is RESET:
-            self.close(reason="closed" if item is END else "ECONNRESET")
-            return
-        self.heard_at = self.loop.now()
-        self.has_heard = True
-        message = unpack(item)
-        if type(message) is messages.KeepAlive:
-            return
-        self.frame = item
-        self._on_message(self, message)
-
-    def close(self, *, reason: str = "") -> None:
-        if not self.is_open:
-            return
-        self.is_open = False
-        self.loop.cancel(timer=self._check)
-        self.process.links.discard(self)
-        self.connection.left(self, item=END)
-        self._on_end(self, reason)
-
-
-class Connector:
-    """The interface of ploverward.transport.peer_connection.Connector."""
-
-    def __init__(self, *, runtime, loop, address, on_up, on_message, on_end, peer_timeout_s):
-        self.loop = loop
-        self.address = address
-        self.link = None
-        self._runtime = runtime
-        self._on_up = on_up
-        self._on_message = on_message
-        self._on_end = on_end
-        self._peer_timeout_s = peer_timeout_s
-        self._pause_s = peer_timeout_s / 40
-        self._is_stopped = False
-        self._connect()
-
-    def _connect(self) -> None:
-        if self._is_stopped:
-            return
-        host, port = self.address
-        self.link = PeerConnection(
-            process=self._runtime.process,
-            loop=self.loop,
-            on_message=self._take,
-            on_end=self._ended,
-            peer_timeout_s=self._peer_timeout_s,
-            is_connecting=True,
-            peer="%s:%d" % self.address,
-        )
-        own = self._runtime.machine.host
-        self.link.connection = Connection(
-            network=self._runtime.network, dialer_end=self.link, source=own, target=host, port=port
+        clock = self.network.clock
+        clock.schedule(
+            when=clock.time,
+            callback=lambda: end.handle_item(item),
+            process=end.process,
+            kind=simulated_clock.EventKind.DELIVERY,
         )
-        self.link.connection.transmit(0, OPEN)
-        self._on_up(self.link)
 
-    def _take(self, link, message) -> None:
-        self._pause_s = self._peer_timeout_s / 40
-        self._on_message(link, message)
+    def _open(self, machine: machines.Machine) -> None:
+        listener = machine.peer_listeners.get(self.port)
+        if listener is None:
+            self.transmit(1, Signal.RESET)
+            return
+        self.transmit(1, Signal.OPENED)
 
-    def _ended(self, link, reason) -> None:
-        if self.link is link:
-            self.link = None
-        self._on_end(link, reason)
-        self._schedule_reconnect()
+        def accept() -> None:
+            end = self.ends[1] = listener.accept(self)
+            early, self._early = self._early, []
+            for item in early:
+                if end.is_open:
+                    end.handle_item(item)
 
-    def _schedule_reconnect(self) -> None:
-        if self._is_stopped:
-            return
-        self._pause_s = min(self._pause_s * 1.6, self._peer_timeout_s / 4)
-        pause = self._pause_s * (0.5 + 0.5 * self._runtime.chance())
-        self.loop.after(delay=pause, callback=self._connect)
-
-    def stop(self) -> None:
-        self._is_stopped = True
-        if self.link is not None:
-            self.link.close(reason="stopped")
-
-
-class PeerListener:
-    """The interface of ploverward.transport.peer_connection.PeerListener."""
-
-    def __init__(self, *, runtime, loop, address, on_link, on_message, on_end, peer_timeout_s):
-        self.process = runtime.process
-        self._loop = loop
-        self._on_link = on_link
-        self._on_message = on_message
-        self._on_end = on_end
-        self._peer_timeout_s = peer_timeout_s
-        runtime.machine.ports[address[1]] = self
-
-    def handle(self, connection) -> PeerConnection:
-        link = PeerConnection(
-            process=self.process,
-            loop=self._loop,
-            on_message=self._on_message,
-            on_end=self._on_end,
-            peer_timeout_s=self._peer_timeout_s,
-            is_connecting=False,
-            peer=connection.hosts[0],
+        self.network.clock.later(
+            delay=0.0, callback=accept, process=listener.process, kind=simulated_clock.EventKind.DELIVERY
         )
-        link.connection = connection
-        self._on_link(link)
-        return link
-
-
-class Request:
-    """One call at a node's request handler, with the parts of ploverward.transport.http_request.Request that handlers use."""
-
-    def __init__(self, *, method: str, target: str, headers: tuple, body: bytes, at: float, on_reply):
-        self.method = method.encode()
-        self.target = target.encode()
-        self.headers = [(name.lower().encode(), value.encode()) for name, value in headers]
-        self.body = body
-        self.at = at
-        self.begun_at = at
-        self.on_gone = None
-        self.on_drain = None
-        self.is_answered = False
-        self.is_started = False
-        self.record = None
-        self.http_connection = self
-        self.is_open = True
-        self._on_reply = on_reply  # (status, headers, body), or None where the connection ends without an answer
-
-    def header(self, name: bytes, default: bytes = b"") -> bytes:
-        for key, value in self.headers:
-            if key == name:
-                return value
-        return default
-
-    def text(self, name: bytes, default: str = "") -> str:
-        return self.header(name, default.encode()).decode("latin-1")
-
-    def reply(self, *, status: int, headers=(), body: bytes = b"", is_last=False) -> None:
-        if self.is_answered or self.is_started:
-            return
-        self.is_started = self.is_answered = True
-        reply_headers = {name.decode().lower(): value.decode() for name, value in headers}
-        self._on_reply((status, reply_headers, body))
-
-    def abort(self) -> None:
-        if not self.is_answered:
-            self.is_answered = True
-            self._on_reply(None)
-
-    def close(self, *, is_hard=False) -> None:
-        self.abort()
-
-    def gone(self) -> None:
-        """The caller closed its connection."""
-        self.is_open = False
-        if self.on_gone is not None and not self.is_answered:
-            self.on_gone()
-
-
-class HttpServer:
-    """The interface of ploverward.transport.http_server.HttpServer, as far as a core node uses it."""
-
-    def __init__(
-        self, *, runtime, loop, address, on_request, limits=None, peer_timeout_s=0.0, max_connections=0, max_bytes=0
-    ):
-        self.loop = loop
-        self.process = runtime.process
-        self.is_draining = False
-        self.connections = set()
-        self._ports = runtime.machine.ports
-        self._address = address
-        self._on_request = on_request
-        self._ports[address[1]] = self
-
-    def handle(self, request) -> None:
-        self._on_request(request)
-
-    def leave(self) -> None:
-        self.is_draining = True
-
-    def close_idle(self) -> None:
-        """Calls have a connection each here; none is idle."""
-
-    def stop_listening(self) -> None:
-        if self._ports.get(self._address[1]) is self:
-            del self._ports[self._address[1]]
-
-
-class Caller:
-    """Calls from outside the system: one connection each, whose answer may be lost."""
-
-    def __init__(self, *, network, host: str):
-        self._network = network
-        self._clock = network.clock
-        self.host = host
-
-    def call(self, *, host, port, method, target, headers=(), body=b"", limit_s, done, on_lost=None) -> None:
-        """`done(answer)`: (status, headers, body), or None where the connection ends without one or `limit_s` is over.
-
-        `on_lost(answer)`, where it is given: answers are lost on their way, and it is told of them.
-        """
-        state = {"is_over": False, "request": None}
-
-        def finish(answer):
-            if not state["is_over"]:
-                state["is_over"] = True
-                done(answer)
-
-        def give_up():
-            finish(None)
-            request = state["request"]
-            if request is not None and not request.is_answered and not self._network.is_partitioned(self.host, host):
-                process = state["process"]
-                self._clock.later(
-                    delay=self._network.delay(self.host, host),
-                    callback=request.gone,
-                    process=process,
-                    kind=simulated_clock.EventKind.DELIVERY,
-                )
-
-        def reply(answer):
-            if self._network.is_partitioned(host, self.host):
-                return
-            if on_lost is not None:
-                on_lost(answer)
-                return
-            self._clock.later(delay=self._network.delay(host, self.host), callback=lambda: finish(answer))
-
-        def arrive():
-            machine = self._network.machines.get(host)
-            if machine is None or not machine.is_powered or self._network.is_partitioned(self.host, host):
-                return
-            server = machine.ports.get(port)
-            if server is None:
-                reply(None)
-                return
-            state["process"] = server.process
-
-            def handle():
-                state["request"] = Request(
-                    method=method, target=target, headers=headers, body=body, at=server.loop.now(), on_reply=reply
-                )
-                server.handle(state["request"])
-                if state["is_over"]:
-                    state["request"].gone()
-
-            self._clock.later(
-                delay=0.0, callback=handle, process=server.process, kind=simulated_clock.EventKind.DELIVERY
-            )
-
-        self._clock.later(delay=self._network.delay(self.host, host), callback=arrive)
-        self._clock.later(delay=limit_s, callback=give_up)
--- /dev/null
+++ b/ploverward/simulation/control_plane/simulated_peers.py
@@ -0,0 +1,286 @@
+"""Simulated connections between nodes: the twins of ploverward.transport.peer_connection (docs/simulate.md).
+
+`PeerConnection` has the interface of ploverward/transport/interfaces.py; `Connector` and `PeerListener` take the
+arguments of the real ones, and a runtime that says where they are. Messages pass the real codec.
+"""
+
+from __future__ import annotations
+
+import functools
+import math
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+from typing import Protocol
+
+from ploverward.simulation.control_plane import simulated_clock
+from ploverward.simulation.control_plane import simulated_network
+from ploverward.transport import frames
+from ploverward.transport import messages
+from ploverward.transport import peer_connection
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import machines
+
+GRAIN_S = 1e-6  # spans that differ by less are equal: sums of floats
+# The first pause is this part of the peer time-out: the real one's FIRST_BACKOFF_SHARE, as a divisor. The two round
+# differently, and seeds name histories that were made with this one.
+FIRST_BACKOFF_DIVISOR = 40
+CACHED_FRAMES = 8192
+pack = functools.lru_cache(maxsize=CACHED_FRAMES, typed=True)(frames.pack)
+unpack = functools.lru_cache(maxsize=CACHED_FRAMES)(frames.unpack)
+
+
+class PeerRuntime(Protocol):
+    """Where connections are made: a process on a machine in a network."""
+
+    network: simulated_network.Network
+    machine: machines.Machine
+    process: machines.Program
+
+    def chance(self) -> float:
+        """Returns a random number from 0 to below 1."""
+
+
+class PeerConnection:
+    """One end of a connection.
+
+    Args and attributes are those of ploverward.transport.peer_connection.PeerConnection, but for these.
+
+    Attributes:
+        process: Where it runs.
+        wire: What it runs on.
+    """
+
+    wire: simulated_network.Wire
+
+    def __init__(
+        self,
+        *,
+        process: machines.Program,
+        loop: simulated_clock.Loop,
+        on_message: Callable[[PeerConnection, tuple], object],
+        on_end: Callable[[PeerConnection, str], object],
+        peer_timeout_s: float,
+        is_connecting: bool,
+        peer: str,
+    ) -> None:
+        """Makes an end, whose wire its maker sets at once."""
+        self.process = process
+        self.loop = loop
+        self.peer = peer
+        self.hello: tuple | None = None
+        self.is_open = True
+        self.is_up = not is_connecting
+        self.heard_at = loop.now()
+        self.has_heard = False
+        self.opened_at = loop.now()
+        self.peer_timeout_s = peer_timeout_s
+        self.frame = b""
+        self._direction = 0 if is_connecting else 1
+        self._on_message = on_message
+        self._on_end = on_end
+        self._unsent: list[bytes] = []
+        process.links.add(self)
+        self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
+
+    def _check_peer_timeout(self) -> None:
+        if not self.is_open:
+            return
+        if self.loop.now() - self.heard_at > self.peer_timeout_s:
+            self.close(reason="silent")
+            return
+        # The real one checks each quarter; the checks that can find nothing are left out.
+        quarter = self.peer_timeout_s / 4
+        left = self.peer_timeout_s - (self.loop.now() - self.heard_at)
+        self._check = self.loop.after(
+            delay=quarter * max(1, math.ceil(left / quarter)), callback=self._check_peer_timeout
+        )
+
+    def watch_stuck(self) -> None:
+        """What was sent does not arrive: as TCP_USER_TIMEOUT, ends the connection unless it does in time."""
+        if self.is_open:
+            self.loop.after(delay=self.peer_timeout_s, callback=self._check_stuck)
+
+    def _check_stuck(self) -> None:
+        stuck_s = self.wire.stuck_for(self._direction)
+        if self.is_open and stuck_s >= self.peer_timeout_s - GRAIN_S:
+            self.close(reason="ETIMEDOUT")
+        elif self.is_open and stuck_s:
+            self.loop.after(delay=self.peer_timeout_s - stuck_s, callback=self._check_stuck)
+
+    def queued(self) -> int:
+        """Returns how many bytes wait to be sent."""
+        return sum(len(frame) for frame in self._unsent)
+
+    def send(self, message: tuple) -> None:
+        """Sends a message; does nothing on a closed connection."""
+        self.send_bytes(pack(message))
+
+    def send_bytes(self, data: bytes) -> None:
+        """Sends one frame that is packed already; does nothing on a closed connection."""
+        if not self.is_open:
+            return
+        if self.is_up:
+            self.wire.transmit(self._direction, data)
+        else:
+            self._unsent.append(data)
+
+    def handle_item(self, item: simulated_network.Item) -> None:
+        """Handles what arrived on the wire."""
+        if not self.is_open:
+            return
+        if isinstance(item, bytes):
+            self._handle_frame(item)
+        elif item is simulated_network.Signal.OPENED:
+            self.is_up = True
+            self.heard_at = self.loop.now()
+            unsent, self._unsent = self._unsent, []
+            for data in unsent:
+                self.wire.transmit(self._direction, data)
+        else:
+            self.close(reason="closed" if item is simulated_network.Signal.END else "ECONNRESET")
+
+    def _handle_frame(self, frame: bytes) -> None:
+        self.heard_at = self.loop.now()
+        self.has_heard = True
+        message = unpack(frame)
+        if type(message) is messages.KeepAlive:
+            return
+        self.frame = frame
+        self._on_message(self, message)
+
+    def close(self, *, reason: str = "") -> None:
+        """Ends the connection; its owner hears of it with the reason before this returns."""
+        if not self.is_open:
+            return
+        self.is_open = False
+        self.loop.cancel(timer=self._check)
+        self.process.links.discard(self)
+        self.wire.close(self, signal=simulated_network.Signal.END)
+        self._on_end(self, reason)
+
+
+class Connector:
+    """Keeps one connection to an address.
+
+    Args and attributes are those of ploverward.transport.peer_connection.Connector, and a runtime.
+    """
+
+    def __init__(
+        self,
+        *,
+        runtime: PeerRuntime,
+        loop: simulated_clock.Loop,
+        address: tuple[str, int],
+        on_up: Callable[[PeerConnection], object],
+        on_message: Callable[[PeerConnection, tuple], object],
+        on_end: Callable[[PeerConnection, str], object],
+        peer_timeout_s: float,
+    ) -> None:
+        self.loop = loop
+        self.address = address
+        self.link: PeerConnection | None = None
+        self._runtime = runtime
+        self._on_up = on_up
+        self._on_message = on_message
+        self._on_end = on_end
+        self._peer_timeout_s = peer_timeout_s
+        self._backoff_s = peer_timeout_s / FIRST_BACKOFF_DIVISOR
+        self._is_stopped = False
+        self._connect()
+
+    def stop(self) -> None:
+        """Closes the connection and makes no other."""
+        self._is_stopped = True
+        if self.link is not None:
+            self.link.close(reason="stopped")
+
+    def _connect(self) -> None:
+        if self._is_stopped:
+            return
+        host, port = self.address
+        self.link = PeerConnection(
+            process=self._runtime.process,
+            loop=self.loop,
+            on_message=self._handle_message,
+            on_end=self._handle_end,
+            peer_timeout_s=self._peer_timeout_s,
+            is_connecting=True,
+            peer=f"{host}:{port}",
+        )
+        self.link.wire = simulated_network.Wire(
+            network=self._runtime.network,
+            dialer_end=self.link,
+            source=self._runtime.machine.host,
+            target=host,
+            port=port,
+        )
+        self.link.wire.transmit(0, simulated_network.Signal.OPEN)
+        self._on_up(self.link)
+
+    def _handle_message(self, link: PeerConnection, message: tuple) -> None:
+        self._backoff_s = self._peer_timeout_s / FIRST_BACKOFF_DIVISOR
+        self._on_message(link, message)
+
+    def _handle_end(self, link: PeerConnection, reason: str) -> None:
+        if self.link is link:
+            self.link = None
+        self._on_end(link, reason)
+        self._schedule_reconnect()
+
+    def _schedule_reconnect(self) -> None:
+        if self._is_stopped:
+            return
+        self._backoff_s = min(
+            self._backoff_s * peer_connection.BACKOFF_GROWTH,
+            self._peer_timeout_s * peer_connection.MAX_BACKOFF_SHARE,
+        )
+        low, high = peer_connection.BACKOFF_JITTER
+        jitter = low + (high - low) * self._runtime.chance()
+        self.loop.after(delay=self._backoff_s * jitter, callback=self._connect)
+
+
+class PeerListener:
+    """Accepts connections of other nodes.
+
+    Args are those of ploverward.transport.peer_connection.PeerListener, and a runtime.
+
+    Attributes:
+        process: Where it runs.
+    """
+
+    def __init__(
+        self,
+        *,
+        runtime: PeerRuntime,
+        loop: simulated_clock.Loop,
+        address: tuple[str, int],
+        on_link: Callable[[PeerConnection], object],
+        on_message: Callable[[PeerConnection, tuple], object],
+        on_end: Callable[[PeerConnection, str], object],
+        peer_timeout_s: float,
+    ) -> None:
+        self.process = runtime.process
+        self._loop = loop
+        self._on_link = on_link
+        self._on_message = on_message
+        self._on_end = on_end
+        self._peer_timeout_s = peer_timeout_s
+        _host, port = address
+        runtime.machine.peer_listeners[port] = self
+
+    def accept(self, wire: simulated_network.Wire) -> PeerConnection:
+        """Accepts a connection that another host opened; returns its end here."""
+        dialer, _own = wire.hosts
+        link = PeerConnection(
+            process=self.process,
+            loop=self._loop,
+            on_message=self._on_message,
+            on_end=self._on_end,
+            peer_timeout_s=self._peer_timeout_s,
+            is_connecting=False,
+            peer=dialer,
+        )
+        link.wire = wire
+        self._on_link(link)
+        return link
--- a/ploverward/simulation/control_plane/test_simulation.py
+++ b/ploverward/simulation/control_plane/test_simulation.py
@@ -8,6 +8,7 @@
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_peers
 from ploverward.transport import frames
 from ploverward.transport import messages
 
@@ -32,7 +33,7 @@
         return self.network.clock.chance.random()
 
     def listen(self) -> None:
-        simulated_network.PeerListener(
+        simulated_peers.PeerListener(
             runtime=self,
             loop=self.loop,
             address=("", 7),
@@ -43,7 +44,7 @@
         )
 
     def dial(self, host: str):
-        return simulated_network.Connector(
+        return simulated_peers.Connector(
             runtime=self,
             loop=self.loop,
             address=(host, 7),
@@ -227,7 +228,7 @@
     versions = (messages.TopicVersion(topic="list", version=Version(epoch=0, number=1)),)
     sent = [messages.Announcement(versions=versions), messages.Acknowledgement(versions=versions)]
     assert sent[0] == sent[1]  # as named tuples, so a cache of frames must look at their types
-    assert [frames.unpack(simulated_network.pack(message)).__class__ for message in sent] == [
+    assert [frames.unpack(simulated_peers.pack(message)).__class__ for message in sent] == [
         messages.Announcement,
         messages.Acknowledgement,
     ]
--- a/ploverward/transport/test_interfaces.py
+++ b/ploverward/transport/test_interfaces.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ploverward.simulation.control_plane import simulated_clock
-from ploverward.simulation.control_plane import simulated_network
+from ploverward.simulation.control_plane import simulated_peers
 from ploverward.transport import event_loop
 from ploverward.transport import interfaces
 from ploverward.transport import peer_connection
@@ -26,7 +26,7 @@
         (interfaces.Loop, event_loop.Loop),
         (interfaces.Loop, simulated_clock.Loop),
         (interfaces.Connection, peer_connection.PeerConnection),
-        (interfaces.Connection, simulated_network.PeerConnection),
+        (interfaces.Connection, simulated_peers.PeerConnection),
     ],
 )
 def test_both_implementations_take_the_arguments_that_the_interface_states(interface, twin):
