--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -4,7 +4,7 @@
 `extra`. The level says when the event is written:
 
 * DEBUG: kept in memory. An error writes the newest of them, so that its line comes with what led to it.
-* INFO: written at once (start, end, steps of a roll-out).
+* INFO: written at once (steps of a roll-out).
 * ERROR: written at once, followed by the events in memory.
 
 Programs that do not call `start` (tests, simulations, operators' tools) keep and write none of the events below ERROR.
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -18,7 +18,7 @@
 from ploverward.transport import http_request
 
 RETRY_AFTER = b"0.3"  # seconds; callers have a backoff of their own, this is for those that have none
-RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; of answers that another node would not give either
+RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; what is missing here does not come within a callers' usual backoff
 MAP_BINDING = "core"  # the host name that werkzeug wants; the rules do not depend on it
 
 Header: typing.TypeAlias = tuple[bytes, bytes]
--- a/ploverward/data_plane/requests/retry_policy.py
+++ b/ploverward/data_plane/requests/retry_policy.py
@@ -10,6 +10,9 @@
 * Unresolved: it may have run, or may still run. Only an idempotent request may be sent again, within `tries`. Until the
   end of the request nothing that the client gets may say that it has not run.
 
+The retry budget, a newer configuration or key, and the wait for a free replica are decided in
+`request_handler.RequestHandler._try_attempt`.
+
 Every attempt counts as unresolved from before its first byte is handed to the connection. A fault of our own between
 the two then leaves no promise to the client (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
 """
--- a/ploverward/testing/test_docs.py
+++ b/ploverward/testing/test_docs.py
@@ -9,6 +9,8 @@
 PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
 SOURCE_PATH = re.compile(r"(?<![\w/])ploverward/[\w/]*\w(?:\.py)?(?![\w*])")
 SOURCE_FILE = re.compile(r"`([\w/]*\w\.py)`")
+LOGGED_EVENT = re.compile(r'\b_log\.(?:debug|info|warning|error|exception)\(\s*"(\w+)"')
+LISTED_EVENT = re.compile(r"^\| `(\w+)` \|", re.MULTILINE)
 PAGE_LINK = re.compile(r"`(?:docs/)?([\w/-]+\.md)`")
 
 
@@ -41,3 +43,14 @@
     """A newcomer finds every page of docs/ from the README; incidents and the journal by the pages that name them."""
     listed = names(PAGE_LINK, ROOT / "README.md")
     assert {page.name for page in ROOT.glob("docs/*.md")} <= listed
+
+
+def test_the_runbook_lists_each_log_event():
+    """Whoever is on call finds what an event means and what to do about it."""
+    logged = set()
+    for path in ROOT.glob("ploverward/**/*.py"):
+        if "simulation" not in path.parts and not path.name.startswith("test_"):
+            logged |= names(LOGGED_EVENT, path)
+    runbook = (ROOT / "docs" / "operations.md").read_text(encoding="utf-8")
+    listed = set(LISTED_EVENT.findall(runbook.partition("## Log events")[2]))
+    assert logged == listed
--- a/ploverward/transport/messages.py
+++ b/ploverward/transport/messages.py
@@ -454,7 +454,7 @@
     pool: str
     generation: int
     bucket_count: int
-    words: int  # of 64 bits that each slot has for its owners; 0: tags instead
+    words: int  # of 32 bits that each slot has for its owners; 0: tags instead
     bucket_rows: bytes
 
 
