--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -62,7 +62,7 @@
         self.day = scenario.SimulationRun(
             plan=scenario.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=())
         )
-        self.day._proxies = [PROXY]
+        self.day.fleet.proxy_hosts = [PROXY]
         self.day.build()
         self.core_client = simulated_http.Caller(network=self.day.network, host="operators")
         self.run(0.35)
@@ -71,13 +71,13 @@
         self.day.clock.run(until=self.day.clock.time + seconds)
 
     def core(self, node: int = 0):
-        return self.day.slots[node].machine.core.core
+        return self.day.fleet.slots[node].machine.core.core
 
     def call(self, *, node: int, method: str, target: str, headers, body: bytes):
         """(status, {name: value}, body), or None where there is no answer."""
         told = []
         self.core_client.call(
-            host=self.day.slots[node].machine.host,
+            host=self.day.fleet.slots[node].machine.host,
             port=machines.CONTROL_PORT,
             method=method,
             target=target,
@@ -132,7 +132,7 @@
 
     def just_cut_off(self) -> None:
         """The first node has lost the others and does not know it yet."""
-        hosts = [slot.machine.host for slot in self.day.slots]
+        hosts = [slot.machine.host for slot in self.day.fleet.slots]
         pairs = {pair for other in hosts[1:] for pair in ((hosts[0], other), (other, hosts[0]))}
         self.day.network.partition(pairs=pairs, is_reset=False)
 
--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -1,169 +1,235 @@
-"""Checks of a whole day: orders, reads, what was lost, and the core set at the end (docs/simulate.md)."""
+"""Checks of a complete run: orders, reads, acknowledgements in time, and the state at the end (docs/simulate.md).
 
-import json
+Each function looks at the `Evidence` of a run and reports what it finds to its recorder.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Sequence
+from typing import Any
+from typing import NamedTuple
 
 from ploverward.control_plane.consensus import register_names
-from ploverward.simulation.control_plane import operators
+from ploverward.simulation.control_plane import order_model
+from ploverward.simulation.control_plane import recorder as recorders
+from ploverward.simulation.control_plane import value_checks
+
+ACK_SLACK_S = 0.05  # what an acknowledgement may be late, for its way
+SHOWN_ATTEMPTS = 4  # of an order that waited too long
+
+
+@dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
+class Evidence:
+    """What a run left behind.
+
+    Attributes:
+        recorder: Gets the findings.
+        values: What was chosen.
+        orders: The operators' orders.
+        probes: Orders that were sent to nodes that were cut off.
+        reads: The operators' answered reads.
+    """
+
+    recorder: recorders.Recorder
+    values: value_checks.ValueChecks
+    orders: Sequence[order_model.Order]
+    probes: Sequence[order_model.Order]
+    reads: Sequence[order_model.Read]
+
 
-CHANGES = (operators.PUT, operators.PATCH)
-ACK_SLACK_S = 0.05
+class Stretch(NamedTuple):
+    """A span of simulated time, in seconds."""
 
+    begin: float
+    end: float
 
-def check_orders(*, recorder, orders) -> None:
+
+class LastRead(NamedTuple):
+    """A read at one node after all was healed; a value of None: not answered."""
+
+    host: str
+    what: order_model.ReadKind
+    value: Any
+
+
+def check_orders(evidence: Evidence) -> None:
     """Configurations: compare-and-set on the base, each at most once; refused and invalid ones never in force."""
-    by_order_name = {chosen.order_name: chosen for chosen in recorder.configurations}
-    bases = {}
-    for order in orders:
-        if order.kind not in CHANGES:
+    chosen_by_name = {chosen.order_name: chosen for chosen in evidence.values.configurations}
+    confirmed: dict[int, str] = {}  # base: the order that was acknowledged on it
+    for order in (*evidence.orders, *evidence.probes):
+        chosen = chosen_by_name.get(order.name)
+        if not order.is_configuration:
             continue
-        chosen = by_order_name.get(order.name)
-        statuses = {attempt.status for attempt in order.attempts}
         if order.is_repeat:
-            refusals = [attempt for attempt in order.attempts if 400 <= attempt.status < 500]
-            for attempt in refusals:
-                recorder.find(
-                    "resent orders",
-                    f"{order.name} was taken, sent again to {attempt.host} at {attempt.sent_at:.3f}: {attempt.status}",
-                )
-            continue
-        if not order.is_valid:
-            if 200 in statuses:
-                recorder.find("invalid orders", f"{order.name} is invalid and was acknowledged")
-            if chosen is not None:
-                recorder.find("invalid orders", f"{order.name} is invalid and was in force")
-            continue
-        if order.outcome == operators.ACKNOWLEDGED:
-            if chosen is None:
-                recorder.find("acknowledged", f"{order.name} was acknowledged and never chosen")
-            if order.base in bases:
-                recorder.find("one base", f"{order.name} and {bases[order.base]} were confirmed on {order.base}")
-            bases[order.base] = order.name
-        if order.outcome == operators.REFUSED:
-            last = order.attempts[-1]
-            if chosen is not None:
-                recorder.find(
-                    "refused orders",
-                    f"{order.name} was refused by {last.host} at {last.answered_at:.3f} ({last.status}, "
-                    f"{last.body[:80]!r}) and was taken as edition {chosen.edition} at {chosen.seen_at:.3f}",
-                )
-            elif order.is_alone and not _was_passed(recorder, order, last.answered_at):
-                recorder.find(
-                    "refused orders",
-                    f"{order.name} on {order.base} was refused with {last.status} on the newest version",
-                )
-
-
-def _was_passed(recorder, order, at: float) -> bool:
-    """Whether another version than this order's base was in force when it was refused."""
-    return any(chosen.edition > order.base for chosen in recorder.configurations)
+            _check_repeated(evidence, order)
+        elif not order.is_valid:
+            _check_invalid(evidence, order, chosen)
+        elif order.outcome == order_model.Outcome.ACKNOWLEDGED:
+            _check_acknowledged(evidence, order, chosen, confirmed)
+        elif order.outcome == order_model.Outcome.REFUSED:
+            _check_refused(evidence, order, chosen)
+
+
+def _check_repeated(evidence: Evidence, order: order_model.Order) -> None:
+    for attempt in order.attempts:
+        if 400 <= attempt.status < 500:
+            evidence.recorder.find(
+                "resent orders",
+                f"{order.name} was taken, sent again to {attempt.host} at {attempt.sent_at:.3f}: {attempt.status}",
+            )
 
 
-def check_chain(*, recorder, orders) -> None:
-    """Each version in force stands on the one before it."""
-    by_name = {order.name: order for order in orders if not order.is_repeat}
-    rows = sorted(recorder.configurations, key=lambda chosen: chosen.version)
+def _check_invalid(
+    evidence: Evidence, order: order_model.Order, chosen: value_checks.ChosenConfiguration | None
+) -> None:
+    if any(attempt.status == 200 for attempt in order.attempts):
+        evidence.recorder.find("invalid orders", f"{order.name} is invalid and was acknowledged")
+    if chosen is not None:
+        evidence.recorder.find("invalid orders", f"{order.name} is invalid and was in force")
+
+
+def _check_acknowledged(
+    evidence: Evidence,
+    order: order_model.Order,
+    chosen: value_checks.ChosenConfiguration | None,
+    confirmed: dict[int, str],
+) -> None:
+    if chosen is None:
+        evidence.recorder.find("acknowledged", f"{order.name} was acknowledged and never chosen")
+    if order.base in confirmed:
+        evidence.recorder.find("one base", f"{order.name} and {confirmed[order.base]} were confirmed on {order.base}")
+    confirmed[order.base] = order.name
+
+
+def _check_refused(
+    evidence: Evidence, order: order_model.Order, chosen: value_checks.ChosenConfiguration | None
+) -> None:
+    last = order.attempts[-1]
+    if chosen is not None:
+        evidence.recorder.find(
+            "refused orders",
+            f"{order.name} was refused by {last.host} at {last.answered_at:.3f} ({last.status}, "
+            f"{last.body[:80]!r}) and was taken as edition {chosen.edition} at {chosen.seen_at:.3f}",
+        )
+    elif order.is_alone and not _has_newer(evidence, order):
+        evidence.recorder.find(
+            "refused orders", f"{order.name} on {order.base} was refused with {last.status} on the newest version"
+        )
+
+
+def _has_newer(evidence: Evidence, order: order_model.Order) -> bool:
+    """Whether a version above this order's base was ever in force."""
+    return any(chosen.edition > order.base for chosen in evidence.values.configurations)
+
+
+def check_chain(evidence: Evidence) -> None:
+    """Each version in force builds on the one before it."""
+    by_name = {order.name: order for order in (*evidence.orders, *evidence.probes) if not order.is_repeat}
+    rows = sorted(evidence.values.configurations, key=lambda chosen: chosen.version)
     for before, after in zip(rows, rows[1:], strict=False):
         if after.edition <= before.edition:
-            recorder.find("configurations", f"edition {after.edition} follows {before.edition}")
+            evidence.recorder.find("configurations", f"edition {after.edition} follows {before.edition}")
         order = by_name.get(after.order_name)
         if order is not None and order.base < before.edition:
-            recorder.find("configurations", f"{order.name} on {order.base} follows edition {before.edition}")
+            evidence.recorder.find("configurations", f"{order.name} on {order.base} follows edition {before.edition}")
 
 
-def check_reads(*, recorder, orders, reads) -> None:
-    """No read tells less than what was acknowledged or read before it began."""
+def check_reads(evidence: Evidence) -> None:
+    """No read returns less than what was acknowledged or read before it began."""
     known = [
         (order.ended_at, order.edition)
-        for order in orders
-        if order.kind in CHANGES and order.outcome == operators.ACKNOWLEDGED and order.is_valid
+        for order in evidence.orders
+        if order.is_configuration
+        and order.outcome == order_model.Outcome.ACKNOWLEDGED
+        and order.is_valid
+        and order.ended_at is not None
     ]
-    rows = [read for read in reads if read.what == "configuration"]
-    known += [(read.ended_at, read.value) for read in rows]
+    reads = [read for read in evidence.reads if read.what == order_model.ReadKind.CONFIGURATION]
+    known += [(read.ended_at, read.value) for read in reads]
     known.sort()
-    for read in rows:
+    for read in reads:
         newest = max((edition for at, edition in known if at < read.begun_at), default=0)
         if read.value < newest:
-            recorder.find(
+            evidence.recorder.find(
                 "reads", f"{read.host} told edition {read.value} at {read.ended_at:.3f}, {newest} was known before"
             )
-    _check_evacuation_reads(recorder, orders, reads)
 
 
-def _check_evacuation_reads(recorder, orders, reads) -> None:
-    by_zone = {}
-    for order in orders:
+def check_evacuation_reads(evidence: Evidence) -> None:
+    """A read that begins after an evacuation's last order ended shows its effect."""
+    by_zone: dict[str, list[order_model.Order]] = {}
+    for order in evidence.orders:
         if order.zone:
             by_zone.setdefault(order.zone, []).append(order)
-    for read in reads:
-        if read.what != "evacuation":
+    for read in evidence.reads:
+        if read.what != order_model.ReadKind.EVACUATION:
             continue
-        for zone, rows in by_zone.items():
-            ended = [order for order in rows if order.ended_at is not None and order.ended_at < read.begun_at]
-            begun = [order for order in rows if order.begun_at <= read.ended_at]
-            if not ended or ended[-1] is not begun[-1] or ended[-1].outcome != operators.ACKNOWLEDGED:
+        for zone, orders in by_zone.items():
+            last = _last_clear_order(orders, read)
+            if last is None or (zone in read.value) == (last.kind == order_model.OrderKind.EVACUATE):
                 continue
-            wanted = ended[-1].kind == operators.EVACUATE
-            if (zone in read.value) != wanted:
-                recorder.find(
-                    "evacuations",
-                    f"{read.host} told {sorted(read.value)} at {read.ended_at:.3f}; {ended[-1].name} ({ended[-1].kind} "
-                    f"{zone}) was acknowledged at {ended[-1].ended_at:.3f}",
-                )
-                return
+            evidence.recorder.find(
+                "evacuations",
+                f"{read.host} told {sorted(read.value)} at {read.ended_at:.3f}; {last.name} ({last.kind} "
+                f"{zone}) was acknowledged at {last.ended_at:.3f}",
+            )
+            return
+
 
+def _last_clear_order(orders: Sequence[order_model.Order], read: order_model.Read) -> order_model.Order | None:
+    """Returns the zone's last order where it was acknowledged before a read, and no other began by the read's end."""
+    ended = [order for order in orders if order.ended_at is not None and order.ended_at < read.begun_at]
+    begun = [order for order in orders if order.begun_at <= read.ended_at]
+    if not ended or ended[-1] is not begun[-1] or ended[-1].outcome != order_model.Outcome.ACKNOWLEDGED:
+        return None
+    return ended[-1]
 
-def check_acknowledgements(*, recorder, orders, calm, receipt_s: float, until: float) -> None:
-    """A proper order waits no longer than `receipt_s` in one calm stretch: `calm` holds (from, to)."""
-    for order in orders:
-        if not order.is_valid or not order.is_alone or order.is_repeat or order.outcome == operators.REFUSED:
+
+def check_acknowledgements(evidence: Evidence, *, calm: Sequence[Stretch], receipt_s: float, until: float) -> None:
+    """A proper order waits no longer than `receipt_s` in one calm stretch; `until` is the end of the run."""
+    for order in evidence.orders:
+        is_refused = order.outcome == order_model.Outcome.REFUSED
+        if not order.is_valid or not order.is_alone or order.is_repeat or is_refused:
             continue
         ended_at = order.ended_at if order.ended_at is not None else until
         if order.lost_at is not None:
             ended_at = order.lost_at  # the acknowledgement was given, and lost on its way
-        for begun, over in calm:
-            waited = min(ended_at, over) - max(order.begun_at, begun)
+        for stretch in calm:
+            waited = min(ended_at, stretch.end) - max(order.begun_at, stretch.begin)
             if waited > receipt_s + ACK_SLACK_S:
-                recorder.find(
+                answers = [(attempt.host, attempt.status) for attempt in order.attempts[-SHOWN_ATTEMPTS:]]
+                evidence.recorder.find(
                     "acknowledged in time",
                     f"{order.name} ({order.kind}), begun at {order.begun_at:.3f}, waited {waited:.3f} s of a calm "
-                    f"stretch from {begun:.3f} to {over:.3f}; last answers "
-                    f"{[(attempt.host, attempt.status) for attempt in order.attempts[-4:]]}",
+                    f"stretch from {stretch.begin:.3f} to {stretch.end:.3f}; last answers {answers}",
                 )
                 break
 
 
-def check_end(*, recorder, orders, last_reads) -> None:
-    """`last_reads`: (host, what, value) of each live node after all was healed."""
-    newest = max((chosen.edition for chosen in recorder.configurations), default=0)
+def check_end(evidence: Evidence, last_reads: Sequence[LastRead]) -> None:
+    """Each node answers after all was healed, with the newest configuration."""
+    newest = max((chosen.edition for chosen in evidence.values.configurations), default=0)
     for host, what, value in last_reads:
         if value is None:
-            recorder.find("the end", f"{host} does not tell its {what}")
-        elif what == "configuration" and value != newest:
-            recorder.find("the end", f"{host} tells edition {value}, {newest} was chosen")
+            evidence.recorder.find("the end", f"{host} does not tell its {what}")
+        elif what == order_model.ReadKind.CONFIGURATION and value != newest:
+            evidence.recorder.find("the end", f"{host} tells edition {value}, {newest} was chosen")
 
 
-def check_core_set(*, recorder, live: list, wanted: int) -> None:
-    """Once all is healed for a while, the set holds every live core machine, and 2t + 1 at least."""
+def check_core_set(
+    *, recorder: recorders.Recorder, values: value_checks.ValueChecks, live: Sequence[str], wanted: int
+) -> None:
+    """Once all is healed for a while, the set holds every live core machine, and `wanted` (2t + 1) at least."""
     for name in register_names.REGISTERS:
-        version = recorder.newest.get(name)
+        version = values.newest.get(name)
         if version is None:
             if name == register_names.CORE_SET:
                 recorder.find("core set", "no set was agreed")
             continue
-        members = recorder.values[name, version][0]
+        members = values.values[name, version].members
         missing = sorted(set(live) - set(members))
         if missing:
             recorder.find("core set", f"{name} stands under {members}; live and outside: {missing}")
         elif len(set(members) & set(live)) < min(wanted, len(live)):
             recorder.find("core set", f"{name} stands under {members}; live are {live}")
-
-
-def check_isolated(*, recorder, probes) -> None:
-    """An order at a node that is cut off: no refusal, and a clear end within about a second."""
-    for probe in probes:
-        if 400 <= probe.status < 500:
-            recorder.find("cut off", f"{probe.host} answered {probe.status} at {probe.answered_at:.3f}: {probe.body!r}")
-
-
-def dump(value) -> str:
-    return json.dumps(value, default=str)
--- a/ploverward/simulation/control_plane/fault_scene.py
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -14,6 +14,7 @@
 from ploverward.simulation.control_plane import simulated_clock
 
 if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import fleet
     from ploverward.simulation.control_plane import scenario
 
 MIN_DURATION_S = 0.05
@@ -51,15 +52,15 @@
         duration_s = low * (high / low) ** self.chance.random()
         return max(MIN_DURATION_S, min(duration_s, self.until - self.clock.time))
 
-    def healthy_slots(self) -> list[scenario.Slot]:
+    def healthy_slots(self) -> list[fleet.Slot]:
         """Returns the slots that are not lost now."""
-        return [slot for slot in self.simulation.slots if not self.simulation.is_lost(slot)]
+        return [slot for slot in self.simulation.fleet.slots if not self.simulation.fleet.is_lost(slot)]
 
     def free_losses(self) -> int:
         """Returns how many more slots may be lost now."""
-        return self.simulation.tolerated - len(self.simulation.lost_slots())
+        return self.simulation.fleet.tolerated - len(self.simulation.fleet.lost_slots())
 
-    def pick_slots(self) -> list[scenario.Slot]:
+    def pick_slots(self) -> list[fleet.Slot]:
         """Draws slots that may be lost now, in addition to those that are; often several at once, or none."""
         free = self.free_losses()
         healthy = self.healthy_slots()
@@ -68,14 +69,14 @@
         count = min(len(healthy), self.chance.randint(1, free))
         return self.chance.sample(healthy, count)
 
-    def begin(self, name: str, slots: Sequence[scenario.Slot]) -> None:
+    def begin(self, name: str, slots: Sequence[fleet.Slot]) -> None:
         """Counts slots as lost, and records that their fault begins."""
         for slot in slots:
-            self.simulation.lose(slot)
-        self.simulation.record_fault_edge(f"{name} begins", slots)
+            self.simulation.fleet.lose(slot)
+        self.simulation.fault_log.record_edge(f"{name} begins", [slot.machine.host for slot in slots])
 
-    def end(self, name: str, slots: Sequence[scenario.Slot]) -> None:
+    def end(self, name: str, slots: Sequence[fleet.Slot]) -> None:
         """Counts slots as recovered, and records that their fault ends."""
         for slot in slots:
-            self.simulation.recover(slot)
-        self.simulation.record_fault_edge(f"{name} ends", slots)
+            self.simulation.fleet.recover(slot)
+        self.simulation.fault_log.record_edge(f"{name} ends", [slot.machine.host for slot in slots])
--- /dev/null
+++ b/ploverward/simulation/control_plane/isolation_probes.py
@@ -0,0 +1,73 @@
+"""The check that a node that is cut off ends an order clearly and soon, and refuses none (docs/simulate.md)."""
+
+from __future__ import annotations
+
+from ploverward.simulation.control_plane import fault_log
+from ploverward.simulation.control_plane import operators as model_operators
+from ploverward.simulation.control_plane import order_model
+from ploverward.simulation.control_plane import recorder as recorders
+from ploverward.simulation.control_plane import simulated_http
+from ploverward.simulation.control_plane import simulated_network
+
+ISOLATED_FOR_S = 2.0  # from then on a node must know that it is cut off
+CLEAR_END_S = 1.05  # within which it ends an order
+
+
+class IsolationProbes:
+    """Sends orders to nodes that are cut off.
+
+    Attributes:
+        orders: That were sent.
+    """
+
+    def __init__(
+        self,
+        *,
+        network: simulated_network.Network,
+        recorder: recorders.Recorder,
+        operators: model_operators.Operators,
+        faults: fault_log.FaultLog,
+    ) -> None:
+        self.orders: list[order_model.Order] = []
+        self._network = network
+        self._clock = network.clock
+        self._recorder = recorder
+        self._operators = operators
+        self._faults = faults
+
+    def probe(self, host: str) -> None:
+        """Sends a proper order to one node that is cut off, and to no other; does nothing where it is not."""
+        since = self._faults.isolated_since.get(host)
+        if since is None:
+            return
+        order = self._operators.make_probe(name=f"probe{len(self.orders)}")
+        attempt = order_model.Attempt(host=host, sent_at=self._clock.time)
+        self.orders.append(order)
+
+        def handle_answer(answer: simulated_http.Answer | None) -> None:
+            attempt.end(answer, now=self._clock.time)
+            self._recorder.record("probe answered", host=host, status=attempt.status)
+            order.attempts.append(attempt)
+            self._check(attempt, since)
+
+        self._operators.sender.call_once(host, order.call, limit_s=CLEAR_END_S, done=handle_answer)
+
+    def _check(self, attempt: order_model.Attempt, since: float) -> None:
+        if not self._must_know(attempt, since):
+            return
+        if not attempt.status:
+            self._recorder.find(
+                "cut off", f"{attempt.host} left an order without an end for {CLEAR_END_S} s, cut off since {since:.3f}"
+            )
+        if 400 <= attempt.status < 500:
+            self._recorder.find("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
+
+    def _must_know(self, attempt: order_model.Attempt, since: float) -> bool:
+        """Whether the node was cut off and running for long enough before the order, and still is."""
+        is_still_isolated = self._faults.isolated_since.get(attempt.host) == since
+        if not is_still_isolated or attempt.sent_at - since < ISOLATED_FOR_S:
+            return False
+        process = self._network.machines[attempt.host].running_process
+        if not process.is_alive or process.is_frozen:
+            return False
+        return attempt.sent_at - process.begun_at >= ISOLATED_FOR_S
--- a/ploverward/simulation/control_plane/link_faults.py
+++ b/ploverward/simulation/control_plane/link_faults.py
@@ -11,7 +11,7 @@
 from ploverward.simulation.control_plane.fault_scene import FaultScene
 
 if TYPE_CHECKING:
-    from ploverward.simulation.control_plane import scenario
+    from ploverward.simulation.control_plane import fleet
     from ploverward.simulation.control_plane import simulated_network
 
 PARTITION_S = (1.0, 14.0)  # how long links are cut, slow or lose answers
@@ -40,11 +40,11 @@
     scene.begin(name, slots)
     simulation.network.partition(pairs=pairs, is_reset=scene.chance.random() < RESET_CHANCE)
     for slot in slots:
-        simulation.isolated_since[slot.machine.host] = scene.clock.time
+        simulation.fault_log.isolated_since[slot.machine.host] = scene.clock.time
 
     def end() -> None:
         for slot in slots:
-            simulation.isolated_since.pop(slot.machine.host, None)
+            simulation.fault_log.isolated_since.pop(slot.machine.host, None)
         simulation.network.join(pairs=pairs)
         scene.end(name, slots)
 
@@ -52,19 +52,19 @@
 
 
 def _draw_pairs(
-    scene: FaultScene, slots: Sequence[scenario.Slot], *, duration_s: float, is_out: bool, is_in: bool
+    scene: FaultScene, slots: Sequence[fleet.Slot], *, duration_s: float, is_out: bool, is_in: bool
 ) -> list[simulated_network.HostPair]:
     """Returns the pairs of hosts between which links are cut; some proxies may be on the lost side."""
     simulation = scene.simulation
     own = [slot.machine.host for slot in slots]
-    beside = [host for host in simulation.proxy_hosts() if scene.chance.random() < 0.4]
+    beside = [host for host in simulation.fleet.proxy_hosts if scene.chance.random() < 0.4]
     inside = set(own) | set(beside)
-    others = [host for host in (*simulation.core_hosts(), *simulation.proxy_hosts()) if host not in inside]
+    others = [host for host in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if host not in inside]
     if scene.chance.random() < 0.5:
         inside = set(own)  # the proxies reach both sides
-        others = [host for host in simulation.core_hosts() if host not in own]
+        others = [host for host in simulation.fleet.core_hosts() if host not in own]
     for host in inside - set(own):
-        simulation.proxy_fault_until[host] = scene.clock.time + duration_s
+        simulation.fault_log.proxy_fault_until[host] = scene.clock.time + duration_s
     pairs = [(one, other) for one in sorted(inside) for other in others]
     return (pairs if is_out else []) + ([(other, one) for one, other in pairs] if is_in else [])
 
@@ -72,9 +72,9 @@
 def reset(scene: FaultScene) -> None:
     """Connections of one machine are reset; nothing is lost by it."""
     simulation = scene.simulation
-    host = scene.chance.choice(simulation.core_hosts())
-    others = [other for other in (*simulation.core_hosts(), *simulation.proxy_hosts()) if other != host]
-    simulation.record_fault_edge(f"reset of {host}", ())
+    host = scene.chance.choice(simulation.fleet.core_hosts())
+    others = [other for other in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if other != host]
+    simulation.fault_log.record_edge(f"reset of {host}", ())
     simulation.network.reset(pairs=[(host, other) for other in others])
 
 
--- a/ploverward/simulation/control_plane/machine_faults.py
+++ b/ploverward/simulation/control_plane/machine_faults.py
@@ -12,8 +12,8 @@
 from ploverward.simulation.control_plane.fault_scene import FaultScene
 
 if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import fleet
     from ploverward.simulation.control_plane import machines
-    from ploverward.simulation.control_plane import scenario
 
 FREEZE_S = (0.3, 12.0)  # how long a process is frozen
 DOWN_S = (0.3, 8.0)  # how long a machine is down
@@ -41,7 +41,7 @@
 
 
 def stop_slots(
-    scene: FaultScene, name: str, slots: Sequence[scenario.Slot], *, is_power_lost: bool, is_emptied: bool = False
+    scene: FaultScene, name: str, slots: Sequence[fleet.Slot], *, is_power_lost: bool, is_emptied: bool = False
 ) -> None:
     """Stops the machines of some slots, and starts them again after a while.
 
@@ -57,13 +57,13 @@
     duration_s = scene.draw_duration_s(DOWN_S)
     scene.begin(name, slots)
     for slot in slots:
-        scene.simulation.stop(slot, is_power_lost=is_power_lost)
+        scene.simulation.fleet.stop(slot, is_power_lost=is_power_lost)
         if is_emptied:
             slot.machine.disk.empty()
 
     def end() -> None:
         for slot in slots:
-            scene.simulation.restart(slot, is_emptied=is_emptied)
+            scene.simulation.fleet.restart(slot, is_emptied=is_emptied)
         scene.end(name, slots)
 
     scene.after(duration_s, end)
@@ -143,18 +143,18 @@
     scene.after(abs(pause_s), lambda: scene.end(name, slots))
 
 
-def _replace_slot(scene: FaultScene, slot: scenario.Slot, *, pause_s: float, is_in_order: bool) -> None:
+def _replace_slot(scene: FaultScene, slot: fleet.Slot, *, pause_s: float, is_in_order: bool) -> None:
     simulation = scene.simulation
     replaced: machines.Machine = slot.machine
     if pause_s < 0:
-        simulation.start_successor(slot)
-        scene.after(-pause_s, lambda: simulation.remove(replaced, is_in_order=is_in_order))
+        simulation.fleet.start_successor(slot)
+        scene.after(-pause_s, lambda: simulation.fleet.remove(replaced, is_in_order=is_in_order))
         return
-    simulation.remove(replaced, is_in_order=is_in_order)
+    simulation.fleet.remove(replaced, is_in_order=is_in_order)
     if pause_s:
-        scene.after(pause_s, lambda: simulation.start_successor(slot))
+        scene.after(pause_s, lambda: simulation.fleet.start_successor(slot))
     else:
-        simulation.start_successor(slot)
+        simulation.fleet.start_successor(slot)
 
 
 def kill_all(scene: FaultScene) -> None:
@@ -167,7 +167,7 @@
     scene.simulation.at_moment(lambda: stop_all(scene, "all_power"))
 
 
-def stop_all(scene: FaultScene, kind: str, *, emptied: Sequence[scenario.Slot] = ()) -> None:
+def stop_all(scene: FaultScene, kind: str, *, emptied: Sequence[fleet.Slot] = ()) -> None:
     """Stops all core machines that run, and starts them again after a while.
 
     Args:
@@ -176,16 +176,16 @@
         emptied: The slots whose disks lose their content.
     """
     simulation = scene.simulation
-    slots = [slot for slot in simulation.slots if not slot.is_down]
+    slots = [slot for slot in simulation.fleet.slots if not slot.is_down]
     scene.begin(kind, slots)
     for slot in slots:
-        simulation.stop(slot, is_power_lost=kind == "all_power")
+        simulation.fleet.stop(slot, is_power_lost=kind == "all_power")
         if slot in emptied:
             slot.machine.disk.empty()
 
     def end() -> None:
         for slot in slots:
-            simulation.restart(slot, is_emptied=slot in emptied)
+            simulation.fleet.restart(slot, is_emptied=slot in emptied)
         scene.end(kind, slots)
 
     scene.after(scene.chance.uniform(*RESTART_S), end)
--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -1,355 +1,298 @@
-"""Model operators: orders that are sent until they have a clear answer, races, repeats, invalid ones, and reads."""
+"""Model operators: orders one after the other, races, repeats, invalid ones, evacuations, and reads (docs/simulate.md).
+
+`Operators` owns all orders and reads of a run, and what an operator knows: the newest edition that was acknowledged or
+read. How an order is sent is in order_sender.py.
+"""
+
+from __future__ import annotations
 
 import dataclasses
+import enum
 import json
-import urllib.parse
+from collections.abc import Callable
+from typing import Any
 
 from ploverward.simulation.control_plane import machines
+from ploverward.simulation.control_plane import order_model
+from ploverward.simulation.control_plane import order_sender
+from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_http
 
-LOST_PART = 0.3  # of the answers, while answers are lost
-CALLER_TIMEOUT_S = 1.0  # callers go to another node after so long
-MAX_REDIRECTS = 2
-MAX_REJECTIONS = 3
-CLEAR = (400, 409, 412, 413, 422)
-PATH = "/ploverward/configuration"
-PUT, PATCH, EVACUATE, RESTORE = "put", "patch", "evacuate", "restore"
-SENT, READ = "sent", "read"  # moments, with ACKNOWLEDGED; a read counts where it tells a version not yet acknowledged
-ACKNOWLEDGED, REFUSED, GIVEN_UP = "acknowledged", "refused", "given up"
-
-
-@dataclasses.dataclass
-class Attempt:
-    """One sending of an order to one node."""
-
-    host: str
-    sent_at: float
-    answered_at: float = 0.0
-    status: int = 0
-    body: bytes = b""
-
-
-@dataclasses.dataclass
-class Order:
-    """One change that an operator wants."""
-
-    name: str
-    kind: str
-    base: int = 0
-    edition: int = 0
-    zone: str = ""
-    is_valid: bool = True
-    is_alone: bool = True  # no other order on the same base
-    request: tuple = ()  # (method, target, headers, body)
-    begun_at: float = 0.0
-    ended_at: float | None = None
-    outcome: str = ""
-    attempts: list = dataclasses.field(default_factory=list)
-    is_repeat: bool = False
-    lost_at: float | None = None  # when an acknowledgement was lost on its way
-
-
-@dataclasses.dataclass
-class ReadRequest:
-    """One reading of the configuration or the evacuations that was answered."""
-
-    what: str
-    host: str
-    begun_at: float
-    ended_at: float
-    value: object
-
-
-def configuration(*, edition: int, order_name: str, is_valid: bool = True) -> dict:
-    return {
-        "edition": edition,
-        "routes": [_route(order_name=order_name, is_valid=is_valid)],
-        "destinations": [{"name": "llm"}],
-    }
-
-
-def _route(*, order_name: str, is_valid: bool = True) -> dict:
-    return {
-        "name": "r",
-        "host": "h.example",
-        "pathLead": "/a/",
-        "kind": "streaming",
-        "expiryMs": 5000,
-        "destination": "llm" if is_valid else "nobody",
-        "note": order_name,
-    }
+FIRST_CHANGE_S, FIRST_READ_S, FIRST_EVACUATION_S = 0.4, 1.0, 2.0  # since the begin of the run
+RACE_UNTIL, REPEAT_UNTIL, INVALID_UNTIL = 0.12, 0.27, 0.33  # of one roll for the next change; above: a plain one
+PATCH_CHANCE = 0.4  # that a change is a patch, once there is a configuration
+MAX_READ_ATTEMPTS = 60
+READ_PAUSE_S = 0.2  # between two attempts of a read
+MAX_REPEAT_ATTEMPTS, MAX_INVALID_ATTEMPTS = 6, 4
+
+OnRead = Callable[[Any], object]  # with the value; None: not answered
+
+
+class Moment(enum.Enum):
+    """Moments of orders and reads at which closing faults may begin."""
+
+    SENT = "sent"
+    ACKNOWLEDGED = "acknowledged"
+    READ = "read"  # of an edition that was not acknowledged yet
 
 
 class Operators:
-    """All operators of a day. `hosts()` are the nodes that they know of."""
-
-    def __init__(self, *, network, recorder, hosts, gap_s: float, receipt_s: float):
-        self.orders = []
-        self.reads = []
-        self.taken = []  # acknowledged configuration orders
-        self.edition = 0  # newest acknowledged or read
-        self.zones = {}  # zone: the evacuation order under way or the last one
-        self.on_taken = lambda _order: None
-        self.moments = {}  # SENT, ACKNOWLEDGED, READ: what is to be called at the next such moment
-        self.loses_answers = False
+    """All operators of a run.
+
+    Attributes:
+        sender: Sends what they want.
+        orders: All orders that were sent.
+        reads: All reads that were answered.
+        edition: The newest edition acknowledged or read.
+        on_acknowledged: Called with each acknowledged configuration order.
+        is_stopped: Whether no further order or read begins.
+    """
+
+    def __init__(
+        self, *, sender: order_sender.OrderSender, recorder: recorders.Recorder, gap_s: float, receipt_s: float
+    ) -> None:
+        """Makes the operators.
+
+        Args:
+            sender: Sends what they want.
+            recorder: Of the run.
+            gap_s: About how long it takes from one change's end to the next.
+            receipt_s: For how long an evacuation is sent.
+        """
+        self.sender = sender
+        self.orders: list[order_model.Order] = []
+        self.reads: list[order_model.Read] = []
+        self.edition = 0
+        self.on_acknowledged: order_sender.OnOrder = lambda _order: None
         self.is_stopped = False
-        self._clock = network.clock
-        self._chance = network.clock.chance
+        self._clock = sender.clock
+        self._chance = sender.clock.chance
         self._recorder = recorder
-        self._hosts = hosts
         self._gap_s = gap_s
         self._receipt_s = receipt_s
-        self._caller = simulated_http.Caller(network=network, host="operators")
-        self._top = 0  # highest edition used in any order
+        self._acknowledged: list[order_model.Order] = []  # configuration orders
+        self._zone_orders: dict[str, order_model.Order] = {}  # the one under way or the last one
+        self._at_moments: dict[Moment, Callable[[], object]] = {}
+        self._highest_edition = 0  # used in any order
 
     def start(self) -> None:
-        self._clock.later(delay=0.4, callback=self._next_change)
-        self._clock.later(delay=2.0, callback=self._next_evacuation)
-        self._clock.later(delay=1.0, callback=self._next_read)
+        """Begins changes, evacuations and reads."""
+        self._clock.later(delay=FIRST_CHANGE_S, callback=self._begin_change)
+        self._clock.later(delay=FIRST_EVACUATION_S, callback=self._begin_evacuation)
+        self._clock.later(delay=FIRST_READ_S, callback=self._begin_read)
+
+    def at_next(self, moment: Moment, callback: Callable[[], object]) -> None:
+        """Has a callback called once, at the next such moment."""
+        self._at_moments[moment] = callback
+
+    def forget_moments(self) -> None:
+        """Takes all calls of `at_next` back."""
+        self._at_moments.clear()
+
+    def _reach(self, moment: Moment) -> None:
+        callback = self._at_moments.pop(moment, None)
+        if callback is not None:
+            callback()
 
     # Configurations: the next one follows the one before, as an operator does.
-    def _next_change(self) -> None:
+    def _begin_change(self) -> None:
         if self.is_stopped:
             return
         roll = self._chance.random()
-        if self.edition and roll < 0.12:
+        if self.edition and roll < RACE_UNTIL:
             self._race()
-        elif self.taken and roll < 0.27:
+        elif self._acknowledged and roll < REPEAT_UNTIL:
             self._repeat()
-        elif self.edition and roll < 0.33:
-            self._invalid()
+        elif self.edition and roll < INVALID_UNTIL:
+            self._send_invalid()
         else:
-            self._change(then=self._pause)
+            self._change()
 
-    def _pause(self, _order=None) -> None:
-        self._clock.later(delay=self._chance.uniform(0.2, 1.8) * self._gap_s, callback=self._next_change)
+    def _pause(self, _ended: object = None) -> None:
+        self._clock.later(delay=self._chance.uniform(0.2, 1.8) * self._gap_s, callback=self._begin_change)
 
     def _new_edition(self) -> int:
-        self._top = max(self._top, self.edition) + self._chance.randint(1, 3)
-        return self._top
-
-    def _make(self, *, edition: int, is_valid: bool = True) -> Order:
-        name = f"o{len(self.orders)}"
-        order = Order(name=name, kind=PUT, base=self.edition, edition=edition, is_valid=is_valid)
-        if self.edition and self._chance.random() < 0.4:
-            order.kind = PATCH
-            patch = {"edition": edition, "upsert": {"routes": [_route(order_name=name, is_valid=is_valid)]}}
-            body = json.dumps(patch).encode()
-        else:
-            body = json.dumps(configuration(edition=edition, order_name=name, is_valid=is_valid)).encode()
-        headers = (("If-Match", str(order.base)), ("Content-Type", "application/json"))
-        order.request = (order.kind.upper(), PATH, headers, body)
+        self._highest_edition = max(self._highest_edition, self.edition) + self._chance.randint(1, 3)
+        return self._highest_edition
+
+    def _make_order(self, *, edition: int, is_valid: bool = True, suffix: str = "") -> order_model.Order:
+        name = f"o{len(self.orders)}{suffix}"
+        kind = order_model.OrderKind.PUT
+        make_body = order_model.configuration_body
+        if self.edition and self._chance.random() < PATCH_CHANCE:
+            kind = order_model.OrderKind.PATCH
+            make_body = order_model.patch_body
+        call = order_model.HttpCall(
+            method=kind.upper(),
+            target=order_model.CONFIGURATION_PATH,
+            headers=(("If-Match", str(self.edition)), ("Content-Type", "application/json")),
+            body=make_body(edition=edition, order_name=name, is_valid=is_valid),
+        )
+        return order_model.Order(name=name, kind=kind, call=call, base=self.edition, edition=edition, is_valid=is_valid)
+
+    def make_probe(self, *, name: str) -> order_model.Order:
+        """Makes a valid complete configuration that is not sent by the operators themselves."""
+        order = self._make_order(edition=self._new_edition())
+        order.name = name
+        order.is_alone = False
+        body = order_model.configuration_body(edition=order.edition, order_name=name)
+        order.call = dataclasses.replace(order.call, method="PUT", body=body)
         return order
 
-    def _change(self, *, then) -> None:
-        order = self._make(edition=self._new_edition())
-        self._send(order, then=lambda done: self._learn(done, then))
+    def _change(self) -> None:
+        def learn(order: order_model.Order) -> None:
+            # After a refusal the operator reads what is in force.
+            if order.outcome == order_model.Outcome.ACKNOWLEDGED:
+                self._pause()
+            else:
+                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._pause)
 
-    def _learn(self, order: Order, then) -> None:
-        """After a refusal the operator reads what is in force."""
-        if order.outcome == ACKNOWLEDGED:
-            then(order)
-            return
-        self.read(what="configuration", then=lambda _read: then(order))
+        self._send(self._make_order(edition=self._new_edition()), then=learn)
 
     def _race(self) -> None:
-        first = self._make(edition=self._new_edition())
-        second = self._make(edition=first.edition if self._chance.random() < 0.5 else self._new_edition())
-        second.name += "b"
-        method, target, headers, body = second.request
-        second.request = (
-            method,
-            target,
-            headers,
-            body.replace(first.name.encode() + b'"', second.name.encode() + b'"'),
-        )
+        """Two orders on one base at once, at times for the same edition."""
+        first = self._make_order(edition=self._new_edition())
+        edition = first.edition if self._chance.random() < 0.5 else self._new_edition()
+        second = self._make_order(edition=edition, suffix="b")
         first.is_alone = second.is_alone = False
         left = [first, second]
 
-        def ended(order):
+        def end(order: order_model.Order) -> None:
             left.remove(order)
             if not left:
-                self.read(what="configuration", then=self._pause)
+                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._pause)
 
         for order in (first, second):
-            self._send(order, then=ended)
+            self._send(order, then=end)
 
     def _repeat(self) -> None:
-        """An order taken at any time before, sent again as it was."""
-        earlier = self._chance.choice(self.taken)
-        order = dataclasses.replace(earlier, outcome="", attempts=[], is_repeat=True, ended_at=None)
-        self._send(order, then=self._pause, most=6)
+        """An order that was acknowledged at any time before, sent again as it was."""
+        earlier = self._chance.choice(self._acknowledged)
+        order = dataclasses.replace(
+            earlier, outcome=order_model.Outcome.OPEN, attempts=[], is_repeat=True, ended_at=None
+        )
+        self._send(order, then=self._pause, max_attempts=MAX_REPEAT_ATTEMPTS)
 
-    def _invalid(self) -> None:
+    def _send_invalid(self) -> None:
+        """An order that names an unknown destination, or whose edition is not newer."""
         if self._chance.random() < 0.5:
-            order = self._make(edition=self._new_edition(), is_valid=False)
+            order = self._make_order(edition=self._new_edition(), is_valid=False)
         else:
-            order = self._make(edition=self._chance.randint(0, self.edition), is_valid=True)
+            order = self._make_order(edition=self._chance.randint(0, self.edition))
             order.is_valid = False
-        self._send(order, then=self._pause, most=4)
+        self._send(order, then=self._pause, max_attempts=MAX_INVALID_ATTEMPTS)
 
     # Evacuations: one at a time for each zone.
-    def _next_evacuation(self) -> None:
+    def _begin_evacuation(self) -> None:
         if self.is_stopped:
             return
         zone = self._chance.choice(sorted(machines.ZONES))
-        previous = self.zones.get(zone)
+        previous = self._zone_orders.get(zone)
         if previous is None or previous.outcome:
-            kind = RESTORE if previous is not None and previous.kind == EVACUATE else EVACUATE
-            if previous is not None and previous.outcome == GIVEN_UP:
-                kind = previous.kind
-            order = Order(name=f"e{len(self.orders)}", kind=kind, zone=zone)
-            method = "POST" if kind == EVACUATE else "DELETE"
-            order.request = (method, f"/ploverward/evacuation/{zone}", (), b"")
-            self.zones[zone] = order
+            order = self._make_evacuation(zone, previous)
+            self._zone_orders[zone] = order
             self._send(order, then=lambda _order: None, limit_s=self._receipt_s)
-        self._clock.later(delay=self._chance.uniform(0.5, 2.0) * max(1.0, self._gap_s), callback=self._next_evacuation)
-
-    def _next_read(self) -> None:
+        pause_s = self._chance.uniform(0.5, 2.0) * max(1.0, self._gap_s)
+        self._clock.later(delay=pause_s, callback=self._begin_evacuation)
+
+    def _make_evacuation(self, zone: str, previous: order_model.Order | None) -> order_model.Order:
+        """Evacuates and restores by turns; an order that was given up is made again."""
+        kind = order_model.OrderKind.EVACUATE
+        if previous is not None and previous.outcome == order_model.Outcome.GIVEN_UP:
+            kind = previous.kind
+        elif previous is not None and previous.kind == order_model.OrderKind.EVACUATE:
+            kind = order_model.OrderKind.RESTORE
+        method = "POST" if kind == order_model.OrderKind.EVACUATE else "DELETE"
+        call = order_model.HttpCall(method=method, target=f"{order_model.EVACUATION_PATH}/{zone}")
+        return order_model.Order(name=f"e{len(self.orders)}", kind=kind, call=call, zone=zone)
+
+    # Reads.
+    def _begin_read(self) -> None:
         if self.is_stopped:
             return
-        self.read(what=self._chance.choice(("configuration", "evacuation")), then=lambda _read: None, most=1)
-        self._clock.later(delay=self._chance.uniform(0.05, 1.0), callback=self._next_read)
-
-    def read(self, *, what: str, then, most: int = 60, host: str = "") -> None:
-        """Reads until it is answered, at most so many times."""
+        self.read(what=self._chance.choice(tuple(order_model.ReadKind)), then=lambda _value: None, max_attempts=1)
+        self._clock.later(delay=self._chance.uniform(0.05, 1.0), callback=self._begin_read)
+
+    def read(
+        self,
+        *,
+        what: order_model.ReadKind,
+        then: OnRead,
+        max_attempts: int = MAX_READ_ATTEMPTS,
+        host: str = "",
+    ) -> None:
+        """Reads until it is answered.
+
+        Args:
+            what: What to read.
+            then: Called with the value; with None where no attempt was answered.
+            max_attempts: How many.
+            host: The node to ask; empty: any, another one each time.
+        """
         begun_at = self._clock.time
-        hosts = [host] if host else self._shuffled()
-        node = hosts[most % len(hosts)]
+        hosts = [host] if host else self.sender.shuffled_hosts()
+        node = hosts[max_attempts % len(hosts)]
 
-        def answered(answer):
-            if answer is not None and answer[0] == 200:
-                body = json.loads(answer[2])
-                value = body["edition"] if what == "configuration" else frozenset(body["zones"])
+        def handle_answer(answer: simulated_http.Answer | None) -> None:
+            value = _read_value(what, answer)
+            if value is not None:
                 self._note_read(what, node, begun_at, value)
                 then(value)
-            elif answer is not None and answer[0] == 404 and what == "configuration":
-                self._note_read(what, node, begun_at, 0)
-                then(0)
-            elif most > 1:
-                self._clock.later(delay=0.2, callback=lambda: self.read(what=what, then=then, most=most - 1, host=host))
+            elif max_attempts > 1:
+                self._clock.later(
+                    delay=READ_PAUSE_S,
+                    callback=lambda: self.read(what=what, then=then, max_attempts=max_attempts - 1, host=host),
+                )
             else:
                 then(None)
 
-        target = PATH if what == "configuration" else "/ploverward/evacuation"
-        self._follow(node, "GET", target, (), b"", answered, redirects=MAX_REDIRECTS)
+        is_configuration = what == order_model.ReadKind.CONFIGURATION
+        target = order_model.CONFIGURATION_PATH if is_configuration else order_model.EVACUATION_PATH
+        self.sender.call(node, order_model.HttpCall(method="GET", target=target), done=handle_answer)
 
-    def _note_read(self, what: str, host: str, begun_at: float, value) -> None:
+    def _note_read(self, what: order_model.ReadKind, host: str, begun_at: float, value: Any) -> None:  # noqa: ANN401
         self._recorder.record("read", what=what, host=host, value=value)
-        read = ReadRequest(what=what, host=host, begun_at=begun_at, ended_at=self._clock.time, value=value)
+        read = order_model.Read(what=what, host=host, begun_at=begun_at, ended_at=self._clock.time, value=value)
         self.reads.append(read)
-        if what == "configuration" and value > self.edition:
+        if what == order_model.ReadKind.CONFIGURATION and value > self.edition:
             self.edition = value
-            self._moment(READ)
+            self._reach(Moment.READ)
 
     # Sending.
-    def _shuffled(self) -> list:
-        hosts = sorted(self._hosts())
-        self._chance.shuffle(hosts)
-        return hosts
-
-    def _send(self, order: Order, *, then, most: int = 10_000, limit_s: float = 10_000.0) -> None:
+    def _send(
+        self,
+        order: order_model.Order,
+        *,
+        then: order_sender.OnOrder,
+        max_attempts: int = order_sender.MAX_ATTEMPTS,
+        limit_s: float = order_sender.UNLIMITED_S,
+    ) -> None:
         order.begun_at = self._clock.time
         self.orders.append(order)
         self._recorder.record("order", name=order.name, kind=order.kind, base=order.base, edition=order.edition)
-        self._moment(SENT)
-        state = {"pause": 0.05, "hosts": self._shuffled(), "number": 0, "refusals": 0}
-
-        def end(outcome):
-            order.outcome = outcome
-            order.ended_at = self._clock.time
-            self._recorder.record("order ended", name=order.name, outcome=outcome, zone=order.zone)
-            if outcome == ACKNOWLEDGED:
-                self._acknowledged(order)
+        self._reach(Moment.SENT)
+
+        def end(order: order_model.Order) -> None:
+            if order.outcome == order_model.Outcome.ACKNOWLEDGED:
+                self._handle_acknowledged(order)
             then(order)
 
-        def attempt():
-            if order.outcome:
-                return
-            if state["number"] >= most or self._clock.time - order.begun_at >= limit_s:
-                end(GIVEN_UP)
-                return
-            if state["number"] and state["number"] % len(state["hosts"]) == 0:
-                state["hosts"] = self._shuffled()
-            host = state["hosts"][state["number"] % len(state["hosts"])]
-            state["number"] += 1
-            made = Attempt(host=host, sent_at=self._clock.time)
-            order.attempts.append(made)
-            self._follow(
-                host,
-                *order.request,
-                lambda answer: answered(made, answer),
-                redirects=MAX_REDIRECTS,
-                on_lost=lost if self.loses_answers and self._chance.random() < LOST_PART else None,
-            )
-
-        def lost(answer):
-            if answer is not None and answer[0] == 200 and order.lost_at is None:
-                order.lost_at = self._clock.time
-
-        def answered(made, answer):
-            made.answered_at = self._clock.time
-            if answer is not None:
-                made.status, made.body = answer[0], answer[2]
-            self._recorder.record("answer", order=order.name, host=made.host, status=made.status, body=made.body[:90])
-            status = made.status
-            if status == 200:
-                end(ACKNOWLEDGED)
-            elif status in CLEAR:
-                end(REFUSED)
-            elif 400 <= status < 500 and status not in (408, 429):
-                state["refusals"] += 1
-                if state["refusals"] >= MAX_REJECTIONS:
-                    end(REFUSED)
-                else:
-                    again()
-            else:
-                again()
-
-        def again():
-            pause = state["pause"]
-            state["pause"] = min(pause * 1.6, 0.5)
-            self._clock.later(delay=pause, callback=attempt)
-
-        attempt()
-
-    def _follow(self, host, method, target, headers, body, done, *, redirects: int, on_lost=None) -> None:
-        def answered(answer):
-            if answer is not None and answer[0] == 307 and redirects:
-                location = urllib.parse.urlsplit(answer[1].get("location", ""))
-                self._follow(
-                    location.hostname or host,
-                    method,
-                    location.path or target,
-                    headers,
-                    body,
-                    done,
-                    redirects=redirects - 1,
-                    on_lost=on_lost,
-                )
-            else:
-                done(answer)
-
-        self._caller.call(
-            host=host,
-            port=machines.CONTROL_PORT,
-            method=method,
-            target=target,
-            headers=headers,
-            body=body,
-            limit_s=CALLER_TIMEOUT_S,
-            done=answered,
-            on_lost=on_lost,
-        )
+        self.sender.send(order, on_ended=end, max_attempts=max_attempts, limit_s=limit_s)
 
-    def _acknowledged(self, order: Order) -> None:
-        if order.kind in (PUT, PATCH) and not order.is_repeat and order.is_valid:
+    def _handle_acknowledged(self, order: order_model.Order) -> None:
+        if order.is_configuration and not order.is_repeat and order.is_valid:
             self.edition = max(self.edition, order.edition)
-            self.taken.append(order)
-            self.on_taken(order)
-        self._moment(ACKNOWLEDGED)
-
-    def _moment(self, kind: str) -> None:
-        callback = self.moments.pop(kind, None)
-        if callback is not None:
-            callback()
+            self._acknowledged.append(order)
+            self.on_acknowledged(order)
+        self._reach(Moment.ACKNOWLEDGED)
+
+
+def _read_value(what: order_model.ReadKind, answer: simulated_http.Answer | None) -> Any:  # noqa: ANN401
+    """Returns the edition or the evacuated zones of an answer; None where it says neither."""
+    is_configuration = what == order_model.ReadKind.CONFIGURATION
+    if answer is not None and answer.status == 200:
+        body = json.loads(answer.body)
+        return body["edition"] if is_configuration else frozenset(body["zones"])
+    if answer is not None and answer.status == 404 and is_configuration:
+        return 0
+    return None
--- a/ploverward/simulation/control_plane/outside_faults.py
+++ b/ploverward/simulation/control_plane/outside_faults.py
@@ -1,4 +1,4 @@
-"""Faults outside the core set: proxies, operators and the platform (docs/simulate.md). No core machine is lost by them."""
+"""Faults outside the core set, of proxies, operators and the platform: no core machine is lost (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 def kill_proxy(scene: FaultScene) -> None:
     """One proxy is killed or loses power, and starts again."""
     simulation = scene.simulation
-    host = scene.chance.choice(simulation.proxy_hosts())
+    host = scene.chance.choice(simulation.fleet.proxy_hosts)
     simulation.recorder.record("proxy killed", host=host)
-    simulation.stop_proxy(host, is_power_lost=scene.chance.random() < 0.5)
-    scene.after(scene.draw_duration_s(machine_faults.DOWN_S), lambda: simulation.start_proxy(host))
+    simulation.fleet.stop_proxy(host, is_power_lost=scene.chance.random() < 0.5)
+    scene.after(scene.draw_duration_s(machine_faults.DOWN_S), lambda: simulation.fleet.start_proxy(host))
 
 
 def freeze_proxy(scene: FaultScene) -> None:
     """One proxy stands still while its clock goes on."""
     simulation = scene.simulation
-    host = scene.chance.choice(simulation.proxy_hosts())
+    host = scene.chance.choice(simulation.fleet.proxy_hosts)
     process = simulation.network.machines[host].process
     if process is None or not process.is_alive or process.is_frozen:
         return
@@ -38,8 +38,8 @@
 def partition_proxy(scene: FaultScene) -> None:
     """One proxy is cut off from some core machines."""
     simulation = scene.simulation
-    host = scene.chance.choice(simulation.proxy_hosts())
-    others = [other for other in simulation.core_hosts() if scene.chance.random() < 0.7]
+    host = scene.chance.choice(simulation.fleet.proxy_hosts)
+    others = [other for other in simulation.fleet.core_hosts() if scene.chance.random() < 0.7]
     pairs = [(host, other) for other in others] + [(other, host) for other in others]
     simulation.recorder.record("proxy cut", host=host, others=",".join(others))
     simulation.network.partition(pairs=pairs, is_reset=scene.chance.random() < link_faults.RESET_CHANCE)
@@ -49,18 +49,18 @@
 
 def _disturb_proxy(scene: FaultScene, host: str, duration_s: float, end: Callable[[], object]) -> None:
     """Notes a fault of one proxy: checks leave it out until `contactMs` after its end."""
-    fault_until = scene.simulation.proxy_fault_until
+    fault_until = scene.simulation.fault_log.proxy_fault_until
     fault_until[host] = max(fault_until.get(host, 0.0), scene.clock.time + duration_s)
     scene.after(duration_s, end)
 
 
 def lose_answers(scene: FaultScene) -> None:
     """Some answers to operators are lost on their way."""
-    model = scene.simulation.operators
-    model.loses_answers = True
+    sender = scene.simulation.operators.sender
+    sender.loses_answers = True
 
     def end() -> None:
-        model.loses_answers = False
+        sender.loses_answers = False
 
     scene.after(scene.draw_duration_s(link_faults.PARTITION_S), end)
 
@@ -81,6 +81,6 @@
 
 def probe_isolated(scene: FaultScene) -> None:
     """An order is sent to a node that is cut off now."""
-    hosts = sorted(scene.simulation.isolated_since)
+    hosts = sorted(scene.simulation.fault_log.isolated_since)
     if hosts:
-        scene.simulation.probe(scene.chance.choice(hosts))
+        scene.simulation.probes.probe(scene.chance.choice(hosts))
--- a/ploverward/simulation/control_plane/platform_model.py
+++ b/ploverward/simulation/control_plane/platform_model.py
@@ -1,4 +1,4 @@
-"""A model of the platform: its list of replicas, and the connection over which a core node reads it (docs/simulate.md)."""
+"""A model of the platform: its list of replicas, and how a core node reads it (docs/simulate.md)."""
 
 from __future__ import annotations
 
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 
 from ploverward.common import settings as settings_files
+from ploverward.common.identifiers import Version
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import endpoint_list
@@ -17,10 +18,11 @@
 from ploverward.data_plane.control_client import share_renewals
 from ploverward.data_plane.quotas import shared_limits
 from ploverward.simulation.control_plane import machines
-from ploverward.simulation.control_plane import recorder as recorders
+from ploverward.simulation.control_plane import share_checks
 from ploverward.simulation.control_plane import simulated_clock
 from ploverward.simulation.control_plane import simulated_network
 from ploverward.simulation.control_plane import simulated_peers
+from ploverward.simulation.control_plane import value_checks
 from ploverward.transport import messages
 
 
@@ -37,8 +39,8 @@
         members: the core set as far as it is known here.
         quota: the shares that core nodes leased to it.
         subscriber: the versions that it has.
-        edition: of the newest configuration here; the recorder keeps it.
-        versions: of each topic as the recorder saw them; the recorder keeps them.
+        edition: of the newest configuration here; `ValueChecks` keeps it.
+        versions: of each topic; `ValueChecks` keeps them.
     """
 
     def __init__(
@@ -46,20 +48,22 @@
         *,
         network: simulated_network.Network,
         machine: machines.Machine,
-        process: simulated_clock.Process,
+        process: machines.Program,
         node_settings: settings_files.Settings,
-        recorder: recorders.Recorder,
+        values: value_checks.ValueChecks,
+        shares: share_checks.ShareChecks,
     ) -> None:
-        """Starts the model; `recorder` gets what it installs and each change of its shares."""
+        """Starts the model; `values` gets what it installs, `shares` each change of its shares."""
         self.machine = machine
         self.process = process
         self.settings = node_settings
         self.host = machine.host
         self.incarnation = f"{network.clock.chance.getrandbits(48):012x}"
         self.network = network
-        self._recorder = recorder
+        self._value_checks = values
+        self._share_checks = shares
         self.edition = 0
-        self.versions: dict = {}
+        self.versions: dict[str, Version] = {}
         self.loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
         contact_s = node_settings.bound_s(name="contactMs")
         self._peer_timeout_s = contact_s / proxy_node.PEER_TIMEOUTS_PER_CONTACT
@@ -168,14 +172,14 @@
         sent_at = self._renewals.sent_at(message.number)
         if sent_at is not None:
             self.quota.handle_share_lease(host, message, sent_at=sent_at)
-            self._recorder.shares(self)
+            self._share_checks.handle_lease(self)
 
     def _check_serving(self) -> None:
         if self._gate.open_if_ready(members=self.members, versions=self.subscriber.versions):
             self._broadcast(messages.NodeState(is_ready=True, is_draining=False))
 
     def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
-        self._recorder.applied(self, snapshot.topic, *snapshot.version, snapshot.data)
+        self._value_checks.check_installed(self, snapshot.topic, snapshot.version, snapshot.data)
         if snapshot.topic == register_names.CORE_SET:
             self.members = ballots.unpack(snapshot.data)[0]
             self.loop.command(callback=self._connect)
@@ -196,20 +200,22 @@
     machine: machines.Machine,
     node_settings: settings_files.Settings,
     on_failure: Callable,
-    recorder: recorders.Recorder,
+    values: value_checks.ValueChecks,
+    shares: share_checks.ShareChecks,
 ) -> Proxy | None:
     """Switches the machine on and starts a proxy in a process of its own; None where its start failed."""
     machine.is_powered = True
-    machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
+    process = machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
     made: list[Proxy] = []
-    machine.process.guard(
+    process.guard(
         lambda: made.append(
             Proxy(
                 network=network,
                 machine=machine,
-                process=machine.process,
+                process=process,
                 node_settings=node_settings,
-                recorder=recorder,
+                values=values,
+                shares=shares,
             )
         )
     )
--- /dev/null
+++ b/ploverward/simulation/control_plane/share_checks.py
@@ -0,0 +1,115 @@
+"""The check that the shares which proxies may use never sum to more than all of a limit (docs/simulate.md).
+
+`ShareChecks` owns, for each life of a proxy, which share it may use from when on. A limit over a window may have been
+used up to the highest share of that window, so the sum is over these.
+"""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Iterable
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.simulation.control_plane import recorder as recorders
+from ploverward.simulation.control_plane import simulated_clock
+
+if TYPE_CHECKING:
+    from ploverward.simulation.control_plane import proxies
+
+EPSILON = 1e-6  # sums of floats
+RATE_WINDOW_S = 1.05  # the span over which a proxy counts what it sends to a cold replica
+
+
+class ShareKind(enum.StrEnum):
+    """The kinds of limits that are shared."""
+
+    SLACKS = "slacks"  # spent over a window
+    RATES = "rates"  # from one second to the next
+
+    def of(self, lease: shared_limits.Lease) -> float:
+        """Returns the share of this kind that a lease grants."""
+        return lease.slack_share if self is ShareKind.SLACKS else lease.rate_share
+
+
+class ShareStep(NamedTuple):
+    """A share that a proxy may use.
+
+    Attributes:
+        begin: From when on, until the next step, by the simulated time in seconds.
+        share: Of 0 to 1.
+    """
+
+    begin: float
+    share: float
+
+
+NO_SHARE = ShareStep(0.0, 0.0)
+
+
+class ShareChecks:
+    """Watches the leases of all proxies.
+
+    Attributes:
+        peaks: The highest sum of shares by kind.
+    """
+
+    def __init__(self, *, clock: simulated_clock.Clock, recorder: recorders.Recorder, slack_window_s: float) -> None:
+        """Makes the check; `slack_window_s` is the window over which slacks are spent."""
+        self.peaks = dict.fromkeys(ShareKind, 0.0)
+        self._clock = clock
+        self._recorder = recorder
+        self._windows_s = {ShareKind.SLACKS: slack_window_s, ShareKind.RATES: RATE_WINDOW_S}
+        self._steps: dict[str, dict[ShareKind, list[ShareStep]]] = {}  # by the proxy's incarnation
+        self._proxies: dict[str, proxies.Proxy] = {}  # by incarnation
+
+    def handle_lease(self, proxy: proxies.Proxy) -> None:
+        """A proxy took a lease: notes what it may use from now on, and checks the sums that grew."""
+        now, offset = self._clock.time, proxy.process.offset
+        steps = self._steps.setdefault(proxy.incarnation, {kind: [] for kind in ShareKind})
+        self._proxies[proxy.incarnation] = proxy
+        leases = [lease for lease in proxy.quota.leases.values() if lease.until - offset > now]
+        for kind in ShareKind:
+            before = max((step for step in steps[kind] if step.begin <= now), default=NO_SHARE).share
+            past = _past_steps(steps[kind], since=now - self._windows_s[kind], now=now)
+            steps[kind] = _with_leases(past, leases, kind=kind, now=now, offset=offset)
+            if steps[kind] and sum(kind.of(lease) for lease in leases) > before:
+                self._check_sum(kind, now)
+
+    def _check_sum(self, kind: ShareKind, now: float) -> None:
+        since = now - self._windows_s[kind]
+        total = 0.0
+        highest = {}
+        for incarnation, steps_by_kind in self._steps.items():
+            proxy = self._proxies[incarnation]
+            if not proxy.process.is_alive:
+                continue
+            steps = steps_by_kind[kind]
+            while len(steps) > 1 and steps[1].begin <= since:
+                steps.pop(0)
+            highest[proxy.host] = max((step.share for step in steps if step.begin <= now), default=0.0)
+            total += highest[proxy.host]
+        self.peaks[kind] = max(self.peaks[kind], total)
+        if total > 1.0 + EPSILON:
+            described = ", ".join(f"{host} {share:.3f}" for host, share in sorted(highest.items()))
+            self._recorder.find("grants", f"the shares of {kind} sum to {total:.3f}: {described}")
+
+
+def _past_steps(steps: Sequence[ShareStep], *, since: float, now: float) -> list[ShareStep]:
+    """Returns the steps that began before now and lasted until after `since`."""
+    ends = [*(step.begin for step in steps[1:]), now]
+    return [step for step, end in zip(steps, ends, strict=False) if end > since and step.begin < now]
+
+
+def _with_leases(
+    past: list[ShareStep], leases: Iterable[shared_limits.Lease], *, kind: ShareKind, now: float, offset: float
+) -> list[ShareStep]:
+    """Adds the steps to come: without a further lease the share falls as those there are run out."""
+    steps = list(past)
+    for begin in (now + offset, *sorted({lease.until for lease in leases})):
+        share = sum(kind.of(lease) for lease in leases if lease.until > begin)
+        if not steps or steps[-1].share != share:
+            steps.append(ShareStep(begin - offset, share))
+    return steps
--- a/ploverward/simulation/control_plane/simulated_clock.py
+++ b/ploverward/simulation/control_plane/simulated_clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: one ordered table of events, processes that may be frozen or dead, and their loops (docs/simulate.md).
+"""Simulated time: one table of events, processes that may be frozen or dead, and their loops (docs/simulate.md).
 
 The clock owns the time, the events and the run's one random generator, so that a seed names one history: whatever
 draws a number or schedules an event does so in a fixed order. `Loop` is the twin of
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -1,4 +1,4 @@
-"""Simulated links between machines: delays, partitions, resets, and the wires that connections run on (docs/simulate.md).
+"""Simulated links between machines: delays, partitions, resets, and the wires of connections (docs/simulate.md).
 
 `Network` owns the machines, the partitions and the open wires. A `Wire` carries both directions of one connection. It
 keeps the order of what is sent and loses nothing while it lives: what a partition holds back arrives when the partition
