--- a/ploverward/control_plane/cluster/consensus_channel.py
+++ b/ploverward/control_plane/cluster/consensus_channel.py
@@ -33,7 +33,7 @@
         self._consensus = consensus
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handlers of this part's messages, by type."""
+        """Returns the handlers of consensus messages, by type."""
         return dict.fromkeys(MESSAGE_TYPES, self._handle)
 
     def _handle(self, connection: interfaces.Connection, message: tuple) -> None:
--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -1,7 +1,7 @@
-"""The cluster coordinator: the one core node that reads the platform's list, assigns roles and tends the core set.
+"""The cluster coordinator: the one core node that reads the platform's list, assigns roles and changes the core set.
 
 It is a singleton role (`ploverward.control_plane.cluster.singleton_role_table`). Its owner acts only while it has the
-majority lease (docs/control.md 1, 2). Where the owner is lost, the first live member takes the role over.
+majority lease (docs/control.md 1, 2). When the owner is lost, the first live member acquires the role.
 """
 
 from collections.abc import Callable
@@ -17,16 +17,16 @@
 
 
 class ClusterCoordinator:
-    """Takes the role when its owner is lost, and reads the platform's list while this node owns it.
+    """Acquires the role when its owner is lost, and reads the platform's list while this node owns it.
 
     Args:
         own: Address of this node.
         incarnation: Identifies this start of this process.
         now: The clock, in seconds.
         role_table: Who owns which role.
-        publisher: Tells whether this node has an endpoint list.
+        publisher: Has the newest endpoint list, if this node knows one.
         watch: Reads the platform's list.
-        takeover_after_s: For how long an owner is out of touch before its role is taken.
+        takeover_after_s: For how long an owner is disconnected before its role is acquired, in seconds.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
         has_majority: bool,
         may_acquire: bool,
     ) -> bool:
-        """Keeps, takes or rests the role, once each heartbeat interval.
+        """Keeps, acquires or suspends the role, once each heartbeat interval.
 
         Args:
             members: The core set.
-            live: Those of them in touch, this node too, in the set's order.
-            lost_since: Member: since when it is out of touch.
+            live: Those of them that are connected, this node too, in the set's order.
+            lost_since: Member: since when it is disconnected.
             has_majority: Whether this node has the majority lease.
             may_acquire: Whether this node votes and is not draining.
 
@@ -98,7 +98,7 @@
         return False
 
     def _is_open(self, *, members: tuple[str, ...], live: list[str], lost_since: dict[str, float]) -> bool:
-        """Whether the owner is lost and this node is the first that may take the role."""
+        """Whether the owner is lost and this node is the first that may acquire the role."""
         owner = self.address
         if self._role_table.is_acquiring or len(live) < ballots.majority(members):
             return False
--- a/ploverward/control_plane/cluster/core_liveness.py
+++ b/ploverward/control_plane/cluster/core_liveness.py
@@ -1,7 +1,7 @@
-"""Since when each core node is out of touch, or in touch and silent.
+"""Since when each core node is disconnected, or connected without replying.
 
-Owns two tables of times, which are brought up to date once each heartbeat interval. The times are of the first interval
-in which the failure was seen, so they are late by up to one interval and never early.
+Owns two tables of times, which are brought up to date once each heartbeat interval. The times are of the first
+interval in which the failure was seen, so they are late by up to one interval and never early.
 """
 
 from collections.abc import Callable
@@ -16,11 +16,11 @@
         own: Address of this node, which never counts as lost.
         now: The clock, in seconds.
         lease: Which members replied to heartbeats.
-        is_live: Tells whether a connection to a core node stands.
+        is_live: Returns whether a core node is connected and has sent something.
         peer_timeout_s: A member that replied to no heartbeat for so long counts as silent.
 
     Attributes:
-        lost_since: Core node: since when it is out of touch.
+        lost_since: Core node: since when it is disconnected.
     """
 
     def __init__(
--- a/ploverward/control_plane/cluster/core_membership.py
+++ b/ploverward/control_plane/cluster/core_membership.py
@@ -1,7 +1,7 @@
 """What this node knows of the core set, and whether a majority of that set confirms it (docs/control.md 1, 2).
 
-Owns the newest core set that was chosen. Invariant: a set that was merely accepted, here or elsewhere, is never taken
-as agreed; it only ends this node's support for older sets.
+Owns the newest core set that was chosen. Invariant: a set that was merely accepted, here or elsewhere, is never
+treated as agreed; it only ends this node's support for older sets.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher as publishers
 
-MAX_AGE_S = 1e6  # age of a configuration of which this node knows nothing certain: older than any bound
+MAX_AGE_S = 1e6  # age of a configuration that this node cannot date: older than any bound
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
         self.chosen_members: tuple[str, ...] = ()
 
     def install(self, members: tuple[str, ...]) -> None:
-        """Takes on a core set that was chosen."""
+        """Installs a core set that was chosen."""
         self.chosen_members = members
 
     def members(self) -> tuple[str, ...]:
--- a/ploverward/control_plane/cluster/message_router.py
+++ b/ploverward/control_plane/cluster/message_router.py
@@ -1,6 +1,6 @@
 """Finds the handler of a message between nodes by its type.
 
-The table is filled once, while a node is put together (`ploverward.control_plane.core_node`). A type without a handler
+The table is filled once, while a node is composed (`ploverward.control_plane.core_node`). A type without a handler
 is ignored: another version of the program may send messages that this one does not know.
 """
 
@@ -17,7 +17,7 @@
         self._handlers: dict[type, Callable] = {}
 
     def add(self, handlers: Mapping[type, Callable]) -> None:
-        """Adds handlers by message type; each takes the connection and the message.
+        """Adds handlers by message type; each is called with the connection and the message.
 
         Raises:
             ValueError: A type has a handler already.
--- a/ploverward/control_plane/cluster/node_shutdown.py
+++ b/ploverward/control_plane/cluster/node_shutdown.py
@@ -107,7 +107,7 @@
         members = self._membership.members()
         view = self._core_set.view()
         if view.learners or len(members) > self._wanted_voters or self._own not in members:
-            return False  # the coordinator takes this node out of the set first
+            return False  # the coordinator removes this node from the set first
         staying = [
             host
             for host in members
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -1,8 +1,8 @@
-"""Sessions with other nodes: connections to core nodes and from proxies, and who is in touch (design 4).
+"""Sessions with other nodes: connections to core nodes and from proxies, and who is connected (design 4).
 
-Owns the listener for other nodes, one connector for each other core node, and a `Peer` for each connection whose other
-side said who it is. Invariant: at most one peer has a given address, because a newer connection of the same node closes
-the older one.
+Owns the listener for other nodes, one connector for each other core node, and a `Peer` for each connection whose
+other side sent its handshake. Invariant: at most one peer has a given address, because a newer connection of the same
+node closes the older one.
 """
 
 import dataclasses
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Peer:
-    """What this core node knows of one proxy or core node while its connection lives.
+    """What this core node knows of one proxy or core node while its connection is open.
 
     Attributes:
         link: The connection.
@@ -70,12 +70,12 @@
         incarnation: Identifies this start of this process.
         peer_timeout_s: A connection that is silent for so long is closed.
         members: Returns the agreed core set.
-        on_message: Takes each message with its connection.
-        on_joined: Takes each peer once it said who it is.
-        on_ended: Takes a connection that ended and its peer, or None where it had not said who it is.
+        on_message: Called with each message and its connection.
+        on_joined: Called with each peer once it sent its handshake.
+        on_ended: Called with a connection that ended and its peer, or None if it had sent no handshake.
 
     Attributes:
-        proxy_count: How many proxies are in touch, ready or not.
+        proxy_count: How many proxies are connected, ready or not.
     """
 
     def __init__(
@@ -133,7 +133,7 @@
             self._connectors.pop(host).stop()
 
     def send_handshake(self, connection: interfaces.Connection) -> None:
-        """Tells the other side who this node is."""
+        """Sends the other side the identity of this node."""
         settings = self._settings.current
         connection.send(
             messages.Handshake(
@@ -149,7 +149,7 @@
             connection.send(messages.NodeState(is_ready=False, is_draining=True))
 
     def handle_handshake(self, connection: interfaces.Connection, message: messages.Handshake) -> None:
-        """The other side of a connection says who it is."""
+        """The other side of a connection identifies itself."""
         for older, peer in list(self._peers.items()):
             if peer.address == message.address and older is not connection:
                 older.close(reason="a newer link of the same node")
@@ -189,13 +189,13 @@
             connector.link.send(message)
 
     def broadcast_to_cores(self, message: tuple) -> None:
-        """Sends to all core nodes to which a connection stands."""
+        """Sends to all connected core nodes."""
         for connector in self._connectors.values():
             if connector.link is not None and connector.link.is_up:
                 connector.link.send(message)
 
     def peers(self) -> list[Peer]:
-        """Returns all nodes in touch, in the order in which they came."""
+        """Returns all connected nodes, in the order in which they joined."""
         return list(self._peers.values())
 
     def proxies(self, *, is_listed: bool = True) -> list[Peer]:
@@ -226,8 +226,8 @@
     def core_address_of(self, connection: interfaces.Connection) -> str:
         """Returns the address of the core node on this connection; empty where it is none.
 
-        A connection that this node opened and whose other side has said nothing of itself leads to the address that
-        it was opened to.
+        For a connection that this node opened and whose other side has sent no handshake yet, this is the address
+        that it was opened to.
         """
         peer = self._peers.get(connection)
         if peer is not None:
@@ -237,8 +237,9 @@
     def is_core_live(self, address: str) -> bool:
         """Whether this core node is in touch; this node itself always is.
 
-        A frozen machine accepts connections and says nothing, so a connection counts only once anything came on it
-        (docs/incidents/frozen-holder.md; `test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch`).
+        A frozen machine accepts connections and sends nothing, so a connection counts only once anything was received
+        on it (docs/incidents/frozen-holder.md;
+        `test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch`).
         """
         if address == self._own:
             return True
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -1,6 +1,6 @@
 """What a core node does with the coordinator role at each heartbeat interval (docs/control.md 1, 2).
 
-The order of the steps matters: who is lost is known before the role is decided on, and what a coordinator does (roles
+The order of the steps matters: lost nodes are known before the role is decided on, and what a coordinator does (roles
 of proxies, roll-outs, core set) comes only after it is known to own the role and to have the majority lease.
 """
 
@@ -19,8 +19,8 @@
     """Decides who coordinates, and does the coordinator's work where it is this node.
 
     Args:
-        status: Whether this node is draining: it takes no role and gives away the one that it owns.
-        sessions: Who is in touch.
+        status: Whether this node is draining: it acquires no role and releases the one that it owns.
+        sessions: Which nodes are connected.
         membership: The core set, and whether this node has the majority lease.
         liveness: Since when members fail; brought up to date here.
         consensus: Whether this node votes.
@@ -51,7 +51,7 @@
         self._core_set = core_set
 
     def reconcile(self) -> None:
-        """Takes, keeps or gives away the role, and acts on it."""
+        """Acquires, keeps or releases the role, and acts on it."""
         members = self._membership.members()
         self._liveness.update(members)
         is_acting = self._coordinator.reconcile(
--- a/ploverward/control_plane/cluster/rollout_lease_granter.py
+++ b/ploverward/control_plane/cluster/rollout_lease_granter.py
@@ -1,4 +1,4 @@
-"""Grants proxies their roll-out leases in reply to what they counted (docs/rollouts.md 3, 4)."""
+"""Grants proxies their roll-out leases in reply to their evidence (docs/rollouts.md 3, 4)."""
 
 from ploverward.control_plane.cluster import core_membership
 from ploverward.control_plane.cluster import peer_sessions
@@ -9,7 +9,7 @@
 
 
 def origin_of(proxy: peer_sessions.Peer) -> evidence_table.Origin:
-    """Returns the incarnation of a proxy, by which its evidence is told from that of an earlier one."""
+    """Returns the incarnation of a proxy, which distinguishes its evidence from that of an earlier one."""
     return evidence_table.Origin(address=proxy.address, incarnation=proxy.incarnation)
 
 
@@ -17,7 +17,7 @@
     """Receives evidence, and replies with leases where this node may grant them.
 
     Args:
-        sessions: The proxies in touch.
+        sessions: The connected proxies.
         membership: Whether this node has the majority lease.
         rollout_manager: Collects evidence and decides on leases.
     """
--- a/ploverward/control_plane/cluster/share_lease_granter.py
+++ b/ploverward/control_plane/cluster/share_lease_granter.py
@@ -1,8 +1,8 @@
-"""Grants proxies their shares of the limits that hold over all machines (design 8, docs/control.md 2, docs/quotas.md).
+"""Grants proxies their shares of the global limits (design 8, docs/control.md 2, docs/quotas.md).
 
-Owns this core node's part of every limit, and what it has leased of that part. Invariant: all leases of all core nodes
-that still count never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted. That is
-why nothing is granted without the majority lease, and why a part that grows counts only after a wait.
+Owns this core node's share of every limit, and what it has leased of that share. Invariant: all leases of all core
+nodes that still count never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted.
+That is why nothing is granted without the majority lease, and why a share that grows counts only after a wait.
 """
 
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 from ploverward.transport import messages
 
 RATE_WINDOW_S = 1.5  # a rate counts for one second at the proxy; the rest is slack for late clocks
-OUTLIVED_LEASES = 2  # share leases that an evicted member may still grant until its majority lease ends, and their life
+OUTLIVED_LEASES = 2  # of `lease_s`: until an evicted member's majority lease ends, then until its last share lease ends
 
 
 class OwnedShares:
-    """This core node's part of every limit: of retry slack and of rates.
+    """This core node's share of every limit: of retry slack and of rates.
 
-    Two kinds, because what is spent counts for retryWindowS, and a rate only for its second and a little.
+    There are two, because spent retries count for retryWindowS, but a rate only for its second and a little more.
 
     Args:
         own: Address of this node.
@@ -34,8 +34,8 @@
         first_members: The core set of a first start; empty for any other start, which owns nothing at first.
 
     Attributes:
-        slack: The part of the retry slack.
-        rate: The part of the rates.
+        slack: The share of the retry slack.
+        rate: The share of the rates.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     ) -> None:
         self._own = own
         initial_share = self._share_under(first_members)
-        # An evicted member may grant leases until its majority lease ends; each counts for its life and its window.
+        # An evicted member may grant leases until its majority lease ends; each counts for its duration and its window.
         outlived_s = OUTLIVED_LEASES * timing.lease_s
         self.slack = share_leases.OwnedShare(
             now=now, transfer_wait_s=outlived_s + timing.retry_window_s, initial_share=initial_share
@@ -58,16 +58,16 @@
         )
 
     def install(self, agreed: core_membership.AgreedCoreSet) -> None:
-        """Takes on this node's part under the agreed core set."""
+        """Installs this node's share under the agreed core set."""
         share = self._share_under(agreed.members)
         self.slack.install(share=share, version=agreed.version)
         self.rate.install(share=share, version=agreed.version)
 
     def resume(self, agreed: core_membership.AgreedCoreSet) -> None:
-        """Goes on with the part of this node's earlier incarnation, whose disk has this core set as agreed.
+        """Resumes the share of this node's earlier incarnation, whose disk has this core set as agreed.
 
-        Nobody else can have had that part under this version. Leases of the earlier incarnation are waited for by the
-        tables of leases.
+        No other node can have had that share under this version. Leases of the earlier incarnation are waited for by
+        the tables of leases.
         """
         share = self._share_under(agreed.members)
         self.slack.resume(share=share, version=agreed.version)
@@ -85,10 +85,10 @@
         timing: Durations of this node.
         started_at: When this process started, on that clock; leases of its earlier incarnation are waited for from
             then.
-        is_first_start: Whether the whole system starts: nobody has leases of an earlier incarnation.
-        owned: This node's part of every limit.
+        is_first_start: Whether the system starts for the first time: there are no leases of an earlier incarnation.
+        owned: This node's share of every limit.
         membership: The agreed core set, and whether this node has the majority lease.
-        sessions: The proxies in touch.
+        sessions: The connected proxies.
         meter: What tenants used, and their credits.
         has_tenants: Returns whether the configuration has tenants.
     """
--- a/ploverward/control_plane/cluster/singleton_role_table.py
+++ b/ploverward/control_plane/cluster/singleton_role_table.py
@@ -1,8 +1,8 @@
 """The register of singleton roles: who owns each role, under which epoch (docs/control.md 1).
 
-Owns this node's copy of the register. Invariant: an epoch of a role belongs to one incarnation of one node. Whatever an
-owner publishes carries its epoch, and receivers never go back to an older one, so an owner that was replaced is not
-listened to once its successor was heard.
+Owns this node's copy of the register. Invariant: an epoch of a role belongs to one incarnation of one node. Whatever
+an owner publishes carries its epoch, and receivers never go back to an older one, so the messages of an owner that
+was replaced are ignored once one of its successor arrived.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class SingletonRoleTable:
-    """What the register says, as far as this node knows.
+    """This node's copy of the register.
 
     Args:
         change: Starts a round of a register: (name, edit, done).
@@ -28,7 +28,7 @@
         self.is_acquiring = False
 
     def install(self, *, payload: dict[str, list] | None) -> None:
-        """Takes on a chosen value of the register."""
+        """Installs a chosen value of the register."""
         self.table = payload or {}
 
     def owner(self, name: str) -> singleton_roles.RoleOwner:
--- a/ploverward/control_plane/cluster/singleton_roles.py
+++ b/ploverward/control_plane/cluster/singleton_roles.py
@@ -1,6 +1,6 @@
 """Names of the singleton roles, and which proxies own those of regions and zones (design 4, docs/digest.md 4).
 
-A role has one owner in the whole system at a time: the first live node in an order on which all agree. What is here are
+A role has one owner in the system at a time: the first live node in an order on which all agree. This module has
 pure functions; the register of owners is in `ploverward.control_plane.cluster.singleton_role_table`.
 """
 
--- a/ploverward/control_plane/cluster/topic_exchange.py
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -1,8 +1,8 @@
-"""Versions of topics between this node and its peers: what it publishes, fetches and is told (docs/scale.md 2).
+"""Exchanges versions of topics with peers: announcements, fetches and acknowledgements (docs/scale.md 2).
 
-Chosen register values and the endpoint list are topics. Those that come from another core node are handed to their
+Chosen register values and the endpoint list are topics. Those received from another core node are passed to their
 owners here: registers to consensus, the list to its publisher. Invariant: a topic under the epoch of a coordinator that
-is known as replaced is not passed on.
+is known as replaced is not forwarded.
 """
 
 from collections.abc import Callable
@@ -20,16 +20,17 @@
 
 
 class TopicExchange:
-    """Exchanges versions of topics with the nodes in touch.
+    """Exchanges versions of topics with the connected nodes.
 
     Args:
         now: The clock, in seconds.
         fetch_timeout_s: After which a fetch is sent to another node.
         publisher: The newest version of each topic.
-        consensus: Takes chosen register values of other core nodes.
-        coordinator: Tells which epochs may be followed.
+        consensus: Installs chosen register values of other core nodes.
+        coordinator: Decides which epochs may be followed.
         endpoint_lists: Applies deltas of the endpoint list.
-        check_applied: Called when a proxy has a newer version or is gone: orders wait until all in touch have theirs.
+        check_applied: Called when a proxy has a newer version or disconnected: orders wait until all connected ones
+            have it.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         )
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handlers of this part's messages, by type."""
+        """Returns the handlers of topic messages, by type."""
         return {
             messages.Announcement: self._subscriber.handle_announcement,
             messages.Snapshot: self._subscriber.handle_snapshot,
@@ -68,18 +69,18 @@
         }
 
     def handle_joined(self, peer: peer_sessions.Peer) -> None:
-        """Announces all topics to a node that came in touch."""
+        """Announces all topics to a node that connected."""
         self._publisher.join(peer.link)
 
     def handle_ended(self, connection: interfaces.Connection, peer: peer_sessions.Peer | None) -> None:
-        """Forgets a connection. Orders no longer wait for a proxy that is gone."""
+        """Forgets a connection. Orders no longer wait for a proxy that disconnected."""
         self._publisher.leave(connection)
         self._subscriber.drop(connection)
         if peer is not None and peer.role is peer_sessions.NodeRole.PROXY:
             self._check_applied()
 
     def send_minimum_versions(self, connection: interfaces.Connection) -> None:
-        """Tells a starting proxy what this node's disk has: it must reach the highest of a majority (design 5).
+        """Sends a starting proxy the versions on this node's disk: it must reach the highest of a majority (design 5).
 
         A chosen value is on the disks of a majority, so no majority of minimum versions is below it.
         """
@@ -87,7 +88,7 @@
             connection.send(messages.MinimumVersions(revisions=self._consensus.minimum_versions()))
 
     def tick(self) -> None:
-        """Fetches again what did not come."""
+        """Fetches again what was not received in time."""
         self._subscriber.tick()
 
     def _handle_acknowledgement(self, connection: interfaces.Connection, message: messages.Acknowledgement) -> None:
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -1,6 +1,6 @@
 """The core set: which machines vote, and how the set is changed by agreement (docs/control.md 1).
 
-A newcomer is a learner until its disk has every register. It is then swapped in for a member that is out of touch, or
+A newcomer is a learner until its disk has every register. It is then swapped in for a member that is disconnected, or
 added, in one change of each register. The first register that was moved and the last one may be under different sets
 for a moment, which is safe: each register is written at a majority of its old and of its new set. The cluster
 coordinator makes the changes; a change that a former coordinator left half done is finished by the next one.
@@ -23,11 +23,11 @@
 
     Attributes:
         members: The agreed set.
-        learners: Machines in touch outside the set that have every register, longest in touch first.
-        silent: Members not lost that have not replied since the newest learner came; it waits for their place.
-        lost: Members out of touch long enough to be swapped for a learner, longest first.
-        gone: Members out of touch long enough to be dropped without a successor, longest first.
-        leaving: Members that are shutting down in order.
+        learners: Connected machines outside the set that have every register, longest connected first.
+        silent: Members not lost that have not replied since the newest learner connected; it may replace them.
+        lost: Members disconnected long enough to be swapped for a learner, longest first.
+        gone: Members disconnected long enough to be dropped without a successor, longest first.
+        leaving: Members in graceful shutdown.
     """
 
     members: tuple[str, ...]
--- a/ploverward/control_plane/consensus/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -26,7 +26,7 @@
 
     Args:
         incarnation: a unique name made with each new disk; empty for a learner, which does not vote.
-        rows: what the disk holds.
+        rows: the rows on the disk.
     """
 
     def __init__(self, *, incarnation: str = "", rows: collections.abc.Iterable[messages.RegisterRow] = ()) -> None:
@@ -148,7 +148,7 @@
     def catch_up(
         self, *, incarnation: str, states: collections.abc.Iterable[tuple[messages.RegisterRow, ...]]
     ) -> tuple[messages.RegisterRow, ...]:
-        """Takes over the highest promise and the newest value of each register, then votes under a new incarnation.
+        """Installs the highest promise and the newest value of each register, then votes under a new incarnation.
 
         Args:
             incarnation: the name of the new disk.
--- a/ploverward/control_plane/consensus/acceptor_storage.py
+++ b/ploverward/control_plane/consensus/acceptor_storage.py
@@ -1,8 +1,8 @@
 """The acceptor's state on disk: an append-only file of checksummed records (docs/register.md 3).
 
-Invariant: once `AcceptorStorage.write` returns, the disk holds the image, whatever happened before. So the first write
-of a process, and each one after a failed write, replaces the file: what was read at the start may never have been
-synced, and after a failed sync a later one may succeed without having written the pages that were dropped.
+Invariant: once `AcceptorStorage.write` returns, the image is on the disk, whatever happened before. So the first
+write of a process, and each one after a failed write, replaces the file: what was read at the start may never have
+been synced, and after a failed sync a later one may succeed without having written the pages that were dropped.
 """
 
 import collections.abc
@@ -15,7 +15,7 @@
 
 FILE_NAME = "register.log"
 NEW_NAME = "register.new"  # the next file until it is renamed
-IDENTITY = "\x00identity"  # stands for a register's name in the row with the node's identity
+IDENTITY = "\x00identity"  # in place of a register's name, in the row with the node's identity
 REWRITE_FACTOR = 32  # a file so many times as long as its image is rewritten, below the limit of the storage
 MIN_REWRITE_FACTOR = 4  # but never a shorter one, also above the limit: rewriting would not make room
 MIN_REWRITE_BYTES = 64 * 1024  # nor a file as short as this: it costs less to read than to rewrite
@@ -73,12 +73,12 @@
         self._limit_bytes = limit_bytes
         self._size = 0  # bytes of the file
         self._image_size = 0  # bytes of the file when it was last rewritten
-        self._stored_values: dict[str, Ballot] = {}  # register: accepted ballot of the value that the file holds
+        self._stored_values: dict[str, Ballot] = {}  # register: accepted ballot of the value in the file
         self._needs_rewrite = True
         self.rewrites = 0
 
     def load(self) -> Image:
-        """What the file holds; an empty image where there is no file or no identity in it.
+        """Returns the image in the file; an empty image where there is no file or no identity in it.
 
         Raises:
             StorageError: the file is damaged.
@@ -99,7 +99,7 @@
         )
 
     def write(self, *, rows: collections.abc.Collection[messages.RegisterRow], image: Image) -> None:
-        """Appends the rows, or rewrites the file. Once it returns, the disk holds the image.
+        """Appends the rows, or rewrites the file. Once it returns, the image is on the disk.
 
         Args:
             rows: rows of the image that changed since the last write.
--- a/ploverward/control_plane/consensus/ballots.py
+++ b/ploverward/control_plane/consensus/ballots.py
@@ -1,4 +1,4 @@
-"""Majorities, and values with the sets of core nodes that they stand under (docs/register.md 2).
+"""Majorities, and the encoding of values with their sets of core nodes (docs/register.md 2).
 
 A register's value is JSON: its members, its payload and, while a move of the set is not known to be chosen, the set
 before it and the revision with which the move began. The form is stored and sent; it does not change.
@@ -43,7 +43,7 @@
     previous: collections.abc.Iterable[str] = (),
     moved_at: int = NEVER,
 ) -> bytes:
-    """Encodes a value that stands under the set `members`.
+    """Encodes a value whose core set is `members`.
 
     Args:
         members: the set of the value.
@@ -72,7 +72,7 @@
 
 
 def members_of(value: bytes) -> tuple[str, ...]:
-    """The set that the value stands under."""
+    """The core set of the value."""
     return _header(value).members
 
 
--- a/ploverward/control_plane/consensus/catch_up.py
+++ b/ploverward/control_plane/consensus/catch_up.py
@@ -16,12 +16,12 @@
 from ploverward.control_plane.consensus.register_state import AcceptedValue
 from ploverward.transport import messages
 
-FIRST_SET = "\x00first"  # stands for a register's name in the row that carries the first set
+FIRST_SET = "\x00first"  # in place of a register's name, in the row with the first set
 PROPOSER_SUFFIX = "/refill"  # of the ballots of fences: no proposer has such a name
 
 
 class Stage(enum.Enum):
-    """How far a learner is."""
+    """The stages of a catch-up."""
 
     LOOK = "look"
     FENCE = "fence"
@@ -52,9 +52,9 @@
         registers: names of all registers.
 
     Attributes:
-        stage: how far it is; `answers` is complete at `Stage.DONE`.
+        stage: the present stage; `answers` is complete at `Stage.DONE`.
         answers: member to its rows in this stage.
-        fences: register to the ballot that voters are asked to promise.
+        fences: register to the ballot that voters are requested to promise.
         first_set: the set in force before any value was chosen, once a voter has named it.
     """
 
@@ -66,7 +66,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begins again with a look."""
+        """Starts again at `Stage.LOOK`."""
         self._number += 1
         self.stage = Stage.LOOK
         self.fences: dict[str, Ballot] = {}
@@ -107,7 +107,7 @@
         first_set: tuple[str, ...],
         rows: collections.abc.Iterable[messages.RegisterRow],
     ) -> None:
-        """Takes a voter's reply, and goes to the next stage once enough have replied.
+        """Processes a voter's reply, and enters the next stage once enough have replied.
 
         Args:
             member: the voter.
@@ -154,6 +154,6 @@
             return False
         needed = ballots.majority(members)
         if self._own in members:
-            # It may have voted before its disk was emptied: so many others meet each majority that it was part of.
+            # It may have voted before its disk was emptied: so many others overlap each majority that it was in.
             needed = len(members) - needed + 1
         return sum(1 for member in members if member != self._own and member in self.answers) >= needed
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -1,8 +1,8 @@
 """The consensus part of a core node: acceptor, proposer, write-ahead log, and catch-up as a learner (docs/register.md).
 
 `ConsensusNode` owns these for the time of one process and connects them: requests go to the acceptor and are answered
-once the write-ahead log has what the reply says, replies go to the proposer. It votes only with an identity on its
-disk; without one it is a learner until it has caught up from a majority.
+once the write-ahead log has the state that the reply reports; replies are passed to the proposer. It votes only with
+an identity on its disk; without one it is a learner until it has caught up from a majority.
 """
 
 import collections.abc
@@ -28,7 +28,7 @@
 PROPOSAL_LIMIT_SHARE = 1 / 2  # how long a proposal begins further attempts
 WRITE_RETRY_SHARE = 1 / 20  # from a failed write to the next attempt
 HANG_ATTEMPT_TIMEOUTS = 2  # a write that takes longer helps no attempt: this node votes for nothing meanwhile
-CATCH_UP_INTERVAL_SHARE = 1 / 16  # of `contact_s`: how often a learner asks
+CATCH_UP_INTERVAL_SHARE = 1 / 16  # of `contact_s`: the interval of a learner's requests
 REPAIR_AFTER_HEARTBEATS = 2  # at the first member; each further one waits one more
 
 
@@ -44,21 +44,21 @@
         store: the acceptor's storage.
         seeds: the first core set, if this is the first start of all.
         is_first_start: whether all nodes start now for the first time, with empty disks and the same seeds.
-        chance: a random number from 0 to 1.
+        chance: returns a random number from 0 to 1.
         unique_id: a new unique id.
         receipt_s: within how many seconds an order has to be acknowledged.
         contact_s: within how many seconds a core node's contact with the others counts.
         send: sends a message to another core node.
         broadcast_to_cores: sends a message to all connected core nodes.
         members: the core set, as this node knows it.
-        publish: takes a register, revision and value known to be chosen; returns whether that is news.
-        on_value: called with register, payload and members of each value that was news.
+        publish: takes a register, revision and value known to be chosen; returns whether it is a newer one.
+        on_value: called with register, payload and members of each newer value.
         version: the newest revision of a register known to be chosen.
 
     Attributes:
         acceptor: in memory, ahead of the disk.
         proposer: makes changes and reads.
-        write_ahead_log: holds back replies until they are durable.
+        write_ahead_log: delays replies until their state is durable.
         is_damaged: whether the register's file could not be read at the start.
     """
 
@@ -237,8 +237,8 @@
     def _handle_catch_up_request(
         self, member: str, link: interfaces.Connection | None, request: messages.CatchUpRequest
     ) -> None:
-        """A learner asks for what this node's disk holds. What it asks to be promised is promised first."""
-        assert link is not None  # a learner does not ask itself
+        """A learner requests the rows on this node's disk. The promises that it requests are made first."""
+        assert link is not None  # a learner sends itself no request
         fences = {fence.register: fence.fence for fence in request.fences if fence.fence.number}
         if fences and self.write_ahead_log.is_hindered:
             return
@@ -260,7 +260,7 @@
         link.send(messages.CatchUpReply(number=request.number, is_voter=durable.votes, rows=rows))
 
     def _look(self) -> None:
-        """Asks the connected core nodes again and again, until enough of them answered."""
+        """Sends the request to the connected core nodes periodically, until enough of them answered."""
         if self.acceptor.votes:
             return
         if self._loop.now() - self._catch_up_begun_at > self._contact_s:
@@ -299,13 +299,13 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether a majority may count on this node now: its disk holds its identity and takes writes."""
+        """Whether a majority may count on this node now: its identity is on its disk, and the disk accepts writes."""
         is_hindered = self.write_ahead_log.is_hindered
         return self.write_ahead_log.durable.votes and not self.proposer.is_learner and not is_hindered
 
     # Reading and repair.
     def minimum_versions(self) -> tuple[messages.RegisterRevision, ...]:
-        """The newest revision of each register that this node's disk holds."""
+        """The newest revision of each register on this node's disk."""
         durable = self.write_ahead_log.durable
         return tuple(messages.RegisterRevision(name, durable.get(name).revision) for name in register_names.REGISTERS)
 
@@ -360,7 +360,7 @@
                 self.send(member, messages.Chosen(register=name, ballot=ballot, revision=revision))
 
     def publish(self, name: str, revision: int, value: bytes) -> None:
-        """Takes a value that is known to be chosen.
+        """Publishes a value that is known to be chosen.
 
         Args:
             name: the register.
--- a/ploverward/control_plane/consensus/disk.py
+++ b/ploverward/control_plane/consensus/disk.py
@@ -13,7 +13,7 @@
 
     Args:
         folder: path of the folder.
-        system: `os`, or what tests simulate in its place.
+        system: `os`, or a simulation of it in tests.
     """
 
     def __init__(self, *, folder: str, system: types.ModuleType = os) -> None:
@@ -43,7 +43,7 @@
         return b"".join(blocks)
 
     def append(self, *, name: str, data: bytes, size_before: int) -> None:
-        """Writes behind the first `size_before` bytes and syncs; what a failed write left behind them is cut off.
+        """Writes after the first `size_before` bytes and syncs; truncates what a failed write left after them.
 
         Raises:
             OSError: the disk refused; what is in the file from `size_before` on is unknown.
@@ -72,7 +72,7 @@
         self._sync_folder()
 
     def _remove(self, name: str) -> None:
-        # Never overwritten: after a loss of power the name may stand for the very file that is to be replaced.
+        # Never overwritten: after a loss of power the name may refer to the very file that is to be replaced.
         with contextlib.suppress(FileNotFoundError):
             self._system.unlink(self._path(name))
 
--- a/ploverward/control_plane/consensus/known_sets.py
+++ b/ploverward/control_plane/consensus/known_sets.py
@@ -1,7 +1,7 @@
-"""Which core set a proposer takes for the one in force, for each register (docs/register.md 2).
+"""The core set in force of each register, as far as a proposer knows it (docs/register.md 2).
 
-Invariant: it holds sets of chosen values only. A set that was merely accepted somewhere may never be chosen, and a
-majority of it need not meet a majority of the set in force.
+Invariant: only sets of chosen values are recorded. A set that was merely accepted somewhere may never be chosen, and
+a majority of it need not overlap a majority of the set in force.
 """
 
 from ploverward.control_plane.consensus import ballots
@@ -48,6 +48,7 @@
     """Whether the set of a value is chosen, for a proposer that knew a chosen value at this revision.
 
     The same machines may form a set twice, so a set is known by the revision of its move: a chosen value at or after
-    that revision stands on the move (`test_a_set_that_comes_back_is_not_known_as_chosen_from_its_first_time`).
+    that revision was written after the move
+    (`test_a_set_that_comes_back_is_not_known_as_chosen_from_its_first_time`).
     """
     return known_revision >= ballots.moved_at(value)
--- a/ploverward/control_plane/consensus/next_value.py
+++ b/ploverward/control_plane/consensus/next_value.py
@@ -1,7 +1,7 @@
 """What a proposer writes after phase 1, from the value that it found (docs/register.md 2). Nothing here does I/O.
 
-A value carries its set, and the set before it until its own is known to be chosen. One move follows the other: a move
-that was found half-way is written once more, and chosen, before the next one is.
+A value carries its set, and the set before it until its own is known to be chosen. Moves are sequential: a move
+that was found incomplete is written once more, and chosen, before the next one is.
 """
 
 from ploverward.common import errors
--- a/ploverward/control_plane/consensus/proposal.py
+++ b/ploverward/control_plane/consensus/proposal.py
@@ -1,4 +1,4 @@
-"""One change or read of a register on its way through the proposer, as data."""
+"""The state of one change or read of a register, as the proposer keeps it."""
 
 import collections.abc
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class Stage(enum.Enum):
-    """Where a proposal is. The values stand in error texts."""
+    """The stages of a proposal. Their values appear in error texts."""
 
     QUEUED = ""  # behind another one of the same register
     REFUSED = "refused"  # this node is a learner
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NextValue:
-    """What an attempt asks the acceptors to accept, and how the proposal ends once that is chosen.
+    """What an attempt proposes to the acceptors, and how the proposal ends once that is chosen.
 
     Attributes:
         revision: of the value; one more than that of the value found, unless that is only made safe.
@@ -80,14 +80,14 @@
         next_set: the core set that the value is to move to; None: it stays.
         is_wanted: False ends the proposal before its next attempt; None: always wanted.
         deadline: loop time in seconds after which no further attempt begins.
-        stage: where it is.
-        attempts: how many were begun.
+        stage: the present stage.
+        attempts: how many were started.
         has_deferred: whether its quorum read has already let other nodes go first.
         ballot: of the attempt.
         required_sets: of each of these sets the attempt needs a majority. The first is the one that was known as chosen
             when the attempt began; the others are added as values are found under them, never removed.
         known_revision: the revision of the chosen value that this node knew when the attempt began.
-        known_value: what this node's own disk holds; replies leave that value out.
+        known_value: the value on this node's own disk; replies leave that value out.
         read_replies: member to its accepted value, of a quorum read.
         promises: member to the incarnation that promised the ballot.
         accepts: members that accepted the value.
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -1,7 +1,7 @@
 """The proposer: compare-and-set in two phases at a majority, of the CASPaxos family (docs/register.md 1, 2).
 
 It owns the proposals of one process, at most one at a time for each register; the others wait in a queue. A proposal
-goes through these stages:
+has these stages:
 
     QUEUED -> QUORUM_READ (reads only) -> PREPARE -> ACCEPT -> FINISHED
                     |                        ^          |
@@ -44,7 +44,7 @@
 
 
 def _ignore_outcome(_error: Exception | None, _revision: int, _payload: object, _result: object) -> None:
-    """Nobody waits for the proposal."""
+    """The default of `done`: the outcome is not needed."""
 
 
 class Proposer:
@@ -56,11 +56,12 @@
         send: sends a message to a member.
         later: calls back after a delay.
         now: loop time in seconds.
-        chance: a random number from 0 to 1.
+        chance: returns a random number from 0 to 1.
         on_chosen: called with each value that is found or made chosen.
         limit_s: how long after its begin a proposal begins a further attempt.
         attempt_timeout_s: how long an attempt waits for a majority.
-        accepted_value: register to the value that this node's disk holds; replies leave that out. None: they never do.
+        accepted_value: register to the value on this node's disk, which replies may leave out. None: replies are
+            complete.
 
     Attributes:
         known_sets: the core set of each register.
@@ -124,7 +125,7 @@
             done: called once with (error or None, revision, payload, result). Errors are what `edit` raised, and
                 `QuorumUnavailableError`: then the change may have been made, or may still be.
             next_set: the core set to move the register to.
-            is_wanted: asked before each attempt; False gives up.
+            is_wanted: called before each attempt; False ends the proposal.
         """
         self._last_number += 1
         proposal = Proposal(
@@ -288,8 +289,8 @@
         if proposal.stage in (Stage.FINISHED, Stage.BACKOFF):
             return
         proposal.stage = Stage.BACKOFF
-        # An attempt takes about half of its time-out: two that compete have to come apart by more than that. The pauses
-        # of a move of the set do not grow, so that it succeeds while orders keep coming.
+        # An attempt takes about half of its time-out: the attempts of two competing proposers have to be further apart
+        # than that. The pauses of a move of the set do not grow, so that it succeeds while orders keep coming.
         is_move = proposal.next_set is not None
         steps = 1 if is_move else min(2 ** (proposal.attempts - 1), MAX_BACKOFF_FACTOR)
         pause_s = self._attempt_timeout_s * (MIN_BACKOFF_SHARE + self._chance() * BACKOFF_STEP_SHARE * steps)
@@ -334,7 +335,7 @@
             self._accept(proposal)
 
     def _require_set(self, proposal: Proposal, members: tuple[str, ...]) -> None:
-        """A majority of these members is needed too; those not yet asked are asked to promise."""
+        """A majority of these members is needed too; those that were not sent a prepare yet are sent one."""
         if members in proposal.required_sets:
             return
         for member in members:
@@ -394,7 +395,7 @@
         if written.is_older_move:
             self._prepare(proposal)
         elif proposal.next_set is not None and proposal.move_outcome is None and is_moving:
-            # The move is chosen. One more attempt leaves the older set out of the value, so that nobody needs it.
+            # The move is chosen. One more attempt removes the older set from the value: it is no longer needed then.
             proposal.move_outcome = Outcome(written.error, revision, written.payload, written.result)
             proposal.edit = None
             proposal.next_set = None
--- a/ploverward/control_plane/consensus/quorum_read.py
+++ b/ploverward/control_plane/consensus/quorum_read.py
@@ -20,7 +20,7 @@
     INCOMPLETE = "incomplete"  # more replies may decide it
     EMPTY = "empty"  # no value was chosen
     CHOSEN = "chosen"
-    UNDECIDED = "undecided"  # only a ballot of this node's own can tell
+    UNDECIDED = "undecided"  # only a ballot of this node's own can decide it
 
 
 class QuorumReadResult(typing.NamedTuple):
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -1,12 +1,12 @@
-"""Replies wait until the disk holds what they say (docs/register.md 3).
+"""Delays replies until the state that they report is on the disk (docs/register.md 3).
 
-The acceptor in memory runs ahead of the disk. `WriteAheadLog.durable` is the acceptor as the disk has it: what is sent
-without a wait (replies to quorum reads, rows for a learner, minimum versions) is read from there alone. Replies to
-prepares and accepts wait for a write that covers them; a write takes the newest row of each register that changed, so
-it serves all that wait.
+The acceptor in memory runs ahead of the disk. `WriteAheadLog.durable` is the acceptor's state on the disk: what is
+sent without a wait (replies to quorum reads, rows for a learner, minimum versions) is read from there alone. Replies
+to prepares and accepts wait for a write that covers them; a write contains the newest row of each register that
+changed, so it covers all replies that wait.
 
-A failed write drops the replies that waited for it: to their proposers this node is silent. Until a write succeeds
-again, and while one hangs, `is_hindered` is true and the node votes for nothing.
+A failed write drops the replies that waited for it: their proposers get no answer from this node. Until a write
+succeeds again, and while one hangs, `is_hindered` is true and the node votes for nothing.
 """
 
 import collections.abc
@@ -32,7 +32,7 @@
         hang_s: a write that takes longer counts as hanging.
 
     Attributes:
-        durable: the acceptor as the disk has it.
+        durable: the acceptor's state on the disk.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.durable = acceptors.Acceptor()
         self._unsaved: set[str] = set()  # registers whose row is not yet in a write
         self._newest_change = 0  # number of the newest change
-        self._durable_change = 0  # number of the newest change that the disk holds
+        self._durable_change = 0  # number of the newest change that is on the disk
         # key: (change that has to be durable, what then runs). Bounded by the keys: members, kinds and registers.
         self._waiting: dict[collections.abc.Hashable, tuple[int, Callback]] = {}
         self._writing_since: float | None = None
--- a/ploverward/control_plane/core_timing.py
+++ b/ploverward/control_plane/core_timing.py
@@ -55,7 +55,7 @@
 
     @property
     def takeover_after_s(self) -> float:
-        """For how long the coordinator is out of touch before another node takes the role."""
+        """For how long the coordinator is disconnected before another node acquires the role."""
         return self.peer_timeout_s / 4
 
     @property
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -1,8 +1,8 @@
 """The platform's replicas as a distributed value: complete, or as what changed since a version (docs/scale.md 2).
 
-An `EndpointList` is immutable: `delta_to` says what leads from one to another, `apply` gives the list after a delta.
-The core node that reads the platform publishes what its own delta makes of the list published before. Invariant: all
-nodes that apply the same deltas have the same bytes.
+An `EndpointList` is immutable: `delta_to` returns the difference to another, `apply` the list after a delta. The core
+node that reads the platform publishes the result of applying its own delta to the list published before. Invariant:
+all nodes that apply the same deltas have the same bytes.
 """
 
 import dataclasses
@@ -143,7 +143,7 @@
 
 
 def _differs(current: Row, row: Row, *, elapsed_ms: float | None) -> bool:
-    """Whether the row says more than that `elapsed_ms` passed since the current one was read."""
+    """Whether the row differs by more than the `elapsed_ms` that passed since the current one was read."""
     if (current["left_ms"] is None) != (row["left_ms"] is None):
         return True
     if any(current.get(name) != row.get(name) for name in (current.keys() | row.keys()) - NOT_COMPARED):
--- a/ploverward/control_plane/distribution/publisher.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -1,8 +1,8 @@
 """The publishing end of versioned topics: announce, send on request, count acknowledgements (docs/scale.md 2).
 
-A topic's value goes only to those that ask for it. Each connection gets the version announced and answers with a
-`Fetch` that names the version it has, so that a proxy with three core nodes receives a large configuration once, and
-only the deltas where these are known.
+A topic's value is sent only on request. The version is announced to each connection, whose other side answers with a
+`Fetch` that names the version it has, so that a proxy connected to three core nodes receives a large configuration
+once, and only the deltas where these are known.
 
 The state is, for each topic, the newest value and the newest deltas, and for each connection the versions that it
 acknowledged. Invariant: the version of a topic only rises.
--- a/ploverward/control_plane/distribution/recording_connection.py
+++ b/ploverward/control_plane/distribution/recording_connection.py
@@ -1,11 +1,11 @@
-"""A connection of tests that keeps what is sent."""
+"""A test double of a connection, which records what is sent."""
 
 from ploverward.transport import frames
 from ploverward.transport import messages
 
 
 class RecordingConnection:
-    """Stands in for a `PeerConnection`.
+    """A test double of `PeerConnection`.
 
     Attributes:
         sent: the frames, oldest first; a frame names the type of its message, which a named tuple does not compare.
@@ -17,7 +17,7 @@
         self.sent: list[bytes] = []
 
     def send(self, message: tuple) -> None:
-        """Keeps its frame."""
+        """Records the frame of the message."""
         self.sent.append(frames.pack(message))
 
 
--- a/ploverward/control_plane/distribution/subscriber.py
+++ b/ploverward/control_plane/distribution/subscriber.py
@@ -1,15 +1,15 @@
-"""The receiving end of versioned topics: fetches what it lacks, from one publisher at a time (docs/scale.md 2).
+"""The receiving end of versioned topics: fetches what is missing, from one publisher at a time (docs/scale.md 2).
 
 Its state, for each topic:
 
 - `versions`: the version installed. It only rises, whatever the order in which messages arrive.
 - the version that each open connection announced. A topic is behind while one of them is above the installed version.
-- at most one outstanding fetch: when it was sent, and for which version. Until it is answered or `fetch_timeout_s` has
-  passed, no other connection is asked. A fetch ends when its version is installed, or a connection that announced the
-  topic ends.
+- at most one outstanding fetch: when it was sent, and for which version. Until it is answered or `fetch_timeout_s`
+  has passed, no other connection is sent one. A fetch ends when its version is installed, or a connection that
+  announced the topic ends.
 
 An announcement from a publisher in another region is not answered at once: a publisher in the own region usually
-announces the same version a moment later. A fetch for `NO_VERSION`, dated back by half of the time-out, stands for
+announces the same version a moment later. A fetch for `NO_VERSION`, dated back by half of the time-out, represents
 that wait; the next `tick` after it fetches from wherever the version was announced.
 """
 
@@ -57,7 +57,7 @@
 
         Args:
             now: seconds on a monotonic clock.
-            fetch_timeout_s: after this time without an answer another publisher is asked.
+            fetch_timeout_s: after this time without an answer the fetch is sent to another publisher.
             on_snapshot: installs a complete value that is newer than the installed one.
             is_near: whether a connection leads to a publisher of the own region; without it all are equal.
             ignored_topics: topics that are never fetched.
--- a/ploverward/control_plane/quotas/__init__.py
+++ b/ploverward/control_plane/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold over all machines, at a core node (design 8, docs/quotas.md).
+"""Limits over all machines, at a core node (design 8, docs/quotas.md).
 
 `share_leases` leases a core node's own share of every limit to proxies, `rate_slots` numbers the proxies for rates
 below one request a second, `quota_meter` and `token_bucket` enforce the quotas of tenants.
--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -1,7 +1,7 @@
 """Quotas at a core node: what all proxies admitted of each tenant, and how much more each may admit (docs/quotas.md).
 
 `QuotaMeter` owns the counts that proxies report. They form a grow-only counter: each proxy's count is cumulative for
-one incarnation, and the greatest one stands. So reports that are lost, repeated or reordered change nothing
+one incarnation, and the greatest one counts. So reports that are lost, repeated or reordered change nothing
 (`test_merging_is_the_same_after_repeats_and_in_any_order`).
 """
 
--- a/ploverward/control_plane/quotas/share_leases.py
+++ b/ploverward/control_plane/quotas/share_leases.py
@@ -1,7 +1,8 @@
-"""Share leases: how much of the limits that hold over all machines each node may use (design 8).
+"""Share leases: how much of the global limits each node may use (design 8).
 
-Each core node owns an equal share of every limit and leases it to proxies. A lease binds the owner until the lease has
-expired and the window of the limit has passed as well, since what the node spent just before is part of that window.
+Each core node owns an equal share of every limit and leases it to proxies. A lease binds the owner until the lease
+has expired and the window of the limit has passed as well, since what the node spent just before is part of that
+window.
 
 `ShareTable` owns the leases of one limit. Its invariant: the leases that bind never add up to more than the owned
 share. `OwnedShare` owns the size of that share while the core set changes (docs/control.md 2).
@@ -12,7 +13,7 @@
 import typing
 from collections.abc import Callable
 
-MAX_INCREMENTAL_CHANGES = 1024  # changes of a running total before it is summed anew: rounding errors must not add up
+MAX_INCREMENTAL_CHANGES = 1024  # changes of a running total before it is recomputed: rounding errors must not add up
 
 
 class BindingLease(typing.NamedTuple):
@@ -102,8 +103,8 @@
     """The share of every limit that this core node owns, while the core set changes (docs/control.md 2).
 
     A share that shrinks counts at once. One that grows counts `transfer_wait_s` after this node learned of it: until
-    then a member that was evicted, or that does not know of the change yet, may still have leased out what is now this
-    node's. `test_voting_set.py` runs the histories that a missing wait breaks.
+    then a member that was evicted, or that does not know of the change yet, may still have leased out what is now
+    this node's. `test_voting_set.py` runs the histories that a missing wait breaks.
 
     Args:
         now: Clock of this process, in seconds.
--- a/ploverward/control_plane/quotas/token_bucket.py
+++ b/ploverward/control_plane/quotas/token_bucket.py
@@ -1,9 +1,10 @@
 """A tenant's token bucket over all proxies, as one core node estimates it (docs/quotas.md 3, 4).
 
 The bucket has two states. Above its thresholds the tenant is admitted freely everywhere. Once the level falls below
-`SCARCE_DEPTH_SHARE` the tenant is scarce: proxies need credits, which this core node issues out of its own share of the
-limit, to each proxy by the demand that it reports. It stays scarce until the level is above `FREE_DEPTH_SHARE` and the
-demand is close to the limit again; the distance between the two thresholds keeps it from changing back and forth.
+`SCARCE_DEPTH_SHARE` the tenant is scarce: proxies need credits, which this core node issues out of its own share of
+the limit, to each proxy by the demand that it reports. It stays scarce until the level is above `FREE_DEPTH_SHARE`
+and the demand is close to the limit again; the distance between the two thresholds keeps it from changing back and
+forth.
 """
 
 import dataclasses
@@ -12,14 +13,14 @@
 from ploverward.common import tenant_usage
 
 MIN_DEPTH_TOLERANCE = 0.2  # of the allowed overrun, by which a bucket is deeper than the burst
-MAX_DEPTH_TOLERANCE = 0.6  # the same for small tenants, of which little is admitted while a report is on its way
+MAX_DEPTH_TOLERANCE = 0.6  # the same for small tenants, of which little is admitted while a report is in flight
 REPORT_DELAY_S = 0.8  # from an admission to the last proxy that acts on it
 SCARCE_DEPTH_SHARE = 0.4  # of the depth, below which admissions need credits
 FREE_DEPTH_SHARE = 0.6  # of the depth, above which they need none any more
 FREE_DEMAND_SHARE = 1.1  # of the limit: with more demand a tenant stays scarce, however full its bucket is
 DEMAND_SPAN_S = 0.8  # time constant of the demand of all proxies
-INITIAL_DEPTH_SHARE = 0.5  # of the depth beyond the burst: earlier admissions are unknown, so nobody has the burst
-INITIAL_DEBT_S = 0.5  # seconds of the rate, subtracted from the initial level besides
+INITIAL_DEPTH_SHARE = 0.5  # of the depth beyond the burst: earlier admissions are unknown, so no tenant has the burst
+INITIAL_DEBT_S = 0.5  # seconds of the rate, subtracted from the initial level as well
 INITIAL_SCARCE_DEPTH_SHARE = 0.12  # of the depth: a bucket that begins below is scarce from the start
 MAX_ISSUABLE_S = 0.5  # seconds of its share that a core node may have left to issue
 MAX_REPORT_GAP_S = 0.8  # between two reports of a proxy that its credits cover
@@ -89,11 +90,11 @@
             self.is_scarce = False
 
     def _issue_per_s(self, owned_share: float) -> float:
-        """Credits a second. Those that nobody spends leave the bucket fuller: so many more may be issued."""
+        """Credits a second. Credits that are not spent leave the bucket fuller, so that more may be issued."""
         return owned_share * self.limit.per_s * (1.0 + max(0.0, self.level / self.depth))
 
     def charge(self, count: int) -> None:
-        """Takes admitted requests off the level."""
+        """Subtracts admitted requests from the level."""
         self.level = max(self.level - count, -self.limit.per_s * self._tolerance.window_s)
         if self.level < SCARCE_DEPTH_SHARE * self.depth:
             self.is_scarce = True
--- a/ploverward/control_plane/rollouts/__init__.py
+++ b/ploverward/control_plane/rollouts/__init__.py
@@ -1,6 +1,6 @@
 """Roll-outs of a service's software: canary, promotion, draining (docs/rollouts.md).
 
-`state` and `orders` are the replicated state and its edits; `evidence_table`, `judge` and `canary_trial` say what the
-canary shows; `planner`, `exposure` and `canary_replicas` decide on immutable views; `manager`, with `lease_granter` and
-`version_admitter`, acts on them at the coordinator; `leases` is what proxies get.
+`state` and `orders` are the replicated state and its edits; `evidence_table`, `judge` and `canary_trial` evaluate the
+canary; `planner`, `exposure` and `canary_replicas` decide on immutable views; `manager`, with `lease_granter` and
+`version_admitter`, acts on them at the coordinator; `leases` is what proxies receive.
 """
--- a/ploverward/control_plane/rollouts/canary_replicas.py
+++ b/ploverward/control_plane/rollouts/canary_replicas.py
@@ -7,7 +7,7 @@
 
 from ploverward.control_plane.rollouts import replica_inventory
 
-CANARY_LOAD = 0.5  # of a replica of the former version, that one of the canary carries: its cache is cold
+CANARY_LOAD = 0.5  # of a replica of the former version, that one of the canary carries: its cache is empty
 
 
 def choose(
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -1,6 +1,6 @@
-"""What a coordinator has gathered of one order: the evidence and its judges (docs/rollouts.md 5).
+"""What a coordinator collected about one order: the evidence and its judges (docs/rollouts.md 5).
 
-`CanaryTrial` belongs to one order and one coordinator; the next coordinator gathers anew, from cumulative reports.
+`CanaryTrial` belongs to one order and one coordinator; the next coordinator starts a new one, from cumulative reports.
 """
 
 import collections
@@ -21,7 +21,8 @@
         begun_at: When this coordinator began to gather, on its clock.
         evidence: The merged reports.
         first_answer_s: Seconds from the order to the first answer of the new version; None before it.
-        is_bad: Whether a fault was found. It stays: the decision has to be written, which may take several attempts.
+        is_bad: Whether a fault was found. It is never reset: the decision has to be written, which may take several
+            attempts.
     """
 
     def __init__(self, *, number: int, now: float) -> None:
@@ -72,14 +73,14 @@
         self.is_bad = self.is_bad or any(one.verdict is judge.Verdict.BAD for one in judges)
 
     def _judge_load_test(self, now: float, counted: evidence_table.Tallies) -> evidence_table.Tallies:
-        """Judges the loaded group by itself; what was counted of all others."""
+        """Judges the loaded group separately, and returns the counts of all others."""
         loaded = {key for key in counted if key.is_new and key.group == self._loaded_group}
         apart = {key: tally for key, tally in counted.items() if not key.is_new or key in loaded}
         self._load_judge.record(now=now, counted=apart, has_times=False)
         return {key: tally for key, tally in counted.items() if key not in loaded}
 
     def _owes_answers(self, age_s: float, first_sent_s: float, totals: evidence_table.Tallies) -> bool:
-        """Whether answers are far slower than the former version's, seen before they come.
+        """Whether answers are far slower than the former version's, noticed before they arrive.
 
         By Little's law attempts without an answer, divided by the rate at which they are sent, are the time of one.
         """
@@ -97,11 +98,11 @@
         return new_s > OWED_TIME_FACTOR * former_s + OWED_TIME_SLACK_S
 
     def finding(self) -> judge.Finding:
-        """The fault that stands out most."""
+        """The fault with the highest score."""
         return max(self._judge.finding(), self._load_judge.finding(), key=lambda finding: finding.score)
 
     def bad_groups(self) -> frozenset[int]:
-        """Groups of replicas that have shown enough by themselves."""
+        """Groups of replicas for which the evidence suffices by itself."""
         return self._judge.bad_groups()
 
     @property
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -1,7 +1,7 @@
 """Evidence of one order, merged over all proxies (docs/rollouts.md 4).
 
 `EvidenceTable` owns the newest report of each origin. Reports are cumulative for one incarnation of a proxy and one
-order, a grow-only counter: the one with the most requests stands, so that reports that are lost, repeated or reordered
+order, a grow-only counter: the one with the most requests counts, so that reports that are lost, repeated or reordered
 change nothing (`test_reports_lost_repeated_and_out_of_order_count_once`).
 """
 
@@ -50,7 +50,7 @@
         return found
 
     def totals(self) -> Tallies:
-        """All that was counted. The sum over all origins takes a while: one call a heartbeat is enough."""
+        """The tallies of all origins, summed. That is slow: one call a heartbeat is enough."""
         found: Tallies = {}
         for report in self.reports.values():
             for key, tally in report.tallies.items():
--- a/ploverward/control_plane/rollouts/exposure.py
+++ b/ploverward/control_plane/rollouts/exposure.py
@@ -11,7 +11,7 @@
 from ploverward.control_plane.rollouts import state
 
 CANARY_SHARE = 0.8  # of the bound's share, that the canary uses
-CANARY_SLACK = 0.5  # of the bound's slack, that it uses besides
+CANARY_SLACK = 0.5  # of the bound's slack, that it uses as well
 STOP_SLACK = 0.7  # of the bound's slack: no canary beyond this much more than the bound's share
 MAX_CANARY_SHARE = 0.5  # of all requests
 LOAD_TEST_START = (
@@ -72,7 +72,7 @@
 
 
 def lease_share(*, rollout: state.Rollout, canary: float, stage_age_s: float) -> float:
-    """The share of the requests that a lease lets go to the new version, by the stage."""
+    """The share of the requests that a lease permits at the new version, by the stage."""
     if rollout.stage == state.Stage.CANARY:
         return canary
     if rollout.stage == state.Stage.PROMOTING:
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -20,7 +20,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """How an answer is bad. The values are part of the reason that is stored with a step."""
+    """The kinds of bad answers. The values are part of the reason that is stored with a step."""
 
     FAILED = "failed"  # a status of 500 and more
     BROKEN = "broken"  # no end
@@ -39,7 +39,7 @@
 BAD_RATE_FACTOR = 3.0  # and so many times the former version's share
 MAX_BAD_RATE = 0.95
 MAX_ORDINARY_RATE = 0.35  # of the former version's bad answers; beyond it nothing is judged
-MIN_FORMER_ANSWERS = 8  # of the former version in the window, below which its times say nothing
+MIN_FORMER_ANSWERS = 8  # of the former version in the window, below which its times are not used
 SLOW_BUCKETS = 7  # buckets above the former version's median: five times as long
 GROUP_LIMIT = 5.0  # the most that one group of replicas contributes to a score
 BAD_SCORE = 8.0  # the sum over groups from which on the version is bad
@@ -52,13 +52,13 @@
     """What the canary shows of a version."""
 
     CLEAR = "clear"
-    DOUBTFUL = "doubtful"  # a fault stands out that other replicas neither confirm nor clear yet
+    DOUBTFUL = "doubtful"  # a fault is probable that other replicas neither confirm nor clear yet
     BAD = "bad"
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """The fault that stands out most: its route and its score over all groups."""
+    """The fault with the highest score: its route and its score over all groups."""
 
     route: str
     fault: str
@@ -134,7 +134,7 @@
         self.answers: collections.Counter[tuple[str, int]] = collections.Counter()
         self._sums: dict[_SumKey, float] = {}
         self._former: collections.deque[tuple[float, dict[str, rollout_evidence.Tally]]] = collections.deque()
-        self._last_windows: dict[str, rollout_evidence.Tally] = {}  # by route: the last that said something
+        self._last_windows: dict[str, rollout_evidence.Tally] = {}  # by route: the last with enough answers
 
     def record(
         self, *, now: float, counted: Mapping[rollout_evidence.Key, rollout_evidence.Tally], has_times: bool = True
@@ -144,8 +144,8 @@
         Args:
             now: Seconds on any clock that does not go back.
             counted: New answers, by route, version and group.
-            has_times: Whether times are judged. A replica under extraordinary load, or one with a cold cache while all
-                traffic moves to it, is slower whatever its version.
+            has_times: Whether times are judged. A replica under extraordinary load, or one with an empty cache while
+                all traffic moves to it, is slower whatever its version.
         """
         faults = [fault for fault in FaultKind if has_times or fault not in TIME_FAULTS]
         self._former.append((now, {key.route: tally for key, tally in counted.items() if not key.is_new}))
@@ -201,7 +201,7 @@
         self._sums[sum_key] = max(0.0, self._sums.get(sum_key, 0.0) + step)
 
     def finding(self) -> Finding:
-        """The fault that stands out most, over all groups."""
+        """The fault with the highest score, over all groups."""
         pooled: dict[tuple[str, FaultKind], float] = {}
         for key, score in self._sums.items():
             pooled[key.route, key.fault] = pooled.get((key.route, key.fault), 0.0) + min(GROUP_LIMIT, score)
@@ -222,7 +222,7 @@
         return Verdict.DOUBTFUL if is_doubtful else Verdict.CLEAR
 
     def _is_doubtful(self, route: str, scores: Mapping[int, float]) -> bool:
-        """Whether a fault stands out that other groups do not clear: at one alone it may be the replica's."""
+        """Whether a fault is probable that other groups do not refute: at one alone it may be the replica's."""
         worst = max(scores, key=lambda group: scores[group])
         others = sum(score for group, score in scores.items() if group != worst)
         if others >= DOUBTFUL_SCORE:
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -1,9 +1,9 @@
-"""Roll-outs at the coordinator: takes evidence, grants leases, moves the stages (docs/rollouts.md 3).
+"""Roll-outs at the coordinator: collects evidence, grants leases, advances the stages (docs/rollouts.md 3).
 
 `RolloutManager` runs on each core node and acts on the one that has the coordinator's role. The role's epoch fences
 it: it acts only in contact with a majority, each step is a change of the register that counts only on the row it was
 decided on, and the leases that it grants expire by themselves. So two coordinators at a time, or a coordinator that is
-cut off, do no harm (`ploverward.simulation.rollout_simulation`). It owns the trials of the orders in progress; the
+partitioned, do no harm (`ploverward.simulation.rollout_simulation`). It owns the trials of the orders in progress; the
 stages are in the register.
 """
 
@@ -36,7 +36,7 @@
 
 LEASE_SHARE = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
 SETTLED_RECEIPTS = 4  # an order may be repeated for receiptMs; after so many of them the same one is new
-MAX_REPORTS_PER_S = 150  # evidence that a coordinator takes: proxies report less often where there are more
+MAX_REPORTS_PER_S = 150  # evidence that a coordinator accepts: proxies report less often where there are more
 DEFAULT_ROLLBACK_S = 5.0
 ACTING_DIVISOR = 5  # of contactMs: how long a coordinator acts after a heartbeat; one that stood still does not
 
@@ -242,7 +242,7 @@
             self._change_rows(versions.keys(), edit)
 
     def _change_rows(self, services: Collection[str], edit: orders.Edit) -> None:
-        """Changes rows; until the change is over, whatever came of it, no other step of these services is taken."""
+        """Changes rows; until the change ended, also if it failed, no other step of these services starts."""
         self._changing.update(services)
 
         def done(_error: Exception | None, _version: int, _payload: state.Payload, _result: object) -> None:
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -22,10 +22,10 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What an order did to the register."""
+    """The result of an order."""
 
     TAKEN = "taken"
-    KNOWN = "known"  # the same order stands already
+    KNOWN = "known"  # the same order is in the register already
 
 
 Edit = Callable[[state.Payload], tuple[state.Payload, OrderOutcome | None]]
@@ -149,7 +149,7 @@
 
 
 def edit_to_admit(*, seen: Mapping[str, state.Rollout], versions: Mapping[str, Iterable[str]]) -> Edit:
-    """The edit that admits versions, by service, in place of those that the `seen` rows admit."""
+    """The edit that admits versions, by service, replacing those that the `seen` rows admit."""
 
     def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         rollouts = state.rollouts_of(payload)
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -12,11 +12,11 @@
 from ploverward.control_plane.rollouts import judge
 from ploverward.control_plane.rollouts import state
 
-EARLIEST_PROMOTION = 0.55  # of the term: a version may turn bad late
-LATEST_PROMOTION = 0.65  # of the term: what is in doubt then is returned
+EARLIEST_PROMOTION = 0.55  # of the term: a version may become bad late
+LATEST_PROMOTION = 0.65  # of the term: a version that is in doubt then is rolled back
 MIN_JUDGED_S = 4.5  # from the first answer of the new version to its promotion
 RAMP = 0.08  # of the term: how long the share takes to rise from the canary's to all
-DELIVERY_WITHOUT_SILENT = 0.85  # of the term: from then on nothing waits for proxies that do not report
+DELIVERY_WITHOUT_SILENT = 0.85  # of the term: from then on proxies that do not report are not waited for
 LAST_DELIVERY = 0.94  # of the term: the last moment for a step
 MIN_ROUTE_ANSWERS = 8  # of the new version, on each route that the former one serves
 MIN_ANSWERED_SHARE = 0.5  # of the answers that are due, below which they are missing
@@ -34,9 +34,10 @@
         first_answer_s: Seconds from the order to the first answer of the new version; None before it.
         answers: Answers of the new version, and those that are due, by route.
         verdict: What the canary shows.
-        finding: The fault that stands out most, as text; may be empty.
+        finding: The fault with the highest score, as text; may be empty.
         has_capacity: Whether warm replicas of the new version can carry the traffic of each region.
-        has_reports: Whether this coordinator has the counts of most proxies; one that has just taken over has not.
+        has_reports: Whether this coordinator has the counts of most proxies; one that has just acquired the role has
+            not.
         is_drained: Whether no proxy in contact runs anything at the former version.
         is_drained_without_silent: The same, of the proxies that report.
     """
--- a/ploverward/control_plane/rollouts/rollout_ages.py
+++ b/ploverward/control_plane/rollouts/rollout_ages.py
@@ -1,8 +1,8 @@
 """How old orders and stages are, on this node's clock (docs/rollouts.md 3).
 
 `RolloutAges` owns the estimates. The time of day is not used: the row names the order's age at its last step, and
-proxies report the age that they know, so that neither a new coordinator nor a restart of all core nodes moves the term
-(`test_a_coordinator_after_a_full_restart_learns_the_age_from_the_proxies`).
+proxies report the age that they know, so that neither a new coordinator nor a restart of all core nodes changes the
+term (`test_a_coordinator_after_a_full_restart_learns_the_age_from_the_proxies`).
 """
 
 import typing
@@ -17,7 +17,7 @@
 
 
 class RolloutAges:
-    """Ages of the orders of all services. An order is taken to be as old as the oldest claim says."""
+    """Ages of the orders of all services. An order counts as being as old as the oldest report of its age."""
 
     def __init__(self, *, now: Callable[[], float]) -> None:
         self._now = now
--- a/ploverward/control_plane/rollouts/state.py
+++ b/ploverward/control_plane/rollouts/state.py
@@ -16,7 +16,7 @@
 
 
 class Stage(enum.StrEnum):
-    """Where a roll-out stands. The values are those of the protocol and of stored data."""
+    """The stages of a roll-out. The values are those of the protocol and of stored data."""
 
     IDLE = "idle"  # no order yet: the row only names the admitted versions
     CANARY = "canary"
@@ -66,7 +66,7 @@
         refused: Versions that were returned.
         target: The new version of the newest order.
         over_s: The term of that order, in seconds.
-        stage: Where the order stands.
+        stage: The order's present stage.
         number: Counts the service's orders.
         step: Counts the changes of the row of any kind.
         age_s: Seconds from the order to this step.
@@ -119,7 +119,7 @@
 
 
 def with_rollout(payload: Payload, *, service: str, rollout: Rollout) -> dict[str, Any]:
-    """The register's value with this row in place of the service's former one."""
+    """The register's value with this row replacing the service's former one."""
     row = dataclasses.asdict(rollout)
     row["stage"] = str(rollout.stage)
     return {"services": {**(payload or {}).get("services", {}), service: row}}
--- a/ploverward/control_plane/rollouts/version_admitter.py
+++ b/ploverward/control_plane/rollouts/version_admitter.py
@@ -1,8 +1,8 @@
-"""Admits the listed versions of services that nobody rolled out (docs/rollouts.md 2).
+"""Admits the listed versions of services without a roll-out (docs/rollouts.md 2).
 
 A service that has no row yet gets the versions that the first list shows. A service none of whose admitted versions has
-been listed for a while gets what is listed, but never a version that was returned: an operator who changed the platform
-by hand is served. `VersionAdmitter` owns since when such services are without an admitted version.
+been listed for a while gets what is listed, but never a version that was rolled back. This covers operators who change
+the platform by hand. `VersionAdmitter` owns since when such services are without an admitted version.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
         Args:
             listed: Listed versions by service.
             rollouts: The rows of the register.
-            changing: Services whose row is being changed: they are left out.
+            changing: Services whose row is being changed: they are omitted.
         """
         wanted = {}
         for service, versions in listed.items():
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -1,10 +1,10 @@
 """The filters that a request passes before a replica is chosen (design 7).
 
 `admit` runs them in order: readiness (503), route (404), key (401, 503), time (400, 503), end of the process (503),
-quota (429), prompt. The first one that refuses ends the chain. Each writes what it settled to `RequestFacts`, which the
-handler owns; a refused request keeps what was settled before, because its custody trail states it.
+quota (429), prompt. The first one that refuses ends the chain. Each writes its results to `RequestFacts`, which the
+handler owns; a refused request keeps the earlier results, because its custody trail states them.
 
-The quota stands behind all other refusals: what it admits is counted against the tenant.
+The quota is checked last but for the prompt, which refuses nothing: what it admits is counted against the tenant.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     from ploverward.transport import http_request
 
 NOT_SERVING_RETRY_AFTER_S = 0.5  # pause for a client while this proxy does not serve yet: about one start of it
-DRAINING_RETRY_AFTER_S = 0.02  # pause for a client whose node ends: any other node takes the request at once
+DRAINING_RETRY_AFTER_S = 0.02  # pause for a client whose node ends: any other node accepts the request at once
 LATE_RETRY_AFTER_S = 0.1  # pause for a client whose time is over
 DEFAULT_TARGET_FRACTION = 0.25  # latency target, as a share of the time left, where the route names none
 RETRY_AFTER_SHARE = 0.3  # of the latency target: pause for a refused client, who then still has time for an answer
@@ -35,7 +35,7 @@
     """What X-Model names: a model and an adapter of it, as far as that is known for the service.
 
     Attributes:
-        text: The header as it came.
+        text: The header as received.
         name: The model.
         adapter: The adapter, empty where none is named.
         is_adapter_known: False where the text names something that no list or configuration does.
@@ -85,7 +85,7 @@
 
     Attributes:
         status: Of the answer.
-        after_s: With 429 and 503: seconds after which the client may come back.
+        after_s: With 429 and 503: seconds after which the client may retry.
     """
 
     status: int
@@ -98,13 +98,13 @@
 
     Attributes:
         route: The route in force for it, None before it was found.
-        tenant: Who sent it, None where no key is wanted.
+        tenant: Who sent it, None where no key is required.
         service: The service that the route picked.
         model: What X-Model names.
         prompt: Its shared parts.
         deadline: On the loop's clock, in seconds.
         latency_target_s: Seconds within which an answer has its full value.
-        first_homes: Regions that were permitted when it came; they bind it to its end (design 10).
+        first_homes: Regions that were permitted when it arrived; they bind it to its end (design 10).
         is_counted: Whether it was counted against the tenant's quota.
     """
 
@@ -126,7 +126,7 @@
 
     Args:
         request: The complete request.
-        facts: Filled as far as the chain came.
+        facts: Filled up to the filter that refuses.
         context: The proxy.
 
     Returns:
@@ -149,7 +149,7 @@
         return times
     facts.deadline, facts.latency_target_s = times.deadline, times.latency_target_s
     if context.loop.now() >= times.deadline:
-        # Read late: the process was frozen, or the client sent slowly (test_after_a_freeze_…). It reached nobody.
+        # Read late: the process was frozen, or the client sent slowly (test_after_a_freeze_…). No replica received it.
         return Refused(status=503, after_s=LATE_RETRY_AFTER_S)
     if not context.drain_window.may_accept(deadline=times.deadline):
         return Refused(status=503, after_s=DRAINING_RETRY_AFTER_S)
@@ -168,11 +168,11 @@
     route: route_table.Route,
     context: handler_context.HandlerContext,
 ) -> bool:
-    """Puts a request that is under way under a newer configuration; False where that refuses it.
+    """Applies a newer configuration to a request in progress; False if that refuses it.
 
     Args:
         request: The complete request.
-        facts: Changed to the newer configuration, or left as they are.
+        facts: Updated to the newer configuration, or unchanged.
         route: The newer configuration's route for it.
         context: The proxy.
     """
@@ -255,7 +255,7 @@
 
 
 def read_prompt(*, request: http_request.Request, model_text: str, is_sticky: bool) -> Prompt:
-    """Returns the prompt's parts and size. Routes without affinity look at no parts."""
+    """Returns the prompt's parts and size. Routes without affinity use no parts."""
     first_count = request.text(b"x-token-count").split(",")[0].strip()
     tokens = int(first_count) if first_count.isdigit() else 0
     lead = request.text(b"x-prompt-lead")
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -1,10 +1,10 @@
-"""What an attempt's beginning, prefill and end mean for all that counts attempts.
+"""Updates everything that counts attempts at their start, prefill and end.
 
 These are the load of its replica as this proxy knows it, the roll-out's evidence, the retry and slow-start quotas, the
 counts of adapters, and the load reports. The invariant: each count that `start` raises falls once, in `release`.
 
-`release` and `report_end` are apart: what is known of the attempt's fate is settled between them, so a fault of our own
-in a report leaves that as it is (`test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise`).
+`release` and `report_end` are separate: the attempt's outcome is recorded between them, so a bug of this program in a
+report does not change it (`test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise`).
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
 
-FAILING_SILENCE_FACTOR = 1.5  # of the latency target: a replica that is silent for longer has failed the attempt
+FAILING_SILENCE_FACTOR = 1.5  # of the latency target: a replica that sends nothing for longer has failed the attempt
 
 
 def start(
     attempt: attempts.Attempt, *, facts: admission_filters.RequestFacts, context: handler_context.HandlerContext
 ) -> None:
-    """The attempt begins: raises the counts, before a byte of it is handed to the connection."""
+    """The attempt starts: raises the counts, before a byte of it is passed to the connection."""
     replica = attempt.replica
     replica.running += 1
     replica.prefill_tokens[attempt.number] = attempt.prefill_tokens
@@ -122,7 +122,10 @@
 
 
 def abandoned_kind(attempt: attempts.Attempt, *, latency_target_s: float, now: float) -> int:
-    """Returns how an attempt ends that is given up: failed where the replica got it and was silent for too long."""
+    """Returns the outcome of an attempt that is given up.
+
+    It is a failure if the replica received it and sent nothing for too long.
+    """
     if not attempt.connection.is_unsent and attempt.quiet_s(now=now) > latency_target_s * FAILING_SILENCE_FACTOR:
         return report_source.FAILED
     return report_source.DONE
--- a/ploverward/data_plane/requests/attempt_runner.py
+++ b/ploverward/data_plane/requests/attempt_runner.py
@@ -1,7 +1,7 @@
 """The running attempt of a request: its start, its end, and the records of both.
 
 `AttemptRunner` owns the request's one running attempt, the rows of its custody trail, and what `RetryPolicy` counts. It
-decides nothing: the handler says when an attempt starts or is given up, and what follows it.
+decides nothing: the handler decides when an attempt starts or is given up, and what follows it.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
     """Starts and ends the attempts of one request.
 
     Args:
-        listener: Notified of what comes on an attempt: the request handler.
+        listener: Notified of what arrives on an attempt: the request handler.
         context: The proxy.
         request: The client's request.
-        facts: What the filters settled about it.
+        facts: The results of the filters.
         writer: What the client has of its answer.
         steps: The request's steps, for the log.
         on_event: Called when an attempt has started or ended.
-        may_fail_over: Whether another replica can take what a silent one runs.
-        on_silent: The replica of the attempt is gone.
+        may_fail_over: Whether another replica can resume the request after a time-out.
+        on_silent: The replica of the attempt does not respond.
 
     Attributes:
         attempt: The running attempt, None where there is none.
@@ -89,11 +89,11 @@
         self._on_event = on_event
         self._may_fail_over = may_fail_over
         self._on_silent = on_silent
-        self._watch: replica_watch.ReplicaWatch | None = None  # of a request that another replica may take
+        self._watch: replica_watch.ReplicaWatch | None = None  # of a request that another replica may resume
 
     @property
     def is_sending(self) -> bool:
-        """Whether a byte of a running attempt has left."""
+        """Whether a byte of a running attempt was sent."""
         return self.attempt is not None and not self.attempt.connection.is_unsent
 
     def start(
@@ -175,19 +175,19 @@
             self._on_event(request_state.RequestEvent.ATTEMPT_ENDED)
 
     def drop(self, attempt: attempts.Attempt, *, route: route_table.Route, kind: int) -> None:
-        """Gives up an attempt that is under way: its connection is closed, so nothing of it can come later."""
+        """Gives up an attempt in progress: its connection is closed, so nothing of it can arrive later."""
         connection = attempt.connection
         self.end(attempt, route=route, kind=kind)
         connection.drop_attempt()
 
     def abandon(self, attempt: attempts.Attempt, *, route: route_table.Route) -> None:
-        """Gives up an attempt because nobody waits for it any more."""
+        """Gives up an attempt whose answer is no longer needed."""
         kind = attempt_accounting.abandoned_kind(
             attempt, latency_target_s=self._facts.latency_target_s, now=self._context.loop.now()
         )
         self.drop(attempt, route=route, kind=kind)
 
     def close(self) -> None:
-        """Nobody waits for the replica any more."""
+        """Ends the watch on the replica; the request is over."""
         if self._watch is not None:
             self._watch.cancel()
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -1,7 +1,7 @@
 """One attempt of a request at one replica: the head that it is sent with, and what its answer means (design 7).
 
-`Attempt` owns what is known of one attempt. Its invariant: once it is over, nothing that its connection still brings
-reaches the request, so a replica that answers late is heard by nobody (docs/requests.md 1.7).
+`Attempt` owns what is known of one attempt. Its invariant: once it is over, nothing that arrives on its connection
+reaches the request, so late answers of a replica are ignored (docs/requests.md 1.7).
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 )
 TENANT_HEADERS = frozenset((b"authorization", b"x-sender"))  # keys stay here, and only this system names a tenant
 MAX_PRIORITY = 9  # of X-Urgency, by the protocol
-STALE_RESET_S = 0.05  # beside two ways: so soon comes the reset of a connection that a replica had forgotten
+STALE_RESET_S = 0.05  # plus the round trip: within it the reset of a connection that a replica had closed arrives
 
 
 class Meaning(enum.Enum):
-    """What the head of an answer says of the attempt."""
+    """How an answer is classified by its head."""
 
-    NOT_RUN = "not run"  # the replica says that it did not run the request
+    NOT_RUN = "not run"  # the replica states that it did not run the request
     SUCCESS = "success"
-    UNUSABLE = "spoiled"  # not to be forwarded: a success that lacks its marks, or one that was not run
+    UNUSABLE = "spoiled"  # not to be forwarded: a success that lacks its proof headers, or one that was not run
     FAILURE = "failure"
 
 
@@ -69,7 +69,7 @@
 def forwarded_headers(
     *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
-    """Returns what of a replica's head goes to the client. A length beside chunks does not count (RFC 9112, 6.3)."""
+    """Returns the headers of a replica that are forwarded. A length beside chunks does not count (RFC 9112, 6.3)."""
     has_chunks = b"transfer-encoding" in table
     return [
         (name, value)
@@ -129,16 +129,16 @@
     def handle_head(
         self, attempt: Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
     ) -> None:
-        """The head of an answer came; `attempt.meaning` is set."""
+        """The head of an answer was received; `attempt.meaning` is set."""
 
     def handle_data(self, attempt: Attempt, data: bytes) -> None:
-        """A part of its body came."""
+        """A chunk of its body was received."""
 
     def handle_end(self, attempt: Attempt) -> None:
         """The answer came completely."""
 
     def handle_failure(self, attempt: Attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
-        """The connection ended before that; `was_sent`: a byte of the request had left, `was_up`: it was connected."""
+        """The connection ended before that; `was_sent`: a byte of the request was sent, `was_up`: it was connected."""
 
 
 class Attempt:
@@ -150,13 +150,13 @@
         permitted: Regions that were permitted when it began, None for all.
         status: Of the answer, 0 before its head.
         meaning: Of the answer, None before its head.
-        is_known_not_run: A complete answer of the replica says that it did not run it.
-        is_over: Nothing more of it is listened to.
-        is_read: The first event came, so the prompt is prefilled.
-        is_complete: The answer came completely, of whatever meaning.
-        pieces: Events of a stream that came.
-        first_at: When the first one came, in seconds on the loop's clock.
-        last_at: When the last one came.
+        is_known_not_run: A complete answer of the replica states that it did not run it.
+        is_over: Whatever still arrives on its connection is ignored.
+        is_read: The first event arrived, so the prompt is prefilled.
+        is_complete: The complete answer arrived, whatever its meaning.
+        pieces: Events of a stream that arrived.
+        first_at: When the first one arrived, in seconds on the loop's clock.
+        last_at: When the last one arrived.
         sent_at: When the attempt began.
         heard_at: When the replica last sent something on it.
         was_connected: Whether its connection was up already when it began.
@@ -200,7 +200,7 @@
     def on_head(
         self, *, status: int, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes], is_framed: bool
     ) -> None:
-        """The head of the answer came."""
+        """The head of the answer was received."""
         if self.is_over:
             return
         self.heard_at = self.handler.loop.now()
@@ -209,13 +209,13 @@
         self.handler.handle_head(self, headers=headers, table=table)
 
     def note_event(self, *, now: float) -> None:
-        """One complete event came."""
+        """One complete event was received."""
         self.pieces += 1
         self.first_at = self.first_at if self.first_at is not None else now
         self.last_at = now
 
     def on_data(self, data: bytes) -> None:
-        """A part of the body came."""
+        """A chunk of the body was received."""
         if not self.is_over:
             self.heard_at = self.handler.loop.now()
             self.handler.handle_data(self, data)
@@ -233,9 +233,9 @@
 
     @property
     def is_connection_stale(self) -> bool:
-        """Whether it failed because its replica had forgotten an idle connection: that says nothing of the replica.
+        """Whether it failed because its replica had closed an idle connection: that is no failure of the replica.
 
-        Taken to be so where a connection that had served others is reset at once, before any answer.
+        Assumed if a connection that was used before is reset at once, before any answer.
         """
         network_latency_s = self.replica.network_latency_s or 0.0
         return (
--- a/ploverward/data_plane/requests/custody_trails.py
+++ b/ploverward/data_plane/requests/custody_trails.py
@@ -1,6 +1,6 @@
 """The proxy's records of the custody trail (design 10, docs/residency.md): ids and hashes only, never text.
 
-`TrailBatches` owns the trails that are on their way to the core nodes. Keys of the rows are stored and read elsewhere
+`TrailBatches` owns the trails that are being sent to the core nodes. Keys of the rows are stored and read elsewhere
 (`ploverward.control_plane.audit`), so they keep their names.
 """
 
@@ -23,7 +23,7 @@
 
 
 class AttemptRow(typing.TypedDict):
-    """One attempt in a trail; `to_ms` is None while it is under way. Times are milliseconds since the request began."""
+    """One attempt in a trail; `to_ms` is None during the attempt. Times are milliseconds since the request began."""
 
     replica: str
     zone: str
--- a/ploverward/data_plane/requests/graceful_shutdown.py
+++ b/ploverward/data_plane/requests/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown of a proxy after SIGTERM (docs/design.md 9).
 
-The proxy is at once taken out of the answers to look-ups. While clients may still have its address it serves on, but
-accepts nothing that it may have to give up (`DrainWindow`). From `IDLE_FROM_SHARE` of `graceS` on it ends as soon as
+The proxy is at once removed from the answers to look-ups. While clients may still have its address it goes on serving,
+but accepts nothing that it may have to abort (`DrainWindow`). From `IDLE_FROM_SHARE` of `graceS` on it ends as soon as
 nothing is in progress, and at `END_SHARE` of it whatever is in progress.
 """
 
@@ -15,7 +15,7 @@
 ACCEPT_UNTIL_SHARE = 0.35  # of graceS: the same where that is shorter
 IDLE_FROM_SHARE = 0.6  # of graceS: from there on idle connections are closed and the process ends once it is idle
 END_SHARE = 0.92  # of graceS: from there on the process ends, whatever is in progress
-FLUSH_SHARE = 1 / 80  # of graceS: for the last reports to leave
+FLUSH_SHARE = 1 / 80  # of graceS: for the last reports to be sent
 IDLE_CHECK_S = 0.05
 
 
@@ -23,7 +23,7 @@
     """The time of a process between SIGTERM and its end."""
 
     def __init__(self, *, now: Callable[[], float], grace_s: float) -> None:
-        """Creates a window that has not begun.
+        """Creates a window that has not started.
 
         Args:
             now: seconds on a monotonic clock.
@@ -41,8 +41,9 @@
     def may_accept(self, *, deadline: float) -> bool:
         """Whether a request that arrives now is accepted.
 
-        A late one is only if its deadline is before the end of this process: when it is refused its client goes to
-        another node at once, while a request that is cut off later is lost (docs/incidents/late-stream.md).
+        A late one is accepted only if its deadline is before the end of this process: a client that is refused
+        retries at another node at once, while a request that is aborted later is lost
+        (docs/incidents/late-stream.md).
 
         Args:
             deadline: of the request, in seconds on the same clock.
@@ -70,14 +71,14 @@
         announce: Callable[[], None],
         send_last_reports: Callable[[], None],
     ) -> None:
-        """Creates the shutdown of a process that was not asked to end.
+        """Creates the shutdown of a process that has not received SIGTERM.
 
         Args:
             loop: the node's event loop; it is stopped at the end.
             settings: the settings in force.
             front_end: accepts the requests.
-            announce: says to the core nodes that this proxy is draining.
-            send_last_reports: sends what is left to be reported, once all requests ended.
+            announce: notifies the core nodes that this proxy is draining.
+            send_last_reports: sends the remaining reports, once all requests ended.
         """
         self._loop = loop
         self._settings = settings
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -1,7 +1,7 @@
 """What a request handler needs of the proxy that it runs in.
 
 `HandlerContext` is a structural type: the proxy node provides it in production, `LoopbackProxy` in tests. A handler
-reads these attributes anew at each use, because a new configuration replaces some of them while requests are under way.
+reads these attributes at each use, because a new configuration replaces some of them while requests are in progress.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
     Attributes:
         settings: Of this node.
         incarnation: Id of this run of the process.
-        failover_s: Seconds in which another node takes over, or a lost one comes back: the pause for a client whose
-            request nobody can serve.
+        failover_s: Seconds in which another node takes over, or a lost one returns: the pause for a client whose
+            request no replica can serve.
         drain_window: What may still be accepted after SIGTERM.
-        quota: This proxy's share of the limits that hold over all machines: retries and slow starts.
+        quota: This proxy's share of the global limits: retries and slow starts.
         quota_allowance: What may be admitted of each tenant.
         credential_freshness: How old a configuration may be that keys are checked by.
         rollouts: Which versions of a service an attempt may go to.
         table: The replicas.
         chooser: Scores replicas.
         adapters: Counts of adapter loads.
-        batches: Custody trails on their way to the core nodes.
-        handlers: The handlers of all requests under way; a handler leaves it at its end.
+        batches: Custody trails that are being sent to the core nodes.
+        handlers: The handlers of all requests in progress; a handler removes itself at its end.
     """
 
     settings: settings_files.Settings
@@ -93,10 +93,10 @@
         """A replica has read these prompt parts and caches them from now on."""
 
     def note_fault(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
-        """An attempt failed; `was_up`: whether its connection had come up."""
+        """An attempt failed; `was_up`: whether its connection was established."""
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
         """421: another replica has the address."""
 
     def note_full(self, replica: replica_table.Replica) -> None:
-        """The replica declined a request: it is left alone for a moment."""
+        """The replica declined a request: it is not used for a moment."""
--- a/ploverward/data_plane/requests/http_front_end.py
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -1,8 +1,8 @@
 """The HTTP listeners of a proxy: traffic and readiness (docs/design.md 7, 9).
 
 The state is the requests in progress and whether new ones are refused because the process is about to end. Invariant:
-a request is in `requests` from its arrival until its last byte is sent or its client is gone; the request handler
-takes itself out.
+a request is in `requests` from its arrival until its last byte is sent or its client has left; the request handler
+removes itself.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 READINESS_PATH = b"/ploverward/ready"
 TRAFFIC_HANDLES_SHARE = 0.6  # of the process's file handles; connections to replicas need most of the others
 TRAFFIC_MEMORY_SHARE = 0.3  # of the process's memory, for bodies of requests
-TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # contactMs after which a client that does not read is given up
+TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # contactMs after which a client that does not read is disconnected
 MAX_READINESS_CONNECTIONS = 100
 READINESS_LIMITS = http_request.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0)
 BYTES_PER_MB = 1024 * 1024
@@ -111,11 +111,11 @@
         request.reply(status=status)
 
     def drain(self) -> None:
-        """Asks clients to come back on other connections; requests are handled all the same."""
+        """Requests clients to use other connections from now on; requests are still handled."""
         self.server.leave()
 
     def close_idle(self) -> bool:
-        """Closes connections without a request in progress. Returns whether nothing is left."""
+        """Closes connections without a request in progress. Returns whether no connection or request remains."""
         self.server.close_idle()
         return not self.server.connections and not self.requests
 
--- a/ploverward/data_plane/requests/replica_feedback.py
+++ b/ploverward/data_plane/requests/replica_feedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says of its replica (docs/design.md 7).
+"""Consequences of an attempt's outcome for its replica (docs/design.md 7).
 
 A failed attempt makes its replica suspected, and a refusal makes the proxy wait before it sends there again. The state
 is kept at the replicas of the table.
@@ -12,7 +12,7 @@
 _log = logging.getLogger(__name__)
 
 WRONG_REPLICA_BACKOFF_SHARE = 1 / 2  # of contactMs: by then the endpoint list names the process behind the address
-FULL_BACKOFF_SHARE = 1 / 60  # of contactMs: a place is free again soon
+FULL_BACKOFF_SHARE = 1 / 60  # of contactMs: a batch slot is free again soon
 
 
 class ReplicaFeedback:
@@ -37,11 +37,11 @@
             self._table.mark_suspected(replica)
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
-        """421: another process has the address. Until the endpoint list says which, nothing is sent there."""
+        """421: another process has the address. Until the endpoint list names it, nothing is sent there."""
         replica.close_idle()
         replica.backoff_until = self._now() + self._contact_s * WRONG_REPLICA_BACKOFF_SHARE
 
     def note_full(self, replica: replica_table.Replica) -> None:
-        """The replica refused a request because all its places are taken."""
+        """The replica refused a request because all its batch slots are in use."""
         backoff_until = self._now() + self._contact_s * FULL_BACKOFF_SHARE
         replica.backoff_until = max(replica.backoff_until, backoff_until)
--- a/ploverward/data_plane/requests/replica_selection.py
+++ b/ploverward/data_plane/requests/replica_selection.py
@@ -1,4 +1,4 @@
-"""Which replica a request's next attempt goes to.
+"""The choice of the replica for a request's next attempt.
 
 `ReplicaSelection` owns what narrows one request's choice: the replicas that it has tried and the regions that are
 permitted for it. The scores themselves are `ploverward.data_plane.load_balancing`'s.
@@ -21,9 +21,9 @@
     """A choice.
 
     Attributes:
-        replica: The replica, None where none can take the request now.
+        replica: The replica, None if none can accept the request now.
         prefill_tokens: Tokens that it has to prefill.
-        is_any_known: Whether any replica may serve the request at all; a full one comes back sooner than none.
+        is_any_known: Whether any replica may serve the request at all; a full one is available again sooner.
     """
 
     replica: replica_table.Replica | None
@@ -36,7 +36,7 @@
 
     Attributes:
         avoided: Ids of replicas that are not to be chosen again.
-        permitted: Regions permitted for the attempt that is to be begun, None for all.
+        permitted: Regions permitted for the next attempt, None for all.
     """
 
     __slots__ = ("avoided", "permitted", "_context", "_facts")
@@ -48,18 +48,18 @@
         self._facts = facts
 
     def refresh_permitted(self, route: route_table.Route) -> None:
-        """Computes the permitted regions anew: before each attempt, since a new configuration may narrow them."""
+        """Computes the permitted regions again, before each attempt, since a new configuration may narrow them."""
         self.permitted = self._context.permitted(
             route=route, first_homes=self._facts.first_homes, tenant=self._facts.tenant
         )
 
     def choose(self, *, route: route_table.Route, is_first: bool, avoided: Set[str] | None = None) -> Selection:
-        """Returns the best replica, of the versions that may be asked.
+        """Returns the best replica, of the versions that may be used.
 
         Args:
             route: The route in force for the request.
             is_first: No attempt of the request has reached a replica yet (docs/rollouts.md).
-            avoided: Replicas to pass over, in place of those that were tried.
+            avoided: Replicas to skip, instead of those that were tried.
         """
         facts = self._facts
         is_any_known = False
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -1,8 +1,8 @@
-"""Notices that the replica of a running attempt is silent, so that another one may take the request.
+"""Detects that the replica of a running attempt timed out, so that another one may resume the request.
 
-`ReplicaWatch` owns one timer. Silence alone ends no attempt: a long prefill keeps a busy replica silent too. A health
-check (a new connection) tells which it is, and the attempt ends only where that does not come up and another replica
-can take the request now (`test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume`).
+`ReplicaWatch` owns one timer. A time-out alone ends no attempt: a busy replica may send nothing during a long prefill.
+A health check (a new connection) decides, and the attempt ends only if that connection is not established and another
+replica can resume the request now (`test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume`).
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import event_loop
 
-MIN_TIMEOUT_S = 0.2  # less would take a pause of the network for silence
-FIRST_EVENT_SHARE = 0.5  # of the latency target, before the first event: half is left for another replica
+MIN_TIMEOUT_S = 0.2  # less would mistake a pause of the network for a time-out
+FIRST_EVENT_SHARE = 0.5  # of the latency target, before the first event: the other half remains for another replica
 GAP_SHARE = 0.45  # of the longest pause between events that is still in time, after the first one
-RECHECK_SHARE = 0.1  # of the time-out: until the health check is looked at
+RECHECK_SHARE = 0.1  # of the time-out: until the result of the health check is read
 MIN_PAUSE_S = 0.02  # between two checks
 
 
 def silence_timeout_s(*, route: route_table.Route, latency_target_s: float, is_read: bool) -> float:
-    """Returns the seconds after which a replica counts as silent; `is_read`: its first event came."""
+    """Returns the seconds without data after which a replica times out; `is_read`: its first event arrived."""
     if is_read:
         return max(MIN_TIMEOUT_S, (route.gap_s or latency_target_s) * GAP_SHARE)
     return max(MIN_TIMEOUT_S, latency_target_s * FIRST_EVENT_SHARE)
@@ -37,8 +37,8 @@
     Args:
         loop: The event loop.
         table: The replicas: it makes the health checks.
-        may_fail_over: Whether another replica can take what this attempt runs, now.
-        on_silent: The replica is gone, and another one can take the request.
+        may_fail_over: Whether another replica can resume the request now.
+        on_silent: The replica does not respond, and another one can resume the request.
     """
 
     __slots__ = ("_loop", "_table", "_may_fail_over", "_on_silent", "_timer")
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -1,10 +1,11 @@
 """One request, from its arrival to its one final answer (design 7, docs/requests.md).
 
-A `RequestHandler` lives as long as its request and decides what follows what: a filter's verdict, the choice of a
-replica, each end of an attempt, the deadline, a client that leaves. `request_state` explains the states, and what holds
-in them. The parts stand in modules of their own: `admission_filters` (may it enter), `replica_selection` (where to),
-`retry_policy` (may it be sent again), `replica_watch` (is the replica silent), `response_writer` and
-`stream_resumption` (what the client gets), `attempt_runner`, `attempt_accounting` and `custody_trails` (the records).
+A `RequestHandler` exists as long as its request and decides what follows each event: a filter's verdict, the choice
+of a replica, the end of an attempt, the deadline, a client that leaves. `request_state` explains the states and their
+invariants. The components are in modules of their own: `admission_filters` (is it admitted), `replica_selection`
+(which replica), `retry_policy` (may it be sent again), `replica_watch` (did the replica time out), `response_writer`
+and `stream_resumption` (what the client receives), `attempt_runner`, `attempt_accounting` and `custody_trails` (the
+records).
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
     from ploverward.transport import event_loop
     from ploverward.transport import http_request
 
-LIMITED_STATUSES = (408, 421, 429, 503)  # of a replica: passed on, they would read as promises of this proxy
-QUEUE_WAIT_SHARE = 0.2  # of the latency target: how long a request waits for a replica that can be named
-STREAM_WAIT_FACTOR = 3  # of the latency target: the same for a stream that was begun
+LIMITED_STATUSES = (408, 421, 429, 503)  # of a replica: forwarded, they would look like promises of this proxy
+QUEUE_WAIT_SHARE = 0.2  # of the latency target: how long a request waits for an available replica
+STREAM_WAIT_FACTOR = 3  # of the latency target: the same for a stream that was started
 RETRY_INTERVAL_SHARE = 0.05  # of the latency target, between two choices while a request waits
 MIN_RETRY_INTERVAL_S = 0.02
-MIN_RETRY_AFTER_S = 0.05  # pause for a client that is rejected: less would only bring it back to the same replicas
+MIN_RETRY_AFTER_S = 0.05  # pause for a client that is rejected: a sooner retry would only find the same replicas
 
 
 class RequestHandler:
@@ -48,9 +49,9 @@
         request: The complete request.
 
     Attributes:
-        state: Where it stands.
+        state: Its present state.
         request_id: Its X-Attempt-Id.
-        facts: What the filters settled.
+        facts: The results of the filters.
         policy: What its attempts allow to follow.
         writer: What the client has of its answer.
         edition: Version of the configuration that it arrived under.
@@ -141,7 +142,7 @@
         replica, prefill_tokens, is_any_known = self._choose(route=route)
         self._retry_after_s = facts.latency_target_s * admission_filters.RETRY_AFTER_SHARE
         if replica is None:
-            if not is_any_known:  # nobody in reach comes back less soon than somebody full
+            if not is_any_known:  # an unreachable replica returns later than a full one is free again
                 self._retry_after_s = max(self._retry_after_s, self.context.failover_s)
             self._wait_or_reject()
             return
@@ -196,7 +197,7 @@
         self._runner.drop(attempt, route=self.route, kind=kind)
 
     def _may_fail_over(self, attempt: attempts.Attempt) -> bool:
-        """Whether another replica can take what a silent one runs, now: else its silence ends nothing."""
+        """Whether another replica can resume the request now; else a time-out does not end the attempt."""
         route = self.route
         may_retry = self.policy.may_retry(
             route=route, now=self.loop.now(), deadline=self.facts.deadline, is_sending=self._runner.is_sending
@@ -215,7 +216,7 @@
     def handle_head(
         self, attempt: attempts.Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
     ) -> None:
-        """The head of a replica's answer came."""
+        """The head of a replica's answer was received."""
         if attempt.meaning is attempts.Meaning.NOT_RUN:
             return  # decided at its end: only a complete answer is a promise
         if attempt.meaning is attempts.Meaning.UNUSABLE:
@@ -232,7 +233,7 @@
             self.writer.begin_body(forwarded)
 
     def handle_data(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """A part of the body of a replica's answer came."""
+        """A chunk of the body of a replica's answer was received."""
         if attempt.meaning is attempts.Meaning.NOT_RUN:
             return
         stream = self.writer.stream
@@ -251,18 +252,18 @@
         """Writes one event; a client that reads slowly pauses its replica."""
         runner = self._runner
         is_backed_up = self.writer.write_event(event, status=200 if runner.attempt is None else runner.attempt.status)
-        if is_backed_up and runner.attempt is not None:  # else the client was found to have left
+        if is_backed_up and runner.attempt is not None:  # else the write found that the client has left
             runner.attempt.connection.pause()
             self.request.on_drain = self._on_client_drained
 
     def _on_client_drained(self) -> None:
         self.request.on_drain = None
         if self.attempt is not None:
-            self.attempt.heard_at = self.loop.now()  # it was we who did not listen
+            self.attempt.heard_at = self.loop.now()  # the pause was ours
             self.attempt.connection.resume()
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """A replica's answer came completely."""
+        """A replica's answer was received completely."""
         if attempt.meaning is attempts.Meaning.NOT_RUN:
             attempt.is_known_not_run = True
             self._end_attempt(attempt, kind=report_source.DONE)
@@ -284,7 +285,7 @@
         if status >= 500 and self._may_resend():
             self._on_attempt_unresolved(attempt)
         elif self.writer.has_head and self.writer.stream is not None:
-            self._abort_response()  # a failure in place of the rest of a stream
+            self._abort_response()  # a failure instead of the remainder of a stream
         elif status in LIMITED_STATUSES and not self.writer.has_head:
             self._answer(status=502)  # without X-Not-Run it is no promise of the replica, and may be none of ours
         else:
@@ -311,7 +312,7 @@
 
     # What follows an attempt.
     def _on_attempt_unsent(self, attempt: attempts.Attempt) -> None:
-        """No byte left this node."""
+        """No byte of it was sent."""
         self._selection.avoided.add(attempt.replica.id)
         if self.policy.may_reconnect(now=self.loop.now(), deadline=self.facts.deadline):
             self._try_attempt()
@@ -359,7 +360,7 @@
             self._reject(after_s=max(MIN_RETRY_AFTER_S, self._retry_after_s))
 
     def abort_for_shutdown(self) -> None:
-        """The process ends soon: a request that no replica got is rejected; others are left to what still comes."""
+        """The process ends soon: a request that no replica received is rejected; others may still be answered."""
         if self.is_over or self._runner.is_sending:
             return
         if self.attempt is not None:
@@ -388,7 +389,7 @@
         self._finish()
 
     def _reject(self, *, after_s: float) -> None:
-        """It has not run and never will, and the client may come back; where that is not certain, 502."""
+        """Answers 503, a promise that the request has not run and never will; 502 where that is not certain."""
         if self.policy.unresolved_attempts:
             self._answer(status=502)
         else:
@@ -403,9 +404,9 @@
         self.writer.abort()
 
     def _finish(self, *, status: int = 0) -> None:
-        """Nothing may follow: timers end and the trail is written. `status`: of the answer, 0 where it is broken off.
+        """Ends the request: timers are cancelled and the trail is written. `status`: of the answer, 0 if it is aborted.
 
-        It comes before the last write: that may start the next request on the client's connection, or find that the
+        It is called before the last write: that may start the next request on the client's connection, or find that the
         client has left, and neither may reach this request any more.
         """
         if self.is_over:
--- a/ploverward/data_plane/requests/request_state.py
+++ b/ploverward/data_plane/requests/request_state.py
@@ -1,4 +1,4 @@
-r"""The life of a request, as a state machine without I/O. `request_handler.RequestHandler` owns the state.
+r"""The states of a request, a state machine without I/O. `request_handler.RequestHandler` owns the state.
 
     ADMITTING --ADMITTED--> WAITING --ATTEMPT_STARTED--> ATTEMPTING
                                |   <--ATTEMPT_ENDED-----     |
@@ -11,30 +11,30 @@
     and from each of them --FINISHED--> OVER
 
 * ADMITTING: the filters run. A refusal is the final answer.
-* WAITING: no attempt is under way. A replica is being chosen; where none can be named, a timer chooses again for a
+* WAITING: no attempt is in progress. A replica is being chosen; if none is available, a timer chooses again for a
   short time, then the request is rejected.
-* ATTEMPTING: one attempt is under way and the client has nothing of an answer: a failure can still become any status.
-* RESPONDING: one attempt is under way and the client has the head. From here on the answer ends in order or the
+* ATTEMPTING: one attempt is in progress and the client has nothing of an answer: any status can still be sent.
+* RESPONDING: one attempt is in progress and the client has the head. From here on the answer is completed or the
   client's connection is closed; another replica can only continue the stream.
-* RESUMING: the client has the head, and no attempt is under way: the stream looks for another replica, or its end is
+* RESUMING: the client has the head, and no attempt is in progress: the stream waits for another replica, or its end is
   being written.
 * OVER: the final answer was given, the connection was closed, or the client left. Nothing reaches the request any more.
 
-What holds:
+Invariants:
 
-* At most one attempt is under way, and one that is given up loses its connection in the same step: nothing of it can
-  come later.
+* At most one attempt is in progress, and the connection of one that is given up is closed in the same step: nothing
+  of it can arrive later.
 * The client gets exactly one final answer. A status that promises that the request has not run (503, 429) is given only
   while `RetryPolicy.unresolved_attempts` is 0; else it is 502, or 504 at the deadline.
-* A step that raises leaves the request to its deadline. What was known of its attempts until then still holds, so it
-  ends without a promise (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
+* If a step raises, the request ends at its deadline. What was known of its attempts until then is kept, so it ends
+  without a promise (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
 """
 
 import enum
 
 
 class RequestState(enum.Enum):
-    """Where a request stands."""
+    """The states of a request."""
 
     ADMITTING = "admitting"
     WAITING = "waiting"
@@ -47,7 +47,7 @@
 
 
 class RequestEvent(enum.Enum):
-    """What moves a request from one state to the next."""
+    """The events that cause transitions."""
 
     ADMITTED = "admitted"
     ATTEMPT_STARTED = "attempt started"
@@ -70,14 +70,14 @@
     },
     RequestEvent.HEAD_WRITTEN: {
         RequestState.ATTEMPTING: RequestState.RESPONDING,
-        RequestState.WAITING: RequestState.RESUMING,  # a stream without an event: its head comes with its end
+        RequestState.WAITING: RequestState.RESUMING,  # a stream without an event: its head is written with its end
     },
     RequestEvent.FINISHED: {state: RequestState.OVER for state in RequestState if state is not RequestState.OVER},
 }
 
 
 class IllegalTransitionError(RuntimeError):
-    """A fault of our own: an event came in a state in which it can't.
+    """A bug of this program: an event occurred in a state in which it cannot.
 
     Attributes:
         state: The state that the request stays in.
@@ -94,7 +94,7 @@
     """Returns the state that follows.
 
     Raises:
-        IllegalTransitionError: The event can't come in this state.
+        IllegalTransitionError: The event cannot occur in this state.
     """
     following = TRANSITIONS[event].get(state)
     if following is None:
--- a/ploverward/data_plane/requests/response_writer.py
+++ b/ploverward/data_plane/requests/response_writer.py
@@ -1,11 +1,11 @@
-"""The answer on its way back to the client.
+"""Writes the answer to the client.
 
 `ResponseWriter` owns what the client has of its answer: nothing, or the head and what followed. An answer that is no
 stream is buffered, so that a failure of its replica can still become another replica's success; past
-`BUFFER_LIMIT_BYTES` it is forwarded as it comes. A stream is forwarded event by event.
+`BUFFER_LIMIT_BYTES` it is forwarded as it arrives. A stream is forwarded event by event.
 
-The invariant: a partial answer never looks complete. The length that a replica states is not passed on for what may
-come from several replicas, and only the handler decides that an answer ends in order (docs/requests.md 1.9).
+The invariant: a partial answer never looks complete. The length that a replica states is not forwarded for answers that
+several replicas may contribute to, and only the handler decides that an answer is complete (docs/requests.md 1.9).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     Attributes:
         has_head: Whether the client has the head: from then on no other status can follow.
-        stream: The streamed answer, None where it is none or not begun.
+        stream: The streamed answer, None if the answer is no stream or not started.
     """
 
     __slots__ = ("has_head", "stream", "_request", "_on_head", "_client_last_id", "_headers", "_buffer")
@@ -67,7 +67,7 @@
         self._buffer = bytearray()
 
     def begin_next_attempt(self) -> None:
-        """Another replica is asked: what came of the former one and is not forwarded yet is dropped."""
+        """Another replica is used: what the former one sent and is not forwarded yet is dropped."""
         if self.stream is not None:
             self.stream.begin_run()
         self._buffer = None
@@ -85,7 +85,7 @@
         return self._request.http_connection.queued() > http_connection.SEND_HIGH_WATERMARK_BYTES
 
     def write(self, data: bytes) -> None:
-        """Writes a part of the body."""
+        """Writes a chunk of the body."""
         self._request.data(data)
 
     def write_body(self, data: bytes, *, status: int) -> None:
@@ -104,7 +104,7 @@
         self._request.end()
 
     def end_body(self, *, status: int) -> None:
-        """An answer that is no stream is complete: the rest of it, or all of it with its length, is written."""
+        """Completes an answer that is no stream: writes its remainder, or all of it with its length."""
         buffer = bytes(self._buffer or b"")
         if self.has_head:
             self._request.data(buffer)
@@ -121,7 +121,7 @@
         self._request.abort()
 
     def _start(self, *, status: int, headers: Headers) -> None:
-        # First: the client may be found to have left by this very write, and nothing may start an answer anew then.
+        # First: this very write may find that the client has left, and nothing may start another answer then.
         self.has_head = True
         self._on_head()
         self._request.start(status=status, headers=headers)
--- a/ploverward/data_plane/requests/retry_policy.py
+++ b/ploverward/data_plane/requests/retry_policy.py
@@ -1,33 +1,33 @@
 """What may be sent again, and why (docs/requests.md 1 and 3).
 
 `RetryPolicy` owns the counts of one request's attempts. It decides without I/O, so that every case has a test of its
-own. An attempt ends in one of three ways, and the way decides what may follow:
+own. An attempt has one of three outcomes, which decides what may follow:
 
-* Unsent: no byte left this node. The request has not run, so any request may be sent again; the attempt uses up
+* Unsent: no byte of it was sent. The request has not run, so any request may be sent again; the attempt uses up
   neither the route's `tries` nor the retry budget. `MAX_ATTEMPTS` alone bounds these.
 * Not run: the replica received it and states in a complete answer that it did not run it. Any request may be sent
   again, within the route's `tries`.
 * Unresolved: it may have run, or may still run. Only an idempotent request may be sent again, within `tries`. Until the
-  end of the request nothing that the client gets may say that it has not run.
+  end of the request no answer to the client may state that it has not run.
 
 The retry budget, a newer configuration or key, and the wait for a free replica are decided in
 `request_handler.RequestHandler._try_attempt`.
 
-Every attempt counts as unresolved from before its first byte is handed to the connection. A fault of our own between
-the two then leaves no promise to the client (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
+Every attempt counts as unresolved from before its first byte is passed to the connection. So a bug of this program
+between the two causes no false promise to the client (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-MAX_ATTEMPTS = 6  # attempts of one request, the unsent ones included: a bound for connections that do not come up
-MIN_TIME_LEFT_S = 0.05  # seconds before the deadline; an attempt begun later could not be answered in time
+MAX_ATTEMPTS = 6  # attempts of one request, the unsent ones included: a bound for connections that are not established
+MIN_TIME_LEFT_S = 0.05  # seconds before the deadline; an attempt started later could not be answered in time
 NOT_RUN_STATUSES = (429, 503)  # sent by this proxy, they promise that the request has not run
 
 
 class RetryRules(Protocol):
-    """What a route says of retries (`route_table.Route`)."""
+    """The properties of a route that concern retries (`route_table.Route`)."""
 
     @property
     def tries(self) -> int:
@@ -52,8 +52,8 @@
     """The attempts of one request, and what they allow to follow.
 
     Attributes:
-        attempts: Attempts begun, the unsent ones included.
-        arrivals: Attempts that ended and of which a byte had left: a replica may have received them.
+        attempts: Attempts started, the unsent ones included.
+        arrivals: Attempts that ended and of which a byte was sent: a replica may have received them.
         unresolved_attempts: Attempts, the running one included, that may have run or may still run.
     """
 
@@ -63,7 +63,7 @@
         self.unresolved_attempts = 0
 
     def on_attempt_started(self) -> None:
-        """An attempt is about to be handed to its connection."""
+        """An attempt is about to be passed to its connection."""
         self.attempts += 1
         self.unresolved_attempts += 1
 
@@ -71,8 +71,8 @@
         """An attempt is over.
 
         Args:
-            is_unsent: No byte of it left this node.
-            is_known_not_run: The replica's complete answer says that it did not run.
+            is_unsent: No byte of it was sent.
+            is_known_not_run: The replica's complete answer states that it did not run.
         """
         if not is_unsent:
             self.arrivals += 1
@@ -80,7 +80,7 @@
             self.unresolved_attempts -= 1
 
     def next_arrival(self, *, is_sending: bool) -> int:
-        """Returns which arrival the next attempt would be, from 1; `is_sending`: a byte of the running one has left."""
+        """Returns which arrival the next attempt would be, from 1; `is_sending`: a byte of the running one was sent."""
         return self.arrivals + 1 + is_sending
 
     def may_reconnect(self, *, now: float, deadline: float) -> bool:
@@ -107,9 +107,9 @@
             route: The route in force for this request.
             now: Seconds on the loop's clock.
             deadline: The request's end on the same clock.
-            has_head: Whether the client has the head of the answer; then only the rest of a stream can follow.
+            has_head: Whether the client has the head of the answer; then only the remainder of a stream can follow.
             stream: The streamed answer, None where it is none.
-            is_sending: Whether a byte of a running attempt has left.
+            is_sending: Whether a byte of a running attempt was sent.
         """
         if not route.is_idempotent or not self.may_retry(
             route=route, now=now, deadline=deadline, is_sending=is_sending
@@ -120,12 +120,12 @@
         return route.is_resumable and stream is not None and stream.is_resumable
 
     def may_continue_under(self, route: RetryRules) -> bool:
-        """Whether another attempt may follow under a configuration that came after the first one.
+        """Whether another attempt may follow under a newer configuration than its first one.
 
         Kind and `tries` of the newer route bind too (`test_a_configuration_that_forbids_a_retry_…`).
         """
         return self.arrivals < route.tries and (route.is_idempotent or not self.unresolved_attempts)
 
     def is_promise_kept(self, *, status: int) -> bool:
-        """Whether the final answer tells the client truly that its request has not run."""
+        """Whether the final answer correctly promises that the request has not run."""
         return status in NOT_RUN_STATUSES and not self.unresolved_attempts
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -90,11 +90,11 @@
     """All routes of one configuration, by host and longest path prefix.
 
     Args:
-        body: A checked configuration, None before the first one came.
+        body: A checked configuration, None before the first one arrived.
 
     Attributes:
         edition: Version of the configuration, 0 before the first one.
-        tenant_directory: Its tenants by their keys, None where nobody needs a key.
+        tenant_directory: Its tenants by their keys, None where no key is required.
     """
 
     def __init__(self, *, body: Mapping[str, typing.Any] | None = None) -> None:
--- a/ploverward/data_plane/requests/step_log.py
+++ b/ploverward/data_plane/requests/step_log.py
@@ -6,7 +6,7 @@
 
 _log = logging.getLogger(__name__)
 
-PREFILLED = "read"  # the step at which the first event of a stream came
+PREFILLED = "read"  # the step at which the first event of a stream arrived
 
 
 class StepLog:
@@ -27,7 +27,7 @@
         self._steps.append((round(now - self._begun_at, 3), step, *details))
 
     def is_slow(self, *, now: float, latency_target_s: float) -> bool:
-        """Whether the request took more than one attempt, or its first event came after the latency target."""
+        """Whether the request took more than one attempt, or its first event arrived after the latency target."""
         prefilled = [row[0] for row in self._steps if row[1] == PREFILLED]
         return len(self._steps) > 2 or (prefilled[0] if prefilled else now - self._begun_at) > latency_target_s
 
--- a/ploverward/data_plane/requests/stream_resumption.py
+++ b/ploverward/data_plane/requests/stream_resumption.py
@@ -3,9 +3,9 @@
 `ResumableStream` owns what the client has of the stream: the id of the last event that was forwarded. Its invariant:
 the client gets each event once, in order and complete, however many replicas the stream is made of. It does no I/O.
 
-One run is what one replica sends. A run that breaks off may end inside an event, so the incomplete event is dropped:
-the next run is asked for everything after `last_id` and sends that event again from its beginning. A replica may also
-repeat events that the client has; these are dropped by their ids.
+One run is what one replica sends. A run that is interrupted may end inside an event, so the incomplete event is
+dropped: the next run is requested to send everything after `last_id`, including that event from its beginning. A
+replica may also repeat events that the client has; these are dropped by their ids.
 """
 
 EVENT_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
--- a/ploverward/data_plane/rollouts/attempt_tally.py
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of the version that ran it (docs/rollouts.md 5). Pure functions."""
+"""Evidence about a version, from the ends of attempts that it ran (docs/rollouts.md 5). Pure functions."""
 
 from ploverward.common import rollout_evidence
 from ploverward.data_plane.load_reports import report_source
@@ -8,7 +8,7 @@
 
 
 def is_evidence(attempt: attempts.Attempt) -> bool:
-    """Whether the end of an attempt says anything of its version: not where the replica did not run the request."""
+    """Whether the end of an attempt is evidence about its version: not if the replica did not run the request."""
     if attempt.connection.is_unsent:
         return False
     return attempt.meaning not in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE)
@@ -26,14 +26,14 @@
     """Counts the end of an attempt.
 
     Args:
-        tally: Where it is counted.
+        tally: Is updated.
         attempt: The attempt.
         kind: A `report_source.AttemptEvent`.
         now: The loop's clock, in seconds.
         latency_target_s: Of its request. An attempt that was given up later than this was slow; one that was given up
-            earlier says nothing of the replica.
-        expected_s: Expected time to the first piece, by network latency and prefill. What comes sooner counts as just
-            then: times below it say nothing of the replica.
+            earlier is no evidence.
+        expected_s: Expected time to the first piece, by network latency and prefill. An earlier one counts as
+            having taken this long: shorter times are no evidence about the replica.
     """
     waited_s = now - attempt.sent_at
     if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= MIN_ERROR_STATUS and attempt.is_complete:
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -1,4 +1,4 @@
-"""Which versions the requests of a proxy may go to, and what it counts of them (docs/rollouts.md 3, 4).
+"""Which versions the requests of a proxy may be sent to, and their counts (docs/rollouts.md 3, 4).
 
 An admitted version may get requests always. A new one gets them under a lease, which counts from when its report was
 sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a credit, and an
@@ -6,7 +6,7 @@
 (`test_the_sum_over_all_proxies_keeps_to_the_share`).
 
 `VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
-incarnation and begin anew with each order.
+incarnation and restart with each order.
 """
 
 import dataclasses
@@ -54,14 +54,14 @@
 
     Attributes:
         rollout: The service's row.
-        ordered_at: When the order came, on this proxy's clock.
-        credit: Requests that may go to the new version.
+        ordered_at: When the order was received, on this proxy's clock.
+        credit: Requests that may be sent to the new version.
         counts_from: Attempts that began before are not counted.
         lease: The newest lease.
         lease_until: Its end.
         sent: Attempts since the order.
         sent_new: Of these, those at the new version.
-        tallies: What their ends say.
+        tallies: Their outcomes.
     """
 
     rollout: state.Rollout
@@ -84,7 +84,7 @@
         running: Counts the attempts in progress at other versions of a service: `running(service, target)`.
 
     Attributes:
-        report_interval: Heartbeats between two reports, as the coordinator asks for it.
+        report_interval: Heartbeats between two reports, as the coordinator requests.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
             )
 
     def _share(self, tracked: TrackedRollout) -> float:
-        """The share of the requests that may go to the new version now."""
+        """The share of the requests that may be sent to the new version now."""
         if tracked.rollout.stage == state.Stage.DRAINING:
             return 1.0
         lease = tracked.lease
@@ -130,7 +130,7 @@
             is_first: Whether no attempt of the request has reached a replica yet: a retry uses the former version.
 
         Returns:
-            The pools; None stands for all replicas of the service.
+            The pools; None means all replicas of the service.
         """
         tracked = self._tracked.get(service)
         if tracked is None:
