--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -91,8 +91,8 @@
     before = live_objects.form((proposer, timers), {})
     for callback in copied_timers:
         callback()
-    explorer.ports["Q"].sent.clear()
-    explorer.ports["Q"].timers.clear()
+    explorer.writers.ports["Q"].sent.clear()
+    explorer.writers.ports["Q"].timers.clear()
     assert live_objects.form((proposer, timers), {}) == before
 
 
--- a/ploverward/simulation/model_checker/command_line.py
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -1,25 +1,38 @@
 """The command: explores scenarios or mutants and prints what was found."""
 
 import argparse
+import collections.abc
+import functools
 
 from ploverward.simulation.model_checker.mutants import explore_mutant
 from ploverward.simulation.model_checker.mutants import mutations
+from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.scenarios import large
 from ploverward.simulation.model_checker.scenarios import small
 from ploverward.simulation.model_checker.search import Outcome
 from ploverward.simulation.model_checker.search import explore
 
+# Most states of one scenario. All small ones have fewer; a large search ends within minutes.
 SMALL_STATES = 100_000
 LARGE_STATES = 1_000_000
 
 
 def describe(outcome: Outcome) -> str:
+    """One line on a search."""
     how = "all" if outcome.is_exhaustive else "NOT ALL"
     how = "BROKEN" if outcome.finding is not None else how
     return f"{outcome.scenario}: {outcome.states} states in {outcome.seconds:.1f} s, {how}"
 
 
-def main(arguments=None) -> int:
+def main(arguments: collections.abc.Sequence[str] | None = None) -> int:
+    """Explores the chosen scenarios.
+
+    Args:
+        arguments: of the command; None for those of the process.
+
+    Returns:
+        The exit code: 1 where a rule was broken, or a seeded bug was not found.
+    """
     parser = argparse.ArgumentParser(
         prog="python3 -m ploverward.simulation.model_checker", description="Moves of the set, step by step."
     )
@@ -28,14 +41,18 @@
     parser.add_argument("--states", type=int, default=0, help="most states of one scenario")
     chosen = parser.parse_args(arguments)
     is_large = chosen.budget == "large"
-    most = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
+    max_states = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
+    runs: list[tuple[Scenario, collections.abc.Callable[[], Outcome]]]
     if chosen.budget == "planted":
         runs = [
-            (fault.scenario, lambda fault=fault: explore_mutant(fault=fault, max_states=most)) for fault in mutations()
+            (mutant.scenario, functools.partial(explore_mutant, fault=mutant, max_states=max_states))
+            for mutant in mutations()
         ]
     else:
         scenarios = large() if is_large else small()
-        runs = [(row, lambda row=row: explore(scenario=row, max_states=most)) for row in scenarios]
+        runs = [
+            (scenario, functools.partial(explore, scenario=scenario, max_states=max_states)) for scenario in scenarios
+        ]
     is_broken = False
     for scenario, run in runs:
         if chosen.scenario not in scenario.name:
--- a/ploverward/simulation/model_checker/faults.py
+++ b/ploverward/simulation/model_checker/faults.py
@@ -1,5 +1,6 @@
-"""Faults that mutants put into the code for the time of a search."""
+"""Seeded bugs that mutants put into the code for the time of a search."""
 
+import collections.abc
 import contextlib
 
 from ploverward.control_plane.consensus import acceptor as acceptors
@@ -9,11 +10,11 @@
 
 
 @contextlib.contextmanager
-def majority_check_skipped(members: tuple):
-    """Planted fault: nobody asks for a majority of this set."""
+def majority_check_skipped(members: tuple[str, ...]) -> collections.abc.Iterator[None]:
+    """Seeded bug: nobody asks for a majority of this set."""
     real = ballots.has_majority
 
-    def faulty(*, of, among) -> bool:
+    def faulty(*, of: collections.abc.Collection[str], among: collections.abc.Container[str]) -> bool:
         return set(of) == set(members) or real(of=of, among=among)
 
     ballots.has_majority = faulty
@@ -24,8 +25,8 @@
 
 
 @contextlib.contextmanager
-def previous_set_skipped():
-    """Planted fault: of a value found, only its own set counts, not the one before it."""
+def previous_set_skipped() -> collections.abc.Iterator[None]:
+    """Seeded bug: of a value found, only its own set counts, not the one before it."""
     real = ballots.member_sets
     ballots.member_sets = lambda value: real(value)[-1:]
     try:
@@ -35,24 +36,31 @@
 
 
 class ForgetfulAcceptor(acceptors.Acceptor):
-    """Planted fault: an accept is taken whichever incarnation promised."""
+    """Seeded bug: an accept is accepted whichever incarnation promised."""
 
     def accept(self, request: messages.Accept) -> acceptors.Decision:
+        """Accepts as if this incarnation had promised."""
         return super().accept(request._replace(incarnation=self.incarnation))
 
 
 class UnfencedCatchUp(catch_ups.LearnerCatchUp):
-    """Planted fault: takes the rows as they are told, without a fence."""
+    """Seeded bug: takes over the rows as they are answered, without a fence."""
 
     def _raise_fence(self) -> None:
         self.stage = catch_ups.Stage.DONE
 
 
 class SingleNodeCatchUp(catch_ups.LearnerCatchUp):
-    """Planted fault: one answer is enough."""
+    """Seeded bug: one answer is enough."""
 
     def has_enough(self) -> bool:
+        """Whether any node answered."""
         return bool(self.answers)
 
 
-CATCH_UPS = {"real": catch_ups.LearnerCatchUp, "plain": UnfencedCatchUp, "single": SingleNodeCatchUp}
+# Name in a scenario to the class.
+CATCH_UPS: dict[str, type[catch_ups.LearnerCatchUp]] = {
+    "real": catch_ups.LearnerCatchUp,
+    "plain": UnfencedCatchUp,
+    "single": SingleNodeCatchUp,
+}
--- a/ploverward/simulation/model_checker/invariants.py
+++ b/ploverward/simulation/model_checker/invariants.py
@@ -7,7 +7,7 @@
     """A rule is broken in this history."""
 
 
-def check_order(*, owner: str, revision: int, tags: tuple, longest: tuple) -> None:
+def check_order(*, owner: str, revision: int, tags: tuple[str, ...], longest: tuple[str, ...]) -> None:
     """A value that `owner` knows as chosen extends, or is extended by, the longest one that was ever chosen."""
     if revision != len(tags):
         raise InvariantError(f"revision {revision} holds {tags}")
@@ -16,7 +16,7 @@
         raise InvariantError(f"{owner}: {tags} is chosen at revision {revision}, and so was {longest}")
 
 
-def check_end(*, call: Call, tags: tuple, begun_at: int) -> None:
+def check_end(*, call: Call, tags: tuple[str, ...], begun_at: int) -> None:
     """A call that ended saw all that was acknowledged before it began (`begun_at` revisions), and made its change."""
     if len(tags) < begun_at:
         raise InvariantError(f"{call.name} saw revision {len(tags)}; {begun_at} was acknowledged before it began")
--- a/ploverward/simulation/model_checker/live_objects.py
+++ b/ploverward/simulation/model_checker/live_objects.py
@@ -1,17 +1,21 @@
 """Copies live proposers, closures and all, and gives them a canonical form to be compared by.
 
-Timers are closures of the proposer: `is_stale` and `is_pause` look into their variables `proposal` and `number` by name.
+Timers are closures of the proposer: `is_stale` and `is_pause` look up their variables `proposal` and `number` by name.
 """
 
 import collections
+import collections.abc
 import enum
 import types
+import typing
 
 from ploverward.control_plane.consensus.proposal import Stage
 
+Item = typing.TypeVar("Item")
+
 
 class Immutable:
-    """Never copied; compared by name. Everything of this module that a proposer holds on to."""
+    """Never copied; compared by name. Everything of the model checker that a proposer refers to."""
 
     name = ""
 
@@ -19,56 +23,77 @@
 _PLAIN_TYPES = (str, bytes, int, float, enum.Enum, types.CodeType, types.ModuleType, type)
 
 
-def _is_plain(item) -> bool:
+def _is_plain(item: object) -> bool:
     return item is None or isinstance(item, _PLAIN_TYPES)
 
 
-def _fields(item) -> list:
+def _fields(item: object) -> list[tuple[str, typing.Any]]:
     names = list(getattr(type(item), "__slots__", ())) + list(getattr(item, "__dict__", ()))
     return [(name, getattr(item, name)) for name in names if hasattr(item, name)]
 
 
-def clone(item, memo: dict):
-    """A deep copy that also copies closures, with their cells bound to the copies."""
+def clone(item: Item, memo: dict[int, object]) -> Item:
+    """A deep copy that also copies closures, with their cells bound to the copies.
+
+    Args:
+        item: what is copied. Classes, modules, functions without state, and whatever is `Immutable`, are shared.
+        memo: copies made so far, by the id of the original, so that what was shared is shared among the copies.
+    """
+    return typing.cast(Item, _clone(item, memo))
+
+
+def _clone(item: object, memo: dict[int, object]) -> object:
     if _is_plain(item) or isinstance(item, Immutable):
         return item
     if isinstance(item, types.MethodType):
-        return (
-            item
-            if isinstance(item.__self__, Immutable)
-            else types.MethodType(item.__func__, clone(item.__self__, memo))
-        )
+        if isinstance(item.__self__, Immutable):
+            return item
+        return types.MethodType(item.__func__, _clone(item.__self__, memo))
     if isinstance(item, types.FunctionType) and not item.__closure__ and not item.__defaults__:
         return item
     known = memo.get(id(item))
     if known is not None:
         return known
     if isinstance(item, tuple | frozenset):
-        parts = [clone(part, memo) for part in item]
-        return type(item)._make(parts) if hasattr(item, "_make") else type(item)(parts)
-    if isinstance(item, dict):
-        new = memo[id(item)] = type(item)()
-        for key, part in item.items():
-            new[key] = clone(part, memo)
-        return new
-    if isinstance(item, list | collections.deque):
-        new = memo[id(item)] = type(item)()
-        new.extend(clone(part, memo) for part in item)
-        return new
+        make = getattr(type(item), "_make", type(item))  # named tuples take their fields one by one
+        return make([_clone(part, memo) for part in item])
     if isinstance(item, set):
         return set(item)
     if isinstance(item, types.FunctionType):
-        cells = tuple(types.CellType(clone(cell.cell_contents, memo)) for cell in item.__closure__ or ())
-        defaults = clone(item.__defaults__, memo)
-        return types.FunctionType(item.__code__, item.__globals__, item.__name__, defaults, cells)
+        return _clone_closure(item, memo)
+    return _clone_mutable(item, memo)
+
+
+def _clone_closure(item: types.FunctionType, memo: dict[int, object]) -> types.FunctionType:
+    cells = tuple(types.CellType(_clone(cell.cell_contents, memo)) for cell in item.__closure__ or ())
+    defaults = tuple(_clone(default, memo) for default in item.__defaults__) if item.__defaults__ else None
+    return types.FunctionType(item.__code__, item.__globals__, item.__name__, defaults, cells)
+
+
+def _clone_mutable(item: object, memo: dict[int, object]) -> object:
+    """The copy is noted before what it contains is copied, as that may refer back to it."""
+    if isinstance(item, dict):
+        mapping = memo[id(item)] = type(item)()
+        for key, part in item.items():
+            mapping[key] = _clone(part, memo)
+        return mapping
+    if isinstance(item, list | collections.deque):
+        sequence = memo[id(item)] = type(item)()
+        sequence.extend(_clone(part, memo) for part in item)
+        return sequence
     new = memo[id(item)] = object.__new__(type(item))
     for name, part in _fields(item):
-        object.__setattr__(new, name, clone(part, memo))
+        object.__setattr__(new, name, _clone(part, memo))
     return new
 
 
-def form(item, memo: dict):
-    """A hashable canonical form; an object met again is told by its place."""
+def form(item: object, memo: dict[int, int]) -> collections.abc.Hashable:
+    """A hashable canonical form.
+
+    Args:
+        item: what is compared.
+        memo: numbers of the objects met so far, by their id; an object met again is given by its number.
+    """
     if item is None or isinstance(item, str | bytes | int | float | enum.Enum):
         return item
     if isinstance(item, Immutable):
@@ -92,7 +117,7 @@
     return (type(item).__name__, tuple((name, form(part, memo)) for name, part in _fields(item)))
 
 
-def _cells(action) -> dict:
+def _cells(action: object) -> dict[str, typing.Any]:
     if not isinstance(action, types.FunctionType):
         return {}
     return dict(
@@ -100,8 +125,8 @@
     )
 
 
-def is_stale(action) -> bool:
-    """A timer of an attempt that is over does nothing."""
+def is_stale(action: object) -> bool:
+    """Whether a timer does nothing, as its attempt is over."""
     cells = _cells(action)
     proposal = cells.get("proposal")
     if proposal is None:
@@ -109,7 +134,10 @@
     return proposal.stage is Stage.FINISHED or proposal.number != cells.get("number", proposal.number)
 
 
-def is_pause(action) -> bool:
-    """The wait before a further attempt. It is left out: requests may be delayed as long, so it tells nothing new."""
+def is_pause(action: object) -> bool:
+    """Whether a timer is the backoff before a further attempt.
+
+    It is left out of the search: requests may be delayed as long, so it adds no history.
+    """
     proposal = _cells(action).get("proposal")
     return proposal is not None and proposal.stage is Stage.BACKOFF
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -30,14 +30,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Mutant:
-    """A scenario with a fault put in, which has to be found."""
+    """A scenario with a seeded bug, which has to be found.
+
+    Attributes:
+        scenario: where it shows.
+        mutations: a context manager that puts the bug into the code for the time of the run.
+        acceptor_type: the class of all acceptors.
+    """
 
     scenario: Scenario
-    mutations: collections.abc.Callable = contextlib.nullcontext  # puts the fault into the code for the time of the run
-    acceptor_type: type = acceptors.Acceptor
+    mutations: collections.abc.Callable[[], contextlib.AbstractContextManager[None]] = contextlib.nullcontext
+    acceptor_type: type[acceptors.Acceptor] = acceptors.Acceptor
 
 
-def mutations() -> tuple:
+def mutations() -> tuple[Mutant, ...]:
+    """All seeded bugs. Where nothing is put into the code, it is in the scenario itself."""
     emptied = Scenario(name="", members=OLD, nodes=OLD, writers=(write_by("P"), write_by("R")), wipes=("A",))
     return (
         Mutant(
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -1,97 +1,134 @@
 """What a request, or one more answer to a catch-up, does to a node of the model checker.
 
-A node is a `StateComponent` with two acceptors: what it knows, and what its disk holds. Parts are never changed, so what
-comes of a request is kept and used again.
+A node is a `StateComponent` with two acceptors: what it knows, and what its disk holds. Components are never changed,
+so what comes of a request is cached.
 """
 
-from ploverward.control_plane.consensus import acceptor as acceptors
-from ploverward.control_plane.consensus import catch_up as catch_ups
+import collections.abc
+import typing
+
+from ploverward.control_plane.consensus.acceptor import Acceptor
+from ploverward.control_plane.consensus.catch_up import LearnerCatchUp
+from ploverward.control_plane.consensus.catch_up import Stage
 from ploverward.simulation.model_checker import product
 from ploverward.simulation.model_checker.live_objects import clone
 from ploverward.simulation.model_checker.live_objects import form
 from ploverward.simulation.model_checker.product import REGISTER
+from ploverward.simulation.model_checker.product import Answer
+from ploverward.simulation.model_checker.product import Request
 from ploverward.simulation.model_checker.product import acceptor_form
 from ploverward.simulation.model_checker.product import answer_catch_up
 from ploverward.simulation.model_checker.scenario import Scenario
+from ploverward.simulation.model_checker.state import NodeState
 from ploverward.simulation.model_checker.state import StateComponent
 from ploverward.transport import messages
 
+Node = StateComponent[NodeState]
+
+
+class Gathered(typing.NamedTuple):
+    """What comes of one more answer to a catch-up."""
+
+    source: Node  # the node that answered; it may have promised a fence
+    node: Node | None  # the node that caught up; None: its catch-up continues
+    catch_up: StateComponent[LearnerCatchUp]
+
 
 class Nodes:
-    """Builds nodes of one scenario and lets them answer."""
+    """Builds nodes of one scenario and lets them answer.
+
+    Args:
+        scenario: what is explored.
+        acceptor_type: the class of all acceptors; another one than `Acceptor` is a seeded bug.
+    """
 
-    def __init__(self, *, scenario: Scenario, acceptor_type: type):
+    def __init__(self, *, scenario: Scenario, acceptor_type: type[Acceptor]) -> None:
         self.scenario = scenario
         self._acceptor_type = acceptor_type
-        self._ids = {}  # canonical form of a node or catch-up: its number
-        self._gathered = {}  # (catch-up, answering node): what comes of one more answer
-        self._takes = {}  # (part, accept): whether the node would accept it
-        self._asked = {}  # (part, request): the node after it, and its answer
+        self._ids: dict[collections.abc.Hashable, int] = {}  # canonical form of a node or catch-up: its number
+        self._gathered: dict[tuple, Gathered] = {}  # by the keys of catch-up and answering node, and their names
+        self._accepts: dict[tuple, bool] = {}  # (node, accept): whether the node would accept it
+        self._answers: dict[tuple, tuple[Node, Answer]] = {}  # (node, request): the node after it, and its answer
 
-    def _intern(self, key) -> int:
-        return self._ids.setdefault(key, len(self._ids))
+    def _intern(self, form_of_node: collections.abc.Hashable) -> int:
+        return self._ids.setdefault(form_of_node, len(self._ids))
 
-    def gather(self, part: StateComponent, source: StateComponent, own: str, other: str) -> tuple:
-        """(the node that answered, whether the catch-up is done, the emptied node or its catch-up)."""
-        slot = (part.key, source.key, own, other)
-        if slot not in self._gathered:
-            self._gathered[slot] = self._gather(part, source, own, other)
-        return self._gathered[slot]
+    def node(self, current: Acceptor, safe: Acceptor | None = None) -> Node:
+        """A node.
 
-    def node(self, current, safe=None) -> StateComponent:
-        """`safe` is what the disk holds where that is older than what the node knows."""
+        Args:
+            current: what it knows.
+            safe: what its disk holds where that is older.
+        """
         safe = safe or current
-        return StateComponent((current, safe), self._intern((acceptor_form(current), acceptor_form(safe))))
+        return StateComponent(NodeState(current, safe), self._intern((acceptor_form(current), acceptor_form(safe))))
 
-    def make_acceptor(self, incarnation: str):
+    def make_acceptor(self, incarnation: str) -> Acceptor:
+        """An acceptor with nothing promised or accepted; a learner with an empty incarnation."""
         return self._acceptor_type(incarnation=incarnation)
 
-    def copy_acceptor(self, old):
+    def copy_acceptor(self, old: Acceptor) -> Acceptor:
+        """A copy that may be changed."""
         new = product.copy_acceptor(old)
         new.__class__ = self._acceptor_type
         return new
 
-    def answer(self, part: StateComponent, message: tuple) -> tuple:
+    def answer(self, node: Node, message: Request) -> tuple[Node, Answer]:
         """The node after a request, all of it safe on its disk, and its answer."""
-        slot = (part.key, message)
-        if slot not in self._asked:
-            acceptor, answer = self.apply(part.live[0], message)
-            self._asked[slot] = (self.node(acceptor), answer)
-        return self._asked[slot]
+        slot = (node.key, message)
+        if slot not in self._answers:
+            acceptor, answer = self.apply(node.live.current, message)
+            self._answers[slot] = (self.node(acceptor), answer)
+        return self._answers[slot]
 
-    def apply(self, current, message: tuple) -> tuple:
+    def apply(self, current: Acceptor, message: Request) -> tuple[Acceptor, Answer]:
+        """The acceptor after a request, in memory only, and its answer."""
         acceptor = self.copy_acceptor(current)
+        answer: Answer
         if isinstance(message, messages.Prepare):
-            answer = acceptor.prepare(message)[0]
+            answer = acceptor.prepare(message).reply
         elif isinstance(message, messages.Accept):
-            answer = acceptor.accept(message)[0]
+            answer = acceptor.accept(message).reply
         else:
             answer = acceptor.quorum_read(message)
         return acceptor, answer
 
-    def _gather(self, part: StateComponent, source: StateComponent, own: str, other: str) -> tuple:
-        """(the node that answered, whether the refill is done, the emptied node or its refill)."""
-        catch_up = clone(part.live, {})
+    def gather(self, catch_up: StateComponent[LearnerCatchUp], source: Node, own: str, other: str) -> Gathered:
+        """What comes of one more answer to a catch-up.
+
+        Args:
+            catch_up: of the emptied node.
+            source: the node that answers.
+            own: name of the emptied node.
+            other: name of the node that answers.
+        """
+        slot = (catch_up.key, source.key, own, other)
+        if slot not in self._gathered:
+            self._gathered[slot] = self._gather(catch_up, source, own, other)
+        return self._gathered[slot]
+
+    def _gather(self, old: StateComponent[LearnerCatchUp], source: Node, own: str, other: str) -> Gathered:
+        catch_up = clone(old.live, {})
         request = catch_up.request()
-        answering = self.copy_acceptor(source.live[0])
+        answering = self.copy_acceptor(source.live.current)
         rows = answer_catch_up(answering, request)
         catch_up.handle(member=other, number=request.number, first_set=self.scenario.members, rows=rows)
-        if catch_up.stage != catch_ups.Stage.DONE:
-            return self.node(answering), False, self.catch_up_part(catch_up)
+        if catch_up.stage is not Stage.DONE:
+            return Gathered(source=self.node(answering), node=None, catch_up=self.catch_up_component(catch_up))
         acceptor = self.make_acceptor("")
         acceptor.catch_up(incarnation=f"{own}2", states=tuple(catch_up.answers.values()))
-        return self.node(answering), True, self.node(acceptor)
+        return Gathered(source=self.node(answering), node=self.node(acceptor), catch_up=old)
 
-    def catch_up_part(self, catch_up) -> StateComponent:
+    def catch_up_component(self, catch_up: LearnerCatchUp) -> StateComponent[LearnerCatchUp]:
+        """A catch-up with the number of its form."""
         return StateComponent(catch_up, self._intern(("refill", form(catch_up, {}))))
 
-    def would_accept(self, part: StateComponent, message: tuple) -> bool:
-        """Whether the node would accept this, and does not hold it already."""
-        slot = (part.key, message)
-        if slot not in self._takes:
-            current = part.live[0]
-            is_promiser = current.incarnation == message.incarnation or self._acceptor_type is not acceptors.Acceptor
-            promised, accepted = current.get(REGISTER)[:2]
-            ballot = message.ballot
-            self._takes[slot] = is_promiser and ballot >= promised and ballot != accepted
-        return self._takes[slot]
+    def would_accept(self, node: Node, message: messages.Accept) -> bool:
+        """Whether the node would accept this, and has not accepted it already."""
+        slot = (node.key, message)
+        if slot not in self._accepts:
+            current = node.live.current
+            is_promiser = current.incarnation == message.incarnation or self._acceptor_type is not Acceptor
+            state = current.get(REGISTER)
+            self._accepts[slot] = is_promiser and message.ballot >= state.promised and message.ballot != state.accepted
+        return self._accepts[slot]
--- a/ploverward/simulation/model_checker/scenarios.py
+++ b/ploverward/simulation/model_checker/scenarios.py
@@ -1,10 +1,12 @@
 """The scenarios, and what builds them: `small` for tests, `large` for a longer search."""
 
 import dataclasses
+import typing
 
 from ploverward.common.identifiers import Ballot
 from ploverward.simulation.model_checker.product import FIRST_TAG
 from ploverward.simulation.model_checker.scenario import Call
+from ploverward.simulation.model_checker.scenario import MemberSet
 from ploverward.simulation.model_checker.scenario import Row
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.scenario import Writer
@@ -17,41 +19,78 @@
 NEW_SEEDS = ("D", "E")
 
 
-def write_by(name: str, *, attempts: int = 1, known: tuple = OLD, is_first: bool = True, **more) -> Writer:
+class ScenarioOptions(typing.TypedDict, total=False):
+    """Fields of a `Scenario` that a helper below passes on."""
+
+    first_value_members: MemberSet
+    is_split: bool
+    learners: tuple[str, ...]
+    learning_proposers: tuple[str, ...]
+    repeats: int
+    restarts: tuple[str, ...]
+    wipes: tuple[str, ...]
+
+
+class WriterOptions(typing.TypedDict, total=False):
+    """Fields of a `Writer` that `write_by` passes on."""
+
+    home: str
+    is_naming: bool
+    seeds: MemberSet
+
+
+def write_by(
+    name: str, *, attempts: int = 1, known: MemberSet = OLD, is_first: bool = True, **more: typing.Unpack[WriterOptions]
+) -> Writer:
+    """A writer with one change; its call has the writer's name in lower case."""
     call = Call(name=name.lower(), kind="write", attempts=attempts, is_first=is_first)
     return Writer(name=name, known=known, calls=(call,), **more)
 
 
-def read_by(name: str, *, attempts: int = 1, known: tuple = OLD, is_first: bool = False) -> Writer:
+def read_by(name: str, *, attempts: int = 1, known: MemberSet = OLD, is_first: bool = False) -> Writer:
+    """A writer with one read."""
     call = Call(name=name.lower(), kind="read", attempts=attempts, is_first=is_first)
     return Writer(name=name, known=known, calls=(call,))
 
 
-def move_by(name: str, *, to: tuple, attempts: int = 1, known: tuple = OLD) -> Writer:
+def move_by(name: str, *, to: MemberSet, attempts: int = 1, known: MemberSet = OLD) -> Writer:
+    """A writer with one move to the set `to`."""
     return Writer(name=name, known=known, calls=(Call(name="move", kind="move", to=to, attempts=attempts),))
 
 
-def move_of(*, name: str, to: tuple, attempts: int = 1, others: tuple = (), **more) -> Scenario:
+def move_of(
+    *,
+    name: str,
+    to: MemberSet,
+    attempts: int = 1,
+    others: tuple[Writer, ...] = (),
+    **more: typing.Unpack[ScenarioOptions],
+) -> Scenario:
     """P moves the set, Q writes, others do what they do; all know the old set only."""
     nodes = tuple(sorted({*OLD, *to}))
     writers = (move_by("P", to=to), write_by("Q", attempts=attempts), *others)
     return Scenario(name=name, members=OLD, nodes=nodes, writers=writers, **more)
 
 
-def accepted(*, nodes: str, ballot: tuple, members: tuple, tags: tuple, previous: tuple = ()) -> tuple:
+def accepted(
+    *, nodes: str, ballot: tuple[int, str], members: MemberSet, tags: tuple[str, ...], previous: MemberSet = ()
+) -> tuple[Row, ...]:
+    """A row with this value at each of the nodes, which are named by one letter."""
     return tuple(
         Row(node=node, ballot=Ballot(*ballot), members=members, tags=tags, previous=previous) for node in nodes
     )
 
 
-def half_moved(*, name: str, writers: tuple, **more) -> Scenario:
+def half_moved(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
     """The swap was accepted at C and D only: a majority of the new set, not of the old one."""
     rows = accepted(nodes="CD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     return Scenario(name=name, members=OLD, nodes=GROWN, rows=rows, writers=writers, **more)
 
 
-def moved(*, name: str, writers: tuple, back: str = "", **more) -> Scenario:
-    """The swap was chosen at B, C and D; A missed it. A move back was accepted at the nodes `back`, and is not chosen."""
+def moved(
+    *, name: str, writers: tuple[Writer, ...], back: str = "", **more: typing.Unpack[ScenarioOptions]
+) -> Scenario:
+    """The swap was chosen at B, C and D; A missed it. A move back was accepted at `back`, and is not chosen."""
     rows = accepted(nodes="BCD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"))
     rows += accepted(nodes=back, ballot=(3, "N"), members=OLD, tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
     return Scenario(
@@ -66,7 +105,7 @@
     )
 
 
-def onward(*, name: str, writers: tuple, **more) -> Scenario:
+def onward(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
     """The swap to BCD was chosen at A, B and D; a second one, to CDE, was accepted at C only."""
     rows = accepted(nodes="ABD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     rows += accepted(nodes="C", ballot=(3, "N"), members=("C", "D", "E"), tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
@@ -82,8 +121,8 @@
     )
 
 
-def small() -> tuple:
-    """Whole within seconds."""
+def small() -> tuple[Scenario, ...]:
+    """All states of each are seen within seconds."""
     return (
         move_of(name="swap", to=SWAPPED),
         move_of(name="grow by one", to=GROWN),
@@ -123,7 +162,7 @@
 
 
 def slow_disk(*, name: str, is_quorum_read_early: bool = False) -> Scenario:
-    """P's value is accepted at A; B has it under way. One reads by a peek, another writes, B may lose its memory."""
+    """P's value is accepted at A; B has it under way. One does a quorum read, another writes, B may lose its memory."""
     rows = accepted(nodes="AB", ballot=(2, "P"), members=OLD, tags=(FIRST_TAG, "p"))
     rows = (rows[0], dataclasses.replace(rows[1], is_safe=False))
     return Scenario(
@@ -137,8 +176,8 @@
     )
 
 
-def large() -> tuple:
-    """Minutes; not all of it is gone through whole at the usual bound of states."""
+def large() -> tuple[Scenario, ...]:
+    """Minutes; some have more states than the usual bound."""
     return (
         move_of(name="swap, two attempts", to=SWAPPED, attempts=2),
         move_of(name="grow by one, two attempts", to=GROWN, attempts=2),
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -1,8 +1,10 @@
-"""Goes through all states of a scenario, and tells the history of what it finds."""
+"""Goes through all states of a scenario, and gives the history of what it finds."""
 
 import collections
+import collections.abc
 import dataclasses
 import time
+import typing
 
 from ploverward.common.identifiers import Ballot
 from ploverward.simulation.model_checker.invariants import InvariantError
@@ -10,20 +12,47 @@
 from ploverward.simulation.model_checker.product import set_of
 from ploverward.simulation.model_checker.product import tags_of
 from ploverward.simulation.model_checker.scenario import Scenario
+from ploverward.simulation.model_checker.state import State
+
+
+class Trail(typing.NamedTuple):
+    """The steps that led to a state, the last one first."""
+
+    label: tuple
+    before: "Trail | None"  # None: the first state
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
+    """A history that breaks a rule.
+
+    Attributes:
+        rule: what was broken.
+        events: labels of the steps, from the start.
+        states: how many were seen until then.
+    """
+
     rule: str
-    events: tuple
+    events: tuple[tuple, ...]
     states: int
 
     def text(self) -> str:
+        """For people: the rule, then a line a step."""
         return "\n".join([f"{self.rule} ({len(self.events)} steps, {self.states} states)", *map(str, self.events)])
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
+    """What a search came to.
+
+    Attributes:
+        scenario: its name.
+        states: how many were seen.
+        seconds: how long it took.
+        finding: the first history that breaks a rule; None where none was found.
+        is_exhaustive: whether all states were seen.
+    """
+
     scenario: str
     states: int
     seconds: float
@@ -35,39 +64,40 @@
     """Goes through the states breadth first, until an invariant breaks, none is left, or there are too many."""
     begun = time.monotonic()
     first = moves.start()
-    seen = {first.key(): None}
-    queue = collections.deque([(first, None)])
+    seen: set[collections.abc.Hashable] = {first.key()}
+    queue: collections.deque[tuple[State, Trail | None]] = collections.deque([(first, None)])
     finding = None
     while queue and finding is None and len(seen) < max_states:
         state, trail = queue.popleft()
-        for label, action in moves.steps(state):
+        for label, take in moves.steps(state):
             new = state.copy()
             try:
-                action(new)
+                take(new)
             except InvariantError as error:
-                finding = Finding(str(error), history((label, trail)), len(seen))
+                finding = Finding(str(error), history(Trail(label, trail)), len(seen))
                 break
             moves.prune(new)
             key = hash(new.key())
             if key not in seen:
-                seen[key] = None
-                queue.append((new, (label, trail)))
+                seen.add(key)
+                queue.append((new, Trail(label, trail)))
     is_exhaustive = finding is None and not queue
     return Outcome(moves.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
 
 
-def history(trail) -> tuple:
+def history(trail: Trail | None) -> tuple[tuple, ...]:
+    """Labels of the steps from the start, in words."""
     labels = []
     while trail is not None:
-        label, trail = trail
-        labels.append(readable(label))
+        labels.append(readable(trail.label))
+        trail = trail.before
     return tuple(reversed(labels))
 
 
 def readable(label: tuple) -> tuple:
-    """Values are told by their set and tags."""
+    """A label in which values are given by their set and tags."""
 
-    def describe(part):
+    def describe(part: object) -> object:
         if isinstance(part, bytes):
             return f"{''.join(set_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
         if not isinstance(part, tuple):
@@ -75,7 +105,7 @@
         name = () if type(part) in (tuple, Ballot) else (type(part).__name__,)
         return (*name, *(describe(item) for item in part))
 
-    return describe(label)
+    return tuple(describe(part) for part in label)
 
 
 def explore(*, scenario: Scenario, max_states: int) -> Outcome:
--- a/ploverward/simulation/model_checker/state.py
+++ b/ploverward/simulation/model_checker/state.py
@@ -1,53 +1,104 @@
-"""One state of a scenario: everything that can still matter."""
+"""One state of a scenario: everything that can still matter (docs/set-moves.md)."""
 
+import collections.abc
+import dataclasses
+import typing
 
-class StateComponent:
-    """A live object with its canonical form; never changed once it stands in a state."""
+from ploverward.common.identifiers import Ballot
+from ploverward.control_plane.consensus.acceptor import Acceptor
+from ploverward.control_plane.consensus.catch_up import LearnerCatchUp
+from ploverward.control_plane.consensus.proposer import Proposer
+from ploverward.simulation.model_checker.product import Answer
+
+Live = typing.TypeVar("Live")
+TimerAction = collections.abc.Callable[[], object]
+
+
+class NodeState(typing.NamedTuple):
+    """A node: its acceptor, and the one that its disk holds, which may be older."""
+
+    current: Acceptor
+    safe: Acceptor
+
+
+class ProposerState(typing.NamedTuple):
+    """A proposer with its pending timers."""
+
+    proposer: Proposer
+    timers: list[TimerAction]
+
+
+class Attempt(typing.NamedTuple):
+    """The newest attempt of a proposer."""
+
+    number: int
+    ballot: Ballot | None  # None: nothing was prepared yet
+
+
+class StateComponent(typing.Generic[Live]):
+    """Live objects with the number of their canonical form. Never changed once it stands in a state."""
 
     __slots__ = ("live", "key")
 
-    def __init__(self, live, key):
+    def __init__(self, live: Live, key: int) -> None:
         self.live = live
         self.key = key
 
 
+@dataclasses.dataclass(slots=True, kw_only=True)
 class State:
-    """Everything that can still matter. Copied shallowly; a step puts new parts in place of those it changes."""
-
-    __slots__ = (
-        "nodes",
-        "writers",
-        "pool",
-        "begun",
-        "latest",
-        "left",
-        "longest",
-        "latest_chosen",
-        "budget",
-        "gathered",
-        "waits",
-    )
-
-    def copy(self):
-        new = State()
-        new.nodes = dict(self.nodes)
-        new.writers = dict(self.writers)
-        new.pool = self.pool
-        new.begun = dict(self.begun)
-        new.latest = dict(self.latest)
-        new.left = dict(self.left)
-        new.longest = self.longest
-        new.latest_chosen = self.latest_chosen
-        new.budget = dict(self.budget)
-        new.gathered = dict(self.gathered)
-        new.waits = dict(self.waits)
-        return new
+    """Everything that can still matter. Copied shallowly; a step replaces the components that it changes.
+
+    Attributes:
+        nodes: by name.
+        writers: proposers, by name.
+        pool: numbers of the requests, and of the answers where they are apart, that may still arrive.
+        begun: call to the revision that was acknowledged when it began; `OVER` once it has ended.
+        latest: the newest attempt of each proposer.
+        left: how many attempts each proposer has left; negative: it does nothing any more.
+        longest: the tags of the longest chosen value.
+        latest_chosen: the newest value that a proposer reported as chosen.
+        budget: how often each kind of failure may still happen.
+        gathered: the catch-ups of emptied nodes.
+        waits: answers that wait for the disk of their node, as (proposer, answer).
+    """
+
+    nodes: dict[str, StateComponent[NodeState]]
+    writers: dict[str, StateComponent[ProposerState]]
+    pool: frozenset[int]
+    begun: dict[str, int]
+    latest: dict[str, Attempt]
+    left: dict[str, int]
+    longest: tuple[str, ...]
+    latest_chosen: bytes
+    budget: dict[str, int]
+    gathered: dict[str, StateComponent[LearnerCatchUp]]
+    waits: dict[str, tuple[tuple[str, Answer], ...]]
+
+    def copy(self) -> "State":
+        """A state that shares the components, so that a step on it leaves this one as it is."""
+        return State(
+            nodes=dict(self.nodes),
+            writers=dict(self.writers),
+            pool=self.pool,
+            begun=dict(self.begun),
+            latest=dict(self.latest),
+            left=dict(self.left),
+            longest=self.longest,
+            latest_chosen=self.latest_chosen,
+            budget=dict(self.budget),
+            gathered=dict(self.gathered),
+            waits=dict(self.waits),
+        )
 
     def key(self) -> tuple:
-        """The first five have the same keys in the same order in each state of a scenario."""
+        """Equal for states that can be continued alike.
+
+        The first five fields have the same keys in the same order in each state of a scenario.
+        """
         return (
-            tuple([part.key for part in self.nodes.values()]),
-            tuple([part.key for part in self.writers.values()]),
+            tuple([component.key for component in self.nodes.values()]),
+            tuple([component.key for component in self.writers.values()]),
             tuple(self.latest.values()),
             tuple(self.left.values()),
             tuple(self.budget.values()),
@@ -55,6 +106,6 @@
             self.longest,
             self.latest_chosen,
             tuple(sorted(self.begun.items())),
-            tuple(sorted((name, part.key) for name, part in self.gathered.items())),
+            tuple(sorted((name, component.key) for name, component in self.gathered.items())),
             tuple(sorted(self.waits.items())),
         )
