--- a/ploverward/simulation/linearizability.py
+++ b/ploverward/simulation/linearizability.py
@@ -13,8 +13,8 @@
     """What no order of the calls explains; empty for a linearizable history.
 
     Args:
-        history: a mapping for each call, with `begun` and `ended` (seconds; `ended` is None without a clear answer), and
-            `kind`: a "change" has `base`, the version it was built on, and `made`, its own; a "read" has `saw`.
+        history: a mapping for each call, with `begun` and `ended` (seconds; `ended` is None without a clear answer),
+            and `kind`: a "change" has `base`, the version it was built on, and `made`, its own; a "read" has `saw`.
     """
     found = []
     made = {}
