--- a/ploverward/data_plane/load_balancing/connection_pool.py
+++ b/ploverward/data_plane/load_balancing/connection_pool.py
@@ -1,7 +1,7 @@
 """The connections to all replicas: how many there may be, and which idle one may be used (docs/requests.md 2).
 
-`ConnectionPool` owns the bound and what is known of idle connections that were lost without notice; the connections
-themselves stand at their replica. All proxies together may have `maxConns` connections to a replica, of which this one
+`ConnectionPool` owns the bound and the record of idle connections that were lost without notice; the connections
+themselves are in `Replica`. All proxies together may have `maxConns` connections to a replica, of which this one
 has its share.
 """
 
@@ -20,16 +20,16 @@
     from ploverward.transport import event_loop
 
 FIRST_SHARE = 0.04  # of the limit, before the first lease: as if there were a few dozen proxies
-SHARE_IN_USE = 0.9  # of this proxy's share: the rest is for connections that are closed but not gone yet
+SHARE_IN_USE = 0.9  # of this proxy's share: the remainder is for connections that are still closing
 MIN_CONNECTIONS = 4  # to each replica: with fewer, requests would wait for one another
 DEFAULT_MAX_CONNECTIONS = 64  # to one replica, of all proxies, where nothing is known of its service
-CONNECT_SHARE = 1 / 50  # of contactMs, beside three ways: until a connection counts as not coming up
-UNKNOWN_CONNECT_SHARE = 1 / 14  # of contactMs: the same where the way is not known
+CONNECT_SHARE = 1 / 50  # of contactMs, plus three network latencies: the time-out for establishing a connection
+UNKNOWN_CONNECT_SHARE = 1 / 14  # of contactMs: the same if the network latency is not known
 PEER_TIMEOUT_FACTOR = 2  # of contactMs: until the kernel gives up a peer that acknowledges nothing
 
 
 class ConnectionPool:
-    """Opens, lends and closes connections.
+    """Opens, assigns and closes connections.
 
     Args:
         loop: The event loop.
@@ -37,7 +37,7 @@
         share: Returns this proxy's share of limits, 0 without a lease.
         max_connections: Returns the setting `maxConns` of a service.
         may_use: Whether new requests may go to a replica.
-        latencies: Learns how long connections take to come up.
+        latencies: Records how long connections take to establish.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
     def max_connections(self, service: str) -> int:
         """Returns how many connections this proxy may have to a replica of a service.
 
-        Without a lease the last share goes on: too many connections are reset, which breaks no bound, while too few
+        Without a lease the last share is kept: too many connections are reset, which breaks no bound, while too few
         would reject requests that there is capacity for.
         """
         self._last_share = self._share() or self._last_share
--- a/ploverward/data_plane/load_balancing/outlier_detection.py
+++ b/ploverward/data_plane/load_balancing/outlier_detection.py
@@ -20,17 +20,17 @@
     from ploverward.transport import event_loop
 
 MAX_CONCURRENT_PROBES = 24  # suspected replicas to which connections are opened at a time: a lost zone has many
-ZONE_SILENCE_SHARE = 0.1  # of contactMs: replicas of the zone that were heard more lately are not suspected with it
+ZONE_SILENCE_SHARE = 0.1  # of contactMs: replicas of the zone that sent something more recently are not suspected
 
 
 class ReplicaView(typing.Protocol):
-    """The replicas that this proxy looks at (`replica_table.Table`)."""
+    """The replicas that this proxy uses (`replica_table.Table`)."""
 
     replicas: dict[str, replica.Replica]
     by_service: dict[str, list[replica.Replica]]
 
     def subset(self, service: str) -> Iterable[replica.Replica]:
-        """Returns those of a service that this proxy looks at."""
+        """Returns those of a service that this proxy uses."""
 
     def is_in_service(self, one: replica.Replica) -> bool:
         """Whether it is neither draining nor in an evacuated zone."""
@@ -55,7 +55,7 @@
         self._contact_s = contact_s
 
     def mark_suspected(self, one: replica.Replica) -> None:
-        """A connection did not come up, or the replica is silent and a health check did not come up."""
+        """A connection was not established, or the replica timed out and a health check failed."""
         now = self._loop.now()
         one.is_suspected = True
         one.is_probe_failed = True
@@ -81,7 +81,7 @@
         return one.is_suspected and self._table.is_in_service(one) and not one.connections
 
     def probe(self, one: replica.Replica) -> None:
-        """Checks a silent replica by a new connection; if that does not come up, the replica is suspected."""
+        """Checks a replica that timed out by a new connection; if that fails, the replica is suspected."""
         pending = one.probe_connection
         if pending is not None and pending.is_open and not pending.is_up:
             return
--- a/ploverward/data_plane/load_balancing/prefix_affinity.py
+++ b/ploverward/data_plane/load_balancing/prefix_affinity.py
@@ -1,7 +1,7 @@
 """Which replicas have parts of a prompt cached, as far as this proxy knows (docs/relay.md).
 
 Three sources: the mirrors of the relays, this proxy's own sends that no mirror can show yet, and an agreement: shared
-parts that nobody has cached are credited to one replica, the same for all proxies, so that it is prefilled once.
+parts that no replica has cached are credited to one replica, the same for all proxies, so that it is prefilled once.
 `PrefixAffinity` owns the second.
 """
 
@@ -18,7 +18,7 @@
     from ploverward.data_plane.load_balancing import replica_table
 
 MAX_RECENT_SENDS = 20000  # entries, before those that are over are dropped
-RECENT_SEND_SHARE = 1 / 3  # of contactMs: for so long an own send counts; then the mirror shows it
+RECENT_SEND_SHARE = 1 / 3  # of contactMs: how long an own send counts; afterwards the mirror shows it
 
 Chain = typing.Sequence[tuple[bytes, int]]  # (hash of all parts up to this one, tokens of this one)
 
@@ -56,7 +56,7 @@
             self._recent = {key: until for key, until in self._recent.items() if until > now}
 
     def sent_tokens(self, replica: replicas.Replica, chain: Chain) -> int:
-        """Returns the tokens at the head of a prompt that this proxy has sent there lately."""
+        """Returns the tokens at the head of a prompt that this proxy has sent there recently."""
         now = self._now()
         total = 0
         for full_hash, tokens in chain:
@@ -74,7 +74,7 @@
         chain: Chain,
         permitted: frozenset[str] | None,
     ) -> dict[str, int]:
-        """Returns the cached tokens of a prompt, by replica id, as mirrors and agreement tell them."""
+        """Returns the cached tokens of a prompt, by replica id, from the mirrors and the agreement."""
         cached: dict[str, int] = {}
         if not chain:
             return cached
@@ -122,7 +122,7 @@
             cached[owner.id] = max(cached.get(owner.id, 0), tokens)
 
     def owners(self, *, service: str, model: str, chain: Chain) -> tuple[int, list[replicas.Replica]]:
-        """Returns who has most of a prompt cached, for a service of which this proxy looks at a subset.
+        """Returns who has most of a prompt cached, for a service of which this proxy uses a subset.
 
         Returns:
             The parts in the longest run of the prompt that is cached anywhere, and the replicas that the mirrors name
--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -1,7 +1,7 @@
-"""One replica as this proxy sees it.
+"""One replica, as this proxy knows it.
 
-`Replica` owns what this proxy knows of one replica: what the endpoint list says, its connections, the attempts that run
-there, and what was seen of faults. The modules beside it own the rules: `outlier_detection`, `slow_start`,
+`Replica` owns what this proxy knows of one replica: its row of the endpoint list, its connections, the attempts that
+run there, and the faults that were seen. Other modules own the rules: `outlier_detection`, `slow_start`,
 `connection_pool`.
 """
 
@@ -37,25 +37,25 @@
         endpoint: Its address and port.
         zone: Where it runs.
         region: Of the zone.
-        batch_slots: Requests that it runs side by side.
+        batch_slots: Requests that it runs concurrently.
         edition: Version of its software.
         models: Models that it serves; empty: all of its service.
-        adapters: (model, adapter) that it has loaded: since when; None where the list can't tell.
-        is_clearing: It is draining: no new request goes there.
+        adapters: (model, adapter) that it has loaded: since when; None if the list does not say.
+        is_clearing: It is draining: no new request is sent there.
         is_listed: Whether it is on the endpoint list.
         warming_up_until: In slow start before then, in seconds on the loop's clock.
         idle: Connections that carry no request.
         connections: All open connections.
-        heard_at: When anything last came from it.
+        heard_at: When it last sent anything.
         backoff_until: It declined a request: not to be chosen before then, unless there is no other.
-        is_suspected: Not to be chosen before a connection of ours came up.
-        is_probe_failed: The last connection of ours did not come up. One that is suspected for its zone's sake is not.
-        network_latency_s: There and back, as connections took to come up; None before the first one.
-        probe_connection: A connection that is made to see whether it is there.
+        is_suspected: Not to be chosen before a connection of this proxy is established.
+        is_probe_failed: The last connection of this proxy failed; false if it is suspected only because of its zone.
+        network_latency_s: Round trip, from the time to establish connections; None before the first one.
+        probe_connection: The connection of a health check in progress.
         running: Attempts of this proxy that run there.
         prefill_tokens: Tokens that are still to be prefilled, by the number of the attempt.
         sends: When attempts of this proxy were sent, the latest ones.
-        on_probe_failed: Called when a health check did not come up.
+        on_probe_failed: Called when a health check failed.
     """
 
     def __init__(self, *, row: Mapping[str, typing.Any], endpoint: tuple[str, int], region: str, now: float) -> None:
@@ -113,7 +113,7 @@
     def note_failure(self, *, now: float, span: float) -> None:
         """An attempt failed although the replica was up; counts for `span` seconds.
 
-        A fault may show to some callers only, so what this proxy saw counts here besides what the relay's judge says.
+        A fault may show to some callers only, so what this proxy saw counts here in addition to the relay's judge.
         """
         self._failures.append(now + span)
         if len(self._failures) > MAX_RECENT_FAILURES:
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -1,8 +1,8 @@
 """The choice of a replica for one attempt (design 6): candidates, their scores, the best one.
 
-`Chooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts
-`prefix_affinity`'s, replicas the table's. A replica that may not be used is never a candidate, whatever its score: a
-mirror that is wrong costs time, and breaks no rule (docs/requests.md 6, `test_broken_mirror.py`).
+`Chooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts are in
+`prefix_affinity`, replicas in the table. A replica that may not be used is never a candidate, whatever its score: a
+wrong mirror costs time, but breaks no rule (docs/requests.md 6, `test_broken_mirror.py`).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
         regions: Mirrors by region (`relay.mirror.RegionMirror`).
         quota: This proxy's share of the limits of slow starts.
         now: The loop's clock, in seconds.
-        counted: Returns what the mirrors' sums hold of this proxy's own load at a replica.
+        counted: Returns this proxy's own load at a replica that the mirrors' totals include already.
 
     Attributes:
         rates: Measured prefill rates.
@@ -76,7 +76,7 @@
         self.affinity.note_send(replica=replica, chain=chain)
 
     def note_read(self, *, service: str, tokens: int, took_s: float) -> None:
-        """A first event came, `took_s` seconds after the prompt could have arrived."""
+        """A first event arrived, `took_s` seconds after the prompt could have arrived."""
         self.rates.record(service=service, tokens=tokens, took_s=took_s)
 
     def expected_s(self, *, replica: replicas.Replica, tokens: int, is_connected: bool) -> float:
@@ -90,7 +90,7 @@
         return network_s + tokens / self.rates.of(replica.service) / 1000.0
 
     def load(self, replica: replicas.Replica) -> scoring.Load:
-        """Returns the load of all proxies there: the mirror's sums, less what they hold of ours, and ours."""
+        """Returns the load of all proxies there: the mirror's totals, less what they include of ours, plus ours."""
         region = self._regions.get(replica.region)
         total = region.load.get(replica.key) if region is not None and region.is_fresh else None
         running, tokens = replica.running, sum(replica.prefill_tokens.values())
@@ -117,8 +117,8 @@
     ) -> list[replicas.Replica]:
         """Returns the replicas that may be chosen.
 
-        Those of the subset that this proxy looks at, those that have most of the prompt cached, and the one that is
-        to prefill it first; of all replicas, where that leaves nobody.
+        Those of this proxy's subset, those that have most of the prompt cached, and the one that is to prefill it
+        first. If no replica of the subset may be chosen, all replicas that may be.
 
         Args:
             service: The service.
@@ -126,7 +126,7 @@
             model: Empty for any.
             avoid: Ids that are not to be chosen.
             chain: The parts of the prompt.
-            pool: The versions that may be asked, None for all.
+            pool: The versions that may be used, None for all.
         """
 
         def usable(rows: Iterable[replicas.Replica]) -> list[replicas.Replica]:
@@ -169,7 +169,7 @@
         found = [
             replica
             for replica in rows
-            # Suspected ones are checked by connections of their own: a request is better rejected than spent on them.
+            # Suspected replicas are probed by other connections: a request is rejected rather than used as a probe.
             if not replica.is_suspected
             and not replica.is_clearing
             and replica.zone not in evacuated_zones
@@ -205,7 +205,7 @@
             avoid: Ids that are not to be chosen.
             latency_target_s: Of the request, in seconds.
             load_s: Returns the seconds that a replica needs to load the adapter, None where none is needed.
-            pool: The versions that may be asked, None for all.
+            pool: The versions that may be used, None for all.
 
         Returns:
             The replica or None, the tokens that it has to prefill, and whether there was any candidate.
--- a/ploverward/data_plane/load_balancing/replica_subset.py
+++ b/ploverward/data_plane/load_balancing/replica_subset.py
@@ -1,11 +1,11 @@
-"""Which replicas a proxy looks at where there are many: a stable subset by rendezvous hash (docs/scale.md 5).
+"""Which replicas a proxy uses if there are many: a stable subset by rendezvous hashing (docs/scale.md 5).
 
 Each proxy ranks the replicas of a service by a hash of its own address and the replica's id, and uses the first ones.
-A replica that comes or goes changes one entry of the subsets that it is in. In a small region the subset is
-everything.
+A replica that is added or removed changes one entry of the subsets that it is in. In a small region the subset has all
+replicas.
 
 `Subsets` owns the subsets of one proxy, `Ring` an order of replicas that all proxies share, and `SubsetView` both of
-them, made anew when the list, the evacuations or the size of the fleet change.
+them, recomputed when the list, the evacuations or the size of the fleet change.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 MIN_NEAR_REPLICAS = 48  # replicas of a service in the proxy's own region: enough to find a free one (docs/scale.md 5)
 MIN_FAR_REPLICAS = 40  # the same in each other region
 RING_POINTS = 4  # of each replica on the ring of its region: more would even out the ranges, at a longer ring
-MIN_PROXIES_PER_REPLICA = 4  # proxies that look at each replica, at least, on the average
+MIN_PROXIES_PER_REPLICA = 4  # proxies that use each replica, at least, on the average
 
 
 def rank(*, own: str, replica_id: str) -> bytes:
@@ -37,7 +37,7 @@
 
 
 def size(*, replicas: int, proxies: float, is_near: bool) -> int:
-    """Returns how many of a region's replicas a proxy looks at; rounded up, so that it seldom changes.
+    """Returns how many of a region's replicas a proxy uses; rounded up, so that it seldom changes.
 
     Args:
         replicas: Of a service in the region.
@@ -65,7 +65,7 @@
         self._has_all_replicas: dict[str, bool] = {}  # by service
 
     def clear(self) -> None:
-        """Drops the subsets; ranks stay."""
+        """Drops the subsets, but keeps the ranks."""
         self._chosen = {}
         self._has_all_replicas = {}
 
@@ -105,12 +105,12 @@
         return known
 
     def of(self, service: str) -> list[replicas_of.Replica]:
-        """Returns the replicas of a service that this proxy looks at, of all regions."""
+        """Returns the replicas of a service that this proxy uses, of all regions."""
         return [replica for (name, _region), rows in self._chosen.items() if name == service for replica in rows]
 
 
 class Points:
-    """Points of replicas on rings: computed once, for all rings to come."""
+    """Points of replicas on rings: computed once, for all later rings."""
 
     def __init__(self) -> None:
         self._places: dict[str, tuple[bytes, ...]] = {}  # by replica id
@@ -131,7 +131,9 @@
 
 
 class Ring:
-    """Replicas of one region in an order that all proxies share: who is to prefill a part first that nobody has cached.
+    """Replicas of one region in an order that all proxies share.
+
+    It determines the replica that prefills a part first that no replica has cached.
 
     Args:
         replicas: Of one service and region.
@@ -145,7 +147,7 @@
         self._replicas = [replica for _point, _name, replica in rows]
 
     def first(self, *, part: bytes, is_usable: Callable[[replicas_of.Replica], bool]) -> replicas_of.Replica | None:
-        """Returns the first usable replica behind the point of a part (its hash), None where there is none."""
+        """Returns the first usable replica after the point of a part (its hash), None where there is none."""
         begin = bisect.bisect(self._places, part)
         count = len(self._replicas)
         for step in range(count):
@@ -161,7 +163,7 @@
     Args:
         own: The proxy's address.
         region: The proxy's region.
-        share: Returns this proxy's share of limits, 0 without a lease: it tells how many proxies there are.
+        share: Returns this proxy's share of limits, 0 without a lease: the number of proxies is estimated from it.
         region_count: Returns how many regions there are.
         is_in_service: Whether a replica is neither draining nor in an evacuated zone.
     """
@@ -198,16 +200,16 @@
         self._is_stale = True
 
     def mark_stale(self) -> None:
-        """Replicas went into service or out of it: the subsets are made anew at their next use."""
+        """Replicas entered or left service: the subsets are recomputed at their next use."""
         self._is_stale = True
 
     def forget(self, replica_id: str) -> None:
-        """The replica is gone from the list."""
+        """The replica is no longer listed."""
         self._subsets.forget(replica_id)
         self._points.forget(replica_id)
 
     def refresh_fleet_size(self) -> None:
-        """By the clock: the subsets follow the size of the fleet."""
+        """Called periodically: adapts the subsets to the size of the fleet."""
         if self._proxies() != self._fleet:
             self._is_stale = True
 
@@ -234,25 +236,25 @@
                 self._by_tag[service] = {one.key[: cuckoo_filter.TAG_SIZE]: one for one in usable}
 
     def has_all_replicas(self, service: str) -> bool:
-        """Whether this proxy looks at all replicas of a service."""
+        """Whether this proxy uses all replicas of a service."""
         self._refresh()
         return self._subsets.has_all_replicas(service)
 
     def of(self, service: str) -> list[replicas_of.Replica]:
-        """Returns the replicas of a service that this proxy looks at."""
+        """Returns the replicas of a service that this proxy uses."""
         self._refresh()
         if self._subsets.has_all_replicas(service):
             return self._by_service.get(service, [])
         return self._subsets.of(service)
 
     def by_tags(self, *, service: str, tags: Iterable[bytes]) -> list[replicas_of.Replica]:
-        """Returns replicas by the tags that a mirror names, of a service of which this proxy looks at a subset."""
+        """Returns replicas by the tags that a mirror names, of a service of which this proxy uses a subset."""
         self._refresh()
         table = self._by_tag.get(service, {})
         return [table[tag] for tag in tags if tag in table]
 
     def followed_keys(self) -> frozenset[bytes] | None:
-        """Returns the keys of all replicas that this proxy looks at, None for all that are listed."""
+        """Returns the keys of all replicas that this proxy uses, None for all that are listed."""
         self._refresh()
         if all(self._subsets.has_all_replicas(service) for service in self._by_service):
             return None
@@ -266,12 +268,12 @@
         permitted: frozenset[str] | None,
         is_usable: Callable[[replicas_of.Replica], bool],
     ) -> replicas_of.Replica | None:
-        """Returns the replica that all proxies of this region agree on for a part that nobody has cached.
+        """Returns the replica that all proxies of this region agree on for a part that no replica has cached.
 
         Args:
             service: The service.
             part: Hash of the part.
-            permitted: Regions that may be used, None for all; the own one goes first.
+            permitted: Regions that may be used, None for all; the own one is tried first.
             is_usable: Whether a replica may be chosen.
         """
         self._refresh()
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -37,17 +37,17 @@
     Args:
         loop: The event loop.
         settings: Of this node.
-        share: Returns this proxy's share of the limits that hold over all machines, 0 without a lease.
+        share: Returns this proxy's share of the global limits, 0 without a lease.
 
     Attributes:
         replicas: By id.
         by_service: By service.
-        services: What the configuration says of each service (`route_table.services`).
+        services: The configuration of each service (`route_table.services`).
         adapters: Of each service, by adapter: the models that the list or the configuration ever named with it.
-        evacuated_zones: Zones that no request goes to.
+        evacuated_zones: Zones to which no request is sent.
         latencies: Network latencies.
         pool: The connections.
-        subsets: Which replicas this proxy looks at.
+        subsets: Which replicas this proxy uses.
         outliers: Suspected replicas.
     """
 
@@ -80,7 +80,7 @@
         self.outliers = outlier_detection.OutlierDetection(
             loop=loop, table=self, pool=self.pool, contact_s=settings.bound_s(name="contactMs")
         )
-        # What others ask of the parts.
+        # Queries that components answer.
         self.connection = self.pool.connection
         self.note_stale_connection = self.pool.note_stale
         self.mark_suspected = self.outliers.mark_suspected
@@ -95,7 +95,7 @@
 
     # Services.
     def install_services(self, services: dict[str, dict[str, typing.Any]]) -> None:
-        """A configuration came into force."""
+        """Installs a configuration."""
         self.services = services
         for name, row in services.items():
             for model, adapter in row.get("adapters", ()):
@@ -123,13 +123,13 @@
         return self._settings.zones.get(zone, "")
 
     def install_list(self, rows: Sequence[Row]) -> None:
-        """A complete list came."""
+        """Installs a complete list."""
         gone = self.replicas.keys() - {row["id"] for row in rows}
         self.change_list(rows=rows, gone=gone)
         self._has_list = True
 
     def change_list(self, *, rows: Iterable[Row], gone: Iterable[str]) -> None:
-        """The list changed: rows that are new or differ, and ids that are gone."""
+        """The list changed: rows that are new or differ, and ids that were removed."""
         now = self._loop.now()
         for row in rows:
             self._apply_row(row, now=now)
@@ -154,7 +154,7 @@
             self.replicas[one.id] = one
             one.on_probe_failed = self.outliers.mark_suspected
             if self._has_list:
-                # It came up during traffic: where the list does not say, it counts as warming up.
+                # It started during traffic: if the list does not say, it counts as warming up.
                 slow_start.begin(one, service=self._service(one.service), now=now)
         one.is_clearing = row["is_clearing"]
         one.update_adapters(row, now=now)
@@ -169,7 +169,7 @@
         return self._counts[service, region]
 
     def install_evacuations(self, zones: Iterable[str]) -> None:
-        """The evacuated zones changed. Replicas of a zone that comes back begin with a slow start."""
+        """The evacuated zones changed. Replicas of a zone that returns begin with a slow start."""
         evacuated = frozenset(zones)
         restored = self.evacuated_zones - evacuated
         now = self._loop.now()
@@ -191,9 +191,9 @@
         return self.pool.has_capacity(replica)
 
     def probe(self, *, replica: Replica) -> None:
-        """Checks a silent replica by a new connection."""
+        """Checks a replica that timed out by a new connection."""
         self.outliers.probe(replica)
 
     def sweep(self) -> None:
-        """By the clock: closes connections that were idle for too long."""
+        """Called periodically: closes connections that were idle for too long."""
         self.pool.close_expired(self.replicas.values())
--- a/ploverward/data_plane/load_balancing/scoring.py
+++ b/ploverward/data_plane/load_balancing/scoring.py
@@ -5,16 +5,16 @@
 
 * prefill: tokens to prefill, of this request and of those that wait there, over the measured prefill rate
 * contention: the same time of this request alone, times the share of the batch slots in use, times
-  `CONTENTION_WEIGHT`: a long prefill slows all that run beside it
+  `CONTENTION_WEIGHT`: a long prefill slows all concurrent requests
 * network: the round trip, twice where a new connection is needed; times `NETWORK_SHARE` where a prompt is to be
   prefilled
 * load: `PREFILL_LOAD_MS` (`PLAIN_LOAD_MS` without prefill) times the share of the batch slots in use
 * lateness: `LATENESS_WEIGHT` for each millisecond of network and prefill beyond `ON_TIME_MS` a second of latency
   target
-* overload: where all batch slots are in use: `OVERLOAD_MS`, and `QUEUE_MS` for each slot's worth of requests beyond
+* overload: where all batch slots are in use: `OVERLOAD_MS`, and `QUEUE_MS` for each slot's worth of further requests
 * region: `REGION_MS` for each second of the price of a crossing, for a replica of another region
 * connection: `CONNECTION_MS` for each second of the price of a crossing, where no idle connection is there
-* suspicion: `SUSPECTED_MS` where another proxy suspects it, `FAILING_MS` where the relay's judge has marked it
+* suspicion: `SUSPECTED_MS` where another proxy suspects it, `FAILING_MS` where the relay's judge lists it as failing
 * failures: `FAILURE_MS` for each second of the price of a crossing, for each recent failure that this proxy saw
 * slow start: `WARMING_UP_MS` while it warms up, `RATE_EXCEEDED_MS` where its rate is used up
 
@@ -32,12 +32,12 @@
     from ploverward.data_plane.load_balancing import network_latency
     from ploverward.data_plane.load_balancing import replica as replicas
 
-FIRST_RATE = 20.0  # tokens prefilled in a millisecond, before anything was measured; ours
+FIRST_RATE = 20.0  # tokens prefilled in a millisecond, before anything was measured; our estimate
 RATE_FADE = 0.99  # of the measured rate, with each measurement: it is the maximum of the quicker answers
-MIN_MEASURED_TOKENS = 500  # fewer tokens say more of the network than of the prefill
+MIN_MEASURED_TOKENS = 500  # with fewer tokens the network dominates the measured time
 CROSSINGS_IN_CONTACT = 50  # contactMs over this is the price of a crossing between regions
 CONTENTION_WEIGHT = 4.0
-NETWORK_SHARE = 0.25  # inside the latency target a longer way harms little, while a repeated prefill is paid for twice
+NETWORK_SHARE = 0.25  # within the latency target network time harms little, while a repeated prefill costs twice
 PREFILL_LOAD_MS = 120.0
 PLAIN_LOAD_MS = 90.0
 ON_TIME_MS = 400.0  # for each second of the latency target
@@ -72,7 +72,7 @@
         return self.by_service.get(service, FIRST_RATE)
 
     def record(self, *, service: str, tokens: int, took_s: float) -> None:
-        """A first event came so many seconds after it could: a maximum that fades."""
+        """Records the seconds to a first event from when it was possible: a decaying maximum."""
         if took_s > 0 and tokens >= MIN_MEASURED_TOKENS:
             self.by_service[service] = max(tokens / (took_s * 1000.0), self.of(service) * RATE_FADE)
 
--- a/ploverward/data_plane/load_reports/adapter_reports.py
+++ b/ploverward/data_plane/load_reports/adapter_reports.py
@@ -1,4 +1,4 @@
-"""Counts of adapters on their way to the core, by way of the digest, in complete windows (docs/pins.md 3).
+"""Forwards counts of adapter loads to the core nodes, through the digest, in complete windows (docs/pins.md 3).
 
 `AdapterReports` owns the counts that members of this node's digest sent since the last time they were forwarded.
 Invariant: of one proxy's window, only the newest count that arrived is forwarded.
@@ -10,11 +10,11 @@
 from ploverward.data_plane.adapter_cache import adapter_counts
 from ploverward.transport import messages
 
-MAX_MEMBER_COUNTS = 2000  # windows of members that wait here; later ones are dropped and come again
+MAX_MEMBER_COUNTS = 2000  # queued windows of members; later ones are dropped and sent again by the members
 
 
 class AdapterReports:
-    """Gathers this proxy's counts and those of its members.
+    """Collects this proxy's counts and those of its members.
 
     Args:
         counter: what this proxy itself counts.
@@ -35,14 +35,14 @@
         self._of_members: dict[tuple[str, int], messages.AdapterCount] = {}  # by incarnation and window
 
     def collect(self, message: messages.AdapterCounts) -> None:
-        """A member's counts: a newer count of a window replaces an older one that still waits here."""
+        """A member's counts: a newer count of a window replaces an older one that is still queued."""
         for count in message.counts:
             key = (count.incarnation, count.window)
             if key in self._of_members or len(self._of_members) < MAX_MEMBER_COUNTS:
                 self._of_members[key] = count
 
     def drain(self) -> messages.AdapterCounts | None:
-        """What is to be sent on; None where there is nothing."""
+        """The counts to forward; None where there are none."""
         own = self._settings()
         counts = [
             messages.AdapterCount(own.node, own.zone, own.region, self._incarnation, window, number, data)
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -1,8 +1,8 @@
-"""The sums of the reports of a digest's members (docs/digest.md 2, 3).
+"""Aggregates of the reports of a digest's members (docs/digest.md 2, 3).
 
 `LoadAggregates` owns each member's newest loads and, for each region, their sum and what its relay was not yet sent.
-Invariant: a region's total is the sum of the members' newest loads there. A digest is no actor: it adds up loads and
-passes reads on; exact ownership of prompt parts is in the relay's actors alone.
+Invariant: a region's total is the sum of the members' newest loads there. A digest is no actor: it sums loads and
+forwards reads; exact ownership of prompt parts is in the relay's actors alone.
 """
 
 import collections
@@ -20,7 +20,7 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS = 20000  # prompts that wait for one region's relay; later ones are dropped
+MAX_READS = 20000  # prompts queued for one region's relay; later ones are dropped
 MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones get no credit
 
 
@@ -67,7 +67,7 @@
         self.changed.add(key)
 
     def drain(self, keys: Iterable[bytes]) -> tuple[bytes, bytes]:
-        """The rows of these replicas and all reads that wait; nothing waits afterwards."""
+        """The rows of these replicas and all queued reads; the queue is empty afterwards."""
         rows = b"".join([self._pack_row(key) for key in keys])
         reads = b"".join(self.reads)
         self.changed = set()
@@ -151,7 +151,7 @@
             self._regions[region].replace(key, before=before, load=load)
 
     def remove(self, member: MemberT) -> None:
-        """The member is gone, or reports elsewhere: its loads are withdrawn."""
+        """The member disconnected, or reports elsewhere: its loads are withdrawn."""
         for key, (region, load) in self._loads.pop(member, {}).items():
             self._regions[region].replace(key, before=load, load=NO_LOAD)
         self._numbers.pop(member, None)
@@ -166,7 +166,7 @@
         return self._batch(aggregates, aggregates.changed)
 
     def checkpoint(self, *, region: str) -> messages.Aggregates:
-        """The complete sum, for a relay that knows nothing of this digest."""
+        """The complete total, for a relay that knows nothing of this digest."""
         aggregates = self._by_name[region]
         aggregates.pending.clear()
         aggregates.reporters = set(self._numbers)
@@ -183,7 +183,7 @@
         return messages.Aggregates(self._batch_number, rows, reads)
 
     def discard(self, *, region: str) -> None:
-        """No relay can be sent this region's reads and outcomes now: they are dropped, the loads stay."""
+        """No relay can be sent this region's reads and outcomes now: they are dropped, but the loads kept."""
         self._by_name[region].discard()
 
     def acknowledge(self, *, region: str, number: int) -> dict[MemberT, int]:
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -28,7 +28,7 @@
 
 
 class OwnNode(enum.Enum):
-    """The proxy itself, as a member of its own sums."""
+    """The proxy itself, as a member of its own digest."""
 
     OWN = "own"
 
@@ -84,7 +84,7 @@
         self._on_region_lost = on_region_lost
         self._streams: dict[str, _RelayStream] = {}  # by region
         self._gateway: DigestConnection | None = None
-        self._by_gateway: tuple[str, ...] = ()  # regions whose relays are reached by way of the gateway
+        self._by_gateway: tuple[str, ...] = ()  # regions whose relays are reached through the gateway
 
     # Streams to relays.
     @property
@@ -116,7 +116,7 @@
         self._streams.pop(region).connector.stop()
 
     def stop(self) -> None:
-        """Ends all streams; the members stay."""
+        """Ends all streams, but keeps the members."""
         for region in list(self._streams):
             self._stop_stream(region)
         self.follow_gateway(owner=None, regions=())
@@ -143,7 +143,7 @@
 
     # The gateway of this region: streams to the other regions' relays.
     def follow_gateway(self, *, owner: RoleOwner | None, regions: Iterable[str]) -> None:
-        """Reaches these regions by way of this gateway, or of none."""
+        """Reaches these regions through this gateway, or through none."""
         gateway = self._gateway
         if (gateway.owner if gateway is not None else None) == owner:
             return
@@ -170,7 +170,7 @@
         connection.send(messages.LoadReport(*self.aggregates.checkpoint(region=region)))
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
-        """The gateway passed a frame of another region's relay on."""
+        """The gateway forwarded a frame of another region's relay."""
         if region in self._by_gateway:
             self._handle_publication(region, connection, frames.unpack(frame), frame)
 
@@ -191,7 +191,7 @@
         """The gateway lost its stream of another region's relay."""
         if region in self._by_gateway:
             self._lose_region(region)
-            # The region's next relay counts all members anew, also those for which nothing changes.
+            # The region's next relay counts all members again, also those for which nothing changes.
             self._send_checkpoint(region, connection)
 
     def on_left(self) -> None:
@@ -200,11 +200,11 @@
             for region in self._by_gateway:
                 self._lose_region(region)
 
-    # What comes back.
+    # What relays publish.
     def _handle_publication(
         self, region: str, connection: peer_connection.PeerConnection, message: tuple, frame: bytes
     ) -> None:
-        """Installs what a relay published, and passes it on to the members."""
+        """Installs what a relay published, and forwards it to the members."""
         if not install_publication(self.mirrors[region], message, connection):
             return
         if isinstance(message, messages.PoolCut):
@@ -219,7 +219,7 @@
 
     # Members.
     def admit(self, connection: peer_connection.PeerConnection, *, address: str) -> None:
-        """A member joins: it is sent all that this digest knows."""
+        """A member joins: it is sent the complete state of this digest."""
         self.fanout.admit(connection, address=address)
         connection.send(messages.DigestJoined(self.identity.epoch))
         for region, known in self.mirrors.items():
@@ -232,7 +232,7 @@
                 self.cuts.add(connection, region, pool)
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
-        """A member wants the loads of these replicas alone, or of all; it is sent how they are now."""
+        """A member requests the loads of these replicas only, or of all; it is sent the present ones."""
         self.fanout.follow(connection, keys=keys)
         for region, known in self.mirrors.items():
             if known.broken_at is None:
@@ -260,7 +260,7 @@
         for connection in list(self.fanout.members):
             connection.close(reason=reason)
 
-    # By the clock.
+    # Periodic work.
     def tick(self) -> None:
         """Sends what changed. Reads and outcomes that no relay can be sent now are dropped."""
         for region in self.mirrors:
--- a/ploverward/data_plane/load_reports/digest_connection.py
+++ b/ploverward/data_plane/load_reports/digest_connection.py
@@ -2,7 +2,7 @@
 
 A `DigestConnection` owns the connection to one owner of the singleton role. It is connecting, then connected (the join
 message is sent at once), then joined (the digest said so). Invariant: nothing that arrives before the digest's
-`DigestJoined`, or on an older connection, is handed on.
+`DigestJoined`, or on an older connection, is passed to `MemberEvents`.
 """
 
 import dataclasses
@@ -50,7 +50,7 @@
 
 
 class MemberEvents(typing.Protocol):
-    """What a member does with what its digest sends."""
+    """Callbacks of a member for what its digest sends."""
 
     def on_joined(self, connection: peer_connection.PeerConnection) -> None:
         """The digest admitted this member, and knows nothing of it yet."""
@@ -137,7 +137,7 @@
     """Installs what a relay published in the region's mirror.
 
     Returns:
-        Whether it fitted. A stream that doesn't is closed: it starts again with complete state.
+        Whether it continued the mirror's state. If not, the stream is closed: it starts again with complete state.
     """
     try:
         region.handle_publication(message)
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -1,4 +1,4 @@
-"""What members of a digest are sent of the relays' publications, each in its own bounded queue (docs/digest.md 2).
+"""Forwards the relays' publications to a digest's members, each by its own bounded queue (docs/digest.md 2).
 
 `Fanout` owns the members and which replicas each follows; `CutQueue` owns the cuts of pools that members are still to
 be sent. Invariant: no member is sent a delta of a pool while a cut of it waits for that member.
@@ -32,8 +32,8 @@
 class Fanout:
     """Sends publications to members.
 
-    They go on unchanged, but for loads: a member that follows some replicas gets rows of these alone, and of full
-    replicas wherever they are.
+    They are forwarded unchanged, except loads: a member that follows some replicas gets the rows of these, and of all
+    full replicas.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         return True
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
-        """The member wants the loads of these replicas alone, or of all."""
+        """The member requests the loads of these replicas only, or of all."""
         self.members[connection].followed_keys = keys
         self._index_followers()
 
@@ -94,7 +94,7 @@
             self.broadcast(frames.pack(messages.RelayedFrame(region, frame)))
 
     def _broadcast_delta(self, region: str, pool: str, frame: bytes) -> None:
-        """To all but those that wait for the pool's cut: it will contain the delta."""
+        """Sends to all members except those that wait for the pool's cut, which will contain the delta."""
         relayed = frames.pack(messages.RelayedFrame(region, frame))
         for connection, member in list(self.members.items()):
             if (region, pool) not in member.pending_cuts:
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -33,17 +33,17 @@
 
 
 class RelayClient:
-    """What one proxy reports of itself, learns of the others, and does for them under singleton roles.
+    """What one proxy reports, learns about the others, and does for them under singleton roles.
 
     Args:
         loop: the event loop.
         settings: the settings in force; their reread replaces them.
         incarnation: of this proxy.
         contact_s: contactMs, in seconds.
-        peer_timeout_s: after this time of silence a connection ends.
+        peer_timeout_s: a connection on which nothing arrives for so long ends.
         table: replicas and services.
         adapters: counts this proxy's adapters.
-        replicas_in_use: gives the replicas with attempts of this proxy in flight, also of those gone from the list.
+        replicas_in_use: gives the replicas with attempts of this proxy in flight, also of those no longer listed.
         near_core: gives the connection to a core node, by preference of this region.
     """
 
@@ -161,7 +161,7 @@
         else:
             is_admitted = self.relay_role.admit(connection, message)
         if is_admitted:
-            self._waiting.pop(connection, None)  # it is gone already where the admission closed the connection
+            self._waiting.pop(connection, None)  # it is removed already if the admission closed the connection
 
     def _handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
         if self._is_member(connection):
@@ -190,7 +190,7 @@
         self.zone_digest.digest.remove(connection)
         self.relay_role.remove(connection)
 
-    # By the clock.
+    # Periodic work.
     def report_interval_s(self) -> float:
         """Seconds between two calls of `tick`: twice as many where the zone has several digests."""
         second = singleton_roles.digest_name(zone=self._settings().zone, number=1)
--- a/ploverward/data_plane/load_reports/relay_role.py
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -1,6 +1,6 @@
-"""The relay of this node's region and the gateway beside it, while this node owns the singleton role (docs/relay.md 1).
+"""The relay and the gateway of this node's region, while this node owns the singleton role (docs/relay.md 1).
 
-`RelayRole` owns both. Invariant: both live under one epoch; a new epoch, or another owner, ends them before anything
+`RelayRole` owns both. Invariant: both have the same epoch; a new epoch, or another owner, ends them before anything
 else is started.
 """
 
@@ -18,7 +18,7 @@
 
 
 class RelayRole:
-    """The relay's and the gateway's lifetime, and their part of what this node does in each tick.
+    """The relay's and the gateway's lifetime, and their work in each tick.
 
     Args:
         settings: the settings in force.
@@ -115,7 +115,7 @@
         return True
 
     def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
-        """A subscriber's sums. Raises `FrameError` where they are malformed or out of order."""
+        """A subscriber's aggregates. Raises `FrameError` where they are malformed or out of order."""
         if self.host is not None:
             self.host.handle_aggregates(connection, message)
 
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -22,8 +22,8 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS = 4000  # prompts in one report; later ones are left out
-MAX_UNACKNOWLEDGED_REPORTS = 1000  # for each region; without credits, a later checkpoint starts anew
+MAX_READS = 4000  # prompts in one report; later ones are omitted
+MAX_UNACKNOWLEDGED_REPORTS = 1000  # for each region; without credits, a later checkpoint starts again
 
 
 class AttemptEvent(enum.IntEnum):
@@ -67,7 +67,7 @@
         self._number = 0
         self._dirty: dict[bytes, replica_table.Replica] = {}
         self._suspected: dict[bytes, _Suspicion] = {}
-        self._reported: dict[bytes, RegionLoad] = {}  # as of the last report; replicas without load are left out
+        self._reported: dict[bytes, RegionLoad] = {}  # as of the last report; replicas without load are omitted
         self._outcomes: dict[bytes, OutcomeCounts] = {}
         self._reads: list[bytes] = []
         self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._names]
@@ -75,7 +75,7 @@
         self._lost = set(self._names)  # regions whose published loads contain nothing of ours
 
     def record(self, *, replica: replica_table.Replica, kind: int) -> None:
-        """An attempt at this replica was sent, or something became of it.
+        """An attempt at this replica was sent, or its state changed.
 
         Args:
             replica: as the table has it; its load is read when the report is made.
@@ -108,7 +108,7 @@
             service: its service.
             model: the model that processed the prompt.
             parts: (name, tokens) of each part, from the front of the prompt.
-            salt: what X-Model said, where it names an adapter: parts of different adapters are never the same.
+            salt: the value of X-Model, where it names an adapter: parts of different adapters are never the same.
         """
         if len(self._reads) >= MAX_READS or replica.region not in self._regions:
             return
@@ -145,7 +145,7 @@
         """The complete state, for a digest that knows nothing of this proxy.
 
         Args:
-            replicas: those with attempts of this proxy in flight, also if the endpoint list has them no more.
+            replicas: those with attempts of this proxy in flight, also if they are no longer listed.
         """
         self._end_suspicions()
         self._dirty = {}
@@ -213,7 +213,7 @@
         self._lost.discard(region)
 
     def mark_lost(self, *, region: str) -> None:
-        """The published loads of this region contain nothing of ours until a credit says so again."""
+        """The published loads of this region contain nothing of ours until the next credit."""
         self._lost.add(region)
 
     def counted(self, replica: replica_table.Replica) -> LoadCounts:
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -29,7 +29,7 @@
 SOLO_DELAY_SHARE = (
     0.25,
     0.75,
-)  # of the peer time-out: how long a proxy waits for its zone's digest before it goes alone
+)  # of the peer time-out: how long a proxy waits for its zone's digest before it reports directly
 SOLO_TIMER_MARGIN = 1.01  # the timer fires after the time until which the proxy waits
 
 
@@ -50,8 +50,8 @@
         mirrors: by region; what relays publish is installed there.
         source: makes this proxy's reports.
         dialer: connects to digests and relays.
-        peer_timeout_s: after this time of silence a connection ends.
-        table: says which replicas' loads this proxy needs.
+        peer_timeout_s: a connection on which nothing arrives for so long ends.
+        table: determines which replicas' loads this proxy needs.
         replicas_in_use: gives the replicas with attempts of this proxy in flight.
     """
 
@@ -142,7 +142,7 @@
         self._connect_to_relays()
 
     def _own_digest(self, role: str, epoch: int) -> None:
-        """A digest under another role, another epoch or none starts anew: its members come back with all they have."""
+        """Replaces the digest, for another role or epoch or none: members join again with their complete loads."""
         if (role, epoch) == (self.role, self.digest.identity.epoch):
             return
         self.role = role
@@ -191,7 +191,7 @@
         self.send_followed_keys()
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
-        """The digest passed a frame of a region's relay on."""
+        """The digest forwarded a frame of a region's relay."""
         if region in self._mirrors:
             install_publication(self._mirrors[region], frames.unpack(frame), connection)
 
@@ -204,7 +204,7 @@
         self._lose_region(region)
 
     def on_left(self) -> None:
-        """The digest is gone."""
+        """The digest disconnected."""
         for region in self._mirrors:
             self._lose_region(region)
         self._wait_for_digest()
@@ -250,9 +250,9 @@
         self.digest.admit(connection, address=message.address)
         return True
 
-    # By the clock.
+    # Periodic work.
     def tick(self) -> None:
-        """Reports what changed, and passes on what members reported."""
+        """Reports what changed, and forwards what members reported."""
         report = self._source.next_report()
         if report is not None:
             if not self.is_joined:
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -16,10 +16,10 @@
 
 BUCKET_COUNT = 1024  # of a new filter, at least
 MAX_INITIAL_BUCKETS = 1 << 14
-PART_TOKENS = 512  # of a cached part: what a filter is sized for, since one that grows is published anew to all
+PART_TOKENS = 512  # of a cached part: what a filter is sized for, since one that grows is published again to all
 TARGET_LOAD_FACTOR = 0.7  # of a filter's slots
 MAX_BUCKETS = 1 << 17
-OWNER_BIT_HEADROOM = 1.5  # owner bits for each replica listed: a roll-out has old and new ones side by side
+OWNER_BIT_HEADROOM = 1.5  # owner bits for each replica listed: a roll-out has old and new ones at the same time
 
 
 def buckets_for(*, cache_tokens: int, replicas: int) -> int:
@@ -65,7 +65,7 @@
 
     @property
     def is_wide(self) -> bool:
-        """Whether slots name owners by tags: then a replica's owner bit says nothing."""
+        """Whether slots name owners by tags: then a replica's owner bit has no meaning."""
         return self.filter.words == cuckoo_filter.WIDE
 
     def _next_owner_bit(self) -> int:
@@ -73,7 +73,7 @@
         return next(owner_bit for owner_bit in range(len(owned) + 1) if owner_bit not in owned)
 
     def has_owner_bits_for(self, *, replicas: Collection[str]) -> bool:
-        """Whether these replicas all fit in, beside those that are there."""
+        """Whether there is room for all these replicas in addition to the present ones."""
         count = len(set(self.owner_bits) | set(replicas))
         return self.is_wide or count <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
 
@@ -81,7 +81,7 @@
         """Makes a larger filter from the exact ownership, for a new generation. A wide pool stays wide.
 
         Args:
-            owner_bits: how many replicas it has to have room for.
+            owner_bits: how many replicas it needs room for.
         """
         wanted = cuckoo_filter.words_for(owner_bits=owner_bits)
         is_wide = cuckoo_filter.WIDE in (wanted, self.filter.words)
@@ -130,7 +130,7 @@
                 continue
             kept[full_hash] = tokens
             self._sizes[replica] += tokens
-            # The last part is the request's own or its session's: until somebody else has it, few will look for it.
+            # The last part is the request's own or its session's: until another replica has it, few will search for it.
             self._own(replica, full_hash, may_wait=index == last and full_hash not in self._owners)
         # Children are used no later than their parents: walk back so that the root is the youngest.
         for full_hash, _tokens in reversed(rows):
@@ -150,7 +150,7 @@
         self._disown(replica, full_hash)
 
     def drop(self, *, replica: str) -> None:
-        """The replica is gone, and all that it owned with it."""
+        """Removes a replica and everything that it owned."""
         kept = self._kept.pop(replica, None)
         if kept is None:
             return
@@ -166,7 +166,7 @@
         return fingerprint, min(first, second)
 
     def _bits(self, group: cuckoo_filter.SlotId) -> int:
-        """What the group's slot says of its owners."""
+        """The owners in the group's slot."""
         if self.is_wide:
             return self._wide_bits(group)
         bits = 0
@@ -197,7 +197,7 @@
             self.is_short = self.filter.bucket_count < MAX_BUCKETS
 
     def _disown(self, replica: str, full_hash: bytes) -> None:
-        """This may wait: a subscriber that does not know yet only expects a part in a cache that is not there."""
+        """This may wait: until a subscriber knows, it only expects a part in a cache that is not there."""
         owners = self._owners[full_hash]
         owners.pop(replica, None)
         group = self._group(full_hash)
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -1,4 +1,4 @@
-"""The fingerprint filter of a pool (docs/relay.md 3): a cuckoo filter whose slots also say which replicas own.
+"""The fingerprint filter of a pool (docs/relay.md 3): a cuckoo filter whose slots also name owners.
 
 The paper's filter says that some replica of the pool has a prefix; choosing a replica needs to know which. In a pool
 of few replicas each slot has an owner bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks
@@ -19,7 +19,7 @@
 BITS_PER_MASK_WORD = 32  # masks of owner bits grow by such words, as many as the replicas that are listed need
 MAX_OWNER_BITS = 16  # a pool that needs more is wide: if many replicas leave at once, to clear their bits costs a burst
 MAX_MASK_WORDS = 4  # of an image that a mirror accepts
-WIDE = 0  # stands in place of a count of words
+WIDE = 0  # used instead of a count of words
 OWNERS_NAMED = 4  # of a wide pool's slot
 TAG_SIZE = 3  # bytes, the front of a replica's key: of a thousand replicas two are alike once in thirty pools
 MAX_OWNERS = 255  # a slot counts no further
@@ -31,7 +31,7 @@
 
 
 class FingerprintAndBuckets(typing.NamedTuple):
-    """Where a hash may stand."""
+    """The fingerprint of a hash, and the two buckets that it may be in."""
 
     fingerprint: int
     first: int
@@ -39,14 +39,14 @@
 
 
 class WideValue(typing.NamedTuple):
-    """What a wide pool's slot says."""
+    """The decoded slot of a wide pool."""
 
     owner_count: int
     tags: tuple[bytes, ...]  # of the first few
 
 
 class Slot(typing.NamedTuple):
-    """One fingerprint and what it says of its owners."""
+    """One fingerprint with its owners."""
 
     fingerprint: int  # 0: the slot is free
     bits: int
@@ -64,7 +64,7 @@
 
 
 def value_size(*, words: int) -> int:
-    """Bytes of a slot beside its fingerprint."""
+    """Bytes of a slot besides its fingerprint."""
     return _WIDE_SIZE if words == WIDE else 4 * words
 
 
@@ -79,13 +79,13 @@
 
 
 def wide_value(*, count: int, tags: Iterable[bytes]) -> int:
-    """What a wide pool's slot says: how many owners, and the tags of the first `OWNERS_NAMED` of them."""
+    """Encodes a wide pool's slot: how many owners, and the tags of the first `OWNERS_NAMED` of them."""
     named = b"".join(tags).ljust(OWNERS_NAMED * TAG_SIZE, b"\0")
     return int.from_bytes(bytes([min(count, MAX_OWNERS)]) + named, "big")
 
 
 def read_wide(value: int) -> WideValue:
-    """What `wide_value` made."""
+    """Decodes what `wide_value` encoded."""
     if not value:
         return WideValue(0, ())
     data = value.to_bytes(_WIDE_SIZE, "big")
@@ -100,7 +100,7 @@
 
 
 def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> FingerprintAndBuckets:
-    """Where a hash may stand in a filter of so many buckets, a power of two."""
+    """The buckets that a hash may be in, for a filter of so many buckets, a power of two."""
     fingerprint = int.from_bytes(full_hash[:2], "big") or 1
     first = int.from_bytes(full_hash[2:6], "big") % bucket_count
     second = other_bucket(bucket=first, fingerprint=fingerprint, bucket_count=bucket_count)
@@ -118,7 +118,7 @@
 
 
 def token_hash(*, model: str, part: str, tokens: int) -> bytes:
-    """The hash of one part of a prompt, whatever comes before it."""
+    """The hash of one part of a prompt, independent of the parts before it."""
     return hashlib.blake2b(f"{model}\0{part}\0{tokens}".encode(), digest_size=8).digest()
 
 
@@ -143,7 +143,7 @@
 
 
 def find_in_images(*, images: Sequence[bytes], words: int, full_hash: bytes) -> int:
-    """What the slot of this hash says of its owners, by the bucket images of a filter; 0 where unknown."""
+    """The owners in the slot of this hash, from the bucket images of a filter; 0 where unknown."""
     fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(images))
     value = 0
     for index in (first, second):
@@ -169,7 +169,7 @@
         self.words = words
         self.buckets = [[FREE_SLOT] * SLOTS for _ in range(bucket_count)]
         self.dirty: set[int] = set()  # buckets that changed since the last `pop_dirty`
-        self.dirty_later: set[int] = set()  # the same, where nobody waits for it
+        self.dirty_later: set[int] = set()  # the same, of changes that may be published later
 
     def _locate(self, fingerprint: int, first: int, second: int) -> tuple[int, int] | None:
         """(bucket, position) of a fingerprint's slot."""
@@ -186,7 +186,7 @@
         return dirty, dirty_later
 
     def put(self, *, full_hash: bytes, bits: int, may_wait: bool = False) -> bool:
-        """Sets what the slot of a hash says of its owners, inserting it.
+        """Sets the owners in the slot of a hash, inserting it.
 
         Args:
             full_hash: whose fingerprint it is.
@@ -232,7 +232,7 @@
                 dirty.add(index)
                 dirty.update(move.bucket for move in moves)
                 return True
-        for move in reversed(moves):  # no room: every slot goes back to where it was
+        for move in reversed(moves):  # no room: every slot is restored
             self.buckets[move.bucket][move.position] = move.before
         return False
 
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -26,7 +26,7 @@
         regions: names of all regions.
         dialer: connects to the other regions' relays.
         now: the loop's clock, in seconds.
-        trust_s: how long a broken mirror is believed.
+        trust_s: how long a broken mirror is used.
     """
 
     def __init__(
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -46,7 +46,7 @@
     zone_epoch: int  # of that role; 0: it serves one proxy alone
     loads: dict[bytes, LoadCounts] = dataclasses.field(default_factory=dict)  # by replica key
     counted: int = 0  # its newest batch in the totals
-    acknowledged: int = 0  # the newest one that it was told of
+    acknowledged: int = 0  # the newest one that was acknowledged to it
 
 
 class Host:
@@ -56,7 +56,8 @@
         region: its own.
         epoch: of the singleton role.
         now: the loop's clock, in seconds.
-        suspicion_s: for how long a silent replica is suspected; failing ones are ejected for multiples of it.
+        suspicion_s: for how long a replica that does not respond is suspected; failing ones are ejected for multiples
+            of it.
     """
 
     def __init__(self, *, region: str, epoch: int, now: Callable[[], float], suspicion_s: float) -> None:
@@ -117,7 +118,7 @@
     def _broadcast(
         self, message: tuple, *, connections: Iterable[peer_connection.PeerConnection] | None = None
     ) -> None:
-        """Sends one frame, packed once. A subscriber that does not read loses its own stream alone."""
+        """Sends one frame, packed once. For a subscriber that does not read, only its own stream is closed."""
         frame = frames.pack(message)
         for connection in list(self.subscribers if connections is None else connections):
             if connection.queued() > hub.QUEUE_LIMIT_BYTES:
@@ -160,7 +161,7 @@
                 connection.send(messages.AggregatesCounted(subscriber.counted))
         if connections:
             most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE))
-        else:  # nobody is sent them, so nothing is left over for later
+        else:  # there is no subscriber, so nothing is kept for later
             most = len(self._ids) + len(self._totals)
         rows = self._feeds[is_far].next_rows(load_of=self._load_of, scale_of=self._scale_of, most=most)
         if rows and connections:
@@ -191,8 +192,7 @@
     ) -> None:
         """Starts a stream to a digest, or closes the connection.
 
-        The stream of an older epoch of the same zone ends; a subscriber that comes late under an older one is
-        refused.
+        The stream of an older epoch of the same zone ends; a later subscriber under an older one is refused.
 
         Args:
             connection: to the digest.
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -1,8 +1,8 @@
 """The hub of one producer generation (docs/relay.md 4).
 
 A hub starts with its first subscriber, and has one mirror, and a cut and a bounded queue for each subscriber. It owns
-the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: what a subscriber's
-cut and the deltas after it say is what the hub's images are.
+the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: a subscriber's
+cut with the deltas after it equals the hub's images.
 """
 
 import struct
@@ -20,7 +20,7 @@
 
 
 class FencedError(errors.PloverwardError):
-    """Identity, lease, sequence or encoding fault: the generation is over."""
+    """The identity, lease, sequence or encoding is wrong: the generation is over."""
 
 
 def pack_rows(*, versions: Sequence[int], images: Sequence[bytes], blank: bytes) -> bytes:
@@ -64,7 +64,7 @@
         )
 
     def leave(self, connection: peer_connection.PeerConnection) -> None:
-        """Ends one subscriber's stream alone."""
+        """Ends one subscriber's stream; the others continue."""
         self._subscribers.pop(connection, None)
 
     def subscriber_count(self) -> int:
--- a/ploverward/data_plane/relay/load_counts.py
+++ b/ploverward/data_plane/relay/load_counts.py
@@ -30,7 +30,7 @@
 
 
 class LoadTotal:
-    """A sum of `LoadCounts` that is adjusted in place: one exists for each replica, and reports arrive all the time."""
+    """A sum of `LoadCounts` that is adjusted in place: one exists for each replica, and reports are frequent."""
 
     __slots__ = ("prefill_tokens", "running", "suspect_count")
 
@@ -47,7 +47,7 @@
 
     @property
     def is_zero(self) -> bool:
-        """Whether nothing is left of any load."""
+        """Whether there is no load."""
         return not (self.running or self.prefill_tokens or self.suspect_count)
 
     def counts(self) -> LoadCounts:
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -58,11 +58,11 @@
         self._waiting.setdefault(key, 0)
 
     def snapshot(self) -> bytes:
-        """Rows of all that was published: what a subscriber is sent that joins now."""
+        """Rows of all that was published, for a subscriber that joins now."""
         return b"".join(self._published[key].pack(key) for key in sorted(self._published))
 
     def next_rows(self, *, load_of: Callable[[bytes], Load], scale_of: Callable[[bytes], Scale], most: int) -> bytes:
-        """Rows to be published now: of the replicas whose load moved most, and in time of each.
+        """Rows to be published now: of the replicas whose load changed most, and eventually of each.
 
         Args:
             load_of: gives the present load of a replica key.
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -24,10 +24,10 @@
 
 
 class RegionMirror:
-    """What one region's relay publishes: pools, and loads beside them.
+    """A copy of what one region's relay publishes: pools and loads.
 
-    While its stream is broken, it is used for `trust_s` more and counts as unknown afterwards; loads change much
-    faster than what replicas have in their caches, and count as unknown after a tenth of that.
+    While its stream is broken, it is used for `trust_s` more and counts as unknown afterwards. Loads change much
+    faster than caches, and count as unknown after a tenth of that.
 
     Args:
         now: the loop's clock, in seconds.
@@ -63,7 +63,7 @@
         """Installs a message of the relay; messages of other kinds are ignored.
 
         Raises:
-            FrameError: it is malformed or does not continue what is here; nothing was changed.
+            FrameError: it is malformed or does not continue the present state; nothing was changed.
         """
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -119,7 +119,7 @@
         self.pools = pools
 
     def catalogue(self) -> messages.Catalogue:
-        """What the relay published last of its pools, for a later member of the zone; each pool's cut is sent apart."""
+        """The catalogue of pools, for a later member of the zone; each pool's cut is sent separately."""
         rows = tuple(
             messages.Pool(
                 pool.name,
@@ -143,7 +143,7 @@
             self.broken_at = self._now()
 
     def _find_pool(self, *, service: str, model: str) -> PoolMirror | None:
-        """The pool of this model, once its cut is here."""
+        """The pool of this model, once its cut was received."""
         for pool in self.pools.values():
             if pool.service == service and pool.model == model and pool.buckets:
                 return pool
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -35,11 +35,14 @@
 
 
 class Judge:
-    """A replica fails while too large a share of what ended in the window failed; each repeat counts for longer.
+    """A replica fails while too large a share of the attempts that ended in the window failed.
+
+    Each repeated ejection lasts longer.
 
     Args:
         now: the loop's clock, in seconds.
-        suspicion_s: for how long a silent replica is suspected: the window is three times, an ejection twice as long.
+        suspicion_s: for how long a replica that does not respond is suspected: the window is three times, an ejection
+            twice as long.
     """
 
     def __init__(self, *, now: Callable[[], float], suspicion_s: float) -> None:
@@ -71,10 +74,10 @@
         self._fresh.add(key)
 
     def update(self) -> set[bytes]:
-        """Judges anew.
+        """Judges all replicas again.
 
         Returns:
-            Keys of the replicas that are failing now and were not before, or the other way round.
+            Keys of the replicas whose judgement changed: that are failing now and were not before, or the reverse.
         """
         now = self._now()
         changed = set()
@@ -91,7 +94,7 @@
         return changed
 
     def _is_failing(self, key: bytes, now: float) -> bool:
-        """Whether the replica is to be ejected now; one that is already isn't judged."""
+        """Whether the replica is to be ejected now; one that is ejected already is not judged."""
         spans = self._spans.get(key)
         while spans and now - spans[0].began_s > self._window_s:
             spans.popleft()
--- a/ploverward/data_plane/relay/pool_mirror.py
+++ b/ploverward/data_plane/relay/pool_mirror.py
@@ -14,7 +14,7 @@
 from ploverward.data_plane.relay import hub
 from ploverward.transport import messages
 
-ASSUMED_OWNERS_SHARE = 0.5  # of a wide pool's replicas: a part that so many have is taken to be in every cache
+ASSUMED_OWNERS_SHARE = 0.5  # of a wide pool's replicas: a part that so many have is assumed to be in every cache
 
 
 class BucketRow(typing.NamedTuple):
@@ -34,7 +34,7 @@
 
     count: int
     tags: tuple[bytes, ...] = ()
-    is_most: bool = False  # so many that one that is not named is taken for an owner too
+    is_most: bool = False  # so many that one that is not named is assumed to be an owner too
     bits: int = 0
     owner_bits: dict[bytes, int] | None = None  # by replica key; None: named by tags
 
@@ -54,7 +54,7 @@
 
 
 class PoolMirror:
-    """One pool generation as this proxy sees it. Bucket images are read only where a prompt asks for them."""
+    """One pool generation as this proxy knows it. Bucket images are decoded only when a prompt needs them."""
 
     def __init__(self, *, name: str, service: str, model: str, generation: int) -> None:
         self.name = name
@@ -122,7 +122,7 @@
             self.versions[row.bucket] = row.version
 
     def cut(self) -> messages.PoolCut:
-        """A cut as of now, for a member of the zone that joins later: its own, with the same sequences."""
+        """A cut of the present state, with the same sequences, for a member of the zone that joins later."""
         rows = hub.pack_rows(
             versions=self.versions, images=self.buckets, blank=cuckoo_filter.empty_image(words=self.words)
         )
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -34,7 +34,7 @@
         self.generation = generation
         self.actor = actor
         self.hubs: dict[bool, hubs.Hub] = {}  # by whether their subscribers are in other regions
-        self.catalogued: dict[str, int] = {}  # replica id: its owner bit, as the catalogue says
+        self.catalogued: dict[str, int] = {}  # replica id: its owner bit in the catalogue
 
     @property
     def name(self) -> str:
@@ -42,7 +42,7 @@
         return f"{self.identity.version}/{self.identity.domain}/{self.identity.region}"
 
     def record_changes(self) -> None:
-        """Hands each hub what changed in the filter since the last call."""
+        """Passes each hub what changed in the filter since the last call."""
         dirty, dirty_later = self.actor.filter.pop_dirty()
         for hub in self.hubs.values():
             hub.record(dirty=dirty, dirty_later=dirty_later)
@@ -54,14 +54,14 @@
             hub.flush()
 
     def leave(self, connection: peer_connection.PeerConnection) -> None:
-        """A subscriber is gone."""
+        """A subscriber disconnected."""
         for hub in self.hubs.values():
             hub.leave(connection)
 
     def tear_down(self) -> None:
-        """The generation is over; its actor may live on in the next one."""
+        """The generation is over; the next one may use its actor."""
         self.hubs = {}
-        self.actor = None  # type: ignore[assignment]  # nobody uses a pool that left the registry
+        self.actor = None  # type: ignore[assignment]  # a pool that left the registry is not used
 
 
 def _owner_bits_for(replicas: Collection[str]) -> int:
@@ -95,7 +95,7 @@
         resolved: Mapping[resolution.PoolId, resolution.ResolvedPool],
         conflicts: Collection[resolution.PoolId] = (),
     ) -> None:
-        """Brings the pools to what resolution says."""
+        """Changes the pools to those that resolution requires."""
         for identity in list(self.pools):
             if identity not in resolved or identity in conflicts:
                 self.withdraw(identity=identity)
@@ -103,7 +103,7 @@
         for identity, wanted in resolved.items():
             is_changed |= self._sync_pool(identity, wanted)
         if is_changed:
-            # Cleared owner bits are published before one can be told under another replica's name.
+            # Cleared owner bits are published before one can be assigned to another replica.
             for pool in self.pools.values():
                 if not pool.actor.is_wide:
                     pool.flush_all()
--- a/ploverward/data_plane/relay/resolution.py
+++ b/ploverward/data_plane/relay/resolution.py
@@ -86,7 +86,7 @@
 
 
 def _expected_replicas(region: str, services: dict[str, dict], replicas: list[dict]) -> dict[tuple[str, str], set[str]]:
-    """Ids of the region's replicas by service and model; one that the list has twice is left out."""
+    """Ids of the region's replicas by service and model; one that is listed twice is omitted."""
     rows_by_id: dict[str, list[dict]] = {}
     for row in replicas:
         rows_by_id.setdefault(row["id"], []).append(row)
