--- a/ploverward/control_plane/__init__.py
+++ b/ploverward/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: core nodes agree on configuration, share out limits and tell proxies and operators."""
+"""The control plane: core nodes agree on configuration, divide limits, and serve proxies and operators."""
--- a/ploverward/control_plane/adapter_cache/adapter_demand.py
+++ b/ploverward/control_plane/adapter_cache/adapter_demand.py
@@ -70,7 +70,7 @@
 def homes_of(
     *, windows: collections.abc.Iterable[Json], routes: collections.abc.Mapping[str, Json]
 ) -> dict[AdapterKey, frozenset[str] | None]:
-    """Where each adapter may be loaded: the home regions of all routes that asked for it; None for all regions."""
+    """Where each adapter may be loaded: the home regions of all routes that requested it; None for all regions."""
     table: dict[AdapterKey, frozenset[str] | None] = {}
     for window in windows:
         for key, _counts in count_table.rows_of(window):
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -1,7 +1,7 @@
-"""What proxies counted of adapters, as one core node keeps it (docs/pins.md 3).
+"""Counts of adapters that proxies reported, as one core node stores them (docs/pins.md 3).
 
 Invariant: each window of an incarnation of a proxy is kept once. A report with a higher number replaces it; an older
-one, or the same once more, changes nothing. So reports may be resent and may come by several ways.
+one, or a repeated one, changes nothing. So reports may be resent and may arrive on several paths.
 """
 
 import collections
@@ -12,7 +12,7 @@
 from ploverward.data_plane.adapter_cache import count_table
 from ploverward.transport import messages
 
-KEEP_WINDOWS = 20  # so many windows back
+KEEP_WINDOWS = 20  # number of windows that are kept
 MAX_WINDOWS = 8000  # of all proxies together
 
 Json: typing.TypeAlias = dict[str, typing.Any]
@@ -23,7 +23,7 @@
     """The newest report of one window."""
 
     count: messages.AdapterCount
-    begun_at: float  # when its first report came, seconds on the store's clock
+    begun_at: float  # when its first report arrived, seconds on the store's clock
     table: count_table.Table
 
 
--- a/ploverward/control_plane/adapter_cache/pin_assignment.py
+++ b/ploverward/control_plane/adapter_cache/pin_assignment.py
@@ -1,23 +1,23 @@
 """Assigns pins to replicas (docs/pins.md 4).
 
-What was pinned before stays. Then copy by copy to the claim with the highest value, each to the zone that has fewest.
-Invariants: a replica has at most the capacity of its service, only adapters that may be loaded in its region, and no
-pin that was set in this run is replaced in it, so that the assignment ends.
+Earlier pins are kept. Then copies are assigned one by one to the claim with the highest value, each in the zone that
+has the fewest. Invariants: a replica has at most the capacity of its service, only adapters that may be loaded in its
+region, and no pin that was set in this run is replaced in it, so that the assignment ends.
 """
 
 import collections.abc
 import dataclasses
 import typing
 
-REPLACEMENT_FACTOR = 3.0  # a pin gives way only to a copy that is worth so many times as much
-REDUNDANCY_FACTOR = 4.0  # the first copy in a region and one in another zone are worth so many times their share
+REPLACEMENT_FACTOR = 3.0  # a pin is replaced only by a copy whose value is so many times as high
+REDUNDANCY_FACTOR = 4.0  # for the first copy in a region and one in another zone: multiplies the value of their share
 
 Pair: typing.TypeAlias = tuple[str, str]  # (model, adapter)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replica:
-    """A replica that takes requests.
+    """A replica that serves requests.
 
     Attributes:
         id: its identifier.
@@ -86,7 +86,7 @@
         self._settled: set[tuple[str, Pair]] = set()  # pins of this run
 
     def keep(self, previous: collections.abc.Mapping[str, collections.abc.Sequence[Pair]]) -> None:
-        """Sets the pins that were set before, as far as the capacity allows and the adapters are still asked for."""
+        """Sets the pins that were set before, as far as the capacity allows and the adapters are still requested."""
         for replica in self._replicas:
             known = [pair for pair in previous.get(replica.id, ()) if self.may_load(replica, pair)]
             self.pins[replica.id].extend(known[: self._capacity.get(replica.service, 0)])
@@ -123,7 +123,7 @@
         return replica.region in self.claims.allowed.get((replica.service, pair), ())
 
     def value(self, claim: Claim) -> float:
-        """What one more copy is worth."""
+        """The value of one more copy."""
         weight = self.claims.weights.get(claim, 0.0)
         factor = REDUNDANCY_FACTOR if self._is_redundancy(claim) else 1.0
         return weight / (len(self.copies(*claim)) + 1) * factor
@@ -178,7 +178,7 @@
         return True
 
     def _replace(self, claim: Claim) -> bool:
-        """Replaces the pin that is worth least, but only for redundancy: a pin that moves costs waits of its own."""
+        """Replaces the pin with the lowest value, but only for redundancy: a pin that moves costs waits of its own."""
         if not self._is_redundancy(claim):
             return False
         losses = [
--- a/ploverward/control_plane/adapter_cache/pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/pin_suggestion.py
@@ -39,8 +39,8 @@
         replicas: id, service, zone, region and adapters (pairs, or None) of each replica.
         routes: of each route "urgency", "target_ms" and "homes".
         capacity: pins that a replica of each service can have.
-        previous: the suggestion before. Its pins stay where they can: a pin that moves leaves a copy behind that is
-            evicted later, and requests are sent there until the endpoint list says so.
+        previous: the suggestion before. Its pins are kept if possible: after a pin moved, its old copy is
+            evicted later, and requests are sent there until the endpoint list shows that.
 
     Returns:
         Pins by replica, what new replicas should load, the expected saving, and what is missing or has no evidence.
@@ -165,8 +165,8 @@
 ) -> dict[str, dict[str, list[list[str]]]]:
     """What a replica that starts in a zone should load first, by service and zone.
 
-    What has the fewest copies for its weight comes first, so that replicas that are exchanged one by one do not all
-    come to have the same.
+    Adapters with the fewest copies for their weight are first, so that replicas that are replaced one by one do not all
+    load the same ones.
     """
     loads: dict[str, dict[str, list[list[str]]]] = {}
     for replica in replicas:
@@ -179,7 +179,7 @@
 
 
 def _values_in_zone(assignment: PinAssignment, replica: Replica) -> dict[Pair, float]:
-    """What each adapter would be worth on a new replica in the zone of this one."""
+    """The value of each adapter on a new replica in the zone of this one."""
     values: dict[Pair, float] = {}
     for claim in assignment.claims.weights:
         if claim.service != replica.service or not assignment.may_load(replica, claim.pair):
--- a/ploverward/control_plane/audit/trail_audit.py
+++ b/ploverward/control_plane/audit/trail_audit.py
@@ -10,10 +10,10 @@
 
 # Keys of a trail, as `ploverward.data_plane.requests.custody_trails` writes it.
 REQUEST_ID = "id"
-HOME_REGIONS = "homes"  # of the trail: permitted when the request came; of an attempt: when it was sent
+HOME_REGIONS = "homes"  # of the trail: permitted when the request arrived; of an attempt: when it was sent
 ATTEMPTS = "goes"
 END = "end"  # how the attempt ended
-NOT_SENT = "not sent"  # an end: no byte left the proxy
+NOT_SENT = "not sent"  # an end: no byte was sent
 REPLICA = "replica"
 ZONE = "zone"
 CACHED_AT = "kept"  # the replicas that still have parts of the prompt in their caches
--- a/ploverward/control_plane/audit/trail_store.py
+++ b/ploverward/control_plane/audit/trail_store.py
@@ -2,7 +2,7 @@
 
 Bounded: the oldest trails are dropped first, and none is kept longer than the retention time. A proxy numbers its
 batches within one incarnation and closes the incarnation with a last one. Invariant: `coverage` counts every batch that
-did not arrive, so "no violation found" and "not known" can be told apart.
+did not arrive, so "no violation found" and "not known" are distinguished.
 """
 
 import collections
@@ -71,7 +71,7 @@
         self._batch_counts: dict[tuple[str, str], _BatchCounts] = {}  # by node and incarnation
 
     def record(self, batch: messages.CustodyTrails) -> None:
-        """Stores a batch; one that came before is ignored."""
+        """Stores a batch; a repeated one is ignored."""
         counts = self._batch_counts.setdefault((batch.node, batch.incarnation), _BatchCounts())
         if batch.number < counts.next_number:
             return
@@ -86,12 +86,12 @@
         self._trim()
 
     def find(self, request_id: str) -> list[Json]:
-        """The trails of a request, the oldest first; several where it came to several proxies."""
+        """The trails of a request, the oldest first; several if several proxies received it."""
         self._trim()
         return [json.loads(self._trails[offset].data) for offset in self._offsets_by_request.get(request_id, ())]
 
     def page(self, *, after: int, limit: int) -> TrailPage:
-        """Reads trails in the order in which they came.
+        """Reads trails in the order in which they arrived.
 
         Args:
             after: the offset after which the page begins; 0 for the first page.
@@ -110,7 +110,7 @@
         return TrailPage(trails=trails, last=last, has_more=False)
 
     def coverage(self, *, live_incarnations: collections.abc.Container[str]) -> list[Json]:
-        """What came and what is missing, a row for each incarnation of a proxy.
+        """Which batches arrived and which are missing, a row for each incarnation of a proxy.
 
         Args:
             live_incarnations: the incarnations that are connected now.
--- a/ploverward/control_plane/configuration/order_archive.py
+++ b/ploverward/control_plane/configuration/order_archive.py
@@ -1,8 +1,8 @@
 """The register with the identifiers of orders accepted long ago (docs/orders.md 3).
 
 The payload is `{"through": edition, "marks": base64 of 8 bytes for each order}`, the oldest first. Invariant: the
-archive holds the identifier of every accepted order up to edition "through", but for those beyond `MAX_ARCHIVED_IDS`.
-Editions strictly rise, so an append that comes twice, or from several nodes, adds nothing twice and leaves no gap.
+archive holds the identifier of every accepted order up to edition "through", except those beyond `MAX_ARCHIVED_IDS`.
+Editions strictly rise, so a repeated append, also by another node, adds nothing twice and leaves no gap.
 """
 
 import base64
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -60,7 +60,7 @@
         base: the edition that the change builds on, from If-Match.
         order_id: the same for the same call sent again (`digest`).
         body: the object in the call's body: a configuration, or a patch of one.
-        candidate: the configuration that the order asks for; None for a PATCH that was not merged yet.
+        candidate: the configuration that the order requests; None for a PATCH that was not merged yet.
     """
 
     method: str
--- a/ploverward/control_plane/configuration/parser.py
+++ b/ploverward/control_plane/configuration/parser.py
@@ -10,8 +10,8 @@
 
 from ploverward.common import errors
 
-MAX_NESTING_DEPTH = 64  # levels; far below what the encoder bears, so a stored body can always be written again
-BODY_PATH = "body"  # the field path of an error in the body as a whole
+MAX_NESTING_DEPTH = 64  # levels; far below the encoder's limit, so a stored body can always be written again
+BODY_PATH = "body"  # the field path of an error that concerns the complete body
 
 
 def read_json(*, data: bytes) -> dict[str, typing.Any]:
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -1,8 +1,8 @@
 """The schema of an operator's configuration and the rules between its parts (docs/orders.md 6).
 
-The fields have the terms of the code; their aliases are the words of the protocol, which also stand in the field paths
-of errors. Unknown fields are allowed. A checked configuration is stored as the operator wrote it: the models here
-only check, they are never written back.
+The fields have the terms of the code; their aliases are the names of the protocol, which are also used in the field
+paths of errors. Unknown fields are allowed. A checked configuration is stored as the operator wrote it: the models
+here only check, they are never written back.
 """
 
 import collections.abc
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -1,9 +1,9 @@
-"""A core node: its parts and how they are wired (design 1, 4, 5, 9; docs/control.md).
+"""A core node: its components and how they are connected (design 1, 4, 5, 9; docs/control.md).
 
-`CoreNode` owns no state of its own. Its constructor makes each part and gives it what it needs; its other methods are
-what happens in the order that matters: at the start, at each heartbeat interval, when a peer joins, when a value was
-chosen. Some parts need each other: consensus sends over sessions, and sessions connect to the set that consensus agreed
-on. There one of the two gets a method of this class, which looks the other one up when it is called.
+`CoreNode` owns no state of its own. Its constructor creates each component with its dependencies; its other methods
+are sequences whose order matters: at the start, at each heartbeat interval, when a peer joins, when a value was
+chosen. Some components depend on each other: consensus sends over sessions, and sessions connect to the set that
+consensus agreed on. One of the two then gets a method of this class, which looks the other one up when it is called.
 """
 
 import logging
@@ -52,7 +52,7 @@
 DISK_SHARE = 1 / 16  # of the disk: the registers' file is rewritten once it is longer
 MIN_DISK_MB = 8.0  # assumed where the settings give less
 BYTES_PER_MB = 1024 * 1024
-INTERVALS_PER_SETTINGS_CHECK = 4  # heartbeat intervals between two looks at the settings file
+INTERVALS_PER_SETTINGS_CHECK = 4  # heartbeat intervals between two checks of the settings file
 
 
 class CoreNode:
@@ -368,7 +368,7 @@
         self.roles.reconcile()
 
     def _on_peer_joined(self, peer: peer_sessions.Peer) -> None:
-        """A peer said who it is. A core node may know register values that were chosen while this node was away."""
+        """A peer identified itself. A core node may know values that were chosen while this node was disconnected."""
         if peer.role is peer_sessions.NodeRole.CORE and self._votes():
             self.consensus.read_unknown()
         if peer.role is not peer_sessions.NodeRole.UNKNOWN:
--- a/ploverward/control_plane/core_timing.py
+++ b/ploverward/control_plane/core_timing.py
@@ -40,7 +40,7 @@
 
     @property
     def peer_timeout_s(self) -> float:
-        """After which a silent connection ends."""
+        """After which a connection on which nothing arrives ends, in seconds."""
         return self.contact_s / 5
 
     @property
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -1,8 +1,8 @@
 """Chooses the proxies that a client may connect to (design 4, 10, docs/residency.md).
 
-Owns since when this node has been isolated, that is out of contact with a majority of the core. For a time the other
-nodes then know more, and clients are sent to them (docs/incidents/region-cut-lookups.md). Afterwards they are taken for
-lost, and this node answers with what it sees itself, but no client is sent out of its own region.
+Owns the time since which this node has been isolated, that is out of contact with a majority of the core nodes. At
+first the other nodes are better informed, and clients are referred to them (docs/incidents/region-cut-lookups.md).
+Later they count as lost, and this node answers from its own state, but sends no client out of its own region.
 """
 
 import collections.abc
@@ -17,7 +17,7 @@
 
 
 class LookupRefusedError(errors.PloverwardError):
-    """No proxy can be named now; the client asks again, or another node."""
+    """No proxy can be named now; the client retries, here or at another node."""
 
 
 class ListedProxy(typing.Protocol):
@@ -29,7 +29,7 @@
 
 
 class Directory:
-    """Answers look-ups from what this node knows.
+    """Answers look-ups from this node's state.
 
     Args:
         now: the clock, in seconds.
@@ -62,7 +62,7 @@
         """Finds proxies for a client: those in its zone, else any that may serve the host.
 
         Args:
-            host: the host that the client wants to reach.
+            host: the host that the client looks up.
             region: the client's region, or "".
             zone: the client's zone, or "".
 
--- a/ploverward/control_plane/discovery/endpoint_list_reader.py
+++ b/ploverward/control_plane/discovery/endpoint_list_reader.py
@@ -1,7 +1,7 @@
 """One reading of the platform's complete list: page after page, or the pages of all zones at the same time.
 
 Invariant: the result is the complete list or nothing. A list of which a page is missing is never published, as replicas
-on that page would be taken for gone.
+on that page would count as removed.
 """
 
 import collections.abc
@@ -52,7 +52,7 @@
         self._attempt = 0  # answers to requests of an earlier attempt are ignored
         self._page_count = 0
         self._rows: list[Row] = []
-        self._sequences_left = 0  # sequences of pages that have not come to their last page
+        self._sequences_left = 0  # sequences of pages whose last page was not read yet
         self._begin(self._zones if is_by_zones else (ALL_ZONES,))
 
     def _begin(self, zones: tuple[str, ...]) -> None:
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -1,6 +1,6 @@
 """GET requests to the platform, by pycurl's multi interface on the event loop (design 3).
 
-libcurl says which sockets and which timer it waits for; the loop reports what happened by `socket_action`. Results are
+libcurl requests sockets and a timer to wait for; the loop reports their events by `socket_action`. Results are
 delivered by a command of the loop, never from inside a call of libcurl, which must not be entered again.
 """
 
@@ -84,7 +84,7 @@
         self._act(pycurl.SOCKET_TIMEOUT, 0)
 
     def _on_socket(self, what: int, sock: int, _multi: object, _data: object) -> None:
-        """Libcurl says which events of a socket it waits for."""
+        """Called by libcurl with the events of a socket that it waits for."""
         if what == pycurl.POLL_REMOVE:
             if sock in self._watched:
                 self._watched.remove(sock)
@@ -108,7 +108,7 @@
         self._act(sock, bits)
 
     def _on_timer(self, wait_ms: int) -> None:
-        """Libcurl says when it wants to be called; -1: not at all."""
+        """Called by libcurl with the delay of its timer; -1: no timer."""
         self._loop.cancel(timer=self._timer)
         self._timer = None
         if wait_ms >= 0:
--- a/ploverward/control_plane/node_status.py
+++ b/ploverward/control_plane/node_status.py
@@ -1,14 +1,14 @@
-"""Whether this node is shutting down: one fact that several parts of a core node read and one of them sets."""
+"""Whether this node is shutting down: a flag that several components of a core node read and one of them sets."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class NodeStatus:
-    """How this node stands.
+    """The status of this node.
 
     Attributes:
-        is_draining: Set once by `NodeShutdown`; it is never taken back.
+        is_draining: Set once by `NodeShutdown`, and never reset.
     """
 
     is_draining: bool = False
--- a/ploverward/control_plane/operator_api/adapter_handlers.py
+++ b/ploverward/control_plane/operator_api/adapter_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on adapters, for operators: which replicas have which, and how often each arrived cold (docs/pins.md 3)."""
+"""Calls on adapters, for operators: which replicas have which, and how often each had to be loaded (docs/pins.md 3)."""
 
 import http
 import typing
--- a/ploverward/control_plane/operator_api/apply_barrier.py
+++ b/ploverward/control_plane/operator_api/apply_barrier.py
@@ -28,7 +28,7 @@
 
 
 class ApplyBarrier:
-    """Holds acknowledgements back until the connected proxies have applied what is acknowledged.
+    """Delays acknowledgements until the connected proxies have applied the change.
 
     Args:
         publisher: knows what each proxy has acknowledged.
@@ -57,7 +57,7 @@
         self.check()
 
     def check(self) -> None:
-        """Acknowledges what all have applied. To be called when a proxy has applied something or is gone."""
+        """Acknowledges what all have applied. To be called when a proxy has applied something or disconnected."""
         for waiter in list(self._waiters):
             links = [proxy.link for proxy in self._proxies(is_listed=False)]
             version = Version(epoch=0, number=waiter.number)
--- a/ploverward/control_plane/operator_api/call_lifecycle.py
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of a call that needs the registers: forwarded or begun, then answered in time (docs/orders.md 5).
+"""The handling of a call that needs the registers: forwarded or started, and answered in time (docs/orders.md 5).
 
-Invariant: a call that this node accepted is answered within `CALLER_TIMEOUT_S`, after which callers go to another node.
-A 503 says nothing about the order: its round may go on, and the same order sent again is recognised.
+Invariant: a call that this node accepted is answered within `CALLER_TIMEOUT_S`, after which callers try another node.
+After a 503 the outcome of the order is open: its round may continue, and the same order is recognised if it is resent.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 _log = logging.getLogger(__name__)
 
-CALLER_TIMEOUT_S = 1.0  # seconds of silence after which a caller goes to another node; the protocol's figure
+CALLER_TIMEOUT_S = 1.0  # seconds without an answer after which a caller tries another node; the protocol's figure
 ROUND_SHARE = 0.8  # of CALLER_TIMEOUT_S: a round that has not ended by then is answered with 503
 APPLY_SHARE = 0.9  # of CALLER_TIMEOUT_S: an accepted order is acknowledged by then, whichever proxy has not applied it
 RECEIPT_PARTS = 8  # a round has at most receiptMs / 8, also where that is less than ROUND_SHARE
@@ -197,7 +197,7 @@
         work: collections.abc.Callable[[], typing.Any],
         then: collections.abc.Callable[[typing.Any], None],
     ) -> None:
-        """Runs something that takes long on another thread.
+        """Runs a slow function on another thread.
 
         Args:
             response: the answer to give; an error is answered here.
--- a/ploverward/control_plane/operator_api/configuration_handlers.py
+++ b/ploverward/control_plane/operator_api/configuration_handlers.py
@@ -43,7 +43,7 @@
         self._lifecycle.answer_with_register(call, register=register_names.CONFIGURATION, answer=_answer_configuration)
 
     def handle_change(self, call: Call) -> None:
-        """Reads an order off the loop, as its check takes long where there are many routes, and runs it."""
+        """Parses an order on another thread, as the check of many routes is slow, and runs it."""
         base = _edition_in(call.headers.get(BASE_HEADER))
         if base is None:
             body = FieldErrorBody(error="If-Match is missing or not a version", place=BASE_HEADER)
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -1,7 +1,7 @@
 """Runs the consensus rounds of orders that change the configuration (docs/orders.md 2, 3).
 
-Owns which calls wait for which order. One round runs for an order at a time: a duplicate that comes meanwhile joins it.
-An order is merged where it is a PATCH, then run as an edit of the register; where that finds a newer edition, the
+Owns which calls wait for which order. One round runs for an order at a time: a duplicate that arrives meanwhile joins
+it. An order is merged where it is a PATCH, then run as an edit of the register; where that finds a newer edition, the
 archive decides between "accepted long ago" and "refused".
 """
 
@@ -94,7 +94,7 @@
             self._start_round(order)
 
     def _build_on(self, order: orders.Order, base_body: Json) -> None:
-        """Merges and checks off the loop: both take long where there are many routes."""
+        """Merges and checks on another thread: both are slow if there are many routes."""
 
         def done(future: Outcome) -> None:
             error = future.exception()
@@ -142,8 +142,8 @@
     def _end(self, order: orders.Order, error: BaseException) -> None:
         """Ends an order that was not accepted.
 
-        Only the first call gets the error. Those that joined get a round of their own, as they may have come after the
-        state that refused the first (`test_a_duplicate_order_joins_the_round_in_progress`).
+        Only the first call gets the error. Those that joined get a round of their own, as they may have arrived after
+        the state that refused the first (`test_a_duplicate_order_joins_the_round_in_progress`).
         """
         first, *later = self._waiting.pop(order.order_id)
         self._lifecycle.fail(first, error)
--- a/ploverward/control_plane/operator_api/custody_handlers.py
+++ b/ploverward/control_plane/operator_api/custody_handlers.py
@@ -1,7 +1,7 @@
 """Calls on custody trails, for operators (design 10, docs/residency.md).
 
-Where a trail has parts that replicas may still have in their caches, a proxy is asked which replicas do; the call is
-answered with its reply, or without where none comes in time.
+Where a trail has parts that replicas may still have in their caches, a proxy is queried which replicas do; the call is
+answered with its reply, or without it if none arrives in time.
 """
 
 import dataclasses
--- a/ploverward/control_plane/operator_api/pending_response.py
+++ b/ploverward/control_plane/operator_api/pending_response.py
@@ -1,6 +1,6 @@
 """The answer to a call that is given later: exactly once, and at the latest when its time limit is over.
 
-A consensus round and a time limit race for the answer. Both ask `PendingResponse.claim`; only the first gets the call.
+A consensus round and a time limit race for the answer. Both call `PendingResponse.claim`; only the first gets the call.
 """
 
 import collections.abc
@@ -13,7 +13,7 @@
     """The answer that a caller waits for.
 
     Attributes:
-        begun_at: when the call came, seconds on the loop's clock.
+        begun_at: when the call arrived, seconds on the loop's clock.
         is_over: whether the answer was claimed.
 
     Args:
--- a/ploverward/control_plane/operator_api/rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/rollout_handlers.py
@@ -21,7 +21,7 @@
 
 
 class RolloutBody(typing.TypedDict):
-    """One service's roll-out: the protocol's two fields, and what operators want to know besides."""
+    """One service's roll-out: the protocol's two fields, and further ones for operators."""
 
     condition: str
     targetEdition: str
@@ -41,7 +41,7 @@
 
 
 class RolloutHandlers:
-    """Starts roll-outs and reads how they stand.
+    """Starts roll-outs and reads their state.
 
     Args:
         lifecycle: begins and answers calls.
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -1,6 +1,6 @@
 """Maps HTTP calls to their handlers, by werkzeug (docs/orders.md 6).
 
-Whatever stands in the head of a call, it gets one clear answer: a path or method that no rule has is answered here.
+Every call gets one clear answer, whatever its head contains: a path or method without a rule is answered here.
 """
 
 import collections.abc
@@ -18,8 +18,8 @@
 from ploverward.transport import http_request
 
 RETRY_AFTER = b"0.3"  # seconds; callers have a backoff of their own, this is for those that have none
-RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; what is missing here does not come within a callers' usual backoff
-MAP_BINDING = "core"  # the host name that werkzeug wants; the rules do not depend on it
+RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; what is missing takes longer than a caller's usual backoff
+MAP_BINDING = "core"  # the host name that werkzeug requires; the rules do not depend on it
 
 Header: typing.TypeAlias = tuple[bytes, bytes]
 
@@ -97,7 +97,7 @@
         )
 
     def unavailable(self, *, why: str) -> None:
-        """Says nothing about what was asked: the caller sends the call again, to this node or to another."""
+        """Answers 503, which leaves the outcome open: the caller retries, at this node or another."""
         body = ErrorBody(error=why)
         self.answer(status=http.HTTPStatus.SERVICE_UNAVAILABLE, body=body, headers=[(b"Retry-After", RETRY_AFTER)])
 
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -1,6 +1,6 @@
 """The HTTP servers of a core node, and the wiring of everything that answers on them (design 4, 5, 9, 10).
 
-Besides calls, messages from proxies come in here that answer calls or are stored for them.
+It also handles messages from proxies that answer calls or are stored for them.
 """
 
 import collections.abc
@@ -120,7 +120,7 @@
             server.leave()
 
     def check_applied(self) -> None:
-        """To be called when a proxy has applied something or is gone: acknowledgements may be due."""
+        """To be called when a proxy has applied something or disconnected: acknowledgements may be due."""
         self._apply_barrier.check()
 
     def learn_archive(self, payload: Payload) -> None:
--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -30,7 +30,7 @@
     UNKNOWN = "unknown"
 
 
-# Access to a member of an enum costs more than to a name of the module, and the choice of a replica asks for each one.
+# Names of the module: access to a member of an enum costs more, and the choice of a replica reads one per candidate.
 WARM, COLD, UNKNOWN = AdapterState
 
 
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Load:
-    """A load of an adapter by a replica, as this proxy infers it from cold arrivals."""
+    """A load of an adapter by a replica, as this proxy infers it from arrivals that found it not loaded."""
 
     open_arrivals: int = 0
     is_counted: bool = False
@@ -93,7 +93,7 @@
     Args:
         now: the clock, in seconds.
         window_s: duration of a window.
-        trust_s: how long an adapter is taken for loaded after a request of this proxy ran with it.
+        trust_s: how long an adapter is assumed to be loaded after a request of this proxy ran with it.
     """
 
     def __init__(self, *, now: collections.abc.Callable[[], float], window_s: float, trust_s: float) -> None:
@@ -125,7 +125,7 @@
         state = self.state(replica=replica, model=model, adapter=adapter)
         load_s = self._load_s.get(replica.service, FIRST_LOAD_S)
         if state is WARM:
-            # What was loaded lately may be evicted again before the list says so; what stays is worth going to.
+            # An adapter that was loaded recently may be evicted before the list shows it; one that stays is preferred.
             since = (replica.adapters or {}).get((model, adapter))
             is_steady = since is not None and self._now() - since >= self._steady_s
             return 0.0 if is_steady else load_s * UNSTABLE_ADAPTER_SHARE
@@ -145,7 +145,7 @@
             target_s: the latency target of the route, in seconds; 0 for none.
 
         Returns:
-            What `note_run` or `note_not_run` takes later.
+            The argument of a later `note_run` or `note_not_run`.
         """
         state = self.state(replica=replica, model=model, adapter=adapter) if adapter else UNKNOWN
         if state is COLD:
@@ -154,7 +154,7 @@
         return Arrival(key, replica, state, self._now(), target_s)
 
     def note_run(self, arrival: Arrival) -> None:
-        """Counts an attempt whose first event came: it ran, so its adapter is loaded there."""
+        """Counts an attempt whose first event arrived: it ran, so its adapter is loaded there."""
         if arrival.is_over:
             return
         arrival.is_over = True
@@ -208,10 +208,10 @@
             self._load_s[service] = known * (1 - LATEST_LOAD_WEIGHT) + wait_s * LATEST_LOAD_WEIGHT
 
     def _end_cold_arrival(self, arrival: Arrival, *, is_run: bool) -> bool:
-        """Ends a cold arrival.
+        """Ends an arrival that found the adapter not loaded.
 
         Returns:
-            Whether it stands for a load that no other one counted: two arrivals that meet one load are one load.
+            Whether it counts as a load: of several arrivals that wait for the same load only one does.
         """
         key = (arrival.key.replica, arrival.key.model, arrival.key.adapter)
         load = self._loads.get(key)
--- a/ploverward/data_plane/adapter_cache/count_table.py
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -15,7 +15,7 @@
 
 
 class CountKey(typing.NamedTuple):
-    """What a row of counts is about. Replicas are told apart by incarnation: a new one begins with nothing loaded."""
+    """The key of a row of counts. A new incarnation of a replica has its own rows, as it starts with nothing loaded."""
 
     service: str
     model: str
@@ -30,8 +30,8 @@
     warm: int = 0  # the adapter was loaded when the request was sent
     cold: int = 0  # it was not
     unknown: int = 0  # that was not known
-    loads: int = 0  # cold arrivals that met one load count once
-    waits: int = 0  # cold arrivals
+    loads: int = 0  # arrivals that waited for the same load count once
+    waits: int = 0  # arrivals that found it not loaded
     wait_ms: int = 0  # until their first events, in sum
     most_wait_ms: int = 0  # the longest
     late: int = 0  # waits beyond the latency target
@@ -83,6 +83,6 @@
 
 
 def rows_of(window: collections.abc.Mapping[str, typing.Any]) -> list[tuple[CountKey, ArrivalCounts]]:
-    """The rows of a table, or of a window that has the rows of one. Counts that a later version added are left out."""
+    """The rows of a table, or of a window that has the rows of one. Counts that a later version added are omitted."""
     end = _KEY_LENGTH + len(FIELDS)
     return [(CountKey(*row[:_KEY_LENGTH]), ArrivalCounts(*row[_KEY_LENGTH:end])) for row in window[ROWS_KEY]]
--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -1,8 +1,8 @@
 """Applies what is distributed to this proxy: configuration, evacuations, roll-outs, replicas (docs/design.md 5).
 
 Registers arrive as consensus payloads, the endpoint list as a list or a delta of it (docs/scale.md 2). The installer
-owns the routes, the limits of HTTP messages and the singleton roles in force; what else a value says is handed to the
-object that owns it. Versions are not its concern: `Subscriber` hands over each value once, in rising order.
+owns the routes, the limits of HTTP messages and the singleton roles in force; everything else in a value is passed to
+the object that owns it. Versions are not its concern: `Subscriber` delivers each value once, in rising order.
 """
 
 import typing
--- a/ploverward/data_plane/control_client/core_connections.py
+++ b/ploverward/data_plane/control_client/core_connections.py
@@ -1,7 +1,7 @@
 """The connections from a proxy to all core nodes (docs/design.md 5).
 
 The state is one connector for each core node: the members of the core set and the seeds of the settings, since a
-member may be unknown here and a seed may come back. Connectors reconnect by themselves. Each new connection begins
+member may be unknown here and a seed may return. Connectors reconnect by themselves. Each new connection begins
 with the handshake and the state of this proxy. Core nodes of the same region are known by their handshake; they are
 preferred where one core node is enough.
 """
@@ -39,10 +39,10 @@
 
         Args:
             loop: the node's event loop.
-            settings: the settings in force; they may be read anew while the node runs.
+            settings: the settings in force; they may be read again while the node runs.
             incarnation: of this proxy.
-            peer_timeout_s: silence after which a connection is given up.
-            node_state: how this proxy stands now.
+            peer_timeout_s: a connection on which nothing arrives for so long is closed, in seconds.
+            node_state: returns the present state of this proxy.
             on_message: (address, connection, message) from a core node.
             on_end: (address, connection) that ended.
         """
--- a/ploverward/data_plane/control_client/core_reports.py
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -1,7 +1,7 @@
 """What a proxy reports to core nodes by itself: evidence of roll-outs and custody trails.
 
-Roll-out evidence goes to the cluster coordinator, which answers with leases (docs/rollouts.md 3, 4). Custody trails go
-to one core node of the own region, or to another where there is none (docs/residency.md).
+Roll-out evidence is sent to the cluster coordinator, which answers with leases (docs/rollouts.md 3, 4). Custody
+trails are sent to one core node of the own region, or to another where there is none (docs/residency.md).
 """
 
 from collections.abc import Callable
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -25,7 +25,7 @@
 
 _log = logging.getLogger(__name__)
 
-FETCHES_PER_CONTACT = 12  # in a contactMs: a silent core node costs a twelfth of it
+FETCHES_PER_CONTACT = 12  # in a contactMs: a core node that does not answer costs a twelfth of it
 
 
 class CoreSessions:
@@ -49,13 +49,13 @@
         is_draining: Callable[[], bool],
         on_endpoints_changed: Callable[[], None],
     ) -> None:
-        """Creates sessions; messages come once `connections` are connected.
+        """Creates sessions; messages arrive once `connections` are connected.
 
         Args:
             loop: the node's event loop.
             contact_s: the bound `contactMs`.
             connections: to the core nodes.
-            gate: says when this proxy may serve.
+            gate: decides when this proxy may serve.
             installer: applies what is distributed.
             renewals: handles the answers to them.
             rollout_reports: handles the answers to them.
--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -1,8 +1,8 @@
 """Home regions of earlier configurations that still bind (docs/design.md 10).
 
 While a configuration is being replaced, some proxies have the older and some the newer one. Until the older one is
-gone everywhere, a request may go only where both permit it. The state is the homes of each replaced configuration
-with the time until which they bind.
+replaced everywhere, a request may be sent only where both permit it. The state is the homes of each replaced
+configuration with the time until which they bind.
 """
 
 import dataclasses
--- a/ploverward/data_plane/control_client/share_renewals.py
+++ b/ploverward/data_plane/control_client/share_renewals.py
@@ -1,8 +1,8 @@
 """Renewal of a proxy's shares of the limits at each core node (docs/control.md 2, docs/quotas.md, design 8).
 
-At each heartbeat the proxy asks every core node for its share and reports what it admitted of each tenant. An answer
-counts from when the renewal was sent, on this proxy's clock, whenever it arrives: so no lease lasts longer here than
-at the core node that gave it. The state is when each of the newest renewals was sent.
+At each heartbeat the proxy requests its share from every core node and reports what it admitted of each tenant. An
+answer counts from when the renewal was sent, on this proxy's clock, whenever it arrives: so no lease lasts longer
+here than at the core node that granted it. The state is when each of the newest renewals was sent.
 """
 
 from collections.abc import Callable
@@ -59,7 +59,7 @@
             now: seconds on a monotonic clock.
             connections: to the core nodes.
             quota: gets the share leases.
-            quota_allowance: says what was admitted of each tenant, and gets what may be.
+            quota_allowance: reports what was admitted of each tenant, and receives what may be.
             configuration_freshness: gets how new the configuration here is.
         """
         self._log = RenewalLog(now=now)
@@ -69,7 +69,7 @@
         self._configuration_freshness = configuration_freshness
 
     def renew(self) -> None:
-        """Asks each core node for this proxy's share."""
+        """Requests this proxy's share from each core node."""
         number = self._log.begin()
         for host, connection in self._connections.established():
             usage = self._quota_allowance.report(core=host) if self._quota_allowance.is_on else b""
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -1,6 +1,6 @@
 """The proxy program: its parts, their wiring and its heartbeat (docs/design.md 1, 5, 7).
 
-`ProxyNode` holds no state of its own but the settings in force and the count of heartbeats; each part owns its own.
+`ProxyNode` owns no state but the settings in force and the count of heartbeats; each component owns its own.
 Everything runs in one thread, on one event loop.
 """
 
@@ -42,7 +42,7 @@
 PEER_TIMEOUTS_PER_CONTACT = 5
 FAILOVERS_PER_CONTACT = 16
 HEARTBEATS_PER_PEER_TIMEOUT = 3  # two may be lost
-SLOW_TASKS_HEARTBEATS = 4  # heartbeats between two rounds of trails, adapter counts and a look at the settings file
+SLOW_TASKS_HEARTBEATS = 4  # heartbeats between two rounds of trails, adapter counts and a check of the settings file
 MAX_TRAILS_PER_BATCH = 200
 ADAPTER_WINDOW_CONTACTS = 6  # contactMs in a window of counts
 ADAPTER_TRUST_CONTACTS = 1 / 2  # contactMs for which an adapter counts as loaded without a sign of it
@@ -52,11 +52,11 @@
     """One process that serves requests. It is the `HandlerContext` of the requests' handlers.
 
     Attributes:
-        settings: in force; read anew at SIGHUP and when the file changes.
+        settings: in force; read again at SIGHUP and when the file changes.
         incarnation: differs for each start of the process.
         contact_s: the bound `contactMs`, from which most time-outs follow.
-        peer_timeout_s: silence after which a connection to another node is given up.
-        failover_s: in about this time another node takes over, or the one that failed comes back.
+        peer_timeout_s: a connection to another node on which nothing arrives for so long is closed.
+        failover_s: in about this time another node takes over, or the one that failed returns.
     """
 
     def __init__(self, *, settings: settings_files.Settings) -> None:
--- a/ploverward/data_plane/quotas/credential_freshness.py
+++ b/ploverward/data_plane/quotas/credential_freshness.py
@@ -1,8 +1,8 @@
 """How fresh a proxy's configuration is, and whether a key may be trusted by it (docs/keys.md 2, 3).
 
 `ConfigurationFreshness` owns what core nodes reported. All its times are on this proxy's clock and count from when a
-core node was asked: a slow connection, a frozen process or a late reply never makes a configuration look fresher
-(`test_no_proxy_trusts_a_key_that_was_taken_away_long_ago`).
+core node was sent the request: a slow connection, a frozen process or a late reply never makes a configuration look
+fresher (`test_no_proxy_trusts_a_key_that_was_taken_away_long_ago`).
 """
 
 import dataclasses
@@ -41,7 +41,7 @@
         Args:
             core: The core node.
             version: The newest version that it knows as chosen.
-            asked_at: When it was asked, on this proxy's clock.
+            asked_at: When it was sent the request, on this proxy's clock.
             age_s: For how many seconds before its reply a newer one may have been acknowledged.
         """
         self._reports[core] = _Report(fresh_as_of=asked_at - age_s, version=version)
--- a/ploverward/data_plane/quotas/isolated_allowance.py
+++ b/ploverward/data_plane/quotas/isolated_allowance.py
@@ -1,6 +1,6 @@
 """What a proxy admits of tenants while no core node is in contact (docs/quotas.md 3).
 
-Core nodes reserve an even share of each limit for every isolated proxy, and all proxies together keep to it.
+Core nodes reserve an even share of each limit for every isolated proxy, which all proxies together do not exceed.
 `IsolatedAllowance` owns a token bucket for each tenant and the rates at which the proxy admitted them in contact.
 """
 
@@ -16,7 +16,7 @@
 NEW_TENANT_RATE_SHARE = 0.3  # of an even share of the limit, for a tenant that is new at this proxy
 KNOWN_TENANT_RATE_FACTOR = 1.1  # of the rate before, for the others
 RATE_WINDOW_S = 8.0  # time constant of the rates
-ASSUMED_PROXY_COUNT = 200  # before a core node said how many there are
+ASSUMED_PROXY_COUNT = 200  # before a core node reported their number
 INITIAL_TOKENS = 1.0
 INITIAL_TOKENS_NEVER_IN_CONTACT = 0.5  # all proxies may start at once, and none knows how many there are
 
--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -1,6 +1,6 @@
 """What a proxy may admit of each tenant (docs/quotas.md 3).
 
-A tenant that most core nodes in contact take to be far from its limit is admitted freely. One that is scarce needs a
+A tenant that is far from its limit, by most core nodes in contact, is admitted freely. One that is scarce needs a
 credit for each request; core nodes send them with their replies to reports. While no core node is in contact the proxy
 has an isolated allowance.
 
@@ -19,7 +19,7 @@
 from ploverward.data_plane.quotas import isolated_allowance
 
 LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply counts
-BASE_CREDITS = 1.0  # a proxy keeps so many beside its newest: each core node sends a fraction of a credit at a time
+BASE_CREDITS = 1.0  # a proxy keeps so many besides its newest: each core node sends a fraction of a credit at a time
 
 
 class _CoreReply(typing.NamedTuple):
@@ -108,7 +108,7 @@
         return tenant_usage.pack_usage(rows)
 
     def end_report(self) -> None:
-        """Counts demand anew: all core nodes have got their reports."""
+        """Resets the counts of demand: all core nodes were sent their reports."""
         self._demand.clear()
         now = self._now()
         if any(reply.until > now for reply in self._core_replies.values()):
--- a/ploverward/data_plane/quotas/shared_limits.py
+++ b/ploverward/data_plane/quotas/shared_limits.py
@@ -1,4 +1,4 @@
-"""A proxy's leased shares of the limits that hold over all machines (design 8).
+"""A proxy's leased shares of the global limits (design 8).
 
 `SharedLimits` owns the newest share lease of each core node. A lease counts from when its renewal was sent, so neither
 a slow connection nor a frozen process extends it, and it ends by itself where no core node renews it.
@@ -56,10 +56,11 @@
         self._warmup_slack = settings.bound(name="warmupSlack")
 
     def handle_share_lease(self, core: str, message: messages.ShareLease, *, sent_at: float | None = None) -> None:
-        """Takes a lease.
+        """Records a lease.
 
         Args:
-            core: Address of the core node. It has one lease here, whichever connection it came by; the newest stands.
+            core: Address of the core node. It has one lease here, whichever connection it arrived on; the newest
+                counts.
             message: The lease.
             sent_at: When its renewal was sent; now where that is None.
         """
@@ -86,9 +87,9 @@
         return sum(lease.slack_share for lease in self.leases.values())
 
     def rate_share(self) -> float:
-        """The share of limits that hold from one second to the next (warming up, connections), 0 to 1."""
+        """The share of limits that apply at each moment (warming up, connections), 0 to 1."""
         self._expire()
-        # A list, as each choice of a replica reads it: a generator takes longer for the few core nodes.
+        # A list, as each choice of a replica reads it: a generator is slower for the few core nodes.
         return sum([lease.rate_share for lease in self.leases.values()])
 
     def note_send(self, *, replica: replica_table.Replica, service: Mapping[str, Any]) -> None:
--- a/ploverward/data_plane/quotas/tenant_directory.py
+++ b/ploverward/data_plane/quotas/tenant_directory.py
@@ -1,7 +1,7 @@
 """The tenants of a configuration, found by the key that a request has (docs/keys.md 1).
 
-`TenantDirectory` keeps no keys: it finds them by a keyed digest with a salt that each configuration and process draws
-anew, so that nothing in memory, in logs or on the wire tells a key.
+`TenantDirectory` keeps no keys: it finds them by a keyed digest with a new random salt for each configuration and
+process, so that nothing in memory, in logs or on the wire reveals a key.
 """
 
 import dataclasses
@@ -21,9 +21,9 @@
     """A tenant as the configuration has it.
 
     Attributes:
-        name: Its name, which replicas get.
-        priority: Takes the place of the route's; None: the route's stands.
-        homes: Regions that its requests may go to; empty: all.
+        name: Its name, which is sent to replicas.
+        priority: Replaces the route's; None: the route's is used.
+        homes: Regions that its requests may be sent to; empty: all.
         limit: Its quota; None: unlimited.
     """
 
@@ -34,7 +34,7 @@
 
     @property
     def key(self) -> bytes:
-        """Eight bytes that stand for its name between nodes."""
+        """Eight bytes that represent its name between nodes."""
         return tenant_usage.tenant_key(self.name)
 
 
--- a/ploverward/data_plane/upstream/response_reader.py
+++ b/ploverward/data_plane/upstream/response_reader.py
@@ -28,7 +28,7 @@
 
     Attributes:
         status: Of the answer.
-        headers: As they came, names in lower case.
+        headers: As received, names in lower case.
         table: The same by name; of a repeated header the last one.
         is_framed: Whether its length is certain: by Content-Length or by chunks, not both.
     """
@@ -50,7 +50,7 @@
     """One connection's requests and answers.
 
     Attributes:
-        served: Answers that came completely.
+        served: Answers that were received completely.
         last_request_id: Id of the last request, None before the first one.
         keep_alive_s: Idle time that the replica stated with its last answer, None where it stated none.
     """
@@ -63,7 +63,7 @@
         self._sent: tuple[h11.Request, bytes] | None = None  # head and body, until the answer is complete
         self._skipped = 0
         self._is_skipping = False
-        self._is_tainted = False  # an answer too many came: what else may come can't be told apart
+        self._is_tainted = False  # an extra answer was received: later ones can't be distinguished
         self._must_close = False
 
     def send_request(self, *, request_id: bytes, head: h11.Request, body: bytes) -> bytes:
@@ -75,14 +75,14 @@
         return _send(self._h11, head=head, body=body)
 
     def receive_data(self, data: bytes) -> None:
-        """Bytes came; empty ones are the end of the connection."""
+        """Receives bytes; empty ones are the end of the connection."""
         self._h11.receive_data(data)
 
     def next_event(self, *, is_unsent: bool) -> ResponseHead | bytes | Signal:
-        """Returns what the received bytes say, one event at a time.
+        """Returns the events in the received bytes, one at a time.
 
         Args:
-            is_unsent: Whether no byte of the request has left: then no answer can be ours.
+            is_unsent: Whether no byte of the request was sent: then no answer can be ours.
 
         Returns:
             The head of our answer, then the bytes of its body, then RESPONSE_END; NEED_DATA between them.
@@ -128,7 +128,7 @@
         self._must_close = b"close" in table.get(b"connection", b"").lower() or event.http_version < b"1.1"
         self.keep_alive_s = keep_alive_timeout_s(table.get(b"keep-alive", b""))
         has_chunks = b"chunked" in table.get(b"transfer-encoding", b"").lower()
-        is_framed = (b"content-length" in table) != has_chunks  # with both, which one holds is uncertain
+        is_framed = (b"content-length" in table) != has_chunks  # with both, it is uncertain which one applies
         return ResponseHead(event.status_code, event.headers, table, is_framed)
 
     def _is_ours(self, *, status: int, reported_id: bytes | None) -> bool:
@@ -138,7 +138,7 @@
         return self.served == 0 and self._skipped == 0 and status >= 400
 
     def _begin_anew(self) -> None:
-        """The skipped answer is complete: h11 is put where it stood after our request, with what came behind."""
+        """The skipped answer is complete: h11 returns to its state after our request, with the bytes that followed."""
         trailing = self._h11.trailing_data[0]
         self._is_skipping = False
         self._h11 = _new_connection()
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -6,13 +6,13 @@
     CONNECTING --> IDLE <--> BUSY --> CLOSED      (every state may lead to CLOSED)
          \------------------^
 
-* CONNECTING: the socket is not up. It may have an attempt already, of which nothing is handed to the kernel yet.
-* IDLE: it is up and carries no request. Its end, or any byte that comes, closes it.
+* CONNECTING: the socket is not up. It may have an attempt already, of which nothing was passed to the kernel yet.
+* IDLE: it is up and carries no request. Its end, or any byte that arrives, closes it.
 * BUSY: an attempt uses it, until its answer is complete, the connection ends, or the attempt is given up.
-* CLOSED: nothing of it reaches anybody. An attempt that is given up takes its connection along, in the same step.
+* CLOSED: nothing of it is delivered. The connection of an attempt that is given up is closed in the same step.
 
 The invariant: `is_unsent` turns false with the first byte that the kernel accepts, and never back for that request.
-An attempt that ends unsent has run nowhere.
+An attempt that ends unsent was not run.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 
     from ploverward.transport import event_loop
 
-UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is looked at before it is used: a system call
-KEEP_ALIVE_SHARE = 0.85  # of the idle time that a replica states: the rest is for a request on its way
+UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is checked before it is used, by a system call
+KEEP_ALIVE_SHARE = 0.85  # of the idle time that a replica states: the remainder is for a request in flight
 DEFAULT_KEEP_ALIVE_S = 4.0  # where it states none: a guess, below what servers commonly have
 IO_BYTES = 131072  # read or written in one system call
 HOP_BY_HOP_HEADERS = frozenset(
@@ -55,7 +55,7 @@
 
 
 class ConnectionState(enum.Enum):
-    """Where a connection stands; see the head of this module."""
+    """The states of a connection; see the head of this module."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
@@ -68,7 +68,7 @@
 
     Attributes:
         endpoint: Its address and port.
-        heard_at: When anything last came from it, in seconds on the loop's clock.
+        heard_at: When it last sent anything, in seconds on the loop's clock.
     """
 
     endpoint: tuple[str, int]
@@ -86,13 +86,13 @@
     def on_head(
         self, *, status: int, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes], is_framed: bool
     ) -> None:
-        """The head of its answer came."""
+        """The head of its answer was received."""
 
     def on_data(self, data: bytes) -> None:
-        """A part of the body came."""
+        """A chunk of the body was received."""
 
     def on_end(self) -> None:
-        """The answer is complete, and the connection is not its any more."""
+        """The answer is complete, and the connection no longer belongs to it."""
 
     def on_fail(self, *, reason: str, was_sent: bool, was_up: bool) -> None:
         """The connection ended before that."""
@@ -104,14 +104,14 @@
     Args:
         loop: The event loop.
         replica: The replica to connect to.
-        connect_s: Seconds after which it counts as not coming up.
+        connect_s: Time-out for establishing it, in seconds.
         peer_timeout_s: Seconds after which the kernel gives up a peer that acknowledges nothing.
-        on_free: Called when it came up without an attempt, or has become idle.
-        on_connected: Called when it came up, with the replica and the seconds that took.
+        on_free: Called when it was established without an attempt, or has become idle.
+        on_connected: Called when it was established, with the replica and the seconds that took.
 
     Attributes:
-        state: Where it stands.
-        is_up: Whether it ever came up.
+        state: Its present state.
+        is_up: Whether it was ever established.
         is_paused: Whether the replica is not read, because the client does not read.
         is_unsent: Whether no byte of the last request was accepted by the kernel.
         attempt: The attempt that uses it, None where there is none.
@@ -163,7 +163,7 @@
 
     @property
     def served(self) -> int:
-        """Answers that came on it completely."""
+        """Answers that were received on it completely."""
         return self._reader.served
 
     # Requests.
@@ -184,9 +184,9 @@
     def is_reusable_for(self, *, request_id: bytes) -> bool:
         """Whether this idle connection may carry the request.
 
-        Not where its former request bore the same id: an answer too many of that one could not be told from ours. And
-        not where something waits on it (its end, or bytes of no request) that the loop has not read yet; one that was
-        in use a moment ago is not looked at, which spares a system call for most requests.
+        Not if its former request had the same id: an extra answer to that one could not be distinguished from ours.
+        And not if something is unread on it (its end, or bytes of no request); this is not checked for one that was
+        in use until just now, which saves a system call for most requests.
         """
         if self.served and self._reader.last_request_id == request_id:
             return False
@@ -320,7 +320,7 @@
         assert attempt is not None
         self.is_paused = False
         self._update_mask()
-        # An answer that came before all of its request had left leaves the connection in the middle of that request.
+        # After an answer that arrived before all of its request was sent, the connection is inside that request.
         if not self._out and self._reader.begin_next_cycle():
             self.state = ConnectionState.IDLE
             stated_s = self._reader.keep_alive_s
--- a/ploverward/data_plane/upstream/upstream_errors.py
+++ b/ploverward/data_plane/upstream/upstream_errors.py
@@ -1,7 +1,7 @@
-"""Why a connection to a replica ended before its answer was complete, by whose fault it was.
+"""Why a connection to a replica ended before its answer was complete: errors by the side that caused them.
 
-The class says whose fault it was; the text goes to the log (`attempt_failed`). Whether the request may be sent again
-depends on neither, but only on whether a byte of it had left (`ploverward.data_plane.requests.retry_policy`).
+The class names the side that caused the error; the text is logged (`attempt_failed`). Whether the request may be sent
+again depends on neither, but only on whether a byte of it was sent (`ploverward.data_plane.requests.retry_policy`).
 """
 
 from ploverward.common import errors
@@ -12,7 +12,7 @@
 
 
 class ConnectionFailedError(UpstreamError):
-    """The network's or the machine's: the connection did not come up, or was reset; the text is the system's."""
+    """The network's or the machine's: the connection was not established, or was reset; the text is the system's."""
 
 
 class ConnectionEndedError(UpstreamError):
@@ -20,8 +20,8 @@
 
 
 class RemoteProtocolError(UpstreamError):
-    """The replica's: it sent what is no answer to this request."""
+    """The replica's: it sent something that is no answer to this request."""
 
 
 class LocalError(UpstreamError):
-    """Our own: a step of this process raised. What the step had in hand is lost, so nothing may follow it."""
+    """A bug of this process: a step raised. The data that the step was handling is lost, so nothing may follow it."""
