--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -127,11 +127,11 @@
     """Plays each mutant until a check finds it; `BROKEN` where one is not found in its stated number of runs."""
     missed = 0
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
-        for name, found in zip(mutants.FAULTS, pool.map(mutants.search, mutants.FAULTS), strict=True):
+        for name, found in zip(mutants.MUTANTS, pool.map(mutants.search, mutants.MUTANTS), strict=True):
             if found is None:
                 missed += 1
-                out(f"{name}: NOT FOUND in {mutants.FAULTS[name].max_seeds} days")
+                out(f"{name}: NOT FOUND in {mutants.MUTANTS[name].max_seeds} days")
             else:
                 out(f"{name}: found on day {found.run_number} (seed {found.seed}): {found.check}")
-    out(f"{len(mutants.FAULTS) - missed} of {len(mutants.FAULTS)} planted faults were found")
+    out(f"{len(mutants.MUTANTS) - missed} of {len(mutants.MUTANTS)} planted faults were found")
     return exit_codes.ExitCode.BROKEN if missed else exit_codes.ExitCode.WELL
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -104,18 +104,21 @@
     def _connect(self) -> None:
         wanted = set(self.members) | set(self._seeds)
         for host in sorted(wanted - self.connectors.keys()):
-            self.connectors[host] = simulated_peers.Connector(
-                runtime=self,
-                loop=self.loop,
-                address=(host, machines.INNER_PORT),
-                on_up=self._send_handshake,
-                on_message=lambda link, message, host=host: self._handle_message(host, link, message),
-                on_end=lambda link, _reason: self.subscriber.drop(link),
-                peer_timeout_s=self._peer_timeout_s,
-            )
+            self.connectors[host] = self._make_connector(host)
         for host in sorted(self.connectors.keys() - wanted):
             self.connectors.pop(host).stop()
 
+    def _make_connector(self, host: str) -> simulated_peers.Connector:
+        return simulated_peers.Connector(
+            runtime=self,
+            loop=self.loop,
+            address=(host, machines.INNER_PORT),
+            on_up=self._send_handshake,
+            on_message=lambda link, message: self._handle_message(host, link, message),
+            on_end=lambda link, _reason: self.subscriber.drop(link),
+            peer_timeout_s=self._peer_timeout_s,
+        )
+
     def _send_handshake(self, link: simulated_peers.PeerConnection) -> None:
         link.send(
             messages.Handshake(
--- a/ploverward/simulation/control_plane/test_scenarios.py
+++ b/ploverward/simulation/control_plane/test_scenarios.py
@@ -1,6 +1,6 @@
-"""A fixed few days of the model world, and planted faults that its checks must find (docs/simulate.md).
+"""A few fixed runs of the simulation, and mutants that its checks must find (docs/simulate.md).
 
-Days run in a process of their own, in which sets of strings have one order: so a seed names one history.
+Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
 """
 
 import os
@@ -10,11 +10,13 @@
 
 import pytest
 
+from ploverward.simulation.control_plane import faults
+
 ROOT = pathlib.Path(__file__).parents[3]
 LIMIT_S = 120
 FIRST_SEED = 0
 SEEDS = 10
-QUICK_FAULTS = (
+QUICK_MUTANTS = (
     "a lost race is taken",
     "a restarted node leads",
     "acknowledged by one",
@@ -45,14 +47,14 @@
     )
 
 
-def test_a_few_days_break_no_check():
+def test_a_few_runs_break_no_check():
     ended = run("-m", "ploverward", "simulate", f"--first={FIRST_SEED}", f"--seeds={SEEDS}", "--jobs=2")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert f"{SEEDS} days" in ended.stdout
 
 
-@pytest.mark.parametrize("name", QUICK_FAULTS)
-def test_a_planted_fault_is_found(name):
+@pytest.mark.parametrize("name", QUICK_MUTANTS)
+def test_a_mutant_is_found(name):
     ended = run("-c", SEARCH, name)
     assert ended.returncode == 0, ended.stdout + ended.stderr
 
@@ -67,3 +69,8 @@
     ended = run("-m", "ploverward", "simulate", "--troubles=rain")
     assert ended.returncode == 2
     assert "'rain' is no trouble" in ended.stderr and ended.stderr.count("\n") == 1
+
+
+def test_each_closing_fault_of_all_machines_is_a_kind_too():
+    assert {"all_killed", "all_power"} <= faults.KINDS.keys() & set(faults.CLOSING)
+    assert all(kind.weight > 0 for kind in faults.KINDS.values())
--- a/ploverward/simulation/control_plane/test_simulation.py
+++ b/ploverward/simulation/control_plane/test_simulated_peers.py
@@ -1,4 +1,4 @@
-"""The parts of the model world: time, disk and links behave as the real ones do where the nodes depend on it."""
+"""Simulated connections between nodes behave as the real ones do where the nodes depend on it."""
 
 import pytest
 
@@ -6,7 +6,6 @@
 from ploverward.common.identifiers import Version
 from ploverward.simulation.control_plane import machines
 from ploverward.simulation.control_plane import simulated_clock
-from ploverward.simulation.control_plane import simulated_disk
 from ploverward.simulation.control_plane import simulated_network
 from ploverward.simulation.control_plane import simulated_peers
 from ploverward.transport import frames
@@ -158,72 +157,6 @@
     assert order == ["timer", "command"] and other.loop.now() > before
 
 
-def test_a_cancelled_timer_does_not_act_and_an_exception_is_reported():
-    clock = simulated_clock.Clock(seed=1)
-    failures = []
-    process = simulated_clock.Process(clock=clock, name="p", on_failure=lambda _process, text: failures.append(text))
-    loop = simulated_clock.Loop(process=process, on_stop=lambda: None)
-    acted = []
-    timer = loop.after(delay=1.0, callback=lambda: acted.append(1))
-    loop.cancel(timer=timer)
-    loop.after(delay=1.0, callback=lambda: 1 / 0)
-    loop.offload(work=lambda: 1 / 0, done=lambda outcome: acted.append(type(outcome.exception())))
-    clock.run(until=2.0)
-    assert acted == [ZeroDivisionError] and len(failures) == 1 and "ZeroDivisionError" in failures[0]
-
-
-def write(disk, clock, *, name, data, size_before) -> None:
-    disk.append(name=name, data=data, size_before=size_before)
-    clock.run(until=clock.time + disk.finish_batch() + 0.001)
-
-
-def test_what_was_synced_outlives_a_loss_of_power():
-    for seed in range(20):
-        clock = simulated_clock.Clock(seed=seed)
-        disk = simulated_disk.Disk(clock=clock)
-        write(disk, clock, name="f", data=b"first", size_before=0)
-        disk.append(name="f", data=b"second", size_before=5)
-        disk.finish_batch()
-        disk.lose_power()
-        content = disk.read(name="f")
-        assert content.startswith(b"first") and b"firstsecond".startswith(content)
-
-
-def test_a_write_in_progress_may_be_kept_lost_or_torn():
-    seen = set()
-    for seed in range(60):
-        clock = simulated_clock.Clock(seed=seed)
-        disk = simulated_disk.Disk(clock=clock)
-        write(disk, clock, name="f", data=b"ab", size_before=0)
-        disk.append(name="f", data=b"cdef", size_before=2)
-        disk.finish_batch()
-        disk.kill()
-        seen.add(disk.read(name="f"))
-    assert b"ab" in seen and b"abcdef" in seen and len(seen) > 2
-
-
-def test_a_replaced_file_is_the_old_one_or_the_new_one():
-    seen = set()
-    for seed in range(60):
-        clock = simulated_clock.Clock(seed=seed)
-        disk = simulated_disk.Disk(clock=clock)
-        write(disk, clock, name="f", data=b"old", size_before=0)
-        disk.replace(name="f", new_name="g", data=b"new")
-        disk.finish_batch()
-        disk.lose_power()
-        seen.add(disk.read(name="f"))
-    assert seen == {b"old", b"new"}
-
-
-@pytest.mark.parametrize("fault", ["refuse", "refuse_late", "full"])
-def test_a_disk_with_a_fault_refuses(fault):
-    disk = simulated_disk.Disk(clock=simulated_clock.Clock(seed=1))
-    disk.fault = fault
-    with pytest.raises(OSError):
-        disk.append(name="f", data=b"x", size_before=0)
-    assert not disk.durable
-
-
 def test_messages_of_different_types_with_equal_fields_are_packed_as_what_they_are():
     versions = (messages.TopicVersion(topic="list", version=Version(epoch=0, number=1)),)
     sent = [messages.Announcement(versions=versions), messages.Acknowledgement(versions=versions)]
