--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -1,22 +1,26 @@
-"""What a change of the configuration's register costs, against changes made before and against routes: docs/register.md 5.
+"""What a change of the configuration's register costs: by changes made before and by routes (docs/register.md 5).
 
     python3 -m ploverward.simulation.register_cost            measures and prints tables
     python3 -m ploverward.simulation.register_cost --json     the same for machines
 
 The real proposer, acceptors, frames and files (in a folder that is removed again), without sockets. Bytes are those of
-packed frames over all members; processor time is this process's own, for all members together, without the wait for a sync.
-Catch-up is played in the simulated world of `ploverward.simulation.consensus_cluster`, in its time: frames take 1 to 50 ms, writes 1 to 10 ms.
+packed frames over all members; processor time is this process's own, for all members together, without the wait for a
+sync. Catch-up is played in the simulated world of `ploverward.simulation.consensus_cluster`, in its time: frames take 1
+to 50 ms, writes 1 to 10 ms.
 """
 
 import argparse
 import base64
 import collections
+import collections.abc
+import functools
 import hashlib
 import json
 import logging
 import os
 import tempfile
 import time
+import typing
 
 from ploverward.common.identifiers import Ballot
 from ploverward.control_plane.consensus import acceptor
@@ -24,21 +28,31 @@
 from ploverward.control_plane.consensus import disk
 from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import register_names
+from ploverward.control_plane.consensus import register_state
 from ploverward.simulation import consensus_cluster
 from ploverward.transport import frames
 from ploverward.transport import messages
 
-CHANGES = (0, 100, 1000, 4100)
-ROUTES = (10, 100, 500, 2000)
+CHANGES = (0, 100, 1000, 4100)  # made before those that are measured
+ROUTES = (10, 100, 500, 2000)  # of the configuration
 MEMBERS = 5
-MEASURED = 60
+MEASURED = 60  # changes that a mean is taken of
 LIMIT_BYTES = 8 * 1024 * 1024  # of the file, as with 128 MB of disk
 ORDER_IDS_IN_VALUE = 64
 ORDER_IDS_IN_ARCHIVE = 12288
+STEP_S = 0.5  # simulated time between the changes before a catch-up
+POLL_S = 0.005  # simulated time between looks at whether a catch-up is over
+MAX_CATCH_UP_S = 60.0  # simulated
 NAME = register_names.CONFIGURATION
 
+Row = dict[str, typing.Any]  # of a table: name of a column to a number or text
+Result = typing.TypeVar("Result")
+Edit = collections.abc.Callable[[object], tuple[dict[str, typing.Any], None]]
+Carried = typing.TypeVar("Carried", bound=tuple)
 
-def route(number: int) -> dict:
+
+def route(number: int) -> dict[str, typing.Any]:
+    """A route of the usual size, as the configuration has it."""
     lead = hashlib.sha256(b"%d" % number).hexdigest()[:12]
     return {
         "name": f"route-{number}",
@@ -54,8 +68,8 @@
     }
 
 
-def payload_of(*, routes: int, changes: int) -> dict:
-    """A configuration's value after so many changes: its body, and the marks of the orders taken last."""
+def payload_of(*, routes: int, changes: int) -> dict[str, typing.Any]:
+    """A configuration's value after so many changes: its body, and the identifiers of the newest orders."""
     order_ids = [
         [number, hashlib.sha256(b"o%d" % number).hexdigest()[:20]]
         for number in range(max(1, changes - ORDER_IDS_IN_VALUE + 1), changes + 1)
@@ -63,34 +77,47 @@
     return {"edition": changes, "body": {"routes": [route(number) for number in range(routes)]}, "recent": order_ids}
 
 
-def archive_of(*, changes: int) -> dict:
-    """The archive's value after so many changes: 8 bytes a mark."""
+def archive_of(*, changes: int) -> dict[str, typing.Any]:
+    """The archive's value after so many changes: 8 bytes an order."""
     order_ids = b"".join(
         hashlib.sha256(b"o%d" % number).digest()[:8] for number in range(min(changes, ORDER_IDS_IN_ARCHIVE))
     )
     return {"through": changes, "marks": base64.b64encode(order_ids).decode()}
 
 
+def replace_by(payload: dict[str, typing.Any]) -> Edit:
+    """An edit to this payload, whatever it was."""
+    return lambda _payload: (payload, None)
+
+
 class CountingDisk(disk.Disk):
     """Counts the bytes that are written."""
 
-    def __init__(self, *, folder: str):
+    def __init__(self, *, folder: str) -> None:
         super().__init__(folder=folder)
         self.written = 0
 
     def append(self, *, name: str, data: bytes, size_before: int) -> None:
+        """Counts, then appends."""
         self.written += len(data)
         super().append(name=name, data=data, size_before=size_before)
 
     def replace(self, *, name: str, new_name: str, data: bytes) -> None:
+        """Counts, then replaces."""
         self.written += len(data)
         super().replace(name=name, new_name=new_name, data=data)
 
 
 class Member:
-    """One voter: acceptor and file."""
+    """One voter: acceptor and file.
+
+    Args:
+        name: its incarnation.
+        folder: made here.
+        limit_bytes: of the file.
+    """
 
-    def __init__(self, *, name: str, folder: str, limit_bytes: int = LIMIT_BYTES):
+    def __init__(self, *, name: str, folder: str, limit_bytes: int = LIMIT_BYTES) -> None:
         os.makedirs(folder)
         self.folder = folder
         self.acceptor = acceptor.Acceptor(incarnation=name)
@@ -98,23 +125,26 @@
         self.store = acceptor_storage.AcceptorStorage(disk=self.disk, limit_bytes=limit_bytes)
         self.save()
 
-    def save(self, *rows) -> None:
+    def save(self, *rows: messages.RegisterRow) -> None:
+        """Writes rows that have changed, and syncs."""
         image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     @property
     def file_bytes(self) -> int:
+        """Bytes of all files."""
         return sum(os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder))
 
 
-class QuotaMeter:
-    """Sums of bytes by kind of frame and of processor seconds by step."""
+class CostMeter:
+    """Sums of bytes by type of message and of processor seconds by step."""
 
-    def __init__(self):
-        self.bytes = collections.Counter()
-        self.seconds = collections.Counter()
+    def __init__(self) -> None:
+        self.bytes: collections.Counter[type] = collections.Counter()
+        self.seconds: dict[str, float] = collections.defaultdict(float)
 
-    def timed(self, step: str, callback):
+    def timed(self, step: str, callback: collections.abc.Callable[[], Result]) -> Result:
+        """Adds the processor time of a call to that of a step."""
         begun = time.process_time()
         result = callback()
         self.seconds[step] += time.process_time() - begun
@@ -122,81 +152,100 @@
 
 
 class Group:
-    """Members and one proposer at the first of them; frames are packed, counted and read again."""
+    """Members and one proposer at the first of them; frames are packed, counted and read again.
+
+    Args:
+        folder: of all members.
+        members: how many.
+        names_accepted_state: whether the proposer names the value it has, so that replies leave that out.
+    """
 
-    def __init__(self, *, folder: str, members: int, names_accepted_state: bool):
-        self.meter = QuotaMeter()
+    def __init__(self, *, folder: str, members: int, names_accepted_state: bool) -> None:
+        self.meter = CostMeter()
         names = tuple(f"10.0.0.{number}" for number in range(1, members + 1))
         self.members = {name: Member(name=name, folder=os.path.join(folder, name)) for name in names}
         self._own = names[0]
-        self._queue = collections.deque()
-        accepted_value = (
-            (lambda name: self.members[self._own].acceptor.get(name).accepted_value) if names_accepted_state else None
-        )
+        self._queue: collections.deque[collections.abc.Callable[[], object]] = collections.deque()
         self.proposer = proposer.Proposer(
             own=f"{self._own}/abcdef",
             seeds=names,
-            send=lambda member, message: self._queue.append((member, message)),
-            later=lambda _delay, callback: self._queue.append((None, callback)) if _delay == 0 else None,
+            send=self._send,
+            later=self._later,
             now=lambda: 0.0,
             chance=lambda: 0.5,
             on_chosen=lambda *_row: None,
             limit_s=1.0,
             attempt_timeout_s=0.1,
-            accepted_value=accepted_value,
+            accepted_value=self._accepted_value if names_accepted_state else None,
         )
 
-    def _carry(self, message: tuple, *, is_local: bool) -> tuple:
-        """Frames between a node and itself are handed over as they are."""
+    def _send(self, member: str, message: tuple) -> None:
+        if not isinstance(message, messages.Prepare | messages.Accept):
+            raise TypeError(f"{type(message).__name__}: only changes are measured here")
+        self._queue.append(functools.partial(self._deliver, member, message))
+
+    def _later(self, delay: float, callback: collections.abc.Callable[[], object]) -> None:
+        """All messages arrive, so no time-out fires; what is due at once is queued."""
+        if delay == 0:
+            self._queue.append(callback)
+
+    def _accepted_value(self, name: str) -> register_state.AcceptedValue:
+        return self.members[self._own].acceptor.get(name).accepted_value
+
+    def value_bytes(self, name: str) -> int:
+        """Bytes of the accepted value of a register."""
+        return len(self._accepted_value(name).value)
+
+    def _carry(self, message: Carried, *, is_local: bool) -> Carried:
+        """Messages between a node and itself are handed over as they are."""
         if is_local:
             return message
         frame = self.meter.timed("frames", lambda: frames.pack(message))
         self.meter.bytes[type(message)] += len(frame)
-        return self.meter.timed("frames", lambda: frames.unpack(frame))
+        return typing.cast(Carried, self.meter.timed("frames", lambda: frames.unpack(frame)))
 
-    def change(self, *, edit, name=NAME) -> None:
+    def change(self, *, edit: Edit, name: str = NAME) -> None:
+        """Changes a register, and lets all messages arrive."""
         self.proposer.change(name=name, edit=edit, done=lambda *_row: None)
         while self._queue:
-            member, message = self._queue.popleft()
-            if member is None:
-                message()
-                continue
-            self._deliver(member, message)
+            self._queue.popleft()()
 
-    def _deliver(self, member: str, message: tuple) -> None:
+    def _deliver(self, member: str, message: messages.Prepare | messages.Accept) -> None:
         is_local = member == self._own
         node = self.members[member]
         arrived = self._carry(message, is_local=is_local)
-        is_prepare = isinstance(message, messages.Prepare)
-        callback = node.acceptor.prepare if is_prepare else node.acceptor.accept
-        answer, row = self.meter.timed("acceptor", lambda: callback(arrived))
-        if row is not None:
-            self.meter.timed("disk", lambda: node.save(row))
-        received = self._carry(answer, is_local=is_local)
-        handle = self.proposer.handle_promise if is_prepare else self.proposer.handle_accepted
-        self.meter.timed("proposer", lambda: handle(member, received))
+        if isinstance(arrived, messages.Prepare):
+            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.prepare, arrived))
+        else:
+            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.accept, arrived))
+        if decision.row is not None:
+            self.meter.timed("disk", functools.partial(node.save, decision.row))
+        reply = self._carry(decision.reply, is_local=is_local)
+        if isinstance(reply, messages.Promise):
+            self.meter.timed("proposer", functools.partial(self.proposer.handle_promise, member, reply))
+        else:
+            self.meter.timed("proposer", functools.partial(self.proposer.handle_accepted, member, reply))
 
 
 def cost(
     *, routes: int, changes: int, members: int = MEMBERS, measured: int = MEASURED, names_accepted_state: bool = True
-) -> dict:
+) -> Row:
     """Means of one change, made on a configuration of so many routes after so many changes."""
     with tempfile.TemporaryDirectory() as folder:
         group = Group(folder=folder, members=members, names_accepted_state=names_accepted_state)
-        group.change(edit=lambda _payload: (payload_of(routes=routes, changes=changes), None))
-        group.meter = QuotaMeter()
+        group.change(edit=replace_by(payload_of(routes=routes, changes=changes)))
+        group.meter = CostMeter()
         before = [member.disk.written for member in group.members.values()]
         for number in range(changes + 1, changes + 1 + measured):
             value = payload_of(routes=routes, changes=number)
-            group.change(edit=lambda _payload, value=value: (value, None))
+            group.change(edit=replace_by(value))
         written = max(member.disk.written - size for member, size in zip(group.members.values(), before, strict=True))
         meter = group.meter
-        value_bytes = len(group.members[group._own].acceptor.get(NAME).value)
         return {
             "routes": routes,
             "changes": changes,
             "members": members,
-            "value_bytes": value_bytes,
+            "value_bytes": group.value_bytes(NAME),
             "wire_bytes": sum(meter.bytes.values()) / measured,
             "promise_bytes": meter.bytes[messages.Promise] / measured,
             "accept_bytes": meter.bytes[messages.Accept] / measured,
@@ -208,12 +257,12 @@
         }
 
 
-def file_growth(*, routes: int, changes: int, limit_bytes: int = LIMIT_BYTES) -> dict:
+def file_growth(*, routes: int, changes: int, limit_bytes: int = LIMIT_BYTES) -> Row:
     """The largest file and the rewrites over so many changes at one member."""
     with tempfile.TemporaryDirectory() as folder:
         member = Member(name="a", folder=os.path.join(folder, "a"), limit_bytes=limit_bytes)
         group = Group(folder=os.path.join(folder, "rest"), members=1, names_accepted_state=True)
-        group.change(edit=lambda _payload: (payload_of(routes=routes, changes=0), None))
+        group.change(edit=replace_by(payload_of(routes=routes, changes=0)))
         value = next(iter(group.members.values())).acceptor.get(NAME).value
         largest = 0
         for number in range(1, changes + 1):
@@ -237,10 +286,16 @@
         }
 
 
-def catch_up(*, changes: int, how: str, seed: int = 1) -> dict:
+def catch_up(*, changes: int, how: str, seed: int = 1) -> Row:
     """Simulated seconds from the start of a member until it votes and knows the newest version.
 
-    how: "restarted" (power lost), "absent" (restarted, away for the last half of the changes), "emptied", "new".
+    Args:
+        changes: made before.
+        how: "restarted" (power lost), "absent" (restarted, away for the last half of the changes), "emptied", "new".
+        seed: of the simulated world.
+
+    Returns:
+        A row; `voted_early` counts the times at which it was seen to vote without the newest version.
     """
     is_new = how == "new"
     model = consensus_cluster.Model(seed=seed, seeds=("a", "b", "c"))
@@ -252,12 +307,12 @@
         )
         node.stop(is_wiped=True)
         model.nodes["d"] = node
-    step_s, begun_s = 0.5, 2.0
+    begun_s = 2.0
     for number in range(changes):
-        world.later(begun_s + number * step_s, lambda: model.call("a", kind="change"))
-    end_s = begun_s + changes * step_s + 2.0
+        world.later(begun_s + number * STEP_S, lambda: model.call("a", kind="change"))
+    end_s = begun_s + changes * STEP_S + 2.0
     if how == "absent":
-        world.later(begun_s + changes * step_s / 2, lambda: model.nodes[late].stop(loses_power=True))
+        world.later(begun_s + changes * STEP_S / 2, lambda: model.nodes[late].stop(loses_power=True))
     world.run(until=end_s)
     if how == "restarted":
         model.nodes[late].stop(loses_power=True)
@@ -267,23 +322,21 @@
     node = model.nodes[late]
     node.start()
     early = 0
-    step = 0.005
     while node.versions.get(NAME, 0) < newest or not node.votes:
-        early += (
-            node.votes and node.voting.write_ahead_log.durable.get(NAME).revision < newest and how in ("emptied", "new")
-        )
-        world.run(until=world.time + step)
-        if world.time > end_s + 60.0:
+        if how in ("emptied", "new") and node.votes and node.durable_revision(NAME) < newest:
+            early += 1
+        world.run(until=world.time + POLL_S)
+        if world.time > end_s + MAX_CATCH_UP_S:
             break
     return {"how": how, "changes": changes, "versions": newest, "caught_up_s": world.time - end_s, "voted_early": early}
 
 
-def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> dict:
-    """Bytes that an emptied member is sent, when all others answer at once, by the size of what is held."""
+def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> Row:
+    """Bytes that an emptied member is sent, when all others answer at once, by the size of what they have."""
     with tempfile.TemporaryDirectory() as folder:
         group = Group(folder=folder, members=members, names_accepted_state=True)
-        group.change(edit=lambda _payload: (payload_of(routes=routes, changes=changes), None))
-        group.change(name=register_names.ARCHIVE, edit=lambda _payload: (archive_of(changes=changes), None))
+        group.change(edit=replace_by(payload_of(routes=routes, changes=changes)))
+        group.change(name=register_names.ARCHIVE, edit=replace_by(archive_of(changes=changes)))
         answerers = list(group.members.values())[1:]
         row_sets = [member.acceptor.rows() for member in answerers]
         look = sum(len(frames.pack(messages.CatchUpReply(1, True, rows))) for rows in row_sets)
@@ -294,7 +347,7 @@
         return {"routes": routes, "changes": changes, "look_bytes": look, "fence_bytes": fence}
 
 
-def table(rows: list) -> str:
+def table(rows: collections.abc.Sequence[Row]) -> str:
     """The rows as lines of a table."""
     names = list(rows[0])
     lines = ["| " + " | ".join(names) + " |", "|" + " --- |" * len(names)]
@@ -304,8 +357,21 @@
     return "\n".join(lines)
 
 
-def measure(*, changes=CHANGES, routes=ROUTES, measured=MEASURED, seeds=range(3)) -> dict:
-    """All tables."""
+def measure(
+    *,
+    changes: tuple[int, ...] = CHANGES,
+    routes: tuple[int, ...] = ROUTES,
+    measured: int = MEASURED,
+    seeds: collections.abc.Sequence[int] = range(3),
+) -> dict[str, list[Row]]:
+    """All tables, by title.
+
+    Args:
+        changes: made before those that are measured.
+        routes: of the configuration.
+        measured: changes that a mean is taken of.
+        seeds: of the catch-ups; the slowest is given.
+    """
     logging.disable(logging.CRITICAL)
     try:
         return {
--- a/ploverward/simulation/simulated_files.py
+++ b/ploverward/simulation/simulated_files.py
@@ -1,31 +1,73 @@
 """A simulated folder with the calls of `os` that the register's disk uses, with faults and losses of power.
 
-What is known of a file after a loss of power is what its last sync covered; each write after that is there, missing or
-torn. A name that was made, renamed or removed is kept or lost by itself until the folder was synced; a new file survives
-through its own sync. After a failed sync, what it did not write is dropped, and a later sync does not write it either.
+It owns the files of one machine (docs/register.md 3). After a loss of power a file has what its last sync covered; each
+write after that is there, missing or torn. A name that was made, renamed or removed is kept or lost by itself until
+the folder was synced; a new file survives through its own sync. After a failed sync, what it did not write is dropped,
+and a later sync does not write it either.
 """
 
+import dataclasses
 import errno
 import os
+import random
+import typing
 
 FOLDER = "/disk"
 TORN, MISSING, KEPT = "torn", "missing", "kept"
 
+# The shares of a second outcome are high on purpose: a history of a minute has to meet each of them.
+SHORT_WRITE_SHARE = 0.2  # of the writes
+FULL_DISK_WRITE_SHARE = 0.5  # of the writes to a full disk: these still write a part
+FULL_DISK_MIN_BYTES = 8  # a shorter write to a full disk fails
+EMPTY_LOSS_SHARE = 0.3  # of the losses of power: these keep nothing that was not synced
+KEPT_NAME_SHARE = 0.5  # of the names that a loss of power may keep
 
-class PowerLost(BaseException):
+
+class PowerLost(BaseException):  # noqa: N818  # not an error of the product: nothing of it may catch this
     """The process ends in the middle of a call."""
 
 
+class Change(typing.NamedTuple):
+    """A change of a file's content."""
+
+    offset: int
+    data: bytes | None  # None: the file gets this length
+
+
 class Inode:
-    """One file: what reads see, what is on the disk for sure, and the writes in between."""
+    """One file.
+
+    Attributes:
+        data: what reads see.
+        synced: what is on the disk for sure.
+        pending: the changes in between.
+    """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.data = bytearray()
         self.synced = bytearray()
-        self.pending = []  # (offset, bytes), or (size, None) for a change of length
+        self.pending: list[Change] = []
+
+
+class NameChange(typing.NamedTuple):
+    """A change of a name that a loss of power may undo."""
+
+    name: str
+    inode: Inode | None  # None: the name was removed
+    is_safe_with_file: bool  # whether the file's own sync makes it safe
+
+
+@dataclasses.dataclass(slots=True)
+class Handle:
+    """An open file."""
 
+    inode: Inode | None  # None: the folder
+    offset: int = 0
 
-def apply(data: bytearray, offset: int, written) -> None:
+
+def apply(data: bytearray, change: Change) -> None:
+    """Makes a change of a file's content; a gap before it is filled with zeros."""
+    offset, written = change
     if written is None:
         del data[offset:]
         data.extend(bytes(offset - len(data)))
@@ -35,17 +77,26 @@
 
 
 class Files:
-    """Stands in for `os`. `faults` holds: "refuse", "full", "sync", "rename", "folder"."""
+    """Stands in for `os`. Its methods have the arguments and errors of the functions there.
+
+    Args:
+        chance: decides what a loss of power keeps.
+
+    Attributes:
+        faults: those in force, of: "refuse" (every call that changes something), "full", "sync", "rename", "folder"
+            (its sync).
+        calls_left: the process ends in the call after so many; None: it does not.
+    """
 
-    def __init__(self, *, chance):
+    def __init__(self, *, chance: random.Random) -> None:
         self._chance = chance
-        self._names = {}
-        self._durable = {}
-        self._pending_names = []  # (name, inode or None, whether the file's own sync makes it safe)
-        self._handles = {}  # number: [inode or None for the folder, position]
+        self._names: dict[str, Inode] = {}
+        self._durable: dict[str, Inode | None] = {}  # None: removed
+        self._pending_names: list[NameChange] = []
+        self._handles: dict[int, Handle] = {}
         self._next_handle = 3
-        self.faults = set()
-        self.calls_left = None  # the process ends in the call after so many
+        self.faults: set[str] = set()
+        self.calls_left: int | None = None
 
     def _count_call(self) -> None:
         if self.calls_left is not None:
@@ -53,7 +104,18 @@
             if self.calls_left < 0:
                 raise PowerLost
 
+    def _fail_on(self, kind: str, text: str) -> None:
+        if kind in self.faults or "refuse" in self.faults:
+            raise OSError(errno.EIO, text)
+
+    def _inode(self, handle: int) -> Inode:
+        inode = self._handles[handle].inode
+        if inode is None:
+            raise IsADirectoryError(errno.EISDIR, FOLDER)
+        return inode
+
     def open(self, path: str, flags: int, _mode: int = 0) -> int:
+        """As `os.open`."""
         self._count_call()
         if path == FOLDER:
             return self._new_handle(None)
@@ -63,55 +125,60 @@
         if inode is None:
             if not flags & os.O_CREAT:
                 raise FileNotFoundError(errno.ENOENT, path)
-            if "refuse" in self.faults:
-                raise OSError(errno.EIO, "refused")
+            self._fail_on("refuse", "refused")
             inode = self._names[path] = Inode()
-            self._pending_names.append((path, inode, True))
+            self._pending_names.append(NameChange(path, inode, is_safe_with_file=True))
         return self._new_handle(inode)
 
-    def _new_handle(self, inode) -> int:
+    def _new_handle(self, inode: Inode | None) -> int:
         self._next_handle += 1
-        self._handles[self._next_handle] = [inode, 0]
+        self._handles[self._next_handle] = Handle(inode)
         return self._next_handle
 
     def close(self, handle: int) -> None:
+        """As `os.close`."""
         del self._handles[handle]
 
     def read(self, handle: int, size: int) -> bytes:
-        inode, offset = self._handles[handle]
-        part = bytes(inode.data[offset : offset + size])
-        self._handles[handle][1] += len(part)
-        return part
+        """As `os.read`."""
+        opened = self._handles[handle]
+        data = bytes(self._inode(handle).data[opened.offset : opened.offset + size])
+        opened.offset += len(data)
+        return data
 
     def lseek(self, handle: int, offset: int, _whence: int) -> None:
-        self._handles[handle][1] = offset
+        """As `os.lseek`, from the beginning of the file."""
+        self._handles[handle].offset = offset
 
     def ftruncate(self, handle: int, size: int) -> None:
+        """As `os.ftruncate`."""
         self._count_call()
-        inode = self._handles[handle][0]
-        if "refuse" in self.faults:
-            raise OSError(errno.EIO, "refused")
-        inode.pending.append((size, None))
-        apply(inode.data, size, None)
-
-    def write(self, handle: int, data) -> int:
-        """May write less than it is given; a full disk takes a part first."""
+        inode = self._inode(handle)
+        self._fail_on("refuse", "refused")
+        change = Change(size, None)
+        inode.pending.append(change)
+        apply(inode.data, change)
+
+    def write(self, handle: int, data: bytes | memoryview) -> int:
+        """As `os.write`: may write less than it is given; a full disk writes a part first."""
         self._count_call()
-        inode, offset = self._handles[handle]
-        if "refuse" in self.faults:
-            raise OSError(errno.EIO, "refused")
-        if "full" in self.faults and (len(data) < 8 or self._chance.random() < 0.5):
+        inode, opened = self._inode(handle), self._handles[handle]
+        self._fail_on("refuse", "refused")
+        is_full = "full" in self.faults
+        if is_full and (len(data) < FULL_DISK_MIN_BYTES or self._chance.random() < FULL_DISK_WRITE_SHARE):
             raise OSError(errno.ENOSPC, "full")
-        is_short = "full" in self.faults or self._chance.random() < 0.2
-        part = bytes(data[: max(1, len(data) // 2)]) if is_short else bytes(data)
-        inode.pending.append((offset, part))
-        apply(inode.data, offset, part)
-        self._handles[handle][1] += len(part)
-        return len(part)
+        is_short = is_full or self._chance.random() < SHORT_WRITE_SHARE
+        written = bytes(data[: max(1, len(data) // 2)]) if is_short else bytes(data)
+        change = Change(opened.offset, written)
+        inode.pending.append(change)
+        apply(inode.data, change)
+        opened.offset += len(written)
+        return len(written)
 
     def fsync(self, handle: int) -> None:
+        """As `os.fsync`, of a file or of the folder."""
         self._count_call()
-        inode = self._handles[handle][0]
+        inode = self._handles[handle].inode
         if inode is None:
             self._sync_folder()
             return
@@ -120,52 +187,56 @@
             inode.pending = []
             raise OSError(errno.EIO, "sync refused")
         for change in inode.pending:
-            apply(inode.synced, *change)
+            apply(inode.synced, change)
         inode.pending = []
-        for name, made, is_own in self._pending_names:
-            if made is inode and is_own:
-                self._durable[name] = inode
+        for row in self._pending_names:
+            if row.inode is inode and row.is_safe_with_file:
+                self._durable[row.name] = inode
 
     def _sync_folder(self) -> None:
-        if "folder" in self.faults or "refuse" in self.faults:
-            raise OSError(errno.EIO, "folder sync refused")
+        self._fail_on("folder", "folder sync refused")
         self._durable = dict(self._names)
         self._pending_names = []
 
     def rename(self, old: str, new: str) -> None:
+        """As `os.rename`."""
         self._count_call()
-        if "rename" in self.faults or "refuse" in self.faults:
-            raise OSError(errno.EIO, "rename refused")
+        self._fail_on("rename", "rename refused")
         inode = self._names.pop(old)
         self._names[new] = inode
-        self._pending_names += [(new, inode, False), (old, None, False)]
+        self._pending_names += [
+            NameChange(new, inode, is_safe_with_file=False),
+            NameChange(old, None, is_safe_with_file=False),
+        ]
 
     def unlink(self, path: str) -> None:
+        """As `os.unlink`."""
         self._count_call()
         if path not in self._names:
             raise FileNotFoundError(errno.ENOENT, path)
-        if "refuse" in self.faults:
-            raise OSError(errno.EIO, "refused")
+        self._fail_on("refuse", "refused")
         del self._names[path]
-        self._pending_names.append((path, None, False))
+        self._pending_names.append(NameChange(path, None, is_safe_with_file=False))
 
     # Losses.
-    def _after_loss(self, inode, *, keeps_none=False) -> bytearray:
+    def _after_loss(self, inode: Inode, *, keeps_none: bool = False) -> bytearray:
         data = bytearray(inode.synced)
-        for offset, written in inode.pending:
+        for change in inode.pending:
             outcome = MISSING if keeps_none else self._chance.choice((KEPT, MISSING, TORN))
-            if outcome == TORN and written is not None:
-                written = written[: self._chance.randrange(len(written) + 1)]
-            if outcome != MISSING:
-                apply(data, offset, written)
+            if outcome == MISSING:
+                continue
+            if outcome == TORN and change.data is not None:
+                apply(data, change._replace(data=change.data[: self._chance.randrange(len(change.data) + 1)]))
+            else:
+                apply(data, change)
         return data
 
     def lose_power(self) -> None:
         """Keeps any part of what was not synced; at some losses nothing of it."""
-        keeps_none = self._chance.random() < 0.3
-        for name, inode, _is_own in self._pending_names:
-            if not keeps_none and self._chance.random() < 0.5:
-                self._durable[name] = inode
+        keeps_none = self._chance.random() < EMPTY_LOSS_SHARE
+        for row in self._pending_names:
+            if not keeps_none and self._chance.random() < KEPT_NAME_SHARE:
+                self._durable[row.name] = row.inode
         self._pending_names = []
         self._names = {name: inode for name, inode in self._durable.items() if inode is not None}
         self._durable = dict(self._names)
@@ -181,6 +252,7 @@
         self.calls_left = None
 
     def wipe(self) -> None:
+        """Another, empty disk is put in."""
         self._names, self._durable, self._pending_names = {}, {}, []
         self.end_process()
 
@@ -190,4 +262,5 @@
         return bytes(inode.synced) if inode is not None else b""
 
     def size(self) -> int:
+        """Bytes of all files."""
         return sum(len(inode.data) for inode in self._names.values())
