--- a/ploverward/simulation/capacity_probes.py
+++ b/ploverward/simulation/capacity_probes.py
@@ -30,12 +30,18 @@
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import recording_connections
 from ploverward.simulation.capacity_target import TARGET
+from ploverward.simulation.recording_connections import as_peer
+from ploverward.transport import event_loop
 from ploverward.transport import frames
+from ploverward.transport import interfaces
 from ploverward.transport import messages
+from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
 TURNS = 3  # of each measurement; the least counts
 
+Value = typing.TypeVar("Value")
+
 
 class _CountingLink(recording_connections.RecordingLink):
     """A connection that only counts bytes."""
@@ -59,6 +65,13 @@
     return best
 
 
+def _present(value: Value | None) -> Value:
+    """A value that the size of a measurement ensures."""
+    if value is None:
+        raise ValueError("nothing to measure at this size")
+    return value
+
+
 def _rows(count: int) -> list[dict]:
     """Rows of the list for so many replicas."""
     return [
@@ -87,6 +100,12 @@
         callback()
 
 
+def _table(share: float) -> replica_table.Table:
+    """A replica table of a proxy with this share of the quotas."""
+    loop = typing.cast(event_loop.Loop, _Loop())
+    return replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=lambda: share)
+
+
 def _chain(chance: random.Random, *, parts: int = 3) -> tuple[tuple[str, int], ...]:
     """A prompt of so many parts that nobody has."""
     return tuple((f"{chance.getrandbits(32):x}", 500) for _ in range(parts))
@@ -96,14 +115,14 @@
     """One choice among so many replicas."""
     regions = len(set(loopback_proxy.settings().zones.values()))
     share = TARGET.regions / TARGET.proxies / regions  # the table takes it for a region of so many proxies
-    table = replica_table.Table(loop=_Loop(), settings=loopback_proxy.settings(), share=lambda: share)
+    table = _table(share)
     table.install_services({"llm": {"models": ("m",), "cache_tokens": 200000, "max_conns": 500}})
     table.install_list(_rows(count))
     quota = shared_limits.SharedLimits(now=time.monotonic, settings=loopback_proxy.settings())
     region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
     host, feeder = _relay(count)
     link = recording_connections.RecordingLink()
-    host.subscribe(link, region="north")
+    host.subscribe(as_peer(link), region="north")
     for message in link.messages:
         region.handle_publication(message)
     chooser = replica_chooser.Chooser(
@@ -116,14 +135,14 @@
     )
 
 
-def _relay(count: int) -> tuple[hosts.Host, _CountingLink]:
+def _relay(count: int) -> tuple[hosts.Host, peer_connection.PeerConnection]:
     """A relay of so many replicas, each of which was sent a request, and the digest that reported it."""
     host = hosts.Host(region="north", epoch=1, now=time.monotonic, suspicion_s=1.0)
     host.sync(
         services={"llm": {"models": ("m",), "cache_tokens": 200000}},
         replicas=[{"id": row["id"], "service": "llm", "region": "north", "models": ["m"]} for row in _rows(count)],
     )
-    feeder = _CountingLink()
+    feeder = as_peer(_CountingLink())
     host.subscribe(feeder, region="north")
     host.handle_aggregates(
         feeder,
@@ -146,7 +165,7 @@
     host, feeder = _relay(200)
     chance = random.Random(2)
     reader = _CountingLink()
-    host.subscribe(reader, region="north")
+    host.subscribe(as_peer(reader), region="north")
     names = [row["id"] for row in _rows(200)]
     number = [1]
 
@@ -175,7 +194,7 @@
     host, feeder = _relay(count)
     chance = random.Random(5)
     reader = _CountingLink()
-    host.subscribe(reader, region="north")
+    host.subscribe(as_peer(reader), region="north")
     names = [row["id"] for row in _rows(count)]
     number = 1
     for _ in range(20):
@@ -197,8 +216,8 @@
     keys = [row_codec.key_of(row["id"]) for row in _rows(count)]
     fanout = fanouts.Fanout()
     member = _CountingLink()
-    fanout.admit(member, address="p")
-    fanout.follow(member, keys=frozenset(keys[: replica_subset.MIN_NEAR_REPLICAS]))
+    fanout.admit(as_peer(member), address="p")
+    fanout.follow(as_peer(member), keys=frozenset(keys[: replica_subset.MIN_NEAR_REPLICAS]))
     chance = random.Random(6)
     for _ in range(20):
         sent = chance.sample(keys, min(count, max(hosts.MIN_LOAD_ROWS, int(count * hosts.ROWS_SHARE))))
@@ -213,7 +232,7 @@
     chance = random.Random(7)
     fanout = fanouts.Fanout()
     for number in range(members):
-        member = _CountingLink()
+        member = as_peer(_CountingLink())
         fanout.admit(member, address=f"p{number}")
         fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.MIN_NEAR_REPLICAS)))
     message = messages.ReplicaLoads(1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
@@ -225,7 +244,7 @@
     """One replica of so many changes: the step of the list."""
     sent = endpoint_list.from_rows(rows=_rows(count), read_at=0.0)
     changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in _rows(count)[:8]] + _rows(count)[8:]
-    change = sent.delta_to(rows=changed, read_at=1.0, is_same_clock=True)
+    change = _present(sent.delta_to(rows=changed, read_at=1.0, is_same_clock=True))
     return len(frames.pack(messages.Deltas("list", Version(1, 1), (messages.Delta(Version(1, 2), change.pack()),))))
 
 
@@ -251,7 +270,7 @@
 
 def digest_time(members: int, changed: int = 4) -> float:
     """One tick of a digest: so many members report a few changed replicas each, one batch."""
-    retained = aggregates.LoadAggregates(regions=("north",))
+    retained: aggregates.LoadAggregates[int] = aggregates.LoadAggregates(regions=("north",))
     chance = random.Random(3)
     names = [row["id"] for row in _rows(200)]
     reports = [
@@ -266,7 +285,7 @@
         number[0] += 1
         for member, report in enumerate(reports):
             retained.handle_report(member, messages.LoadReport(number[0], report, b""))
-        retained.acknowledge(region="north", number=retained.next_batch(region="north").number)
+        retained.acknowledge(region="north", number=_present(retained.next_batch(region="north")).number)
 
     return _clocked(tick, repeats=10)
 
@@ -277,12 +296,17 @@
     region.handle_publication(messages.Catalogue(1, ()))
     data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in _rows(count))
     frame = frames.pack(messages.RelayedFrame("north", frames.pack(messages.ReplicaLoads(1, False, data))))
-    return _clocked(lambda: region.handle_publication(frames.unpack(frames.unpack(frame).frame)), repeats=20)
+
+    def install() -> None:
+        relayed = typing.cast(messages.RelayedFrame, frames.unpack(frame))
+        region.handle_publication(frames.unpack(relayed.frame))
+
+    return _clocked(install, repeats=20)
 
 
 def report_time(count: int) -> float:
     """A proxy's report of so many changed replicas."""
-    table = replica_table.Table(loop=_Loop(), settings=loopback_proxy.settings(), share=lambda: 1.0)
+    table = _table(1.0)
     table.install_list(_rows(count))
     source = report_source.ReportSource(now=time.monotonic, regions=("north",), suspicion_s=1.0)
 
@@ -290,7 +314,7 @@
         for replica in table.replicas.values():
             replica.running += 1
             source.record(replica=replica, kind=report_source.SENT)
-        report = source.next_report()
+        report = _present(source.next_report())
         frames.pack(report)
         source.credit(region="north", number=report.number)
 
@@ -305,17 +329,17 @@
 
     def send_heartbeats() -> None:
         for name in names:
-            frames.pack(
-                (
-                    "entry",
-                    share_table.renew(node=name, owned_share=0.2, live_nodes=count),
-                    0.0,
-                    1.5,
-                    0.2,
-                    *slots.renew(node=name),
-                    0,
-                )
+            slot = slots.renew(node=name)
+            lease = messages.ShareLease(
+                slack_share=share_table.renew(node=name, owned_share=0.2, live_nodes=count),
+                rate_share=0.0,
+                duration_s=1.5,
+                core_share=0.2,
+                slot=slot.slot,
+                slot_count=slot.slot_count,
+                number=0,
             )
+            frames.pack(lease)
 
     return _clocked(send_heartbeats, repeats=1)
 
@@ -332,7 +356,7 @@
 def announcement_time(count: int) -> float:
     """A core node's work to announce one change to so many proxies and to note their acknowledgements."""
     publisher = desks.Publisher()
-    links = [_CountingLink() for _ in range(count)]
+    links = [typing.cast(interfaces.Connection, _CountingLink()) for _ in range(count)]
     for link in links:
         publisher.join(link)
     number = [0]
@@ -341,12 +365,8 @@
         number[0] += 1
         publisher.publish(topic="spec", version=Version(0, number[0]), data=b"")
         for link in links:
-            publisher.handle_acknowledgement(
-                link,
-                frames.unpack(
-                    frames.pack(messages.Acknowledgement((messages.TopicVersion("spec", Version(0, number[0])),)))
-                ),
-            )
+            frame = frames.pack(messages.Acknowledgement((messages.TopicVersion("spec", Version(0, number[0])),)))
+            publisher.handle_acknowledgement(link, typing.cast(messages.Acknowledgement, frames.unpack(frame)))
 
     return _clocked(change, repeats=3)
 
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -1,5 +1,6 @@
 """Connections that keep what they are sent, and rows and messages as digests send them, for tests."""
 
+import typing
 from collections.abc import Iterable
 
 from ploverward.data_plane.relay import cuckoo_filter
@@ -7,19 +8,23 @@
 from ploverward.data_plane.relay import resolution
 from ploverward.transport import frames
 from ploverward.transport import messages
+from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
 
 class RecordingLink:
-    """A connection that keeps what it is sent, after a way through the frames' codec.
+    """A connection that keeps what it is sent, packed and unpacked by the frames' codec.
 
-    `messages` has what was sent.
+    Attributes:
+        messages: what was sent.
+        is_open: until `close`.
+        queue: unsent bytes, as `queued` reports them.
     """
 
     def __init__(self) -> None:
         self.messages: list[tuple] = []
         self.is_open = True
-        self.queue = 0  # unsent bytes, as `queued` reports them
+        self.queue = 0
 
     def send(self, message: tuple) -> None:
         """As a `PeerConnection` does."""
@@ -34,7 +39,7 @@
         return self.queue
 
     def close(self, *, reason: str = "") -> None:
-        """As a `PeerConnection` does, but that nobody is told of its end."""
+        """As a `PeerConnection` does, but nobody is called at its end."""
         self.is_open = False
 
     def kinds(self) -> list[type]:
@@ -50,6 +55,11 @@
         self.messages.clear()
 
 
+def as_peer(link: RecordingLink) -> peer_connection.PeerConnection:
+    """The same connection, for code that names the real class: it uses no more of it than a `RecordingLink` has."""
+    return typing.cast(peer_connection.PeerConnection, link)
+
+
 def load_row(
     name: str,
     running: int = 0,
--- a/ploverward/simulation/relay_hosts.py
+++ b/ploverward/simulation/relay_hosts.py
@@ -33,11 +33,11 @@
     host: hosts.Host, wire: recording_connections.RecordingLink, *loads: bytes, reads: Iterable[bytes] = ()
 ) -> None:
     """The next batch of the digest at the other end of `wire`."""
-    if wire not in host.subscribers:
-        host.subscribe(wire, region="north")
-    host.handle_aggregates(
-        wire, recording_connections.aggregates_message(host.subscribers[wire].counted + 1, loads=loads, reads=reads)
-    )
+    connection = recording_connections.as_peer(wire)
+    if connection not in host.subscribers:
+        host.subscribe(connection, region="north")
+    number = host.subscribers[connection].counted + 1
+    host.handle_aggregates(connection, recording_connections.aggregates_message(number, loads=loads, reads=reads))
 
 
 def send(host: hosts.Host, name: str = "r1") -> recording_connections.RecordingLink:
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -2,6 +2,7 @@
 
 import re
 import socket
+import typing
 
 import pytest
 
@@ -140,7 +141,7 @@
         pool: connection_pool.ConnectionPool, replica: replicas.Replica
     ) -> upstream_connection.UpstreamConnection:
         connection = open_(pool, replica)
-        connection.sock = SlowSocket(connection.sock, most=most)  # type: ignore[assignment]
+        connection.sock = typing.cast(socket.socket, SlowSocket(connection.sock, most=most))
         return connection
 
     monkeypatch.setattr(connection_pool.ConnectionPool, "open", opened)
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -12,11 +12,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from ploverward.common import settings as settings_files
 from ploverward.control_plane.rollouts import evidence_table
 from ploverward.control_plane.rollouts import exposure
 from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.rollouts import orders
 from ploverward.control_plane.rollouts import state
+from ploverward.data_plane.load_balancing import replica as replicas
 from ploverward.data_plane.load_reports import report_source
 from ploverward.data_plane.requests import attempts
 from ploverward.data_plane.rollouts import version_routing
@@ -74,6 +76,11 @@
             "cold_ms": 100.0 if is_warming_up else 0.0,
         }
 
+    @property
+    def as_real(self) -> replicas.Replica:
+        """The same, for a router: it reads no more of a replica than this one has."""
+        return typing.cast(replicas.Replica, self)
+
 
 @dataclasses.dataclass(frozen=True)
 class SimulatedConnection:
@@ -118,7 +125,7 @@
         self.is_up = True
         self.proxies: dict[evidence_table.Origin, float] = {}  # when each was heard
         self.rollout_manager = manager.RolloutManager(
-            settings=Settings(),
+            settings=typing.cast(settings_files.Settings, Settings()),
             now=simulation.world.now,
             change=self._change,
             listed=simulation.listed,
@@ -248,7 +255,7 @@
             usable = [
                 replica
                 for replica in self.simulation.replicas
-                if (pool is None or pool.has(replica))
+                if (pool is None or pool.has(replica.as_real))
                 and not replica.is_gone
                 and replica.id in self.simulation.listed_ids
                 and (pool is None or not pool.replicas or replica.id in pool.replicas)
@@ -262,7 +269,7 @@
         replica = self._choose(is_first=is_first)
         if replica is None:
             return
-        router.note_send(service=SERVICE, replica=replica)
+        router.note_send(service=SERVICE, replica=replica.as_real)
         self.running[replica.edition] += 1
         simulation.checks.note_send(self, replica)
         attempt = simulation.attempt(replica, route)
@@ -277,7 +284,7 @@
             router.note_end(
                 service=SERVICE,
                 route=route,
-                attempt=attempt,
+                attempt=typing.cast(attempts.Attempt, attempt),
                 kind=kind,
                 latency_target_s=LATENCY_TARGET_S,
                 expected_s=EXPECTED_S,
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -4,6 +4,7 @@
 import random
 import socket
 import types
+import typing
 from collections.abc import Callable
 from collections.abc import Mapping
 
@@ -19,10 +20,11 @@
 from ploverward.data_plane.relay import host as hosts
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
+from ploverward.transport import event_loop
 from ploverward.transport import interfaces
 from ploverward.transport import peer_connection
 
-ROWS = [
+ROWS: list[dict[str, typing.Any]] = [
     {
         "id": f"i{number}",
         "service": "llm",
@@ -53,7 +55,7 @@
 class Node:
     """A proxy without its traffic and without the core: singleton roles are handed to it."""
 
-    def __init__(self, *, loop: interfaces.Loop, ip: str, zone: str, ports: tuple[int, int], incarnation: str) -> None:
+    def __init__(self, *, loop: event_loop.Loop, ip: str, zone: str, ports: tuple[int, int], incarnation: str) -> None:
         zones = {"za": "north", "zc": "north", "zb": "south"}
         self.settings = dataclasses.replace(
             loopback_proxy.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
@@ -66,7 +68,7 @@
         self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
         self.table.install_list(ROWS)
         self.client = relay_client.RelayClient(
-            loop=self.loop,
+            loop=typing.cast(event_loop.Loop, self.loop),
             settings=lambda: self.settings,
             incarnation=incarnation,
             contact_s=1.0,
@@ -111,7 +113,10 @@
     @property
     def digest_connector(self) -> peer_connection.Connector:
         """To the digest that it joins."""
-        return self.client.zone_digest.membership.connection.connector
+        membership = self.client.zone_digest.membership
+        if membership is None:
+            raise RuntimeError(f"{self.settings.ip} joined no digest")
+        return membership.connection.connector
 
     def tick(self) -> None:
         """Reports and publishes, again and again."""
@@ -140,7 +145,7 @@
 class Pausable:
     """One node's view of the loop that all nodes of a test share: it can freeze, or end."""
 
-    def __init__(self, *, loop: interfaces.Loop) -> None:
+    def __init__(self, *, loop: event_loop.Loop) -> None:
         self._loop = loop
         self.is_frozen = False
         self._deferred: list[tuple[Callable, tuple]] = []
@@ -224,7 +229,7 @@
             if ip in self.live
         ]
         rows = singleton_roles.role_changes(
-            proxies=listed, find_role=lambda name: tuple(self.singleton_roles.get(name, (0, "", "")))
+            proxies=listed, find_role=lambda name: self.singleton_roles.get(name, (0, "", ""))
         )
         for name, (seen, owner, incarnation) in rows.items():
             self.singleton_roles[name] = (seen + 1, owner, incarnation)
@@ -288,4 +293,7 @@
 
     def far_subscribers(self) -> list[str]:
         """Zones and singleton roles whose streams the south's relay serves."""
-        return sorted(known.zone for known in self.relay("south").relay.subscribers.values())
+        relay = self.relay("south").relay
+        if relay is None:
+            raise RuntimeError("the owner of the south's relay does not run it")
+        return sorted(known.zone for known in relay.subscribers.values())
