--- a/ploverward/control_plane/cluster/core_liveness.py
+++ b/ploverward/control_plane/cluster/core_liveness.py
@@ -17,7 +17,7 @@
         now: The clock, in seconds.
         lease: Which members replied to heartbeats.
         is_live: Returns whether a core node is connected and has sent something.
-        peer_timeout_s: A member that replied to no heartbeat for so long counts as silent.
+        peer_timeout_s: A member that replied to no heartbeat for so long counts as failed.
 
     Attributes:
         lost_since: Core node: since when it is disconnected.
@@ -41,7 +41,7 @@
         self._silent_since: dict[str, float] = {}
 
     def update(self, members: tuple[str, ...]) -> None:
-        """Looks at each member once."""
+        """Updates the times of each member."""
         now = self._now()
         for host in members:
             _note(self.lost_since, host, now, is_well=self._is_live(host))
@@ -49,13 +49,13 @@
             _note(self._silent_since, host, now, is_well=is_replying)
 
     def is_lost(self, host: str) -> bool:
-        """Whether this core node was out of touch at the last look."""
+        """Whether this core node was disconnected at the last update."""
         return host in self.lost_since
 
     def lost_for(self, *, members: tuple[str, ...], span_s: float) -> tuple[str, ...]:
         """Returns the members that fail for longer than `span_s` seconds, longest first.
 
-        A member that is in touch and replies to no heartbeat counts too, `peer_timeout_s` later: its disk refuses
+        A member that is connected and replies to no heartbeat counts too, `peer_timeout_s` later: its disk refuses
         writes, or it is a learner.
         """
         now = self._now()
--- a/ploverward/control_plane/cluster/core_set_reconciler.py
+++ b/ploverward/control_plane/cluster/core_set_reconciler.py
@@ -13,7 +13,7 @@
 from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.consensus import register_names
 
-LOST_TIMEOUTS = 0.5  # peer time-outs after which a member may be swapped, and a newcomer is taken as here to stay
+LOST_TIMEOUTS = 0.5  # peer time-outs after which a member may be swapped, and a newcomer counts as permanent
 GONE_TIMEOUTS = 2.0  # peer time-outs after which a member of a set that is larger than needed is dropped
 
 
@@ -22,13 +22,13 @@
 
     Args:
         now: The clock, in seconds.
-        sessions: Which core nodes are in touch.
+        sessions: Which core nodes are connected.
         membership: The core set as this node knows it.
         lease: Which of them reply to heartbeats.
         liveness: Since when members fail.
         changer: Moves the registers.
         wanted_voters: 2 t + 1, where t machines may be lost at once.
-        peer_timeout_s: After which a silent connection ends, in seconds.
+        peer_timeout_s: After which a connection on which nothing arrives ends, in seconds.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         )
 
     def _learners(self, members: tuple[str, ...]) -> list[tuple[float, str]]:
-        """(Since when in touch, address) of the machines that may be taken into the set, longest in touch first.
+        """(Since when connected, address) of the machines that may be added to the set, longest connected first.
 
         A machine that replies to heartbeats votes, so its disk has every register.
         """
@@ -87,7 +87,7 @@
         )
 
     def reconcile(self) -> None:
-        """Moves the registers to the set that should be next, and finishes what another coordinator left half done."""
+        """Moves the registers to the next set; finishes a change that another coordinator left incomplete."""
         view = self.view()
         if not view.members:
             return
--- a/ploverward/control_plane/cluster/core_set_status.py
+++ b/ploverward/control_plane/cluster/core_set_status.py
@@ -19,7 +19,7 @@
     Args:
         own: Address of this node.
         node_name: Returns the name of this node.
-        sessions: Which core nodes are in touch.
+        sessions: Which core nodes are connected.
         membership: The core set as this node knows it.
         consensus: This node's registers.
         reconciler: What this node sees of the core machines.
--- a/ploverward/control_plane/cluster/endpoint_list_publisher.py
+++ b/ploverward/control_plane/cluster/endpoint_list_publisher.py
@@ -23,7 +23,7 @@
     Args:
         now: The clock, in seconds.
         coordinator: Whether this node is the coordinator, and under which epoch.
-        publisher: Takes the versions.
+        publisher: Publishes the versions.
         watch: Reads the platform's list.
         stale_after_s: A list that was read longer ago is dropped.
     """
--- a/ploverward/control_plane/cluster/majority_lease.py
+++ b/ploverward/control_plane/cluster/majority_lease.py
@@ -34,7 +34,7 @@
 
 
 class MajorityLease:
-    """The time until which a majority of the core set confirms that this node is in touch.
+    """The time until which a majority of the core set confirms contact with this node.
 
     Args:
         own: Address of this node.
--- a/ploverward/control_plane/cluster/node_shutdown.py
+++ b/ploverward/control_plane/cluster/node_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutting down in order: no calls any more, roles are handed over, and voting stops last (docs/control.md 1).
+"""Graceful shutdown: no new calls are served, roles are released, and voting stops last (docs/control.md 1).
 
 SIGTERM starts it. The process ends once the other core nodes can agree without this one, and at the latest when
 `GRACE_SHARE` of graceS is over, whatever is in progress.
@@ -25,7 +25,7 @@
 
 
 class NodeShutdown:
-    """Ends this node once the others can do without it.
+    """Ends this node once the others can continue without it.
 
     Args:
         own: Address of this node.
@@ -40,7 +40,7 @@
         core_set: What this node sees of the core machines.
         wanted_voters: 2 t + 1, where t machines may be lost at once.
         stop_serving: Ends the operators' and clients' interfaces.
-        reconcile_roles: Gives away the role at once, where this node owns it.
+        reconcile_roles: Releases the role at once, where this node owns it.
         end: Ends the process.
     """
 
@@ -99,7 +99,7 @@
         )
 
     def may_end(self) -> bool:
-        """Whether the others go on without this node: no role here, no successor waiting, a majority beside it."""
+        """Whether the others can continue without it: it has no role, no successor waits, they have a majority."""
         if all(self._own not in self._consensus.proposer.members(name) for name in register_names.REGISTERS):
             return True
         if self._coordinator.is_owner and self._membership.has_majority_lease():
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -68,7 +68,7 @@
         settings: The settings in force; seeds, zone and region are read each time.
         status: Whether this node is draining.
         incarnation: Identifies this start of this process.
-        peer_timeout_s: A connection that is silent for so long is closed.
+        peer_timeout_s: A connection on which nothing arrives for so long is closed.
         members: Returns the agreed core set.
         on_message: Called with each message and its connection.
         on_joined: Called with each peer once it sent its handshake.
@@ -116,7 +116,7 @@
         )
 
     def connect_to_cores(self) -> None:
-        """Starts connectors to members, seeds and core nodes in touch, and stops those to other addresses."""
+        """Starts connectors to members, seeds and connected core nodes, and stops those to other addresses."""
         settings = self._settings.current
         wanted = set(self._members()) | {host for host, _port in settings.seeds} | self.core_addresses()
         wanted.discard(self._own)
@@ -199,7 +199,7 @@
         return list(self._peers.values())
 
     def proxies(self, *, is_listed: bool = True) -> list[Peer]:
-        """Returns the proxies in touch.
+        """Returns the connected proxies.
 
         Args:
             is_listed: Only those that may serve: ready and not draining.
@@ -211,11 +211,11 @@
         ]
 
     def cores(self) -> list[Peer]:
-        """Returns the other core nodes in touch, members or not."""
+        """Returns the other connected core nodes, members or not."""
         return [peer for peer in self._peers.values() if peer.role is NodeRole.CORE]
 
     def core_addresses(self) -> set[str]:
-        """Returns the addresses of the other core nodes in touch."""
+        """Returns the addresses of the other connected core nodes."""
         return {peer.address for peer in self._peers.values() if peer.role is NodeRole.CORE}
 
     def proxy_of(self, connection: interfaces.Connection) -> Peer | None:
@@ -235,7 +235,7 @@
         return next((host for host, connector in self._connectors.items() if connector.link is connection), "")
 
     def is_core_live(self, address: str) -> bool:
-        """Whether this core node is in touch; this node itself always is.
+        """Whether this core node is connected and has sent something; always true for this node itself.
 
         A frozen machine accepts connections and sends nothing, so a connection counts only once anything was received
         on it (docs/incidents/frozen-holder.md;
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -1,7 +1,7 @@
 """What a core node does with the coordinator role at each heartbeat interval (docs/control.md 1, 2).
 
 The order of the steps matters: lost nodes are known before the role is decided on, and what a coordinator does (roles
-of proxies, roll-outs, core set) comes only after it is known to own the role and to have the majority lease.
+of proxies, roll-outs, core set) happens only after it is known to own the role and to have the majority lease.
 """
 
 from ploverward.control_plane import node_status
@@ -79,7 +79,7 @@
         self._core_set.reconcile()
 
     def _hand_over(self) -> None:
-        """Gives the coordinator role to the first other live member."""
+        """Transfers the coordinator role to the first other live member."""
         members = self._membership.members()
         for peer in sorted(self._sessions.cores(), key=lambda peer: peer.address):
             if not peer.is_draining and peer.address in members and self._sessions.is_core_live(peer.address):
--- a/ploverward/control_plane/cluster/voting_set.py
+++ b/ploverward/control_plane/cluster/voting_set.py
@@ -3,7 +3,7 @@
 A newcomer is a learner until its disk has every register. It is then swapped in for a member that is disconnected, or
 added, in one change of each register. The first register that was moved and the last one may be under different sets
 for a moment, which is safe: each register is written at a majority of its old and of its new set. The cluster
-coordinator makes the changes; a change that a former coordinator left half done is finished by the next one.
+coordinator makes the changes; a change that a former coordinator left incomplete is finished by the next one.
 """
 
 import dataclasses
--- a/ploverward/control_plane/configuration/evacuations.py
+++ b/ploverward/control_plane/configuration/evacuations.py
@@ -33,7 +33,7 @@
     Args:
         zone: the zone.
         is_out: True to evacuate it, False to end the evacuation.
-        is_late: whether the caller got its answer already. An order that no attempt has seen by then is dropped.
+        is_late: whether the caller was answered already. An order that no attempt has seen by then is dropped.
 
     Returns:
         The edit. It raises `QuorumUnavailableError` where the order is dropped.
--- a/ploverward/control_plane/consensus/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -56,7 +56,7 @@
         """A row for each register, by name.
 
         Args:
-            known: register to the accepted ballot whose value the receiver has; that value is left out.
+            known: register to the accepted ballot whose value the receiver has; that value is omitted.
         """
         rows = tuple(self.row(name) for name in sorted(self.states))
         if not known:
@@ -121,7 +121,7 @@
 
     # Reads and catch-up.
     def quorum_read(self, request: messages.QuorumRead) -> messages.QuorumReadReply:
-        """The accepted value; nothing is promised. A value that the reader has already is left out."""
+        """The accepted value; nothing is promised. A value that the reader has already is omitted."""
         state = self.get(request.register)
         return messages.QuorumReadReply(
             number=request.number,
--- a/ploverward/control_plane/consensus/catch_up.py
+++ b/ploverward/control_plane/consensus/catch_up.py
@@ -89,7 +89,7 @@
         )
 
     def _with_values(self, rows: collections.abc.Iterable[messages.RegisterRow]) -> tuple[messages.RegisterRow, ...]:
-        """The rows with the values that were left out because an earlier reply had them."""
+        """The rows with the values that were omitted because an earlier reply had them."""
         complete_rows = []
         for row in rows:
             received = self._values.setdefault(row.register, {})
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -325,7 +325,7 @@
         return name in self._reading
 
     def run_anti_entropy(self) -> None:
-        """Called at each heartbeat: finishes what proposers that ended have left behind.
+        """Called at each heartbeat: finishes proposals of proposers that ended.
 
         A value that has been accepted here for a while and is not known as chosen is read; a move of the set that is
         half-done is finished by a proposal. Members do so in turn, so that they do not compete.
--- a/ploverward/control_plane/consensus/log_records.py
+++ b/ploverward/control_plane/consensus/log_records.py
@@ -16,7 +16,7 @@
 from ploverward.transport import messages
 
 _RECORD_HEAD = struct.Struct(">II")  # bytes of the body, its CRC-32
-MIN_BODY_BYTES = 8  # no body is shorter; avoids that zeros are taken for a record
+MIN_BODY_BYTES = 8  # no body is shorter; avoids that zeros are read as a record
 _ROW = construct.Sequence(
     frames.TEXT, frames.NUMBER, frames.TEXT, frames.NUMBER, frames.TEXT, frames.NUMBER, frames.BLOB
 )
@@ -49,7 +49,7 @@
 def read_rows(data: bytes) -> tuple[list[messages.RegisterRow], int]:
     """The rows of all good records from the front, and how many bytes these records are.
 
-    A bad record with nothing readable behind it is a torn tail and is left out.
+    A bad record with nothing readable after it is a torn tail and is ignored.
 
     Raises:
         StorageError: a bad record has good ones behind it. That is damage, and a node with damage must not vote.
--- a/ploverward/control_plane/consensus/proposal.py
+++ b/ploverward/control_plane/consensus/proposal.py
@@ -142,7 +142,7 @@
         self.highest = NO_VALUE
 
     def fill_in(self, reply: AcceptedValue) -> AcceptedValue:
-        """The value of a reply, which is left out where this node has it."""
+        """The value of a reply, which is omitted where this node has it."""
         if not reply.value and reply.ballot != NO_BALLOT and reply.ballot == self.known_value.ballot:
             return self.known_value
         return reply
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -33,7 +33,7 @@
 # Pauses and waits are given as shares of the time-out of an attempt.
 MIN_BACKOFF_SHARE = 0.1
 BACKOFF_STEP_SHARE = 0.4  # the random part of the first pause
-MAX_BACKOFF_FACTOR = 8  # how many times longer the random part gets
+MAX_BACKOFF_FACTOR = 8  # how many times longer the random part becomes
 READ_TIMEOUT_SHARE = 0.5  # how long a quorum read waits for a majority
 RANK_DEFERRAL_SHARE = 0.35  # for each member that is listed before this node
 
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -342,7 +342,7 @@
         return 0
 
     def _resume_shares(self) -> None:
-        """Goes on with the owned shares of the earlier incarnation, where no change of the core set was in progress."""
+        """Resumes the owned shares of the earlier incarnation, where no change of the core set was in progress."""
         state = self.consensus.acceptor.get(register_names.CORE_SET)
         if not state.value or len(ballots.member_sets(state.value)) > 1:
             return
@@ -393,7 +393,7 @@
         return self.publisher.publish(topic=name, version=Version(REGISTER_EPOCH, revision), data=value)
 
     def _install_chosen(self, name: str, payload: dict | None, members: tuple[str, ...]) -> None:
-        """Hands a register's chosen value to the part that acts on it."""
+        """Passes a register's chosen value to the component that acts on it."""
         self._installers[name](payload, members)
 
     def _install_roles(self, payload: dict | None, _members: tuple[str, ...]) -> None:
--- a/ploverward/control_plane/discovery/platform_replicas.py
+++ b/ploverward/control_plane/discovery/platform_replicas.py
@@ -6,7 +6,7 @@
 
 from ploverward.control_plane.distribution.endpoint_list import Row
 
-ACCEPTING = "accepting"  # the condition of a replica that takes requests
+ACCEPTING = "accepting"  # the condition of a replica that accepts requests
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
@@ -62,7 +62,7 @@
     """The adapters that a replica has loaded, as pairs with their model (docs/pins.md 1).
 
     A replica without adapters has no such field. Where it is not known what it has loaded, the field is None; then
-    `is_malformed` says whether the platform named adapters that can't be read.
+    `is_malformed` is whether the platform named adapters that can't be read.
     """
     pairs: list[list[str]] = []
     for model in platform_replica.get("models") or []:
--- a/ploverward/control_plane/installed_state.py
+++ b/ploverward/control_plane/installed_state.py
@@ -21,9 +21,9 @@
         return (self.configuration or {}).get("senders") is not None
 
     def install_configuration(self, payload: dict | None) -> None:
-        """Takes on a chosen value of the configuration's register."""
+        """Installs a chosen value of the configuration's register."""
         self.configuration = payload["body"] if payload else None
 
     def install_evacuations(self, payload: dict | None) -> None:
-        """Takes on a chosen value of the evacuations' register."""
+        """Installs a chosen value of the evacuations' register."""
         self.evacuated_zones = evacuations.zones_of(payload)
--- a/ploverward/control_plane/operator_api/custody_handlers.py
+++ b/ploverward/control_plane/operator_api/custody_handlers.py
@@ -109,7 +109,7 @@
         """A proxy's reply: which replicas have parts of a trail in their caches."""
         query = self._queries.pop(message.number, None)
         if query is None:
-            return  # it came too late
+            return  # it arrived too late
         self._loop.cancel(timer=query.timer)
         query.trail["kept"] = [{"replica": replica, "zone": zone} for replica, zone in message.owners]
         self._answer_trail(query.call, query.trails, is_kept_known=True)
--- a/ploverward/control_plane/operator_api/order_api.py
+++ b/ploverward/control_plane/operator_api/order_api.py
@@ -75,7 +75,7 @@
         return [*self._configuration.rules(), *self._evacuations.rules(), *self.rollouts.rules()]
 
     def learn_archive(self, payload: Payload) -> None:
-        """Takes note of a chosen value of the archive's register."""
+        """Records a chosen value of the archive's register."""
         self._archiver.learn(payload)
 
     def shut_down(self) -> None:
--- a/ploverward/control_plane/operator_api/order_archiver.py
+++ b/ploverward/control_plane/operator_api/order_archiver.py
@@ -27,7 +27,7 @@
         self._is_writing = False
 
     def learn(self, payload: Payload) -> None:
-        """Takes note of a chosen value of the archive; called for each version that this node gets to know."""
+        """Records a chosen value of the archive; called for each version that this node learns."""
         self.archived = max(self.archived, order_archive.archived_through(payload))
 
     def reconcile(self, payload: Payload) -> None:
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -124,7 +124,7 @@
         self._apply_barrier.check()
 
     def learn_archive(self, payload: Payload) -> None:
-        """Takes note of a chosen value of the register of old orders."""
+        """Records a chosen value of the register of old orders."""
         self._orders.learn_archive(payload)
 
     def handle_custody_trails(self, message: messages.CustodyTrails) -> None:
@@ -137,7 +137,7 @@
             self._adapters.usage_store.record(count)
 
     def handle_cache_owners(self, message: messages.CacheOwners) -> None:
-        """Takes a proxy's reply about what replicas have in their caches."""
+        """Handles a proxy's reply about what replicas have in their caches."""
         self._custody.handle_cache_owners(message)
 
     def _limits(self) -> http_request.Limits:
--- a/ploverward/control_plane/quotas/share_leases.py
+++ b/ploverward/control_plane/quotas/share_leases.py
@@ -52,7 +52,7 @@
         return self._total
 
     def renew(self, *, node: str, owned_share: float, live_nodes: int) -> float:
-        """Leases a share to a node: an even one, or what is left where that is less.
+        """Leases a share to a node: an even one, or the remainder if that is less.
 
         Args:
             node: The node that renews its lease.
@@ -60,7 +60,7 @@
             live_nodes: How many nodes the owned share is for.
 
         Returns:
-            The leased share, 0 where nothing is left.
+            The leased share, 0 if nothing remains.
         """
         if self._now() < self._withheld_until or live_nodes <= 0:
             return 0.0
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -52,8 +52,8 @@
             now: This node's clock, in seconds.
             age_s: Seconds since the order.
             replica_count: Replicas of the new version.
-            is_canary: Whether the stage is the canary's. Afterwards times are not judged: replicas with cold caches are
-                slow while all traffic moves to them, whatever their version.
+            is_canary: Whether the stage is the canary's. Afterwards times are not judged: replicas with empty caches
+                are slow while all traffic moves to them, whatever their version.
             totals: All evidence so far.
         """
         counted = self.evidence.consume_new()
--- a/ploverward/control_plane/rollouts/evidence_summary.py
+++ b/ploverward/control_plane/rollouts/evidence_summary.py
@@ -22,7 +22,7 @@
 
 
 def answer_counts(totals: evidence_table.Tallies, *, sent: int, sent_new: int) -> AnswerCounts:
-    """The answers of the new version beside those that are due."""
+    """The answers of the new version, and those that are due."""
     new: collections.Counter[str] = collections.Counter()
     former: collections.Counter[str] = collections.Counter()
     for key, tally in totals.items():
--- a/ploverward/control_plane/rollouts/exposure.py
+++ b/ploverward/control_plane/rollouts/exposure.py
@@ -19,7 +19,7 @@
 )
 LOAD_TEST_SHARE = 0.35  # of all requests, as far as the slack allows it
 LOAD_TEST_SLACK = 0.6  # of the bound's slack, that the canary has used at the end of that
-LEASE_DELAY_S = 0.9  # from a request to the next lease that takes account of it
+LEASE_DELAY_S = 0.9  # from a request to the next lease that accounts for it
 RATE_KNOWN_S = 1.5  # the age of an order before the rate of its requests is known
 
 
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -1,10 +1,10 @@
 """The canary judge: whether a new version fails or is slow, against the former one of the same seconds.
 
 A sequential test (docs/rollouts.md 5). For each route, fault kind and group of replicas it runs one cumulative sum
-(CUSUM, Page's test): each answer adds the logarithm of how much more likely it is from a bad version than from one like
-the former, and the sum never falls below 0. So a version that turns bad late is found as soon as one that was bad from
-the start. A group of replicas contributes up to `GROUP_LIMIT`, since a single replica may be faulty by itself; several
-groups confirm a fault.
+(CUSUM, Page's test): each answer adds the logarithm of how much more likely it is from a bad version than from one
+like the former, and the sum never falls below 0. So a version that becomes bad late is found as soon as one that was
+bad from the start. A group of replicas contributes up to `GROUP_LIMIT`, since a single replica may be faulty by
+itself; several groups confirm a fault.
 
 `CanaryJudge` owns the sums and the window of the former version's answers. It has no clock and no I/O.
 """
@@ -191,7 +191,7 @@
             return
         baseline = _sample(former, fault, slow_bucket)
         if fault is FaultKind.BROKEN and baseline.total < MIN_FORMER_ANSWERS:
-            return  # time-outs and resets may have any cause: they count only beside answers of the former version
+            return  # time-outs and resets may have any cause: they count only if the former version has answers
         former_rate = (baseline.bad + 0.5) / (baseline.total + 5) if baseline.total else 0.0
         ordinary = max(ORDINARY_RATES[fault], former_rate)
         if ordinary > MAX_ORDINARY_RATE:
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -50,7 +50,7 @@
         change: Changes a register: `change(name=, edit=, done=)`; `done(error, version, payload, result)`.
         listed: Returns the rows of the platform's list.
         zones: Returns the region of each zone.
-        evacuated_zones: Returns the zones that get no requests.
+        evacuated_zones: Returns the zones to which no requests are sent.
         proxies: Returns the origins of the proxies in contact.
         contact_s: contactMs in seconds.
         receipt_s: receiptMs in seconds.
@@ -152,7 +152,7 @@
         self._acting_until = 0.0
 
     def reconcile(self) -> None:
-        """Takes the steps that are due. Called at each heartbeat of the coordinator in contact with a majority."""
+        """Executes the steps that are due. Called at each heartbeat of the coordinator in contact with a majority."""
         self._acting_until = self._now() + self._acting_s
         for service, rollout in self.rollouts.items():
             if service in self._changing:
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -64,7 +64,7 @@
 
 
 def next_move(view: RolloutView) -> Move | None:
-    """The step to take now, or None."""
+    """The step that is due now, or None."""
     rollout = view.rollout
     if not rollout.is_in_progress:
         return None
--- a/ploverward/control_plane/rollouts/replica_inventory.py
+++ b/ploverward/control_plane/rollouts/replica_inventory.py
@@ -39,7 +39,7 @@
     Args:
         listed: Returns the rows of the list.
         zones: Returns the region of each zone.
-        evacuated_zones: Returns the zones that get no requests.
+        evacuated_zones: Returns the zones to which no requests are sent.
     """
 
     def __init__(
--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -59,10 +59,10 @@
         """Creates an installer; nothing is installed.
 
         Args:
-            table: gets services, replicas and evacuations.
-            rollouts: gets the admitted versions and roll-outs.
-            quota_allowance: gets the limits of the tenants.
-            residency: gets the routes that are replaced.
+            table: receives services, replicas and evacuations.
+            rollouts: receives the admitted versions and roll-outs.
+            quota_allowance: receives the limits of the tenants.
+            residency: receives the routes that are replaced.
             on_core_set: called with the members of a newer core set.
             on_singleton_roles: called with newer `singleton_roles`.
         """
--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -24,7 +24,7 @@
 
 
 class ResidencyHistory:
-    """Says to which regions a request may go."""
+    """Determines the regions to which a request may be sent."""
 
     def __init__(self, *, now: Callable[[], float], binds_for_s: Callable[[], float]) -> None:
         """Creates a history of nothing.
--- a/ploverward/data_plane/control_client/share_renewals.py
+++ b/ploverward/data_plane/control_client/share_renewals.py
@@ -58,9 +58,9 @@
         Args:
             now: seconds on a monotonic clock.
             connections: to the core nodes.
-            quota: gets the share leases.
+            quota: receives the share leases.
             quota_allowance: reports what was admitted of each tenant, and receives what may be.
-            configuration_freshness: gets how new the configuration here is.
+            configuration_freshness: receives how recent the configuration here is.
         """
         self._log = RenewalLog(now=now)
         self._connections = connections
--- a/ploverward/data_plane/load_balancing/connection_pool.py
+++ b/ploverward/data_plane/load_balancing/connection_pool.py
@@ -111,7 +111,7 @@
         (`test_connections_that_a_replica_forgets_without_a_word_cost_one_request_not_many`).
         """
         if idle_for_s < upstream_connection.UNCHECKED_IDLE_S:
-            return  # it was not idle: its end says nothing of the others
+            return  # it was not idle: its end is no evidence about the others
         now = self._loop.now()
         trusted_s = max(upstream_connection.UNCHECKED_IDLE_S, idle_for_s / 2)
         known_s = self.trusted_s(service=replica.service, now=now)
--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -88,7 +88,7 @@
         self._failures: collections.deque[float] = collections.deque()  # until when each counts
 
     def update_adapters(self, row: Mapping[str, typing.Any], *, now: float) -> None:
-        """Takes the adapters that the list names; those that it named before keep the time since when."""
+        """Installs the adapters that the list names; those that it named before keep their times."""
         pairs = row.get("adapters", ())
         before = self.adapters or {}
         self.adapters = (
--- a/ploverward/data_plane/load_balancing/replica_subset.py
+++ b/ploverward/data_plane/load_balancing/replica_subset.py
@@ -70,7 +70,7 @@
         self._has_all_replicas = {}
 
     def forget(self, replica_id: str) -> None:
-        """The replica is gone."""
+        """Removes a replica that is no longer listed."""
         self._ranks.pop(replica_id, None)
 
     def has_all_replicas(self, service: str) -> bool:
@@ -126,7 +126,7 @@
         return places
 
     def forget(self, replica_id: str) -> None:
-        """The replica is gone."""
+        """Removes a replica that is no longer listed."""
         self._places.pop(replica_id, None)
 
 
--- a/ploverward/data_plane/load_reports/__init__.py
+++ b/ploverward/data_plane/load_reports/__init__.py
@@ -1,4 +1,4 @@
 """Load reports: from each proxy to the digest of its zone, summed to the relays, and the relays' publications back.
 
-`RelayClient` puts a proxy's parts together; docs/digest.md and docs/scale.md 3 describe the design.
+`RelayClient` composes a proxy's components; docs/digest.md and docs/scale.md 3 describe the design.
 """
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -21,7 +21,7 @@
 from ploverward.transport import row_codec
 
 MAX_READS = 20000  # prompts queued for one region's relay; later ones are dropped
-MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones get no credit
+MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones receive no credit
 
 
 _NO_TOTAL = LoadTotal()  # never changed
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -52,7 +52,7 @@
 
 
 class Digest:
-    """Sums, members and streams.
+    """Aggregates, members and streams.
 
     Args:
         identity: under which it subscribes.
--- a/ploverward/data_plane/load_reports/digest_connection.py
+++ b/ploverward/data_plane/load_reports/digest_connection.py
@@ -1,7 +1,7 @@
 """This node as a member of a digest elsewhere: of its zone's, or of the gateway of its region (docs/digest.md 4).
 
 A `DigestConnection` owns the connection to one owner of the singleton role. It is connecting, then connected (the join
-message is sent at once), then joined (the digest said so). Invariant: nothing that arrives before the digest's
+message is sent at once), then joined (the digest confirmed it). Invariant: nothing that arrives before the digest's
 `DigestJoined`, or on an older connection, is passed to `MemberEvents`.
 """
 
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -156,7 +156,7 @@
 
 
 class CutQueue:
-    """Cuts of pools that members are still to be sent, made from the mirrors when their turn comes."""
+    """Queue of pools' cuts for members; a cut is made from the mirror when it is sent."""
 
     def __init__(
         self,
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -1,4 +1,4 @@
-"""The proxy program: its parts, their wiring and its heartbeat (docs/design.md 1, 5, 7).
+"""The proxy program: its components, their wiring and its heartbeat (docs/design.md 1, 5, 7).
 
 `ProxyNode` owns no state but the settings in force and the count of heartbeats; each component owns its own.
 Everything runs in one thread, on one event loop.
@@ -60,7 +60,7 @@
     """
 
     def __init__(self, *, settings: settings_files.Settings) -> None:
-        """Creates all parts. Other proxies may connect from here on; clients and core nodes have to wait for `run`."""
+        """Creates all components. Other proxies may connect from now on, clients and core nodes only after `run`."""
         self.settings = settings
         self.incarnation = uuid.uuid4().hex[:12]
         self.loop = event_loop.Loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
--- a/ploverward/data_plane/quotas/isolated_allowance.py
+++ b/ploverward/data_plane/quotas/isolated_allowance.py
@@ -58,7 +58,7 @@
             self._rates[tenant] = self._rates.get(tenant, 0.0) * kept + count / RATE_WINDOW_S
 
     def may_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
-        """Takes a token for one request of the tenant, if there is one."""
+        """Spends a token on one request of the tenant, if there is one."""
         now = self._now()
         initial = INITIAL_TOKENS if self.was_in_contact else INITIAL_TOKENS_NEVER_IN_CONTACT
         tokens, filled_at = self._buckets.get(tenant, (initial, now))
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of a region, beside its relay: one stream each way between two regions (docs/scale.md 3).
+"""The gateway of a region, on the relay's node: one stream each way between two regions (docs/scale.md 3).
 
 A `Gateway` owns a digest whose members are the region's digests, and mirrors of the other regions. Its epoch is that
 of the region's relay. Invariant: of each digest's singleton role only the newest epoch that ever joined is admitted.
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -50,7 +50,7 @@
     """What all subscribers of one kind were sent, and what is still to be sent to them."""
 
     def __init__(self) -> None:
-        self._published: dict[bytes, Load] = {}  # by replica key; those without load are left out
+        self._published: dict[bytes, Load] = {}  # by replica key; those without load are omitted
         self._waiting: dict[bytes, int] = {}  # replica key: how often it was passed over
 
     def record(self, key: bytes) -> None:
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -155,7 +155,7 @@
         return fresh
 
     def grow(self) -> None:
-        """Pools whose filter had no room get a larger one."""
+        """Replaces filters that had no room by larger ones."""
         short = [pool for pool in self.pools.values() if pool.actor.is_short]
         for pool in short:
             self._renew(pool, owner_bits=len(pool.actor.owner_bits))
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -69,7 +69,7 @@
 def forwarded_headers(
     *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
-    """Returns the headers of a replica that are forwarded. A length beside chunks does not count (RFC 9112, 6.3)."""
+    """Returns the headers of a replica that are forwarded. With chunks a length does not count (RFC 9112, 6.3)."""
     has_chunks = b"transfer-encoding" in table
     return [
         (name, value)
@@ -88,7 +88,7 @@
     has_tenants: bool = False,
     tenant: tenant_directory.Tenant | None = None,
 ) -> h11.Request:
-    """Returns the client's head as one replica gets it.
+    """Returns the client's head as it is sent to one replica.
 
     Args:
         request: The client's request.
@@ -135,7 +135,7 @@
         """A chunk of its body was received."""
 
     def handle_end(self, attempt: Attempt) -> None:
-        """The answer came completely."""
+        """The answer was received completely."""
 
     def handle_failure(self, attempt: Attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
         """The connection ended before that; `was_sent`: a byte of the request was sent, `was_up`: it was connected."""
@@ -221,7 +221,7 @@
             self.handler.handle_data(self, data)
 
     def on_end(self) -> None:
-        """The answer came completely."""
+        """The answer was received completely."""
         if not self.is_over:
             self.is_complete = True
             self.handler.handle_end(self)
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -76,7 +76,7 @@
     def permitted(
         self, *, route: route_table.Route, first_homes: Collection[str], tenant: tenant_directory.Tenant | None
     ) -> frozenset[str] | None:
-        """Returns the regions that may serve a request, None for all; `first_homes` bind besides those in force."""
+        """Returns the regions that may serve a request, None for all; `first_homes` bind as well as those in force."""
 
     def configuration_age_s(self) -> float:
         """Returns how long ago it is certain that nothing newer than this proxy's configuration was acknowledged."""
--- a/ploverward/data_plane/requests/http_front_end.py
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -23,7 +23,7 @@
 
 
 def readiness_status(*, target: bytes, is_serving: bool, is_draining: bool) -> int:
-    """The status that a health check of the platform gets."""
+    """The status in reply to a health check of the platform."""
     is_ready = is_serving and not is_draining and target.partition(b"?")[0] == READINESS_PATH
     return 200 if is_ready else 503
 
@@ -127,6 +127,6 @@
 
 
 def end_requests(handlers: set[request_handler.RequestHandler]) -> None:
-    """Ends the requests in progress. One that no replica got is refused as not run, and never runs later."""
+    """Ends the requests in progress. One that no replica received is refused as not run, and never runs later."""
     for handler in list(handlers):
         handler.abort_for_shutdown()
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -58,7 +58,7 @@
         self._timer: event_loop.Timer | None = None
 
     def check(self, attempt: attempts.Attempt, *, route: route_table.Route, latency_target_s: float) -> None:
-        """Looks at the attempt now, and again later while it runs."""
+        """Checks the attempt now, and again later while it runs."""
         if attempt.is_over:
             return
         timeout_s = silence_timeout_s(route=route, latency_target_s=latency_target_s, is_read=attempt.is_read)
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -1,9 +1,9 @@
 """Which versions the requests of a proxy may be sent to, and their counts (docs/rollouts.md 3, 4).
 
-An admitted version may get requests always. A new one gets them under a lease, which counts from when its report was
-sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a credit, and an
-attempt at the new version takes one. So the share is kept at every moment, and over any number of proxies
-(`test_the_sum_over_all_proxies_keeps_to_the_share`).
+An admitted version may always receive requests. A new one receives them under a lease, which counts from when its
+report was sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a
+credit, and an attempt at the new version spends one. So the share is kept at every moment, and over any number of
+proxies (`test_the_sum_over_all_proxies_keeps_to_the_share`).
 
 `VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
 incarnation and restart with each order.
@@ -213,7 +213,7 @@
         return messages.RolloutEvidence(number=self._number, reports=rollout_evidence.pack(reports))
 
     def handle_leases(self, message: messages.RolloutLeases) -> None:
-        """Takes the coordinator's reply to a report.
+        """Handles the coordinator's reply to a report.
 
         A lease counts from when its report was sent, and never replaces one whose report was sent later.
 
