--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -17,7 +17,9 @@
 from ploverward.data_plane.upstream import response_reader
 from ploverward.simulation import loopback
 from ploverward.simulation import loopback_proxy
+from ploverward.simulation import random_replica
 from ploverward.simulation import request_history
+from ploverward.simulation import request_log
 from ploverward.transport import http_request
 
 
@@ -25,9 +27,9 @@
     def __init__(self, *, seed: int):
         self.chance = random.Random(seed)
         self.loop = loopback.new_loop()
-        self.log = request_history.Log()
+        self.log = request_log.Log()
         self.replicas = [
-            request_history.Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}")
+            random_replica.Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}")
             for number in range(3)
         ]
         self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=[(replica, "za") for replica in self.replicas])
@@ -76,13 +78,13 @@
             lines.append(b"Transfer-Encoding: chunked")
             split_offset = chance.randrange(len(body))
             tail = (
-                b"".join(request_history.chunk(part) for part in (body[:split_offset], body[split_offset:]) if part)
+                b"".join(random_replica.chunk(part) for part in (body[:split_offset], body[split_offset:]) if part)
                 + b"0\r\n\r\n"
             )
         else:
             lines.append(b"Content-Length: %d" % len(body))
             tail = body
-        sent = request_history.Sent(id=which, lead=lead, method=method, target=target, body=body)
+        sent = request_log.Sent(id=which, lead=lead, method=method, target=target, body=body)
         data = b"\r\n".join(lines) + b"\r\n\r\n" + tail
         if tail and chance.random() < 0.05:
             data = data[: -chance.randrange(1, len(tail) + 1)]  # it will leave in the middle
--- /dev/null
+++ b/ploverward/simulation/random_replica.py
@@ -0,0 +1,267 @@
+"""A replica on a real socket that behaves in a way drawn for each request (docs/requests.md 5).
+
+It owns its connections and what it has still to send on them. It records in the log what it runs, before it answers.
+"""
+
+import collections
+import enum
+import functools
+import random
+import socket
+
+import h11
+
+from ploverward.simulation import loopback
+from ploverward.simulation.request_log import EVENTS
+from ploverward.simulation.request_log import STREAM_ROUTES
+from ploverward.simulation.request_log import Log
+from ploverward.simulation.request_log import Received
+from ploverward.simulation.request_log import Run
+from ploverward.simulation.request_log import Stamp
+
+READ_BYTES = 65536
+
+
+class Behavior(enum.Enum):
+    """What a replica does with a request."""
+
+    OK = "ok"
+    SLOW = "slow"
+    TWICE = "twice"  # the answer comes again
+    LATE_TWICE = "late twice"  # again, before the answer to the next request
+    FULL = "full"
+    FULL_TWICE = "full twice"
+    ANOTHER = "another"  # it is not the replica that the request names
+    BARE_503 = "bare 503"  # without saying that nothing was run
+    BROKEN = "broken"
+    ENDS = "ends"  # the connection, without an answer
+    CUT = "cut"  # the answer, anywhere
+    CUT_BEHIND_EVENT = "cut behind an event"
+    SILENT = "silent"
+    WAKES = "wakes"  # slower than most requests wait
+    FOREIGN = "foreign"  # the answer names another request
+    NAMELESS = "nameless"  # the answer names no request
+    UNSTAMPED = "unstamped"
+    EARLY_FULL = "early full"  # before the request was read
+    EARLY_END = "early end"
+    HINTS = "hints"  # an informational response first
+    GARBAGE = "garbage"
+
+
+WEIGHTS = {
+    Behavior.OK: 12,
+    Behavior.SLOW: 3,
+    Behavior.TWICE: 3,
+    Behavior.LATE_TWICE: 4,
+    Behavior.FULL: 3,
+    Behavior.FULL_TWICE: 2,
+    Behavior.ANOTHER: 1,
+    Behavior.BARE_503: 2,
+    Behavior.BROKEN: 3,
+    Behavior.ENDS: 3,
+    Behavior.CUT: 4,
+    Behavior.CUT_BEHIND_EVENT: 8,
+    Behavior.SILENT: 2,
+    Behavior.WAKES: 2,
+    Behavior.FOREIGN: 3,
+    Behavior.NAMELESS: 1,
+    Behavior.UNSTAMPED: 1,
+    Behavior.EARLY_FULL: 2,
+    Behavior.EARLY_END: 2,
+    Behavior.HINTS: 1,
+    Behavior.GARBAGE: 1,
+}
+# Seconds between the pieces of an answer.
+SLOW_S = (0.01, 0.1)
+WAKES_S = (0.1, 0.6)
+
+
+def answer_head(status: int, which: bytes, headers: tuple[bytes, ...] = (), *, length: int | None = None) -> bytes:
+    """The head of an answer.
+
+    Args:
+        status: of the answer.
+        which: the request that it names; empty: none.
+        headers: further lines.
+        length: of the body; None: it comes in chunks.
+    """
+    lines = [b"HTTP/1.1 %d Said" % status]
+    if which:
+        lines.append(b"X-Attempt-Id: " + which)
+    lines += headers
+    lines.append(b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length)
+    return b"\r\n".join(lines) + b"\r\n\r\n"
+
+
+def complete_answer(status: int, which: bytes, headers: tuple[bytes, ...] = (), body: bytes = b"") -> bytes:
+    """An answer with all of its body."""
+    return answer_head(status, which, headers, length=len(body)) + body
+
+
+def chunk(data: bytes) -> bytes:
+    """One chunk of a body."""
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+class Replica(loopback.Peer):
+    """A replica with a behavior drawn for each request.
+
+    Args:
+        loop: The event loop.
+        chance: Draws what it does.
+        log: What it runs is written there.
+        name: Its identifier, which requests have to name.
+    """
+
+    def __init__(self, *, loop: loopback.SkippingLoop, chance: random.Random, log: Log, name: str) -> None:
+        super().__init__(loop=loop, script=lambda _number, _data: None)
+        self.chance = chance
+        self.log = log
+        self.name = name
+        # All by the number of the connection.
+        self._parsers: dict[int, h11.Connection] = {}
+        self._requests: dict[int, Received] = {}  # while they are read
+        self._behaviors: dict[int, Behavior] = {}
+        self._surplus: dict[int, list[loopback.Act]] = collections.defaultdict(list)  # answers still to be repeated
+
+    def replace(self, name: str) -> None:
+        """Another incarnation starts at the same address."""
+        self.name = name
+        for number in list(self.socks):
+            self.end(number, is_reset=True)
+
+    # Reading.
+    def _read(self, sock: socket.socket, number: int) -> None:
+        try:
+            data = sock.recv(READ_BYTES)
+        except OSError:
+            data = b""
+        if not data:
+            self.end(number)
+            return
+        parser = self._parsers.setdefault(number, h11.Connection(h11.SERVER))
+        parser.receive_data(data)
+        while number in self.socks:
+            event = parser.next_event()
+            if isinstance(event, h11.Request):
+                self._handle_head(number, event)
+            elif isinstance(event, h11.Data):
+                self._requests[number].body += bytes(event.data)
+            elif isinstance(event, h11.EndOfMessage):
+                # The answer is written by hand; the parser only has to read on.
+                trailing = parser.trailing_data[0]
+                parser = self._parsers[number] = h11.Connection(h11.SERVER)
+                if trailing:
+                    parser.receive_data(trailing)
+                self._handle_request(number, self._requests.pop(number))
+            else:
+                return
+
+    def _handle_head(self, number: int, event: h11.Request) -> None:
+        headers = dict(event.headers)
+        request = Received(
+            id=headers.get(b"x-attempt-id", b""),
+            addressed=headers.get(b"x-addressed-replica", b""),
+            last_event=headers.get(b"last-event-id", b"0"),
+            method=event.method,
+            target=event.target,
+        )
+        self._requests[number] = request
+        self.log.arrivals[request.id] += 1
+        behavior = self._behaviors[number] = self.chance.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+        if request.addressed != self.name.encode():
+            self._behaviors[number] = Behavior.ANOTHER
+        elif behavior is Behavior.EARLY_FULL:
+            self.callback(number, [complete_answer(503, request.id, (b"X-Not-Run: 1",)), self._ending()])
+        elif behavior is Behavior.EARLY_END:
+            self.callback(number, [self._ending()])
+
+    # Answering.
+    def _ending(self) -> str:
+        return self.chance.choice(("close", "reset"))
+
+    def _handle_request(self, number: int, request: Received) -> None:
+        behavior = self._behaviors[number]
+        surplus = self._surplus.pop(number, [])
+        if behavior is Behavior.ANOTHER:
+            rejection = complete_answer(421, request.id, (b"X-Replica-Id: " + self.name.encode(),))
+            self.callback(number, [*surplus, rejection])
+        elif behavior in (Behavior.FULL, Behavior.FULL_TWICE):
+            rejection = complete_answer(self.chance.choice((503, 429)), request.id, (b"X-Not-Run: 1",))
+            self.callback(number, [*surplus, rejection])
+            if behavior is Behavior.FULL_TWICE:
+                self._surplus[number].append(rejection)
+        elif behavior in (Behavior.ENDS, Behavior.SILENT):
+            if self.chance.random() < 0.5:
+                self.log.begin(request=request, replica=self.name)
+            if behavior is Behavior.ENDS:
+                self.callback(number, [*surplus, self._ending()])
+        else:
+            self._run(number, request, behavior, surplus)
+
+    def _run(self, number: int, request: Received, behavior: Behavior, surplus: list[loopback.Act]) -> None:
+        run = self.log.begin(request=request, replica=self.name, first_event=int(request.last_event) + 1)
+        overload = self.chance.choice((503, 429, 408))
+        status = {Behavior.BARE_503: overload, Behavior.BROKEN: 500}.get(behavior, 200)
+        is_stream = status == 200 and request.target.split(b"/")[1].decode() in STREAM_ROUTES
+        body = None if is_stream else b"run %d of %s" % (run.number, request.id) * self.chance.choice((1, 1, 50))
+        headers = self._headers(run, behavior, status, body)
+        which = {Behavior.FOREIGN: b"elsewhere", Behavior.NAMELESS: b""}.get(behavior, request.id)
+        pieces = self._answer(run, which, headers, status, body)
+        if behavior is Behavior.FOREIGN and self.chance.random() < 0.5:
+            pieces = [*pieces, *self._answer(run, request.id, headers, 200, body)]
+        acts = self._disturb(behavior, pieces, is_stream=is_stream)
+        if behavior is Behavior.LATE_TWICE:
+            self._surplus[number] += acts
+        self._perform(number, behavior, [*surplus, *acts])
+
+    def _headers(self, run: Run, behavior: Behavior, status: int, body: bytes | None) -> tuple[bytes, ...]:
+        stamp = b"s%d" % run.number
+        self.log.stamps[stamp] = Stamp(run.id, status, body)
+        headers = [] if behavior is Behavior.UNSTAMPED else [b"X-Postmark: " + stamp]
+        if self.chance.random() < 0.1:
+            headers.append(b"Connection: close")
+        if self.chance.random() < 0.5:
+            headers.append(b"Keep-Alive: timeout=%d" % self.chance.choice((1, 5)))
+        return tuple(headers)
+
+    def _answer(
+        self, run: Run, which: bytes, headers: tuple[bytes, ...], status: int, body: bytes | None
+    ) -> list[bytes]:
+        if body is not None:
+            return [complete_answer(status, which, headers, body)]
+        is_repeating = run.first_event > 1 and self.chance.random() < 0.5  # the client's newest event once more
+        pieces = [answer_head(200, which, (*headers, b"Content-Type: text/event-stream"))]
+        for number in range(run.first_event - int(is_repeating), EVENTS + 1):
+            pieces.append(chunk(b"id: %d\ndata: %s %d\n\n" % (number, run.id, number)))
+        return [*pieces, b"0\r\n\r\n"]
+
+    def _disturb(self, behavior: Behavior, pieces: list[bytes], *, is_stream: bool) -> list[loopback.Act]:
+        """What is sent instead of a sound answer."""
+        if behavior is Behavior.CUT:
+            data = b"".join(pieces)
+            return [data[: self.chance.randrange(1, len(data))], self._ending()]
+        if behavior is Behavior.CUT_BEHIND_EVENT and is_stream:
+            count = self.chance.randrange(1, len(pieces))
+            return [*pieces[:count], pieces[count][: self.chance.randrange(len(pieces[count]))], "close"]
+        if behavior is Behavior.HINTS:
+            return [b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n", *pieces]
+        if behavior is Behavior.GARBAGE:
+            return [b"\x00\xff what\r\n\r\n"]
+        if behavior is Behavior.TWICE:
+            return [*pieces, *pieces]
+        return [*pieces]
+
+    def _perform(self, number: int, behavior: Behavior, acts: list[loopback.Act]) -> None:
+        if behavior in (Behavior.SLOW, Behavior.WAKES):
+            pause_s = SLOW_S if behavior is Behavior.SLOW else WAKES_S
+            at = 0.0
+            for act in acts:
+                at += self.chance.uniform(*pause_s)
+                self.loop.after(delay=at, callback=functools.partial(self.callback, number, [act]))
+            return
+        self.callback(number, acts)
+        if self.chance.random() < 0.15:  # an idle connection that ends
+            delay = self.chance.choice((0.0, 0.05, 1.0, 3.0))
+            ending = self._ending()
+            self.loop.after(delay=delay, callback=lambda: self.callback(number, [ending]))
