--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -1,8 +1,10 @@
-"""A simulated world whose replicas load adapters slowly: with the suggestions followed nobody waits behind a load,
-every answer comes in time and exactly once, on any node and region; without them the same checker sees cold waits.
+"""A simulated system whose replicas load adapters slowly.
 
-Real parts: the table of replicas, the choice, the counting, the ledgers of two core nodes, the suggestion. Simulated:
-time, ways, replicas, the platform's list, the operator who follows what is suggested.
+With the suggestions followed, no request waits for a load, and every request is answered in time and exactly once, at
+any node and region. Without them the same checks find waits.
+
+Real components: the replica table, the choice, the counts, the stores of two core nodes, the suggestion. Simulated:
+time, network, replicas, the platform's list, the operator who follows the suggestions.
 """
 
 import collections
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -1,4 +1,4 @@
-"""Nothing that was told is lost, whatever the disks do: seeded histories on simulated files (docs/register.md 3)."""
+"""Disk faults lose nothing that was acknowledged: seeded histories on simulated files (docs/register.md 3)."""
 
 import pytest
 
--- a/ploverward/control_plane/distribution/test_publisher.py
+++ b/ploverward/control_plane/distribution/test_publisher.py
@@ -1,4 +1,4 @@
-"""Topics are announced to all and sent to those that ask."""
+"""Topics are announced to all and sent on request."""
 
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.common.identifiers import Version
--- a/ploverward/control_plane/distribution/test_subscriber.py
+++ b/ploverward/control_plane/distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""Versions only rise; a silent publisher is replaced; publishers of the own region come first."""
+"""Versions only rise; a publisher that does not answer is replaced; publishers of the own region are preferred."""
 
 import random
 
--- a/ploverward/control_plane/operator_api/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -1,4 +1,4 @@
-"""Whatever stands in a call's head: a clear answer, and no exception."""
+"""Every call gets a clear answer and raises no exception, whatever its head contains."""
 
 import json
 import types
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -1,4 +1,4 @@
-"""Messages of core nodes are handled by their type; the proxy says that it is ready once its serving gate opens."""
+"""Messages of core nodes are handled by their type; the proxy announces its readiness once its serving gate opens."""
 
 import types
 
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -1,4 +1,4 @@
-"""The subset of replicas that a proxy looks at: stable, even, and no bound on what a request may reach."""
+"""The subset of replicas that a proxy uses: stable, even, and no bound on what a request may reach."""
 
 import collections
 import dataclasses
--- a/ploverward/data_plane/requests/test_replica_watch.py
+++ b/ploverward/data_plane/requests/test_replica_watch.py
@@ -1,4 +1,4 @@
-"""When a silent replica is left, without a socket."""
+"""When an attempt at a replica that sends nothing is ended, without a socket."""
 
 import types
 
--- a/ploverward/data_plane/requests/test_request_state.py
+++ b/ploverward/data_plane/requests/test_request_state.py
@@ -1,4 +1,4 @@
-"""The life of a request, without a socket."""
+"""The states of a request, without a socket."""
 
 import pytest
 
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -1,5 +1,7 @@
-"""Faults that came with growth: unhealthy replicas that claim to be well, false health, flapping, paths that carry one
-direction only, jumps of traffic, idle connections forgotten without notice.
+"""Requests under faults of replicas and networks.
+
+Unhealthy replicas that claim to be healthy, false health checks, flapping, paths that carry one direction only, jumps
+of traffic, idle connections closed without notice.
 """
 
 import collections
