--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -13,6 +13,7 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.simulation import consensus_cluster
 from ploverward.simulation import linearizability
+from ploverward.simulation import register_node
 from ploverward.transport import messages
 
 SEEDS = ("a", "b", "c")
@@ -94,7 +95,7 @@
     model = settled(others=("d", "e", "f"))
     for late in "def":
         model.world.partitions |= {(late, other) for other in model.nodes} | {(other, late) for other in model.nodes}
-    newcomer = consensus_cluster.Node(
+    newcomer = register_node.Node(
         world=model.world, name="g", nodes=model.nodes, seeds=("d", "e", "f"), is_first_start=False
     )
     model.nodes["g"] = newcomer
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -13,6 +13,7 @@
 from ploverward.control_plane.consensus import write_ahead_log
 from ploverward.simulation import consensus_cluster
 from ploverward.simulation import linearizability
+from ploverward.simulation import register_node
 from ploverward.transport import messages
 
 SEEDS = ("a", "b", "c")
@@ -207,8 +208,8 @@
 
 def test_what_a_failed_write_left_in_memory_is_not_acknowledged():
     node, connection, heard = _after_a_failed_write()
-    assert consensus_cluster.claims(heard[messages.QuorumReadReply]) == [("spec", (0, ""), (0, ""))]
-    assert consensus_cluster.claims(heard[messages.CatchUpReply]) == []
+    assert register_node.claims(heard[messages.QuorumReadReply]) == [("spec", (0, ""), (0, ""))]
+    assert register_node.claims(heard[messages.CatchUpReply]) == []
     assert node.voting.minimum_versions()[0] == ("spec", 0)
     # While the disk refuses, nothing is voted for and nothing changes here.
     node.voting.handle("a", connection, prepare(4, 9, "x"))
@@ -217,12 +218,12 @@
     node.files.faults.clear()
     node.world.run(until=3.0)
     node.voting.handle("a", connection, messages.QuorumRead(5, "spec", NO_BALLOT))
-    assert consensus_cluster.claims(connection.heard[-1])[0][2] >= (5, "x") and connection.heard[-1][5:] == (1, VALUE)
+    assert register_node.claims(connection.heard[-1])[0][2] >= (5, "x") and connection.heard[-1][5:] == (1, VALUE)
 
 
 def test_rows_from_memory_would_be_seen_by_that_test():
     _node, _connection, heard = _after_a_failed_write(TellingAhead)
-    assert consensus_cluster.claims(heard[messages.CatchUpReply]) == [("spec", (5, "x"), (5, "x"))]
+    assert register_node.claims(heard[messages.CatchUpReply]) == [("spec", (5, "x"), (5, "x"))]
 
 
 def test_a_file_that_is_appended_to_after_a_failed_sync_is_found(monkeypatch):
--- a/ploverward/simulation/capacity_probes.py
+++ b/ploverward/simulation/capacity_probes.py
@@ -4,7 +4,6 @@
 Processor time is this process's own; bytes are those of packed frames.
 """
 
-import math
 import random
 import time
 import tracemalloc
@@ -13,12 +12,11 @@
 
 from ploverward.common.identifiers import Version
 from ploverward.control_plane.distribution import endpoint_list
-from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.distribution import publisher as publishers
 from ploverward.control_plane.quotas import rate_slots
 from ploverward.control_plane.quotas import share_leases
 from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_subset
-from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.load_reports import aggregates
 from ploverward.data_plane.load_reports import fanout as fanouts
 from ploverward.data_plane.load_reports import report_source
@@ -30,97 +28,31 @@
 from ploverward.simulation import loopback_proxy
 from ploverward.simulation import recording_connections
 from ploverward.simulation.capacity_target import TARGET
+from ploverward.simulation.hollow_nodes import TURNS
+from ploverward.simulation.hollow_nodes import CountingLink
+from ploverward.simulation.hollow_nodes import clocked
+from ploverward.simulation.hollow_nodes import make_relay
+from ploverward.simulation.hollow_nodes import make_table
+from ploverward.simulation.hollow_nodes import new_chain
+from ploverward.simulation.hollow_nodes import present
+from ploverward.simulation.hollow_nodes import rows_of
 from ploverward.simulation.recording_connections import as_peer
-from ploverward.transport import event_loop
 from ploverward.transport import frames
 from ploverward.transport import interfaces
 from ploverward.transport import messages
-from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
-TURNS = 3  # of each measurement; the least counts
-
-Value = typing.TypeVar("Value")
-
-
-class _CountingLink(recording_connections.RecordingLink):
-    """A connection that only counts bytes."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.bytes = 0
-
-    def send_bytes(self, data: bytes) -> None:
-        self.bytes += len(data)
-
-
-def _clocked(callback: Callable[[], object], *, repeats: int) -> float:
-    """Seconds of processor time for one call: the least of some turns."""
-    best = math.inf
-    for _turn in range(TURNS):
-        began = time.process_time()
-        for _ in range(repeats):
-            callback()
-        best = min(best, (time.process_time() - began) / repeats)
-    return best
-
-
-def _present(value: Value | None) -> Value:
-    """A value that the size of a measurement ensures."""
-    if value is None:
-        raise ValueError("nothing to measure at this size")
-    return value
-
-
-def _rows(count: int) -> list[dict]:
-    """Rows of the list for so many replicas."""
-    return [
-        {
-            "id": f"i-{number:08x}",
-            "service": "llm",
-            "address": f"10.9.{number // 250}.{number % 250}:8080",
-            "zone": "za",
-            "berths": 16,
-            "is_clearing": False,
-            "cold_ms": 0.0,
-            "left_ms": None,
-            "models": ["m"],
-        }
-        for number in range(count)
-    ]
-
-
-class _Loop:
-    """As much of an event loop as a replica table needs."""
-
-    now = staticmethod(time.monotonic)
-
-    def command(self, *, callback: Callable[[], object]) -> None:
-        """Calls back at once."""
-        callback()
-
-
-def _table(share: float) -> replica_table.Table:
-    """A replica table of a proxy with this share of the quotas."""
-    loop = typing.cast(event_loop.Loop, _Loop())
-    return replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=lambda: share)
-
-
-def _chain(chance: random.Random, *, parts: int = 3) -> tuple[tuple[str, int], ...]:
-    """A prompt of so many parts that nobody has."""
-    return tuple((f"{chance.getrandbits(32):x}", 500) for _ in range(parts))
-
 
 def choice_time(count: int) -> float:
     """One choice among so many replicas."""
     regions = len(set(loopback_proxy.settings().zones.values()))
     share = TARGET.regions / TARGET.proxies / regions  # the table takes it for a region of so many proxies
-    table = _table(share)
+    table = make_table(share)
     table.install_services({"llm": {"models": ("m",), "cache_tokens": 200000, "max_conns": 500}})
-    table.install_list(_rows(count))
+    table.install_list(rows_of(count))
     quota = shared_limits.SharedLimits(now=time.monotonic, settings=loopback_proxy.settings())
     region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
-    host, feeder = _relay(count)
+    host, feeder = make_relay(count)
     link = recording_connections.RecordingLink()
     host.subscribe(as_peer(link), region="north")
     for message in link.messages:
@@ -128,31 +60,13 @@
     chooser = replica_chooser.Chooser(
         table=table, settings=loopback_proxy.settings(), regions={"north": region}, quota=quota, now=time.monotonic
     )
-    prompt = cuckoo_filter.chain(model="m", parts=_chain(random.Random(1)))
-    return _clocked(
+    prompt = cuckoo_filter.chain(model="m", parts=new_chain(random.Random(1)))
+    return clocked(
         lambda: chooser.choose(service="llm", permitted=None, model="m", chain=prompt, prompt_tokens=1500, avoid=set()),
         repeats=20,
     )
 
 
-def _relay(count: int) -> tuple[hosts.Host, peer_connection.PeerConnection]:
-    """A relay of so many replicas, each of which was sent a request, and the digest that reported it."""
-    host = hosts.Host(region="north", epoch=1, now=time.monotonic, suspicion_s=1.0)
-    host.sync(
-        services={"llm": {"models": ("m",), "cache_tokens": 200000}},
-        replicas=[{"id": row["id"], "service": "llm", "region": "north", "models": ["m"]} for row in _rows(count)],
-    )
-    feeder = as_peer(_CountingLink())
-    host.subscribe(feeder, region="north")
-    host.handle_aggregates(
-        feeder,
-        recording_connections.aggregates_message(
-            1, loads=[recording_connections.load_row(row["id"], running=1) for row in _rows(count)]
-        ),
-    )
-    return host, feeder
-
-
 class ReadsCost(typing.NamedTuple):
     """One tick at the relay."""
 
@@ -162,11 +76,11 @@
 
 def measure_reads(count: int) -> ReadsCost:
     """One tick at the relay with so many new prompts processed."""
-    host, feeder = _relay(200)
+    host, feeder = make_relay(200)
     chance = random.Random(2)
-    reader = _CountingLink()
+    reader = CountingLink()
     host.subscribe(as_peer(reader), region="north")
-    names = [row["id"] for row in _rows(200)]
+    names = [row["id"] for row in rows_of(200)]
     number = [1]
 
     def tick() -> None:
@@ -176,7 +90,7 @@
             recording_connections.aggregates_message(
                 number[0],
                 reads=[
-                    recording_connections.read_row(chance.choice(names), ("all", 500), *_chain(chance, parts=2))
+                    recording_connections.read_row(chance.choice(names), ("all", 500), *new_chain(chance, parts=2))
                     for _ in range(count)
                 ],
             ),
@@ -185,23 +99,23 @@
 
     tick()
     before = reader.bytes
-    took = _clocked(tick, repeats=4)
+    took = clocked(tick, repeats=4)
     return ReadsCost(took, (reader.bytes - before) / (4 * TURNS))
 
 
 def published_bytes(count: int) -> float:
     """What a subscriber in the region is sent in a tick, with all of so many replicas changed and prompts processed."""
-    host, feeder = _relay(count)
+    host, feeder = make_relay(count)
     chance = random.Random(5)
-    reader = _CountingLink()
+    reader = CountingLink()
     host.subscribe(as_peer(reader), region="north")
-    names = [row["id"] for row in _rows(count)]
+    names = [row["id"] for row in rows_of(count)]
     number = 1
     for _ in range(20):
         number += 1
         loads = [recording_connections.load_row(name, running=chance.randint(1, 50)) for name in names]
         reads = [
-            recording_connections.read_row(chance.choice(names), ("all", 500), *_chain(chance, parts=2))
+            recording_connections.read_row(chance.choice(names), ("all", 500), *new_chain(chance, parts=2))
             for _ in range(40)
         ]
         if number == 12:
@@ -213,9 +127,9 @@
 
 def member_bytes(count: int) -> float:
     """What a digest sends one member in a tick, in a region of so many replicas of which it follows its subset."""
-    keys = [row_codec.key_of(row["id"]) for row in _rows(count)]
+    keys = [row_codec.key_of(row["id"]) for row in rows_of(count)]
     fanout = fanouts.Fanout()
-    member = _CountingLink()
+    member = CountingLink()
     fanout.admit(as_peer(member), address="p")
     fanout.follow(as_peer(member), keys=frozenset(keys[: replica_subset.MIN_NEAR_REPLICAS]))
     chance = random.Random(6)
@@ -228,29 +142,29 @@
 
 def fanout_time(members: int) -> float:
     """A digest passes a load frame of a sixteenth of 920 replicas on to so many members that follow a subset each."""
-    keys = [row_codec.key_of(row["id"]) for row in _rows(920)]
+    keys = [row_codec.key_of(row["id"]) for row in rows_of(920)]
     chance = random.Random(7)
     fanout = fanouts.Fanout()
     for number in range(members):
-        member = as_peer(_CountingLink())
+        member = as_peer(CountingLink())
         fanout.admit(member, address=f"p{number}")
         fanout.follow(member, keys=frozenset(chance.sample(keys, replica_subset.MIN_NEAR_REPLICAS)))
     message = messages.ReplicaLoads(1, False, b"".join(load_feed.Load(running=3).pack(key) for key in keys[:58]))
     frame = frames.pack(message)
-    return _clocked(lambda: fanout.forward_publication(region="north", frame=frame, message=message), repeats=20)
+    return clocked(lambda: fanout.forward_publication(region="north", frame=frame, message=message), repeats=20)
 
 
 def change_bytes(count: int) -> float:
     """One replica of so many changes: the step of the list."""
-    sent = endpoint_list.from_rows(rows=_rows(count), read_at=0.0)
-    changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in _rows(count)[:8]] + _rows(count)[8:]
-    change = _present(sent.delta_to(rows=changed, read_at=1.0, is_same_clock=True))
+    sent = endpoint_list.from_rows(rows=rows_of(count), read_at=0.0)
+    changed = [{**row, "is_clearing": row["id"].endswith("7")} for row in rows_of(count)[:8]] + rows_of(count)[8:]
+    change = present(sent.delta_to(rows=changed, read_at=1.0, is_same_clock=True))
     return len(frames.pack(messages.Deltas("list", Version(1, 1), (messages.Delta(Version(1, 2), change.pack()),))))
 
 
 def aggregates_time(count: int) -> float:
     """One batch with so many changed replicas, counted and published at the relay."""
-    host, feeder = _relay(count)
+    host, feeder = make_relay(count)
     number, running = [1], [1]
 
     def tick() -> None:
@@ -264,15 +178,15 @@
         )
         host.tick()
 
-    listed = _rows(count)
-    return _clocked(tick, repeats=5)
+    listed = rows_of(count)
+    return clocked(tick, repeats=5)
 
 
 def digest_time(members: int, changed: int = 4) -> float:
     """One tick of a digest: so many members report a few changed replicas each, one batch."""
     retained: aggregates.LoadAggregates[int] = aggregates.LoadAggregates(regions=("north",))
     chance = random.Random(3)
-    names = [row["id"] for row in _rows(200)]
+    names = [row["id"] for row in rows_of(200)]
     reports = [
         b"".join(
             recording_connections.load_row(name, running=chance.randint(1, 9)) for name in chance.sample(names, changed)
@@ -285,40 +199,40 @@
         number[0] += 1
         for member, report in enumerate(reports):
             retained.handle_report(member, messages.LoadReport(number[0], report, b""))
-        retained.acknowledge(region="north", number=_present(retained.next_batch(region="north")).number)
+        retained.acknowledge(region="north", number=present(retained.next_batch(region="north")).number)
 
-    return _clocked(tick, repeats=10)
+    return clocked(tick, repeats=10)
 
 
 def install_time(count: int) -> float:
     """A proxy installs a load frame of so many rows, passed on by its digest."""
     region = mirror.RegionMirror(now=time.monotonic, trust_s=5.0)
     region.handle_publication(messages.Catalogue(1, ()))
-    data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in _rows(count))
+    data = b"".join(row_codec.LOAD.pack(row_codec.key_of(row["id"]), 3, 500, 0, 0) for row in rows_of(count))
     frame = frames.pack(messages.RelayedFrame("north", frames.pack(messages.ReplicaLoads(1, False, data))))
 
     def install() -> None:
         relayed = typing.cast(messages.RelayedFrame, frames.unpack(frame))
         region.handle_publication(frames.unpack(relayed.frame))
 
-    return _clocked(install, repeats=20)
+    return clocked(install, repeats=20)
 
 
 def report_time(count: int) -> float:
     """A proxy's report of so many changed replicas."""
-    table = _table(1.0)
-    table.install_list(_rows(count))
+    table = make_table(1.0)
+    table.install_list(rows_of(count))
     source = report_source.ReportSource(now=time.monotonic, regions=("north",), suspicion_s=1.0)
 
     def tick() -> None:
         for replica in table.replicas.values():
             replica.running += 1
             source.record(replica=replica, kind=report_source.SENT)
-        report = _present(source.next_report())
+        report = present(source.next_report())
         frames.pack(report)
         source.credit(region="north", number=report.number)
 
-    return _clocked(tick, repeats=10)
+    return clocked(tick, repeats=10)
 
 
 def lease_time(count: int) -> float:
@@ -341,22 +255,22 @@
             )
             frames.pack(lease)
 
-    return _clocked(send_heartbeats, repeats=1)
+    return clocked(send_heartbeats, repeats=1)
 
 
 def list_bytes(count: int) -> float:
     """The complete list of so many replicas."""
     return len(
         frames.pack(
-            messages.Snapshot("list", Version(1, 1), endpoint_list.from_rows(rows=_rows(count), read_at=0.0).pack())
+            messages.Snapshot("list", Version(1, 1), endpoint_list.from_rows(rows=rows_of(count), read_at=0.0).pack())
         )
     )
 
 
 def announcement_time(count: int) -> float:
     """A core node's work to announce one change to so many proxies and to note their acknowledgements."""
-    publisher = desks.Publisher()
-    links = [typing.cast(interfaces.Connection, _CountingLink()) for _ in range(count)]
+    publisher = publishers.Publisher()
+    links = [typing.cast(interfaces.Connection, CountingLink()) for _ in range(count)]
     for link in links:
         publisher.join(link)
     number = [0]
@@ -368,16 +282,16 @@
             frame = frames.pack(messages.Acknowledgement((messages.TopicVersion("spec", Version(0, number[0])),)))
             publisher.handle_acknowledgement(link, typing.cast(messages.Acknowledgement, frames.unpack(frame)))
 
-    return _clocked(change, repeats=3)
+    return clocked(change, repeats=3)
 
 
 def retained_memory(count: int) -> float:
     """Bytes of a relay's exact ownership of so many parts."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    host, feeder = _relay(20)
+    host, feeder = make_relay(20)
     chance = random.Random(4)
-    names = [row["id"] for row in _rows(20)]
+    names = [row["id"] for row in rows_of(20)]
     for number in range(2, count // 100 + 2):
         host.handle_aggregates(
             feeder,
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -10,11 +10,8 @@
 """
 
 import argparse
-import base64
 import collections
 import collections.abc
-import functools
-import hashlib
 import json
 import logging
 import os
@@ -23,13 +20,19 @@
 import typing
 
 from ploverward.common.identifiers import Ballot
-from ploverward.control_plane.consensus import acceptor
 from ploverward.control_plane.consensus import acceptor_storage
 from ploverward.control_plane.consensus import disk
-from ploverward.control_plane.consensus import proposer
 from ploverward.control_plane.consensus import register_names
-from ploverward.control_plane.consensus import register_state
 from ploverward.simulation import consensus_cluster
+from ploverward.simulation import register_node
+from ploverward.simulation.register_group import LIMIT_BYTES
+from ploverward.simulation.register_group import NAME
+from ploverward.simulation.register_group import CostMeter
+from ploverward.simulation.register_group import Group
+from ploverward.simulation.register_group import Member
+from ploverward.simulation.register_group import archive_of
+from ploverward.simulation.register_group import payload_of
+from ploverward.simulation.register_group import replace_by
 from ploverward.transport import frames
 from ploverward.transport import messages
 
@@ -37,194 +40,11 @@
 ROUTES = (10, 100, 500, 2000)  # of the configuration
 MEMBERS = 5
 MEASURED = 60  # changes that a mean is taken of
-LIMIT_BYTES = 8 * 1024 * 1024  # of the file, as with 128 MB of disk
-ORDER_IDS_IN_VALUE = 64
-ORDER_IDS_IN_ARCHIVE = 12288
 STEP_S = 0.5  # simulated time between the changes before a catch-up
 POLL_S = 0.005  # simulated time between looks at whether a catch-up is over
 MAX_CATCH_UP_S = 60.0  # simulated
-NAME = register_names.CONFIGURATION
 
 Row = dict[str, typing.Any]  # of a table: name of a column to a number or text
-Result = typing.TypeVar("Result")
-Edit = collections.abc.Callable[[object], tuple[dict[str, typing.Any], None]]
-Carried = typing.TypeVar("Carried", bound=tuple)
-
-
-def route(number: int) -> dict[str, typing.Any]:
-    """A route of the usual size, as the configuration has it."""
-    lead = hashlib.sha256(b"%d" % number).hexdigest()[:12]
-    return {
-        "name": f"route-{number}",
-        "host": f"h{number % 40}.example",
-        "pathLead": f"/{lead}/",
-        "kind": "streaming",
-        "expiryMs": 4000 + number % 7 * 500,
-        "targetMs": 400,
-        "destination": f"service-{number % 12}",
-        "tries": 2,
-        "sticky": True,
-        "gapTargetMs": 300,
-    }
-
-
-def payload_of(*, routes: int, changes: int) -> dict[str, typing.Any]:
-    """A configuration's value after so many changes: its body, and the identifiers of the newest orders."""
-    order_ids = [
-        [number, hashlib.sha256(b"o%d" % number).hexdigest()[:20]]
-        for number in range(max(1, changes - ORDER_IDS_IN_VALUE + 1), changes + 1)
-    ]
-    return {"edition": changes, "body": {"routes": [route(number) for number in range(routes)]}, "recent": order_ids}
-
-
-def archive_of(*, changes: int) -> dict[str, typing.Any]:
-    """The archive's value after so many changes: 8 bytes an order."""
-    order_ids = b"".join(
-        hashlib.sha256(b"o%d" % number).digest()[:8] for number in range(min(changes, ORDER_IDS_IN_ARCHIVE))
-    )
-    return {"through": changes, "marks": base64.b64encode(order_ids).decode()}
-
-
-def replace_by(payload: dict[str, typing.Any]) -> Edit:
-    """An edit to this payload, whatever it was."""
-    return lambda _payload: (payload, None)
-
-
-class CountingDisk(disk.Disk):
-    """Counts the bytes that are written."""
-
-    def __init__(self, *, folder: str) -> None:
-        super().__init__(folder=folder)
-        self.written = 0
-
-    def append(self, *, name: str, data: bytes, size_before: int) -> None:
-        """Counts, then appends."""
-        self.written += len(data)
-        super().append(name=name, data=data, size_before=size_before)
-
-    def replace(self, *, name: str, new_name: str, data: bytes) -> None:
-        """Counts, then replaces."""
-        self.written += len(data)
-        super().replace(name=name, new_name=new_name, data=data)
-
-
-class Member:
-    """One voter: acceptor and file.
-
-    Args:
-        name: its incarnation.
-        folder: made here.
-        limit_bytes: of the file.
-    """
-
-    def __init__(self, *, name: str, folder: str, limit_bytes: int = LIMIT_BYTES) -> None:
-        os.makedirs(folder)
-        self.folder = folder
-        self.acceptor = acceptor.Acceptor(incarnation=name)
-        self.disk = CountingDisk(folder=folder)
-        self.store = acceptor_storage.AcceptorStorage(disk=self.disk, limit_bytes=limit_bytes)
-        self.save()
-
-    def save(self, *rows: messages.RegisterRow) -> None:
-        """Writes rows that have changed, and syncs."""
-        image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
-        self.store.write(rows=rows, image=image)
-
-    @property
-    def file_bytes(self) -> int:
-        """Bytes of all files."""
-        return sum(os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder))
-
-
-class CostMeter:
-    """Sums of bytes by type of message and of processor seconds by step."""
-
-    def __init__(self) -> None:
-        self.bytes: collections.Counter[type] = collections.Counter()
-        self.seconds: dict[str, float] = collections.defaultdict(float)
-
-    def timed(self, step: str, callback: collections.abc.Callable[[], Result]) -> Result:
-        """Adds the processor time of a call to that of a step."""
-        begun = time.process_time()
-        result = callback()
-        self.seconds[step] += time.process_time() - begun
-        return result
-
-
-class Group:
-    """Members and one proposer at the first of them; frames are packed, counted and read again.
-
-    Args:
-        folder: of all members.
-        members: how many.
-        names_accepted_state: whether the proposer names the value it has, so that replies leave that out.
-    """
-
-    def __init__(self, *, folder: str, members: int, names_accepted_state: bool) -> None:
-        self.meter = CostMeter()
-        names = tuple(f"10.0.0.{number}" for number in range(1, members + 1))
-        self.members = {name: Member(name=name, folder=os.path.join(folder, name)) for name in names}
-        self._own = names[0]
-        self._queue: collections.deque[collections.abc.Callable[[], object]] = collections.deque()
-        self.proposer = proposer.Proposer(
-            own=f"{self._own}/abcdef",
-            seeds=names,
-            send=self._send,
-            later=self._later,
-            now=lambda: 0.0,
-            chance=lambda: 0.5,
-            on_chosen=lambda *_row: None,
-            limit_s=1.0,
-            attempt_timeout_s=0.1,
-            accepted_value=self._accepted_value if names_accepted_state else None,
-        )
-
-    def _send(self, member: str, message: tuple) -> None:
-        if not isinstance(message, messages.Prepare | messages.Accept):
-            raise TypeError(f"{type(message).__name__}: only changes are measured here")
-        self._queue.append(functools.partial(self._deliver, member, message))
-
-    def _later(self, delay: float, callback: collections.abc.Callable[[], object]) -> None:
-        """All messages arrive, so no time-out fires; what is due at once is queued."""
-        if delay == 0:
-            self._queue.append(callback)
-
-    def _accepted_value(self, name: str) -> register_state.AcceptedValue:
-        return self.members[self._own].acceptor.get(name).accepted_value
-
-    def value_bytes(self, name: str) -> int:
-        """Bytes of the accepted value of a register."""
-        return len(self._accepted_value(name).value)
-
-    def _carry(self, message: Carried, *, is_local: bool) -> Carried:
-        """Messages between a node and itself are handed over as they are."""
-        if is_local:
-            return message
-        frame = self.meter.timed("frames", lambda: frames.pack(message))
-        self.meter.bytes[type(message)] += len(frame)
-        return typing.cast(Carried, self.meter.timed("frames", lambda: frames.unpack(frame)))
-
-    def change(self, *, edit: Edit, name: str = NAME) -> None:
-        """Changes a register, and lets all messages arrive."""
-        self.proposer.change(name=name, edit=edit, done=lambda *_row: None)
-        while self._queue:
-            self._queue.popleft()()
-
-    def _deliver(self, member: str, message: messages.Prepare | messages.Accept) -> None:
-        is_local = member == self._own
-        node = self.members[member]
-        arrived = self._carry(message, is_local=is_local)
-        if isinstance(arrived, messages.Prepare):
-            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.prepare, arrived))
-        else:
-            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.accept, arrived))
-        if decision.row is not None:
-            self.meter.timed("disk", functools.partial(node.save, decision.row))
-        reply = self._carry(decision.reply, is_local=is_local)
-        if isinstance(reply, messages.Promise):
-            self.meter.timed("proposer", functools.partial(self.proposer.handle_promise, member, reply))
-        else:
-            self.meter.timed("proposer", functools.partial(self.proposer.handle_accepted, member, reply))
 
 
 def cost(
@@ -302,9 +122,7 @@
     world, late = model.world, "c"
     if is_new:
         late = "d"
-        node = consensus_cluster.Node(
-            world=world, name="d", nodes=model.nodes, seeds=("a", "b", "c"), is_first_start=False
-        )
+        node = register_node.Node(world=world, name="d", nodes=model.nodes, seeds=("a", "b", "c"), is_first_start=False)
         node.stop(is_wiped=True)
         model.nodes["d"] = node
     begun_s = 2.0
