--- a/ploverward/simulation/linearizability.py
+++ b/ploverward/simulation/linearizability.py
@@ -1,7 +1,7 @@
 """Checks a history of one register after the fact: is there an order of the calls that explains it?
 
-Each successful change names the version it built on and the one it made, so the order of changes is
-told by the history itself; a read names the version it saw. What is checked: each version is made at
+Each successful change names the version it built on and the one it made, so the history itself gives the
+order of changes; a read names the version it saw. What is checked: each version is made at
 most once and on the version before it, and no call saw less than what had ended before it began.
 """
 
