--- /dev/null
+++ b/ploverward/data_plane/load_balancing/test_replica_chooser.py
@@ -0,0 +1,102 @@
+"""The choice of a replica: permitted regions, slow start, who prefills a prompt that nobody has cached."""
+
+import random
+
+import pytest
+
+from ploverward.data_plane.load_balancing import replica_chooser
+from ploverward.data_plane.load_balancing import replica_table
+from ploverward.data_plane.quotas import shared_limits
+from ploverward.data_plane.relay import cuckoo_filter
+from ploverward.simulation import loopback_proxy
+from ploverward.simulation.loopback_proxy import replica_row
+from ploverward.transport import event_loop
+from ploverward.transport import messages
+
+SERVICES = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
+FULL_SHARE = messages.ShareLease(
+    slack_share=1.0, rate_share=1.0, duration_s=1000.0, core_share=1.0, slot=0, slot_count=8, number=1
+)
+
+
+def make_chooser(rows):
+    loop = event_loop.Loop()
+    quota = shared_limits.SharedLimits(now=loop.now, settings=loopback_proxy.settings())
+    quota.handle_share_lease("core", FULL_SHARE)
+    table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
+    table.services = SERVICES
+    table.install_list(rows)
+    return replica_chooser.Chooser(
+        table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
+    ), table
+
+
+@pytest.mark.parametrize("seed", range(30))
+def test_whatever_fails_no_choice_leaves_the_permitted_regions(seed):
+    """Random lists, evacuations, suspects and loads; an independent look at each choice."""
+    chance = random.Random(seed)
+    zones = {"za": "north", "zb": "south"}
+    rows = [replica_row(f"i{number}", zone=chance.choice(("za", "zb"))) for number in range(8)]
+    chooser, table = make_chooser(rows)
+    chosen = []
+    for step in range(200):
+        callback = chance.random()
+        if callback < 0.1:
+            table.install_evacuations(chance.sample(("za", "zb"), chance.randint(0, 2)))
+        elif callback < 0.2:
+            rows = [{**one, "is_clearing": chance.random() < 0.3} for one in rows]
+            table.install_list(rows)
+        elif callback < 0.3 and table.replicas:
+            table.mark_suspected(chance.choice(list(table.replicas.values())))
+        permitted = chance.choice((None, frozenset(("north",)), frozenset(("south",)), frozenset()))
+        replica, _tokens, _is_any = chooser.choose(
+            service="llm",
+            permitted=permitted,
+            model="m",
+            chain=cuckoo_filter.chain(model="m", parts=(("a", 10), (f"b{step}", 10))),
+            prompt_tokens=20,
+            avoid=set(),
+        )
+        if replica is not None:
+            chosen.append(replica)
+            replica.running += 1
+            assert permitted is None or zones[replica.zone] in permitted
+            assert replica.zone not in table.evacuated_zones and not replica.is_clearing
+    assert len(chosen) > 20
+
+
+def test_a_new_incarnation_during_traffic_is_warming_up_and_so_is_a_restored_zone():
+    chooser, table = make_chooser([replica_row("i1")])
+    assert table.replicas["i1"].warming_up_until == 0.0
+    table.install_list([replica_row("i1"), replica_row("i2", zone="zb")])
+    assert table.replicas["i2"].warming_up_until > table._loop.now() + 2.5
+    table.install_evacuations(("za",))
+    table.install_evacuations(())
+    assert table.replicas["i1"].warming_up_until > table._loop.now() + 2.5
+
+
+def test_all_proxies_name_the_same_first_reader_of_unknown_shared_parts():
+    rows = [replica_row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "za", "zb"))]
+    named = set()
+    for order in (rows, rows[::-1]):
+        chooser, _table = make_chooser(order)
+        kept = {}
+        chooser.affinity.credit_owner(
+            list(_table.replicas.values()),
+            shared=cuckoo_filter.chain(model="m", parts=(("doc", 500),)),
+            cached=kept,
+            service="llm",
+            permitted=None,
+        )
+        named |= set(kept)
+    assert len(named) == 1
+
+
+def test_tokens_that_are_kept_decide():
+    chooser, table = make_chooser([replica_row("i1"), replica_row("i2")])
+    chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
+    chooser.note_send(replica=table.replicas["i2"], chain=chain)
+    replica, tokens, _is_any = chooser.choose(
+        service="llm", permitted=None, model="m", chain=chain, prompt_tokens=5010, avoid=set()
+    )
+    assert replica.id == "i2" and tokens == 0
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -14,6 +14,7 @@
 from ploverward.data_plane.relay import mirror
 from ploverward.data_plane.relay import pool_mirror
 from ploverward.simulation import loopback_proxy
+from ploverward.simulation.loopback_proxy import replica_row
 from ploverward.transport import event_loop
 from ploverward.transport import row_codec
 
@@ -21,21 +22,6 @@
 CHAIN = cuckoo_filter.chain(model="m", parts=(("doc", 3000), ("own", 100)))
 
 
-def row(name, zone="za", **more):
-    return {
-        "id": name,
-        "service": "llm",
-        "address": "127.0.0.1:9",
-        "zone": zone,
-        "berths": 8,
-        "is_clearing": False,
-        "cold_ms": 0,
-        "left_ms": None,
-        "models": ["m"],
-        **more,
-    }
-
-
 def make(*, rows, own="10.0.0.1", proxies=20):
     """A proxy's table in a fleet of so many proxies in each of two regions."""
     loop = event_loop.Loop()
@@ -51,7 +37,9 @@
 
 
 def test_a_small_region_has_all_its_replicas_considered():
-    table, _loop, _settings = make(rows=[row(f"i{number}") for number in range(replica_subset.MIN_NEAR_REPLICAS)])
+    table, _loop, _settings = make(
+        rows=[replica_row(f"i{number}") for number in range(replica_subset.MIN_NEAR_REPLICAS)]
+    )
     assert (
         table.has_all_replicas("llm")
         and table.followed_keys() is None
@@ -60,7 +48,7 @@
 
 
 def test_one_replica_that_joins_or_leaves_changes_one_subset_slot():
-    rows = [row(f"i{number}") for number in range(400)]
+    rows = [replica_row(f"i{number}") for number in range(400)]
     table, _loop, _settings = make(rows=rows, proxies=64)
     before = names(table.subset("llm"))
     assert len(before) == replica_subset.MIN_NEAR_REPLICAS and not table.has_all_replicas("llm")
@@ -68,13 +56,13 @@
     table.change_list(rows=(), gone=(gone,))
     after = names(table.subset("llm"))
     assert before - after == {gone} and len(after - before) == 1
-    table.change_list(rows=(row(gone),), gone=())
+    table.change_list(rows=(replica_row(gone),), gone=())
     assert names(table.subset("llm")) == before
 
 
 @pytest.mark.parametrize("replicas, proxies", [(150, 60), (330, 32), (1000, 100)])
 def test_every_replica_has_enough_proxies_and_none_too_many(replicas, proxies):
-    rows = [row(f"i{number}") for number in range(replicas)]
+    rows = [replica_row(f"i{number}") for number in range(replicas)]
     looked_at = collections.Counter({one["id"]: 0 for one in rows})
     sizes = set()
     for number in range(proxies):
@@ -100,7 +88,7 @@
 
 
 def test_replicas_that_leave_or_are_evacuated_give_their_places_to_others():
-    rows = [row(f"i{number}", zone="za" if number % 2 else "zb") for number in range(300)]
+    rows = [replica_row(f"i{number}", zone="za" if number % 2 else "zb") for number in range(300)]
     table, _loop, settings = make(rows=rows)
     table._settings = dataclasses.replace(settings, zones={"za": "north", "zb": "north"})
     for replica in table.replicas.values():
@@ -110,7 +98,7 @@
     assert {replica.zone for replica in table.subset("llm")} == {"za"}
     assert len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
     clearing = sorted(names(table.subset("llm")))[0]
-    table.change_list(rows=(row(clearing, is_clearing=True),), gone=())
+    table.change_list(rows=(replica_row(clearing, is_clearing=True),), gone=())
     assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
 
 
@@ -126,7 +114,7 @@
 
 
 def test_what_keeps_the_prompt_is_chosen_though_it_is_outside_the_subset():
-    table, loop, settings = make(rows=[row(f"i{number}") for number in range(300)])
+    table, loop, settings = make(rows=[replica_row(f"i{number}") for number in range(300)])
     outside = sorted(set(table.replicas) - names(table.subset("llm")))[0]
     region = mirror.RegionMirror(now=loop.now, trust_s=5.0)
     one = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
@@ -143,7 +131,7 @@
 
 
 def test_where_nobody_of_the_subset_may_be_used_any_replica_may():
-    table, loop, settings = make(rows=[row(f"i{number}") for number in range(300)])
+    table, loop, settings = make(rows=[replica_row(f"i{number}") for number in range(300)])
     chooser = chooser_for(table, loop, settings, {})
     subset = names(table.subset("llm"))
     for replica in table.replicas.values():
@@ -155,7 +143,7 @@
 
 
 def test_all_proxies_name_the_same_first_reader_of_a_part_that_nobody_keeps():
-    rows = [row(f"i{number}") for number in range(300)]
+    rows = [replica_row(f"i{number}") for number in range(300)]
     chosen = set()
     for number in range(12):
         table, loop, settings = make(rows=rows, own=f"10.0.2.{number}")
@@ -164,7 +152,7 @@
 
 
 def test_suspected_replicas_of_a_lost_zone_are_checked_some_at_a_time():
-    table, loop, _settings = make(rows=[row(f"i{number}") for number in range(300)], proxies=4)
+    table, loop, _settings = make(rows=[replica_row(f"i{number}") for number in range(300)], proxies=4)
     opened = []
     table.pool.connection = lambda *, replica, request_id=b"": opened.append(replica)
     for replica in table.replicas.values():
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -1,16 +1,13 @@
-"""This proxy's part of the shared bounds, and the choice under them."""
+"""This proxy's part of the limits that hold over all machines."""
 
 import random
 
 import pytest
 
 from ploverward.control_plane.quotas import rate_slots
-from ploverward.data_plane.load_balancing import replica_chooser
 from ploverward.data_plane.load_balancing import replica_table
 from ploverward.data_plane.quotas import shared_limits
-from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.simulation import loopback_proxy
-from ploverward.transport import event_loop
 from ploverward.transport import messages
 
 SERVICES = {"llm": {"warmup_s": 3.0, "warmup_per_s": 10.0, "cache_tokens": 1000, "max_conns": 100, "models": ("m",)}}
@@ -182,101 +179,3 @@
             assert all(row[1] != slot and row[2] == size for row in granted)
             granted.append((node, slot, size, clock[0] + 3.0))
     assert granted
-
-
-def make_chooser(rows):
-    loop = event_loop.Loop()
-    quota = shared_limits.SharedLimits(now=loop.now, settings=loopback_proxy.settings())
-    quota.handle_share_lease("core", share_lease(1.0))
-    table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
-    table.services = SERVICES
-    table.install_list(rows)
-    return replica_chooser.Chooser(
-        table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
-    ), table
-
-
-def row(name, zone="za", **more):
-    return {
-        "id": name,
-        "service": "llm",
-        "address": "127.0.0.1:9",
-        "zone": zone,
-        "berths": 8,
-        "is_clearing": False,
-        "cold_ms": 0,
-        "left_ms": None,
-        "models": ["m"],
-        **more,
-    }
-
-
-@pytest.mark.parametrize("seed", range(30))
-def test_whatever_fails_no_choice_leaves_the_permitted_regions(seed):
-    """Random lists, evacuations, suspects and loads; an independent look at each choice."""
-    chance = random.Random(seed)
-    zones = {"za": "north", "zb": "south"}
-    rows = [row(f"i{number}", zone=chance.choice(("za", "zb"))) for number in range(8)]
-    chooser, table = make_chooser(rows)
-    chosen = []
-    for step in range(200):
-        callback = chance.random()
-        if callback < 0.1:
-            table.install_evacuations(chance.sample(("za", "zb"), chance.randint(0, 2)))
-        elif callback < 0.2:
-            rows = [{**one, "is_clearing": chance.random() < 0.3} for one in rows]
-            table.install_list(rows)
-        elif callback < 0.3 and table.replicas:
-            table.mark_suspected(chance.choice(list(table.replicas.values())))
-        permitted = chance.choice((None, frozenset(("north",)), frozenset(("south",)), frozenset()))
-        replica, _tokens, _is_any = chooser.choose(
-            service="llm",
-            permitted=permitted,
-            model="m",
-            chain=cuckoo_filter.chain(model="m", parts=(("a", 10), (f"b{step}", 10))),
-            prompt_tokens=20,
-            avoid=set(),
-        )
-        if replica is not None:
-            chosen.append(replica)
-            replica.running += 1
-            assert permitted is None or zones[replica.zone] in permitted
-            assert replica.zone not in table.evacuated_zones and not replica.is_clearing
-    assert len(chosen) > 20
-
-
-def test_a_new_incarnation_during_traffic_is_warming_up_and_so_is_a_restored_zone():
-    chooser, table = make_chooser([row("i1")])
-    assert table.replicas["i1"].warming_up_until == 0.0
-    table.install_list([row("i1"), row("i2", zone="zb")])
-    assert table.replicas["i2"].warming_up_until > table._loop.now() + 2.5
-    table.install_evacuations(("za",))
-    table.install_evacuations(())
-    assert table.replicas["i1"].warming_up_until > table._loop.now() + 2.5
-
-
-def test_all_proxies_name_the_same_first_reader_of_unknown_shared_parts():
-    rows = [row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "za", "zb"))]
-    named = set()
-    for order in (rows, rows[::-1]):
-        chooser, _table = make_chooser(order)
-        kept = {}
-        chooser.affinity.credit_owner(
-            list(_table.replicas.values()),
-            shared=cuckoo_filter.chain(model="m", parts=(("doc", 500),)),
-            cached=kept,
-            service="llm",
-            permitted=None,
-        )
-        named |= set(kept)
-    assert len(named) == 1
-
-
-def test_tokens_that_are_kept_decide():
-    chooser, table = make_chooser([row("i1"), row("i2")])
-    chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
-    chooser.note_send(replica=table.replicas["i2"], chain=chain)
-    replica, tokens, _is_any = chooser.choose(
-        service="llm", permitted=None, model="m", chain=chain, prompt_tokens=5010, avoid=set()
-    )
-    assert replica.id == "i2" and tokens == 0
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -87,6 +87,28 @@
 }
 
 
+def replica_row(name: str, zone: str = "za", **more: object) -> dict[str, typing.Any]:
+    """A row of the endpoint list: a replica of the service `llm` that is neither draining nor warming up.
+
+    Args:
+        name: its id.
+        zone: its zone.
+        **more: fields in place of the ones given here, or besides them.
+    """
+    return {
+        "id": name,
+        "service": "llm",
+        "address": "127.0.0.1:9",
+        "zone": zone,
+        "berths": 8,
+        "is_clearing": False,
+        "cold_ms": 0,
+        "left_ms": None,
+        "models": ["m"],
+        **more,
+    }
+
+
 class LoopbackProxy:
     """What a request handler needs of the proxy.
 
@@ -141,17 +163,7 @@
         self.configuration_age = 0.0
         self.quota_allowance = quota_allowance.QuotaAllowance(now=loop.now, lease_s=1.0)
         self.rows: list[dict[str, typing.Any]] = [
-            {
-                "id": f"i{number}",
-                "service": "llm",
-                "address": f"{peer.address[0]}:{peer.address[1]}",
-                "zone": zone,
-                "berths": 8,
-                "is_clearing": False,
-                "cold_ms": 0,
-                "left_ms": None,
-                "models": ["m"],
-            }
+            replica_row(f"i{number}", zone=zone, address=f"{peer.address[0]}:{peer.address[1]}")
             for number, (peer, zone) in enumerate(peers)
         ]
         self.table.install_list(self.rows)
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -25,18 +25,7 @@
 from ploverward.transport import peer_connection
 
 ROWS: list[dict[str, typing.Any]] = [
-    {
-        "id": f"i{number}",
-        "service": "llm",
-        "address": "127.0.0.1:9",
-        "zone": zone,
-        "berths": 8,
-        "is_clearing": False,
-        "cold_ms": 0,
-        "left_ms": None,
-        "models": ["m"],
-    }
-    for number, zone in enumerate(("za", "za", "zb"))
+    loopback_proxy.replica_row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "zb"))
 ]
 
 
