--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -102,7 +102,7 @@
                 slack_share=1.0, rate_share=1.0, duration_s=1e9, core_share=1.0, slot=0, slot_count=8, number=1
             ),
         )
-        self.table = replica_table.Table(loop=scene, settings=settings, share=self.quota.rate_share)
+        self.table = replica_table.ReplicaTable(loop=scene, settings=settings, share=self.quota.rate_share)
         self.table.install_services(
             {
                 "llm": {
@@ -116,7 +116,7 @@
         for far, region in ZONES.items():
             self.table.latencies.by_zone[far] = 0.002 if region == ZONES[zone] else 0.08
         self.counter = adapter_counts.AdapterCounter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
-        self.chooser = replica_chooser.Chooser(
+        self.chooser = replica_chooser.ReplicaChooser(
             table=self.table, settings=settings, regions={}, quota=self.quota, now=now
         )
 
@@ -258,7 +258,7 @@
             prompt_tokens=0,
             avoid=avoid,
             latency_target_s=latency_target_of(kind),
-            load_s=lambda one: proxy.counter.expected_load_s(replica=one, model=model, adapter=adapter),
+            adapter_load_s=lambda one: proxy.counter.expected_load_s(replica=one, model=model, adapter=adapter),
         )
         if replica is None:
             self.answer(request, is_good=False)
--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -49,7 +49,7 @@
     def __init__(
         self,
         *,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         rollouts: version_routing.VersionRouter,
         quota_allowance: quota_allowances.QuotaAllowance,
         residency: residency_history.ResidencyHistory,
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -152,7 +152,7 @@
 
 
 def find_cache_owners(
-    message: messages.FindCacheOwners, *, table: replica_table.Table, regions: Mapping[str, mirror.RegionMirror]
+    message: messages.FindCacheOwners, *, table: replica_table.ReplicaTable, regions: Mapping[str, mirror.RegionMirror]
 ) -> messages.CacheOwners:
     """The replicas that, by the mirrors of all regions' relays, have any of these parts in their caches."""
     by_key = {replica.key: replica for replica in table.replicas.values()}
--- a/ploverward/data_plane/load_balancing/connection_pool.py
+++ b/ploverward/data_plane/load_balancing/connection_pool.py
@@ -78,10 +78,10 @@
         """Returns an idle connection that may carry this request, or a new one; None at the bound."""
         now = self._loop.now()
         _close_expired(replica, now=now)
-        trusted_s = self.trusted_s(service=replica.service, now=now) if self._idle_trust else None
+        max_idle_s = self.max_idle_s(service=replica.service, now=now) if self._idle_trust else None
         while replica.idle:
             connection = replica.idle.pop()
-            is_trusted = trusted_s is None or now - connection.idle_since <= trusted_s
+            is_trusted = max_idle_s is None or now - connection.idle_since <= max_idle_s
             if is_trusted and connection.is_reusable_for(request_id=request_id):
                 return connection
             connection.close()
@@ -113,19 +113,19 @@
         if idle_for_s < upstream_connection.UNCHECKED_IDLE_S:
             return  # it was not idle: its end is no evidence about the others
         now = self._loop.now()
-        trusted_s = max(upstream_connection.UNCHECKED_IDLE_S, idle_for_s / 2)
-        known_s = self.trusted_s(service=replica.service, now=now)
+        max_idle_s = max(upstream_connection.UNCHECKED_IDLE_S, idle_for_s / 2)
+        known_s = self.max_idle_s(service=replica.service, now=now)
         if known_s is not None:
-            trusted_s = min(trusted_s, known_s)
-        self._idle_trust[replica.service] = (trusted_s, now + self._contact_s)
+            max_idle_s = min(max_idle_s, known_s)
+        self._idle_trust[replica.service] = (max_idle_s, now + self._contact_s)
 
-    def trusted_s(self, *, service: str, now: float) -> float | None:
+    def max_idle_s(self, *, service: str, now: float) -> float | None:
         """Returns for how many seconds a connection of this service may be idle and still be used, None for any."""
-        trusted_s, until = self._idle_trust.get(service, (None, 0.0))
+        max_idle_s, until = self._idle_trust.get(service, (None, 0.0))
         if until <= now:
             self._idle_trust.pop(service, None)
             return None
-        return trusted_s
+        return max_idle_s
 
     def _on_connected(self, replica: replicas.Replica, took_s: float) -> None:
         replica.is_suspected = False
--- a/ploverward/data_plane/load_balancing/outlier_detection.py
+++ b/ploverward/data_plane/load_balancing/outlier_detection.py
@@ -24,7 +24,7 @@
 
 
 class ReplicaView(typing.Protocol):
-    """The replicas that this proxy uses (`replica_table.Table`)."""
+    """The replicas that this proxy uses (`replica_table.ReplicaTable`)."""
 
     replicas: dict[str, replica.Replica]
     by_service: dict[str, list[replica.Replica]]
@@ -63,7 +63,7 @@
         zone_peers = [peer for peer in self._table.replicas.values() if peer.zone == one.zone and peer is not one]
         if any(peer.is_suspected for peer in zone_peers):
             for peer in zone_peers:
-                if not peer.is_suspected and now - peer.heard_at > self._contact_s * ZONE_SILENCE_SHARE:
+                if not peer.is_suspected and now - peer.last_received_at > self._contact_s * ZONE_SILENCE_SHARE:
                     peer.is_suspected = True
                     peer.close_idle()
         self._loop.command(callback=self.check_suspected)
--- a/ploverward/data_plane/load_balancing/prefix_affinity.py
+++ b/ploverward/data_plane/load_balancing/prefix_affinity.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         *,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         regions: dict[str, typing.Any],
         contact_s: float,
         now: Callable[[], float],
--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -46,7 +46,7 @@
         warming_up_until: In slow start before then, in seconds on the loop's clock.
         idle: Connections that carry no request.
         connections: All open connections.
-        heard_at: When it last sent anything.
+        last_received_at: When it last sent anything.
         backoff_until: It declined a request: not to be chosen before then, unless there is no other.
         is_suspected: Not to be chosen before a connection of this proxy is established.
         is_probe_failed: The last connection of this proxy failed; false if it is suspected only because of its zone.
@@ -75,7 +75,7 @@
         self.warming_up_until = 0.0
         self.idle: list[upstream_connection.UpstreamConnection] = []
         self.connections: set[upstream_connection.UpstreamConnection] = set()
-        self.heard_at = now
+        self.last_received_at = now
         self.backoff_until = 0.0
         self.is_suspected = False
         self.is_probe_failed = False
@@ -110,12 +110,12 @@
         for connection in list(self.idle):
             connection.close()
 
-    def note_failure(self, *, now: float, span: float) -> None:
-        """An attempt failed although the replica was up; counts for `span` seconds.
+    def note_failure(self, *, now: float, window_s: float) -> None:
+        """An attempt failed although the replica was up; counts for `window_s` seconds.
 
         A fault may show to some callers only, so what this proxy saw counts here in addition to the relay's judge.
         """
-        self._failures.append(now + span)
+        self._failures.append(now + window_s)
         if len(self._failures) > MAX_RECENT_FAILURES:
             self._failures.popleft()
 
@@ -125,8 +125,8 @@
             self._failures.popleft()
         return len(self._failures)
 
-    def sent_within(self, *, span: float, now: float) -> int:
-        """Returns the attempts that were sent in the last `span` seconds."""
-        while self.sends and now - self.sends[0] > span:
+    def sent_within(self, *, window_s: float, now: float) -> int:
+        """Returns the attempts that were sent in the last `window_s` seconds."""
+        while self.sends and now - self.sends[0] > window_s:
             self.sends.popleft()
-        return sum(1 for when in self.sends if now - when <= span)
+        return sum(1 for when in self.sends if now - when <= window_s)
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -1,6 +1,6 @@
 """The choice of a replica for one attempt (design 6): candidates, their scores, the best one.
 
-`Chooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts are in
+`ReplicaChooser` owns no state of its own: measured prefill rates are `scoring.PrefillRates`, sent prompts are in
 `prefix_affinity`, replicas in the table. A replica that may not be used is never a candidate, whatever its score: a
 wrong mirror costs time, but breaks no rule (docs/requests.md 6, `test_broken_mirror.py`).
 """
@@ -29,7 +29,7 @@
 MAX_TRIAL_PREFILL_MS = 900.0  # of prompts that wait there: it shows nothing by being overrun
 
 
-class Chooser:
+class ReplicaChooser:
     """Chooses replicas.
 
     Args:
@@ -48,7 +48,7 @@
     def __init__(
         self,
         *,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         settings: settings_files.Settings,
         regions: dict[str, typing.Any],
         quota: shared_limits.SharedLimits,
@@ -75,7 +75,7 @@
         """A prompt was sent to a replica."""
         self.affinity.note_send(replica=replica, chain=chain)
 
-    def note_read(self, *, service: str, tokens: int, took_s: float) -> None:
+    def note_prefill(self, *, service: str, tokens: int, took_s: float) -> None:
         """A first event arrived, `took_s` seconds after the prompt could have arrived."""
         self.rates.record(service=service, tokens=tokens, took_s=took_s)
 
@@ -191,7 +191,7 @@
         prompt_tokens: int,
         avoid: Container[str],
         latency_target_s: float = 1.0,
-        load_s: Callable[[replicas.Replica], float] | None = None,
+        adapter_load_s: Callable[[replicas.Replica], float] | None = None,
         pool: version_routing.VersionPool | None = None,
     ) -> tuple[replicas.Replica | None, int, bool]:
         """Chooses the replica with the lowest score among those that have capacity.
@@ -204,7 +204,7 @@
             prompt_tokens: Of the whole prompt.
             avoid: Ids that are not to be chosen.
             latency_target_s: Of the request, in seconds.
-            load_s: Returns the seconds that a replica needs to load the adapter, None where none is needed.
+            adapter_load_s: Returns the seconds that a replica needs to load the adapter, None where none is needed.
             pool: The versions that may be used, None for all.
 
         Returns:
@@ -242,8 +242,8 @@
             )
             if most_cached > known:
                 score += (most_cached - known) / rate * REPEATED_PREFILL_WEIGHT
-            if load_s is not None:
-                score += load_s(replica) * 1000.0  # an adapter that it has not loaded (docs/pins.md 5)
+            if adapter_load_s is not None:
+                score += adapter_load_s(replica) * 1000.0  # an adapter that it has not loaded (docs/pins.md 5)
             if best is None or score < best_score:
                 best, best_score, best_tokens = replica, score, prefill_tokens
         return best, best_tokens, True
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -1,6 +1,6 @@
 """The replicas of all services, as the endpoint list names them (design 5, 7, 8).
 
-`Table` owns the replicas and the services. Its components each own a rule: `subsets` (which replicas this proxy
+`ReplicaTable` owns the replicas and the services. Its components each own a rule: `subsets` (which replicas this proxy
 uses), `pool` (connections), `outliers` (suspected replicas), `latencies` (network latencies). Callers go through the
 table and need not know its components.
 """
@@ -31,7 +31,7 @@
 Replica = replicas_of.Replica
 
 
-class Table:
+class ReplicaTable:
     """The replicas.
 
     Args:
--- a/ploverward/data_plane/load_balancing/test_replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/test_replica_chooser.py
@@ -23,16 +23,16 @@
     loop = event_loop.Loop()
     quota = shared_limits.SharedLimits(now=loop.now, settings=loopback_proxy.settings())
     quota.handle_share_lease("core", FULL_SHARE)
-    table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
+    table = replica_table.ReplicaTable(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
     table.services = SERVICES
     table.install_list(rows)
-    return replica_chooser.Chooser(
+    return replica_chooser.ReplicaChooser(
         table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
     ), table
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_fails_no_choice_leaves_the_permitted_regions(seed):
+def test_choose_under_random_failures_stays_within_permitted_regions(seed):
     """Random lists, evacuations, suspects and loads; an independent look at each choice."""
     chance = random.Random(seed)
     zones = {"za": "north", "zb": "south"}
@@ -65,7 +65,7 @@
     assert len(chosen) > 20
 
 
-def test_a_new_incarnation_during_traffic_is_warming_up_and_so_is_a_restored_zone():
+def test_replica_added_during_traffic_and_restored_zone_warm_up():
     chooser, table = make_chooser([replica_row("i1")])
     assert table.replicas["i1"].warming_up_until == 0.0
     table.install_list([replica_row("i1"), replica_row("i2", zone="zb")])
@@ -75,7 +75,7 @@
     assert table.replicas["i1"].warming_up_until > table._loop.now() + 2.5
 
 
-def test_all_proxies_name_the_same_first_reader_of_unknown_shared_parts():
+def test_credit_owner_is_independent_of_the_list_order():
     rows = [replica_row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "za", "zb"))]
     named = set()
     for order in (rows, rows[::-1]):
@@ -92,7 +92,7 @@
     assert len(named) == 1
 
 
-def test_tokens_that_are_kept_decide():
+def test_choose_prefers_replica_with_cached_prompt():
     chooser, table = make_chooser([replica_row("i1"), replica_row("i2")])
     chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
     chooser.note_send(replica=table.replicas["i2"], chain=chain)
--- a/ploverward/data_plane/load_balancing/test_replica_rules.py
+++ b/ploverward/data_plane/load_balancing/test_replica_rules.py
@@ -42,7 +42,7 @@
         return not one.is_draining
 
 
-def test_one_suspected_replica_leaves_its_zone_alone_and_a_second_one_does_not():
+def test_second_suspected_replica_makes_its_whole_zone_suspected():
     first, second, third, other = made("i1"), made("i2"), made("i3"), made("i4", zone="zb")
     scene = Detection(first, second, third, other)
     scene.rules.mark_suspected(first)
@@ -52,16 +52,16 @@
     assert not third.is_probe_failed  # it is suspected for its zone's sake alone
 
 
-def test_a_replica_that_was_heard_lately_is_not_suspected_with_its_zone():
+def test_recently_active_replica_is_not_suspected_with_its_zone():
     first, second, third = made("i1"), made("i2"), made("i3")
-    third.heard_at = 9.9
+    third.last_received_at = 9.9
     scene = Detection(first, second, third)
     scene.rules.mark_suspected(first)
     scene.rules.mark_suspected(second)
     assert not third.is_suspected
 
 
-def test_suspected_replicas_are_checked_in_the_background_where_nothing_is_on_its_way_to_them():
+def test_check_suspected_skips_draining_replicas_and_those_with_connections():
     first, second, third = made("i1"), made("i2", zone="zb"), made("i3", zone="zc")
     scene = Detection(first, second, third)
     for one in (first, second, third):
@@ -73,7 +73,7 @@
     assert scene.opened == ["i1"]
 
 
-def test_a_silent_replica_is_probed_once_at_a_time():
+def test_probe_opens_no_second_connection_while_one_is_pending():
     one = made()
     scene = Detection(one)
     scene.rules.probe(one)
@@ -84,7 +84,7 @@
     assert scene.opened == ["i1", "i1"]
 
 
-def test_a_slow_start_is_never_shortened():
+def test_slow_start_is_never_shortened():
     one = made()
     slow_start.begin(one, service={"warmup_s": 5.0}, now=10.0)
     slow_start.follow_list(one, left_ms=2000, now=10.0)
@@ -95,7 +95,7 @@
     assert one.warming_up_until == 17.0
 
 
-def test_a_latency_is_a_minimum_that_fades_and_serves_its_zone():
+def test_latency_estimate_is_a_decaying_minimum_and_serves_its_zone():
     latencies = network_latency.NetworkLatencies()
     one, peer, stranger = made("i1"), made("i2"), made("i3", zone="zb")
     latencies.record(one, took_s=0.010)
@@ -104,17 +104,17 @@
     assert latencies.estimate_s(peer) == pytest.approx(0.011) and latencies.estimate_s(stranger) is None
 
 
-def test_failures_count_for_a_time_and_are_bounded():
+def test_recent_failures_expire_and_are_bounded():
     one = made()
     for number in range(replicas.MAX_RECENT_FAILURES + 2):
-        one.note_failure(now=float(number), span=4.0)
+        one.note_failure(now=float(number), window_s=4.0)
     assert one.recent_failures(now=9.0) == 4 and one.recent_failures(now=20.0) == 0
     for _index in range(replicas.MAX_RECENT_FAILURES + 2):
-        one.note_failure(now=30.0, span=4.0)
+        one.note_failure(now=30.0, window_s=4.0)
     assert one.recent_failures(now=30.0) == replicas.MAX_RECENT_FAILURES
 
 
-def test_the_bound_on_connections_follows_the_share_and_outlives_a_lost_lease():
+def test_max_connections_follows_the_share_and_is_kept_without_a_lease():
     shares = [0.0, 0.5, 0.0, 0.001]
     pool = connection_pool.ConnectionPool(
         loop=None,
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -26,7 +26,7 @@
     """A proxy's table in a fleet of so many proxies in each of two regions."""
     loop = event_loop.Loop()
     settings = loopback_proxy.settings(ip=own)
-    table = replica_table.Table(loop=loop, settings=settings, share=lambda: 0.5 / proxies)
+    table = replica_table.ReplicaTable(loop=loop, settings=settings, share=lambda: 0.5 / proxies)
     table.install_services(SERVICES)
     table.install_list(rows)
     return table, loop, settings
@@ -36,7 +36,7 @@
     return {replica.id for replica in replicas}
 
 
-def test_a_small_region_has_all_its_replicas_considered():
+def test_subset_of_a_small_region_has_all_replicas():
     table, _loop, _settings = make(
         rows=[replica_row(f"i{number}") for number in range(replica_subset.MIN_NEAR_REPLICAS)]
     )
@@ -47,7 +47,7 @@
     )
 
 
-def test_one_replica_that_joins_or_leaves_changes_one_subset_slot():
+def test_adding_or_removing_a_replica_changes_one_subset_entry():
     rows = [replica_row(f"i{number}") for number in range(400)]
     table, _loop, _settings = make(rows=rows, proxies=64)
     before = names(table.subset("llm"))
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("replicas, proxies", [(150, 60), (330, 32), (1000, 100)])
-def test_every_replica_has_enough_proxies_and_none_too_many(replicas, proxies):
+def test_subsets_spread_proxies_evenly_over_replicas(replicas, proxies):
     rows = [replica_row(f"i{number}") for number in range(replicas)]
     looked_at = collections.Counter({one["id"]: 0 for one in rows})
     sizes = set()
@@ -78,7 +78,7 @@
     assert sum(1 for count in looked_at.values() if count == 0) <= replicas * 0.15
 
 
-def test_the_size_follows_the_fleet_in_steps():
+def test_subset_size_follows_the_fleet_size_in_steps():
     sizes = [
         replica_subset.size(replicas=3000, proxies=proxies, is_near=True) for proxies in (10, 20, 60, 61, 100, 300)
     ]
@@ -87,7 +87,7 @@
     assert replica_subset.size(replicas=30, proxies=1, is_near=False) == 30
 
 
-def test_replicas_that_leave_or_are_evacuated_give_their_places_to_others():
+def test_draining_and_evacuated_replicas_are_replaced_in_the_subset():
     rows = [replica_row(f"i{number}", zone="za" if number % 2 else "zb") for number in range(300)]
     table, _loop, settings = make(rows=rows)
     table._settings = dataclasses.replace(settings, zones={"za": "north", "zb": "north"})
@@ -104,7 +104,7 @@
 
 def chooser_for(table, loop, settings, regions):
     quota = shared_limits.SharedLimits(now=loop.now, settings=settings)
-    return replica_chooser.Chooser(table=table, settings=settings, regions=regions, quota=quota, now=loop.now)
+    return replica_chooser.ReplicaChooser(table=table, settings=settings, regions=regions, quota=quota, now=loop.now)
 
 
 def choose(chooser, *, chain=(), permitted=None, avoid=()):
@@ -113,7 +113,7 @@
     )[0]
 
 
-def test_what_keeps_the_prompt_is_chosen_though_it_is_outside_the_subset():
+def test_choose_uses_replica_outside_the_subset_that_has_the_prompt_cached():
     table, loop, settings = make(rows=[replica_row(f"i{number}") for number in range(300)])
     outside = sorted(set(table.replicas) - names(table.subset("llm")))[0]
     region = mirror.RegionMirror(now=loop.now, trust_s=5.0)
@@ -130,7 +130,7 @@
     assert choose(chooser, chain=CHAIN, avoid=[outside]).id in names(table.subset("llm"))
 
 
-def test_where_nobody_of_the_subset_may_be_used_any_replica_may():
+def test_choose_falls_back_to_all_replicas_when_the_subset_is_suspected():
     table, loop, settings = make(rows=[replica_row(f"i{number}") for number in range(300)])
     chooser = chooser_for(table, loop, settings, {})
     subset = names(table.subset("llm"))
@@ -142,7 +142,7 @@
     assert choose(chooser) is None
 
 
-def test_all_proxies_name_the_same_first_reader_of_a_part_that_nobody_keeps():
+def test_all_proxies_choose_the_same_replica_for_an_uncached_part():
     rows = [replica_row(f"i{number}") for number in range(300)]
     chosen = set()
     for number in range(12):
@@ -151,7 +151,7 @@
     assert len(chosen) == 1
 
 
-def test_suspected_replicas_of_a_lost_zone_are_checked_some_at_a_time():
+def test_check_suspected_limits_concurrent_probes():
     table, loop, _settings = make(rows=[replica_row(f"i{number}") for number in range(300)], proxies=4)
     opened = []
     table.pool.connection = lambda *, replica, request_id=b"": opened.append(replica)
--- a/ploverward/data_plane/load_balancing/test_scoring.py
+++ b/ploverward/data_plane/load_balancing/test_scoring.py
@@ -60,15 +60,15 @@
         (replica(), IDLE, {"is_within_rate": False}, 300.0),
     ],
 )
-def test_each_term_adds_its_milliseconds(one, load, more, wanted):
+def test_score_is_the_sum_of_its_terms(one, load, more, wanted):
     assert score(one, load, **more) == pytest.approx(wanted)
 
 
-def test_a_replica_without_batch_slots_counts_as_one_with_a_single_slot():
+def test_score_treats_zero_batch_slots_as_one():
     assert score(replica(batch_slots=0), (1, 0, False, False)) == pytest.approx(120.0 + 400.0 + 200.0)
 
 
-def test_the_prefill_rate_is_the_maximum_of_what_was_measured_and_fades():
+def test_prefill_rate_is_a_decaying_maximum():
     rates = scoring.PrefillRates()
     rates.record(service="llm", tokens=scoring.MIN_MEASURED_TOKENS - 1, took_s=0.001)
     rates.record(service="llm", tokens=5000, took_s=0.0)
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -55,7 +55,7 @@
         incarnation: str,
         contact_s: float,
         peer_timeout_s: float,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         adapters: adapter_counts.AdapterCounter,
         replicas_in_use: Callable[[], Iterable[replica_table.Replica]],
         near_core: Callable[[], peer_connection.PeerConnection | None],
--- a/ploverward/data_plane/load_reports/relay_role.py
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -39,7 +39,7 @@
         connector_factory: digest_connection.ConnectorFactory,
         now: Callable[[], float],
         contact_s: float,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
     ) -> None:
         self.host: hosts.Host | None = None
         self.gateway: gateways.Gateway | None = None
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -66,7 +66,7 @@
         source: report_source.ReportSource,
         connector_factory: ConnectorFactory,
         peer_timeout_s: float,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         replicas_in_use: Callable[[], Iterable[replica_table.Replica]],
     ) -> None:
         self._loop = loop
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -103,7 +103,7 @@
             now=now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
         self.rollouts = version_routing.VersionRouter(now=now, chance=random.random, running=self._running_elsewhere)
-        self.table = replica_table.Table(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
+        self.table = replica_table.ReplicaTable(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
         self.adapters = adapter_counts.AdapterCounter(
             now=now,
             window_s=self.contact_s * ADAPTER_WINDOW_CONTACTS,
@@ -210,7 +210,7 @@
         self._relay_client.source.on_change = self._report_ticker.wake
         self.report_attempt = self._relay_client.source.record
         self.report_prefill = self._relay_client.source.record_read
-        self.chooser = replica_chooser.Chooser(
+        self.chooser = replica_chooser.ReplicaChooser(
             table=self.table,
             settings=self.settings,
             regions=self._relay_client.regions,
--- a/ploverward/data_plane/quotas/shared_limits.py
+++ b/ploverward/data_plane/quotas/shared_limits.py
@@ -116,8 +116,8 @@
         if allowed < 1:
             # An even share is less than one request a second: some proxies send to this replica, the others don't.
             most = self._slots_of(replica, limit) if is_hard else SOFT_RATE
-            return replica.sent_within(span=RATE_WINDOW_S, now=now) < most
-        return replica.sent_within(span=RATE_WINDOW_S, now=now) < int(allowed)
+            return replica.sent_within(window_s=RATE_WINDOW_S, now=now) < most
+        return replica.sent_within(window_s=RATE_WINDOW_S, now=now) < int(allowed)
 
     def _slots_of(self, replica: replica_table.Replica, limit: float) -> int:
         """Requests a second to this replica that this proxy's slots at the core nodes allow."""
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -216,7 +216,7 @@
 
 
 def pick_service(
-    *, request: http_request.Request, facts: RequestFacts, route: route_table.Route, table: replica_table.Table
+    *, request: http_request.Request, facts: RequestFacts, route: route_table.Route, table: replica_table.ReplicaTable
 ) -> None:
     """Draws one of the route's services by their shares, and reads what X-Model means for it."""
     facts.service = route.pick(random.random())
@@ -237,7 +237,7 @@
     )
 
 
-def read_model(*, text: str, service: str, table: replica_table.Table) -> Model:
+def read_model(*, text: str, service: str, table: replica_table.ReplicaTable) -> Model:
     """Returns what X-Model names for this service."""
     name, adapter, is_known = table.resolve(service=service, text=text)
     return Model(text=text, name=name, adapter=adapter, is_adapter_known=is_known)
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -71,7 +71,7 @@
 ) -> None:
     """The first event shows that the prompt was prefilled: it counts as cached from now on."""
     if context.rollouts.is_in_progress(facts.service):
-        context.rollouts.note_first(
+        context.rollouts.note_first_event(
             service=facts.service, route=route.name, attempt=attempt, expected_s=_expected_s(attempt, context=context)
         )
     if attempt.arrival is not None:
@@ -80,7 +80,7 @@
     replica.prefill_tokens.pop(attempt.number, None)
     replica.is_suspected = False
     network_latency_s = context.table.estimate_latency_s(replica) or 0.0
-    context.chooser.note_read(
+    context.chooser.note_prefill(
         service=facts.service,
         tokens=attempt.prefill_tokens,
         took_s=context.loop.now() - attempt.sent_at - network_latency_s,
@@ -115,7 +115,7 @@
     """
     if attempt.arrival is not None:
         context.adapters.note_not_run(attempt.arrival)  # does nothing where it has run
-    context.rollouts.note_end(
+    context.rollouts.note_attempt_end(
         service=facts.service,
         route=route.name,
         attempt=attempt,
@@ -130,7 +130,7 @@
 def report_end(attempt: attempts.Attempt, *, kind: int, context: handler_context.HandlerContext) -> None:
     """Reports how the attempt ended. A failure also counts against the replica here, for one `contactMs`."""
     if kind in (report_source.FAILED, report_source.BROKEN):
-        attempt.replica.note_failure(now=context.loop.now(), span=context.settings.bound_s(name="contactMs"))
+        attempt.replica.note_failure(now=context.loop.now(), window_s=context.settings.bound_s(name="contactMs"))
     context.report_attempt(replica=attempt.replica, kind=kind)
 
 
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -194,7 +194,7 @@
         self.first_at: float | None = None
         self.last_at: float | None = None
         self.sent_at = now
-        self.heard_at = now
+        self.last_received_at = now
         self.was_connected = connection.is_up
         self.row: custody_trails.AttemptRow | None = None
         self.arrival: adapter_counts.Arrival | None = None
@@ -205,7 +205,7 @@
         """The head of the answer was received."""
         if self.is_over:
             return
-        self.heard_at = self.handler.loop.now()
+        self.last_received_at = self.handler.loop.now()
         self.status = status
         self.meaning = classify_response(status=status, table=table, is_framed=is_framed)
         self.handler.handle_head(self, headers=headers, table=table)
@@ -219,7 +219,7 @@
     def on_data(self, data: bytes) -> None:
         """A chunk of the body was received."""
         if not self.is_over:
-            self.heard_at = self.handler.loop.now()
+            self.last_received_at = self.handler.loop.now()
             self.handler.handle_data(self, data)
 
     def on_end(self) -> None:
@@ -248,4 +248,4 @@
 
     def quiet_s(self, *, now: float) -> float:
         """Returns the seconds since it was sent, or since the replica last sent something on it."""
-        return now - max(self.sent_at, self.heard_at)
+        return now - max(self.sent_at, self.last_received_at)
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -53,8 +53,8 @@
     quota_allowance: quota_allowance.QuotaAllowance
     credential_freshness: credential_freshness.CredentialFreshness
     rollouts: version_routing.VersionRouter
-    table: replica_table.Table
-    chooser: replica_chooser.Chooser
+    table: replica_table.ReplicaTable
+    chooser: replica_chooser.ReplicaChooser
     adapters: adapter_counts.AdapterCounter
     batches: custody_trails.TrailBatches
     handlers: set[request_handler.RequestHandler]
--- a/ploverward/data_plane/requests/replica_feedback.py
+++ b/ploverward/data_plane/requests/replica_feedback.py
@@ -18,7 +18,7 @@
 class ReplicaFeedback:
     """Records failures and refusals at the replicas."""
 
-    def __init__(self, *, now: Callable[[], float], table: replica_table.Table, contact_s: float) -> None:
+    def __init__(self, *, now: Callable[[], float], table: replica_table.ReplicaTable, contact_s: float) -> None:
         """Creates the feedback of one proxy.
 
         Args:
--- a/ploverward/data_plane/requests/replica_selection.py
+++ b/ploverward/data_plane/requests/replica_selection.py
@@ -73,7 +73,7 @@
                 prompt_tokens=facts.prompt.tokens,
                 avoid=self.avoided if avoided is None else avoided,
                 latency_target_s=facts.latency_target_s,
-                load_s=self._adapter_load_s if facts.model.adapter else None,
+                adapter_load_s=self._adapter_load_s if facts.model.adapter else None,
             )
             if replica is not None:
                 return Selection(replica, prefill_tokens, True)
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -47,7 +47,7 @@
         self,
         *,
         loop: event_loop.Loop,
-        table: replica_table.Table,
+        table: replica_table.ReplicaTable,
         may_fail_over: Callable[[attempts.Attempt], bool],
         on_silent: Callable[[attempts.Attempt], None],
     ) -> None:
@@ -63,7 +63,7 @@
             return
         timeout_s = silence_timeout_s(route=route, latency_target_s=latency_target_s, is_read=attempt.is_read)
         # Another connection to the replica may have brought something later.
-        quiet_s = self._loop.now() - max(attempt.heard_at, attempt.replica.heard_at)
+        quiet_s = self._loop.now() - max(attempt.last_received_at, attempt.replica.last_received_at)
         pause_s = timeout_s - quiet_s
         if quiet_s >= timeout_s and attempt.connection.is_up and not attempt.connection.is_paused:
             if attempt.replica.is_probe_failed and self._may_fail_over(attempt):
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -253,7 +253,7 @@
             self._steps.record(step_log.PREFILLED, now=self.loop.now())
             attempt_accounting.note_prefilled(attempt, facts=self.facts, route=self.route, context=self.context)
         for event in stream.receive_data(data):
-            attempt.note_event(now=attempt.heard_at)
+            attempt.note_event(now=attempt.last_received_at)
             self.forward_event(event)
 
     def _note_begun(self) -> None:
@@ -273,7 +273,7 @@
     def _on_client_drained(self) -> None:
         self.request.on_drain = None
         if self.attempt is not None:
-            self.attempt.heard_at = self.loop.now()  # the pause was ours
+            self.attempt.last_received_at = self.loop.now()  # the pause was ours
             self.attempt.connection.resume()
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
--- a/ploverward/data_plane/requests/test_replica_watch.py
+++ b/ploverward/data_plane/requests/test_replica_watch.py
@@ -44,8 +44,8 @@
         self.attempt = types.SimpleNamespace(
             is_over=False,
             is_read=False,
-            heard_at=0.0,
-            replica=types.SimpleNamespace(heard_at=0.0, is_probe_failed=is_probe_failed),
+            last_received_at=0.0,
+            replica=types.SimpleNamespace(last_received_at=0.0, is_probe_failed=is_probe_failed),
             connection=types.SimpleNamespace(is_up=True, is_paused=False),
         )
         self.watch = replica_watch.ReplicaWatch(
@@ -84,7 +84,7 @@
 
 def test_what_came_on_another_connection_to_the_replica_counts():
     scene = Scene()
-    scene.attempt.replica.heard_at = 0.6
+    scene.attempt.replica.last_received_at = 0.6
     assert scene.run(until=5.0).silent == pytest.approx([1.6])
 
 
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -276,7 +276,7 @@
         faults=faults,
     )
     if where == "first event":
-        monkeypatch.setattr(scene.proxy.chooser, "note_read", broken)
+        monkeypatch.setattr(scene.proxy.chooser, "note_prefill", broken)
     else:
         monkeypatch.setattr(upstream_connection.UpstreamConnection, "_on_response_end", broken)
         scene.peers[0].script = request_scene.answering()
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -67,11 +67,11 @@
     ]
 
 
-def test_a_service_that_nobody_knows_of_may_go_anywhere():
+def test_pools_of_a_service_without_a_roll_out_allow_all_replicas():
     assert made()[0].pools(service="other", is_first=True) == (None,)
 
 
-def test_a_version_that_nobody_let_in_gets_nothing():
+def test_new_version_without_a_lease_gets_no_requests():
     idle = state.Rollout(admitted=("v1",), step=1)
     assert editions(made(rollout=idle)[0]) == ["v1"]
     assert editions(made()[0]) == ["v1"]  # ordered, and no lease
@@ -80,32 +80,32 @@
 @pytest.mark.parametrize(
     "stage, wanted", [(state.Stage.DRAINING, ["v2"]), (state.Stage.RETURNED, ["v1"]), (state.Stage.PROMOTING, ["v1"])]
 )
-def test_where_requests_go_without_a_lease(stage, wanted):
+def test_pools_without_a_lease_follow_the_stage(stage, wanted):
     tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=stage, step=3))
     assert editions(tracker) == wanted
 
 
-def test_after_delivery_the_former_version_gets_nothing():
+def test_former_version_gets_no_requests_after_delivery():
     tracker, _clock = made(
         rollout=dataclasses.replace(CANARY, stage=state.Stage.DELIVERED, admitted=("v2",), refused=(), step=5)
     )
     assert editions(tracker) == ["v2"]
 
 
-def test_a_lease_of_all_prefers_the_new_version():
+def test_lease_of_the_full_share_prefers_the_new_version():
     tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=state.Stage.PROMOTING, step=3))
     give(tracker, share=1.0, step=3)
     assert editions(tracker) == ["v2", "v1"]
 
 
-def test_a_retry_is_sent_to_the_former_version():
+def test_retry_is_sent_to_the_former_version():
     tracker, _clock = made(chance=0.99)
     give(tracker, share=0.1)
     assert editions(tracker, is_first=True) == ["v2", "v1"]
     assert editions(tracker, is_first=False) == ["v1"]
 
 
-def test_a_lease_counts_from_when_its_report_was_sent():
+def test_lease_duration_starts_when_its_report_was_sent():
     tracker, clock = made(chance=0.99)
     number = tracker.report().number
     clock.now += 2.4
@@ -115,7 +115,7 @@
     assert editions(tracker) == ["v1"]
 
 
-def test_a_lease_that_was_not_asked_for_or_is_of_an_older_order_or_step_counts_for_nothing():
+def test_lease_for_an_unknown_report_another_order_or_an_older_step_is_ignored():
     tracker, _clock = made(chance=0.99)
     answer(tracker, number=7, lease_s=9.0, granted=[lease()])
     give(tracker, number=2)
@@ -123,7 +123,7 @@
     assert editions(tracker) == ["v1"]
 
 
-def test_a_late_answer_does_not_replace_a_newer_lease():
+def test_late_reply_does_not_replace_a_newer_lease():
     tracker, clock = made(chance=0.99)
     first = tracker.report().number
     clock.now += 0.4
@@ -132,7 +132,7 @@
     assert editions(tracker) == ["v1"]
 
 
-def test_a_canary_names_the_replicas_that_it_may_go_to():
+def test_canary_pool_is_limited_to_the_replicas_of_the_lease():
     tracker, _clock = made(chance=0.99)
     give(tracker, replicas=("i7",))
     assert tracker.pools(service="pool", is_first=True)[0].replicas == ("i7",)
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("proxies", [1, 60, 330])
 @pytest.mark.parametrize("share", [0.05, 0.1, 0.3])
-def test_the_sum_over_all_proxies_keeps_to_the_share(proxies, share):
+def test_share_of_the_new_version_holds_over_all_proxies(proxies, share):
     """Whatever each one's rate, and although some restart in the midst."""
     chance = random.Random(proxies)
     sent, sent_new = 0, 0
@@ -160,7 +160,7 @@
     assert abs(sent_new - share * sent) <= spread
 
 
-def test_what_could_not_be_sent_is_not_made_up_for_later():
+def test_unused_share_is_not_made_up_for_by_a_burst():
     tracker, _clock = made(chance=0.0)
     give(tracker, share=0.5)
     for _index in range(200):
@@ -196,46 +196,46 @@
     """The tallies after one attempt's end; the order came at `began`."""
     tracker, clock = made(began=began)
     clock.now = 50.0
-    tracker.note_end(service="pool", route="r", attempt=one, kind=kind, latency_target_s=0.6, expected_s=0.1)
+    tracker.note_attempt_end(service="pool", route="r", attempt=one, kind=kind, latency_target_s=0.6, expected_s=0.1)
     reports = rollout_evidence.unpack(tracker.report().reports)
     return [tally for tally in reports[0].tallies.values()]
 
 
-def test_a_complete_answer_counts_with_its_times():
+def test_complete_response_is_counted_with_its_times():
     (tally,) = counted(attempt())
     assert (tally.ended, tally.failed, tally.broken) == (1, 0, 0)
     assert sum(tally.firsts.values()) == sum(tally.paces.values()) == 1
 
 
-def test_a_slow_first_event_counts_when_it_arrives_and_once():
+def test_first_event_is_counted_once_when_it_arrives():
     """Of the answers that end in a canary's seconds those of a slow version would be the fast ones."""
     tracker, clock = made(began=40.0)
     clock.now = 49.9
     one = attempt(is_complete=False, last_at=None, pieces=1)
-    tracker.note_first(service="pool", route="r", attempt=one, expected_s=0.1)
+    tracker.note_first_event(service="pool", route="r", attempt=one, expected_s=0.1)
     (early,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
     assert (early.ended, sum(early.firsts.values())) == (0, 1)
     clock.now = 52.0
     one.is_complete, one.last_at, one.pieces = True, 52.0, 6
-    tracker.note_end(
+    tracker.note_attempt_end(
         service="pool", route="r", attempt=one, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
     (late,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
     assert (late.ended, late.firsts, sum(late.paces.values())) == (1, early.firsts, 1)
 
 
-def test_a_first_event_of_an_attempt_that_began_before_the_order_is_not_counted():
+def test_first_event_of_an_attempt_sent_before_the_order_is_not_counted():
     tracker, _clock = made()
     one = attempt(sent_at=49.5)
-    tracker.note_first(service="pool", route="r", attempt=one, expected_s=0.1)
+    tracker.note_first_event(service="pool", route="r", attempt=one, expected_s=0.1)
     assert not rollout_evidence.unpack(tracker.report().reports)[0].tallies
 
 
-def test_the_load_of_an_adapter_says_nothing_of_a_version():
+def test_first_event_time_with_an_adapter_arrival_is_not_counted():
     (tally,) = counted(attempt(arrival=object()))
     assert tally.ended == 1 and not tally.firsts and sum(tally.paces.values()) == 1
     tracker, _clock = made(began=40.0)
-    tracker.note_first(service="pool", route="r", attempt=attempt(arrival=object()), expected_s=0.1)
+    tracker.note_first_event(service="pool", route="r", attempt=attempt(arrival=object()), expected_s=0.1)
     (tally,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
     assert not tally.firsts
 
@@ -248,7 +248,7 @@
         ({"is_complete": False, "first_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
     ],
 )
-def test_how_ends_are_counted(about, kind, wanted):
+def test_attempt_end_is_counted_by_its_outcome(about, kind, wanted):
     (tally,) = counted(attempt(**about), kind=kind)
     assert (tally.ended, tally.failed, tally.broken) == wanted
 
@@ -261,15 +261,15 @@
         {"is_complete": False},  # its client left in good time: that says nothing of the replica
     ],
 )
-def test_what_says_nothing_is_not_counted(about):
+def test_attempt_end_without_evidence_is_not_counted(about):
     assert sum(tally.ended for tally in counted(attempt(**about))) == 0
 
 
-def test_an_attempt_that_began_before_the_order_is_not_counted():
+def test_attempt_sent_before_the_order_is_not_counted():
     assert counted(attempt(), began=49.5) == []
 
 
-def test_reports_are_of_roll_outs_in_progress_alone():
+def test_report_contains_only_roll_outs_in_progress():
     tracker, _clock = made()
     (report,) = rollout_evidence.unpack(tracker.report().reports)
     assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
@@ -277,10 +277,10 @@
     assert tracker.report() is None
 
 
-def test_counts_begin_anew_with_each_order():
+def test_new_order_resets_the_counts():
     tracker, clock = made(began=40.0)
     clock.now = 50.0
-    tracker.note_end(
+    tracker.note_attempt_end(
         service="pool", route="r", attempt=attempt(), kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
     tracker.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -3,7 +3,7 @@
 An admitted version may always receive requests. A new one receives them under a lease, which counts from when its
 report was sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a
 credit, and an attempt at the new version spends one. So the share is kept at every moment, and over any number of
-proxies (`test_the_sum_over_all_proxies_keeps_to_the_share`).
+proxies (`test_share_of_the_new_version_holds_over_all_proxies`).
 
 `VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
 incarnation and restart with each order.
@@ -168,13 +168,13 @@
         tracked = self._tracked.get(service)
         return tracked if tracked is not None and tracked.rollout.is_in_progress else None
 
-    def note_first(self, *, service: str, route: str, attempt: attempts.Attempt, expected_s: float) -> None:
+    def note_first_event(self, *, service: str, route: str, attempt: attempts.Attempt, expected_s: float) -> None:
         """The first event of an answer arrived; the arguments are those of `attempt_tally.count_first`."""
         tally = self._tally_of(service=service, route=route, attempt=attempt)
         if tally is not None:
             attempt_tally.count_first(tally, attempt, now=self._now(), expected_s=expected_s)
 
-    def note_end(
+    def note_attempt_end(
         self,
         *,
         service: str,
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -81,7 +81,7 @@
         scene.loop.skip(seconds=0.7)
     assert told == [200, 502, 200, 200, 200]
     scene.loop.skip(seconds=4.0)  # contactMs later it is tried again
-    assert scene.proxy.table.pool.trusted_s(service="llm", now=scene.loop.now()) is None
+    assert scene.proxy.table.pool.max_idle_s(service="llm", now=scene.loop.now()) is None
 
 
 @pytest.mark.parametrize("others", [0, 1])
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -72,7 +72,7 @@
     """
 
     endpoint: tuple[str, int]
-    heard_at: float
+    last_received_at: float
 
     def forget(self, connection: UpstreamConnection) -> None:
         """The connection is closed."""
@@ -250,7 +250,7 @@
         self.is_up = True
         self.state = ConnectionState.IDLE if self.attempt is None else ConnectionState.BUSY
         self.loop.cancel(timer=self._timer)
-        self.replica.heard_at = now
+        self.replica.last_received_at = now
         self._on_connected(self.replica, now - self._begun_at)
         if self.attempt is None:
             self.idle_since = now
@@ -272,7 +272,7 @@
         if not data:
             self._on_remote_end()
             return
-        self.replica.heard_at = self.loop.now()
+        self.replica.last_received_at = self.loop.now()
         try:
             self._reader.receive_data(data)
             self._deliver_events()
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -152,9 +152,9 @@
         self.rollouts = version_routing.VersionRouter(
             now=loop.now, chance=lambda: 0.5, running=lambda service, target: 0
         )
-        self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
+        self.table = replica_table.ReplicaTable(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.install_services(route_table.services(body=CONFIGURATION))
-        self.chooser = replica_chooser.Chooser(
+        self.chooser = replica_chooser.ReplicaChooser(
             table=self.table, settings=self.settings, regions={}, quota=self.quota, now=loop.now
         )
         self.handlers: set[request_handler.RequestHandler] = set()
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -277,7 +277,7 @@
 
         def begin() -> None:
             if incarnation == self.incarnation and attempt.meaning is attempts.Meaning.SUCCESS and not replica.is_gone:
-                router.note_first(
+                router.note_first_event(
                     service=SERVICE,
                     route=route,
                     attempt=typing.cast(attempts.Attempt, attempt),
@@ -291,7 +291,7 @@
             is_failed = replica.is_gone or attempt.status >= 500
             kind = report_source.AttemptEvent.FAILED if is_failed else report_source.AttemptEvent.DONE
             attempt.is_complete = not replica.is_gone
-            router.note_end(
+            router.note_attempt_end(
                 service=SERVICE,
                 route=route,
                 attempt=typing.cast(attempts.Attempt, attempt),
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -53,7 +53,7 @@
         self.incarnation = incarnation
         self.requests: set[RequestInFlight] = set()
         self.quota = shared_limits.SharedLimits(now=loop.now, settings=self.settings)
-        self.table = replica_table.Table(loop=loop, settings=self.settings, share=self.quota.rate_share)
+        self.table = replica_table.ReplicaTable(loop=loop, settings=self.settings, share=self.quota.rate_share)
         self.table.services = {"llm": {"cache_tokens": 1000, "models": ("m",)}}
         self.table.install_list(ROWS)
         self.client = relay_client.RelayClient(
@@ -68,7 +68,7 @@
             near_core=lambda: None,
         )
         self.regions = self.client.regions
-        self.chooser = replica_chooser.Chooser(
+        self.chooser = replica_chooser.ReplicaChooser(
             table=self.table,
             settings=self.settings,
             regions=self.regions,
