--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -1,8 +1,7 @@
-"""One replica, as this proxy knows it.
+"""The state that a proxy keeps of one replica.
 
-`Replica` owns what this proxy knows of one replica: its row of the endpoint list, its connections, the attempts that
-run there, and the faults that were seen. Other modules own the rules: `outlier_detection`, `slow_start`,
-`connection_pool`.
+`Replica` owns that state: the replica's row of the endpoint list, its connections, the attempts that run there, and its
+recent failures. Other modules own the rules by which it changes: `outlier_detection`, `slow_start`, `connection_pool`.
 """
 
 from __future__ import annotations
@@ -18,44 +17,45 @@
 
     from ploverward.data_plane.upstream import upstream_connection
 
-MAX_RECENT_FAILURES = 8  # more make no difference: a replica with so many is chosen only where there is no other
+MAX_RECENT_FAILURES = 8  # a replica with this many is chosen only if there is no other: counting more changes nothing
 
 
 class Replica:
-    """One replica.
+    """One replica, as this proxy knows it.
 
     Args:
-        row: Of the endpoint list.
+        row: Its row of the endpoint list.
         endpoint: Its address and port.
-        region: Of its zone.
-        now: Seconds on the loop's clock.
+        region: The region of its zone.
+        now: The current time on the loop's clock, in seconds.
 
     Attributes:
-        id: Of this run of the replica; another run at the same address has another one.
-        key: The id as relays and digests name it.
+        id: Identifies this run of the replica; another run at the same address has another id.
+        key: Hash of the id, by which relays and digests name the replica.
         service: The service that it belongs to.
         endpoint: Its address and port.
-        zone: Where it runs.
-        region: Of the zone.
-        batch_slots: Requests that it runs concurrently.
-        edition: Version of its software.
-        models: Models that it serves; empty: all of its service.
-        adapters: (model, adapter) that it has loaded: since when; None if the list does not say.
-        is_draining: The platform takes it away: no new request is sent there.
+        zone: The zone in which it runs.
+        region: The region of its zone.
+        batch_slots: The number of requests that it runs concurrently.
+        edition: The version of its software.
+        models: The models that it serves; empty for all models of its service.
+        adapters: Since when it has each (model, adapter) loaded; None if the endpoint list does not say.
+        is_draining: Whether the platform is about to remove it: no new request is sent there.
         is_listed: Whether it is on the endpoint list.
-        warming_up_until: In slow start before then, in seconds on the loop's clock.
-        idle: Connections that carry no request.
+        warming_up_until: When its slow start ends, in seconds on the loop's clock, as all times here.
+        idle: Open connections that carry no request.
         connections: All open connections.
-        last_received_at: When it last sent anything.
-        backoff_until: It declined a request: not to be chosen before then, unless there is no other.
-        is_suspected: Not to be chosen before a connection of this proxy is established.
-        is_probe_failed: The last connection of this proxy failed; false if it is suspected only because of its zone.
+        last_received_at: When this proxy last received anything from it.
+        backoff_until: It declined a request and is not chosen before this time, unless there is no other replica.
+        is_suspected: Whether it is not to be chosen until this proxy has established a connection to it.
+        is_probe_failed: Whether this proxy's last attempt to connect failed; false if it is suspected only because of
+            its zone.
         network_latency_s: Round trip, from the time to establish connections; None before the first one.
         probe_connection: The connection of a health check in progress.
-        running: Attempts of this proxy that run there.
-        prefill_tokens: Tokens that are still to be prefilled, by the number of the attempt.
-        sends: When attempts of this proxy were sent, the latest ones.
-        on_probe_failed: Called when a health check failed.
+        running: The number of this proxy's attempts that run there.
+        prefill_tokens: The tokens of this proxy's attempts that are still to be prefilled there, by attempt number.
+        sends: When this proxy sent its latest attempts.
+        on_probe_failed: Called with this replica when a health check failed.
     """
 
     def __init__(self, *, row: Mapping[str, typing.Any], endpoint: tuple[str, int], region: str, now: float) -> None:
@@ -85,10 +85,10 @@
         self.prefill_tokens: dict[int, int] = {}
         self.sends: collections.deque[float] = collections.deque()
         self.on_probe_failed: Callable[[Replica], None] | None = None
-        self._failures: collections.deque[float] = collections.deque()  # until when each counts
+        self._failures: collections.deque[float] = collections.deque()  # when each failure expires
 
     def update_adapters(self, row: Mapping[str, typing.Any], *, now: float) -> None:
-        """Installs the adapters that the list names; those that it named before keep their times."""
+        """Installs the adapters that the endpoint list names; adapters that were known before keep their times."""
         pairs = row.get("adapters", ())
         before = self.adapters or {}
         self.adapters = (
@@ -96,7 +96,7 @@
         )
 
     def forget(self, connection: upstream_connection.UpstreamConnection) -> None:
-        """A connection is closed."""
+        """Removes a closed connection; if it was a failed health check, reports the failure."""
         self.connections.discard(connection)
         if connection is self.probe_connection:
             self.probe_connection = None
@@ -111,22 +111,23 @@
             connection.close()
 
     def note_failure(self, *, now: float, window_s: float) -> None:
-        """An attempt failed although the replica was up; counts for `window_s` seconds.
+        """Records that an attempt failed although the replica was up; the failure counts for `window_s` seconds.
 
-        A fault may show to some callers only, so what this proxy saw counts here in addition to the relay's judge.
+        A fault may affect the requests of some proxies only, so this proxy's own observations count in addition to the
+        relay's list of failing replicas.
         """
         self._failures.append(now + window_s)
         if len(self._failures) > MAX_RECENT_FAILURES:
             self._failures.popleft()
 
     def recent_failures(self, *, now: float) -> int:
-        """Returns how many failures count now."""
+        """Returns the number of failures that have not expired."""
         while self._failures and self._failures[0] <= now:
             self._failures.popleft()
         return len(self._failures)
 
     def sent_within(self, *, window_s: float, now: float) -> int:
-        """Returns the attempts that were sent in the last `window_s` seconds."""
+        """Returns the number of attempts that this proxy sent there in the last `window_s` seconds."""
         while self.sends and now - self.sends[0] > window_s:
             self.sends.popleft()
-        return sum(1 for when in self.sends if now - when <= window_s)
+        return sum(1 for sent_at in self.sends if now - sent_at <= window_s)
--- a/ploverward/data_plane/load_balancing/replica_table.py
+++ b/ploverward/data_plane/load_balancing/replica_table.py
@@ -1,8 +1,8 @@
-"""The replicas of all services, as the endpoint list names them (design 5, 7, 8).
+"""The table of the replicas of all services, kept up to date from the endpoint list (design 5, 7, 8).
 
-`ReplicaTable` owns the replicas and the services. Its components each own a rule: `subsets` (which replicas this proxy
-uses), `pool` (connections), `outliers` (suspected replicas), `latencies` (network latencies). Callers go through the
-table and need not know its components.
+`ReplicaTable` owns the replicas and the services. Each of its components owns one rule: `subsets` (the replicas that
+this proxy uses), `pool` (connections), `outliers` (suspected replicas), `latencies` (network latencies). Callers use
+the table and need not know its components.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
     from ploverward.common import settings as settings_files
     from ploverward.transport import event_loop
 
-Row = typing.Mapping[str, typing.Any]  # of the endpoint list: `control_plane.discovery.platform_client.read_row`
+Row = typing.Mapping[str, typing.Any]  # a row of the endpoint list: `control_plane.discovery.platform_client.read_row`
 Replica = replicas_of.Replica
 
 
 class ReplicaTable:
-    """The replicas.
+    """The replicas of all services, with the components that decide on their use.
 
     Args:
         loop: The event loop.
-        settings: Of this node.
+        settings: The settings of this node.
         share: Returns this proxy's share of the global limits, 0 without a lease.
 
     Attributes:
-        replicas: By id.
-        by_service: By service.
+        replicas: The listed replicas by id.
+        by_service: The listed replicas by service.
         services: The configuration of each service (`route_table.services`).
-        adapters: Of each service, by adapter: the models that the list or the configuration ever named with it.
+        adapters: By service and adapter: the models that the endpoint list or the configuration ever named with it.
         evacuated_zones: Zones to which no request is sent.
         latencies: Network latencies.
         pool: The connections.
-        subsets: Which replicas this proxy uses.
-        outliers: Suspected replicas.
+        subsets: The subsets of replicas that this proxy uses.
+        outliers: Marks replicas as suspected and probes them.
     """
 
     def __init__(self, *, loop: event_loop.Loop, settings: settings_files.Settings, share: Callable[[], float]) -> None:
@@ -80,14 +80,14 @@
         self.outliers = outlier_detection.OutlierDetection(
             loop=loop, table=self, pool=self.pool, contact_s=settings.bound_s(name="contactMs")
         )
-        # Queries that components answer.
+        # Methods of the components that callers use through the table.
         self.connection = self.pool.connection
         self.note_stale_connection = self.pool.note_stale
         self.mark_suspected = self.outliers.mark_suspected
         self.check_suspected_replicas = self.outliers.check_suspected
         self.estimate_latency_s = self.latencies.estimate_s
         self.has_all_replicas = self.subsets.has_all_replicas
-        self.subset = self.subsets.of
+        self.subset = self.subsets.replicas_for
         self.by_tags = self.subsets.by_tags
         self.followed_keys = self.subsets.followed_keys
         self.prefill_owner = self.subsets.prefill_owner
@@ -95,7 +95,7 @@
 
     # Services.
     def install_services(self, services: dict[str, dict[str, typing.Any]]) -> None:
-        """Installs a configuration."""
+        """Installs the services of a new configuration."""
         self.services = services
         for name, row in services.items():
             for model, adapter in row.get("adapters", ()):
@@ -112,88 +112,88 @@
         return limit
 
     def resolve(self, *, service: str, text: str) -> tuple[str, str, bool]:
-        """Returns what X-Model names for this service: model, adapter, and whether that is known."""
+        """Resolves an X-Model header for a service: returns the model, the adapter, and whether the name is known."""
         return adapter_names.resolve(
             text=text, models=self._service(service).get("models", ()), adapters=self.adapters.get(service, {})
         )
 
     # The endpoint list.
     def region_of(self, zone: str) -> str:
-        """Returns the region of a zone, empty where the settings do not name it."""
+        """Returns the region of a zone, empty if the settings do not name the zone."""
         return self._settings.zones.get(zone, "")
 
     def install_list(self, rows: Sequence[Row]) -> None:
-        """Installs a complete list."""
+        """Installs a complete endpoint list."""
         gone = self.replicas.keys() - {row["id"] for row in rows}
         self.change_list(rows=rows, gone=gone)
         self._has_list = True
 
     def change_list(self, *, rows: Iterable[Row], gone: Iterable[str]) -> None:
-        """The list changed: rows that are new or differ, and ids that were removed."""
+        """Applies a change of the endpoint list: rows that are new or differ, and ids that were removed."""
         now = self._loop.now()
         for row in rows:
             self._apply_row(row, now=now)
         for name in gone:
-            one = self.replicas.pop(name, None)
-            if one is not None:
-                one.is_listed = False
-                one.close_idle()
+            replica = self.replicas.pop(name, None)
+            if replica is not None:
+                replica.is_listed = False
+                replica.close_idle()
                 self.subsets.forget(name)
         self.by_service = {}
         self._counts = collections.Counter()
-        for one in self.replicas.values():
-            self.by_service.setdefault(one.service, []).append(one)
-            self._counts[one.service, one.region] += 1
+        for replica in self.replicas.values():
+            self.by_service.setdefault(replica.service, []).append(replica)
+            self._counts[replica.service, replica.region] += 1
         self.subsets.install(self.by_service)
 
     def _apply_row(self, row: Row, *, now: float) -> None:
-        one = self.replicas.get(row["id"])
-        if one is None:
+        replica = self.replicas.get(row["id"])
+        if replica is None:
             host, _colon, port = row["address"].rpartition(":")
-            one = Replica(row=row, endpoint=(host, int(port)), region=self.region_of(row["zone"]), now=now)
-            self.replicas[one.id] = one
-            one.on_probe_failed = self.outliers.mark_suspected
+            replica = Replica(row=row, endpoint=(host, int(port)), region=self.region_of(row["zone"]), now=now)
+            self.replicas[replica.id] = replica
+            replica.on_probe_failed = self.outliers.mark_suspected
             if self._has_list:
-                # It started during traffic: if the list does not say, it counts as warming up.
-                slow_start.begin(one, service=self._service(one.service), now=now)
-        one.is_draining = row["is_clearing"]
-        one.update_adapters(row, now=now)
-        for model, adapter in one.adapters or ():
-            self._note_adapter(service=one.service, model=model, adapter=adapter)
-        slow_start.follow_list(one, left_ms=row["cold_ms"], now=now)
-        if one.is_draining:
-            one.close_idle()
+                # It started during traffic, so it is warming up even if the list does not say so.
+                slow_start.begin(replica, service=self._service(replica.service), now=now)
+        replica.is_draining = row["is_clearing"]
+        replica.update_adapters(row, now=now)
+        for model, adapter in replica.adapters or ():
+            self._note_adapter(service=replica.service, model=model, adapter=adapter)
+        slow_start.follow_list(replica, left_ms=row["cold_ms"], now=now)
+        if replica.is_draining:
+            replica.close_idle()
 
     def count(self, *, service: str, region: str) -> int:
         """Returns how many replicas of a service are listed in a region."""
         return self._counts[service, region]
 
     def install_evacuations(self, zones: Iterable[str]) -> None:
-        """The evacuated zones changed. Replicas of a zone that returns begin with a slow start."""
+        """Installs the evacuated zones. Replicas of a zone that returns begin with a slow start."""
         evacuated = frozenset(zones)
         restored = self.evacuated_zones - evacuated
         now = self._loop.now()
-        for one in self.replicas.values():
-            if one.zone in restored:
-                slow_start.begin(one, service=self._service(one.service), now=now)
-            if one.zone in evacuated:
-                one.close_idle()
+        for replica in self.replicas.values():
+            if replica.zone in restored:
+                slow_start.begin(replica, service=self._service(replica.service), now=now)
+            if replica.zone in evacuated:
+                replica.close_idle()
         self.evacuated_zones = evacuated
         self.subsets.mark_stale()
 
-    def is_in_service(self, one: Replica) -> bool:
-        """Whether it is neither draining nor in an evacuated zone."""
-        return not one.is_draining and one.zone not in self.evacuated_zones
+    def is_in_service(self, replica: Replica) -> bool:
+        """Returns whether a replica is neither draining nor in an evacuated zone."""
+        return not replica.is_draining and replica.zone not in self.evacuated_zones
 
     # Connections.
     def has_capacity(self, *, replica: Replica) -> bool:
-        """Whether a request could be sent to the replica now."""
+        """Returns whether the connection limit allows one more request to the replica now."""
         return self.pool.has_capacity(replica)
 
     def probe(self, *, replica: Replica) -> None:
-        """Checks a replica that timed out by a new connection."""
+        """Checks a replica that timed out, by opening a new connection to it."""
         self.outliers.probe(replica)
 
     def sweep(self) -> None:
-        """Called periodically: closes connections that were idle for too long."""
+        """Closes connections that were idle for too long; called periodically."""
         self.pool.close_expired(self.replicas.values())
--- a/ploverward/data_plane/load_balancing/slow_start.py
+++ b/ploverward/data_plane/load_balancing/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: from when until when a replica is warming up (design 8).
+"""Slow start: determines until when a replica is warming up (design 8).
 
-A replica that is warming up gets a lower rate from all proxies, which `ploverward.data_plane.quotas` bounds, and is
-chosen last. It warms up after its start, and when its zone returns from an evacuation with outdated caches.
+All proxies together send a replica that is warming up requests at a limited rate, which `ploverward.data_plane.quotas`
+enforces, and the score of such a replica is worse. A replica warms up after its start, and again when its zone returns
+from an evacuation, as its caches are then outdated.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from ploverward.data_plane.load_balancing import replica
+    from ploverward.data_plane.load_balancing import replica as replicas
 
 
-def begin(one: replica.Replica, *, service: Mapping[str, typing.Any], now: float) -> None:
-    """A replica started during traffic, or its zone returned: it warms up for its service's time at least."""
-    one.warming_up_until = max(one.warming_up_until, now + service.get("warmup_s", 0.0))
+def begin(replica: replicas.Replica, *, service: Mapping[str, typing.Any], now: float) -> None:
+    """Begins a slow start, which lasts at least the `warmup_s` of the replica's service."""
+    replica.warming_up_until = max(replica.warming_up_until, now + service.get("warmup_s", 0.0))
 
 
-def follow_list(one: replica.Replica, *, left_ms: float, now: float) -> None:
-    """Installs the remaining milliseconds of warm-up in the endpoint list; the longer time counts."""
+def follow_list(replica: replicas.Replica, *, left_ms: float, now: float) -> None:
+    """Extends the slow start to the remaining time that the endpoint list states; never shortens it."""
     if left_ms > 0:
-        one.warming_up_until = max(one.warming_up_until, now + left_ms / 1000.0)
+        replica.warming_up_until = max(replica.warming_up_until, now + left_ms / 1000.0)
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -80,11 +80,12 @@
 
 def test_subset_size_follows_the_fleet_size_in_steps():
     sizes = [
-        replica_subset.size(replicas=3000, proxies=proxies, is_near=True) for proxies in (10, 20, 60, 61, 100, 300)
+        replica_subset.subset_size(replicas=3000, proxies=proxies, is_near=True)
+        for proxies in (10, 20, 60, 61, 100, 300)
     ]
     assert sizes == sorted(sizes, reverse=True) and sizes[-1] == replica_subset.MIN_NEAR_REPLICAS
     assert all(size % replica_subset.MIN_NEAR_REPLICAS == 0 for size in sizes)
-    assert replica_subset.size(replicas=30, proxies=1, is_near=False) == 30
+    assert replica_subset.subset_size(replicas=30, proxies=1, is_near=False) == 30
 
 
 def test_draining_and_evacuated_replicas_are_replaced_in_the_subset():
