--- a/ploverward/data_plane/load_balancing/prefix_affinity.py
+++ b/ploverward/data_plane/load_balancing/prefix_affinity.py
@@ -1,8 +1,8 @@
-"""Which replicas have parts of a prompt cached, as far as this proxy knows (docs/relay.md).
+"""Prefix affinity: estimates which replicas have parts of a prompt cached (docs/relay.md).
 
-Three sources: the mirrors of the relays, this proxy's own sends that no mirror can show yet, and an agreement: shared
-parts that no replica has cached are credited to one replica, the same for all proxies, so that it is prefilled once.
-`PrefixAffinity` owns the second.
+There are three sources: the mirrors of the relays, this proxy's recent sends, which the mirrors may not show yet, and a
+common rule: shared parts that no replica has cached are credited to one replica, the same at all proxies, so that they
+are prefilled once. `PrefixAffinity` owns the recent sends.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
     from ploverward.data_plane.load_balancing import replica as replicas
     from ploverward.data_plane.load_balancing import replica_table
 
-MAX_RECENT_SENDS = 20000  # entries, before those that are over are dropped
-RECENT_SEND_SHARE = 1 / 3  # of contactMs: how long an own send counts; afterwards the mirror shows it
+MAX_RECENT_SENDS = 20000  # entries; beyond this number, expired ones are dropped
+RECENT_SEND_SHARE = 1 / 3  # of contactMs: how long a send of this proxy counts; by then the mirror shows it
 
 Chain = typing.Sequence[tuple[bytes, int]]  # (hash of all parts up to this one, tokens of this one)
 
 
 class PrefixAffinity:
-    """Cached tokens of prompts.
+    """Estimates how many tokens of a prompt each replica has cached.
 
     Args:
         table: The replicas.
@@ -45,10 +45,10 @@
         self._regions = regions
         self._recent_s = contact_s * RECENT_SEND_SHARE
         self._now = now
-        self._recent: dict[tuple[str, bytes], float] = {}  # by replica id and hash: until when it counts
+        self._recent: dict[tuple[str, bytes], float] = {}  # by replica id and hash: when the send expires
 
     def note_send(self, *, replica: replicas.Replica, chain: Chain) -> None:
-        """A prompt was sent to a replica: it will have it cached."""
+        """Records that a prompt was sent to a replica, which will have it cached."""
         now = self._now()
         for full_hash, _tokens in chain:
             self._recent[(replica.id, full_hash)] = now + self._recent_s
@@ -56,7 +56,7 @@
             self._recent = {key: until for key, until in self._recent.items() if until > now}
 
     def sent_tokens(self, replica: replicas.Replica, chain: Chain) -> int:
-        """Returns the tokens at the head of a prompt that this proxy has sent there recently."""
+        """Returns the number of tokens at the head of a prompt that this proxy has recently sent to a replica."""
         now = self._now()
         total = 0
         for full_hash, tokens in chain:
@@ -74,15 +74,17 @@
         chain: Chain,
         permitted: frozenset[str] | None,
     ) -> dict[str, int]:
-        """Returns the cached tokens of a prompt, by replica id, from the mirrors and the agreement."""
+        """Returns the cached tokens of a prompt by replica id, from the mirrors and the rule for uncached parts."""
         cached: dict[str, int] = {}
         if not chain:
             return cached
         for name, region in self._regions.items():
-            there = [replica.id for replica in rows if replica.region == name]
-            if there:
+            region_ids = [replica.id for replica in rows if replica.region == name]
+            if region_ids:
                 size = self._table.count(service=service, region=name)
-                cached.update(region.kept(service=service, model=model, chain=chain, replicas=there, pool_size=size))
+                cached.update(
+                    region.kept(service=service, model=model, chain=chain, replicas=region_ids, pool_size=size)
+                )
         shared = chain[:-1]
         if shared:
             self.credit_owner(rows, shared=shared, cached=cached, service=service, permitted=permitted)
@@ -97,11 +99,11 @@
         service: str,
         permitted: frozenset[str] | None,
     ) -> None:
-        """Credits shared parts that no candidate has cached to the one replica that all proxies agree on.
+        """Credits shared parts that no candidate has cached to one replica, which is the same at all proxies.
 
         Args:
             rows: The candidates.
-            shared: The parts of the prompt that others have too.
+            shared: The parts of the prompt that other prompts may have too: all but the last.
             cached: Cached tokens by replica id; the owner's entry is raised.
             service: The service.
             permitted: Regions that may be used, None for all.
@@ -114,19 +116,19 @@
         if self._table.has_all_replicas(service):
             owner = max(rows, key=lambda replica: hashlib.blake2b(last + replica.id.encode(), digest_size=8).digest())
         else:
-            known = {replica.id for replica in rows}
+            candidate_ids = {replica.id for replica in rows}
             owner = self._table.prefill_owner(
-                service=service, part=last, permitted=permitted, is_usable=lambda replica: replica.id in known
+                service=service, part=last, permitted=permitted, is_usable=lambda replica: replica.id in candidate_ids
             )
         if owner is not None:
             cached[owner.id] = max(cached.get(owner.id, 0), tokens)
 
     def owners(self, *, service: str, model: str, chain: Chain) -> tuple[int, list[replicas.Replica]]:
-        """Returns who has most of a prompt cached, for a service of which this proxy uses a subset.
+        """Finds the replicas that have most of a prompt cached, for a service of which this proxy uses a subset.
 
         Returns:
-            The parts in the longest run of the prompt that is cached anywhere, and the replicas that the mirrors name
-            for the longest run in each region.
+            The number of parts in the longest cached prefix of the prompt, and the replicas that the mirrors name for
+            the longest cached prefix in each region.
         """
         found: dict[str, replicas.Replica] = {}
         longest = 0
--- a/ploverward/data_plane/load_balancing/scoring.py
+++ b/ploverward/data_plane/load_balancing/scoring.py
@@ -1,25 +1,26 @@
-"""The score of a replica for one request (design 6).
+"""Scores a replica for one request (design 6).
 
-A score estimates the milliseconds to the first event, and what the choice costs other requests. The replica with the
-lowest score is chosen. A score is the sum of these terms, all in milliseconds:
+A score estimates the milliseconds to the first event, and the cost of the choice to other requests. The replica with
+the lowest score is chosen. A score is the sum of these terms, all in milliseconds:
 
-* prefill: tokens to prefill, of this request and of those that wait there, over the measured prefill rate
-* contention: the same time of this request alone, times the share of the batch slots in use, times
+* prefill: the tokens to prefill, of this request and of those that wait there, over the measured prefill rate
+* contention: the prefill time of this request alone, times the share of the batch slots in use, times
   `CONTENTION_WEIGHT`: a long prefill slows all concurrent requests
-* network: the round trip, twice where a new connection is needed; times `NETWORK_SHARE` where a prompt is to be
-  prefilled
+* network: the round trip, doubled if a new connection is needed; times `NETWORK_SHARE` if the service has a prefill
 * load: `PREFILL_LOAD_MS` (`PLAIN_LOAD_MS` without prefill) times the share of the batch slots in use
-* lateness: `LATENESS_WEIGHT` for each millisecond of network and prefill beyond `ON_TIME_MS` a second of latency
-  target
-* overload: where all batch slots are in use: `OVERLOAD_MS`, and `QUEUE_MS` for each slot's worth of further requests
-* region: `REGION_MS` for each second of the price of a crossing, for a replica of another region
-* connection: `CONNECTION_MS` for each second of the price of a crossing, where no idle connection is there
-* suspicion: `SUSPECTED_MS` where another proxy suspects it, `FAILING_MS` where the relay's judge lists it as failing
-* failures: `FAILURE_MS` for each second of the price of a crossing, for each recent failure that this proxy saw
-* slow start: `WARMING_UP_MS` while it warms up, `RATE_EXCEEDED_MS` where its rate is used up
-
-The price of a crossing is a fiftieth of `contactMs`. `replica_chooser` adds the terms for what other
-replicas have cached and for an adapter that is to be loaded.
+* lateness: `LATENESS_WEIGHT` for each millisecond by which network and prefill exceed `ON_TIME_MS` per second of the
+  latency target
+* overload: if all batch slots are in use, `OVERLOAD_MS`, and `QUEUE_MS` times the number of requests that would
+  queue, this one included, over the number of batch slots
+* region: `REGION_MS` per second of the crossing price, for a replica of another region
+* connection: `CONNECTION_MS` per second of the crossing price, if there is no idle connection to the replica
+* suspicion: `SUSPECTED_MS` if another proxy suspects the replica, `FAILING_MS` if the relay lists it as failing
+* failures: `FAILURE_MS` per second of the crossing price, for each recent failure that this proxy saw
+* slow start: `WARMING_UP_MS` while the replica warms up, `RATE_EXCEEDED_MS` if its rate in slow start is used up
+
+The crossing price is a fiftieth of `contactMs`, and is also taken for the round trip to another region before one is
+measured. `replica_chooser` adds the terms for tokens that other replicas have cached and for an adapter that has to be
+loaded.
 """
 
 from __future__ import annotations
@@ -32,19 +33,19 @@
     from ploverward.data_plane.load_balancing import network_latency
     from ploverward.data_plane.load_balancing import replica as replicas
 
-FIRST_TOKENS_PER_MS = 20.0  # of prefill, until an answer has shown how fast replicas are
-RATE_KEPT_SHARE = 0.99  # of the known rate, at each answer: it is the maximum of the quicker ones
+DEFAULT_TOKENS_PER_MS = 20.0  # the prefill rate of a service before it was measured
+RATE_DECAY_FACTOR = 0.99  # of the known rate per measurement: the estimate is a decaying maximum
 MIN_MEASURED_TOKENS = 500  # with fewer tokens the network dominates the measured time
-CROSSINGS_IN_CONTACT = 50  # contactMs over this is the price of a crossing between regions
+CROSSINGS_IN_CONTACT = 50  # contactMs divided by this is the crossing price
 CONTENTION_WEIGHT = 4.0
-NETWORK_SHARE = 0.25  # within the latency target network time harms little, while a repeated prefill costs twice
+NETWORK_SHARE = 0.25  # within the latency target, network time harms little, while a repeated prefill is spent twice
 PREFILL_LOAD_MS = 120.0
 PLAIN_LOAD_MS = 90.0
-ON_TIME_MS = 400.0  # for each second of the latency target
+ON_TIME_MS = 400.0  # per second of the latency target
 LATENESS_WEIGHT = 2.0
 QUEUE_MS = 400.0
 OVERLOAD_MS = 200.0
-REGION_MS = 200.0  # for each second of the price of a crossing, as the next two
+REGION_MS = 200.0  # per second of the crossing price, as the next two
 CONNECTION_MS = 100.0
 FAILURE_MS = 2000.0
 SUSPECTED_MS = 1500.0
@@ -52,38 +53,37 @@
 WARMING_UP_MS = 40.0
 RATE_EXCEEDED_MS = 300.0
 
-Load = tuple[
-    int, int, bool, bool
-]  # (running, tokens to prefill, suspected, failing); no class: made for each candidate
+# (running, tokens to prefill, is suspected, is failing). A plain tuple, as one is created for each candidate.
+Load = tuple[int, int, bool, bool]
 
 
 class PrefillRates:
-    """Measured prefill rates.
+    """The measured prefill rates of services.
 
     Attributes:
-        by_service: Tokens in a millisecond.
+        by_service: Tokens per millisecond, by service.
     """
 
     def __init__(self) -> None:
         self.by_service: dict[str, float] = {}
 
-    def of(self, service: str) -> float:
-        """Returns the rate of a service, in tokens a millisecond."""
-        return self.by_service.get(service, FIRST_TOKENS_PER_MS)
+    def rate_of(self, service: str) -> float:
+        """Returns the prefill rate of a service in tokens per millisecond."""
+        return self.by_service.get(service, DEFAULT_TOKENS_PER_MS)
 
     def record(self, *, service: str, tokens: int, took_s: float) -> None:
-        """Records the seconds to a first event from when it was possible: a decaying maximum."""
+        """Records the seconds that a prefill took; the rate is a decaying maximum of the measured ones."""
         if took_s > 0 and tokens >= MIN_MEASURED_TOKENS:
-            self.by_service[service] = max(tokens / (took_s * 1000.0), self.of(service) * RATE_KEPT_SHARE)
+            self.by_service[service] = max(tokens / (took_s * 1000.0), self.rate_of(service) * RATE_DECAY_FACTOR)
 
 
 class Scorer:
-    """Scores candidates.
+    """Scores the candidates for a request.
 
     Args:
-        region: Of this proxy.
-        crossing_s: The price of a crossing between regions, in seconds.
-        latencies: Of the network.
+        region: The region of this proxy.
+        crossing_s: The crossing price, in seconds.
+        latencies: Estimates of the network latencies.
         now: The loop's clock, in seconds.
     """
 
@@ -111,16 +111,16 @@
         is_within_rate: bool,
         latency_target_s: float,
     ) -> float:
-        """Returns the score in milliseconds.
+        """Returns the score of a replica for a request, in milliseconds.
 
         Args:
             replica: The candidate.
-            load: Of all proxies, there.
-            rate: Tokens prefilled in a millisecond; None for a service without prefill.
-            prefill_tokens: Of this request, there.
-            is_warming_up: Whether it is in slow start.
-            is_within_rate: Whether its slow start allows one more request now.
-            latency_target_s: Of the request, in seconds.
+            load: The load of all proxies at the replica.
+            rate: The prefill rate in tokens per millisecond; None for a service without prefill.
+            prefill_tokens: The tokens of this request that the replica has to prefill.
+            is_warming_up: Whether the replica is in slow start.
+            is_within_rate: Whether the rate limit of its slow start allows one more request now.
+            latency_target_s: The latency target of the request, in seconds.
         """
         running, pending_tokens, is_suspected, is_failing = load
         batch_slots = max(1, replica.batch_slots)
--- a/ploverward/data_plane/load_balancing/test_replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/test_replica_chooser.py
@@ -1,4 +1,4 @@
-"""The choice of a replica: permitted regions, slow start, who prefills a prompt that nobody has cached."""
+"""Tests of the choice of a replica: permitted regions, slow start, and the owner of uncached parts."""
 
 import random
 
@@ -33,23 +33,23 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_choose_under_random_failures_stays_within_permitted_regions(seed):
-    """Random lists, evacuations, suspects and loads; an independent look at each choice."""
+    """Checks each choice against the rules under random lists, evacuations, suspicions and loads."""
     chance = random.Random(seed)
     zones = {"za": "north", "zb": "south"}
     rows = [replica_row(f"i{number}", zone=chance.choice(("za", "zb"))) for number in range(8)]
     chooser, table = make_chooser(rows)
     chosen = []
     for step in range(200):
-        callback = chance.random()
-        if callback < 0.1:
+        event = chance.random()
+        if event < 0.1:
             table.install_evacuations(chance.sample(("za", "zb"), chance.randint(0, 2)))
-        elif callback < 0.2:
-            rows = [{**one, "is_clearing": chance.random() < 0.3} for one in rows]
+        elif event < 0.2:
+            rows = [{**row, "is_clearing": chance.random() < 0.3} for row in rows]
             table.install_list(rows)
-        elif callback < 0.3 and table.replicas:
+        elif event < 0.3 and table.replicas:
             table.mark_suspected(chance.choice(list(table.replicas.values())))
         permitted = chance.choice((None, frozenset(("north",)), frozenset(("south",)), frozenset()))
-        replica, _tokens, _is_any = chooser.choose(
+        replica, _tokens, _has_candidates = chooser.choose(
             service="llm",
             permitted=permitted,
             model="m",
@@ -77,26 +77,26 @@
 
 def test_credit_owner_is_independent_of_the_list_order():
     rows = [replica_row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "za", "zb"))]
-    named = set()
+    owners = set()
     for order in (rows, rows[::-1]):
-        chooser, _table = make_chooser(order)
-        kept = {}
+        chooser, table = make_chooser(order)
+        cached = {}
         chooser.affinity.credit_owner(
-            list(_table.replicas.values()),
+            list(table.replicas.values()),
             shared=cuckoo_filter.chain(model="m", parts=(("doc", 500),)),
-            cached=kept,
+            cached=cached,
             service="llm",
             permitted=None,
         )
-        named |= set(kept)
-    assert len(named) == 1
+        owners |= set(cached)
+    assert len(owners) == 1
 
 
 def test_choose_prefers_replica_with_cached_prompt():
     chooser, table = make_chooser([replica_row("i1"), replica_row("i2")])
     chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
     chooser.note_send(replica=table.replicas["i2"], chain=chain)
-    replica, tokens, _is_any = chooser.choose(
+    replica, tokens, _has_candidates = chooser.choose(
         service="llm", permitted=None, model="m", chain=chain, prompt_tokens=5010, avoid=set()
     )
     assert replica.id == "i2" and tokens == 0
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -1,4 +1,4 @@
-"""The subset of replicas that a proxy uses: stable, even, and no bound on what a request may reach."""
+"""Tests of the subset of replicas that a proxy uses: stable, even, and no limit to what a request may reach."""
 
 import collections
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 def make(*, rows, own="10.0.0.1", proxies=20):
-    """A proxy's table in a fleet of so many proxies in each of two regions."""
+    """Returns the table of a proxy in a fleet with `proxies` proxies in each of two regions."""
     loop = event_loop.Loop()
     settings = loopback_proxy.settings(ip=own)
     table = replica_table.ReplicaTable(loop=loop, settings=settings, share=lambda: 0.5 / proxies)
@@ -63,19 +63,18 @@
 @pytest.mark.parametrize("replicas, proxies", [(150, 60), (330, 32), (1000, 100)])
 def test_subsets_spread_proxies_evenly_over_replicas(replicas, proxies):
     rows = [replica_row(f"i{number}") for number in range(replicas)]
-    looked_at = collections.Counter({one["id"]: 0 for one in rows})
+    use_counts = collections.Counter({row["id"]: 0 for row in rows})
     sizes = set()
     for number in range(proxies):
         table, _loop, _settings = make(rows=rows, own=f"10.0.1.{number}", proxies=proxies)
         chosen = names(table.subset("llm"))
         sizes.add(len(chosen))
-        looked_at.update(chosen)
-    mean = sum(looked_at.values()) / replicas
-    assert (
-        len(sizes) == 1 and mean >= replica_subset.MIN_PROXIES_PER_REPLICA / 2
-    )  # the fleet is rounded up to a power of two
-    assert max(looked_at.values()) <= mean * 4 + 4
-    assert sum(1 for count in looked_at.values() if count == 0) <= replicas * 0.15
+        use_counts.update(chosen)
+    mean = sum(use_counts.values()) / replicas
+    # The fleet size is rounded up to a power of two, so the mean may be half of the minimum.
+    assert len(sizes) == 1 and mean >= replica_subset.MIN_PROXIES_PER_REPLICA / 2
+    assert max(use_counts.values()) <= mean * 4 + 4
+    assert sum(1 for count in use_counts.values() if count == 0) <= replicas * 0.15
 
 
 def test_subset_size_follows_the_fleet_size_in_steps():
@@ -98,9 +97,9 @@
     table.install_evacuations(["zb"])
     assert {replica.zone for replica in table.subset("llm")} == {"za"}
     assert len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
-    clearing = sorted(names(table.subset("llm")))[0]
-    table.change_list(rows=(replica_row(clearing, is_clearing=True),), gone=())
-    assert clearing not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
+    draining = sorted(names(table.subset("llm")))[0]
+    table.change_list(rows=(replica_row(draining, is_clearing=True),), gone=())
+    assert draining not in names(table.subset("llm")) and len(table.subset("llm")) == replica_subset.MIN_NEAR_REPLICAS
 
 
 def chooser_for(table, loop, settings, regions):
@@ -118,12 +117,12 @@
     table, loop, settings = make(rows=[replica_row(f"i{number}") for number in range(300)])
     outside = sorted(set(table.replicas) - names(table.subset("llm")))[0]
     region = mirror.RegionMirror(now=loop.now, trust_s=5.0)
-    one = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
+    pool = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
     filled = cuckoo_filter.Filter(bucket_count=64, words=cuckoo_filter.WIDE)
     tag = row_codec.key_of(outside)[: cuckoo_filter.TAG_SIZE]
     filled.put(full_hash=CHAIN[0][0], bits=cuckoo_filter.wide_value(count=1, tags=[tag]))
-    one.words, one.buckets, one.versions = cuckoo_filter.WIDE, [filled.image(index) for index in range(64)], [0] * 64
-    region.pools["p"] = one
+    pool.words, pool.buckets, pool.versions = cuckoo_filter.WIDE, [filled.image(index) for index in range(64)], [0] * 64
+    region.pools["p"] = pool
     region.broken_at = None
     chooser = chooser_for(table, loop, settings, {"north": region})
     assert choose(chooser, chain=CHAIN).id == outside
--- a/ploverward/data_plane/load_balancing/test_scoring.py
+++ b/ploverward/data_plane/load_balancing/test_scoring.py
@@ -1,4 +1,4 @@
-"""Each term of a replica's score, in milliseconds."""
+"""Tests of each term of a replica's score, in milliseconds."""
 
 import types
 
@@ -21,23 +21,23 @@
     )
 
 
-def score(one=None, load=IDLE, **more):
+def score(candidate=None, load=IDLE, **changes):
     scorer = scoring.Scorer(
         region="north", crossing_s=0.1, latencies=network_latency.NetworkLatencies(), now=lambda: 0.0
     )
-    about = {
+    arguments = {
         "rate": 20.0,
         "prefill_tokens": 0,
         "is_warming_up": False,
         "is_within_rate": True,
         "latency_target_s": 10.0,
-        **more,
+        **changes,
     }
-    return scorer.score(one or replica(), load, **about)
+    return scorer.score(candidate or replica(), load, **arguments)
 
 
 @pytest.mark.parametrize(
-    "one, load, more, wanted",
+    "candidate, load, changes, expected",
     [
         (replica(), IDLE, {}, 0.0),
         (replica(), IDLE, {"prefill_tokens": 2000}, 100.0),
@@ -60,8 +60,8 @@
         (replica(), IDLE, {"is_within_rate": False}, 300.0),
     ],
 )
-def test_score_is_the_sum_of_its_terms(one, load, more, wanted):
-    assert score(one, load, **more) == pytest.approx(wanted)
+def test_score_is_the_sum_of_its_terms(candidate, load, changes, expected):
+    assert score(candidate, load, **changes) == pytest.approx(expected)
 
 
 def test_score_treats_zero_batch_slots_as_one():
@@ -72,8 +72,8 @@
     rates = scoring.PrefillRates()
     rates.record(service="llm", tokens=scoring.MIN_MEASURED_TOKENS - 1, took_s=0.001)
     rates.record(service="llm", tokens=5000, took_s=0.0)
-    assert rates.of("llm") == scoring.FIRST_TOKENS_PER_MS
+    assert rates.rate_of("llm") == scoring.DEFAULT_TOKENS_PER_MS
     rates.record(service="llm", tokens=5000, took_s=0.1)
-    assert rates.of("llm") == 50.0 and rates.of("other") == scoring.FIRST_TOKENS_PER_MS
+    assert rates.rate_of("llm") == 50.0 and rates.rate_of("other") == scoring.DEFAULT_TOKENS_PER_MS
     rates.record(service="llm", tokens=5000, took_s=1.0)
-    assert rates.of("llm") == pytest.approx(49.5)
+    assert rates.rate_of("llm") == pytest.approx(49.5)
