--- a/ploverward/data_plane/rollouts/attempt_tally.py
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -1,4 +1,4 @@
-"""Evidence about a version, from the ends of attempts that it ran (docs/rollouts.md 5). Pure functions."""
+"""Counts the outcomes of attempts as evidence about a version (docs/rollouts.md 5). Pure functions."""
 
 from ploverward.common import rollout_evidence
 from ploverward.data_plane.load_reports import report_source
@@ -8,30 +8,32 @@
 
 
 def is_evidence(attempt: attempts.Attempt) -> bool:
-    """Whether the end of an attempt is evidence about its version: not if the replica did not run the request."""
+    """Returns whether the end of an attempt is evidence about its version: only if the replica ran the request."""
     if attempt.connection.is_unsent:
         return False
     return attempt.meaning not in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE)
 
 
-def count_first(tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float) -> None:
-    """Counts the time to the first event when it arrives.
+def count_first_event(
+    tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float
+) -> None:
+    """Counts the time to the first event when the event arrives.
 
-    At the end of its stream would be too late: of answers that end within a canary's seconds those of a slow version
-    are the fast ones.
+    Counting it when the response ends would be too late: a canary lasts for seconds, and the responses of a slow
+    version that end within them are its fast ones.
 
     Args:
-        tally: Is updated.
+        tally: The tally to update.
         attempt: The attempt.
-        now: The loop's clock, in seconds.
-        expected_s: As of `count`.
+        now: The current time on the loop's clock, in seconds.
+        expected_s: The expected time to the first event, as in `count_end`.
     """
     attempt.is_first_counted = True
-    if attempt.arrival is None:  # else its adapter may have had to be loaded first
+    if attempt.arrival is None:  # otherwise the time may include the loading of an adapter
         tally.firsts[_first_bucket(now - attempt.sent_at, expected_s)] += 1
 
 
-def count(
+def count_end(
     tally: rollout_evidence.Tally,
     attempt: attempts.Attempt,
     *,
@@ -43,14 +45,14 @@
     """Counts the end of an attempt.
 
     Args:
-        tally: Is updated.
+        tally: The tally to update.
         attempt: The attempt.
-        kind: A `report_source.AttemptEvent`.
-        now: The loop's clock, in seconds.
-        latency_target_s: Of its request. An attempt that was given up later than this was slow; one that was given up
-            earlier is no evidence.
-        expected_s: Expected time to the first piece, by network latency and prefill. An earlier one counts as
-            having taken this long: shorter times are no evidence about the replica.
+        kind: How the attempt ended, a `report_source.AttemptEvent`.
+        now: The current time on the loop's clock, in seconds.
+        latency_target_s: The latency target of the request. An attempt that was given up later than this was slow; one
+            that was given up earlier is no evidence.
+        expected_s: The expected time to the first event, by network latency and prefill. An earlier event counts as if
+            it had taken this long: shorter times are no evidence about the replica.
     """
     waited_s = now - attempt.sent_at
     if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= MIN_ERROR_STATUS and attempt.is_complete:
@@ -60,7 +62,7 @@
         tally.ended += 1
         _count_times(tally, attempt, now=now, expected_s=expected_s)
     elif attempt.first_at is None and waited_s > latency_target_s:
-        tally.ended += 1  # given up: it would have taken longer still
+        tally.ended += 1  # it was given up, and would have taken even longer
         tally.firsts[_first_bucket(waited_s, expected_s)] += 1
     elif kind in (report_source.AttemptEvent.BROKEN, report_source.AttemptEvent.FAILED):
         tally.ended += 1
@@ -77,5 +79,5 @@
 
 
 def _first_bucket(took_s: float, expected_s: float) -> int:
-    """The bucket of a first piece, by what the replica took beyond network latency and prefill."""
+    """Returns the bucket of a time to the first event, by the part of it beyond network latency and prefill."""
     return rollout_evidence.bucket_of(1.0 + max(0.0, took_s - expected_s) / rollout_evidence.UNIT_S)
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -1,4 +1,4 @@
-"""Which versions a proxy's requests go to, its leases, and what it counts."""
+"""Tests of the routing of a proxy's requests to versions, its leases, and the counts of outcomes."""
 
 import dataclasses
 import random
@@ -36,124 +36,125 @@
     return state.with_rollout(None, service="pool", rollout=rollout)
 
 
-def made(*, rollout=CANARY, chance=0.5, began=50.0):
+def make_router(*, rollout=CANARY, chance=0.5, began=50.0):
     clock = Clock()
     clock.now = began
-    tracker = version_routing.VersionRouter(now=clock, chance=lambda: chance, running=lambda service, target: 3)
-    tracker.install(payload(rollout))
-    return tracker, clock
+    router = version_routing.VersionRouter(now=clock, chance=lambda: chance, running=lambda service, target: 3)
+    router.install(payload(rollout))
+    return router, clock
 
 
 def lease(*, share=0.1, replicas=(), number=1, step=2):
     return leases.CanaryLease(service="pool", number=number, step=step, share=share, replicas=replicas)
 
 
-def answer(tracker, *, number, lease_s, granted):
-    """The coordinator's reply to a report."""
-    tracker.handle_leases(
+def reply(router, *, number, lease_s, granted):
+    """Delivers the coordinator's reply to a report."""
+    router.handle_leases(
         messages.RolloutLeases(number=number, duration_s=lease_s, report_interval=1, leases=leases.pack(granted))
     )
 
 
-def give(tracker, *, lease_s=2.5, **about):
-    answer(tracker, number=tracker.report().number, lease_s=lease_s, granted=[lease(**about)])
+def grant_lease(router, *, lease_s=2.5, **changes):
+    """Sends a report and replies to it with a lease."""
+    reply(router, number=router.report().number, lease_s=lease_s, granted=[lease(**changes)])
 
 
-def editions(tracker, *, is_first=True):
-    """Which of v1, v2, v3 each pool has, the preferred one first."""
+def editions(router, *, is_first=True):
+    """Returns the versions among v1, v2, v3 that each pool has, the preferred pool first."""
     return [
         "".join(name for name in ("v1", "v2", "v3") if pool is None or pool.has(replica(name)))
-        for pool in tracker.pools(service="pool", is_first=is_first)
+        for pool in router.pools(service="pool", is_first=is_first)
     ]
 
 
 def test_pools_of_a_service_without_a_roll_out_allow_all_replicas():
-    assert made()[0].pools(service="other", is_first=True) == (None,)
+    assert make_router()[0].pools(service="other", is_first=True) == (None,)
 
 
 def test_new_version_without_a_lease_gets_no_requests():
     idle = state.Rollout(admitted=("v1",), step=1)
-    assert editions(made(rollout=idle)[0]) == ["v1"]
-    assert editions(made()[0]) == ["v1"]  # ordered, and no lease
+    assert editions(make_router(rollout=idle)[0]) == ["v1"]
+    assert editions(make_router()[0]) == ["v1"]  # a roll-out in progress, without a lease
 
 
 @pytest.mark.parametrize(
-    "stage, wanted", [(state.Stage.DRAINING, ["v2"]), (state.Stage.RETURNED, ["v1"]), (state.Stage.PROMOTING, ["v1"])]
+    "stage, expected", [(state.Stage.DRAINING, ["v2"]), (state.Stage.RETURNED, ["v1"]), (state.Stage.PROMOTING, ["v1"])]
 )
-def test_pools_without_a_lease_follow_the_stage(stage, wanted):
-    tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=stage, step=3))
-    assert editions(tracker) == wanted
+def test_pools_without_a_lease_follow_the_stage(stage, expected):
+    router, _clock = make_router(rollout=dataclasses.replace(CANARY, stage=stage, step=3))
+    assert editions(router) == expected
 
 
 def test_former_version_gets_no_requests_after_delivery():
-    tracker, _clock = made(
+    router, _clock = make_router(
         rollout=dataclasses.replace(CANARY, stage=state.Stage.DELIVERED, admitted=("v2",), refused=(), step=5)
     )
-    assert editions(tracker) == ["v2"]
+    assert editions(router) == ["v2"]
 
 
 def test_lease_of_the_full_share_prefers_the_new_version():
-    tracker, _clock = made(rollout=dataclasses.replace(CANARY, stage=state.Stage.PROMOTING, step=3))
-    give(tracker, share=1.0, step=3)
-    assert editions(tracker) == ["v2", "v1"]
+    router, _clock = make_router(rollout=dataclasses.replace(CANARY, stage=state.Stage.PROMOTING, step=3))
+    grant_lease(router, share=1.0, step=3)
+    assert editions(router) == ["v2", "v1"]
 
 
 def test_retry_is_sent_to_the_former_version():
-    tracker, _clock = made(chance=0.99)
-    give(tracker, share=0.1)
-    assert editions(tracker, is_first=True) == ["v2", "v1"]
-    assert editions(tracker, is_first=False) == ["v1"]
+    router, _clock = make_router(chance=0.99)
+    grant_lease(router, share=0.1)
+    assert editions(router, is_first=True) == ["v2", "v1"]
+    assert editions(router, is_first=False) == ["v1"]
 
 
 def test_lease_duration_starts_when_its_report_was_sent():
-    tracker, clock = made(chance=0.99)
-    number = tracker.report().number
+    router, clock = make_router(chance=0.99)
+    number = router.report().number
     clock.now += 2.4
-    answer(tracker, number=number, lease_s=2.5, granted=[lease()])
-    assert editions(tracker) == ["v2", "v1"]
+    reply(router, number=number, lease_s=2.5, granted=[lease()])
+    assert editions(router) == ["v2", "v1"]
     clock.now += 0.2
-    assert editions(tracker) == ["v1"]
+    assert editions(router) == ["v1"]
 
 
 def test_lease_for_an_unknown_report_another_order_or_an_older_step_is_ignored():
-    tracker, _clock = made(chance=0.99)
-    answer(tracker, number=7, lease_s=9.0, granted=[lease()])
-    give(tracker, number=2)
-    give(tracker, step=1)
-    assert editions(tracker) == ["v1"]
+    router, _clock = make_router(chance=0.99)
+    reply(router, number=7, lease_s=9.0, granted=[lease()])
+    grant_lease(router, number=2)
+    grant_lease(router, step=1)
+    assert editions(router) == ["v1"]
 
 
 def test_late_reply_does_not_replace_a_newer_lease():
-    tracker, clock = made(chance=0.99)
-    first = tracker.report().number
+    router, clock = make_router(chance=0.99)
+    first = router.report().number
     clock.now += 0.4
-    give(tracker, share=0.0)
-    answer(tracker, number=first, lease_s=2.5, granted=[lease(share=0.5)])
-    assert editions(tracker) == ["v1"]
+    grant_lease(router, share=0.0)
+    reply(router, number=first, lease_s=2.5, granted=[lease(share=0.5)])
+    assert editions(router) == ["v1"]
 
 
 def test_canary_pool_is_limited_to_the_replicas_of_the_lease():
-    tracker, _clock = made(chance=0.99)
-    give(tracker, replicas=("i7",))
-    assert tracker.pools(service="pool", is_first=True)[0].replicas == ("i7",)
+    router, _clock = make_router(chance=0.99)
+    grant_lease(router, replicas=("i7",))
+    assert router.pools(service="pool", is_first=True)[0].replicas == ("i7",)
 
 
 @pytest.mark.parametrize("proxies", [1, 60, 330])
 @pytest.mark.parametrize("share", [0.05, 0.1, 0.3])
 def test_share_of_the_new_version_holds_over_all_proxies(proxies, share):
-    """Whatever each one's rate, and although some restart in the midst."""
+    """The share holds at any request rates of the proxies, and although some of them restart halfway."""
     chance = random.Random(proxies)
     sent, sent_new = 0, 0
     for _proxy in range(proxies):
         requests = chance.randint(0, 80)
-        tracker, _clock = made(chance=chance.random())
-        give(tracker, share=share)
+        router, _clock = make_router(chance=chance.random())
+        grant_lease(router, share=share)
         for index in range(requests):
             if index == requests // 2 and chance.random() < 0.2:
-                tracker, _clock = made(chance=chance.random())
-                give(tracker, share=share)
-            edition = "v2" if editions(tracker)[0] == "v2" else "v1"
-            tracker.note_send(service="pool", replica=replica(edition))
+                router, _clock = make_router(chance=chance.random())
+                grant_lease(router, share=share)
+            edition = "v2" if editions(router)[0] == "v2" else "v1"
+            router.note_send(service="pool", replica=replica(edition))
             sent += 1
             sent_new += edition == "v2"
     spread = 4.0 * (0.25 * proxies * 1.2) ** 0.5 + 1
@@ -161,21 +162,22 @@
 
 
 def test_unused_share_is_not_made_up_for_by_a_burst():
-    tracker, _clock = made(chance=0.0)
-    give(tracker, share=0.5)
+    router, _clock = make_router(chance=0.0)
+    grant_lease(router, share=0.5)
     for _index in range(200):
-        tracker.note_send(service="pool", replica=replica("v1"))
+        router.note_send(service="pool", replica=replica("v1"))
     burst = 0
     for _index in range(4):
-        if editions(tracker)[0] == "v2":
-            tracker.note_send(service="pool", replica=replica("v2"))
+        if editions(router)[0] == "v2":
+            router.note_send(service="pool", replica=replica("v2"))
             burst += 1
         else:
-            tracker.note_send(service="pool", replica=replica("v1"))
+            router.note_send(service="pool", replica=replica("v1"))
     assert burst <= 3
 
 
-def attempt(edition="v2", **about):
+def attempt(edition="v2", **changes):
+    """Returns a complete, successful attempt with the given changes."""
     fields = {
         "replica": replica(edition),
         "connection": types.SimpleNamespace(is_unsent=False),
@@ -189,100 +191,100 @@
         "pieces": 6,
         "arrival": None,
     }
-    return types.SimpleNamespace(**{**fields, **about})
+    return types.SimpleNamespace(**{**fields, **changes})
 
 
-def counted(one, *, kind=report_source.DONE, began=40.0):
-    """The tallies after one attempt's end; the order came at `began`."""
-    tracker, clock = made(began=began)
+def tallies_after(ended, *, kind=report_source.DONE, began=40.0):
+    """Returns the tallies after an attempt ended; the roll-out was ordered at `began`."""
+    router, clock = make_router(began=began)
     clock.now = 50.0
-    tracker.note_attempt_end(service="pool", route="r", attempt=one, kind=kind, latency_target_s=0.6, expected_s=0.1)
-    reports = rollout_evidence.unpack(tracker.report().reports)
+    router.note_attempt_end(service="pool", route="r", attempt=ended, kind=kind, latency_target_s=0.6, expected_s=0.1)
+    reports = rollout_evidence.unpack(router.report().reports)
     return [tally for tally in reports[0].tallies.values()]
 
 
 def test_complete_response_is_counted_with_its_times():
-    (tally,) = counted(attempt())
+    (tally,) = tallies_after(attempt())
     assert (tally.ended, tally.failed, tally.broken) == (1, 0, 0)
     assert sum(tally.firsts.values()) == sum(tally.paces.values()) == 1
 
 
 def test_first_event_is_counted_once_when_it_arrives():
-    """Of the answers that end in a canary's seconds those of a slow version would be the fast ones."""
-    tracker, clock = made(began=40.0)
+    """Counting at the end would favour a slow version: only its fast responses end while the canary runs."""
+    router, clock = make_router(began=40.0)
     clock.now = 49.9
-    one = attempt(is_complete=False, last_at=None, pieces=1)
-    tracker.note_first_event(service="pool", route="r", attempt=one, expected_s=0.1)
-    (early,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
+    streaming = attempt(is_complete=False, last_at=None, pieces=1)
+    router.note_first_event(service="pool", route="r", attempt=streaming, expected_s=0.1)
+    (early,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
     assert (early.ended, sum(early.firsts.values())) == (0, 1)
     clock.now = 52.0
-    one.is_complete, one.last_at, one.pieces = True, 52.0, 6
-    tracker.note_attempt_end(
-        service="pool", route="r", attempt=one, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
+    streaming.is_complete, streaming.last_at, streaming.pieces = True, 52.0, 6
+    router.note_attempt_end(
+        service="pool", route="r", attempt=streaming, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
-    (late,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
+    (late,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
     assert (late.ended, late.firsts, sum(late.paces.values())) == (1, early.firsts, 1)
 
 
 def test_first_event_of_an_attempt_sent_before_the_order_is_not_counted():
-    tracker, _clock = made()
-    one = attempt(sent_at=49.5)
-    tracker.note_first_event(service="pool", route="r", attempt=one, expected_s=0.1)
-    assert not rollout_evidence.unpack(tracker.report().reports)[0].tallies
+    router, _clock = make_router()
+    earlier = attempt(sent_at=49.5)
+    router.note_first_event(service="pool", route="r", attempt=earlier, expected_s=0.1)
+    assert not rollout_evidence.unpack(router.report().reports)[0].tallies
 
 
 def test_first_event_time_with_an_adapter_arrival_is_not_counted():
-    (tally,) = counted(attempt(arrival=object()))
+    (tally,) = tallies_after(attempt(arrival=object()))
     assert tally.ended == 1 and not tally.firsts and sum(tally.paces.values()) == 1
-    tracker, _clock = made(began=40.0)
-    tracker.note_first_event(service="pool", route="r", attempt=attempt(arrival=object()), expected_s=0.1)
-    (tally,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
+    router, _clock = make_router(began=40.0)
+    router.note_first_event(service="pool", route="r", attempt=attempt(arrival=object()), expected_s=0.1)
+    (tally,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
     assert not tally.firsts
 
 
 @pytest.mark.parametrize(
-    "about, kind, wanted",
+    "changes, kind, expected",
     [
         ({"meaning": attempts.Meaning.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
         ({"is_complete": False}, report_source.FAILED, (1, 0, 1)),
         ({"is_complete": False, "first_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
     ],
 )
-def test_attempt_end_is_counted_by_its_outcome(about, kind, wanted):
-    (tally,) = counted(attempt(**about), kind=kind)
-    assert (tally.ended, tally.failed, tally.broken) == wanted
+def test_attempt_end_is_counted_by_its_outcome(changes, kind, expected):
+    (tally,) = tallies_after(attempt(**changes), kind=kind)
+    assert (tally.ended, tally.failed, tally.broken) == expected
 
 
 @pytest.mark.parametrize(
-    "about",
+    "changes",
     [
         {"connection": types.SimpleNamespace(is_unsent=True)},
         {"meaning": attempts.Meaning.NOT_RUN, "status": 503},
-        {"is_complete": False},  # its client left in good time: that says nothing of the replica
+        {"is_complete": False},  # the first event was in time, then the client left: no evidence
     ],
 )
-def test_attempt_end_without_evidence_is_not_counted(about):
-    assert sum(tally.ended for tally in counted(attempt(**about))) == 0
+def test_attempt_end_without_evidence_is_not_counted(changes):
+    assert sum(tally.ended for tally in tallies_after(attempt(**changes))) == 0
 
 
 def test_attempt_sent_before_the_order_is_not_counted():
-    assert counted(attempt(), began=49.5) == []
+    assert tallies_after(attempt(), began=49.5) == []
 
 
 def test_report_contains_only_roll_outs_in_progress():
-    tracker, _clock = made()
-    (report,) = rollout_evidence.unpack(tracker.report().reports)
+    router, _clock = make_router()
+    (report,) = rollout_evidence.unpack(router.report().reports)
     assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
-    tracker.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
-    assert tracker.report() is None
+    router.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
+    assert router.report() is None
 
 
 def test_new_order_resets_the_counts():
-    tracker, clock = made(began=40.0)
+    router, clock = make_router(began=40.0)
     clock.now = 50.0
-    tracker.note_attempt_end(
+    router.note_attempt_end(
         service="pool", route="r", attempt=attempt(), kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
-    tracker.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
-    (report,) = rollout_evidence.unpack(tracker.report().reports)
+    router.install(payload(dataclasses.replace(CANARY, number=2, step=9)))
+    (report,) = rollout_evidence.unpack(router.report().reports)
     assert report.number == 2 and not report.tallies and report.sent == 0
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -1,12 +1,12 @@
-"""Which versions the requests of a proxy may be sent to, and their counts (docs/rollouts.md 3, 4).
+"""Routes a proxy's requests to versions, and counts the outcomes (docs/rollouts.md 3, 4).
 
-An admitted version may always receive requests. A new one receives them under a lease, which counts from when its
-report was sent, as a share of this proxy's own requests. The share is a budget: each request adds the share to a
-credit, and an attempt at the new version spends one. So the share is kept at every moment, and over any number of
-proxies (`test_share_of_the_new_version_holds_over_all_proxies`).
+An admitted version may always receive requests. A new version receives a share of this proxy's requests, which a lease
+grants; the lease counts from when the report that it replies to was sent. The share is a budget: each request adds the
+share to a credit, and an attempt at the new version spends one. So the share holds at every moment, and over any number
+of proxies (`test_share_of_the_new_version_holds_over_all_proxies`).
 
-`VersionRouter` owns the credit, the lease and the counts of each service's order. The counts are cumulative for this
-incarnation and restart with each order.
+`VersionRouter` owns the credit, the lease and the counts of each service's roll-out. The counts are cumulative for this
+incarnation of the proxy, and start from zero with each new order.
 """
 
 import dataclasses
@@ -20,9 +20,9 @@
 from ploverward.data_plane.rollouts import attempt_tally
 from ploverward.transport import messages
 
-MAX_CREDIT = 1.5  # requests that may be saved up while no replica of the new version is usable
-FULL_SHARE = 0.999  # from here on the new version is preferred for all requests; the share in a lease is rounded
-MAX_PENDING_REPORTS = 8  # whose replies still count; those of older ones would have expired
+MAX_CREDIT = 1.5  # requests: limits the burst after a time in which no replica of the new version was usable
+FULL_SHARE = 0.999  # from this share on, all requests prefer the new version; the share in a lease is rounded
+MAX_PENDING_REPORTS = 8  # reports whose replies are accepted; leases for older ones would have expired
 
 
 @dataclasses.dataclass(frozen=True)
@@ -30,9 +30,9 @@
     """The replicas of a service that one attempt may go to.
 
     Attributes:
-        rollout: The service's row.
-        is_new: Whether they are those of the new version, or those of the admitted ones.
-        replicas: Ids; empty: all of these versions.
+        rollout: The service's roll-out.
+        is_new: Whether the pool has the replicas of the new version; otherwise those of the admitted versions.
+        replicas: The ids to which the pool is limited; empty for all replicas of these versions.
     """
 
     rollout: state.Rollout
@@ -40,7 +40,7 @@
     replicas: tuple[str, ...] = ()
 
     def has(self, replica: replica_table.Replica) -> bool:
-        """Whether the replica's version is one of these; a replica without a version counts as admitted."""
+        """Returns whether the replica's version is in the pool; a replica without a version counts as admitted."""
         if not replica.edition:
             return not self.is_new
         if self.is_new:
@@ -53,15 +53,15 @@
     """One service's roll-out as this proxy follows it.
 
     Attributes:
-        rollout: The service's row.
-        ordered_at: When the order was received, on this proxy's clock.
-        credit: Requests that may be sent to the new version.
-        counts_from: Attempts that began before are not counted.
+        rollout: The service's roll-out.
+        ordered_at: When the roll-out was ordered, on this proxy's clock.
+        credit: The number of requests that may be sent to the new version, with a fraction.
+        counts_from: Attempts that were sent before this time are not counted.
         lease: The newest lease.
-        lease_until: Its end.
-        sent: Attempts since the order.
-        sent_new: Of these, those at the new version.
-        tallies: Their outcomes.
+        lease_until: When the lease ends.
+        sent: The number of attempts since the order.
+        sent_new: The number of these that were sent to the new version.
+        tallies: The outcomes of the attempts.
     """
 
     rollout: state.Rollout
@@ -76,15 +76,15 @@
 
 
 class VersionRouter:
-    """Roll-outs of all services.
+    """Routes requests to versions during the roll-outs of all services.
 
     Args:
         now: The loop's clock, in seconds.
         chance: Draws a number from 0 to below 1.
-        running: Counts the attempts in progress at other versions of a service: `running(service, target)`.
+        running: Returns the number of attempts in progress at other versions of a service than the given one.
 
     Attributes:
-        report_interval: Heartbeats between two reports, as the coordinator requests.
+        report_interval: The number of heartbeats between two reports, as the coordinator requests it.
     """
 
     def __init__(
@@ -95,11 +95,11 @@
         self._chance = chance
         self._running = running
         self._tracked: dict[str, TrackedRollout] = {}  # by service
-        self._number = 0
-        self._sent_at: dict[int, float] = {}  # by number of a pending report
+        self._number = 0  # of the last report
+        self._sent_at: dict[int, float] = {}  # when each pending report was sent, by its number
 
     def install(self, payload: state.Payload) -> None:
-        """Installs the register's newest value."""
+        """Installs the newest state of the roll-outs."""
         now = self._now()
         for service, rollout in state.rollouts_of(payload).items():
             ordered_at = now - rollout.age_s
@@ -108,13 +108,13 @@
                 tracked.rollout = rollout
                 tracked.ordered_at = min(tracked.ordered_at, ordered_at)
                 continue
-            # Each proxy begins with a random credit: else all would send to the new version at the same time.
+            # A random initial credit keeps the proxies from all sending to the new version at the same time.
             self._tracked[service] = TrackedRollout(
                 rollout=rollout, ordered_at=ordered_at, credit=self._chance(), counts_from=now
             )
 
     def _share(self, tracked: TrackedRollout) -> float:
-        """The share of the requests that may be sent to the new version now."""
+        """Returns the share of the requests that may be sent to the new version now."""
         if tracked.rollout.stage == state.Stage.DRAINING:
             return 1.0
         lease = tracked.lease
@@ -123,14 +123,15 @@
         return lease.share
 
     def pools(self, *, service: str, is_first: bool) -> tuple[VersionPool | None, ...]:
-        """The pools for one attempt, the preferred one first.
+        """Returns the pools for one attempt, the preferred one first.
 
         Args:
             service: The service.
-            is_first: Whether no attempt of the request has reached a replica yet: a retry uses the former version.
+            is_first: Whether no attempt of the request has reached a replica yet. Otherwise the attempt is a retry,
+                which uses the former version unless all requests prefer the new one.
 
         Returns:
-            The pools; None means all replicas of the service.
+            The pools; None stands for all replicas of the service.
         """
         tracked = self._tracked.get(service)
         if tracked is None:
@@ -149,7 +150,7 @@
         return (former,)
 
     def note_send(self, *, service: str, replica: replica_table.Replica) -> None:
-        """One attempt begins."""
+        """Records that an attempt is sent, and updates the credit."""
         tracked = self._find_in_progress(service)
         if tracked is None:
             return
@@ -161,7 +162,7 @@
         tracked.credit = max(0.0, min(MAX_CREDIT, tracked.credit))
 
     def is_in_progress(self, service: str) -> bool:
-        """Whether a roll-out of the service is in progress: only then attempts are counted."""
+        """Returns whether a roll-out of the service is in progress; attempts are counted only then."""
         return self._find_in_progress(service) is not None
 
     def _find_in_progress(self, service: str) -> TrackedRollout | None:
@@ -169,10 +170,10 @@
         return tracked if tracked is not None and tracked.rollout.is_in_progress else None
 
     def note_first_event(self, *, service: str, route: str, attempt: attempts.Attempt, expected_s: float) -> None:
-        """The first event of an answer arrived; the arguments are those of `attempt_tally.count_first`."""
-        tally = self._tally_of(service=service, route=route, attempt=attempt)
+        """Counts the first event of a response; the arguments are those of `attempt_tally.count_first_event`."""
+        tally = self._find_tally(service=service, route=route, attempt=attempt)
         if tally is not None:
-            attempt_tally.count_first(tally, attempt, now=self._now(), expected_s=expected_s)
+            attempt_tally.count_first_event(tally, attempt, now=self._now(), expected_s=expected_s)
 
     def note_attempt_end(
         self,
@@ -184,10 +185,10 @@
         latency_target_s: float,
         expected_s: float,
     ) -> None:
-        """One attempt is over; the arguments are those of `attempt_tally.count`."""
-        tally = self._tally_of(service=service, route=route, attempt=attempt)
+        """Counts the end of an attempt; the arguments are those of `attempt_tally.count_end`."""
+        tally = self._find_tally(service=service, route=route, attempt=attempt)
         if tally is not None:
-            attempt_tally.count(
+            attempt_tally.count_end(
                 tally,
                 attempt,
                 kind=kind,
@@ -196,8 +197,8 @@
                 expected_s=expected_s,
             )
 
-    def _tally_of(self, *, service: str, route: str, attempt: attempts.Attempt) -> rollout_evidence.Tally | None:
-        """Where an attempt counts; None where it is no evidence, or the service has no roll-out in progress."""
+    def _find_tally(self, *, service: str, route: str, attempt: attempts.Attempt) -> rollout_evidence.Tally | None:
+        """Returns the tally of an attempt; None if it is no evidence, or no roll-out of the service is in progress."""
         tracked = self._find_in_progress(service)
         if tracked is None:
             return None
@@ -209,7 +210,7 @@
         return tracked.tallies.setdefault(key, rollout_evidence.Tally())
 
     def report(self) -> messages.RolloutEvidence | None:
-        """The evidence to be sent to the coordinator now; None where no roll-out is in progress."""
+        """Returns the evidence to send to the coordinator now; None if no roll-out is in progress."""
         now = self._now()
         reports = [
             rollout_evidence.Report(
@@ -235,10 +236,11 @@
     def handle_leases(self, message: messages.RolloutLeases) -> None:
         """Handles the coordinator's reply to a report.
 
-        A lease counts from when its report was sent, and never replaces one whose report was sent later.
+        A lease counts from when its report was sent. It does not replace a lease that ends later, so a late reply to
+        an older report does not replace the lease of a newer one.
 
         Raises:
-            FrameError: The message contains no leases.
+            FrameError: The message contains no valid leases.
         """
         self.report_interval = max(1, message.report_interval)
         granted = leases.unpack(message.leases)
