--- a/ploverward/data_plane/load_balancing/test_replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/test_replica_chooser.py
@@ -1,4 +1,4 @@
-"""The choice of a replica: permitted regions, slow start, who prefills a prompt that nobody has cached."""
+"""Tests of the choice of a replica: permitted regions, slow start, and the owner of uncached parts."""
 
 import random
 
@@ -23,33 +23,33 @@
     loop = event_loop.Loop()
     quota = shared_limits.SharedLimits(now=loop.now, settings=loopback_proxy.settings())
     quota.handle_share_lease("core", FULL_SHARE)
-    table = replica_table.Table(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
+    table = replica_table.ReplicaTable(loop=loop, settings=loopback_proxy.settings(), share=quota.rate_share)
     table.services = SERVICES
     table.install_list(rows)
-    return replica_chooser.Chooser(
+    return replica_chooser.ReplicaChooser(
         table=table, settings=loopback_proxy.settings(), regions={}, quota=quota, now=loop.now
     ), table
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_fails_no_choice_leaves_the_permitted_regions(seed):
-    """Random lists, evacuations, suspects and loads; an independent look at each choice."""
+def test_choose_under_random_failures_stays_within_permitted_regions(seed):
+    """Checks each choice against the rules under random lists, evacuations, suspicions and loads."""
     chance = random.Random(seed)
     zones = {"za": "north", "zb": "south"}
     rows = [replica_row(f"i{number}", zone=chance.choice(("za", "zb"))) for number in range(8)]
     chooser, table = make_chooser(rows)
     chosen = []
     for step in range(200):
-        callback = chance.random()
-        if callback < 0.1:
+        event = chance.random()
+        if event < 0.1:
             table.install_evacuations(chance.sample(("za", "zb"), chance.randint(0, 2)))
-        elif callback < 0.2:
-            rows = [{**one, "is_clearing": chance.random() < 0.3} for one in rows]
+        elif event < 0.2:
+            rows = [{**row, "is_clearing": chance.random() < 0.3} for row in rows]
             table.install_list(rows)
-        elif callback < 0.3 and table.replicas:
+        elif event < 0.3 and table.replicas:
             table.mark_suspected(chance.choice(list(table.replicas.values())))
         permitted = chance.choice((None, frozenset(("north",)), frozenset(("south",)), frozenset()))
-        replica, _tokens, _is_any = chooser.choose(
+        replica, _tokens, _has_candidates = chooser.choose(
             service="llm",
             permitted=permitted,
             model="m",
@@ -65,7 +65,7 @@
     assert len(chosen) > 20
 
 
-def test_a_new_incarnation_during_traffic_is_warming_up_and_so_is_a_restored_zone():
+def test_replica_added_during_traffic_and_restored_zone_warm_up():
     chooser, table = make_chooser([replica_row("i1")])
     assert table.replicas["i1"].warming_up_until == 0.0
     table.install_list([replica_row("i1"), replica_row("i2", zone="zb")])
@@ -75,28 +75,28 @@
     assert table.replicas["i1"].warming_up_until > table._loop.now() + 2.5
 
 
-def test_all_proxies_name_the_same_first_reader_of_unknown_shared_parts():
+def test_credit_owner_is_independent_of_the_list_order():
     rows = [replica_row(f"i{number}", zone=zone) for number, zone in enumerate(("za", "za", "za", "zb"))]
-    named = set()
+    owners = set()
     for order in (rows, rows[::-1]):
-        chooser, _table = make_chooser(order)
-        kept = {}
+        chooser, table = make_chooser(order)
+        cached = {}
         chooser.affinity.credit_owner(
-            list(_table.replicas.values()),
+            list(table.replicas.values()),
             shared=cuckoo_filter.chain(model="m", parts=(("doc", 500),)),
-            cached=kept,
+            cached=cached,
             service="llm",
             permitted=None,
         )
-        named |= set(kept)
-    assert len(named) == 1
+        owners |= set(cached)
+    assert len(owners) == 1
 
 
-def test_tokens_that_are_kept_decide():
+def test_choose_prefers_replica_with_cached_prompt():
     chooser, table = make_chooser([replica_row("i1"), replica_row("i2")])
     chain = cuckoo_filter.chain(model="m", parts=(("doc", 5000), ("own", 10)))
     chooser.note_send(replica=table.replicas["i2"], chain=chain)
-    replica, tokens, _is_any = chooser.choose(
+    replica, tokens, _has_candidates = chooser.choose(
         service="llm", permitted=None, model="m", chain=chain, prompt_tokens=5010, avoid=set()
     )
     assert replica.id == "i2" and tokens == 0
