--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -34,7 +34,7 @@
 def over_quota():
     scene = with_tenants()
     credit = tenant_usage.Credit(tenant_usage.tenant_key("players"), 0.0)
-    scene.proxy.quota_allowance.record(core="k", asked_at=scene.loop.now() + 61.0, proxy_count=1, credits=[credit])
+    scene.proxy.quota_allowance.record(core="k", sent_at=scene.loop.now() + 61.0, proxy_count=1, credits=[credit])
     return scene
 
 
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -200,7 +200,7 @@
 
 
 def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
-    monkeypatch.setattr(quota_allowance.QuotaAllowance, "_may_admit", lambda self, tenant, limit: True)
+    monkeypatch.setattr(quota_allowance.QuotaAllowance, "_try_admit", lambda self, tenant, limit: True)
     assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).over for seed in range(4))
 
 
--- a/ploverward/data_plane/batch/batch_api.py
+++ b/ploverward/data_plane/batch/batch_api.py
@@ -75,7 +75,7 @@
         """Takes a call on jobs; returns whether it was one."""
         host = request.text(b"host")
         url = urllib.parse.urlsplit(request.target.decode("latin-1"))
-        if url.path.startswith((JOBS_PATH, ITEMS_PATH)) and self._node.routes.batch_route(host) is not None:
+        if url.path.startswith((JOBS_PATH, ITEMS_PATH)) and self._node.routes.find_batch_route(host) is not None:
             self._handle_resource(request, url)
             return True
         route = self._node.routes.find(host=host, target=request.target)
@@ -84,7 +84,7 @@
         if request.method != b"POST":
             _refuse(request, http.HTTPStatus.METHOD_NOT_ALLOWED, "a job is handed in with POST")
         else:
-            self._submit(request, route, prefix=self._node.routes.location_of(route.name)[1])
+            self._submit(request, route, prefix=self._node.routes.host_and_prefix_of(route.name)[1])
         return True
 
     # Admission.
@@ -94,7 +94,7 @@
             _refuse(request, http.HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
             return None
         tenant = admission_filters.authenticate_tenant(request=request, route=route, context=self._node)
-        if isinstance(tenant, admission_filters.Refused):
+        if isinstance(tenant, admission_filters.Rejection):
             _refuse(request, http.HTTPStatus(tenant.status), "no key of a tenant")
             return None
         return JobCall(request, tenant.name if isinstance(tenant, tenant_directory.Tenant) else "")
@@ -130,7 +130,7 @@
         terms = route.batch
         if call is None or terms is None:
             return
-        due_ms = int(terms.due_s * 1000)
+        due_ms = int(terms.deadline_s * 1000)
         self._change(
             call,
             lambda number: batch_messages.SubmitJob(
@@ -152,7 +152,7 @@
 
     # Jobs and items.
     def _handle_resource(self, request: http_request.Request, url: urllib.parse.SplitResult) -> None:
-        route = self._node.routes.batch_route(request.text(b"host"))
+        route = self._node.routes.find_batch_route(request.text(b"host"))
         call = self._admit(request, route) if route is not None else None
         if call is None:
             return
--- a/ploverward/data_plane/batch/item_handler.py
+++ b/ploverward/data_plane/batch/item_handler.py
@@ -102,7 +102,7 @@
         route = admission_filters.find_route(request=self.request, routes=self.context.routes)
         if route is None or route.batch is None or not self.policy.may_continue_under(route):
             return False
-        if not any(name == self.facts.service for name, _share in route.portions):
+        if not any(name == self.facts.service for name, _share in route.service_shares):
             admission_filters.pick_service(
                 request=self.request, facts=self.facts, route=route, table=self.context.table
             )
--- a/ploverward/data_plane/batch/item_puller.py
+++ b/ploverward/data_plane/batch/item_puller.py
@@ -141,7 +141,7 @@
         report = self._reports.pop(_key(item), None)
         if report is not None:
             report.is_wanted = False
-        route = self._node.routes.named(item.route)
+        route = self._node.routes.find_by_name(item.route)
         if route is None or route.batch is None:
             self._finish(item, Condition.RELEASED, b"")
             return
@@ -154,7 +154,7 @@
     def _start(self, item: batch_messages.PulledItem, route: route_table.Route) -> None:
         request = item_request.make_request(
             item=item,
-            host=self._node.routes.location_of(item.route)[0],
+            host=self._node.routes.host_and_prefix_of(item.route)[0],
             now=self._node.loop.now(),
             on_end=functools.partial(self._handle_end, item),
         )
--- a/ploverward/data_plane/control_client/share_renewals.py
+++ b/ploverward/data_plane/control_client/share_renewals.py
@@ -72,7 +72,7 @@
         """Requests this proxy's share from each core node."""
         number = self._log.begin()
         for host, connection in self._connections.established():
-            usage = self._quota_allowance.report(core=host) if self._quota_allowance.is_on else b""
+            usage = self._quota_allowance.report(core=host) if self._quota_allowance.has_limits else b""
             connection.send(messages.RenewShares(number=number, usage_rows=usage))
         self._quota_allowance.end_report()
 
@@ -93,18 +93,18 @@
         if sent_at is None:
             return
         self._configuration_freshness.record(
-            core=host, version=message.configuration_version, asked_at=sent_at, age_s=message.age_s
+            core=host, version=message.configuration_version, sent_at=sent_at, age_s=message.age_s
         )
         self._quota_allowance.record(
             core=host,
-            asked_at=sent_at,
+            sent_at=sent_at,
             proxy_count=message.proxy_count,
             credits=tenant_usage.unpack_credits(message.credit_rows),
         )
 
     def handle_end(self, host: str) -> None:
         """A connection ended: what was reported last may not have arrived, and is reported again."""
-        self._quota_allowance.forget(core=host)
+        self._quota_allowance.clear_reported(core=host)
 
     def configuration_age_s(self, subscriber: subscribers.Subscriber) -> float:
         """Seconds since a moment at which nothing newer was acknowledged than what this proxy has."""
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -98,7 +98,7 @@
         """Quotas, roll-outs and replicas."""
         now = self.loop.now
         self.quota = shared_limits.SharedLimits(now=now, settings=self.settings)
-        self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
+        self.credential_freshness = credential_freshness.CredentialFreshness.from_settings(self.settings)
         self.quota_allowance = quota_allowance.QuotaAllowance(
             now=now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
@@ -116,7 +116,7 @@
 
     def _make_connections(self) -> None:
         """Connections to core nodes, and what this proxy sends there by itself."""
-        self.batches = custody_trails.TrailBatches(most=MAX_TRAILS_PER_BATCH)
+        self.batches = custody_trails.TrailBatches(max_trails=MAX_TRAILS_PER_BATCH)
         self._connections = core_connections.CoreConnections(
             loop=self.loop,
             settings=lambda: self.settings,
@@ -174,9 +174,9 @@
             is_serving=lambda: self._gate.is_open,
             is_draining=lambda: self._shutdown.is_draining,
             make_handler=lambda request: request_handler.RequestHandler(context=self, request=request),
-            takes_call=lambda request: self._batch is not None and self._batch.handle(request),
+            handle_batch_call=lambda request: self._batch is not None and self._batch.handle(request),
         )
-        self.next_number = self._front_end.next_number
+        self.next_attempt_number = self._front_end.next_attempt_number
         self.handlers = self._front_end.requests
         self._shutdown = graceful_shutdown.ProxyShutdown(
             loop=self.loop,
--- a/ploverward/data_plane/quotas/credential_freshness.py
+++ b/ploverward/data_plane/quotas/credential_freshness.py
@@ -2,7 +2,7 @@
 
 `ConfigurationFreshness` owns what core nodes reported. All its times are on this proxy's clock and count from when a
 core node was sent the request: a slow connection, a frozen process or a late reply never makes a configuration look
-fresher (`test_no_proxy_trusts_a_key_that_was_taken_away_long_ago`).
+fresher (`test_no_proxy_trusts_a_key_after_the_revocation_bound`).
 """
 
 import dataclasses
@@ -35,16 +35,16 @@
         self._now = now
         self._reports: dict[str, _Report] = {}  # by core node
 
-    def record(self, *, core: str, version: int, asked_at: float, age_s: float) -> None:
+    def record(self, *, core: str, version: int, sent_at: float, age_s: float) -> None:
         """Records a core node's report.
 
         Args:
             core: The core node.
             version: The newest version that it knows as chosen.
-            asked_at: When it was sent the request, on this proxy's clock.
+            sent_at: When it was sent the request, on this proxy's clock.
             age_s: For how many seconds before its reply a newer one may have been acknowledged.
         """
-        self._reports[core] = _Report(fresh_as_of=asked_at - age_s, version=version)
+        self._reports[core] = _Report(fresh_as_of=sent_at - age_s, version=version)
         while len(self._reports) > MAX_REPORTS:
             self._reports.pop(next(iter(self._reports)))
 
@@ -75,7 +75,7 @@
     max_key_age_s: float
 
     @classmethod
-    def of(cls, settings: node_settings.Settings) -> "CredentialFreshness":
+    def from_settings(cls, settings: node_settings.Settings) -> "CredentialFreshness":
         """Reads contactMs, revokeMs and revocationStrict."""
         is_strict = settings.bound(name="revocationStrict") > 0
         return cls(
--- a/ploverward/data_plane/quotas/isolated_allowance.py
+++ b/ploverward/data_plane/quotas/isolated_allowance.py
@@ -57,7 +57,7 @@
             self._counted[tenant] = admitted[tenant]
             self._rates[tenant] = self._rates.get(tenant, 0.0) * kept + count / RATE_WINDOW_S
 
-    def may_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
+    def try_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
         """Spends a token on one request of the tenant, if there is one."""
         now = self._now()
         initial = INITIAL_TOKENS if self.was_in_contact else INITIAL_TOKENS_NEVER_IN_CONTACT
--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -54,7 +54,7 @@
         self._isolated.keep_only(self._limits.keys())
 
     @property
-    def is_on(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any tenant has a limit."""
         return bool(self._limits)
 
@@ -66,7 +66,7 @@
         self._demand[tenant] += 1
         if self._use_returned_admission(tenant):
             return True
-        if not self._may_admit(tenant, limit):
+        if not self._try_admit(tenant, limit):
             return False
         self._admitted[tenant] += 1
         return True
@@ -83,11 +83,11 @@
                 return True
         return False
 
-    def _may_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
+    def _try_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
         now = self._now()
         live = [reply.scarce_tenants for reply in self._core_replies.values() if reply.until > now]
         if not live:
-            return self._isolated.may_admit(tenant, limit)
+            return self._isolated.try_admit(tenant, limit)
         if 2 * sum(tenant in scarce for scarce in live) < len(live):
             return True  # a core node that has just started has no counts: the majority of the replies decides
         if self._credits.get(tenant, 0.0) < 1.0:
@@ -114,7 +114,7 @@
         if any(reply.until > now for reply in self._core_replies.values()):
             self._isolated.update_rates(tenants=self._limits, admitted=self._admitted)
 
-    def forget(self, *, core: str) -> None:
+    def clear_reported(self, *, core: str) -> None:
         """The connection to this core node ended: its last report may not have arrived, so all is reported again."""
         self._reported.pop(core, None)
 
@@ -122,16 +122,16 @@
         """How many proxies there are, as core nodes last said."""
         return self._isolated.proxy_count
 
-    def record(self, *, core: str, asked_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
+    def record(self, *, core: str, sent_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
         """Records a core node's reply.
 
         Args:
             core: The core node.
-            asked_at: When the report that it answers was sent, on this proxy's clock.
+            sent_at: When the report that it answers was sent, on this proxy's clock.
             proxy_count: How many proxies there are.
             credits: The scarce tenants, with this proxy's credits.
         """
-        until = asked_at + self._lease_s
+        until = sent_at + self._lease_s
         current = self._core_replies.get(core)
         if current is not None and current.until >= until:
             return
--- a/ploverward/data_plane/quotas/tenant_directory.py
+++ b/ploverward/data_plane/quotas/tenant_directory.py
@@ -82,7 +82,7 @@
     )
 
 
-def tenant_directory_of(configuration: Mapping[str, Any] | None) -> TenantDirectory | None:
+def build_tenant_directory(configuration: Mapping[str, Any] | None) -> TenantDirectory | None:
     """The directory of a configuration; None where it names no tenants, so that requests need no key."""
     if not configuration or configuration.get("senders") is None:
         return None
--- a/ploverward/data_plane/quotas/test_credential_freshness.py
+++ b/ploverward/data_plane/quotas/test_credential_freshness.py
@@ -8,14 +8,14 @@
 from ploverward.transport import messages
 
 
-def test_freshness_counts_from_when_it_was_asked_and_for_versions_that_are_here():
+def test_age_counts_from_the_request_time_and_only_for_installed_versions():
     clock = [10.0]
     configuration_freshness = credential_freshness.ConfigurationFreshness(now=lambda: clock[0])
     assert configuration_freshness.age_s(version=9) == float("inf")
-    configuration_freshness.record(core="k", version=5, asked_at=9.0, age_s=0.5)
+    configuration_freshness.record(core="k", version=5, sent_at=9.0, age_s=0.5)
     assert configuration_freshness.age_s(version=5) == pytest.approx(1.5)
     assert configuration_freshness.age_s(version=4) == float("inf")  # the newer one is not here yet
-    configuration_freshness.record(core="other", version=4, asked_at=9.9, age_s=3.0)
+    configuration_freshness.record(core="other", version=4, sent_at=9.9, age_s=3.0)
     assert configuration_freshness.age_s(version=4) == pytest.approx(3.1)
 
 
@@ -82,15 +82,15 @@
                     self._send_request(proxy, configuration_freshness, core, self.world.now())
         self.world.later(0.4, self.send_request)
 
-    def _send_request(self, proxy, configuration_freshness, core, asked_at):
+    def _send_request(self, proxy, configuration_freshness, core, sent_at):
         def answered():
             version, age_s = core.freshness()
             wait = self.chance.uniform(0.01, 0.1) if self.chance.random() < 0.8 else self.chance.uniform(1.0, 6.0)
             self.world.later(wait, lambda: record(version, age_s))
 
         def record(version, age_s):
-            when = self.world.now() if self.counts_from_grant else asked_at
-            configuration_freshness.record(core=core.name, version=version, asked_at=when, age_s=age_s)
+            when = self.world.now() if self.counts_from_grant else sent_at
+            configuration_freshness.record(core=core.name, version=version, sent_at=when, age_s=age_s)
 
         self.world.later(self.chance.uniform(0.01, 0.1), answered)
 
@@ -152,14 +152,14 @@
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
-def test_no_proxy_trusts_a_key_that_was_taken_away_long_ago(first):
+def test_no_proxy_trusts_a_key_after_the_revocation_bound(first):
     assert [Keys(seed=seed).play() for seed in range(first, first + 10)] == [0] * 10
 
 
-def test_planted_freshness_that_counts_from_the_answer_is_found():
+def test_mutant_that_counts_freshness_from_the_reply_is_detected():
     assert any(Keys(seed=seed, counts_from_grant=True).play() for seed in range(10))
 
 
-def test_planted_freshness_without_a_majority_is_found(monkeypatch):
+def test_mutant_that_ignores_the_majority_is_detected(monkeypatch):
     monkeypatch.setattr(majority_lease.MajorityLease, "fresh_as_of", lambda self, **_about: self._now())
     assert any(Keys(seed=seed).play() for seed in range(10))
--- a/ploverward/data_plane/quotas/test_quota_allowance.py
+++ b/ploverward/data_plane/quotas/test_quota_allowance.py
@@ -15,10 +15,10 @@
 
 
 def scarce(made, clock, *, core="k", tokens=0.0, proxy_count=10):
-    made.record(core=core, asked_at=clock[0], proxy_count=proxy_count, credits=[tenant_usage.Credit(KEY, tokens)])
+    made.record(core=core, sent_at=clock[0], proxy_count=proxy_count, credits=[tenant_usage.Credit(KEY, tokens)])
 
 
-def test_parts_of_a_credit_add_up_and_are_spent_once():
+def test_fractional_credits_accumulate_and_are_spent_once():
     made, clock = quota_allowance()
     for _heartbeat_number in range(5):
         clock[0] += 0.4
@@ -26,20 +26,20 @@
     assert [made.admit(KEY) for _index in range(3)] == [True, False, False]
 
 
-def test_most_core_nodes_decide_whether_credits_are_wanted():
+def test_majority_of_core_nodes_decides_whether_credits_are_required():
     made, clock = quota_allowance()
     scarce(made, clock, core="new")
     for core in ("k1", "k2"):
-        made.record(core=core, asked_at=clock[0], proxy_count=10, credits=[])
+        made.record(core=core, sent_at=clock[0], proxy_count=10, credits=[])
     assert made.admit(KEY)
     clock[0] += 0.1
     scarce(made, clock, core="k1")
     assert not made.admit(KEY)
 
 
-def test_out_of_touch_a_proxy_lets_in_an_even_part():
+def test_isolated_proxy_admits_at_most_its_even_share():
     made, clock = quota_allowance()
-    made.record(core="k", asked_at=clock[0], proxy_count=100, credits=[])
+    made.record(core="k", sent_at=clock[0], proxy_count=100, credits=[])
     clock[0] += 2.0
     let_in = 0
     for _index in range(1000):
@@ -48,12 +48,12 @@
     assert let_in <= 1 + 100.0 * 10 / 100
 
 
-def test_a_proxy_that_was_never_in_touch_lets_in_next_to_nothing():
+def test_proxy_never_in_contact_admits_at_most_one_request():
     made, clock = quota_allowance()
     assert sum(made.admit(KEY) for _index in range(50)) <= 1
 
 
-def test_what_was_let_in_and_did_not_run_is_let_in_once_more():
+def test_returned_admission_is_reused_once_and_expires():
     made, clock = quota_allowance()
     scarce(made, clock, tokens=1.0)
     assert made.admit(KEY) and not made.admit(KEY)
@@ -65,13 +65,13 @@
     assert not made.admit(KEY)  # too long ago
 
 
-def test_a_report_names_what_changed_and_all_of_it_after_a_lost_link():
+def test_report_has_changed_rows_and_all_rows_after_a_lost_connection():
     made, clock = quota_allowance()
-    made.record(core="k", asked_at=clock[0], proxy_count=10, credits=[])
+    made.record(core="k", sent_at=clock[0], proxy_count=10, credits=[])
     made.admit(KEY)
     first = tenant_usage.unpack_usage(made.report(core="k"))
     made.end_report()
     assert [(row.demand, row.admitted) for row in first] == [(1, 1)]
     assert made.report(core="k") == b""
-    made.forget(core="k")
+    made.clear_reported(core="k")
     assert [row.admitted for row in tenant_usage.unpack_usage(made.report(core="k"))] == [1]
--- a/ploverward/data_plane/quotas/test_shared_limits.py
+++ b/ploverward/data_plane/quotas/test_shared_limits.py
@@ -34,7 +34,7 @@
     return quota, clock
 
 
-def test_without_a_share_lease_nothing_of_the_slack_is_spent():
+def test_without_a_lease_retries_are_limited_to_the_ratio():
     quota, _clock = make(share=0)
     assert not quota.retry_budget.charge("llm")
     for _ in range(100):
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_extras_in_every_window_stay_inside_the_part(seed):
+def test_retries_in_any_window_stay_within_ratio_and_slack_share(seed):
     chance = random.Random(seed)
     quota, clock = make(share=0.25)
     request_times, extras = [], []
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("share", [0.06, 0.14, 1.0])
-def test_a_cold_replica_gets_its_rate_in_every_second(share):
+def test_requests_to_a_warming_replica_stay_within_the_leased_rate(share):
     quota, clock = make(share=share)
     replica = replica_table.Replica(
         row={"id": "i", "service": "llm", "zone": "za", "berths": 8, "models": [], "is_clearing": False},
@@ -83,7 +83,7 @@
     assert replica.sends[-1] == sends[-1]
 
 
-def test_a_share_lease_counts_from_its_renewal_and_once_for_each_core_node():
+def test_lease_counts_from_its_renewal_and_once_for_each_core_node():
     quota, clock = make(share=0)
     message = share_lease(0.25, duration_s=1.5, core_share=0.25)
     quota.handle_share_lease("10.0.0.1:1", message, sent_at=99.0)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("count, cores", [(63, 5), (330, 5), (40, 3)])
-def test_many_nodes_with_parts_below_one_keep_the_rate_of_a_cold_replica_together(seed, count, cores):
+def test_proxies_with_shares_below_one_jointly_keep_the_warmup_rate(seed, count, cores):
     """All nodes press at once, some come and go, some have old entries: what they send in any second is counted."""
     chance = random.Random(seed)
     clock = [100.0]
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_no_two_nodes_that_may_act_hold_the_same_slot(seed):
+def test_no_two_nodes_with_live_reservations_hold_the_same_slot(seed):
     chance = random.Random(seed)
     clock = [0.0]
     slots = rate_slots.RateSlots(now=lambda: clock[0], reserved_s=3.0)
--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -24,11 +24,11 @@
     scene = request_scene.Scene(request_scene.replying, request_scene.replying, zones=["za", "zb"])
     scene.proxy.routes = route_table.Routes(body=body)
     scene.proxy.quota_allowance.install(body)
-    scene.proxy.quota_allowance.record(core="k", asked_at=scene.loop.now() + 60.0, proxy_count=1, credits=[])
+    scene.proxy.quota_allowance.record(core="k", sent_at=scene.loop.now() + 60.0, proxy_count=1, credits=[])
     scene.proxy.configuration_age = age_s
     if bounds:
         scene.proxy.settings.bounds.update(bounds)
-        scene.proxy.credential_freshness = credential_freshness.CredentialFreshness.of(scene.proxy.settings)
+        scene.proxy.credential_freshness = credential_freshness.CredentialFreshness.from_settings(scene.proxy.settings)
     return scene
 
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("key", [KEYS["clerks"], "old-key", KEYS["players"]])
-def test_a_tenant_is_named_to_the_replica_and_its_key_is_not(key):
+def test_replica_receives_the_tenant_name_but_not_the_key(key):
     scene = scene_of()
     status, heard = send_request(scene, key=key, more=b"X-Sender: somebody-else\r\n")
     name = b"players" if key == KEYS["players"] else b"clerks"
@@ -65,53 +65,53 @@
         b"X-Sender: clerks\r\n",
     ],
 )
-def test_without_a_key_that_is_known_nothing_runs(more):
+def test_request_without_a_known_key_is_refused_with_401(more):
     status, heard = send_request(scene_of(), more=more)
     assert status == 401 and not heard
 
 
-def test_a_proxy_that_may_be_behind_refuses_no_key_for_good():
+def test_unknown_key_gets_503_while_the_configuration_may_be_stale():
     status, heard = send_request(scene_of(age_s=3.0), key="nobody")
     assert status == 503 and not heard
     assert send_request(scene_of(age_s=3.0))[0] == 401  # no key at all is none in any configuration
 
 
-def test_a_route_without_keys_names_no_tenant():
+def test_keyless_route_forwards_neither_key_nor_tenant():
     routes = [{**row, "keyless": True} for row in BODY["routes"]]
     scene = scene_of(body={**BODY, "routes": routes})
     status, heard = send_request(scene, key="nobody", more=b"X-Sender: clerks\r\n")
     assert status == 200 and b"nobody" not in heard and b"x-sender" not in heard.lower()
 
 
-def test_where_no_tenants_are_configured_heads_pass_as_they_come():
+def test_without_tenants_the_authorization_header_is_forwarded():
     scene = scene_of(body=loopback_proxy.CONFIGURATION)
     status, heard = send_request(scene, key="anything")
     assert status == 200 and b"anything" in heard
 
 
 @pytest.mark.parametrize("strict, age_s, wanted", [(1.0, 4.0, 200), (1.0, 4.9, 503), (0.0, 60.0, 200)])
-def test_where_keys_are_revoked_strictly_an_old_configuration_serves_nobody(strict, age_s, wanted):
+def test_strict_revocation_refuses_keys_when_the_configuration_is_too_old(strict, age_s, wanted):
     scene = scene_of(age_s=age_s, revocationStrict=strict, revokeMs=5000.0)
     assert send_request(scene, key=KEYS["clerks"])[0] == wanted
 
 
-def test_a_proxy_that_is_cut_off_serves_keys_for_a_while_refuses_them_by_a_promise_and_serves_again():
+def test_isolated_proxy_accepts_keys_until_the_age_limit_and_again_after_contact():
     """Its configuration ages from the last question that was answered; then no key is refused for good."""
     scene = scene_of(revocationStrict=1.0, revokeMs=5000.0)
     freshness = credential_freshness.ConfigurationFreshness(now=scene.loop.now)
     scene.proxy.configuration_age_s = lambda: freshness.age_s(version=BODY["edition"])
-    freshness.record(core="k", version=BODY["edition"], asked_at=scene.loop.now(), age_s=0.0)
-    scene.proxy.quota_allowance.record(core="k", asked_at=scene.loop.now() + 600.0, proxy_count=1, credits=[])
+    freshness.record(core="k", version=BODY["edition"], sent_at=scene.loop.now(), age_s=0.0)
+    scene.proxy.quota_allowance.record(core="k", sent_at=scene.loop.now() + 600.0, proxy_count=1, credits=[])
     statuses = []
     for skipped_s in (0.0, 3.0, 1.9, 30.0):
         scene.loop.skip(seconds=skipped_s)
         statuses.append((send_request(scene, key=KEYS["clerks"])[0], send_request(scene, key="unknown")[0]))
-    freshness.record(core="k", version=BODY["edition"], asked_at=scene.loop.now() - 0.1, age_s=0.2)
+    freshness.record(core="k", version=BODY["edition"], sent_at=scene.loop.now() - 0.1, age_s=0.2)
     statuses.append((send_request(scene, key=KEYS["clerks"])[0], send_request(scene, key="unknown")[0]))
     assert statuses == [(200, 401), (200, 503), (503, 503), (503, 503), (200, 401)]
 
 
-def test_the_tenants_priority_and_homes_bind():
+def test_tenant_priority_and_home_regions_are_applied():
     status, heard = send_request(scene_of(), key=KEYS["clerks"], lead="resume")
     assert status == 200 and b"x-urgency: 3" in heard.lower()
     scene = scene_of()
@@ -119,20 +119,20 @@
     assert not scene.peers[0].heard and scene.peers[1].heard  # the first one is in the north
 
 
-def test_beyond_the_quota_the_answer_is_429_with_when_to_come_back():
+def test_request_over_quota_gets_429_with_retry_after():
     scene = scene_of()
     quota_allowance = scene.proxy.quota_allowance
     assert send_request(scene, key=KEYS["players"])[0] == 200  # free
     key = tenant_usage.tenant_key("players")
     quota_allowance.record(
-        core="k", asked_at=scene.loop.now() + 61.0, proxy_count=1, credits=[tenant_usage.Credit(key, 1.0)]
+        core="k", sent_at=scene.loop.now() + 61.0, proxy_count=1, credits=[tenant_usage.Credit(key, 1.0)]
     )
     assert [send_request(scene, key=KEYS["players"])[0] for _index in range(2)] == [200, 429]
     assert b"Retry-After: " in scene.client.got
     assert send_request(scene, key=KEYS["clerks"])[0] == 200  # another one's quota is none of theirs
 
 
-def test_a_key_that_is_taken_away_gets_no_further_try():
+def test_revoked_key_is_refused_when_a_request_is_readmitted():
     scene = scene_of()
     request = types.SimpleNamespace(headers=[(b"authorization", b"Bearer old-key")])
     route = scene.proxy.routes.find(host="h", target=b"/safe/x")
@@ -140,10 +140,10 @@
     left = [{**TENANTS[0], "apiKeys": [KEYS["clerks"]]}, TENANTS[1]]
     scene.proxy.routes = route_table.Routes(body={**BODY, "senders": left})
     refused = admission_filters.authenticate_tenant(request=request, route=route, context=scene.proxy)
-    assert isinstance(refused, admission_filters.Refused) and refused.status == 401
+    assert isinstance(refused, admission_filters.Rejection) and refused.status == 401
 
 
-def test_keys_are_found_by_a_digest_that_differs_from_process_to_process():
-    first, second = (tenant_directory.tenant_directory_of(BODY) for _index in range(2))
+def test_key_digests_differ_between_directories():
+    first, second = (tenant_directory.build_tenant_directory(BODY) for _index in range(2))
     assert first.find(b"old-key").name == "clerks" and first.find(b"old") is None
     assert not set(first._by_digest) & set(second._by_digest)
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -80,16 +80,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class Rejection:
     """The end of the chain.
 
     Attributes:
         status: Of the answer.
-        after_s: With 429 and 503: seconds after which the client may retry.
+        retry_after_s: With 429 and 503: seconds after which the client may retry.
     """
 
     status: int
-    after_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -121,7 +121,7 @@
 
 def admit(
     *, request: http_request.Request, facts: RequestFacts, context: handler_context.HandlerContext
-) -> Refused | None:
+) -> Rejection | None:
     """Runs the filters.
 
     Args:
@@ -133,30 +133,30 @@
         None where the request is admitted, else the answer.
     """
     if not context.is_serving:
-        return Refused(status=503, after_s=NOT_SERVING_RETRY_AFTER_S)
+        return Rejection(status=503, retry_after_s=NOT_SERVING_RETRY_AFTER_S)
     route = find_route(request=request, routes=context.routes)
     if route is None:
-        return Refused(status=404)
+        return Rejection(status=404)
     tenant = authenticate_tenant(request=request, route=route, context=context)
-    if isinstance(tenant, Refused):
+    if isinstance(tenant, Rejection):
         return tenant
     facts.route = route
     facts.tenant = tenant
     facts.first_homes = tuple(sorted(context.permitted(route=route, first_homes=(), tenant=tenant) or ()))
     pick_service(request=request, facts=facts, route=route, table=context.table)
     times = read_times(request=request, route=route)
-    if isinstance(times, Refused):
+    if isinstance(times, Rejection):
         return times
     facts.deadline, facts.latency_target_s = times.deadline, times.latency_target_s
     if context.loop.now() >= times.deadline:
         # Read late: the process was frozen, or the client sent slowly (test_after_a_freeze_…). No replica received it.
-        return Refused(status=503, after_s=LATE_RETRY_AFTER_S)
+        return Rejection(status=503, retry_after_s=LATE_RETRY_AFTER_S)
     if not context.drain_window.may_accept(deadline=times.deadline):
-        return Refused(status=503, after_s=DRAINING_RETRY_AFTER_S)
+        return Rejection(status=503, retry_after_s=DRAINING_RETRY_AFTER_S)
     if tenant is not None and tenant.limit is not None:
         facts.is_counted = context.quota_allowance.admit(tenant.key)
         if not facts.is_counted:
-            return Refused(status=429, after_s=times.latency_target_s * RETRY_AFTER_SHARE)
+            return Rejection(status=429, retry_after_s=times.latency_target_s * RETRY_AFTER_SHARE)
     facts.prompt = read_prompt(request=request, model_text=facts.model.text, is_sticky=route.is_sticky)
     return None
 
@@ -177,10 +177,10 @@
         context: The proxy.
     """
     tenant = authenticate_tenant(request=request, route=route, context=context)
-    if isinstance(tenant, Refused):
+    if isinstance(tenant, Rejection):
         return False  # its key was revoked meanwhile
     facts.tenant = tenant
-    if not any(name == facts.service for name, _share in route.portions):
+    if not any(name == facts.service for name, _share in route.service_shares):
         pick_service(request=request, facts=facts, route=route, table=context.table)
     facts.route = route
     return True
@@ -193,7 +193,7 @@
 
 def authenticate_tenant(
     *, request: http_request.Request, route: route_table.Route, context: handler_context.HandlerContext
-) -> tenant_directories.Tenant | Refused | None:
+) -> tenant_directories.Tenant | Rejection | None:
     """Returns the tenant whose key the request has, None where no key is wanted, or why it is refused.
 
     More than one Authorization header counts as no key. A key that this proxy does not know is refused with 401 only
@@ -209,9 +209,9 @@
         tenant=tenant, has_key=bool(key), age_s=context.configuration_age_s()
     )
     if verdict is credential_freshness.CredentialVerdict.UNKNOWN:
-        return Refused(status=401)
+        return Rejection(status=401)
     if verdict is credential_freshness.CredentialVerdict.UNSURE:
-        return Refused(status=503, after_s=context.failover_s)
+        return Rejection(status=503, retry_after_s=context.failover_s)
     return tenant
 
 
@@ -223,7 +223,7 @@
     facts.model = read_model(text=request.text(b"x-model"), service=facts.service, table=table)
 
 
-def read_times(*, request: http_request.Request, route: route_table.Route) -> Times | Refused:
+def read_times(*, request: http_request.Request, route: route_table.Route) -> Times | Rejection:
     """Returns the request's times: X-Time-Left-Ms within the route's bound. Refused where that is not a number."""
     left_s = route.timeout_s
     given = request.text(b"x-time-left-ms")
@@ -231,7 +231,7 @@
         try:
             left_s = min(left_s, float(given) / 1000.0)
         except ValueError:
-            return Refused(status=400)
+            return Rejection(status=400)
     return Times(
         deadline=request.begun_at + left_s, latency_target_s=route.target_s or left_s * DEFAULT_TARGET_FRACTION
     )
--- a/ploverward/data_plane/requests/attempt_runner.py
+++ b/ploverward/data_plane/requests/attempt_runner.py
@@ -121,7 +121,7 @@
             handler=self._listener,
             replica=replica,
             connection=connection,
-            number=context.next_number(),
+            number=context.next_attempt_number(),
             prefill_tokens=prefill_tokens,
             permitted=permitted,
             now=now,
--- a/ploverward/data_plane/requests/custody_trails.py
+++ b/ploverward/data_plane/requests/custody_trails.py
@@ -53,7 +53,7 @@
     custody: list[AttemptRow]
 
 
-def trail_of(
+def build_trail(
     *, handler: TracedRequest, route: route_table.Route, context: handler_context.HandlerContext, status: int
 ) -> dict[str, object]:
     """Returns the trail of a request that is over; `status`: of its answer, 0 where it was broken off."""
@@ -122,11 +122,11 @@
     """Batches, numbered within this incarnation. What the core has not acknowledged is sent again, up to a bound.
 
     Args:
-        most: Trails in a batch, at most.
+        max_trails: Trails in a batch, at most.
     """
 
-    def __init__(self, *, most: int) -> None:
-        self._most = most
+    def __init__(self, *, max_trails: int) -> None:
+        self._max_trails = max_trails
         self._rows: list[tuple[str, bytes]] = []
         self._number = 0
         self._unsent: list[Batch] = []
@@ -134,7 +134,7 @@
     def add(self, trail: dict) -> None:
         """Adds the trail of a request that is over."""
         self._rows.append((trail["id"], json.dumps(trail, separators=(",", ":")).encode()))
-        if len(self._rows) >= self._most:
+        if len(self._rows) >= self._max_trails:
             self.close_batch()
 
     def close_batch(self, *, is_last: bool = False) -> None:
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -83,7 +83,7 @@
     def configuration_age_s(self) -> float:
         """Returns how long ago it is certain that nothing newer than this proxy's configuration was acknowledged."""
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Returns a number that no other attempt of this process has."""
 
     def report_attempt(self, *, replica: replica_table.Replica, kind: int) -> None:
--- a/ploverward/data_plane/requests/http_front_end.py
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -48,7 +48,7 @@
         is_serving: Callable[[], bool],
         is_draining: Callable[[], bool],
         make_handler: Callable[[http_request.Request], request_handler.RequestHandler],
-        takes_call: Callable[[http_request.Request], bool] = lambda _request: False,
+        handle_batch_call: Callable[[http_request.Request], bool] = lambda _request: False,
     ) -> None:
         """Creates a front end that does not listen yet.
 
@@ -60,7 +60,7 @@
             is_serving: whether the proxy may serve.
             is_draining: whether it is shutting down.
             make_handler: the handler of a request.
-            takes_call: takes a request that is a call on lots; returns whether it was one.
+            handle_batch_call: handles a request to the batch API; returns whether it was one.
         """
         self._loop = loop
         self._settings = settings
@@ -69,7 +69,7 @@
         self._is_serving = is_serving
         self._is_draining = is_draining
         self._make_handler = make_handler
-        self._takes_call = takes_call
+        self._handle_batch_call = handle_batch_call
         self.requests: set[request_handler.RequestHandler] = set()
         self.has_ended = False
         self._number = 0
@@ -97,7 +97,7 @@
                 max_connections=MAX_READINESS_CONNECTIONS,
             )
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """A number that no other attempt of this process has."""
         self._number += 1
         return self._number
@@ -107,7 +107,7 @@
         if self.has_ended:
             request.reply(status=503)
             return
-        if self._takes_call(request):
+        if self._handle_batch_call(request):
             return
         handler = self._make_handler(request)
         self.requests.add(handler)
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -27,7 +27,7 @@
 def silence_timeout_s(*, route: route_table.Route, latency_target_s: float, is_read: bool) -> float:
     """Returns the seconds without data after which a replica times out; `is_read`: its first event arrived."""
     if is_read:
-        return max(MIN_TIMEOUT_S, (route.gap_s or latency_target_s) * GAP_SHARE)
+        return max(MIN_TIMEOUT_S, (route.event_gap_target_s or latency_target_s) * GAP_SHARE)
     return max(MIN_TIMEOUT_S, latency_target_s * FIRST_EVENT_SHARE)
 
 
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -120,7 +120,7 @@
         refused = admission_filters.admit(request=self.request, facts=facts, context=self.context)
         if refused is not None:
             if refused.status in retry_policy.NOT_RUN_STATUSES:
-                self._answer(status=refused.status, headers=_retry_after(refused.after_s))
+                self._answer(status=refused.status, headers=_retry_after(refused.retry_after_s))
             else:
                 self._answer(status=refused.status)
             return
@@ -371,7 +371,7 @@
         if self.writer.has_head:
             self._abort_response()
         else:
-            self._reject(after_s=max(MIN_RETRY_AFTER_S, self._retry_after_s))
+            self._reject(retry_after_s=max(MIN_RETRY_AFTER_S, self._retry_after_s))
 
     def abort_for_shutdown(self) -> None:
         """The process ends soon: a request that no replica received is rejected; others may still be answered."""
@@ -392,7 +392,7 @@
         elif self.policy.unresolved_attempts:
             self._answer(status=504)
         else:
-            self._reject(after_s=admission_filters.LATE_RETRY_AFTER_S)
+            self._reject(retry_after_s=admission_filters.LATE_RETRY_AFTER_S)
 
     def on_client_gone(self) -> None:
         """The client left."""
@@ -402,12 +402,12 @@
             self._runner.abandon(self.attempt, route=self.route)
         self._finish()
 
-    def _reject(self, *, after_s: float) -> None:
+    def _reject(self, *, retry_after_s: float) -> None:
         """Answers 503, a promise that the request has not run and never will; 502 where that is not certain."""
         if self.policy.unresolved_attempts:
             self._answer(status=502)
         else:
-            self._answer(status=503, headers=_retry_after(after_s))
+            self._answer(status=503, headers=_retry_after(retry_after_s))
 
     def _answer(self, *, status: int, headers: Sequence[tuple[bytes, bytes]] = ()) -> None:
         self._finish(status=status)
@@ -441,7 +441,7 @@
         ):
             self.context.quota_allowance.return_admission(facts.tenant.key)
         if route is not None:
-            trail = custody_trails.trail_of(handler=self, route=route, context=self.context, status=status)
+            trail = custody_trails.build_trail(handler=self, route=route, context=self.context, status=status)
             self.context.batches.add(trail)
 
 
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -22,18 +22,18 @@
     """What lots of a route are bound by.
 
     Attributes:
-        due_s: All results of a lot are due so long after it was sent first.
+        deadline_s: All results of a lot are due so long after it was sent first.
         max_queued_tokens: That a tenant may have waiting; 0: no limit.
     """
 
-    due_s: float
+    deadline_s: float
     max_queued_tokens: int
 
     @classmethod
     def of(cls, body: Mapping[str, typing.Any]) -> BatchTerms:
         """Reads a route of a checked configuration."""
         return cls(
-            due_s=float(body.get("deadlineMs") or 0) / 1000.0,
+            deadline_s=float(body.get("deadlineMs") or 0) / 1000.0,
             max_queued_tokens=int(body.get("maxQueuedTokens") or 0),
         )
 
@@ -46,7 +46,7 @@
         name: Of the route.
         timeout_s: Seconds that a client may wait, at most.
         target_s: Latency target in seconds, 0 where none is named.
-        gap_s: The longest pause between events that is still in time, in seconds; 0 where none is named.
+        event_gap_target_s: The longest pause between events that is still in time, in seconds; 0 where none is named.
         priority: 0 first.
         max_attempts: Replicas that may receive a request, at most.
         is_keyless: Whether no key is wanted.
@@ -55,14 +55,14 @@
         is_resumable: Whether another replica may continue a stream.
         is_idempotent: Whether a request may run more than once.
         homes: Regions that may serve it; empty: all.
-        portions: (service, share) of each service that it picks from.
+        service_shares: (service, share) of each service that it picks from.
         batch: What lots of it are bound by, None where it takes requests.
     """
 
     name: str
     timeout_s: float
     target_s: float
-    gap_s: float
+    event_gap_target_s: float
     priority: int
     max_attempts: int
     is_keyless: bool
@@ -71,7 +71,7 @@
     is_resumable: bool
     is_idempotent: bool
     homes: tuple[str, ...]
-    portions: tuple[tuple[str, float], ...]
+    service_shares: tuple[tuple[str, float], ...]
     batch: BatchTerms | None = None
 
     @classmethod
@@ -81,14 +81,14 @@
         is_stream = is_batch or body["kind"] == "streaming"  # the items of a lot run as streams
         is_resumable = is_batch or bool(body.get("resume"))
         if body.get("apportion") is not None:
-            portions = tuple((part["destination"], float(part["share"])) for part in body["apportion"])
+            service_shares = tuple((part["destination"], float(part["share"])) for part in body["apportion"])
         else:
-            portions = ((body["destination"], 1.0),)
+            service_shares = ((body["destination"], 1.0),)
         return cls(
             name=body["name"],
             timeout_s=float(body["expiryMs"]) / 1000.0,
             target_s=float(body.get("targetMs") or 0) / 1000.0,
-            gap_s=float(body.get("gapTargetMs") or 0) / 1000.0,
+            event_gap_target_s=float(body.get("gapTargetMs") or 0) / 1000.0,
             priority=int(body.get("urgency") or 0),
             max_attempts=int(body.get("tries") or 1),
             is_keyless=bool(body.get("keyless")),
@@ -97,18 +97,20 @@
             is_resumable=is_resumable,
             is_idempotent=body["kind"] == "retry_safe" or (is_stream and is_resumable),
             homes=tuple(body.get("homeRegions") or ()),
-            portions=portions,
+            service_shares=service_shares,
             batch=BatchTerms.of(body) if is_batch else None,
         )
 
     def pick(self, chance: float) -> str:
         """Returns one of its services by their shares; `chance`: drawn evenly from 0 to 1."""
-        left = chance * sum(share for _name, share in self.portions)
-        for name, share in self.portions:
+        left = chance * sum(share for _name, share in self.service_shares)
+        for name, share in self.service_shares:
             left -= share
             if left < 0:
                 return name
-        return [name for name, share in self.portions if share > 0][-1]  # a rounding error at the end of the shares
+        return [name for name, share in self.service_shares if share > 0][
+            -1
+        ]  # a rounding error at the end of the shares
 
 
 class Routes:
@@ -125,12 +127,14 @@
 
     def __init__(self, *, body: Mapping[str, typing.Any] | None = None) -> None:
         self.edition: int = body["edition"] if body else 0
-        self.tenant_directory = tenant_directory.tenant_directory_of(body)
+        self.tenant_directory = tenant_directory.build_tenant_directory(body)
         self._hosts: dict[str, dict[str, Route]] = {}  # by host, by path prefix
         for row in (body or {}).get("routes", ()):
             self._hosts.setdefault(row["host"].lower(), {})[row["pathLead"]] = Route.of(row)
         routes = [route for table in self._hosts.values() for route in table.values()]
-        self.batch_services = {name for route in routes if route.batch is not None for name, _share in route.portions}
+        self.batch_services = {
+            name for route in routes if route.batch is not None for name, _share in route.service_shares
+        }
 
     def homes(self) -> dict[str, tuple[str, ...]]:
         """Returns the home regions of each route."""
@@ -138,19 +142,19 @@
 
     def tenant_homes(self) -> dict[str, tuple[str, ...]]:
         """Returns the home regions of each tenant."""
-        named = self.tenant_directory.by_name if self.tenant_directory is not None else {}
-        return {name: tenant.homes for name, tenant in named.items()}
+        tenants = self.tenant_directory.by_name if self.tenant_directory is not None else {}
+        return {name: tenant.homes for name, tenant in tenants.items()}
 
-    def batch_route(self, host: str) -> Route | None:
+    def find_batch_route(self, host: str) -> Route | None:
         """Returns a route of this host that takes lots, None where none does."""
         routes = (self._hosts.get(host.lower()) or self._hosts.get(host.lower().rpartition(":")[0]) or {}).values()
         return next((route for route in routes if route.batch is not None), None)
 
-    def named(self, name: str) -> Route | None:
+    def find_by_name(self, name: str) -> Route | None:
         """Returns the route of a name, None where there is none."""
         return next((route for table in self._hosts.values() for route in table.values() if route.name == name), None)
 
-    def location_of(self, name: str) -> tuple[str, str]:
+    def host_and_prefix_of(self, name: str) -> tuple[str, str]:
         """Returns host and path prefix of a route; empty where there is none."""
         for host, table in self._hosts.items():
             for prefix, route in table.items():
--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -10,7 +10,7 @@
 
 
 # The client's side.
-def test_requests_sent_ahead_are_answered_in_order_each_with_its_own():
+def test_pipelined_requests_are_answered_in_order():
     def script(number, heard):
         ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
         return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(heard) else None
@@ -22,7 +22,7 @@
     assert re.findall(rb"X-Attempt-Id: (\w+)", scene.client.got, re.I) == [b"a1", b"a2", b"a3", b"a4"]
 
 
-def test_what_is_sent_ahead_is_bounded():
+def test_connection_is_closed_when_pipelined_bytes_exceed_the_limit():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
@@ -38,7 +38,7 @@
     assert not scene.proxy.handlers and not scene.client.got  # long before the deadline
 
 
-def test_a_request_that_is_over_cannot_touch_the_next_one_on_its_connection():
+def test_writes_of_a_finished_request_do_not_reach_the_next_response():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
@@ -59,7 +59,7 @@
     )
 
 
-def test_expect_100_continue_is_answered_here_and_not_passed_on():
+def test_expect_100_continue_is_answered_by_the_proxy_and_not_forwarded():
     scene = request_scene.Scene(request_scene.replying)
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
-def test_a_client_that_leaves_takes_its_attempt_along_and_comes_back_as_another(is_reset):
+def test_client_disconnect_cancels_the_attempt_and_a_new_connection_is_served(is_reset):
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
@@ -85,7 +85,7 @@
     assert request_scene.statuses(scene.client) == [200]
 
 
-def test_a_client_that_closes_its_half_is_taken_to_have_left():
+def test_half_close_by_the_client_cancels_its_request():
     """The protocol's clients keep both halves open; one that closes its own can't be told from one that is gone."""
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=4000)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
-def test_an_upgrade_is_not_passed_on_and_the_answer_is_a_plain_one(more):
+def test_upgrade_and_unknown_expect_headers_get_a_plain_response(more):
     scene = request_scene.Scene(request_scene.replying)
     scene.request("unsafe", more=more)
     assert scene.until(b"\r\n\r\nok")
@@ -119,7 +119,7 @@
         b"X: a\rTransfer-Encoding: chunked\r\n",
     ],
 )
-def test_no_request_is_smuggled_inside_another(head):
+def test_ambiguous_framing_closes_the_connection_without_forwarding(head):
     """A doubtful length ends the connection: what stands behind it is never read as a request."""
     scene = request_scene.Scene(request_scene.replying)
     inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
@@ -130,7 +130,7 @@
     assert scene.arrivals() == 0 and len(request_scene.statuses(scene.client)) == 1
 
 
-def test_a_body_that_looks_like_a_request_stays_a_body():
+def test_request_like_chunked_body_is_forwarded_as_a_body():
     inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene = request_scene.Scene(
         lambda number, heard: [request_scene.answer(b"outer")] if heard.endswith(inner) else None
@@ -145,7 +145,7 @@
     assert b"content-length: %d\r\n" % len(inner) in heard.lower()
 
 
-def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks():
+def test_truncated_stream_resets_the_connection_of_an_http_1_0_client():
     def cutting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("by", ["leaving", "idle time"])
-def test_a_request_that_waits_on_a_rested_connection_is_not_thrown_away_with_it(by):
+def test_unread_request_on_an_idle_connection_is_answered_before_closing(by):
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
--- a/ploverward/data_plane/requests/test_forwarded_head.py
+++ b/ploverward/data_plane/requests/test_forwarded_head.py
@@ -19,7 +19,7 @@
     return [b"".join(peer.heard) for peer in scene.peers if any(peer.heard)]
 
 
-def test_a_replica_gets_the_client_s_model_counts_and_prompt_unchanged():
+def test_replica_receives_model_token_counts_and_prompt_parts_unchanged():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("left_ms", [400, 3000, 10**9])
-def test_no_replica_is_given_more_time_than_the_client_and_the_route_have_left(left_ms):
+def test_forwarded_time_left_is_within_client_and_route_limits(left_ms):
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe", left_ms=left_ms)
     assert scene.until(b"\r\n\r\nok")
@@ -43,7 +43,7 @@
     assert 0 < int(header(heard, b"X-Time-Left-Ms")) <= min(left_ms, ROUTE_MS["safe"])
 
 
-def test_a_second_attempt_is_given_only_what_the_first_one_left():
+def test_second_attempt_receives_only_the_remaining_time():
     """The first replica keeps the request for 0.6 s and then ends its connection."""
     scene = request_scene.Scene(lambda _number, _heard: None, lambda _number, _heard: None)
     scene.request("safe", left_ms=2000)
@@ -58,7 +58,7 @@
     assert given[0] <= 2000 and given[1] <= given[0] - 600
 
 
-def test_a_client_that_leaves_while_its_request_waits_reaches_no_replica():
+def test_waiting_request_is_not_sent_after_its_client_disconnects():
     scene = request_scene.Scene(request_scene.replying)
     scene.proxy.table.install_list(scene.proxy.list_rows(clearing={"i0"}))
     scene.request("safe")
@@ -72,7 +72,7 @@
     assert [header(heard, b"X-Attempt-Id") for heard in all_heard(scene)] == [b"other"]
 
 
-def test_a_request_without_a_time_of_its_own_ends_at_its_route_s_bound():
+def test_request_without_time_left_header_times_out_at_the_route_limit():
     scene = request_scene.Scene(lambda _number, _heard: None)
     scene.client.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\nbody")
     begun_at = scene.loop.now()
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("route_name, urgency", [("once", b"0"), ("unsafe", None)])
-def test_the_urgency_is_the_system_s_and_only_where_prompts_count(route_name, urgency):
+def test_client_urgency_header_is_replaced_on_sticky_routes_and_removed_elsewhere(route_name, urgency):
     scene = request_scene.Scene(request_scene.replying)
     scene.request(route_name, more=b"X-Urgency: 9\r\n")
     assert scene.until(b"ok") or scene.until(b"200")
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 from ploverward.simulation import request_scene
 
 
-def test_rested_connections_are_closed_when_leaving():
+def test_idle_connections_are_closed_during_drain():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
@@ -17,7 +17,7 @@
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
 
 
-def test_at_the_end_of_draining_who_waits_is_answered_that_it_has_not_run_and_who_was_sent_is_not():
+def test_end_of_drain_answers_503_only_to_requests_not_sent_to_a_replica():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
@@ -30,7 +30,7 @@
     assert request_scene.statuses(waiting) == [503] and not request_scene.statuses(scene.client)
 
 
-def test_a_request_that_comes_once_the_end_of_leaving_began_is_refused():
+def test_request_after_the_end_of_drain_is_refused():
     scene = request_scene.Scene(request_scene.replying)
     front_end = http_front_end.HttpFrontEnd(
         loop=scene.loop,
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
-def test_long_after_sigterm_no_stream_is_begun_that_the_end_of_the_process_may_interrupt(since_s, is_taken):
+def test_late_in_drain_a_stream_that_may_be_aborted_is_refused(since_s, is_taken):
     """With a graceS of 8 and a stream time of 5 s, a stream begun 5.1 s after SIGTERM was cut off at 7.5 s.
 
     That happened in a simulation run of bbs-ploverward.
@@ -66,7 +66,7 @@
     assert b"retry-after: 0.0" in head and b"connection: close" in head
 
 
-def test_long_after_sigterm_what_ends_in_time_is_still_taken():
+def test_late_in_drain_a_request_with_an_early_deadline_is_accepted():
     scene = request_scene.Scene(request_scene.replying)
     request_scene.leave(scene, since_s=4.0)
     scene.request("safe", left_ms=3000)
@@ -74,7 +74,7 @@
     assert request_scene.statuses(scene.client) == [200]
 
 
-def test_a_second_sigterm_gives_no_more_time():
+def test_second_sigterm_does_not_restart_the_drain_window():
     scene = request_scene.Scene(request_scene.replying)
     request_scene.leave(scene, since_s=4.0)
     scene.proxy.drain_window.begin()
--- a/ploverward/data_plane/requests/test_http_front_end.py
+++ b/ploverward/data_plane/requests/test_http_front_end.py
@@ -19,6 +19,6 @@
         (b"/", True, False, 503),
     ],
 )
-def test_a_proxy_is_ready_while_it_serves_and_does_not_drain(target, is_serving, is_draining, status):
+def test_readiness_is_200_only_while_serving_and_not_draining(target, is_serving, is_draining, status):
     found = http_front_end.readiness_status(target=target, is_serving=is_serving, is_draining=is_draining)
     assert found == status
--- a/ploverward/data_plane/requests/test_priority_under_load.py
+++ b/ploverward/data_plane/requests/test_priority_under_load.py
@@ -115,12 +115,12 @@
     return clients
 
 
-def test_the_more_urgent_kind_is_served_and_the_other_gets_what_is_left(clients):
+def test_overloaded_replica_serves_the_more_urgent_route_first(clients):
     urgent, patient = clients.answered(b"urgent", 200), clients.answered(b"patient", 200)
     assert urgent > patient + 0.05 * REQUESTS
     assert urgent + patient == len(clients.replica.served)
 
 
-def test_who_is_put_out_for_a_more_urgent_request_is_refused_by_a_promise(clients):
+def test_displaced_requests_are_refused_with_503(clients):
     for kind in (b"urgent", b"patient"):
         assert clients.answered(kind, 200) + clients.answered(kind, 503) == REQUESTS
--- a/ploverward/data_plane/requests/test_processor_quota.py
+++ b/ploverward/data_plane/requests/test_processor_quota.py
@@ -39,7 +39,7 @@
     return script
 
 
-def test_each_request_runs_once_and_is_answered():
+def test_requests_run_once_while_the_proxy_is_cpu_throttled():
     scene = request_scene.Scene(lambda *_about: None, lambda *_about: None)
     for number, peer in enumerate(scene.peers):
         peer.script = slow_replica(scene, number)
--- a/ploverward/data_plane/requests/test_replica_watch.py
+++ b/ploverward/data_plane/requests/test_replica_watch.py
@@ -33,7 +33,7 @@
         self.time = until
 
 
-ROUTE = types.SimpleNamespace(gap_s=1.0)
+ROUTE = types.SimpleNamespace(event_gap_target_s=1.0)
 
 
 class Scene:
@@ -100,8 +100,8 @@
 
 
 @pytest.mark.parametrize(
-    "gap_s, is_read, wanted", [(1.0, False, 1.0), (1.0, True, 0.45), (0.0, True, 0.9), (0.1, True, 0.2)]
+    "event_gap_target_s, is_read, wanted", [(1.0, False, 1.0), (1.0, True, 0.45), (0.0, True, 0.9), (0.1, True, 0.2)]
 )
-def test_the_timeout_follows_the_latency_target_and_then_the_gap_between_events(gap_s, is_read, wanted):
-    route = types.SimpleNamespace(gap_s=gap_s)
+def test_the_timeout_follows_the_latency_target_and_then_the_gap_between_events(event_gap_target_s, is_read, wanted):
+    route = types.SimpleNamespace(event_gap_target_s=event_gap_target_s)
     assert replica_watch.silence_timeout_s(route=route, latency_target_s=2.0, is_read=is_read) == pytest.approx(wanted)
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_text_is_heard_outside_and_the_trails_name_all_who_heard(seed):
+def test_requests_stay_in_permitted_regions_and_trails_list_all_recipients(seed):
     chance = random.Random(seed)
     loop = loopback.new_loop()
     state = {zone: "well" for zone in ZONES}
--- a/ploverward/data_plane/requests/test_route_table.py
+++ b/ploverward/data_plane/requests/test_route_table.py
@@ -20,20 +20,20 @@
 
 
 @pytest.mark.parametrize("shares", [(1,), (1, 1), (9, 1), (0.2, 0.5, 0.3), (1, 0, 3), (1000, 1)])
-def test_each_service_gets_its_share_of_the_requests(shares):
+def test_pick_follows_the_service_shares(shares):
     picked = collections.Counter(route(*shares).pick((draw + 0.5) / DRAWS) for draw in range(DRAWS))
     for number, share in enumerate(shares):
         assert abs(picked[f"s{number}"] / DRAWS - share / sum(shares)) <= 1 / DRAWS
 
 
 @pytest.mark.parametrize("shares", [(0, 1), (1, 0), (0, 2, 0)])
-def test_a_service_whose_share_is_zero_gets_nothing_at_either_end(shares):
+def test_pick_never_returns_a_service_with_share_zero(shares):
     given = {number for number, share in enumerate(shares) if share}
     for chance in (0.0, 1e-12, 0.5, 1 - 1e-12, 1.0):
         assert int(route(*shares).pick(chance)[1:]) in given
 
 
-def test_a_route_without_an_apportionment_has_one_service():
+def test_route_without_apportion_uses_its_single_destination():
     body = {"name": "r", "kind": "streaming", "expiryMs": 1500, "destination": "only", "resume": True}
     single = route_table.Route.of(body)
     assert {single.pick(chance) for chance in (0.0, 0.99)} == {"only"}
@@ -50,7 +50,7 @@
         (b"http://h/a/b/x", "long"),
     ],
 )
-def test_the_longest_prefix_that_ends_at_a_slash_decides(target, found):
+def test_find_returns_the_longest_prefix_that_ends_at_a_slash(target, found):
     rows = [
         {"name": name, "host": "H", "pathLead": lead, "kind": "retry_safe", "expiryMs": 1, "destination": "s"}
         for name, lead in (("short", "/a/"), ("long", "/a/b/"))
--- a/ploverward/simulation/batch_scene.py
+++ b/ploverward/simulation/batch_scene.py
@@ -46,7 +46,7 @@
         """Takes calls on jobs from now on; stores listen at `port`."""
         self.routes = route_table.Routes(body=BODY)
         self.quota_allowance.install(BODY)
-        self.quota_allowance.record(core="k", asked_at=self.loop.now() + 600.0, proxy_count=1, credits=[])
+        self.quota_allowance.record(core="k", sent_at=self.loop.now() + 600.0, proxy_count=1, credits=[])
         self.settings = dataclasses.replace(self.settings, inner_ports=(port - 1, port + 8))
         self.batch = batch_tier.BatchTier(
             node=self, peer_timeout_s=1.0, proxy_count=lambda: 1, is_draining=lambda: False
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -158,7 +158,7 @@
             table=self.table, settings=self.settings, regions={}, quota=self.quota, now=loop.now
         )
         self.handlers: set[request_handler.RequestHandler] = set()
-        self.batches = custody_trails.TrailBatches(most=1000)
+        self.batches = custody_trails.TrailBatches(max_trails=1000)
         self.adapters = adapter_counts.AdapterCounter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.faults: list[str] = []
@@ -167,7 +167,7 @@
             now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
         self.permitted = self.residency.permitted
-        self.credential_freshness = credential_freshness.CredentialFreshness.of(self.settings)
+        self.credential_freshness = credential_freshness.CredentialFreshness.from_settings(self.settings)
         self.configuration_age = 0.0
         self.quota_allowance = quota_allowance.QuotaAllowance(now=loop.now, lease_s=1.0)
         self.rows: list[dict[str, typing.Any]] = [
@@ -203,7 +203,7 @@
         """Returns the endpoint list with some replicas draining."""
         return [{**row, "is_clearing": row["id"] in clearing} for row in self.rows]
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Returns a number that no other attempt has."""
         self.number += 1
         return self.number
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -135,11 +135,11 @@
         if not self.is_partitioned:
             for core in simulation.cores:
                 data = allowance.report(core=core.name)
-                simulation.send(self._delivery(core, allowance, data=data, asked_at=now))
+                simulation.send(self._delivery(core, allowance, data=data, sent_at=now))
         allowance.end_report()
 
     def _delivery(
-        self, core: Core, allowance: quota_allowance.QuotaAllowance, *, data: bytes, asked_at: float
+        self, core: Core, allowance: quota_allowance.QuotaAllowance, *, data: bytes, sent_at: float
     ) -> Callable[[], None]:
         """The arrival of a report at a core node, which replies."""
         incarnation = str(self.incarnation)
@@ -154,7 +154,7 @@
 
         def handle_reply(credits: Sequence[tenant_usage.Credit], proxy_count: int) -> None:
             if not self.is_partitioned and allowance is self.allowance:
-                allowance.record(core=core.name, asked_at=asked_at, proxy_count=proxy_count, credits=credits)
+                allowance.record(core=core.name, sent_at=sent_at, proxy_count=proxy_count, credits=credits)
 
         return deliver
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -202,9 +202,9 @@
         handler.custody.append(
             custody_trails.begin_row(attempt=attempt, begun_at=begun_s, is_resumption=is_resumption, context=proxy)
         )
-    batches = custody_trails.TrailBatches(most=1)
+    batches = custody_trails.TrailBatches(max_trails=1)
     with unittest.mock.patch.object(time, "time", return_value=arrived_s + now_s - begun_s):
-        trail = custody_trails.trail_of(
+        trail = custody_trails.build_trail(
             handler=handler, route=types.SimpleNamespace(name=route), context=proxy, status=status
         )
         batches.add(trail)
