--- a/ploverward/data_plane/requests/__init__.py
+++ b/ploverward/data_plane/requests/__init__.py
@@ -1,1 +1,4 @@
-"""A request from its arrival to its one final answer (docs/requests.md). Begin with `request_handler`."""
+"""Handling of a request from its arrival to its one final response (docs/requests.md).
+
+Start reading at `request_handler`.
+"""
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -1,10 +1,12 @@
-"""The filters that a request passes before a replica is chosen (design 7).
+"""Filters that a request passes before a replica is chosen (design 7).
 
-`admit` runs them in order: readiness (503), route (404), key (401, 503), time (400, 503), end of the process (503),
-quota (429), prompt. The first one that refuses ends the chain. Each writes its results to `RequestFacts`, which the
-handler owns; a refused request keeps the earlier results, because its custody trail states them.
+`admit` runs them in order: readiness (503), route (404), API key (401, 503), deadline (400, 503), drain window (503),
+quota (429), prompt. The first filter that rejects the request ends the chain. Each writes its results to
+`RequestFacts`, which the handler owns; a rejected request keeps the earlier results, because its custody trail has
+them.
 
-The quota is checked last but for the prompt, which refuses nothing: what it admits is counted against the tenant.
+The quota filter runs after all others that can reject a request, because what it admits is counted against the tenant.
+Only the prompt, which is never a reason for a rejection, is read after it.
 """
 
 from __future__ import annotations
@@ -23,22 +25,22 @@
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import http_request
 
-NOT_SERVING_RETRY_AFTER_S = 0.5  # pause for a client while this proxy does not serve yet: about one start of it
-DRAINING_RETRY_AFTER_S = 0.02  # pause for a client whose node ends: any other node accepts the request at once
-LATE_RETRY_AFTER_S = 0.1  # pause for a client whose time is over
-DEFAULT_TARGET_FRACTION = 0.25  # latency target, as a share of the time left, where the route names none
-RETRY_AFTER_SHARE = 0.3  # of the latency target: pause for a refused client, who then still has time for an answer
+NOT_SERVING_RETRY_AFTER_S = 0.5  # Retry-After while this proxy is not serving yet: about the duration of its start
+DRAINING_RETRY_AFTER_S = 0.02  # Retry-After while this proxy drains: any other node accepts the request at once
+LATE_RETRY_AFTER_S = 0.1  # Retry-After where the deadline has passed
+DEFAULT_TARGET_FRACTION = 0.25  # latency target as a fraction of the time left, for routes without a target
+RETRY_AFTER_SHARE = 0.3  # Retry-After as a share of the latency target: a retry then still has time for a response
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Model:
-    """What X-Model names: a model and an adapter of it, as far as that is known for the service.
+class RequestedModel:
+    """The model and adapter that X-Model requests, resolved for the service.
 
     Attributes:
         text: The header as received.
-        name: The model.
-        adapter: The adapter, empty where none is named.
-        is_adapter_known: False where the text names something that no list or configuration does.
+        name: The name of the model.
+        adapter: The name of the adapter; empty if none is requested.
+        is_adapter_known: False if neither an endpoint list nor the configuration has what the header names.
     """
 
     text: str = ""
@@ -49,12 +51,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """The shared parts of a prompt.
+    """The size of a prompt and the parts of it that requests share.
 
     Attributes:
-        parts: (id, tokens) of each shared part, as X-Prompt-Lead names them.
-        chain: (hash of all parts up to this one, tokens of this one), in order.
-        tokens: Of the whole prompt.
+        parts: (id, token count) of each shared part, from X-Prompt-Lead.
+        chain: For each part in order: (hash of all parts up to and including it, its token count).
+        tokens: Token count of the whole prompt.
     """
 
     parts: tuple[tuple[str, int], ...] = ()
@@ -62,17 +64,17 @@
     tokens: int = 0
 
 
-NO_MODEL = Model()
+NO_MODEL = RequestedModel()
 NO_PROMPT = Prompt()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Times:
-    """The time of a request.
+class RequestTiming:
+    """The deadline and the latency target of a request.
 
     Attributes:
-        deadline: On the loop's clock, in seconds: the client waits until then.
-        latency_target_s: Seconds within which an answer has its full value.
+        deadline: When the client stops waiting, in seconds on the loop's clock.
+        latency_target_s: Seconds within which a response has its full value.
     """
 
     deadline: float
@@ -81,10 +83,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """The end of the chain.
+    """The response to a request that a filter rejected.
 
     Attributes:
-        status: Of the answer.
+        status: The HTTP status.
         retry_after_s: With 429 and 503: seconds after which the client may retry.
     """
 
@@ -94,24 +96,27 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestFacts:
-    """What the filters settled about one request; a later configuration may change route, tenant, service and model.
+    """The results of the filters for one request.
+
+    A newer configuration may replace route, tenant, service and model.
 
     Attributes:
-        route: The route in force for it, None before it was found.
-        tenant: Who sent it, None where no key is required.
-        service: The service that the route picked.
-        model: What X-Model names.
-        prompt: Its shared parts.
-        deadline: On the loop's clock, in seconds.
-        latency_target_s: Seconds within which an answer has its full value.
-        first_homes: Regions that were permitted when it arrived; they bind it to its end (design 10).
-        is_counted: Whether it was counted against the tenant's quota.
+        route: The route in force for the request; None until it is found.
+        tenant: The tenant whose key the request has; None if no key is required.
+        service: The service that was picked from the route.
+        model: The model and adapter that X-Model requests.
+        prompt: The size and the shared parts of its prompt.
+        deadline: When the client stops waiting, in seconds on the loop's clock.
+        latency_target_s: Seconds within which a response has its full value.
+        first_homes: Regions that were permitted when the request arrived. They restrict it until it ends, even if a
+            newer configuration permits others (design 10).
+        is_counted: Whether the request was counted against the tenant's quota.
     """
 
     route: route_table.Route | None = None
     tenant: tenant_directories.Tenant | None = None
     service: str = ""
-    model: Model = NO_MODEL
+    model: RequestedModel = NO_MODEL
     prompt: Prompt = NO_PROMPT
     deadline: float = 0.0
     latency_target_s: float = 0.0
@@ -122,15 +127,15 @@
 def admit(
     *, request: http_request.Request, facts: RequestFacts, context: handler_context.HandlerContext
 ) -> Rejection | None:
-    """Runs the filters.
+    """Runs the filters on a request that arrived.
 
     Args:
         request: The complete request.
-        facts: Filled up to the filter that refuses.
+        facts: Receives the results of the filters, up to the one that rejects the request.
         context: The proxy.
 
     Returns:
-        None where the request is admitted, else the answer.
+        None if the request is admitted, otherwise the response that rejects it.
     """
     if not context.is_serving:
         return Rejection(status=503, retry_after_s=NOT_SERVING_RETRY_AFTER_S)
@@ -144,19 +149,20 @@
     facts.tenant = tenant
     facts.first_homes = tuple(sorted(context.permitted(route=route, first_homes=(), tenant=tenant) or ()))
     pick_service(request=request, facts=facts, route=route, table=context.table)
-    times = read_times(request=request, route=route)
-    if isinstance(times, Rejection):
-        return times
-    facts.deadline, facts.latency_target_s = times.deadline, times.latency_target_s
-    if context.loop.now() >= times.deadline:
-        # Read late: the process was frozen, or the client sent slowly (test_after_a_freeze_…). No replica received it.
+    timing = read_timing(request=request, route=route)
+    if isinstance(timing, Rejection):
+        return timing
+    facts.deadline, facts.latency_target_s = timing.deadline, timing.latency_target_s
+    if context.loop.now() >= timing.deadline:
+        # The request was read late, because the process was frozen or the client sent it slowly. No replica received
+        # it (`test_after_a_freeze_no_idle_connection_is_used_and_no_late_request_is_sent`).
         return Rejection(status=503, retry_after_s=LATE_RETRY_AFTER_S)
-    if not context.drain_window.may_accept(deadline=times.deadline):
+    if not context.drain_window.may_accept(deadline=timing.deadline):
         return Rejection(status=503, retry_after_s=DRAINING_RETRY_AFTER_S)
     if tenant is not None and tenant.limit is not None:
         facts.is_counted = context.quota_allowance.admit(tenant.key)
         if not facts.is_counted:
-            return Rejection(status=429, retry_after_s=times.latency_target_s * RETRY_AFTER_SHARE)
+            return Rejection(status=429, retry_after_s=timing.latency_target_s * RETRY_AFTER_SHARE)
     facts.prompt = read_prompt(request=request, model_text=facts.model.text, is_sticky=route.is_sticky)
     return None
 
@@ -168,17 +174,20 @@
     route: route_table.Route,
     context: handler_context.HandlerContext,
 ) -> bool:
-    """Applies a newer configuration to a request in progress; False if that refuses it.
+    """Applies a newer configuration to a request in progress.
 
     Args:
         request: The complete request.
-        facts: Updated to the newer configuration, or unchanged.
-        route: The newer configuration's route for it.
+        facts: Updated to the newer configuration; unchanged if that rejects the request.
+        route: The newer configuration's route for the request.
         context: The proxy.
+
+    Returns:
+        False if the newer configuration rejects the request.
     """
     tenant = authenticate_tenant(request=request, route=route, context=context)
     if isinstance(tenant, Rejection):
-        return False  # its key was revoked meanwhile
+        return False  # its key was revoked after it arrived
     facts.tenant = tenant
     if not any(name == facts.service for name, _share in route.service_shares):
         pick_service(request=request, facts=facts, route=route, table=context.table)
@@ -187,17 +196,18 @@
 
 
 def find_route(*, request: http_request.Request, routes: route_table.Routes) -> route_table.Route | None:
-    """Returns the route by host and longest path prefix, None where there is none."""
+    """Returns the route with the request's host and the longest matching path prefix; None if there is none."""
     return routes.find(host=request.text(b"host"), target=request.target)
 
 
 def authenticate_tenant(
     *, request: http_request.Request, route: route_table.Route, context: handler_context.HandlerContext
 ) -> tenant_directories.Tenant | Rejection | None:
-    """Returns the tenant whose key the request has, None where no key is wanted, or why it is refused.
+    """Returns the tenant whose key the request has, None if no key is required, or the rejection.
 
-    More than one Authorization header counts as no key. A key that this proxy does not know is refused with 401 only
-    where its configuration is fresh; else another node may know it (503, docs/keys.md).
+    A request with more than one Authorization header is treated as one without a key. A key that this proxy does not
+    know is rejected with 401 only if the configuration here is fresh. Otherwise another node may know the key, and the
+    status is 503 (docs/keys.md).
     """
     tenant_directory = context.routes.tenant_directory
     if tenant_directory is None or route.is_keyless:
@@ -218,13 +228,16 @@
 def pick_service(
     *, request: http_request.Request, facts: RequestFacts, route: route_table.Route, table: replica_table.Table
 ) -> None:
-    """Draws one of the route's services by their shares, and reads what X-Model means for it."""
-    facts.service = route.pick(random.random())
+    """Picks one of the route's services at random by their shares, and resolves X-Model for that service."""
+    facts.service = route.pick_service(random.random())
     facts.model = read_model(text=request.text(b"x-model"), service=facts.service, table=table)
 
 
-def read_times(*, request: http_request.Request, route: route_table.Route) -> Times | Rejection:
-    """Returns the request's times: X-Time-Left-Ms within the route's bound. Refused where that is not a number."""
+def read_timing(*, request: http_request.Request, route: route_table.Route) -> RequestTiming | Rejection:
+    """Returns the request's timing, from X-Time-Left-Ms and the route's timeout, whichever is shorter.
+
+    A header that is not a number is rejected with 400.
+    """
     left_s = route.timeout_s
     given = request.text(b"x-time-left-ms")
     if given:
@@ -232,19 +245,19 @@
             left_s = min(left_s, float(given) / 1000.0)
         except ValueError:
             return Rejection(status=400)
-    return Times(
+    return RequestTiming(
         deadline=request.begun_at + left_s, latency_target_s=route.target_s or left_s * DEFAULT_TARGET_FRACTION
     )
 
 
-def read_model(*, text: str, service: str, table: replica_table.Table) -> Model:
-    """Returns what X-Model names for this service."""
+def read_model(*, text: str, service: str, table: replica_table.Table) -> RequestedModel:
+    """Resolves the text of X-Model to a model and an adapter of a service."""
     name, adapter, is_known = table.resolve(service=service, text=text)
-    return Model(text=text, name=name, adapter=adapter, is_adapter_known=is_known)
+    return RequestedModel(text=text, name=name, adapter=adapter, is_adapter_known=is_known)
 
 
 def parse_parts(text: str) -> tuple[tuple[str, int], ...]:
-    """Returns the parts of X-Prompt-Lead (`ID:TOKENS`, separated by commas); none where one of them is malformed."""
+    """Parses the parts of X-Prompt-Lead (`ID:TOKENS`, separated by commas); returns none if one is malformed."""
     rows = []
     for item in text.split(","):
         part, colon, tokens = item.strip().partition(":")
@@ -255,7 +268,7 @@
 
 
 def read_prompt(*, request: http_request.Request, model_text: str, is_sticky: bool) -> Prompt:
-    """Returns the prompt's parts and size. Routes without affinity use no parts."""
+    """Reads the prompt's size and, for routes with affinity (`is_sticky`), its shared parts."""
     first_count = request.text(b"x-token-count").split(",")[0].strip()
     tokens = int(first_count) if first_count.isdigit() else 0
     lead = request.text(b"x-prompt-lead")
--- a/ploverward/data_plane/requests/custody_trails.py
+++ b/ploverward/data_plane/requests/custody_trails.py
@@ -1,7 +1,7 @@
-"""The proxy's records of the custody trail (design 10, docs/residency.md): ids and hashes only, never text.
+"""Custody trails: records of which replicas received each request (design 10, docs/residency.md).
 
-`TrailBatches` owns the trails that are being sent to the core nodes. Keys of the rows are stored and read elsewhere
-(`ploverward.control_plane.audit`), so they keep their names.
+A trail contains ids and hashes only, never text of a prompt or a response. `TrailBatches` owns the trails that wait to
+be sent to the core nodes. The keys of a trail are a stored format, which `ploverward.control_plane.audit` reads.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     from ploverward.data_plane.requests import route_table
     from ploverward.transport import http_request
 
-MAX_UNSENT_BATCHES = 20  # the oldest is dropped beyond: the gap in the numbers shows how many trails are missing
+MAX_UNSENT_BATCHES = 20  # beyond this the oldest batches are dropped; a gap in the batch numbers shows the loss
 
 
 class AttemptRow(typing.TypedDict):
-    """One attempt in a trail; `to_ms` is None during the attempt. Times are milliseconds since the request began."""
+    """One attempt in a trail. Times are milliseconds since the request began; `to_ms` is None during the attempt."""
 
     replica: str
     zone: str
@@ -36,13 +36,13 @@
 
 
 class TracedRequest(typing.Protocol):
-    """What a trail states of a request.
+    """The properties of a request that its trail records.
 
     Attributes:
-        request_id: Its X-Attempt-Id.
+        request_id: The value of its X-Attempt-Id header.
         request: The client's request.
-        facts: What the filters settled; a request without a route leaves no trail.
-        edition: Version of the configuration that it arrived under.
+        facts: The results of the admission filters. A request without a route has no trail.
+        edition: Version of the configuration in force when the request arrived.
         custody: One row for each attempt.
     """
 
@@ -56,7 +56,7 @@
 def build_trail(
     *, handler: TracedRequest, route: route_table.Route, context: handler_context.HandlerContext, status: int
 ) -> dict[str, object]:
-    """Returns the trail of a request that is over; `status`: of its answer, 0 where it was broken off."""
+    """Returns the trail of a completed request; `status`: HTTP status of its response, 0 if it was aborted."""
     facts = handler.facts
     lasted_s = context.loop.now() - handler.request.begun_at
     return {
@@ -81,12 +81,12 @@
 def begin_row(
     *, attempt: attempts.Attempt, begun_at: float, is_resumption: bool, context: handler_context.HandlerContext
 ) -> AttemptRow:
-    """Returns the row of an attempt that begins.
+    """Returns the row of an attempt that is starting.
 
     Args:
         attempt: The attempt.
         begun_at: When the request began, in seconds on the loop's clock.
-        is_resumption: Whether the client has the head of the answer already.
+        is_resumption: Whether the client has already received the head of the response.
         context: The proxy.
     """
     return {
@@ -102,7 +102,7 @@
 
 
 def end_row(row: AttemptRow, *, attempt: attempts.Attempt, begun_at: float, now: float) -> None:
-    """The attempt is over: completes its row."""
+    """Completes the row of an attempt that has ended."""
     row["to_ms"] = round((now - begun_at) * 1000)
     if attempt.connection.is_unsent:
         row["end"] = "not sent"
@@ -111,18 +111,20 @@
 
 
 class Batch(typing.NamedTuple):
-    """Trails that are sent together."""
+    """Trails that are sent in one message."""
 
-    number: int  # from 0 in each incarnation
-    is_last: bool  # the process ends
+    number: int  # counts from 0 in each incarnation
+    is_last: bool  # the process sends no more batches, because it is about to exit
     rows: Sequence[tuple[str, bytes]]  # (request id, trail as JSON)
 
 
 class TrailBatches:
-    """Batches, numbered within this incarnation. What the core has not acknowledged is sent again, up to a bound.
+    """The batches that wait to be sent, numbered within this incarnation.
+
+    Batches are kept while no core node is in reach, at most `MAX_UNSENT_BATCHES` of them.
 
     Args:
-        max_trails: Trails in a batch, at most.
+        max_trails: The maximum number of trails in a batch.
     """
 
     def __init__(self, *, max_trails: int) -> None:
@@ -132,13 +134,13 @@
         self._unsent: list[Batch] = []
 
     def add(self, trail: dict) -> None:
-        """Adds the trail of a request that is over."""
+        """Adds the trail of a completed request; a batch that reaches `max_trails` is closed."""
         self._rows.append((trail["id"], json.dumps(trail, separators=(",", ":")).encode()))
         if len(self._rows) >= self._max_trails:
             self.close_batch()
 
     def close_batch(self, *, is_last: bool = False) -> None:
-        """What is there becomes a batch; a last one is made even if it is empty."""
+        """Closes the current batch. An empty one is dropped, unless it is the last of the process."""
         if self._rows or is_last:
             self._unsent.append(Batch(self._number, is_last, tuple(self._rows)))
             self._number += 1
@@ -147,6 +149,6 @@
             self._unsent.pop(0)
 
     def drain(self) -> list[Batch]:
-        """Returns the batches that are to be sent now, the oldest first."""
+        """Removes and returns the batches to send now, the oldest first."""
         batches, self._unsent = self._unsent, []
         return batches
--- a/ploverward/data_plane/requests/graceful_shutdown.py
+++ b/ploverward/data_plane/requests/graceful_shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown of a proxy after SIGTERM (docs/design.md 9).
 
-The proxy is at once removed from the answers to look-ups. While clients may still have its address it goes on serving,
-but accepts nothing that it may have to abort (`DrainWindow`). From `IDLE_FROM_SHARE` of `graceS` on it ends as soon as
-nothing is in progress, and at `END_SHARE` of it whatever is in progress.
+The proxy is removed from look-up responses at once. While clients may still have its address it continues to serve,
+but accepts no request that it may have to abort (`DrainWindow`). After `IDLE_FROM_SHARE` of `graceS` the process exits
+as soon as nothing is in progress, and after `END_SHARE` of it regardless of what is in progress.
 """
 
 from collections.abc import Callable
@@ -11,22 +11,24 @@
 from ploverward.data_plane.requests import http_front_end
 from ploverward.transport import event_loop
 
-ACCEPT_UNTIL_S = 2.8  # after SIGTERM: clients have other addresses by 3 s, less the time on the network and a look-up
-ACCEPT_UNTIL_SHARE = 0.35  # of graceS: the same where that is shorter
-IDLE_FROM_SHARE = 0.6  # of graceS: from there on idle connections are closed and the process ends once it is idle
-END_SHARE = 0.92  # of graceS: from there on the process ends, whatever is in progress
-FLUSH_SHARE = 1 / 80  # of graceS: for the last reports to be sent
-IDLE_CHECK_S = 0.05
+# Seconds after SIGTERM in which every request is accepted. Clients have other addresses after 3 s, less the time for
+# the network and a look-up.
+ACCEPT_UNTIL_S = 2.8
+ACCEPT_UNTIL_SHARE = 0.35  # of graceS: applies where it is shorter than ACCEPT_UNTIL_S
+IDLE_FROM_SHARE = 0.6  # of graceS: from then on idle connections are closed, and the process exits once it is idle
+END_SHARE = 0.92  # of graceS: the process then exits, whatever is in progress
+FLUSH_SHARE = 1 / 80  # of graceS: time for the last reports to be sent
+IDLE_CHECK_S = 0.05  # interval of the checks whether the process is idle
 
 
 class DrainWindow:
-    """The time of a process between SIGTERM and its end."""
+    """Decides which requests are accepted between SIGTERM and the exit of the process."""
 
     def __init__(self, *, now: Callable[[], float], grace_s: float) -> None:
         """Creates a window that has not started.
 
         Args:
-            now: seconds on a monotonic clock.
+            now: returns the seconds on a monotonic clock.
             grace_s: the bound `graceS`, after which the process is killed.
         """
         self._now = now
@@ -34,19 +36,19 @@
         self._begun_at: float | None = None
 
     def begin(self) -> None:
-        """SIGTERM arrived; a second one changes nothing."""
+        """Starts the window on SIGTERM. A second SIGTERM has no effect."""
         if self._begun_at is None:
             self._begun_at = self._now()
 
     def may_accept(self, *, deadline: float) -> bool:
         """Whether a request that arrives now is accepted.
 
-        A late one is accepted only if its deadline is before the end of this process: a client that is refused
-        retries at another node at once, while a request that is aborted later is lost
+        Late in the window a request is accepted only if its deadline is before the exit of this process: a client that
+        is rejected retries at another node at once, while a request that is aborted later is lost
         (docs/incidents/late-stream.md).
 
         Args:
-            deadline: of the request, in seconds on the same clock.
+            deadline: the request's deadline, in seconds on the same clock.
         """
         if self._begun_at is None:
             return True
@@ -55,11 +57,11 @@
 
 
 class ProxyShutdown:
-    """The steps between SIGTERM and the end of the process.
+    """Runs the steps of the shutdown, from SIGTERM to the exit of the process.
 
     Attributes:
-        is_draining: whether SIGTERM arrived.
-        drain_window: which requests are accepted meanwhile.
+        is_draining: whether SIGTERM has been received.
+        drain_window: decides which requests are still accepted.
     """
 
     def __init__(
@@ -74,11 +76,11 @@
         """Creates the shutdown of a process that has not received SIGTERM.
 
         Args:
-            loop: the node's event loop; it is stopped at the end.
-            settings: the settings in force.
-            front_end: accepts the requests.
+            loop: the node's event loop, which the shutdown stops at the end.
+            settings: returns the settings in force.
+            front_end: the listeners, which accept the requests.
             announce: notifies the core nodes that this proxy is draining.
-            send_last_reports: sends the remaining reports, once all requests ended.
+            send_last_reports: sends the remaining reports once all requests have ended.
         """
         self._loop = loop
         self._settings = settings
@@ -92,7 +94,7 @@
         return self._settings().bound(name="graceS")
 
     def begin(self) -> None:
-        """SIGTERM arrived; a second one changes nothing."""
+        """Starts the shutdown on SIGTERM. A second SIGTERM has no effect."""
         if self.is_draining:
             return
         self.is_draining = True
--- a/ploverward/data_plane/requests/http_front_end.py
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -1,8 +1,8 @@
-"""The HTTP listeners of a proxy: traffic and readiness (docs/design.md 7, 9).
+"""The HTTP listeners of a proxy, for traffic and for readiness checks (docs/design.md 7, 9).
 
-The state is the requests in progress and whether new ones are refused because the process is about to end. Invariant:
-a request is in `requests` from its arrival until its last byte is sent or its client has left; the request handler
-removes itself.
+`HttpFrontEnd` owns the set of requests in progress, and whether new ones are rejected because the process is about to
+exit. Invariant: a request's handler is in `requests` from the request's arrival until the last byte of the response is
+sent or the client has disconnected; the handler removes itself.
 """
 
 from collections.abc import Callable
@@ -14,28 +14,30 @@
 from ploverward.transport import http_server
 
 READINESS_PATH = b"/ploverward/ready"
-TRAFFIC_HANDLES_SHARE = 0.6  # of the process's file handles; connections to replicas need most of the others
-TRAFFIC_MEMORY_SHARE = 0.3  # of the process's memory, for bodies of requests
-TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # contactMs after which a client that does not read is disconnected
-REBALANCE_CONTACTS = 1  # contactMs after the start in which clients may find this proxy before the others
+TRAFFIC_HANDLES_SHARE = 0.6  # of the process's file handles; connections to replicas need most of the rest
+TRAFFIC_MEMORY_SHARE = 0.3  # of the process's memory, for request bodies
+TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # multiple of contactMs after which a client that does not read is disconnected
+# Multiple of contactMs. Connections accepted that soon after the start are closed early, because clients may have found
+# this proxy before the others.
+REBALANCE_CONTACTS = 1
 MAX_READINESS_CONNECTIONS = 100
 READINESS_LIMITS = http_request.Limits(head_bytes=8192, body_bytes=8192, head_s=3.0, idle_s=10.0)
 BYTES_PER_MB = 1024 * 1024
 
 
 def readiness_status(*, target: bytes, is_serving: bool, is_draining: bool) -> int:
-    """The status in reply to a health check of the platform."""
+    """Returns the HTTP status for a health check by the platform: 200 if the proxy is ready, otherwise 503."""
     is_ready = is_serving and not is_draining and target.partition(b"?")[0] == READINESS_PATH
     return 200 if is_ready else 503
 
 
 class HttpFrontEnd:
-    """Accepts requests and counts those in progress.
+    """Accepts requests and tracks those in progress.
 
     Attributes:
         requests: the handlers of the requests in progress.
         server: the listener for traffic, once started.
-        has_ended: whether requests that arrive are refused, because the process is about to end.
+        has_ended: whether arriving requests are rejected because the process is about to exit.
     """
 
     def __init__(
@@ -54,12 +56,12 @@
 
         Args:
             loop: the node's event loop.
-            settings: addresses of the listeners and bounds of their connections.
-            contact_s: the bound `contactMs`.
-            limits: of HTTP messages, by the configuration in force.
+            settings: the addresses of the listeners and the limits of the process.
+            contact_s: the bound `contactMs`, in seconds.
+            limits: returns the limits of HTTP messages in the configuration in force.
             is_serving: whether the proxy may serve.
-            is_draining: whether it is shutting down.
-            make_handler: the handler of a request.
+            is_draining: whether the proxy is shutting down.
+            make_handler: creates the handler of a request.
             handle_batch_call: handles a request to the batch API; returns whether it was one.
         """
         self._loop = loop
@@ -75,7 +77,7 @@
         self._number = 0
 
     def start(self) -> None:
-        """Listens for traffic, and for health checks where the settings bind an address for them."""
+        """Starts listening for traffic, and for health checks if the settings have an address for them."""
         bindings = self._settings.bindings
         self.server = http_server.HttpServer(
             loop=self._loop,
@@ -98,12 +100,12 @@
             )
 
     def next_attempt_number(self) -> int:
-        """A number that no other attempt of this process has."""
+        """Returns a number that no other attempt of this process has."""
         self._number += 1
         return self._number
 
     def handle_request(self, request: http_request.Request) -> None:
-        """Begins to handle a request; 503 once the process is about to end."""
+        """Starts handling a request, or replies 503 if the process is about to exit."""
         if self.has_ended:
             request.reply(status=503)
             return
@@ -118,22 +120,22 @@
         request.reply(status=status)
 
     def drain(self) -> None:
-        """Requests clients to use other connections from now on; requests are still handled."""
+        """Makes responses close their connections, so that clients reconnect elsewhere; requests are still handled."""
         self.server.leave()
 
     def close_idle(self) -> bool:
-        """Closes connections without a request in progress. Returns whether no connection or request remains."""
+        """Closes connections without a request in progress; returns whether no connection and no request remains."""
         self.server.close_idle()
         return not self.server.connections and not self.requests
 
     def end(self) -> None:
-        """Refuses all further requests and ends those in progress."""
+        """Rejects all further requests and aborts those in progress."""
         self.has_ended = True
         self.server.stop_listening()
         end_requests(self.requests)
 
 
 def end_requests(handlers: set[request_handler.RequestHandler]) -> None:
-    """Ends the requests in progress. One that no replica received is refused as not run, and never runs later."""
+    """Aborts the requests in progress. One that no replica received is rejected as not run, and never runs later."""
     for handler in list(handlers):
         handler.abort_for_shutdown()
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -1,7 +1,7 @@
 """Routes and services of the configuration in force (design 7), as the data plane uses them.
 
-`Routes` owns the routes of one version and never changes: a new configuration is a new object. The keys that the
-operators' pages give are read here, once (docs/glossary.md).
+`Routes` owns the routes of one configuration version and is immutable: a new configuration is a new object. The keys of
+the configuration are translated to the names of this code here and nowhere else (docs/glossary.md).
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-DEFAULT_MAX_CONNECTIONS = 64  # to one replica, of all proxies together, where the service names none
+DEFAULT_MAX_CONNECTIONS = 64  # of all proxies together to one replica, for services without maxConns
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class BatchTerms:
-    """What lots of a route are bound by.
+class BatchLimits:
+    """The limits of batch jobs on a route.
 
     Attributes:
-        deadline_s: All results of a lot are due so long after it was sent first.
-        max_queued_tokens: That a tenant may have waiting; 0: no limit.
+        deadline_s: Seconds after the first submission of a job within which all its results are due.
+        max_queued_tokens: The most tokens that a tenant may have queued; 0: no limit.
     """
 
     deadline_s: float
     max_queued_tokens: int
 
     @classmethod
-    def of(cls, body: Mapping[str, typing.Any]) -> BatchTerms:
-        """Reads a route of a checked configuration."""
+    def of(cls, body: Mapping[str, typing.Any]) -> BatchLimits:
+        """Creates the limits from a route of a validated configuration."""
         return cls(
             deadline_s=float(body.get("deadlineMs") or 0) / 1000.0,
             max_queued_tokens=int(body.get("maxQueuedTokens") or 0),
@@ -40,23 +40,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """One route.
+    """A route of the configuration: which services handle its requests, and under which limits.
 
     Attributes:
-        name: Of the route.
-        timeout_s: Seconds that a client may wait, at most.
-        target_s: Latency target in seconds, 0 where none is named.
-        event_gap_target_s: The longest pause between events that is still in time, in seconds; 0 where none is named.
-        priority: 0 first.
-        max_attempts: Replicas that may receive a request, at most.
-        is_keyless: Whether no key is wanted.
-        is_sticky: Whether prompt prefixes and models count in the choice of a replica.
-        is_stream: Whether its answers are streams of events.
+        name: The name of the route.
+        timeout_s: The longest time that a client may wait, in seconds.
+        target_s: Latency target in seconds; 0 if the route has none.
+        event_gap_target_s: Target for the longest pause between two events of a stream, in seconds; 0 if the route has
+            none.
+        priority: The priority of its requests; 0 is the most urgent.
+        max_attempts: The maximum number of replicas that may receive a request.
+        is_keyless: Whether requests need no API key.
+        is_sticky: Whether prompt prefixes and models affect the choice of a replica.
+        is_stream: Whether responses are event streams.
         is_resumable: Whether another replica may continue a stream.
         is_idempotent: Whether a request may run more than once.
-        homes: Regions that may serve it; empty: all.
-        service_shares: (service, share) of each service that it picks from.
-        batch: What lots of it are bound by, None where it takes requests.
+        homes: Regions that may serve the route; empty: all.
+        service_shares: (service, share) of each service that requests are distributed to.
+        batch: The limits of its batch jobs; None if the route is not a batch route.
     """
 
     name: str
@@ -72,13 +73,13 @@
     is_idempotent: bool
     homes: tuple[str, ...]
     service_shares: tuple[tuple[str, float], ...]
-    batch: BatchTerms | None = None
+    batch: BatchLimits | None = None
 
     @classmethod
     def of(cls, body: Mapping[str, typing.Any]) -> Route:
-        """Reads a route of a checked configuration."""
+        """Creates a route from a validated configuration."""
         is_batch = body["kind"] == "batch"
-        is_stream = is_batch or body["kind"] == "streaming"  # the items of a lot run as streams
+        is_stream = is_batch or body["kind"] == "streaming"  # the items of a batch job run as streams
         is_resumable = is_batch or bool(body.get("resume"))
         if body.get("apportion") is not None:
             service_shares = tuple((part["destination"], float(part["share"])) for part in body["apportion"])
@@ -98,31 +99,30 @@
             is_idempotent=body["kind"] == "retry_safe" or (is_stream and is_resumable),
             homes=tuple(body.get("homeRegions") or ()),
             service_shares=service_shares,
-            batch=BatchTerms.of(body) if is_batch else None,
+            batch=BatchLimits.of(body) if is_batch else None,
         )
 
-    def pick(self, chance: float) -> str:
-        """Returns one of its services by their shares; `chance`: drawn evenly from 0 to 1."""
-        left = chance * sum(share for _name, share in self.service_shares)
+    def pick_service(self, draw: float) -> str:
+        """Returns one of the route's services by their shares; `draw`: a uniform random number from 0 to 1."""
+        left = draw * sum(share for _name, share in self.service_shares)
         for name, share in self.service_shares:
             left -= share
             if left < 0:
                 return name
-        return [name for name, share in self.service_shares if share > 0][
-            -1
-        ]  # a rounding error at the end of the shares
+        # Rounding errors may leave a remainder after the last share.
+        return [name for name, share in self.service_shares if share > 0][-1]
 
 
 class Routes:
-    """All routes of one configuration, by host and longest path prefix.
+    """All routes of one configuration, by host and path prefix.
 
     Args:
-        body: A checked configuration, None before the first one arrived.
+        body: A validated configuration; None before the first one has arrived.
 
     Attributes:
-        edition: Version of the configuration, 0 before the first one.
-        tenant_directory: Its tenants by their keys, None where no key is required.
-        batch_services: The services that run items of lots.
+        edition: Version of the configuration; 0 before the first one.
+        tenant_directory: The configuration's tenants by their API keys; None if no key is required.
+        batch_services: The services that run items of batch jobs.
     """
 
     def __init__(self, *, body: Mapping[str, typing.Any] | None = None) -> None:
@@ -146,16 +146,16 @@
         return {name: tenant.homes for name, tenant in tenants.items()}
 
     def find_batch_route(self, host: str) -> Route | None:
-        """Returns a route of this host that takes lots, None where none does."""
+        """Returns a batch route of this host; None if there is none."""
         routes = (self._hosts.get(host.lower()) or self._hosts.get(host.lower().rpartition(":")[0]) or {}).values()
         return next((route for route in routes if route.batch is not None), None)
 
     def find_by_name(self, name: str) -> Route | None:
-        """Returns the route of a name, None where there is none."""
+        """Returns the route with this name; None if there is none."""
         return next((route for table in self._hosts.values() for route in table.values() if route.name == name), None)
 
     def host_and_prefix_of(self, name: str) -> tuple[str, str]:
-        """Returns host and path prefix of a route; empty where there is none."""
+        """Returns the host and the path prefix of the route with this name; both empty if there is none."""
         for host, table in self._hosts.items():
             for prefix, route in table.items():
                 if route.name == name:
@@ -163,7 +163,10 @@
         return "", ""
 
     def find(self, *, host: str, target: bytes) -> Route | None:
-        """Returns the route of a request's target, None where there is none. Prefixes end at a slash."""
+        """Returns the route with the longest prefix of a request's target; None if there is none.
+
+        Prefixes end at a slash.
+        """
         prefixes = self._hosts.get(host.lower()) or self._hosts.get(host.lower().rpartition(":")[0])
         if not prefixes:
             return None
@@ -187,7 +190,7 @@
 
 
 def services(*, body: Mapping[str, typing.Any]) -> dict[str, dict[str, typing.Any]]:
-    """Returns what the data plane needs of each service; times in seconds, rates in requests a second."""
+    """Returns the settings of each service that the data plane uses; times in seconds, rates in requests per second."""
     table: dict[str, dict[str, typing.Any]] = {}
     for row in body.get("destinations", ()):
         engine = row.get("engine") or {}
--- a/ploverward/data_plane/requests/test_route_table.py
+++ b/ploverward/data_plane/requests/test_route_table.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("shares", [(1,), (1, 1), (9, 1), (0.2, 0.5, 0.3), (1, 0, 3), (1000, 1)])
 def test_pick_follows_the_service_shares(shares):
-    picked = collections.Counter(route(*shares).pick((draw + 0.5) / DRAWS) for draw in range(DRAWS))
+    picked = collections.Counter(route(*shares).pick_service((draw + 0.5) / DRAWS) for draw in range(DRAWS))
     for number, share in enumerate(shares):
         assert abs(picked[f"s{number}"] / DRAWS - share / sum(shares)) <= 1 / DRAWS
 
@@ -30,13 +30,13 @@
 def test_pick_never_returns_a_service_with_share_zero(shares):
     given = {number for number, share in enumerate(shares) if share}
     for chance in (0.0, 1e-12, 0.5, 1 - 1e-12, 1.0):
-        assert int(route(*shares).pick(chance)[1:]) in given
+        assert int(route(*shares).pick_service(chance)[1:]) in given
 
 
 def test_route_without_apportion_uses_its_single_destination():
     body = {"name": "r", "kind": "streaming", "expiryMs": 1500, "destination": "only", "resume": True}
     single = route_table.Route.of(body)
-    assert {single.pick(chance) for chance in (0.0, 0.99)} == {"only"}
+    assert {single.pick_service(chance) for chance in (0.0, 0.99)} == {"only"}
     assert single.timeout_s == 1.5 and single.is_idempotent and single.is_resumable
 
 
