--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -1,8 +1,8 @@
-"""What a proxy may admit of each tenant (docs/quotas.md 3).
+"""Admission of requests by the tenants' quotas (docs/quotas.md 3).
 
-A tenant that is far from its limit, by most core nodes in contact, is admitted freely. One that is scarce needs a
-credit for each request; core nodes send them with their replies to reports. While no core node is in contact the proxy
-has an isolated allowance.
+A tenant that most core nodes in contact do not list as scarce is far from its limit and is admitted without a check.
+A scarce tenant needs a credit for each request; core nodes send credits with their replies to reports. While no core
+node is in contact, the proxy uses its isolated allowance.
 
 `QuotaAllowance` owns the counts of this incarnation. They only grow, so that core nodes can merge reports in any order
 (a G-counter, `ploverward.control_plane.quotas.quota_meter`).
@@ -18,8 +18,8 @@
 from ploverward.common import tenant_usage
 from ploverward.data_plane.quotas import isolated_allowance
 
-LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply counts
-BASE_CREDITS = 1.0  # a proxy keeps so many besides its newest: each core node sends a fraction of a credit at a time
+LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply is valid
+BASE_CREDITS = 1.0  # credits kept in addition to the newest ones: a core node sends a fraction of a credit at a time
 
 
 class _CoreReply(typing.NamedTuple):
@@ -32,7 +32,7 @@
 
     Args:
         now: Clock of this process, in seconds.
-        lease_s: How long a core node's reply counts, from when its report was sent.
+        lease_s: How long a core node's reply is valid, counted from when the report that it answers was sent.
     """
 
     def __init__(self, *, now: Callable[[], float], lease_s: float) -> None:
@@ -41,14 +41,14 @@
         self._limits: dict[bytes, tenant_usage.Limit] = {}  # by tenant key, as all below
         self._admitted: collections.Counter[bytes] = collections.Counter()  # in this incarnation
         self._demand: collections.Counter[bytes] = collections.Counter()  # since the last report
-        self._returned: dict[bytes, collections.deque[float]] = {}  # until when each returned admission may be used
+        self._returned: dict[bytes, collections.deque[float]] = {}  # when each returned admission expires
         self._credits: dict[bytes, float] = {}
         self._core_replies: dict[str, _CoreReply] = {}  # by core node
-        self._reported: dict[str, dict[bytes, int]] = {}  # by core node: admitted, as reported last
+        self._reported: dict[str, dict[bytes, int]] = {}  # by core node: admitted requests in its last report
         self._isolated = isolated_allowance.IsolatedAllowance(now=now)
 
     def install(self, configuration: Mapping[str, Any] | None) -> None:
-        """Installs the limits of a configuration."""
+        """Installs the limits of a configuration, and drops the credits of tenants without one."""
         self._limits = tenant_usage.limits_of(configuration)
         self._credits = {tenant: tokens for tenant, tokens in self._credits.items() if tenant in self._limits}
         self._isolated.keep_only(self._limits.keys())
@@ -59,7 +59,7 @@
         return bool(self._limits)
 
     def admit(self, tenant: bytes) -> bool:
-        """Admits one more request of this tenant and counts it, or refuses it."""
+        """Admits and counts one more request of this tenant; returns False if its quota does not allow it."""
         limit = self._limits.get(tenant)
         if limit is None:
             return True
@@ -72,7 +72,10 @@
         return True
 
     def return_admission(self, tenant: bytes) -> None:
-        """Returns the admission of a request that will never run. It stays counted, for one more request."""
+        """Returns the admission of a request that will never run.
+
+        The admission stays counted, and one more request may use it while it is valid.
+        """
         if tenant in self._limits:
             self._returned.setdefault(tenant, collections.deque()).append(self._now() + self._lease_s)
 
@@ -89,14 +92,14 @@
         if not live:
             return self._isolated.try_admit(tenant, limit)
         if 2 * sum(tenant in scarce for scarce in live) < len(live):
-            return True  # a core node that has just started has no counts: the majority of the replies decides
+            return True  # the majority of the replies decides, because a core node that has just started has no counts
         if self._credits.get(tenant, 0.0) < 1.0:
             return False
         self._credits[tenant] -= 1.0
         return True
 
     def report(self, *, core: str) -> bytes:
-        """The rows that changed since the last report to this core node, packed for `messages.RenewShares`."""
+        """Returns the rows that changed since the last report to this core node, packed for `messages.RenewShares`."""
         reported = self._reported.setdefault(core, {})
         rows = []
         for tenant in self._limits:
@@ -108,18 +111,24 @@
         return tenant_usage.pack_usage(rows)
 
     def end_report(self) -> None:
-        """Resets the counts of demand: all core nodes were sent their reports."""
+        """Resets the counts of demand; called once the reports to all core nodes have been sent.
+
+        While a core node is in contact, it also updates the rates of the isolated allowance.
+        """
         self._demand.clear()
         now = self._now()
         if any(reply.until > now for reply in self._core_replies.values()):
             self._isolated.update_rates(tenants=self._limits, admitted=self._admitted)
 
     def clear_reported(self, *, core: str) -> None:
-        """The connection to this core node ended: its last report may not have arrived, so all is reported again."""
+        """Makes the next report to this core node complete.
+
+        Called when the connection to it has ended, because the last report may not have arrived.
+        """
         self._reported.pop(core, None)
 
     def proxy_count(self) -> int:
-        """How many proxies there are, as core nodes last said."""
+        """Returns the number of proxies that a core node reported last."""
         return self._isolated.proxy_count
 
     def record(self, *, core: str, sent_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
@@ -127,9 +136,9 @@
 
         Args:
             core: The core node.
-            sent_at: When the report that it answers was sent, on this proxy's clock.
-            proxy_count: How many proxies there are.
-            credits: The scarce tenants, with this proxy's credits.
+            sent_at: When the report that the reply answers was sent, on this proxy's clock.
+            proxy_count: The number of proxies.
+            credits: The scarce tenants, each with new credits for this proxy.
         """
         until = sent_at + self._lease_s
         current = self._core_replies.get(core)
--- a/ploverward/data_plane/quotas/retry_budget.py
+++ b/ploverward/data_plane/quotas/retry_budget.py
@@ -1,23 +1,23 @@
 """The retry budget of a proxy: how many attempts beyond each request's first it may send (design 8).
 
-Over a sliding window the retries stay within a ratio of the requests here, and this proxy's leased share of a slack
-that all proxies have together. `RetryBudget` owns the times of both.
+Over a sliding window the number of retries is limited to a ratio of this proxy's requests, plus the proxy's leased
+share of a slack that all proxies have together. `RetryBudget` owns the times of requests and retries.
 """
 
 import collections
 from collections.abc import Callable
 
-MARGIN = 0.9  # of the budget that is used: all proxies together must stay below it at every moment
+MARGIN = 0.9  # the share of the budget that is used: all proxies together must stay below the budget at every moment
 
 
 class RetryBudget:
-    """Requests and retries of each service in the last seconds.
+    """Counts the requests and retries of each service in a sliding window, and limits the retries.
 
     Args:
         now: Clock of this process, in seconds.
-        ratio: Retries for each request, retryRatio.
-        slack: Retries beyond that of all proxies together in a window, retrySlack.
-        window_s: The sliding window, retryWindowS.
+        ratio: Retries allowed per request (retryRatio).
+        slack: Retries that all proxies together may send in a window beyond the ratio (retrySlack).
+        window_s: Length of the sliding window, in seconds (retryWindowS).
         slack_share: Returns this proxy's leased share of the slack, 0 to 1.
     """
 
@@ -50,13 +50,13 @@
         self._recent(self._requests, service).append(self._now())
 
     def has_budget(self, service: str) -> bool:
-        """Whether one more retry may be sent."""
+        """Returns whether the budget allows one more retry."""
         retries = self._recent(self._retries, service)
         requests = self._recent(self._requests, service)
         return len(retries) + 1 <= MARGIN * self._ratio * len(requests) + MARGIN * self._slack * self._slack_share()
 
     def charge(self, service: str) -> bool:
-        """Charges one retry; False where there is no budget for it."""
+        """Charges one retry to the budget; returns False if the budget does not allow it."""
         if not self.has_budget(service):
             return False
         self._recent(self._retries, service).append(self._now())
--- a/ploverward/data_plane/quotas/shared_limits.py
+++ b/ploverward/data_plane/quotas/shared_limits.py
@@ -1,7 +1,7 @@
 """A proxy's leased shares of the global limits (design 8).
 
 `SharedLimits` owns the newest share lease of each core node. A lease counts from when its renewal was sent, so neither
-a slow connection nor a frozen process extends it, and it ends by itself where no core node renews it.
+a slow connection nor a frozen process extends it, and it expires unless the core node renews it.
 """
 
 import typing
@@ -15,31 +15,32 @@
 from ploverward.data_plane.quotas import retry_budget
 from ploverward.transport import messages
 
-MARGIN = 0.9  # of a limit that is used: all proxies together must stay below it at every moment
-RATE_WINDOW_S = 1.05  # in which requests to a replica that is warming up are counted: a second, and a little for clocks
-SOFT_RATE = 2  # requests a second from this proxy where its share is below one and the limit may be exceeded
+MARGIN = 0.9  # the share of a limit that is used: all proxies together must stay below the limit at every moment
+RATE_WINDOW_S = 1.05  # window for counting requests to a replica that is warming up: 1 s, plus a margin for clock skew
+SOFT_LIMIT_PER_S = 2  # this proxy's limit where its share is less than one request per second and may be exceeded
 
 
 class Lease(typing.NamedTuple):
-    """One core node's lease, as it counts here."""
+    """One core node's lease; `until` is on this proxy's clock."""
 
-    slack_share: float  # 0 to 1
-    rate_share: float  # 0 to 1
+    slack_share: float  # of limits over a window, 0 to 1
+    rate_share: float  # of limits that apply at each moment, 0 to 1
     until: float
-    core_share: float  # of every limit, that this core node owns
+    core_share: float  # the share of every limit that the core node owns
     slot: int
     slot_count: int  # 0: no slot
 
 
 class SharedLimits:
-    """What this proxy may use of the limits.
+    """This proxy's shares of the limits that hold over all machines.
 
     Args:
         now: Clock of this process, in seconds.
-        settings: Reads retryRatio, retryWindowS, retrySlack, warmupExcess and warmupSlack.
+        settings: Has the bounds retryRatio, retryWindowS, retrySlack, warmupExcess and warmupSlack.
 
     Attributes:
-        retry_budget: Spends the slack of retries.
+        retry_budget: Limits retries, and spends the slack of retries.
+        leases: The newest lease of each core node, by the node's address.
     """
 
     def __init__(self, *, now: Callable[[], float], settings: node_settings.Settings) -> None:
@@ -59,10 +60,10 @@
         """Records a lease.
 
         Args:
-            core: Address of the core node. It has one lease here, whichever connection it arrived on; the newest
-                counts.
+            core: Address of the core node. Each core node has one lease here, the newest, whichever connection it
+                arrived on.
             message: The lease.
-            sent_at: When its renewal was sent; now where that is None.
+            sent_at: When its renewal was sent; None: now.
         """
         until = (self._now() if sent_at is None else sent_at) + message.duration_s
         current = self.leases.get(core)
@@ -82,27 +83,28 @@
             del self.leases[core]
 
     def slack_share(self) -> float:
-        """The share of limits that are spent over a window (the slack of retries), 0 to 1."""
+        """Returns the share of limits that are spent over a window (the slack of retries), 0 to 1."""
         self._expire()
         return sum(lease.slack_share for lease in self.leases.values())
 
     def rate_share(self) -> float:
-        """The share of limits that apply at each moment (warming up, connections), 0 to 1."""
+        """Returns the share of limits that apply at each moment (warm-up rates, connections), 0 to 1."""
         self._expire()
-        # A list, as each choice of a replica reads it: a generator is slower for the few core nodes.
+        # Each choice of a replica calls this; for the few core nodes a list is faster than a generator.
         return sum([lease.rate_share for lease in self.leases.values()])
 
     def note_send(self, *, replica: replica_table.Replica, service: Mapping[str, Any]) -> None:
-        """Records an attempt at a replica of a service whose replicas warm up."""
+        """Records an attempt that is sent to a replica, if the service limits the rate of replicas that warm up."""
         if service.get("warmup_per_s", 0.0) > 0:
             replica.sends.append(self._now())
 
     def may_send(self, *, replica: replica_table.Replica, service: Mapping[str, Any], is_hard: bool) -> bool:
-        """Whether a replica that is warming up may get one more request from this proxy.
+        """Returns whether this proxy may send one more request to a replica that is warming up.
 
         Args:
             replica: The replica.
-            service: Its service's row, with `warmup_per_s`: requests a second to each replica over all machines.
+            service: The settings of its service, with `warmup_per_s`: requests per second to each replica from all
+                proxies together.
             is_hard: Whether the limit must not be exceeded.
         """
         per_s = service.get("warmup_per_s", 0.0)
@@ -114,18 +116,22 @@
             return not is_hard
         now = self._now()
         if allowed < 1:
-            # An even share is less than one request a second: some proxies send to this replica, the others don't.
-            most = self._slots_of(replica, limit) if is_hard else SOFT_RATE
-            return replica.sent_within(span=RATE_WINDOW_S, now=now) < most
+            # An even share is less than one request per second: some proxies send to this replica, the others do not.
+            max_requests = self._count_owned_slots(replica, limit) if is_hard else SOFT_LIMIT_PER_S
+            return replica.sent_within(span=RATE_WINDOW_S, now=now) < max_requests
         return replica.sent_within(span=RATE_WINDOW_S, now=now) < int(allowed)
 
-    def _slots_of(self, replica: replica_table.Replica, limit: float) -> int:
-        """Requests a second to this replica that this proxy's slots at the core nodes allow."""
+    def _count_owned_slots(self, replica: replica_table.Replica, limit: float) -> int:
+        """Returns the requests per second to this replica that this proxy's slots at the core nodes allow.
+
+        A slot allows one request per second if its number, rotated by a hash of replica and core node, is below the
+        core node's share of the limit.
+        """
         now = self._now()
         used = limit * MARGIN
-        found = 0
+        count = 0
         for core, (_slack_share, _rate_share, until, core_share, slot, slot_count) in self.leases.items():
             if until > now and slot_count:
                 offset = zlib.crc32(f"{replica.id} {core}".encode())
-                found += (slot + offset) % slot_count < int(used * core_share)
-        return found
+                count += (slot + offset) % slot_count < int(used * core_share)
+        return count
--- a/ploverward/data_plane/quotas/tenant_directory.py
+++ b/ploverward/data_plane/quotas/tenant_directory.py
@@ -1,6 +1,6 @@
-"""The tenants of a configuration, found by the key that a request has (docs/keys.md 1).
+"""The tenants of a configuration, looked up by the API key of a request (docs/keys.md 1).
 
-`TenantDirectory` keeps no keys: it finds them by a keyed digest with a new random salt for each configuration and
+`TenantDirectory` stores no keys. It looks them up by a keyed digest, with a new random salt for each configuration and
 process, so that nothing in memory, in logs or on the wire reveals a key.
 """
 
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Tenant:
-    """A tenant as the configuration has it.
+    """A tenant of the configuration.
 
     Attributes:
-        name: Its name, which is sent to replicas.
-        priority: Replaces the route's; None: the route's is used.
-        homes: Regions that its requests may be sent to; empty: all.
-        limit: Its quota; None: unlimited.
+        name: The tenant's name, which is sent to replicas.
+        priority: Overrides the priority of the route; None: the route's is used.
+        homes: Regions that the tenant's requests may be sent to; empty: all.
+        limit: The tenant's quota; None: unlimited.
     """
 
     name: str
@@ -34,12 +34,12 @@
 
     @property
     def key(self) -> bytes:
-        """Eight bytes that represent its name between nodes."""
+        """The digest of eight bytes that stands for the tenant's name in messages between nodes."""
         return tenant_usage.tenant_key(self.name)
 
 
 def bearer_key(header: bytes) -> bytes:
-    """The key in the value of an Authorization header; empty where there is none."""
+    """Returns the bearer token in the value of an Authorization header; empty if there is none."""
     text = header.strip()
     if text[: len(BEARER)].lower() != BEARER:
         return b""
@@ -50,7 +50,7 @@
     """The tenants of one configuration.
 
     Attributes:
-        by_name: All tenants.
+        by_name: All tenants, by their names.
     """
 
     def __init__(self, *, configuration: Mapping[str, Any]) -> None:
@@ -67,7 +67,7 @@
         return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=self._salt).digest()
 
     def find(self, key: bytes) -> Tenant | None:
-        """The tenant that has this key."""
+        """Returns the tenant that has this key; None if no tenant has it."""
         return self._by_digest.get(self._digest(key))
 
 
@@ -83,7 +83,7 @@
 
 
 def build_tenant_directory(configuration: Mapping[str, Any] | None) -> TenantDirectory | None:
-    """The directory of a configuration; None where it names no tenants, so that requests need no key."""
+    """Returns the directory of a configuration; None if it has no list of tenants, so that requests need no key."""
     if not configuration or configuration.get("senders") is None:
         return None
     return TenantDirectory(configuration=configuration)
