--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""The client's side of a request: sent ahead, left, smuggled (docs/requests.md 4)."""
+"""Client connections: pipelining, disconnects, request smuggling and idle connections (docs/requests.md 4)."""
 
 import re
 import socket
@@ -9,21 +9,20 @@
 from ploverward.simulation import request_scene
 
 
-# The client's side.
 def test_pipelined_requests_are_answered_in_order():
-    def script(number, heard):
-        ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
-        return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(heard) else None
+    def script(number, received):
+        ids = re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)
+        return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(received) else None
 
     scene = request_scene.Scene(script)
-    for lead in ("unsafe", "safe", "once", "unsafe"):
-        scene.request(lead)
+    for route_name in ("unsafe", "safe", "once", "unsafe"):
+        scene.request(route_name)
     assert scene.until(b"body of a4") or scene.until(b"a4")
     assert re.findall(rb"X-Attempt-Id: (\w+)", scene.client.got, re.I) == [b"a1", b"a2", b"a3", b"a4"]
 
 
 def test_connection_is_closed_when_pipelined_bytes_exceed_the_limit():
-    scene = request_scene.Scene(lambda number, heard: None)
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     for _ in range(40):
@@ -35,7 +34,7 @@
             scene.loop.command(callback=lambda: None)
             scene.loop.step()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    assert not scene.proxy.handlers and not scene.client.got  # long before the deadline
+    assert not scene.proxy.handlers and not scene.client.got  # closed long before the deadline of the first request
 
 
 def test_writes_of_a_finished_request_do_not_reach_the_next_response():
@@ -44,7 +43,7 @@
     assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
     first = next(iter(scene.proxy.handlers)).request
     assert scene.until(b"\r\n\r\nok")
-    scene.peers[0].script = lambda number, heard: None
+    scene.peers[0].script = lambda number, received: None
     scene.request("once", left_ms=400)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 2)
     scene.client.got = b""
@@ -73,7 +72,7 @@
 
 @pytest.mark.parametrize("is_reset", [False, True])
 def test_client_disconnect_cancels_the_attempt_and_a_new_connection_is_served(is_reset):
-    scene = request_scene.Scene(lambda number, heard: None)
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.leave(is_reset=is_reset)
@@ -86,8 +85,12 @@
 
 
 def test_half_close_by_the_client_cancels_its_request():
-    """The protocol's clients keep both halves open; one that closes its own can't be told from one that is gone."""
-    scene = request_scene.Scene(lambda number, heard: None)
+    """A client that closes its sending half is treated as disconnected.
+
+    Clients of the protocol keep both halves open, and the proxy cannot distinguish a half-closed connection from a
+    client that is gone.
+    """
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.sock.shutdown(socket.SHUT_WR)
@@ -120,34 +123,35 @@
     ],
 )
 def test_ambiguous_framing_closes_the_connection_without_forwarding(head):
-    """A doubtful length ends the connection: what stands behind it is never read as a request."""
+    """The proxy closes a connection whose body length is ambiguous, and never reads the bytes after it as a request."""
     scene = request_scene.Scene(request_scene.replying)
-    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+    inner_request = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene.client.send(
-        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s" % (head, inner)
+        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s"
+        % (head, inner_request)
     )
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 0 and len(request_scene.statuses(scene.client)) == 1
 
 
 def test_request_like_chunked_body_is_forwarded_as_a_body():
-    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+    inner_request = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene = request_scene.Scene(
-        lambda number, heard: [request_scene.answer(b"outer")] if heard.endswith(inner) else None
+        lambda number, received: [request_scene.answer(b"outer")] if received.endswith(inner_request) else None
     )
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\nTransfer-Encoding: chunked\r\n\r\n"
-        b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner), inner)
+        b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner_request), inner_request)
     )
     assert request_scene.settled(scene)
-    heard = scene.peers[0].heard[0]
-    assert heard.count(b"HTTP/1.1") == 2 and b"trailer" not in heard
-    assert b"content-length: %d\r\n" % len(inner) in heard.lower()
+    received = scene.peers[0].heard[0]
+    assert received.count(b"HTTP/1.1") == 2 and b"trailer" not in received
+    assert b"content-length: %d\r\n" % len(inner_request) in received.lower()
 
 
 def test_truncated_stream_resets_the_connection_of_an_http_1_0_client():
-    def cutting(number, heard):
-        return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
+    def cutting(number, received):
+        return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1), "close"]
 
     scene = request_scene.Scene(cutting)
     scene.client.send(b"GET /once/x HTTP/1.0\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n")
--- a/ploverward/data_plane/requests/test_forwarded_head.py
+++ b/ploverward/data_plane/requests/test_forwarded_head.py
@@ -1,4 +1,4 @@
-"""What a replica is told of a request, and for how long: prompt, time left, and clients that leave while they wait."""
+"""The request head that a replica receives: prompt headers, time left and urgency; and requests that are never sent."""
 
 import re
 
@@ -9,13 +9,13 @@
 from ploverward.simulation import request_scene
 
 
-def header(heard: bytes, name: bytes, nth: int = -1) -> bytes:
-    """The value of a header in the bytes that a replica got."""
-    return re.findall(rb"(?im)^%s: ([^\r]*)\r$" % name, heard)[nth]
+def header(received: bytes, name: bytes, nth: int = -1) -> bytes:
+    """Returns the value of a header in the bytes that a replica received; of the last one unless `nth` is given."""
+    return re.findall(rb"(?im)^%s: ([^\r]*)\r$" % name, received)[nth]
 
 
-def all_heard(scene) -> list[bytes]:
-    """What each replica got that got anything."""
+def received_by_replicas(scene) -> list[bytes]:
+    """Returns the bytes that each replica received, without replicas that received nothing."""
     return [b"".join(peer.heard) for peer in scene.peers if any(peer.heard)]
 
 
@@ -23,12 +23,12 @@
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
-    (heard,) = all_heard(scene)
-    assert header(heard, b"X-Model") == b"m"
-    assert header(heard, b"X-Token-Count") == b"30,8"
-    assert header(heard, b"X-Prompt-Lead") == b"aa:10,b1:20"
-    assert heard.startswith(b"POST /safe/x HTTP/1.1\r\n") and heard.endswith(b"\r\n\r\nbody")
-    assert header(heard, b"X-Attempt-Id") == b"a1"
+    (received,) = received_by_replicas(scene)
+    assert header(received, b"X-Model") == b"m"
+    assert header(received, b"X-Token-Count") == b"30,8"
+    assert header(received, b"X-Prompt-Lead") == b"aa:10,b1:20"
+    assert received.startswith(b"POST /safe/x HTTP/1.1\r\n") and received.endswith(b"\r\n\r\nbody")
+    assert header(received, b"X-Attempt-Id") == b"a1"
 
 
 ROUTE_MS = {row["name"]: row["expiryMs"] for row in loopback_proxy.CONFIGURATION["routes"]}
@@ -39,23 +39,23 @@
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe", left_ms=left_ms)
     assert scene.until(b"\r\n\r\nok")
-    (heard,) = all_heard(scene)
-    assert 0 < int(header(heard, b"X-Time-Left-Ms")) <= min(left_ms, ROUTE_MS["safe"])
+    (received,) = received_by_replicas(scene)
+    assert 0 < int(header(received, b"X-Time-Left-Ms")) <= min(left_ms, ROUTE_MS["safe"])
 
 
 def test_second_attempt_receives_only_the_remaining_time():
-    """The first replica keeps the request for 0.6 s and then ends its connection."""
-    scene = request_scene.Scene(lambda _number, _heard: None, lambda _number, _heard: None)
+    """The first replica holds the request for 0.6 s and then closes its connection."""
+    scene = request_scene.Scene(lambda _number, _received: None, lambda _number, _received: None)
     scene.request("safe", left_ms=2000)
-    assert loopback.until(scene.loop, lambda: len(all_heard(scene)) == 1)
-    first = next(peer for peer in scene.peers if any(peer.heard))
-    assert loopback.until(scene.loop, lambda: request_scene.is_complete(first.heard[-1]))
+    assert loopback.until(scene.loop, lambda: len(received_by_replicas(scene)) == 1)
+    first_replica = next(peer for peer in scene.peers if any(peer.heard))
+    assert loopback.until(scene.loop, lambda: request_scene.is_complete(first_replica.heard[-1]))
     scene.loop.skip(seconds=0.6)
-    first.end(len(first.heard) - 1)
-    assert loopback.until(scene.loop, lambda: len(all_heard(scene)) == 2)
-    second = next(peer for peer in scene.peers if peer is not first)
-    given = [int(header(peer.heard[-1], b"X-Time-Left-Ms")) for peer in (first, second)]
-    assert given[0] <= 2000 and given[1] <= given[0] - 600
+    first_replica.end(len(first_replica.heard) - 1)
+    assert loopback.until(scene.loop, lambda: len(received_by_replicas(scene)) == 2)
+    second_replica = next(peer for peer in scene.peers if peer is not first_replica)
+    time_left_ms = [int(header(peer.heard[-1], b"X-Time-Left-Ms")) for peer in (first_replica, second_replica)]
+    assert time_left_ms[0] <= 2000 and time_left_ms[1] <= time_left_ms[0] - 600
 
 
 def test_waiting_request_is_not_sent_after_its_client_disconnects():
@@ -69,11 +69,11 @@
     other = loopback.Client(loop=scene.loop, address=scene.proxy.address)
     other.send(b"POST /safe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: other\r\nContent-Length: 4\r\n\r\nbody")
     assert loopback.until(scene.loop, lambda: b"ok" in other.got)
-    assert [header(heard, b"X-Attempt-Id") for heard in all_heard(scene)] == [b"other"]
+    assert [header(received, b"X-Attempt-Id") for received in received_by_replicas(scene)] == [b"other"]
 
 
 def test_request_without_time_left_header_times_out_at_the_route_limit():
-    scene = request_scene.Scene(lambda _number, _heard: None)
+    scene = request_scene.Scene(lambda _number, _received: None)
     scene.client.send(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\nbody")
     begun_at = scene.loop.now()
     while not scene.client.got:
@@ -87,5 +87,5 @@
     scene = request_scene.Scene(request_scene.replying)
     scene.request(route_name, more=b"X-Urgency: 9\r\n")
     assert scene.until(b"ok") or scene.until(b"200")
-    (heard,) = all_heard(scene)
-    assert re.findall(rb"(?im)^X-Urgency: ([^\r]*)\r$", heard) == ([] if urgency is None else [urgency])
+    (received,) = received_by_replicas(scene)
+    assert re.findall(rb"(?im)^X-Urgency: ([^\r]*)\r$", received) == ([] if urgency is None else [urgency])
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""What a proxy that is to end still accepts, and what it answers to those who wait (docs/requests.md, SIGTERM)."""
+"""Graceful shutdown: what a draining proxy accepts, and how it ends waiting requests (docs/requests.md, SIGTERM)."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def test_end_of_drain_answers_503_only_to_requests_not_sent_to_a_replica():
-    scene = request_scene.Scene(lambda number, heard: None)
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     waiting = loopback.Client(loop=scene.loop, address=scene.proxy.address)
@@ -48,17 +48,18 @@
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
 
 
-@pytest.mark.parametrize("since_s, is_taken", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
-def test_late_in_drain_a_stream_that_may_be_aborted_is_refused(since_s, is_taken):
-    """With a graceS of 8 and a stream time of 5 s, a stream begun 5.1 s after SIGTERM was cut off at 7.5 s.
+@pytest.mark.parametrize("since_s, is_accepted", [(1.0, True), (2.5, True), (3.1, False), (5.1, False), (7.0, False)])
+def test_late_in_drain_a_stream_that_may_be_aborted_is_refused(since_s, is_accepted):
+    """Guards against streams that the exit of the process aborts.
 
-    That happened in a simulation run of bbs-ploverward.
+    In a simulation run with a graceS of 8 and streams of 5 s, a stream that began 5.1 s after SIGTERM was aborted at
+    7.5 s.
     """
     scene = request_scene.Scene(request_scene.replying)
     request_scene.leave(scene, since_s=since_s)
     scene.request("once", left_ms=5000)
     assert request_scene.settled(scene)
-    if is_taken:
+    if is_accepted:
         assert scene.arrivals() == 1
         return
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -1,5 +1,8 @@
-"""Histories on real sockets: regions are lost, cut and overrun, homes change, zones go out; what the replicas heard is
-then compared, by a look of its own, with the permitted regions and with the custody trails."""
+"""Random histories of faults and configuration changes, checked for data residency, on real sockets.
+
+Regions fail or are overloaded, home regions change, zones are evacuated and relays fail over. The test then compares
+the requests that the replicas received with the permitted regions and with the custody trails.
+"""
 
 import copy
 import random
@@ -17,12 +20,12 @@
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
 
-def ids(heard):
-    return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
+def ids(received):
+    return re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)
 
 
-class Relay:
-    """The relay of the south as both proxies mirror it, with its failover: a new epoch, new generations."""
+class RelayHarness:
+    """The relay of the region south, mirrored by both proxies; a failover starts a new epoch with new generations."""
 
     def __init__(self, *, scenes):
         self.scenes = scenes
@@ -37,9 +40,9 @@
 
     def fail_over(self):
         self.epoch += 1
-        for wire, region in self.views:
+        for link, region in self.views:
             region.fail()
-            wire.clear()
+            link.clear()
         self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
         self.host.sync(
             services={"llm": {"models": ("m",), "cache_tokens": 1000}},
@@ -55,8 +58,8 @@
             self.digest,
             recording_connections.aggregates_message(1, loads=[recording_connections.load_row("i2", ended=1)]),
         )
-        for wire, _region in self.views:
-            self.host.subscribe(wire, region="south")
+        for link, _region in self.views:
+            self.host.subscribe(link, region="south")
 
     def read(self, *, replica, service, model, parts, salt):
         assert salt == model
@@ -70,37 +73,42 @@
 
     def publish(self):
         self.host.tick()
-        for wire, region in self.views:
-            for message in wire.messages:
+        for link, region in self.views:
+            for message in link.messages:
                 region.handle_publication(message)
-            wire.clear()
+            link.clear()
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_requests_stay_in_permitted_regions_and_trails_list_all_recipients(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     loop = loopback.new_loop()
-    state = {zone: "well" for zone in ZONES}
+    zone_states = {zone: "healthy" for zone in ZONES}
 
     def script_of(zone):
-        def script(number, heard):
-            if heard.count(b"\r\n\r\nbody") < len(ids(heard)):
+        def script(number, received):
+            if received.count(b"\r\n\r\nbody") < len(ids(received)):
                 return None
-            if state[zone] == "lost":
+            if zone_states[zone] == "resetting":
                 return ["reset"]
-            if state[zone] == "dark":
+            if zone_states[zone] == "silent":
                 return None
-            which = ids(heard)[-1]
-            if state[zone] == "full" and chance.random() < 0.6:
-                return [b"HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n" % which]
-            first = int((re.findall(rb"Last-Event-Id: (\d+)", heard.rpartition(b"POST")[2], re.I) or [b"0"])[0]) + 1
-            out = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nTransfer-Encoding: chunked\r\n\r\n" % which
-            for nth in range(first, 4):
-                text = b"id: %d\ndata: t%d\n\n" % (nth, nth)
-                out += b"%x\r\n%s\r\n" % (len(text), text)
-                if chance.random() < 0.15:
-                    return [out, "close"]
-            return [out + b"0\r\n\r\n"]
+            request_id = ids(received)[-1]
+            if zone_states[zone] == "overloaded" and rng.random() < 0.6:
+                return [
+                    b"HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n" % request_id
+                ]
+            first = int((re.findall(rb"Last-Event-Id: (\d+)", received.rpartition(b"POST")[2], re.I) or [b"0"])[0]) + 1
+            response = (
+                b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nTransfer-Encoding: chunked\r\n\r\n"
+                % request_id
+            )
+            for event_number in range(first, 4):
+                text = b"id: %d\ndata: t%d\n\n" % (event_number, event_number)
+                response += b"%x\r\n%s\r\n" % (len(text), text)
+                if rng.random() < 0.15:
+                    return [response, "close"]
+            return [response + b"0\r\n\r\n"]
 
         return script
 
@@ -109,48 +117,50 @@
     scenes = [
         loopback_proxy.LoopbackProxy(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
     ]  # two entry proxies
-    relay = Relay(scenes=scenes)
+    relay = RelayHarness(scenes=scenes)
     configuration = copy.deepcopy(loopback_proxy.CONFIGURATION)
-    home = next(route for route in configuration["routes"] if route["name"] == "home")
-    bound = {}  # request id: the regions that every configuration around it permits
+    home_route = next(route for route in configuration["routes"] if route["name"] == "home")
+    permitted_regions = {}  # by request id: the home regions in force when the request was sent
     homes = ("south",)
     number = 0
     for step in range(18):
-        callback = chance.random() if step else 1.0  # the first requests find all well
-        if callback < 0.25:
-            state[chance.choice(list(ZONES))] = chance.choice(("well", "well", "lost", "dark", "full"))
-        elif callback < 0.4:
-            # Homes change in mid-flight: both the older and the newer ones bind from here on.
-            homes = chance.choice((("south",), ("north", "south"), ("north",), ("south", "west")))
-            home["homeRegions"] = list(homes)
+        draw = rng.random() if step else 1.0  # the first requests meet no fault
+        if draw < 0.25:
+            zone_states[rng.choice(list(ZONES))] = rng.choice(
+                ("healthy", "healthy", "resetting", "silent", "overloaded")
+            )
+        elif draw < 0.4:
+            # Home regions change while the history runs; from here on both the old and the new ones apply.
+            homes = rng.choice((("south",), ("north", "south"), ("north",), ("south", "west")))
+            home_route["homeRegions"] = list(homes)
             configuration["edition"] += 1
             for scene in scenes:
                 scene.configure(copy.deepcopy(configuration))
-        elif callback < 0.5:
-            out = chance.sample(("za", "zb"), chance.randint(0, 1))
+        elif draw < 0.5:
+            evacuated = rng.sample(("za", "zb"), rng.randint(0, 1))
             for scene in scenes:
-                scene.table.install_evacuations(out)
-        elif callback < 0.6:
-            clearing = chance.sample(["i0", "i2", "i4"], 1)
+                scene.table.install_evacuations(evacuated)
+        elif draw < 0.6:
+            clearing = rng.sample(["i0", "i2", "i4"], 1)
             for scene in scenes:
                 scene.table.install_list(scene.list_rows(clearing=clearing))
-        elif callback < 0.7:
+        elif draw < 0.7:
             relay.fail_over()
         relay.publish()
         clients = []
-        for _ in range(chance.choice((1, 1, 4))):
+        for _ in range(rng.choice((1, 1, 4))):
             number += 1
-            lead = chance.choice(("home", "home", "resume")) if step else "home"
-            # Clients move: any request may come in at either proxy.
-            client = loopback.Client(loop=loop, address=chance.choice(scenes).address)
+            route_name = rng.choice(("home", "home", "resume")) if step else "home"
+            # A client may send any request to either proxy.
+            client = loopback.Client(loop=loop, address=rng.choice(scenes).address)
             clients.append(client)
             client.send(
                 b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
                 b"X-Prompt-Lead: aa:10,b%d:20\r\nX-Time-Left-Ms: 300\r\nContent-Length: 4\r\n\r\nbody"
-                % (lead.encode(), number, number)
+                % (route_name.encode(), number, number)
             )
-            if lead == "home":
-                bound[b"a%d" % number] = set(homes)
+            if route_name == "home":
+                permitted_regions[b"a%d" % number] = set(homes)
         assert loopback.until(
             loop,
             lambda clients=clients: (
@@ -166,17 +176,21 @@
                 loop.unwatch(sock=client.sock)
             client.sock.close()
 
-    assert all(region.pools and region.epoch == relay.epoch for _wire, region in relay.views)
+    assert all(region.pools and region.epoch == relay.epoch for _link, region in relay.views)
 
-    heard = {}
+    received = {}
     for index, (peer, zone) in enumerate(zip(peers, zones, strict=False)):
         for data in peer.heard:
-            for which in ids(data):
-                heard.setdefault(which, set()).add((f"i{index}", zone))
-    assert len(heard) > 5
-    for which, places in heard.items():
-        for _replica, zone in places:
-            assert which not in bound or ZONES[zone] in bound[which], (which, zone, bound[which])
+            for request_id in ids(data):
+                received.setdefault(request_id, set()).add((f"i{index}", zone))
+    assert len(received) > 5
+    for request_id, recipients in received.items():
+        for _replica, zone in recipients:
+            assert request_id not in permitted_regions or ZONES[zone] in permitted_regions[request_id], (
+                request_id,
+                zone,
+                permitted_regions[request_id],
+            )
 
     trails = [trail for scene in scenes for trail in scene.trails()]
     assert trail_audit.summary(trails=trails, coverage=[], zones=ZONES)["outside"] == []
@@ -186,14 +200,14 @@
         }
         for trail in trails
     }
-    for which, places in heard.items():
-        assert places <= sent[which]
+    for request_id, recipients in received.items():
+        assert recipients <= sent[request_id]
 
-    homed = next(
+    restricted_trail = next(
         trail for trail in trails if trail["homes"] and any(attempt["end"] != "not sent" for attempt in trail["goes"])
     )
-    planted = copy.deepcopy(homed)
-    next(attempt for attempt in planted["goes"] if attempt["end"] != "not sent")["zone"] = next(
-        zone for zone, region in ZONES.items() if region not in planted["homes"]
+    outside_trail = copy.deepcopy(restricted_trail)
+    next(attempt for attempt in outside_trail["goes"] if attempt["end"] != "not sent")["zone"] = next(
+        zone for zone, region in ZONES.items() if region not in outside_trail["homes"]
     )
-    assert trail_audit.summary(trails=[planted], coverage=[], zones=ZONES)["outside"]
+    assert trail_audit.summary(trails=[outside_trail], coverage=[], zones=ZONES)["outside"]
--- a/ploverward/data_plane/requests/test_route_table.py
+++ b/ploverward/data_plane/requests/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes of a configuration: which service a request goes to, by the shares of its route."""
+"""Routes of a configuration: finding the route of a request, and picking a service by the route's shares."""
 
 import collections
 
@@ -9,7 +9,7 @@
 DRAWS = 10_000
 
 
-def route(*shares):
+def make_route(*shares):
     body = {
         "name": "r",
         "kind": "retry_safe",
@@ -21,27 +21,27 @@
 
 @pytest.mark.parametrize("shares", [(1,), (1, 1), (9, 1), (0.2, 0.5, 0.3), (1, 0, 3), (1000, 1)])
 def test_pick_follows_the_service_shares(shares):
-    picked = collections.Counter(route(*shares).pick_service((draw + 0.5) / DRAWS) for draw in range(DRAWS))
+    picked = collections.Counter(make_route(*shares).pick_service((draw + 0.5) / DRAWS) for draw in range(DRAWS))
     for number, share in enumerate(shares):
         assert abs(picked[f"s{number}"] / DRAWS - share / sum(shares)) <= 1 / DRAWS
 
 
 @pytest.mark.parametrize("shares", [(0, 1), (1, 0), (0, 2, 0)])
 def test_pick_never_returns_a_service_with_share_zero(shares):
-    given = {number for number, share in enumerate(shares) if share}
-    for chance in (0.0, 1e-12, 0.5, 1 - 1e-12, 1.0):
-        assert int(route(*shares).pick_service(chance)[1:]) in given
+    nonzero = {number for number, share in enumerate(shares) if share}
+    for draw in (0.0, 1e-12, 0.5, 1 - 1e-12, 1.0):
+        assert int(make_route(*shares).pick_service(draw)[1:]) in nonzero
 
 
 def test_route_without_apportion_uses_its_single_destination():
     body = {"name": "r", "kind": "streaming", "expiryMs": 1500, "destination": "only", "resume": True}
-    single = route_table.Route.of(body)
-    assert {single.pick_service(chance) for chance in (0.0, 0.99)} == {"only"}
-    assert single.timeout_s == 1.5 and single.is_idempotent and single.is_resumable
+    single_route = route_table.Route.of(body)
+    assert {single_route.pick_service(draw) for draw in (0.0, 0.99)} == {"only"}
+    assert single_route.timeout_s == 1.5 and single_route.is_idempotent and single_route.is_resumable
 
 
 @pytest.mark.parametrize(
-    "target, found",
+    "target, expected",
     [
         (b"/a/x", "short"),
         (b"/a/b/x?y=/a/", "long"),
@@ -50,11 +50,11 @@
         (b"http://h/a/b/x", "long"),
     ],
 )
-def test_find_returns_the_longest_prefix_that_ends_at_a_slash(target, found):
+def test_find_returns_the_longest_prefix_that_ends_at_a_slash(target, expected):
     rows = [
         {"name": name, "host": "H", "pathLead": lead, "kind": "retry_safe", "expiryMs": 1, "destination": "s"}
         for name, lead in (("short", "/a/"), ("long", "/a/b/"))
     ]
     routes = route_table.Routes(body={"edition": 2, "routes": rows})
-    route_found = routes.find(host="h:80", target=target)
-    assert (route_found.name if route_found else None) == found
+    route = routes.find(host="h:80", target=target)
+    assert (route.name if route else None) == expected
