--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -132,7 +132,7 @@
         return self._isolated.proxy_count
 
     def record(self, *, core: str, sent_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
-        """Records a core node's reply.
+        """Records a core node's reply. One to an older report than the newest that was answered is ignored.
 
         Args:
             core: The core node.
@@ -150,5 +150,5 @@
         self._isolated.was_in_contact = True
         for credit in credits:
             if credit.tenant in self._limits:
-                most = BASE_CREDITS + credit.tokens * len(self._core_replies)
-                self._credits[credit.tenant] = min(most, self._credits.get(credit.tenant, 0.0) + credit.tokens)
+                max_credits = BASE_CREDITS + credit.tokens * len(self._core_replies)
+                self._credits[credit.tenant] = min(max_credits, self._credits.get(credit.tenant, 0.0) + credit.tokens)
