--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -1,8 +1,8 @@
-"""What a proxy may admit of each tenant (docs/quotas.md 3).
+"""Admission of requests by the tenants' quotas (docs/quotas.md 3).
 
-A tenant that is far from its limit, by most core nodes in contact, is admitted freely. One that is scarce needs a
-credit for each request; core nodes send them with their replies to reports. While no core node is in contact the proxy
-has an isolated allowance.
+A tenant that most core nodes in contact do not list as scarce is far from its limit and is admitted without a check.
+A scarce tenant needs a credit for each request; core nodes send credits with their replies to reports. While no core
+node is in contact, the proxy uses its isolated allowance.
 
 `QuotaAllowance` owns the counts of this incarnation. They only grow, so that core nodes can merge reports in any order
 (a G-counter, `ploverward.control_plane.quotas.quota_meter`).
@@ -18,8 +18,8 @@
 from ploverward.common import tenant_usage
 from ploverward.data_plane.quotas import isolated_allowance
 
-LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply counts
-BASE_CREDITS = 1.0  # a proxy keeps so many besides its newest: each core node sends a fraction of a credit at a time
+LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply is valid
+BASE_CREDITS = 1.0  # credits kept in addition to the newest ones: a core node sends a fraction of a credit at a time
 
 
 class _CoreReply(typing.NamedTuple):
@@ -32,7 +32,7 @@
 
     Args:
         now: Clock of this process, in seconds.
-        lease_s: How long a core node's reply counts, from when its report was sent.
+        lease_s: How long a core node's reply is valid, counted from when the report that it answers was sent.
     """
 
     def __init__(self, *, now: Callable[[], float], lease_s: float) -> None:
@@ -41,38 +41,41 @@
         self._limits: dict[bytes, tenant_usage.Limit] = {}  # by tenant key, as all below
         self._admitted: collections.Counter[bytes] = collections.Counter()  # in this incarnation
         self._demand: collections.Counter[bytes] = collections.Counter()  # since the last report
-        self._returned: dict[bytes, collections.deque[float]] = {}  # until when each returned admission may be used
+        self._returned: dict[bytes, collections.deque[float]] = {}  # when each returned admission expires
         self._credits: dict[bytes, float] = {}
         self._core_replies: dict[str, _CoreReply] = {}  # by core node
-        self._reported: dict[str, dict[bytes, int]] = {}  # by core node: admitted, as reported last
+        self._reported: dict[str, dict[bytes, int]] = {}  # by core node: admitted requests in its last report
         self._isolated = isolated_allowance.IsolatedAllowance(now=now)
 
     def install(self, configuration: Mapping[str, Any] | None) -> None:
-        """Installs the limits of a configuration."""
+        """Installs the limits of a configuration, and drops the credits of tenants without one."""
         self._limits = tenant_usage.limits_of(configuration)
         self._credits = {tenant: tokens for tenant, tokens in self._credits.items() if tenant in self._limits}
         self._isolated.keep_only(self._limits.keys())
 
     @property
-    def is_on(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any tenant has a limit."""
         return bool(self._limits)
 
     def admit(self, tenant: bytes) -> bool:
-        """Admits one more request of this tenant and counts it, or refuses it."""
+        """Admits and counts one more request of this tenant; returns False if its quota does not allow it."""
         limit = self._limits.get(tenant)
         if limit is None:
             return True
         self._demand[tenant] += 1
         if self._use_returned_admission(tenant):
             return True
-        if not self._may_admit(tenant, limit):
+        if not self._try_admit(tenant, limit):
             return False
         self._admitted[tenant] += 1
         return True
 
     def return_admission(self, tenant: bytes) -> None:
-        """Returns the admission of a request that will never run. It stays counted, for one more request."""
+        """Returns the admission of a request that will never run.
+
+        The admission stays counted, and one more request may use it while it is valid.
+        """
         if tenant in self._limits:
             self._returned.setdefault(tenant, collections.deque()).append(self._now() + self._lease_s)
 
@@ -83,20 +86,20 @@
                 return True
         return False
 
-    def _may_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
+    def _try_admit(self, tenant: bytes, limit: tenant_usage.Limit) -> bool:
         now = self._now()
         live = [reply.scarce_tenants for reply in self._core_replies.values() if reply.until > now]
         if not live:
-            return self._isolated.may_admit(tenant, limit)
+            return self._isolated.try_admit(tenant, limit)
         if 2 * sum(tenant in scarce for scarce in live) < len(live):
-            return True  # a core node that has just started has no counts: the majority of the replies decides
+            return True  # the majority of the replies decides, because a core node that has just started has no counts
         if self._credits.get(tenant, 0.0) < 1.0:
             return False
         self._credits[tenant] -= 1.0
         return True
 
     def report(self, *, core: str) -> bytes:
-        """The rows that changed since the last report to this core node, packed for `messages.RenewShares`."""
+        """Returns the rows that changed since the last report to this core node, packed for `messages.RenewShares`."""
         reported = self._reported.setdefault(core, {})
         rows = []
         for tenant in self._limits:
@@ -108,30 +111,36 @@
         return tenant_usage.pack_usage(rows)
 
     def end_report(self) -> None:
-        """Resets the counts of demand: all core nodes were sent their reports."""
+        """Resets the counts of demand; called once the reports to all core nodes have been sent.
+
+        While a core node is in contact, it also updates the rates of the isolated allowance.
+        """
         self._demand.clear()
         now = self._now()
         if any(reply.until > now for reply in self._core_replies.values()):
             self._isolated.update_rates(tenants=self._limits, admitted=self._admitted)
 
-    def forget(self, *, core: str) -> None:
-        """The connection to this core node ended: its last report may not have arrived, so all is reported again."""
+    def clear_reported(self, *, core: str) -> None:
+        """Makes the next report to this core node complete.
+
+        Called when the connection to it has ended, because the last report may not have arrived.
+        """
         self._reported.pop(core, None)
 
     def proxy_count(self) -> int:
-        """How many proxies there are, as core nodes last said."""
+        """Returns the number of proxies that a core node reported last."""
         return self._isolated.proxy_count
 
-    def record(self, *, core: str, asked_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
-        """Records a core node's reply.
+    def record(self, *, core: str, sent_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
+        """Records a core node's reply. One to an older report than the newest that was answered is ignored.
 
         Args:
             core: The core node.
-            asked_at: When the report that it answers was sent, on this proxy's clock.
-            proxy_count: How many proxies there are.
-            credits: The scarce tenants, with this proxy's credits.
+            sent_at: When the report that the reply answers was sent, on this proxy's clock.
+            proxy_count: The number of proxies.
+            credits: The scarce tenants, each with new credits for this proxy.
         """
-        until = asked_at + self._lease_s
+        until = sent_at + self._lease_s
         current = self._core_replies.get(core)
         if current is not None and current.until >= until:
             return
@@ -141,5 +150,5 @@
         self._isolated.was_in_contact = True
         for credit in credits:
             if credit.tenant in self._limits:
-                most = BASE_CREDITS + credit.tokens * len(self._core_replies)
-                self._credits[credit.tenant] = min(most, self._credits.get(credit.tenant, 0.0) + credit.tokens)
+                max_credits = BASE_CREDITS + credit.tokens * len(self._core_replies)
+                self._credits[credit.tenant] = min(max_credits, self._credits.get(credit.tenant, 0.0) + credit.tokens)
--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""The client's side of a request: sent ahead, left, smuggled (docs/requests.md 4)."""
+"""Client connections: pipelining, disconnects, request smuggling and idle connections (docs/requests.md 4)."""
 
 import re
 import socket
@@ -9,21 +9,20 @@
 from ploverward.simulation import request_scene
 
 
-# The client's side.
-def test_requests_sent_ahead_are_answered_in_order_each_with_its_own():
-    def script(number, heard):
-        ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
-        return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(heard) else None
+def test_pipelined_requests_are_answered_in_order():
+    def script(number, received):
+        ids = re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)
+        return [request_scene.answer(ids[-1], b"body of " + ids[-1])] if request_scene.is_complete(received) else None
 
     scene = request_scene.Scene(script)
-    for lead in ("unsafe", "safe", "once", "unsafe"):
-        scene.request(lead)
+    for route_name in ("unsafe", "safe", "once", "unsafe"):
+        scene.request(route_name)
     assert scene.until(b"body of a4") or scene.until(b"a4")
     assert re.findall(rb"X-Attempt-Id: (\w+)", scene.client.got, re.I) == [b"a1", b"a2", b"a3", b"a4"]
 
 
-def test_what_is_sent_ahead_is_bounded():
-    scene = request_scene.Scene(lambda number, heard: None)
+def test_connection_is_closed_when_pipelined_bytes_exceed_the_limit():
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     for _ in range(40):
@@ -35,16 +34,16 @@
             scene.loop.command(callback=lambda: None)
             scene.loop.step()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    assert not scene.proxy.handlers and not scene.client.got  # long before the deadline
+    assert not scene.proxy.handlers and not scene.client.got  # closed long before the deadline of the first request
 
 
-def test_a_request_that_is_over_cannot_touch_the_next_one_on_its_connection():
+def test_writes_of_a_finished_request_do_not_reach_the_next_response():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
     first = next(iter(scene.proxy.handlers)).request
     assert scene.until(b"\r\n\r\nok")
-    scene.peers[0].script = lambda number, heard: None
+    scene.peers[0].script = lambda number, received: None
     scene.request("once", left_ms=400)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 2)
     scene.client.got = b""
@@ -59,7 +58,7 @@
     )
 
 
-def test_expect_100_continue_is_answered_here_and_not_passed_on():
+def test_expect_100_continue_is_answered_by_the_proxy_and_not_forwarded():
     scene = request_scene.Scene(request_scene.replying)
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
@@ -72,8 +71,8 @@
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
-def test_a_client_that_leaves_takes_its_attempt_along_and_comes_back_as_another(is_reset):
-    scene = request_scene.Scene(lambda number, heard: None)
+def test_client_disconnect_cancels_the_attempt_and_a_new_connection_is_served(is_reset):
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.leave(is_reset=is_reset)
@@ -85,9 +84,13 @@
     assert request_scene.statuses(scene.client) == [200]
 
 
-def test_a_client_that_closes_its_half_is_taken_to_have_left():
-    """The protocol's clients keep both halves open; one that closes its own can't be told from one that is gone."""
-    scene = request_scene.Scene(lambda number, heard: None)
+def test_half_close_by_the_client_cancels_its_request():
+    """A client that closes its sending half is treated as disconnected.
+
+    Clients of the protocol keep both halves open, and the proxy cannot distinguish a half-closed connection from a
+    client that is gone.
+    """
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=4000)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     scene.client.sock.shutdown(socket.SHUT_WR)
@@ -96,7 +99,7 @@
 
 
 @pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
-def test_an_upgrade_is_not_passed_on_and_the_answer_is_a_plain_one(more):
+def test_upgrade_and_unknown_expect_headers_get_a_plain_response(more):
     scene = request_scene.Scene(request_scene.replying)
     scene.request("unsafe", more=more)
     assert scene.until(b"\r\n\r\nok")
@@ -119,35 +122,36 @@
         b"X: a\rTransfer-Encoding: chunked\r\n",
     ],
 )
-def test_no_request_is_smuggled_inside_another(head):
-    """A doubtful length ends the connection: what stands behind it is never read as a request."""
+def test_ambiguous_framing_closes_the_connection_without_forwarding(head):
+    """The proxy closes a connection whose body length is ambiguous, and never reads the bytes after it as a request."""
     scene = request_scene.Scene(request_scene.replying)
-    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+    inner_request = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene.client.send(
-        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s" % (head, inner)
+        b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s"
+        % (head, inner_request)
     )
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.arrivals() == 0 and len(request_scene.statuses(scene.client)) == 1
 
 
-def test_a_body_that_looks_like_a_request_stays_a_body():
-    inner = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+def test_request_like_chunked_body_is_forwarded_as_a_body():
+    inner_request = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene = request_scene.Scene(
-        lambda number, heard: [request_scene.answer(b"outer")] if heard.endswith(inner) else None
+        lambda number, received: [request_scene.answer(b"outer")] if received.endswith(inner_request) else None
     )
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\nTransfer-Encoding: chunked\r\n\r\n"
-        b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner), inner)
+        b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner_request), inner_request)
     )
     assert request_scene.settled(scene)
-    heard = scene.peers[0].heard[0]
-    assert heard.count(b"HTTP/1.1") == 2 and b"trailer" not in heard
-    assert b"content-length: %d\r\n" % len(inner) in heard.lower()
+    received = scene.peers[0].heard[0]
+    assert received.count(b"HTTP/1.1") == 2 and b"trailer" not in received
+    assert b"content-length: %d\r\n" % len(inner_request) in received.lower()
 
 
-def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks():
-    def cutting(number, heard):
-        return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
+def test_truncated_stream_resets_the_connection_of_an_http_1_0_client():
+    def cutting(number, received):
+        return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1), "close"]
 
     scene = request_scene.Scene(cutting)
     scene.client.send(b"GET /once/x HTTP/1.0\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n")
@@ -156,7 +160,7 @@
 
 
 @pytest.mark.parametrize("by", ["leaving", "idle time"])
-def test_a_request_that_waits_on_a_rested_connection_is_not_thrown_away_with_it(by):
+def test_unread_request_on_an_idle_connection_is_answered_before_closing(by):
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
