--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -121,13 +121,13 @@
         """The roll-out of llm goes to its next stage, and back."""
         for stage in (rollout_states.Stage.PROMOTING, rollout_states.Stage.RETURNED):
             core = self.core()
-            known = rollout_states.Evidence(
+            evidence = rollout_states.Evidence(
                 stage=stage, age_s=1.5, reason="failed on r", sent=9, sent_new=4, routes={"r": [5, 0, 4, 3, 0]}
             )
 
-            def edit(payload, known=known):
+            def edit(payload, evidence=evidence):
                 row = rollout_states.rollouts_of(payload)["llm"]
-                return orders.edit_to_stage(service="llm", seen=row, known=known)(payload)
+                return orders.edit_to_stage(service="llm", seen=row, evidence=evidence)(payload)
 
             core.consensus.proposer.change(name=register_names.ROLLOUTS, edit=edit, done=lambda *_about: None)
             self.run(1.0)
--- a/ploverward/control_plane/operator_api/test_rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -151,8 +151,8 @@
     node.post(**ORDER)
     row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
     for step in (state.Stage.PROMOTING, state.Stage.DRAINING, stage):
-        known = state.Evidence(stage=step, age_s=1.0, reason="so", routes={"r": [1, 0, 2, 1, 0]})
-        edit = orders.edit_to_stage(service="pool", seen=row, known=known)
+        evidence = state.Evidence(stage=step, age_s=1.0, reason="so", routes={"r": [1, 0, 2, 1, 0]})
+        edit = orders.edit_to_stage(service="pool", seen=row, evidence=evidence)
         node.values[register_names.ROLLOUTS] = edit(node.values[register_names.ROLLOUTS])[0]
         row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
     status, body = node.get("pool")
--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -2,7 +2,7 @@
 
 `QuotaMeter` owns the counts that proxies report. They form a grow-only counter: each proxy's count is cumulative for
 one incarnation, and the greatest one counts. So reports that are lost, repeated or reordered change nothing
-(`test_merging_is_the_same_after_repeats_and_in_any_order`).
+(`test_record_merges_repeated_and_reordered_reports_to_the_same_level`).
 """
 
 import dataclasses
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -52,7 +52,7 @@
 
 
 @hypothesis.given(reports, st.randoms(use_true_random=False))
-def test_merging_is_the_same_after_repeats_and_in_any_order(rows, chance):
+def test_record_merges_repeated_and_reordered_reports_to_the_same_level(rows, chance):
     """Within one life of each proxy; the greatest count of each stands."""
     rows = [(proxy, "1", name, admitted) for proxy, _incarnation, name, admitted in rows]
     first, _clock = meter()
@@ -69,7 +69,7 @@
         assert level(first, name) == pytest.approx(depth - sum(most.values()), abs=0.02)
 
 
-def test_what_a_proxy_admitted_before_this_node_heard_of_it_is_no_debt():
+def test_admissions_before_the_first_report_of_a_proxy_are_not_charged():
     made, _clock = meter()
     before = level(made)
     made.record(proxy="old", incarnation="1", rows=[usage(admitted=900)])
@@ -78,7 +78,7 @@
     assert level(made) == pytest.approx(before - 2, abs=0.02)
 
 
-def test_a_new_incarnation_counts_from_zero():
+def test_new_incarnation_is_counted_from_zero():
     made, _clock = meter()
     made.record(proxy="p", incarnation="1", rows=[usage(admitted=7)])
     before = level(made)
@@ -86,7 +86,7 @@
     assert level(made) == pytest.approx(before - 3, abs=0.02)
 
 
-def test_a_tenant_far_from_its_limit_wants_no_credits_and_one_close_to_it_does():
+def test_only_tenants_close_to_their_limit_need_credits():
     made, clock = meter()
     made.record(proxy="p", incarnation="1", rows=[usage(admitted=3)])
     assert made.credits(proxy="p") == []
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 10, 200])
-def test_credits_of_all_proxies_add_up_to_this_nodes_share(proxies):
+def test_credits_of_all_proxies_stay_within_the_owned_share(proxies):
     made, clock = meter(owned_share=0.2)
     chance = random.Random(proxies)
     given = 0.0
@@ -118,7 +118,7 @@
     )  # its part of the rate, what was in the bucket, and what one heartbeat hides
 
 
-def test_in_debt_nothing_is_given_and_the_debt_has_an_end():
+def test_no_credits_are_issued_in_debt_and_the_debt_is_limited():
     made, clock = meter()
     made.record(proxy="p", incarnation="1", rows=[usage(demand=50, admitted=1000)])
     assert [row.tokens for row in made.credits(proxy="p")] == [0.0]
@@ -127,7 +127,7 @@
     assert [row.tokens > 0 for row in made.credits(proxy="p")] == [True]
 
 
-def test_unreachable_proxies_have_their_even_part_reserved():
+def test_issuable_share_reserves_an_even_part_for_isolated_proxies():
     made, clock = meter()
     for name in ("p", "q"):
         made.record(proxy=name, incarnation="1", rows=[])
@@ -138,7 +138,7 @@
     )  # the third one was heard of a minute ago
 
 
-def test_a_lowered_limit_takes_off_what_was_saved_up():
+def test_lowered_limit_discards_tokens_beyond_the_new_depth():
     made, _clock = meter()
     made.install({"senders": [{"name": "a", "perS": 2, "burst": 1}]})
     assert level(made) <= 1 + token_bucket.MAX_DEPTH_TOLERANCE * TOLERANCE.allowed_overrun(
@@ -147,7 +147,7 @@
     assert set(made.view()) == {tenant_usage.tenant_key("a").hex()}
 
 
-def test_rows_come_back_as_they_were_packed():
+def test_pack_unpack_round_trip_preserves_usage_and_credits():
     rows = [usage("a", demand=3, admitted=70000), usage("b")]
     assert tenant_usage.unpack_usage(tenant_usage.pack_usage(rows)) == rows
     assert tenant_usage.unpack_credits(tenant_usage.pack_credits([tenant_usage.Credit(b"12345678", 0.5)])) == [
@@ -170,7 +170,7 @@
         ("lower", "hot"),
     ],
 )
-def test_no_window_passes_the_bound(fault_kinds):
+def test_simulation_exceeds_the_tolerance_in_no_window(fault_kinds):
     for seed in range(2):
         report = quota_simulation.run_simulation(seed, fault_kinds=fault_kinds)
         assert not report.over, report
@@ -178,7 +178,7 @@
             assert report.refused_below <= 0.004 * report.asked, report
 
 
-def test_a_restart_of_all_core_nodes_costs_the_tenants_little():
+def test_restart_of_all_core_nodes_refuses_few_requests():
     """What proxies admitted in a former time is no debt of now. Most of what is left is refused in the seconds in
     which nobody has the burst; with that debt it is a quarter of the day on the first of these."""
     for seed in range(2):
@@ -186,7 +186,7 @@
         assert not report.over and report.refused_below <= MAX_REFUSED_SHARE * report.asked, report
 
 
-def test_mutants_that_count_whole_incarnations_are_found(monkeypatch):
+def test_simulation_detects_a_meter_that_charges_admissions_before_the_first_report(monkeypatch):
     real = quota_meter.QuotaMeter.record
 
     def record(self, *, proxy, incarnation, rows):
@@ -199,12 +199,12 @@
     assert report.refused_below > MAX_REFUSED_SHARE * report.asked
 
 
-def test_planted_run_ahead_without_a_bound_is_found(monkeypatch):
+def test_simulation_detects_a_proxy_that_admits_without_limit(monkeypatch):
     monkeypatch.setattr(quota_allowance.QuotaAllowance, "_may_admit", lambda self, tenant, limit: True)
     assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).over for seed in range(4))
 
 
-def test_planted_merging_by_adding_is_found(monkeypatch):
+def test_simulation_detects_a_meter_that_adds_up_repeated_reports(monkeypatch):
     """Each report counts as if it were new: tenants are refused although they ask little."""
 
     def record(self, *, proxy, incarnation, rows):
--- a/ploverward/control_plane/quotas/test_share_leases.py
+++ b/ploverward/control_plane/quotas/test_share_leases.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_sum_of_entries_out_never_passes_the_part(seed):
+def test_sum_of_binding_leases_never_exceeds_the_owned_share(seed):
     """History: every entry given, by whom and until when it counts; the sum is taken at each moment of giving."""
     chance = random.Random(seed)
     clock = [0.0]
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -37,7 +37,7 @@
         self.is_cleared = False
         self._judge = judge.CanaryJudge()
         # The group under load is judged apart, by one replica and without times.
-        self._load_judge = judge.CanaryJudge(is_lone=True)
+        self._load_judge = judge.CanaryJudge(is_single_replica=True)
         self._loaded_group: int | None = None
         self._first_sent_s: float | None = None
         self._is_lagging = False  # the new version owes far more answers than the former one, for what it got
@@ -63,7 +63,7 @@
         counted = self.evidence.consume_new()
         if self.first_answer_s is None and any(key.is_new and tally.ended for key, tally in counted.items()):
             self.first_answer_s = age_s
-        self._judge.is_lone = replica_count == 1
+        self._judge.is_single_replica = replica_count == 1
         if self._first_sent_s is None and self.evidence.sent_new:
             self._first_sent_s = age_s
         if is_canary:
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -2,7 +2,7 @@
 
 `EvidenceTable` owns the newest report of each origin. Reports are cumulative for one incarnation of a proxy and one
 order, a grow-only counter: the newest one counts, by its requests and its age, so that reports that are lost, repeated
-or reordered change nothing (`test_reports_lost_repeated_and_out_of_order_count_once`).
+or reordered change nothing (`test_record_counts_lost_repeated_and_reordered_reports_once`).
 """
 
 import dataclasses
--- a/ploverward/control_plane/rollouts/exposure.py
+++ b/ploverward/control_plane/rollouts/exposure.py
@@ -2,7 +2,7 @@
 
 Pure functions. Their invariant: from the order to its term, the requests at the new version stay within `share` of all
 requests and `slack` more, summed over all proxies and whatever traffic follows
-(`test_the_canary_stays_inside_the_bound_even_if_no_request_follows`).
+(`test_canary_share_stays_within_the_bound_even_if_no_request_follows`).
 """
 
 import dataclasses
--- a/ploverward/control_plane/rollouts/group_sums.py
+++ b/ploverward/control_plane/rollouts/group_sums.py
@@ -13,7 +13,7 @@
 
 FLOOR = -4.0  # of a sum
 FAULTY_GROUP_PROBABILITY = 0.1  # that one group is faulty by itself, whatever its version
-LEFT_OUT_PENALTY = 2.0  # less speaks for a version if that holds only with one group left out
+LEAVE_ONE_OUT_PENALTY = 2.0  # less speaks for a version if that holds only with one group left out
 
 
 class GroupSums:
@@ -54,13 +54,13 @@
     @property
     def good_log_odds(self) -> float:
         """How much more likely a good version is than a bad one, by all answers or by all but one group's."""
-        return -min(self._all, min(self._others) + LEFT_OUT_PENALTY)
+        return -min(self._all, min(self._others) + LEAVE_ONE_OUT_PENALTY)
 
     @property
     def all_log_odds(self) -> float:
         """How much more likely a bad version is than one without any fault."""
         return self._all
 
-    def groups_from(self, score: float) -> frozenset[int]:
+    def groups_at_least(self, score: float) -> frozenset[int]:
         """The groups whose own answers speak that much for a fault."""
         return frozenset(group for group, own in enumerate(self._own) if own >= score)
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -29,7 +29,7 @@
 
 
 TIME_FAULTS = (FaultKind.FIRST, FaultKind.PACE)
-ORDINARY_RATES = {  # shares of bad answers that are ordinary anywhere
+MIN_BASELINE_RATES = {  # shares of bad answers that are ordinary anywhere
     FaultKind.FAILED: 0.03,
     FaultKind.BROKEN: 0.1,
     FaultKind.FIRST: 0.06,
@@ -38,12 +38,12 @@
 MIN_BAD_RATE = 0.3  # share of bad answers that a bad version is assumed to have at least
 BAD_RATE_FACTOR = 3.0  # and so many times the former version's share
 MAX_BAD_RATE = 0.95
-MAX_ORDINARY_RATE = 0.35  # of the former version's bad answers; beyond it nothing is judged
+MAX_BASELINE_RATE = 0.35  # of the former version's bad answers; beyond it nothing is judged
 MIN_FORMER_ANSWERS = 8  # of the former version in the window, below which its times are not used
 FULL_FORMER_ANSWERS = 40  # in the window, below which an earlier window with more of them is used
 SLOW_BUCKETS = 7  # buckets above the former version's median: five times as long
 BAD_LOG_ODDS = 8.0  # of the version, from which on it is bad
-LONE_BAD_LOG_ODDS = 5.0  # of a version that only one replica has: no other one can confirm it
+SINGLE_REPLICA_BAD_LOG_ODDS = 5.0  # of a version that only one replica has: no other one can confirm it
 BAD_GROUP_LOG_ODDS = 5.0  # of one group of replicas, from which on others are to confirm it
 DOUBTFUL_LOG_ODDS = 2.5  # of the version: a fault is probable
 FAVOURABLE_LOG_ODDS = 1.0  # that the version is good
@@ -167,7 +167,7 @@
     if fault is FaultKind.BROKEN and baseline.total < MIN_FORMER_ANSWERS:
         return NO_STEP  # time-outs and resets may have any cause: they count only if the former version has answers
     recent = _sample(former.recent, fault, None)
-    return _judged(sample, ordinary=max(ORDINARY_RATES[fault], _former_rate(baseline), _former_rate(recent)))
+    return _judged(sample, ordinary=max(MIN_BASELINE_RATES[fault], _former_rate(baseline), _former_rate(recent)))
 
 
 def _time_step(fault: FaultKind, *, tally: rollout_evidence.Tally, former: _Baseline) -> _Step:
@@ -184,12 +184,12 @@
     if not sample.total:
         return NO_STEP
     baseline = _sample(compared, fault, median + SLOW_BUCKETS)
-    return _judged(sample, ordinary=max(ORDINARY_RATES[fault], _former_rate(baseline)))
+    return _judged(sample, ordinary=max(MIN_BASELINE_RATES[fault], _former_rate(baseline)))
 
 
 def _judged(sample: _Sample, *, ordinary: float) -> _Step:
     """The step of a sample; nothing where so many answers of the former version are bad that nothing can be told."""
-    if ordinary > MAX_ORDINARY_RATE:
+    if ordinary > MAX_BASELINE_RATE:
         return NO_STEP
     return _Step(_log_likelihood_ratio(sample, ordinary=ordinary), answers=sample.total)
 
@@ -205,8 +205,8 @@
         is_lone: Whether one replica alone has the new version: no other can confirm what it shows.
     """
 
-    def __init__(self, *, is_lone: bool = False) -> None:
-        self.is_lone = is_lone
+    def __init__(self, *, is_single_replica: bool = False) -> None:
+        self.is_single_replica = is_single_replica
         self._sums: dict[tuple[str, FaultKind], group_sums.GroupSums] = {}
         self._former: collections.deque[tuple[float, dict[str, rollout_evidence.Tally]]] = collections.deque()
         self._last_windows: dict[str, rollout_evidence.Tally] = {}  # by route: the last with enough answers
@@ -276,13 +276,13 @@
         return max(found, key=lambda finding: finding.score, default=NO_FINDING)
 
     def _bad_log_odds(self, sums: group_sums.GroupSums) -> float:
-        return sums.all_log_odds if self.is_lone else sums.bad_log_odds
+        return sums.all_log_odds if self.is_single_replica else sums.bad_log_odds
 
     @property
     def verdict(self) -> Verdict:
         """What the sums show now; they may change again."""
         score = self.finding().score
-        if score >= (LONE_BAD_LOG_ODDS if self.is_lone else BAD_LOG_ODDS):
+        if score >= (SINGLE_REPLICA_BAD_LOG_ODDS if self.is_single_replica else BAD_LOG_ODDS):
             return Verdict.BAD
         if score >= DOUBTFUL_LOG_ODDS:
             return Verdict.DOUBTFUL
@@ -298,4 +298,4 @@
 
     def bad_groups(self) -> frozenset[int]:
         """Groups of replicas that have shown enough by themselves: others are to confirm it."""
-        return frozenset().union(*(sums.groups_from(BAD_GROUP_LOG_ODDS) for sums in self._sums.values()))
+        return frozenset().union(*(sums.groups_at_least(BAD_GROUP_LOG_ODDS) for sums in self._sums.values()))
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -35,7 +35,7 @@
 _log = logging.getLogger(__name__)
 
 LEASE_SHARE = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
-AGE_NOTE_SHARE = 0.15  # of the term: how much of an order's age may be lost where all machines lose power at once
+AGE_STORE_SHARE = 0.15  # of the term: how much of an order's age may be lost where all machines lose power at once
 SETTLED_RECEIPTS = 4  # an order may be repeated for receiptMs; after so many of them the same one is new
 MAX_REPORTS_PER_S = 150  # evidence that a coordinator accepts: proxies report less often where there are more
 DEFAULT_ROLLBACK_S = 5.0
@@ -102,7 +102,7 @@
         """Installs the register's newest value."""
         self.rollouts = state.rollouts_of(payload)
         for service, rollout in self.rollouts.items():
-            self._ages.learn(service=service, rollout=rollout)
+            self._ages.record_row(service=service, rollout=rollout)
             if not rollout.is_in_progress:
                 self._trials.pop(service, None)
 
@@ -126,7 +126,7 @@
             rollout = self.rollouts.get(report.service)
             if rollout is None or rollout.number != report.number or not rollout.is_in_progress:
                 continue
-            self._ages.claim(service=report.service, number=report.number, age_s=report.age_s)
+            self._ages.record_reported_age(service=report.service, number=report.number, age_s=report.age_s)
             self._trial(report.service).evidence.record(origin=origin, report=report)
         if self._now() >= self._acting_until:
             return None
@@ -188,25 +188,26 @@
         )
         has_capacity = replica_inventory.has_capacity(replicas=replicas, rollout=rollout)
         view = self._view(service, rollout, trial, age_s=age_s, totals=totals, has_capacity=has_capacity)
-        move = planner.next_move(view)
-        if move is None:
-            if age_s - rollout.age_s >= AGE_NOTE_SHARE * rollout.over_s:
-                edit = orders.edit_to_note_age(service=service, seen=rollout, age_s=round(age_s, 3))
+        transition = planner.next_transition(view)
+        if transition is None:
+            if age_s - rollout.age_s >= AGE_STORE_SHARE * rollout.over_s:
+                edit = orders.edit_to_store_age(service=service, seen=rollout, age_s=round(age_s, 3))
                 self._change_row(service, edit)
             return
-        known = state.Evidence(
-            stage=str(move.stage),
+        evidence = state.Evidence(
+            stage=str(transition.stage),
             age_s=round(age_s, 3),
-            reason=move.reason,
+            reason=transition.reason,
             sent=trial.evidence.sent,
             sent_new=trial.evidence.sent_new,
             routes=evidence_summary.counts_by_route(totals),
         )
         _log.info(
-            "rollout_changed", extra={"service": service, "target": rollout.target, "known": dataclasses.asdict(known)}
+            "rollout_changed",
+            extra={"service": service, "target": rollout.target, "known": dataclasses.asdict(evidence)},
         )
         _log.debug("rollout_tallied", extra={"tallies": evidence_summary.log_fields(totals)})
-        self._change_row(service, orders.edit_to_stage(service=service, seen=rollout, known=known))
+        self._change_row(service, orders.edit_to_stage(service=service, seen=rollout, evidence=evidence))
 
     def _view(
         self,
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -18,7 +18,7 @@
 class OrderOutcome(enum.StrEnum):
     """The result of an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     KNOWN = "known"  # the same order is in the register already
 
 
@@ -68,7 +68,7 @@
         if is_late():
             raise errors.QuorumUnavailableError("no majority in time", step="roll-out", peer=order.service)
         started = _started(current, order)
-        return state.with_rollout(payload, service=order.service, rollout=started), OrderOutcome.TAKEN
+        return state.with_rollout(payload, service=order.service, rollout=started), OrderOutcome.ACCEPTED
 
     return edit
 
@@ -97,21 +97,21 @@
     )
 
 
-def edit_to_stage(*, service: str, seen: state.Rollout, known: state.Evidence) -> Edit:
-    """The edit for a step to the stage that `known` names.
+def edit_to_stage(*, service: str, seen: state.Rollout, evidence: state.Evidence) -> Edit:
+    """The edit for a step to the stage that `evidence` names.
 
     It changes nothing where the row is not the `seen` one any more: a second coordinator, or a late attempt of an
-    earlier round, has no effect (`test_a_step_counts_only_on_the_row_that_it_was_decided_on`).
+    earlier round, has no effect (`test_edit_to_stage_has_no_effect_on_a_changed_row`).
     """
-    stage = state.Stage(known.stage)
+    stage = state.Stage(evidence.stage)
 
     def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         current = state.rollouts_of(payload).get(service, state.Rollout())
         if current.step != seen.step or stage not in state.NEXT_STAGES.get(current.stage, ()):
             return payload, None
-        record = (*current.record, dataclasses.asdict(known))
+        record = (*current.record, dataclasses.asdict(evidence))
         moved = dataclasses.replace(
-            current, stage=stage, step=current.step + 1, age_s=known.age_s, reason=known.reason, record=record
+            current, stage=stage, step=current.step + 1, age_s=evidence.age_s, reason=evidence.reason, record=record
         )
         if stage == state.Stage.DELIVERED:
             moved = dataclasses.replace(moved, admitted=(current.target,), refused=())
@@ -122,7 +122,7 @@
     return edit
 
 
-def edit_to_note_age(*, service: str, seen: state.Rollout, age_s: float) -> Edit:
+def edit_to_store_age(*, service: str, seen: state.Rollout, age_s: float) -> Edit:
     """The edit that stores how old an order is by now; it is no step, and changes nothing else.
 
     Where all machines lose power at once nobody is left who knows the age, and the term would end later by all that
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -1,8 +1,9 @@
-"""What a roll-out does next: pure decisions on an immutable view of it (docs/rollouts.md 3).
+"""Stage transitions of a roll-out: pure decisions on an immutable view of it (docs/rollouts.md 3).
 
-`next_move` is the state machine of the stages, `canary -> promoting -> draining -> delivered`, with `returned` from
-each of the first three. It decides on a `RolloutView` alone; `ploverward.control_plane.rollouts.manager` makes the view
-and writes the step. Terms below are shares of the order's term.
+`next_transition` is the state machine of the stages, `canary -> promoting -> draining -> delivered`, with `returned`
+from each of the first three. It decides on a `RolloutView` alone; `ploverward.control_plane.rollouts.manager` creates
+the view and writes the transition to the register. Constants below that are "of the term" are fractions of the time
+that the order gives the roll-out (`over_s`).
 """
 
 import dataclasses
@@ -17,10 +18,10 @@
 LATEST_DECISION = 0.72  # of the term: a version that the answers neither cleared nor condemned is rolled back
 MIN_JUDGED_S = 4.5  # from the first answer of the new version to its promotion
 RAMP = 0.08  # of the term: how long the share takes to rise from the canary's to all
-DELIVERY_WITHOUT_SILENT = 0.85  # of the term: from then on proxies that do not report are not waited for
-DOUBT_ENDS = 0.85  # of the term: from then on doubt about a promoted version is settled by how much it has answered
-TELLING_ANSWERS = 100  # on the doubted route; a bad version would have shown itself by so many
-LAST_DELIVERY = 0.94  # of the term: the last moment for a step
+IGNORE_SILENT_PROXIES_FROM = 0.85  # of the term: from then on proxies that do not report are not waited for
+DOUBT_DEADLINE = 0.85  # of the term: from then on doubt about a promoted version is settled by how much it has answered
+CONCLUSIVE_ANSWERS = 100  # on the doubted route; a bad version would have shown itself by so many
+LATEST_STEP = 0.94  # of the term: the last moment for a step
 MIN_ROUTE_ANSWERS = 8  # of the new version, on each route that the former one serves
 MIN_ANSWERED_SHARE = 0.5  # of the answers that are due, below which they are missing
 MIN_REPORTING_SHARE = 0.8  # of the proxies in contact, whose counts a coordinator has before it promotes
@@ -63,20 +64,20 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Move:
+class Transition:
     """The next stage and why."""
 
     stage: state.Stage
     reason: str
 
 
-def next_move(view: RolloutView) -> Move | None:
+def next_transition(view: RolloutView) -> Transition | None:
     """The step that is due now, or None."""
     rollout = view.rollout
     if not rollout.is_in_progress:
         return None
     if view.verdict is judge.Verdict.BAD:
-        return Move(stage=state.Stage.RETURNED, reason=view.finding)
+        return Transition(stage=state.Stage.RETURNED, reason=view.finding)
     if rollout.stage == state.Stage.CANARY:
         return _after_canary(view)
     if rollout.stage == state.Stage.PROMOTING:
@@ -84,24 +85,28 @@
     return _after_draining(view)
 
 
-def _after_canary(view: RolloutView) -> Move | None:
+def _after_canary(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
-    if view.age_s >= LAST_DELIVERY * term_s:
-        return Move(stage=state.Stage.RETURNED, reason="the term is over before the new version could be let in")
+    if view.age_s >= LATEST_STEP * term_s:
+        return Transition(stage=state.Stage.RETURNED, reason="the term is over before the new version could be let in")
     if view.age_s < _earliest_promotion_s(view) or not view.has_capacity or not view.has_reports:
         return None
     is_latest = view.age_s >= LATEST_PROMOTION * term_s
     missing = _route_with_missing_answers(view)
     if missing or view.verdict is judge.Verdict.DOUBTFUL:
         reason = f"answers are missing on {missing}" if missing else f"not cleared in time: {view.finding}"
-        return Move(stage=state.Stage.RETURNED, reason=reason) if is_latest else None
+        return Transition(stage=state.Stage.RETURNED, reason=reason) if is_latest else None
     if view.verdict is judge.Verdict.UNDECIDED:
         is_late = view.age_s >= LATEST_DECISION * term_s
-        return Move(stage=state.Stage.RETURNED, reason=f"too little speaks for it: {view.finding}") if is_late else None
+        return (
+            Transition(stage=state.Stage.RETURNED, reason=f"too little speaks for it: {view.finding}")
+            if is_late
+            else None
+        )
     if _has_enough_answers(view):
-        return Move(stage=state.Stage.PROMOTING, reason="no kind of request is worse off")
+        return Transition(stage=state.Stage.PROMOTING, reason="no kind of request is worse off")
     if is_latest:
-        return Move(stage=state.Stage.PROMOTING, reason="nothing worse was seen, on few answers")
+        return Transition(stage=state.Stage.PROMOTING, reason="nothing worse was seen, on few answers")
     return None
 
 
@@ -128,30 +133,34 @@
     )
 
 
-def _after_promoting(view: RolloutView) -> Move | None:
+def _after_promoting(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
-    is_last = view.age_s >= LAST_DELIVERY * term_s
+    is_last = view.age_s >= LATEST_STEP * term_s
     if is_last and not view.has_capacity:
-        return Move(stage=state.Stage.RETURNED, reason="too few replicas of the new version at the end of the term")
+        return Transition(
+            stage=state.Stage.RETURNED, reason="too few replicas of the new version at the end of the term"
+        )
     if view.stage_age_s < RAMP * term_s or not view.has_capacity:
         return None
     if view.is_cleared and view.verdict is not judge.Verdict.DOUBTFUL:
-        return Move(stage=state.Stage.DRAINING, reason="all traffic is at the new version")
-    is_settled = view.age_s >= DOUBT_ENDS * term_s
+        return Transition(stage=state.Stage.DRAINING, reason="all traffic is at the new version")
+    is_settled = view.age_s >= DOUBT_DEADLINE * term_s
     if is_settled and view.verdict in (judge.Verdict.CLEAR, judge.Verdict.FAVOURABLE):
-        return Move(stage=state.Stage.DRAINING, reason="the answers speak for the new version")
-    if is_settled and view.doubted_answers >= TELLING_ANSWERS:
-        return Move(stage=state.Stage.DRAINING, reason=f"{view.doubted_answers} answers did not confirm {view.finding}")
+        return Transition(stage=state.Stage.DRAINING, reason="the answers speak for the new version")
+    if is_settled and view.doubted_answers >= CONCLUSIVE_ANSWERS:
+        return Transition(
+            stage=state.Stage.DRAINING, reason=f"{view.doubted_answers} answers did not confirm {view.finding}"
+        )
     if is_last:
-        return Move(stage=state.Stage.RETURNED, reason=f"not cleared by the end of the term: {view.finding}")
+        return Transition(stage=state.Stage.RETURNED, reason=f"not cleared by the end of the term: {view.finding}")
     return None
 
 
-def _after_draining(view: RolloutView) -> Move | None:
+def _after_draining(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
-    is_silence_over = view.age_s >= DELIVERY_WITHOUT_SILENT * term_s
+    is_silence_over = view.age_s >= IGNORE_SILENT_PROXIES_FROM * term_s
     if view.is_drained or (is_silence_over and view.is_drained_without_silent):
-        return Move(stage=state.Stage.DELIVERED, reason="nothing runs at the former version")
-    if view.age_s >= LAST_DELIVERY * term_s:
-        return Move(stage=state.Stage.DELIVERED, reason="the term is over")
+        return Transition(stage=state.Stage.DELIVERED, reason="nothing runs at the former version")
+    if view.age_s >= LATEST_STEP * term_s:
+        return Transition(stage=state.Stage.DELIVERED, reason="the term is over")
     return None
--- a/ploverward/control_plane/rollouts/rollout_ages.py
+++ b/ploverward/control_plane/rollouts/rollout_ages.py
@@ -2,7 +2,7 @@
 
 `RolloutAges` owns the estimates. The time of day is not used: the row names the order's age at its last step, and
 proxies report the age that they know, so that neither a new coordinator nor a restart of all core nodes changes the
-term (`test_a_coordinator_after_a_full_restart_learns_the_age_from_the_proxies`).
+term (`test_coordinator_learns_the_age_from_proxies_after_a_full_restart`).
 """
 
 import typing
@@ -24,14 +24,14 @@
         self._ordered_at: dict[tuple[str, int], float] = {}  # by service and order
         self._steps: dict[str, _StepSeen] = {}  # by service
 
-    def learn(self, *, service: str, rollout: state.Rollout) -> None:
+    def record_row(self, *, service: str, rollout: state.Rollout) -> None:
         """Learns the ages from a service's row."""
-        self.claim(service=service, number=rollout.number, age_s=rollout.age_s)
+        self.record_reported_age(service=service, number=rollout.number, age_s=rollout.age_s)
         known_step = self._steps[service].step if service in self._steps else 0
         if known_step != rollout.step:
             self._steps[service] = _StepSeen(step=rollout.step, at=self._now())
 
-    def claim(self, *, service: str, number: int, age_s: float) -> None:
+    def record_reported_age(self, *, service: str, number: int, age_s: float) -> None:
         """Another node knows the order to be at least this old."""
         ordered_at = self._now() - age_s
         self._ordered_at[service, number] = min(ordered_at, self._ordered_at.get((service, number), ordered_at))
--- a/ploverward/control_plane/rollouts/rollout_samples.py
+++ b/ploverward/control_plane/rollouts/rollout_samples.py
@@ -25,8 +25,8 @@
 def moved(payload: state.Payload, stage: state.Stage, *, age_s: float = 1.0, service: str = "pool") -> state.Payload:
     """The register after a step to this stage."""
     seen = state.rollouts_of(payload)[service]
-    known = state.Evidence(stage=str(stage), age_s=age_s, reason="")
-    return orders.edit_to_stage(service=service, seen=seen, known=known)(payload)[0]
+    evidence = state.Evidence(stage=str(stage), age_s=age_s, reason="")
+    return orders.edit_to_stage(service=service, seen=seen, evidence=evidence)(payload)[0]
 
 
 def row_of(payload: state.Payload, service: str = "pool") -> state.Rollout:
--- a/ploverward/control_plane/rollouts/test_evidence_table.py
+++ b/ploverward/control_plane/rollouts/test_evidence_table.py
@@ -12,7 +12,7 @@
 from ploverward.control_plane.rollouts import rollout_samples
 
 
-def test_reports_come_back_as_they_were_packed():
+def test_pack_unpack_round_trip_preserves_reports():
     reports = [
         rollout_samples.report(
             tallies={
@@ -25,13 +25,13 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"x", rollout_evidence.pack([])[:4], __import__("zlib").compress(b'[["pool"]]')])
-def test_bytes_that_are_no_reports_are_refused(data):
+def test_unpack_rejects_malformed_reports(data):
     with pytest.raises(errors.FrameError):
         rollout_evidence.unpack(data)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_reports_lost_repeated_and_out_of_order_count_once(seed):
+def test_record_counts_lost_repeated_and_reordered_reports_once(seed):
     chance = random.Random(seed)
     table, counted, reports = evidence_table.EvidenceTable(), collections.Counter(), []
     true = {name: rollout_evidence.Tally() for name in "abc"}
@@ -53,7 +53,7 @@
     assert counted["ended"] == sum(one.ended for one in true.values())
 
 
-def test_first_events_count_before_their_answers_end_and_an_older_report_changes_nothing():
+def test_consume_new_counts_first_pieces_of_running_answers_and_ignores_older_reports():
     table = evidence_table.EvidenceTable()
     origin = evidence_table.Origin(address="a", incarnation="1")
     waiting = rollout_samples.report(tallies={rollout_samples.key(): rollout_evidence.Tally()})
@@ -66,7 +66,7 @@
     assert table.consume_new() == {}
 
 
-def test_drained_is_who_applied_the_step_and_runs_nothing_elsewhere():
+def test_is_drained_requires_all_origins_at_the_step_without_old_attempts():
     table = evidence_table.EvidenceTable()
     first, second = (evidence_table.Origin(address=name, incarnation="1") for name in "ab")
     table.record(origin=first, report=rollout_samples.report(step=3))
--- a/ploverward/control_plane/rollouts/test_group_sums.py
+++ b/ploverward/control_plane/rollouts/test_group_sums.py
@@ -14,30 +14,30 @@
     return sums
 
 
-def test_one_group_alone_does_not_condemn_a_version():
+def test_bad_log_odds_stay_low_if_only_one_group_fails():
     sums = filled(*[{1: 2.0, 2: -0.5, 3: -0.5}] * 20)
     assert sums.all_log_odds == 20.0 and sums.bad_log_odds < 2.0
-    assert sums.good_log_odds == -group_sums.FLOOR - group_sums.LEFT_OUT_PENALTY
-    assert sums.groups_from(40.0) == {1} and sums.groups_from(40.1) == frozenset()
+    assert sums.good_log_odds == -group_sums.FLOOR - group_sums.LEAVE_ONE_OUT_PENALTY
+    assert sums.groups_at_least(40.0) == {1} and sums.groups_at_least(40.1) == frozenset()
 
 
-def test_others_confirm_it_together():
+def test_bad_log_odds_rise_if_other_groups_fail_too():
     sums = filled(*[{1: 2.0, 2: 0.5, 3: 0.5}] * 8)
     assert sums.bad_log_odds > 8.0 and sums.good_log_odds < 0
 
 
-def test_good_answers_of_any_group_count_against_a_fault_in_full():
+def test_good_answers_of_every_group_lower_the_sum_in_full():
     """Nine bad of 19 answers in several groups: their sum stays as it is, whatever the order of groups."""
     mixed = filled({0: 3.0, 1: -1.0}, {2: 2.0, 3: -1.0}, {4: 1.0, 5: -1.0})
     assert mixed.all_log_odds == pytest.approx(3.0)
-    assert mixed.good_log_odds == pytest.approx(-min(3.0, 0.0 + group_sums.LEFT_OUT_PENALTY))
+    assert mixed.good_log_odds == pytest.approx(-min(3.0, 0.0 + group_sums.LEAVE_ONE_OUT_PENALTY))
 
 
-def test_nothing_speaks_for_a_version_before_its_first_answer():
+def test_good_log_odds_are_zero_before_the_first_answer():
     assert group_sums.GroupSums().good_log_odds == 0 and group_sums.GroupSums().answers == 0
 
 
-def test_a_sum_has_a_floor_so_a_late_fault_is_found_soon():
+def test_sum_stops_at_the_floor_so_that_a_late_fault_shows_soon():
     sums = filled(*[{0: -1.0, 5: -1.0}] * 100, answers=4)
     assert sums.all_log_odds == group_sums.FLOOR and sums.answers == 400
     sums.add({0: 8.0, 5: 8.0}, answers=8)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_order_of_groups_in_a_step_changes_nothing(seed):
+def test_add_is_independent_of_the_order_of_groups(seed):
     chance = random.Random(seed)
     first, second = group_sums.GroupSums(), group_sums.GroupSums()
     for _index in range(50):
--- a/ploverward/control_plane/rollouts/test_judge.py
+++ b/ploverward/control_plane/rollouts/test_judge.py
@@ -40,28 +40,28 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_version_that_fails_half_of_its_answers_is_found(seed):
+def test_judge_detects_a_version_that_fails_half_of_its_answers(seed):
     assert played(chance=random.Random(seed), bad=0.5, per_s=12.0)[1] is not None
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_version_that_turns_bad_late_is_found(seed):
+def test_judge_detects_a_version_that_turns_bad_late(seed):
     _judge, found_at = played(chance=random.Random(seed), bad=0.5, bad_from=4.0, per_s=12.0, seconds=9.0)
     assert found_at is not None and found_at >= 4.0
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_version_half_of_whose_answers_are_slow_is_found(seed):
+def test_judge_detects_a_version_with_half_of_its_answers_slow(seed):
     assert played(chance=random.Random(seed), slow=0.5, per_s=12.0)[1] is not None
 
 
 @pytest.mark.parametrize("former_bad", [0.0, 0.02, 0.1, 0.2, 0.5])
-def test_a_version_that_does_as_the_former_one_is_not_found(former_bad):
+def test_judge_does_not_condemn_a_version_that_fails_as_often_as_the_former_one(former_bad):
     found = [played(chance=random.Random(seed), former_bad=former_bad)[1] for seed in range(100)]
     assert sum(when is not None for when in found) <= 1
 
 
-def test_one_faulty_replica_does_not_condemn_its_version():
+def test_verdict_is_not_bad_if_one_of_two_groups_is_faulty():
     judge = judges.CanaryJudge()
     for step in range(30):
         counted = {
@@ -73,9 +73,9 @@
     assert judge.verdict is not judges.Verdict.BAD and judge.bad_groups() == {1}
 
 
-def test_a_lone_replica_condemns_its_version():
+def test_verdict_is_bad_if_the_only_replica_is_faulty():
     judge = judges.CanaryJudge()
-    judge.is_lone = True
+    judge.is_single_replica = True
     judge.record(
         now=0.0,
         counted={
@@ -86,7 +86,7 @@
     assert judge.verdict is judges.Verdict.BAD
 
 
-def test_timeouts_count_only_beside_answers_of_the_former_version():
+def test_timeouts_count_only_if_the_former_version_has_answers():
     judge = judges.CanaryJudge()
     silent = {rollout_samples.key(group=group): rollout_evidence.Tally(ended=9, broken=9) for group in range(3)}
     judge.record(now=0.0, counted=silent)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("groups", [2, 8])
-def test_chance_failures_of_many_groups_do_not_add_up(groups):
+def test_chance_failures_of_many_groups_do_not_condemn_a_version(groups):
     """Some 0.08 of all answers fail, of either version: enough for doubt, too little to condemn the new one."""
     found = [
         played(chance=random.Random(seed), former_bad=0.08, groups=groups, per_s=24.0, seconds=12.0)[1]
@@ -105,7 +105,7 @@
     assert sum(when is not None for when in found) <= 2
 
 
-def test_what_begins_to_fail_for_both_versions_is_not_the_new_one():
+def test_failures_that_begin_for_both_versions_do_not_condemn_the_new_one():
     condemned = 0
     for seed in range(100):
         chance = random.Random(seed)
@@ -140,7 +140,7 @@
     return judge.verdict
 
 
-def test_half_bad_answers_are_not_cleared_by_good_ones_of_other_groups():
+def test_verdict_is_doubtful_or_bad_if_half_of_the_answers_over_all_groups_fail():
     """Seed 470067 of the simulation: nine bad of 19, beside 15 of 115 of the former version."""
     assert verdict_after(answered=19, failed=9) in (judges.Verdict.DOUBTFUL, judges.Verdict.BAD)
 
@@ -155,11 +155,11 @@
         (60, 40, judges.Verdict.BAD),
     ],
 )
-def test_a_version_is_let_in_by_answers_that_speak_for_it(answered, failed, verdict):
+def test_verdict_by_number_of_answers_and_failures(answered, failed, verdict):
     assert verdict_after(answered=answered, failed=failed) is verdict
 
 
-def test_a_bad_version_is_hardly_ever_cleared():
+def test_judge_rarely_clears_a_bad_version():
     cleared = 0
     for seed in range(400):
         judge, _found_at = played(chance=random.Random(seed), bad=0.5, former_bad=0.08, per_s=8.0, seconds=6.0)
@@ -167,7 +167,7 @@
     assert cleared <= 4
 
 
-def test_the_former_version_is_remembered_by_many_answers_once_it_gets_few():
+def test_baseline_keeps_the_last_full_window_once_the_former_version_gets_few_answers():
     judge = judges.CanaryJudge()
     judge.record(now=0.0, counted={rollout_samples.key(is_new=False): rollout_samples.tally(ended=200, failed=16)})
     for tick in range(1, 40):
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_slowness_of_both_versions_that_is_over_does_not_hide_that_of_the_new_one(seed):
+def test_judge_detects_a_slow_version_after_a_slowness_of_both_versions_ended(seed):
     """Seed 601859 of the simulation: for as long as the window lasted, slow answers were compared with slow ones."""
     chance = random.Random(seed)
     judge = judges.CanaryJudge()
--- a/ploverward/control_plane/rollouts/test_manager.py
+++ b/ploverward/control_plane/rollouts/test_manager.py
@@ -16,13 +16,13 @@
 from ploverward.transport import messages
 
 
-def test_leases_come_back_as_they_were_packed():
+def test_pack_unpack_round_trip_preserves_leases():
     given_out = [leases.CanaryLease(service="pool", number=1, step=2, share=0.1, replicas=("a", "b"))]
     assert leases.unpack(leases.pack(given_out)) == given_out
 
 
 @pytest.mark.parametrize("data", [b"", b"{}x", b'[["pool"]]', b'[["pool",1,2,"x",[]]]'])
-def test_bytes_that_are_no_leases_are_refused(data):
+def test_unpack_rejects_malformed_leases(data):
     with pytest.raises(errors.FrameError):
         leases.unpack(data)
 
@@ -118,7 +118,7 @@
         self.sent = sent
 
 
-def test_the_first_list_admits_its_versions_and_a_new_one_on_the_list_admits_nothing():
+def test_versions_of_the_first_list_are_admitted_and_later_ones_are_not():
     world = World()
     coordinator = world.coordinator()
     coordinator.reconcile()
@@ -130,7 +130,7 @@
     assert world.row().admitted == ("v1",)
 
 
-def test_where_no_admitted_version_is_left_what_is_listed_is_admitted_after_a_time():
+def test_listed_versions_are_admitted_after_a_grace_period_without_an_admitted_one():
     world = World()
     coordinator = world.coordinator()
     coordinator.reconcile()
@@ -154,7 +154,7 @@
     return coordinator
 
 
-def test_a_good_version_is_delivered_inside_its_term():
+def test_good_version_is_delivered_within_its_term():
     world = World()
     coordinator = begun(world)
     world.play(coordinator, seconds=9.2)
@@ -163,7 +163,7 @@
     assert world.row().stage == state.Stage.DELIVERED and world.row().age_s < 15.0
 
 
-def test_delivered_waits_for_what_runs_at_the_former_version():
+def test_delivery_waits_for_attempts_at_the_former_version_until_the_term_ends():
     world = World()
     coordinator = begun(world)
     world.play(coordinator, seconds=13.0, running_old=1)
@@ -172,7 +172,7 @@
     assert world.row().stage == state.Stage.DELIVERED
 
 
-def test_a_bad_version_is_returned_and_stays_returned():
+def test_bad_version_is_rolled_back_and_stays_so():
     world = World()
     coordinator = begun(world)
     world.play(coordinator, seconds=4.0, failing=0.5)
@@ -181,7 +181,7 @@
     assert world.row().stage == state.Stage.RETURNED
 
 
-def test_a_coordinator_that_found_a_fault_grants_nothing_although_it_can_not_record_it():
+def test_coordinator_that_found_a_fault_grants_no_share_while_the_rollback_cannot_be_recorded():
     world = World()
     coordinator = begun(world)
     world.is_partitioned = True
@@ -193,7 +193,7 @@
     assert [one.share for one in leases.unpack(answer.leases)] == [0.0]
 
 
-def test_a_node_that_does_not_act_gives_out_nothing():
+def test_inactive_or_stalled_coordinator_grants_no_leases():
     world = World()
     coordinator = begun(world)
     coordinator.deactivate()
@@ -209,7 +209,7 @@
     )
 
 
-def test_the_next_coordinator_resumes_where_the_former_one_stopped():
+def test_next_coordinator_resumes_the_roll_out():
     world = World()
     world.play(begun(world), seconds=9.2)
     second = world.coordinator()
@@ -217,7 +217,7 @@
     assert world.row().stage == state.Stage.DELIVERED
 
 
-def test_a_coordinator_after_a_full_restart_learns_the_age_from_the_proxies():
+def test_coordinator_learns_the_age_from_proxies_after_a_full_restart():
     world = World()
     coordinator = begun(world)
     world.play(coordinator, seconds=4.0)
@@ -231,7 +231,7 @@
     assert world.row().stage == state.Stage.RETURNED
 
 
-def test_the_next_coordinator_delivers_only_when_every_proxy_had_time_to_find_it():
+def test_next_coordinator_delivers_only_after_all_proxies_had_time_to_reach_it():
     """Proxies find it one after the other: one that it has not heard yet may run attempts at the former version."""
     world = World()
     coordinator = begun(world)
--- a/ploverward/control_plane/rollouts/test_orders.py
+++ b/ploverward/control_plane/rollouts/test_orders.py
@@ -29,19 +29,19 @@
         (b'{"destination":"pool","targetEdition":"v2","overS":NaN}', "body"),
     ],
 )
-def test_an_order_that_is_none_names_the_field(data, field_path):
+def test_read_names_the_field_of_an_invalid_order(data, field_path):
     with pytest.raises(errors.InvalidConfigurationError) as caught:
         orders.read(data=data)
     assert caught.value.field_path == field_path
 
 
-def test_an_order_is_read():
+def test_read_parses_a_valid_order():
     assert orders.read(data=b'{"destination":"pool","targetEdition":"v2","overS":16}') == rollout_samples.ORDER
 
 
-def test_the_same_order_again_changes_nothing_at_any_stage():
+def test_repeated_order_changes_nothing_at_any_stage():
     payload, said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
-    assert said == orders.OrderOutcome.TAKEN
+    assert said == orders.OrderOutcome.ACCEPTED
     for stage in (None, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
         payload = rollout_samples.moved(payload, stage) if stage else payload
         assert rollout_samples.given(payload, rollout_samples.ORDER, is_late=True) == (
@@ -50,7 +50,7 @@
         )
 
 
-def test_one_of_two_orders_wins_and_the_other_changes_nothing():
+def test_second_order_is_rejected_while_the_first_is_in_progress():
     payload, _said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
     with pytest.raises(errors.RolloutInProgressError) as caught:
         rollout_samples.given(payload, OTHER)
@@ -59,30 +59,30 @@
     assert rollout_samples.row_of(rollout_samples.given(done, OTHER)[0]).target == "v3"
 
 
-def test_an_order_whose_caller_was_left_is_not_begun():
+def test_order_does_not_start_after_its_caller_was_answered():
     with pytest.raises(errors.QuorumUnavailableError):
         rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER, is_late=True)
 
 
-def test_a_version_that_serves_already_is_delivered_at_once():
+def test_order_for_the_admitted_version_is_delivered_at_once():
     row = rollout_samples.row_of(rollout_samples.given(rollout_samples.admitted("v2"), rollout_samples.ORDER)[0])
     assert row.stage == state.Stage.DELIVERED and row.admitted == ("v2",)
 
 
-def test_an_order_that_was_settled_may_be_given_again():
+def test_settled_order_repeated_is_a_new_order():
     payload = rollout_samples.moved(
         rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.RETURNED
     )
     settled, _said = orders.edit_to_settle(service="pool", seen=rollout_samples.row_of(payload))(payload)
     again, said = rollout_samples.given(settled, rollout_samples.ORDER)
     assert (
-        said == orders.OrderOutcome.TAKEN
+        said == orders.OrderOutcome.ACCEPTED
         and rollout_samples.row_of(again).number == 2
         and not rollout_samples.row_of(again).refused
     )
 
 
-def test_a_stage_is_never_reverted():
+def test_edit_to_stage_never_leaves_a_final_stage():
     payload = rollout_samples.moved(
         rollout_samples.moved(
             rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.PROMOTING
@@ -93,26 +93,26 @@
         assert rollout_samples.moved(payload, stage) is payload
 
 
-def test_a_step_counts_only_on_the_row_that_it_was_decided_on():
+def test_edit_to_stage_has_no_effect_on_a_changed_row():
     payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
-    known = state.Evidence(stage=state.Stage.PROMOTING, age_s=2.0, reason="late")
-    late = orders.edit_to_stage(service="pool", seen=rollout_samples.row_of(payload), known=known)
+    evidence = state.Evidence(stage=state.Stage.PROMOTING, age_s=2.0, reason="late")
+    late = orders.edit_to_stage(service="pool", seen=rollout_samples.row_of(payload), evidence=evidence)
     returned = rollout_samples.moved(payload, state.Stage.RETURNED)
     assert late(returned) == (returned, None)
 
 
-def test_a_noted_age_is_no_step_and_counts_only_on_the_row_it_was_noted_for():
+def test_edit_to_store_age_keeps_the_step_and_has_no_effect_on_a_changed_row():
     payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
     seen = rollout_samples.row_of(payload)
-    aged, _result = orders.edit_to_note_age(service="pool", seen=seen, age_s=2.5)(payload)
+    aged, _result = orders.edit_to_store_age(service="pool", seen=seen, age_s=2.5)(payload)
     assert rollout_samples.row_of(aged) == dataclasses.replace(seen, age_s=2.5)
-    assert orders.edit_to_note_age(service="pool", seen=seen, age_s=2.0)(aged) == (aged, None)
+    assert orders.edit_to_store_age(service="pool", seen=seen, age_s=2.0)(aged) == (aged, None)
     for stage in (state.Stage.PROMOTING, state.Stage.RETURNED):
         moved = rollout_samples.moved(payload, stage)
-        assert orders.edit_to_note_age(service="pool", seen=seen, age_s=9.0)(moved) == (moved, None)
+        assert orders.edit_to_store_age(service="pool", seen=seen, age_s=9.0)(moved) == (moved, None)
 
 
-def test_admitted_versions_through_a_roll_out():
+def test_is_admitted_at_each_stage_of_a_roll_out():
     payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
     assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
     returned = rollout_samples.moved(payload, state.Stage.RETURNED)
@@ -122,7 +122,7 @@
     assert rollout_samples.row_of(payload).is_admitted("v2") and not rollout_samples.row_of(payload).is_admitted("v1")
 
 
-def test_without_a_known_set_all_but_the_target_and_what_was_returned_are_admitted():
+def test_is_admitted_excludes_target_and_refused_versions_if_none_are_admitted():
     payload = rollout_samples.given(None, rollout_samples.ORDER)[0]
     assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
     assert not rollout_samples.row_of(rollout_samples.moved(payload, state.Stage.RETURNED)).is_admitted("v2")
--- a/ploverward/control_plane/rollouts/test_planner.py
+++ b/ploverward/control_plane/rollouts/test_planner.py
@@ -36,9 +36,9 @@
     return dataclasses.replace(VIEW, rollout=dataclasses.replace(VIEW.rollout, stage=stage), **about)
 
 
-def test_a_version_is_let_in_past_the_middle_of_its_term_and_not_before():
-    assert planner.next_move(VIEW).stage == state.Stage.PROMOTING
-    assert planner.next_move(dataclasses.replace(VIEW, age_s=8.7)) is None
+def test_version_is_promoted_only_from_the_earliest_promotion_on():
+    assert planner.next_transition(VIEW).stage == state.Stage.PROMOTING
+    assert planner.next_transition(dataclasses.replace(VIEW, age_s=8.7)) is None
 
 
 @pytest.mark.parametrize(
@@ -54,55 +54,55 @@
         {"verdict": judges.Verdict.UNDECIDED},
     ],
 )
-def test_what_holds_a_version_back(about):
-    assert planner.next_move(dataclasses.replace(VIEW, **about)) is None
+def test_version_is_not_promoted_while_a_condition_is_unmet(about):
+    assert planner.next_transition(dataclasses.replace(VIEW, **about)) is None
 
 
-def test_a_version_that_is_not_cleared_in_time_is_rolled_back():
+def test_doubtful_version_is_rolled_back_at_the_latest_promotion():
     late = dataclasses.replace(VIEW, verdict=judges.Verdict.DOUBTFUL, age_s=10.5)
-    assert planner.next_move(late).stage == state.Stage.RETURNED
+    assert planner.next_transition(late).stage == state.Stage.RETURNED
 
 
-def test_an_undecided_version_gets_more_canary_requests_for_a_while():
+def test_undecided_version_stays_a_canary_until_the_latest_decision():
     undecided = dataclasses.replace(VIEW, verdict=judges.Verdict.UNDECIDED, age_s=10.5)
-    assert planner.next_move(undecided) is None
-    assert planner.next_move(dataclasses.replace(undecided, age_s=11.6)).stage == state.Stage.RETURNED
-    assert planner.next_move(dataclasses.replace(undecided, verdict=judges.Verdict.FAVOURABLE)) is not None
+    assert planner.next_transition(undecided) is None
+    assert planner.next_transition(dataclasses.replace(undecided, age_s=11.6)).stage == state.Stage.RETURNED
+    assert planner.next_transition(dataclasses.replace(undecided, verdict=judges.Verdict.FAVOURABLE)) is not None
 
 
-def test_a_version_with_outstanding_responses_is_rolled_back():
+def test_version_with_missing_answers_is_rolled_back_at_the_latest_promotion():
     late = dataclasses.replace(VIEW, answers=dataclasses.replace(VIEW.answers, new={"r": 19}), age_s=10.5)
-    assert planner.next_move(late).stage == state.Stage.RETURNED
+    assert planner.next_transition(late).stage == state.Stage.RETURNED
 
 
 @pytest.mark.parametrize("stage", state.IN_PROGRESS_STAGES)
 def test_a_bad_version_is_rolled_back_from_every_stage(stage):
-    assert planner.next_move(at(stage, verdict=judges.Verdict.BAD)).stage == state.Stage.RETURNED
+    assert planner.next_transition(at(stage, verdict=judges.Verdict.BAD)).stage == state.Stage.RETURNED
 
 
 def promoted(age_s, **about):
-    return planner.next_move(at(state.Stage.PROMOTING, age_s=age_s, stage_age_s=5.0, **about))
+    return planner.next_transition(at(state.Stage.PROMOTING, age_s=age_s, stage_age_s=5.0, **about))
 
 
 DOUBTED = {"verdict": judges.Verdict.DOUBTFUL, "finding": "failed on r: 3.1"}
 
 
-def test_a_promoted_version_in_doubt_waits_while_its_term_allows():
+def test_doubtful_promoted_version_waits_before_the_deadline_or_with_few_answers():
     assert promoted(12.0, **DOUBTED, doubted_answers=5000) is None
-    assert promoted(14.9, **DOUBTED, doubted_answers=planner.TELLING_ANSWERS - 1) is None
+    assert promoted(14.9, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1) is None
 
 
-def test_a_promoted_version_that_many_answers_did_not_condemn_goes_on_in_time_to_drain():
-    move = promoted(13.7, **DOUBTED, doubted_answers=planner.TELLING_ANSWERS)
-    assert move.stage == state.Stage.DRAINING and "did not confirm failed on r" in move.reason
+def test_doubtful_promoted_version_with_many_answers_drains_after_the_doubt_deadline():
+    transition = promoted(13.7, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS)
+    assert transition.stage == state.Stage.DRAINING and "did not confirm failed on r" in transition.reason
 
 
-def test_a_promoted_version_that_few_answers_leave_in_doubt_is_rolled_back_before_its_term_ends():
-    move = promoted(15.1, **DOUBTED, doubted_answers=planner.TELLING_ANSWERS - 1)
-    assert move.stage == state.Stage.RETURNED and "not cleared" in move.reason
+def test_doubtful_promoted_version_with_few_answers_is_rolled_back_at_the_latest_step():
+    transition = promoted(15.1, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1)
+    assert transition.stage == state.Stage.RETURNED and "not cleared" in transition.reason
 
 
-def test_a_promoted_version_gets_all_requests_for_good_only_once_it_is_proved():
+def test_promoted_version_drains_before_the_doubt_deadline_only_if_cleared():
     unproved = {"is_cleared": False, "verdict": judges.Verdict.FAVOURABLE}
     assert promoted(12.0, **unproved) is None
     assert promoted(12.0, verdict=judges.Verdict.UNDECIDED).stage == state.Stage.DRAINING
@@ -114,34 +114,34 @@
 @pytest.mark.parametrize("verdict", judges.Verdict)
 @pytest.mark.parametrize("has_capacity", [True, False])
 @pytest.mark.parametrize("doubted_answers", [0, 5000])
-def test_no_order_outlasts_its_term(stage, verdict, has_capacity, doubted_answers):
-    move = planner.next_move(
+def test_every_stage_ends_at_the_latest_step(stage, verdict, has_capacity, doubted_answers):
+    transition = planner.next_transition(
         at(
             stage,
-            age_s=planner.LAST_DELIVERY * VIEW.rollout.over_s,
+            age_s=planner.LATEST_STEP * VIEW.rollout.over_s,
             stage_age_s=5.0,
             verdict=verdict,
             has_capacity=has_capacity,
             doubted_answers=doubted_answers,
         )
     )
-    assert move is not None and move.stage in state.NEXT_STAGES[stage]
+    assert transition is not None and transition.stage in state.NEXT_STAGES[stage]
 
 
-def test_delivered_is_announced_only_when_nothing_runs_at_the_former_version_or_the_term_is_over():
-    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0)) is None
-    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained_without_silent=True)) is None
-    assert planner.next_move(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
+def test_version_is_delivered_only_once_drained_or_at_the_end_of_the_term():
+    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0)) is None
+    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0, is_drained_without_silent=True)) is None
+    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
     assert (
-        planner.next_move(at(state.Stage.DRAINING, age_s=14.0, is_drained_without_silent=True)).stage
+        planner.next_transition(at(state.Stage.DRAINING, age_s=14.0, is_drained_without_silent=True)).stage
         == state.Stage.DELIVERED
     )
-    assert planner.next_move(at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
+    assert planner.next_transition(at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
 
 
 @pytest.mark.parametrize("per_s", [1, 5, 20, 150, 3000])
 @pytest.mark.parametrize("over_s", [4.0, 16.0, 60.0])
-def test_the_canary_stays_inside_the_bound_even_if_no_request_follows(per_s, over_s):
+def test_canary_share_stays_within_the_bound_even_if_no_request_follows(per_s, over_s):
     bound = exposure.ExposureBound(share=0.1, slack=50.0)
     sent, sent_new, credit = 0, 0, 0.9
     for tick in range(int(over_s * planner.LATEST_PROMOTION / 0.1)):
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("per_s", [1, 5, 40, 150, 3000])
 @pytest.mark.parametrize("sent_new_at_promotion", [0.5, 0.9, 1.0])
-def test_a_promoted_version_that_is_not_proved_stays_inside_the_bound(per_s, sent_new_at_promotion):
+def test_unproved_share_stays_within_the_bound_despite_late_reports(per_s, sent_new_at_promotion):
     """Reports reach the coordinator late, and leases the proxies: what is on its way counts as well."""
     bound = exposure.ExposureBound(share=0.1, slack=50.0)
     promoting = state.Rollout(target="v2", over_s=16.0, stage=state.Stage.PROMOTING, number=1, step=3)
@@ -182,7 +182,7 @@
     ).replicas("pool")
 
 
-def test_canary_replicas_are_few_spread_and_stable():
+def test_choose_returns_few_replicas_of_all_regions_whatever_the_list_order():
     rows = rollout_samples.listed()
     chosen = canary_replicas.choose(replicas=inventory(rows), share=0.1, bad_groups=())
     assert len(chosen) == 3.0 / canary_replicas.CANARY_LOAD
@@ -191,7 +191,7 @@
     assert {zones[name][0] for name in chosen} == {"a", "b"}
 
 
-def test_a_group_that_has_shown_faults_gives_way_to_another():
+def test_choose_avoids_a_group_that_has_shown_faults():
     rows = rollout_samples.listed()
     first = canary_replicas.choose(replicas=inventory(rows), share=0.02, bad_groups=())
     group = rollout_evidence.group_of(row_codec.key_of(first[0]))
@@ -199,7 +199,7 @@
     assert len(first) == len(second) == 1 and rollout_evidence.group_of(row_codec.key_of(second[0])) != group
 
 
-def test_capacity_wants_warm_replicas_in_each_region():
+def test_has_capacity_requires_warm_replicas_in_each_region():
     former = rollout_samples.listed(edition="v1")
     for new, out, wanted in (
         (rollout_samples.listed(), (), True),
--- a/ploverward/simulation/rollout_checks.py
+++ b/ploverward/simulation/rollout_checks.py
@@ -113,7 +113,7 @@
 
     def note_delivered(self, proxies: Iterable[rollout_nodes.Proxy]) -> None:
         """The former replicas stop at once: nothing may run there."""
-        is_forced = self._now() - ORDER_AT_S >= planner.DELIVERY_WITHOUT_SILENT * self._over_s
+        is_forced = self._now() - ORDER_AT_S >= planner.IGNORE_SILENT_PROXIES_FROM * self._over_s
         running = sum(proxy.running[rollout_nodes.FORMER] for proxy in proxies if proxy.is_in_contact)
         if running and not is_forced and not LOSSES & set(self.report.fault_kinds):
             self._find("delivered", f"{running} attempts run at the former version")
--- a/ploverward/simulation/rollout_mutants.py
+++ b/ploverward/simulation/rollout_mutants.py
@@ -58,16 +58,16 @@
 
 def _a_stage_that_is_reverted() -> list[contextlib.AbstractContextManager]:
     """A coordinator that begins anew after the promotion, and a register that takes any step."""
-    real = planner.next_move
+    real = planner.next_transition
 
-    def next_move(view: planner.RolloutView) -> planner.Move | None:
+    def next_transition(view: planner.RolloutView) -> planner.Transition | None:
         if view.rollout.stage == state.Stage.PROMOTING:
-            return planner.Move(stage=state.Stage.CANARY, reason="once more")
+            return planner.Transition(stage=state.Stage.CANARY, reason="once more")
         return real(view)
 
     any_stage = dict.fromkeys(state.IN_PROGRESS_STAGES, tuple(state.Stage))
     return [
-        unittest.mock.patch.object(planner, "next_move", next_move),
+        unittest.mock.patch.object(planner, "next_transition", next_transition),
         unittest.mock.patch.object(state, "NEXT_STAGES", any_stage),
     ]
 
@@ -118,13 +118,13 @@
 
 
 def _a_promoted_version_in_doubt_that_waits_for_ever() -> list[contextlib.AbstractContextManager]:
-    real = planner.next_move
+    real = planner.next_transition
 
-    def next_move(view: planner.RolloutView) -> planner.Move | None:
+    def next_transition(view: planner.RolloutView) -> planner.Transition | None:
         is_waiting = view.rollout.stage == state.Stage.PROMOTING and view.verdict is judge.Verdict.DOUBTFUL
         return None if is_waiting else real(view)
 
-    return [*doubt_that_never_ends(), unittest.mock.patch.object(planner, "next_move", next_move)]
+    return [*doubt_that_never_ends(), unittest.mock.patch.object(planner, "next_transition", next_transition)]
 
 
 def _any_answer_proves_a_version() -> list[contextlib.AbstractContextManager]:
@@ -143,14 +143,14 @@
         with unittest.mock.patch.object(trial, "is_bad", False):
             return real(granter, trial=trial, **about)
 
-    def next_move(view: planner.RolloutView) -> planner.Move | None:
+    def next_transition(view: planner.RolloutView) -> planner.Transition | None:
         is_bad = view.verdict is judge.Verdict.BAD
         return None if is_bad else real_move(view)
 
-    real_move = planner.next_move
+    real_move = planner.next_transition
     return [
         unittest.mock.patch.object(lease_granter.LeaseGranter, "grant", grant),
-        unittest.mock.patch.object(planner, "next_move", next_move),
+        unittest.mock.patch.object(planner, "next_transition", next_transition),
     ]
 
 
