--- a/ploverward/control_plane/rollouts/__init__.py
+++ b/ploverward/control_plane/rollouts/__init__.py
@@ -2,5 +2,5 @@
 
 `state` and `orders` are the replicated state and its edits; `evidence_table`, `judge` and `canary_trial` evaluate the
 canary; `planner`, `exposure` and `canary_replicas` decide on immutable views; `manager`, with `lease_granter` and
-`version_admitter`, acts on them at the coordinator; `leases` is what proxies receive.
+`version_admitter`, carries the decisions out at the coordinator; `leases` encodes the leases that proxies receive.
 """
--- a/ploverward/control_plane/rollouts/canary_replicas.py
+++ b/ploverward/control_plane/rollouts/canary_replicas.py
@@ -1,4 +1,7 @@
-"""Which replicas the canary uses: few, spread over regions, the same at each coordinator (docs/rollouts.md 4). Pure."""
+"""Choice of the replicas that the canary uses (docs/rollouts.md 4).
+
+Pure functions: few replicas are chosen, spread over regions, and every coordinator chooses the same ones.
+"""
 
 import hashlib
 from collections.abc import Collection
@@ -7,7 +10,7 @@
 
 from ploverward.control_plane.rollouts import replica_inventory
 
-CANARY_LOAD = 0.5  # of a replica of the former version, that one of the canary carries: its cache is empty
+CANARY_LOAD = 0.5  # load of a canary replica as a share of a former one's; lower since its cache is empty
 
 
 def choose(
@@ -17,19 +20,20 @@
     bad_groups: Collection[int],
     is_load_test: bool = False,
 ) -> tuple[str, ...]:
-    """Chooses the replicas of the canary, each of which carries the load of one in full service.
+    """Chooses the replicas of the canary: as many as carry its share of the requests at `CANARY_LOAD` each.
 
-    They are spread over regions by size, and over groups as far as there are enough. A group that has shown faults
-    makes room for others, which confirm them or not. A load test has one replica: it shows what a full one does.
+    They are spread over regions in proportion to the replicas there, and over groups as far as there are enough groups.
+    Groups that have shown faults are avoided, so that the answers of other groups confirm or refute the faults. A load
+    test uses a single replica, to show how one performs at full load.
 
     Args:
-        replicas: Those of the new version.
-        share: Of all requests, that the canary is meant to get.
+        replicas: The replicas of the new version.
+        share: The share of all requests that the canary is meant to get, 0 to 1.
         bad_groups: Groups that have shown faults.
-        is_load_test: Whether the canary is under load.
+        is_load_test: Whether the canary is in its load test.
 
     Returns:
-        Their ids; empty where there are no replicas.
+        The ids of the replicas; empty if there are none.
     """
     wanted = 1 if is_load_test else max(1, round(share * len(replicas) / CANARY_LOAD))
     by_region: dict[str, list[replica_inventory.ListedReplica]] = {}
@@ -47,7 +51,10 @@
 
 
 def _regions_by_seat(*, sizes: Mapping[str, int], wanted: int) -> list[str]:
-    """The region of each of `wanted` seats: always the one that is worst represented so far."""
+    """Returns the region of each of `wanted` replicas, by the Sainte-Laguë method.
+
+    Each seat goes to the region that is represented worst so far in proportion to its size.
+    """
     seats: list[str] = []
     assigned = dict.fromkeys(sizes, 0)
     while len(seats) < min(wanted, sum(sizes.values())):
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -1,4 +1,4 @@
-"""What a coordinator collected about one order: the evidence and its judges (docs/rollouts.md 5).
+"""The evidence that a coordinator collects about one order, and its evaluation (docs/rollouts.md 5).
 
 `CanaryTrial` belongs to one order and one coordinator; the next coordinator starts a new one, from cumulative reports.
 """
@@ -9,23 +9,24 @@
 from ploverward.control_plane.rollouts import evidence_table
 from ploverward.control_plane.rollouts import judge
 
-MIN_OWED_ANSWERS = 6  # attempts without an answer, below which nothing is concluded from them
-OWED_TIME_FACTOR = 2.5  # of the former version's time
-OWED_TIME_SLACK_S = 0.4
+MIN_UNANSWERED = 6  # attempts without an answer, below which nothing is concluded from them
+LAG_FACTOR = 2.5  # times the former version's response time, beyond which the new version lags
+LAG_SLACK_S = 0.4  # added to that
 
 
 class CanaryTrial:
-    """The evidence of one order and what it shows.
+    """The evidence of one order and its evaluation.
 
     Attributes:
-        number: The order.
-        begun_at: When this coordinator began to gather, on its clock.
+        number: The number of the order.
+        begun_at: When this coordinator began to collect evidence, on its clock.
         evidence: The merged reports.
-        first_answer_s: Seconds from the order to the first answer of the new version; None before it.
-        is_bad: Whether a fault was found. It is never reset: the decision has to be written, which may take several
-            attempts.
-        is_cleared: Whether the answers have proved the version good since it was promoted. It is never reset: what
-            fails for all versions later on is judged, and holds nothing back that is with users already.
+        first_answer_s: Seconds from the order to the first answer of the new version; None before that answer.
+        is_bad: Whether a fault was found. It is never reset, since writing the rollback to the register may take
+            several attempts.
+        is_cleared: Whether the answers have proved the version good since it was promoted. It is never reset: later
+            failures that affect all versions are still judged, but must not hold back a version that users have
+            already.
     """
 
     def __init__(self, *, number: int, now: float) -> None:
@@ -36,29 +37,29 @@
         self.is_bad = False
         self.is_cleared = False
         self._judge = judge.CanaryJudge()
-        # The group under load is judged apart, by one replica and without times.
+        # The group under load is judged separately: it is a single replica, and its times are not judged.
         self._load_judge = judge.CanaryJudge(is_single_replica=True)
         self._loaded_group: int | None = None
         self._first_sent_s: float | None = None
-        self._is_lagging = False  # the new version owes far more answers than the former one, for what it got
+        self._is_lagging = False  # far more attempts are unanswered than at the former version, in proportion
 
     def start_load_test(self, *, group: int) -> None:
-        """One group of replicas has an extraordinary load from now on; later calls change nothing."""
+        """Treats a group of replicas as overloaded on purpose from now on. Only the first call has an effect."""
         if self._loaded_group is None:
             self._loaded_group = group
 
     def evaluate(
         self, *, now: float, age_s: float, replica_count: int, is_canary: bool, totals: evidence_table.Tallies
     ) -> None:
-        """Judges what was counted since the last call.
+        """Judges the answers that were reported since the last call.
 
         Args:
             now: This node's clock, in seconds.
             age_s: Seconds since the order.
             replica_count: Replicas of the new version.
-            is_canary: Whether the stage is the canary's. Afterwards times are not judged: replicas with empty caches
-                are slow while all traffic moves to them, whatever their version.
-            totals: All evidence so far.
+            is_canary: Whether the order is in its canary stage. Times are not judged in later stages: replicas with
+                empty caches are slow while all traffic moves to them, whatever their version.
+            totals: The tallies of all reports so far.
         """
         counted = self.evidence.consume_new()
         if self.first_answer_s is None and any(key.is_new and tally.ended for key, tally in counted.items()):
@@ -68,7 +69,7 @@
             self._first_sent_s = age_s
         if is_canary:
             if self._loaded_group is None and self._first_sent_s is not None:
-                self._is_lagging = self._owes_answers(age_s, self._first_sent_s, totals)
+                self._is_lagging = self._is_response_time_high(age_s, self._first_sent_s, totals)
             counted = self._judge_load_test(now, counted)
         else:
             self._judge.forget_times()
@@ -78,48 +79,48 @@
         self.is_cleared = self.is_cleared or (not is_canary and self.verdict is judge.Verdict.CLEAR)
 
     def _judge_load_test(self, now: float, counted: evidence_table.Tallies) -> evidence_table.Tallies:
-        """Judges the loaded group separately, and returns the counts that are judged of all groups.
+        """Judges the group under load separately, and returns the tallies that the main judge is to record.
 
-        A loaded replica is slow whatever its version, so its times are left out; its failures count in both.
+        A replica under load is slow whatever its version, so its times are left out there; its failures count in both.
         """
         loaded = {key for key in counted if key.is_new and key.group == self._loaded_group}
-        apart = {key: tally for key, tally in counted.items() if not key.is_new or key in loaded}
-        self._load_judge.record(now=now, counted=apart, has_times=False)
+        separate = {key: tally for key, tally in counted.items() if not key.is_new or key in loaded}
+        self._load_judge.record(now=now, counted=separate, has_times=False)
         without_times = {
             key: dataclasses.replace(counted[key], firsts=collections.Counter(), paces=collections.Counter())
             for key in loaded
         }
         return {**counted, **without_times}
 
-    def _owes_answers(self, age_s: float, first_sent_s: float, totals: evidence_table.Tallies) -> bool:
-        """Whether answers are far slower than the former version's, noticed before they arrive.
+    def _is_response_time_high(self, age_s: float, first_sent_s: float, totals: evidence_table.Tallies) -> bool:
+        """Returns whether the new version responds far more slowly than the former one, before its answers arrive.
 
-        By Little's law attempts without an answer, divided by the rate at which they are sent, are the time of one.
+        By Little's law the response time is the number of unanswered attempts divided by the rate of attempts.
         """
         ended: collections.Counter[bool] = collections.Counter()
         for key, tally in totals.items():
             ended[key.is_new] += tally.ended
         sent_new = self.evidence.sent_new
         sent_former = self.evidence.sent - sent_new
-        owed_new = sent_new - ended[True]
-        owed_former = max(0, sent_former - ended[False])
-        if owed_new < MIN_OWED_ANSWERS or not sent_former:
+        unanswered_new = sent_new - ended[True]
+        unanswered_former = max(0, sent_former - ended[False])
+        if unanswered_new < MIN_UNANSWERED or not sent_former:
             return False
-        new_s = owed_new * (age_s - first_sent_s) / sent_new
-        former_s = owed_former * age_s / sent_former
-        return new_s > OWED_TIME_FACTOR * former_s + OWED_TIME_SLACK_S
+        new_s = unanswered_new * (age_s - first_sent_s) / sent_new
+        former_s = unanswered_former * age_s / sent_former
+        return new_s > LAG_FACTOR * former_s + LAG_SLACK_S
 
     def finding(self) -> judge.Finding:
-        """The fault with the highest score."""
+        """Returns the fault with the highest score."""
         return max(self._judge.finding(), self._load_judge.finding(), key=lambda finding: finding.score)
 
     def bad_groups(self) -> frozenset[int]:
-        """Groups of replicas for which the evidence suffices by itself."""
+        """Returns the groups of replicas whose own answers suffice to call them faulty."""
         return self._judge.bad_groups()
 
     @property
     def verdict(self) -> judge.Verdict:
-        """What the canary shows now."""
+        """The current verdict on the new version, over all groups and the group under load."""
         if self.is_bad:
             return judge.Verdict.BAD
         if self._is_lagging or self._load_judge.verdict is judge.Verdict.DOUBTFUL:
--- a/ploverward/control_plane/rollouts/evidence_summary.py
+++ b/ploverward/control_plane/rollouts/evidence_summary.py
@@ -1,4 +1,4 @@
-"""Summaries of all evidence of an order: for the planner, the stored record and the log (docs/rollouts.md 5)."""
+"""Summaries of the evidence about an order, for the planner, the stored record and the log (docs/rollouts.md 5)."""
 
 import collections
 import dataclasses
@@ -13,8 +13,8 @@
     """Answers by route.
 
     Attributes:
-        new: Of the new version.
-        expected: What the new version would have for its share of the requests, by the former version's answers.
+        new: Answers of the new version.
+        expected: Answers that the new version would have if it answered as many of its requests as the former one.
     """
 
     new: dict[str, int]
@@ -22,7 +22,7 @@
 
 
 def answer_counts(totals: evidence_table.Tallies, *, sent: int, sent_new: int) -> AnswerCounts:
-    """The answers of the new version, and those that are due."""
+    """Returns the actual and the expected answers of the new version, by route."""
     new: collections.Counter[str] = collections.Counter()
     former: collections.Counter[str] = collections.Counter()
     for key, tally in totals.items():
@@ -32,7 +32,7 @@
 
 
 def counts_by_route(totals: evidence_table.Tallies) -> dict[str, list[int]]:
-    """The `routes` of `state.Evidence`, for the routes with the most answers."""
+    """Returns the `routes` of `state.Evidence`, limited to the `state.MAX_ROUTES` routes with the most answers."""
     found: dict[str, list[int]] = {}
     for key, tally in totals.items():
         row = found.setdefault(key.route, [0, 0, 0, 0, 0])
@@ -48,7 +48,7 @@
 
 
 def log_fields(totals: evidence_table.Tallies) -> dict[str, list[Any]]:
-    """By route, version and group: ended, failed, broken, and both histograms of times."""
+    """Returns, by route, version and group: ended, failed and broken answers, and the two histograms of times."""
     return {
         f"{key.route} {'new' if key.is_new else 'former'} {key.group}": [
             tally.ended,
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -1,8 +1,8 @@
-"""Evidence of one order, merged over all proxies (docs/rollouts.md 4).
+"""Evidence about one order, merged from the reports of all proxies (docs/rollouts.md 4).
 
 `EvidenceTable` owns the newest report of each origin. Reports are cumulative for one incarnation of a proxy and one
-order, a grow-only counter: the newest one counts, by its requests and its age, so that reports that are lost, repeated
-or reordered change nothing (`test_record_counts_lost_repeated_and_reordered_reports_once`).
+order, like a grow-only counter: only the newest one counts, by its request count and age, so lost, repeated or
+reordered reports change nothing (`test_record_counts_lost_repeated_and_reordered_reports_once`).
 """
 
 import dataclasses
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Origin:
-    """One incarnation of a proxy."""
+    """The sender of a report: one incarnation of a proxy."""
 
     address: str
     incarnation: str
 
 
 class EvidenceTable:
-    """The newest report of each origin, and which counts were consumed already."""
+    """The newest report of each origin, and the tallies that were consumed already."""
 
     def __init__(self) -> None:
         self.reports: dict[Origin, rollout_evidence.Report] = {}
@@ -35,7 +35,7 @@
             self.reports[origin] = report
 
     def consume_new(self) -> Tallies:
-        """What was counted since the last call, over all origins."""
+        """Returns the increase of the tallies since the last call, summed over all origins."""
         found: Tallies = {}
         for origin, report in self.reports.items():
             for key, tally in report.tallies.items():
@@ -50,7 +50,7 @@
         return found
 
     def totals(self) -> Tallies:
-        """The tallies of all origins, summed. That is slow: one call a heartbeat is enough."""
+        """Returns the tallies summed over all origins. This is slow, so call it at most once per heartbeat."""
         found: Tallies = {}
         for report in self.reports.values():
             for key, tally in report.tallies.items():
@@ -64,10 +64,10 @@
 
     @property
     def sent_new(self) -> int:
-        """Of these, those to the new version."""
+        """Requests to the new version since the order; part of `sent`."""
         return sum(report.sent_new for report in self.reports.values())
 
     def is_drained(self, *, origins: Iterable[Origin], step: int) -> bool:
-        """Whether each of these origins has applied this step and runs nothing at former versions."""
+        """Returns whether each of these origins has applied this step and runs no attempts at former versions."""
         reports = [self.reports.get(origin) for origin in origins]
         return all(report is not None and report.step >= step and not report.running_old for report in reports)
--- a/ploverward/control_plane/rollouts/lease_granter.py
+++ b/ploverward/control_plane/rollouts/lease_granter.py
@@ -1,4 +1,4 @@
-"""Which lease of a new version proxies get now (docs/rollouts.md 3, 4)."""
+"""Calculation of the leases that proxies get for a new version (docs/rollouts.md 3, 4)."""
 
 from ploverward.common import rollout_evidence
 from ploverward.control_plane.rollouts import canary_replicas
@@ -12,7 +12,7 @@
 
 
 class LeaseGranter:
-    """Grants leases by the stage, the exposure budget and what the canary shows. It owns no state."""
+    """Grants leases by the stage, the exposure budget and the evidence of the canary. It owns no state."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._ages = ages
 
     def grant(self, *, service: str, rollout: state.Rollout, trial: canary_trial.CanaryTrial) -> leases.CanaryLease:
-        """The lease that every proxy gets of a service; of share 0 once the trial found a fault."""
+        """Returns the lease for a service that every proxy gets. Its share is 0 once the trial has found a fault."""
         age_s = self._ages.age_s(service=service, number=rollout.number)
         traffic = exposure.Traffic(sent=trial.evidence.sent, sent_new=trial.evidence.sent_new, age_s=age_s)
         is_load_test = exposure.is_load_test(rollout=rollout, age_s=age_s)
--- a/ploverward/control_plane/rollouts/leases.py
+++ b/ploverward/control_plane/rollouts/leases.py
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CanaryLease:
-    """How much of a service's requests a proxy may send to the new version.
+    """A permission to send a share of a service's requests to the new version until the lease expires.
 
     Attributes:
         service: The service.
-        number: The order that the lease belongs to.
+        number: The number of the order that the lease belongs to.
         step: The step of the service's row that it was granted on.
-        share: Of the proxy's own requests, 0 to 1.
-        replicas: The replicas that they may go to; empty: all of the new version.
+        share: The permitted share of the proxy's own requests, 0 to 1.
+        replicas: Ids of the replicas that these requests may be sent to. If empty, all replicas of the new version.
     """
 
     service: str
@@ -35,7 +35,7 @@
     """Decodes leases.
 
     Raises:
-        FrameError: The bytes are no leases.
+        FrameError: The bytes are not a list of encoded leases.
     """
     try:
         return [
@@ -43,4 +43,4 @@
             for service, number, step, share, names in json.loads(data)
         ]
     except (ValueError, TypeError) as error:
-        raise errors.FrameError(f"no leases: {error}", step="leases") from None
+        raise errors.FrameError(f"not a JSON list of encoded leases: {error}", step="leases") from None
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -1,10 +1,10 @@
-"""Roll-outs at the coordinator: collects evidence, grants leases, advances the stages (docs/rollouts.md 3).
+"""Roll-outs at the coordinator: collecting evidence, granting leases, advancing the stages (docs/rollouts.md 3).
 
 `RolloutManager` runs on each core node and acts on the one that has the coordinator's role. The role's epoch fences
-it: it acts only in contact with a majority, each step is a change of the register that counts only on the row it was
-decided on, and the leases that it grants expire by themselves. So two coordinators at a time, or a coordinator that is
-partitioned, do no harm (`ploverward.simulation.rollout_simulation`). It owns the trials of the orders in progress; the
-stages are in the register.
+it: it acts only in contact with a majority, each step is a change of the register that takes effect only if the row is
+still the one that the step was decided on, and the leases that it grants expire by themselves. So two coordinators at a
+time, or a coordinator that is partitioned, do no harm (`ploverward.simulation.rollout_simulation`). It owns the trials
+of the orders in progress; the stages are in the register.
 """
 
 import dataclasses
@@ -34,12 +34,12 @@
 
 _log = logging.getLogger(__name__)
 
-LEASE_SHARE = 0.5  # of rollbackMs: how long a lease lets a proxy send to a new version
-AGE_STORE_SHARE = 0.15  # of the term: how much of an order's age may be lost where all machines lose power at once
-SETTLED_RECEIPTS = 4  # an order may be repeated for receiptMs; after so many of them the same one is new
-MAX_REPORTS_PER_S = 150  # evidence that a coordinator accepts: proxies report less often where there are more
+LEASE_SHARE = 0.5  # duration of a lease as a share of rollbackMs
+AGE_STORE_SHARE = 0.15  # of the term; how much of an order's age may be lost if all machines lose power at once
+SETTLE_RECEIPT_PERIODS = 4  # an order may be repeated for receiptMs; after so many periods the same one counts as new
+MAX_REPORTS_PER_S = 150  # that a coordinator accepts; with more proxies, each reports less often
 DEFAULT_ROLLBACK_S = 5.0
-ACTING_DIVISOR = 5  # of contactMs: how long a coordinator acts after a heartbeat; one that stood still does not
+ACTING_DIVISOR = 5  # a coordinator acts for contactMs / this after a heartbeat, so that one that stalled does not act
 
 
 class RolloutManager:
@@ -48,7 +48,7 @@
     Args:
         settings: Reads exposureShare, exposureSlack and rollbackMs.
         now: Clock of this process, in seconds.
-        change: Changes a register: `change(name=, edit=, done=)`; `done(error, version, payload, result)`.
+        change: Changes a register: `change(name=, edit=, done=)`, which calls `done(error, version, payload, result)`.
         listed: Returns the rows of the platform's list.
         zones: Returns the region of each zone.
         evacuated_zones: Returns the zones to which no requests are sent.
@@ -58,7 +58,7 @@
 
     Attributes:
         rollouts: The rows of the register, by service.
-        lease_s: How long a lease lasts, from when its evidence was sent.
+        lease_s: Duration of a lease, from the time at which the proxy sent its evidence.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._proxies = proxies
         self._contact_s = contact_s
         self._acting_s = contact_s / ACTING_DIVISOR
-        self._settled_after_s = receipt_s * SETTLED_RECEIPTS
+        self._settled_after_s = receipt_s * SETTLE_RECEIPT_PERIODS
         self._ages = rollout_ages.RolloutAges(now=now)
         self._inventory = replica_inventory.ReplicaInventory(
             listed=listed, zones=zones, evacuated_zones=evacuated_zones
@@ -113,14 +113,14 @@
 
         Args:
             origin: The proxy.
-            message: Its evidence.
-            proxy_count: How many proxies report to this node.
+            message: The message with its reports.
+            proxy_count: Number of proxies that report to this node.
 
         Returns:
-            The leases that answer it; None where this node may grant none.
+            The message with the leases to answer with; None if this node may not grant leases.
 
         Raises:
-            FrameError: The message contains no reports.
+            FrameError: The reports in the message are malformed.
         """
         for report in rollout_evidence.unpack(message.reports):
             rollout = self.rollouts.get(report.service)
@@ -151,11 +151,11 @@
         return trial
 
     def deactivate(self) -> None:
-        """This node does not have the coordinator's role, or may not act on it."""
+        """Stops acting: this node does not have the coordinator's role, or may not act on it."""
         self._acting_until = 0.0
 
     def reconcile(self) -> None:
-        """Executes the steps that are due. Called at each heartbeat of the coordinator in contact with a majority."""
+        """Executes the steps that are due. Called at each heartbeat of a coordinator in contact with a majority."""
         now = self._now()
         if now >= self._acting_until:
             self._acting_since = now
@@ -165,11 +165,11 @@
                 continue
             if rollout.is_in_progress:
                 self._advance(service, rollout)
-            elif self._is_to_settle(service, rollout):
+            elif self._should_settle(service, rollout):
                 self._change_row(service, orders.edit_to_settle(service=service, seen=rollout))
         self._admit_listed()
 
-    def _is_to_settle(self, service: str, rollout: state.Rollout) -> bool:
+    def _should_settle(self, service: str, rollout: state.Rollout) -> bool:
         if rollout.stage not in state.FINAL_STAGES or rollout.is_settled:
             return False
         return self._ages.stage_age_s(service=service) > self._settled_after_s
@@ -223,10 +223,11 @@
         finding = trial.finding()
         origins = set(self._proxies())
         reporting = origins & evidence.reports.keys()
-        gathered_s = self._now() - max(trial.begun_at, self._acting_since)
+        collecting_s = self._now() - max(trial.begun_at, self._acting_since)
         stage_age_s = self._ages.stage_age_s(service=service)
-        # Proxies find a new coordinator one after the other: those that it has not heard yet may run attempts.
-        is_known_to_all = gathered_s >= min(stage_age_s, self._contact_s)
+        # Proxies find a new coordinator one after the other. Those that have not reported to it yet may still run
+        # attempts at the former version, so it waits until all proxies have had time to find it.
+        is_known_to_all = collecting_s >= min(stage_age_s, self._contact_s)
         answers = evidence_summary.answer_counts(totals, sent=evidence.sent, sent_new=evidence.sent_new)
         return planner.RolloutView(
             rollout=rollout,
@@ -240,7 +241,7 @@
             doubted_answers=answers.new.get(finding.route, 0),
             has_capacity=has_capacity,
             has_reports=(
-                gathered_s >= self._acting_s and len(reporting) >= planner.MIN_REPORTING_SHARE * max(1, len(origins))
+                collecting_s >= self._acting_s and len(reporting) >= planner.MIN_REPORTING_SHARE * max(1, len(origins))
             ),
             is_drained=is_known_to_all and evidence.is_drained(origins=origins, step=rollout.step),
             is_drained_without_silent=evidence.is_drained(origins=reporting, step=rollout.step),
@@ -258,7 +259,7 @@
             self._change_rows(versions.keys(), edit)
 
     def _change_rows(self, services: Collection[str], edit: orders.Edit) -> None:
-        """Changes rows; until the change ended, also if it failed, no other step of these services starts."""
+        """Changes rows. No other step of these services starts until the change has ended, even if it fails."""
         self._changing.update(services)
 
         def done(_error: Exception | None, _version: int, _payload: state.Payload, _result: object) -> None:
--- a/ploverward/control_plane/rollouts/order_body.py
+++ b/ploverward/control_plane/rollouts/order_body.py
@@ -1,4 +1,4 @@
-"""The body of a roll-out's order, as operators send it. Loaded with the first order: pydantic is slow to load."""
+"""Schema of a roll-out order that an operator sends. Imported with the first order, since pydantic loads slowly."""
 
 import pydantic
 
@@ -7,7 +7,7 @@
 
 
 class OrderBody(pydantic.BaseModel):
-    """The body of an order, with the protocol's names."""
+    """The body of an order. The aliases are the field names of the operator API."""
 
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -1,7 +1,7 @@
-"""Orders of roll-outs, and the edits of the register that orders and steps make (docs/rollouts.md 2).
+"""Roll-out orders, and the edits that orders and steps apply to the register (docs/rollouts.md 2).
 
 An edit maps the register's value to a new one and a result. Consensus may apply it several times, to different values,
-before one is chosen; so edits are pure, and each changes nothing where the row is not the one that it was decided on.
+before one is chosen. So edits are pure, and each changes nothing if the row has changed since the edit was decided.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
     """The result of an order."""
 
     ACCEPTED = "taken"
-    KNOWN = "known"  # the same order is in the register already
+    KNOWN = "known"  # the register has the same order already
 
 
 Edit = Callable[[state.Payload], tuple[state.Payload, OrderOutcome | None]]
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """Move the traffic of `service` to replicas of version `target` within `over_s` seconds."""
+    """An order to move the traffic of `service` to replicas of version `target` within `over_s` seconds."""
 
     service: str
     target: str
@@ -35,12 +35,12 @@
 
 
 def read(*, data: bytes) -> Order:
-    """Reads the order in a call's body.
+    """Parses the order in the body of an operator's call.
 
     Raises:
-        InvalidConfigurationError: The body is no order; the error names the field.
+        InvalidConfigurationError: The body is not a valid order; the error names the field.
     """
-    from ploverward.control_plane.configuration import schema  # a start does not wait for pydantic
+    from ploverward.control_plane.configuration import schema  # deferred: loading pydantic would delay a node's start
     from ploverward.control_plane.rollouts import order_body
 
     checked = schema.validated(order_body.OrderBody, parser.read_json(data=data))
@@ -48,20 +48,20 @@
 
 
 def edit_for(*, order: Order, is_late: Callable[[], bool]) -> Edit:
-    """The edit for an order. The same order again changes nothing, so the caller may send it twice.
+    """Returns the edit that starts an order. A repeated order changes nothing, so the caller may send it twice.
 
     Args:
         order: The order.
-        is_late: Whether the caller has been answered already: then the order must not begin any more.
+        is_late: Returns whether the caller has been answered already; then the order must not start any more.
 
     Raises:
-        RolloutInProgressError: By the edit: another order for the service is in progress.
-        QuorumUnavailableError: By the edit: it is late.
+        RolloutInProgressError: Raised by the edit if another order for the service is in progress.
+        QuorumUnavailableError: Raised by the edit if `is_late()`.
     """
 
     def edit(payload: state.Payload) -> tuple[state.Payload, OrderOutcome]:
         current = state.rollouts_of(payload).get(order.service, state.Rollout())
-        if _is_same(current, order):
+        if _is_repeated(current, order):
             return payload, OrderOutcome.KNOWN
         if current.is_in_progress:
             raise errors.RolloutInProgressError(target=current.target, peer=order.service)
@@ -73,7 +73,7 @@
     return edit
 
 
-def _is_same(current: state.Rollout, order: Order) -> bool:
+def _is_repeated(current: state.Rollout, order: Order) -> bool:
     if current.stage == state.Stage.IDLE or current.is_settled:
         return False
     return (current.target, current.over_s) == (order.target, order.over_s)
@@ -98,10 +98,10 @@
 
 
 def edit_to_stage(*, service: str, seen: state.Rollout, evidence: state.Evidence) -> Edit:
-    """The edit for a step to the stage that `evidence` names.
+    """Returns the edit for a step to the stage that `evidence` names.
 
-    It changes nothing where the row is not the `seen` one any more: a second coordinator, or a late attempt of an
-    earlier round, has no effect (`test_edit_to_stage_has_no_effect_on_a_changed_row`).
+    It changes nothing if the row is no longer the `seen` one, so that a second coordinator, or a late attempt of an
+    earlier consensus round, has no effect (`test_edit_to_stage_has_no_effect_on_a_changed_row`).
     """
     stage = state.Stage(evidence.stage)
 
@@ -123,10 +123,10 @@
 
 
 def edit_to_store_age(*, service: str, seen: state.Rollout, age_s: float) -> Edit:
-    """The edit that stores how old an order is by now; it is no step, and changes nothing else.
+    """Returns the edit that stores the current age of an order. It is not a step and changes nothing else.
 
-    Where all machines lose power at once nobody is left who knows the age, and the term would end later by all that
-    passed since the last step.
+    If all machines lose power at once, no node remembers the age. Without the stored one, the term would end later by
+    the time that had passed since the last step.
     """
 
     def edit(payload: state.Payload) -> tuple[state.Payload, None]:
@@ -140,7 +140,7 @@
 
 
 def edit_to_settle(*, service: str, seen: state.Rollout) -> Edit:
-    """The edit after which the same order again is a new one."""
+    """Returns the edit that marks an ended order as settled; after it the same order again counts as a new one."""
 
     def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         current = state.rollouts_of(payload).get(service, state.Rollout())
@@ -153,7 +153,12 @@
 
 
 def edit_to_admit(*, seen: Mapping[str, state.Rollout], versions: Mapping[str, Iterable[str]]) -> Edit:
-    """The edit that admits versions, by service, replacing those that the `seen` rows admit."""
+    """Returns the edit that admits versions, replacing those that the `seen` rows admit.
+
+    Args:
+        seen: The rows that the decision was based on, by service; a row that has changed since is left as it is.
+        versions: The versions to admit, by service.
+    """
 
     def edit(payload: state.Payload) -> tuple[state.Payload, None]:
         rollouts = state.rollouts_of(payload)
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -13,39 +13,39 @@
 from ploverward.control_plane.rollouts import judge
 from ploverward.control_plane.rollouts import state
 
-EARLIEST_PROMOTION = 0.55  # of the term: a version may become bad late
-LATEST_PROMOTION = 0.65  # of the term: a version for which too few answers speak then is let in or rolled back
-LATEST_DECISION = 0.72  # of the term: a version that the answers neither cleared nor condemned is rolled back
+EARLIEST_PROMOTION = 0.55  # of the term; not earlier, since a version may become bad late
+LATEST_PROMOTION = 0.65  # of the term; then a version is promoted on few answers, or rolled back on doubt
+LATEST_DECISION = 0.72  # of the term; then a version that is still undecided is rolled back
 MIN_JUDGED_S = 4.5  # from the first answer of the new version to its promotion
-RAMP = 0.08  # of the term: how long the share takes to rise from the canary's to all
-IGNORE_SILENT_PROXIES_FROM = 0.85  # of the term: from then on proxies that do not report are not waited for
-DOUBT_DEADLINE = 0.85  # of the term: from then on doubt about a promoted version is settled by how much it has answered
-CONCLUSIVE_ANSWERS = 100  # on the doubted route; a bad version would have shown itself by so many
-LATEST_STEP = 0.94  # of the term: the last moment for a step
+RAMP = 0.08  # of the term; time in which the share rises from the canary's to all requests
+IGNORE_SILENT_PROXIES_FROM = 0.85  # of the term; from then on, delivery does not wait for proxies that do not report
+DOUBT_DEADLINE = 0.85  # of the term; from then on, the number of answers settles a doubt about a promoted version
+CONCLUSIVE_ANSWERS = 100  # on the doubtful route; a bad version would have been detected by so many
+LATEST_STEP = 0.94  # of the term; then each stage ends, by delivery or rollback
 MIN_ROUTE_ANSWERS = 8  # of the new version, on each route that the former one serves
-MIN_ANSWERED_SHARE = 0.5  # of the answers that are due, below which they are missing
-MIN_REPORTING_SHARE = 0.8  # of the proxies in contact, whose counts a coordinator has before it promotes
+MIN_ANSWERED_SHARE = 0.5  # of the expected answers; below it, answers count as missing
+MIN_REPORTING_SHARE = 0.8  # of the proxies in contact; a coordinator needs their reports before it promotes
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RolloutView:
-    """What the coordinator sees of one roll-out.
+    """The coordinator's view of one roll-out.
 
     Attributes:
         rollout: The service's row.
         age_s: Seconds since the order.
-        stage_age_s: Seconds in this stage.
-        first_answer_s: Seconds from the order to the first answer of the new version; None before it.
-        answers: Answers of the new version, and those that are due, by route.
-        verdict: What the canary shows.
+        stage_age_s: Seconds in the current stage.
+        first_answer_s: Seconds from the order to the first answer of the new version; None before that answer.
+        answers: Actual and expected answers of the new version, by route.
+        verdict: The current verdict of the judges.
         is_cleared: Whether the answers have proved the version good since it was promoted.
         finding: The fault with the highest score, as text; may be empty.
-        doubted_answers: Answers of the new version on the route of that fault.
+        doubted_answers: Number of answers of the new version on the route of that fault.
         has_capacity: Whether warm replicas of the new version can carry the traffic of each region.
-        has_reports: Whether this coordinator has the counts of most proxies; one that has just acquired the role has
-            not.
-        is_drained: Whether no proxy in contact runs anything at the former version.
-        is_drained_without_silent: The same, of the proxies that report.
+        has_reports: Whether this coordinator has the reports of most proxies, which it has not just after it acquired
+            the role.
+        is_drained: Whether no proxy in contact runs attempts at the former version.
+        is_drained_without_silent: Whether no proxy that reports runs attempts at the former version.
     """
 
     rollout: state.Rollout
@@ -65,27 +65,27 @@
 
 @dataclasses.dataclass(frozen=True)
 class Transition:
-    """The next stage and why."""
+    """A transition to the next stage, with its reason for operators."""
 
     stage: state.Stage
     reason: str
 
 
 def next_transition(view: RolloutView) -> Transition | None:
-    """The step that is due now, or None."""
+    """Returns the transition that is due now, or None."""
     rollout = view.rollout
     if not rollout.is_in_progress:
         return None
     if view.verdict is judge.Verdict.BAD:
         return Transition(stage=state.Stage.RETURNED, reason=view.finding)
     if rollout.stage == state.Stage.CANARY:
-        return _after_canary(view)
+        return _from_canary(view)
     if rollout.stage == state.Stage.PROMOTING:
-        return _after_promoting(view)
-    return _after_draining(view)
+        return _from_promoting(view)
+    return _from_draining(view)
 
 
-def _after_canary(view: RolloutView) -> Transition | None:
+def _from_canary(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
     if view.age_s >= LATEST_STEP * term_s:
         return Transition(stage=state.Stage.RETURNED, reason="the term is over before the new version could be let in")
@@ -117,7 +117,7 @@
 
 
 def _route_with_missing_answers(view: RolloutView) -> str:
-    """A route on which the new version owes most of its answers, or ""."""
+    """Returns the first route on which most of the expected answers are missing, or "" if there is none."""
     for route, expected in sorted(view.answers.expected.items()):
         if expected >= MIN_ROUTE_ANSWERS and view.answers.new.get(route, 0) < MIN_ANSWERED_SHARE * expected:
             return route
@@ -125,7 +125,7 @@
 
 
 def _has_enough_answers(view: RolloutView) -> bool:
-    """Whether each route that is requested often enough was answered often enough."""
+    """Returns whether the new version has enough answers on each route with enough expected ones."""
     return all(
         view.answers.new.get(route, 0) >= MIN_ROUTE_ANSWERS
         for route, expected in view.answers.expected.items()
@@ -133,7 +133,7 @@
     )
 
 
-def _after_promoting(view: RolloutView) -> Transition | None:
+def _from_promoting(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
     is_last = view.age_s >= LATEST_STEP * term_s
     if is_last and not view.has_capacity:
@@ -144,10 +144,10 @@
         return None
     if view.is_cleared and view.verdict is not judge.Verdict.DOUBTFUL:
         return Transition(stage=state.Stage.DRAINING, reason="all traffic is at the new version")
-    is_settled = view.age_s >= DOUBT_DEADLINE * term_s
-    if is_settled and view.verdict in (judge.Verdict.CLEAR, judge.Verdict.FAVOURABLE):
+    is_past_deadline = view.age_s >= DOUBT_DEADLINE * term_s
+    if is_past_deadline and view.verdict in (judge.Verdict.CLEAR, judge.Verdict.FAVOURABLE):
         return Transition(stage=state.Stage.DRAINING, reason="the answers speak for the new version")
-    if is_settled and view.doubted_answers >= CONCLUSIVE_ANSWERS:
+    if is_past_deadline and view.doubted_answers >= CONCLUSIVE_ANSWERS:
         return Transition(
             stage=state.Stage.DRAINING, reason=f"{view.doubted_answers} answers did not confirm {view.finding}"
         )
@@ -156,10 +156,10 @@
     return None
 
 
-def _after_draining(view: RolloutView) -> Transition | None:
+def _from_draining(view: RolloutView) -> Transition | None:
     term_s = view.rollout.over_s
-    is_silence_over = view.age_s >= IGNORE_SILENT_PROXIES_FROM * term_s
-    if view.is_drained or (is_silence_over and view.is_drained_without_silent):
+    is_past_waiting = view.age_s >= IGNORE_SILENT_PROXIES_FROM * term_s
+    if view.is_drained or (is_past_waiting and view.is_drained_without_silent):
         return Transition(stage=state.Stage.DELIVERED, reason="nothing runs at the former version")
     if view.age_s >= LATEST_STEP * term_s:
         return Transition(stage=state.Stage.DELIVERED, reason="the term is over")
--- a/ploverward/control_plane/rollouts/replica_inventory.py
+++ b/ploverward/control_plane/rollouts/replica_inventory.py
@@ -1,6 +1,6 @@
-"""The replicas of a service as roll-outs see them: parsed rows of the platform's list, zones and regions.
+"""The replicas of a service as roll-outs see them: parsed rows of the platform's list, with their regions.
 
-`ReplicaInventory` owns nothing: it reads the coordinator's current list and configuration at each call.
+`ReplicaInventory` has no state of its own: it reads the coordinator's current list and configuration at each call.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 from ploverward.control_plane.rollouts import state
 from ploverward.transport import row_codec
 
-MIN_CAPACITY = 0.8  # of the former version's batch slots in a region, that warm replicas of the new one must have
+MIN_CAPACITY = 0.8  # batch slots of warm new replicas, as a share of the former version's in the same region
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,10 +34,10 @@
 
 
 class ReplicaInventory:
-    """Views of the list.
+    """Parses the platform's list for roll-outs.
 
     Args:
-        listed: Returns the rows of the list.
+        listed: Returns the rows of the platform's list.
         zones: Returns the region of each zone.
         evacuated_zones: Returns the zones to which no requests are sent.
     """
@@ -54,7 +54,7 @@
         self._evacuated_zones = evacuated_zones
 
     def replicas(self, service: str) -> list[ListedReplica]:
-        """The usable replicas of a service, in the order of the list."""
+        """Returns the usable replicas of a service, in the order of the list."""
         zones, evacuated_zones = self._zones(), self._evacuated_zones()
         return [
             ListedReplica(
@@ -69,7 +69,7 @@
         ]
 
     def versions(self) -> dict[str, set[str]]:
-        """The listed versions by service, of replicas that are not draining, in any zone."""
+        """Returns the versions of the listed replicas that are not draining, by service, in all zones."""
         found: dict[str, set[str]] = {}
         for row in self._listed():
             if not row["is_clearing"] and row.get("edition"):
@@ -78,7 +78,7 @@
 
 
 def has_capacity(*, replicas: Iterable[ListedReplica], rollout: state.Rollout) -> bool:
-    """Whether warm replicas of the new version can carry the traffic of each region."""
+    """Returns whether warm replicas of the new version can carry the traffic of each region."""
     former: dict[str, int] = {}
     new: dict[str, int] = {}
     for replica in replicas:
--- a/ploverward/control_plane/rollouts/rollout_samples.py
+++ b/ploverward/control_plane/rollouts/rollout_samples.py
@@ -1,4 +1,4 @@
-"""Rows, reports and lists that the tests of roll-outs share."""
+"""Sample rows, reports and lists that the tests of roll-outs share."""
 
 from typing import Any
 
@@ -9,43 +9,45 @@
 ORDER = orders.Order(service="pool", target="v2", over_s=16.0)
 
 
-def given(
+def apply_order(
     payload: state.Payload, order: orders.Order, *, is_late: bool = False
 ) -> tuple[state.Payload, orders.OrderOutcome | None]:
-    """The register after an order, and what the order did."""
+    """Applies an order, and returns the register's new value and the outcome."""
     return orders.edit_for(order=order, is_late=lambda: is_late)(payload)
 
 
-def admitted(*names: str, service: str = "pool") -> state.Payload:
-    """A register in which these versions are admitted."""
+def register_admitting(*names: str, service: str = "pool") -> state.Payload:
+    """Returns a register's value in which these versions are admitted."""
     rollout = state.Rollout(admitted=names, step=1)
     return state.with_rollout(None, service=service, rollout=rollout)
 
 
-def moved(payload: state.Payload, stage: state.Stage, *, age_s: float = 1.0, service: str = "pool") -> state.Payload:
-    """The register after a step to this stage."""
+def apply_step(
+    payload: state.Payload, stage: state.Stage, *, age_s: float = 1.0, service: str = "pool"
+) -> state.Payload:
+    """Applies a step to this stage, and returns the register's new value."""
     seen = state.rollouts_of(payload)[service]
     evidence = state.Evidence(stage=str(stage), age_s=age_s, reason="")
     return orders.edit_to_stage(service=service, seen=seen, evidence=evidence)(payload)[0]
 
 
 def row_of(payload: state.Payload, service: str = "pool") -> state.Rollout:
-    """The service's row."""
+    """Returns the row of a service."""
     return state.rollouts_of(payload)[service]
 
 
 def tally(
     *, ended: int, failed: int = 0, first: int = 8, slow: int = 0, slow_first: int = 17
 ) -> rollout_evidence.Tally:
-    """Answers, with the bucket of their first pieces and that of the slow ones."""
-    made = rollout_evidence.Tally(ended=ended, failed=failed)
-    made.firsts[first] += ended - failed - slow
-    made.firsts[slow_first] += slow
-    return made
+    """Returns a tally of answers whose first chunks are in the bucket `first`, or `slow_first` if they are slow."""
+    sample = rollout_evidence.Tally(ended=ended, failed=failed)
+    sample.firsts[first] += ended - failed - slow
+    sample.firsts[slow_first] += slow
+    return sample
 
 
 def key(*, route: str = "r", is_new: bool = True, group: int = 0) -> rollout_evidence.Key:
-    """Whose answers."""
+    """Returns the key of a tally."""
     return rollout_evidence.Key(route=route, is_new=is_new, group=group)
 
 
@@ -58,7 +60,7 @@
     sent_new: int = 1,
     number: int = 1,
 ) -> rollout_evidence.Report:
-    """One proxy's report."""
+    """Returns the report of a proxy."""
     return rollout_evidence.Report(
         service="pool",
         number=number,
@@ -71,7 +73,7 @@
     )
 
 
-def listed(
+def listed_rows(
     *,
     count: int = 30,
     edition: str = "v2",
@@ -79,7 +81,7 @@
     cold: int = 0,
     first: int = 0,
 ) -> list[dict[str, Any]]:
-    """Rows of the platform's list; those with numbers below `cold` are warming up."""
+    """Returns rows of the platform's list; those with numbers below `cold` are warming up."""
     return [
         {
             "id": f"{edition}-{number}",
--- a/ploverward/control_plane/rollouts/state.py
+++ b/ploverward/control_plane/rollouts/state.py
@@ -1,8 +1,8 @@
-"""The replicated state of roll-outs: for each service the admitted versions and the newest order (docs/rollouts.md 2).
+"""Replicated state of roll-outs: the admitted versions and the newest order of each service (docs/rollouts.md 2).
 
 The register's value is {"services": {name: row}}; a row is a `Rollout` as a dictionary, with the names of its fields as
-keys: stored data of earlier versions has them. Nodes of all roles read it. Its invariant: `step` only rises, and a
-stage is followed by one of `NEXT_STAGES` alone.
+keys, which data stored by earlier versions of this software has as well. Nodes of all roles read it. Invariant: `step`
+only increases, and a stage is followed only by one of its `NEXT_STAGES`.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 
 Payload = Mapping[str, Any] | None  # the register's value; None before the first change
 
-MAX_ROUTES = 24  # in the evidence of a step: those with the most answers
+MAX_ROUTES = 24  # routes in the evidence of a step; those with the most answers are kept
 
 
 class Stage(enum.StrEnum):
     """The stages of a roll-out. The values are those of the protocol and of stored data."""
 
-    IDLE = "idle"  # no order yet: the row only names the admitted versions
+    IDLE = "idle"  # no order yet; the row only lists the admitted versions
     CANARY = "canary"
     PROMOTING = "promoting"
     DRAINING = "draining"
@@ -33,20 +33,21 @@
     Stage.PROMOTING: (Stage.DRAINING, Stage.RETURNED),
     Stage.DRAINING: (Stage.DELIVERED, Stage.RETURNED),
 }
-IN_SERVICE = "in_service"  # the protocol's word for a roll-out in progress
+IN_SERVICE = "in_service"  # the `condition` of a roll-out in progress, in the operator API
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Evidence:
-    """What was known when a step was taken; it is stored with the row.
+    """The evidence for a step at the time it was taken; stored with the row.
 
     Attributes:
         stage: The stage that the step leads to.
         age_s: Seconds since the order.
-        reason: Why, for operators.
-        sent: Requests to the service since the order.
-        sent_new: Of these, those to the new version.
-        routes: By route: answers of the former version, failed ones, answers of the new one, failed ones, broken ones.
+        reason: The reason for the step, for operators.
+        sent: Requests sent to the service since the order.
+        sent_new: Those of `sent` that went to the new version.
+        routes: By route, five counts: answers and failed answers of the former version; answers, failed answers and
+            broken answers of the new version.
     """
 
     stage: str
@@ -59,20 +60,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rollout:
-    """One service's row.
+    """The row of one service.
 
     Attributes:
-        admitted: Versions that get requests without a lease. Empty: all but the target and those in `refused`.
-        refused: Versions that were returned.
+        admitted: Versions that get requests without a lease. If empty, all versions except `refused` ones and, until
+            it is delivered, `target`.
+        refused: Versions that were rolled back.
         target: The new version of the newest order.
-        over_s: The term of that order, in seconds.
-        stage: The order's present stage.
-        number: Counts the service's orders.
-        step: Counts the changes of the row of any kind.
-        age_s: Seconds from the order to this step, or to a later moment without one.
-        reason: Why the last step was taken.
-        record: Of this order: the `Evidence` of each step, as dictionaries.
-        is_settled: Whether it ended so long ago that the same order again is a new one.
+        over_s: The term of that order, in seconds: the time within which the traffic is to be moved.
+        stage: The current stage of that order.
+        number: Number of the order; each order of the service increases it by one.
+        step: Version of the row; each change increases it by one, except for storing a newer `age_s`.
+        age_s: Age of the order in seconds, at its last step or when it was stored later.
+        reason: The reason for the last step.
+        record: The `Evidence` of each step of this order, as dictionaries.
+        is_settled: Whether the order ended so long ago that the same order again counts as a new one.
     """
 
     admitted: tuple[str, ...] = ()
@@ -89,29 +91,29 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether an order is neither delivered nor returned yet."""
+        """Whether there is an order that is neither delivered nor rolled back yet."""
         return self.stage in IN_PROGRESS_STAGES
 
     @property
     def condition(self) -> str:
-        """The protocol's word for the stage."""
+        """The stage as the operator API names it: all stages in progress are `in_service`."""
         return str(self.stage) if self.stage in FINAL_STAGES else IN_SERVICE
 
     def is_admitted(self, version: str) -> bool:
-        """Whether this version gets requests from every proxy, without a lease."""
+        """Returns whether every proxy may send requests to this version without a lease."""
         if self.admitted:
             return version in self.admitted
         return version not in self.refused and not (version == self.target and self.stage != Stage.DELIVERED)
 
 
 def rollouts_of(payload: Payload) -> dict[str, Rollout]:
-    """The rows of the register's value, by service."""
+    """Returns the rows of the register's value, by service."""
     rows = (payload or {}).get("services", {})
     return {name: _rollout(row) for name, row in rows.items()}
 
 
 def _rollout(row: Mapping[str, Any]) -> Rollout:
-    known = {field.name for field in dataclasses.fields(Rollout)}  # a newer version may have stored more
+    known = {field.name for field in dataclasses.fields(Rollout)}  # a newer version may have stored more fields
     fields: dict[str, Any] = {
         name: tuple(value) if isinstance(value, list) else value for name, value in row.items() if name in known
     }
@@ -119,7 +121,7 @@
 
 
 def with_rollout(payload: Payload, *, service: str, rollout: Rollout) -> dict[str, Any]:
-    """The register's value with this row replacing the service's former one."""
+    """Returns the register's value with the row of a service replaced by `rollout`."""
     row = dataclasses.asdict(rollout)
     row["stage"] = str(rollout.stage)
     return {"services": {**(payload or {}).get("services", {}), service: row}}
--- a/ploverward/control_plane/rollouts/test_manager.py
+++ b/ploverward/control_plane/rollouts/test_manager.py
@@ -43,7 +43,7 @@
     def __init__(self):
         self.now = 100.0
         self.payload = None
-        self.rows = rollout_samples.listed(edition="v1")
+        self.rows = rollout_samples.listed_rows(edition="v1")
         self.origins = [evidence_table.Origin(address=name, incarnation="1") for name in "ab"]
         self.coordinators = []
         self.is_partitioned = False
@@ -123,7 +123,7 @@
     coordinator = world.coordinator()
     coordinator.reconcile()
     assert world.row().admitted == ("v1",)
-    world.rows = world.rows + rollout_samples.listed()
+    world.rows = world.rows + rollout_samples.listed_rows()
     for _index in range(50):
         world.now += 1.0
         coordinator.reconcile()
@@ -134,7 +134,7 @@
     world = World()
     coordinator = world.coordinator()
     coordinator.reconcile()
-    world.rows = rollout_samples.listed()
+    world.rows = rollout_samples.listed_rows()
     coordinator.reconcile()
     assert world.row().admitted == ("v1",)
     world.now += 6.0
@@ -150,7 +150,7 @@
         edit=orders.edit_for(order=rollout_samples.ORDER, is_late=lambda: False),
         done=lambda *_about: None,
     )
-    world.rows = world.rows + rollout_samples.listed()
+    world.rows = world.rows + rollout_samples.listed_rows()
     return coordinator
 
 
--- a/ploverward/control_plane/rollouts/test_orders.py
+++ b/ploverward/control_plane/rollouts/test_orders.py
@@ -40,41 +40,44 @@
 
 
 def test_repeated_order_changes_nothing_at_any_stage():
-    payload, said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
+    payload, said = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
     assert said == orders.OrderOutcome.ACCEPTED
     for stage in (None, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
-        payload = rollout_samples.moved(payload, stage) if stage else payload
-        assert rollout_samples.given(payload, rollout_samples.ORDER, is_late=True) == (
+        payload = rollout_samples.apply_step(payload, stage) if stage else payload
+        assert rollout_samples.apply_order(payload, rollout_samples.ORDER, is_late=True) == (
             payload,
             orders.OrderOutcome.KNOWN,
         )
 
 
 def test_second_order_is_rejected_while_the_first_is_in_progress():
-    payload, _said = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)
+    payload, _said = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
     with pytest.raises(errors.RolloutInProgressError) as caught:
-        rollout_samples.given(payload, OTHER)
+        rollout_samples.apply_order(payload, OTHER)
     assert caught.value.target == "v2"
-    done = rollout_samples.moved(payload, state.Stage.RETURNED)
-    assert rollout_samples.row_of(rollout_samples.given(done, OTHER)[0]).target == "v3"
+    done = rollout_samples.apply_step(payload, state.Stage.RETURNED)
+    assert rollout_samples.row_of(rollout_samples.apply_order(done, OTHER)[0]).target == "v3"
 
 
 def test_order_does_not_start_after_its_caller_was_answered():
     with pytest.raises(errors.QuorumUnavailableError):
-        rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER, is_late=True)
+        rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER, is_late=True)
 
 
 def test_order_for_the_admitted_version_is_delivered_at_once():
-    row = rollout_samples.row_of(rollout_samples.given(rollout_samples.admitted("v2"), rollout_samples.ORDER)[0])
+    row = rollout_samples.row_of(
+        rollout_samples.apply_order(rollout_samples.register_admitting("v2"), rollout_samples.ORDER)[0]
+    )
     assert row.stage == state.Stage.DELIVERED and row.admitted == ("v2",)
 
 
 def test_settled_order_repeated_is_a_new_order():
-    payload = rollout_samples.moved(
-        rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.RETURNED
+    payload = rollout_samples.apply_step(
+        rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0],
+        state.Stage.RETURNED,
     )
     settled, _said = orders.edit_to_settle(service="pool", seen=rollout_samples.row_of(payload))(payload)
-    again, said = rollout_samples.given(settled, rollout_samples.ORDER)
+    again, said = rollout_samples.apply_order(settled, rollout_samples.ORDER)
     assert (
         said == orders.OrderOutcome.ACCEPTED
         and rollout_samples.row_of(again).number == 2
@@ -83,46 +86,47 @@
 
 
 def test_edit_to_stage_never_leaves_a_final_stage():
-    payload = rollout_samples.moved(
-        rollout_samples.moved(
-            rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0], state.Stage.PROMOTING
+    payload = rollout_samples.apply_step(
+        rollout_samples.apply_step(
+            rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0],
+            state.Stage.PROMOTING,
         ),
         state.Stage.RETURNED,
     )
     for stage in (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
-        assert rollout_samples.moved(payload, stage) is payload
+        assert rollout_samples.apply_step(payload, stage) is payload
 
 
 def test_edit_to_stage_has_no_effect_on_a_changed_row():
-    payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
+    payload = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0]
     evidence = state.Evidence(stage=state.Stage.PROMOTING, age_s=2.0, reason="late")
     late = orders.edit_to_stage(service="pool", seen=rollout_samples.row_of(payload), evidence=evidence)
-    returned = rollout_samples.moved(payload, state.Stage.RETURNED)
+    returned = rollout_samples.apply_step(payload, state.Stage.RETURNED)
     assert late(returned) == (returned, None)
 
 
 def test_edit_to_store_age_keeps_the_step_and_has_no_effect_on_a_changed_row():
-    payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
+    payload = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0]
     seen = rollout_samples.row_of(payload)
     aged, _result = orders.edit_to_store_age(service="pool", seen=seen, age_s=2.5)(payload)
     assert rollout_samples.row_of(aged) == dataclasses.replace(seen, age_s=2.5)
     assert orders.edit_to_store_age(service="pool", seen=seen, age_s=2.0)(aged) == (aged, None)
     for stage in (state.Stage.PROMOTING, state.Stage.RETURNED):
-        moved = rollout_samples.moved(payload, stage)
+        moved = rollout_samples.apply_step(payload, stage)
         assert orders.edit_to_store_age(service="pool", seen=seen, age_s=9.0)(moved) == (moved, None)
 
 
 def test_is_admitted_at_each_stage_of_a_roll_out():
-    payload = rollout_samples.given(rollout_samples.admitted("v1"), rollout_samples.ORDER)[0]
+    payload = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0]
     assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
-    returned = rollout_samples.moved(payload, state.Stage.RETURNED)
+    returned = rollout_samples.apply_step(payload, state.Stage.RETURNED)
     assert rollout_samples.row_of(returned).is_admitted("v1") and not rollout_samples.row_of(returned).is_admitted("v2")
     for stage in (state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
-        payload = rollout_samples.moved(payload, stage)
+        payload = rollout_samples.apply_step(payload, stage)
     assert rollout_samples.row_of(payload).is_admitted("v2") and not rollout_samples.row_of(payload).is_admitted("v1")
 
 
 def test_is_admitted_excludes_target_and_refused_versions_if_none_are_admitted():
-    payload = rollout_samples.given(None, rollout_samples.ORDER)[0]
+    payload = rollout_samples.apply_order(None, rollout_samples.ORDER)[0]
     assert rollout_samples.row_of(payload).is_admitted("v1") and not rollout_samples.row_of(payload).is_admitted("v2")
-    assert not rollout_samples.row_of(rollout_samples.moved(payload, state.Stage.RETURNED)).is_admitted("v2")
+    assert not rollout_samples.row_of(rollout_samples.apply_step(payload, state.Stage.RETURNED)).is_admitted("v2")
--- a/ploverward/control_plane/rollouts/test_planner.py
+++ b/ploverward/control_plane/rollouts/test_planner.py
@@ -183,7 +183,7 @@
 
 
 def test_choose_returns_few_replicas_of_all_regions_whatever_the_list_order():
-    rows = rollout_samples.listed()
+    rows = rollout_samples.listed_rows()
     chosen = canary_replicas.choose(replicas=inventory(rows), share=0.1, bad_groups=())
     assert len(chosen) == 3.0 / canary_replicas.CANARY_LOAD
     assert chosen == canary_replicas.choose(replicas=inventory(rows[::-1]), share=0.1, bad_groups=())
@@ -192,7 +192,7 @@
 
 
 def test_choose_avoids_a_group_that_has_shown_faults():
-    rows = rollout_samples.listed()
+    rows = rollout_samples.listed_rows()
     first = canary_replicas.choose(replicas=inventory(rows), share=0.02, bad_groups=())
     group = rollout_evidence.group_of(row_codec.key_of(first[0]))
     second = canary_replicas.choose(replicas=inventory(rows), share=0.02, bad_groups={group})
@@ -200,13 +200,13 @@
 
 
 def test_has_capacity_requires_warm_replicas_in_each_region():
-    former = rollout_samples.listed(edition="v1")
+    former = rollout_samples.listed_rows(edition="v1")
     for new, out, wanted in (
-        (rollout_samples.listed(), (), True),
+        (rollout_samples.listed_rows(), (), True),
         ([], (), False),
-        (rollout_samples.listed(cold=15), (), False),
-        (rollout_samples.listed(zones=("a1", "a2")), (), False),
-        (rollout_samples.listed(zones=("a1", "a2")), ("b1",), True),
+        (rollout_samples.listed_rows(cold=15), (), False),
+        (rollout_samples.listed_rows(zones=("a1", "a2")), (), False),
+        (rollout_samples.listed_rows(zones=("a1", "a2")), ("b1",), True),
     ):
         found = replica_inventory.has_capacity(
             replicas=inventory(former + new, evacuated_zones=out), rollout=VIEW.rollout
--- a/ploverward/control_plane/rollouts/version_admitter.py
+++ b/ploverward/control_plane/rollouts/version_admitter.py
@@ -1,8 +1,9 @@
-"""Admits the listed versions of services without a roll-out (docs/rollouts.md 2).
+"""Admission of the listed versions of services that have no roll-out in progress (docs/rollouts.md 2).
 
-A service that has no row yet gets the versions that the first list shows. A service none of whose admitted versions has
-been listed for a while gets what is listed, but never a version that was rolled back. This covers operators who change
-the platform by hand. `VersionAdmitter` owns since when such services are without an admitted version.
+For a service that has no row yet, the versions of the first list are admitted. If none of a service's admitted versions
+has been listed for a grace period, the listed versions are admitted instead, except those that were rolled back. This
+covers operators who change the platform by hand. `VersionAdmitter` owns the times since which services have had no
+admitted version on the list.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
     Args:
         now: Clock of this process, in seconds.
-        grace_s: How long a service may be without an admitted version before what is listed is admitted.
+        grace_s: How long a service may be without a listed admitted version before the listed ones are admitted.
     """
 
     def __init__(self, *, now: Callable[[], float], grace_s: float) -> None:
@@ -32,12 +33,12 @@
         rollouts: Mapping[str, state.Rollout],
         changing: Collection[str],
     ) -> dict[str, set[str]]:
-        """Versions to admit, by service.
+        """Returns the versions to admit, by service.
 
         Args:
-            listed: Listed versions by service.
-            rollouts: The rows of the register.
-            changing: Services whose row is being changed: they are omitted.
+            listed: Listed versions, by service.
+            rollouts: The rows of the register, by service.
+            changing: Services whose row is being changed; they are omitted.
         """
         wanted = {}
         for service, versions in listed.items():
