--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -1,8 +1,8 @@
-"""Quotas at a core node: what all proxies admitted of each tenant, and how much more each may admit (docs/quotas.md).
+"""Quotas of tenants at a core node: counts of admitted requests, and credits for more (docs/quotas.md).
 
-`QuotaMeter` owns the counts that proxies report. They form a grow-only counter: each proxy's count is cumulative for
-one incarnation, and the greatest one counts. So reports that are lost, repeated or reordered change nothing
-(`test_record_merges_repeated_and_reordered_reports_to_the_same_level`).
+`QuotaMeter` owns the counts of admitted requests that proxies report. They form a grow-only counter: each proxy's
+count is cumulative for one incarnation, and the greatest one counts. So lost, repeated or reordered reports change
+nothing (`test_record_merges_repeated_and_reordered_reports_to_the_same_level`).
 """
 
 import dataclasses
@@ -14,15 +14,15 @@
 from ploverward.common import tenant_usage
 from ploverward.control_plane.quotas import token_bucket
 
-PROXY_EXPIRY_S = 60.0  # how long an isolated proxy is assumed to admit by itself
+PROXY_EXPIRY_S = 60.0  # time without reports for which a proxy is assumed to admit requests by itself
 
 
 @dataclasses.dataclass(slots=True)
 class ProxyUsage:
-    """What one incarnation of a proxy admitted, by tenant key."""
+    """Requests that one incarnation of a proxy admitted."""
 
     incarnation: str
-    admitted: dict[bytes, int]
+    admitted: dict[bytes, int]  # by tenant key
 
 
 class QuotaMeter:
@@ -30,7 +30,7 @@
 
     Args:
         now: Clock of this process, in seconds.
-        tolerance: By how much all proxies together may exceed a limit.
+        tolerance: How far all proxies together may exceed a limit.
         owned_share: Returns this core node's share of every limit, 0 to 1.
     """
 
@@ -58,19 +58,22 @@
                 bucket.change_limit(limit=limit, now=now, owned_share=self._issuable_share())
 
     def proxy_count(self) -> int:
-        """How many proxies may be admitting requests, in contact or isolated; at least 1."""
+        """Returns the number of proxies that may be admitting requests, in contact or isolated; at least 1."""
         for proxy in self._silent_for(PROXY_EXPIRY_S):
             del self._reported_at[proxy]
         return max(1, len(self._reported_at))
 
     def _silent_for(self, span_s: float) -> list[str]:
-        """Returns the proxies that have not reported for longer; those stand in front, so few are looked at."""
+        """Returns the proxies that have not reported for longer than `span_s`.
+
+        They come first in `_reported_at`, so only they are visited.
+        """
         now = self._now()
         silent = itertools.takewhile(lambda row: now - row[1] > span_s, self._reported_at.items())
         return [proxy for proxy, _at in silent]
 
     def _issuable_share(self) -> float:
-        """The owned share less an even share for each isolated proxy, which admits that much by itself."""
+        """Returns the owned share less an even part for each isolated proxy, which admits that much by itself."""
         count = self.proxy_count()
         isolated = len(self._silent_for(token_bucket.DEMAND_VALID_S))
         return self._owned_share() * (1.0 - isolated / count)
@@ -93,10 +96,10 @@
             bucket.record_demand(proxy=proxy, count=row.demand, now=now)
 
     def _admitted_before(self, *, proxy: str, incarnation: str, rows: Sequence[tenant_usage.Usage]) -> dict[bytes, int]:
-        """What this incarnation admitted before the report; the caller updates it."""
+        """Returns the counts of this incarnation before the report, by tenant key; the caller updates them."""
         usage = self._usage.get(proxy)
         if usage is None:
-            # What it admitted before its first report here may be long ago: this node may have been restarted.
+            # It may have admitted these requests long ago, since this node may have been restarted: don't charge them.
             usage = ProxyUsage(incarnation=incarnation, admitted={row.tenant: row.admitted for row in rows})
             self._usage[proxy] = usage
         elif usage.incarnation != incarnation:
@@ -104,7 +107,7 @@
         return usage.admitted
 
     def credits(self, *, proxy: str) -> list[tenant_usage.Credit]:
-        """The scarce tenants, with the credits that are issued to this proxy now."""
+        """Issues credits to a proxy, and returns them for each scarce tenant."""
         now = self._now()
         owned_share = self._issuable_share()
         credits = []
@@ -118,7 +121,7 @@
         return credits
 
     def view(self) -> dict[str, dict[str, float | bool]]:
-        """JSON for operators, by tenant key in hexadecimal: limit, level, depth, whether it is scarce."""
+        """Returns JSON for operators, by tenant key in hexadecimal: limit, level, depth, whether it is scarce."""
         now = self._now()
         owned_share = self._issuable_share()
         for bucket in self._buckets.values():
--- a/ploverward/control_plane/quotas/rate_slots.py
+++ b/ploverward/control_plane/quotas/rate_slots.py
@@ -1,9 +1,9 @@
-"""Rate slots: numbers that let many proxies keep a rate of which each one's even share is below one request a second.
+"""Rate slots: numbers by which many proxies share a rate that allows less than one request per second to each.
 
-`RateSlots` owns the numbers at one core node (design 8). Its invariant: no two nodes that may still act on their lease
-have the same slot, and all of them were given the same slot count. Of any `slot_count` successive numbers, as many as
-the owned share allows are picked for each replica that is warming up, by a hash of the replica; only their owners send
-to it, one request a second each (`ploverward.data_plane.quotas.shared_limits`).
+`RateSlots` owns the numbers at one core node (design 8). Invariant: no two nodes that may still act on their lease have
+the same slot, and all of them received the same slot count. Of any `slot_count` successive numbers, as many as the
+owned share allows are selected for each replica that is warming up, by a hash of the replica; only the owners of these
+numbers send to it, one request per second each (`ploverward.data_plane.quotas.shared_limits`).
 """
 
 import heapq
@@ -13,18 +13,18 @@
 
 import sortedcontainers
 
-SLOT_COUNT_STEP = 8  # the count is a multiple of this and has as many to spare, so that it changes rarely
+SLOT_COUNT_STEP = 8  # the slot count is a multiple of this and includes as many spare slots, so that it rarely changes
 
 
 class RateSlot(typing.NamedTuple):
-    """What a node may act on. `slot_count` 0: no slot yet."""
+    """A node's slot and the slot count, on which it may act. A `slot_count` of 0 means that it has no slot yet."""
 
     slot: int
     slot_count: int
 
 
 class _Reservation(typing.NamedTuple):
-    """A node's slot, and until when the node may act on it."""
+    """A node's slot, and the time until which the node may act on it."""
 
     slot: int
     until: float
@@ -38,7 +38,7 @@
 
     Args:
         now: Clock of this process, in seconds.
-        reserved_s: How long a node may act on a slot: its lease and the window of a rate.
+        reserved_s: How long a node may act on a slot: the duration of its lease and the window of a rate.
     """
 
     def __init__(self, *, now: Callable[[], float], reserved_s: float) -> None:
@@ -46,7 +46,7 @@
         self._reserved_s = reserved_s
         self._reservations: dict[str, _Reservation] = {}  # by node
         self._used = sortedcontainers.SortedList()
-        self._free = sortedcontainers.SortedList()  # released ones below the highest that is used
+        self._free = sortedcontainers.SortedList()  # released slots below the highest used one
         self._expirations: list[tuple[float, str]] = []  # heap of (until, node)
         self._slot_count = SLOT_COUNT_STEP
         self._withheld_until = 0.0
@@ -55,7 +55,7 @@
         """Reserves the node's slot for another `reserved_s`.
 
         Returns:
-            The slot. After the slot count changed it is `NO_SLOT` until all reservations under the former one expired.
+            The slot; after a change of the slot count, `NO_SLOT` until all reservations under the former count expired.
         """
         now = self._now()
         self._expire(now)
--- a/ploverward/control_plane/quotas/share_leases.py
+++ b/ploverward/control_plane/quotas/share_leases.py
@@ -1,11 +1,11 @@
-"""Share leases: how much of the global limits each node may use (design 8).
+"""Share leases: the shares of the global limits that nodes may use (design 8).
 
 Each core node owns an equal share of every limit and leases it to proxies. A lease binds the owner until the lease
-has expired and the window of the limit has passed as well, since what the node spent just before is part of that
-window.
+has expired and the window of the limit has passed as well, since requests that the node sent just before the expiry are
+part of that window.
 
-`ShareTable` owns the leases of one limit. Its invariant: the leases that bind never add up to more than the owned
-share. `OwnedShare` owns the size of that share while the core set changes (docs/control.md 2).
+`ShareTable` owns the leases of one limit. Invariant: the leases that bind never add up to more than the owned share.
+`OwnedShare` owns the size of that share while the core set changes (docs/control.md 2).
 """
 
 import heapq
@@ -24,15 +24,15 @@
 
 
 class ShareTable:
-    """Leases of one limit. A renewal costs the same however many nodes there are: the sum is a running total.
+    """Leases of one limit. The cost of a renewal does not depend on the number of nodes: the sum is a running total.
 
-    A node may have several leases that bind, of which the largest counts: it uses one at a time.
+    A node may have several leases that bind, of which only the largest counts, since the node uses one at a time.
 
     Args:
         now: Clock of this process, in seconds.
         lease_s: How long a lease lasts.
         window_s: The window of the limit.
-        withheld_until: Nothing is leased before: leases from before a restart of this node may still bind.
+        withheld_until: Time before which nothing is leased, since leases of before a restart of this node may bind.
     """
 
     def __init__(self, *, now: Callable[[], float], lease_s: float, window_s: float, withheld_until: float) -> None:
@@ -51,20 +51,20 @@
         self._withheld_until = when
 
     def total(self) -> float:
-        """The sum of all shares that bind, each node by its largest."""
+        """Returns the sum of the binding shares, of which each node's largest one counts."""
         self._expire()
         return self._total
 
     def renew(self, *, node: str, owned_share: float, live_nodes: int) -> float:
-        """Leases a share to a node: an even one, or the remainder if that is less.
+        """Leases a share to a node: an even part of the owned share, or the remainder if that is less.
 
         Args:
             node: The node that renews its lease.
             owned_share: The share of the limit that this core node owns, 0 to 1.
-            live_nodes: How many nodes the owned share is for.
+            live_nodes: Number of nodes that divide the owned share.
 
         Returns:
-            The leased share, 0 if nothing remains.
+            The leased share, 0 to 1; 0 if nothing remains.
         """
         if self._now() < self._withheld_until or live_nodes <= 0:
             return 0.0
@@ -97,7 +97,7 @@
 
 
 class _FormerShare(typing.NamedTuple):
-    """A smaller share that still binds although the owned share grew since."""
+    """A smaller owned share that still limits the leases although the owned share has grown since."""
 
     share: float
     binds_until: float
@@ -106,14 +106,14 @@
 class OwnedShare:
     """The share of every limit that this core node owns, while the core set changes (docs/control.md 2).
 
-    A share that shrinks counts at once. One that grows counts `transfer_wait_s` after this node learned of it: until
-    then a member that was evicted, or that does not know of the change yet, may still have leased out what is now
-    this node's. `test_voting_set.py` runs the histories that a missing wait breaks.
+    A smaller share applies at once. A larger one applies `transfer_wait_s` after this node learned of it: until then, a
+    member that was evicted, or that does not know of the change yet, may still have leased out what now belongs to this
+    node. `test_voting_set.py` runs event sequences in which the limits are exceeded without that wait.
 
     Args:
         now: Clock of this process, in seconds.
-        transfer_wait_s: How long leases of a former owner may bind.
-        initial_share: What is owned before the first core set is known.
+        transfer_wait_s: How long the leases of a former owner may bind.
+        initial_share: The share that is owned before the first core set is known.
     """
 
     def __init__(self, *, now: Callable[[], float], transfer_wait_s: float, initial_share: float = 0.0) -> None:
@@ -124,15 +124,15 @@
         self._former: list[_FormerShare] = []
 
     def resume(self, *, share: float, version: int) -> None:
-        """Restores what this node owned when it stopped, where its disk has that core set as agreed."""
+        """Restores the share that this node owned when it stopped, if its disk has that core set as agreed."""
         self._share = share
         self._version = version
 
     def install(self, *, share: float, version: int) -> None:
         """Installs the share under the newest core set that this node knows.
 
-        Under a core set that this node missed it may have owned nothing, so after a gap in the versions the complete
-        share waits.
+        Under a core set that this node missed, it may have owned nothing. So after a gap in the versions, the complete
+        share applies only after `transfer_wait_s`.
         """
         certain = self._share if version <= self._version + 1 else 0.0
         self._version = version
@@ -141,7 +141,7 @@
         self._share = share
 
     def value(self) -> float:
-        """The share that may be leased out now, 0 to 1."""
+        """Returns the share that may be leased out now, 0 to 1."""
         now = self._now()
         self._former = [former for former in self._former if former.binds_until > now]
         return min([self._share, *(former.share for former in self._former)])
--- a/ploverward/control_plane/quotas/token_bucket.py
+++ b/ploverward/control_plane/quotas/token_bucket.py
@@ -12,20 +12,20 @@
 
 from ploverward.common import tenant_usage
 
-MIN_DEPTH_TOLERANCE = 0.2  # of the allowed overrun, by which a bucket is deeper than the burst
-MAX_DEPTH_TOLERANCE = 0.6  # the same for small tenants, of which little is admitted while a report is in flight
+MIN_DEPTH_TOLERANCE = 0.2  # of the allowed overrun; a bucket is deeper than the burst by at least this
+MAX_DEPTH_TOLERANCE = 0.6  # of the allowed overrun; for small tenants, of which a report in flight hides few admissions
 REPORT_DELAY_S = 0.8  # from an admission to the last proxy that acts on it
 SCARCE_DEPTH_SHARE = 0.4  # of the depth, below which admissions need credits
 FREE_DEPTH_SHARE = 0.6  # of the depth, above which they need none any more
-FREE_DEMAND_SHARE = 1.1  # of the limit: with more demand a tenant stays scarce, however full its bucket is
+FREE_DEMAND_SHARE = 1.1  # of the limit; with more demand, a tenant stays scarce however full its bucket is
 DEMAND_SPAN_S = 0.8  # time constant of the demand of all proxies
 INITIAL_DEPTH_SHARE = 0.5  # of the depth beyond the burst: earlier admissions are unknown, so no tenant has the burst
-INITIAL_DEBT_S = 0.5  # seconds of the rate, subtracted from the initial level as well
-INITIAL_SCARCE_DEPTH_SHARE = 0.12  # of the depth: a bucket that begins below is scarce from the start
-MAX_ISSUABLE_S = 0.5  # seconds of its share that a core node may have left to issue
-MAX_REPORT_GAP_S = 0.8  # between two reports of a proxy that its credits cover
-DEMAND_VALID_S = 1.5  # how long the demand in a proxy's report counts; later the proxy is out of contact
-DEMAND_WEIGHT = 0.5  # of the newest report in a proxy's demand
+INITIAL_DEBT_S = 0.5  # seconds of the rate that are also subtracted from the initial level
+INITIAL_SCARCE_DEPTH_SHARE = 0.12  # of the depth; a bucket that starts with less is scarce from the start
+MAX_ISSUABLE_S = 0.5  # seconds of its share of the rate that a core node may accumulate to issue
+MAX_REPORT_GAP_S = 0.8  # longest time between two reports of a proxy that its credits cover
+DEMAND_VALID_S = 1.5  # how long the demand in a proxy's report is used; after that, the proxy counts as out of contact
+DEMAND_WEIGHT = 0.5  # of the newest report in the moving average of a proxy's demand
 
 
 @dataclasses.dataclass(frozen=True)
@@ -37,22 +37,23 @@
     slack: float  # requests
 
     def allowed_overrun(self, limit: tenant_usage.Limit) -> float:
-        """Requests in a window beyond `per_s` x window + `burst` that are tolerated."""
+        """Returns the number of requests tolerated in a window beyond `per_s` x window + `burst`."""
         return self.excess * (limit.per_s * self.window_s + limit.burst) + self.slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProxyDemand:
-    """A proxy's demand of one tenant, smoothed."""
+    """A proxy's smoothed demand for one tenant."""
 
-    count: float  # requests in one report
+    count: float  # requests per report
     reported_at: float
 
 
 class TokenBucket:
-    """One tenant's tokens. The level is negative after more was admitted than there was, down to a window of the rate.
+    """The token bucket of one tenant.
 
-    `owned_share` in the methods below is this core node's share of the limit, 0 to 1.
+    The level becomes negative if more requests were admitted than there were tokens, but not below minus one window of
+    the rate. `owned_share` in the methods below is this core node's share of the limit, 0 to 1.
     """
 
     def __init__(self, *, limit: tenant_usage.Limit, tolerance: QuotaTolerance, now: float) -> None:
@@ -73,13 +74,13 @@
         self.depth = limit.burst + max(MIN_DEPTH_TOLERANCE * overrun, MAX_DEPTH_TOLERANCE * overrun - in_flight)
 
     def change_limit(self, *, limit: tenant_usage.Limit, now: float, owned_share: float) -> None:
-        """Applies a new limit from now on; tokens beyond the new depth are lost."""
+        """Applies a new limit from now on; tokens beyond the new depth are discarded."""
         self.refill(now=now, owned_share=owned_share)
         self._set_limit(limit)
         self.level = min(self.level, self.depth)
 
     def refill(self, *, now: float, owned_share: float) -> None:
-        """Adds the tokens and credits of the time since the last call."""
+        """Adds the tokens and issuable credits for the time since the last call."""
         elapsed_s = max(0.0, now - self._refilled_at)
         self._refilled_at = now
         self.level = min(self.depth, self.level + elapsed_s * self.limit.per_s)
@@ -90,7 +91,7 @@
             self.is_scarce = False
 
     def _issue_per_s(self, owned_share: float) -> float:
-        """Credits a second. Credits that are not spent leave the bucket fuller, so that more may be issued."""
+        """Returns the issuable credits per second. Unspent credits leave the bucket fuller, so that more are issued."""
         return owned_share * self.limit.per_s * (1.0 + max(0.0, self.level / self.depth))
 
     def charge(self, count: int) -> None:
@@ -100,7 +101,7 @@
             self.is_scarce = True
 
     def record_demand(self, *, proxy: str, count: int, now: float) -> None:
-        """Records the requests that one report of a proxy names, admitted or not."""
+        """Records the requests in one report of a proxy, whether they were admitted or not."""
         self._demand_per_s += count / DEMAND_SPAN_S
         previous = self.demands[proxy].count if proxy in self.demands else float(count)
         smoothed = previous + DEMAND_WEIGHT * (count - previous)
