--- a/ploverward/control_plane/rollouts/test_evidence_table.py
+++ b/ploverward/control_plane/rollouts/test_evidence_table.py
@@ -1,4 +1,4 @@
-"""Reports of proxies, merged whatever is lost, repeated or reordered."""
+"""Tests for merging the reports of proxies when messages are lost, repeated or reordered."""
 
 import collections
 import dataclasses
@@ -33,24 +33,24 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_record_counts_lost_repeated_and_reordered_reports_once(seed):
     chance = random.Random(seed)
-    table, counted, reports = evidence_table.EvidenceTable(), collections.Counter(), []
-    true = {name: rollout_evidence.Tally() for name in "abc"}
+    table, consumed, reports = evidence_table.EvidenceTable(), collections.Counter(), []
+    actual = {name: rollout_evidence.Tally() for name in "abc"}
     for step in range(120):
         name = chance.choice("abc")
-        true[name].add(rollout_samples.tally(ended=chance.randint(0, 4)))
+        actual[name].add(rollout_samples.tally(ended=chance.randint(0, 4)))
         reports.append(
-            (name, rollout_samples.report(tallies={rollout_samples.key(): true[name].copy()}, sent=step + 1))
+            (name, rollout_samples.report(tallies={rollout_samples.key(): actual[name].copy()}, sent=step + 1))
         )
-        for reporter, one in chance.sample(reports, min(len(reports), chance.randint(0, 3))):
-            table.record(origin=evidence_table.Origin(address=reporter, incarnation="1"), report=one)
-        for found in table.consume_new().values():
-            assert found.ended >= 0
-            counted["ended"] += found.ended
+        for reporter, report in chance.sample(reports, min(len(reports), chance.randint(0, 3))):
+            table.record(origin=evidence_table.Origin(address=reporter, incarnation="1"), report=report)
+        for tally in table.consume_new().values():
+            assert tally.ended >= 0
+            consumed["ended"] += tally.ended
     for name in "abc":
-        last = [one for reporter, one in reports if reporter == name][-1]
+        last = [report for reporter, report in reports if reporter == name][-1]
         table.record(origin=evidence_table.Origin(address=name, incarnation="1"), report=last)
-    counted["ended"] += sum(found.ended for found in table.consume_new().values())
-    assert counted["ended"] == sum(one.ended for one in true.values())
+    consumed["ended"] += sum(tally.ended for tally in table.consume_new().values())
+    assert consumed["ended"] == sum(tally.ended for tally in actual.values())
 
 
 def test_consume_new_counts_first_pieces_of_running_answers_and_ignores_older_reports():
@@ -58,8 +58,8 @@
     origin = evidence_table.Origin(address="a", incarnation="1")
     waiting = rollout_samples.report(tallies={rollout_samples.key(): rollout_evidence.Tally()})
     first = rollout_evidence.Tally(firsts=collections.Counter({20: 1}))
-    begun = dataclasses.replace(waiting, tallies={rollout_samples.key(): first}, age_s=waiting.age_s + 0.4)
-    for report in (waiting, begun, waiting):
+    answering = dataclasses.replace(waiting, tallies={rollout_samples.key(): first}, age_s=waiting.age_s + 0.4)
+    for report in (waiting, answering, waiting):
         table.record(origin=origin, report=report)
     assert table.consume_new() == {rollout_samples.key(): first}
     table.record(origin=origin, report=waiting)
--- a/ploverward/control_plane/rollouts/test_manager.py
+++ b/ploverward/control_plane/rollouts/test_manager.py
@@ -1,4 +1,4 @@
-"""Leases, and the coordinator of roll-outs in histories of an order."""
+"""Tests for leases, and for the coordinator of roll-outs over the course of an order."""
 
 import dataclasses
 import random
@@ -17,8 +17,8 @@
 
 
 def test_pack_unpack_round_trip_preserves_leases():
-    given_out = [leases.CanaryLease(service="pool", number=1, step=2, share=0.1, replicas=("a", "b"))]
-    assert leases.unpack(leases.pack(given_out)) == given_out
+    granted = [leases.CanaryLease(service="pool", number=1, step=2, share=0.1, replicas=("a", "b"))]
+    assert leases.unpack(leases.pack(granted)) == granted
 
 
 @pytest.mark.parametrize("data", [b"", b"{}x", b'[["pool"]]', b'[["pool",1,2,"x",[]]]'])
@@ -28,7 +28,7 @@
 
 
 class Settings:
-    """Bounds of a deployment."""
+    """Settings of a deployment, with the bounds that the manager reads."""
 
     def bound(self, *, name, default=0.0):
         return {"exposureShare": 0.1, "exposureSlack": 50.0}.get(name, default)
@@ -38,7 +38,7 @@
 
 
 class World:
-    """Coordinators on one register, whose changes end at once, with an error while it is partitioned."""
+    """Coordinators on one register. Its changes end at once, with an error while `is_partitioned`."""
 
     def __init__(self):
         self.now = 100.0
@@ -48,10 +48,11 @@
         self.coordinators = []
         self.is_partitioned = False
         self.sent = 0
-        self.tallies = {}  # origin: what it counted since the order
+        self.tallies = {}  # by origin, then by key: answers since the order
 
     def coordinator(self):
-        made = manager.RolloutManager(
+        """Starts another coordinator."""
+        added = manager.RolloutManager(
             settings=Settings(),
             now=lambda: self.now,
             change=self.change,
@@ -62,21 +63,21 @@
             contact_s=5.0,
             receipt_s=8.0,
         )
-        made.install(self.payload)
-        self.coordinators.append(made)
-        return made
+        added.install(self.payload)
+        self.coordinators.append(added)
+        return added
 
     def change(self, *, name, edit, done):
         if self.is_partitioned:
-            done(errors.QuorumUnavailableError("cut"), 0, None, None)
+            done(errors.QuorumUnavailableError("partitioned"), 0, None, None)
             return
-        self.payload, said = edit(self.payload)
-        done(None, 1, self.payload, said)
+        self.payload, result = edit(self.payload)
+        done(None, 1, self.payload, result)
         for coordinator in self.coordinators:
             coordinator.install(self.payload)
 
     def report(self, coordinator, *, origin, data):
-        """What the coordinator answers a proxy's evidence."""
+        """Returns the coordinator's response to the evidence of a proxy."""
         message = messages.RolloutEvidence(number=7, reports=data)
         return coordinator.handle_evidence(origin=origin, message=message, proxy_count=2)
 
@@ -84,18 +85,19 @@
         return rollout_samples.row_of(self.payload)
 
     def play(self, coordinator, *, seconds, failing=0.0, chance=None, running_old=0):
+        """Lets all proxies report to a coordinator; answers of the new version fail with probability `failing`."""
         chance = chance or random.Random(1)
         tallies, sent = self.tallies, self.sent
         for _tick in range(int(seconds / 0.4)):
             self.now += 0.4
-            for field_path, origin in enumerate(self.origins):
+            for index, origin in enumerate(self.origins):
                 sent += 30
                 row = self.row()
                 answers = tallies.setdefault(origin, {})
                 answers.setdefault(rollout_samples.key(is_new=False), rollout_evidence.Tally()).add(
                     rollout_samples.tally(ended=20)
                 )
-                if any(one["edition"] == "v2" for one in self.rows):
+                if any(row["edition"] == "v2" for row in self.rows):
                     for group in range(2):
                         failed = sum(chance.random() < failing for _index in range(2))
                         answers.setdefault(rollout_samples.key(group=group), rollout_evidence.Tally()).add(
@@ -104,12 +106,12 @@
                 data = rollout_evidence.pack(
                     [
                         rollout_samples.report(
-                            tallies={one: count.copy() for one, count in answers.items()},
+                            tallies={key: tally.copy() for key, tally in answers.items()},
                             step=row.step,
                             sent=sent,
                             sent_new=sent // 20,
                             number=row.number,
-                            running_old=running_old if field_path == 0 else 0,
+                            running_old=running_old if index == 0 else 0,
                         )
                     ]
                 )
@@ -142,7 +144,8 @@
     assert world.row().admitted == ("v2",)
 
 
-def begun(world):
+def start_order(world):
+    """Starts a coordinator and the order, and lists replicas of the new version."""
     coordinator = world.coordinator()
     coordinator.reconcile()
     world.change(
@@ -156,7 +159,7 @@
 
 def test_good_version_is_delivered_within_its_term():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     world.play(coordinator, seconds=9.2)
     assert world.row().stage in (state.Stage.PROMOTING, state.Stage.DRAINING)
     world.play(coordinator, seconds=4.0)
@@ -165,7 +168,7 @@
 
 def test_delivery_waits_for_attempts_at_the_former_version_until_the_term_ends():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     world.play(coordinator, seconds=13.0, running_old=1)
     assert world.row().stage == state.Stage.DRAINING
     world.play(coordinator, seconds=3.0, running_old=1)
@@ -174,7 +177,7 @@
 
 def test_bad_version_is_rolled_back_and_stays_so():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     world.play(coordinator, seconds=4.0, failing=0.5)
     assert world.row().stage == state.Stage.RETURNED
     world.play(coordinator, seconds=16.0)
@@ -183,26 +186,26 @@
 
 def test_coordinator_that_found_a_fault_grants_no_share_while_the_rollback_cannot_be_recorded():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     world.is_partitioned = True
     world.play(coordinator, seconds=4.0, failing=0.5)
     assert world.row().stage == state.Stage.CANARY
     answer = world.report(
         coordinator, origin=world.origins[0], data=rollout_evidence.pack([rollout_samples.report(sent=10**6)])
     )
-    assert [one.share for one in leases.unpack(answer.leases)] == [0.0]
+    assert [lease.share for lease in leases.unpack(answer.leases)] == [0.0]
 
 
 def test_inactive_or_stalled_coordinator_grants_no_leases():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     coordinator.deactivate()
     assert (
         world.report(coordinator, origin=world.origins[0], data=rollout_evidence.pack([rollout_samples.report()]))
         is None
     )
     coordinator.reconcile()
-    world.now += 2.0  # it stood still: what it may give out has run out
+    world.now += 2.0  # it stalled for longer than a heartbeat allows it to act
     assert (
         world.report(coordinator, origin=world.origins[0], data=rollout_evidence.pack([rollout_samples.report()]))
         is None
@@ -211,7 +214,7 @@
 
 def test_next_coordinator_resumes_the_roll_out():
     world = World()
-    world.play(begun(world), seconds=9.2)
+    world.play(start_order(world), seconds=9.2)
     second = world.coordinator()
     world.play(second, seconds=5.0)
     assert world.row().stage == state.Stage.DELIVERED
@@ -219,7 +222,7 @@
 
 def test_coordinator_learns_the_age_from_proxies_after_a_full_restart():
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     world.play(coordinator, seconds=4.0)
     late = world.coordinator()
     world.report(
@@ -232,16 +235,16 @@
 
 
 def test_next_coordinator_delivers_only_after_all_proxies_had_time_to_reach_it():
-    """Proxies find it one after the other: one that it has not heard yet may run attempts at the former version."""
+    """Proxies find it one after the other; one that has not reported yet may run attempts at the former version."""
     world = World()
-    coordinator = begun(world)
+    coordinator = start_order(world)
     while world.row().stage != state.Stage.DRAINING:
         world.play(coordinator, seconds=0.8, running_old=3)
     coordinator.deactivate()
-    not_heard = world.origins.pop(0)
-    following = world.coordinator()
-    world.play(following, seconds=2.0)
+    not_reporting = world.origins.pop(0)
+    second = world.coordinator()
+    world.play(second, seconds=2.0)
     assert world.row().stage == state.Stage.DRAINING
-    world.origins.insert(0, not_heard)
-    world.play(following, seconds=3.6)
+    world.origins.insert(0, not_reporting)
+    world.play(second, seconds=3.6)
     assert world.row().stage == state.Stage.DELIVERED
--- a/ploverward/control_plane/rollouts/test_orders.py
+++ b/ploverward/control_plane/rollouts/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs and the stages: which edits count on which row."""
+"""Tests for parsing roll-out orders, and for the effect of edits on a row."""
 
 import dataclasses
 
@@ -40,8 +40,8 @@
 
 
 def test_repeated_order_changes_nothing_at_any_stage():
-    payload, said = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
-    assert said == orders.OrderOutcome.ACCEPTED
+    payload, outcome = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
+    assert outcome == orders.OrderOutcome.ACCEPTED
     for stage in (None, state.Stage.PROMOTING, state.Stage.DRAINING, state.Stage.DELIVERED):
         payload = rollout_samples.apply_step(payload, stage) if stage else payload
         assert rollout_samples.apply_order(payload, rollout_samples.ORDER, is_late=True) == (
@@ -51,7 +51,7 @@
 
 
 def test_second_order_is_rejected_while_the_first_is_in_progress():
-    payload, _said = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
+    payload, _outcome = rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)
     with pytest.raises(errors.RolloutInProgressError) as caught:
         rollout_samples.apply_order(payload, OTHER)
     assert caught.value.target == "v2"
@@ -76,10 +76,10 @@
         rollout_samples.apply_order(rollout_samples.register_admitting("v1"), rollout_samples.ORDER)[0],
         state.Stage.RETURNED,
     )
-    settled, _said = orders.edit_to_settle(service="pool", seen=rollout_samples.row_of(payload))(payload)
-    again, said = rollout_samples.apply_order(settled, rollout_samples.ORDER)
+    settled, _outcome = orders.edit_to_settle(service="pool", seen=rollout_samples.row_of(payload))(payload)
+    again, outcome = rollout_samples.apply_order(settled, rollout_samples.ORDER)
     assert (
-        said == orders.OrderOutcome.ACCEPTED
+        outcome == orders.OrderOutcome.ACCEPTED
         and rollout_samples.row_of(again).number == 2
         and not rollout_samples.row_of(again).refused
     )
--- a/ploverward/control_plane/rollouts/test_planner.py
+++ b/ploverward/control_plane/rollouts/test_planner.py
@@ -1,4 +1,4 @@
-"""The decisions of a roll-out: stages, exposure, replicas of the canary, capacity."""
+"""Tests for the decisions of a roll-out: transitions, exposure, canary replicas, capacity."""
 
 import dataclasses
 
@@ -32,8 +32,9 @@
 )
 
 
-def at(stage, **about):
-    return dataclasses.replace(VIEW, rollout=dataclasses.replace(VIEW.rollout, stage=stage), **about)
+def view_at(stage, **changes):
+    """Returns a view of a roll-out in this stage."""
+    return dataclasses.replace(VIEW, rollout=dataclasses.replace(VIEW.rollout, stage=stage), **changes)
 
 
 def test_version_is_promoted_only_from_the_earliest_promotion_on():
@@ -42,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    "about",
+    "changes",
     [
         {"first_answer_s": 5.5},
         {"answers": dataclasses.replace(VIEW.answers, new={"r": 3})},
@@ -54,8 +55,8 @@
         {"verdict": judges.Verdict.UNDECIDED},
     ],
 )
-def test_version_is_not_promoted_while_a_condition_is_unmet(about):
-    assert planner.next_transition(dataclasses.replace(VIEW, **about)) is None
+def test_version_is_not_promoted_while_a_condition_is_unmet(changes):
+    assert planner.next_transition(dataclasses.replace(VIEW, **changes)) is None
 
 
 def test_doubtful_version_is_rolled_back_at_the_latest_promotion():
@@ -77,37 +78,38 @@
 
 @pytest.mark.parametrize("stage", state.IN_PROGRESS_STAGES)
 def test_a_bad_version_is_rolled_back_from_every_stage(stage):
-    assert planner.next_transition(at(stage, verdict=judges.Verdict.BAD)).stage == state.Stage.RETURNED
+    assert planner.next_transition(view_at(stage, verdict=judges.Verdict.BAD)).stage == state.Stage.RETURNED
 
 
-def promoted(age_s, **about):
-    return planner.next_transition(at(state.Stage.PROMOTING, age_s=age_s, stage_age_s=5.0, **about))
+def transition_when_promoted(age_s, **changes):
+    """Returns the transition of a version that was promoted five seconds ago."""
+    return planner.next_transition(view_at(state.Stage.PROMOTING, age_s=age_s, stage_age_s=5.0, **changes))
 
 
 DOUBTED = {"verdict": judges.Verdict.DOUBTFUL, "finding": "failed on r: 3.1"}
 
 
 def test_doubtful_promoted_version_waits_before_the_deadline_or_with_few_answers():
-    assert promoted(12.0, **DOUBTED, doubted_answers=5000) is None
-    assert promoted(14.9, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1) is None
+    assert transition_when_promoted(12.0, **DOUBTED, doubted_answers=5000) is None
+    assert transition_when_promoted(14.9, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1) is None
 
 
 def test_doubtful_promoted_version_with_many_answers_drains_after_the_doubt_deadline():
-    transition = promoted(13.7, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS)
+    transition = transition_when_promoted(13.7, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS)
     assert transition.stage == state.Stage.DRAINING and "did not confirm failed on r" in transition.reason
 
 
 def test_doubtful_promoted_version_with_few_answers_is_rolled_back_at_the_latest_step():
-    transition = promoted(15.1, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1)
+    transition = transition_when_promoted(15.1, **DOUBTED, doubted_answers=planner.CONCLUSIVE_ANSWERS - 1)
     assert transition.stage == state.Stage.RETURNED and "not cleared" in transition.reason
 
 
 def test_promoted_version_drains_before_the_doubt_deadline_only_if_cleared():
     unproved = {"is_cleared": False, "verdict": judges.Verdict.FAVOURABLE}
-    assert promoted(12.0, **unproved) is None
-    assert promoted(12.0, verdict=judges.Verdict.UNDECIDED).stage == state.Stage.DRAINING
-    assert promoted(13.7, **unproved).stage == state.Stage.DRAINING
-    assert promoted(13.7, is_cleared=False, verdict=judges.Verdict.UNDECIDED) is None
+    assert transition_when_promoted(12.0, **unproved) is None
+    assert transition_when_promoted(12.0, verdict=judges.Verdict.UNDECIDED).stage == state.Stage.DRAINING
+    assert transition_when_promoted(13.7, **unproved).stage == state.Stage.DRAINING
+    assert transition_when_promoted(13.7, is_cleared=False, verdict=judges.Verdict.UNDECIDED) is None
 
 
 @pytest.mark.parametrize("stage", state.IN_PROGRESS_STAGES)
@@ -116,7 +118,7 @@
 @pytest.mark.parametrize("doubted_answers", [0, 5000])
 def test_every_stage_ends_at_the_latest_step(stage, verdict, has_capacity, doubted_answers):
     transition = planner.next_transition(
-        at(
+        view_at(
             stage,
             age_s=planner.LATEST_STEP * VIEW.rollout.over_s,
             stage_age_s=5.0,
@@ -129,14 +131,17 @@
 
 
 def test_version_is_delivered_only_once_drained_or_at_the_end_of_the_term():
-    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0)) is None
-    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0, is_drained_without_silent=True)) is None
-    assert planner.next_transition(at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage == state.Stage.DELIVERED
+    assert planner.next_transition(view_at(state.Stage.DRAINING, age_s=12.0)) is None
+    assert planner.next_transition(view_at(state.Stage.DRAINING, age_s=12.0, is_drained_without_silent=True)) is None
     assert (
-        planner.next_transition(at(state.Stage.DRAINING, age_s=14.0, is_drained_without_silent=True)).stage
+        planner.next_transition(view_at(state.Stage.DRAINING, age_s=12.0, is_drained=True)).stage
         == state.Stage.DELIVERED
     )
-    assert planner.next_transition(at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
+    assert (
+        planner.next_transition(view_at(state.Stage.DRAINING, age_s=14.0, is_drained_without_silent=True)).stage
+        == state.Stage.DELIVERED
+    )
+    assert planner.next_transition(view_at(state.Stage.DRAINING, age_s=15.1)).stage == state.Stage.DELIVERED
 
 
 @pytest.mark.parametrize("per_s", [1, 5, 20, 150, 3000])
@@ -160,7 +165,7 @@
 @pytest.mark.parametrize("per_s", [1, 5, 40, 150, 3000])
 @pytest.mark.parametrize("sent_new_at_promotion", [0.5, 0.9, 1.0])
 def test_unproved_share_stays_within_the_bound_despite_late_reports(per_s, sent_new_at_promotion):
-    """Reports reach the coordinator late, and leases the proxies: what is on its way counts as well."""
+    """Reports and leases arrive late, and requests sent in the meantime count towards the bound as well."""
     bound = exposure.ExposureBound(share=0.1, slack=50.0)
     promoting = state.Rollout(target="v2", over_s=16.0, stage=state.Stage.PROMOTING, number=1, step=3)
     sent = 9 * per_s
@@ -176,7 +181,7 @@
         assert sent_new <= bound.share * sent + bound.slack
 
 
-def inventory(rows, *, evacuated_zones=()):
+def replicas_of(rows, *, evacuated_zones=()):
     return replica_inventory.ReplicaInventory(
         listed=lambda: rows, zones=lambda: {"a1": "a", "a2": "a", "b1": "b"}, evacuated_zones=lambda: evacuated_zones
     ).replicas("pool")
@@ -184,18 +189,18 @@
 
 def test_choose_returns_few_replicas_of_all_regions_whatever_the_list_order():
     rows = rollout_samples.listed_rows()
-    chosen = canary_replicas.choose(replicas=inventory(rows), share=0.1, bad_groups=())
+    chosen = canary_replicas.choose(replicas=replicas_of(rows), share=0.1, bad_groups=())
     assert len(chosen) == 3.0 / canary_replicas.CANARY_LOAD
-    assert chosen == canary_replicas.choose(replicas=inventory(rows[::-1]), share=0.1, bad_groups=())
+    assert chosen == canary_replicas.choose(replicas=replicas_of(rows[::-1]), share=0.1, bad_groups=())
     zones = {row["id"]: row["zone"] for row in rows}
     assert {zones[name][0] for name in chosen} == {"a", "b"}
 
 
 def test_choose_avoids_a_group_that_has_shown_faults():
     rows = rollout_samples.listed_rows()
-    first = canary_replicas.choose(replicas=inventory(rows), share=0.02, bad_groups=())
+    first = canary_replicas.choose(replicas=replicas_of(rows), share=0.02, bad_groups=())
     group = rollout_evidence.group_of(row_codec.key_of(first[0]))
-    second = canary_replicas.choose(replicas=inventory(rows), share=0.02, bad_groups={group})
+    second = canary_replicas.choose(replicas=replicas_of(rows), share=0.02, bad_groups={group})
     assert len(first) == len(second) == 1 and rollout_evidence.group_of(row_codec.key_of(second[0])) != group
 
 
@@ -209,6 +214,6 @@
         (rollout_samples.listed_rows(zones=("a1", "a2")), ("b1",), True),
     ):
         found = replica_inventory.has_capacity(
-            replicas=inventory(former + new, evacuated_zones=out), rollout=VIEW.rollout
+            replicas=replicas_of(former + new, evacuated_zones=out), rollout=VIEW.rollout
         )
         assert found == wanted
