--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -46,15 +46,15 @@
     """Roll-outs of all services.
 
     Args:
-        settings: Reads exposureShare, exposureSlack and rollbackMs.
+        settings: Settings of this node, of which exposureShare, exposureSlack and rollbackMs are read.
         now: Clock of this process, in seconds.
         change: Changes a register: `change(name=, edit=, done=)`, which calls `done(error, version, payload, result)`.
         listed: Returns the rows of the platform's list.
         zones: Returns the region of each zone.
         evacuated_zones: Returns the zones to which no requests are sent.
         proxies: Returns the origins of the proxies in contact.
-        contact_s: contactMs in seconds.
-        receipt_s: receiptMs in seconds.
+        contact_s: The setting contactMs in seconds: the time within which the loss of a node is noticed.
+        receipt_s: The setting receiptMs in seconds: the time within which an order is acknowledged.
 
     Attributes:
         rollouts: The rows of the register, by service.
