--- a/ploverward/data_plane/batch/item_handler.py
+++ b/ploverward/data_plane/batch/item_handler.py
@@ -92,10 +92,10 @@
         facts.prompt = admission_filters.read_prompt(
             request=self.request, model_text=facts.model.text, is_sticky=route.is_sticky
         )
-        self._on(request_state.RequestEvent.ADMITTED)
+        self._apply_event(request_state.RequestEvent.ADMITTED)
         self._begin_attempts()
 
-    def _note_begun(self) -> None:
+    def _note_request_started(self) -> None:
         """Reports of use do not cover items."""
 
     def _follow_configuration(self) -> bool:
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -110,9 +110,9 @@
             trust_s=self.contact_s * ADAPTER_TRUST_CONTACTS,
         )
         feedback = replica_feedback.ReplicaFeedback(now=now, table=self.table, contact_s=self.contact_s)
-        self.note_fault = feedback.note_fault
+        self.note_attempt_failure = feedback.note_attempt_failure
         self.note_wrong_replica = feedback.note_wrong_replica
-        self.note_full = feedback.note_full
+        self.note_replica_full = feedback.note_replica_full
 
     def _make_connections(self) -> None:
         """Connections to core nodes, and what this proxy sends there by itself."""
@@ -158,10 +158,10 @@
             wall_time=time.time,
         )
 
-    def note_begun(self, tenant: str) -> None:
+    def note_request_started(self, tenant: str) -> None:
         """A request of a tenant began to run at a replica."""
         if self._usage_reports is not None:
-            self._usage_counter.note_begun(tenant)
+            self._usage_counter.note_request_started(tenant)
 
     def _make_front_end(self) -> None:
         """Traffic from clients, and its end."""
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -4,7 +4,7 @@
 counts of adapters, and the load reports. The invariant: each count that `start` raises falls once, in `release`.
 
 `release` and `report_end` are separate: the attempt's outcome is recorded between them, so a bug of this program in a
-report does not change it (`test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise`).
+report does not change it (`test_internal_error_at_attempt_end_is_not_answered_as_not_run`).
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/requests/attempts.py
+++ b/ploverward/data_plane/requests/attempts.py
@@ -40,7 +40,7 @@
 STALE_RESET_S = 0.05  # plus the round trip: within it the reset of a connection that a replica had closed arrives
 
 
-class Meaning(enum.Enum):
+class ResponseClass(enum.Enum):
     """How an answer is classified by its head."""
 
     NOT_RUN = "not run"  # the replica states that it did not run the request
@@ -49,7 +49,7 @@
     FAILURE = "failure"
 
 
-def classify_response(*, status: int, table: dict[bytes, bytes], is_framed: bool) -> Meaning:
+def classify_response(*, status: int, table: dict[bytes, bytes], is_framed: bool) -> ResponseClass:
     """Returns what a replica's answer means.
 
     Args:
@@ -59,11 +59,11 @@
     """
     is_denied = b"x-not-run" in table
     if status == 421 or (is_denied and status >= 400):
-        return Meaning.NOT_RUN
+        return ResponseClass.NOT_RUN
     if 200 <= status < 300:
         is_complete = b"x-postmark" in table and b"content-encoding" not in table and is_framed
-        return Meaning.SUCCESS if is_complete and not is_denied else Meaning.UNUSABLE
-    return Meaning.UNUSABLE if is_denied else Meaning.FAILURE
+        return ResponseClass.SUCCESS if is_complete and not is_denied else ResponseClass.UNUSABLE
+    return ResponseClass.UNUSABLE if is_denied else ResponseClass.FAILURE
 
 
 def forwarded_headers(
@@ -129,7 +129,7 @@
     def handle_head(
         self, attempt: Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
     ) -> None:
-        """The head of an answer was received; `attempt.meaning` is set."""
+        """The head of an answer was received; `attempt.response_class` is set."""
 
     def handle_data(self, attempt: Attempt, data: bytes) -> None:
         """A chunk of its body was received."""
@@ -184,15 +184,15 @@
         self.permitted = permitted
         self.request_id = handler.request_id
         self.status = 0
-        self.meaning: Meaning | None = None
+        self.response_class: ResponseClass | None = None
         self.is_known_not_run = False
         self.is_over = False
         self.is_read = False
-        self.is_first_counted = False
+        self.is_first_event_counted = False
         self.is_complete = False
-        self.pieces = 0
-        self.first_at: float | None = None
-        self.last_at: float | None = None
+        self.event_count = 0
+        self.first_event_at: float | None = None
+        self.last_event_at: float | None = None
         self.sent_at = now
         self.heard_at = now
         self.was_connected = connection.is_up
@@ -207,14 +207,14 @@
             return
         self.heard_at = self.handler.loop.now()
         self.status = status
-        self.meaning = classify_response(status=status, table=table, is_framed=is_framed)
+        self.response_class = classify_response(status=status, table=table, is_framed=is_framed)
         self.handler.handle_head(self, headers=headers, table=table)
 
     def note_event(self, *, now: float) -> None:
         """One complete event was received."""
-        self.pieces += 1
-        self.first_at = self.first_at if self.first_at is not None else now
-        self.last_at = now
+        self.event_count += 1
+        self.first_event_at = self.first_event_at if self.first_event_at is not None else now
+        self.last_event_at = now
 
     def on_data(self, data: bytes) -> None:
         """A chunk of the body was received."""
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -94,14 +94,14 @@
     ) -> None:
         """A replica has read these prompt parts and caches them from now on."""
 
-    def note_fault(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
+    def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
         """An attempt failed; `was_up`: whether its connection was established."""
 
-    def note_begun(self, tenant: str) -> None:
+    def note_request_started(self, tenant: str) -> None:
         """A request of a tenant began to run at a replica."""
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
         """421: another replica has the address."""
 
-    def note_full(self, replica: replica_table.Replica) -> None:
+    def note_replica_full(self, replica: replica_table.Replica) -> None:
         """The replica declined a request: it is not used for a moment."""
--- a/ploverward/data_plane/requests/replica_feedback.py
+++ b/ploverward/data_plane/requests/replica_feedback.py
@@ -30,7 +30,7 @@
         self._table = table
         self._contact_s = contact_s
 
-    def note_fault(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
+    def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
         """An attempt failed; without a connection that was up, the replica itself is suspected."""
         _log.debug("attempt_failed", extra={"replica": replica.id, "reason": reason})
         if not was_up:
@@ -41,7 +41,7 @@
         replica.close_idle()
         replica.backoff_until = self._now() + self._contact_s * WRONG_REPLICA_BACKOFF_SHARE
 
-    def note_full(self, replica: replica_table.Replica) -> None:
+    def note_replica_full(self, replica: replica_table.Replica) -> None:
         """The replica refused a request because all its batch slots are in use."""
         backoff_until = self._now() + self._contact_s * FULL_BACKOFF_SHARE
         replica.backoff_until = max(replica.backoff_until, backoff_until)
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -2,7 +2,7 @@
 
 `ReplicaWatch` owns one timer. A time-out alone ends no attempt: a busy replica may send nothing during a long prefill.
 A health check (a new connection) decides, and the attempt ends only if that connection is not established and another
-replica can resume the request now (`test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume`).
+replica can resume the request now (`test_replica_timeout_keeps_attempt_if_no_other_replica_can_resume`).
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -76,7 +76,7 @@
             facts=self.facts,
             writer=self.writer,
             steps=self._steps,
-            on_event=self._on,
+            on_event=self._apply_event,
             may_fail_over=self._may_fail_over,
             on_silent=self._on_replica_silent,
         )
@@ -107,11 +107,11 @@
         """The running attempt, None where there is none."""
         return self._runner.attempt
 
-    def _on(self, event: request_state.RequestEvent) -> None:
+    def _apply_event(self, event: request_state.RequestEvent) -> None:
         self.state = request_state.next_state(self.state, event)
 
     def _on_head_written(self) -> None:
-        self._on(request_state.RequestEvent.HEAD_WRITTEN)
+        self._apply_event(request_state.RequestEvent.HEAD_WRITTEN)
 
     # Admission.
     def begin(self) -> None:
@@ -124,7 +124,7 @@
             else:
                 self._answer(status=refused.status)
             return
-        self._on(request_state.RequestEvent.ADMITTED)
+        self._apply_event(request_state.RequestEvent.ADMITTED)
         self._begin_attempts()
 
     def _begin_attempts(self) -> None:
@@ -222,9 +222,9 @@
         self, attempt: attempts.Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
     ) -> None:
         """The head of a replica's answer was received."""
-        if attempt.meaning is attempts.Meaning.NOT_RUN:
+        if attempt.response_class is attempts.ResponseClass.NOT_RUN:
             return  # decided at its end: only a complete answer is a promise
-        if attempt.meaning is attempts.Meaning.UNUSABLE:
+        if attempt.response_class is attempts.ResponseClass.UNUSABLE:
             self._drop_attempt(attempt, kind=report_source.BROKEN)
             self._on_attempt_unresolved(attempt)
             return
@@ -232,34 +232,34 @@
             return  # a resumed stream keeps its first head; of a failure in its place no byte belongs to the stream
         forwarded = attempts.forwarded_headers(headers=headers, table=table)
         is_stream = self.route.is_stream or table.get(b"content-type", b"").startswith(b"text/event-stream")
-        if attempt.meaning is attempts.Meaning.SUCCESS and is_stream:
+        if attempt.response_class is attempts.ResponseClass.SUCCESS and is_stream:
             self.writer.begin_stream(forwarded)
         else:
-            if attempt.meaning is attempts.Meaning.SUCCESS:
-                self._note_begun()
+            if attempt.response_class is attempts.ResponseClass.SUCCESS:
+                self._note_request_started()
             self.writer.begin_body(forwarded)
 
     def handle_data(self, attempt: attempts.Attempt, data: bytes) -> None:
         """A chunk of the body of a replica's answer was received."""
-        if attempt.meaning is attempts.Meaning.NOT_RUN:
+        if attempt.response_class is attempts.ResponseClass.NOT_RUN:
             return
         stream = self.writer.stream
-        if stream is None or attempt.meaning is not attempts.Meaning.SUCCESS:
+        if stream is None or attempt.response_class is not attempts.ResponseClass.SUCCESS:
             self.writer.write_body(data, status=attempt.status)
             return
         if not attempt.is_read:
             attempt.is_read = True
-            self._note_begun()
+            self._note_request_started()
             self._steps.record(step_log.PREFILLED, now=self.loop.now())
             attempt_accounting.note_prefilled(attempt, facts=self.facts, route=self.route, context=self.context)
         for event in stream.receive_data(data):
             attempt.note_event(now=attempt.heard_at)
             self.forward_event(event)
 
-    def _note_begun(self) -> None:
+    def _note_request_started(self) -> None:
         """A replica began to run the request: that counts once, whatever is resumed or sent again."""
         if not self._has_begun and self.facts.tenant is not None:
-            self.context.note_begun(self.facts.tenant.name)
+            self.context.note_request_started(self.facts.tenant.name)
         self._has_begun = True
 
     def forward_event(self, event: bytes) -> None:
@@ -278,11 +278,11 @@
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
         """A replica's answer was received completely."""
-        if attempt.meaning is attempts.Meaning.NOT_RUN:
+        if attempt.response_class is attempts.ResponseClass.NOT_RUN:
             attempt.is_known_not_run = True
             self._end_attempt(attempt, kind=report_source.DONE)
             self._on_attempt_not_run(attempt)
-        elif self.writer.stream is not None and attempt.meaning is attempts.Meaning.SUCCESS:
+        elif self.writer.stream is not None and attempt.response_class is attempts.ResponseClass.SUCCESS:
             remainder = self.writer.stream.take_remainder()
             self._end_attempt(attempt, kind=report_source.DONE)
             self.writer.write_head(status=attempt.status)
@@ -309,7 +309,7 @@
     def handle_failure(self, attempt: attempts.Attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
         """The connection ended before the answer was complete."""
         self._steps.record("failed", reason, now=self.loop.now())
-        self.context.note_fault(replica=attempt.replica, reason=reason, was_up=was_up)
+        self.context.note_attempt_failure(replica=attempt.replica, reason=reason, was_up=was_up)
         kind = report_source.DONE
         if not was_up:
             kind = report_source.BROKEN
@@ -338,7 +338,7 @@
         if attempt.status == 421:
             self.context.note_wrong_replica(attempt.replica)
         else:
-            self.context.note_full(attempt.replica)
+            self.context.note_replica_full(attempt.replica)
         self._selection.avoided.add(attempt.replica.id)
         if self.policy.may_retry(
             route=self.route, now=self.loop.now(), deadline=self.facts.deadline, is_sending=self._runner.is_sending
@@ -426,7 +426,7 @@
         if self.is_over:
             return
         facts, route = self.facts, self.facts.route
-        self._on(request_state.RequestEvent.FINISHED)
+        self._apply_event(request_state.RequestEvent.FINISHED)
         if route is not None:
             self._steps.write_if_slow(route=route.name, now=self.loop.now(), latency_target_s=facts.latency_target_s)
         self._runner.close()
--- a/ploverward/data_plane/requests/request_state.py
+++ b/ploverward/data_plane/requests/request_state.py
@@ -27,7 +27,7 @@
 * The client gets exactly one final answer. A status that promises that the request has not run (503, 429) is given only
   while `RetryPolicy.unresolved_attempts` is 0; else it is 502, or 504 at the deadline.
 * If a step raises, the request ends at its deadline. What was known of its attempts until then is kept, so it ends
-  without a promise (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
+  without a promise (`test_internal_error_after_send_is_not_answered_as_not_run`).
 """
 
 import enum
--- a/ploverward/data_plane/requests/retry_policy.py
+++ b/ploverward/data_plane/requests/retry_policy.py
@@ -14,7 +14,7 @@
 `request_handler.RequestHandler._try_attempt`.
 
 Every attempt counts as unresolved from before its first byte is passed to the connection. So a bug of this program
-between the two causes no false promise to the client (`test_a_fault_of_our_own_after_a_send_is_no_promise`).
+between the two causes no false promise to the client (`test_internal_error_after_send_is_not_answered_as_not_run`).
 """
 
 from __future__ import annotations
--- a/ploverward/data_plane/requests/test_replica_watch.py
+++ b/ploverward/data_plane/requests/test_replica_watch.py
@@ -61,34 +61,34 @@
         return self
 
 
-def test_a_replica_that_is_gone_is_left_at_half_the_latency_target():
+def test_unreachable_replica_times_out_at_half_the_latency_target():
     assert Scene().run(until=5.0).silent == [1.0]
 
 
-def test_a_busy_replica_is_checked_again_and_again_but_not_left():
+def test_reachable_replica_is_probed_repeatedly_but_does_not_time_out():
     scene = Scene(is_probe_failed=False).run(until=1.25)
     assert scene.probes == pytest.approx([1.0, 1.1, 1.2]) and not scene.silent
 
 
-def test_nothing_is_left_where_no_other_replica_can_take_it():
+def test_attempt_is_kept_if_no_other_replica_can_resume():
     scene = Scene(may_fail_over=False).run(until=5.0)
     assert scene.probes and not scene.silent
 
 
 @pytest.mark.parametrize("name, value", [("is_up", False), ("is_paused", True)])
-def test_a_connection_that_is_not_up_or_that_we_paused_is_not_silent(name, value):
+def test_connecting_or_paused_connection_does_not_time_out(name, value):
     scene = Scene()
     setattr(scene.attempt.connection, name, value)
     assert not scene.run(until=5.0).silent and not scene.probes
 
 
-def test_what_came_on_another_connection_to_the_replica_counts():
+def test_data_on_another_connection_to_replica_postpones_timeout():
     scene = Scene()
     scene.attempt.replica.heard_at = 0.6
     assert scene.run(until=5.0).silent == pytest.approx([1.6])
 
 
-def test_a_watch_that_is_cancelled_or_whose_attempt_is_over_does_nothing():
+def test_cancelled_watch_or_finished_attempt_does_not_time_out():
     scene = Scene()
     scene.attempt.is_over = True
     assert not scene.run(until=5.0).silent
@@ -102,6 +102,6 @@
 @pytest.mark.parametrize(
     "gap_s, is_read, wanted", [(1.0, False, 1.0), (1.0, True, 0.45), (0.0, True, 0.9), (0.1, True, 0.2)]
 )
-def test_the_timeout_follows_the_latency_target_and_then_the_gap_between_events(gap_s, is_read, wanted):
+def test_timeout_depends_on_latency_target_before_and_gap_after_first_event(gap_s, is_read, wanted):
     route = types.SimpleNamespace(gap_s=gap_s)
     assert replica_watch.silence_timeout_s(route=route, latency_target_s=2.0, is_read=is_read) == pytest.approx(wanted)
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_answer_is_anothers_nothing_runs_twice_and_promises_hold(seed):
+def test_random_history_violates_no_rule(seed):
     world = World(seed=seed)
     assert world.play(rounds=25) == []
     complete_successes = [
@@ -184,8 +184,8 @@
 
 def _meaning(status, table):
     if status == 421 or b"x-not-run" in table:
-        return attempts.Meaning.NOT_RUN
-    return attempts.Meaning.SUCCESS if status == 200 else attempts.Meaning.FAILURE
+        return attempts.ResponseClass.NOT_RUN
+    return attempts.ResponseClass.SUCCESS if status == 200 else attempts.ResponseClass.FAILURE
 
 
 def _passes_events_twice(monkeypatch):
@@ -228,7 +228,7 @@
         (_ignores_tries, "BUDGET"),
     ],
 )
-def test_the_checker_sees_a_planted_fault(plant, rule, monkeypatch):
+def test_checker_detects_planted_fault(plant, rule, monkeypatch):
     plant(monkeypatch)
     found = []
     for seed in range(8):
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -8,7 +8,7 @@
 from ploverward.simulation import request_scene
 
 
-def test_a_complete_answer_comes_back_with_its_stamp_and_the_replica_is_named():
+def test_complete_response_is_forwarded_with_postmark_and_replica_is_addressed():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("lead", ["once", "unsafe"])
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_a_reused_connection_that_dies_after_the_request_is_not_sent_again(lead, end):
+def test_non_idempotent_request_is_not_resent_after_reused_connection_fails(lead, end):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -43,7 +43,7 @@
         assert scene.until(b"\r\n\r\nok")
 
 
-def test_an_answer_too_many_at_the_head_of_the_next_is_read_past():
+def test_surplus_response_before_next_one_is_skipped():
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -63,7 +63,7 @@
     assert scene.arrivals() == 2
 
 
-def test_bytes_after_an_answer_belong_to_no_request():
+def test_bytes_after_response_are_discarded_and_connection_is_not_reused():
     def script(number, heard):
         return (
             [request_scene.answer(request_scene.request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
@@ -91,7 +91,7 @@
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # cut short
     ],
 )
-def test_a_spoiled_answer_is_never_a_success(spoiled):
+def test_invalid_response_is_answered_502(spoiled):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -104,7 +104,7 @@
     assert scene.arrivals() == 1
 
 
-def test_not_run_may_go_on_inside_tries_and_ends_in_a_promise():
+def test_not_run_request_is_retried_within_tries_then_answered_503():
     def full(number, heard):
         return (
             [
@@ -126,7 +126,7 @@
     assert scene.arrivals() == 1
 
 
-def test_a_failure_without_x_not_run_is_no_promise():
+def test_replica_503_without_x_not_run_is_answered_502():
     def script(number, heard):
         return (
             [request_scene.answer(request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"")]
@@ -195,7 +195,7 @@
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
 
-def test_a_stream_that_may_not_be_resumed_is_broken_visibly():
+def test_interrupted_stream_that_may_not_resume_has_no_final_chunk():
     def cutting(number, heard):
         return (
             [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
@@ -210,7 +210,7 @@
     assert not scene.client.got.endswith(b"0\r\n\r\n")
 
 
-def test_homed_requests_wait_or_are_refused_never_moved():
+def test_request_is_rejected_if_its_home_region_has_no_replica():
     scene = request_scene.Scene(request_scene.replying, zones=["za"])  # north; the route's home is south
     scene.request("home")
     assert scene.until(b"HTTP/1.1 503")
@@ -220,7 +220,7 @@
     assert trail["goes"] == [] and trail["homes"] == ["south"] and trail["status"] == 503
 
 
-def test_custody_names_each_go():
+def test_custody_trail_lists_each_attempt():
     def cutting(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -238,7 +238,7 @@
     assert "body" not in str(trail) and all(len(part) == 16 for part in trail["parts"])
 
 
-def test_another_incarnation_at_the_address_runs_nothing():
+def test_421_from_another_replica_at_the_address_is_answered_503():
     def other(number, heard):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
@@ -252,7 +252,7 @@
     assert scene.arrivals() == 1
 
 
-def test_no_route_is_404_and_the_connection_stays_open():
+def test_request_without_route_is_answered_404_and_connection_stays_open():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("nothing")
     assert scene.until(b"HTTP/1.1 404")
@@ -270,7 +270,7 @@
         (b"\x00\x01garbage\r\n\r\n", b"400"),
     ],
 )
-def test_bad_framing_is_refused_and_the_connection_closed(data, status):
+def test_invalid_framing_is_rejected_and_connection_closed(data, status):
     scene = request_scene.Scene(request_scene.replying)
     scene.client.send(data)
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -278,7 +278,7 @@
     assert scene.arrivals() == 0
 
 
-def test_a_client_that_leaves_ends_the_go():
+def test_client_disconnect_ends_the_attempt():
     def script(number, heard):
         return (
             [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
@@ -296,14 +296,14 @@
     assert replica.running == 0 and not replica.connections
 
 
-def test_out_of_time_is_504_when_it_was_sent():
+def test_sent_request_past_its_deadline_is_answered_504():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=200)
     assert scene.until(b"HTTP/1.1 504")
     assert scene.arrivals() == 1
 
 
-def test_a_client_that_does_not_read_stops_its_replica():
+def test_client_that_does_not_read_pauses_replica_connection():
     big = b"x" * 30000
 
     def script(number, heard):
@@ -332,7 +332,7 @@
     assert loopback.until(scene.loop, lambda: not handler.attempt.connection.is_paused)
 
 
-def test_buffered_bodies_are_bounded():
+def test_request_over_body_budget_is_answered_503():
     scene = request_scene.Scene(request_scene.replying)
     scene.proxy.server.body_budget.max_bytes = 3
     scene.request("safe")
--- a/ploverward/data_plane/requests/test_request_state.py
+++ b/ploverward/data_plane/requests/test_request_state.py
@@ -29,29 +29,29 @@
         ((Event.ADMITTED, Event.ATTEMPT_STARTED, Event.HEAD_WRITTEN, Event.ATTEMPT_ENDED), State.RESUMING),
     ],
 )
-def test_events_lead_from_state_to_state(events, state):
+def test_event_sequence_leads_to_expected_state(events, state):
     assert after(*events) is state
 
 
-def test_a_stream_that_continues_at_another_replica_keeps_its_head():
+def test_resumed_stream_cannot_write_a_second_head():
     began = (Event.ADMITTED, Event.ATTEMPT_STARTED, Event.HEAD_WRITTEN, Event.ATTEMPT_ENDED, Event.ATTEMPT_STARTED)
     assert after(*began) is State.RESPONDING
     with pytest.raises(IllegalTransitionError):
         after(*began, Event.HEAD_WRITTEN)
 
 
-def test_a_request_may_end_in_every_state_but_only_once():
+def test_request_can_finish_in_every_state_except_over():
     assert all((state in TRANSITIONS[Event.FINISHED]) is (state is not State.OVER) for state in State)
 
 
 @pytest.mark.parametrize("event", list(Event))
-def test_nothing_follows_the_end(event):
+def test_every_event_is_illegal_after_the_end(event):
     with pytest.raises(IllegalTransitionError) as raised:
         next_state(State.OVER, event)
     assert (raised.value.state, raised.value.event) == (State.OVER, event)
 
 
 @pytest.mark.parametrize("state", [State.ADMITTING, State.ATTEMPTING, State.RESPONDING, State.OVER])
-def test_an_attempt_starts_only_where_none_is_under_way(state):
+def test_attempt_can_start_only_while_waiting_or_resuming(state):
     with pytest.raises(IllegalTransitionError):
         next_state(state, Event.ATTEMPT_STARTED)
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("is_reused", [False, True])
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("name", BEHAVIOURS)
-def test_what_may_not_be_repeated_is_sent_once_and_gets_no_promise(name, lead, is_reused):
+def test_non_idempotent_request_is_sent_once_and_never_answered_as_not_run(name, lead, is_reused):
     before = 1 if is_reused else 0
 
     def script(number, heard):
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in BEHAVIOURS if name not in SILENT])
-def test_what_may_be_repeated_is_answered_by_another_replica_once(name):
+def test_idempotent_request_is_answered_once_by_another_replica(name):
     scene = request_scene.Scene(BEHAVIOURS[name], request_scene.answering(b"second"))
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe", left_ms=1000)
@@ -130,14 +130,14 @@
 
 @pytest.mark.parametrize("status", [b"503 Full", b"429 Slow", b"408 Late", b"421 Another", b"400 No"])
 @pytest.mark.parametrize("lead", ["once", "unsafe"])
-def test_a_promise_of_the_replica_is_passed_on_as_one(status, lead):
+def test_not_run_response_of_replica_is_answered_503(status, lead):
     scene = request_scene.Scene(request_scene.answering(b"", status=status, more=request_scene.NOT_RUN))
     scene.request(lead, left_ms=300)
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 1
 
 
-def test_a_failure_of_a_resumed_run_leaves_no_byte_in_the_stream():
+def test_error_body_of_resuming_replica_is_not_written_into_stream():
     def cutting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
@@ -150,7 +150,7 @@
     assert not scene.client.got.endswith(request_scene.END)
 
 
-def test_a_resumed_run_that_fails_leaves_the_stream_to_a_third_replica():
+def test_stream_resumes_at_third_replica_after_second_one_fails():
     def cutting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
@@ -169,7 +169,7 @@
     assert scene.arrivals() == 3
 
 
-def test_a_replica_that_wakes_after_its_stream_was_moved_is_not_heard():
+def test_late_data_of_replaced_replica_is_ignored():
     def waking(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
 
@@ -202,7 +202,7 @@
     return scene, scene.proxy.table.replicas["i0"]
 
 
-def test_a_replica_timeout_ends_nothing_where_no_other_replica_can_resume():
+def test_replica_timeout_keeps_attempt_if_no_other_replica_can_resume():
     scene, replica = silent_in_a_stream(zones=["za", "za"])
     scene.proxy.table.replicas["i1"].is_suspected = True
     replica.is_suspected = replica.is_probe_failed = True
@@ -216,7 +216,7 @@
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and scene.arrivals() == 1
 
 
-def test_a_silent_replica_suspected_for_its_zone_alone_is_checked_first():
+def test_silent_replica_suspected_by_zone_is_probed_before_attempt_is_dropped():
     scene, replica = silent_in_a_stream(zones=["za", "za"])
     replica.is_suspected = True  # others of its zone did not come up; this one does
     assert loopback.until(scene.loop, lambda: not replica.is_suspected)
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("change", [{"kind": "retry_unsafe"}, {"tries": 1}])
-def test_a_configuration_that_forbids_a_retry_binds_a_request_in_progress(change):
+def test_newer_configuration_that_forbids_retry_applies_to_request_in_progress(change):
     def script(number, heard):
         body = dict(loopback_proxy.CONFIGURATION, edition=4)
         body["routes"] = [
@@ -242,7 +242,7 @@
     assert scene.arrivals() == 1 and request_scene.statuses(scene.client) == [502]
 
 
-def test_an_answer_that_came_during_a_freeze_past_its_deadline_is_no_promise():
+def test_request_frozen_past_its_deadline_is_answered_504():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=500)
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
@@ -251,7 +251,7 @@
     assert request_scene.statuses(scene.client) == [504] and scene.arrivals() == 1
 
 
-def test_an_answer_after_the_deadline_reaches_nobody():
+def test_response_after_deadline_is_not_forwarded_to_any_request():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("where", ["first event", "end"])
-def test_a_fault_of_our_own_after_a_send_is_no_promise(where, monkeypatch):
+def test_internal_error_after_send_is_not_answered_as_not_run(where, monkeypatch):
     """A step that raises is noted and the process goes on: the request then ends at its deadline, without a promise."""
 
     def broken(*_args, **_about):
@@ -285,20 +285,20 @@
     assert faults and request_scene.statuses(scene.client)[0] in (502, 504) and scene.arrivals() == 1
 
 
-def test_a_fault_of_our_own_between_two_attempts_is_no_promise():
+def test_internal_error_between_attempts_is_answered_504():
     faults = []
     scene = request_scene.Scene(lambda number, heard: ["close"], faults=faults)
 
     def broken(**_about):
         raise RuntimeError("planted")
 
-    scene.proxy.note_fault = broken
+    scene.proxy.note_attempt_failure = broken
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
     assert faults and request_scene.statuses(scene.client) == [504]
 
 
-def test_a_fault_of_our_own_when_an_attempt_ends_is_no_promise():
+def test_internal_error_at_attempt_end_is_not_answered_as_not_run():
     faults = []
     scene = request_scene.Scene(lambda number, heard: ["close"], faults=faults)
 
@@ -312,7 +312,7 @@
     assert faults and request_scene.statuses(scene.client)[0] in (502, 504) and scene.arrivals() == 1
 
 
-def test_a_fault_of_our_own_in_the_middle_of_a_stream_leaves_no_gap(monkeypatch):
+def test_internal_error_within_stream_ends_stream_without_gap(monkeypatch):
     """What the broken step held is lost, so nothing may follow it."""
     faults = []
     scene = request_scene.Scene(
@@ -335,7 +335,7 @@
     assert b"data: t3" not in scene.client.got and not scene.client.got.endswith(request_scene.END)
 
 
-def test_a_fault_of_our_own_before_a_send_ends_the_connection():
+def test_internal_error_before_send_closes_client_connection():
     faults = []
     scene = request_scene.Scene(request_scene.replying, faults=faults)
 
@@ -348,7 +348,7 @@
     assert faults and not scene.client.got and not scene.proxy.handlers and scene.arrivals() == 0
 
 
-def test_a_repeatable_answer_in_events_is_not_resumed_where_the_route_does_not_resume():
+def test_idempotent_stream_is_not_resumed_if_route_is_not_resumable():
     """It may run again, but a new run need not go on where the first one ended."""
 
     def cutting(number, heard):
@@ -369,7 +369,7 @@
     assert scene.arrivals() == 1 and not scene.client.got.endswith(request_scene.END)
 
 
-def test_a_stream_is_not_resumed_behind_an_event_that_has_no_id():
+def test_stream_is_not_resumed_after_event_without_id():
     def cutting(number, heard):
         text = b"data: nameless\n\n"
         nameless = b"%x\r\n%s\r\n" % (len(text), text)
@@ -385,7 +385,7 @@
     assert scene.arrivals() == 1 and not scene.client.got.endswith(request_scene.END)
 
 
-def test_a_length_beside_chunks_never_makes_a_partial_answer_look_complete():
+def test_response_with_length_and_chunks_is_answered_502():
     body = b"x" * 700000
 
     def script(number, heard):
@@ -401,7 +401,7 @@
     assert request_scene.statuses(scene.client) == [502]
 
 
-def test_each_request_leaves_one_trail_though_the_client_leaves_at_its_end():
+def test_client_disconnect_during_last_write_produces_one_custody_trail():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
--- a/ploverward/data_plane/requests/test_response_writer.py
+++ b/ploverward/data_plane/requests/test_response_writer.py
@@ -46,7 +46,7 @@
 OTHER = (b"x-postmark", b"p")
 
 
-def test_a_short_body_waits_until_it_is_complete_and_gets_its_own_length():
+def test_short_body_is_buffered_until_complete_and_drops_replica_length():
     writer, request, heads = made()
     writer.begin_body([LENGTH, OTHER])
     writer.write_body(b"o", status=200)
@@ -56,7 +56,7 @@
     assert request.calls == [("reply", 200, [OTHER], b"ok")] and not heads
 
 
-def test_a_long_body_is_forwarded_with_its_length_and_only_once():
+def test_body_over_buffer_limit_is_forwarded_once_with_replica_length():
     writer, request, heads = made()
     writer.begin_body([LENGTH])
     long = bytes(response_writer.BUFFER_LIMIT_BYTES + 1)
@@ -67,7 +67,7 @@
     assert request.calls == [("start", 200, [LENGTH]), ("data", long), ("data", b"more"), ("data", b""), ("end",)]
 
 
-def test_what_a_failed_attempt_brought_is_dropped():
+def test_buffered_body_of_failed_attempt_is_discarded():
     writer, request, _heads = made()
     writer.begin_body([OTHER])
     writer.write_body(b"failure", status=500)
@@ -79,7 +79,7 @@
     assert request.calls == [("reply", 200, [], b"ok")]
 
 
-def test_a_stream_has_one_head_without_a_length_over_all_its_runs():
+def test_resumed_stream_has_one_head_without_length():
     writer, request, heads = made()
     for event in (b"id: 1\n\n", b"id: 2\n\n"):
         writer.begin_stream([LENGTH, OTHER])
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("named, wanted", [(b"", None), (b"7", b"7")])
-def test_a_stream_begins_behind_what_the_client_has_and_continues_behind_what_was_forwarded(named, wanted):
+def test_last_event_id_comes_from_client_then_from_forwarded_events(named, wanted):
     writer, _request, _heads = made(last_event_id=named)
     assert writer.last_event_id == wanted
     writer.begin_stream([])
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("more, is_slow", [(0, False), (1, True)])
-def test_a_client_that_reads_slowly_is_noticed(more, is_slow):
+def test_write_event_returns_true_above_send_watermark(more, is_slow):
     writer, _request, _heads = made(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + more)
     writer.begin_stream([])
     assert writer.write_event(b"id: 1\n\n", status=200) is is_slow
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("status", [b"500 Broken", b"502 Broken", b"200 OK"])
-def test_a_replica_that_fails_requests_is_detected_by_its_outcomes_and_avoided_by_who_saw_it(status):
+def test_replica_with_failing_attempts_is_reported_and_avoided(status):
     def script(number, heard):
         more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without its stamp is none
         return (
@@ -58,7 +58,7 @@
     assert report_source.FAILED not in kinds["i1"] and report_source.BROKEN not in kinds["i1"]
 
 
-def test_health_is_never_asked_so_a_false_answer_moves_nothing():
+def test_proxy_sends_no_health_requests_to_replicas():
     scene = request_scene.Scene(request_scene.replying, request_scene.replying)
     for _ in range(8):
         scene.client.got = b""
@@ -70,7 +70,7 @@
     assert b"GET " not in heard and b"/health" not in heard
 
 
-def test_a_replica_that_flaps_is_out_for_longer_each_time_and_comes_back():
+def test_flapping_replica_is_excluded_for_longer_each_time():
     clock = [0.0]
     judge = outcomes.Judge(now=lambda: clock[0], suspicion_s=1.0)
     changes = []
@@ -86,7 +86,7 @@
     assert outcomes.Judge(now=lambda: 0.0, suspicion_s=1.0).failing == set()
 
 
-def test_failing_flags_on_all_replicas_do_not_leave_nobody_to_choose():
+def test_replica_is_chosen_even_if_all_replicas_fail():
     scene = request_scene.Scene(refusing, refusing)
     for _ in range(6):
         scene.client.got = b""
@@ -98,7 +98,7 @@
     assert replica is not None and is_any
 
 
-def test_a_one_directional_network_path_is_no_link():
+def test_connection_without_incoming_data_times_out():
     """We can send and are not heard, or hear nothing: a held connection needs an answer to its beats."""
     loop = loopback.new_loop()
     server = socket.socket()
@@ -136,7 +136,7 @@
         sock.close()
 
 
-def test_a_jump_of_traffic_is_spread_before_anybody_reports():
+def test_traffic_spike_is_spread_over_replicas_before_load_reports():
     scene = request_scene.Scene(*[request_scene.replying] * 4)
     chance = random.Random(3)
     taken = collections.Counter()
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
-def test_an_idle_connection_that_was_forgotten_says_nothing_of_its_replica(lead, is_answered):
+def test_reset_of_stale_idle_connection_is_not_counted_as_replica_failure(lead, is_answered):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("mask", [selectors.EVENT_READ, selectors.EVENT_WRITE])
-def test_a_link_closed_by_an_earlier_event_of_the_same_step_is_left_alone(mask):
+def test_socket_event_after_close_in_same_step_is_ignored(mask):
     loop = loopback.new_loop()
     server = socket.socket()
     server.bind((loopback.own_address(), 0))
--- a/ploverward/data_plane/requests/test_retry_policy.py
+++ b/ploverward/data_plane/requests/test_retry_policy.py
@@ -32,18 +32,18 @@
     "ends, arrivals, unresolved",
     [((), 0, 0), (("unsent",), 0, 0), (("not run",), 1, 0), (("unresolved",), 1, 1), (("unresolved", "unsent"), 1, 1)],
 )
-def test_each_end_counts_as_what_is_known_of_it(ends, arrivals, unresolved):
+def test_attempt_outcome_updates_counts(ends, arrivals, unresolved):
     policy = after(*ends)
     assert (policy.attempts, policy.arrivals, policy.unresolved_attempts) == (len(ends), arrivals, unresolved)
 
 
-def test_an_attempt_is_unresolved_from_its_beginning():
+def test_attempt_is_unresolved_once_started():
     policy = retry_policy.RetryPolicy()
     policy.on_attempt_started()
     assert policy.unresolved_attempts == 1 and not policy.is_promise_kept(status=503)
 
 
-def test_unsent_attempts_are_bounded_by_their_number_and_the_deadline_not_by_tries():
+def test_unsent_attempts_are_limited_by_count_and_deadline_but_not_by_tries():
     assert after(*["unsent"] * 5).may_reconnect(now=DEADLINE - 0.001, deadline=DEADLINE)
     assert not after(*["unsent"] * 6).may_reconnect(now=0.0, deadline=DEADLINE)
     assert not after("unsent").may_reconnect(now=DEADLINE, deadline=DEADLINE)
@@ -51,29 +51,29 @@
 
 
 @pytest.mark.parametrize("ends, may", [((), True), (("not run",), True), (("not run", "not run"), False)])
-def test_what_has_not_run_is_retried_within_tries(ends, may):
+def test_not_run_request_is_retried_within_tries(ends, may):
     assert after(*ends).may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE) is may
 
 
-def test_a_running_attempt_of_which_a_byte_left_is_one_of_the_tries():
+def test_partially_sent_attempt_counts_towards_tries():
     policy = after("not run")
     assert policy.may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE, is_sending=False)
     assert not policy.may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE, is_sending=True)
     assert (policy.next_arrival(is_sending=False), policy.next_arrival(is_sending=True)) == (2, 3)
 
 
-def test_no_attempt_begins_that_the_deadline_would_cut_off():
+def test_no_retry_below_minimum_time_left():
     policy = after("not run")
     assert policy.may_retry(route=route(), now=DEADLINE - retry_policy.MIN_TIME_LEFT_S - 0.001, deadline=DEADLINE)
     assert not policy.may_retry(route=route(), now=DEADLINE - retry_policy.MIN_TIME_LEFT_S, deadline=DEADLINE)
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
-def test_what_may_have_run_is_sent_again_only_if_idempotent(is_idempotent):
+def test_unresolved_request_is_resent_only_if_idempotent(is_idempotent):
     assert may_resend(after("unresolved"), route(is_idempotent=is_idempotent)) is is_idempotent
 
 
-def test_what_may_have_run_is_sent_again_only_within_tries():
+def test_unresolved_request_is_resent_only_within_tries():
     rules = route(max_attempts=2, is_idempotent=True)
     assert may_resend(after("unresolved"), rules)
     assert not may_resend(after("unresolved", "unresolved"), rules)
@@ -83,7 +83,7 @@
     "is_resumable, stream, may",
     [(True, RESUMABLE, True), (True, NOT_RESUMABLE, False), (True, None, False), (False, RESUMABLE, False)],
 )
-def test_once_the_client_has_the_head_only_a_resumable_stream_continues(is_resumable, stream, may):
+def test_only_resumable_stream_is_resent_after_head(is_resumable, stream, may):
     rules = route(is_idempotent=True, is_resumable=is_resumable)
     assert may_resend(after("unresolved"), rules, has_head=True, stream=stream) is may
 
@@ -97,7 +97,7 @@
         (("unresolved",), route(max_attempts=2, is_idempotent=True), True),
     ],
 )
-def test_a_newer_configuration_binds_the_next_attempt(ends, rules, may):
+def test_newer_configuration_limits_next_attempt(ends, rules, may):
     assert after(*ends).may_continue_under(rules) is may
 
 
@@ -112,5 +112,5 @@
         ((), 504, False),
     ],
 )
-def test_a_promise_is_kept_where_nothing_may_have_run(ends, status, kept):
+def test_not_run_is_guaranteed_only_without_unresolved_attempts(ends, status, kept):
     assert after(*ends).is_promise_kept(status=status) is kept
--- a/ploverward/data_plane/requests/test_stream_resumption.py
+++ b/ploverward/data_plane/requests/test_stream_resumption.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
-def test_events_come_out_complete_wherever_the_data_is_divided(end):
+def test_events_are_complete_for_every_chunk_size(end):
     data = event(1, end) + event(2, end)
     for size in range(1, len(data) + 1):
         stream = stream_resumption.ResumableStream(last_id=None)
@@ -20,32 +20,32 @@
         assert b"".join(found) == data and stream.last_id == b"2", size
 
 
-def test_the_incomplete_event_of_a_run_is_dropped_and_repeated_events_too():
+def test_new_segment_drops_incomplete_event_and_repeated_events():
     stream = stream_resumption.ResumableStream(last_id=None)
     assert stream.receive_data(event(1) + event(2) + event(3)[:-3]) == [event(1), event(2)]
     stream.begin_run()
     assert stream.receive_data(event(2) + event(3)) == [event(3)]
 
 
-def test_ids_without_an_order_are_dropped_only_where_they_are_the_last_one():
+def test_non_numeric_id_is_dropped_only_if_equal_to_last_id():
     stream = stream_resumption.ResumableStream(last_id=None)
     first, second = b"id: a\n\n", b"id: b\n\n"
     assert stream.receive_data(first + first + second + first) == [first, second, first]
 
 
-def test_an_event_without_an_id_ends_resumption():
+def test_event_without_id_makes_stream_not_resumable():
     stream = stream_resumption.ResumableStream(last_id=b"7")
     assert stream.is_resumable
     assert stream.receive_data(b"data: x\n\n") == [b"data: x\n\n"]
     assert not stream.is_resumable and stream.last_id == b"7"
 
 
-def test_the_first_event_passes_even_where_the_client_named_it():
+def test_first_event_is_forwarded_even_with_id_sent_by_client():
     stream = stream_resumption.ResumableStream(last_id=b"7")
     assert stream.receive_data(event(7)) == [event(7)]
 
 
-def test_what_follows_the_last_event_is_given_once():
+def test_remainder_after_last_event_is_returned_once():
     stream = stream_resumption.ResumableStream(last_id=None)
     assert stream.receive_data(event(1) + b": end") == [event(1)]
     assert (stream.take_remainder(), stream.take_remainder()) == (b": end", b"")
--- a/ploverward/data_plane/rollouts/attempt_tally.py
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -11,7 +11,7 @@
     """Whether the end of an attempt is evidence about its version: not if the replica did not run the request."""
     if attempt.connection.is_unsent:
         return False
-    return attempt.meaning not in (attempts.Meaning.NOT_RUN, attempts.Meaning.UNUSABLE)
+    return attempt.response_class not in (attempts.ResponseClass.NOT_RUN, attempts.ResponseClass.UNUSABLE)
 
 
 def count_first(tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float) -> None:
@@ -26,7 +26,7 @@
         now: The loop's clock, in seconds.
         expected_s: As of `count`.
     """
-    attempt.is_first_counted = True
+    attempt.is_first_event_counted = True
     if attempt.arrival is None:  # else its adapter may have had to be loaded first
         tally.firsts[_first_bucket(now - attempt.sent_at, expected_s)] += 1
 
@@ -53,13 +53,17 @@
             having taken this long: shorter times are no evidence about the replica.
     """
     waited_s = now - attempt.sent_at
-    if attempt.meaning is attempts.Meaning.FAILURE and attempt.status >= MIN_ERROR_STATUS and attempt.is_complete:
+    if (
+        attempt.response_class is attempts.ResponseClass.FAILURE
+        and attempt.status >= MIN_ERROR_STATUS
+        and attempt.is_complete
+    ):
         tally.ended += 1
         tally.failed += 1
     elif attempt.is_complete:
         tally.ended += 1
         _count_times(tally, attempt, now=now, expected_s=expected_s)
-    elif attempt.first_at is None and waited_s > latency_target_s:
+    elif attempt.first_event_at is None and waited_s > latency_target_s:
         tally.ended += 1  # given up: it would have taken longer still
         tally.firsts[_first_bucket(waited_s, expected_s)] += 1
     elif kind in (report_source.AttemptEvent.BROKEN, report_source.AttemptEvent.FAILED):
@@ -68,11 +72,11 @@
 
 
 def _count_times(tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float) -> None:
-    if attempt.arrival is None and not attempt.is_first_counted:
-        first_s = (attempt.first_at or now) - attempt.sent_at
+    if attempt.arrival is None and not attempt.is_first_event_counted:
+        first_s = (attempt.first_event_at or now) - attempt.sent_at
         tally.firsts[_first_bucket(first_s, expected_s)] += 1
-    if attempt.pieces > 1 and attempt.first_at is not None and attempt.last_at is not None:
-        pause_s = (attempt.last_at - attempt.first_at) / (attempt.pieces - 1)
+    if attempt.event_count > 1 and attempt.first_event_at is not None and attempt.last_event_at is not None:
+        pause_s = (attempt.last_event_at - attempt.first_event_at) / (attempt.event_count - 1)
         tally.paces[rollout_evidence.bucket_of(pause_s / rollout_evidence.UNIT_S)] += 1
 
 
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -179,14 +179,14 @@
     fields = {
         "replica": replica(edition),
         "connection": types.SimpleNamespace(is_unsent=False),
-        "meaning": attempts.Meaning.SUCCESS,
+        "response_class": attempts.ResponseClass.SUCCESS,
         "status": 200,
         "is_complete": True,
-        "is_first_counted": False,
+        "is_first_event_counted": False,
         "sent_at": 49.0,
-        "first_at": 49.5,
-        "last_at": 50.0,
-        "pieces": 6,
+        "first_event_at": 49.5,
+        "last_event_at": 50.0,
+        "event_count": 6,
         "arrival": None,
     }
     return types.SimpleNamespace(**{**fields, **about})
@@ -211,12 +211,12 @@
     """Of the answers that end in a canary's seconds those of a slow version would be the fast ones."""
     tracker, clock = made(began=40.0)
     clock.now = 49.9
-    one = attempt(is_complete=False, last_at=None, pieces=1)
+    one = attempt(is_complete=False, last_event_at=None, event_count=1)
     tracker.note_first(service="pool", route="r", attempt=one, expected_s=0.1)
     (early,) = rollout_evidence.unpack(tracker.report().reports)[0].tallies.values()
     assert (early.ended, sum(early.firsts.values())) == (0, 1)
     clock.now = 52.0
-    one.is_complete, one.last_at, one.pieces = True, 52.0, 6
+    one.is_complete, one.last_event_at, one.event_count = True, 52.0, 6
     tracker.note_end(
         service="pool", route="r", attempt=one, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
@@ -243,9 +243,9 @@
 @pytest.mark.parametrize(
     "about, kind, wanted",
     [
-        ({"meaning": attempts.Meaning.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
+        ({"response_class": attempts.ResponseClass.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
         ({"is_complete": False}, report_source.FAILED, (1, 0, 1)),
-        ({"is_complete": False, "first_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
+        ({"is_complete": False, "first_event_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
     ],
 )
 def test_how_ends_are_counted(about, kind, wanted):
@@ -257,7 +257,7 @@
     "about",
     [
         {"connection": types.SimpleNamespace(is_unsent=True)},
-        {"meaning": attempts.Meaning.NOT_RUN, "status": 503},
+        {"response_class": attempts.ResponseClass.NOT_RUN, "status": 503},
         {"is_complete": False},  # its client left in good time: that says nothing of the replica
     ],
 )
--- a/ploverward/data_plane/usage/test_usage_counter.py
+++ b/ploverward/data_plane/usage/test_usage_counter.py
@@ -33,11 +33,11 @@
 def test_counts_are_cumulative_and_only_what_changed_is_sent():
     scene = Scene()
     for tenant in ("a", "a", "b"):
-        scene.counter.note_begun(tenant)
+        scene.counter.note_request_started(tenant)
     scene.reports.send()
-    scene.counter.note_begun("a")
+    scene.counter.note_request_started("a")
     scene.time = 1005.0
-    scene.counter.note_begun("a")
+    scene.counter.note_request_started("a")
     scene.reports.send()
     scene.reports.send()
     sent = scene.connections["c1"].sent
@@ -48,7 +48,7 @@
 
 def test_a_new_coordinator_gets_all_windows_and_so_does_a_new_connection():
     scene = Scene()
-    scene.counter.note_begun("a")
+    scene.counter.note_request_started("a")
     scene.reports.send()
     scene.roles = {"watch": (4, "c2", "y")}
     scene.reports.send()
@@ -61,7 +61,7 @@
 def test_without_a_coordinator_nothing_is_lost():
     scene = Scene()
     scene.roles = {}
-    scene.counter.note_begun("a")
+    scene.counter.note_request_started("a")
     scene.reports.send()
     scene.roles = {"watch": (4, "c2", "y")}
     scene.reports.send()
@@ -71,6 +71,6 @@
 def test_old_windows_are_forgotten():
     scene = Scene()
     for _window in range(usage_counter.KEPT_WINDOWS + 3):
-        scene.counter.note_begun("a")
+        scene.counter.note_request_started("a")
         scene.time += 5.0
     assert len(scene.counter.counts) == usage_counter.KEPT_WINDOWS and 200 not in scene.counter.counts
--- a/ploverward/data_plane/usage/usage_counter.py
+++ b/ploverward/data_plane/usage/usage_counter.py
@@ -36,7 +36,7 @@
         self.counts: dict[int, collections.Counter[str]] = {}
         self.changed: set[tuple[int, str]] = set()
 
-    def note_begun(self, tenant: str) -> None:
+    def note_request_started(self, tenant: str) -> None:
         """A request began to run at a replica."""
         window = int(self._wall_time() // self._window_s)
         if window not in self.counts:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -214,13 +214,13 @@
     def report_prefill(self, **about: object) -> None:
         """Goes to the relay in production."""
 
-    def note_fault(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
+    def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
         """An attempt failed."""
         self.faults.append(reason)
         if not was_up:
             self.table.mark_suspected(replica)
 
-    def note_begun(self, tenant: str) -> None:
+    def note_request_started(self, tenant: str) -> None:
         """A request of a tenant began to run at a replica."""
         self.begun.append(tenant)
 
@@ -228,7 +228,7 @@
         """421: left alone for 2 s."""
         replica.backoff_until = self.loop.now() + 2.0
 
-    def note_full(self, replica: replica_table.Replica) -> None:
+    def note_replica_full(self, replica: replica_table.Replica) -> None:
         """Declined: left alone for 50 ms."""
         replica.backoff_until = self.loop.now() + 0.05
 
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -97,15 +97,15 @@
     """
 
     replica: Replica
-    meaning: attempts.Meaning
+    response_class: attempts.ResponseClass
     status: int
     is_bad: bool
     sent_at: float
-    first_at: float
-    last_at: float
-    pieces: int
+    first_event_at: float
+    last_event_at: float
+    event_count: int
     is_complete: bool = True
-    is_first_counted: bool = False
+    is_first_event_counted: bool = False
     arrival: None = None
     connection: SimulatedConnection = SimulatedConnection()
 
@@ -276,7 +276,11 @@
         attempt = simulation.attempt(replica, route)
 
         def begin() -> None:
-            if incarnation == self.incarnation and attempt.meaning is attempts.Meaning.SUCCESS and not replica.is_gone:
+            if (
+                incarnation == self.incarnation
+                and attempt.response_class is attempts.ResponseClass.SUCCESS
+                and not replica.is_gone
+            ):
                 router.note_first(
                     service=SERVICE,
                     route=route,
@@ -303,5 +307,5 @@
             if is_failed and is_first:
                 self._send(route=route, is_first=False)
 
-        simulation.world.later(attempt.first_at - attempt.sent_at, begin)
-        simulation.world.later(attempt.last_at - attempt.sent_at, end)
+        simulation.world.later(attempt.first_event_at - attempt.sent_at, begin)
+        simulation.world.later(attempt.last_event_at - attempt.sent_at, end)
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -155,13 +155,13 @@
             first_s, decode_s = 0.02, 0.0
         return rollout_nodes.SimulatedAttempt(
             replica=replica,
-            meaning=attempts.Meaning.FAILURE if is_failed else attempts.Meaning.SUCCESS,
+            response_class=attempts.ResponseClass.FAILURE if is_failed else attempts.ResponseClass.SUCCESS,
             status=500 if is_failed else 200,
             is_bad=is_bad,
             sent_at=now,
-            first_at=now + first_s,
-            last_at=now + first_s + decode_s,
-            pieces=1 if is_failed else 10,
+            first_event_at=now + first_s,
+            last_event_at=now + first_s + decode_s,
+            event_count=1 if is_failed else 10,
         )
 
     def _is_failed(self, replica: rollout_nodes.Replica, *, is_bad: bool) -> bool:
