--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -1,10 +1,11 @@
-"""Updates everything that counts attempts at their start, prefill and end.
+"""Updates all counts of attempts at their start, prefill and end.
 
-These are the load of its replica as this proxy knows it, the roll-out's evidence, the retry and slow-start quotas, the
-counts of adapters, and the load reports. The invariant: each count that `start` raises falls once, in `release`.
+These are the load of the replica as this proxy knows it, the evidence of a rollout, the retry and slow-start quotas,
+the adapter counts, and the load reports. Invariant: each count that `start` increments is decremented once, in
+`release`.
 
-`release` and `report_end` are separate: the attempt's outcome is recorded between them, so a bug of this program in a
-report does not change it (`test_internal_error_at_attempt_end_is_not_answered_as_not_run`).
+`release` and `report_end` are separate because the attempt's outcome is recorded between them, so that an internal
+error in a report does not change the outcome (`test_internal_error_at_attempt_end_is_not_answered_as_not_run`).
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
 
-FAILING_SILENCE_FACTOR = 1.5  # of the latency target: a replica that sends nothing for longer has failed the attempt
+FAILED_IDLE_FACTOR = 1.5  # times the latency target: an attempt without data for longer counts as failed
 
 
 def start(
     attempt: attempts.Attempt, *, facts: admission_filters.RequestFacts, context: handler_context.HandlerContext
 ) -> None:
-    """The attempt starts: raises the counts, before a byte of it is passed to the connection."""
+    """Increments the counts of a new attempt, before a byte of it is passed to the connection."""
     replica = attempt.replica
     replica.running += 1
     replica.prefill_tokens[attempt.number] = attempt.prefill_tokens
@@ -40,7 +41,7 @@
     route: route_table.Route,
     context: handler_context.HandlerContext,
 ) -> None:
-    """Reports the beginning. An adapter that is not known counts too, as unknown: it is never guessed."""
+    """Reports the start of an attempt. An adapter that is not known is counted as unknown, never guessed."""
     context.chooser.note_send(replica=attempt.replica, chain=facts.prompt.chain)
     context.report_attempt(replica=attempt.replica, kind=report_source.SENT)
     model = facts.model
@@ -56,7 +57,7 @@
 
 
 def _expected_s(attempt: attempts.Attempt, *, context: handler_context.HandlerContext) -> float:
-    """Returns the seconds to the first event that network latency and prefill explain."""
+    """Returns the expected seconds to the first event, from network latency and prefill."""
     return context.chooser.expected_s(
         replica=attempt.replica, tokens=attempt.prefill_tokens, is_connected=attempt.was_connected
     )
@@ -69,7 +70,7 @@
     route: route_table.Route,
     context: handler_context.HandlerContext,
 ) -> None:
-    """The first event shows that the prompt was prefilled: it counts as cached from now on."""
+    """Records the first event: the prompt is prefilled, and counts as cached by the replica from now on."""
     if context.rollouts.is_in_progress(facts.service):
         context.rollouts.note_first(
             service=facts.service, route=route.name, attempt=attempt, expected_s=_expected_s(attempt, context=context)
@@ -104,17 +105,17 @@
     route: route_table.Route,
     context: handler_context.HandlerContext,
 ) -> None:
-    """The attempt is over: what it counted for at its replica ends with it.
+    """Decrements the counts of an attempt that is over, and records it as rollout evidence.
 
     Args:
         attempt: The attempt.
-        kind: How it ended, one of `report_source`'s.
-        facts: Of its request.
+        kind: How it ended, a kind of `report_source`.
+        facts: The admission results of its request.
         route: The route in force for its request.
         context: The proxy.
     """
     if attempt.arrival is not None:
-        context.adapters.note_not_run(attempt.arrival)  # does nothing where it has run
+        context.adapters.note_not_run(attempt.arrival)  # no effect if it has run
     context.rollouts.note_end(
         service=facts.service,
         route=route.name,
@@ -128,17 +129,17 @@
 
 
 def report_end(attempt: attempts.Attempt, *, kind: int, context: handler_context.HandlerContext) -> None:
-    """Reports how the attempt ended. A failure also counts against the replica here, for one `contactMs`."""
+    """Reports how the attempt ended. This proxy also counts a failure against the replica, for one `contactMs`."""
     if kind in (report_source.FAILED, report_source.BROKEN):
         attempt.replica.note_failure(now=context.loop.now(), span=context.settings.bound_s(name="contactMs"))
     context.report_attempt(replica=attempt.replica, kind=kind)
 
 
 def abandoned_kind(attempt: attempts.Attempt, *, latency_target_s: float, now: float) -> int:
-    """Returns the outcome of an attempt that is given up.
+    """Returns the kind of end, as in `report_source`, of an attempt that is abandoned.
 
-    It is a failure if the replica received it and sent nothing for too long.
+    It is a failure if the replica may have received the request and sent nothing for too long.
     """
-    if not attempt.connection.is_unsent and attempt.quiet_s(now=now) > latency_target_s * FAILING_SILENCE_FACTOR:
+    if not attempt.connection.is_unsent and attempt.idle_s(now=now) > latency_target_s * FAILED_IDLE_FACTOR:
         return report_source.FAILED
     return report_source.DONE
--- a/ploverward/data_plane/requests/attempt_runner.py
+++ b/ploverward/data_plane/requests/attempt_runner.py
@@ -1,7 +1,7 @@
-"""The running attempt of a request: its start, its end, and the records of both.
+"""Starts and ends the attempts of a request, and records both.
 
-`AttemptRunner` owns the request's one running attempt, the rows of its custody trail, and what `RetryPolicy` counts. It
-decides nothing: the handler decides when an attempt starts or is given up, and what follows it.
+`AttemptRunner` owns the request's one running attempt, the rows of its custody trail, and its `RetryPolicy`. It makes
+no decisions: the handler decides when an attempt starts or is abandoned, and what follows it.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
     """Starts and ends the attempts of one request.
 
     Args:
-        listener: Notified of what arrives on an attempt: the request handler.
+        listener: Notified of the response of an attempt: the request handler.
         context: The proxy.
         request: The client's request.
-        facts: The results of the filters.
-        writer: What the client has of its answer.
-        steps: The request's steps, for the log.
+        facts: The results of the admission filters.
+        writer: Writes the response to the client.
+        steps: The log of the request's steps.
         on_event: Called when an attempt has started or ended.
-        may_fail_over: Whether another replica can resume the request after a time-out.
-        on_silent: The replica of the attempt does not respond.
+        may_fail_over: Returns whether another replica can resume the request after a timeout.
+        on_timeout: Called when the replica of the attempt timed out.
 
     Attributes:
-        attempt: The running attempt, None where there is none.
-        policy: What the attempts allow to follow.
-        custody: One row for each attempt (design 10).
+        attempt: The running attempt, or None.
+        policy: Counts the attempts and decides whether another one may follow.
+        custody: The rows of the custody trail, one for each attempt (design 10).
     """
 
     __slots__ = (
@@ -60,7 +60,7 @@
         "_steps",
         "_on_event",
         "_may_fail_over",
-        "_on_silent",
+        "_on_timeout",
         "_watch",
     )
 
@@ -75,7 +75,7 @@
         steps: step_log.StepLog,
         on_event: Callable[[request_state.RequestEvent], None],
         may_fail_over: Callable[[attempts.Attempt], bool],
-        on_silent: Callable[[attempts.Attempt], None],
+        on_timeout: Callable[[attempts.Attempt], None],
     ) -> None:
         self.attempt: attempts.Attempt | None = None
         self.policy = retry_policy.RetryPolicy()
@@ -88,12 +88,12 @@
         self._steps = steps
         self._on_event = on_event
         self._may_fail_over = may_fail_over
-        self._on_silent = on_silent
-        self._watch: replica_watch.ReplicaWatch | None = None  # of a request that another replica may resume
+        self._on_timeout = on_timeout
+        self._watch: replica_watch.ReplicaWatch | None = None  # only for an idempotent request
 
     @property
     def is_sending(self) -> bool:
-        """Whether a byte of a running attempt was sent."""
+        """Whether an attempt is running of which a byte was sent."""
         return self.attempt is not None and not self.attempt.connection.is_unsent
 
     def start(
@@ -105,14 +105,14 @@
         prefill_tokens: int,
         permitted: frozenset[str] | None,
     ) -> None:
-        """Sends the request to a replica.
+        """Starts an attempt: sends the request to a replica.
 
         Args:
-            route: The route in force for it.
+            route: The route in force for the request.
             replica: The replica.
-            connection: An unused connection to it, connected or not.
+            connection: A free connection to it, which may still be connecting.
             prefill_tokens: Tokens that the replica has to prefill.
-            permitted: Regions that are permitted now, None for all.
+            permitted: Currently permitted regions, None for all.
         """
         context, facts = self._context, self._facts
         self.policy.on_attempt_started()
@@ -140,24 +140,30 @@
             request=self._request,
             route=route,
             replica_id=replica.id,
-            left_s=facts.deadline - now,
-            last_id=self._writer.last_event_id,
+            time_left_s=facts.deadline - now,
+            last_event_id=self._writer.last_event_id,
             has_tenants=context.routes.tenant_directory is not None,
             tenant=facts.tenant,
         )
         connection.send_request(attempt, head=head, body=self._request.body)
-        if attempt is self.attempt and route.is_idempotent:  # else it has failed within that call
+        if attempt is self.attempt and route.is_idempotent:  # otherwise it failed within that call
             if self._watch is None:
                 self._watch = replica_watch.ReplicaWatch(
                     loop=context.loop,
                     table=context.table,
                     may_fail_over=self._may_fail_over,
-                    on_silent=self._on_silent,
+                    on_timeout=self._on_timeout,
                 )
             self._watch.check(attempt, route=route, latency_target_s=facts.latency_target_s)
 
     def end(self, attempt: attempts.Attempt, *, route: route_table.Route, kind: int) -> None:
-        """The attempt is over; `kind`: how it ended, one of `report_source`'s."""
+        """Ends an attempt and records its end; does nothing if it is over already.
+
+        Args:
+            attempt: The attempt.
+            route: The route in force for the request.
+            kind: How the attempt ended, a kind of `report_source`.
+        """
         if attempt.is_over:
             return
         attempt.is_over = True
@@ -175,19 +181,19 @@
             self._on_event(request_state.RequestEvent.ATTEMPT_ENDED)
 
     def drop(self, attempt: attempts.Attempt, *, route: route_table.Route, kind: int) -> None:
-        """Gives up an attempt in progress: its connection is closed, so nothing of it can arrive later."""
+        """Ends an attempt in progress and closes its connection, so that none of its data can arrive later."""
         connection = attempt.connection
         self.end(attempt, route=route, kind=kind)
         connection.drop_attempt()
 
     def abandon(self, attempt: attempts.Attempt, *, route: route_table.Route) -> None:
-        """Gives up an attempt whose answer is no longer needed."""
+        """Drops an attempt whose response is no longer needed."""
         kind = attempt_accounting.abandoned_kind(
             attempt, latency_target_s=self._facts.latency_target_s, now=self._context.loop.now()
         )
         self.drop(attempt, route=route, kind=kind)
 
     def close(self) -> None:
-        """Ends the watch on the replica; the request is over."""
+        """Cancels the timeout of the replica."""
         if self._watch is not None:
             self._watch.cancel()
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -1,6 +1,6 @@
-"""What a request handler needs of the proxy that it runs in.
+"""The interface of the proxy that request handlers use.
 
-`HandlerContext` is a structural type: the proxy node provides it in production, `LoopbackProxy` in tests. A handler
+`HandlerContext` is a structural type: the proxy node implements it in production, `LoopbackProxy` in tests. A handler
 reads these attributes at each use, because a new configuration replaces some of them while requests are in progress.
 """
 
@@ -28,21 +28,21 @@
 
 
 class HandlerContext(typing.Protocol):
-    """The proxy, as far as a request handler uses it.
+    """The part of the proxy that request handlers use.
 
     Attributes:
         incarnation: Id of this run of the process.
-        failover_s: Seconds in which another node takes over, or a lost one returns: the pause for a client whose
-            request no replica can serve.
-        drain_window: What may still be accepted after SIGTERM.
-        quota: This proxy's share of the global limits: retries and slow starts.
-        quota_allowance: What may be admitted of each tenant.
-        credential_freshness: How old a configuration may be that keys are checked by.
-        rollouts: Which versions of a service an attempt may go to.
+        failover_s: Seconds until another node takes over or a lost one returns; the Retry-After of a request that no
+            replica can serve.
+        drain_window: Decides which requests are still accepted after SIGTERM.
+        quota: This proxy's share of the global limits on retries and slow starts.
+        quota_allowance: Decides how many requests of each tenant are admitted.
+        credential_freshness: Limits the age of a configuration by which keys are checked.
+        rollouts: Decides which versions of a service an attempt may use.
         table: The replicas.
         chooser: Scores replicas.
-        adapters: Counts of adapter loads.
-        batches: Custody trails that are being sent to the core nodes.
+        adapters: Counts adapter loads.
+        batches: Batches of custody trails for the core nodes.
         handlers: The handlers of all requests in progress; a handler removes itself at its end.
     """
 
@@ -61,7 +61,7 @@
 
     @property
     def settings(self) -> settings_files.Settings:
-        """Of this node."""
+        """The settings of this node."""
 
     @property
     def loop(self) -> event_loop.Loop:
@@ -69,7 +69,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether this proxy has what it needs to serve (docs/control.md)."""
+        """Whether this proxy has all that it needs to serve requests (docs/control.md)."""
 
     @property
     def routes(self) -> route_table.Routes:
@@ -78,30 +78,37 @@
     def permitted(
         self, *, route: route_table.Route, first_homes: Collection[str], tenant: tenant_directory.Tenant | None
     ) -> frozenset[str] | None:
-        """Returns the regions that may serve a request, None for all; `first_homes` bind as well as those in force."""
+        """Returns the regions that may serve a request, None for all.
+
+        Args:
+            route: The route in force for the request.
+            first_homes: The permitted regions when the request arrived, which apply in addition to the current ones;
+                empty for all.
+            tenant: The tenant that sent the request, None if unknown.
+        """
 
     def configuration_age_s(self) -> float:
-        """Returns how long ago it is certain that nothing newer than this proxy's configuration was acknowledged."""
+        """Returns the age, in seconds, of the last proof that this proxy has the newest acknowledged configuration."""
 
     def next_number(self) -> int:
-        """Returns a number that no other attempt of this process has."""
+        """Returns a number for an attempt, unique within this process."""
 
     def report_attempt(self, *, replica: replica_table.Replica, kind: int) -> None:
-        """An attempt begins, was read or ends: `kind` is one of `report_source`'s."""
+        """Reports that an attempt started, was prefilled or ended; `kind` is a kind of `report_source`."""
 
     def report_prefill(
         self, *, replica: replica_table.Replica, service: str, model: str, parts: tuple, salt: str = ""
     ) -> None:
-        """A replica has read these prompt parts and caches them from now on."""
+        """Reports that a replica prefilled these prompt parts and caches them from now on."""
 
     def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
-        """An attempt failed; `was_up`: whether its connection was established."""
+        """Records a failed attempt; `was_up`: whether its connection was established."""
 
     def note_request_started(self, tenant: str) -> None:
-        """A request of a tenant began to run at a replica."""
+        """Records that a replica began to run a request of a tenant."""
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
-        """421: another replica has the address."""
+        """Records that a replica answered 421, because another process has its address."""
 
     def note_replica_full(self, replica: replica_table.Replica) -> None:
-        """The replica declined a request: it is not used for a moment."""
+        """Records that a replica refused a request because it is full, so that it is not used for a short time."""
--- a/ploverward/data_plane/requests/replica_feedback.py
+++ b/ploverward/data_plane/requests/replica_feedback.py
@@ -1,7 +1,7 @@
-"""Consequences of an attempt's outcome for its replica (docs/design.md 7).
+"""Applies the outcome of an attempt to its replica (docs/design.md 7).
 
-A failed attempt makes its replica suspected, and a refusal makes the proxy wait before it sends there again. The state
-is kept at the replicas of the table.
+A replica whose connection could not be established is suspected, and a replica that refused a request gets a backoff.
+The state is kept in the replicas of the table.
 """
 
 import logging
@@ -11,37 +11,40 @@
 
 _log = logging.getLogger(__name__)
 
-WRONG_REPLICA_BACKOFF_SHARE = 1 / 2  # of contactMs: by then the endpoint list names the process behind the address
-FULL_BACKOFF_SHARE = 1 / 60  # of contactMs: a batch slot is free again soon
+WRONG_REPLICA_BACKOFF_SHARE = 1 / 2  # of contactMs: by then the endpoint list has the current replica at the address
+FULL_BACKOFF_SHARE = 1 / 60  # of contactMs: short, since a batch slot becomes free soon
 
 
 class ReplicaFeedback:
-    """Records failures and refusals at the replicas."""
+    """Records failed and refused attempts in their replicas."""
 
     def __init__(self, *, now: Callable[[], float], table: replica_table.Table, contact_s: float) -> None:
-        """Creates the feedback of one proxy.
+        """Creates the feedback of a proxy.
 
         Args:
-            now: seconds on the clock of the replicas' backoff.
-            table: the replicas.
-            contact_s: the bound `contactMs`.
+            now: Returns the time in seconds, on the clock of `backoff_until`.
+            table: The replicas.
+            contact_s: The bound `contactMs`, in seconds.
         """
         self._now = now
         self._table = table
         self._contact_s = contact_s
 
     def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
-        """An attempt failed; without a connection that was up, the replica itself is suspected."""
+        """Logs a failed attempt, and marks the replica as suspected if the connection was not established."""
         _log.debug("attempt_failed", extra={"replica": replica.id, "reason": reason})
         if not was_up:
             self._table.mark_suspected(replica)
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
-        """421: another process has the address. Until the endpoint list names it, nothing is sent there."""
+        """Backs off from a replica whose address answered 421, because another process has the address.
+
+        The backoff lasts until the endpoint list is expected to have that process.
+        """
         replica.close_idle()
         replica.backoff_until = self._now() + self._contact_s * WRONG_REPLICA_BACKOFF_SHARE
 
     def note_replica_full(self, replica: replica_table.Replica) -> None:
-        """The replica refused a request because all its batch slots are in use."""
+        """Backs off briefly from a replica that refused a request because all its batch slots are in use."""
         backoff_until = self._now() + self._contact_s * FULL_BACKOFF_SHARE
         replica.backoff_until = max(replica.backoff_until, backoff_until)
--- a/ploverward/data_plane/requests/replica_selection.py
+++ b/ploverward/data_plane/requests/replica_selection.py
@@ -1,7 +1,7 @@
-"""The choice of the replica for a request's next attempt.
+"""Chooses the replica for the next attempt of a request.
 
-`ReplicaSelection` owns what narrows one request's choice: the replicas that it has tried and the regions that are
-permitted for it. The scores themselves are `ploverward.data_plane.load_balancing`'s.
+`ReplicaSelection` owns the constraints of one request: the replicas that it has tried and the regions that are
+permitted for it. `ploverward.data_plane.load_balancing` computes the scores.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 
 class Selection(typing.NamedTuple):
-    """A choice.
+    """The result of a choice.
 
     Attributes:
         replica: The replica, None if none can accept the request now.
         prefill_tokens: Tokens that it has to prefill.
-        is_any_known: Whether any replica may serve the request at all; a full one is available again sooner.
+        has_eligible_replica: Whether any replica may serve the request, even if it is full now.
     """
 
     replica: replica_table.Replica | None
     prefill_tokens: int
-    is_any_known: bool
+    has_eligible_replica: bool
 
 
 class ReplicaSelection:
-    """The choices for one request.
+    """Chooses replicas for one request.
 
     Attributes:
-        avoided: Ids of replicas that are not to be chosen again.
+        avoided: Ids of replicas to skip.
         permitted: Regions permitted for the next attempt, None for all.
     """
 
@@ -48,23 +48,24 @@
         self._facts = facts
 
     def refresh_permitted(self, route: route_table.Route) -> None:
-        """Computes the permitted regions again, before each attempt, since a new configuration may narrow them."""
+        """Updates the permitted regions; called before each attempt, since a new configuration may narrow them."""
         self.permitted = self._context.permitted(
             route=route, first_homes=self._facts.first_homes, tenant=self._facts.tenant
         )
 
     def choose(self, *, route: route_table.Route, is_first: bool, avoided: Set[str] | None = None) -> Selection:
-        """Returns the best replica, of the versions that may be used.
+        """Returns the best replica of the service versions that the request may use.
 
         Args:
             route: The route in force for the request.
-            is_first: No attempt of the request has reached a replica yet (docs/rollouts.md).
-            avoided: Replicas to skip, instead of those that were tried.
+            is_first: Whether no attempt of the request has reached a replica yet, which decides which versions are
+                allowed during a rollout (docs/rollouts.md).
+            avoided: Ids of replicas to skip, in place of the attribute `avoided`.
         """
         facts = self._facts
-        is_any_known = False
+        has_eligible_replica = False
         for pool in self._context.rollouts.pools(service=facts.service, is_first=is_first):
-            replica, prefill_tokens, is_known = self._context.chooser.choose(
+            replica, prefill_tokens, is_eligible = self._context.chooser.choose(
                 pool=pool,
                 service=facts.service,
                 permitted=self.permitted,
@@ -77,8 +78,8 @@
             )
             if replica is not None:
                 return Selection(replica, prefill_tokens, True)
-            is_any_known = is_any_known or is_known
-        return Selection(None, 0, is_any_known)
+            has_eligible_replica = has_eligible_replica or is_eligible
+        return Selection(None, 0, has_eligible_replica)
 
     def _adapter_load_s(self, replica: replica_table.Replica) -> float:
         model = self._facts.model
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -1,11 +1,11 @@
-"""One request, from its arrival to its one final answer (design 7, docs/requests.md).
-
-A `RequestHandler` exists as long as its request and decides what follows each event: a filter's verdict, the choice
-of a replica, the end of an attempt, the deadline, a client that leaves. `request_state` explains the states and their
-invariants. The components are in modules of their own: `admission_filters` (is it admitted), `replica_selection`
-(which replica), `retry_policy` (may it be sent again), `replica_watch` (did the replica time out), `response_writer`
-and `stream_resumption` (what the client receives), `attempt_runner`, `attempt_accounting` and `custody_trails` (the
-records).
+"""Handles one request from its arrival to its single final response (design 7, docs/requests.md).
+
+A `RequestHandler` lives as long as its request and decides what follows each event: the result of admission, the choice
+of a replica, the end of an attempt, the deadline, a client disconnect. `request_state` documents the states and their
+invariants. The components are in modules of their own: `admission_filters` (whether the request is admitted),
+`replica_selection` (the replica of the next attempt), `retry_policy` (whether the request may be sent again),
+`replica_watch` (replica timeouts), `response_writer` and `stream_resumption` (the response to the client),
+`attempt_runner`, `attempt_accounting` and `custody_trails` (the attempts and their records).
 """
 
 from __future__ import annotations
@@ -33,29 +33,30 @@
     from ploverward.transport import event_loop
     from ploverward.transport import http_request
 
-LIMITED_STATUSES = (408, 421, 429, 503)  # of a replica: forwarded, they would look like promises of this proxy
+# Not forwarded from a replica: a client would take them for this proxy's guarantee that the request did not run.
+UNFORWARDED_STATUSES = (408, 421, 429, 503)
 QUEUE_WAIT_SHARE = 0.2  # of the latency target: how long a request waits for an available replica
-STREAM_WAIT_FACTOR = 3  # of the latency target: the same for a stream that was started
-RETRY_INTERVAL_SHARE = 0.05  # of the latency target, between two choices while a request waits
+STREAM_WAIT_FACTOR = 3  # times the latency target: how long an interrupted stream waits for an available replica
+RETRY_INTERVAL_SHARE = 0.05  # of the latency target: between two attempts to choose a replica while a request waits
 MIN_RETRY_INTERVAL_S = 0.02
-MIN_RETRY_AFTER_S = 0.05  # pause for a client that is rejected: a sooner retry would only find the same replicas
+MIN_RETRY_AFTER_S = 0.05  # Retry-After of a rejected request: an earlier retry would only find the same replicas
 
 
 class RequestHandler:
-    """One request.
+    """Drives one request through admission, its attempts and its final response.
 
     Args:
         context: The proxy.
         request: The complete request.
 
     Attributes:
-        state: Its present state.
-        request_id: Its X-Attempt-Id.
-        facts: The results of the filters.
-        policy: What its attempts allow to follow.
-        writer: What the client has of its answer.
-        edition: Version of the configuration that it arrived under.
-        custody: One row for each attempt (design 10).
+        state: The current state.
+        request_id: The X-Attempt-Id header of the request.
+        facts: The results of the admission filters.
+        policy: Counts the attempts and decides whether another one may follow.
+        writer: Writes the response to the client.
+        edition: Version of the configuration that was in force when the request arrived.
+        custody: The rows of the custody trail, one for each attempt (design 10).
     """
 
     def __init__(self, *, context: handler_context.HandlerContext, request: http_request.Request) -> None:
@@ -78,12 +79,12 @@
             steps=self._steps,
             on_event=self._apply_event,
             may_fail_over=self._may_fail_over,
-            on_silent=self._on_replica_silent,
+            on_timeout=self._on_replica_timeout,
         )
         self.policy = self._runner.policy
         self.custody = self._runner.custody
         self._is_first_choice = True
-        self._has_begun = False  # whether a replica began to run it
+        self._has_started = False  # whether a replica began to run the request
         self._retry_timer: event_loop.Timer | None = None
         self._deadline_timer: event_loop.Timer | None = None
         self._wait_until = 0.0  # on the loop's clock
@@ -92,7 +93,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the request had its end."""
+        """Whether the request has ended."""
         return self.state is request_state.RequestState.OVER
 
     @property
@@ -104,7 +105,7 @@
 
     @property
     def attempt(self) -> attempts.Attempt | None:
-        """The running attempt, None where there is none."""
+        """The running attempt, or None."""
         return self._runner.attempt
 
     def _apply_event(self, event: request_state.RequestEvent) -> None:
@@ -115,7 +116,7 @@
 
     # Admission.
     def begin(self) -> None:
-        """The request is complete: filters, then the first attempt."""
+        """Runs the admission filters on the complete request and starts the first attempt."""
         facts = self.facts
         refused = admission_filters.admit(request=self.request, facts=facts, context=self.context)
         if refused is not None:
@@ -134,7 +135,7 @@
         self._wait_until = self.request.at + facts.latency_target_s * QUEUE_WAIT_SHARE
         self._try_attempt()
 
-    # Choosing a replica.
+    # Replica selection.
     def _try_attempt(self) -> None:
         if self.is_over:
             return
@@ -144,14 +145,14 @@
         self._is_first_choice = False
         facts, route = self.facts, self.route
         self._selection.refresh_permitted(route)
-        replica, prefill_tokens, is_any_known = self._choose(route=route)
+        replica, prefill_tokens, has_eligible_replica = self._choose(route=route)
         self._retry_after_s = facts.latency_target_s * admission_filters.RETRY_AFTER_SHARE
         if replica is None:
-            if not is_any_known:  # an unreachable replica returns later than a full one is free again
+            if not has_eligible_replica:  # an unreachable replica takes longer to return than a full one to free a slot
                 self._retry_after_s = max(self._retry_after_s, self.context.failover_s)
             self._wait_or_reject()
             return
-        if self.policy.arrivals and not self.context.quota.retry_budget.charge(facts.service):
+        if self.policy.sent_attempts and not self.context.quota.retry_budget.charge(facts.service):
             self._give_up()
             return
         connection = self.context.table.connection(replica=replica, request_id=self.request_id)
@@ -168,18 +169,21 @@
         )
 
     def _choose(self, *, route: route_table.Route, avoided: set[str] | None = None) -> replica_selection.Selection:
-        is_first = self.policy.next_arrival(is_sending=self._runner.is_sending) == 1
+        is_first = self.policy.next_sent_attempt(is_sending=self._runner.is_sending) == 1
         return self._selection.choose(route=route, is_first=is_first, avoided=avoided)
 
     def _follow_configuration(self) -> bool:
-        """Whether another attempt may follow under the configuration now in force; the stricter homes of both bind."""
+        """Returns whether another attempt may follow under the current configuration.
+
+        If it changed since the request arrived, the home regions of both versions apply, so the stricter ones bind.
+        """
         route = admission_filters.find_route(request=self.request, routes=self.context.routes)
         if route is None or not self.policy.may_continue_under(route):
             return False
         return admission_filters.readmit(request=self.request, facts=self.facts, route=route, context=self.context)
 
     def _wait_or_reject(self) -> None:
-        """No replica can be named now: a short wait, then the request is rejected."""
+        """Schedules another choice of a replica, or rejects the request once its waiting time is over."""
         now = self.loop.now()
         latency_target_s = self.facts.latency_target_s
         until = self._wait_until
@@ -188,7 +192,7 @@
         if now >= min(until, self.facts.deadline):
             self._give_up()
             return
-        if not self.policy.arrivals:
+        if not self.policy.sent_attempts:
             self._selection.avoided = set()
         self._retry_timer = self.loop.after(
             delay=max(MIN_RETRY_INTERVAL_S, latency_target_s * RETRY_INTERVAL_SHARE), callback=self._try_attempt
@@ -202,7 +206,7 @@
         self._runner.drop(attempt, route=self.route, kind=kind)
 
     def _may_fail_over(self, attempt: attempts.Attempt) -> bool:
-        """Whether another replica can resume the request now; else a time-out does not end the attempt."""
+        """Returns whether another replica can resume the request now; otherwise a timeout does not end the attempt."""
         route = self.route
         may_retry = self.policy.may_retry(
             route=route, now=self.loop.now(), deadline=self.facts.deadline, is_sending=self._runner.is_sending
@@ -212,24 +216,24 @@
         replica = self._choose(route=route, avoided=self._selection.avoided | {attempt.replica.id}).replica
         return replica is not None and self.context.table.has_capacity(replica=replica)
 
-    def _on_replica_silent(self, attempt: attempts.Attempt) -> None:
+    def _on_replica_timeout(self, attempt: attempts.Attempt) -> None:
         self._steps.record("silent", now=self.loop.now())
         self._drop_attempt(attempt, kind=report_source.BROKEN)
         self._on_attempt_unresolved(attempt)
 
-    # What the replica answers.
+    # Responses of replicas.
     def handle_head(
         self, attempt: attempts.Attempt, *, headers: Iterable[tuple[bytes, bytes]], table: dict[bytes, bytes]
     ) -> None:
-        """The head of a replica's answer was received."""
+        """Handles the head of a replica's response."""
         if attempt.response_class is attempts.ResponseClass.NOT_RUN:
-            return  # decided at its end: only a complete answer is a promise
+            return  # handled at its end: only a complete response states reliably that the request did not run
         if attempt.response_class is attempts.ResponseClass.UNUSABLE:
             self._drop_attempt(attempt, kind=report_source.BROKEN)
             self._on_attempt_unresolved(attempt)
             return
         if self.writer.has_head:
-            return  # a resumed stream keeps its first head; of a failure in its place no byte belongs to the stream
+            return  # a resumed stream keeps its first head, and no byte of an error response belongs to the stream
         forwarded = attempts.forwarded_headers(headers=headers, table=table)
         is_stream = self.route.is_stream or table.get(b"content-type", b"").startswith(b"text/event-stream")
         if attempt.response_class is attempts.ResponseClass.SUCCESS and is_stream:
@@ -240,44 +244,45 @@
             self.writer.begin_body(forwarded)
 
     def handle_data(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """A chunk of the body of a replica's answer was received."""
+        """Handles a chunk of the body of a replica's response."""
         if attempt.response_class is attempts.ResponseClass.NOT_RUN:
             return
         stream = self.writer.stream
         if stream is None or attempt.response_class is not attempts.ResponseClass.SUCCESS:
             self.writer.write_body(data, status=attempt.status)
             return
-        if not attempt.is_read:
-            attempt.is_read = True
+        if not attempt.is_prefilled:
+            attempt.is_prefilled = True
             self._note_request_started()
             self._steps.record(step_log.PREFILLED, now=self.loop.now())
             attempt_accounting.note_prefilled(attempt, facts=self.facts, route=self.route, context=self.context)
         for event in stream.receive_data(data):
-            attempt.note_event(now=attempt.heard_at)
+            attempt.note_event(now=attempt.last_received_at)
             self.forward_event(event)
 
     def _note_request_started(self) -> None:
-        """A replica began to run the request: that counts once, whatever is resumed or sent again."""
-        if not self._has_begun and self.facts.tenant is not None:
+        """Records that a replica began to run the request; once per request, also if it is resumed or sent again."""
+        if not self._has_started and self.facts.tenant is not None:
             self.context.note_request_started(self.facts.tenant.name)
-        self._has_begun = True
+        self._has_started = True
 
     def forward_event(self, event: bytes) -> None:
-        """Writes one event; a client that reads slowly pauses its replica."""
+        """Writes one event to the client, and pauses the replica's connection while the client reads too slowly."""
         runner = self._runner
         is_backed_up = self.writer.write_event(event, status=200 if runner.attempt is None else runner.attempt.status)
-        if is_backed_up and runner.attempt is not None:  # else the write found that the client has left
+        if is_backed_up and runner.attempt is not None:  # otherwise the write found that the client disconnected
             runner.attempt.connection.pause()
             self.request.on_drain = self._on_client_drained
 
     def _on_client_drained(self) -> None:
         self.request.on_drain = None
         if self.attempt is not None:
-            self.attempt.heard_at = self.loop.now()  # the pause was ours
+            # This proxy paused the connection, so the pause does not count towards the replica's timeout.
+            self.attempt.last_received_at = self.loop.now()
             self.attempt.connection.resume()
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """A replica's answer was received completely."""
+        """Handles the end of a replica's complete response."""
         if attempt.response_class is attempts.ResponseClass.NOT_RUN:
             attempt.is_known_not_run = True
             self._end_attempt(attempt, kind=report_source.DONE)
@@ -293,21 +298,21 @@
             self._end_body(attempt)
 
     def _end_body(self, attempt: attempts.Attempt) -> None:
-        """A complete answer that is no stream, or a failure."""
+        """Handles the end of a complete response that is not a stream, or of an error response."""
         status = attempt.status
         self._end_attempt(attempt, kind=report_source.FAILED if status >= 500 else report_source.DONE)
         if status >= 500 and self._may_resend():
             self._on_attempt_unresolved(attempt)
         elif self.writer.has_head and self.writer.stream is not None:
-            self._abort_response()  # a failure instead of the remainder of a stream
-        elif status in LIMITED_STATUSES and not self.writer.has_head:
-            self._answer(status=502)  # without X-Not-Run it is no promise of the replica, and may be none of ours
+            self._abort_response()  # an error response in place of the rest of a stream
+        elif status in UNFORWARDED_STATUSES and not self.writer.has_head:
+            self._answer(status=502)  # lacks X-Not-Run, so the replica may have run it
         else:
             self._finish(status=status)
             self.writer.end_body(status=status)
 
     def handle_failure(self, attempt: attempts.Attempt, *, reason: str, was_sent: bool, was_up: bool) -> None:
-        """The connection ended before the answer was complete."""
+        """Handles the end of the connection before the response was complete."""
         self._steps.record("failed", reason, now=self.loop.now())
         self.context.note_attempt_failure(replica=attempt.replica, reason=reason, was_up=was_up)
         kind = report_source.DONE
@@ -324,9 +329,9 @@
         else:
             self._on_attempt_unsent(attempt)
 
-    # What follows an attempt.
+    # After an attempt.
     def _on_attempt_unsent(self, attempt: attempts.Attempt) -> None:
-        """No byte of it was sent."""
+        """Tries another replica after an attempt of which no byte was sent."""
         self._selection.avoided.add(attempt.replica.id)
         if self.policy.may_reconnect(now=self.loop.now(), deadline=self.facts.deadline):
             self._try_attempt()
@@ -334,7 +339,7 @@
             self._give_up()
 
     def _on_attempt_not_run(self, attempt: attempts.Attempt) -> None:
-        """The replica did not run it."""
+        """Tries another replica after one stated that it did not run the request."""
         if attempt.status == 421:
             self.context.note_wrong_replica(attempt.replica)
         else:
@@ -348,7 +353,7 @@
             self._give_up()
 
     def _on_attempt_unresolved(self, attempt: attempts.Attempt) -> None:
-        """It may have run."""
+        """Tries another replica, where allowed, after an attempt that may have run."""
         self._selection.avoided.add(attempt.replica.id)
         if self._may_resend():
             self.writer.begin_next_attempt()
@@ -366,7 +371,7 @@
             is_sending=self._runner.is_sending,
         )
 
-    # The end.
+    # End of the request.
     def _give_up(self) -> None:
         if self.writer.has_head:
             self._abort_response()
@@ -374,7 +379,10 @@
             self._reject(after_s=max(MIN_RETRY_AFTER_S, self._retry_after_s))
 
     def abort_for_shutdown(self) -> None:
-        """The process ends soon: a request that no replica received is rejected; others may still be answered."""
+        """Rejects the request shortly before the process exits, unless a running attempt may still be answered.
+
+        That is an attempt of which a byte was sent, since its replica may have received it.
+        """
         if self.is_over or self._runner.is_sending:
             return
         if self.attempt is not None:
@@ -382,7 +390,7 @@
         self._give_up()
 
     def on_deadline(self) -> None:
-        """The client's time is over."""
+        """Ends the request at its deadline."""
         if self.is_over:
             return
         if self.attempt is not None:
@@ -395,7 +403,7 @@
             self._reject(after_s=admission_filters.LATE_RETRY_AFTER_S)
 
     def on_client_gone(self) -> None:
-        """The client left."""
+        """Ends the request after the client disconnected."""
         if self.is_over:
             return
         if self.attempt is not None:
@@ -403,7 +411,7 @@
         self._finish()
 
     def _reject(self, *, after_s: float) -> None:
-        """Answers 503, a promise that the request has not run and never will; 502 where that is not certain."""
+        """Answers 503, which guarantees that the request has not run and never will, or 502 if that is not certain."""
         if self.policy.unresolved_attempts:
             self._answer(status=502)
         else:
@@ -418,10 +426,13 @@
         self.writer.abort()
 
     def _finish(self, *, status: int = 0) -> None:
-        """Ends the request: timers are cancelled and the trail is written. `status`: of the answer, 0 if it is aborted.
+        """Ends the request: cancels its timers and hands over its custody trail.
+
+        Called before the last write, because that write may start the next request on the client's connection or find
+        that the client disconnected, and neither may affect this request any more.
 
-        It is called before the last write: that may start the next request on the client's connection, or find that the
-        client has left, and neither may reach this request any more.
+        Args:
+            status: Status of the response, 0 if the response is aborted.
         """
         if self.is_over:
             return
@@ -437,7 +448,7 @@
             facts.tenant is not None
             and facts.is_counted
             and not self.writer.has_head
-            and self.policy.is_promise_kept(status=status)
+            and self.policy.is_not_run_guaranteed(status=status)
         ):
             self.context.quota_allowance.return_admission(facts.tenant.key)
         if route is not None:
--- a/ploverward/data_plane/requests/request_state.py
+++ b/ploverward/data_plane/requests/request_state.py
@@ -1,4 +1,4 @@
-r"""The states of a request, a state machine without I/O. `request_handler.RequestHandler` owns the state.
+r"""State machine of a request, without I/O. `request_handler.RequestHandler` owns the state.
 
     ADMITTING --ADMITTED--> WAITING --ATTEMPT_STARTED--> ATTEMPTING
                                |   <--ATTEMPT_ENDED-----     |
@@ -10,31 +10,32 @@
 
     and from each of them --FINISHED--> OVER
 
-* ADMITTING: the filters run. A refusal is the final answer.
-* WAITING: no attempt is in progress. A replica is being chosen; if none is available, a timer chooses again for a
-  short time, then the request is rejected.
-* ATTEMPTING: one attempt is in progress and the client has nothing of an answer: any status can still be sent.
-* RESPONDING: one attempt is in progress and the client has the head. From here on the answer is completed or the
-  client's connection is closed; another replica can only continue the stream.
-* RESUMING: the client has the head, and no attempt is in progress: the stream waits for another replica, or its end is
+* ADMITTING: the admission filters run. A refusal is the final response.
+* WAITING: no attempt is in progress. A replica is being chosen; if none is available, the choice is repeated on a timer
+  for a short time, then the request is rejected.
+* ATTEMPTING: one attempt is in progress and the client has received nothing, so any status can still be sent.
+* RESPONDING: one attempt is in progress and the client has the head. From here on either the response is completed or
+  the client's connection is closed; another replica can only continue the stream.
+* RESUMING: the client has the head and no attempt is in progress: the stream waits for another replica, or its end is
   being written.
-* OVER: the final answer was given, the connection was closed, or the client left. Nothing reaches the request any more.
+* OVER: the final response was written, the connection was closed, or the client disconnected. No further event reaches
+  the request.
 
 Invariants:
 
-* At most one attempt is in progress, and the connection of one that is given up is closed in the same step: nothing
-  of it can arrive later.
-* The client gets exactly one final answer. A status that promises that the request has not run (503, 429) is given only
-  while `RetryPolicy.unresolved_attempts` is 0; else it is 502, or 504 at the deadline.
-* If a step raises, the request ends at its deadline. What was known of its attempts until then is kept, so it ends
-  without a promise (`test_internal_error_after_send_is_not_answered_as_not_run`).
+* At most one attempt is in progress. The connection of an abandoned attempt is closed in the same step, so that none of
+  its data can arrive later.
+* The client gets exactly one final response. A status that guarantees that the request has not run (503, 429) is sent
+  only while `RetryPolicy.unresolved_attempts` is 0; otherwise the status is 502, or 504 at the deadline.
+* If a step raises, the request ends at its deadline. The counts of its attempts are kept, so that it does not end with
+  such a status (`test_internal_error_after_send_is_not_answered_as_not_run`).
 """
 
 import enum
 
 
 class RequestState(enum.Enum):
-    """The states of a request."""
+    """State of a request."""
 
     ADMITTING = "admitting"
     WAITING = "waiting"
@@ -43,11 +44,11 @@
     RESUMING = "resuming"
     OVER = "over"
 
-    __hash__ = object.__hash__  # by identity, as they compare: `next_state` is called several times for each request
+    __hash__ = object.__hash__  # by identity, like their equality: `next_state` runs several times per request
 
 
 class RequestEvent(enum.Enum):
-    """The events that cause transitions."""
+    """Event that causes a transition."""
 
     ADMITTED = "admitted"
     ATTEMPT_STARTED = "attempt started"
@@ -70,33 +71,33 @@
     },
     RequestEvent.HEAD_WRITTEN: {
         RequestState.ATTEMPTING: RequestState.RESPONDING,
-        RequestState.WAITING: RequestState.RESUMING,  # a stream without an event: its head is written with its end
+        RequestState.WAITING: RequestState.RESUMING,  # a stream without events: its head is written at its end
     },
     RequestEvent.FINISHED: {state: RequestState.OVER for state in RequestState if state is not RequestState.OVER},
 }
 
 
 class IllegalTransitionError(RuntimeError):
-    """A bug of this program: an event occurred in a state in which it cannot.
+    """Internal error: an event occurred in a state that does not allow it.
 
     Attributes:
-        state: The state that the request stays in.
-        event: The event.
+        state: The state of the request, which does not change.
+        event: The event that was not allowed.
     """
 
     def __init__(self, *, state: RequestState, event: RequestEvent) -> None:
-        super().__init__(f"{event.value} while {state.value}")
+        super().__init__(f"request event {event.value!r} is not allowed in state {state.value!r}")
         self.state = state
         self.event = event
 
 
 def next_state(state: RequestState, event: RequestEvent) -> RequestState:
-    """Returns the state that follows.
+    """Returns the state after an event.
 
     Raises:
-        IllegalTransitionError: The event cannot occur in this state.
+        IllegalTransitionError: The event is not allowed in this state.
     """
-    following = TRANSITIONS[event].get(state)
-    if following is None:
+    new_state = TRANSITIONS[event].get(state)
+    if new_state is None:
         raise IllegalTransitionError(state=state, event=event)
-    return following
+    return new_state
--- a/ploverward/data_plane/requests/response_writer.py
+++ b/ploverward/data_plane/requests/response_writer.py
@@ -1,11 +1,11 @@
-"""Writes the answer to the client.
+"""Writes the response to the client.
 
-`ResponseWriter` owns what the client has of its answer: nothing, or the head and what followed. An answer that is no
-stream is buffered, so that a failure of its replica can still become another replica's success; past
-`BUFFER_LIMIT_BYTES` it is forwarded as it arrives. A stream is forwarded event by event.
+`ResponseWriter` tracks how much of the response the client has: nothing, or the head and part of the body. A response
+that is not a stream is buffered, so that another replica can still succeed after a failure; beyond `BUFFER_LIMIT_BYTES`
+it is forwarded as it arrives. A stream is forwarded event by event.
 
-The invariant: a partial answer never looks complete. The length that a replica states is not forwarded for answers that
-several replicas may contribute to, and only the handler decides that an answer is complete (docs/requests.md 1.9).
+Invariant: a partial response never looks complete. A replica's Content-Length is not forwarded for responses to which
+several replicas may contribute, and only the handler decides that a response is complete (docs/requests.md 1.9).
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-BUFFER_LIMIT_BYTES = 512 * 1024  # of one answer; longer ones are rare, and their replica is past failing at the head
+BUFFER_LIMIT_BYTES = 512 * 1024  # of one response; longer ones are rare, and their replica has not failed at the head
 
 
 class ResponseWriter:
-    """Writes one request's answer to its client.
+    """Writes the response of one request to its client.
 
     Args:
         request: The client's request.
         on_head: Called once, just before the head is written.
 
     Attributes:
-        has_head: Whether the client has the head: from then on no other status can follow.
-        stream: The streamed answer, None if the answer is no stream or not started.
+        has_head: Whether the head was written, after which no other status can be sent.
+        stream: The streamed response, None if the response is not a stream or has not started.
     """
 
     __slots__ = ("has_head", "stream", "_request", "_on_head", "_client_last_id", "_headers", "_buffer")
@@ -50,26 +50,26 @@
 
     @property
     def last_event_id(self) -> bytes | None:
-        """The event behind which the next replica begins, None for the beginning."""
+        """Id of the event after which the next replica has to continue, None for the beginning of the stream."""
         return self.stream.last_id if self.stream is not None else self._client_last_id
 
     def begin_stream(self, headers: Headers) -> None:
-        """A replica begins a stream, or continues it."""
+        """Begins the stream of a replica, or its part of a resumed stream."""
         self._headers = _without_length(headers)
         if self.stream is None:
             self.stream = stream_resumption.ResumableStream(last_id=self._client_last_id)
-        self.stream.begin_run()
+        self.stream.begin_segment()
 
     def begin_body(self, headers: Headers) -> None:
-        """A replica begins an answer that is no stream, or a failure."""
+        """Begins a response of a replica that is not a stream, or an error response."""
         self._headers = headers
         self.stream = None
         self._buffer = bytearray()
 
     def begin_next_attempt(self) -> None:
-        """Another replica is used: what the former one sent and is not forwarded yet is dropped."""
+        """Discards the data of the previous replica that was not forwarded yet, before another replica is used."""
         if self.stream is not None:
-            self.stream.begin_run()
+            self.stream.begin_segment()
         self._buffer = None
 
     def write_head(self, *, status: int) -> None:
@@ -78,7 +78,7 @@
             self._start(status=status, headers=[*self._headers, (b"Transfer-Encoding", b"chunked")])
 
     def write_event(self, event: bytes, *, status: int) -> bool:
-        """Writes one event of a stream. Returns whether the client reads more slowly than its replica writes."""
+        """Writes one event of a stream, and returns whether too many unsent bytes are queued for the client."""
         if not self.has_head:
             self.write_head(status=status)
         self._request.data(event)
@@ -89,7 +89,7 @@
         self._request.data(data)
 
     def write_body(self, data: bytes, *, status: int) -> None:
-        """Buffers data of an answer that is no stream, and forwards it once it is too long for that."""
+        """Buffers data of a response that is not a stream, or forwards it if the response exceeds the buffer limit."""
         if self._buffer is None:
             return
         self._buffer += data
@@ -100,11 +100,11 @@
             self._buffer = bytearray()
 
     def end(self) -> None:
-        """The answer is complete."""
+        """Completes the response."""
         self._request.end()
 
     def end_body(self, *, status: int) -> None:
-        """Completes an answer that is no stream: writes its remainder, or all of it with its length."""
+        """Completes a response that is not a stream: writes its remainder, or all of it with its length."""
         buffer = bytes(self._buffer or b"")
         if self.has_head:
             self._request.data(buffer)
@@ -113,15 +113,15 @@
             self._request.reply(status=status, headers=_without_length(self._headers), body=buffer)
 
     def reply(self, *, status: int, headers: Sequence[tuple[bytes, bytes]] = ()) -> None:
-        """Answers without a body."""
+        """Writes a response without a body."""
         self._request.reply(status=status, headers=headers)
 
     def abort(self) -> None:
-        """Ends the client's connection, so that the answer does not look complete."""
+        """Closes the client's connection, so that the response does not look complete."""
         self._request.abort()
 
     def _start(self, *, status: int, headers: Headers) -> None:
-        # First: this very write may find that the client has left, and nothing may start another answer then.
+        # Set before the write, which may find that the client disconnected: no second response may start then.
         self.has_head = True
         self._on_head()
         self._request.start(status=status, headers=headers)
--- a/ploverward/data_plane/requests/stream_resumption.py
+++ b/ploverward/data_plane/requests/stream_resumption.py
@@ -1,18 +1,18 @@
-"""A streamed answer that may continue at another replica (docs/requests.md 3).
+"""Parses a streamed response so that another replica can continue it (docs/requests.md 3).
 
-`ResumableStream` owns what the client has of the stream: the id of the last event that was forwarded. Its invariant:
-the client gets each event once, in order and complete, however many replicas the stream is made of. It does no I/O.
+`ResumableStream` tracks the last event that was forwarded to the client. Invariant: the client gets each event once, in
+order and complete, regardless of how many replicas contribute to the stream. It does no I/O.
 
-One run is what one replica sends. A run that is interrupted may end inside an event, so the incomplete event is
-dropped: the next run is requested to send everything after `last_id`, including that event from its beginning. A
-replica may also repeat events that the client has; these are dropped by their ids.
+A segment is the part of the stream that one replica sends. An interrupted segment may end inside an event, so the
+incomplete event is dropped: the next replica is requested to send everything after `last_id`, including that event from
+its beginning. A replica may also repeat events that the client has; these are recognised by their ids and dropped.
 """
 
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n", b"\r\r")
 
 
 def event_id(event: bytes) -> bytes | None:
-    """Returns the id in a complete event, None where it has none."""
+    """Returns the id of a complete event, None if it has none."""
     for line in event.splitlines():
         if line.startswith(b"id:"):
             return line[3:].strip()
@@ -20,38 +20,38 @@
 
 
 def _event_end(data: bytes) -> int:
-    """Returns the length of the first complete event, -1 where none is complete."""
-    ends = [start + len(terminator) for terminator in EVENT_ENDS if (start := data.find(terminator)) >= 0]
+    """Returns the length of the first complete event, or -1."""
+    ends = [start + len(terminator) for terminator in EVENT_TERMINATORS if (start := data.find(terminator)) >= 0]
     return min(ends) if ends else -1
 
 
-def _is_not_after(number: bytes, last: bytes) -> bool:
+def _is_repeated(event_number: bytes, last: bytes) -> bool:
     try:
-        return int(number) <= int(last)
+        return int(event_number) <= int(last)
     except ValueError:
-        return number == last  # ids without an order: only the very same one is known to be a repetition
+        return event_number == last  # non-numeric ids have no order: only an equal id is known to be a repetition
 
 
 class ResumableStream:
-    """The events of one answer, over all runs that it is made of.
+    """The events of one streamed response, over all its segments.
 
     Attributes:
-        last_id: Id of the last forwarded event; before the first one, what the client sent as Last-Event-Id.
-        is_resumable: False once an event without an id was forwarded: no id names what follows it.
+        last_id: Id of the last forwarded event; before the first one, the Last-Event-Id that the client sent.
+        is_resumable: Whether all forwarded events had an id; otherwise no id identifies where to continue.
     """
 
     def __init__(self, *, last_id: bytes | None) -> None:
         self.last_id = last_id
         self.is_resumable = True
         self._buffer = b""
-        self._is_begun = False
+        self._has_accepted_event = False
 
-    def begin_run(self) -> None:
-        """Another replica continues: the incomplete event of the former run is dropped."""
+    def begin_segment(self) -> None:
+        """Starts the segment of another replica and drops the incomplete event of the previous segment."""
         self._buffer = b""
 
     def receive_data(self, data: bytes) -> list[bytes]:
-        """Returns the complete events that are to be forwarded now, each once, in order."""
+        """Adds received data, and returns the complete new events in order, for forwarding."""
         self._buffer += data
         found: list[bytes] = []
         while self._buffer:
@@ -60,22 +60,22 @@
                 break
             event = self._buffer[:event_end]
             self._buffer = self._buffer[event_end:]
-            if self._is_new(event):
+            if self._accept(event):
                 found.append(event)
         return found
 
     def take_remainder(self) -> bytes:
-        """Returns, once, what follows the last complete event of a run that ended in order."""
+        """Removes and returns the data after the last complete event; used when a segment ended regularly."""
         remainder, self._buffer = self._buffer, b""
         return remainder
 
-    def _is_new(self, event: bytes) -> bool:
-        number = event_id(event)
-        if number is not None:
-            if self._is_begun and self.last_id is not None and _is_not_after(number, self.last_id):
+    def _accept(self, event: bytes) -> bool:
+        event_number = event_id(event)
+        if event_number is not None:
+            if self._has_accepted_event and self.last_id is not None and _is_repeated(event_number, self.last_id):
                 return False
-            self.last_id = number
+            self.last_id = event_number
         else:
             self.is_resumable = False
-        self._is_begun = True
+        self._has_accepted_event = True
         return True
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -193,7 +193,7 @@
         self.last_id = stream_resumption.event_id(event)
         return True
 
-    monkeypatch.setattr(stream_resumption.ResumableStream, "_is_new", is_new)
+    monkeypatch.setattr(stream_resumption.ResumableStream, "_accept", is_new)
 
 
 def _ends_in_order(monkeypatch):
@@ -203,7 +203,7 @@
 def _ignores_tries(monkeypatch):
     monkeypatch.setattr(retry_policy.RetryPolicy, "may_retry", lambda self, **_about: True)
     monkeypatch.setattr(
-        retry_policy.RetryPolicy, "arrivals", property(lambda self: 0, lambda self, _value: None), raising=False
+        retry_policy.RetryPolicy, "sent_attempts", property(lambda self: 0, lambda self, _value: None), raising=False
     )
 
 
--- a/ploverward/data_plane/requests/test_request_state.py
+++ b/ploverward/data_plane/requests/test_request_state.py
@@ -1,4 +1,4 @@
-"""The states of a request, without a socket."""
+"""Tests the state machine of a request, without sockets."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from ploverward.data_plane.requests.request_state import next_state
 
 
-def after(*events):
+def state_after(*events):
     state = State.ADMITTING
     for event in events:
         state = next_state(state, event)
@@ -30,14 +30,14 @@
     ],
 )
 def test_event_sequence_leads_to_expected_state(events, state):
-    assert after(*events) is state
+    assert state_after(*events) is state
 
 
 def test_resumed_stream_cannot_write_a_second_head():
-    began = (Event.ADMITTED, Event.ATTEMPT_STARTED, Event.HEAD_WRITTEN, Event.ATTEMPT_ENDED, Event.ATTEMPT_STARTED)
-    assert after(*began) is State.RESPONDING
+    resumed = (Event.ADMITTED, Event.ATTEMPT_STARTED, Event.HEAD_WRITTEN, Event.ATTEMPT_ENDED, Event.ATTEMPT_STARTED)
+    assert state_after(*resumed) is State.RESPONDING
     with pytest.raises(IllegalTransitionError):
-        after(*began, Event.HEAD_WRITTEN)
+        state_after(*resumed, Event.HEAD_WRITTEN)
 
 
 def test_request_can_finish_in_every_state_except_over():
--- a/ploverward/data_plane/requests/test_response_writer.py
+++ b/ploverward/data_plane/requests/test_response_writer.py
@@ -1,4 +1,4 @@
-"""What a client gets of its answer, with a request that records it in place of a connection."""
+"""Tests the response to a client, with a request that records the calls in place of a connection."""
 
 import types
 
@@ -35,8 +35,8 @@
         self.calls.append(("abort",))
 
 
-def made(**about):
-    request = RecordingRequest(**about)
+def make_writer(**options):
+    request = RecordingRequest(**options)
     heads = []
     writer = response_writer.ResponseWriter(request=request, on_head=lambda: heads.append(len(request.calls)))
     return writer, request, heads
@@ -47,7 +47,7 @@
 
 
 def test_short_body_is_buffered_until_complete_and_drops_replica_length():
-    writer, request, heads = made()
+    writer, request, heads = make_writer()
     writer.begin_body([LENGTH, OTHER])
     writer.write_body(b"o", status=200)
     writer.write_body(b"k", status=200)
@@ -57,7 +57,7 @@
 
 
 def test_body_over_buffer_limit_is_forwarded_once_with_replica_length():
-    writer, request, heads = made()
+    writer, request, heads = make_writer()
     writer.begin_body([LENGTH])
     long = bytes(response_writer.BUFFER_LIMIT_BYTES + 1)
     writer.write_body(long, status=200)
@@ -68,7 +68,7 @@
 
 
 def test_buffered_body_of_failed_attempt_is_discarded():
-    writer, request, _heads = made()
+    writer, request, _heads = make_writer()
     writer.begin_body([OTHER])
     writer.write_body(b"failure", status=500)
     writer.begin_next_attempt()
@@ -80,7 +80,7 @@
 
 
 def test_resumed_stream_has_one_head_without_length():
-    writer, request, heads = made()
+    writer, request, heads = make_writer()
     for event in (b"id: 1\n\n", b"id: 2\n\n"):
         writer.begin_stream([LENGTH, OTHER])
         for complete in writer.stream.receive_data(event):
@@ -90,18 +90,18 @@
     assert request.calls == [head, ("data", b"id: 1\n\n"), ("data", b"id: 2\n\n")] and heads == [0]
 
 
-@pytest.mark.parametrize("named, wanted", [(b"", None), (b"7", b"7")])
-def test_last_event_id_comes_from_client_then_from_forwarded_events(named, wanted):
-    writer, _request, _heads = made(last_event_id=named)
-    assert writer.last_event_id == wanted
+@pytest.mark.parametrize("client_last_id, expected", [(b"", None), (b"7", b"7")])
+def test_last_event_id_comes_from_client_then_from_forwarded_events(client_last_id, expected):
+    writer, _request, _heads = make_writer(last_event_id=client_last_id)
+    assert writer.last_event_id == expected
     writer.begin_stream([])
-    assert writer.last_event_id == wanted
+    assert writer.last_event_id == expected
     writer.stream.receive_data(b"id: 9\n\n")
     assert writer.last_event_id == b"9"
 
 
-@pytest.mark.parametrize("more, is_slow", [(0, False), (1, True)])
-def test_write_event_returns_true_above_send_watermark(more, is_slow):
-    writer, _request, _heads = made(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + more)
+@pytest.mark.parametrize("excess, is_slow", [(0, False), (1, True)])
+def test_write_event_returns_true_above_send_watermark(excess, is_slow):
+    writer, _request, _heads = make_writer(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + excess)
     writer.begin_stream([])
     assert writer.write_event(b"id: 1\n\n", status=200) is is_slow
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -1,7 +1,7 @@
-"""Requests under faults of replicas and networks.
+"""Tests requests under faults of replicas and networks.
 
-Unhealthy replicas that claim to be healthy, false health checks, flapping, paths that carry one direction only, jumps
-of traffic, idle connections closed without notice.
+The faults are failing replicas that claim to be healthy, false health checks, flapping, one-directional network paths,
+traffic spikes, and idle connections closed without notice.
 """
 
 import collections
@@ -23,13 +23,13 @@
 
 
 def reported_kinds(scene):
-    """What the proxy would report of each attempt: {replica: [kinds]}."""
+    """Records the kinds that the proxy reports for attempts, as {replica: [kinds]}."""
     kinds = collections.defaultdict(list)
     scene.proxy.report_attempt = lambda *, replica, kind: kinds[replica.id].append(kind)
     return kinds
 
 
-def refusing(number, heard):
+def failing(number, heard):
     return (
         [request_scene.answer(request_scene.request_id(heard), b"no", status=b"500 Broken")]
         if request_scene.is_complete(heard)
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("status", [b"500 Broken", b"502 Broken", b"200 OK"])
 def test_replica_with_failing_attempts_is_reported_and_avoided(status):
     def script(number, heard):
-        more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without its stamp is none
+        more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without X-Postmark is invalid
         return (
             [request_scene.answer(request_scene.request_id(heard), b"no", status=status, more=more)]
             if request_scene.is_complete(heard)
@@ -52,9 +52,9 @@
     for _ in range(12):
         scene.client.got = b""
         scene.request("safe")
-        assert scene.until(b"\r\n\r\nok")  # always answered, by the other one
+        assert scene.until(b"\r\n\r\nok")  # always answered by the other replica
     failed = [kind for kind in kinds["i0"] if kind in (report_source.FAILED, report_source.BROKEN)]
-    assert 0 < len(failed) < 6  # soon left alone
+    assert 0 < len(failed) < 6  # avoided after a few failures
     assert report_source.FAILED not in kinds["i1"] and report_source.BROKEN not in kinds["i1"]
 
 
@@ -81,13 +81,15 @@
             judge.record(key=KEY, ended=2, failed=2 if is_down else 0)
         for _key in judge.update():
             changes.append((clock[0], KEY in judge.failing))
-    outs = [back - out for (out, is_out), (back, _is) in zip(changes, changes[1:], strict=False) if is_out]
-    assert len(outs) >= 3 and outs[0] < outs[1] < outs[2] and max(outs) < 17.0
+    exclusions_s = [
+        end - start for (start, is_failing), (end, _) in zip(changes, changes[1:], strict=False) if is_failing
+    ]
+    assert len(exclusions_s) >= 3 and exclusions_s[0] < exclusions_s[1] < exclusions_s[2] and max(exclusions_s) < 17.0
     assert outcomes.Judge(now=lambda: 0.0, suspicion_s=1.0).failing == set()
 
 
 def test_replica_is_chosen_even_if_all_replicas_fail():
-    scene = request_scene.Scene(refusing, refusing)
+    scene = request_scene.Scene(failing, failing)
     for _ in range(6):
         scene.client.got = b""
         scene.request("safe")
@@ -99,7 +101,7 @@
 
 
 def test_connection_without_incoming_data_times_out():
-    """We can send and are not heard, or hear nothing: a held connection needs an answer to its beats."""
+    """The peer accepts data but never replies: the connection times out although heartbeats are sent."""
     loop = loopback.new_loop()
     server = socket.socket()
     server.bind((loopback.own_address(), 0))
@@ -109,7 +111,7 @@
 
     def accept(_mask):
         sock, _address = server.accept()
-        heard.append(sock)  # it is open and takes all, and nothing ever comes back
+        heard.append(sock)  # stays open and accepts all data, but never sends any
 
     loop.watch(sock=server, mask=selectors.EVENT_READ, callback=accept)
     ended = []
@@ -121,16 +123,16 @@
         on_end=lambda link, reason: ended.append(reason),
         peer_timeout_s=1.0,
     )
-    beats = [0]
+    heartbeats = [0]
 
     def send_heartbeats():
         if connector.link is not None and connector.link.is_up:
             connector.link.send(messages.KeepAlive(0))
-            beats[0] += 1
+            heartbeats[0] += 1
 
     loop.every(interval_s=0.1, callback=send_heartbeats)
     assert loopback.until(loop, lambda: ended)
-    assert ended[0] == "silent" and beats[0] >= 2
+    assert ended[0] == "silent" and heartbeats[0] >= 2
     connector.stop()
     for sock in [server, *heard]:
         sock.close()
@@ -139,15 +141,15 @@
 def test_traffic_spike_is_spread_over_replicas_before_load_reports():
     scene = request_scene.Scene(*[request_scene.replying] * 4)
     chance = random.Random(3)
-    taken = collections.Counter()
+    chosen = collections.Counter()
     for number in range(64):
         replica, tokens, _is_any = scene.proxy.chooser.choose(
             service="llm", permitted=None, model="m", chain=(), prompt_tokens=chance.randint(100, 200), avoid=set()
         )
         replica.running += 1
         replica.prefill_tokens[number] = tokens
-        taken[replica.id] += 1
-    assert min(taken.values()) >= 8 and len(taken) == 4
+        chosen[replica.id] += 1
+    assert min(chosen.values()) >= 8 and len(chosen) == 4
 
 
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
@@ -168,12 +170,12 @@
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.proxy.table.replicas["i1"].is_draining = False
-    scene.proxy.table.replicas["i1"].running = 50  # the idle connection is taken again
+    scene.proxy.table.replicas["i1"].running = 50  # so that the idle connection to i0 is used again
     scene.client.got = b""
     arrivals = scene.arrivals()
     scene.request(lead)
     assert scene.until(b"\r\n\r\nok" if is_answered else b" 502 ")
-    assert scene.arrivals() - arrivals == (2 if is_answered else 1)  # what may have run once does not run again
+    assert scene.arrivals() - arrivals == (2 if is_answered else 1)  # a request that may have run is not sent again
     assert report_source.FAILED not in kinds["i0"] and replica.recent_failures(now=scene.loop.now()) == 0
 
 
--- a/ploverward/data_plane/requests/test_retry_policy.py
+++ b/ploverward/data_plane/requests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What may be sent again, without a socket."""
+"""Tests which attempts may follow, without sockets."""
 
 import types
 
@@ -15,12 +15,12 @@
     return types.SimpleNamespace(max_attempts=max_attempts, is_idempotent=is_idempotent, is_resumable=is_resumable)
 
 
-def after(*ends):
-    """A policy after attempts that ended "unsent", "not run" or "unresolved"."""
+def policy_after(*outcomes):
+    """Returns the policy after attempts with these outcomes: "unsent", "not run" or "unresolved"."""
     policy = retry_policy.RetryPolicy()
-    for end in ends:
+    for outcome in outcomes:
         policy.on_attempt_started()
-        policy.on_attempt_ended(is_unsent=end == "unsent", is_known_not_run=end == "not run")
+        policy.on_attempt_ended(is_unsent=outcome == "unsent", is_known_not_run=outcome == "not run")
     return policy
 
 
@@ -29,67 +29,71 @@
 
 
 @pytest.mark.parametrize(
-    "ends, arrivals, unresolved",
+    "outcomes, sent_attempts, unresolved",
     [((), 0, 0), (("unsent",), 0, 0), (("not run",), 1, 0), (("unresolved",), 1, 1), (("unresolved", "unsent"), 1, 1)],
 )
-def test_attempt_outcome_updates_counts(ends, arrivals, unresolved):
-    policy = after(*ends)
-    assert (policy.attempts, policy.arrivals, policy.unresolved_attempts) == (len(ends), arrivals, unresolved)
+def test_attempt_outcome_updates_counts(outcomes, sent_attempts, unresolved):
+    policy = policy_after(*outcomes)
+    assert (policy.attempts, policy.sent_attempts, policy.unresolved_attempts) == (
+        len(outcomes),
+        sent_attempts,
+        unresolved,
+    )
 
 
 def test_attempt_is_unresolved_once_started():
     policy = retry_policy.RetryPolicy()
     policy.on_attempt_started()
-    assert policy.unresolved_attempts == 1 and not policy.is_promise_kept(status=503)
+    assert policy.unresolved_attempts == 1 and not policy.is_not_run_guaranteed(status=503)
 
 
 def test_unsent_attempts_are_limited_by_count_and_deadline_but_not_by_tries():
-    assert after(*["unsent"] * 5).may_reconnect(now=DEADLINE - 0.001, deadline=DEADLINE)
-    assert not after(*["unsent"] * 6).may_reconnect(now=0.0, deadline=DEADLINE)
-    assert not after("unsent").may_reconnect(now=DEADLINE, deadline=DEADLINE)
-    assert after(*["unsent"] * 5).may_retry(route=route(max_attempts=1), now=0.0, deadline=DEADLINE)
+    assert policy_after(*["unsent"] * 5).may_reconnect(now=DEADLINE - 0.001, deadline=DEADLINE)
+    assert not policy_after(*["unsent"] * 6).may_reconnect(now=0.0, deadline=DEADLINE)
+    assert not policy_after("unsent").may_reconnect(now=DEADLINE, deadline=DEADLINE)
+    assert policy_after(*["unsent"] * 5).may_retry(route=route(max_attempts=1), now=0.0, deadline=DEADLINE)
 
 
-@pytest.mark.parametrize("ends, may", [((), True), (("not run",), True), (("not run", "not run"), False)])
-def test_not_run_request_is_retried_within_tries(ends, may):
-    assert after(*ends).may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE) is may
+@pytest.mark.parametrize("outcomes, is_allowed", [((), True), (("not run",), True), (("not run", "not run"), False)])
+def test_not_run_request_is_retried_within_tries(outcomes, is_allowed):
+    assert policy_after(*outcomes).may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE) is is_allowed
 
 
 def test_partially_sent_attempt_counts_towards_tries():
-    policy = after("not run")
+    policy = policy_after("not run")
     assert policy.may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE, is_sending=False)
     assert not policy.may_retry(route=route(max_attempts=2), now=0.0, deadline=DEADLINE, is_sending=True)
-    assert (policy.next_arrival(is_sending=False), policy.next_arrival(is_sending=True)) == (2, 3)
+    assert (policy.next_sent_attempt(is_sending=False), policy.next_sent_attempt(is_sending=True)) == (2, 3)
 
 
 def test_no_retry_below_minimum_time_left():
-    policy = after("not run")
+    policy = policy_after("not run")
     assert policy.may_retry(route=route(), now=DEADLINE - retry_policy.MIN_TIME_LEFT_S - 0.001, deadline=DEADLINE)
     assert not policy.may_retry(route=route(), now=DEADLINE - retry_policy.MIN_TIME_LEFT_S, deadline=DEADLINE)
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
 def test_unresolved_request_is_resent_only_if_idempotent(is_idempotent):
-    assert may_resend(after("unresolved"), route(is_idempotent=is_idempotent)) is is_idempotent
+    assert may_resend(policy_after("unresolved"), route(is_idempotent=is_idempotent)) is is_idempotent
 
 
 def test_unresolved_request_is_resent_only_within_tries():
     rules = route(max_attempts=2, is_idempotent=True)
-    assert may_resend(after("unresolved"), rules)
-    assert not may_resend(after("unresolved", "unresolved"), rules)
+    assert may_resend(policy_after("unresolved"), rules)
+    assert not may_resend(policy_after("unresolved", "unresolved"), rules)
 
 
 @pytest.mark.parametrize(
-    "is_resumable, stream, may",
+    "is_resumable, stream, is_allowed",
     [(True, RESUMABLE, True), (True, NOT_RESUMABLE, False), (True, None, False), (False, RESUMABLE, False)],
 )
-def test_only_resumable_stream_is_resent_after_head(is_resumable, stream, may):
+def test_only_resumable_stream_is_resent_after_head(is_resumable, stream, is_allowed):
     rules = route(is_idempotent=True, is_resumable=is_resumable)
-    assert may_resend(after("unresolved"), rules, has_head=True, stream=stream) is may
+    assert may_resend(policy_after("unresolved"), rules, has_head=True, stream=stream) is is_allowed
 
 
 @pytest.mark.parametrize(
-    "ends, rules, may",
+    "outcomes, rules, is_allowed",
     [
         (("not run",), route(max_attempts=2), True),
         (("not run",), route(max_attempts=1), False),
@@ -97,12 +101,12 @@
         (("unresolved",), route(max_attempts=2, is_idempotent=True), True),
     ],
 )
-def test_newer_configuration_limits_next_attempt(ends, rules, may):
-    assert after(*ends).may_continue_under(rules) is may
+def test_newer_configuration_limits_next_attempt(outcomes, rules, is_allowed):
+    assert policy_after(*outcomes).may_continue_under(rules) is is_allowed
 
 
 @pytest.mark.parametrize(
-    "ends, status, kept",
+    "outcomes, status, is_guaranteed",
     [
         ((), 503, True),
         (("unsent",), 503, True),
@@ -112,5 +116,5 @@
         ((), 504, False),
     ],
 )
-def test_not_run_is_guaranteed_only_without_unresolved_attempts(ends, status, kept):
-    assert after(*ends).is_promise_kept(status=status) is kept
+def test_not_run_is_guaranteed_only_without_unresolved_attempts(outcomes, status, is_guaranteed):
+    assert policy_after(*outcomes).is_not_run_guaranteed(status=status) is is_guaranteed
--- a/ploverward/data_plane/requests/test_stream_resumption.py
+++ b/ploverward/data_plane/requests/test_stream_resumption.py
@@ -1,4 +1,4 @@
-"""Events over several runs, without a socket."""
+"""Tests the events of a stream over several segments, without sockets."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 def test_new_segment_drops_incomplete_event_and_repeated_events():
     stream = stream_resumption.ResumableStream(last_id=None)
     assert stream.receive_data(event(1) + event(2) + event(3)[:-3]) == [event(1), event(2)]
-    stream.begin_run()
+    stream.begin_segment()
     assert stream.receive_data(event(2) + event(3)) == [event(3)]
 
 
