--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -1,7 +1,8 @@
-"""Seeded histories on real sockets with skipped time: drawn clients and replicas, one proxy between them.
+"""Tests random request histories: random clients and replicas with one proxy between them.
 
-What the replicas ran is compared with what the clients sent and got by `request_history.Checker`, which knows nothing
-of the proxy. Planted faults show that it can fail (docs/requests.md 5).
+The histories are seeded and use real sockets; waiting times are skipped on the loop's clock. `request_history.Checker`
+compares what the replicas ran with what the clients sent and received, independently of the proxy. Injected faults show
+that the checker can fail (docs/requests.md 5).
 """
 
 import dataclasses
@@ -24,6 +25,8 @@
 
 
 class World:
+    """Random clients and replicas, and the proxy between them."""
+
     def __init__(self, *, seed: int):
         self.chance = random.Random(seed)
         self.loop = loopback.new_loop()
@@ -36,9 +39,9 @@
         self.users = []
         self.number = 0
 
-    def until(self, is_so) -> bool:
+    def until(self, condition) -> bool:
         for _ in range(request_history.MAX_STEPS):
-            if is_so():
+            if condition():
                 return True
             self.loop.step_or_skip()
         return False
@@ -48,11 +51,11 @@
         self.loop.after(delay=seconds, callback=lambda: None)
         assert self.until(lambda: self.loop.now() >= end)
 
-    def user(self):
-        """A connection that rests, or a new one."""
-        rested = [user for user in self.users if not user.is_closed and user.requests and user.is_done()]
-        if rested and self.chance.random() < 0.6:
-            return self.chance.choice(rested)
+    def pick_user(self):
+        """Returns an idle client connection, or a new one."""
+        idle = [user for user in self.users if not user.is_closed and user.requests and user.is_done()]
+        if idle and self.chance.random() < 0.6:
+            return self.chance.choice(idle)
         user = request_history.User(loop=self.loop, address=self.proxy.address)
         self.users.append(user)
         return user
@@ -87,7 +90,7 @@
         sent = request_log.Sent(id=which, lead=lead, method=method, target=target, body=body)
         data = b"\r\n".join(lines) + b"\r\n\r\n" + tail
         if tail and chance.random() < 0.05:
-            data = data[: -chance.randrange(1, len(tail) + 1)]  # it will leave in the middle
+            data = data[: -chance.randrange(1, len(tail) + 1)]  # the client will disconnect within the body
             sent.is_complete = False
         self.log.sent[which] = sent
         user.requests.append(sent)
@@ -101,27 +104,27 @@
 
     def inject_fault(self) -> None:
         chance = self.chance
-        callback = chance.random()
-        if callback < 0.15:  # a freeze: all timers are due at once
+        fault = chance.random()
+        if fault < 0.15:  # a process freeze, after which all timers are due at once
             self.loop.skip(seconds=chance.choice((0.3, 3.0, 20.0)))
-        elif callback < 0.3:
+        elif fault < 0.3:
             index = chance.randrange(len(self.replicas))
             name = f"life{self.number}of{index}"
             self.replicas[index].replace(name)
             self.proxy.rows[index] = dict(self.proxy.rows[index], id=name)
             lag_s = chance.choice((0.0, 0.2, 1.0))
             self.loop.after(delay=lag_s, callback=lambda: self.proxy.table.install_list(self.proxy.list_rows()))
-        elif callback < 0.4:
+        elif fault < 0.4:
             self.proxy.table.mark_suspected(chance.choice(list(self.proxy.table.replicas.values())))
-        elif callback < 0.6:
+        elif fault < 0.6:
             self.wait(seconds=chance.choice((0.05, 0.5, 3.0, 11.0)))
 
-    def play(self, *, rounds: int) -> list:
+    def run(self, *, rounds: int) -> list:
         for _ in range(rounds):
             self.inject_fault()
             for _ in range(self.chance.choice((1, 2, 6))):
-                user = self.user()
-                for _ in range(self.chance.choice((1, 1, 1, 3))):  # sent ahead
+                user = self.pick_user()
+                for _ in range(self.chance.choice((1, 1, 1, 3))):  # pipelined requests
                     self.send(user)
                     if not user.requests[-1].is_complete:
                         break
@@ -131,7 +134,7 @@
         return request_history.Checker(log=self.log, users=self.users).found()
 
     def stop(self) -> None:
-        """SIGTERM with attempts under way, as ProxyShutdown goes on from it; then the process is gone."""
+        """Shuts the proxy down as after SIGTERM, while attempts are in progress, then ends the process."""
         self.proxy.server.leave()
         if self.chance.random() < 0.5:
             self.wait(seconds=self.chance.uniform(0.0, 0.5))
@@ -144,13 +147,13 @@
         for http_connection in list(self.proxy.server.connections):
             http_connection.close(is_hard=True)
         self.proxy.server.stop_listening()
-        self.wait(seconds=3.0)  # what replicas still had to run has run by now
+        self.wait(seconds=3.0)  # time for the replicas to run their remaining requests
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_history_violates_no_rule(seed):
     world = World(seed=seed)
-    assert world.play(rounds=25) == []
+    assert world.run(rounds=25) == []
     complete_successes = [
         answer
         for user in world.users
@@ -160,16 +163,16 @@
     assert len(complete_successes) > 15 and len(world.log.runs) > 30
 
 
-def _repeats_everything(monkeypatch):
-    read = route_table.Route.of
-    monkeypatch.setattr(route_table.Route, "of", lambda body: dataclasses.replace(read(body), is_idempotent=True))
+def _treat_all_requests_as_idempotent(monkeypatch):
+    parse = route_table.Route.of
+    monkeypatch.setattr(route_table.Route, "of", lambda body: dataclasses.replace(parse(body), is_idempotent=True))
 
 
-def _pairs_by_position(monkeypatch):
+def _match_responses_by_position(monkeypatch):
     monkeypatch.setattr(response_reader.ResponseReader, "_is_ours", lambda self, *, status, reported_id: True)
 
 
-def _promises_always(monkeypatch):
+def _never_count_attempts_as_unresolved(monkeypatch):
     monkeypatch.setattr(
         retry_policy.RetryPolicy,
         "unresolved_attempts",
@@ -178,36 +181,38 @@
     )
 
 
-def _takes_any_success(monkeypatch):
-    monkeypatch.setattr(attempts, "classify_response", lambda *, status, table, is_framed: _meaning(status, table))
+def _accept_any_success(monkeypatch):
+    monkeypatch.setattr(
+        attempts, "classify_response", lambda *, status, table, is_framed: _classify_without_checks(status, table)
+    )
 
 
-def _meaning(status, table):
+def _classify_without_checks(status, table):
     if status == 421 or b"x-not-run" in table:
         return attempts.ResponseClass.NOT_RUN
     return attempts.ResponseClass.SUCCESS if status == 200 else attempts.ResponseClass.FAILURE
 
 
-def _passes_events_twice(monkeypatch):
-    def is_new(self, event):
+def _forward_repeated_events(monkeypatch):
+    def accept(self, event):
         self.last_id = stream_resumption.event_id(event)
         return True
 
-    monkeypatch.setattr(stream_resumption.ResumableStream, "_accept", is_new)
+    monkeypatch.setattr(stream_resumption.ResumableStream, "_accept", accept)
 
 
-def _ends_in_order(monkeypatch):
+def _end_aborted_responses_normally(monkeypatch):
     monkeypatch.setattr(http_request.Request, "abort", http_request.Request.end)
 
 
-def _ignores_tries(monkeypatch):
-    monkeypatch.setattr(retry_policy.RetryPolicy, "may_retry", lambda self, **_about: True)
+def _ignore_tries(monkeypatch):
+    monkeypatch.setattr(retry_policy.RetryPolicy, "may_retry", lambda self, **_arguments: True)
     monkeypatch.setattr(
         retry_policy.RetryPolicy, "sent_attempts", property(lambda self: 0, lambda self, _value: None), raising=False
     )
 
 
-def _keeps_what_came_behind(monkeypatch):
+def _accept_surplus_responses(monkeypatch):
     monkeypatch.setattr(
         response_reader.ResponseReader,
         "_is_ours",
@@ -216,23 +221,23 @@
 
 
 @pytest.mark.parametrize(
-    "plant, rule",
+    "inject, rule",
     [
-        (_repeats_everything, "TWICE"),
-        (_pairs_by_position, "MIXED"),
-        (_keeps_what_came_behind, "MIXED"),
-        (_promises_always, "REFUSED"),
-        (_takes_any_success, "MIXED"),
-        (_passes_events_twice, "ORDER"),
-        (_ends_in_order, "ORDER"),
-        (_ignores_tries, "BUDGET"),
+        (_treat_all_requests_as_idempotent, "TWICE"),
+        (_match_responses_by_position, "MIXED"),
+        (_accept_surplus_responses, "MIXED"),
+        (_never_count_attempts_as_unresolved, "REFUSED"),
+        (_accept_any_success, "MIXED"),
+        (_forward_repeated_events, "ORDER"),
+        (_end_aborted_responses_normally, "ORDER"),
+        (_ignore_tries, "BUDGET"),
     ],
 )
-def test_checker_detects_planted_fault(plant, rule, monkeypatch):
-    plant(monkeypatch)
+def test_checker_detects_injected_fault(inject, rule, monkeypatch):
+    inject(monkeypatch)
     found = []
     for seed in range(8):
-        found += World(seed=seed).play(rounds=25)
-        if any(breach.startswith(rule) for breach in found):
+        found += World(seed=seed).run(rounds=25)
+        if any(violation.startswith(rule) for violation in found):
             return
     raise AssertionError(found)
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -1,4 +1,7 @@
-"""The traps of the wire, with scripted peers: nothing runs twice, is mixed, or looks complete that is not."""
+"""Tests difficult cases of the HTTP connections with scripted replicas.
+
+No request may run twice, no response may reach another request, and no partial response may look complete.
+"""
 
 import re
 
@@ -77,25 +80,25 @@
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
         assert b"bad" not in scene.client.got
-    assert len(scene.peers[0].heard) == 3  # never used again
+    assert len(scene.peers[0].heard) == 3  # each request used a new connection
 
 
 @pytest.mark.parametrize(
-    "spoiled",
+    "response",
     [
         b"not an answer at all\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\nok",  # no stamp
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\nok",  # no X-Postmark
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Encoding: gzip\r\n"
         b"Content-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok",
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # cut short
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # incomplete
     ],
 )
-def test_invalid_response_is_answered_502(spoiled):
+def test_invalid_response_is_answered_502(response):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
-        return [spoiled.replace(b"%s", request_scene.request_id(heard)), "close"]
+        return [response.replace(b"%s", request_scene.request_id(heard)), "close"]
 
     scene = request_scene.Scene(script)
     scene.request("unsafe")
@@ -141,7 +144,7 @@
 
 
 def test_a_stream_resumes_at_another_replica_inside_one_response():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return (
             [
                 request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.event(2),
@@ -151,7 +154,7 @@
             else None
         )
 
-    def going_on(number, heard):
+    def continuing(number, heard):
         if not request_scene.is_complete(heard):
             return None
         last = re.search(rb"Last-Event-Id: (\d+)", heard, re.I)
@@ -162,7 +165,7 @@
             + request_scene.END
         ]
 
-    for scripts in ((cutting, going_on), (going_on, cutting)):
+    for scripts in ((interrupting, continuing), (continuing, interrupting)):
         scene = request_scene.Scene(*scripts)
         scene.request("resume")
         assert scene.until(b"0\r\n\r\n")
@@ -171,7 +174,7 @@
 
 
 def test_duplicate_events_are_forwarded_once():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
@@ -189,21 +192,21 @@
             + request_scene.END
         ]
 
-    scene = request_scene.Scene(cutting, cutting)
+    scene = request_scene.Scene(interrupting, interrupting)
     scene.request("resume")
     assert scene.until(b"0\r\n\r\n")
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
 
 def test_interrupted_stream_that_may_not_resume_has_no_final_chunk():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return (
             [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
             if request_scene.is_complete(heard)
             else None
         )
 
-    scene = request_scene.Scene(cutting)
+    scene = request_scene.Scene(interrupting)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t1" in scene.client.got and scene.arrivals() == 1
@@ -211,7 +214,7 @@
 
 
 def test_request_is_rejected_if_its_home_region_has_no_replica():
-    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # north; the route's home is south
+    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # region north; the home region is south
     scene.request("home")
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after", scene.client.got, re.I)
@@ -221,14 +224,14 @@
 
 
 def test_custody_trail_lists_each_attempt():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
             return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2) + request_scene.END]
 
-    scene = request_scene.Scene(cutting, cutting, zones=["zb", "zb"])
+    scene = request_scene.Scene(interrupting, interrupting, zones=["zb", "zb"])
     scene.request("home")
     assert scene.until(b"0\r\n\r\n")
     trail = scene.proxy.trails()[0]
@@ -239,14 +242,14 @@
 
 
 def test_421_from_another_replica_at_the_address_is_answered_503():
-    def other(number, heard):
+    def misdirected(number, heard):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
             if request_scene.is_complete(heard)
             else None
         )
 
-    scene = request_scene.Scene(other)
+    scene = request_scene.Scene(misdirected)
     scene.request("once")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 1
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -1,4 +1,4 @@
-"""Who gets which answer, and what is sent twice: each cell of the table in docs/requests.md 3, with scripted peers."""
+"""Tests responses and retries for each cell of the table in docs/requests.md 3, with scripted replicas."""
 
 import re
 
@@ -12,77 +12,77 @@
 from ploverward.simulation import request_scene
 
 
-# What a replica may do with a request: script, and whether it promises that the request was not run.
 def _on_complete_request(make):
+    """Returns a script that reacts once the request is complete; `make` returns the acts for its id."""
     return lambda number, heard: make(request_scene.request_id(heard)) if request_scene.is_complete(heard) else None
 
 
+# Scripts of replicas, by what they do with a request.
 BEHAVIOURS = {
-    "closes when it has the request": _on_complete_request(lambda which: ["close"]),
-    "resets when it has the request": _on_complete_request(lambda which: ["reset"]),
-    "closes in the middle of the request": lambda number, heard: ["close"],
-    "resets in the middle of the request": lambda number, heard: ["reset"],
-    "closes in the middle of the head": _on_complete_request(lambda which: [request_scene.answer(which)[:30], "close"]),
-    "closes in the middle of the body": _on_complete_request(
-        lambda which: [request_scene.answer(which, b"long body")[:-4], "close"]
+    "closes after the request": _on_complete_request(lambda id_: ["close"]),
+    "resets after the request": _on_complete_request(lambda id_: ["reset"]),
+    "closes within the request": lambda number, heard: ["close"],
+    "resets within the request": lambda number, heard: ["reset"],
+    "closes within the response head": _on_complete_request(lambda id_: [request_scene.answer(id_)[:30], "close"]),
+    "closes within the response body": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, b"long body")[:-4], "close"]
     ),
-    "resets in the middle of the body": _on_complete_request(
-        lambda which: [request_scene.answer(which, b"long body")[:-4], "reset"]
+    "resets within the response body": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, b"long body")[:-4], "reset"]
     ),
-    "answers for another request": _on_complete_request(lambda which: [request_scene.answer(b"other")]),
-    "answers for others again and again": _on_complete_request(lambda which: [request_scene.answer(b"other") * 4]),
-    "promises for another request": _on_complete_request(
-        lambda which: [request_scene.answer(b"other", status=b"503 Full", more=request_scene.NOT_RUN), "close"]
+    "responds with another request id": _on_complete_request(lambda id_: [request_scene.answer(b"other")]),
+    "responds repeatedly with another request id": _on_complete_request(
+        lambda id_: [request_scene.answer(b"other") * 4]
     ),
-    "answers without an id": _on_complete_request(
-        lambda which: [b"HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok"]
+    "responds not run with another request id": _on_complete_request(
+        lambda id_: [request_scene.answer(b"other", status=b"503 Full", more=request_scene.NOT_RUN), "close"]
     ),
-    "answers nothing that is HTTP": _on_complete_request(lambda which: [b"\x00\x01\x02 what\r\n\r\n"]),
-    "answers without its stamp": _on_complete_request(lambda which: [request_scene.answer(which, more=b"")]),
-    "answers an encoded body": _on_complete_request(
-        lambda which: [request_scene.answer(which, more=b"X-Postmark: p\r\nContent-Encoding: gzip\r\n")]
+    "responds without a request id": _on_complete_request(
+        lambda id_: [b"HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok"]
     ),
-    "answers without a length": _on_complete_request(
-        lambda which: [b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\n\r\nok" % which, "close"]
+    "responds with invalid HTTP": _on_complete_request(lambda id_: [b"\x00\x01\x02 what\r\n\r\n"]),
+    "responds without X-Postmark": _on_complete_request(lambda id_: [request_scene.answer(id_, more=b"")]),
+    "responds with an encoded body": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, more=b"X-Postmark: p\r\nContent-Encoding: gzip\r\n")]
     ),
-    "answers two lengths": _on_complete_request(
-        lambda which: [request_scene.answer(which, more=b"X-Postmark: p\r\nContent-Length: 1\r\n")]
+    "responds without a length": _on_complete_request(
+        lambda id_: [b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\n\r\nok" % id_, "close"]
     ),
-    "answers a length and chunks": _on_complete_request(
-        lambda which: [
-            request_scene.answer(
-                which, b"2\r\nok\r\n0\r\n\r\n", more=b"X-Postmark: p\r\nTransfer-Encoding: chunked\r\n"
-            )
+    "responds with two lengths": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, more=b"X-Postmark: p\r\nContent-Length: 1\r\n")]
+    ),
+    "responds with a length and chunks": _on_complete_request(
+        lambda id_: [
+            request_scene.answer(id_, b"2\r\nok\r\n0\r\n\r\n", more=b"X-Postmark: p\r\nTransfer-Encoding: chunked\r\n")
         ]
     ),
-    "answers a bad chunk": _on_complete_request(
-        lambda which: [
-            b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"
-            % which
+    "responds with an invalid chunk": _on_complete_request(
+        lambda id_: [
+            b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok" % id_
         ]
     ),
-    "says 503 without a promise": _on_complete_request(
-        lambda which: [request_scene.answer(which, status=b"503 Full", more=b"")]
+    "responds 503 without X-Not-Run": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, status=b"503 Full", more=b"")]
     ),
-    "says 429 without a promise": _on_complete_request(
-        lambda which: [request_scene.answer(which, status=b"429 Slow", more=b"")]
+    "responds 429 without X-Not-Run": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, status=b"429 Slow", more=b"")]
     ),
-    "says 408 without a promise": _on_complete_request(
-        lambda which: [request_scene.answer(which, status=b"408 Late", more=b"")]
+    "responds 408 without X-Not-Run": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, status=b"408 Late", more=b"")]
     ),
-    "promises and breaks off": _on_complete_request(
-        lambda which: [
-            request_scene.answer(which, b"long", status=b"503 Full", more=request_scene.NOT_RUN)[:-2],
+    "closes within a not-run response": _on_complete_request(
+        lambda id_: [
+            request_scene.answer(id_, b"long", status=b"503 Full", more=request_scene.NOT_RUN)[:-2],
             "close",
         ]
     ),
-    "says success and not run": _on_complete_request(
-        lambda which: [request_scene.answer(which, more=b"X-Postmark: p\r\n" + request_scene.NOT_RUN)]
+    "responds success with X-Not-Run": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, more=b"X-Postmark: p\r\n" + request_scene.NOT_RUN)]
     ),
-    "says elsewhere and not run": _on_complete_request(
-        lambda which: [request_scene.answer(which, status=b"307 There", more=request_scene.NOT_RUN)]
+    "responds redirect with X-Not-Run": _on_complete_request(
+        lambda id_: [request_scene.answer(id_, status=b"307 There", more=request_scene.NOT_RUN)]
     ),
-    "is silent": lambda number, heard: None,
+    "does not respond": lambda number, heard: None,
 }
 
 
@@ -90,30 +90,31 @@
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("name", BEHAVIOURS)
 def test_non_idempotent_request_is_sent_once_and_never_answered_as_not_run(name, lead, is_reused):
-    before = 1 if is_reused else 0
+    earlier_requests = 1 if is_reused else 0
 
     def script(number, heard):
-        if len(re.findall(rb"X-Attempt-Id", heard, re.I)) <= before:
+        if len(re.findall(rb"X-Attempt-Id", heard, re.I)) <= earlier_requests:
             return request_scene.answering()(number, heard)
         return BEHAVIOURS[name](number, heard)
 
     scene = request_scene.Scene(script, request_scene.replying)
-    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0  # there, but the last to be chosen
+    scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0  # available, but chosen last
     if is_reused:
         scene.request("unsafe")
         assert scene.until(b"\r\n\r\nok")
         scene.client.got = b""
     scene.request(lead, left_ms=300)
     assert request_scene.settled(scene)
-    assert scene.arrivals() == 1 + before
+    assert scene.arrivals() == 1 + earlier_requests
     assert scene.client.got[:13] in (b"HTTP/1.1 502 ", b"HTTP/1.1 504 "), scene.client.got
     assert len(request_scene.statuses(scene.client)) == 1 and b"ostmark" not in scene.client.got
     if is_reused:
-        assert len([heard for heard in scene.peers[0].heard if heard]) == 1  # it was the same connection
+        assert len([heard for heard in scene.peers[0].heard if heard]) == 1  # both requests used the same connection
 
 
-# After an answer too many the one that is due is waited for: silent, both, until the deadline or a suspicion.
-SILENT = ("is silent", "answers for another request")
+# The proxy skips a surplus response and waits for the proper one, so in both cases the replica counts as silent until
+# the deadline or a suspicion.
+SILENT = ("does not respond", "responds with another request id")
 
 
 @pytest.mark.parametrize("name", [name for name in BEHAVIOURS if name not in SILENT])
@@ -122,8 +123,8 @@
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe", left_ms=1000)
     assert request_scene.settled(scene)
-    if name.startswith(("says 429", "says 408", "says elsewhere")):
-        return  # a failure of a replica that may be passed on, or stands for one
+    if name.startswith(("responds 429", "responds 408", "responds redirect")):
+        return  # 429 and 408 without X-Not-Run become a 502 without a retry; the outcome of a redirect is not checked
     assert request_scene.statuses(scene.client) == [200] and scene.client.got.endswith(b"second")
     assert scene.arrivals() == 2
 
@@ -138,59 +139,62 @@
 
 
 def test_error_body_of_resuming_replica_is_not_written_into_stream():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
-    failing = request_scene.answering(b"a failure's own text", status=b"500 Broken")
-    scene = request_scene.Scene(cutting, failing)
+    failing = request_scene.answering(b"error text", status=b"500 Broken")
+    scene = request_scene.Scene(interrupting, failing)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    assert b"data: t1" in scene.client.got and b"own text" not in scene.client.got
+    assert b"data: t1" in scene.client.got and b"error text" not in scene.client.got
     assert not scene.client.got.endswith(request_scene.END)
 
 
 def test_stream_resumes_at_third_replica_after_second_one_fails():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
-    def going_on(number, heard):
+    def continuing(number, heard):
         assert b"Last-Event-Id: 1" in heard
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2) + request_scene.END]
 
     scene = request_scene.Scene(
-        cutting, request_scene.answering(b"text", status=b"500 Broken"), going_on, zones=["zb"] * 3
+        interrupting, request_scene.answering(b"text", status=b"500 Broken"), continuing, zones=["zb"] * 3
     )
     table = scene.proxy.table.replicas
     table["i1"].running, table["i2"].running = 4, 8
-    scene.request("home")  # three tries
+    scene.request("home")  # this route allows three attempts
     assert scene.until(request_scene.END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2"] and b"text\r\n" not in scene.client.got
     assert scene.arrivals() == 3
 
 
 def test_late_data_of_replaced_replica_is_ignored():
-    def waking(number, heard):
+    def pausing_after_event(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
 
-    def going_on(number, heard):
+    def continuing(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2)]
 
-    scene = request_scene.Scene(waking, going_on)
+    scene = request_scene.Scene(pausing_after_event, continuing)
     table = scene.proxy.table.replicas
     table["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume", left_ms=5000)
     assert scene.until(b"data: t1")
     table["i0"].is_suspected = table["i0"].is_probe_failed = True
-    assert scene.until(b"data: t2")  # silence moved it
+    assert scene.until(b"data: t2")  # the timeout of i0 moved the stream to i1
     scene.peers[0].callback(0, [request_scene.event(2) + request_scene.event(3) + request_scene.END])
     scene.peers[1].callback(0, [request_scene.event(3) + request_scene.END])
     assert scene.until(request_scene.END)
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
 
-def silent_in_a_stream(*, zones):
-    """A stream whose replica falls silent after its first event, with its connection up."""
+def scene_with_silent_replica(*, zones):
+    """Returns a scene with a stream whose replica sends nothing after its first event, and that replica.
+
+    Its connection stays established.
+    """
 
     def pausing(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
@@ -203,13 +207,13 @@
 
 
 def test_replica_timeout_keeps_attempt_if_no_other_replica_can_resume():
-    scene, replica = silent_in_a_stream(zones=["za", "za"])
+    scene, replica = scene_with_silent_replica(zones=["za", "za"])
     scene.proxy.table.replicas["i1"].is_suspected = True
     replica.is_suspected = replica.is_probe_failed = True
-    looked = []
+    probed = []
     probe = scene.proxy.table.probe
-    scene.proxy.table.probe = lambda *, replica: looked.append(replica.id)
-    assert loopback.until(scene.loop, lambda: len(looked) >= 4)  # looked at again and again, and not left
+    scene.proxy.table.probe = lambda *, replica: probed.append(replica.id)
+    assert loopback.until(scene.loop, lambda: len(probed) >= 4)  # probed repeatedly, and the attempt continues
     scene.proxy.table.probe = probe
     scene.peers[0].callback(0, [request_scene.event(2) + request_scene.END])
     assert scene.until(request_scene.END)
@@ -217,8 +221,8 @@
 
 
 def test_silent_replica_suspected_by_zone_is_probed_before_attempt_is_dropped():
-    scene, replica = silent_in_a_stream(zones=["za", "za"])
-    replica.is_suspected = True  # others of its zone did not come up; this one does
+    scene, replica = scene_with_silent_replica(zones=["za", "za"])
+    replica.is_suspected = True  # because other replicas of its zone are unreachable; this one is reachable
     assert loopback.until(scene.loop, lambda: not replica.is_suspected)
     scene.peers[0].callback(0, [request_scene.event(2) + request_scene.END])
     assert scene.until(request_scene.END)
@@ -260,25 +264,25 @@
     scene.request("unsafe")
     assert scene.until(b"own")
     assert request_scene.statuses(scene.client) == [504, 200] and b"late" not in scene.client.got
-    assert len(scene.peers[0].heard) == 2  # the connection of the first one ended with it
+    assert len(scene.peers[0].heard) == 2  # the connection of the first request was closed at its end
 
 
-@pytest.mark.parametrize("where", ["first event", "end"])
-def test_internal_error_after_send_is_not_answered_as_not_run(where, monkeypatch):
-    """A step that raises is noted and the process goes on: the request then ends at its deadline, without a promise."""
+@pytest.mark.parametrize("step", ["first event", "end"])
+def test_internal_error_after_send_is_not_answered_as_not_run(step, monkeypatch):
+    """The process continues after a step that raises: the request ends at its deadline, not answered as not run."""
 
-    def broken(*_args, **_about):
-        raise RuntimeError("planted")
+    def raise_error(*_args, **_arguments):
+        raise RuntimeError("injected")
 
     faults = []
     scene = request_scene.Scene(
         lambda number, heard: [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)],
         faults=faults,
     )
-    if where == "first event":
-        monkeypatch.setattr(scene.proxy.chooser, "note_read", broken)
+    if step == "first event":
+        monkeypatch.setattr(scene.proxy.chooser, "note_read", raise_error)
     else:
-        monkeypatch.setattr(upstream_connection.UpstreamConnection, "_on_response_end", broken)
+        monkeypatch.setattr(upstream_connection.UpstreamConnection, "_on_response_end", raise_error)
         scene.peers[0].script = request_scene.answering()
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
@@ -289,10 +293,10 @@
     faults = []
     scene = request_scene.Scene(lambda number, heard: ["close"], faults=faults)
 
-    def broken(**_about):
-        raise RuntimeError("planted")
+    def raise_error(**_arguments):
+        raise RuntimeError("injected")
 
-    scene.proxy.note_attempt_failure = broken
+    scene.proxy.note_attempt_failure = raise_error
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
     assert faults and request_scene.statuses(scene.client) == [504]
@@ -302,18 +306,18 @@
     faults = []
     scene = request_scene.Scene(lambda number, heard: ["close"], faults=faults)
 
-    def broken(*, kind, **_about):
+    def raise_error(*, kind, **_arguments):
         if kind != report_source.SENT:
-            raise RuntimeError("planted")
+            raise RuntimeError("injected")
 
-    scene.proxy.report_attempt = broken
+    scene.proxy.report_attempt = raise_error
     scene.request("once", left_ms=300)
     assert request_scene.settled(scene)
     assert faults and request_scene.statuses(scene.client)[0] in (502, 504) and scene.arrivals() == 1
 
 
 def test_internal_error_within_stream_ends_stream_without_gap(monkeypatch):
-    """What the broken step held is lost, so nothing may follow it."""
+    """The data of the failed step is lost, so no later data may be forwarded."""
     faults = []
     scene = request_scene.Scene(
         lambda number, heard: [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)],
@@ -321,13 +325,13 @@
     )
     scene.request("once")
     assert scene.until(b"data: t1")
-    take = stream_resumption.ResumableStream.receive_data
+    receive_data = stream_resumption.ResumableStream.receive_data
 
-    def broken_once(self, data):
-        monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", take)
-        raise RuntimeError("planted")
+    def raise_once(self, data):
+        monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", receive_data)
+        raise RuntimeError("injected")
 
-    monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", broken_once)
+    monkeypatch.setattr(stream_resumption.ResumableStream, "receive_data", raise_once)
     scene.peers[0].callback(0, [request_scene.event(2)])
     assert loopback.until(scene.loop, lambda: faults)
     scene.peers[0].callback(0, [request_scene.event(3) + request_scene.END])
@@ -339,22 +343,22 @@
     faults = []
     scene = request_scene.Scene(request_scene.replying, faults=faults)
 
-    def broken(**_about):
-        raise RuntimeError("planted")
+    def raise_error(**_arguments):
+        raise RuntimeError("injected")
 
-    scene.proxy.chooser.choose = broken
+    scene.proxy.chooser.choose = raise_error
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert faults and not scene.client.got and not scene.proxy.handlers and scene.arrivals() == 0
 
 
 def test_idempotent_stream_is_not_resumed_if_route_is_not_resumable():
-    """It may run again, but a new run need not go on where the first one ended."""
+    """The request may run again, but a second run need not continue where the first one ended."""
 
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
 
-    def anew(number, heard):
+    def restarting(number, heard):
         return [
             request_scene.head(request_scene.request_id(heard))
             + request_scene.event(1)
@@ -362,7 +366,7 @@
             + request_scene.END
         ]
 
-    scene = request_scene.Scene(cutting, anew)
+    scene = request_scene.Scene(interrupting, restarting)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -370,15 +374,15 @@
 
 
 def test_stream_is_not_resumed_after_event_without_id():
-    def cutting(number, heard):
-        text = b"data: nameless\n\n"
-        nameless = b"%x\r\n%s\r\n" % (len(text), text)
+    def interrupting(number, heard):
+        text = b"data: without id\n\n"
+        event_without_id = b"%x\r\n%s\r\n" % (len(text), text)
         return [
-            request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + nameless,
+            request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + event_without_id,
             "close",
         ]
 
-    scene = request_scene.Scene(cutting, request_scene.replying)
+    scene = request_scene.Scene(interrupting, request_scene.replying)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     scene.request("resume")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
