--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -36,7 +36,7 @@
             replica can serve.
         drain_window: Decides which requests are still accepted after SIGTERM.
         quota: This proxy's share of the global limits on retries and slow starts.
-        quota_allowance: Decides how many requests of each tenant are admitted.
+        quota_allowance: Limits what is admitted of each tenant.
         credential_freshness: Limits the age of a configuration by which keys are checked.
         rollouts: Decides which versions of a service an attempt may use.
         table: The replicas.
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -100,7 +100,7 @@
     def route(self) -> route_table.Route:
         """The route in force for an admitted request."""
         route = self.facts.route
-        assert route is not None, "not admitted"
+        assert route is not None, "the request was not admitted"
         return route
 
     @property
--- a/ploverward/data_plane/requests/stream_resumption.py
+++ b/ploverward/data_plane/requests/stream_resumption.py
@@ -25,11 +25,11 @@
     return min(ends) if ends else -1
 
 
-def _is_repeated(event_number: bytes, last: bytes) -> bool:
+def _is_repeated(current_id: bytes, last_id: bytes) -> bool:
     try:
-        return int(event_number) <= int(last)
+        return int(current_id) <= int(last_id)
     except ValueError:
-        return event_number == last  # non-numeric ids have no order: only an equal id is known to be a repetition
+        return current_id == last_id  # non-numeric ids have no order: only an equal id is known to be a repetition
 
 
 class ResumableStream:
@@ -53,7 +53,7 @@
     def receive_data(self, data: bytes) -> list[bytes]:
         """Adds received data, and returns the complete new events in order, for forwarding."""
         self._buffer += data
-        found: list[bytes] = []
+        new_events: list[bytes] = []
         while self._buffer:
             event_end = _event_end(self._buffer)
             if event_end < 0:
@@ -61,8 +61,8 @@
             event = self._buffer[:event_end]
             self._buffer = self._buffer[event_end:]
             if self._accept(event):
-                found.append(event)
-        return found
+                new_events.append(event)
+        return new_events
 
     def take_remainder(self) -> bytes:
         """Removes and returns the data after the last complete event; used when a segment ended regularly."""
@@ -70,11 +70,11 @@
         return remainder
 
     def _accept(self, event: bytes) -> bool:
-        event_number = event_id(event)
-        if event_number is not None:
-            if self._has_accepted_event and self.last_id is not None and _is_repeated(event_number, self.last_id):
+        current_id = event_id(event)
+        if current_id is not None:
+            if self._has_accepted_event and self.last_id is not None and _is_repeated(current_id, self.last_id):
                 return False
-            self.last_id = event_number
+            self.last_id = current_id
         else:
             self.is_resumable = False
         self._has_accepted_event = True
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -64,14 +64,14 @@
         self.number += 1
         chance = self.chance
         lead = chance.choice(("once", "once", "resume", "resume", "safe", "unsafe", "unsafe"))
-        which = b"a%d" % self.number
+        request_id = b"a%d" % self.number
         method = chance.choice((b"POST", b"POST", b"PUT", b"GET"))
-        body = b"" if method == b"GET" else which * chance.choice((1, 10, 900))
-        target = b"/%s/x%d?of=%s" % (lead.encode(), self.number, which)
+        body = b"" if method == b"GET" else request_id * chance.choice((1, 10, 900))
+        target = b"/%s/x%d?of=%s" % (lead.encode(), self.number, request_id)
         lines = [
             method + b" " + target + b" HTTP/1.1",
             b"Host: h",
-            b"X-Attempt-Id: " + which,
+            b"X-Attempt-Id: " + request_id,
             b"X-Model: m",
             b"X-Time-Left-Ms: %d" % chance.choice((200, 600, 2000)),
         ]
@@ -87,12 +87,12 @@
         else:
             lines.append(b"Content-Length: %d" % len(body))
             tail = body
-        sent = request_log.Sent(id=which, lead=lead, method=method, target=target, body=body)
+        sent = request_log.Sent(id=request_id, lead=lead, method=method, target=target, body=body)
         data = b"\r\n".join(lines) + b"\r\n\r\n" + tail
         if tail and chance.random() < 0.05:
             data = data[: -chance.randrange(1, len(tail) + 1)]  # the client will disconnect within the body
             sent.is_complete = False
-        self.log.sent[which] = sent
+        self.log.sent[request_id] = sent
         user.requests.append(sent)
         try:
             user.send(data)
@@ -105,7 +105,7 @@
     def inject_fault(self) -> None:
         chance = self.chance
         fault = chance.random()
-        if fault < 0.15:  # a process freeze, after which all timers are due at once
+        if fault < 0.15:  # a process freeze, after request_id all timers are due at once
             self.loop.skip(seconds=chance.choice((0.3, 3.0, 20.0)))
         elif fault < 0.3:
             index = chance.randrange(len(self.replicas))
@@ -152,6 +152,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_history_violates_no_rule(seed):
+    """No response reaches another request, nothing runs too often, and a status that says not run is true."""
     world = World(seed=seed)
     assert world.run(rounds=25) == []
     complete_successes = [
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -59,6 +59,7 @@
 
 
 def test_proxy_sends_no_health_requests_to_replicas():
+    """A false health response can therefore not influence the choice of replicas."""
     scene = request_scene.Scene(request_scene.replying, request_scene.replying)
     for _ in range(8):
         scene.client.got = b""
