--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -1,4 +1,7 @@
-"""The traps of the wire, with scripted peers: nothing runs twice, is mixed, or looks complete that is not."""
+"""Tests difficult cases of the HTTP connections with scripted replicas.
+
+No request may run twice, no response may reach another request, and no partial response may look complete.
+"""
 
 import re
 
@@ -8,7 +11,7 @@
 from ploverward.simulation import request_scene
 
 
-def test_a_complete_answer_comes_back_with_its_stamp_and_the_replica_is_named():
+def test_complete_response_is_forwarded_with_postmark_and_replica_is_addressed():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
@@ -19,7 +22,7 @@
 
 @pytest.mark.parametrize("lead", ["once", "unsafe"])
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_a_reused_connection_that_dies_after_the_request_is_not_sent_again(lead, end):
+def test_non_idempotent_request_is_not_resent_after_reused_connection_fails(lead, end):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -43,7 +46,7 @@
         assert scene.until(b"\r\n\r\nok")
 
 
-def test_an_answer_too_many_at_the_head_of_the_next_is_read_past():
+def test_surplus_response_before_next_one_is_skipped():
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
@@ -63,7 +66,7 @@
     assert scene.arrivals() == 2
 
 
-def test_bytes_after_an_answer_belong_to_no_request():
+def test_bytes_after_response_are_discarded_and_connection_is_not_reused():
     def script(number, heard):
         return (
             [request_scene.answer(request_scene.request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
@@ -77,25 +80,25 @@
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
         assert b"bad" not in scene.client.got
-    assert len(scene.peers[0].heard) == 3  # never used again
+    assert len(scene.peers[0].heard) == 3  # each request used a new connection
 
 
 @pytest.mark.parametrize(
-    "spoiled",
+    "response",
     [
         b"not an answer at all\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\nok",  # no stamp
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\nok",  # no X-Postmark
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Encoding: gzip\r\n"
         b"Content-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Postmark: p\r\nContent-Length: 2\r\n\r\nok",
-        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # cut short
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Length: 20\r\n\r\nok",  # incomplete
     ],
 )
-def test_a_spoiled_answer_is_never_a_success(spoiled):
+def test_invalid_response_is_answered_502(response):
     def script(number, heard):
         if not request_scene.is_complete(heard):
             return None
-        return [spoiled.replace(b"%s", request_scene.request_id(heard)), "close"]
+        return [response.replace(b"%s", request_scene.request_id(heard)), "close"]
 
     scene = request_scene.Scene(script)
     scene.request("unsafe")
@@ -104,7 +107,7 @@
     assert scene.arrivals() == 1
 
 
-def test_not_run_may_go_on_inside_tries_and_ends_in_a_promise():
+def test_not_run_request_is_retried_within_tries_then_answered_503():
     def full(number, heard):
         return (
             [
@@ -126,7 +129,7 @@
     assert scene.arrivals() == 1
 
 
-def test_a_failure_without_x_not_run_is_no_promise():
+def test_replica_503_without_x_not_run_is_answered_502():
     def script(number, heard):
         return (
             [request_scene.answer(request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"")]
@@ -141,7 +144,7 @@
 
 
 def test_a_stream_resumes_at_another_replica_inside_one_response():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         return (
             [
                 request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.event(2),
@@ -151,7 +154,7 @@
             else None
         )
 
-    def going_on(number, heard):
+    def continuing(number, heard):
         if not request_scene.is_complete(heard):
             return None
         last = re.search(rb"Last-Event-Id: (\d+)", heard, re.I)
@@ -162,7 +165,7 @@
             + request_scene.END
         ]
 
-    for scripts in ((cutting, going_on), (going_on, cutting)):
+    for scripts in ((interrupting, continuing), (continuing, interrupting)):
         scene = request_scene.Scene(*scripts)
         scene.request("resume")
         assert scene.until(b"0\r\n\r\n")
@@ -171,7 +174,7 @@
 
 
 def test_duplicate_events_are_forwarded_once():
-    def cutting(number, heard):
+    def interrupting(number, heard):
         if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
@@ -189,29 +192,29 @@
             + request_scene.END
         ]
 
-    scene = request_scene.Scene(cutting, cutting)
+    scene = request_scene.Scene(interrupting, interrupting)
     scene.request("resume")
     assert scene.until(b"0\r\n\r\n")
     assert re.findall(rb"data: t(\d)", scene.client.got) == [b"1", b"2", b"3"]
 
 
-def test_a_stream_that_may_not_be_resumed_is_broken_visibly():
-    def cutting(number, heard):
+def test_interrupted_stream_that_may_not_resume_has_no_final_chunk():
+    def interrupting(number, heard):
         return (
             [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
             if request_scene.is_complete(heard)
             else None
         )
 
-    scene = request_scene.Scene(cutting)
+    scene = request_scene.Scene(interrupting)
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert b"data: t1" in scene.client.got and scene.arrivals() == 1
     assert not scene.client.got.endswith(b"0\r\n\r\n")
 
 
-def test_homed_requests_wait_or_are_refused_never_moved():
-    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # north; the route's home is south
+def test_request_is_rejected_if_its_home_region_has_no_replica():
+    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # region north; the home region is south
     scene.request("home")
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after", scene.client.got, re.I)
@@ -220,15 +223,15 @@
     assert trail["goes"] == [] and trail["homes"] == ["south"] and trail["status"] == 503
 
 
-def test_custody_names_each_go():
-    def cutting(number, heard):
+def test_custody_trail_lists_each_attempt():
+    def interrupting(number, heard):
         if not request_scene.is_complete(heard):
             return None
         if b"Last-Event-Id" not in heard:
             return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
         return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2) + request_scene.END]
 
-    scene = request_scene.Scene(cutting, cutting, zones=["zb", "zb"])
+    scene = request_scene.Scene(interrupting, interrupting, zones=["zb", "zb"])
     scene.request("home")
     assert scene.until(b"0\r\n\r\n")
     trail = scene.proxy.trails()[0]
@@ -238,21 +241,21 @@
     assert "body" not in str(trail) and all(len(part) == 16 for part in trail["parts"])
 
 
-def test_another_incarnation_at_the_address_runs_nothing():
-    def other(number, heard):
+def test_421_from_another_replica_at_the_address_is_answered_503():
+    def misdirected(number, heard):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
             if request_scene.is_complete(heard)
             else None
         )
 
-    scene = request_scene.Scene(other)
+    scene = request_scene.Scene(misdirected)
     scene.request("once")
     assert scene.until(b"HTTP/1.1 503")
     assert scene.arrivals() == 1
 
 
-def test_no_route_is_404_and_the_connection_stays_open():
+def test_request_without_route_is_answered_404_and_connection_stays_open():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("nothing")
     assert scene.until(b"HTTP/1.1 404")
@@ -270,7 +273,7 @@
         (b"\x00\x01garbage\r\n\r\n", b"400"),
     ],
 )
-def test_bad_framing_is_refused_and_the_connection_closed(data, status):
+def test_invalid_framing_is_rejected_and_connection_closed(data, status):
     scene = request_scene.Scene(request_scene.replying)
     scene.client.send(data)
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
@@ -278,7 +281,7 @@
     assert scene.arrivals() == 0
 
 
-def test_a_client_that_leaves_ends_the_go():
+def test_client_disconnect_ends_the_attempt():
     def script(number, heard):
         return (
             [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
@@ -296,14 +299,14 @@
     assert replica.running == 0 and not replica.connections
 
 
-def test_out_of_time_is_504_when_it_was_sent():
+def test_sent_request_past_its_deadline_is_answered_504():
     scene = request_scene.Scene(lambda number, heard: None)
     scene.request("once", left_ms=200)
     assert scene.until(b"HTTP/1.1 504")
     assert scene.arrivals() == 1
 
 
-def test_a_client_that_does_not_read_stops_its_replica():
+def test_client_that_does_not_read_pauses_replica_connection():
     big = b"x" * 30000
 
     def script(number, heard):
@@ -332,7 +335,7 @@
     assert loopback.until(scene.loop, lambda: not handler.attempt.connection.is_paused)
 
 
-def test_buffered_bodies_are_bounded():
+def test_request_over_body_budget_is_answered_503():
     scene = request_scene.Scene(request_scene.replying)
     scene.proxy.server.body_budget.max_bytes = 3
     scene.request("safe")
--- a/ploverward/data_plane/requests/test_response_writer.py
+++ b/ploverward/data_plane/requests/test_response_writer.py
@@ -1,4 +1,4 @@
-"""What a client gets of its answer, with a request that records it in place of a connection."""
+"""Tests the response to a client, with a request that records the calls in place of a connection."""
 
 import types
 
@@ -35,8 +35,8 @@
         self.calls.append(("abort",))
 
 
-def made(**about):
-    request = RecordingRequest(**about)
+def make_writer(**options):
+    request = RecordingRequest(**options)
     heads = []
     writer = response_writer.ResponseWriter(request=request, on_head=lambda: heads.append(len(request.calls)))
     return writer, request, heads
@@ -46,8 +46,8 @@
 OTHER = (b"x-postmark", b"p")
 
 
-def test_a_short_body_waits_until_it_is_complete_and_gets_its_own_length():
-    writer, request, heads = made()
+def test_short_body_is_buffered_until_complete_and_drops_replica_length():
+    writer, request, heads = make_writer()
     writer.begin_body([LENGTH, OTHER])
     writer.write_body(b"o", status=200)
     writer.write_body(b"k", status=200)
@@ -56,8 +56,8 @@
     assert request.calls == [("reply", 200, [OTHER], b"ok")] and not heads
 
 
-def test_a_long_body_is_forwarded_with_its_length_and_only_once():
-    writer, request, heads = made()
+def test_body_over_buffer_limit_is_forwarded_once_with_replica_length():
+    writer, request, heads = make_writer()
     writer.begin_body([LENGTH])
     long = bytes(response_writer.BUFFER_LIMIT_BYTES + 1)
     writer.write_body(long, status=200)
@@ -67,8 +67,8 @@
     assert request.calls == [("start", 200, [LENGTH]), ("data", long), ("data", b"more"), ("data", b""), ("end",)]
 
 
-def test_what_a_failed_attempt_brought_is_dropped():
-    writer, request, _heads = made()
+def test_buffered_body_of_failed_attempt_is_discarded():
+    writer, request, _heads = make_writer()
     writer.begin_body([OTHER])
     writer.write_body(b"failure", status=500)
     writer.begin_next_attempt()
@@ -79,8 +79,8 @@
     assert request.calls == [("reply", 200, [], b"ok")]
 
 
-def test_a_stream_has_one_head_without_a_length_over_all_its_runs():
-    writer, request, heads = made()
+def test_resumed_stream_has_one_head_without_length():
+    writer, request, heads = make_writer()
     for event in (b"id: 1\n\n", b"id: 2\n\n"):
         writer.begin_stream([LENGTH, OTHER])
         for complete in writer.stream.receive_data(event):
@@ -90,18 +90,18 @@
     assert request.calls == [head, ("data", b"id: 1\n\n"), ("data", b"id: 2\n\n")] and heads == [0]
 
 
-@pytest.mark.parametrize("named, wanted", [(b"", None), (b"7", b"7")])
-def test_a_stream_begins_behind_what_the_client_has_and_continues_behind_what_was_forwarded(named, wanted):
-    writer, _request, _heads = made(last_event_id=named)
-    assert writer.last_event_id == wanted
+@pytest.mark.parametrize("client_last_id, expected", [(b"", None), (b"7", b"7")])
+def test_last_event_id_comes_from_client_then_from_forwarded_events(client_last_id, expected):
+    writer, _request, _heads = make_writer(last_event_id=client_last_id)
+    assert writer.last_event_id == expected
     writer.begin_stream([])
-    assert writer.last_event_id == wanted
+    assert writer.last_event_id == expected
     writer.stream.receive_data(b"id: 9\n\n")
     assert writer.last_event_id == b"9"
 
 
-@pytest.mark.parametrize("more, is_slow", [(0, False), (1, True)])
-def test_a_client_that_reads_slowly_is_noticed(more, is_slow):
-    writer, _request, _heads = made(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + more)
+@pytest.mark.parametrize("excess, is_slow", [(0, False), (1, True)])
+def test_write_event_returns_true_above_send_watermark(excess, is_slow):
+    writer, _request, _heads = make_writer(queued=http_connection.SEND_HIGH_WATERMARK_BYTES + excess)
     writer.begin_stream([])
     assert writer.write_event(b"id: 1\n\n", status=200) is is_slow
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -181,14 +181,14 @@
     fields = {
         "replica": replica(edition),
         "connection": types.SimpleNamespace(is_unsent=False),
-        "meaning": attempts.Meaning.SUCCESS,
+        "response_class": attempts.ResponseClass.SUCCESS,
         "status": 200,
         "is_complete": True,
-        "is_first_counted": False,
+        "is_first_event_counted": False,
         "sent_at": 49.0,
-        "first_at": 49.5,
-        "last_at": 50.0,
-        "pieces": 6,
+        "first_event_at": 49.5,
+        "last_event_at": 50.0,
+        "event_count": 6,
         "arrival": None,
     }
     return types.SimpleNamespace(**{**fields, **changes})
@@ -213,12 +213,12 @@
     """Counting at the end would favour a slow version: only its fast responses end while the canary runs."""
     router, clock = make_router(began=40.0)
     clock.now = 49.9
-    streaming = attempt(is_complete=False, last_at=None, pieces=1)
+    streaming = attempt(is_complete=False, last_event_at=None, event_count=1)
     router.note_first_event(service="pool", route="r", attempt=streaming, expected_s=0.1)
     (early,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
     assert (early.ended, sum(early.firsts.values())) == (0, 1)
     clock.now = 52.0
-    streaming.is_complete, streaming.last_at, streaming.pieces = True, 52.0, 6
+    streaming.is_complete, streaming.last_event_at, streaming.event_count = True, 52.0, 6
     router.note_attempt_end(
         service="pool", route="r", attempt=streaming, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
@@ -245,9 +245,9 @@
 @pytest.mark.parametrize(
     "changes, kind, expected",
     [
-        ({"meaning": attempts.Meaning.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
+        ({"response_class": attempts.ResponseClass.FAILURE, "status": 500}, report_source.FAILED, (1, 1, 0)),
         ({"is_complete": False}, report_source.FAILED, (1, 0, 1)),
-        ({"is_complete": False, "first_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
+        ({"is_complete": False, "first_event_at": None, "sent_at": 47.0}, report_source.DONE, (1, 0, 0)),
     ],
 )
 def test_attempt_end_is_counted_by_its_outcome(changes, kind, expected):
@@ -259,7 +259,7 @@
     "changes",
     [
         {"connection": types.SimpleNamespace(is_unsent=True)},
-        {"meaning": attempts.Meaning.NOT_RUN, "status": 503},
+        {"response_class": attempts.ResponseClass.NOT_RUN, "status": 503},
         {"is_complete": False},  # the first event was in time, then the client left: no evidence
     ],
 )
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -280,7 +280,7 @@
             self._fail(upstream_errors.RemoteProtocolError(f"not an answer: {error}"))
         except Exception:
             # What the broken step had in hand is lost: nothing may follow it as if it had been forwarded
-            # (test_a_fault_of_our_own_in_the_middle_of_a_stream_leaves_no_gap).
+            # (test_internal_error_within_stream_ends_stream_without_gap).
             self._fail(upstream_errors.LocalError("a step failed"))
             raise
 
