--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -14,7 +14,7 @@
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 
-READ_BY_ITSELF = 0  # epoch of a list that a core node read before any coordinator published one
+UNCOORDINATED_EPOCH = 0  # epoch of a list that a core node read before any coordinator published one
 
 
 class ClusterCoordinator:
@@ -26,7 +26,7 @@
         now: The clock, in seconds.
         role_table: Who owns which role.
         publisher: Has the newest endpoint list, if this node knows one.
-        watch: Reads the platform's list.
+        list_poller: Polls the endpoint list of the platform.
         takeover_after_s: For how long an owner is disconnected before its role is acquired, in seconds.
     """
 
@@ -38,7 +38,7 @@
         now: Callable[[], float],
         role_table: singleton_role_table.SingletonRoleTable,
         publisher: publishers.Publisher,
-        watch: endpoint_list_poller.EndpointListPoller,
+        list_poller: endpoint_list_poller.EndpointListPoller,
         takeover_after_s: float,
     ) -> None:
         self._own = own
@@ -46,7 +46,7 @@
         self._now = now
         self._role_table = role_table
         self._publisher = publisher
-        self._watch = watch
+        self._list_poller = list_poller
         self._takeover_after_s = takeover_after_s
 
     @property
@@ -70,42 +70,50 @@
         *,
         members: tuple[str, ...],
         live: list[str],
-        lost_since: dict[str, float],
+        disconnected_since: dict[str, float],
         has_majority: bool,
         may_acquire: bool,
-        is_lost_by_majority: bool,
+        is_unreachable_from_majority: bool,
     ) -> bool:
         """Keeps, acquires or suspends the role, once each heartbeat interval.
 
         Args:
             members: The core set.
             live: Those of them that are connected, this node too, in the set's order.
-            lost_since: Member: since when it is disconnected.
+            disconnected_since: When each disconnected member was first seen as disconnected, by address.
             has_majority: Whether this node has the majority lease.
             may_acquire: Whether this node votes and is not draining.
-            is_lost_by_majority: Whether a majority of the members does not hear the owner.
+            is_unreachable_from_majority: Whether a majority of the members does not hear the owner.
 
         Returns:
             Whether this node owns the role and may act on it.
         """
         if self.is_owner:
             if not has_majority or self._own not in members:
-                self._watch.stop()
+                self._list_poller.stop()
                 return False
-            self._watch.start()
+            self._list_poller.start()
             return True
         if self._publisher.get(endpoint_list.TOPIC) is not None:
-            self._watch.stop()
+            self._list_poller.stop()
         if may_acquire and self._own in members:
             is_open = self._is_open(
-                members=members, live=live, lost_since=lost_since, is_lost_by_majority=is_lost_by_majority
+                members=members,
+                live=live,
+                disconnected_since=disconnected_since,
+                is_unreachable_from_majority=is_unreachable_from_majority,
             )
             if is_open:
                 self._acquire(address=self._own, incarnation=self._incarnation)
         return False
 
     def _is_open(
-        self, *, members: tuple[str, ...], live: list[str], lost_since: dict[str, float], is_lost_by_majority: bool
+        self,
+        *,
+        members: tuple[str, ...],
+        live: list[str],
+        disconnected_since: dict[str, float],
+        is_unreachable_from_majority: bool,
     ) -> bool:
         """Whether the owner is lost and this node is the first that may acquire the role."""
         owner = self.address
@@ -117,8 +125,8 @@
             return False
         if owner not in members:
             return True
-        is_lost = owner in lost_since and self._now() - lost_since[owner] >= self._takeover_after_s
-        return is_lost and is_lost_by_majority
+        is_lost = owner in disconnected_since and self._now() - disconnected_since[owner] >= self._takeover_after_s
+        return is_lost and is_unreachable_from_majority
 
     def hand_over(self, *, successor: str, incarnation: str) -> None:
         """Gives the role to another member; used by a node that shuts down in order."""
@@ -149,6 +157,6 @@
         if rows:
             self._role_table.acquire(rows=rows)
 
-    def may_follow(self, *, epoch: int) -> bool:
+    def accepts_epoch(self, *, epoch: int) -> bool:
         """Whether what was published under this epoch may be passed on: not from a coordinator known as replaced."""
-        return epoch >= self.epoch or epoch == READ_BY_ITSELF
+        return epoch >= self.epoch or epoch == UNCOORDINATED_EPOCH
--- a/ploverward/control_plane/cluster/core_liveness.py
+++ b/ploverward/control_plane/cluster/core_liveness.py
@@ -20,7 +20,7 @@
         peer_timeout_s: A member that replied to no heartbeat for so long counts as failed.
 
     Attributes:
-        lost_since: Core node: since when it is disconnected.
+        disconnected_since: When each disconnected core node was first seen as disconnected, by address.
     """
 
     def __init__(
@@ -37,20 +37,20 @@
         self._lease = lease
         self._is_live = is_live
         self._peer_timeout_s = peer_timeout_s
-        self.lost_since: dict[str, float] = {}
+        self.disconnected_since: dict[str, float] = {}
         self._silent_since: dict[str, float] = {}
 
     def update(self, members: tuple[str, ...]) -> None:
         """Updates the times of each member."""
         now = self._now()
         for host in members:
-            _note(self.lost_since, host, now, is_well=self._is_live(host))
+            _note(self.disconnected_since, host, now, is_well=self._is_live(host))
             is_replying = self._lease.has_reply_within(member=host, span_s=self._peer_timeout_s)
             _note(self._silent_since, host, now, is_well=is_replying)
 
-    def is_lost(self, host: str) -> bool:
+    def is_disconnected(self, host: str) -> bool:
         """Whether this core node was disconnected at the last update."""
-        return host in self.lost_since
+        return host in self.disconnected_since
 
     def lost_for(self, *, members: tuple[str, ...], span_s: float) -> tuple[str, ...]:
         """Returns the members that fail for longer than `span_s` seconds, longest first.
@@ -62,7 +62,7 @@
         lost = {}
         for host in members:
             silent_since = self._silent_since.get(host, now) + self._peer_timeout_s
-            since = min(self.lost_since.get(host, now), silent_since)
+            since = min(self.disconnected_since.get(host, now), silent_since)
             if host != self._own and now - since > span_s:
                 lost[host] = since
         return tuple(sorted(lost, key=lost.__getitem__))
--- a/ploverward/control_plane/cluster/core_set_reconciler.py
+++ b/ploverward/control_plane/cluster/core_set_reconciler.py
@@ -60,7 +60,7 @@
         lost = self._liveness.lost_for(members=members, span_s=self._peer_timeout_s * LOST_TIMEOUTS)
 
         def has_replied(host: str) -> bool:
-            return not self._liveness.is_lost(host) and self._lease.has_reply_since(member=host, when=newest_at)
+            return not self._liveness.is_disconnected(host) and self._lease.has_reply_since(member=host, when=newest_at)
 
         return voting_set.CoreSetView(
             members=tuple(members),
--- a/ploverward/control_plane/cluster/endpoint_list_publisher.py
+++ b/ploverward/control_plane/cluster/endpoint_list_publisher.py
@@ -34,13 +34,13 @@
         now: Callable[[], float],
         coordinator: coordinators.ClusterCoordinator,
         publisher: publishers.Publisher,
-        watch: endpoint_list_poller.EndpointListPoller,
+        list_poller: endpoint_list_poller.EndpointListPoller,
         stale_after_s: float,
     ) -> None:
         self._now = now
         self._coordinator = coordinator
         self._publisher = publisher
-        self._watch = watch
+        self._list_poller = list_poller
         self._stale_after_s = stale_after_s
         self._packed = b""  # the newest version that was unpacked
         self._unpacked: endpoint_list.EndpointList | None = None
@@ -60,12 +60,12 @@
             # A core node that has just started reads once by itself. Its epoch is below every coordinator's: it serves
             # only those that have no list at all.
             data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
-            version = Version(epoch=coordinators.READ_BY_ITSELF, number=1)
+            version = Version(epoch=coordinators.UNCOORDINATED_EPOCH, number=1)
             self._publisher.publish(topic=endpoint_list.TOPIC, version=version, data=data)
-            self._watch.stop()
+            self._list_poller.stop()
             return
         current = self._publisher.version(endpoint_list.TOPIC)
-        if current.epoch == coordinators.READ_BY_ITSELF:
+        if current.epoch == coordinators.UNCOORDINATED_EPOCH:
             self._publish_snapshot(rows, at)
             return
         is_first = current.epoch != self._coordinator.epoch
--- a/ploverward/control_plane/cluster/owner_witnesses.py
+++ b/ploverward/control_plane/cluster/owner_witnesses.py
@@ -36,18 +36,18 @@
         own: Address of this node.
         now: The clock, in seconds.
         sessions: The other core nodes.
-        fresh_s: For how long a reply counts.
-        patience_s: For how long a reply is waited for.
+        reply_ttl_s: How long a reply counts, in seconds.
+        reply_timeout_s: Time after which a witness without a reply counts as not hearing the owner, in seconds.
     """
 
     def __init__(
-        self, *, own: str, now: Callable[[], float], sessions: CoreSessions, fresh_s: float, patience_s: float
+        self, *, own: str, now: Callable[[], float], sessions: CoreSessions, reply_ttl_s: float, reply_timeout_s: float
     ) -> None:
         self._own = own
         self._now = now
         self._sessions = sessions
-        self._fresh_s = fresh_s
-        self._patience_s = patience_s
+        self._reply_ttl_s = reply_ttl_s
+        self._reply_timeout_s = reply_timeout_s
         self._owner = ""
         self._asked_since = 0.0
         self._replies: dict[str, tuple[float, bool]] = {}  # witness: (when, whether it hears the owner)
@@ -56,7 +56,7 @@
         """Returns the handlers of messages, by type."""
         return {messages.WitnessRequest: self._handle_request, messages.WitnessReply: self._handle_reply}
 
-    def ask(self, owner: str) -> None:
+    def query_peers(self, owner: str) -> None:
         """Asks the connected core nodes whether they hear this owner; to be called while it is lost here."""
         if owner != self._owner:
             self._owner = owner
@@ -64,11 +64,11 @@
             self._replies = {}
         self._sessions.broadcast_to_cores(messages.WitnessRequest(address=owner))
 
-    def forget(self) -> None:
+    def clear_owner(self) -> None:
         """The owner is not lost any more, or is another one."""
         self._owner = ""
 
-    def is_lost_by_majority(self, *, owner: str, members: tuple[str, ...]) -> bool:
+    def is_unreachable_from_majority(self, *, owner: str, members: tuple[str, ...]) -> bool:
         """Whether a majority of the members, this node included, does not hear the owner."""
         if owner != self._owner:
             return False
@@ -79,9 +79,9 @@
     def _has_lost(self, witness: str) -> bool:
         now = self._now()
         replied_at, is_heard = self._replies.get(witness, (float("-inf"), False))
-        if now - replied_at <= self._fresh_s:
+        if now - replied_at <= self._reply_ttl_s:
             return not is_heard
-        return now - self._asked_since >= self._patience_s
+        return now - self._asked_since >= self._reply_timeout_s
 
     def _handle_request(self, connection: interfaces.Connection, message: messages.WitnessRequest) -> None:
         if self._sessions.core_address_of(connection):
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -56,7 +56,7 @@
     zone: str
     region: str
     incarnation: str
-    public: str
+    public_address: str
     is_ready: bool = False
     is_draining: bool = False
 
@@ -170,7 +170,7 @@
             zone=message.zone,
             region=message.region,
             incarnation=message.incarnation,
-            public=message.public_address,
+            public_address=message.public_address,
         )
         self._peers[connection] = peer
         self.proxy_count += _is_proxy(peer) - _is_proxy(former)
@@ -207,16 +207,16 @@
         """Returns all connected nodes, in the order in which they joined."""
         return list(self._peers.values())
 
-    def proxies(self, *, is_listed: bool = True) -> list[Peer]:
+    def proxies(self, *, serving_only: bool = True) -> list[Peer]:
         """Returns the connected proxies.
 
         Args:
-            is_listed: Only those that may serve: ready and not draining.
+            serving_only: Whether to return only proxies that may serve: ready and not draining.
         """
         return [
             peer
             for peer in self._peers.values()
-            if peer.role is NodeRole.PROXY and (not is_listed or (peer.is_ready and not peer.is_draining))
+            if peer.role is NodeRole.PROXY and (not serving_only or (peer.is_ready and not peer.is_draining))
         ]
 
     def cores(self) -> list[Peer]:
@@ -231,11 +231,11 @@
         """Returns the addresses of the other connected core nodes."""
         return {peer.address for peer in self._peers.values() if peer.role is NodeRole.CORE}
 
-    def leaving_cores(self) -> set[str]:
+    def draining_core_addresses(self) -> set[str]:
         """Returns the addresses of the other connected core nodes that are shutting down."""
         return {peer.address for peer in self.cores() if peer.is_draining}
 
-    def connected_to(self) -> list[str]:
+    def connector_addresses(self) -> list[str]:
         """Returns the addresses of the core nodes to which this node keeps a connection, or tries to."""
         return list(self._connectors)
 
@@ -265,7 +265,7 @@
 
         A frozen machine accepts connections and sends nothing, so a connection counts only once anything was received
         on it (docs/incidents/frozen-holder.md;
-        `test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch`).
+        `test_core_node_that_accepts_connections_but_sends_nothing_is_not_live`).
         """
         if address == self._own:
             return True
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -94,17 +94,17 @@
         members = self._membership.members()
         self._liveness.update(members)
         owner = self._coordinator.address
-        if owner in members and self._liveness.is_lost(owner):
-            self._witnesses.ask(owner)
+        if owner in members and self._liveness.is_disconnected(owner):
+            self._witnesses.query_peers(owner)
         else:
-            self._witnesses.forget()
+            self._witnesses.clear_owner()
         is_acting = self._coordinator.reconcile(
             members=members,
             live=[host for host in members if self._sessions.is_core_live(host)],
-            lost_since=self._liveness.lost_since,
+            disconnected_since=self._liveness.disconnected_since,
             has_majority=self._membership.has_majority_lease(),
             may_acquire=self._consensus.acceptor.votes and not self._status.is_draining,
-            is_lost_by_majority=self._witnesses.is_lost_by_majority(owner=owner, members=members),
+            is_unreachable_from_majority=self._witnesses.is_unreachable_from_majority(owner=owner, members=members),
         )
         if not is_acting:
             self._rollout_manager.deactivate()
--- a/ploverward/control_plane/cluster/test_core_set_status.py
+++ b/ploverward/control_plane/cluster/test_core_set_status.py
@@ -21,13 +21,13 @@
     return {slot.machine.host: slot.machine.core.core.core_set_status.report() for slot in fleet.slots}
 
 
-def test_all_members_of_a_calm_set_vote():
+def test_report_without_faults_counts_all_members_as_voting():
     run = calm_run(machines=3)
     for report in reports(run.fleet).values():
         assert report["votes"] and report["in_touch"] == report["members"] and report["losses_borne"] == 1
 
 
-def test_a_member_whose_disk_refuses_writes_is_connected_and_does_not_count():
+def test_member_whose_disk_refuses_writes_is_in_touch_but_not_voting():
     run = calm_run(machines=3)
     refusing = run.fleet.slots[1].machine
     refusing.disk.fault = "refuse"
@@ -43,7 +43,7 @@
     assert all(report["losses_borne"] == 1 for report in reports(run.fleet).values())
 
 
-def test_what_dead_members_cost_is_shown():
+def test_losses_borne_drops_with_removed_members_and_recovers_with_successor():
     """Two of five are removed for good; one successor dies while it learns, and another one arrives later."""
     run = calm_run(machines=5)
     fleet = run.fleet
--- a/ploverward/control_plane/cluster/test_owner_witnesses.py
+++ b/ploverward/control_plane/cluster/test_owner_witnesses.py
@@ -14,7 +14,7 @@
         self.sent = []
         self.live = {"c", "d", "e"}
         self.witnesses = owner_witnesses.OwnerWitnesses(
-            own="b", now=lambda: self.time, sessions=self, fresh_s=0.8, patience_s=1.2
+            own="b", now=lambda: self.time, sessions=self, reply_ttl_s=0.8, reply_timeout_s=1.2
         )
 
     def broadcast_to_cores(self, message):
@@ -31,12 +31,12 @@
         handler(witness, messages.WitnessReply(address=address, is_heard=is_heard))
 
     def is_lost(self, owner="a", members=MEMBERS):
-        return self.witnesses.is_lost_by_majority(owner=owner, members=members)
+        return self.witnesses.is_unreachable_from_majority(owner=owner, members=members)
 
 
-def test_a_majority_that_does_not_hear_it_is_needed():
+def test_owner_is_unreachable_only_once_majority_does_not_hear_it():
     scene = Scene()
-    scene.witnesses.ask("a")
+    scene.witnesses.query_peers("a")
     assert scene.sent == [messages.WitnessRequest(address="a")] and not scene.is_lost()
     scene.reply("c", is_heard=False)
     assert not scene.is_lost()
@@ -44,50 +44,50 @@
     assert scene.is_lost()
 
 
-def test_one_that_the_others_hear_is_not_lost_however_long_this_node_has_lost_it():
+def test_owner_that_other_members_hear_is_never_unreachable():
     scene = Scene()
     for _number in range(20):
-        scene.witnesses.ask("a")
+        scene.witnesses.query_peers("a")
         for witness in ("c", "d", "e"):
             scene.reply(witness, is_heard=True)
         assert not scene.is_lost()
         scene.time += 0.4
 
 
-def test_of_three_the_third_decides_and_the_owner_itself_is_no_witness():
+def test_with_three_members_the_one_other_witness_decides():
     scene = Scene()
-    scene.witnesses.ask("a")
+    scene.witnesses.query_peers("a")
     scene.reply("c", is_heard=True)
     assert not scene.is_lost(members=("a", "b", "c"))
     scene.reply("c", is_heard=False)
     assert scene.is_lost(members=("a", "b", "c"))
 
 
-def test_witnesses_that_never_reply_are_not_waited_for_for_ever():
+def test_witnesses_without_reply_count_as_not_hearing_owner_after_timeout():
     scene = Scene()
-    scene.witnesses.ask("a")
+    scene.witnesses.query_peers("a")
     scene.time = 1.1
     assert not scene.is_lost()
     scene.time = 1.3
     assert scene.is_lost()
 
 
-def test_old_replies_and_replies_about_another_owner_do_not_count():
+def test_replies_about_another_owner_or_from_before_clear_do_not_count():
     scene = Scene()
-    scene.witnesses.ask("a")
+    scene.witnesses.query_peers("a")
     for witness in ("c", "d", "e"):
         scene.reply(witness, is_heard=False, address="z")
     assert not scene.is_lost()
     for witness in ("c", "d", "e"):
         scene.reply(witness, is_heard=False)
     assert scene.is_lost() and not scene.is_lost(owner="z")
-    scene.witnesses.forget()
+    scene.witnesses.clear_owner()
     assert not scene.is_lost()
-    scene.witnesses.ask("a")
+    scene.witnesses.query_peers("a")
     assert not scene.is_lost()
 
 
-def test_a_request_is_replied_to_with_what_this_node_hears():
+def test_witness_request_is_answered_with_liveness_seen_by_this_node():
     scene = Scene()
 
     class Link:
--- a/ploverward/control_plane/cluster/test_peer_sessions.py
+++ b/ploverward/control_plane/cluster/test_peer_sessions.py
@@ -82,7 +82,7 @@
         return connection
 
 
-def test_a_core_node_that_takes_connections_and_says_nothing_is_not_in_touch():
+def test_core_node_that_accepts_connections_but_sends_nothing_is_not_live():
     """A frozen machine: its system accepts, its process does not answer (docs/incidents/frozen-holder.md)."""
     node = Node(seeds=[OTHER])
     connection = node.runtime.connectors[OTHER].link
@@ -95,7 +95,7 @@
     assert node.sessions.is_core_live(OWN)
 
 
-def test_connectors_follow_members_seeds_and_core_nodes_in_touch():
+def test_connectors_exist_for_members_seeds_and_connected_core_nodes():
     node = Node(seeds=[OTHER, OWN])
     assert set(node.runtime.connectors) == {OTHER}
     node.members = ("10.0.0.3",)
@@ -112,11 +112,11 @@
     older = node.accept(role="proxy", address=OTHER)
     newer = node.accept(role="proxy", address=OTHER)
     assert [connection for connection, _peer in node.ended] == [older]
-    assert [peer.connection for peer in node.sessions.proxies(is_listed=False)] == [newer]
+    assert [peer.connection for peer in node.sessions.proxies(serving_only=False)] == [newer]
     assert node.sessions.proxy_count == 1
 
 
-def test_only_a_proxy_that_is_ready_and_not_draining_is_listed():
+def test_proxies_returns_only_ready_and_not_draining_by_default():
     node = Node()
     connection = node.accept(role="proxy", address=OTHER)
     assert node.sessions.proxies() == []
@@ -127,7 +127,7 @@
     assert node.sessions.proxy_count == 1
 
 
-def test_a_proxy_that_is_gone_counts_no_more():
+def test_disconnected_proxy_is_no_longer_counted():
     node = Node()
     connection = node.accept(role="proxy", address=OTHER)
     assert node.sessions.proxy_of(connection) is node.joined[0]
@@ -136,7 +136,7 @@
     assert node.ended == [(connection, node.joined[0])]
 
 
-def test_a_connection_leads_to_a_core_node_by_its_handshake_or_by_who_opened_it():
+def test_core_address_of_uses_handshake_or_dialed_address():
     node = Node(seeds=[OTHER])
     assert node.sessions.core_address_of(node.runtime.connectors[OTHER].link) == OTHER
     assert node.sessions.core_address_of(node.accept(role="core", address="10.0.0.3")) == "10.0.0.3"
@@ -144,14 +144,14 @@
     assert node.sessions.core_address_of(object()) == ""
 
 
-def test_a_kind_of_node_that_is_not_known_is_neither_core_nor_proxy():
+def test_peer_of_unknown_role_is_neither_core_nor_proxy():
     node = Node()
     node.accept(role="another", address=OTHER)
     assert [peer.role for peer in node.sessions.peers()] == [peer_sessions.NodeRole.UNKNOWN]
-    assert node.sessions.cores() == [] and node.sessions.proxies(is_listed=False) == []
+    assert node.sessions.cores() == [] and node.sessions.proxies(serving_only=False) == []
 
 
-def test_a_draining_node_says_so_with_its_handshake():
+def test_draining_node_sends_its_state_after_handshake():
     node = Node()
     connection = Connection(None)
     node.sessions.send_handshake(connection)
@@ -163,7 +163,7 @@
     assert connection.sent == [handshake, handshake, messages.NodeState(is_ready=False, is_draining=True)]
 
 
-def test_messages_are_sent_to_standing_connections_and_queued_on_others_for_one_member():
+def test_broadcast_skips_connecting_links_and_send_to_core_queues_on_them():
     node = Node(seeds=[OTHER, "10.0.0.3"])
     node.runtime.connectors[OTHER].link.is_up = False
     message = messages.KeepAlive(number=0)
@@ -174,7 +174,7 @@
     assert node.runtime.connectors["10.0.0.3"].link.sent == [message]
 
 
-def test_a_message_is_handled_by_its_type_alone():
+def test_message_router_dispatches_by_type_and_rejects_second_handler():
     router = message_router.MessageRouter()
     handled = []
     router.add({messages.KeepAlive: lambda connection, message: handled.append((connection, message))})
--- a/ploverward/control_plane/cluster/test_voting_set.py
+++ b/ploverward/control_plane/cluster/test_voting_set.py
@@ -34,12 +34,12 @@
     return "".join(voting_set.next_set(view=view(members, **about), wanted=wanted))
 
 
-def test_all_machines_in_touch_vote():
+def test_next_set_adds_all_learners():
     assert following("abc", learners="de", wanted=5) == "abcde"
     assert following("abcde", wanted=5) == "abcde"
 
 
-def test_a_learner_is_swapped_in_for_a_lost_member_in_one_change():
+def test_next_set_replaces_failed_member_by_learner_in_one_change():
     assert following("abc", learners="d", lost="a") == "bcd"
     assert following("abcde", learners="fg", lost="ab", wanted=5) == "cdefg"
     assert following("abc", learners="d", lost="ab") == "bcd"  # one learner takes one place
@@ -48,7 +48,7 @@
     assert following("abc", learners="de", silent="a") == "abce"
 
 
-def test_the_set_never_shrinks_below_what_the_tolerated_losses_need():
+def test_next_set_never_shrinks_below_wanted_size():
     assert following("abc", lost="a", gone="a") == "abc"
     assert following("abc", leaving="a") == "abc"
     assert following("abcd", lost="a", gone="a") == "bcd"
@@ -57,14 +57,14 @@
     assert following("abcdefg", gone="abc", wanted=5) == "cdefg"
 
 
-def test_losses_tolerated_are_reported():
+def test_tolerated_losses_counts_voting_members_beyond_majority():
     assert voting_set.tolerated_losses(members=tuple("abcde"), voting="abcde") == 2
     assert voting_set.tolerated_losses(members=tuple("abcde"), voting="abc") == 0
     assert voting_set.tolerated_losses(members=tuple("abc"), voting="a") == -1
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_a_next_set_keeps_those_in_touch_and_settles(seed):
+def test_next_set_keeps_connected_members_and_converges(seed):
     chance = random.Random(seed)
     wanted = chance.choice((3, 5, 7))
     machines = [chr(97 + number) for number in range(12)]
@@ -116,7 +116,7 @@
         return self.sets.get(name, ("a", "b", "c"))
 
 
-def test_a_half_done_move_is_finished_by_the_next_coordinator():
+def test_incomplete_move_is_finished_by_next_coordinator():
     rounds = Rounds()
     target = ("b", "c", "d")
     first = voting_set.CoreSetChanger(change=rounds.change, known_set=rounds.known_set)
@@ -133,7 +133,7 @@
     assert not next_coordinator.needs_move(target=target)
 
 
-def test_a_move_is_superseded_by_a_newer_target():
+def test_move_to_newer_target_supersedes_earlier_move():
     wanted = {}
     core_set_changer = voting_set.CoreSetChanger(
         change=lambda *, name, is_wanted, next_set, **_about: wanted.setdefault((name, next_set), is_wanted),
@@ -148,7 +148,7 @@
     )
 
 
-def test_an_answer_counts_from_when_its_heartbeat_was_sent():
+def test_reply_extends_lease_from_when_its_heartbeat_was_sent():
     clock = [10.0]
     lease = majority_lease.MajorityLease(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = lease.next_heartbeat(version=1)
@@ -159,7 +159,7 @@
     assert not lease.has_majority(members=("a", "b", "c"), version=1)  # also after a freeze: nothing was extended
 
 
-def test_an_answer_from_a_voter_that_accepted_a_newer_set_does_not_count():
+def test_reply_of_voter_that_accepted_newer_core_set_does_not_count():
     clock = [10.0]
     lease = majority_lease.MajorityLease(own="a", now=lambda: clock[0], lease_s=LEASE_S)
     heartbeat = lease.next_heartbeat(version=1)
@@ -173,7 +173,7 @@
     assert not lease.has_majority(members=(), version=1)
 
 
-def test_answers_to_unknown_numbers_are_ignored():
+def test_reply_to_unknown_heartbeat_number_is_ignored():
     lease = majority_lease.MajorityLease(own="a", now=lambda: 1.0, lease_s=LEASE_S)
     lease.handle_reply(member="b", reply=reply_to(messages.Heartbeat(number=9, core_set_version=0), version=1))
     assert not lease.has_reply_within(member="b", span_s=100.0)
@@ -289,14 +289,14 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_the_parts_of_all_core_nodes_never_pass_the_bound_while_the_set_changes(seed):
+def test_sum_of_granted_shares_stays_within_limit_while_core_set_changes(seed):
     world = World(seed=seed)
     for _ in range(300):
         world.step()
     assert 0.0 < world.most <= 1.0 + 1e-9
 
 
-def test_a_restarted_node_resumes_its_share_unless_the_core_set_was_changed():
+def test_restarted_node_resumes_its_share_unless_core_set_changed():
     clock = [0.0]
     parts = share_leases.OwnedShare(now=lambda: clock[0], transfer_wait_s=5.0)
     parts.resume(share=0.2, version=4)
@@ -311,7 +311,7 @@
     assert parts.value() == 0.0
 
 
-def test_without_the_lease_and_the_wait_the_sum_passes_the_bound():
+def test_sum_of_granted_shares_exceeds_limit_without_lease_and_transfer_wait():
     most = 0.0
     for seed in range(10):
         world = World(seed=seed, is_fenced=False)
--- a/ploverward/control_plane/cluster/topic_exchange.py
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -99,10 +99,10 @@
         """A version from another core node."""
         if snapshot.topic in register_names.REGISTERS:
             self._consensus.publish(snapshot.topic, snapshot.version.number, snapshot.data)
-        elif self._coordinator.may_follow(epoch=snapshot.version.epoch):
+        elif self._coordinator.accepts_epoch(epoch=snapshot.version.epoch):
             self._publisher.publish(topic=snapshot.topic, version=snapshot.version, data=snapshot.data)
 
     def _install_delta(self, _topic: str, delta: messages.Delta) -> None:
         """A delta of the endpoint list from another core node."""
-        if self._coordinator.may_follow(epoch=delta.version.epoch):
+        if self._coordinator.accepts_epoch(epoch=delta.version.epoch):
             self._endpoint_lists.apply_delta(delta)
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -170,7 +170,7 @@
 
     def _make_coordinator(self, settings: node_settings.Settings) -> None:
         """What the cluster coordinator does, should this node become it."""
-        self.watch = self.runtime.platform_watch(
+        self.list_poller = self.runtime.platform_watch(
             loop=self.loop,
             address=settings.cloud_address,
             gap_s=self.timing.platform_gap_s,
@@ -185,14 +185,14 @@
             now=self.loop.now,
             role_table=self.role_table,
             publisher=self.publisher,
-            watch=self.watch,
+            list_poller=self.list_poller,
             takeover_after_s=self.timing.takeover_after_s,
         )
         self.endpoint_lists = endpoint_list_publisher.EndpointListPublisher(
             now=self.loop.now,
             coordinator=self.coordinator,
             publisher=self.publisher,
-            watch=self.watch,
+            list_poller=self.list_poller,
             stale_after_s=self.timing.contact_s,
         )
         self.rollout_manager = manager.RolloutManager(
@@ -223,8 +223,8 @@
             own=self.own,
             now=self.loop.now,
             sessions=self.sessions,
-            fresh_s=2 * self.timing.heartbeat_interval_s,
-            patience_s=self.timing.peer_timeout_s,
+            reply_ttl_s=2 * self.timing.heartbeat_interval_s,
+            reply_timeout_s=self.timing.peer_timeout_s,
         )
         self.stores = store_directory.StoreDirectory(
             now=self.loop.now,
@@ -259,7 +259,7 @@
             now=self.loop.now,
             wall_time=self.runtime.wall_time,
             ownership=self._coordinator_ownership,
-            incarnations=lambda: [proxy.incarnation for proxy in self.sessions.proxies(is_listed=False)],
+            incarnations=lambda: [proxy.incarnation for proxy in self.sessions.proxies(serving_only=False)],
             roles=lambda: self.role_table.table,
             change=self.consensus.proposer.change,
             post=self.runtime.platform_calls(loop=self.loop, address=settings.cloud_address),
@@ -415,7 +415,7 @@
         self.tallies.start()
         self.custody.start()
         self.operator_api.listen()
-        self.watch.start()
+        self.list_poller.start()
         self.loop.every(interval_s=self.timing.heartbeat_interval_s, callback=self._on_heartbeat_interval)
         self.runtime.on_signals(loop=self.loop, on_terminate=self.shutdown.start, on_reread=self.settings.reload)
         _log.debug("core_started", extra={"own": self.own, "first": self.settings.current.first_start})
@@ -443,7 +443,7 @@
         self.custody.flush()
 
     def _end(self) -> None:
-        self.watch.stop()
+        self.list_poller.stop()
         self.loop.stop()
 
     def _on_heartbeat_interval(self) -> None:
@@ -507,7 +507,7 @@
         self.sessions.connect_to_cores()
 
     def _proxy_origins(self) -> list:
-        return [rollout_lease_granter.origin_of(proxy) for proxy in self.sessions.proxies(is_listed=False)]
+        return [rollout_lease_granter.origin_of(proxy) for proxy in self.sessions.proxies(serving_only=False)]
 
     def _votes(self) -> bool:
         return self.consensus.acceptor.votes
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -26,7 +26,7 @@
 
     zone: str
     region: str
-    public: str  # ADDRESS:PORT that clients reach
+    public_address: str  # ADDRESS:PORT that clients reach
 
 
 class Directory:
@@ -88,7 +88,7 @@
         if not candidates:
             raise LookupRefusedError("no node may serve this now")
         in_zone = [proxy for proxy in candidates if proxy.zone == zone]
-        return sorted(proxy.public for proxy in in_zone or candidates)[:MAX_ADDRESSES]
+        return sorted(proxy.public_address for proxy in in_zone or candidates)[:MAX_ADDRESSES]
 
     def is_isolated(self) -> bool:
         """Whether this node lost the majority so recently that other nodes may know more."""
--- a/ploverward/control_plane/discovery/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -11,14 +11,14 @@
 class Proxy:
     zone: str
     region: str
-    public: str
+    public_address: str
 
 
 PROXIES = [
-    Proxy(zone="n1", region="north", public="10.1.0.1:80"),
-    Proxy(zone="n2", region="north", public="10.1.0.2:80"),
-    Proxy(zone="s1", region="south", public="10.2.0.1:80"),
-    Proxy(zone="w1", region="west", public="10.3.0.1:80"),
+    Proxy(zone="n1", region="north", public_address="10.1.0.1:80"),
+    Proxy(zone="n2", region="north", public_address="10.1.0.2:80"),
+    Proxy(zone="s1", region="south", public_address="10.2.0.1:80"),
+    Proxy(zone="w1", region="west", public_address="10.3.0.1:80"),
 ]
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "w1": "west"}
 HOMED = {"routes": [{"name": "r", "host": "h", "homeRegions": ["south"]}]}
--- a/ploverward/control_plane/operator_api/adapter_handlers.py
+++ b/ploverward/control_plane/operator_api/adapter_handlers.py
@@ -85,7 +85,7 @@
             replicas=[_replica_body(row, settings.zones) for row in replicas],
             proxies=[
                 ProxyBody(address=proxy.address, life=proxy.incarnation, zone=proxy.zone)
-                for proxy in self._node.proxies(is_listed=False)
+                for proxy in self._node.proxies(serving_only=False)
             ],
         )
         call.answer(status=http.HTTPStatus.OK, body=body)
--- a/ploverward/control_plane/operator_api/apply_barrier.py
+++ b/ploverward/control_plane/operator_api/apply_barrier.py
@@ -59,7 +59,7 @@
     def check(self) -> None:
         """Acknowledges what all have applied. To be called when a proxy has applied something or disconnected."""
         for waiter in list(self._waiters):
-            links = [proxy.connection for proxy in self._proxies(is_listed=False)]
+            links = [proxy.connection for proxy in self._proxies(serving_only=False)]
             version = Version(epoch=0, number=waiter.number)
             if not self._publisher.lagging(topic=waiter.topic, version=version, links=links):
                 self._acknowledge(waiter)
--- a/ploverward/control_plane/operator_api/custody_handlers.py
+++ b/ploverward/control_plane/operator_api/custody_handlers.py
@@ -116,7 +116,7 @@
         self._custody.page(after=after, limit=TRAILS_PER_PAGE, done=lambda page: self._answer_page(call, page))
 
     def _answer_page(self, call: Call, page: TrailPage) -> None:
-        live_incarnations = {proxy.incarnation for proxy in self._node.proxies(is_listed=False)}
+        live_incarnations = {proxy.incarnation for proxy in self._node.proxies(serving_only=False)}
         settings = self._node.settings()
         body = TrailsBody(
             node=settings.node,
--- a/ploverward/control_plane/operator_api/dependencies.py
+++ b/ploverward/control_plane/operator_api/dependencies.py
@@ -66,7 +66,7 @@
     zone: str
     region: str
     incarnation: str
-    public: str  # ADDRESS:PORT that clients reach
+    public_address: str  # ADDRESS:PORT that clients reach
     is_ready: bool
     is_draining: bool
 
@@ -74,8 +74,8 @@
 class ListProxies(typing.Protocol):
     """Lists the connected proxies."""
 
-    def __call__(self, *, is_listed: bool = True) -> collections.abc.Sequence[Proxy]:
-        """Those that may be named to clients (ready and not draining), or with `is_listed=False` all."""
+    def __call__(self, *, serving_only: bool = True) -> collections.abc.Sequence[Proxy]:
+        """Those that may be named to clients (ready and not draining), or with `serving_only=False` all."""
 
 
 class Publisher(typing.Protocol):
--- a/ploverward/control_plane/operator_api/node_handlers.py
+++ b/ploverward/control_plane/operator_api/node_handlers.py
@@ -94,7 +94,7 @@
             zones=settings.zones,
             duties=self._node.singleton_roles(),
             bounds=settings.bounds,
-            proxies=[_proxy_body(proxy) for proxy in self._node.proxies(is_listed=False)],
+            proxies=[_proxy_body(proxy) for proxy in self._node.proxies(serving_only=False)],
         )
         call.answer(status=http.HTTPStatus.OK, body=body)
 
@@ -106,7 +106,7 @@
 def _proxy_body(proxy: Proxy) -> ProxyBody:
     return ProxyBody(
         address=proxy.address,
-        counter=proxy.public,
+        counter=proxy.public_address,
         zone=proxy.zone,
         region=proxy.region,
         ready=proxy.is_ready,
--- a/ploverward/control_plane/operator_api/test_apply_barrier.py
+++ b/ploverward/control_plane/operator_api/test_apply_barrier.py
@@ -39,7 +39,7 @@
         publisher.join(link)
     barrier = apply_barrier.ApplyBarrier(
         publisher=publisher,
-        proxies=lambda *, is_listed=True: [types.SimpleNamespace(connection=link) for link in links],
+        proxies=lambda *, serving_only=True: [types.SimpleNamespace(connection=link) for link in links],
     )
     call = Call()
     response = pending_response.PendingResponse(loop=loop, call=call, limit_s=0.75, on_timeout=lambda response: None)
--- a/ploverward/control_plane/operator_api/test_rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -60,7 +60,7 @@
         self.order_api = order_api.OrderApi(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
-            apply_barrier=apply_barrier.ApplyBarrier(publisher=publisher, proxies=lambda is_listed: []),
+            apply_barrier=apply_barrier.ApplyBarrier(publisher=publisher, proxies=lambda serving_only: []),
             redirector=redirector.Redirector(own="a", port=1, members=lambda: ("a", "b"), is_live=lambda host: True),
             configuration=lambda: applied,
             zones=lambda: {"z": "r"},
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -71,7 +71,7 @@
 class CoreSessions(Protocol):
     """What tallies need of the sessions with other core nodes."""
 
-    def connected_to(self) -> Collection[str]:
+    def connector_addresses(self) -> Collection[str]:
         """The addresses of the core nodes that this node connects to."""
 
     def core_connection(self, address: str) -> interfaces.Connection | None:
@@ -80,7 +80,7 @@
     def core_address_of(self, connection: interfaces.Connection) -> str:
         """The address of the core node on a connection; empty where it is none."""
 
-    def leaving_cores(self) -> Collection[str]:
+    def draining_core_addresses(self) -> Collection[str]:
         """The addresses of connected core nodes that are shutting down."""
 
 
@@ -173,7 +173,7 @@
             own=own,
             state=self.state,
             durable=lambda: self._writer.durable,
-            core_addresses=sessions.connected_to,
+            core_addresses=sessions.connector_addresses,
             connection_to=sessions.core_connection,
             on_progress=self._handle_progress,
         )
@@ -341,7 +341,7 @@
 
     # Views.
     def _other_members(self) -> list[str]:
-        known = set(self._members()) or set(self._sessions.connected_to())
+        known = set(self._members()) or set(self._sessions.connector_addresses())
         return sorted(known - {self._own})
 
     def _heard_at(self, address: str) -> float | None:
@@ -349,9 +349,9 @@
         return connection.heard_at if connection is not None and connection.has_heard else None
 
     def _copy_view(self) -> add_waiters.CopyView:
-        leaving = set(self._sessions.leaving_cores())
+        leaving = set(self._sessions.draining_core_addresses())
         peers = {}
-        for address in self._sessions.connected_to():
+        for address in self._sessions.connector_addresses():
             positions = self._replicator.positions_of(address)
             if positions is not None and address not in leaving:
                 peers[address] = positions
--- a/ploverward/control_plane/tallies/test_tally_service.py
+++ b/ploverward/control_plane/tallies/test_tally_service.py
@@ -88,7 +88,7 @@
             limits=tally_service.TallyLimits(max_kept=max_kept, wanted_copies=2, peer_timeout_s=1.0),
         )
 
-    def connected_to(self):
+    def connector_addresses(self):
         return [host for host in HOSTS if host != self.host]
 
     def core_connection(self, address):
@@ -97,7 +97,7 @@
     def core_address_of(self, connection):
         return connection.target
 
-    def leaving_cores(self):
+    def draining_core_addresses(self):
         return self.leaving
 
     def add(self, name, amount=1, tally="t"):
--- a/ploverward/simulation/order_nodes.py
+++ b/ploverward/simulation/order_nodes.py
@@ -163,7 +163,7 @@
             loop=loop,
             registers=self.registers,
             apply_barrier=apply_barrier.ApplyBarrier(
-                publisher=publisher.Publisher(), proxies=lambda *, is_listed=True: []
+                publisher=publisher.Publisher(), proxies=lambda *, serving_only=True: []
             ),
             redirector=redirector.Redirector(
                 own=self.name, port=CONTROL_PORT, members=self.members, is_live=self._is_linked
