--- a/ploverward/control_plane/cluster/__init__.py
+++ b/ploverward/control_plane/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""How core nodes act as one cluster: peer sessions, majority lease, voting set, singleton roles (docs/control.md)."""
+"""Cluster of core nodes: peer sessions, majority lease, voting set and singleton roles (docs/control.md)."""
--- a/ploverward/control_plane/cluster/core_liveness.py
+++ b/ploverward/control_plane/cluster/core_liveness.py
@@ -1,7 +1,7 @@
-"""Since when each core node is disconnected, or connected without replying.
+"""Tracks since when each core node has been disconnected, or connected without replying to heartbeats.
 
-Owns two tables of times, which are brought up to date once each heartbeat interval. The times are of the first
-interval in which the failure was seen, so they are late by up to one interval and never early.
+Owns two tables of start times, which are updated once each heartbeat interval. A start time is that of the first
+interval in which the failure was seen, so it is late by up to one interval and never early.
 """
 
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 
 class CoreLiveness:
-    """Times since which core nodes fail.
+    """Table of the core nodes that currently fail, with the time when each failure was first seen.
 
     Args:
-        own: Address of this node, which never counts as lost.
+        own: Address of this node, which never counts as failed.
         now: The clock, in seconds.
-        lease: Which members replied to heartbeats.
+        lease: Records which members replied to heartbeats.
         is_live: Returns whether a core node is connected and has sent something.
-        peer_timeout_s: A member that replied to no heartbeat for so long counts as failed.
+        peer_timeout_s: Time after which a member that replied to no heartbeat counts as unresponsive, in seconds.
 
     Attributes:
         disconnected_since: When each disconnected core node was first seen as disconnected, by address.
@@ -38,38 +38,39 @@
         self._is_live = is_live
         self._peer_timeout_s = peer_timeout_s
         self.disconnected_since: dict[str, float] = {}
-        self._silent_since: dict[str, float] = {}
+        self._unresponsive_since: dict[str, float] = {}
 
     def update(self, members: tuple[str, ...]) -> None:
-        """Updates the times of each member."""
+        """Updates the start times of all members; called once each heartbeat interval."""
         now = self._now()
         for host in members:
-            _note(self.disconnected_since, host, now, is_well=self._is_live(host))
+            _update_failure(self.disconnected_since, host, now, is_healthy=self._is_live(host))
             is_replying = self._lease.has_reply_within(member=host, span_s=self._peer_timeout_s)
-            _note(self._silent_since, host, now, is_well=is_replying)
+            _update_failure(self._unresponsive_since, host, now, is_healthy=is_replying)
 
     def is_disconnected(self, host: str) -> bool:
-        """Whether this core node was disconnected at the last update."""
+        """Returns whether this core node was disconnected at the last update."""
         return host in self.disconnected_since
 
-    def lost_for(self, *, members: tuple[str, ...], span_s: float) -> tuple[str, ...]:
-        """Returns the members that fail for longer than `span_s` seconds, longest first.
+    def failed_members(self, *, members: tuple[str, ...], span_s: float) -> tuple[str, ...]:
+        """Returns the members that have failed for longer than `span_s` seconds, longest first.
 
-        A member that is connected and replies to no heartbeat counts too, `peer_timeout_s` later: its disk refuses
+        A member that is connected but replies to no heartbeat counts as well, `peer_timeout_s` later: its disk refuses
         writes, or it is a learner.
         """
         now = self._now()
-        lost = {}
+        failed = {}
         for host in members:
-            silent_since = self._silent_since.get(host, now) + self._peer_timeout_s
-            since = min(self.disconnected_since.get(host, now), silent_since)
+            unresponsive_since = self._unresponsive_since.get(host, now) + self._peer_timeout_s
+            since = min(self.disconnected_since.get(host, now), unresponsive_since)
             if host != self._own and now - since > span_s:
-                lost[host] = since
-        return tuple(sorted(lost, key=lost.__getitem__))
+                failed[host] = since
+        return tuple(sorted(failed, key=failed.__getitem__))
 
 
-def _note(table: dict[str, float], host: str, now: float, *, is_well: bool) -> None:
-    if is_well:
-        table.pop(host, None)
+def _update_failure(failing_since: dict[str, float], host: str, now: float, *, is_healthy: bool) -> None:
+    """Removes a healthy node from a table of start times; adds a failing one unless it is there already."""
+    if is_healthy:
+        failing_since.pop(host, None)
     else:
-        table.setdefault(host, now)
+        failing_since.setdefault(host, now)
--- a/ploverward/control_plane/cluster/core_membership.py
+++ b/ploverward/control_plane/cluster/core_membership.py
@@ -1,7 +1,7 @@
-"""What this node knows of the core set, and whether a majority of that set confirms it (docs/control.md 1, 2).
+"""The core set as this node knows it, and whether a majority of that set confirms it (docs/control.md 1, 2).
 
-Owns the newest core set that was chosen. Invariant: a set that was merely accepted, here or elsewhere, is never
-treated as agreed; it only ends this node's support for older sets.
+Owns the newest core set that this node knows as chosen. Invariant: a set that was merely accepted, here or elsewhere,
+is never treated as agreed; it only ends this node's support for older sets.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 from ploverward.control_plane.consensus import register_names
 from ploverward.control_plane.distribution import publisher as publishers
 
-MAX_AGE_S = 1e6  # age of a configuration that this node cannot date: older than any bound
+MAX_CONFIGURATION_AGE_S = 1e6  # reported where the age is unknown; above every bound that is checked against it
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
 
     Attributes:
         members: Addresses of the core nodes that vote.
-        version: Revision of the register; 0: the first start's seeds, which no round has confirmed yet.
+        version: Revision of the register; 0 for the seed nodes of the first start, which no round has chosen yet.
     """
 
     members: tuple[str, ...]
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationAge:
-    """How certain this node is of its configuration.
+    """The newest configuration that this node knows, and how old that knowledge is.
 
     Attributes:
         version: The newest configuration known as chosen.
-        age_s: For how many seconds no newer one may have been acknowledged.
+        age_s: Seconds since the latest moment at which no newer configuration had been acknowledged.
     """
 
     version: int
@@ -47,11 +47,11 @@
     Args:
         now: The clock, in seconds.
         consensus: This node's acceptor and proposer.
-        publisher: Knows the newest chosen revision of each register.
-        lease: Which members replied to this node's heartbeats.
+        publisher: Holds the newest chosen revision of each register.
+        lease: Records which members replied to this node's heartbeats.
 
     Attributes:
-        chosen_members: The newest core set that was chosen; empty before this node knows one.
+        chosen_members: The newest core set known as chosen; empty before this node knows one.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
         self.chosen_members: tuple[str, ...] = ()
 
     def install(self, members: tuple[str, ...]) -> None:
-        """Installs a core set that was chosen."""
+        """Installs a chosen core set."""
         self.chosen_members = members
 
     def members(self) -> tuple[str, ...]:
-        """Returns the members that rounds of the core set's register need now."""
+        """Returns the members that consensus rounds of the core set's register currently involve."""
         return self._consensus.proposer.members(register_names.CORE_SET)
 
     def agreed(self) -> AgreedCoreSet:
-        """Returns the newest core set that this node knows as chosen."""
+        """Returns the newest core set that this node knows as chosen, or the seed nodes before it knows one."""
         version = self.chosen_version(register_names.CORE_SET)
         return AgreedCoreSet(members=self.chosen_members if version else self.members(), version=version)
 
@@ -86,29 +86,29 @@
         return self._publisher.version(register).number
 
     def accepted_version(self, register: str) -> int:
-        """Returns the newest revision of a register that this node accepted, chosen or not."""
+        """Returns the newest revision of a register that this node has accepted, chosen or not."""
         return max(self._consensus.acceptor.get(register).revision, self.chosen_version(register))
 
     def has_majority_lease(self) -> bool:
-        """Whether a majority of the agreed core set confirmed it to this node within the lease (docs/control.md 2)."""
+        """Returns whether a majority of the agreed core set confirmed it within the lease (docs/control.md 2)."""
         agreed = self.agreed()
         return self._lease.has_majority(
-            members=agreed.members, version=agreed.version, is_supporting=self._supports(agreed)
+            members=agreed.members, version=agreed.version, is_supporting=self._own_vote_supports(agreed)
         )
 
     def configuration_age(self) -> ConfigurationAge:
-        """Returns the newest configuration known as chosen, and since when a newer one may have been acknowledged."""
+        """Returns the newest configuration known as chosen, and for how long a newer one may have existed unnoticed."""
         agreed = self.agreed()
-        known = self.chosen_version(register_names.CONFIGURATION)
+        known_version = self.chosen_version(register_names.CONFIGURATION)
         as_of = self._lease.fresh_as_of(
             members=agreed.members,
             version=agreed.version,
-            known=known,
-            accepted=self.accepted_version(register_names.CONFIGURATION),
-            is_supporting=self._supports(agreed),
+            known_version=known_version,
+            accepted_version=self.accepted_version(register_names.CONFIGURATION),
+            is_supporting=self._own_vote_supports(agreed),
         )
-        return ConfigurationAge(version=known, age_s=min(MAX_AGE_S, self._now() - as_of))
+        return ConfigurationAge(version=known_version, age_s=min(MAX_CONFIGURATION_AGE_S, self._now() - as_of))
 
-    def _supports(self, agreed: AgreedCoreSet) -> bool:
-        """Whether this node's own vote counts for this set, by the rule for any other voter's reply."""
+    def _own_vote_supports(self, agreed: AgreedCoreSet) -> bool:
+        """Returns whether this node's own vote counts for this set, by the same rule as a reply of another voter."""
         return self._consensus.is_voter and self.accepted_version(register_names.CORE_SET) <= agreed.version
--- a/ploverward/control_plane/cluster/core_set_reconciler.py
+++ b/ploverward/control_plane/cluster/core_set_reconciler.py
@@ -1,7 +1,7 @@
-"""Brings the core set to what it should be, and reports it to operators (docs/control.md 1, docs/core-set.md).
+"""Reconciles the core set with the core machines that are available (docs/control.md 1, docs/core-set.md).
 
-The cluster coordinator builds a `CoreSetView` each heartbeat interval, `voting_set.next_set` decides by that view
-alone, and a `CoreSetChanger` moves the registers.
+The cluster coordinator builds a `CoreSetView` each heartbeat interval, `voting_set.next_set` computes the next set from
+that view alone, and a `CoreSetChanger` moves the registers.
 """
 
 from collections.abc import Callable
@@ -13,22 +13,22 @@
 from ploverward.control_plane.cluster import voting_set
 from ploverward.control_plane.consensus import register_names
 
-LOST_TIMEOUTS = 0.5  # peer time-outs after which a member may be swapped, and a newcomer counts as permanent
-GONE_TIMEOUTS = 2.0  # peer time-outs after which a member of a set that is larger than needed is dropped
+REPLACEMENT_TIMEOUTS = 0.5  # peer timeouts until a failed member may be replaced, and a new machine may be added
+REMOVAL_TIMEOUTS = 2.0  # peer timeouts until a failed member of a set that is larger than needed is removed
 
 
 class CoreSetReconciler:
-    """Sees the core machines, decides on the next core set, and starts the move to it.
+    """Observes the core machines, computes the next core set, and starts the move to it.
 
     Args:
         now: The clock, in seconds.
-        sessions: Which core nodes are connected.
+        sessions: Connections to other core nodes.
         membership: The core set as this node knows it.
-        lease: Which of them reply to heartbeats.
-        liveness: Since when members fail.
+        lease: Records which core nodes reply to heartbeats.
+        liveness: Records since when members have failed.
         changer: Moves the registers.
         wanted_voters: 2 t + 1, where t machines may be lost at once.
-        peer_timeout_s: After which a connection on which nothing arrives ends, in seconds.
+        peer_timeout_s: Time after which a connection on which nothing arrives is closed, in seconds.
     """
 
     def __init__(
@@ -53,28 +53,30 @@
         self._peer_timeout_s = peer_timeout_s
 
     def view(self) -> voting_set.CoreSetView:
-        """Returns what this node sees of the core machines."""
+        """Returns the state of the core machines as this node observes it."""
         members = self._membership.members()
         learners = self._learners(members)
         newest_at = max((opened_at for opened_at, _address in learners), default=self._now())
-        lost = self._liveness.lost_for(members=members, span_s=self._peer_timeout_s * LOST_TIMEOUTS)
+        failed = self._liveness.failed_members(members=members, span_s=self._peer_timeout_s * REPLACEMENT_TIMEOUTS)
 
         def has_replied(host: str) -> bool:
-            return not self._liveness.is_disconnected(host) and self._lease.has_reply_since(member=host, when=newest_at)
+            return not self._liveness.is_disconnected(host) and self._lease.has_reply_since(
+                member=host, since=newest_at
+            )
 
         return voting_set.CoreSetView(
             members=tuple(members),
             learners=tuple(address for _opened_at, address in learners),
-            silent=tuple(host for host in members if host not in lost and not has_replied(host)),
-            lost=lost,
-            gone=self._liveness.lost_for(members=members, span_s=self._peer_timeout_s * GONE_TIMEOUTS),
-            leaving=tuple(sorted(peer.address for peer in self._sessions.cores() if peer.is_draining)),
+            unresponsive=tuple(host for host in members if host not in failed and not has_replied(host)),
+            failed=failed,
+            removable=self._liveness.failed_members(members=members, span_s=self._peer_timeout_s * REMOVAL_TIMEOUTS),
+            draining=tuple(sorted(peer.address for peer in self._sessions.cores() if peer.is_draining)),
         )
 
     def _learners(self, members: tuple[str, ...]) -> list[tuple[float, str]]:
-        """(Since when connected, address) of the machines that may be added to the set, longest connected first.
+        """Returns (time of connection, address) of each machine that may join the set, longest connected first.
 
-        A machine that replies to heartbeats votes, so its disk has every register.
+        Only voters reply to heartbeats, so the disk of a machine that replies has every register.
         """
         now = self._now()
         return sorted(
@@ -82,12 +84,12 @@
             for peer in self._sessions.cores()
             if peer.address not in members
             and not peer.is_draining
-            and now - peer.connection.opened_at > self._peer_timeout_s * LOST_TIMEOUTS
+            and now - peer.connection.opened_at > self._peer_timeout_s * REPLACEMENT_TIMEOUTS
             and self._lease.has_reply_within(member=peer.address, span_s=self._peer_timeout_s)
         )
 
     def reconcile(self) -> None:
-        """Moves the registers to the next set; finishes a change that another coordinator left incomplete."""
+        """Starts the move to the next set, or completes a change that another coordinator left incomplete."""
         view = self.view()
         if not view.members:
             return
--- a/ploverward/control_plane/cluster/core_set_status.py
+++ b/ploverward/control_plane/cluster/core_set_status.py
@@ -1,6 +1,6 @@
-"""What operators read of the core set: who votes, who learns, what may still be lost (docs/core-set.md).
+"""Status of the core set for operators: voters, learners, and how many losses it tolerates (docs/core-set.md).
 
-The keys are those of the published interface `/ploverward/core-set`.
+The keys are those of the published endpoint `/ploverward/core-set`.
 """
 
 from collections.abc import Callable
@@ -15,20 +15,20 @@
 
 
 class CoreSetStatus:
-    """The core set as one node reports it.
+    """Reports the core set as this node sees it.
 
     Args:
         own: Address of this node.
         node_name: Returns the name of this node.
-        sessions: Which core nodes are connected.
+        sessions: Connections to other core nodes.
         membership: The core set as this node knows it.
-        lease: Which members reply to heartbeats; only a node that votes replies.
+        lease: Records which members reply to heartbeats; only voters reply.
         consensus: This node's registers.
-        reconciler: What this node sees of the core machines.
-        changer: Whether a move is in progress.
+        reconciler: Supplies this node's view of the core machines.
+        changer: Shows whether a move is in progress.
         coordinator_address: Returns the address of the cluster coordinator; empty where there is none.
         wanted_voters: 2 t + 1, where t machines may be lost at once.
-        reply_span_s: A member counts as voting that replied to a heartbeat sent within so many seconds.
+        reply_span_s: A member counts as voting if it replied to a heartbeat sent within this many seconds.
     """
 
     def __init__(
@@ -59,12 +59,12 @@
         self._reply_span_s = reply_span_s
 
     def report(self) -> dict:
-        """Returns the body of the interface."""
+        """Returns the body of the response to `/ploverward/core-set`."""
         view = self._reconciler.view()
         agreed = self._membership.agreed()
         known = set(self._membership.members()) | self._sessions.core_addresses() | {self._own}
-        in_touch = sorted(host for host in known if self._sessions.is_core_live(host))
-        voting = [host for host in in_touch if self._is_voting(host)]
+        live = sorted(host for host in known if self._sessions.is_core_live(host))
+        voting = [host for host in live if self._is_voting(host)]
         return {
             "node": self._node_name(),
             "address": self._own,
@@ -74,16 +74,16 @@
             "has_majority_contact": self._membership.has_majority_lease(),
             "wanted_voters": self._wanted_voters,
             "losses_borne": voting_set.tolerated_losses(members=agreed.members, voting=voting),
-            "in_touch": in_touch,
+            "in_touch": live,
             "learners": list(view.learners),
-            "leaving": list(view.leaving),
+            "leaving": list(view.draining),
             "is_moving": self._changer.is_moving,
             "watch": self._coordinator_address(),
             "registers": self._registers(),
         }
 
     def _is_voting(self, host: str) -> bool:
-        """Whether a majority may count on this core node: it learns no more, and its disk accepts writes."""
+        """Returns whether this core node counts towards a majority: it is no learner, and its disk accepts writes."""
         if host == self._own:
             return self._consensus.is_voter
         return self._lease.has_reply_within(member=host, span_s=self._reply_span_s)
--- a/ploverward/control_plane/cluster/node_shutdown.py
+++ b/ploverward/control_plane/cluster/node_shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: no new calls are served, roles are released, and voting stops last (docs/control.md 1).
+"""Graceful shutdown of a core node: it stops serving, releases its roles, and votes to the end (docs/control.md 1).
 
-SIGTERM starts it. The process ends once the other core nodes can agree without this one, and at the latest when
-`GRACE_SHARE` of graceS is over, whatever is in progress.
+SIGTERM starts the shutdown. The process ends once the other core nodes can reach agreement without this one, and at the
+latest after `GRACE_SHARE` of graceS, whatever is in progress.
 """
 
 from collections.abc import Callable
@@ -19,29 +19,29 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-GRACE_SHARE = 0.85  # of graceS: leaves the platform's own limit a margin
-FIRST_CHECK_SHARE = 1 / 6  # of receiptMs: calls in progress get so long before the first check
-CHECK_SHARE = 1 / 20  # of the peer time-out: from one check to the next
+GRACE_SHARE = 0.85  # of graceS; leaves a margin before the platform's own limit
+FIRST_CHECK_SHARE = 1 / 6  # of receiptMs; time for calls in progress before the first check
+CHECK_SHARE = 1 / 20  # of the peer timeout; interval between checks
 
 
 class NodeShutdown:
-    """Ends this node once the others can continue without it.
+    """Ends this node's process once the other core nodes can continue without it.
 
     Args:
         own: Address of this node.
         loop: The event loop.
         timing: Durations of this node.
         settings: The settings in force; graceS is read when the shutdown starts.
-        status: Set here to draining.
-        sessions: The other core nodes.
+        status: Status of this node, which is set to draining here.
+        sessions: Connections to other core nodes.
         membership: The core set as this node knows it.
-        consensus: The sets that the registers are under.
-        coordinator: Whether this node still owns the role.
-        core_set: What this node sees of the core machines.
+        consensus: Supplies the core set that each register is under.
+        coordinator: Shows whether this node still owns the coordinator role.
+        core_set: Supplies this node's view of the core machines.
         wanted_voters: 2 t + 1, where t machines may be lost at once.
-        stop_serving: Ends the operators' and clients' interfaces.
-        reconcile_roles: Releases the role at once, where this node owns it.
-        has_handed_over: Whether the tallies of this node are on enough other disks.
+        stop_serving: Closes the interfaces for operators and clients.
+        reconcile_roles: Releases the coordinator role at once if this node owns it.
+        has_handed_over: Returns whether the tallies of this node are on enough other disks.
         end: Ends the process.
     """
 
@@ -81,7 +81,7 @@
         self._end = end
 
     def start(self) -> None:
-        """Begins to drain; a second call changes nothing."""
+        """Starts draining; a second call does nothing."""
         if self._status.is_draining:
             return
         self._status.is_draining = True
@@ -94,17 +94,19 @@
         )
 
     def _end_when_free(self, deadline: float) -> None:
-        if self.may_end() or self._loop.now() >= deadline:
+        if self.can_end() or self._loop.now() >= deadline:
             self._end()
             return
         self._loop.after(
             delay=self._timing.peer_timeout_s * CHECK_SHARE, callback=lambda: self._end_when_free(deadline)
         )
 
-    def may_end(self) -> bool:
-        """Whether the others can continue without it.
+    def can_end(self) -> bool:
+        """Returns whether the other core nodes can continue without this one.
 
-        They have its tallies, it has no role, no successor waits, and they have a majority.
+        They need its tallies first. That is enough if no register's core set contains this node. Otherwise this node
+        must not own the coordinator role under a majority lease, no learner may be waiting for a place, the set must
+        contain this node and be no larger than needed, and the live members that stay must be a majority of it.
         """
         if not self._has_handed_over():
             return False
@@ -116,9 +118,9 @@
         view = self._core_set.view()
         if view.learners or len(members) > self._wanted_voters or self._own not in members:
             return False  # the coordinator removes this node from the set first
-        staying = [
+        remaining = [
             host
             for host in members
-            if host != self._own and host not in view.leaving and self._sessions.is_core_live(host)
+            if host != self._own and host not in view.draining and self._sessions.is_core_live(host)
         ]
-        return len(staying) >= ballots.majority(members)
+        return len(remaining) >= ballots.majority(members)
