--- a/ploverward/control_plane/cluster/consensus_channel.py
+++ b/ploverward/control_plane/cluster/consensus_channel.py
@@ -1,4 +1,4 @@
-"""Brings consensus messages of other core nodes to this node's registers (docs/register.md)."""
+"""Delivers consensus messages of other core nodes to this node's registers (docs/register.md)."""
 
 from collections.abc import Callable
 
@@ -21,10 +21,10 @@
 
 
 class ConsensusChannel:
-    """Receives messages of the registers. Those of anything but a core node are dropped.
+    """Receives consensus messages, and drops those that do not come from a core node.
 
     Args:
-        sessions: Which core node is on a connection.
+        sessions: Identifies the core node on a connection.
         consensus: This node's registers.
     """
 
@@ -33,7 +33,7 @@
         self._consensus = consensus
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handlers of consensus messages, by type."""
+        """Returns the handlers of consensus messages by message type."""
         return dict.fromkeys(MESSAGE_TYPES, self._handle)
 
     def _handle(self, connection: interfaces.Connection, message: tuple) -> None:
--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -1,7 +1,7 @@
-"""The cluster coordinator: the one core node that reads the platform's list, assigns roles and changes the core set.
+"""The cluster coordinator: the core node that polls the endpoint list, assigns roles and changes the core set.
 
-It is a singleton role (`ploverward.control_plane.cluster.singleton_role_table`). Its owner acts only while it has the
-majority lease (docs/control.md 1, 2). When the owner is lost, the first live member acquires the role.
+The coordinator is a singleton role (`ploverward.control_plane.cluster.singleton_role_table`). Its owner acts only while
+it has the majority lease (docs/control.md 1, 2). When the owner is lost, the first live member acquires the role.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 
-UNCOORDINATED_EPOCH = 0  # epoch of a list that a core node read before any coordinator published one
+UNCOORDINATED_EPOCH = 0  # of an endpoint list that a core node read itself before any coordinator published one
 
 
 class ClusterCoordinator:
-    """Acquires the role when its owner is lost, and reads the platform's list while this node owns it.
+    """Acquires the coordinator role when its owner is lost, and polls the endpoint list while this node owns the role.
 
     Args:
         own: Address of this node.
         incarnation: Identifies this start of this process.
         now: The clock, in seconds.
-        role_table: Who owns which role.
-        publisher: Has the newest endpoint list, if this node knows one.
-        list_poller: Polls the endpoint list of the platform.
-        takeover_after_s: For how long an owner is disconnected before its role is acquired, in seconds.
+        role_table: Records the owner of each role.
+        publisher: Holds the newest endpoint list, if this node has one.
+        list_poller: Polls the platform's endpoint list.
+        takeover_after_s: How long an owner must be disconnected before its role is acquired, in seconds.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether this incarnation of this node owns the role, as far as it knows."""
+        """Whether this incarnation of this node owns the role, according to its own copy of the role table."""
         _epoch, address, incarnation = self._role_table.owner(singleton_roles.COORDINATOR)
         return (address, incarnation) == (self._own, self._incarnation)
 
@@ -62,7 +62,7 @@
 
     @property
     def address(self) -> str:
-        """The owner's address; empty where there is none."""
+        """The owner's address; empty if there is no owner."""
         return self._role_table.owner(singleton_roles.COORDINATOR).address
 
     def reconcile(
@@ -75,11 +75,11 @@
         may_acquire: bool,
         is_unreachable_from_majority: bool,
     ) -> bool:
-        """Keeps, acquires or suspends the role, once each heartbeat interval.
+        """Keeps, acquires or suspends the role; called once each heartbeat interval.
 
         Args:
             members: The core set.
-            live: Those of them that are connected, this node too, in the set's order.
+            live: The connected members, including this node, in the order of `members`.
             disconnected_since: When each disconnected member was first seen as disconnected, by address.
             has_majority: Whether this node has the majority lease.
             may_acquire: Whether this node votes and is not draining.
@@ -97,17 +97,17 @@
         if self._publisher.get(endpoint_list.TOPIC) is not None:
             self._list_poller.stop()
         if may_acquire and self._own in members:
-            is_open = self._is_open(
+            can_acquire = self._can_acquire(
                 members=members,
                 live=live,
                 disconnected_since=disconnected_since,
                 is_unreachable_from_majority=is_unreachable_from_majority,
             )
-            if is_open:
+            if can_acquire:
                 self._acquire(address=self._own, incarnation=self._incarnation)
         return False
 
-    def _is_open(
+    def _can_acquire(
         self,
         *,
         members: tuple[str, ...],
@@ -115,21 +115,23 @@
         disconnected_since: dict[str, float],
         is_unreachable_from_majority: bool,
     ) -> bool:
-        """Whether the owner is lost and this node is the first that may acquire the role."""
+        """Returns whether the owner is lost and this node is the first member that may acquire the role."""
         owner = self.address
         if self._role_table.is_acquiring or len(live) < ballots.majority(members):
             return False
         if owner == self._own:
-            return True  # an earlier incarnation's
+            return True  # an earlier incarnation of this node owns it
         if live[0] != self._own:
             return False
         if owner not in members:
             return True
-        is_lost = owner in disconnected_since and self._now() - disconnected_since[owner] >= self._takeover_after_s
-        return is_lost and is_unreachable_from_majority
+        is_disconnected = (
+            owner in disconnected_since and self._now() - disconnected_since[owner] >= self._takeover_after_s
+        )
+        return is_disconnected and is_unreachable_from_majority
 
     def hand_over(self, *, successor: str, incarnation: str) -> None:
-        """Gives the role to another member; used by a node that shuts down in order."""
+        """Transfers the role to another member; used in a graceful shutdown."""
         if self.is_owner and not self._role_table.is_acquiring:
             self._acquire(address=successor, incarnation=incarnation)
 
@@ -138,10 +140,10 @@
         self._role_table.acquire(rows={singleton_roles.COORDINATOR: owner})
 
     def assign_owners(self, *, proxies: list[singleton_roles.ProxyIdentity]) -> None:
-        """Assigns the roles of regions and zones whose owner is lost.
+        """Assigns each role of a region or zone whose owner is lost to a new owner.
 
         Args:
-            proxies: Those that may serve.
+            proxies: The proxies that may serve.
         """
         if self._role_table.is_acquiring:
             return
@@ -150,7 +152,7 @@
             self._role_table.acquire(rows=rows)
 
     def place_partitions(self, view: partition_placement.PlacementView) -> None:
-        """Changes the arrangements of the batch tier's partitions."""
+        """Updates the placement of the batch tier's partitions on stores."""
         if self._role_table.is_acquiring:
             return
         rows = partition_placement.arrangement_changes(view)
@@ -158,5 +160,5 @@
             self._role_table.acquire(rows=rows)
 
     def accepts_epoch(self, *, epoch: int) -> bool:
-        """Whether what was published under this epoch may be passed on: not from a coordinator known as replaced."""
+        """Returns whether topics of this epoch may be forwarded; those of a coordinator known as replaced may not."""
         return epoch >= self.epoch or epoch == UNCOORDINATED_EPOCH
--- a/ploverward/control_plane/cluster/heartbeats.py
+++ b/ploverward/control_plane/cluster/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between core nodes: they renew the majority lease and show which node is behind (docs/control.md 2)."""
+"""Heartbeats between core nodes: renew the majority lease and detect nodes with an old core set (docs/control.md 2)."""
 
 from ploverward.control_plane.cluster import core_membership
 from ploverward.control_plane.cluster import majority_lease
@@ -15,8 +15,8 @@
     Args:
         sessions: Connections to core nodes.
         membership: The core set as this node knows it.
-        lease: Counts the replies.
-        consensus: Whether this node votes; reads the core set where this node is behind.
+        lease: Records the replies.
+        consensus: Tells whether this node votes, and reads the core set again if this node's version is old.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._sessions.broadcast_to_cores(self._lease.next_heartbeat(version=version))
 
     def handle_heartbeat(self, connection: interfaces.Connection, message: messages.Heartbeat) -> None:
-        """Replies where this node votes: only then may the sender count on it."""
+        """Replies if this node votes; a learner must not count towards the majority of the sender."""
         if self._consensus.is_voter:
             configuration_version = self._membership.accepted_version(register_names.CONFIGURATION)
             connection.send(
@@ -51,14 +51,14 @@
         self._read_newer_core_set(message.core_set_version)
 
     def handle_reply(self, connection: interfaces.Connection, message: messages.HeartbeatReply) -> None:
-        """Counts the reply of a core node."""
+        """Records the reply of a core node."""
         member = self._sessions.core_address_of(connection)
         if member:
             self._lease.handle_reply(member=member, reply=message)
         self._read_newer_core_set(message.core_set_version)
 
     def _read_newer_core_set(self, version: int) -> None:
-        """Reads the core set where another node knows a newer version of it."""
+        """Reads the core set from the register if `version`, from another node, is newer than the one known here."""
         is_behind = version > self._membership.chosen_version(register_names.CORE_SET)
         if is_behind and self._consensus.acceptor.votes:
             self._consensus.repair(register_names.CORE_SET)
--- a/ploverward/control_plane/cluster/message_router.py
+++ b/ploverward/control_plane/cluster/message_router.py
@@ -1,7 +1,7 @@
-"""Finds the handler of a message between nodes by its type.
+"""Dispatches messages between nodes to handlers by message type.
 
-The table is filled once, while a node is composed (`ploverward.control_plane.core_node`). A type without a handler
-is ignored: another version of the program may send messages that this one does not know.
+The table is filled once, when the node is constructed (`ploverward.control_plane.core_node`). Messages of a type
+without a handler are ignored: another version of the program may send messages that this one does not know.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class MessageRouter:
-    """A table from message type to handler."""
+    """Table of handlers by message type."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, Callable] = {}
@@ -20,15 +20,15 @@
         """Adds handlers by message type; each is called with the connection and the message.
 
         Raises:
-            ValueError: A type has a handler already.
+            ValueError: A message type has a handler already.
         """
         for message_type, handler in handlers.items():
             if message_type in self._handlers:
-                raise ValueError(f"{message_type.__name__} has a handler already")
+                raise ValueError(f"message type {message_type.__name__} already has a handler")
             self._handlers[message_type] = handler
 
     def handle(self, connection: interfaces.Connection, message: tuple) -> None:
-        """Calls the handler of this message."""
+        """Calls the handler for the type of this message, if there is one."""
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(connection, message)
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -1,7 +1,7 @@
-"""Sessions with other nodes: connections to core nodes and from proxies, and who is connected (design 4).
+"""Sessions with other nodes: connections to and from them, and the peers that are connected (design 4).
 
-Owns the listener for other nodes, one connector for each other core node, and a `Peer` for each connection whose
-other side sent its handshake. Invariant: at most one peer has a given address, because a newer connection of the same
+Owns the listener for other nodes, one connector for each other core node, and a `Peer` for each connection whose other
+side has sent its handshake. Invariant: at most one peer has a given address, because a newer connection of the same
 node closes the older one.
 """
 
@@ -22,12 +22,12 @@
 
 
 class NodeRole(enum.Enum):
-    """What kind of node a peer is. The values are those of the handshake."""
+    """Kind of node that a peer is. The values are those of the handshake."""
 
     CORE = "core"
     PROXY = "proxy"
     STORE = "store"
-    UNKNOWN = ""  # a kind of node that this version does not know; it is connected and gets nothing but keep-alives
+    UNKNOWN = ""  # not known to this version; such a peer stays connected but receives only keep-alives
 
     @classmethod
     def _missing_(cls, _value: object) -> "NodeRole":
@@ -36,16 +36,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Peer:
-    """What this core node knows of one proxy or core node while its connection is open.
+    """State of one connected node, from its handshake until its connection ends.
 
     Attributes:
         connection: The connection.
-        role: What kind of node it is.
+        role: Kind of node.
         address: IP address of the node.
         zone: Zone of the node.
         region: Region of the node.
         incarnation: Identifies one start of the node's process.
-        public: ADDRESS:PORT that clients reach; empty for core nodes.
+        public_address: ADDRESS:PORT at which clients reach a proxy; empty for core nodes.
         is_ready: Whether a proxy reported that it may serve.
         is_draining: Whether the node reported that it is shutting down.
     """
@@ -62,20 +62,20 @@
 
 
 class PeerSessions:
-    """Connections to other nodes.
+    """Manages the connections to and from other nodes.
 
     Args:
-        runtime: Makes the listener and the connectors.
+        runtime: Creates the listener and the connectors.
         loop: The event loop.
-        settings: The settings in force; seeds, zone and region are read each time.
-        status: Whether this node is draining.
+        settings: The settings in force; seeds, zone and region are read at each use.
+        status: Status of this node, which shows whether it is draining.
         incarnation: Identifies this start of this process.
-        peer_timeout_s: A connection on which nothing arrives for so long is closed.
+        peer_timeout_s: Time after which a connection on which nothing arrives is closed, in seconds.
         members: Returns the agreed core set.
         on_message: Called with each message and its connection.
-        on_joined: Called with each peer once it sent its handshake.
-        on_dialed: Called whenever a connection to a core node is being opened; what is sent on it waits.
-        on_ended: Called with a connection that ended and its peer, or None if it had sent no handshake.
+        on_joined: Called with each peer after its handshake arrived.
+        on_dialed: Called whenever a connection to a core node is being opened; messages sent on it are queued.
+        on_ended: Called with a connection that ended and its peer, or None if no handshake had arrived on it.
 
     Attributes:
         proxy_count: How many proxies are connected, ready or not.
@@ -121,7 +121,7 @@
         )
 
     def connect_to_cores(self) -> None:
-        """Starts connectors to members, seeds and connected core nodes, and stops those to other addresses."""
+        """Starts connectors to members, seeds and connected core nodes, and stops those to all other addresses."""
         settings = self._settings.current
         wanted = set(self._members()) | {host for host, _port in settings.seeds} | self.core_addresses()
         wanted.discard(self._own)
@@ -142,7 +142,7 @@
         self._on_dialed()
 
     def send_handshake(self, connection: interfaces.Connection) -> None:
-        """Sends the other side the identity of this node."""
+        """Sends the identity of this node to the other side, and its state if it is draining."""
         settings = self._settings.current
         connection.send(
             messages.Handshake(
@@ -158,11 +158,11 @@
             connection.send(messages.NodeState(is_ready=False, is_draining=True))
 
     def handle_handshake(self, connection: interfaces.Connection, message: messages.Handshake) -> None:
-        """The other side of a connection identifies itself."""
+        """Registers the peer on a connection, and closes older connections of the same node."""
         for older, peer in list(self._peers.items()):
             if peer.address == message.address and older is not connection:
-                older.close(reason="a newer link of the same node")
-        former = self._peers.get(connection)
+                older.close(reason="replaced by a newer connection of the same node")
+        previous = self._peers.get(connection)
         peer = Peer(
             connection=connection,
             role=NodeRole(message.role),
@@ -173,13 +173,13 @@
             public_address=message.public_address,
         )
         self._peers[connection] = peer
-        self.proxy_count += _is_proxy(peer) - _is_proxy(former)
+        self.proxy_count += _is_proxy(peer) - _is_proxy(previous)
         if peer.role is NodeRole.CORE and peer.address not in self._connectors:
             self.connect_to_cores()
         self._on_joined(peer)
 
     def handle_state(self, connection: interfaces.Connection, message: messages.NodeState) -> None:
-        """A peer became ready or began to drain."""
+        """Records whether a peer is ready and whether it is draining."""
         peer = self._peers.get(connection)
         if peer is not None:
             peer.is_ready, peer.is_draining = message.is_ready, message.is_draining
@@ -192,23 +192,23 @@
         self._on_ended(connection, peer)
 
     def send_to_core(self, address: str, message: tuple) -> None:
-        """Sends to one core node. Without a connection the message is lost; consensus rounds are repeated."""
+        """Sends a message to one core node; without a connection it is dropped, since consensus rounds are retried."""
         connector = self._connectors.get(address)
         if connector is not None and connector.link is not None:
             connector.link.send(message)
 
     def broadcast_to_cores(self, message: tuple) -> None:
-        """Sends to all connected core nodes."""
+        """Sends a message to all connected core nodes."""
         for connector in self._connectors.values():
             if connector.link is not None and connector.link.is_up:
                 connector.link.send(message)
 
     def peers(self) -> list[Peer]:
-        """Returns all connected nodes, in the order in which they joined."""
+        """Returns all peers, in the order in which they connected."""
         return list(self._peers.values())
 
     def proxies(self, *, serving_only: bool = True) -> list[Peer]:
-        """Returns the connected proxies.
+        """Returns the connected proxies, by default only those that may serve.
 
         Args:
             serving_only: Whether to return only proxies that may serve: ready and not draining.
@@ -236,24 +236,24 @@
         return {peer.address for peer in self.cores() if peer.is_draining}
 
     def connector_addresses(self) -> list[str]:
-        """Returns the addresses of the core nodes to which this node keeps a connection, or tries to."""
+        """Returns the addresses of the core nodes that this node has a connector to, connected or not."""
         return list(self._connectors)
 
     def core_connection(self, address: str) -> interfaces.Connection | None:
-        """Returns the connection that this node dialed to a core node; it may still be connecting. None without one."""
+        """Returns the connection that this node dialed to a core node, possibly still connecting, or None."""
         connector = self._connectors.get(address)
         return connector.link if connector is not None else None
 
     def proxy_of(self, connection: interfaces.Connection) -> Peer | None:
-        """Returns the proxy on this connection, or None where another kind of node is there."""
+        """Returns the proxy on this connection, or None if the peer is no proxy."""
         peer = self._peers.get(connection)
         return peer if peer is not None and peer.role is NodeRole.PROXY else None
 
     def core_address_of(self, connection: interfaces.Connection) -> str:
-        """Returns the address of the core node on this connection; empty where it is none.
+        """Returns the address of the core node on this connection; empty if the peer is no core node.
 
-        For a connection that this node opened and whose other side has sent no handshake yet, this is the address
-        that it was opened to.
+        For a connection that this node dialed and whose other side has sent no handshake yet, this is the dialed
+        address.
         """
         peer = self._peers.get(connection)
         if peer is not None:
@@ -261,9 +261,9 @@
         return next((host for host, connector in self._connectors.items() if connector.link is connection), "")
 
     def is_core_live(self, address: str) -> bool:
-        """Whether this core node is connected and has sent something; always true for this node itself.
+        """Returns whether this core node is connected and has sent something; always true for this node itself.
 
-        A frozen machine accepts connections and sends nothing, so a connection counts only once anything was received
+        A frozen machine accepts connections but sends nothing, so a connection counts only once something was received
         on it (docs/incidents/frozen-holder.md;
         `test_core_node_that_accepts_connections_but_sends_nothing_is_not_live`).
         """
--- a/ploverward/control_plane/cluster/test_peer_sessions.py
+++ b/ploverward/control_plane/cluster/test_peer_sessions.py
@@ -1,4 +1,4 @@
-"""Who is in touch with a core node, by which connection, and what ends an older connection."""
+"""Tests of peer sessions and of the message router."""
 
 import types
 
@@ -13,8 +13,8 @@
 OTHER = "10.0.0.2"
 
 
-class Connection:
-    """A connection that remembers what was sent on it."""
+class FakeConnection:
+    """Connection that records the messages sent on it."""
 
     def __init__(self, on_end):
         self.is_up, self.has_heard = True, False
@@ -28,8 +28,8 @@
         self._on_end(self, reason)
 
 
-class Runtime:
-    """Makes connectors whose connections stand at once."""
+class FakeRuntime:
+    """Creates connectors whose connections are open at once."""
 
     def __init__(self):
         self.connectors = {}
@@ -40,16 +40,16 @@
 
     def connector(self, *, address, on_end, **_arguments):
         host, _port = address
-        connector = types.SimpleNamespace(link=Connection(on_end), stop=lambda: self.stopped.append(host))
+        connector = types.SimpleNamespace(link=FakeConnection(on_end), stop=lambda: self.stopped.append(host))
         self.connectors[host] = connector
         return connector
 
 
-class Node:
-    """The sessions of one core node, and what they reported."""
+class SessionsFixture:
+    """Peer sessions of one core node, with a record of the callbacks that they made."""
 
     def __init__(self, *, seeds=()):
-        self.runtime = Runtime()
+        self.runtime = FakeRuntime()
         self.members = ()
         self.joined, self.ended, self.dialed = [], [], []
         self.status = node_status.NodeStatus()
@@ -72,7 +72,7 @@
         self.sessions.connect_to_cores()
 
     def accept(self, *, role, address):
-        connection = Connection(self.sessions._handle_end)
+        connection = FakeConnection(self.sessions._handle_end)
         self.sessions.handle_handshake(
             connection,
             messages.Handshake(
@@ -83,8 +83,8 @@
 
 
 def test_core_node_that_accepts_connections_but_sends_nothing_is_not_live():
-    """A frozen machine: its system accepts, its process does not answer (docs/incidents/frozen-holder.md)."""
-    node = Node(seeds=[OTHER])
+    """A frozen machine: its kernel accepts connections, its process never answers (docs/incidents/frozen-holder.md)."""
+    node = SessionsFixture(seeds=[OTHER])
     connection = node.runtime.connectors[OTHER].link
     assert not node.sessions.is_core_live(OTHER)
     connection.has_heard = True
@@ -96,7 +96,7 @@
 
 
 def test_connectors_exist_for_members_seeds_and_connected_core_nodes():
-    node = Node(seeds=[OTHER, OWN])
+    node = SessionsFixture(seeds=[OTHER, OWN])
     assert set(node.runtime.connectors) == {OTHER}
     node.members = ("10.0.0.3",)
     connection = node.accept(role="core", address="10.0.0.4")
@@ -108,7 +108,7 @@
 
 
 def test_a_newer_connection_of_a_node_closes_the_older_one():
-    node = Node()
+    node = SessionsFixture()
     older = node.accept(role="proxy", address=OTHER)
     newer = node.accept(role="proxy", address=OTHER)
     assert [connection for connection, _peer in node.ended] == [older]
@@ -117,7 +117,7 @@
 
 
 def test_proxies_returns_only_ready_and_not_draining_by_default():
-    node = Node()
+    node = SessionsFixture()
     connection = node.accept(role="proxy", address=OTHER)
     assert node.sessions.proxies() == []
     node.sessions.handle_state(connection, messages.NodeState(is_ready=True, is_draining=False))
@@ -128,7 +128,7 @@
 
 
 def test_disconnected_proxy_is_no_longer_counted():
-    node = Node()
+    node = SessionsFixture()
     connection = node.accept(role="proxy", address=OTHER)
     assert node.sessions.proxy_of(connection) is node.joined[0]
     connection.close(reason="closed")
@@ -137,7 +137,7 @@
 
 
 def test_core_address_of_uses_handshake_or_dialed_address():
-    node = Node(seeds=[OTHER])
+    node = SessionsFixture(seeds=[OTHER])
     assert node.sessions.core_address_of(node.runtime.connectors[OTHER].link) == OTHER
     assert node.sessions.core_address_of(node.accept(role="core", address="10.0.0.3")) == "10.0.0.3"
     assert node.sessions.core_address_of(node.accept(role="proxy", address="10.0.0.4")) == ""
@@ -145,15 +145,15 @@
 
 
 def test_peer_of_unknown_role_is_neither_core_nor_proxy():
-    node = Node()
+    node = SessionsFixture()
     node.accept(role="another", address=OTHER)
     assert [peer.role for peer in node.sessions.peers()] == [peer_sessions.NodeRole.UNKNOWN]
     assert node.sessions.cores() == [] and node.sessions.proxies(serving_only=False) == []
 
 
 def test_draining_node_sends_its_state_after_handshake():
-    node = Node()
-    connection = Connection(None)
+    node = SessionsFixture()
+    connection = FakeConnection(None)
     node.sessions.send_handshake(connection)
     node.status.is_draining = True
     node.sessions.send_handshake(connection)
@@ -164,7 +164,7 @@
 
 
 def test_broadcast_skips_connecting_links_and_send_to_core_queues_on_them():
-    node = Node(seeds=[OTHER, "10.0.0.3"])
+    node = SessionsFixture(seeds=[OTHER, "10.0.0.3"])
     node.runtime.connectors[OTHER].link.is_up = False
     message = messages.KeepAlive(number=0)
     node.sessions.broadcast_to_cores(message)
@@ -176,10 +176,10 @@
 
 def test_message_router_dispatches_by_type_and_rejects_second_handler():
     router = message_router.MessageRouter()
-    handled = []
-    router.add({messages.KeepAlive: lambda connection, message: handled.append((connection, message))})
+    received = []
+    router.add({messages.KeepAlive: lambda connection, message: received.append((connection, message))})
     router.handle("c", messages.KeepAlive(number=4))
-    router.handle("c", messages.NodeState(is_ready=True, is_draining=False))  # nobody handles it: it is ignored
-    assert handled == [("c", messages.KeepAlive(number=4))]
-    with pytest.raises(ValueError, match="KeepAlive has a handler already"):
+    router.handle("c", messages.NodeState(is_ready=True, is_draining=False))  # no handler: ignored
+    assert received == [("c", messages.KeepAlive(number=4))]
+    with pytest.raises(ValueError, match="message type KeepAlive already has a handler"):
         router.add({messages.KeepAlive: print})
--- a/ploverward/control_plane/cluster/topic_exchange.py
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -1,8 +1,8 @@
-"""Exchanges versions of topics with peers: announcements, fetches and acknowledgements (docs/scale.md 2).
+"""Exchange of topic versions with peers: announcements, fetches and acknowledgements (docs/scale.md 2).
 
-Chosen register values and the endpoint list are topics. Those received from another core node are passed to their
-owners here: registers to consensus, the list to its publisher. Invariant: a topic under the epoch of a coordinator that
-is known as replaced is not forwarded.
+Chosen register values and the endpoint list are topics. Versions from another core node are passed on by kind: register
+values to consensus, the endpoint list to its publisher. Invariant: a version under the epoch of a coordinator that is
+known as replaced is not forwarded.
 """
 
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 
 
 class TopicExchange:
-    """Exchanges versions of topics with the connected nodes.
+    """Exchanges topic versions with the connected nodes.
 
     Args:
         now: The clock, in seconds.
-        fetch_timeout_s: After which a fetch is sent to another node.
-        publisher: The newest version of each topic.
-        consensus: Installs chosen register values of other core nodes.
-        coordinator: Decides which epochs may be followed.
+        fetch_timeout_s: Time after which an unanswered fetch is sent to another node, in seconds.
+        publisher: Holds the newest version of each topic.
+        consensus: Installs chosen register values from other core nodes.
+        coordinator: Decides which epochs are accepted.
         endpoint_lists: Applies deltas of the endpoint list.
-        check_applied: Called when a proxy has a newer version or disconnected: orders wait until all connected ones
-            have it.
+        check_applied: Called when a node acknowledged a version or a proxy disconnected: orders wait until all
+            connected proxies have applied their version.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         )
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handlers of topic messages, by type."""
+        """Returns the handlers of topic messages by message type."""
         return {
             messages.Announcement: self._subscriber.handle_announcement,
             messages.Snapshot: self._subscriber.handle_snapshot,
@@ -69,26 +69,27 @@
         }
 
     def handle_joined(self, peer: peer_sessions.Peer) -> None:
-        """Announces all topics to a node that connected."""
+        """Announces all topics to a newly connected node."""
         self._publisher.join(peer.connection)
 
     def handle_ended(self, connection: interfaces.Connection, peer: peer_sessions.Peer | None) -> None:
-        """Forgets a connection. Orders no longer wait for a proxy that disconnected."""
+        """Removes a connection that ended. Orders no longer wait for a proxy that disconnected."""
         self._publisher.leave(connection)
         self._subscriber.drop(connection)
         if peer is not None and peer.role is peer_sessions.NodeRole.PROXY:
             self._check_applied()
 
     def send_minimum_versions(self, connection: interfaces.Connection) -> None:
-        """Sends a starting proxy the versions on this node's disk: it must reach the highest of a majority (design 5).
+        """Sends a starting proxy the register versions on this node's disk, if this node votes (design 5).
 
-        A chosen value is on the disks of a majority, so no majority of minimum versions is below it.
+        The proxy must reach the highest versions that a majority sent. A chosen value is on the disks of a majority, so
+        every majority contains a node whose minimum version is not below it.
         """
         if self._consensus.write_ahead_log.durable.votes:
             connection.send(messages.MinimumVersions(revisions=self._consensus.minimum_versions()))
 
     def tick(self) -> None:
-        """Fetches again what was not received in time."""
+        """Retries fetches that were not answered in time."""
         self._subscriber.tick()
 
     def _handle_acknowledgement(self, connection: interfaces.Connection, message: messages.Acknowledgement) -> None:
@@ -96,13 +97,13 @@
         self._check_applied()
 
     def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
-        """A version from another core node."""
+        """Passes a version from another core node to the registers or to the publisher."""
         if snapshot.topic in register_names.REGISTERS:
             self._consensus.publish(snapshot.topic, snapshot.version.number, snapshot.data)
         elif self._coordinator.accepts_epoch(epoch=snapshot.version.epoch):
             self._publisher.publish(topic=snapshot.topic, version=snapshot.version, data=snapshot.data)
 
     def _install_delta(self, _topic: str, delta: messages.Delta) -> None:
-        """A delta of the endpoint list from another core node."""
+        """Applies a delta of the endpoint list from another core node."""
         if self._coordinator.accepts_epoch(epoch=delta.version.epoch):
             self._endpoint_lists.apply_delta(delta)
