--- a/ploverward/control_plane/cluster/test_owner_witnesses.py
+++ b/ploverward/control_plane/cluster/test_owner_witnesses.py
@@ -1,4 +1,4 @@
-"""When a coordinator counts as lost by a majority."""
+"""Tests of the majority query that confirms the loss of a coordinator."""
 
 from ploverward.control_plane.cluster import owner_witnesses
 from ploverward.transport import messages
@@ -6,15 +6,15 @@
 MEMBERS = ("a", "b", "c", "d", "e")
 
 
-class Scene:
-    """The witnesses of node b, which has lost a."""
+class WitnessFixture:
+    """The witnesses of node b, which has lost its connection to the owner a; stands in for its peer sessions too."""
 
     def __init__(self):
         self.time = 0.0
         self.sent = []
         self.live = {"c", "d", "e"}
         self.witnesses = owner_witnesses.OwnerWitnesses(
-            own="b", now=lambda: self.time, sessions=self, fresh_s=0.8, patience_s=1.2
+            own="b", now=lambda: self.time, sessions=self, reply_ttl_s=0.8, reply_timeout_s=1.2
         )
 
     def broadcast_to_cores(self, message):
@@ -30,74 +30,74 @@
         handler = self.witnesses.handlers()[messages.WitnessReply]
         handler(witness, messages.WitnessReply(address=address, is_heard=is_heard))
 
-    def is_lost(self, owner="a", members=MEMBERS):
-        return self.witnesses.is_lost_by_majority(owner=owner, members=members)
+    def is_unreachable(self, owner="a", members=MEMBERS):
+        return self.witnesses.is_unreachable_from_majority(owner=owner, members=members)
 
 
-def test_a_majority_that_does_not_hear_it_is_needed():
-    scene = Scene()
-    scene.witnesses.ask("a")
-    assert scene.sent == [messages.WitnessRequest(address="a")] and not scene.is_lost()
-    scene.reply("c", is_heard=False)
-    assert not scene.is_lost()
-    scene.reply("d", is_heard=False)
-    assert scene.is_lost()
+def test_owner_is_unreachable_only_once_majority_does_not_hear_it():
+    fixture = WitnessFixture()
+    fixture.witnesses.query_peers("a")
+    assert fixture.sent == [messages.WitnessRequest(address="a")] and not fixture.is_unreachable()
+    fixture.reply("c", is_heard=False)
+    assert not fixture.is_unreachable()
+    fixture.reply("d", is_heard=False)
+    assert fixture.is_unreachable()
 
 
-def test_one_that_the_others_hear_is_not_lost_however_long_this_node_has_lost_it():
-    scene = Scene()
+def test_owner_that_other_members_hear_is_never_unreachable():
+    fixture = WitnessFixture()
     for _number in range(20):
-        scene.witnesses.ask("a")
+        fixture.witnesses.query_peers("a")
         for witness in ("c", "d", "e"):
-            scene.reply(witness, is_heard=True)
-        assert not scene.is_lost()
-        scene.time += 0.4
+            fixture.reply(witness, is_heard=True)
+        assert not fixture.is_unreachable()
+        fixture.time += 0.4
 
 
-def test_of_three_the_third_decides_and_the_owner_itself_is_no_witness():
-    scene = Scene()
-    scene.witnesses.ask("a")
-    scene.reply("c", is_heard=True)
-    assert not scene.is_lost(members=("a", "b", "c"))
-    scene.reply("c", is_heard=False)
-    assert scene.is_lost(members=("a", "b", "c"))
+def test_with_three_members_the_one_other_witness_decides():
+    fixture = WitnessFixture()
+    fixture.witnesses.query_peers("a")
+    fixture.reply("c", is_heard=True)
+    assert not fixture.is_unreachable(members=("a", "b", "c"))
+    fixture.reply("c", is_heard=False)
+    assert fixture.is_unreachable(members=("a", "b", "c"))
 
 
-def test_witnesses_that_never_reply_are_not_waited_for_for_ever():
-    scene = Scene()
-    scene.witnesses.ask("a")
-    scene.time = 1.1
-    assert not scene.is_lost()
-    scene.time = 1.3
-    assert scene.is_lost()
+def test_witnesses_without_reply_count_as_not_hearing_owner_after_timeout():
+    fixture = WitnessFixture()
+    fixture.witnesses.query_peers("a")
+    fixture.time = 1.1
+    assert not fixture.is_unreachable()
+    fixture.time = 1.3
+    assert fixture.is_unreachable()
 
 
-def test_old_replies_and_replies_about_another_owner_do_not_count():
-    scene = Scene()
-    scene.witnesses.ask("a")
+def test_replies_about_another_owner_or_from_before_clear_do_not_count():
+    fixture = WitnessFixture()
+    fixture.witnesses.query_peers("a")
     for witness in ("c", "d", "e"):
-        scene.reply(witness, is_heard=False, address="z")
-    assert not scene.is_lost()
+        fixture.reply(witness, is_heard=False, address="z")
+    assert not fixture.is_unreachable()
     for witness in ("c", "d", "e"):
-        scene.reply(witness, is_heard=False)
-    assert scene.is_lost() and not scene.is_lost(owner="z")
-    scene.witnesses.forget()
-    assert not scene.is_lost()
-    scene.witnesses.ask("a")
-    assert not scene.is_lost()
+        fixture.reply(witness, is_heard=False)
+    assert fixture.is_unreachable() and not fixture.is_unreachable(owner="z")
+    fixture.witnesses.clear_owner()
+    assert not fixture.is_unreachable()
+    fixture.witnesses.query_peers("a")
+    assert not fixture.is_unreachable()
 
 
-def test_a_request_is_replied_to_with_what_this_node_hears():
-    scene = Scene()
+def test_witness_request_is_answered_with_liveness_seen_by_this_node():
+    fixture = WitnessFixture()
 
-    class Link:
+    class FakeConnection:
         address, sent = "c", []
 
         def send(self, message):
             self.sent.append(message)
 
-    link = Link()
-    handler = scene.witnesses.handlers()[messages.WitnessRequest]
-    handler(link, messages.WitnessRequest(address="d"))
-    handler(link, messages.WitnessRequest(address="a"))
-    assert [reply.is_heard for reply in link.sent] == [True, False]
+    connection = FakeConnection()
+    handler = fixture.witnesses.handlers()[messages.WitnessRequest]
+    handler(connection, messages.WitnessRequest(address="d"))
+    handler(connection, messages.WitnessRequest(address="a"))
+    assert [reply.is_heard for reply in connection.sent] == [True, False]
