--- a/ploverward/control_plane/cluster/partition_placement.py
+++ b/ploverward/control_plane/cluster/partition_placement.py
@@ -41,7 +41,7 @@
         disk: Identifies its disk.
         process: Identifies the start of its process.
         is_connected: Whether it is connected now.
-        lost_for_s: For how long it is not connected.
+        disconnected_for_s: For how long it is not connected.
         is_retiring: Whether it is to be emptied.
     """
 
@@ -50,11 +50,11 @@
     disk: str
     process: str
     is_connected: bool
-    lost_for_s: float
+    disconnected_for_s: float
     is_retiring: bool
 
 
-class Patience(typing.NamedTuple):
+class PlacementTimeouts(typing.NamedTuple):
     """Durations in seconds.
 
     Attributes:
@@ -75,8 +75,8 @@
         reports: Of the primaries of these arrangements, by partition.
         copies: How many members a partition is to have.
         may_place: Whether all stores have had the time to connect.
-        patience: Durations.
-        unseen_s: For how long a store is lost that was never connected.
+        timeouts: Durations.
+        never_connected_for_s: For how long a store is lost that was never connected.
     """
 
     stores: Mapping[str, StoreState]
@@ -84,12 +84,14 @@
     reports: Mapping[int, batch_messages.CopyReport]
     copies: int
     may_place: bool
-    patience: Patience
-    unseen_s: float
+    timeouts: PlacementTimeouts
+    never_connected_for_s: float
 
     def store(self, address: str) -> StoreState:
         """Returns what is known of a store, whether it was ever connected or not."""
-        unseen = StoreState(address, "", "", "", is_connected=False, lost_for_s=self.unseen_s, is_retiring=False)
+        unseen = StoreState(
+            address, "", "", "", is_connected=False, disconnected_for_s=self.never_connected_for_s, is_retiring=False
+        )
         return self.stores.get(address, unseen)
 
     def is_present(self, member: Member) -> bool:
@@ -100,7 +102,7 @@
     def is_lost(self, address: str) -> bool:
         """Whether a store is lost for long enough that another one takes its place as primary."""
         store = self.store(address)
-        return not store.is_connected and store.lost_for_s >= self.patience.failover_s
+        return not store.is_connected and store.disconnected_for_s >= self.timeouts.failover_s
 
     def is_emptied(self, member: Member) -> bool:
         """Whether a member came back with another disk."""
@@ -322,7 +324,7 @@
 
 
 def _may_learn(store: StoreState, view: PlacementView) -> bool:
-    return not store.is_retiring and (store.is_connected or store.lost_for_s < view.patience.replacement_s)
+    return not store.is_retiring and (store.is_connected or store.disconnected_for_s < view.timeouts.replacement_s)
 
 
 def _balanced(number: int, owners: PartitionOwners, view: PlacementView, loads: _Loads) -> PartitionOwners | None:
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -80,7 +80,7 @@
         self._stores = stores
         self._usage = usage
         self._now = now
-        self._patience = partition_placement.Patience(
+        self._patience = partition_placement.PlacementTimeouts(
             failover_s=contact_s / FAILOVERS_PER_CONTACT, replacement_s=contact_s / REPLACEMENTS_PER_CONTACT
         )
         self._copies = copies
@@ -142,8 +142,8 @@
         view = self._stores.view(
             copies=self._copies,
             may_place=now - self._store_change_at >= self._steady_s,
-            patience=self._patience,
-            unseen_s=acting_s - self._steady_s,
+            timeouts=self._patience,
+            never_connected_for_s=acting_s - self._steady_s,
         )
         self._coordinator.place_partitions(view)
 
--- a/ploverward/control_plane/cluster/store_directory.py
+++ b/ploverward/control_plane/cluster/store_directory.py
@@ -119,22 +119,27 @@
                 disk=store.identity.disk,
                 process=store.identity.process,
                 is_connected=address in connected,
-                lost_for_s=self._now() - store.seen_at,
+                disconnected_for_s=self._now() - store.seen_at,
                 is_retiring=store_retirement.RetiringStore(address, store.identity.disk) in retiring,
             )
             for address, store in self.known.items()
         }
 
     def view(
-        self, *, copies: int, may_place: bool, patience: partition_placement.Patience, unseen_s: float
+        self,
+        *,
+        copies: int,
+        may_place: bool,
+        timeouts: partition_placement.PlacementTimeouts,
+        never_connected_for_s: float,
     ) -> partition_placement.PlacementView:
         """Returns all that placement decides on.
 
         Args:
             copies: How many members a partition is to have.
             may_place: Whether all stores have had the time to connect.
-            patience: Durations.
-            unseen_s: For how long a store is lost that was never connected.
+            timeouts: Durations.
+            never_connected_for_s: For how long a store is lost that was never connected.
         """
         arrangements = self.arrangements()
         return partition_placement.PlacementView(
@@ -143,8 +148,8 @@
             reports=self._fresh_reports(arrangements),
             copies=copies,
             may_place=may_place,
-            patience=patience,
-            unseen_s=unseen_s,
+            timeouts=timeouts,
+            never_connected_for_s=never_connected_for_s,
         )
 
     def _fresh_reports(
--- a/ploverward/control_plane/cluster/store_retirement.py
+++ b/ploverward/control_plane/cluster/store_retirement.py
@@ -38,7 +38,7 @@
     }
 
 
-def with_order(roles: Roles, *, name: str, store: RetiringStore) -> dict[str, typing.Sequence]:
+def with_retirement(roles: Roles, *, name: str, store: RetiringStore) -> dict[str, typing.Sequence]:
     """Returns the register with the order to empty a store; unchanged where it has it."""
     row = roles.get(ROLE_PREFIX + name, (0, "", ""))
     if RetiringStore(row[1], row[2]) == store:
@@ -59,7 +59,7 @@
     return True
 
 
-def has_enough_left(zones_of_others: Iterable[str], *, copies: int) -> bool:
+def has_enough_zones(zones_of_others: Iterable[str], *, copies: int) -> bool:
     """Whether partitions can have their copies, each in another zone, without a store.
 
     Args:
--- a/ploverward/control_plane/cluster/test_partition_placement.py
+++ b/ploverward/control_plane/cluster/test_partition_placement.py
@@ -10,7 +10,7 @@
 from ploverward.transport import batch_messages
 
 ADDRESSES = [f"10.{zone}.0.{number}" for zone in range(5) for number in range(2)]
-PATIENCE = partition_placement.Patience(failover_s=0.5, replacement_s=4.0)
+TIMEOUTS = partition_placement.PlacementTimeouts(failover_s=0.5, replacement_s=4.0)
 NUMBER = 7
 A, B, C, D = "10.0.0.0", "10.1.0.0", "10.2.0.0", "10.3.0.0"
 
@@ -22,14 +22,14 @@
         disk=f"disk-{address}",
         process=f"process-{address}",
         is_connected=True,
-        lost_for_s=0.0,
+        disconnected_for_s=0.0,
         is_retiring=False,
     )
     return state._replace(**changes)
 
 
-def lost(address, lost_for_s=1.0):
-    return store(address, is_connected=False, lost_for_s=lost_for_s)
+def lost(address, disconnected_for_s=1.0):
+    return store(address, is_connected=False, disconnected_for_s=disconnected_for_s)
 
 
 def member(address):
@@ -42,7 +42,9 @@
     )
 
 
-def view(arrangement=None, *, changed=(), reports=None, addresses=ADDRESSES, may_place=False, unseen_s=0.0):
+def view(
+    arrangement=None, *, changed=(), reports=None, addresses=ADDRESSES, may_place=False, never_connected_for_s=0.0
+):
     stores = {address: store(address) for address in addresses} | {state.address: state for state in changed}
     return partition_placement.PlacementView(
         stores=stores,
@@ -50,8 +52,8 @@
         reports=reports or {},
         copies=3,
         may_place=may_place,
-        patience=PATIENCE,
-        unseen_s=unseen_s,
+        timeouts=TIMEOUTS,
+        never_connected_for_s=never_connected_for_s,
     )
 
 
@@ -73,7 +75,7 @@
 
 
 # The first arrangement.
-def test_each_partition_has_its_copies_in_different_zones():
+def test_initial_copies_are_in_different_zones():
     rows = first_rows()
     assert len(rows) == batch_partitions.PARTITIONS
     for row in rows.values():
@@ -81,7 +83,7 @@
         assert row.members == tuple(map(member, row.stores)) and row.process == f"process-{row.primary}"
 
 
-def test_primaries_and_copies_are_spread_evenly():
+def test_initial_primaries_and_copies_are_balanced():
     rows = first_rows().values()
     primaries = collections.Counter(row.primary for row in rows)
     copies = collections.Counter(address for row in rows for address in row.stores)
@@ -94,27 +96,27 @@
 
 
 @pytest.mark.parametrize("count", [0, 2, 4])
-def test_too_few_zones_place_nothing(count):
+def test_nothing_is_placed_with_fewer_zones_than_copies(count):
     assert not first_rows(ADDRESSES[:count])
 
 
-def test_nothing_is_placed_on_a_store_that_is_to_be_emptied():
+def test_nothing_is_placed_on_retiring_store():
     rows = first_rows(changed=[store(A, is_retiring=True)])
     assert rows and not any(A in row.stores for row in rows.values())
 
 
-def test_an_arrangement_that_is_complete_stays():
+def test_complete_arrangement_is_unchanged():
     assert following(owners(A, B, C)) is None
 
 
-def test_owners_are_read_as_they_were_written():
+def test_packed_owners_are_unpacked_unchanged():
     written = owners(A, B, learners=(C,), epoch=4)
     roles = {"jobs/3": list(batch_partitions.pack_owners(written))}
     assert batch_partitions.owners_of(partition=3, roles=roles) == written
     assert batch_partitions.owners_of(partition=4, roles=roles) == batch_partitions.NO_OWNERS
 
 
-def test_a_row_of_the_first_version_is_read_and_its_primary_gets_an_epoch():
+def test_first_version_row_is_unpacked_and_primary_gets_new_epoch():
     found = batch_partitions.unpack_owners([4, f"{A},{B},{C}", ""])
     assert (found.epoch, found.primary, found.backups, found.learners) == (4, A, (B, C), ())
     changed = following(found)
@@ -122,14 +124,14 @@
 
 
 # Losses.
-def test_a_primary_that_is_lost_is_replaced_and_brought_level_when_it_returns():
+def test_lost_primary_is_replaced_after_failover_timeout_and_becomes_learner():
     assert following(owners(A, B, C), changed=[lost(A, 0.4)]) is None
     changed = following(owners(A, B, C), changed=[lost(A, 0.6)])
     assert changed.primary in (B, C) and set(changed.stores) == {B, C} and changed.learners == (A,)
     assert changed.process == f"process-{changed.primary}"
 
 
-def test_a_store_with_another_disk_never_becomes_primary():
+def test_store_with_new_disk_never_becomes_primary():
     emptied = store(B, disk="another")
     changed = following(owners(A, B, C), changed=[lost(A), emptied])
     assert changed.stores == (C,) and set(changed.learners) == {A, B}
@@ -139,75 +141,75 @@
     assert changed.stores == (A,) and B in changed.learners
 
 
-def test_a_primary_whose_disk_was_emptied_is_replaced_at_once():
+def test_primary_with_new_disk_is_replaced_without_timeout():
     changed = following(owners(A, B, C), changed=[store(A, disk="another")])
     assert changed.primary in (B, C) and changed.learners == (A,)
 
 
-def test_a_primary_that_restarted_gets_an_epoch_of_its_own():
+def test_restarted_primary_gets_new_epoch():
     changed = following(owners(A, B, C), changed=[store(A, process="next")])
     assert (changed.stores, changed.process) == ((A, B, C), "next")
 
 
-def test_a_member_that_the_primary_reports_is_taken_out_and_learns():
+def test_member_reported_as_lost_becomes_learner():
     changed = following(owners(A, B, C), reports=report(lost=[B]))
     assert (changed.stores, changed.learners) == ((A, C), (B,))
 
 
-def test_a_primary_that_hears_no_other_member_is_replaced_where_they_are_connected():
+def test_primary_that_reports_all_connected_members_as_lost_is_replaced():
     changed = following(owners(A, B, C), reports=report(lost=[B, C]))
     assert changed.primary in (B, C) and A not in changed.stores
 
 
-def test_members_that_are_gone_are_taken_out_though_they_are_all():
+def test_all_other_members_become_learners_if_reported_and_disconnected():
     changed = following(owners(A, B, C), reports=report(lost=[B, C]), changed=[lost(B, 0.1), lost(C, 0.1)])
     assert (changed.stores, set(changed.learners)) == ((A,), {B, C})
 
 
-def test_a_learner_that_is_reported_as_lost_gets_another_chance_under_a_new_epoch():
+def test_learner_reported_as_lost_stays_learner_under_new_epoch():
     changed = following(owners(A, B, learners=[C]), reports=report(lost=[C]))
     assert changed == owners(A, B, learners=[C])
 
 
-def test_nobody_takes_over_where_no_member_is_there():
+def test_lost_primary_is_kept_if_no_member_is_connected():
     assert following(owners(A, B, C), changed=[lost(A), lost(B), lost(C)]) is None
 
 
-def test_a_store_that_was_never_seen_counts_as_lost_after_a_while():
+def test_never_connected_primary_is_replaced_after_failover_timeout():
     others = [address for address in ADDRESSES if address != A]
-    assert following(owners(A, B, C), addresses=others, unseen_s=0.1) is None
-    assert following(owners(A, B, C), addresses=others, unseen_s=0.6).primary in (B, C)
+    assert following(owners(A, B, C), addresses=others, never_connected_for_s=0.1) is None
+    assert following(owners(A, B, C), addresses=others, never_connected_for_s=0.6).primary in (B, C)
 
 
 # Learners.
-def test_a_learner_becomes_a_member_on_the_word_of_the_primary():
+def test_learner_reported_as_level_becomes_member():
     changed = following(owners(A, B, learners=[C]), reports=report(level=[C]))
     assert (changed.members, changed.learners) == (tuple(map(member, (A, B, C))), ())
 
 
-def test_a_learner_whose_disk_is_another_by_now_stays_one():
+def test_learner_with_new_disk_since_report_stays_learner():
     emptied = store(C, disk="another")
     assert following(owners(A, B, learners=[C]), reports=report(level=[C]), changed=[emptied]) is None
 
 
-def test_a_missing_copy_is_begun_in_another_zone():
+def test_missing_copy_gets_learner_in_another_zone():
     changed = following(owners(A, B))
     (learner,) = changed.learners
     assert changed.stores == (A, B) and learner.split(".")[1] not in ("0", "1")
 
 
-def test_a_lost_learner_is_waited_for_before_another_store_gets_its_copy():
+def test_lost_learner_is_replaced_after_replacement_timeout():
     assert following(owners(A, B, learners=[C]), changed=[lost(C, 3.9)]) is None
     changed = following(owners(A, B, learners=[C]), changed=[lost(C, 4.1)])
     assert changed.learners and C not in changed.learners
 
 
-def test_a_lost_learner_is_waited_for_where_there_is_nobody_else():
+def test_lost_learner_is_kept_if_no_other_store_is_free():
     assert following(owners(A, B, learners=[C]), changed=[lost(C, 9.0)], addresses=[A, B]) is None
 
 
 # Stores that leave, and that come.
-def test_a_store_that_is_to_be_emptied_leaves_once_there_are_enough_members_elsewhere():
+def test_retiring_store_leaves_once_enough_other_members_exist():
     leaving = [store(A, is_retiring=True)]
     changed = following(owners(A, B, C), changed=leaving)
     assert changed.stores == (A, B, C) and len(changed.learners) == 1 and A not in changed.learners
@@ -219,12 +221,12 @@
     assert following(changed, changed=leaving) is None
 
 
-def test_a_store_stays_while_one_of_the_others_is_not_there():
+def test_retiring_store_stays_while_another_member_is_disconnected():
     leaving = [store(A, is_retiring=True), lost(D, 0.1)]
     assert following(owners(A, B, C, D), changed=leaving) is None
 
 
-def test_a_store_that_was_added_takes_over_copies_one_by_one():
+def test_added_stores_take_over_copies_one_at_a_time():
     old = [address for address in ADDRESSES if not address.startswith("10.4")]
     arrangements = {number: owners(*row.stores, epoch=1) for number, row in enumerate(first_rows(old).values())}
     moved = 0
--- a/ploverward/control_plane/cluster/test_singleton_role_table.py
+++ b/ploverward/control_plane/cluster/test_singleton_role_table.py
@@ -14,17 +14,17 @@
     return made[0]
 
 
-def test_a_role_is_taken_under_the_next_epoch():
+def test_acquired_role_gets_next_epoch():
     assert acquire(None, {"watch": (0, "a", "l1")}) == ("duty", {"watch": [1, "a", "l1"]})
     assert acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "a", "l2")}) == ("duty", {"watch": [5, "a", "l2"]})
 
 
-def test_of_two_who_take_one_role_the_later_changes_nothing():
+def test_second_acquisition_of_same_epoch_changes_nothing():
     first = acquire({"watch": [4, "a", "l1"]}, {"watch": (4, "b", "l2")})[1]
     assert acquire(first, {"watch": (4, "c", "l3")})[1] is first
 
 
-def test_open_roles_are_taken_together():
+def test_several_roles_are_acquired_in_one_change():
     payload = {"watch": [1, "a", "l"], "relay/north": [3, "p", "l"]}
     rows = {"relay/north": (3, "q", "m"), "relay/south": (0, "r", "n")}
     assert acquire(payload, rows)[1] == {
--- a/ploverward/control_plane/cluster/test_singleton_roles.py
+++ b/ploverward/control_plane/cluster/test_singleton_roles.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("count, digests", [(3, 0), (4, 1), (14, 1), (15, 2), (33, 3), (50, 4), (120, 9)])
-def test_a_zone_has_as_many_digests_as_its_proxies_need(count, digests):
+def test_number_of_digests_follows_number_of_proxies(count, digests):
     register = Register()
     register.reconcile(listed(count))
     owners = register.owners()
@@ -46,7 +46,7 @@
         assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in owners
 
 
-def test_proxies_are_spread_over_the_digests_and_few_change_when_one_is_added():
+def test_proxies_are_spread_over_digests_and_added_digest_takes_over_few():
     addresses = [address for address, *_about in listed(150)]
     names = [singleton_roles.digest_name(zone="za", number=number) for number in range(10)]
     before = {address: singleton_roles.digest_for(names=names, address=address) for address in addresses}
@@ -58,7 +58,7 @@
     assert 0 < len(moved) < 45 and all(after[address] == more[-1] for address in moved)
 
 
-def test_a_lost_owner_is_replaced_by_one_that_owns_no_other_digest():
+def test_lost_digest_owner_is_replaced_by_proxy_without_digest():
     register = Register()
     proxies = listed(40)
     register.reconcile(proxies)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_while_proxies_join_and_leave_every_digest_named_is_owned_by_a_live_one(seed):
+def test_every_digest_has_live_owner_while_proxies_join_and_leave(seed):
     chance = random.Random(seed)
     register = Register()
     everybody = listed(90)
@@ -93,7 +93,7 @@
     assert changes == 0
 
 
-def test_a_zone_that_shrinks_a_little_keeps_its_digests():
+def test_digests_are_kept_when_zone_shrinks_a_little_and_removed_when_it_shrinks_more():
     register = Register()
     register.reconcile(listed(30))
     assert len(register.owners()) == 3
--- a/ploverward/control_plane/cluster/test_store_retirement.py
+++ b/ploverward/control_plane/cluster/test_store_retirement.py
@@ -11,21 +11,21 @@
     return {"jobs/4": list(batch_partitions.pack_owners(owners))}
 
 
-def test_an_order_is_written_once_and_read_back():
-    roles = store_retirement.with_order({"watch": [1, "x", "y"]}, name="store-1", store=STORE)
+def test_retirement_is_added_once_and_read_back():
+    roles = store_retirement.with_retirement({"watch": [1, "x", "y"]}, name="store-1", store=STORE)
     assert store_retirement.retiring_stores(roles) == {"store-1": STORE}
-    assert store_retirement.with_order(roles, name="store-1", store=STORE) == roles
+    assert store_retirement.with_retirement(roles, name="store-1", store=STORE) == roles
     assert roles["watch"] == [1, "x", "y"]
 
 
-def test_a_machine_that_comes_back_under_the_name_with_another_disk_has_an_order_of_its_own():
-    roles = store_retirement.with_order({}, name="store-1", store=STORE)
+def test_store_of_same_name_with_new_disk_gets_its_own_retirement():
+    roles = store_retirement.with_retirement({}, name="store-1", store=STORE)
     other = STORE._replace(disk="disk-2")
-    changed = store_retirement.with_order(roles, name="store-1", store=other)
+    changed = store_retirement.with_retirement(roles, name="store-1", store=other)
     assert store_retirement.retiring_stores(changed) == {"store-1": other}
 
 
-def test_a_store_is_emptied_when_no_arrangement_names_it():
+def test_store_is_emptied_when_no_arrangement_contains_it():
     others = (("10.2.0.1", "disk-2"), ("10.3.0.1", "disk-3"))
     assert not store_retirement.is_emptied(roles_with(*others, STORE), STORE)
     assert not store_retirement.is_emptied(roles_with(*others, learners=(STORE.address,)), STORE)
@@ -35,6 +35,6 @@
     assert store_retirement.is_emptied({}, STORE)
 
 
-def test_enough_zones_have_to_be_left():
-    assert store_retirement.has_enough_left(["a", "b", "c"], copies=3)
-    assert not store_retirement.has_enough_left(["a", "b", "b", "a"], copies=3)
+def test_remaining_zones_must_suffice_for_copies():
+    assert store_retirement.has_enough_zones(["a", "b", "c"], copies=3)
+    assert not store_retirement.has_enough_zones(["a", "b", "b", "a"], copies=3)
--- a/ploverward/control_plane/operator_api/retire_handlers.py
+++ b/ploverward/control_plane/operator_api/retire_handlers.py
@@ -70,7 +70,7 @@
             for other in self._stores.states().values()
             if other.is_connected and not other.is_retiring and other.address != store.address
         ]
-        if not store.is_retiring and not store_retirement.has_enough_left(zones, copies=self._copies):
+        if not store.is_retiring and not store_retirement.has_enough_zones(zones, copies=self._copies):
             body = ErrorBody(error=f"without '{node}' too few stores would be left for {self._copies} copies")
             call.answer(status=http.HTTPStatus.CONFLICT, body=body)
             return
@@ -80,7 +80,7 @@
         retiring = store_retirement.RetiringStore(store.address, store.disk)
 
         def edit(payload: Payload) -> tuple[Payload, None]:
-            return store_retirement.with_order(payload or {}, name=node, store=retiring), None
+            return store_retirement.with_retirement(payload or {}, name=node, store=retiring), None
 
         self._lifecycle.change(response, register=register_names.SINGLETON_ROLES, edit=edit)
 
--- a/ploverward/control_plane/operator_api/test_retire_handlers.py
+++ b/ploverward/control_plane/operator_api/test_retire_handlers.py
@@ -48,7 +48,13 @@
     def states(self):
         return {
             address: partition_placement.StoreState(
-                address, f"z{address}", f"disk-{address}", "p", is_connected=True, lost_for_s=0.0, is_retiring=False
+                address,
+                f"z{address}",
+                f"disk-{address}",
+                "p",
+                is_connected=True,
+                disconnected_for_s=0.0,
+                is_retiring=False,
             )
             for address in self.names.values()
         }
--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -23,7 +23,7 @@
 from ploverward.simulation.control_plane import simulated_disk
 from ploverward.transport import batch_messages
 
-PATIENCE = partition_placement.Patience(failover_s=0.5, replacement_s=3.0)
+TIMEOUTS = partition_placement.PlacementTimeouts(failover_s=0.5, replacement_s=3.0)
 COORDINATION_S = 0.2
 SILENCE_S = 0.8
 FAULTS_FROM_S = 4.0
@@ -184,24 +184,24 @@
             reports=reports,
             copies=scene.COPIES,
             may_place=may_place,
-            patience=PATIENCE,
-            unseen_s=1e9,
+            timeouts=TIMEOUTS,
+            never_connected_for_s=1e9,
         )
 
     def _state(self, store: simulated_store.SimulatedStore) -> partition_placement.StoreState:
-        lost_for_s = self._lost_for_s(store)
+        disconnected_for_s = self._disconnected_for_s(store)
         is_ready = store.is_alive and store.disk.is_ready
         return partition_placement.StoreState(
             address=store.name,
             zone=store.zone,
             disk=store.disk.identity,
             process=store.incarnation,
-            is_connected=is_ready and lost_for_s == 0.0,
-            lost_for_s=lost_for_s,
+            is_connected=is_ready and disconnected_for_s == 0.0,
+            disconnected_for_s=disconnected_for_s,
             is_retiring=False,
         )
 
-    def _lost_for_s(self, store: simulated_store.SimulatedStore) -> float:
+    def _disconnected_for_s(self, store: simulated_store.SimulatedStore) -> float:
         """For how long the core hears nothing; a partition and a frozen process show after a while."""
         is_hidden = not self.network.is_reachable(store.name, scene.CORE) or not self.network.is_reachable(
             scene.CORE, store.name
--- a/ploverward/simulation/batch_scene.py
+++ b/ploverward/simulation/batch_scene.py
@@ -168,14 +168,20 @@
                 disk=store.disk.identity,
                 process=store.incarnation,
                 is_connected=store.disk.is_ready or may_place,
-                lost_for_s=0.0,
+                disconnected_for_s=0.0,
                 is_retiring=False,
             )
             for address, store in self.stores.items()
         }
         for address, lost_at in self._lost_at.items():
             lost = partition_placement.StoreState(
-                address, f"zone-{address}", "", "", is_connected=False, lost_for_s=now - lost_at, is_retiring=False
+                address,
+                f"zone-{address}",
+                "",
+                "",
+                is_connected=False,
+                disconnected_for_s=now - lost_at,
+                is_retiring=False,
             )
             states.setdefault(address, lost)
         arrangements = {
@@ -191,8 +197,8 @@
             reports=reports,
             copies=len(STORE_HOSTS),
             may_place=may_place,
-            patience=partition_placement.Patience(failover_s=0.3, replacement_s=2.0),
-            unseen_s=0.0,
+            timeouts=partition_placement.PlacementTimeouts(failover_s=0.3, replacement_s=2.0),
+            never_connected_for_s=0.0,
         )
 
     def owners(self, tenant: str = "clerks") -> batch_partitions.PartitionOwners:
