--- a/ploverward/control_plane/cluster/endpoint_list_publisher.py
+++ b/ploverward/control_plane/cluster/endpoint_list_publisher.py
@@ -1,7 +1,7 @@
 """Publishes the platform's list of replicas as a topic (docs/scale.md 2).
 
-Owns the unpacked form of the newest list that this node has. Invariant: what a coordinator publishes is its own change
-applied to the list published before, so all nodes that apply the same changes have the same bytes.
+Owns the unpacked form of the newest list on this node. Invariant: a coordinator publishes the result of applying its
+delta to the previously published list, so all nodes that apply the same deltas have the same bytes.
 """
 
 import logging
@@ -18,14 +18,14 @@
 
 
 class EndpointListPublisher:
-    """Turns lists that the platform gave into versions of the topic.
+    """Publishes the lists read from the platform as versions of the topic, and applies the coordinator's deltas.
 
     Args:
-        now: The clock, in seconds.
-        coordinator: Whether this node is the coordinator, and under which epoch.
+        now: Returns the time in seconds.
+        coordinator: The coordinator role: whether this node owns it, and its epoch.
         publisher: Publishes the versions.
-        watch: Reads the platform's list.
-        stale_after_s: A list that was read longer ago is dropped.
+        watch: Poller of the platform's list.
+        stale_after_s: Maximum age of a list when it is handled; an older list is dropped.
     """
 
     def __init__(
@@ -42,23 +42,23 @@
         self._publisher = publisher
         self._watch = watch
         self._stale_after_s = stale_after_s
-        self._packed = b""  # the newest version that was unpacked
+        self._packed = b""  # packed form of `_unpacked`
         self._unpacked: endpoint_list.EndpointList | None = None
 
     def handle_list(self, rows: list[dict], at: float) -> None:
         """Publishes a list that was read from the platform.
 
-        One that a frozen process finds long after it was read is dropped.
+        Drops a list older than `stale_after_s`: a process that was frozen may handle a list long after it was read.
 
         Args:
-            rows: One row a replica.
-            at: When the read began, in seconds on this node's clock.
+            rows: One row per replica.
+            at: Time at which the read began, in seconds on this node's clock.
         """
         if self._now() - at > self._stale_after_s:
             return
         if not self._coordinator.is_owner:
-            # A core node that has just started reads once by itself. Its epoch is below every coordinator's: it serves
-            # only those that have no list at all.
+            # A core node that has just started reads the list once on its own. The epoch of that version is below every
+            # coordinator's, so only nodes that have no list yet use it.
             data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
             version = Version(epoch=coordinators.READ_BY_ITSELF, number=1)
             self._publisher.publish(topic=endpoint_list.TOPIC, version=version, data=data)
@@ -72,7 +72,10 @@
         self._publish_delta(rows, at, is_first=is_first, number=1 if is_first else current.number + 1)
 
     def _publish_snapshot(self, rows: list[dict], at: float) -> None:
-        """The first list of any coordinator: what nodes read by themselves before may differ from node to node."""
+        """Publishes the first list of any coordinator in full.
+
+        A delta has no common base yet: the lists that core nodes read on their own may differ from node to node.
+        """
         epoch = self._coordinator.epoch
         data = endpoint_list.from_rows(rows=rows, read_at=at).pack()
         version = Version(epoch=epoch, number=1)
@@ -80,7 +83,15 @@
         _log.debug("list_published", extra={"epoch": epoch, "replicas": len(rows)})
 
     def _publish_delta(self, rows: list[dict], at: float, *, is_first: bool, number: int) -> None:
-        """What differs from the version before, by this coordinator or by its predecessor, whose clock was another."""
+        """Publishes the difference from the previous version, if there is one.
+
+        Args:
+            rows: One row per replica.
+            at: Time at which the read began, in seconds on this node's clock.
+            is_first: Whether this is the coordinator's first version. It is published even without a difference, and
+                the previous version's times are from the clock of another coordinator.
+            number: Number of the new version.
+        """
         epoch = self._coordinator.epoch
         current = self._current()
         delta = current.delta_to(rows=rows, read_at=at, is_same_clock=not is_first)
@@ -101,20 +112,20 @@
         )
 
     def apply_delta(self, delta: messages.Delta) -> None:
-        """Applies a delta of the coordinator to the version that this node has."""
+        """Applies a delta received from the coordinator to the version on this node, and publishes the result."""
         published = self._current().apply(endpoint_list.unpack_delta(delta.data))
         self._publish(published, version=delta.version, delta=delta.data)
 
     def rows(self) -> list[dict]:
-        """Returns the rows of the newest version that this node has; none before it has one."""
+        """Returns the rows of the newest version on this node; an empty list if there is none."""
         has_list = self._publisher.get(endpoint_list.TOPIC) is not None
         return list(self._current().rows.values()) if has_list else []
 
     def _current(self) -> endpoint_list.EndpointList:
-        """The list that the publisher has; it is unpacked once for each version."""
+        """Returns the published list; unpacks each version only once."""
         published = self._publisher.get(endpoint_list.TOPIC)
         if published is None:
-            raise LookupError("no endpoint list was published here")
+            raise LookupError("no endpoint list has been published on this node")
         if self._unpacked is None or self._packed is not published.data:
             self._packed, self._unpacked = published.data, endpoint_list.unpack_list(published.data)
         return self._unpacked
--- a/ploverward/control_plane/cluster/rollout_lease_granter.py
+++ b/ploverward/control_plane/cluster/rollout_lease_granter.py
@@ -1,4 +1,4 @@
-"""Grants proxies their roll-out leases in reply to their evidence (docs/rollouts.md 3, 4)."""
+"""Grants roll-out leases to proxies in reply to their evidence (docs/rollouts.md 3, 4)."""
 
 from ploverward.control_plane.cluster import core_membership
 from ploverward.control_plane.cluster import peer_sessions
@@ -9,16 +9,16 @@
 
 
 def origin_of(proxy: peer_sessions.Peer) -> evidence_table.Origin:
-    """Returns the incarnation of a proxy, which distinguishes its evidence from that of an earlier one."""
+    """Returns the origin of a proxy's evidence, which distinguishes it from evidence of an earlier incarnation."""
     return evidence_table.Origin(address=proxy.address, incarnation=proxy.incarnation)
 
 
 class RolloutLeaseGranter:
-    """Receives evidence, and replies with leases where this node may grant them.
+    """Passes evidence to the roll-out manager, and replies with leases if this node may grant them.
 
     Args:
         sessions: The connected proxies.
-        membership: Whether this node has the majority lease.
+        membership: The core set; leases are granted only while this node has its majority lease.
         rollout_manager: Collects evidence and decides on leases.
     """
 
@@ -34,7 +34,7 @@
         self._rollout_manager = rollout_manager
 
     def handle_evidence(self, connection: interfaces.Connection, message: messages.RolloutEvidence) -> None:
-        """Counts a proxy's evidence; at the coordinator its leases are the reply."""
+        """Records the evidence of a proxy; the coordinator replies with the proxy's leases."""
         proxy = self._sessions.proxy_of(connection)
         if proxy is None:
             return
--- a/ploverward/control_plane/cluster/share_lease_granter.py
+++ b/ploverward/control_plane/cluster/share_lease_granter.py
@@ -1,8 +1,8 @@
 """Grants proxies their shares of the global limits (design 8, docs/control.md 2, docs/quotas.md).
 
-Owns this core node's share of every limit, and what it has leased of that share. Invariant: all leases of all core
-nodes that still count never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted.
-That is why nothing is granted without the majority lease, and why a share that grows counts only after a wait.
+Owns this core node's share of every limit, and the leases on that share. Invariant: the unexpired leases of all core
+nodes never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted. That is why no
+lease is granted without the majority lease, and why an increase of a share takes effect only after a wait.
 """
 
 from collections.abc import Callable
@@ -18,24 +18,26 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-RATE_WINDOW_S = 1.5  # a rate counts for one second at the proxy; the rest is slack for late clocks
-FIRST_START_WITHHOLD_TIMEOUTS = 2  # peer time-outs from the start of a process until it grants, at a first start
-OUTLIVED_LEASES = 2  # of `lease_s`: until an evicted member's majority lease ends, then until its last share lease ends
+RATE_WINDOW_S = 1.5  # a proxy counts rates over one second; the rest allows for clocks that run late
+FIRST_START_WITHHOLD_TIMEOUTS = 2  # peer time-outs from process start until leases are granted, at a first start
+# Multiple of `lease_s` until all leases of an evicted member have expired: its majority lease, then the share lease
+# that it granted last.
+EVICTION_LEASE_PERIODS = 2
 
 
 class OwnedShares:
-    """This core node's share of every limit: of retry slack and of rates.
+    """This core node's shares of the limits on retry slack and on rates.
 
-    There are two, because spent retries count for retryWindowS, but a rate only for its second and a little more.
+    The two are kept apart because spent retries count for retryWindowS, but a rate only for `RATE_WINDOW_S`.
 
     Args:
         own: Address of this node.
-        now: The clock, in seconds.
-        timing: Durations of this node.
+        now: Returns the time in seconds.
+        timing: Lease durations and time-outs of this node.
 
     Attributes:
-        slack: The share of the retry slack.
-        rate: The share of the rates.
+        slack: Share of the retry slack.
+        rate: Share of the rates.
     """
 
     def __init__(
@@ -46,26 +48,30 @@
         timing: core_timing.CoreTiming,
     ) -> None:
         self._own = own
-        # An evicted member may grant leases until its majority lease ends; each counts for its duration and its window.
-        outlived_s = OUTLIVED_LEASES * timing.lease_s
-        self.slack = share_leases.OwnedShare(now=now, transfer_wait_s=outlived_s + timing.retry_window_s)
-        self.rate = share_leases.OwnedShare(now=now, transfer_wait_s=outlived_s + RATE_WINDOW_S)
+        # An evicted member may grant leases until its majority lease ends; each of them counts for its duration and the
+        # window after it.
+        eviction_s = EVICTION_LEASE_PERIODS * timing.lease_s
+        self.slack = share_leases.OwnedShare(now=now, transfer_wait_s=eviction_s + timing.retry_window_s)
+        self.rate = share_leases.OwnedShare(now=now, transfer_wait_s=eviction_s + RATE_WINDOW_S)
 
     def begin_first_start(self, members: Collection[str]) -> None:
-        """This node is one of those that founded the core set: nobody else can have its share."""
+        """Takes up the share at once at the first start of the system.
+
+        This node is a founding member of the core set, so no other node can have had its share.
+        """
         self.resume(core_membership.AgreedCoreSet(members=tuple(members), version=0))
 
     def install(self, agreed: core_membership.AgreedCoreSet) -> None:
-        """Installs this node's share under the agreed core set."""
+        """Installs this node's share under the agreed core set; an increase takes effect after the transfer wait."""
         share = self._share_under(agreed.members)
         self.slack.install(share=share, version=agreed.version)
         self.rate.install(share=share, version=agreed.version)
 
     def resume(self, agreed: core_membership.AgreedCoreSet) -> None:
-        """Resumes the share of this node's earlier incarnation, whose disk has this core set as agreed.
+        """Resumes the share of this node's earlier incarnation, which stored this core set on disk as agreed.
 
-        No other node can have had that share under this version. Leases of the earlier incarnation are waited for by
-        the tables of leases.
+        No other node can have had that share under this version. The lease tables wait until the leases of the earlier
+        incarnation have expired.
         """
         share = self._share_under(agreed.members)
         self.slack.resume(share=share, version=agreed.version)
@@ -76,17 +82,17 @@
 
 
 class ShareLeaseGranter:
-    """Replies to proxies that renew their share leases.
+    """Grants share leases to the proxies that renew them.
 
     Args:
-        now: The clock, in seconds.
-        timing: Durations of this node.
-        started_at: When this process started, on that clock; leases of its earlier incarnation are waited for from
-            then.
+        now: Returns the time in seconds.
+        timing: Lease durations and time-outs of this node.
+        started_at: Start of this process on that clock. No lease is granted until the leases that the earlier
+            incarnation may have granted up to then have expired.
         owned: This node's share of every limit.
         membership: The agreed core set, and whether this node has the majority lease.
         sessions: The connected proxies.
-        meter: What tenants used, and their credits.
+        meter: Usage of the tenants, and their credits.
         has_tenants: Returns whether the configuration has tenants.
     """
 
@@ -124,17 +130,20 @@
         self._slots = rate_slots.RateSlots(now=now, reserved_s=timing.lease_s + RATE_WINDOW_S)
 
     def begin_first_start(self) -> None:
-        """The system starts for the first time: there are no leases of an earlier incarnation to wait for."""
+        """Shortens the wait before the first grant at the first start of the system.
+
+        There are no leases of an earlier incarnation to wait for.
+        """
         granted_from = self._started_at + self._first_start_withhold_s
         self._rates_from = min(self._rates_from, granted_from)
         self._slack_table.withhold_until(granted_from)
         self._rate_table.withhold_until(self._rates_from)
 
     def handle_renewal(self, connection: interfaces.Connection, message: messages.RenewShares) -> None:
-        """Replies to a proxy with its share lease, and with its quota status where there are tenants.
+        """Replies to a proxy with its share lease, and with its quota status if tenants are configured.
 
-        A draining proxy gets no lease: it spends what it has until that ends. Without the majority lease nothing is
-        granted; older leases end by themselves.
+        A draining proxy gets no new lease and uses its last one until that expires. Without the majority lease no reply
+        is sent; earlier leases expire on their own.
         """
         proxy = self._sessions.proxy_of(connection)
         if proxy is None or not self._membership.has_majority_lease():
