--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -1,7 +1,7 @@
-"""What a core node does with the coordinator role at each heartbeat interval (docs/control.md 1, 2).
+"""Acquires or releases the coordinator role, and runs the coordinator's tasks (docs/control.md 1, 2).
 
-The order of the steps matters: lost nodes are known before the role is decided on, and what a coordinator does (roles
-of proxies, roll-outs, core set) happens only after it is known to own the role and to have the majority lease.
+The order of the steps matters: lost nodes are detected before the role is decided on, and the tasks of a coordinator
+(roles of proxies, roll-outs, core set) run only once this node is known to own the role and to have the majority lease.
 """
 
 from collections.abc import Callable
@@ -20,33 +20,33 @@
 from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.usage import usage_reporter
 
-STEADY_INTERVALS = 6  # heartbeat intervals: two peer time-outs
-FAILOVERS_PER_CONTACT = 8  # a primary of the batch tier is replaced in so long once its connection has ended
-REPLACEMENTS_PER_CONTACT = 1  # another store gets the copy of one that is lost for so long
+STORE_SETTLING_INTERVALS = 6  # heartbeat intervals without a change of the connected stores: two peer time-outs
+FAILOVERS_PER_CONTACT = 8  # a disconnected primary of the batch tier is replaced after contact_s / 8
+REPLACEMENTS_PER_CONTACT = 1  # the copy of a disconnected store goes to another store after contact_s / 1
 
 
 class RoleReconciler:
-    """Decides who coordinates, and does the coordinator's work where it is this node.
+    """Runs at each heartbeat interval: decides whether this node coordinates, and if so does the coordinator's work.
 
     Args:
-        status: Whether this node is draining: it acquires no role and releases the one that it owns.
-        sessions: Which nodes are connected.
+        status: Status of this node. A draining node acquires no role and releases the one that it owns.
+        sessions: The connected nodes.
         membership: The core set, and whether this node has the majority lease.
-        liveness: Since when members fail; brought up to date here.
-        consensus: Whether this node votes.
-        coordinator: The role.
-        witnesses: Whether other core nodes hear an owner of the role that this node has lost.
-        rollout_manager: Roll-outs advance at the coordinator.
-        core_set: The core set is changed by the coordinator.
+        liveness: Times since which members are lost; updated here.
+        consensus: The consensus node; only a node that votes may acquire the role.
+        coordinator: The coordinator role.
+        witnesses: Whether other core nodes still receive messages from an owner of the role that this node has lost.
+        rollout_manager: Advances roll-outs while this node is the coordinator.
+        core_set: Changes the core set while this node is the coordinator.
         stores: The stores of the batch tier.
-        usage: Reports of use; None where the platform wants none.
-        now: The clock, in seconds.
-        contact_s: `contactMs` of the settings, in seconds.
-        heartbeat_interval_s: Between two calls of `reconcile`, besides those that something gives rise to.
-        copies: On how many stores a partition of the batch tier is.
+        usage: Reports usage to the platform; None if the platform takes no reports.
+        now: Returns the time in seconds.
+        contact_s: Setting `contactMs`, in seconds.
+        heartbeat_interval_s: Interval between periodic calls of `reconcile`; events cause further calls.
+        copies: Number of stores that have a copy of each partition of the batch tier.
 
     Attributes:
-        acting_since: Since when this node has acted as coordinator without a break; None: it does not.
+        acting_since: Time since which this node has acted as coordinator without a break; None if it does not act.
     """
 
     def __init__(
@@ -86,11 +86,11 @@
         self._copies = copies
         self.acting_since: float | None = None
         self._store_addresses: list[str] = []
-        self._store_change_at = 0.0  # when the connected stores were others last
-        self._steady_s = STEADY_INTERVALS * heartbeat_interval_s
+        self._store_change_at = 0.0  # when the set of connected stores changed last
+        self._store_settling_s = STORE_SETTLING_INTERVALS * heartbeat_interval_s
 
     def reconcile(self) -> None:
-        """Acquires, keeps or releases the role, and acts on it."""
+        """Acquires, keeps or releases the coordinator role, and runs the coordinator's tasks if this node owns it."""
         members = self._membership.members()
         self._liveness.update(members)
         owner = self._coordinator.address
@@ -130,7 +130,11 @@
         self._core_set.reconcile()
 
     def _place_partitions(self) -> None:
-        """Partitions are placed at first once the same stores have been connected for a while: they come one by one."""
+        """Assigns partitions to stores.
+
+        The first arrangements are made only once the same stores have been connected for `_store_settling_s`, since
+        stores connect one after the other.
+        """
         peers = self._sessions.stores()
         if not peers and not self._stores.known:
             return
@@ -141,14 +145,14 @@
         acting_s = now - (self.acting_since if self.acting_since is not None else now)
         view = self._stores.view(
             copies=self._copies,
-            may_place=now - self._store_change_at >= self._steady_s,
+            may_place=now - self._store_change_at >= self._store_settling_s,
             timeouts=self._patience,
-            never_connected_for_s=acting_s - self._steady_s,
+            never_connected_for_s=acting_s - self._store_settling_s,
         )
         self._coordinator.place_partitions(view)
 
     def _hand_over(self) -> None:
-        """Transfers the coordinator role to the first other live member."""
+        """Transfers the coordinator role to the first other live member that is not draining."""
         members = self._membership.members()
         for peer in sorted(self._sessions.cores(), key=lambda peer: peer.address):
             if not peer.is_draining and peer.address in members and self._sessions.is_core_live(peer.address):
