--- a/ploverward/control_plane/cluster/singleton_role_table.py
+++ b/ploverward/control_plane/cluster/singleton_role_table.py
@@ -1,8 +1,8 @@
-"""The register of singleton roles: who owns each role, under which epoch (docs/control.md 1).
+"""The register of singleton roles: the owner of each role and its epoch (docs/control.md 1).
 
-Owns this node's copy of the register. Invariant: an epoch of a role belongs to one incarnation of one node. Whatever
-an owner publishes carries its epoch, and receivers never go back to an older one, so the messages of an owner that
-was replaced are ignored once one of its successor arrived.
+Owns this node's copy of the register. Invariant: an epoch of a role belongs to one incarnation of one node. Everything
+that an owner publishes carries its epoch, and receivers never go back to an older epoch, so messages from a replaced
+owner are ignored once a message from its successor has been received.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 
 
 class SingletonRoleTable:
-    """This node's copy of the register.
+    """This node's copy of the register of singleton roles.
 
     Args:
-        change: Starts a round of a register: (name, edit, done).
+        change: Starts a consensus round that edits a register: (name, edit, done).
 
     Attributes:
-        table: Role: [epoch, address of the owner, its incarnation], as the register stores it.
-        is_acquiring: Whether a change of this node is in progress.
+        table: [epoch, address of the owner, its incarnation] by role, as the register stores it.
+        is_acquiring: Whether a change that this node started is in progress.
     """
 
     def __init__(self, *, change: Callable[..., None]) -> None:
@@ -28,19 +28,20 @@
         self.is_acquiring = False
 
     def install(self, *, payload: dict[str, list] | None) -> None:
-        """Installs a chosen value of the register."""
+        """Installs a value of the register that consensus has chosen; None stands for an empty register."""
         self.table = payload or {}
 
     def owner(self, name: str) -> singleton_roles.RoleOwner:
-        """Returns the owner of a role; a new incarnation of the same node needs a new epoch."""
+        """Returns the owner of a role: one incarnation of a node. A later incarnation needs a new epoch."""
         current = self.table.get(name)
         return singleton_roles.RoleOwner(*current) if current else singleton_roles.NO_OWNER
 
     def acquire(self, *, rows: dict[str, singleton_roles.RoleOwner]) -> None:
-        """Assigns roles, all in one change.
+        """Assigns several roles to new owners in one change of the register.
 
         Args:
-            rows: Role: its new owner, with the epoch that was seen. A role whose epoch has changed since stays.
+            rows: New owner of each role, with the epoch on which the assignment is based. A role whose epoch has
+                changed since then keeps its owner.
         """
         self.is_acquiring = True
 
--- a/ploverward/control_plane/cluster/singleton_roles.py
+++ b/ploverward/control_plane/cluster/singleton_roles.py
@@ -1,7 +1,8 @@
-"""Names of the singleton roles, and which proxies own those of regions and zones (design 4, docs/digest.md 4).
+"""Names of the singleton roles, and the choice of proxies that own those of regions and zones.
 
-A role has one owner in the system at a time: the first live node in an order on which all agree. This module has
-pure functions; the register of owners is in `ploverward.control_plane.cluster.singleton_role_table`.
+A role has one owner in the system at a time: the first live node in an order on which all nodes agree (design 4,
+docs/digest.md 4). This module has pure functions; the register of owners is in
+`ploverward.control_plane.cluster.singleton_role_table`.
 """
 
 import hashlib
@@ -10,9 +11,11 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-MAX_PROXIES_WITHOUT_DIGEST = 3  # a zone of so few proxies has no digest: each is its own
-PROXIES_PER_DIGEST = 14  # proxies that one digest serves; a zone of more has several digests
-KEPT_SHARE = 0.6  # a further digest ends once the zone could do without it if each digest served this share of proxies
+MAX_PROXIES_WITHOUT_DIGEST = 3  # a zone with at most this many proxies has no digest: each is its own one
+PROXIES_PER_DIGEST = 14  # maximum number of proxies per digest; a zone with more proxies has several digests
+# A surplus digest with a live owner is removed only once the digests before it would serve less than this share of
+# `PROXIES_PER_DIGEST` each, so that a zone that shrinks a little keeps its digests.
+DIGEST_REMOVAL_FILL = 0.6
 
 COORDINATOR = "watch"  # the cluster coordinator, a core node
 RELAY = "relay"
@@ -20,11 +23,11 @@
 
 
 class RoleOwner(typing.NamedTuple):
-    """Who owns a role."""
+    """The owner of a role and its epoch."""
 
-    epoch: int  # rises with each owner; 0: there never was one
-    address: str  # empty where the role is not needed now
-    incarnation: str  # identifies one start of the owner's process
+    epoch: int  # increases with each change of owner; 0 if the role never had one
+    address: str  # empty while the role is not needed
+    incarnation: str  # identifier of one start of the owner's process
 
 
 NO_OWNER = RoleOwner(epoch=0, address="", incarnation="")
@@ -37,7 +40,7 @@
     incarnation: str
 
 
-NOBODY = NodeIncarnation(address="", incarnation="")  # the owner of a role that is not needed now
+UNASSIGNED = NodeIncarnation(address="", incarnation="")  # owner of a role that is not needed now
 
 
 class ProxyIdentity(typing.NamedTuple):
@@ -49,28 +52,28 @@
     region: str
 
 
-FindRole = Callable[[str], tuple[int, str, str]]  # role: the fields of its `RoleOwner`
+FindRole = Callable[[str], tuple[int, str, str]]  # takes the name of a role, returns the fields of its `RoleOwner`
 
 
 def relay_name(*, region: str) -> str:
-    """Returns the role of a region's relay."""
+    """Returns the role name of a region's relay."""
     return f"{RELAY}/{region}"
 
 
 def digest_name(*, zone: str, number: int = 0) -> str:
-    """Returns the role of one of a zone's digests; the first one's is the zone's name alone."""
+    """Returns the role name of one of a zone's digests; that of the first digest has no number."""
     return f"{DIGEST}/{zone}/{number}" if number else f"{DIGEST}/{zone}"
 
 
 def is_digest_of(*, name: str, zone: str) -> bool:
-    """Whether this is the role of a digest of this zone."""
+    """Whether this is the role name of a digest of this zone."""
     return name == digest_name(zone=zone) or name.startswith(f"{DIGEST}/{zone}/")
 
 
 def digest_for(*, names: Iterable[str], address: str) -> str:
-    """Returns which of a zone's digests serves this proxy.
+    """Returns the role name of the digest that serves this proxy.
 
-    By rendezvous hashing, so that few proxies change their digest when one is added or ends.
+    The digest is chosen by rendezvous hashing, so that few proxies change their digest when one is added or removed.
     """
 
     def weight(name: str) -> bytes:
@@ -80,13 +83,13 @@
 
 
 def role_changes(*, proxies: Iterable[tuple[str, str, str, str]], find_role: FindRole) -> dict[str, RoleOwner]:
-    """Returns the new owner of each role whose owner is lost, with the epoch that was seen.
+    """Returns the new owner of each role of a region or zone that needs another one, with the role's current epoch.
 
-    Relays are assigned by address from the front, digests from the back, so that they seldom meet on one node.
+    Relays go to the lowest addresses and digests to the highest ones, so that one node seldom has both.
 
     Args:
-        proxies: The fields of the `ProxyIdentity` of each proxy that may serve.
-        find_role: Finds the present owner of a role.
+        proxies: Fields of the `ProxyIdentity` of each proxy that may own roles.
+        find_role: Returns the current owner of a role.
     """
     by_region: dict[str, list[NodeIncarnation]] = {}
     by_zone: dict[str, list[NodeIncarnation]] = {}
@@ -105,7 +108,7 @@
 
 
 def _digest_owners(*, zone: str, find_role: FindRole) -> list[tuple]:
-    """The owner of each digest that the zone ever had, in order."""
+    """Returns the owner of each digest that the zone has ever had, in the order of their numbers."""
     found: list[tuple] = []
     while True:
         epoch, *assigned = find_role(digest_name(zone=zone, number=len(found)))
@@ -115,7 +118,7 @@
 
 
 def _digest_changes(*, zone: str, live: list[NodeIncarnation], find_role: FindRole) -> dict[str, RoleOwner]:
-    """The digests of one zone that need an owner, or that are not needed any more."""
+    """Returns the new owners of a zone's digests that have lost theirs, and `UNASSIGNED` for digests to be removed."""
     rows = {}
     wanted = math.ceil(len(live) / PROXIES_PER_DIGEST)
     busy = set(_digest_owners(zone=zone, find_role=find_role))
@@ -130,6 +133,8 @@
                 rows[name] = RoleOwner(epoch, *free.pop(0))
         elif not epoch:
             return rows
-        elif owner != NOBODY and (owner not in live or len(live) < number * PROXIES_PER_DIGEST * KEPT_SHARE):
-            rows[name] = RoleOwner(epoch, *NOBODY)
+        elif owner != UNASSIGNED and (
+            owner not in live or len(live) < number * PROXIES_PER_DIGEST * DIGEST_REMOVAL_FILL
+        ):
+            rows[name] = RoleOwner(epoch, *UNASSIGNED)
         number += 1
