--- a/ploverward/control_plane/cluster/store_directory.py
+++ b/ploverward/control_plane/cluster/store_directory.py
@@ -1,4 +1,4 @@
-"""The stores that a core node knows: who is connected with which disk, and what primaries report (docs/batch.md 2)."""
+"""Directory of the stores: their connections and disks, and the reports of the primaries (docs/batch.md 2)."""
 
 from __future__ import annotations
 
@@ -13,11 +13,17 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import interfaces
 
-REPORT_AGE_S = 1.0  # an older report is not acted on: the primary would have repeated it
+MAX_REPORT_AGE_S = 1.0  # an older report is ignored: the primary would have repeated it if it still held
 
 
 class KnownStore(typing.NamedTuple):
-    """A store that is, or was, connected."""
+    """A store that is or was connected.
+
+    Attributes:
+        zone: Zone of the store.
+        identity: Its name, disk and process, as it sent them.
+        seen_at: Time at which it was last known to be connected.
+    """
 
     zone: str
     identity: batch_messages.StoreIdentity
@@ -31,16 +37,16 @@
 
 
 class StoreDirectory:
-    """The stores of one core node.
+    """The stores that have connected to this core node, and the reports of the primaries among them.
 
     Args:
-        now: The clock, in seconds.
-        sessions: Which nodes are connected.
-        roles: The register of singleton roles.
-        on_change: Called when a store connected, or a primary reported something.
+        now: Returns the time in seconds.
+        sessions: The connected nodes.
+        roles: Returns the register of singleton roles.
+        on_change: Called when a store has connected or a primary has sent a report.
 
     Attributes:
-        known: By address, those that were ever connected.
+        known: Stores that have ever been connected, by address.
     """
 
     def __init__(
@@ -60,33 +66,33 @@
         self.known: dict[str, KnownStore] = {}
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handler of each type of message: (connection, message)."""
+        """Returns the handlers of messages, by type; a handler takes (connection, message)."""
         return {
             batch_messages.StoreIdentity: self.handle_identity,
             batch_messages.CopyReport: self.handle_report,
         }
 
     def handle_identity(self, connection: interfaces.Connection, message: batch_messages.StoreIdentity) -> None:
-        """A store says which disk it has."""
+        """Records the identity of a store: its name, disk and process."""
         self._identities[connection] = message
         self._update()
         self._on_change()
 
     def handle_report(self, connection: interfaces.Connection, message: batch_messages.CopyReport) -> None:
-        """A primary says what is to change."""
+        """Records a primary's report of the learners that are level and the stores that are lost."""
         address = next((peer.address for peer in self._sessions.stores() if peer.connection is connection), "")
         self._reports[message.partition] = _Report(address, self._now(), message)
         self._on_change()
 
     def handle_ended(self, connection: interfaces.Connection) -> None:
-        """A connection ended."""
+        """Records that a connection has ended; the store on it counts as disconnected from now on."""
         identity = self._identities.pop(connection, None)
         for address, store in self.known.items():
             if store.identity == identity:
                 self.known[address] = store._replace(seen_at=self._now())
 
     def _update(self) -> set[str]:
-        """Brings `known` up to date; returns the addresses of the connected stores."""
+        """Updates `known`, and returns the addresses of the connected stores."""
         connected = set()
         for peer in self._sessions.stores():
             identity = self._identities.get(peer.connection)
@@ -96,7 +102,7 @@
         return connected
 
     def address_of(self, node: str) -> str | None:
-        """Returns the address of the store with this name, None where none is known."""
+        """Returns the address of the store with this node name; None if no such store is known."""
         return next((address for address, store in self.known.items() if store.identity.node == node), None)
 
     def arrangements(self) -> dict[int, batch_partitions.PartitionOwners]:
@@ -109,7 +115,7 @@
         return {number: owners for number, owners in found.items() if owners.members}
 
     def states(self) -> dict[str, partition_placement.StoreState]:
-        """Returns what is known of each store, by address."""
+        """Returns the state of each known store, by address."""
         connected = self._update()
         retiring = set(store_retirement.retiring_stores(self._roles()).values())
         return {
@@ -133,13 +139,13 @@
         timeouts: partition_placement.PlacementTimeouts,
         never_connected_for_s: float,
     ) -> partition_placement.PlacementView:
-        """Returns all that placement decides on.
+        """Returns the input of a placement decision.
 
         Args:
-            copies: How many members a partition is to have.
-            may_place: Whether all stores have had the time to connect.
-            timeouts: Durations.
-            never_connected_for_s: For how long a store is lost that was never connected.
+            copies: Number of members that a partition is to have.
+            may_place: Whether all stores have had time to connect.
+            timeouts: Time-outs of disconnected stores.
+            never_connected_for_s: Time in seconds for which a store that was never connected counts as disconnected.
         """
         arrangements = self.arrangements()
         return partition_placement.PlacementView(
@@ -160,5 +166,5 @@
             for number, report in self._reports.items()
             if number in arrangements
             and (report.address, report.message.epoch) == (arrangements[number].primary, arrangements[number].epoch)
-            and self._now() - report.at <= REPORT_AGE_S
+            and self._now() - report.at <= MAX_REPORT_AGE_S
         }
--- a/ploverward/control_plane/cluster/store_retirement.py
+++ b/ploverward/control_plane/cluster/store_retirement.py
@@ -1,7 +1,8 @@
-"""Stores that are to be emptied and taken away: the rows that say so, and when it is done (docs/batch.md 6).
+"""Retirement of stores: an operator has a store emptied so that it can be removed (docs/batch.md 6).
 
-The order is a row of the register of singleton roles, `retire/NAME`: the store's address and its disk. Placement moves
-the store's copies away; once no arrangement names the store it may go, and nothing is placed on that disk any more.
+A retirement is a row of the register of singleton roles, `retire/NAME`, with the store's address and disk. Partition
+placement moves the store's copies to other stores. Once no arrangement contains the store, it can be removed. The row
+stays, and nothing is placed on that disk again.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
     """A store that is to be emptied.
 
     Attributes:
-        address: Of the store.
-        disk: Its disk: another one at the same address is not meant.
+        address: Address of the store.
+        disk: Identifier of its disk. A store with another disk at the same address is not retiring.
     """
 
     address: str
@@ -39,7 +40,7 @@
 
 
 def with_retirement(roles: Roles, *, name: str, store: RetiringStore) -> dict[str, typing.Sequence]:
-    """Returns the register with the order to empty a store; unchanged where it has it."""
+    """Returns the register with the retirement of a store; the rows stay as they are if it is already there."""
     row = roles.get(ROLE_PREFIX + name, (0, "", ""))
     if RetiringStore(row[1], row[2]) == store:
         return {**roles}
@@ -47,7 +48,7 @@
 
 
 def is_emptied(roles: Roles, store: RetiringStore) -> bool:
-    """Whether no arrangement names a store any more."""
+    """Whether no arrangement contains the store any more, neither as a member nor as a learner."""
     for number in range(batch_partitions.PARTITIONS):
         owners = batch_partitions.owners_of(partition=number, roles=roles)
         is_member = any(
@@ -59,11 +60,11 @@
     return True
 
 
-def has_enough_zones(zones_of_others: Iterable[str], *, copies: int) -> bool:
-    """Whether partitions can have their copies, each in another zone, without a store.
+def has_enough_zones(other_zones: Iterable[str], *, copies: int) -> bool:
+    """Whether partitions can have all their copies in different zones after a store is removed.
 
     Args:
-        zones_of_others: Of the other stores that are connected and stay.
-        copies: How many a partition has.
+        other_zones: Zones of the other stores that are connected and not retiring.
+        copies: Number of copies of a partition.
     """
-    return len(set(zones_of_others)) >= copies
+    return len(set(other_zones)) >= copies
