--- a/ploverward/control_plane/cluster/share_lease_granter.py
+++ b/ploverward/control_plane/cluster/share_lease_granter.py
@@ -1,8 +1,9 @@
 """Grants proxies their shares of the global limits (design 8, docs/control.md 2, docs/quotas.md).
 
-Owns this core node's share of every limit, and the leases on that share. Invariant: the unexpired leases of all core
-nodes never add up to more than the limit, whichever machines are lost, frozen, evicted or restarted. That is why no
-lease is granted without the majority lease, and why an increase of a share takes effect only after a wait.
+Owns this core node's share of every limit, and the leases on that share. A lease counts until it has expired and the
+limit's window after it has passed. Invariant: the leases of all core nodes that count never add up to more than the
+limit, whichever machines are lost, frozen, evicted or restarted. That is why no lease is granted without the majority
+lease, and why an increase of a share takes effect only after a wait.
 """
 
 from collections.abc import Callable
