--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -21,8 +21,8 @@
 from ploverward.control_plane.usage import usage_reporter
 
 STORE_SETTLING_INTERVALS = 6  # heartbeat intervals without a change of the connected stores: two peer time-outs
-FAILOVERS_PER_CONTACT = 8  # a disconnected primary of the batch tier is replaced after contact_s / 8
-REPLACEMENTS_PER_CONTACT = 1  # the copy of a disconnected store goes to another store after contact_s / 1
+FAILOVERS_PER_CONTACT = 8  # contact_s divided by this: until a disconnected primary of the batch tier is replaced
+REPLACEMENTS_PER_CONTACT = 1  # contact_s divided by this: until another store gets a disconnected one's copy
 
 
 class RoleReconciler:
@@ -80,7 +80,7 @@
         self._stores = stores
         self._usage = usage
         self._now = now
-        self._patience = partition_placement.PlacementTimeouts(
+        self._placement_timeouts = partition_placement.PlacementTimeouts(
             failover_s=contact_s / FAILOVERS_PER_CONTACT, replacement_s=contact_s / REPLACEMENTS_PER_CONTACT
         )
         self._copies = copies
@@ -146,7 +146,7 @@
         view = self._stores.view(
             copies=self._copies,
             may_place=now - self._store_change_at >= self._store_settling_s,
-            timeouts=self._patience,
+            timeouts=self._placement_timeouts,
             never_connected_for_s=acting_s - self._store_settling_s,
         )
         self._coordinator.place_partitions(view)
