--- a/ploverward/control_plane/cluster/test_singleton_role_table.py
+++ b/ploverward/control_plane/cluster/test_singleton_role_table.py
@@ -1,17 +1,17 @@
-"""Singleton roles change owner under epochs."""
+"""The register of singleton roles: each change of owner increments the epoch of the role."""
 
 from ploverward.control_plane.cluster import singleton_role_table
 
 
 def acquire(payload, rows):
-    """What acquiring these roles makes of a payload."""
-    made = []
+    """Returns the name of the changed register, and its payload after these roles have been acquired."""
+    changes = []
     table = singleton_role_table.SingletonRoleTable(
-        change=lambda *, name, edit, done: made.append((name, edit(payload)[0]))
+        change=lambda *, name, edit, done: changes.append((name, edit(payload)[0]))
     )
     table.acquire(rows=rows)
     assert table.is_acquiring
-    return made[0]
+    return changes[0]
 
 
 def test_acquired_role_gets_next_epoch():
--- a/ploverward/control_plane/cluster/test_singleton_roles.py
+++ b/ploverward/control_plane/cluster/test_singleton_roles.py
@@ -1,4 +1,4 @@
-"""How many digests a zone has, who holds them and whom they serve, while proxies come and go."""
+"""Digests of a zone: their number, owners and assigned proxies while proxies join and leave."""
 
 import random
 
@@ -7,8 +7,8 @@
 from ploverward.control_plane.cluster import singleton_roles
 
 
-class Register:
-    """The duties' register as the watch keeps it."""
+class RoleRegister:
+    """The register of singleton roles as the coordinator changes it."""
 
     def __init__(self):
         self.table = {}
@@ -16,8 +16,8 @@
     def find_role(self, name):
         return self.table.get(name, (0, "", ""))
 
-    def reconcile(self, listed):
-        rows = singleton_roles.role_changes(proxies=listed, find_role=self.find_role)
+    def reconcile(self, proxy_rows):
+        rows = singleton_roles.role_changes(proxies=proxy_rows, find_role=self.find_role)
         for name, (epoch, owner, incarnation) in rows.items():
             assert epoch == self.find_role(name)[0]
             self.table[name] = (epoch + 1, owner, incarnation)
@@ -31,23 +31,23 @@
         }
 
 
-def listed(count, *, zone="za"):
+def proxy_rows(count, *, zone="za"):
     return [(f"10.0.{number // 200}.{number % 200 + 10}", f"l{number}", zone, "north") for number in range(count)]
 
 
 @pytest.mark.parametrize("count, digests", [(3, 0), (4, 1), (14, 1), (15, 2), (33, 3), (50, 4), (120, 9)])
 def test_number_of_digests_follows_number_of_proxies(count, digests):
-    register = Register()
-    register.reconcile(listed(count))
+    register = RoleRegister()
+    register.reconcile(proxy_rows(count))
     owners = register.owners()
     assert len(owners) == len(set(owners.values())) == digests
-    assert register.reconcile(listed(count)) == {}  # settled
+    assert register.reconcile(proxy_rows(count)) == {}  # a second call changes nothing
     if digests:
         assert singleton_roles.digest_name(zone="za") == "digest/za" and "digest/za" in owners
 
 
 def test_proxies_are_spread_over_digests_and_added_digest_takes_over_few():
-    addresses = [address for address, *_about in listed(150)]
+    addresses = [address for address, *_rest in proxy_rows(150)]
     names = [singleton_roles.digest_name(zone="za", number=number) for number in range(10)]
     before = {address: singleton_roles.digest_for(names=names, address=address) for address in addresses}
     sizes = [sum(1 for name in before.values() if name == one) for one in names]
@@ -59,33 +59,34 @@
 
 
 def test_lost_digest_owner_is_replaced_by_proxy_without_digest():
-    register = Register()
-    proxies = listed(40)
+    register = RoleRegister()
+    proxies = proxy_rows(40)
     register.reconcile(proxies)
-    gone = register.owners()["digest/za/1"]
-    left = [row for row in proxies if row[0] != gone]
-    rows = register.reconcile(left)
+    lost_owner = register.owners()["digest/za/1"]
+    remaining = [row for row in proxies if row[0] != lost_owner]
+    rows = register.reconcile(remaining)
     assert list(rows) == ["digest/za/1"] and len(set(register.owners().values())) == 3
-    newer = [
-        (address, "another life" if address == register.owners()["digest/za"] else incarnation, zone, region)
-        for address, incarnation, zone, region in left
+    with_restarted_owner = [
+        (address, "another incarnation" if address == register.owners()["digest/za"] else incarnation, zone, region)
+        for address, incarnation, zone, region in remaining
     ]
-    assert list(register.reconcile(newer)) == ["digest/za"]  # a new life is another holder, under the next epoch
+    # A new incarnation counts as another owner, so the role gets a new owner under the next epoch.
+    assert list(register.reconcile(with_restarted_owner)) == ["digest/za"]
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_every_digest_has_live_owner_while_proxies_join_and_leave(seed):
-    chance = random.Random(seed)
-    register = Register()
-    everybody = listed(90)
-    live = everybody[:40]
+    rng = random.Random(seed)
+    register = RoleRegister()
+    all_proxies = proxy_rows(90)
+    live = all_proxies[:40]
     changes = 0
     for _ in range(60):
-        size = min(90, max(4, len(live) + chance.randint(-12, 12)))
-        live = chance.sample(everybody, size)
+        size = min(90, max(4, len(live) + rng.randint(-12, 12)))
+        live = rng.sample(all_proxies, size)
         register.reconcile(live)
-        changes += len(register.reconcile(live))  # a second look changes nothing
-        addresses = {address for address, *_about in live}
+        changes += len(register.reconcile(live))  # a second call must change nothing
+        addresses = {address for address, *_rest in live}
         owners = register.owners()
         assert set(owners.values()) <= addresses
         assert len(owners) >= -(-len(live) // singleton_roles.PROXIES_PER_DIGEST)
@@ -94,13 +95,15 @@
 
 
 def test_digests_are_kept_when_zone_shrinks_a_little_and_removed_when_it_shrinks_more():
-    register = Register()
-    register.reconcile(listed(30))
+    register = RoleRegister()
+    register.reconcile(proxy_rows(30))
     assert len(register.owners()) == 3
     owners = set(register.owners().values())
-    few = [row for row in listed(30) if row[0] in owners] + [row for row in listed(30) if row[0] not in owners][:22]
-    assert register.reconcile(few) == {}
-    fewer = few[:8]
-    register.reconcile(fewer)
+    slightly_fewer = [row for row in proxy_rows(30) if row[0] in owners] + [
+        row for row in proxy_rows(30) if row[0] not in owners
+    ][:22]
+    assert register.reconcile(slightly_fewer) == {}
+    far_fewer = slightly_fewer[:8]
+    register.reconcile(far_fewer)
     assert len(register.owners()) == 1
-    assert register.find_role("digest/za/2")[0] == 2  # an end is told under an epoch too
+    assert register.find_role("digest/za/2")[0] == 2  # a removed digest gets a new epoch too
--- a/ploverward/control_plane/cluster/test_store_retirement.py
+++ b/ploverward/control_plane/cluster/test_store_retirement.py
@@ -1,4 +1,4 @@
-"""Stores that are to be emptied: the order, and when it is done."""
+"""Retirement of stores: its row in the register, and the conditions for its start and its end."""
 
 from ploverward.common import batch_partitions
 from ploverward.control_plane.cluster import store_retirement
@@ -29,7 +29,9 @@
     others = (("10.2.0.1", "disk-2"), ("10.3.0.1", "disk-3"))
     assert not store_retirement.is_emptied(roles_with(*others, STORE), STORE)
     assert not store_retirement.is_emptied(roles_with(*others, learners=(STORE.address,)), STORE)
-    assert not store_retirement.is_emptied(roles_with(*others, (STORE.address, "")), STORE)  # the disk is not known
+    assert not store_retirement.is_emptied(
+        roles_with(*others, (STORE.address, "")), STORE
+    )  # the arrangement does not name the member's disk
     assert store_retirement.is_emptied(roles_with(*others), STORE)
     assert store_retirement.is_emptied(roles_with(*others, (STORE.address, "disk-9")), STORE)
     assert store_retirement.is_emptied({}, STORE)
