--- a/ploverward/control_plane/cluster/partition_placement.py
+++ b/ploverward/control_plane/cluster/partition_placement.py
@@ -38,7 +38,7 @@
     Attributes:
         address: Address of the store.
         zone: Zone of the store; empty if it was never connected.
-        disk: Identifier of its disk.
+        disk: Identifier of its disk; an emptied disk gets another one.
         process: Identifier of this start of its process.
         is_connected: Whether it is connected now.
         disconnected_for_s: Time in seconds since it was connected last.
@@ -240,7 +240,7 @@
 def _with_primary(new_primary: Member | None, owners: PartitionOwners, view: PlacementView) -> PartitionOwners | None:
     """Returns the arrangement with this member as primary; None if there is no such member.
 
-    The former primary becomes a learner, as do members that are lost or have another disk.
+    The former primary becomes a learner, as do members that are lost or have another disk: each has to catch up again.
     """
     if new_primary is None:
         return None
