--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -154,7 +154,7 @@
             self.is_damaged = True
         if image.incarnation:
             self._is_first_life = False
-            self._begin(image)
+            self._start_from_image(image)
             return
         first_set = tuple(sorted(seeds))
         if is_first_start and not self.is_damaged and self.own in first_set:
@@ -166,9 +166,9 @@
             self._catch_up.first_set = first_set
             self._finish_catch_up()  # there is nobody to ask
         else:
-            self._look()
+            self._request_catch_up()
 
-    def _begin(
+    def _start_from_image(
         self, image: acceptor_storage.Image, *, on_durable: collections.abc.Callable[[], None] | None = None
     ) -> None:
         """Continues from an image; nothing of it is sent before it is written once more (docs/register.md 3)."""
@@ -278,7 +278,7 @@
             rows = (catch_up.first_set_row(self._catch_up.founding_set),)
         link.send(messages.CatchUpReply(number=request.number, is_voter=durable.votes, rows=rows))
 
-    def _look(self) -> None:
+    def _request_catch_up(self) -> None:
         """Sends the request to the connected core nodes periodically, until enough of them answered."""
         if self.acceptor.votes:
             return
@@ -290,7 +290,7 @@
             "catch_up_requested", extra={"had": {member: len(rows) for member, rows in self._catch_up.answers.items()}}
         )
         self._broadcast_to_cores(self._catch_up.request())
-        self._loop.after(delay=self._contact_s * CATCH_UP_INTERVAL_SHARE, callback=self._look)
+        self._loop.after(delay=self._contact_s * CATCH_UP_INTERVAL_SHARE, callback=self._request_catch_up)
 
     def _note_founding_waits(self) -> None:
         if self._catch_up.founding_set:
@@ -318,7 +318,7 @@
         rows = gathered.catch_up(incarnation="", states=self._catch_up.answers.values())
         first_set = self._catch_up.first_set or self._catch_up.founding_set
         image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=first_set, rows=rows)
-        self._begin(image, on_durable=self._on_caught_up)
+        self._start_from_image(image, on_durable=self._on_caught_up)
 
     def _on_caught_up(self) -> None:
         _log.debug("catch_up_finished", extra={"incarnation": self.acceptor.incarnation})
@@ -356,7 +356,7 @@
         durable = self.write_ahead_log.durable
         return tuple(messages.RegisterRevision(name, durable.get(name).revision) for name in register_names.REGISTERS)
 
-    def read_unknown(self) -> None:
+    def read_unknown_registers(self) -> None:
         """Reads the registers of which no chosen value is known yet."""
         for name in register_names.REGISTERS:
             if not self._version(name):
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -269,7 +269,7 @@
         """A quorum read found nothing chosen, so the value has to be proposed again.
 
         Nodes do that in turn, so that those that all read at once do not compete with their ballots
-        (`test_all_nodes_restarting_and_reading_at_once_come_to_an_end`).
+        (`test_reads_and_changes_finish_after_all_nodes_restart_at_once`).
         """
         if proposal.number != number or proposal.stage is not Stage.QUORUM_READ:
             return
--- a/ploverward/control_plane/consensus/test_attempt_pacing.py
+++ b/ploverward/control_plane/consensus/test_attempt_pacing.py
@@ -65,7 +65,7 @@
         return [when for when, _member, message in self.sent if isinstance(message, messages.Prepare)]
 
 
-def test_a_round_that_waits_behind_others_still_gets_an_attempt():
+def test_queued_changes_still_attempt_while_a_move_is_expected():
     scene = Scene()
     for second in range(12):  # one more round a second than the pauses let through
         scene.time.run(float(second))
@@ -76,7 +76,7 @@
     assert len({round(when, 3) for when in scene.prepares()}) >= 8
 
 
-def test_a_round_whose_time_is_over_ends_without_a_pause():
+def test_changes_past_their_deadline_end_without_pausing():
     scene = Scene()
     for _number in range(10):
         scene.change()
@@ -84,7 +84,7 @@
     assert len(scene.ended) == 10
 
 
-def test_a_pause_leaves_time_for_one_attempt():
+def test_yielding_leaves_time_for_one_attempt_before_the_deadline():
     scene = Scene()
     pacing = scene.proposer.pacing
     late = proposal.Proposal(
@@ -94,7 +94,7 @@
     assert late.yields_until == pytest.approx(0.8 - TIMEOUT_S)
 
 
-def test_usual_disks_keep_the_usual_time_out_and_slow_ones_stretch_it_up_to_the_limit():
+def test_timeout_is_extended_on_slow_disks_up_to_the_limit():
     def timeout_s(write_s):
         pacing = attempt_pacing.AttemptPacing(
             now=lambda: 0.0,
@@ -110,7 +110,7 @@
     assert timeout_s(5.0) == (LIMIT_S, True)
 
 
-def test_on_slow_disks_another_node_s_attempt_is_let_pass_until_its_value_is_chosen():
+def test_slow_disk_proposals_yield_to_another_node_until_its_value_is_chosen():
     scene = Scene(write_s=0.2, is_move_expected=False)
     pacing = scene.proposer.pacing
     waiting = proposal.Proposal(
@@ -123,7 +123,7 @@
     assert not pacing.has_to_yield(waiting)
 
 
-def test_on_usual_disks_nobody_waits_for_another_node_s_attempt():
+def test_fast_disk_change_does_not_yield_to_another_nodes_attempt():
     scene = Scene(is_move_expected=False)
     scene.proposer.pacing.note_other_attempt(name="duty")
     scene.change()
@@ -131,7 +131,7 @@
     assert scene.prepares()
 
 
-def test_on_usual_disks_a_repair_waits_for_another_node_s_attempt_and_a_call_of_this_node_goes_first():
+def test_fast_disk_repair_yields_to_another_node_and_is_overtaken_by_a_local_change():
     scene = Scene(is_move_expected=False)
     scene.proposer.pacing.note_other_attempt(name="duty")
     scene.change(is_repair=True)
@@ -141,7 +141,7 @@
     assert scene.prepares() == [0.5 * TIMEOUT_S] * len(SET)
 
 
-def test_a_repair_goes_on_once_the_other_node_s_attempt_had_its_time():
+def test_repair_proceeds_after_the_other_nodes_attempt_timed_out():
     scene = Scene(is_move_expected=False)
     scene.proposer.pacing.note_other_attempt(name="duty")
     scene.change(is_repair=True)
@@ -149,7 +149,7 @@
     assert len(scene.prepares()) == len(SET)
 
 
-def test_a_move_that_others_have_finished_is_not_finished_once_more():
+def test_finish_move_stops_once_another_node_finished_the_move():
     scene = Scene(is_move_expected=False)
     is_half_moved = [True, False]
     scene.proposer.finish_move(name="duty", is_wanted=lambda: is_half_moved.pop(0))
@@ -157,7 +157,7 @@
     assert len(scene.prepares()) == len(SET) and not is_half_moved
 
 
-def test_proposals_that_wait_stand_in_the_order_of_their_priorities():
+def test_waiting_proposals_are_ordered_by_priority():
     scene = Scene(is_move_expected=False)
     for options in ({}, {"is_repair": True}, {}, {"next_set": ("a", "b")}, {"is_repair": True}, {}):
         scene.change(**options)
@@ -166,7 +166,7 @@
     assert priorities == ["CALL", "MOVE", "CALL", "CALL", "REPAIR", "REPAIR"]  # the first one is at work
 
 
-def test_a_repair_that_fails_an_attempt_lets_the_call_behind_it_pass():
+def test_repair_that_failed_an_attempt_is_requeued_behind_a_waiting_change():
     scene = Scene(is_move_expected=False)
     scene.change(is_repair=True)
     scene.change()
@@ -176,7 +176,7 @@
     assert [waiting.is_repair for waiting in scene.proposer._queues.of("duty")] == [False, True]
 
 
-def test_a_repair_makes_no_attempt_while_those_of_other_nodes_keep_coming():
+def test_repair_makes_no_attempt_while_other_nodes_keep_attempting():
     scene = Scene(is_move_expected=False)
     scene.change(is_repair=True, name="other")  # its own register is free
     scene.proposer.pacing.note_other_attempt(name="duty")
@@ -190,7 +190,7 @@
     assert len(scene.ended) == 2
 
 
-def test_reads_that_come_as_fast_as_they_end_do_not_keep_each_other_from_an_attempt():
+def test_reads_arriving_as_fast_as_they_end_still_reach_an_attempt():
     """Seed 520047 of the simulation: each had used its time up in the queue, read once more and ended."""
     scene = Scene(is_move_expected=False)
     for step in range(160):
@@ -220,7 +220,7 @@
     scene.sent.clear()
 
 
-def test_a_change_that_lost_to_another_node_reads_before_it_ends_that_nodes_attempt():
+def test_change_that_lost_to_another_node_reads_before_it_proposes_again():
     scene = Scene(is_move_expected=False)
     scene.change()
     reject(scene, by=identifiers.Ballot(9, "b/1"))
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("is_over", [True, False])
-def test_a_change_that_failed_beside_nobody_proposes_again_at_once(is_over):
+def test_change_that_failed_without_a_competitor_proposes_again_without_reading(is_over):
     scene = Scene(is_move_expected=False)
     scene.change()
     if is_over:
@@ -242,14 +242,14 @@
     assert len({when for when in scene.prepares()}) >= 1
 
 
-def test_what_finishes_a_move_waits_for_no_move():
+def test_finish_move_does_not_yield_to_an_expected_move():
     """All nodes let the move pass whose proposer is gone: the round that finishes it must not wait with them."""
     scene = Scene(is_move_expected=True)
     scene.proposer.finish_move(name="duty")
     assert scene.prepares() == [0.0] * len(SET)
 
 
-def test_what_finishes_a_move_lets_the_attempt_of_another_node_pass():
+def test_finish_move_yields_to_another_nodes_attempt():
     scene = Scene(is_move_expected=True)
     scene.proposer.pacing.note_other_attempt(name="duty")
     scene.proposer.finish_move(name="duty")
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -196,7 +196,7 @@
     assert sum(1 for call in history if call["ended"] is not None) > 20
 
 
-def test_the_checker_finds_planted_faults():
+def test_linearizability_checker_reports_lost_updates_and_stale_reads():
     two_on_one = [
         {"kind": "change", "begun": 0, "ended": 1, "base": 0, "made": 1},
         {"kind": "change", "begun": 0, "ended": 1, "base": 0, "made": 2},
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_two_racers_on_one_base_one_wins(seed):
+def test_of_two_concurrent_compare_and_sets_exactly_one_succeeds(seed):
     world, nodes = make(seed)
     results = []
 
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_all_nodes_restarting_and_reading_at_once_come_to_an_end(seed):
+def test_reads_and_changes_finish_after_all_nodes_restart_at_once(seed):
     """Three nodes that read four registers after a restart used to duel without end."""
     world, nodes = make(seed)
     names = ("spec", "evac", "duty", "cores")
@@ -256,7 +256,7 @@
     assert sum(1 for row in done if row[0] is None) >= 20
 
 
-def test_emptied_node_does_not_vote_until_both_others_answer():
+def test_node_with_wiped_disk_does_not_vote_until_both_others_reply():
     world, nodes = make(3)
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (1, None), done=lambda *row: None)
     world.run(until=3.0)
@@ -275,7 +275,7 @@
     assert ballots.unpack(nodes["c"].acceptor.get("spec").value)[1] >= 1
 
 
-def test_forgotten_promise_can_not_be_used():
+def test_accept_is_rejected_under_a_promise_lost_with_the_disk():
     """A promise given before the disk was lost names an incarnation that is gone."""
     acceptor = acceptors.Acceptor(incarnation="old")
     answer, _row = acceptor.prepare(messages.Prepare(1, "spec", Ballot(7, "x"), NO_BALLOT))
@@ -288,7 +288,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_core_set_moves_one_machine_at_a_time(seed):
+def test_core_set_moves_add_and_remove_one_node_at_a_time(seed):
     world, nodes = make(seed, members=("a", "b", "c", "d"))
     ends = []
 
@@ -336,7 +336,7 @@
     assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
-def test_damage_before_the_tail_is_reported():
+def test_corruption_before_the_last_record_raises_storage_error():
     disk = _filled(4)
     data = bytearray(disk.files[acceptor_storage.FILE_NAME])
     data[30] ^= 0xFF
@@ -345,7 +345,7 @@
         acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6).load()
 
 
-def test_long_file_is_rewritten_and_keeps_the_state():
+def test_log_file_above_its_limit_is_rewritten_without_losing_state():
     disk = simulated_world.Disk()
     store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=500)
     row = messages.RegisterRow("spec", Ballot(1, "a"), Ballot(1, "a"), 1, b"x" * 90)
@@ -357,7 +357,7 @@
     assert acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=500).load() == image
 
 
-def test_refusing_disk_answers_nothing():
+def test_change_fails_when_a_majority_of_disks_refuses_writes():
     world, nodes = make(1)
     nodes["b"].disk.is_refusing = nodes["c"].disk.is_refusing = True
     results = []
--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -24,19 +24,19 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=name_of)
-def test_no_order_of_steps_breaks_a_rule(scenario):
+def test_scenario_violates_no_invariant_in_any_order_of_steps(scenario):
     outcome = search.explore(scenario=scenario, max_states=command_line.SMALL_STATES)
     assert outcome.finding is None, outcome.finding.text()
     assert outcome.is_exhaustive
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=name_of_fault)
-def test_a_planted_fault_is_found(fault):
+def test_search_finds_the_bug_of_each_mutant(fault):
     outcome = mutants.explore_mutant(fault=fault, max_states=command_line.SMALL_STATES)
     assert outcome.finding is not None
 
 
-def test_without_a_planted_fault_the_same_start_breaks_no_rule():
+def test_mutant_scenario_without_its_bug_violates_no_invariant():
     """The scenarios of faults in the code around them are sound by themselves: the fault is what is found."""
     for fault in FAULTS:
         if fault.mutations is not contextlib.nullcontext and not fault.scenario.restarts:
@@ -60,7 +60,7 @@
     return state
 
 
-def test_a_step_leaves_the_state_that_it_began_from_as_it_was():
+def test_step_does_not_modify_the_state_it_starts_from():
     explorer = explorer_of(SCENARIOS[0])
     state = explorer.start()
     before = state.key()
@@ -69,7 +69,7 @@
     assert state.key() == before
 
 
-def test_equal_histories_in_another_order_end_in_one_state():
+def test_delivery_order_of_independent_messages_does_not_change_the_state():
     explorer = explorer_of(SCENARIOS[0])
     first, second = sorted(explorer.start().pool)[:2]
     keys = set()
@@ -82,7 +82,7 @@
     assert len(keys) == 1
 
 
-def test_a_copied_proposer_shares_nothing_that_changes():
+def test_cloned_proposer_shares_no_mutable_state():
     explorer = explorer_of(SCENARIOS[0])
     state = state_after(explorer, explorer.start(), 3)
     proposer, timers = state.writers["Q"].live
@@ -96,7 +96,7 @@
     assert live_objects.form((proposer, timers), {}) == before
 
 
-def test_a_history_of_a_fault_is_printed_step_by_step(capsys):
+def test_command_prints_the_history_of_a_finding_step_by_step(capsys):
     name = FAULTS[0].scenario.name
     assert command_line.main(["--budget", "planted", "--scenario", name]) == 0
     output = capsys.readouterr().out
@@ -104,6 +104,6 @@
     assert "('deliver'" in output
 
 
-def test_the_command_says_when_not_all_states_were_seen(capsys):
+def test_command_reports_a_search_cut_off_by_the_state_limit(capsys):
     assert command_line.main(["--scenario", SCENARIOS[0].name, "--states", "50"]) == 0
     assert "NOT ALL" in capsys.readouterr().out
--- a/ploverward/control_plane/consensus/test_move_priority.py
+++ b/ploverward/control_plane/consensus/test_move_priority.py
@@ -34,7 +34,7 @@
         model.nodes[name].voting.proposer.change(name=register, edit=None, done=done, next_set=to)
 
 
-def test_a_move_goes_before_the_orders_that_wait_at_its_node():
+def test_move_is_queued_before_waiting_changes_of_its_node():
     model = settled(seed=2)
     ended = []
     proposer = model.nodes["a"].voting.proposer
@@ -51,7 +51,7 @@
     assert ended == [0, "move", *range(1, 10)]
 
 
-def test_a_move_takes_the_place_of_an_order_that_pauses():
+def test_move_displaces_a_change_that_is_backing_off():
     """The order was rejected by a higher ballot, and waits for its next attempt."""
     model = settled(seed=3)
     ended = []
@@ -68,7 +68,7 @@
     assert ended == ["move", "order"]
 
 
-def test_an_order_that_fails_an_attempt_lets_the_move_behind_it_pass():
+def test_change_that_failed_an_attempt_is_requeued_behind_a_waiting_move():
     model = settled(seed=4)
     ended = []
     proposer = model.nodes["a"].voting.proposer
@@ -83,7 +83,7 @@
     assert ended == ["move", "order"]
 
 
-def test_a_move_that_is_chosen_late_still_leaves_out_the_former_set():
+def test_move_chosen_after_its_deadline_still_removes_the_previous_set():
     """All other nodes wait for that attempt, so it is made also where the proposal's time is over."""
     model = settled(seed=6)
     node = model.nodes["b"].voting
@@ -98,7 +98,7 @@
     assert ends == [(None, (MOVED,))]
 
 
-def test_another_node_lets_a_move_pass_and_goes_on_after_the_time_of_two_attempts():
+def test_change_of_another_node_yields_to_a_move_for_the_time_of_two_attempts():
     """b knows that the core set moved, while the register of orders still is under the former set."""
     model = settled(seed=5)
     proposer = model.nodes["b"].voting.proposer
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_move_is_over_in_time_while_all_nodes_have_orders(seed):
+def test_move_finishes_in_time_while_all_nodes_make_changes(seed):
     model = settled(seed=seed)
     model.world.loss = 0.02
 
@@ -139,7 +139,7 @@
     assert linearizability.faults(history=model.history) == []
 
 
-def test_a_node_makes_one_repair_of_a_register_at_a_time():
+def test_node_runs_one_repair_of_a_register_at_a_time():
     model = settled(seed=1)
     node = model.nodes["a"].voting
     for name in ("duty", "duty", "cores", "duty"):
--- a/ploverward/control_plane/consensus/test_required_sets.py
+++ b/ploverward/control_plane/consensus/test_required_sets.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("replies", [(MOVING, MOVING, MOVED), (MOVED, MOVING, MOVING), (MOVING, MOVED, MOVING)])
-def test_one_member_with_the_end_of_a_move_is_enough_whatever_answers_first(replies):
+def test_one_promise_with_the_finished_move_makes_the_older_set_unnecessary_in_any_order(replies):
     """Seeds 520255 and 530734 of the simulation: two of the three that had accepted the end of the move were lost."""
     scene = Scene()
     for member, reply in zip("ade", replies, strict=True):
@@ -57,7 +57,7 @@
     assert scene.of_type(messages.Accept).keys() == {"a", "d", "e"}
 
 
-def test_without_it_a_majority_of_the_older_set_is_needed_too():
+def test_unfinished_move_requires_a_majority_of_the_older_set_too():
     scene = Scene()
     for member in "ade":
         scene.promise(member, MOVING)
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -464,7 +464,7 @@
     def _on_peer_joined(self, peer: peer_sessions.Peer) -> None:
         """A peer identified itself. A core node may know values that were chosen while this node was disconnected."""
         if peer.role is peer_sessions.NodeRole.CORE and self._votes():
-            self.consensus.read_unknown()
+            self.consensus.read_unknown_registers()
         if peer.role is not peer_sessions.NodeRole.UNKNOWN:
             self.topics.handle_joined(peer)
         if peer.role is peer_sessions.NodeRole.PROXY:
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -49,7 +49,9 @@
     ) -> None:
         load(self, store, seeds, is_first_start)
         if self.proposer.is_learner and (is_always or is_first_start):
-            self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds))))
+            self._start_from_image(
+                acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds)))
+            )
             self.proposer.is_learner = False
 
     return [mock.patch.object(consensus_node.ConsensusNode, "_load", _load)]
@@ -69,8 +71,8 @@
     """An emptied node takes a new name and votes at once, with nothing that it had promised or accepted."""
     load = consensus_node.ConsensusNode._load
 
-    def _look(self: Any) -> None:  # noqa: ANN401  # a node with one attribute more
-        self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
+    def _request_catch_up(self: Any) -> None:  # noqa: ANN401  # a node with one attribute more
+        self._start_from_image(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
 
     def _load(
         self: Any,  # noqa: ANN401
@@ -83,7 +85,7 @@
         self.proposer.is_learner = False
 
     return [
-        mock.patch.object(consensus_node.ConsensusNode, "_look", _look),
+        mock.patch.object(consensus_node.ConsensusNode, "_request_catch_up", _request_catch_up),
         mock.patch.object(consensus_node.ConsensusNode, "_load", _load),
     ]
 
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -228,7 +228,7 @@
     def _receive_hello(voting: ConsensusNode) -> None:
         """As the core does when another core node says hello."""
         if voting.acceptor.votes:
-            voting.read_unknown()
+            voting.read_unknown_registers()
 
     @property
     def is_up(self) -> bool:
