--- a/ploverward/control_plane/consensus/__init__.py
+++ b/ploverward/control_plane/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""Replicated registers: CASPaxos acceptors and proposers, their write-ahead log, and how a learner catches up.
+"""Replicated registers: CASPaxos acceptors and proposers, their write-ahead log, and the catch-up of learners.
 
-`ConsensusNode` puts together one `Acceptor`, one `Proposer` and one `WriteAheadLog` for a core node; its docs are
-docs/register.md and docs/set-moves.md.
+`ConsensusNode` combines one `Acceptor`, one `Proposer` and one `WriteAheadLog` for a core node. The protocol is
+described in docs/register.md and docs/set-moves.md.
 """
--- a/ploverward/control_plane/consensus/attempt_pacing.py
+++ b/ploverward/control_plane/consensus/attempt_pacing.py
@@ -1,41 +1,42 @@
-"""How long an attempt may take, and when a proposal lets another node's attempt pass (docs/set-moves.md 9).
-
-Four things slow a proposal down on purpose:
-
-* A move of the core set that another node is about to make, or is in the middle of, is let pass by rounds that only
-  wait.
-* Where disks are slow, an attempt takes longer: both of its phases wait for a write at other nodes.
-* There an attempt also outlasts the patience of whoever ordered it. The same order then comes to the next node, whose
-  ballot would end the first attempt, and so on: nothing would ever be chosen. So an attempt of another node, known by
-  its prepare, is let pass for the time of one attempt.
-* Repairs let an attempt of another node pass on any disk. After a restart of all, each node reads every register and
-  finishes every half-done move: as many ballots as there are nodes would end each other's attempts for seconds, and
-  those of the node that is to become the coordinator with them.
+"""Timeouts of attempts, and the rules by which a proposal yields to other nodes (docs/set-moves.md 9).
+
+Four rules slow a proposal down on purpose:
+
+* Proposals that are only waiting yield to a move of the core set that another node is about to make or is in the middle
+  of.
+* Where disks are slow, attempts get a longer timeout, as both phases wait for a write at other nodes.
+* On slow disks an attempt also takes longer than its caller waits. The caller repeats the same change at the next node,
+  whose ballot would preempt the first attempt, and so on, so that nothing would ever be chosen. A proposal therefore
+  yields to an attempt of another node, known by its prepare, for the time of one attempt.
+* Repairs yield to an attempt of another node on any disk. After a restart of the whole cluster, each node reads every
+  register and finishes every half-done move. The ballots of that many nodes would preempt each other's attempts for
+  seconds, including those of the node that is about to become the coordinator.
 """
 
 from collections.abc import Callable
 
 from ploverward.control_plane.consensus.proposal import Proposal
 
-# Pauses and waits are given as shares of the usual time-out of an attempt.
-YIELD_SHARE = 2.0  # how long a round lets a move of its register go first: an attempt of it, a pause, and another
-YIELD_RECHECK_SHARE = 0.1  # between two checks whether what it waits for is over
-WRITES_PER_ATTEMPT = 4  # two phases, each of which may wait for a write under way before its own
-SLOW_DISK_ROOM = 2  # other disks may be slower than this one
+# The shares are fractions of the base timeout of an attempt.
+YIELD_SHARE = 2.0  # how long a proposal yields to a move of its register: one attempt of the move, a pause, and another
+YIELD_RECHECK_SHARE = 0.1  # interval of the checks whether a proposal still has to yield
+WRITES_PER_ATTEMPT = 4  # two phases, each of which may wait for a write in progress before its own
+SLOW_DISK_MARGIN = 2  # factor, as the disks of other nodes may be slower than this one
 
 
 class AttemptPacing:
-    """Time-outs and pauses of one node's proposals.
+    """Computes the timeouts and pauses of one node's proposals.
 
     Args:
-        now: Loop time in seconds.
-        attempt_timeout_s: How long an attempt waits for a majority, usually.
-        limit_s: The longest that it ever waits.
-        usual_write_s: How long a write to this node's disk takes lately, in seconds. None: no time at all.
-        is_move_expected: Register to whether another node is about to move it to another set. None: never.
+        now: Returns the loop time in seconds.
+        attempt_timeout_s: How long an attempt waits for a majority where disks are not slow.
+        limit_s: Upper limit of the timeout of an attempt.
+        usual_write_s: Returns the recent average duration of a write to this node's disk, in seconds. None: writes are
+            assumed to take no time.
+        is_move_expected: Returns whether another node is about to move a register to another set. None: never.
 
     Attributes:
-        usual_timeout_s: As given in `attempt_timeout_s`.
+        base_timeout_s: The given `attempt_timeout_s`.
     """
 
     def __init__(
@@ -48,59 +49,61 @@
         is_move_expected: Callable[[str], bool] | None,
     ) -> None:
         self._now = now
-        self.usual_timeout_s = attempt_timeout_s
+        self.base_timeout_s = attempt_timeout_s
         self._limit_s = limit_s
         self._usual_write_s = usual_write_s
         self._is_move_expected = is_move_expected
-        self._other_attempts_until: dict[str, float] = {}  # register: until when another node's attempt is let pass
+        # register: loop time in seconds until which another node's attempt may be in progress
+        self._other_attempts_until: dict[str, float] = {}
 
     @property
     def recheck_s(self) -> float:
-        """From one check whether a proposal still has to let others pass to the next."""
-        return self.usual_timeout_s * YIELD_RECHECK_SHARE
+        """The interval of the checks whether a proposal still has to yield, in seconds."""
+        return self.base_timeout_s * YIELD_RECHECK_SHARE
 
     def timeout_s(self) -> float:
-        """How long an attempt that begins now waits for a majority: longer where the own disk is slow."""
+        """Returns the timeout in seconds of an attempt that begins now; it is longer while this node's disk is slow."""
         write_s = self._usual_write_s() if self._usual_write_s is not None else 0.0
-        if write_s * WRITES_PER_ATTEMPT <= self.usual_timeout_s:
-            return self.usual_timeout_s
-        return min(write_s * WRITES_PER_ATTEMPT * SLOW_DISK_ROOM, self._limit_s)
+        if write_s * WRITES_PER_ATTEMPT <= self.base_timeout_s:
+            return self.base_timeout_s
+        return min(write_s * WRITES_PER_ATTEMPT * SLOW_DISK_MARGIN, self._limit_s)
 
     def has_slow_disk(self) -> bool:
-        """Whether an attempt takes longer than usual."""
-        return self.timeout_s() > self.usual_timeout_s
+        """Returns whether this node's disk is so slow that attempts get a longer timeout."""
+        return self.timeout_s() > self.base_timeout_s
 
     def note_other_attempt(self, *, name: str) -> None:
-        """Another node began an attempt: repairs of this node let it pass, and on slow disks every proposal does."""
+        """Records that another node began an attempt, to which repairs, and on slow disks all proposals, yield."""
         self._other_attempts_until[name] = self._now() + self.timeout_s()
 
     def note_chosen(self, *, name: str) -> None:
-        """A value of the register is known to be chosen: no attempt has to be waited for."""
+        """Records that a value of the register was chosen, so that no other attempt has to be waited for."""
         self._other_attempts_until.pop(name, None)
 
     def has_to_yield(self, proposal: Proposal) -> bool:
-        """Whether a proposal lets another node's attempt pass now.
+        """Returns whether a proposal has to yield to another node's move or attempt now.
 
-        A repair does so for as long as there are such attempts and its time allows one of its own; others do so for a
-        limited time in all. One that finishes a move waits for no move: it is what all others wait for. Until it is
-        done a majority of the older set is needed too, whose members may go for good (docs/set-moves.md 10).
+        A repair yields for as long as there are such attempts and its deadline still allows one of its own; other
+        proposals yield for a limited time in total. A proposal that finishes a move does not yield to a move, because
+        all others wait for it. Until it is done, a majority of the older set is needed as well, whose members may be
+        lost permanently (docs/set-moves.md 10).
         """
         if proposal.is_move:
             return False
         if proposal.is_repair and self.is_other_attempting(proposal.register):
-            return self._now() < proposal.deadline - self.usual_timeout_s
-        if proposal.finishes_move or not self._is_other_at_work(proposal.register):
+            return self._now() < proposal.deadline - self.base_timeout_s
+        if proposal.finishes_move or not self._is_other_node_active(proposal.register):
             return False
         if proposal.yields_until is None:
-            until = self._now() + max(self.usual_timeout_s * YIELD_SHARE, self.timeout_s())
-            proposal.yields_until = min(until, proposal.deadline - self.usual_timeout_s)
+            until = self._now() + max(self.base_timeout_s * YIELD_SHARE, self.timeout_s())
+            proposal.yields_until = min(until, proposal.deadline - self.base_timeout_s)
         return self._now() < proposal.yields_until
 
     def is_other_attempting(self, register: str) -> bool:
-        """Whether another node began an attempt so lately that it may still be under way."""
+        """Returns whether another node began an attempt so recently that it may still be in progress."""
         return self._now() < self._other_attempts_until.get(register, 0.0)
 
-    def _is_other_at_work(self, register: str) -> bool:
+    def _is_other_node_active(self, register: str) -> bool:
         if self._is_move_expected is not None and self._is_move_expected(register):
             return True
         return self.has_slow_disk() and self.is_other_attempting(register)
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -1,8 +1,8 @@
 """The consensus part of a core node: acceptor, proposer, write-ahead log, and catch-up as a learner (docs/register.md).
 
-`ConsensusNode` owns these for the time of one process and connects them: requests go to the acceptor and are answered
-once the write-ahead log has the state that the reply reports; replies are passed to the proposer. It votes only with
-an identity on its disk; without one it is a learner until it has caught up from a majority.
+`ConsensusNode` owns these for the lifetime of one process and connects them: requests go to the acceptor and are
+answered once the write-ahead log has made the reported state durable; replies are passed to the proposer. A node votes
+only with an identity on its disk; without one it is a learner until it has caught up from a majority.
 """
 
 import collections.abc
@@ -24,45 +24,46 @@
 
 _log = logging.getLogger(__name__)
 
-# Shares of `receipt_s`, within which an order has to be acknowledged.
+# Fractions of `receipt_s`, the time within which an order has to be acknowledged.
 ATTEMPT_TIMEOUT_SHARE = 1 / 10  # how long an attempt waits for a majority
-PROPOSAL_LIMIT_SHARE = 1 / 2  # how long a proposal begins further attempts
-WRITE_RETRY_SHARE = 1 / 20  # from a failed write to the next attempt
-HANG_ATTEMPT_TIMEOUTS = 2  # a write that takes longer helps no attempt: this node votes for nothing meanwhile
-CATCH_UP_INTERVAL_SHARE = 1 / 16  # of `contact_s`: the interval of a learner's requests
-REPAIR_AFTER_HEARTBEATS = 2  # at the first member; each further one waits one more
+PROPOSAL_LIMIT_SHARE = 1 / 2  # how long a proposal may begin further attempts
+WRITE_RETRY_SHARE = 1 / 20  # delay before a failed write is retried
+# In attempt timeouts. A write that takes longer is too late for any attempt, so this node does not vote meanwhile.
+HANG_ATTEMPT_TIMEOUTS = 2
+CATCH_UP_INTERVAL_SHARE = 1 / 16  # interval of a learner's requests, as a fraction of `contact_s`
+REPAIR_AFTER_HEARTBEATS = 2  # for the first member of the core set; each further member waits one heartbeat more
 
 
 Handler = collections.abc.Callable[[str, interfaces.Connection | None, typing.Any], None]
 
 
 class ConsensusNode:
-    """Votes, proposes, reads and learns for one core node.
+    """Runs the acceptor, proposer and learner of one core node.
 
     Args:
         loop: the event loop.
-        own: address of this node, its name as a member.
+        own: address of this node, which is its name as a member.
         store: the acceptor's storage.
-        seeds: the first core set, if this is the first start of all.
+        seeds: the first core set, used at the first start of the cluster.
         is_first_start: whether the settings say that all nodes start for the first time, with empty disks and the
-            same seeds. The seeds are asked whether that is so before they found a set.
+            same seeds. All seeds have to confirm this before a first set is founded.
         chance: returns a random number from 0 to 1.
-        unique_id: a new unique id.
-        receipt_s: within how many seconds an order has to be acknowledged.
-        contact_s: within how many seconds a core node's contact with the others counts.
+        unique_id: returns a new unique id.
+        receipt_s: the time in seconds within which an order has to be acknowledged.
+        contact_s: how long a core node counts as being in contact with another after a message, in seconds.
         send: sends a message to another core node.
         broadcast_to_cores: sends a message to all connected core nodes.
-        members: the core set, as this node knows it.
-        publish: takes a register, revision and value known to be chosen; returns whether it is a newer one.
+        members: returns the core set, as this node knows it.
+        publish: takes a register, revision and value known to be chosen; returns whether the revision is a newer one.
         on_value: called with register, payload and members of each newer value.
-        version: the newest revision of a register known to be chosen.
-        on_founded: called once with the first set, if this node is one of those that found it.
+        version: returns the newest revision of a register known to be chosen.
+        on_founded: called once with the first set, if this node takes part in founding it.
 
     Attributes:
-        acceptor: in memory, ahead of the disk.
+        acceptor: the acceptor's state in memory, which may be ahead of the disk.
         proposer: makes changes and reads.
         write_ahead_log: delays replies until their state is durable.
-        is_damaged: whether the register's file could not be read at the start.
+        is_damaged: whether the file of the registers could not be read at the start.
     """
 
     def __init__(
@@ -89,17 +90,17 @@
         self.own = own
         self._unique_id = unique_id
         self._contact_s = contact_s
-        self._send_other = send
+        self._send_to_peer = send
         self._broadcast_to_cores = broadcast_to_cores
         self._members = members
         self._publish = publish
         self._on_value = on_value
         self._version = version
         self._on_founded = on_founded
-        self._is_first_life = is_first_start  # until an identity is found on the disk
-        self._reading: set[str] = set()  # registers that are being read to learn what is chosen
-        # register: (revision, heartbeats for which it has been accepted here and not known as chosen)
-        self._behind: dict[str, tuple[int, int]] = {}
+        self._is_first_start = is_first_start  # cleared if an identity is found on the disk
+        self._registers_in_repair: set[str] = set()  # registers that are being read to learn the chosen value
+        # register: (revision accepted here and not known as chosen or still in a move, number of heartbeats since)
+        self._unrepaired: dict[str, tuple[int, int]] = {}
         self._catch_up = catch_up.LearnerCatchUp(own=own, registers=register_names.REGISTERS)
         self._catch_up_begun_at = loop.now()
         attempt_timeout_s = receipt_s * ATTEMPT_TIMEOUT_SHARE
@@ -139,7 +140,7 @@
         }
         self._load(store, seeds, is_first_start)
 
-    # The start.
+    # Startup.
     def _load(
         self, store: acceptor_storage.AcceptorStorage, seeds: collections.abc.Iterable[str], is_first_start: bool
     ) -> None:
@@ -153,7 +154,7 @@
             image = acceptor_storage.Image()
             self.is_damaged = True
         if image.incarnation:
-            self._is_first_life = False
+            self._is_first_start = False
             self._start_from_image(image)
             return
         first_set = tuple(sorted(seeds))
@@ -164,14 +165,17 @@
         self.proposer.is_learner = True
         if self._catch_up.founding_set == (self.own,):
             self._catch_up.first_set = first_set
-            self._finish_catch_up()  # there is nobody to ask
+            self._finish_catch_up()  # the only member has no peer to catch up from
         else:
             self._request_catch_up()
 
     def _start_from_image(
         self, image: acceptor_storage.Image, *, on_durable: collections.abc.Callable[[], None] | None = None
     ) -> None:
-        """Continues from an image; nothing of it is sent before it is written once more (docs/register.md 3)."""
+        """Starts from an image of the acceptor, which is sent to no other node before it is rewritten to the disk.
+
+        The reason is in docs/register.md 3.
+        """
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows=image.rows)
         self.proposer.known_sets.seeds = image.first_set
         for row in image.rows:
@@ -186,7 +190,7 @@
         if member == self.own:
             self._loop.command(callback=lambda: self.handle(self.own, None, message))
         else:
-            self._send_other(member, message)
+            self._send_to_peer(member, message)
 
     def _answer(self, member: str, link: interfaces.Connection | None, message: tuple) -> None:
         if link is None:
@@ -200,7 +204,7 @@
         Args:
             member: the core node that sent it.
             link: the connection for a reply; None: this node itself.
-            message: typed.
+            message: the decoded message.
 
         Returns:
             Whether it was a message of the registers.
@@ -211,22 +215,23 @@
         handler(member, link, message)
         return True
 
-    # Requests to the acceptor. While the disk fails nothing changes here: the others can agree without this node.
+    # Requests to the acceptor. While the disk fails or hangs, its state does not change and requests are rejected: the
+    # other members can reach a majority without this node.
     def _handle_prepare(self, member: str, link: interfaces.Connection | None, request: messages.Prepare) -> None:
         if self.write_ahead_log.is_hindered:
             self._answer(member, link, self.write_ahead_log.durable.reject_prepare(request))
         else:
             if member != self.own:
                 self.proposer.pacing.note_other_attempt(name=request.register)
-            self._answer_when_durable(member, link, request, self.acceptor.prepare(request))
+            self._reply_when_durable(member, link, request, self.acceptor.prepare(request))
 
     def _handle_accept(self, member: str, link: interfaces.Connection | None, request: messages.Accept) -> None:
         if self.write_ahead_log.is_hindered:
             self._answer(member, link, self.write_ahead_log.durable.reject_accept(request))
         else:
-            self._answer_when_durable(member, link, request, self.acceptor.accept(request))
+            self._reply_when_durable(member, link, request, self.acceptor.accept(request))
 
-    def _answer_when_durable(
+    def _reply_when_durable(
         self,
         member: str,
         link: interfaces.Connection | None,
@@ -254,7 +259,7 @@
     def _handle_catch_up_request(
         self, member: str, link: interfaces.Connection | None, request: messages.CatchUpRequest
     ) -> None:
-        """A learner requests the rows on this node's disk. The promises that it requests are made first."""
+        """Sends a learner the rows on this node's disk, after the promises that it requests are durable."""
         assert link is not None  # a learner sends itself no request
         fences = {fence.register: fence.fence for fence in request.fences if fence.fence.number}
         if fences and self.write_ahead_log.is_hindered:
@@ -279,12 +284,12 @@
         link.send(messages.CatchUpReply(number=request.number, is_voter=durable.votes, rows=rows))
 
     def _request_catch_up(self) -> None:
-        """Sends the request to the connected core nodes periodically, until enough of them answered."""
+        """Sends the catch-up request to the connected core nodes periodically until this node votes."""
         if self.acceptor.votes:
             return
         if self._loop.now() - self._catch_up_begun_at > self._contact_s:
             self._catch_up_begun_at = self._loop.now()
-            self._note_founding_waits()
+            self._log_founding_waits()
             self._catch_up.start()
         _log.debug(
             "catch_up_requested", extra={"had": {member: len(rows) for member, rows in self._catch_up.answers.items()}}
@@ -292,7 +297,7 @@
         self._broadcast_to_cores(self._catch_up.request())
         self._loop.after(delay=self._contact_s * CATCH_UP_INTERVAL_SHARE, callback=self._request_catch_up)
 
-    def _note_founding_waits(self) -> None:
+    def _log_founding_waits(self) -> None:
         if self._catch_up.founding_set:
             answered = sorted(self._catch_up.answers)
             _log.error("founding_waits", extra={"seeds": list(self._catch_up.founding_set), "answered": answered})
@@ -331,57 +336,59 @@
             self.repair(name)
 
     def _is_move_expected(self, name: str) -> bool:
-        """Whether the coordinator is moving a register to another set, as far as this node can tell.
+        """Returns whether the coordinator is moving a register to another set, as far as this node can tell.
 
-        Either the register is still under another set than the core set itself, or this node accepted a move of it that
-        is not known to be over. A process that knows no chosen value yet waits for nobody: after a restart of all there
-        is no coordinator that could be moving it. The first start of all is the exception: the coordinator moves the
-        core set from the seeds to all core nodes, and the reads of those would overtake it (docs/set-moves.md 9).
+        That is so if the register still has another set than the core set itself, or if this node accepted a move of it
+        that is not known to be finished. A process that knows no chosen value yet expects no move: after a restart of
+        the whole cluster there is no coordinator that could be making one. The first start of the cluster is the
+        exception: there the coordinator moves the core set from the seeds to all core nodes, and the reads of those
+        nodes would overtake it (docs/set-moves.md 9).
         """
         if not self._version(name):
-            return self._is_first_life and name == register_names.CORE_SET
+            return self._is_first_start and name == register_names.CORE_SET
         if self.proposer.members(name) != self.proposer.members(register_names.CORE_SET):
             return True
         return self._is_half_moved(name)
 
     @property
     def is_voter(self) -> bool:
-        """Whether a majority may count on this node now: its identity is on its disk, and the disk accepts writes."""
+        """Whether this node can vote now: it has caught up, its identity is on its disk, and the disk is writable."""
         is_hindered = self.write_ahead_log.is_hindered
         return self.write_ahead_log.durable.votes and not self.proposer.is_learner and not is_hindered
 
-    # Reading and repair.
+    # Reads and repairs.
     def minimum_versions(self) -> tuple[messages.RegisterRevision, ...]:
-        """The newest revision of each register on this node's disk."""
+        """Returns the newest revision of each register on this node's disk."""
         durable = self.write_ahead_log.durable
         return tuple(messages.RegisterRevision(name, durable.get(name).revision) for name in register_names.REGISTERS)
 
     def read_unknown_registers(self) -> None:
-        """Reads the registers of which no chosen value is known yet."""
+        """Reads the registers for which no chosen value is known yet."""
         for name in register_names.REGISTERS:
             if not self._version(name):
                 self.repair(name)
 
     def repair(self, name: str) -> None:
-        """Reads a register, so that its newest value becomes known as chosen here; does nothing while it is at that.
+        """Reads a register, so that this node learns its newest value as chosen, unless such a read is in progress.
 
-        Repairs that queued behind each other would run out of time there one after the other, and none would ever
-        propose the value anew (docs/incidents/stale-repairs.md).
+        Several repairs of one register would queue behind each other and reach their deadlines in the queue one after
+        the other, so that none would ever propose the value again (docs/incidents/stale-repairs.md).
         """
-        if name in self._reading:
+        if name in self._registers_in_repair:
             return
-        self._reading.add(name)
+        self._registers_in_repair.add(name)
 
         def done(_error: Exception | None, _revision: int, _payload: object, _result: object) -> None:
-            self._reading.discard(name)
+            self._registers_in_repair.discard(name)
 
         self.proposer.read(name=name, done=done, is_repair=True)
 
     def run_anti_entropy(self) -> None:
-        """Called at each heartbeat: finishes proposals of proposers that ended.
+        """Completes, at each heartbeat, what proposers left unfinished.
 
-        A value that has been accepted here for a while and is not known as chosen is read; a move of the set that is
-        half-done is finished by a proposal. Members do so in turn, so that they do not compete.
+        A value that was accepted here several heartbeats ago and is not known as chosen is read; a half-done move of
+        the set is finished by a proposal. Each member waits for a different number of heartbeats, so that they do not
+        compete.
         """
         if not self.acceptor.votes:
             return
@@ -392,24 +399,24 @@
             is_open = state.revision > self._version(name)
             is_moving = ballots.is_moving(state.value)
             if not is_open and not is_moving:
-                self._behind.pop(name, None)
+                self._unrepaired.pop(name, None)
                 continue
-            revision, heartbeats = self._behind.get(name, (state.revision, 0))
+            revision, heartbeats = self._unrepaired.get(name, (state.revision, 0))
             heartbeats = heartbeats + 1 if revision == state.revision else 1
             if heartbeats >= repair_after:
                 heartbeats = 0
                 if is_open:
                     self.repair(name)
                 else:
-                    self.proposer.finish_move(name=name, is_wanted=functools.partial(self._has_to_finish_move, name))
-            self._behind[name] = (state.revision, heartbeats)
+                    self.proposer.finish_move(name=name, is_wanted=functools.partial(self._should_finish_move, name))
+            self._unrepaired[name] = (state.revision, heartbeats)
 
-    def _has_to_finish_move(self, name: str) -> bool:
-        """Whether a move is half-done here, and no other node is at work on the register now."""
+    def _should_finish_move(self, name: str) -> bool:
+        """Returns whether a move is half-done here and no other node is making an attempt on the register now."""
         return self._is_half_moved(name) and not self.proposer.pacing.is_other_attempting(name)
 
     def _is_half_moved(self, name: str) -> bool:
-        """Whether the newest value accepted here names the set before a move of the core set as well."""
+        """Returns whether the newest value accepted here also names the set before a move."""
         return ballots.is_moving(self.acceptor.get(name).value)
 
     def _on_chosen(self, name: str, ballot: Ballot, revision: int, value: bytes, is_newly_chosen: bool) -> None:
@@ -425,8 +432,8 @@
 
         Args:
             name: the register.
-            revision: of the value.
-            value: as it is stored; empty: nothing happens.
+            revision: revision of the value.
+            value: the value as it is stored; an empty one is ignored.
         """
         if not value or not self._publish(name, revision, value):
             return
--- a/ploverward/control_plane/consensus/next_value.py
+++ b/ploverward/control_plane/consensus/next_value.py
@@ -1,7 +1,7 @@
-"""What a proposer writes after phase 1, from the value that it found (docs/register.md 2). Nothing here does I/O.
+"""Computes the value that a proposer writes in phase 2 from the value that it found (docs/register.md 2), without I/O.
 
-A value carries its set, and the set before it until its own is known to be chosen. Moves are sequential: a move
-that was found incomplete is written once more, and chosen, before the next one is.
+A value names its core set, and also the previous set until its own is known to be chosen. Moves are sequential: a move
+that is found incomplete is proposed again, and chosen, before the next move is proposed.
 """
 
 from ploverward.common import errors
@@ -13,10 +13,10 @@
 
 
 def choose(proposal: Proposal) -> NextValue:
-    """The value for phase 2 of this attempt.
+    """Returns the value for phase 2 of an attempt.
 
     Args:
-        proposal: with `highest`, the value found, and `known_set`.
+        proposal: a proposal that has finished phase 1, with `highest`, the value found, and `known_set`.
     """
     found = proposal.highest
     members = chosen_set = proposal.known_set
@@ -58,7 +58,11 @@
     error: Exception | None = None,
     result: object = None,
 ) -> NextValue:
-    """Nothing to change: the value found is made safe at a majority under this ballot, then acknowledged."""
+    """Returns the value found, to be proposed again under this ballot, as the proposal changes nothing.
+
+    Once a majority has accepted it, the proposal is acknowledged. The previous set is removed from the value if the
+    value's own set is known to be chosen.
+    """
     value, members = found.value, chosen_set
     if value:
         member_sets = ballots.member_sets(value)
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -1,20 +1,21 @@
-"""The proposer: compare-and-set in two phases at a majority, of the CASPaxos family (docs/register.md 1, 2).
+"""The CASPaxos proposer: compare-and-set on replicated registers in two phases (docs/register.md 1, 2).
 
-It owns the proposals of one process, at most one at a time for each register; the others wait in a queue. A proposal
+It runs the proposals of one process, at most one at a time for each register; the others wait in a queue. A proposal
 has these stages:
 
     QUEUED -> QUORUM_READ (reads only) -> PREPARE -> ACCEPT -> FINISHED
                     |                        ^          |
                     +------> BACKOFF --------+ <--------+   a higher ballot was seen, or no majority answered in time
 
-An attempt needs a majority of every set that it finds: the one that this node knew as chosen, those of the values
-found, and the one that it writes. Each attempt has a ballot and a number of its own; replies to an older one are not
-counted.
+An attempt needs a majority of each of several member sets: the set that this node knew as chosen, the sets of the
+newest value found, and the set that it writes. Each attempt has its own ballot and number; replies to an older attempt
+are ignored.
 
-A move of the core set goes before rounds that only wait (docs/set-moves.md 9): it is queued in front of them, takes the
-place of one that pauses, and other nodes let it pass: their rounds of a register that is about to be moved, or is in
-the middle of a move, pause for the time of two attempts, and reads ask once more without a round. Repairs come last in
-the same way, and let the attempts of other nodes pass: after a restart of all, every node has the same repairs to make.
+A move of the core set has priority over proposals that are only waiting (docs/set-moves.md 9). At its own node it is
+queued before them and displaces one that is backing off. Other nodes yield to it: while a register is about to be moved
+or is in the middle of a move, their proposals for it pause for the time of two attempts, and reads repeat the quorum
+read instead of proposing. Repairs have the lowest priority in the same way, and yield to the attempts of other nodes:
+after a restart of the whole cluster, every node has the same repairs to make.
 """
 
 import collections.abc
@@ -36,22 +37,23 @@
 from ploverward.control_plane.consensus.register_state import AcceptedValue
 from ploverward.transport import messages
 
-MAX_ATTEMPTS = 12  # of one proposal
-# Pauses and waits are given as shares of the time-out of an attempt.
+MAX_ATTEMPTS = 12  # per proposal
+# The following durations are fractions of the attempt timeout.
 MIN_BACKOFF_SHARE = 0.1
-BACKOFF_STEP_SHARE = 0.4  # the random part of the first pause
-MAX_BACKOFF_FACTOR = 8  # how many times longer the random part becomes
+BACKOFF_STEP_SHARE = 0.4  # upper bound of the random part of the first backoff
+MAX_BACKOFF_FACTOR = 8  # limit on the growth of the random part
 READ_TIMEOUT_SHARE = 0.5  # how long a quorum read waits for a majority
 RANK_DEFERRAL_SHARE = 0.35  # for each member that is listed before this node
 
 Send = collections.abc.Callable[[str, tuple], object]  # (member, message)
-CallLater = collections.abc.Callable[[float, collections.abc.Callable[[], object]], object]  # (delay in seconds, what)
-# (register, ballot, revision, value, whether this node made it chosen, so that others have to be notified)
+# (delay in seconds, callback)
+CallLater = collections.abc.Callable[[float, collections.abc.Callable[[], object]], object]
+# (register, ballot, revision, value, whether this node's attempt got it chosen, so that others have to be notified)
 OnChosen = collections.abc.Callable[[str, Ballot, int, bytes, bool], object]
 
 
 def _ignore_outcome(_error: Exception | None, _revision: int, _payload: object, _result: object) -> None:
-    """The default of `done`: the outcome is not needed."""
+    """Serves as `done` for proposals whose outcome is not needed."""
 
 
 class Proposer:
@@ -59,23 +61,24 @@
 
     Args:
         own: unique name of this process, HOST/ID; it breaks ties between ballots.
-        seeds: the core set in force before any value was chosen; () where this node does not know one.
+        seeds: the core set in force before any value was chosen; () if this node does not know one.
         send: sends a message to a member.
         later: calls back after a delay.
-        now: loop time in seconds.
+        now: returns the loop time in seconds.
         chance: returns a random number from 0 to 1.
-        on_chosen: called with each value that is found or made chosen.
-        limit_s: how long after its begin a proposal begins a further attempt.
+        on_chosen: called with each value that this node finds chosen or gets chosen.
+        limit_s: deadline of a proposal, in seconds after it was created; no further attempt begins after it.
         attempt_timeout_s: how long an attempt waits for a majority.
-        accepted_value: register to the value on this node's disk, which replies may leave out. None: replies are
-            complete.
-        usual_write_s: how long a write to this node's disk takes lately, in seconds. None: no time at all.
-        is_move_expected: register to whether another node is about to move it to another set. None: never.
+        accepted_value: returns the value of a register on this node's disk, which replies may omit. None: replies
+            always carry the value.
+        usual_write_s: returns the recent average duration of a write to this node's disk, in seconds. None: writes
+            are assumed to take no time.
+        is_move_expected: returns whether another node is about to move a register to another set. None: never.
 
     Attributes:
         known_sets: the core set of each register.
-        pacing: how long attempts take, and when they let those of other nodes pass.
-        is_learner: whether this node may not propose, as it does not know the registers yet.
+        pacing: the timeouts of attempts, and when proposals yield to those of other nodes.
+        is_learner: whether this node must not propose because it has not caught up on the registers yet.
     """
 
     def __init__(
@@ -112,18 +115,18 @@
         self._on_chosen = on_chosen
         self._limit_s = limit_s
         self._attempt_timeout_s = attempt_timeout_s
-        self._highest_numbers: dict[str, int] = {}  # register: highest number of a ballot seen
-        self._last_number = 0  # of the newest attempt
-        self._active: dict[int, Proposal] = {}  # by the number of the attempt
+        self._highest_numbers: dict[str, int] = {}  # register: highest ballot number seen
+        self._last_number = 0  # last number given to a proposal or attempt
+        self._active: dict[int, Proposal] = {}  # attempt number: proposal
         self._queues = proposal_queues.ProposalQueues()
 
-    # Calls of this node.
+    # Requests of this node.
     def members(self, name: str) -> tuple[str, ...]:
-        """The core set of a register, as far as this node knows."""
+        """Returns the core set of a register, as far as this node knows."""
         return self.known_sets.members(name)
 
     def note_ballot_number(self, *, name: str, number: int) -> None:
-        """A ballot number known to be in use: an attempt below it would only be rejected."""
+        """Records a ballot number that is in use, as acceptors would reject an attempt with a lower one."""
         self._highest_numbers[name] = max(self._highest_numbers.get(name, 0), number)
 
     def change(
@@ -136,19 +139,19 @@
         is_wanted: collections.abc.Callable[[], bool] | None = None,
         is_repair: bool = False,
     ) -> None:
-        """Changes a register, after the proposals for it that this node began before.
+        """Changes a register, after the proposals that this node made for it earlier.
 
-        A move goes before those of them that wait, and any other change before repairs that wait.
+        A move is placed before waiting proposals, and any other change before waiting repairs.
 
         Args:
             name: the register.
-            edit: from the payload found to (new payload, result); None: the payload stays. A further attempt may find
-                what an earlier one of the same change has written, so an edit has to recognise its own work.
-            done: called once with (error or None, revision, payload, result). Errors are what `edit` raised, and
-                `QuorumUnavailableError`: then the change may have been made, or may still be.
-            next_set: the core set to move the register to.
-            is_wanted: called before each attempt; False ends the proposal.
-            is_repair: whether it only makes known, or completes, what other proposals left behind.
+            edit: maps the payload found to (new payload, result); None: the payload stays. A retry may find what an
+                earlier attempt of the same change wrote, so an edit has to recognise its own result.
+            done: called once with (error or None, revision, payload, result). The error is what `edit` raised, or
+                `QuorumUnavailableError`: then the change may already have been made, or may still take effect.
+            next_set: the core set to move the register to; None: the set stays.
+            is_wanted: called before each attempt; False ends the proposal. None: always wanted.
+            is_repair: whether it only discovers or completes what earlier proposals left unfinished.
         """
         self._last_number += 1
         proposal = Proposal(
@@ -168,15 +171,15 @@
             self._start(proposal)
 
     def read(self, *, name: str, done: Done, is_repair: bool = False) -> None:
-        """Reads a register; `done` and `is_repair` as with `change`, with result None."""
+        """Reads a register; `done` and `is_repair` are as in `change`, with a result of None."""
         self.change(name=name, edit=None, done=done, is_repair=is_repair)
 
     def finish_move(self, *, name: str, is_wanted: collections.abc.Callable[[], bool] | None = None) -> None:
-        """Writes the value found once more, without the set before it where the move from that is over.
+        """Rewrites the current value, and removes the previous set from it once the move away from that set is chosen.
 
         Args:
             name: the register.
-            is_wanted: called before each attempt; False ends the proposal.
+            is_wanted: called before each attempt; False ends the proposal. None: always wanted.
         """
 
         def unchanged(payload: object) -> tuple[object, None]:
@@ -186,13 +189,13 @@
 
     # The queue.
     def _deactivate(self, proposal: Proposal) -> None:
-        """Puts a proposal that pauses back to waiting in the queue."""
+        """Returns a proposal that is backing off to the state of waiting in the queue."""
         self._active.pop(proposal.number, None)
         proposal.stage = Stage.QUEUED
 
-    def _let_others_pass(self, proposal: Proposal) -> bool:
-        """Requeues a proposal that pauses behind those of a higher priority; returns whether there are any."""
-        following = self._queues.let_others_pass(proposal)
+    def _requeue_behind_higher_priority(self, proposal: Proposal) -> bool:
+        """Requeues a proposal that is backing off behind those of higher priority; returns whether there are any."""
+        following = self._queues.requeue_behind_higher_priority(proposal)
         if following is None:
             return False
         self._deactivate(proposal)
@@ -206,10 +209,10 @@
             error = errors.QuorumUnavailableError("this node is a learner", step="start", peer=proposal.register)
             self._later(0, lambda: self._finish(proposal, Outcome(error)))
         elif proposal.is_read and not self._has_time_to_propose(proposal):
-            # It would take the time of those that wait behind it, until they have none left either: where only a ballot
-            # can decide the value, none of them would ever propose (docs/incidents/stale-repairs.md).
-            self._fail(proposal)
-        elif proposal.is_read or self._looks_first(proposal):
+            # Running it would use up the time of the proposals queued behind it, until none has any left: where only a
+            # new ballot can decide the value, none of them would ever propose (docs/incidents/stale-repairs.md).
+            self._finish_without_majority(proposal)
+        elif proposal.is_read or self._reads_first(proposal):
             self._begin_quorum_read(proposal)
         else:
             self._prepare(proposal)
@@ -217,33 +220,33 @@
     def _finish(self, proposal: Proposal, outcome: Outcome) -> None:
         if proposal.stage is Stage.FINISHED:
             return
-        # A change whose time ran out in the queue never became active; it ends all the same.
+        # A change whose deadline passed in the queue never became active, but is finished here as well.
         self._active.pop(proposal.number, None)
         proposal.stage = Stage.FINISHED
         following = self._queues.remove(proposal)
         if following is not None:
             self._later(0, lambda: self._start_queued(following))
-        # Once a move is chosen, the change is: only what follows a move was still in progress.
+        # Once its move is chosen, a proposal has succeeded, even if removing the previous set failed afterwards.
         proposal.done(*(proposal.move_outcome or outcome))
 
     def _has_time_to_propose(self, proposal: Proposal) -> bool:
-        """Whether a read that begins now may still propose the value that it finds, if that is not known as chosen."""
-        needed_s = self._attempt_timeout_s * READ_TIMEOUT_SHARE + self.pacing.usual_timeout_s
+        """Returns whether a read that begins now has time left to propose the value found, should it be undecided."""
+        needed_s = self._attempt_timeout_s * READ_TIMEOUT_SHARE + self.pacing.base_timeout_s
         return self._now() + needed_s < proposal.deadline
 
-    def _fail(self, proposal: Proposal) -> None:
-        """Ends a proposal that no majority answered in its time."""
+    def _finish_without_majority(self, proposal: Proposal) -> None:
+        """Ends a proposal with `QuorumUnavailableError`."""
         step = proposal.stage.value or Stage.PREPARE.value
         error = errors.QuorumUnavailableError("no majority", step=step, peer=proposal.register)
         self._finish(proposal, Outcome(error))
 
     def _start_queued(self, proposal: Proposal) -> None:
-        # Another one may have been queued in front of it meanwhile.
+        # Another proposal may have been queued before it in the meantime.
         if proposal.stage is Stage.QUEUED and self._queues.is_first(proposal):
             self._start(proposal)
 
     def _activate(self, proposal: Proposal) -> int:
-        """Gives an attempt a number of its own, so that replies to an older attempt are never counted."""
+        """Gives the next attempt a new number, so that replies to older attempts are ignored, and returns it."""
         self._active.pop(proposal.number, None)
         self._last_number += 1
         proposal.number = self._last_number
@@ -266,10 +269,10 @@
         self._later(self._attempt_timeout_s * READ_TIMEOUT_SHARE, lambda: self._end_quorum_read(proposal, number))
 
     def _end_quorum_read(self, proposal: Proposal, number: int) -> None:
-        """A quorum read found nothing chosen, so the value has to be proposed again.
+        """Proposes the value again, as the quorum read could not show that it is chosen.
 
-        Nodes do that in turn, so that those that all read at once do not compete with their ballots
-        (`test_reads_and_changes_finish_after_all_nodes_restart_at_once`).
+        Nodes wait in order of their rank and read once more before they propose. Otherwise nodes that all read at the
+        same time would compete with their ballots (`test_reads_and_changes_finish_after_all_nodes_restart_at_once`).
         """
         if proposal.number != number or proposal.stage is not Stage.QUORUM_READ:
             return
@@ -295,7 +298,7 @@
             return
         self.note_ballot_number(name=reply.register, number=max(reply.promised.number, reply.accepted.number))
         accepted = AcceptedValue(reply.accepted, reply.revision, reply.value)
-        proposal.read_replies[member] = proposal.fill_in(accepted)
+        proposal.read_replies[member] = proposal.restore_omitted_value(accepted)
         verdict, chosen = quorum_read.evaluate(
             replies=proposal.read_replies,
             members=proposal.known_set,
@@ -313,7 +316,7 @@
             self._end_quorum_read(proposal, proposal.number)
 
     def _handle_read_value(self, proposal: Proposal, chosen: AcceptedValue) -> None:
-        """The value read is the newest one. A change that finds its work done there, or is refused there, is over."""
+        """Completes a read with the newest value, and a change that this value already contains or its edit refuses."""
         _members, payload = ballots.unpack(chosen.value)
         if proposal.edit is None:
             self._finish(proposal, Outcome(None, chosen.revision, payload))
@@ -328,36 +331,37 @@
         else:
             self._prepare(proposal)
 
-    def _looks_first(self, proposal: Proposal) -> bool:
-        """Whether a change reads before it proposes.
+    def _reads_first(self, proposal: Proposal) -> bool:
+        """Returns whether a change does a quorum read before it proposes.
 
-        On slow disks a round takes longer than its caller waits. The same change then comes again, at any node; a read,
-        which waits for no disk, finds that it was made. After an attempt that failed beside one of another node it does
-        so on any disk: the orders of several nodes end each other's attempts, and a read ends nobody's. It finds what
-        the others made meanwhile, and where one of them is at work, nodes go on in turn (`_end_quorum_read`).
+        On slow disks an attempt takes longer than its caller waits. The caller then repeats the same change, at any
+        node; a read, which waits for no disk, finds that the change was already made. After an attempt that failed
+        while another node made one, a change reads first on any disk: changes of several nodes preempt each other's
+        attempts, and a read preempts none. It finds what the other nodes wrote in the meantime, and where one of them
+        is still attempting, nodes proceed in turn (`_end_quorum_read`).
         """
         is_change = not proposal.is_move and proposal.edit is not None
         return is_change and (self.pacing.has_slow_disk() or self._has_lost_to_other(proposal))
 
     def _has_lost_to_other(self, proposal: Proposal) -> bool:
-        """Whether an attempt of a call's change failed, and another node attempts one now."""
+        """Returns whether an attempt of a change that a caller waits for failed while another node attempts one."""
         is_retry = proposal.attempts > 0 and proposal.edit is not None and proposal.priority is Priority.CALL
         return is_retry and self.pacing.is_other_attempting(proposal.register)
 
-    def _yields(self, proposal: Proposal) -> bool:
-        """Whether a round pauses first, as another node is about to move its register, or is changing it."""
+    def _pause_to_yield(self, proposal: Proposal) -> bool:
+        """Pauses a proposal if it has to yield to another node's move or attempt; returns whether it does."""
         if not self.pacing.has_to_yield(proposal):
             return False
         proposal.stage = Stage.BACKOFF
-        has_to_look = proposal.is_read or self._looks_first(proposal)
-        resume = self._resume_quorum_read if has_to_look else self._resume_prepare
+        reads_first = proposal.is_read or self._reads_first(proposal)
+        resume = self._resume_quorum_read if reads_first else self._resume_prepare
         self._later(self.pacing.recheck_s, lambda: resume(proposal))
         return True
 
-    def _is_done_by_others(self, proposal: Proposal) -> bool:
-        """Whether rounds of other nodes completed a move that this node began.
+    def _is_move_completed_by_others(self, proposal: Proposal) -> bool:
+        """Returns whether proposals of other nodes completed a move that this node began.
 
-        A round that finds a move accepted makes it chosen before it writes its own value, which names one set only.
+        A proposal that finds an accepted move gets it chosen before it writes its own value, which names one set only.
         """
         name = proposal.register
         if proposal.move_outcome is not None:
@@ -366,17 +370,17 @@
 
     # Phase 1.
     def _prepare(self, proposal: Proposal) -> None:
-        if proposal.stage is Stage.FINISHED or (self._now() < proposal.deadline and self._yields(proposal)):
+        if proposal.stage is Stage.FINISHED or (self._now() < proposal.deadline and self._pause_to_yield(proposal)):
             return
-        if self._is_done_by_others(proposal):
+        if self._is_move_completed_by_others(proposal):
             if proposal.edit is None:
                 self._finish(proposal, Outcome(None, self.known_sets.revision(proposal.register)))
                 return
-            proposal.next_set = None  # what is left is the edit
+            proposal.next_set = None  # only the edit is left to do
         proposal.attempts += 1
-        is_given_up = proposal.is_wanted is not None and not proposal.is_wanted()
-        if is_given_up or self._now() >= proposal.deadline or proposal.attempts > MAX_ATTEMPTS:
-            self._fail(proposal)
+        is_abandoned = proposal.is_wanted is not None and not proposal.is_wanted()
+        if is_abandoned or self._now() >= proposal.deadline or proposal.attempts > MAX_ATTEMPTS:
+            self._finish_without_majority(proposal)
             return
         name = proposal.register
         self.note_ballot_number(name=name, number=self._highest_numbers.get(name, 0) + 1)
@@ -387,15 +391,15 @@
             members=members,
             known_revision=self.known_sets.revision(name),
         )
-        self._ask(proposal, members)
+        self._send_prepares(proposal, members)
         self._later(self.pacing.timeout_s(), lambda: self._expire(proposal, number))
 
-    def _ask(self, proposal: Proposal, members: tuple[str, ...]) -> None:
-        """Sends a prepare to those of these members that were sent none yet."""
+    def _send_prepares(self, proposal: Proposal, members: tuple[str, ...]) -> None:
+        """Sends a prepare to each of these members that has not been sent one in this attempt."""
         known = proposal.known_value.ballot
         for member in members:
-            if member not in proposal.asked:
-                proposal.asked.add(member)
+            if member not in proposal.prepared_members:
+                proposal.prepared_members.add(member)
                 self._send(member, messages.Prepare(proposal.number, proposal.register, proposal.ballot, known))
 
     def _expire(self, proposal: Proposal, number: int) -> None:
@@ -403,14 +407,14 @@
             self._back_off(proposal)
 
     def _back_off(self, proposal: Proposal) -> None:
-        """Begins a further attempt after a pause."""
+        """Schedules a further attempt after a random pause, or lets a waiting proposal of higher priority run first."""
         if proposal.stage in (Stage.FINISHED, Stage.BACKOFF):
             return
         proposal.stage = Stage.BACKOFF
-        if self._let_others_pass(proposal):
+        if self._requeue_behind_higher_priority(proposal):
             return
-        # An attempt takes about half of its time-out: the attempts of two competing proposers have to be further apart
-        # than that. The pauses of a move of the set do not grow, so that it succeeds while orders keep coming.
+        # An attempt takes about half of its timeout, so the attempts of two competing proposers have to be further
+        # apart than that. The pauses of a move do not grow, so that it succeeds under a continuous load of changes.
         steps = 1 if proposal.is_move else min(2 ** (proposal.attempts - 1), MAX_BACKOFF_FACTOR)
         pause_s = self._attempt_timeout_s * (MIN_BACKOFF_SHARE + self._chance() * BACKOFF_STEP_SHARE * steps)
         self._later(pause_s, lambda: self._resume_prepare(proposal))
@@ -440,7 +444,7 @@
             self._count_promise(proposal, member, reply)
 
     def _handle_late_promise(self, proposal: Proposal, member: str, reply: messages.Promise) -> None:
-        """A promise in phase 2 counts only if it knows nothing newer than what this attempt is built on."""
+        """Counts a promise that arrives in phase 2, unless it reports a newer value than the attempt is based on."""
         if reply.accepted > proposal.highest.ballot and reply.accepted != proposal.ballot:
             self._back_off(proposal)
         elif member not in proposal.promises:
@@ -451,10 +455,10 @@
         proposal.promises[member] = reply.incarnation
         if reply.accepted > proposal.highest.ballot:
             found = AcceptedValue(reply.accepted, reply.revision, reply.value)
-            proposal.highest = proposal.fill_in(found)
+            proposal.highest = proposal.restore_omitted_value(found)
             proposal.found_sets = ballots.member_sets(proposal.highest.value)
             for members in proposal.found_sets:
-                self._ask(proposal, members)
+                self._send_prepares(proposal, members)
         if proposal.is_majority(proposal.promises):
             self._accept(proposal)
 
@@ -466,7 +470,7 @@
             return
         proposal.stage = Stage.ACCEPT
         proposal.written_set = chosen.members
-        self._ask(proposal, chosen.members)
+        self._send_prepares(proposal, chosen.members)
         for member in list(proposal.promises):
             self._send_accept(proposal, member)
 
@@ -476,7 +480,7 @@
             number=proposal.number,
             register=proposal.register,
             ballot=proposal.ballot,
-            incarnation=proposal.promises[member],  # a promise that was lost with a disk cannot be used
+            incarnation=proposal.promises[member],  # lets an acceptor reject a promise that was lost with its disk
             revision=proposal.next_value.revision,
             value=proposal.next_value.value,
         )
@@ -495,13 +499,13 @@
                 proposal.promises.pop(member, None)
             return
         if reply.ballot != proposal.ballot:
-            return  # a reply to an earlier process of this node, whose attempts had the same numbers
+            return  # a reply to an earlier process of this node, whose attempts used the same numbers
         proposal.accepts.add(member)
         if proposal.is_majority(proposal.accepts):
             self._handle_chosen(proposal)
 
     def _handle_chosen(self, proposal: Proposal) -> None:
-        """The value of this attempt is chosen, and so is its set."""
+        """Records the value and the set of this attempt as chosen, and finishes or continues the proposal."""
         written = proposal.next_value
         assert written is not None
         name, revision, value = proposal.register, written.revision, written.value
@@ -511,8 +515,8 @@
         if written.is_older_move:
             self._prepare(proposal)
         elif proposal.next_set is not None and proposal.move_outcome is None and is_moving:
-            # The move is chosen. One more attempt removes the older set from the value: it is no longer needed then.
-            # That attempt is made however late it is, as all other nodes wait for it before they propose.
+            # The move is chosen. One more attempt removes the previous set from the value, after which no majority of
+            # that set is needed. The deadline is extended for it, as all other nodes wait for it before they propose.
             proposal.deadline = max(proposal.deadline, self._now() + self.pacing.timeout_s())
             proposal.move_outcome = Outcome(written.error, revision, written.payload, written.result)
             proposal.edit = None
--- a/ploverward/control_plane/consensus/quorum_read.py
+++ b/ploverward/control_plane/consensus/quorum_read.py
@@ -1,6 +1,7 @@
-"""When the replies to a quorum read show a chosen value (docs/register.md 1). Nothing here does I/O.
+"""Decides whether the replies to a quorum read show a chosen value (docs/register.md 1), without I/O.
 
-Where a majority of the set in force accepted the highest ballot seen, that value is chosen: a read needs no promise.
+If a majority of the set in force accepted the highest ballot seen, that value is chosen, so that a read needs no
+promises.
 """
 
 import collections.abc
@@ -15,16 +16,16 @@
 
 
 class Verdict(enum.Enum):
-    """What the replies show."""
+    """The result of evaluating the replies received so far."""
 
-    INCOMPLETE = "incomplete"  # more replies may decide it
+    INCOMPLETE = "incomplete"  # further replies may decide the read
     EMPTY = "empty"  # no value was chosen
     CHOSEN = "chosen"
-    UNDECIDED = "undecided"  # only a ballot of this node's own can decide it
+    UNDECIDED = "undecided"  # only a proposal with a ballot of this node can decide the value
 
 
 class QuorumReadResult(typing.NamedTuple):
-    """The verdict, and the value where one is chosen."""
+    """The verdict, and the value if one is chosen."""
 
     verdict: Verdict
     chosen: AcceptedValue = NO_VALUE
@@ -36,12 +37,15 @@
     members: tuple[str, ...],
     known_revision: int,
 ) -> QuorumReadResult:
-    """Judges the replies so far.
+    """Evaluates the replies received so far.
 
     Args:
         replies: member to its accepted value.
         members: the set in force, as this node knew it when the read began.
         known_revision: the revision of the chosen value that this node knew when the read began.
+
+    Returns:
+        The verdict, with the chosen value if the verdict is `Verdict.CHOSEN`.
     """
     if not ballots.has_majority(of=members, among=replies):
         return QuorumReadResult(Verdict.INCOMPLETE)
--- a/ploverward/control_plane/consensus/register_state.py
+++ b/ploverward/control_plane/consensus/register_state.py
@@ -1,4 +1,4 @@
-"""What an acceptor keeps of one register, as types. Both are immutable and compare by their fields in order."""
+"""The types of an acceptor's state of one register. They are immutable and compare by their fields in order."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
     ballot: Ballot
     revision: int
-    value: bytes  # `ballots.pack`; empty where the receiver of a message has it already
+    value: bytes  # encoded by `ballots.pack`; empty in a message whose receiver already has it
 
 
 NO_VALUE = AcceptedValue(ballot=NO_BALLOT, revision=0, value=b"")
@@ -22,22 +22,22 @@
     """The state of one register at an acceptor. Invariant: `accepted` is at most `promised`."""
 
     promised: Ballot
-    accepted: Ballot  # `NO_BALLOT` where nothing was accepted
+    accepted: Ballot  # `NO_BALLOT` if nothing was accepted
     revision: int
     value: bytes
 
     @property
     def accepted_value(self) -> AcceptedValue:
-        """The value that was accepted last; `NO_VALUE` where none was."""
+        """The value that was accepted last; `NO_VALUE` if none was."""
         return AcceptedValue(ballot=self.accepted, revision=self.revision, value=self.value)
 
     def to_row(self, register: str) -> messages.RegisterRow:
-        """The state under the name of its register, as it is stored and sent."""
+        """Returns the state with the name of its register, as it is stored and sent."""
         return messages.RegisterRow(register, *self)
 
     @classmethod
     def from_row(cls, row: messages.RegisterRow) -> "RegisterState":
-        """The reverse of `to_row`."""
+        """Returns the state in a row; the inverse of `to_row`."""
         return cls(row.promised, row.accepted, row.revision, row.value)
 
 
--- a/ploverward/control_plane/consensus/test_attempt_pacing.py
+++ b/ploverward/control_plane/consensus/test_attempt_pacing.py
@@ -161,7 +161,7 @@
     scene = Scene(is_move_expected=False)
     for options in ({}, {"is_repair": True}, {}, {"next_set": ("a", "b")}, {"is_repair": True}, {}):
         scene.change(**options)
-    queue = scene.proposer._queues.of("duty")
+    queue = scene.proposer._queues.proposals_for("duty")
     priorities = [waiting.priority.name for waiting in queue]
     assert priorities == ["CALL", "MOVE", "CALL", "CALL", "REPAIR", "REPAIR"]  # the first one is at work
 
@@ -170,10 +170,10 @@
     scene = Scene(is_move_expected=False)
     scene.change(is_repair=True)
     scene.change()
-    repair = scene.proposer._queues.of("duty")[0]
+    repair = scene.proposer._queues.proposals_for("duty")[0]
     assert repair.is_repair
     scene.proposer._back_off(repair)
-    assert [waiting.is_repair for waiting in scene.proposer._queues.of("duty")] == [False, True]
+    assert [waiting.is_repair for waiting in scene.proposer._queues.proposals_for("duty")] == [False, True]
 
 
 def test_repair_makes_no_attempt_while_other_nodes_keep_attempting():
--- a/ploverward/control_plane/consensus/test_move_priority.py
+++ b/ploverward/control_plane/consensus/test_move_priority.py
@@ -57,13 +57,13 @@
     ended = []
     proposer = model.nodes["a"].voting.proposer
     proposer.change(name=NAME, edit=lambda payload: (payload + 1, None), done=lambda *_row: ended.append("order"))
-    order = proposer._queues.of(NAME)[0]
+    order = proposer._queues.proposals_for(NAME)[0]
     proposer._back_off(order)
-    assert proposer._queues.of(NAME)[0] is order
+    assert proposer._queues.proposals_for(NAME)[0] is order
     proposer.change(
         name=NAME, edit=lambda payload: (payload, None), done=lambda *_row: ended.append("move"), next_set=MOVED
     )
-    assert proposer._queues.of(NAME)[0].is_move and proposer._queues.of(NAME)[1] is order
+    assert proposer._queues.proposals_for(NAME)[0].is_move and proposer._queues.proposals_for(NAME)[1] is order
     model.world.run(until=SETTLED_AT_S + 5.0)
     assert ended == ["move", "order"]
 
@@ -73,11 +73,11 @@
     ended = []
     proposer = model.nodes["a"].voting.proposer
     proposer.change(name=NAME, edit=lambda payload: (payload + 1, None), done=lambda *_row: ended.append("order"))
-    order = proposer._queues.of(NAME)[0]
+    order = proposer._queues.proposals_for(NAME)[0]
     proposer.change(
         name=NAME, edit=lambda payload: (payload, None), done=lambda *_row: ended.append("move"), next_set=MOVED
     )
-    assert proposer._queues.of(NAME)[0] is order
+    assert proposer._queues.proposals_for(NAME)[0] is order
     proposer._back_off(order)
     model.world.run(until=SETTLED_AT_S + 5.0)
     assert ended == ["move", "order"]
@@ -93,7 +93,7 @@
         ends.append((error, ballots.member_sets(node.acceptor.get(NAME).value)))
 
     node.proposer.change(name=NAME, edit=None, done=done, next_set=MOVED)
-    node.proposer._queues.of(NAME)[0].deadline = model.world.now()
+    node.proposer._queues.proposals_for(NAME)[0].deadline = model.world.now()
     model.world.run(until=SETTLED_AT_S + 2.0)
     assert ends == [(None, (MOVED,))]
 
@@ -144,9 +144,9 @@
     node = model.nodes["a"].voting
     for name in ("duty", "duty", "cores", "duty"):
         node.repair(name)
-    waiting = {name: len(node.proposer._queues.of(name)) for name in ("duty", "cores")}
+    waiting = {name: len(node.proposer._queues.proposals_for(name)) for name in ("duty", "cores")}
     assert waiting == {"duty": 1, "cores": 1}
     model.world.run(until=2 * SETTLED_AT_S)
-    assert not node.proposer._queues.of("duty")
+    assert not node.proposer._queues.proposals_for("duty")
     node.repair("duty")
-    assert len(node.proposer._queues.of("duty")) == 1
+    assert len(node.proposer._queues.proposals_for("duty")) == 1
