--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -192,7 +192,7 @@
         else:
             self._send_to_peer(member, message)
 
-    def _answer(self, member: str, link: interfaces.Connection | None, message: tuple) -> None:
+    def _reply(self, member: str, link: interfaces.Connection | None, message: tuple) -> None:
         if link is None:
             self.handle(member, None, message)
         else:
@@ -219,7 +219,7 @@
     # other members can reach a majority without this node.
     def _handle_prepare(self, member: str, link: interfaces.Connection | None, request: messages.Prepare) -> None:
         if self.write_ahead_log.is_hindered:
-            self._answer(member, link, self.write_ahead_log.durable.reject_prepare(request))
+            self._reply(member, link, self.write_ahead_log.durable.reject_prepare(request))
         else:
             if member != self.own:
                 self.proposer.pacing.note_other_attempt(name=request.register)
@@ -227,7 +227,7 @@
 
     def _handle_accept(self, member: str, link: interfaces.Connection | None, request: messages.Accept) -> None:
         if self.write_ahead_log.is_hindered:
-            self._answer(member, link, self.write_ahead_log.durable.reject_accept(request))
+            self._reply(member, link, self.write_ahead_log.durable.reject_accept(request))
         else:
             self._reply_when_durable(member, link, request, self.acceptor.accept(request))
 
@@ -242,13 +242,13 @@
         self.proposer.note_ballot_number(name=name, number=self.acceptor.get(name).promised.number)
         self.write_ahead_log.append(row=decision.row)
         self.write_ahead_log.when_durable(
-            key=(member, type(request), name), callback=lambda: self._answer(member, link, decision.reply)
+            key=(member, type(request), name), callback=lambda: self._reply(member, link, decision.reply)
         )
 
     def _handle_quorum_read(
         self, member: str, link: interfaces.Connection | None, request: messages.QuorumRead
     ) -> None:
-        self._answer(member, link, self.write_ahead_log.durable.quorum_read(request))
+        self._reply(member, link, self.write_ahead_log.durable.quorum_read(request))
 
     def _handle_chosen(self, _member: str, _link: interfaces.Connection | None, message: messages.Chosen) -> None:
         state = self.acceptor.get(message.register)
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -168,7 +168,7 @@
 
     def handle(self, member, link, message):
         if isinstance(message, messages.QuorumRead) and self.write_ahead_log._writing_since is None:
-            self._answer(member, link, self.acceptor.quorum_read(message))
+            self._reply(member, link, self.acceptor.quorum_read(message))
             return True
         return super().handle(member, link, message)
 
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -215,14 +215,14 @@
 
     def _check_local_answers(self, voting: ConsensusNode) -> None:
         """What a node answers itself is checked as well; a `PeerConnection` checks all other answers."""
-        answer = voting._answer
+        answer = voting._reply
 
         def checked(member: str, link: interfaces.Connection | None, message: tuple) -> None:
             if link is None:
                 self.check_acknowledged(message)
             answer(member, link, message)
 
-        voting._answer = checked  # type: ignore[method-assign]
+        voting._reply = checked  # type: ignore[method-assign]
 
     @staticmethod
     def _receive_hello(voting: ConsensusNode) -> None:
