--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -46,7 +46,7 @@
         store: the acceptor's storage.
         seeds: the first core set, used at the first start of the cluster.
         is_first_start: whether the settings say that all nodes start for the first time, with empty disks and the
-            same seeds. All seeds have to confirm this before a first set is founded.
+            same seeds. The seeds are asked to confirm this before they found a first set.
         chance: returns a random number from 0 to 1.
         unique_id: returns a new unique id.
         receipt_s: the time in seconds within which an order has to be acknowledged.
@@ -172,9 +172,10 @@
     def _start_from_image(
         self, image: acceptor_storage.Image, *, on_durable: collections.abc.Callable[[], None] | None = None
     ) -> None:
-        """Starts from an image of the acceptor, which is sent to no other node before it is rewritten to the disk.
+        """Starts with the acceptor state of an image.
 
-        The reason is in docs/register.md 3.
+        What was read from the disk is not known to be durable, so nothing of it is sent before it has been written
+        again (docs/register.md 3).
         """
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows=image.rows)
         self.proposer.known_sets.seeds = image.first_set
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -1,4 +1,4 @@
-"""The register under loss, delay, restarts and emptied disks: histories are checked after the fact."""
+"""Registers under message loss, delay, restarts and wiped disks; recorded histories are checked for linearizability."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class Node:
-    """One core node in the simulated world: acceptor, proposer, disk, refill."""
+    """One core node in the simulated world: acceptor, proposer, disk and catch-up."""
 
     def __init__(self, *, world, name, nodes, is_first=True):
         self.world = world
@@ -66,31 +66,31 @@
             return
         incarnation = self.incarnation
 
-        def arrive():
+        def deliver():
             if target.is_up:
                 target.handle(self, incarnation, message)
 
-        self.world.send(self.name, member, arrive)
+        self.world.send(self.name, member, deliver)
 
-    def answer(self, source, incarnation, message):
-        def arrive():
+    def reply(self, source, incarnation, message):
+        def deliver():
             if source.is_up and source.incarnation == incarnation:
                 source.handle(self, self.incarnation, message)
 
-        self.world.send(self.name, source.name, arrive)
+        self.world.send(self.name, source.name, deliver)
 
     def handle(self, source, incarnation, message):
         if isinstance(message, messages.Prepare | messages.Accept):
             is_prepare = isinstance(message, messages.Prepare)
-            answer, row = (self.acceptor.prepare if is_prepare else self.acceptor.accept)(message)
+            reply, row = (self.acceptor.prepare if is_prepare else self.acceptor.accept)(message)
             if row is not None:
                 try:
                     self.write(row)
                 except OSError:
                     return
-            self.answer(source, incarnation, answer)
+            self.reply(source, incarnation, reply)
         elif isinstance(message, messages.QuorumRead):
-            self.answer(source, incarnation, self.acceptor.quorum_read(message))
+            self.reply(source, incarnation, self.acceptor.quorum_read(message))
         elif isinstance(message, messages.Promise):
             self.proposer.handle_promise(source.name, message)
         elif isinstance(message, messages.QuorumReadReply):
@@ -100,7 +100,7 @@
         elif isinstance(message, messages.CatchUpRequest):
             if self.acceptor.votes:
                 reply = messages.CatchUpReply(number=message.number, is_voter=True, rows=self.acceptor.rows())
-                self.answer(source, incarnation, reply)
+                self.reply(source, incarnation, reply)
         elif isinstance(message, messages.CatchUpReply) and not self.acceptor.votes:
             self.catch_up_replies[source.name] = message.rows
             if len(self.catch_up_replies) >= 2:
@@ -125,7 +125,7 @@
             self.disk.files.clear()
 
 
-def make(seed, *, members=MEMBERS):
+def make_cluster(seed, *, members=MEMBERS):
     world = simulated_world.World(seed=seed)
     nodes = {}
     for name in members:
@@ -133,13 +133,13 @@
     return world, nodes
 
 
-class Caller:
-    """Sends compare-and-sets and reads, and keeps the history."""
+class RandomClient:
+    """Sends random compare-and-sets and reads, and records their history."""
 
     def __init__(self, *, world, nodes, history):
         self.world, self.nodes, self.history = world, nodes, history
 
-    def go(self, member):
+    def start_call(self, member):
         node = self.nodes[member]
         if not node.is_up:
             return
@@ -168,12 +168,12 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_history_is_linearizable_under_loss_restart_and_wiping(seed):
-    world, nodes = make(seed)
+    world, nodes = make_cluster(seed)
     world.loss = world.chance.choice((0.0, 0.02, 0.05))
     history = []
-    caller = Caller(world=world, nodes=nodes, history=history)
+    client = RandomClient(world=world, nodes=nodes, history=history)
     for step in range(120):
-        world.later(step * 0.15 + world.chance.random() * 0.1, lambda: caller.go(world.chance.choice(MEMBERS)))
+        world.later(step * 0.15 + world.chance.random() * 0.1, lambda: client.start_call(world.chance.choice(MEMBERS)))
 
     def inject_fault():
         name = world.chance.choice(MEMBERS)
@@ -211,11 +211,11 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_of_two_concurrent_compare_and_sets_exactly_one_succeeds(seed):
-    world, nodes = make(seed)
+    world, nodes = make_cluster(seed)
     results = []
 
     def edit_of(name):
-        # As the real edits do: what this very call has already made is known again after a further go.
+        # Recognises the value that an earlier attempt of the same change wrote, as the edits in production do.
         def edit(payload):
             if payload == name:
                 return payload, "known"
@@ -235,8 +235,8 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_reads_and_changes_finish_after_all_nodes_restart_at_once(seed):
-    """Three nodes that read four registers after a restart used to duel without end."""
-    world, nodes = make(seed)
+    """Guards against three nodes that read four registers after a restart and preempt each other's ballots forever."""
+    world, nodes = make_cluster(seed)
     names = ("spec", "evac", "duty", "cores")
     for name in names:
         nodes["a"].proposer.change(name=name, edit=lambda payload: (1, None), done=lambda *row: None)
@@ -257,7 +257,7 @@
 
 
 def test_node_with_wiped_disk_does_not_vote_until_both_others_reply():
-    world, nodes = make(3)
+    world, nodes = make_cluster(3)
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (1, None), done=lambda *row: None)
     world.run(until=3.0)
     nodes["c"].stop(is_wiped=True)
@@ -276,20 +276,20 @@
 
 
 def test_accept_is_rejected_under_a_promise_lost_with_the_disk():
-    """A promise given before the disk was lost names an incarnation that is gone."""
+    """A promise given before the disk was lost names an incarnation that no longer exists."""
     acceptor = acceptors.Acceptor(incarnation="old")
-    answer, _row = acceptor.prepare(messages.Prepare(1, "spec", Ballot(7, "x"), NO_BALLOT))
-    assert answer.is_granted and answer.incarnation == "old"
+    reply, _row = acceptor.prepare(messages.Prepare(1, "spec", Ballot(7, "x"), NO_BALLOT))
+    assert reply.is_granted and reply.incarnation == "old"
     emptied = acceptors.Acceptor()
     emptied.catch_up(incarnation="new", states=((), ()))
-    answer, row = emptied.accept(messages.Accept(1, "spec", Ballot(7, "x"), "old", 1, b"v"))
-    assert not answer.is_granted and row is None
+    reply, row = emptied.accept(messages.Accept(1, "spec", Ballot(7, "x"), "old", 1, b"v"))
+    assert not reply.is_granted and row is None
     assert emptied.get("spec").value == b""
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_core_set_moves_add_and_remove_one_node_at_a_time(seed):
-    world, nodes = make(seed, members=("a", "b", "c", "d"))
+    world, nodes = make_cluster(seed, members=("a", "b", "c", "d"))
     ends = []
 
     def end(*row):
@@ -318,7 +318,7 @@
     return messages.RegisterRow("spec", Ballot(number, "a"), Ballot(number, "a"), number, b"v%d" % number)
 
 
-def _filled(count):
+def _disk_with_records(count):
     disk = simulated_world.Disk()
     store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6)
     store.write(rows=(), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS))
@@ -330,14 +330,14 @@
 
 @pytest.mark.parametrize("cut", range(1, 12))
 def test_torn_tail_is_truncated_at_the_last_good_record(cut):
-    disk = _filled(4)
+    disk = _disk_with_records(4)
     disk.tear(name=acceptor_storage.FILE_NAME, keep=len(disk.files[acceptor_storage.FILE_NAME]) - cut)
     image = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6).load()
     assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
 def test_corruption_before_the_last_record_raises_storage_error():
-    disk = _filled(4)
+    disk = _disk_with_records(4)
     data = bytearray(disk.files[acceptor_storage.FILE_NAME])
     data[30] ^= 0xFF
     disk.files[acceptor_storage.FILE_NAME] = bytes(data)
@@ -358,7 +358,7 @@
 
 
 def test_change_fails_when_a_majority_of_disks_refuses_writes():
-    world, nodes = make(1)
+    world, nodes = make_cluster(1)
     nodes["b"].disk.is_refusing = nodes["c"].disk.is_refusing = True
     results = []
     nodes["a"].proposer.change(name="spec", edit=lambda payload: (1, None), done=lambda *row: results.append(row))
--- a/ploverward/control_plane/consensus/test_cost.py
+++ b/ploverward/control_plane/consensus/test_cost.py
@@ -1,4 +1,4 @@
-"""A change costs no more after many changes, and the size of its value only once (docs/register.md 5)."""
+"""Cost of a change: independent of the number of earlier changes; its value is written once (docs/register.md 5)."""
 
 import pytest
 
--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Every order of steps of the register and of one move of its set, at small size (docs/set-moves.md)."""
+"""Exhaustive search over the step orders of a register and one move of its set, at small size (docs/set-moves.md)."""
 
 import contextlib
 
@@ -37,7 +37,7 @@
 
 
 def test_mutant_scenario_without_its_bug_violates_no_invariant():
-    """The scenarios of faults in the code around them are sound by themselves: the fault is what is found."""
+    """Shows that the search finds the bug itself, not a flaw of the scenario that the bug is put into."""
     for fault in FAULTS:
         if fault.mutations is not contextlib.nullcontext and not fault.scenario.restarts:
             outcome = search.explore(scenario=fault.scenario, max_states=command_line.SMALL_STATES)
@@ -50,7 +50,7 @@
 
 
 def state_after(explorer, state, count):
-    """Goes on by the first step that there is, `count` times."""
+    """Takes the first available step `count` times."""
     for _index in range(count):
         label, callback = min(explorer.steps(state), key=lambda step: str(step[0]))
         new = state.copy()
--- a/ploverward/control_plane/consensus/test_move_priority.py
+++ b/ploverward/control_plane/consensus/test_move_priority.py
@@ -1,4 +1,4 @@
-"""Moves of the core set go before rounds that only wait, at their node and at others (docs/set-moves.md 9)."""
+"""Priority of moves of the core set over waiting proposals, at their own node and at others (docs/set-moves.md 9)."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def settled(*, seed: int) -> consensus_cluster.Model:
-    """Voters with a value in each register, d outside of the set."""
+    """Returns a cluster of voters with a value in each register, and node d outside of the core set."""
     model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=("d",))
     for name in register_names.REGISTERS:
         model.nodes["a"].voting.proposer.change(name=name, edit=lambda _payload: (1, None), done=lambda *_row: None)
@@ -25,7 +25,7 @@
 
 
 def begin_move(model, name, to, *, ends):
-    """Starts to move all registers; `ends` gets (register, error, time) of each."""
+    """Starts to move all registers; (register, error, time) of each is appended to `ends` at its end."""
     for register in register_names.REGISTERS:
 
         def done(error, _revision, _payload, _result, register=register):
@@ -52,7 +52,7 @@
 
 
 def test_move_displaces_a_change_that_is_backing_off():
-    """The order was rejected by a higher ballot, and waits for its next attempt."""
+    """The change was rejected by a higher ballot and waits for its next attempt."""
     model = settled(seed=3)
     ended = []
     proposer = model.nodes["a"].voting.proposer
@@ -84,7 +84,7 @@
 
 
 def test_move_chosen_after_its_deadline_still_removes_the_previous_set():
-    """All other nodes wait for that attempt, so it is made also where the proposal's time is over."""
+    """All other nodes wait for the attempt that removes the previous set, so it is made even after the deadline."""
     model = settled(seed=6)
     node = model.nodes["b"].voting
     ends = []
@@ -99,7 +99,7 @@
 
 
 def test_change_of_another_node_yields_to_a_move_for_the_time_of_two_attempts():
-    """b knows that the core set moved, while the register of orders still is under the former set."""
+    """Node b knows that the core set moved, while the register that it changes still has the previous set."""
     model = settled(seed=5)
     proposer = model.nodes["b"].voting.proposer
     core_set = model.nodes["b"].voting.write_ahead_log.durable.get(register_names.CORE_SET)
--- a/ploverward/control_plane/consensus/test_required_sets.py
+++ b/ploverward/control_plane/consensus/test_required_sets.py
@@ -1,4 +1,4 @@
-"""Of which sets an attempt needs a majority: the one it knew as chosen, and those of the newest value that it found."""
+"""The sets of which an attempt needs a majority: the one known as chosen, and those of the newest value found."""
 
 import pytest
 
@@ -22,8 +22,8 @@
 MOVED = MOVING._replace(accepted=Ballot(4, "y/1"), value=ballots.pack(members=NEWER, payload=1))
 
 
-class Scene:
-    """One attempt of node a, which knows the newer set as chosen; x and y are gone for good."""
+class ProposerHarness:
+    """One attempt of node a, which knows the newer set as chosen; x and y are lost permanently."""
 
     def __init__(self):
         self.sent = []
@@ -50,20 +50,23 @@
 
 @pytest.mark.parametrize("replies", [(MOVING, MOVING, MOVED), (MOVED, MOVING, MOVING), (MOVING, MOVED, MOVING)])
 def test_one_promise_with_the_finished_move_makes_the_older_set_unnecessary_in_any_order(replies):
-    """Seeds 520255 and 530734 of the simulation: two of the three that had accepted the end of the move were lost."""
-    scene = Scene()
+    """Guards against a register that is blocked after losing two of the three members with the finished move.
+
+    Found by seeds 520255 and 530734 of the simulation.
+    """
+    harness = ProposerHarness()
     for member, reply in zip("ade", replies, strict=True):
-        scene.promise(member, reply)
-    assert scene.of_type(messages.Accept).keys() == {"a", "d", "e"}
+        harness.promise(member, reply)
+    assert harness.of_type(messages.Accept).keys() == {"a", "d", "e"}
 
 
 def test_unfinished_move_requires_a_majority_of_the_older_set_too():
-    scene = Scene()
+    harness = ProposerHarness()
     for member in "ade":
-        scene.promise(member, MOVING)
-    assert scene.of_type(messages.Prepare).keys() == {*NEWER, "x", "y"}
-    assert not scene.of_type(messages.Accept)
-    scene.promise("b", MOVING)
-    assert not scene.of_type(messages.Accept)
-    scene.promise("c", MOVING)
-    assert scene.of_type(messages.Accept).keys() == set(NEWER)
+        harness.promise(member, MOVING)
+    assert harness.of_type(messages.Prepare).keys() == {*NEWER, "x", "y"}
+    assert not harness.of_type(messages.Accept)
+    harness.promise("b", MOVING)
+    assert not harness.of_type(messages.Accept)
+    harness.promise("c", MOVING)
+    assert harness.of_type(messages.Accept).keys() == set(NEWER)
