--- a/ploverward/control_plane/consensus/test_move_priority.py
+++ b/ploverward/control_plane/consensus/test_move_priority.py
@@ -1,4 +1,4 @@
-"""Moves of the core set go before rounds that only wait, at their node and at others (docs/set-moves.md 9)."""
+"""Priority of moves of the core set over waiting proposals, at their own node and at others (docs/set-moves.md 9)."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def settled(*, seed: int) -> consensus_cluster.Model:
-    """Voters with a value in each register, d outside of the set."""
+    """Returns a cluster of voters with a value in each register, and node d outside of the core set."""
     model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=("d",))
     for name in register_names.REGISTERS:
         model.nodes["a"].voting.proposer.change(name=name, edit=lambda _payload: (1, None), done=lambda *_row: None)
@@ -25,7 +25,7 @@
 
 
 def begin_move(model, name, to, *, ends):
-    """Starts to move all registers; `ends` gets (register, error, time) of each."""
+    """Starts to move all registers; (register, error, time) of each is appended to `ends` at its end."""
     for register in register_names.REGISTERS:
 
         def done(error, _revision, _payload, _result, register=register):
@@ -34,7 +34,7 @@
         model.nodes[name].voting.proposer.change(name=register, edit=None, done=done, next_set=to)
 
 
-def test_a_move_goes_before_the_orders_that_wait_at_its_node():
+def test_move_is_queued_before_waiting_changes_of_its_node():
     model = settled(seed=2)
     ended = []
     proposer = model.nodes["a"].voting.proposer
@@ -51,40 +51,40 @@
     assert ended == [0, "move", *range(1, 10)]
 
 
-def test_a_move_takes_the_place_of_an_order_that_pauses():
-    """The order was rejected by a higher ballot, and waits for its next attempt."""
+def test_move_displaces_a_change_that_is_backing_off():
+    """The change was rejected by a higher ballot and waits for its next attempt."""
     model = settled(seed=3)
     ended = []
     proposer = model.nodes["a"].voting.proposer
     proposer.change(name=NAME, edit=lambda payload: (payload + 1, None), done=lambda *_row: ended.append("order"))
-    order = proposer._queues.of(NAME)[0]
+    order = proposer._queues.proposals_for(NAME)[0]
     proposer._back_off(order)
-    assert proposer._queues.of(NAME)[0] is order
+    assert proposer._queues.proposals_for(NAME)[0] is order
     proposer.change(
         name=NAME, edit=lambda payload: (payload, None), done=lambda *_row: ended.append("move"), next_set=MOVED
     )
-    assert proposer._queues.of(NAME)[0].is_move and proposer._queues.of(NAME)[1] is order
+    assert proposer._queues.proposals_for(NAME)[0].is_move and proposer._queues.proposals_for(NAME)[1] is order
     model.world.run(until=SETTLED_AT_S + 5.0)
     assert ended == ["move", "order"]
 
 
-def test_an_order_that_fails_an_attempt_lets_the_move_behind_it_pass():
+def test_change_that_failed_an_attempt_is_requeued_behind_a_waiting_move():
     model = settled(seed=4)
     ended = []
     proposer = model.nodes["a"].voting.proposer
     proposer.change(name=NAME, edit=lambda payload: (payload + 1, None), done=lambda *_row: ended.append("order"))
-    order = proposer._queues.of(NAME)[0]
+    order = proposer._queues.proposals_for(NAME)[0]
     proposer.change(
         name=NAME, edit=lambda payload: (payload, None), done=lambda *_row: ended.append("move"), next_set=MOVED
     )
-    assert proposer._queues.of(NAME)[0] is order
+    assert proposer._queues.proposals_for(NAME)[0] is order
     proposer._back_off(order)
     model.world.run(until=SETTLED_AT_S + 5.0)
     assert ended == ["move", "order"]
 
 
-def test_a_move_that_is_chosen_late_still_leaves_out_the_former_set():
-    """All other nodes wait for that attempt, so it is made also where the proposal's time is over."""
+def test_move_chosen_after_its_deadline_still_removes_the_previous_set():
+    """All other nodes wait for the attempt that removes the previous set, so it is made even after the deadline."""
     model = settled(seed=6)
     node = model.nodes["b"].voting
     ends = []
@@ -93,13 +93,13 @@
         ends.append((error, ballots.member_sets(node.acceptor.get(NAME).value)))
 
     node.proposer.change(name=NAME, edit=None, done=done, next_set=MOVED)
-    node.proposer._queues.of(NAME)[0].deadline = model.world.now()
+    node.proposer._queues.proposals_for(NAME)[0].deadline = model.world.now()
     model.world.run(until=SETTLED_AT_S + 2.0)
     assert ends == [(None, (MOVED,))]
 
 
-def test_another_node_lets_a_move_pass_and_goes_on_after_the_time_of_two_attempts():
-    """b knows that the core set moved, while the register of orders still is under the former set."""
+def test_change_of_another_node_yields_to_a_move_for_the_time_of_two_attempts():
+    """Node b knows that the core set moved, while the register that it changes still has the previous set."""
     model = settled(seed=5)
     proposer = model.nodes["b"].voting.proposer
     core_set = model.nodes["b"].voting.write_ahead_log.durable.get(register_names.CORE_SET)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_move_is_over_in_time_while_all_nodes_have_orders(seed):
+def test_move_finishes_in_time_while_all_nodes_make_changes(seed):
     model = settled(seed=seed)
     model.world.loss = 0.02
 
@@ -139,14 +139,14 @@
     assert linearizability.faults(history=model.history) == []
 
 
-def test_a_node_makes_one_repair_of_a_register_at_a_time():
+def test_node_runs_one_repair_of_a_register_at_a_time():
     model = settled(seed=1)
     node = model.nodes["a"].voting
     for name in ("duty", "duty", "cores", "duty"):
         node.repair(name)
-    waiting = {name: len(node.proposer._queues.of(name)) for name in ("duty", "cores")}
+    waiting = {name: len(node.proposer._queues.proposals_for(name)) for name in ("duty", "cores")}
     assert waiting == {"duty": 1, "cores": 1}
     model.world.run(until=2 * SETTLED_AT_S)
-    assert not node.proposer._queues.of("duty")
+    assert not node.proposer._queues.proposals_for("duty")
     node.repair("duty")
-    assert len(node.proposer._queues.of("duty")) == 1
+    assert len(node.proposer._queues.proposals_for("duty")) == 1
