--- a/ploverward/data_plane/quotas/test_credential_freshness.py
+++ b/ploverward/data_plane/quotas/test_credential_freshness.py
@@ -32,7 +32,9 @@
         self.lease = majority_lease.MajorityLease(own=name, now=world.now, lease_s=1.2)
 
     def freshness(self):
-        as_of = self.lease.fresh_as_of(members=CORES, version=1, known=self.known, accepted=self.accepted)
+        as_of = self.lease.fresh_as_of(
+            members=CORES, version=1, known_version=self.known, accepted_version=self.accepted
+        )
         return self.known, self.world.now() - as_of
 
 
