--- a/ploverward/control_plane/consensus/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -14,7 +14,7 @@
 from ploverward.transport import messages
 
 
-class Decision(typing.NamedTuple):
+class AcceptorResult(typing.NamedTuple):
     """How an acceptor answers a request."""
 
     reply: messages.Promise | messages.Accepted
@@ -64,11 +64,11 @@
         return tuple(row._replace(value=b"") if known.get(row.register) == row.accepted else row for row in rows)
 
     # Phase 1.
-    def prepare(self, request: messages.Prepare) -> Decision:
+    def prepare(self, request: messages.Prepare) -> AcceptorResult:
         """Promises the ballot unless a higher one was promised."""
         state = self.get(request.register)
         if not self.votes or request.ballot < state.promised:
-            return Decision(reply=self.reject_prepare(request), row=None)
+            return AcceptorResult(reply=self.reject_prepare(request), row=None)
         self.states[request.register] = state._replace(promised=request.ballot)
         reply = messages.Promise(
             number=request.number,
@@ -80,7 +80,7 @@
             revision=state.revision,
             value=b"" if request.known == state.accepted else state.value,
         )
-        return Decision(reply=reply, row=self.row(request.register) if request.ballot > state.promised else None)
+        return AcceptorResult(reply=reply, row=self.row(request.register) if request.ballot > state.promised else None)
 
     def reject_prepare(self, request: messages.Prepare) -> messages.Promise:
         """A reply that promises nothing; its ballots show the proposer above which number to continue."""
@@ -97,18 +97,18 @@
         )
 
     # Phase 2.
-    def accept(self, request: messages.Accept) -> Decision:
+    def accept(self, request: messages.Accept) -> AcceptorResult:
         """Accepts the value if this incarnation promised and no higher ballot was promised since."""
         state = self.get(request.register)
         if not self.votes or request.incarnation != self.incarnation or request.ballot < state.promised:
-            return Decision(reply=self.reject_accept(request), row=None)
+            return AcceptorResult(reply=self.reject_accept(request), row=None)
         self.states[request.register] = RegisterState(
             promised=request.ballot, accepted=request.ballot, revision=request.revision, value=request.value
         )
         reply = messages.Accepted(
             number=request.number, register=request.register, is_granted=True, ballot=request.ballot
         )
-        return Decision(reply=reply, row=self.row(request.register) if state.accepted != request.ballot else None)
+        return AcceptorResult(reply=reply, row=self.row(request.register) if state.accepted != request.ballot else None)
 
     def reject_accept(self, request: messages.Accept) -> messages.Accepted:
         """A reply that accepts nothing; it carries the promised ballot."""
--- a/ploverward/control_plane/consensus/acceptor_storage.py
+++ b/ploverward/control_plane/consensus/acceptor_storage.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Image:
+class AcceptorImage:
     """All that a node has to keep.
 
     Attributes:
@@ -49,7 +49,7 @@
         """Replaces the file, durably."""
 
 
-def _identity_row(image: Image) -> messages.RegisterRow:
+def _identity_row(image: AcceptorImage) -> messages.RegisterRow:
     """The identity is stored as a row: the incarnation and the first set in place of proposers."""
     return messages.RegisterRow(
         register=IDENTITY,
@@ -77,7 +77,7 @@
         self._needs_rewrite = True
         self.rewrites = 0
 
-    def load(self) -> Image:
+    def load(self) -> AcceptorImage:
         """Returns the image in the file; an empty image where there is no file or no identity in it.
 
         Raises:
@@ -86,19 +86,19 @@
         """
         data = self._disk.read(name=FILE_NAME)
         if data is None:
-            return Image()
+            return AcceptorImage()
         rows, _size = log_records.read_rows(data)
         newest = log_records.newest_rows(rows)
         identity = newest.pop(IDENTITY, None)
         if identity is None or not identity.promised.proposer:
-            return Image()
-        return Image(
+            return AcceptorImage()
+        return AcceptorImage(
             incarnation=identity.promised.proposer,
             first_set=tuple(identity.accepted.proposer.split()),
             rows=tuple(newest.values()),
         )
 
-    def write(self, *, rows: collections.abc.Collection[messages.RegisterRow], image: Image) -> None:
+    def write(self, *, rows: collections.abc.Collection[messages.RegisterRow], image: AcceptorImage) -> None:
         """Appends the rows, or rewrites the file. Once it returns, the image is on the disk.
 
         Args:
@@ -127,7 +127,7 @@
     def _without_stored_value(self, row: messages.RegisterRow) -> messages.RegisterRow:
         return row._replace(value=b"") if self._stored_values.get(row.register) == row.accepted else row
 
-    def _rewrite(self, image: Image) -> None:
+    def _rewrite(self, image: AcceptorImage) -> None:
         data = log_records.pack_rows((_identity_row(image), *image.rows))
         self._needs_rewrite = True
         self._disk.replace(name=FILE_NAME, new_name=NEW_NAME, data=data)
--- a/ploverward/control_plane/consensus/attempt_pacing.py
+++ b/ploverward/control_plane/consensus/attempt_pacing.py
@@ -44,13 +44,13 @@
         now: Callable[[], float],
         attempt_timeout_s: float,
         limit_s: float,
-        usual_write_s: Callable[[], float] | None,
+        average_write_s: Callable[[], float] | None,
         is_move_expected: Callable[[str], bool] | None,
     ) -> None:
         self._now = now
         self.usual_timeout_s = attempt_timeout_s
         self._limit_s = limit_s
-        self._usual_write_s = usual_write_s
+        self._average_write_s = average_write_s
         self._is_move_expected = is_move_expected
         self._other_attempts_until: dict[str, float] = {}  # register: until when another node's attempt is let pass
 
@@ -61,7 +61,7 @@
 
     def timeout_s(self) -> float:
         """How long an attempt that begins now waits for a majority: longer where the own disk is slow."""
-        write_s = self._usual_write_s() if self._usual_write_s is not None else 0.0
+        write_s = self._average_write_s() if self._average_write_s is not None else 0.0
         if write_s * WRITES_PER_ATTEMPT <= self.usual_timeout_s:
             return self.usual_timeout_s
         return min(write_s * WRITES_PER_ATTEMPT * SLOW_DISK_ROOM, self._limit_s)
--- a/ploverward/control_plane/consensus/catch_up.py
+++ b/ploverward/control_plane/consensus/catch_up.py
@@ -30,7 +30,7 @@
 class Stage(enum.Enum):
     """The stages of a catch-up."""
 
-    LOOK = "look"
+    COLLECT = "look"
     FENCE = "fence"
     DONE = "done"
 
@@ -60,7 +60,7 @@
         founding_set: the set to be founded, if the settings say that this is the first start; else ().
 
     Attributes:
-        stage: the present stage; `answers` is complete at `Stage.DONE`.
+        stage: the present stage; `replies` is complete at `Stage.DONE`.
         answers: member to its rows in this stage.
         fences: register to the ballot that voters are requested to promise.
         first_set: the set in force before any value was chosen, once a voter has named it.
@@ -76,12 +76,12 @@
         self.start()
 
     def start(self) -> None:
-        """Starts again at `Stage.LOOK`."""
+        """Starts again at `Stage.COLLECT`."""
         self._number += 1
-        self.stage = Stage.LOOK
+        self.stage = Stage.COLLECT
         self.fences: dict[str, Ballot] = {}
-        self.answers: dict[str, tuple[messages.RegisterRow, ...]] = {}
-        self._without_identity: set[str] = set()  # of `answers`: those of nodes that are to found the set as well
+        self.replies: dict[str, tuple[messages.RegisterRow, ...]] = {}
+        self._without_identity: set[str] = set()  # of `replies`: those of nodes that are to found the set as well
         # register: all values received since the beginning, by ballot
         self._values: dict[str, dict[Ballot, AcceptedValue]] = {}
 
@@ -128,7 +128,7 @@
         """
         if number != self._number or self.stage is Stage.DONE:
             return
-        self.answers[member] = self._with_values(rows)
+        self.replies[member] = self._with_values(rows)
         self._without_identity.discard(member)
         self.first_set = first_set or self.first_set
         self._advance()
@@ -147,38 +147,38 @@
             return
         if not self.founding_set or founding_set != self.founding_set or member not in founding_set:
             return
-        self.answers[member] = ()
+        self.replies[member] = ()
         self._without_identity.add(member)
         self._advance()
 
     def _advance(self) -> None:
-        if not self.has_enough():
+        if not self.has_enough_replies():
             return
-        if self.stage is Stage.LOOK and self._without_identity != self.answers.keys():
-            self._raise_fence()
+        if self.stage is Stage.COLLECT and self._without_identity != self.replies.keys():
+            self._begin_fence_stage()
         else:
             self.stage = Stage.DONE
 
     @property
-    def has_found_values(self) -> bool:
+    def has_received_values(self) -> bool:
         """Whether any reply had a value: then the system did not start just now."""
         return any(self._values.values())
 
-    def _raise_fence(self) -> None:
+    def _begin_fence_stage(self) -> None:
         highest = dict.fromkeys(self._registers, 0)
-        for rows in self.answers.values():
+        for rows in self.replies.values():
             for row in rows:
                 highest[row.register] = max(highest.get(row.register, 0), row.promised.number, row.accepted.number)
         self._number += 1
         self.stage = Stage.FENCE
         self.fences = {name: Ballot(number + 1, f"{self._own}{PROPOSER_SUFFIX}") for name, number in highest.items()}
-        self.answers = {}
+        self.replies = {}
         self._without_identity = set()
 
-    def has_enough(self) -> bool:
+    def has_enough_replies(self) -> bool:
         """Whether enough members of each register's newest set answered, as far as any answer shows that set."""
         newest: dict[str, AcceptedValue] = {}
-        for rows in self.answers.values():
+        for rows in self.replies.values():
             for row in rows:
                 if row.value and row.accepted > newest.get(row.register, NO_VALUE).ballot:
                     newest[row.register] = AcceptedValue(row.accepted, row.revision, row.value)
@@ -200,7 +200,7 @@
 
     def _counted_answers(self) -> collections.abc.Collection[str]:
         """Who has answered with what it knows, and while the set is being founded those that have nothing to know."""
-        return self.answers.keys() if self._is_founding() else self.answers.keys() - self._without_identity
+        return self.replies.keys() if self._is_founding() else self.replies.keys() - self._without_identity
 
     def _is_founding(self) -> bool:
         """Whether no answer shows a value under another set than the one to be founded."""
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -120,7 +120,7 @@
             limit_s=receipt_s * PROPOSAL_LIMIT_SHARE,
             attempt_timeout_s=attempt_timeout_s,
             accepted_value=lambda name: self.write_ahead_log.durable.get(name).accepted_value,
-            usual_write_s=lambda: self.write_ahead_log.usual_write_s,
+            average_write_s=lambda: self.write_ahead_log.average_write_s,
             is_move_expected=self._is_move_expected,
         )
         self.acceptor = acceptors.Acceptor()
@@ -150,7 +150,7 @@
             _log.debug("registers_loaded", extra={"incarnation": image.incarnation, "registers": revisions})
         except (errors.StorageError, OSError) as error:
             _log.error("registers_unreadable", extra={"fault": str(error)})
-            image = acceptor_storage.Image()
+            image = acceptor_storage.AcceptorImage()
             self.is_damaged = True
         if image.incarnation:
             self._is_first_life = False
@@ -169,7 +169,7 @@
             self._look()
 
     def _begin(
-        self, image: acceptor_storage.Image, *, on_durable: collections.abc.Callable[[], None] | None = None
+        self, image: acceptor_storage.AcceptorImage, *, on_durable: collections.abc.Callable[[], None] | None = None
     ) -> None:
         """Continues from an image; nothing of it is sent before it is written once more (docs/register.md 3)."""
         self.acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows=image.rows)
@@ -213,7 +213,7 @@
 
     # Requests to the acceptor. While the disk fails nothing changes here: the others can agree without this node.
     def _handle_prepare(self, member: str, link: interfaces.Connection | None, request: messages.Prepare) -> None:
-        if self.write_ahead_log.is_hindered:
+        if self.write_ahead_log.is_unavailable:
             self._answer(member, link, self.write_ahead_log.durable.reject_prepare(request))
         else:
             if member != self.own:
@@ -221,7 +221,7 @@
             self._answer_when_durable(member, link, request, self.acceptor.prepare(request))
 
     def _handle_accept(self, member: str, link: interfaces.Connection | None, request: messages.Accept) -> None:
-        if self.write_ahead_log.is_hindered:
+        if self.write_ahead_log.is_unavailable:
             self._answer(member, link, self.write_ahead_log.durable.reject_accept(request))
         else:
             self._answer_when_durable(member, link, request, self.acceptor.accept(request))
@@ -231,13 +231,13 @@
         member: str,
         link: interfaces.Connection | None,
         request: messages.Prepare | messages.Accept,
-        decision: acceptors.Decision,
+        result: acceptors.AcceptorResult,
     ) -> None:
         name = request.register
         self.proposer.note_ballot_number(name=name, number=self.acceptor.get(name).promised.number)
-        self.write_ahead_log.append(row=decision.row)
+        self.write_ahead_log.append(row=result.row)
         self.write_ahead_log.when_durable(
-            key=(member, type(request), name), callback=lambda: self._answer(member, link, decision.reply)
+            key=(member, type(request), name), callback=lambda: self._answer(member, link, result.reply)
         )
 
     def _handle_quorum_read(
@@ -257,7 +257,7 @@
         """A learner requests the rows on this node's disk. The promises that it requests are made first."""
         assert link is not None  # a learner sends itself no request
         fences = {fence.register: fence.fence for fence in request.fences if fence.fence.number}
-        if fences and self.write_ahead_log.is_hindered:
+        if fences and self.write_ahead_log.is_unavailable:
             return
         if self.acceptor.votes:
             for name, ballot in fences.items():
@@ -287,14 +287,14 @@
             self._note_founding_waits()
             self._catch_up.start()
         _log.debug(
-            "catch_up_requested", extra={"had": {member: len(rows) for member, rows in self._catch_up.answers.items()}}
+            "catch_up_requested", extra={"had": {member: len(rows) for member, rows in self._catch_up.replies.items()}}
         )
         self._broadcast_to_cores(self._catch_up.request())
         self._loop.after(delay=self._contact_s * CATCH_UP_INTERVAL_SHARE, callback=self._look)
 
     def _note_founding_waits(self) -> None:
         if self._catch_up.founding_set:
-            answered = sorted(self._catch_up.answers)
+            answered = sorted(self._catch_up.replies)
             _log.error("founding_waits", extra={"seeds": list(self._catch_up.founding_set), "answered": answered})
 
     def _handle_catch_up_reply(
@@ -315,15 +315,15 @@
 
     def _finish_catch_up(self) -> None:
         gathered = acceptors.Acceptor()
-        rows = gathered.catch_up(incarnation="", states=self._catch_up.answers.values())
+        rows = gathered.catch_up(incarnation="", states=self._catch_up.replies.values())
         first_set = self._catch_up.first_set or self._catch_up.founding_set
-        image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=first_set, rows=rows)
+        image = acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=first_set, rows=rows)
         self._begin(image, on_durable=self._on_caught_up)
 
     def _on_caught_up(self) -> None:
         _log.debug("catch_up_finished", extra={"incarnation": self.acceptor.incarnation})
         self.proposer.is_learner = False
-        if self._catch_up.founding_set and not self._catch_up.has_found_values:
+        if self._catch_up.founding_set and not self._catch_up.has_received_values:
             first_set = self.proposer.known_sets.seeds
             _log.info("core_set_founded", extra={"members": list(first_set)})
             self._on_founded(first_set)
@@ -347,8 +347,8 @@
     @property
     def is_voter(self) -> bool:
         """Whether a majority may count on this node now: its identity is on its disk, and the disk accepts writes."""
-        is_hindered = self.write_ahead_log.is_hindered
-        return self.write_ahead_log.durable.votes and not self.proposer.is_learner and not is_hindered
+        is_unavailable = self.write_ahead_log.is_unavailable
+        return self.write_ahead_log.durable.votes and not self.proposer.is_learner and not is_unavailable
 
     # Reading and repair.
     def minimum_versions(self) -> tuple[messages.RegisterRevision, ...]:
--- a/ploverward/control_plane/consensus/known_sets.py
+++ b/ploverward/control_plane/consensus/known_sets.py
@@ -59,6 +59,6 @@
 
     The same machines may form a set twice, so a set is known by the revision of its move: a chosen value at or after
     that revision was written after the move
-    (`test_a_set_that_comes_back_is_not_known_as_chosen_from_its_first_time`).
+    (`test_returning_set_is_not_treated_as_chosen_from_its_earlier_term`).
     """
     return known_revision >= ballots.moved_at(value)
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -91,7 +91,7 @@
         limit_s: float,
         attempt_timeout_s: float,
         accepted_value: collections.abc.Callable[[str], AcceptedValue] | None = None,
-        usual_write_s: collections.abc.Callable[[], float] | None = None,
+        average_write_s: collections.abc.Callable[[], float] | None = None,
         is_move_expected: collections.abc.Callable[[str], bool] | None = None,
     ) -> None:
         self.own = own
@@ -102,7 +102,7 @@
             now=now,
             attempt_timeout_s=attempt_timeout_s,
             limit_s=limit_s,
-            usual_write_s=usual_write_s,
+            average_write_s=average_write_s,
             is_move_expected=is_move_expected,
         )
         self._send = send
--- a/ploverward/control_plane/consensus/test_attempt_pacing.py
+++ b/ploverward/control_plane/consensus/test_attempt_pacing.py
@@ -47,7 +47,7 @@
             on_chosen=lambda *_row: None,
             limit_s=LIMIT_S,
             attempt_timeout_s=TIMEOUT_S,
-            usual_write_s=lambda: write_s,
+            average_write_s=lambda: write_s,
             is_move_expected=lambda _name: is_move_expected,
         )
         self.ended = []
@@ -100,7 +100,7 @@
             now=lambda: 0.0,
             attempt_timeout_s=TIMEOUT_S,
             limit_s=LIMIT_S,
-            usual_write_s=lambda: write_s,
+            average_write_s=lambda: write_s,
             is_move_expected=None,
         )
         return pacing.timeout_s(), pacing.has_slow_disk()
--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -50,7 +50,7 @@
 # The first set.
 
 
-def test_the_first_set_is_kept_so_that_a_restart_before_anything_was_agreed_still_knows_it():
+def test_restart_before_any_chosen_value_keeps_the_first_set():
     model = consensus_cluster.Model(seed=2, seeds=SEEDS)
     model.world.run(until=0.5)
     for node in model.nodes.values():
@@ -63,7 +63,7 @@
     assert all(node.voting.proposer.known_sets.seeds == SEEDS for node in model.nodes.values())
 
 
-def test_a_first_start_is_not_trusted_where_the_disk_has_an_identity():
+def test_first_start_setting_is_ignored_when_the_disk_has_an_identity():
     model = settled()
     node = model.nodes["a"]
     incarnation = node.voting.acceptor.incarnation
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_seeds_with_empty_disks_found_the_set_together(seed):
+def test_seeds_with_empty_disks_found_the_first_set(seed):
     model = first_start(seed=seed)
     assert not any(node.votes for node in model.nodes.values())
     model.world.run(until=1.5)
@@ -103,7 +103,7 @@
     assert model.history[-1]["ended"] is not None
 
 
-def test_a_seed_that_is_missing_at_the_first_start_is_waited_for_and_named(caplog):
+def test_founding_waits_for_a_missing_seed_and_logs_who_answered(caplog):
     model = first_start(names="ab")
     model.world.run(until=2 * register_node.CONTACT_S)
     assert not any(model.nodes[name].votes for name in "ab")
@@ -114,7 +114,7 @@
     assert all(node.votes for node in model.nodes.values())
 
 
-def test_a_lone_seed_founds_its_set_at_once():
+def test_single_seed_founds_its_set_immediately():
     model = consensus_cluster.Model(seed=4, seeds=("a",))
     model.nodes["a"].stop(is_wiped=True)
     model.nodes["a"].start(is_first_start=True)
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("others", ["cut off", "one emptied too", "down"])
-def test_an_emptied_disk_founds_nothing_whatever_its_settings_say(others):
+def test_wiped_member_does_not_found_a_set_despite_first_start_setting(others):
     model = settled()
     model.call("b", kind="change")
     model.world.run(until=4.0)
@@ -144,7 +144,7 @@
     assert not model.nodes["b"].votes or others == "cut off"
 
 
-def test_an_emptied_disk_with_settings_of_the_first_start_learns_from_the_others():
+def test_wiped_member_with_first_start_setting_catches_up_from_the_others():
     model = settled()
     model.nodes["a"].stop(is_wiped=True)
     model.nodes["a"].start(is_first_start=True)
@@ -154,7 +154,7 @@
     assert all(node.voting.write_ahead_log.durable.get(name).revision >= 1 for name in register_names.REGISTERS)
 
 
-def test_a_set_that_moved_away_is_not_founded_again_by_its_former_members():
+def test_wiped_former_members_do_not_found_the_moved_set_again():
     model = settled(others=("d", "e", "f"))
     move(model, "a", ("d", "e", "f"), until=8.0)
     for name in "abc":
@@ -168,7 +168,7 @@
     assert not model.nodes["a"].votes and not model.nodes["b"].votes
 
 
-def test_a_disk_that_is_emptied_in_the_first_seconds_is_filled_by_the_others():
+def test_member_wiped_before_any_chosen_value_catches_up():
     model = consensus_cluster.Model(seed=3, seeds=SEEDS)
     model.world.run(until=0.2)
     model.restart("a", restart_after_s=0.8, is_wiped=True)
@@ -177,7 +177,7 @@
     assert node.votes and node.voting.proposer.known_sets.seeds == SEEDS
 
 
-def test_seeds_that_never_accepted_a_value_do_not_let_a_newcomer_read_that_there_is_none():
+def test_newcomer_does_not_read_an_empty_register_from_lagging_seeds():
     """All seeds of the newcomer are machines that came later and lag; only voters of the newest set count."""
     model = settled(others=("d", "e", "f"))
     for late in "def":
@@ -200,7 +200,7 @@
     assert results[1][0] is None and results[1][2] == 1
 
 
-def test_a_learner_neither_proposes_nor_votes_nor_answers_reads():
+def test_learner_does_not_propose_vote_or_answer_reads():
     model = settled()
     model.nodes["c"].stop(is_wiped=True)
     model.nodes["b"].stop()
@@ -226,8 +226,8 @@
 # The arithmetic of a refill.
 
 
-def handle(catch_up, answers, *, first_set=SEEDS):
-    for member, rows in answers.items():
+def handle(catch_up, replies, *, first_set=SEEDS):
+    for member, rows in replies.items():
         catch_up.handle(member=member, number=catch_up.request().number, first_set=first_set, rows=rows)
     return catch_up.stage
 
@@ -236,12 +236,12 @@
     ("own", "members", "count"),
     [("a", "abc", 2), ("a", "ab", 1), ("a", "abcde", 3), ("a", "abcdefg", 4), ("x", "abc", 2), ("x", "abcde", 3)],
 )
-def test_how_many_answers_are_needed(own, members, count):
+def test_required_number_of_replies_per_set_size(own, members, count):
     members = tuple(members)
     others = [member for member in members if member != own]
     catch_up = refills.LearnerCatchUp(own=own, registers=register_names.REGISTERS)
     rows = rows_of(members)
-    assert handle(catch_up, dict.fromkeys(others[: count - 1], rows)) == refills.Stage.LOOK
+    assert handle(catch_up, dict.fromkeys(others[: count - 1], rows)) == refills.Stage.COLLECT
     assert handle(catch_up, {others[count - 1]: rows}) == refills.Stage.FENCE
     assert all(number == 2 for number, _proposer in catch_up.fences.values())
     assert handle(catch_up, dict.fromkeys(others[: count - 1], rows)) == refills.Stage.FENCE
@@ -255,91 +255,91 @@
     return catch_up.stage
 
 
-def test_seeds_without_an_identity_count_as_answers_and_leave_nothing_to_fence():
+def test_founding_seeds_without_identity_count_and_skip_the_fence_stage():
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS, founding_set=SEEDS)
-    assert answer_without_identity(catch_up, "b") == refills.Stage.LOOK
-    assert answer_without_identity(catch_up, "d") == refills.Stage.LOOK  # no seed
-    assert answer_without_identity(catch_up, "c", founding_set=("a", "c", "d")) == refills.Stage.LOOK
+    assert answer_without_identity(catch_up, "b") == refills.Stage.COLLECT
+    assert answer_without_identity(catch_up, "d") == refills.Stage.COLLECT  # no seed
+    assert answer_without_identity(catch_up, "c", founding_set=("a", "c", "d")) == refills.Stage.COLLECT
     assert answer_without_identity(catch_up, "c") == refills.Stage.DONE
-    assert not catch_up.has_found_values
+    assert not catch_up.has_received_values
 
 
-def test_beside_a_voter_they_count_and_the_voter_is_fenced():
+def test_seed_without_identity_counts_beside_a_voter_which_is_fenced():
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS, founding_set=SEEDS)
-    assert answer_without_identity(catch_up, "b") == refills.Stage.LOOK
+    assert answer_without_identity(catch_up, "b") == refills.Stage.COLLECT
     assert handle(catch_up, {"c": rows_of(SEEDS)}) == refills.Stage.FENCE
     assert handle(catch_up, {"c": rows_of(SEEDS)}) == refills.Stage.FENCE
     assert answer_without_identity(catch_up, "b") == refills.Stage.DONE
-    assert catch_up.has_found_values
+    assert catch_up.has_received_values
 
 
-def test_of_two_emptied_seeds_neither_counts_for_the_other_once_the_set_has_moved():
+def test_seed_without_identity_does_not_count_after_the_set_moved():
     """docs/incidents/two-emptied-seeds.md: five members, two without a disk; the three others have to answer twice."""
     members = tuple("abcde")
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS, founding_set=SEEDS)
     rows = rows_of(members)
-    assert answer_without_identity(catch_up, "b") == refills.Stage.LOOK
-    assert handle(catch_up, {"c": rows, "d": rows}) == refills.Stage.LOOK
+    assert answer_without_identity(catch_up, "b") == refills.Stage.COLLECT
+    assert handle(catch_up, {"c": rows, "d": rows}) == refills.Stage.COLLECT
     assert handle(catch_up, {"e": rows}) == refills.Stage.FENCE
     assert answer_without_identity(catch_up, "b") == refills.Stage.FENCE
     assert handle(catch_up, {"c": rows, "d": rows}) == refills.Stage.FENCE
     assert handle(catch_up, {"e": rows}) == refills.Stage.DONE
 
 
-def test_a_register_without_a_value_does_not_make_them_count_either():
+def test_seed_without_identity_does_not_count_when_only_one_register_moved():
     """One register has moved to five members; the others were never written, so they stand under the first set."""
     members = tuple("abcde")
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS, founding_set=SEEDS)
     row = rows_of(members)[:1]
-    assert answer_without_identity(catch_up, "b") == refills.Stage.LOOK
-    assert handle(catch_up, {"c": row, "d": row, "e": row}) == refills.Stage.LOOK
+    assert answer_without_identity(catch_up, "b") == refills.Stage.COLLECT
+    assert handle(catch_up, {"c": row, "d": row, "e": row}) == refills.Stage.COLLECT
     assert handle(catch_up, {"b": row}) == refills.Stage.FENCE
 
 
-def test_a_learner_that_founds_nothing_does_not_count_them():
+def test_learner_without_founding_set_ignores_nodes_without_identity():
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS)
-    assert answer_without_identity(catch_up, "bc") == refills.Stage.LOOK and not catch_up.answers
+    assert answer_without_identity(catch_up, "bc") == refills.Stage.COLLECT and not catch_up.replies
 
 
-def test_an_evicted_machine_counts_only_for_the_set_that_it_is_in():
+def test_evicted_member_does_not_count_for_the_newest_set():
     catch_up = refills.LearnerCatchUp(own="c", registers=register_names.REGISTERS)
     old, new = rows_of(SEEDS), rows_of(MOVED, ballot=(4, "y"))
     assert (
-        handle(catch_up, {"a": old, "d": new}) == refills.Stage.LOOK
+        handle(catch_up, {"a": old, "d": new}) == refills.Stage.COLLECT
     )  # a is out of the newest set; c needs two of b, d
     assert handle(catch_up, {"b": new}) == refills.Stage.FENCE
 
 
-def test_a_move_that_is_not_yet_over_needs_members_of_both_sets():
+def test_unfinished_move_needs_replies_from_both_sets():
     catch_up = refills.LearnerCatchUp(own="b", registers=register_names.REGISTERS)
     new = ("b", "d", "e")
     half = rows_of(new, ballot=(4, "y"), previous=SEEDS)
-    assert handle(catch_up, {"d": half, "e": half}) == refills.Stage.LOOK
-    assert handle(catch_up, {"a": rows_of(SEEDS)}) == refills.Stage.LOOK
+    assert handle(catch_up, {"d": half, "e": half}) == refills.Stage.COLLECT
+    assert handle(catch_up, {"a": rows_of(SEEDS)}) == refills.Stage.COLLECT
     assert handle(catch_up, {"c": rows_of(SEEDS)}) == refills.Stage.FENCE
 
 
-def test_nothing_is_learned_without_any_set():
+def test_catch_up_does_not_advance_without_a_known_set():
     catch_up = refills.LearnerCatchUp(own="x", registers=register_names.REGISTERS)
-    assert handle(catch_up, {"a": (), "b": (), "c": ()}, first_set=()) == refills.Stage.LOOK
+    assert handle(catch_up, {"a": (), "b": (), "c": ()}, first_set=()) == refills.Stage.COLLECT
 
 
-def test_a_value_that_was_announced_is_not_announced_again():
+def test_catch_up_replies_omit_values_already_received():
     model = settled()
-    answers = []
+    replies = []
     node = model.nodes["c"]
     check = node.check_acknowledged
     for name in "ab":
-        model.nodes[name].check_acknowledged = lambda message: (answers.append(message), check(message))
+        model.nodes[name].check_acknowledged = lambda message: (replies.append(message), check(message))
     model.restart("c", restart_after_s=0.5, is_wiped=True)
     model.world.run(until=8.0)
     assert node.votes and all(node.voting.write_ahead_log.durable.get(name).value for name in register_names.REGISTERS)
-    filled = [message for message in answers if isinstance(message, messages.CatchUpReply) and message.is_voter]
+    filled = [message for message in replies if isinstance(message, messages.CatchUpReply) and message.is_voter]
     values = [sum(1 for row in message.rows if row.value) for message in filled]
     assert values.count(len(register_names.REGISTERS)) <= 2 and 0 in values
 
 
-def test_a_value_left_out_is_filled_in_also_when_a_newer_one_was_announced_meanwhile():
+def test_omitted_value_is_filled_in_after_a_newer_value_was_received():
     catch_up = refills.LearnerCatchUp(own="x", registers=("r",))
     old, new = (ballots.pack(members=SEEDS, payload=payload) for payload in (1, 2))
     old = messages.RegisterRow("r", Ballot(5, "p"), Ballot(5, "p"), 1, old)
@@ -351,20 +351,20 @@
     assert catch_up.stage == refills.Stage.FENCE
     assert catch_up.request().fences == (("r", (10, "x/refill"), (9, "p")),)
     catch_up.handle(member="b", number=2, first_set=SEEDS, rows=(old._replace(value=b""),))
-    assert catch_up.answers["b"] == (old,)
+    assert catch_up.replies["b"] == (old,)
 
 
-def test_old_answers_are_not_counted():
+def test_replies_to_an_earlier_request_are_ignored():
     catch_up = refills.LearnerCatchUp(own="a", registers=register_names.REGISTERS)
     rows = rows_of(SEEDS)
     number = catch_up.request().number
     handle(catch_up, {"b": rows, "c": rows})
     catch_up.handle(member="b", number=number, first_set=SEEDS, rows=rows)
     catch_up.handle(member="c", number=number, first_set=SEEDS, rows=rows)
-    assert catch_up.stage == refills.Stage.FENCE and catch_up.answers == {}
+    assert catch_up.stage == refills.Stage.FENCE and catch_up.replies == {}
 
 
-def test_an_accept_that_comes_after_the_catch_up_is_refused():
+def test_accept_below_the_fence_is_rejected_after_catch_up():
     """a accepted (5, x) and was emptied; c promised (5, x) and gets the accept only after it helped a to learn."""
     model = settled()
     a, b, c = (model.nodes[name] for name in "abc")
@@ -432,7 +432,7 @@
     return acceptor.Acceptor(incarnation=f"{name}1", rows=rows)
 
 
-def test_a_set_that_only_one_member_accepted_is_not_taken_for_the_one_in_force():
+def test_set_accepted_by_one_member_is_not_treated_as_chosen():
     """c alone accepted the move from abc to cde. A proposer that found it must not agree with c and d only."""
     first = messages.RegisterRow(TEXT_NAME, Ballot(1, "x"), Ballot(1, "x"), 1, ballots.pack(members=SEEDS, payload=1))
     half = messages.RegisterRow(
@@ -453,7 +453,7 @@
     assert bench.chosen == [] and bench.results == []
 
 
-def test_a_set_that_comes_back_is_not_known_as_chosen_from_its_first_time():
+def test_returning_set_is_not_treated_as_chosen_from_its_earlier_term():
     """abc, bcd, and abc again: the move back was accepted by a and c alone. Whoever knows abc from the first time
     must not read or write at a majority of abc only, while bcd is in force (found by
     ploverward.simulation.model_checker)."""
@@ -474,7 +474,7 @@
         assert bench.chosen == [] and bench.results == []
 
 
-def test_a_move_ends_with_a_value_that_no_longer_needs_the_older_set():
+def test_finished_move_no_longer_needs_the_previous_set():
     model = settled(others=("d", "e"))
     move(model, "a", ("c", "d", "e"), until=8.0)
     for name in "cde":
@@ -490,7 +490,7 @@
     assert model.history[-1]["ended"] is not None and model.history[-1]["made"] == 2
 
 
-def test_a_partial_move_whose_proposer_ended_is_finished_by_another_node():
+def test_unfinished_move_of_a_stopped_proposer_is_finished_by_another_node():
     model = settled(others=("d",))
     row = messages.RegisterRow(
         TEXT_NAME, Ballot(9, "x"), Ballot(9, "x"), 2, ballots.pack(members=MOVED, payload=1, previous=SEEDS, moved_at=2)
@@ -505,7 +505,7 @@
         assert ballots.member_sets(model.nodes[name].voting.write_ahead_log.durable.get(TEXT_NAME).value) == (MOVED,)
 
 
-def test_a_second_move_waits_until_the_first_is_chosen():
+def test_second_move_is_written_after_the_first_is_chosen():
     first = messages.RegisterRow(TEXT_NAME, Ballot(1, "x"), Ballot(1, "x"), 1, ballots.pack(members=SEEDS, payload=1))
     half = messages.RegisterRow(
         TEXT_NAME,
@@ -531,7 +531,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_long_absent_members_and_newcomers_reach_the_newest_state_over_many_moves(seed):
+def test_member_absent_over_many_moves_catches_up(seed):
     """The set wanders over seven machines; one that was away since the first set comes back, emptied or not."""
     model = settled(others=("d", "e", "f", "g"), seed=seed)
     chance = model.world.chance
--- a/ploverward/control_plane/consensus/test_consensus.py
+++ b/ploverward/control_plane/consensus/test_consensus.py
@@ -53,7 +53,7 @@
             self.catch_up()
 
     def write(self, *rows):
-        image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
+        image = acceptor_storage.AcceptorImage(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     def later(self, delay, callback):
@@ -321,10 +321,10 @@
 def _filled(count):
     disk = simulated_world.Disk()
     store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6)
-    store.write(rows=(), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS))
+    store.write(rows=(), image=acceptor_storage.AcceptorImage(incarnation="i1", first_set=MEMBERS))
     for number in range(1, count + 1):
         row = _row(number)
-        store.write(rows=(row,), image=acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(row,)))
+        store.write(rows=(row,), image=acceptor_storage.AcceptorImage(incarnation="i1", first_set=MEMBERS, rows=(row,)))
     return disk
 
 
@@ -333,7 +333,7 @@
     disk = _filled(4)
     disk.tear(name=acceptor_storage.FILE_NAME, keep=len(disk.files[acceptor_storage.FILE_NAME]) - cut)
     image = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=10**6).load()
-    assert image == acceptor_storage.Image(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
+    assert image == acceptor_storage.AcceptorImage(incarnation="i1", first_set=MEMBERS, rows=(_row(3),))
 
 
 def test_damage_before_the_tail_is_reported():
@@ -349,7 +349,7 @@
     disk = simulated_world.Disk()
     store = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=500)
     row = messages.RegisterRow("spec", Ballot(1, "a"), Ballot(1, "a"), 1, b"x" * 90)
-    image = acceptor_storage.Image(incarnation="i1", rows=(row,))
+    image = acceptor_storage.AcceptorImage(incarnation="i1", rows=(row,))
     store.write(rows=(), image=image)
     for _ in range(30):
         store.write(rows=(row,), image=image)
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -89,17 +89,17 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_acknowledged_is_lost(seed):
+def test_disk_faults_lose_no_acknowledged_change(seed):
     check(play(seed))
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_acknowledged_is_lost_while_the_set_moves(seed):
+def test_disk_faults_lose_no_acknowledged_change_while_the_set_moves(seed):
     check(play(seed, others=("d", "e")))
 
 
 @pytest.mark.parametrize("kind", ["full", "refuse", "sync", "rename", "folder"])
-def test_a_node_whose_disk_fails_for_long_withdraws_and_rejoins(kind, caplog):
+def test_node_with_long_disk_failure_stops_voting_and_rejoins(kind, caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
     model = consensus_cluster.Model(seed=7, seeds=SEEDS)
     model.world.run(until=1.0)
@@ -124,7 +124,7 @@
     assert model.lost == [] and linearizability.faults(history=model.history) == []
 
 
-def test_a_catch_up_that_the_disk_refuses_at_first_ends_once_it_can_be_written():
+def test_catch_up_finishes_once_a_refusing_disk_recovers():
     model = consensus_cluster.Model(seed=9, seeds=SEEDS)
     model.call("a", kind="change")
     model.world.run(until=2.0)
@@ -137,7 +137,7 @@
     assert node.votes and model.lost == []
 
 
-def test_answers_that_wait_for_a_hanging_disk_are_bounded():
+def test_replies_waiting_for_a_hanging_disk_are_bounded():
     model = consensus_cluster.Model(seed=8, seeds=SEEDS)
     model.world.run(until=1.0)
     node, connection = model.nodes["a"], RecordingConnection()
@@ -173,7 +173,7 @@
         return super().handle(member, link, message)
 
 
-def test_a_quorum_read_from_memory_after_a_failed_write_is_found():
+def test_history_check_detects_quorum_reads_from_memory():
     assert found(range(6), node_type=PeekingAhead)
 
 
@@ -212,7 +212,7 @@
     return node, connection, {type(message): message for message in connection.heard}
 
 
-def test_what_a_failed_write_left_in_memory_is_not_acknowledged():
+def test_state_of_a_failed_write_is_not_sent():
     node, connection, heard = _after_a_failed_write()
     assert register_node.claims(heard[messages.QuorumReadReply]) == [("spec", (0, ""), (0, ""))]
     assert register_node.claims(heard[messages.CatchUpReply]) == []
@@ -227,12 +227,12 @@
     assert register_node.claims(connection.heard[-1])[0][2] >= (5, "x") and connection.heard[-1][5:] == (1, VALUE)
 
 
-def test_rows_from_memory_would_be_seen_by_that_test():
+def test_catch_up_rows_from_memory_are_detected():
     _node, _connection, heard = _after_a_failed_write(TellingAhead)
     assert register_node.claims(heard[messages.CatchUpReply]) == [("spec", (5, "x"), (5, "x"))]
 
 
-def test_a_file_that_is_appended_to_after_a_failed_sync_is_found(monkeypatch):
+def test_history_check_detects_an_append_after_a_failed_sync(monkeypatch):
     write = acceptor_storage.AcceptorStorage.write
 
     def trusting(self, *, rows, image):
@@ -250,7 +250,7 @@
     assert found(range(6))
 
 
-def test_a_file_that_is_trusted_as_it_was_read_is_found(monkeypatch):
+def test_history_check_detects_trust_in_an_unsynced_file(monkeypatch):
     load = acceptor_storage.AcceptorStorage.load
 
     def trusting(self):
@@ -273,12 +273,12 @@
     assert found(range(12, 24))
 
 
-def test_a_rename_whose_folder_is_not_synced_is_found(monkeypatch):
+def test_history_check_detects_a_rename_without_folder_sync(monkeypatch):
     monkeypatch.setattr(disks.Disk, "_sync_folder", lambda self: None)
     assert found(range(12))
 
 
-def test_answers_that_do_not_wait_for_the_disk_are_found(monkeypatch):
+def test_history_check_detects_replies_before_the_write(monkeypatch):
     monkeypatch.setattr(
         write_ahead_log.WriteAheadLog, "when_durable", lambda self, *, key, callback: (callback(), self._write())
     )
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -247,7 +247,7 @@
 
 
 @each_node
-def test_each_register_is_read_as_it_was_stored(stored, host):
+def test_stored_registers_are_read_unchanged(stored, host):
     wanted = EXPECTED["nodes"][host]
     found = held_by(stored / host)
     assert found["incarnation"] == wanted["incarnation"] and found["first_set"] == wanted["first_set"]
@@ -258,7 +258,7 @@
 
 
 @each_node
-def test_the_fixture_has_a_whole_image_and_a_tail(host):
+def test_fixture_contains_a_full_image_and_appended_records(host):
     records = records_of((GOLDEN / "stored" / host / LOG).read_bytes())
     assert len(records) == EXPECTED["nodes"][host]["records"] > 10
     names = [row[0] for row in records[0][0]]
@@ -268,7 +268,7 @@
 
 
 @each_node
-def test_each_record_is_written_today_with_the_same_bytes(host):
+def test_stored_records_are_rewritten_with_the_same_bytes(host):
     for rows, data in records_of((GOLDEN / "stored" / host / LOG).read_bytes()):
         assert pack_record(rows) == data
         for row in rows:
@@ -293,7 +293,7 @@
 
 
 @each_node
-def test_a_first_write_of_the_image_has_the_stored_format(stored, tmp_path, host):
+def test_first_write_of_an_image_has_the_stored_format(stored, tmp_path, host):
     """What a start writes before it tells anything: one record, identity first, then a row a register."""
     image = open_store(stored / host).load()
     other = tmp_path / "other"
@@ -307,7 +307,7 @@
     assert held_by(other) == held_by(stored / host)
 
 
-def test_the_same_orders_make_the_same_values():
+def test_orders_produce_the_stored_payloads():
     rows = newest()
     payload, marks = configured(EXPECTED["history"])
     held = rows["spec"]["payload"]
@@ -393,7 +393,7 @@
 
 
 @each_node
-def test_a_torn_tail_is_cut(stored, tmp_path, host):
+def test_torn_tail_is_ignored_on_load(stored, tmp_path, host):
     path = stored / host / LOG
     data = path.read_bytes()
     records = records_of(data)
@@ -408,7 +408,7 @@
     assert held_by(stored / host)["registers"] == EXPECTED["nodes"][host]["registers"]
 
 
-def test_a_core_node_starts_from_a_torn_tail_and_a_new_file_that_was_left(stored):
+def test_core_nodes_start_with_a_torn_tail_and_a_leftover_new_file(stored):
     """The process ended in the midst of an append on one node, and before a rename on another."""
     with (stored / HOSTS[0] / LOG).open("ab") as handle:
         handle.write(b"\x00\x00\x01\x00\x12\x34")
@@ -421,7 +421,7 @@
     assert site.failures == []
 
 
-def test_the_kept_configurations_are_read_and_gone_on_with(tmp_path):
+def test_kept_configurations_are_read_and_extended(tmp_path):
     with tarfile.open(GOLDEN / "kept.tar.gz") as packed:
         packed.extractall(tmp_path, filter="data")
     wanted = EXPECTED["kept"]
@@ -441,7 +441,7 @@
     again.close()
 
 
-def test_the_same_configuration_is_kept_with_the_same_text(tmp_path):
+def test_kept_configuration_has_the_stored_text(tmp_path):
     repository = keeper_of(tmp_path / "kept")
     for body in EXPECTED["kept"]["given"]:
         repository.keep(body=body)
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -6,7 +6,7 @@
 changed, so it covers all replies that wait.
 
 A failed write drops the replies that waited for it: their proposers get no answer from this node. Until a write
-succeeds again, and while one hangs, `is_hindered` is true and the node votes for nothing.
+succeeds again, and while one hangs, `is_unavailable` is true and the node votes for nothing.
 """
 
 import collections.abc
@@ -61,10 +61,10 @@
             now=loop.now, failed_event="disk_write_failed", recovered_event="disk_write_recovered"
         )
         self._on_begun: Callback | None = None
-        self.usual_write_s = 0.0
+        self.average_write_s = 0.0
 
     @property
-    def is_hindered(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the disk refuses writes now, or hangs in one."""
         is_hanging = self._writing_since is not None and self._loop.now() - self._writing_since > self._hang_s
         return self._spell.is_failing or is_hanging
@@ -110,7 +110,7 @@
             return
         acceptor, change, names = self._acceptor, self._newest_change, self._unsaved
         self._unsaved = set()
-        image = acceptor_storage.Image(
+        image = acceptor_storage.AcceptorImage(
             incarnation=acceptor.incarnation, first_set=self._first_set, rows=acceptor.rows()
         )
         rows = tuple(row for row in image.rows if row.register in names)
@@ -128,10 +128,10 @@
         self._loop.offload(work=lambda: self._storage.write(rows=rows, image=image), done=done)
 
     def _note_duration(self, took_s: float) -> None:
-        previous_s = self.usual_write_s or took_s
-        self.usual_write_s = previous_s + (took_s - previous_s) * NEWEST_WRITE_WEIGHT
+        previous_s = self.average_write_s or took_s
+        self.average_write_s = previous_s + (took_s - previous_s) * NEWEST_WRITE_WEIGHT
 
-    def _on_written(self, image: acceptor_storage.Image, change: int, took_s: float) -> None:
+    def _on_written(self, image: acceptor_storage.AcceptorImage, change: int, took_s: float) -> None:
         self._spell.note_success()
         self._note_duration(took_s)
         self._durable_change = change
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -49,7 +49,7 @@
     ) -> None:
         load(self, store, seeds, is_first_start)
         if self.proposer.is_learner and (is_always or is_first_start):
-            self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds))))
+            self._begin(acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=tuple(sorted(seeds))))
             self.proposer.is_learner = False
 
     return [mock.patch.object(consensus_node.ConsensusNode, "_load", _load)]
@@ -70,7 +70,7 @@
     load = consensus_node.ConsensusNode._load
 
     def _look(self: Any) -> None:  # noqa: ANN401  # a node with one attribute more
-        self._begin(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
+        self._begin(acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=self.own_set))
 
     def _load(
         self: Any,  # noqa: ANN401
--- a/ploverward/simulation/model_checker/faults.py
+++ b/ploverward/simulation/model_checker/faults.py
@@ -38,7 +38,7 @@
 class ForgetfulAcceptor(acceptors.Acceptor):
     """Seeded bug: an accept is accepted whichever incarnation promised."""
 
-    def accept(self, request: messages.Accept) -> acceptors.Decision:
+    def accept(self, request: messages.Accept) -> acceptors.AcceptorResult:
         """Accepts as if this incarnation had promised."""
         return super().accept(request._replace(incarnation=self.incarnation))
 
@@ -46,16 +46,16 @@
 class UnfencedCatchUp(catch_ups.LearnerCatchUp):
     """Seeded bug: takes over the rows as they are answered, without a fence."""
 
-    def _raise_fence(self) -> None:
+    def _begin_fence_stage(self) -> None:
         self.stage = catch_ups.Stage.DONE
 
 
 class SingleNodeCatchUp(catch_ups.LearnerCatchUp):
     """Seeded bug: one answer is enough."""
 
-    def has_enough(self) -> bool:
+    def has_enough_replies(self) -> bool:
         """Whether any node answered."""
-        return bool(self.answers)
+        return bool(self.replies)
 
 
 # Name in a scenario to the class.
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -118,7 +118,7 @@
     def _disk_steps(self, state: State) -> Steps:
         for own, catch_up in state.gathered.items():
             for other in state.nodes:
-                if other not in state.gathered and other not in catch_up.live.answers:
+                if other not in state.gathered and other not in catch_up.live.replies:
                     yield Step(("refill", own, other), functools.partial(self._gather, own=own, other=other))
         for name in state.waits:
             yield Step(("safe on disk", name), functools.partial(self._flush, name=name))
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -116,7 +116,7 @@
         if catch_up.stage is not Stage.DONE:
             return Gathered(source=self.node(answering), node=None, catch_up=self.catch_up_component(catch_up))
         acceptor = self.make_acceptor("")
-        acceptor.catch_up(incarnation=f"{own}2", states=tuple(catch_up.answers.values()))
+        acceptor.catch_up(incarnation=f"{own}2", states=tuple(catch_up.replies.values()))
         return Gathered(source=self.node(answering), node=self.node(acceptor), catch_up=old)
 
     def catch_up_component(self, catch_up: LearnerCatchUp) -> StateComponent[LearnerCatchUp]:
--- a/ploverward/simulation/register_group.py
+++ b/ploverward/simulation/register_group.py
@@ -107,7 +107,7 @@
 
     def save(self, *rows: messages.RegisterRow) -> None:
         """Writes rows that have changed, and syncs."""
-        image = acceptor_storage.Image(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
+        image = acceptor_storage.AcceptorImage(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     @property
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -172,7 +172,7 @@
         return f"{self.name}{self._ids}"
 
     def _write_identity(self) -> None:
-        image = acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(self._seeds)))
+        image = acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=tuple(sorted(self._seeds)))
         self._open_store().write(rows=(), image=image)
 
     def _open_store(self) -> acceptor_storage.AcceptorStorage:
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -309,7 +309,7 @@
     disk = _Disk()
     written = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=1 << 20)
     for changed in ((), appended):
-        image = acceptor_storage.Image(incarnation=incarnation, first_set=tuple(first_set), rows=_rows(rows))
+        image = acceptor_storage.AcceptorImage(incarnation=incarnation, first_set=tuple(first_set), rows=_rows(rows))
         written.write(rows=_rows(changed), image=image)
     return disk.data
 
