--- a/ploverward/control_plane/consensus/acceptor.py
+++ b/ploverward/control_plane/consensus/acceptor.py
@@ -1,8 +1,12 @@
-"""The acceptor of the registers (docs/register.md 1). It does no I/O: requests in, replies and rows to persist out.
+"""The CASPaxos acceptor of all registers (docs/register.md 1). It does no I/O.
 
-It owns the promised ballot and the accepted value of each register. Invariants: a promised ballot only rises, and
-nothing below it is accepted; an accept has to name the incarnation that gave the promise, so that a promise that was
-lost with a disk cannot be used.
+An acceptor takes requests and returns replies, together with the rows that have to be persisted. It owns the promised
+ballot and the accepted value of each register.
+
+Invariants:
+    A promised ballot never decreases, and no accept with a lower ballot is granted.
+    An accept request has to name the incarnation that granted the promise, so that a promise that was lost with a disk
+    cannot be used.
 """
 
 import collections.abc
@@ -15,18 +19,22 @@
 
 
 class AcceptorResult(typing.NamedTuple):
-    """How an acceptor answers a request."""
+    """The reply to a prepare or accept request, and the changed row that it depends on."""
 
     reply: messages.Promise | messages.Accepted
-    row: messages.RegisterRow | None  # has to be durable before the reply is sent; None: nothing changed
+    row: messages.RegisterRow | None  # has to be durable before the reply is sent; None if the state did not change
 
 
 class Acceptor:
     """Promised ballots and accepted values of one node.
 
     Args:
-        incarnation: a unique name made with each new disk; empty for a learner, which does not vote.
-        rows: the rows on the disk.
+        incarnation: A unique id that is generated for each new disk. Empty for a learner, which does not vote.
+        rows: The rows on the disk.
+
+    Attributes:
+        incarnation: As above; `catch_up` replaces it.
+        states: Register name to its state, for registers with a promise or a value.
     """
 
     def __init__(self, *, incarnation: str = "", rows: collections.abc.Iterable[messages.RegisterRow] = ()) -> None:
@@ -36,27 +44,28 @@
 
     @property
     def votes(self) -> bool:
-        """Whether this acceptor votes: only with an identity on its disk."""
+        """Whether this acceptor votes. It does so only if its disk has an identity."""
         return bool(self.incarnation)
 
     def install(self, *, rows: collections.abc.Iterable[messages.RegisterRow]) -> None:
-        """Replaces the states of these registers."""
+        """Replaces the states of the registers in `rows`."""
         for row in rows:
             self.states[row.register] = RegisterState.from_row(row)
 
     def get(self, name: str) -> RegisterState:
-        """The state of a register; `EMPTY` where nothing was promised or accepted."""
+        """Returns the state of a register, or `EMPTY` if nothing was promised or accepted."""
         return self.states.get(name, EMPTY)
 
     def row(self, name: str) -> messages.RegisterRow:
-        """The state of a register as a row."""
+        """Returns the state of a register as a row."""
         return self.get(name).to_row(name)
 
     def rows(self, *, known: collections.abc.Mapping[str, Ballot] | None = None) -> tuple[messages.RegisterRow, ...]:
-        """A row for each register, by name.
+        """Returns a row for each register, sorted by name.
 
         Args:
-            known: register to the accepted ballot whose value the receiver has; that value is omitted.
+            known: Register to the ballot of the accepted value that the receiver already has. Rows with that ballot
+                omit the value.
         """
         rows = tuple(self.row(name) for name in sorted(self.states))
         if not known:
@@ -65,7 +74,7 @@
 
     # Phase 1.
     def prepare(self, request: messages.Prepare) -> AcceptorResult:
-        """Promises the ballot unless a higher one was promised."""
+        """Promises the ballot, unless a higher one was promised already."""
         state = self.get(request.register)
         if not self.votes or request.ballot < state.promised:
             return AcceptorResult(reply=self.reject_prepare(request), row=None)
@@ -83,7 +92,10 @@
         return AcceptorResult(reply=reply, row=self.row(request.register) if request.ballot > state.promised else None)
 
     def reject_prepare(self, request: messages.Prepare) -> messages.Promise:
-        """A reply that promises nothing; its ballots show the proposer above which number to continue."""
+        """Returns a reply that promises nothing.
+
+        Its ballots show the proposer which ballot number its next attempt has to exceed.
+        """
         state = self.get(request.register)
         return messages.Promise(
             number=request.number,
@@ -98,7 +110,7 @@
 
     # Phase 2.
     def accept(self, request: messages.Accept) -> AcceptorResult:
-        """Accepts the value if this incarnation promised and no higher ballot was promised since."""
+        """Accepts the value if this incarnation granted the promise and has promised no higher ballot since."""
         state = self.get(request.register)
         if not self.votes or request.incarnation != self.incarnation or request.ballot < state.promised:
             return AcceptorResult(reply=self.reject_accept(request), row=None)
@@ -111,7 +123,7 @@
         return AcceptorResult(reply=reply, row=self.row(request.register) if state.accepted != request.ballot else None)
 
     def reject_accept(self, request: messages.Accept) -> messages.Accepted:
-        """A reply that accepts nothing; it carries the promised ballot."""
+        """Returns a reply that accepts nothing and carries the promised ballot."""
         return messages.Accepted(
             number=request.number,
             register=request.register,
@@ -121,7 +133,7 @@
 
     # Reads and catch-up.
     def quorum_read(self, request: messages.QuorumRead) -> messages.QuorumReadReply:
-        """The accepted value; nothing is promised. A value that the reader has already is omitted."""
+        """Returns the accepted value without promising anything. A value that the reader already has is omitted."""
         state = self.get(request.register)
         return messages.QuorumReadReply(
             number=request.number,
@@ -134,10 +146,10 @@
         )
 
     def fence(self, *, name: str, ballot: Ballot) -> messages.RegisterRow | None:
-        """Promises at least this ballot, so that nothing below it is accepted any more.
+        """Promises at least this ballot, so that no accept with a lower ballot is granted from now on.
 
         Returns:
-            The row to persist; None where a ballot as high was promised already.
+            The row to persist, or None if this or a higher ballot was promised already.
         """
         state = self.get(name)
         if ballot <= state.promised:
@@ -148,14 +160,14 @@
     def catch_up(
         self, *, incarnation: str, states: collections.abc.Iterable[tuple[messages.RegisterRow, ...]]
     ) -> tuple[messages.RegisterRow, ...]:
-        """Installs the highest promise and the newest value of each register, then votes under a new incarnation.
+        """Installs the highest promise and the newest value of each register and adopts a new incarnation.
 
         Args:
-            incarnation: the name of the new disk.
-            states: the rows of each voter that answered.
+            incarnation: The incarnation under which this acceptor votes from now on.
+            states: The rows of each voter that replied.
 
         Returns:
-            All rows, to persist.
+            All rows, which have to be persisted.
         """
         for rows in states:
             for row in rows:
