--- a/ploverward/control_plane/consensus/log_records.py
+++ b/ploverward/control_plane/consensus/log_records.py
@@ -1,4 +1,7 @@
-"""Rows of registers as records of the acceptor's file (docs/register.md 3). The format is stored data."""
+"""Encoding of register rows as records of the acceptor's file (docs/register.md 3).
+
+The format is stored on disk and must not change.
+"""
 
 import collections.abc
 
@@ -16,12 +19,12 @@
 
 
 def flatten(row: messages.RegisterRow) -> tuple:
-    """The fields of a row as they are stored: register, promised, accepted (two fields each), revision, value."""
+    """Returns the fields of a row as stored: register, promised and accepted (two fields each), revision, value."""
     return (row.register, *row.promised, *row.accepted, row.revision, row.value)
 
 
 def unflatten(fields: collections.abc.Sequence) -> messages.RegisterRow:
-    """The reverse of `flatten`."""
+    """Returns the row with these fields; the inverse of `flatten`."""
     register, promised_number, promised_by, accepted_number, accepted_by, revision, value = fields
     return messages.RegisterRow(
         register=register,
@@ -33,15 +36,18 @@
 
 
 def pack_rows(rows: collections.abc.Iterable[messages.RegisterRow]) -> bytes:
-    """One record with these rows."""
+    """Returns one record that contains these rows."""
     return checksummed_records.pack(_BATCH.build([flatten(row) for row in rows]))
 
 
 def read_rows(data: bytes) -> tuple[list[messages.RegisterRow], int]:
-    """The rows of all good records from the front, and how many bytes these records are.
+    """Reads the rows of all valid records from the start of the file.
+
+    Returns:
+        The rows, and the total length of these records in bytes.
 
     Raises:
-        StorageError: a bad record has good ones behind it. That is damage, and a node with damage must not vote.
+        StorageError: An invalid record is followed by a valid one. The file is damaged, and its node must not vote.
     """
     rows: list[messages.RegisterRow] = []
 
@@ -57,7 +63,10 @@
 
 
 def newest_rows(rows: collections.abc.Iterable[messages.RegisterRow]) -> dict[str, messages.RegisterRow]:
-    """Register to its newest row. A row that only promises leaves the value out: the earlier row has it."""
+    """Returns the newest row of each register, by register name.
+
+    A row that was written for a promise omits the accepted value; it is taken from the previous row of the register.
+    """
     newest: dict[str, messages.RegisterRow] = {}
     for row in rows:
         previous = newest.get(row.register)
