--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -1,4 +1,4 @@
-"""Disk faults lose nothing that was acknowledged: seeded histories on simulated files (docs/register.md 3)."""
+"""Tests that disk faults lose no acknowledged change: seeded histories on simulated files (docs/register.md 3)."""
 
 import logging
 
@@ -22,7 +22,7 @@
 DISK_FAULTS = ("refuse", "full", "sync", "rename", "folder", "hang")
 FAULT_KINDS = (*DISK_FAULTS, "kill", "power", "wipe", "all lose power", "all killed", "cut")
 VALUE = ballots.pack(members=SEEDS, payload=1)
-QUIET_S = 45.0
+QUIET_START_S = 45.0  # from here on there is no message loss, no new call and no new fault
 END_S = 60.0
 
 
@@ -37,7 +37,7 @@
     duration_s = chance.choice((0.2, 1.0, 4.0))
     if kind in DISK_FAULTS:
         model.fault(name, kind, duration_s=duration_s)
-        if chance.random() < 0.5:  # and the power fails in the midst of it
+        if chance.random() < 0.5:  # a power loss during the fault
             model.world.later(
                 duration_s * chance.random(), lambda: model.restart(name, restart_after_s=0.8, loses_power=True)
             )
@@ -54,8 +54,8 @@
             model.restart(other, restart_after_s=0.8, loses_power=kind == "all lose power")
 
 
-def play(seed, *, others=(), node_type=consensus_node.ConsensusNode):
-    """A history of calls, moves of the set and troubles, then a quiet time with a read at each node."""
+def run_history(seed, *, others=(), node_type=consensus_node.ConsensusNode):
+    """Runs calls, moves of the set and faults, then a read at each node without faults; returns the cluster."""
     model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others, node_type=node_type)
     chance = model.world.chance
     model.world.loss = chance.choice((0.0, 0.02, 0.05))
@@ -70,32 +70,32 @@
         model.world.later(2.0 + step * 0.28, call)
     for step in range(14):
         model.world.later(2.0 + step * 3.0 + chance.random(), lambda: inject_fault(model))
-    model.world.run(until=QUIET_S)
+    model.world.run(until=QUIET_START_S)
     model.world.loss = 0.0
-    model.world.run(until=QUIET_S + 6.0)
+    model.world.run(until=QUIET_START_S + 6.0)
     for name in names:
         model.call(name, kind="read")
     model.world.run(until=END_S)
     return model
 
 
-def check(model, *, least=20):
+def assert_nothing_lost(model, *, min_completed=20):
     assert model.lost == []
     assert linearizability.faults(history=model.history) == []
-    assert sum(1 for call in model.history if call["ended"] is not None) >= least
-    last = [call for call in model.history if call["begun"] >= QUIET_S + 6.0]
-    assert last and all(call["ended"] is not None for call in last)
+    assert sum(1 for call in model.history if call["ended"] is not None) >= min_completed
+    final_reads = [call for call in model.history if call["begun"] >= QUIET_START_S + 6.0]
+    assert final_reads and all(call["ended"] is not None for call in final_reads)
     assert all(node.votes for node in model.nodes.values())
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_disk_faults_lose_no_acknowledged_change(seed):
-    check(play(seed))
+    assert_nothing_lost(run_history(seed))
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_disk_faults_lose_no_acknowledged_change_while_the_set_moves(seed):
-    check(play(seed, others=("d", "e")))
+    assert_nothing_lost(run_history(seed, others=("d", "e")))
 
 
 @pytest.mark.parametrize("kind", ["full", "refuse", "sync", "rename", "folder"])
@@ -115,8 +115,8 @@
     assert model.nodes["a"].voting.is_voter
     events = [record for record in caplog.records if record.message.startswith("disk_write_")]
     assert [record.message for record in events] == ["disk_write_failed", "disk_write_recovered"]
-    assert 5.0 < events[1].failing_s < 24.0  # some faults show only once the file is rewritten
-    model.restart("b", restart_after_s=90.0)  # now a is needed
+    assert 5.0 < events[1].failing_s < 24.0  # some faults only affect a rewrite of the file
+    model.restart("b", restart_after_s=90.0)  # a majority needs a from here on
     model.call("c", kind="change")
     model.call("a", kind="read")
     model.world.run(until=30.0)
@@ -145,26 +145,26 @@
     for number in range(1, 400):
         for member in "bc":
             node.voting.handle(member, connection, prepare(number, number, member))
-    assert len(node.voting.write_ahead_log._waiting) == 2 and connection.heard == []
-    model.world.run(until=2.5)  # longer than any attempt waits: from here on it votes for nothing
+    assert len(node.voting.write_ahead_log._waiting) == 2 and connection.sent == []
+    model.world.run(until=2.5)  # longer than any attempt waits: the node grants no request from here on
     node.voting.handle("b", connection, prepare(400, 400, "b"))
-    assert connection.heard[-1].is_granted is False and node.voting.acceptor.get("spec").promised == (399, "c")
+    assert connection.sent[-1].is_granted is False and node.voting.acceptor.get("spec").promised == (399, "c")
     model.world.run(until=35.0)
-    assert [message.is_granted for message in connection.heard[1:]] == [True, True]
+    assert [message.is_granted for message in connection.sent[1:]] == [True, True]
     assert model.lost == []
 
 
-# Planted faults: the former behaviour put back has to be seen.
+# Seeded bugs: earlier behaviour of the code, which the checks above have to detect.
 
 
-def found(seeds, *, others=(), node_type=consensus_node.ConsensusNode):
-    """Whether the history of one of these seeds breaks a rule."""
-    models = (play(seed, others=others, node_type=node_type) for seed in seeds)
+def any_history_is_faulty(seeds, *, others=(), node_type=consensus_node.ConsensusNode):
+    """Returns whether the history of any of these seeds loses an acknowledged change or is not linearizable."""
+    models = (run_history(seed, others=others, node_type=node_type) for seed in seeds)
     return any(model.lost or linearizability.faults(history=model.history) for model in models)
 
 
-class PeekingAhead(consensus_node.ConsensusNode):
-    """Answers a peek from memory while nothing is being written."""
+class NodeReadingFromMemory(consensus_node.ConsensusNode):
+    """Seeded bug: answers quorum reads from memory while no write is in progress."""
 
     def handle(self, member, link, message):
         if isinstance(message, messages.QuorumRead) and self.write_ahead_log._writing_since is None:
@@ -174,11 +174,11 @@
 
 
 def test_history_check_detects_quorum_reads_from_memory():
-    assert found(range(6), node_type=PeekingAhead)
+    assert any_history_is_faulty(range(6), node_type=NodeReadingFromMemory)
 
 
-class TellingAhead(consensus_node.ConsensusNode):
-    """Tells a learner what is in memory."""
+class NodeSendingRowsFromMemory(consensus_node.ConsensusNode):
+    """Seeded bug: sends rows from memory to a learner."""
 
     def _handle_catch_up_request(self, member, link, request):
         self.write_ahead_log.durable = self.acceptor
@@ -186,17 +186,21 @@
 
 
 class RecordingConnection:
-    """A link whose messages are kept."""
+    """Records the messages that are sent over it."""
 
     def __init__(self):
-        self.heard = []
+        self.sent = []
 
     def send(self, message):
-        self.heard.append(message)
+        self.sent.append(message)
 
 
-def _after_a_failed_write(node_type=consensus_node.ConsensusNode):
-    """A node that accepted (5, x) while its disk refused: its answers to a peek and to a learner's look, by kind."""
+def _node_after_failed_write(node_type=consensus_node.ConsensusNode):
+    """Lets a node accept (5, x) in memory while its disk refuses writes, then sends it two requests.
+
+    Returns:
+        The node, its connection, and its replies to a quorum read and to a learner's first request, by type.
+    """
     model = consensus_cluster.Model(seed=1, seeds=SEEDS, node_type=node_type)
     model.world.run(until=1.0)
     node, connection = model.nodes["b"], RecordingConnection()
@@ -206,37 +210,37 @@
         "a", connection, messages.Accept(2, "spec", Ballot(5, "x"), node.voting.acceptor.incarnation, 1, VALUE)
     )
     model.world.run(until=1.1)
-    assert node.voting.acceptor.get("spec").accepted == (5, "x") and connection.heard == []
+    assert node.voting.acceptor.get("spec").accepted == (5, "x") and connection.sent == []
     node.voting.handle("a", connection, messages.QuorumRead(3, "spec", NO_BALLOT))
     node.voting.handle("c", connection, messages.CatchUpRequest(1, ()))
-    return node, connection, {type(message): message for message in connection.heard}
+    return node, connection, {type(message): message for message in connection.sent}
 
 
 def test_state_of_a_failed_write_is_not_sent():
-    node, connection, heard = _after_a_failed_write()
-    assert register_node.claims(heard[messages.QuorumReadReply]) == [("spec", (0, ""), (0, ""))]
-    assert register_node.claims(heard[messages.CatchUpReply]) == []
+    node, connection, sent = _node_after_failed_write()
+    assert register_node.claims(sent[messages.QuorumReadReply]) == [("spec", (0, ""), (0, ""))]
+    assert register_node.claims(sent[messages.CatchUpReply]) == []
     assert node.voting.minimum_versions()[0] == ("spec", 0)
-    # While the disk refuses, nothing is voted for and nothing changes here.
+    # While the disk refuses writes, the node grants no request and its state does not change.
     node.voting.handle("a", connection, prepare(4, 9, "x"))
-    assert connection.heard[-1].is_granted is False and node.voting.acceptor.get("spec").promised == (5, "x")
-    # Once a write goes through, what was accepted is told again.
+    assert connection.sent[-1].is_granted is False and node.voting.acceptor.get("spec").promised == (5, "x")
+    # Once a write has succeeded, the accepted value is sent.
     node.files.faults.clear()
     node.world.run(until=3.0)
     node.voting.handle("a", connection, messages.QuorumRead(5, "spec", NO_BALLOT))
-    assert register_node.claims(connection.heard[-1])[0][2] >= (5, "x") and connection.heard[-1][5:] == (1, VALUE)
+    assert register_node.claims(connection.sent[-1])[0][2] >= (5, "x") and connection.sent[-1][5:] == (1, VALUE)
 
 
 def test_catch_up_rows_from_memory_are_detected():
-    _node, _connection, heard = _after_a_failed_write(TellingAhead)
-    assert register_node.claims(heard[messages.CatchUpReply]) == [("spec", (5, "x"), (5, "x"))]
+    _node, _connection, sent = _node_after_failed_write(NodeSendingRowsFromMemory)
+    assert register_node.claims(sent[messages.CatchUpReply]) == [("spec", (5, "x"), (5, "x"))]
 
 
 def test_history_check_detects_an_append_after_a_failed_sync(monkeypatch):
     write = acceptor_storage.AcceptorStorage.write
 
-    def trusting(self, *, rows, image):
-        """Takes the failed append for written, as a program does that only syncs once more."""
+    def faulty_write(self, *, rows, image):
+        """Seeded bug: treats a failed append as written, as a program does that only calls fsync again."""
         is_append, size = not self._needs_rewrite, self._size
         try:
             write(self, rows=rows, image=image)
@@ -246,14 +250,14 @@
                 self._needs_rewrite = False
             raise
 
-    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "write", trusting)
-    assert found(range(6))
+    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "write", faulty_write)
+    assert any_history_is_faulty(range(6))
 
 
 def test_history_check_detects_trust_in_an_unsynced_file(monkeypatch):
     load = acceptor_storage.AcceptorStorage.load
 
-    def trusting(self):
+    def faulty_load(self):
         image = load(self)
         data = self._disk.read(name=acceptor_storage.FILE_NAME)
         if data is not None and image.incarnation:
@@ -263,23 +267,23 @@
 
     begin = write_ahead_log.WriteAheadLog.begin
 
-    def telling(self, *, acceptor, first_set, on_durable=None):
+    def faulty_begin(self, *, acceptor, first_set, on_durable=None):
         begin(self, acceptor=acceptor, first_set=first_set, on_durable=on_durable)
         self._durable_change = self._newest_change
         self.durable = acceptors.Acceptor(incarnation=acceptor.incarnation, rows=acceptor.rows())
 
-    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "load", trusting)
-    monkeypatch.setattr(write_ahead_log.WriteAheadLog, "begin", telling)
-    assert found(range(12, 24))
+    monkeypatch.setattr(acceptor_storage.AcceptorStorage, "load", faulty_load)
+    monkeypatch.setattr(write_ahead_log.WriteAheadLog, "begin", faulty_begin)
+    assert any_history_is_faulty(range(12, 24))
 
 
 def test_history_check_detects_a_rename_without_folder_sync(monkeypatch):
     monkeypatch.setattr(disks.Disk, "_sync_folder", lambda self: None)
-    assert found(range(12))
+    assert any_history_is_faulty(range(12))
 
 
 def test_history_check_detects_replies_before_the_write(monkeypatch):
     monkeypatch.setattr(
         write_ahead_log.WriteAheadLog, "when_durable", lambda self, *, key, callback: (callback(), self._write())
     )
-    assert found(range(3))
+    assert any_history_is_faulty(range(3))
