--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -1,9 +1,11 @@
-"""The code starts from what an earlier state of it stored: golden/stored, golden/kept.tar.gz and golden/expected.json.
+"""Compatibility tests: the code reads and continues the data that an earlier version of it stored.
 
-Three core nodes of the model world (ploverward/simulation/control_plane) wrote the folders to the real disk: 10.0.0.1
-and 10.0.0.2 from the first start, 10.0.0.4 as a learner that took the place of 10.0.0.3. Names of the code are used
-in the first part of this file only; the rest speaks of stored names, so a rename of the code changes little here and
-nothing in golden/.
+The stored data is in golden/stored and golden/kept.tar.gz, its expected content in golden/expected.json. Three core
+nodes of the simulation (ploverward/simulation/control_plane) wrote the folders to a real disk: 10.0.0.1 and 10.0.0.2
+from the first start, 10.0.0.4 as a learner that took the place of 10.0.0.3.
+
+Only the first part of this file uses names of the code. The tests use names as stored, so that a rename in the code
+changes little here and nothing in golden/.
 """
 
 import copy
@@ -35,14 +37,14 @@
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 LIMIT_BYTES = 512 * 1024
-LOG, NEW = "register.log", "register.new"  # as stored
-HEAD_SIZE = 8  # of a record: length and CRC-32, both big-endian
+LOG, NEW = "register.log", "register.new"  # file names as stored
+HEADER_SIZE = 8  # of a record, in bytes: length and CRC-32, both big-endian
 CONFIGURATION, EVACUATION, ROLLOUTS = "/ploverward/configuration", "/ploverward/evacuation", "/ploverward/rollouts"
 
 
-# Names of the code.
+# Helpers that use names of the code.
 class Disk(disks.Disk):
-    """The real disk of a machine of the model world: what is written is there at once."""
+    """The real disk of a machine in the simulation; writes are complete immediately."""
 
     def finish_batch(self) -> float:
         return 0.0
@@ -54,7 +56,7 @@
         pass
 
 
-def open_store(folder):
+def open_storage(folder):
     return acceptor_storage.AcceptorStorage(disk=disks.Disk(folder=str(folder)), limit_bytes=LIMIT_BYTES)
 
 
@@ -62,11 +64,11 @@
     return log_records.pack_rows(log_records.unflatten(row) for row in rows)
 
 
-def records_of(data: bytes) -> list:
-    """(rows, bytes) of each record; the whole file has to be read."""
+def split_records(data: bytes) -> list:
+    """Returns the rows and the bytes of each record, and checks that the whole file consists of valid records."""
     found = []
     while data:
-        size = HEAD_SIZE + int.from_bytes(data[:4], "big")
+        size = HEADER_SIZE + int.from_bytes(data[:4], "big")
         rows, taken = log_records.read_rows(data[:size])
         assert taken == size
         found.append(([log_records.flatten(row) for row in rows], data[:size]))
@@ -86,14 +88,14 @@
     }
 
 
-def pack_value(about: dict) -> bytes:
-    move = {"previous": about["previous"], "moved_at": about["moved_at"]} if about["previous"] else {}
-    return ballots.pack(members=about["members"], payload=about["payload"], **move)
+def pack_value(entry: dict) -> bytes:
+    move = {"previous": entry["previous"], "moved_at": entry["moved_at"]} if entry["previous"] else {}
+    return ballots.pack(members=entry["members"], payload=entry["payload"], **move)
 
 
-def held_by(folder) -> dict:
-    """What a start finds in the folder, by way of the store and the acceptor."""
-    image = open_store(folder).load()
+def load_folder(folder) -> dict:
+    """Returns the state that a node loads from the folder at its start, through the storage and the acceptor."""
+    image = open_storage(folder).load()
     acceptor = acceptors.Acceptor(incarnation=image.incarnation, rows=image.rows)
     rows = {}
     for name in sorted(acceptor.states):
@@ -102,48 +104,48 @@
     return {"incarnation": image.incarnation, "first_set": list(image.first_set), "registers": rows}
 
 
-def configured(history) -> tuple:
-    """The payload of the configuration and all marks, after these orders without an archive."""
+def apply_configuration_orders(history) -> tuple:
+    """Applies these orders without an archive; returns the configuration's payload and the marks of all orders."""
     payload = None
     for row in history:
         order = configuration_orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
         if order.method == "PATCH":
             order = configuration_orders.build(order=order, base_body=payload["body"])
-        payload, _said = configuration_orders.edit_for(order=order, archived=0)(payload)
+        payload, _result = configuration_orders.edit_for(order=order, archived=0)(payload)
     return json.loads(json.dumps(payload)), payload["recent"]
 
 
-def archived(rows) -> dict:
+def archive_orders(rows) -> dict:
     return order_archive.edit_for(rows=rows)(None)[0]
 
 
-def evacuated(history) -> dict:
+def apply_evacuation_orders(history) -> dict:
     payload = None
     for row in history:
         edit = evacuations.edit_for(zone=row["zone"], is_out=row["method"] == "POST", is_late=lambda: False)
-        payload, _said = edit(payload)
+        payload, _result = edit(payload)
     return payload
 
 
-def rewritten_rollouts(payload: dict) -> dict:
-    """The payload after each row was read and written again."""
+def rewrite_rollouts(payload: dict) -> dict:
+    """Returns the payload after each roll-out in it was decoded and encoded again."""
     written = None
     for name, rollout in state.rollouts_of(payload).items():
         written = state.with_rollout(written, service=name, rollout=rollout)
     return json.loads(json.dumps(written))
 
 
-def ordered_rollout(payload, data: bytes) -> dict:
+def apply_rollout_order(payload, data: bytes) -> dict:
     order = rollout_orders.read(data=data)
     return json.loads(json.dumps(rollout_orders.edit_for(order=order, is_late=lambda: False)(payload)[0]))
 
 
-def keeper_of(folder):
+def open_repository(folder):
     return keep.ConfigurationRepository(folder=str(folder))
 
 
-class Site:
-    """Core nodes of the model world whose disks are the folders `folder`/HOST."""
+class CoreCluster:
+    """Core nodes of the simulation whose disks are the real folders `folder`/HOST."""
 
     def __init__(self, *, folder, seed: int):
         self.folder = pathlib.Path(folder)
@@ -179,7 +181,7 @@
             platform=self.platform,
             node_settings=self._settings(machine, seeds=seeds, is_first=is_first),
             on_failure=lambda _process, text: self.failures.append(text),
-            on_stop=lambda machine, process: self.failures.append(f"{machine.host} ended by itself"),
+            on_stop=lambda machine, process: self.failures.append(f"{machine.host} stopped unexpectedly"),
             watcher=lambda core: None,
         )
         assert self.failures == []
@@ -193,8 +195,8 @@
         self.clock.run(until=self.clock.time + span_s)
 
     def call(self, host: str, method: str, target: str, *, body=b"", base=None) -> tuple:
-        """(status, body, ETag) of one call; 0 where it was not answered within a second."""
-        told = []
+        """Returns status, body and ETag of one call; the status is 0 if there is no reply within 1.2 s."""
+        replies = []
         self.caller.call(
             host=host,
             port=machines.CONTROL_PORT,
@@ -203,13 +205,13 @@
             headers=(("If-Match", str(base)),) if base is not None else (),
             body=body,
             limit_s=1.2,
-            done=told.append,
+            done=replies.append,
         )
-        while not told:
+        while not replies:
             self.run(0.01)
-        if told[0] is None:
+        if replies[0] is None:
             return 0, None, ""
-        status, headers, data = told[0]
+        status, headers, data = replies[0]
         return status, json.loads(data) if data else None, headers.get("etag", "")
 
     def core_set(self, host: str) -> list:
@@ -220,11 +222,11 @@
 
 
 # Tests.
-def expected() -> dict:
+def load_expected() -> dict:
     return json.loads((GOLDEN / "expected.json").read_text(encoding="utf-8"))
 
 
-EXPECTED = expected()
+EXPECTED = load_expected()
 HOSTS = sorted(EXPECTED["nodes"])
 each_node = pytest.mark.parametrize("host", HOSTS)
 
@@ -236,8 +238,8 @@
     return folder
 
 
-def newest() -> dict:
-    """Register: its newest row in any folder."""
+def newest_rows() -> dict:
+    """Returns the newest row of each register in any folder, by register."""
     rows = {}
     for node in EXPECTED["nodes"].values():
         for name, row in node["registers"].items():
@@ -248,201 +250,205 @@
 
 @each_node
 def test_stored_registers_are_read_unchanged(stored, host):
-    wanted = EXPECTED["nodes"][host]
-    found = held_by(stored / host)
-    assert found["incarnation"] == wanted["incarnation"] and found["first_set"] == wanted["first_set"]
+    expected = EXPECTED["nodes"][host]
+    found = load_folder(stored / host)
+    assert found["incarnation"] == expected["incarnation"] and found["first_set"] == expected["first_set"]
     assert set(found["registers"]) == {"spec", "evac", "rollouts", "duty", "orders", "cores"}
-    for name, row in wanted["registers"].items():
+    for name, row in expected["registers"].items():
         assert found["registers"][name] == row, name
-    assert found == {key: wanted[key] for key in found}
+    assert found == {key: expected[key] for key in found}
 
 
 @each_node
 def test_fixture_contains_a_full_image_and_appended_records(host):
-    records = records_of((GOLDEN / "stored" / host / LOG).read_bytes())
+    records = split_records((GOLDEN / "stored" / host / LOG).read_bytes())
     assert len(records) == EXPECTED["nodes"][host]["records"] > 10
     names = [row[0] for row in records[0][0]]
-    assert names[0] == "\x00identity" and sorted(names[1:]) == sorted(newest())
+    assert names[0] == "\x00identity" and sorted(names[1:]) == sorted(newest_rows())
     rows = [row for tail, _data in records[1:] for row in tail]
     assert any(row[6] for row in rows) and any(not row[6] for row in rows)
 
 
 @each_node
 def test_stored_records_are_rewritten_with_the_same_bytes(host):
-    for rows, data in records_of((GOLDEN / "stored" / host / LOG).read_bytes()):
+    for rows, data in split_records((GOLDEN / "stored" / host / LOG).read_bytes()):
         assert pack_record(rows) == data
         for row in rows:
             if row[6]:
-                # The length of what zlib makes may differ with its version, so the text is compared.
+                # The compressed bytes may differ between versions of zlib, so the decompressed text is compared.
                 assert zlib.decompress(pack_value(unpack_value(row[6]))) == zlib.decompress(row[6])
 
 
 @pytest.mark.parametrize("kind", sorted(EXPECTED["records"]))
 def test_one_record_of_each_kind_has_the_stored_bytes(kind):
-    about = EXPECTED["records"][kind]
-    rows = tuple((*row[:6], bytes.fromhex(row[6])) for row in about["rows"])
-    assert pack_record(rows).hex() == about["hex"]
-    assert records_of(bytes.fromhex(about["hex"])) == [(list(rows), bytes.fromhex(about["hex"]))]
+    entry = EXPECTED["records"][kind]
+    rows = tuple((*row[:6], bytes.fromhex(row[6])) for row in entry["rows"])
+    assert pack_record(rows).hex() == entry["hex"]
+    assert split_records(bytes.fromhex(entry["hex"])) == [(list(rows), bytes.fromhex(entry["hex"]))]
 
 
 @pytest.mark.parametrize("kind", sorted(EXPECTED["values"]))
 def test_one_value_of_each_kind_has_the_stored_text(kind):
-    about = EXPECTED["values"][kind]
-    assert zlib.decompress(pack_value(about["value"])).decode() == about["text"]
-    assert unpack_value(bytes.fromhex(about["hex"])) == about["value"]
+    entry = EXPECTED["values"][kind]
+    assert zlib.decompress(pack_value(entry["value"])).decode() == entry["text"]
+    assert unpack_value(bytes.fromhex(entry["hex"])) == entry["value"]
 
 
 @each_node
 def test_first_write_of_an_image_has_the_stored_format(stored, tmp_path, host):
-    """What a start writes before it tells anything: one record, identity first, then a row a register."""
-    image = open_store(stored / host).load()
+    """Before a process sends any state, it writes one record: the identity, then one row per register."""
+    image = open_storage(stored / host).load()
     other = tmp_path / "other"
     other.mkdir()
-    open_store(other).write(rows=(), image=image)
+    open_storage(other).write(rows=(), image=image)
     assert [path.name for path in other.iterdir()] == [LOG]
-    (record,) = records_of((other / LOG).read_bytes())
-    wanted = EXPECTED["nodes"][host]
-    identity = ("\x00identity", 0, wanted["incarnation"], 0, " ".join(wanted["first_set"]), 0, b"")
-    assert record[0][0] == identity and len(record[0]) == 1 + len(wanted["registers"])
-    assert held_by(other) == held_by(stored / host)
+    (record,) = split_records((other / LOG).read_bytes())
+    expected = EXPECTED["nodes"][host]
+    identity = ("\x00identity", 0, expected["incarnation"], 0, " ".join(expected["first_set"]), 0, b"")
+    assert record[0][0] == identity and len(record[0]) == 1 + len(expected["registers"])
+    assert load_folder(other) == load_folder(stored / host)
 
 
 def test_orders_produce_the_stored_payloads():
-    rows = newest()
-    payload, marks = configured(EXPECTED["history"])
+    rows = newest_rows()
+    payload, marks = apply_configuration_orders(EXPECTED["history"])
     held = rows["spec"]["payload"]
     assert (held["edition"], held["body"]) == (payload["edition"], payload["body"])
     assert list(held) == list(payload)
     assert len(held["recent"]) >= 64 and held["recent"] == marks[-len(held["recent"]) :]
     through = rows["orders"]["payload"]["through"]
-    assert rows["orders"]["payload"] == archived([row for row in marks if row[0] <= through])
-    assert rows["evac"]["payload"] == evacuated(EXPECTED["evacuations"])
-    assert rewritten_rollouts(rows["rollouts"]["payload"]) == rows["rollouts"]["payload"]
-    about = EXPECTED["rollout"]
-    assert ordered_rollout(about["before"], about["data"].encode()) == about["after"]
+    assert rows["orders"]["payload"] == archive_orders([row for row in marks if row[0] <= through])
+    assert rows["evac"]["payload"] == apply_evacuation_orders(EXPECTED["evacuations"])
+    assert rewrite_rollouts(rows["rollouts"]["payload"]) == rows["rollouts"]["payload"]
+    entry = EXPECTED["rollout"]
+    assert apply_rollout_order(entry["before"], entry["data"].encode()) == entry["after"]
 
 
-def only_archived() -> list:
-    """Orders of the history whose marks stand in no configuration of any folder."""
+def archived_only_orders() -> list:
+    """Returns the orders of the history whose marks are in no configuration register of any folder."""
     recent = {
         edition for node in EXPECTED["nodes"].values() for edition, _ in node["registers"]["spec"]["payload"]["recent"]
     }
     return [row for row in EXPECTED["history"] if row["edition"] not in recent]
 
 
-def check_answers(site, *, edition: int, body: dict) -> None:
-    """Every node answers with this configuration, and as stored with the rest; stored orders are acknowledged."""
-    rows = newest()
+def assert_api_serves(cluster, *, edition: int, body: dict) -> None:
+    """Checks that every node serves this configuration and the other stored state.
+
+    Stored orders that are sent again are acknowledged, also those that are only in the archive; an order with other
+    bytes and an outdated base gets 412.
+    """
+    rows = newest_rows()
     for host in HOSTS:
-        status, told, tag = site.call(host, "GET", CONFIGURATION)
-        assert (status, told, tag) == (200, body, f'"{edition}"')
-        assert site.call(host, "GET", EVACUATION)[:2] == (200, {"zones": rows["evac"]["payload"]["zones"]})
-        status, told, _tag = site.call(host, "GET", ROLLOUTS)
+        status, reply, tag = cluster.call(host, "GET", CONFIGURATION)
+        assert (status, reply, tag) == (200, body, f'"{edition}"')
+        assert cluster.call(host, "GET", EVACUATION)[:2] == (200, {"zones": rows["evac"]["payload"]["zones"]})
+        status, reply, _tag = cluster.call(host, "GET", ROLLOUTS)
         stored = rows["rollouts"]["payload"]["services"]
-        assert status == 200 and set(told["rollouts"]) == set(stored)
-        assert all(told["rollouts"][name]["targetEdition"] == row["target"] for name, row in stored.items())
-        assert all(told["rollouts"][name]["number"] == row["number"] for name, row in stored.items())
-        assert site.core_set(host) == rows["cores"]["members"] == HOSTS
-        archived_orders, history = only_archived(), EXPECTED["history"]
+        assert status == 200 and set(reply["rollouts"]) == set(stored)
+        assert all(reply["rollouts"][name]["targetEdition"] == row["target"] for name, row in stored.items())
+        assert all(reply["rollouts"][name]["number"] == row["number"] for name, row in stored.items())
+        assert cluster.core_set(host) == rows["cores"]["members"] == HOSTS
+        archived_orders, history = archived_only_orders(), EXPECTED["history"]
         assert len(archived_orders) >= 64
         for row in (*archived_orders[:2], archived_orders[-1], history[-64], history[-1]):
-            told = site.call(host, row["method"], CONFIGURATION, body=row["data"].encode(), base=row["base"])
-            assert told[0] == 200, row
+            reply = cluster.call(host, row["method"], CONFIGURATION, body=row["data"].encode(), base=row["base"])
+            assert reply[0] == 200, row
         changed = history[0]["data"].encode() + b" "
-        assert site.call(host, history[0]["method"], CONFIGURATION, body=changed, base=history[0]["base"])[0] == 412
+        assert cluster.call(host, history[0]["method"], CONFIGURATION, body=changed, base=history[0]["base"])[0] == 412
 
 
-def started(folder, *, seed: int) -> Site:
-    site = Site(folder=folder, seed=seed)
+def start_cluster(folder, *, seed: int) -> CoreCluster:
+    cluster = CoreCluster(folder=folder, seed=seed)
     for host in HOSTS:
-        site.start(host, seeds=HOSTS)
-    site.run(8.0)
-    return site
+        cluster.start(host, seeds=HOSTS)
+    cluster.run(8.0)
+    return cluster
 
 
 def test_core_nodes_start_from_the_stored_folders(stored):
-    rows = newest()
+    rows = newest_rows()
     body = rows["spec"]["payload"]["body"]
     edition = rows["spec"]["payload"]["edition"]
-    site = started(stored, seed=1)
-    check_answers(site, edition=edition, body=body)
+    cluster = start_cluster(stored, seed=1)
+    assert_api_serves(cluster, edition=edition, body=body)
     stored_duties = rows["duty"]["payload"]
-    assert all(set(stored_duties) <= set(site.duties(host)) for host in HOSTS)
-    assert all(site.duties(host)[name][0] >= row[0] for host in HOSTS for name, row in stored_duties.items())
+    assert all(set(stored_duties) <= set(cluster.duties(host)) for host in HOSTS)
+    assert all(cluster.duties(host)[name][0] >= row[0] for host in HOSTS for name, row in stored_duties.items())
 
-    # What is written on top is read by a second start.
+    # A second start reads what is written now in addition to the stored state.
     data = json.dumps({**body, "edition": edition + 5}).encode()
-    assert site.call(HOSTS[1], "PUT", CONFIGURATION, body=data, base=edition)[0] == 200
-    site.run(3.0)
+    assert cluster.call(HOSTS[1], "PUT", CONFIGURATION, body=data, base=edition)[0] == 200
+    cluster.run(3.0)
     for host in HOSTS:
-        site.stop(host)
-    assert site.failures == []
+        cluster.stop(host)
+    assert cluster.failures == []
     for host in HOSTS:
-        before, after = EXPECTED["nodes"][host], held_by(stored / host)
+        before, after = EXPECTED["nodes"][host], load_folder(stored / host)
         assert (after["incarnation"], after["first_set"]) == (before["incarnation"], before["first_set"])
         for name, row in before["registers"].items():
             assert after["registers"][name]["promised"] >= row["promised"]
             assert after["registers"][name]["accepted"] >= row["accepted"]
             assert after["registers"][name]["members"] == rows["cores"]["members"]
-        for old, _data in records_of((stored / host / LOG).read_bytes()):
-            assert pack_record(old) == _data
-    again = started(stored, seed=2)
-    check_answers(again, edition=edition + 5, body={**body, "edition": edition + 5})
-    assert again.call(HOSTS[0], "PUT", CONFIGURATION, body=data, base=edition)[0] == 200
-    assert again.failures == []
+        for record_rows, record_bytes in split_records((stored / host / LOG).read_bytes()):
+            assert pack_record(record_rows) == record_bytes
+    restarted = start_cluster(stored, seed=2)
+    assert_api_serves(restarted, edition=edition + 5, body={**body, "edition": edition + 5})
+    assert restarted.call(HOSTS[0], "PUT", CONFIGURATION, body=data, base=edition)[0] == 200
+    assert restarted.failures == []
 
 
 @each_node
 def test_torn_tail_is_ignored_on_load(stored, tmp_path, host):
     path = stored / host / LOG
     data = path.read_bytes()
-    records = records_of(data)
+    records = split_records(data)
     last = len(records[-1][1])
     for cut in (1, last // 2, last - 1):
         path.write_bytes(data[: len(data) - cut])
         whole = tmp_path / f"whole-{cut}"
         whole.mkdir()
         (whole / LOG).write_bytes(data[: len(data) - last])
-        assert held_by(stored / host) == held_by(whole)
+        assert load_folder(stored / host) == load_folder(whole)
     path.write_bytes(data + records[-1][1][: last // 2])
-    assert held_by(stored / host)["registers"] == EXPECTED["nodes"][host]["registers"]
+    assert load_folder(stored / host)["registers"] == EXPECTED["nodes"][host]["registers"]
 
 
 def test_core_nodes_start_with_a_torn_tail_and_a_leftover_new_file(stored):
-    """The process ended in the midst of an append on one node, and before a rename on another."""
+    """The process ended during an append on one node, and before the rename of a rewritten file on another."""
     with (stored / HOSTS[0] / LOG).open("ab") as handle:
         handle.write(b"\x00\x00\x01\x00\x12\x34")
     (stored / HOSTS[1] / NEW).write_bytes(b"\x00\x00\x00\x20half")
-    site = started(stored, seed=3)
-    payload = newest()["spec"]["payload"]
-    check_answers(site, edition=payload["edition"], body=payload["body"])
+    cluster = start_cluster(stored, seed=3)
+    payload = newest_rows()["spec"]["payload"]
+    assert_api_serves(cluster, edition=payload["edition"], body=payload["body"])
     assert not (stored / HOSTS[1] / NEW).exists()
-    records_of((stored / HOSTS[0] / LOG).read_bytes())
-    assert site.failures == []
+    split_records((stored / HOSTS[0] / LOG).read_bytes())
+    assert cluster.failures == []
 
 
 def test_kept_configurations_are_read_and_extended(tmp_path):
     with tarfile.open(GOLDEN / "kept.tar.gz") as packed:
         packed.extractall(tmp_path, filter="data")
-    wanted = EXPECTED["kept"]
+    expected = EXPECTED["kept"]
     folder = tmp_path / "kept"
-    assert (folder / "configuration.json").read_text(encoding="utf-8") == wanted["text"]
-    repository = keeper_of(folder)
-    assert [list(row) for row in repository.log()] == wanted["log"]
-    for edition, body in wanted["shown"].items():
+    assert (folder / "configuration.json").read_text(encoding="utf-8") == expected["text"]
+    repository = open_repository(folder)
+    assert [list(row) for row in repository.log()] == expected["log"]
+    for edition, body in expected["shown"].items():
         assert repository.show(edition=int(edition)) == body
-    last = copy.deepcopy(wanted["given"][-1])
+    last = copy.deepcopy(expected["given"][-1])
     assert repository.keep(body=last) is None
     last["edition"] += 1
     assert repository.keep(body=last)
     repository.close()
-    again = keeper_of(folder)
-    assert [edition for edition, _commit in again.log()] == [last["edition"], *(row[0] for row in wanted["log"])]
-    again.close()
+    reopened = open_repository(folder)
+    assert [edition for edition, _commit in reopened.log()] == [last["edition"], *(row[0] for row in expected["log"])]
+    reopened.close()
 
 
 def test_kept_configuration_has_the_stored_text(tmp_path):
-    repository = keeper_of(tmp_path / "kept")
+    repository = open_repository(tmp_path / "kept")
     for body in EXPECTED["kept"]["given"]:
         repository.keep(body=body)
     repository.close()
