--- a/ploverward/control_plane/consensus/attempt_pacing.py
+++ b/ploverward/control_plane/consensus/attempt_pacing.py
@@ -31,7 +31,7 @@
         now: Loop time in seconds.
         attempt_timeout_s: How long an attempt waits for a majority, usually.
         limit_s: The longest that it ever waits.
-        usual_write_s: How long a write to this node's disk takes lately, in seconds. None: no time at all.
+        average_write_s: How long a write to this node's disk takes lately, in seconds. None: no time at all.
         is_move_expected: Register to whether another node is about to move it to another set. None: never.
 
     Attributes:
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -69,7 +69,7 @@
         attempt_timeout_s: how long an attempt waits for a majority.
         accepted_value: register to the value on this node's disk, which replies may leave out. None: replies are
             complete.
-        usual_write_s: how long a write to this node's disk takes lately, in seconds. None: no time at all.
+        average_write_s: how long a write to this node's disk takes lately, in seconds. None: no time at all.
         is_move_expected: register to whether another node is about to move it to another set. None: never.
 
     Attributes:
