--- a/ploverward/control_plane/consensus/attempt_pacing.py
+++ b/ploverward/control_plane/consensus/attempt_pacing.py
@@ -31,8 +31,8 @@
         now: Returns the loop time in seconds.
         attempt_timeout_s: How long an attempt waits for a majority where disks are not slow.
         limit_s: Upper limit of the timeout of an attempt.
-        usual_write_s: Returns the recent average duration of a write to this node's disk, in seconds. None: writes are
-            assumed to take no time.
+        average_write_s: Returns the recent average duration of a write to this node's disk, in seconds. None: writes
+            are assumed to take no time.
         is_move_expected: Returns whether another node is about to move a register to another set. None: never.
 
     Attributes:
@@ -45,13 +45,13 @@
         now: Callable[[], float],
         attempt_timeout_s: float,
         limit_s: float,
-        usual_write_s: Callable[[], float] | None,
+        average_write_s: Callable[[], float] | None,
         is_move_expected: Callable[[str], bool] | None,
     ) -> None:
         self._now = now
         self.base_timeout_s = attempt_timeout_s
         self._limit_s = limit_s
-        self._usual_write_s = usual_write_s
+        self._average_write_s = average_write_s
         self._is_move_expected = is_move_expected
         # register: loop time in seconds until which another node's attempt may be in progress
         self._other_attempts_until: dict[str, float] = {}
@@ -63,7 +63,7 @@
 
     def timeout_s(self) -> float:
         """Returns the timeout in seconds of an attempt that begins now; it is longer while this node's disk is slow."""
-        write_s = self._usual_write_s() if self._usual_write_s is not None else 0.0
+        write_s = self._average_write_s() if self._average_write_s is not None else 0.0
         if write_s * WRITES_PER_ATTEMPT <= self.base_timeout_s:
             return self.base_timeout_s
         return min(write_s * WRITES_PER_ATTEMPT * SLOW_DISK_MARGIN, self._limit_s)
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -71,7 +71,7 @@
         attempt_timeout_s: how long an attempt waits for a majority.
         accepted_value: returns the value of a register on this node's disk, which replies may omit. None: replies
             always carry the value.
-        usual_write_s: returns the recent average duration of a write to this node's disk, in seconds. None: writes
+        average_write_s: returns the recent average duration of a write to this node's disk, in seconds. None: writes
             are assumed to take no time.
         is_move_expected: returns whether another node is about to move a register to another set. None: never.
 
@@ -94,7 +94,7 @@
         limit_s: float,
         attempt_timeout_s: float,
         accepted_value: collections.abc.Callable[[str], AcceptedValue] | None = None,
-        usual_write_s: collections.abc.Callable[[], float] | None = None,
+        average_write_s: collections.abc.Callable[[], float] | None = None,
         is_move_expected: collections.abc.Callable[[str], bool] | None = None,
     ) -> None:
         self.own = own
@@ -105,7 +105,7 @@
             now=now,
             attempt_timeout_s=attempt_timeout_s,
             limit_s=limit_s,
-            usual_write_s=usual_write_s,
+            average_write_s=average_write_s,
             is_move_expected=is_move_expected,
         )
         self._send = send
--- a/ploverward/control_plane/consensus/test_attempt_pacing.py
+++ b/ploverward/control_plane/consensus/test_attempt_pacing.py
@@ -47,7 +47,7 @@
             on_chosen=lambda *_row: None,
             limit_s=LIMIT_S,
             attempt_timeout_s=TIMEOUT_S,
-            usual_write_s=lambda: write_s,
+            average_write_s=lambda: write_s,
             is_move_expected=lambda _name: is_move_expected,
         )
         self.ended = []
@@ -100,7 +100,7 @@
             now=lambda: 0.0,
             attempt_timeout_s=TIMEOUT_S,
             limit_s=LIMIT_S,
-            usual_write_s=lambda: write_s,
+            average_write_s=lambda: write_s,
             is_move_expected=None,
         )
         return pacing.timeout_s(), pacing.has_slow_disk()
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -50,7 +50,7 @@
         load(self, store, seeds, is_first_start)
         if self.proposer.is_learner and (is_always or is_first_start):
             self._start_from_image(
-                acceptor_storage.Image(incarnation=self._unique_id(), first_set=tuple(sorted(seeds)))
+                acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=tuple(sorted(seeds)))
             )
             self.proposer.is_learner = False
 
@@ -72,7 +72,7 @@
     load = consensus_node.ConsensusNode._load
 
     def _request_catch_up(self: Any) -> None:  # noqa: ANN401  # a node with one attribute more
-        self._start_from_image(acceptor_storage.Image(incarnation=self._unique_id(), first_set=self.own_set))
+        self._start_from_image(acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=self.own_set))
 
     def _load(
         self: Any,  # noqa: ANN401
