--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -45,10 +45,10 @@
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
         self.is_short = False  # the filter had no room for a hash
         self.owner_bits: dict[str, int] = {}  # by replica id
-        self._kept: dict[str, collections.OrderedDict[bytes, int]] = {}  # replica id: tokens by hash, oldest first
-        self._sizes: dict[str, int] = {}  # replica id: tokens in its cache
+        self._cached: dict[str, collections.OrderedDict[bytes, int]] = {}  # replica id: tokens by hash, oldest first
+        self._cached_tokens: dict[str, int] = {}  # replica id: tokens in its cache
         self._owners: dict[bytes, dict[str, bool]] = {}  # hash: its owners, the first one first
-        self._groups: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # hashes that share one slot
+        self._hashes_by_slot: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # hashes that share one slot
         self.omitted = 0  # reads and hashes that had no room
 
     def admit(self, replica: str) -> bool:
@@ -59,8 +59,8 @@
         if not self.is_wide and owner_bit >= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD:
             return False
         self.owner_bits[replica] = owner_bit
-        self._kept[replica] = collections.OrderedDict()
-        self._sizes[replica] = 0
+        self._cached[replica] = collections.OrderedDict()
+        self._cached_tokens[replica] = 0
         return True
 
     @property
@@ -96,12 +96,12 @@
     def _rebuild(self, *, bucket_count: int, words: int) -> int:
         """How many slots had no room in a filter of this size."""
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
-        self._groups = {}
+        self._hashes_by_slot = {}
         for full_hash in self._owners:
-            self._groups.setdefault(self._group(full_hash), set()).add(full_hash)
+            self._hashes_by_slot.setdefault(self._slot_id(full_hash), set()).add(full_hash)
         return sum(
-            not self.filter.put(full_hash=next(iter(owned)), bits=self._bits(group))
-            for group, owned in self._groups.items()
+            not self.filter.put(full_hash=next(iter(owned)), bits=self._slot_value(slot_id))
+            for slot_id, owned in self._hashes_by_slot.items()
         )
 
     def owners(self, full_hash: bytes) -> frozenset[str]:
@@ -110,7 +110,7 @@
 
     def kept_tokens(self, replica: str) -> int:
         """Tokens in a replica's cache, by the model."""
-        return self._sizes.get(replica, 0)
+        return self._cached_tokens.get(replica, 0)
 
     def read(self, *, replica: str, rows: Sequence[cuckoo_filter.HashedPart]) -> None:
         """The replica processed this prompt.
@@ -122,61 +122,61 @@
         if not self.admit(replica):
             self.omitted += 1
             return
-        kept = self._kept[replica]
+        cached = self._cached[replica]
         last = len(rows) - 1
         for index, (full_hash, tokens) in enumerate(rows):
-            if full_hash in kept:
-                kept.move_to_end(full_hash)
+            if full_hash in cached:
+                cached.move_to_end(full_hash)
                 continue
-            kept[full_hash] = tokens
-            self._sizes[replica] += tokens
+            cached[full_hash] = tokens
+            self._cached_tokens[replica] += tokens
             # The last part is the request's own or its session's: until another replica has it, few will search for it.
-            self._own(replica, full_hash, may_wait=index == last and full_hash not in self._owners)
+            self._add_owner(replica, full_hash, may_wait=index == last and full_hash not in self._owners)
         # Children are used no later than their parents: walk back so that the root is the youngest.
         for full_hash, _tokens in reversed(rows):
-            if full_hash in kept:
-                kept.move_to_end(full_hash)
-        while self._sizes[replica] > self.cache_tokens and kept:
-            full_hash, tokens = kept.popitem(last=False)
-            self._sizes[replica] -= tokens
-            self._disown(replica, full_hash)
+            if full_hash in cached:
+                cached.move_to_end(full_hash)
+        while self._cached_tokens[replica] > self.cache_tokens and cached:
+            full_hash, tokens = cached.popitem(last=False)
+            self._cached_tokens[replica] -= tokens
+            self._remove_owner(replica, full_hash)
 
     def forget(self, *, replica: str, full_hash: bytes) -> None:
         """An unknown removal does nothing."""
-        kept = self._kept.get(replica)
-        if kept is None or full_hash not in kept:
+        cached = self._cached.get(replica)
+        if cached is None or full_hash not in cached:
             return
-        self._sizes[replica] -= kept.pop(full_hash)
-        self._disown(replica, full_hash)
+        self._cached_tokens[replica] -= cached.pop(full_hash)
+        self._remove_owner(replica, full_hash)
 
     def drop(self, *, replica: str) -> None:
         """Removes a replica and everything that it owned."""
-        kept = self._kept.pop(replica, None)
-        if kept is None:
+        cached = self._cached.pop(replica, None)
+        if cached is None:
             return
-        for full_hash in kept:
-            self._disown(replica, full_hash)
-        self._sizes.pop(replica, None)
+        for full_hash in cached:
+            self._remove_owner(replica, full_hash)
+        self._cached_tokens.pop(replica, None)
         self.owner_bits.pop(replica, None)
 
-    def _group(self, full_hash: bytes) -> cuckoo_filter.SlotId:
+    def _slot_id(self, full_hash: bytes) -> cuckoo_filter.SlotId:
         fingerprint, first, second = cuckoo_filter.fingerprint_and_buckets(
             full_hash=full_hash, bucket_count=self.filter.bucket_count
         )
         return fingerprint, min(first, second)
 
-    def _bits(self, group: cuckoo_filter.SlotId) -> int:
-        """The owners in the group's slot."""
+    def _slot_value(self, slot_id: cuckoo_filter.SlotId) -> int:
+        """The owners in the slot."""
         if self.is_wide:
-            return self._wide_bits(group)
+            return self._wide_slot_value(slot_id)
         bits = 0
-        for full_hash in self._groups.get(group, ()):
+        for full_hash in self._hashes_by_slot.get(slot_id, ()):
             for owner in self._owners.get(full_hash, ()):
                 bits |= 1 << self.owner_bits[owner]
         return bits
 
-    def _wide_bits(self, group: cuckoo_filter.SlotId) -> int:
-        hashes = self._groups.get(group, set())
+    def _wide_slot_value(self, slot_id: cuckoo_filter.SlotId) -> int:
+        hashes = self._hashes_by_slot.get(slot_id, set())
         owners: Collection[str]
         if len(hashes) == 1:
             owners = self._owners.get(next(iter(hashes)), {})
@@ -187,25 +187,25 @@
             count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
         )
 
-    def _own(self, replica: str, full_hash: bytes, *, may_wait: bool) -> None:
+    def _add_owner(self, replica: str, full_hash: bytes, *, may_wait: bool) -> None:
         owners = self._owners.setdefault(full_hash, {})
         owners[replica] = True
-        group = self._group(full_hash)
-        self._groups.setdefault(group, set()).add(full_hash)
-        if not self.filter.put(full_hash=full_hash, bits=self._bits(group), may_wait=may_wait):
+        slot_id = self._slot_id(full_hash)
+        self._hashes_by_slot.setdefault(slot_id, set()).add(full_hash)
+        if not self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), may_wait=may_wait):
             self.omitted += 1  # an observable omission; ownership stays exact
             self.is_short = self.filter.bucket_count < MAX_BUCKETS
 
-    def _disown(self, replica: str, full_hash: bytes) -> None:
+    def _remove_owner(self, replica: str, full_hash: bytes) -> None:
         """This may wait: until a subscriber knows, it only expects a part in a cache that is not there."""
         owners = self._owners[full_hash]
         owners.pop(replica, None)
-        group = self._group(full_hash)
+        slot_id = self._slot_id(full_hash)
         if not owners:
             del self._owners[full_hash]
-            self._groups[group].discard(full_hash)
-        if self._groups[group]:
-            self.filter.put(full_hash=full_hash, bits=self._bits(group), may_wait=True)
+            self._hashes_by_slot[slot_id].discard(full_hash)
+        if self._hashes_by_slot[slot_id]:
+            self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), may_wait=True)
         else:
-            del self._groups[group]
+            del self._hashes_by_slot[slot_id]
             self.filter.remove(full_hash=full_hash, may_wait=True)
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -69,7 +69,7 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _shape(words: int) -> struct.Struct:
+def _bucket_struct(words: int) -> struct.Struct:
     return struct.Struct(">" + f"H{value_size(words=words)}s" * SLOTS)
 
 
@@ -96,7 +96,7 @@
 
 def empty_image(*, words: int) -> bytes:
     """The image of a bucket whose slots are all free."""
-    return bytes(_shape(words).size)
+    return bytes(_bucket_struct(words).size)
 
 
 def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> FingerprintAndBuckets:
@@ -147,7 +147,7 @@
     fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(images))
     value = 0
     for index in (first, second):
-        flat = _shape(words).unpack(images[index])
+        flat = _bucket_struct(words).unpack(images[index])
         for position in range(0, 2 * SLOTS, 2):
             if flat[position] == fingerprint:
                 value |= int.from_bytes(flat[position + 1], "big")
@@ -251,4 +251,4 @@
         flat: list[int | bytes] = []
         for fingerprint, bits in self.buckets[index]:
             flat += (fingerprint, bits.to_bytes(size, "big"))
-        return _shape(self.words).pack(*flat)
+        return _bucket_struct(self.words).pack(*flat)
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -73,7 +73,7 @@
         self._judge = outcomes.Judge(now=now, suspicion_s=suspicion_s)
         self._zone_epochs: dict[str, int] = {}  # zone: the newest epoch of its digest
         self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether subscribers are far
-        self._scales: dict[bytes, load_feed.Scale] = {}  # by replica key
+        self._capacities: dict[bytes, load_feed.Scale] = {}  # by replica key
         self._ticks = 0
         self._sent: set[str] = set()  # ids of replicas that were sent requests
         self._ids: dict[bytes, str] = {}  # by replica key
@@ -90,7 +90,7 @@
         self._services = services
         self._replicas = replicas
         self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
-        self._scales = {
+        self._capacities = {
             row_codec.key_of(row["id"]): load_feed.Scale(
                 batch_slots=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
@@ -163,20 +163,20 @@
             most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE))
         else:  # there is no subscriber, so nothing is kept for later
             most = len(self._ids) + len(self._totals)
-        rows = self._feeds[is_far].next_rows(load_of=self._load_of, scale_of=self._scale_of, most=most)
+        rows = self._feeds[is_far].next_rows(load_of=self._load_of, scale_of=self._capacity_of, most=most)
         if rows and connections:
             loads = messages.ReplicaLoads(self.epoch, is_snapshot=False, load_rows=rows)
             self._broadcast(loads, connections=connections)
 
-    def _scale_of(self, key: bytes) -> load_feed.Scale:
-        return self._scales.get(key, load_feed.NO_SCALE)
+    def _capacity_of(self, key: bytes) -> load_feed.Scale:
+        return self._capacities.get(key, load_feed.NO_SCALE)
 
     def _load_of(self, key: bytes) -> load_feed.Load:
         flags = load_feed.FAILING if key in self._judge.failing else 0
         total = self._totals.get(key)
         if total is None:
             return load_feed.Load(flags=flags) if flags else load_feed.NO_LOAD
-        batch_slots = self._scale_of(key).batch_slots
+        batch_slots = self._capacity_of(key).batch_slots
         if batch_slots and total.running >= batch_slots * load_feed.FULL_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
@@ -228,7 +228,7 @@
             pool.leave(connection)
         if subscriber is not None:
             for key, load in subscriber.loads.items():
-                self._replace(key, before=load, load=NO_LOAD)
+                self._adjust_total(key, before=load, load=NO_LOAD)
 
     # Ingest.
     def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
@@ -241,12 +241,14 @@
         if subscriber is None:
             return
         rows = row_codec.rows(shape=row_codec.REPORTED, data=message.load_rows)
-        reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=message.read_rows)]
+        reads = [
+            row_codec.unpack_read(data=packed) for _region, packed in row_codec.split_reads(data=message.read_rows)
+        ]
         if message.number <= subscriber.counted:
             raise errors.FrameError(f"cut {message.number} after {subscriber.counted}", step="sums")
         is_new = False
         for key, _region, running, prefill_tokens, suspect_count, ended, failed in rows:
-            self._count(subscriber, key, LoadCounts(running, prefill_tokens, suspect_count))
+            self._set_load(subscriber, key, LoadCounts(running, prefill_tokens, suspect_count))
             replica_id = self._ids.get(key)
             if replica_id is None:
                 continue
@@ -261,17 +263,17 @@
         for key, domain, parts in reads:
             self._handle_read(key, domain.hex(), parts)
 
-    def _count(self, subscriber: Subscriber, key: bytes, load: LoadCounts) -> None:
+    def _set_load(self, subscriber: Subscriber, key: bytes, load: LoadCounts) -> None:
         before = subscriber.loads.get(key, NO_LOAD)
         if load == before:
             return
-        self._replace(key, before=before, load=load)
+        self._adjust_total(key, before=before, load=load)
         if load == NO_LOAD:
             del subscriber.loads[key]
         else:
             subscriber.loads[key] = load
 
-    def _replace(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
+    def _adjust_total(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
         total = self._totals.get(key)
         if total is None:
             total = self._totals[key] = LoadTotal()
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -50,8 +50,8 @@
         self._actor = actor
         self._images = [actor.filter.image(index) for index in range(actor.filter.bucket_count)]
         self._versions = [0] * actor.filter.bucket_count
-        self._waiting: dict[int, bool] = {}  # bucket: True; in order
-        self._waiting_later: dict[int, bool] = {}
+        self._queued: dict[int, bool] = {}  # bucket: True; in order
+        self._queued_deferrable: dict[int, bool] = {}
         self._subscribers: dict[peer_connection.PeerConnection, bool] = {}  # in order
         self.is_fenced = False
 
@@ -79,15 +79,15 @@
             dirty_later: the others.
         """
         for index in sorted(dirty):
-            self._waiting_later.pop(index, None)
-            self._waiting.setdefault(index, True)
+            self._queued_deferrable.pop(index, None)
+            self._queued.setdefault(index, True)
         for index in sorted(dirty_later):
-            if index not in self._waiting:
-                self._waiting_later.setdefault(index, True)
+            if index not in self._queued:
+                self._queued_deferrable.setdefault(index, True)
 
     def waiting(self) -> int:
         """How many buckets are still to be published."""
-        return len(self._waiting) + len(self._waiting_later)
+        return len(self._queued) + len(self._queued_deferrable)
 
     def flush(self, *, most: int | None = None) -> None:
         """Publishes buckets that changed.
@@ -111,10 +111,10 @@
     def _next_rows(self, most: int | None) -> list[tuple[int, bytes]]:
         """(bucket, its row) of those whose image is another than the published one."""
         rows: list[tuple[int, bytes]] = []
-        for waiting in (self._waiting, self._waiting_later):
-            while waiting and (most is None or len(rows) < most):
-                index = next(iter(waiting))
-                del waiting[index]
+        for queue in (self._queued, self._queued_deferrable):
+            while queue and (most is None or len(rows) < most):
+                index = next(iter(queue))
+                del queue[index]
                 image = self._actor.filter.image(index)
                 if image == self._images[index]:
                     continue
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -69,33 +69,33 @@
             scale_of: gives the capacity of a replica key.
             most: how many rows at most.
         """
-        moved = {}
+        changed = {}
         for key in list(self._waiting):
             load = load_of(key)
             if load == self._published.get(key, NO_LOAD):
                 del self._waiting[key]
             else:
-                moved[key] = load
-        chosen = list(moved)
-        if len(moved) > most:
-            chosen = sorted(moved, key=lambda key: -self._moved_by(key, moved[key], scale_of(key)))[:most]
+                changed[key] = load
+        chosen = list(changed)
+        if len(changed) > most:
+            chosen = sorted(changed, key=lambda key: -self._priority(key, changed[key], scale_of(key)))[:most]
         for key in chosen:
             del self._waiting[key]
-            self._note_published(key, moved[key])
+            self._set_published(key, changed[key])
         for key in self._waiting:
             self._waiting[key] += 1
-        return b"".join(moved[key].pack(key) for key in sorted(chosen))
+        return b"".join(changed[key].pack(key) for key in sorted(chosen))
 
-    def _moved_by(self, key: bytes, load: Load, scale: Scale) -> float:
+    def _priority(self, key: bytes, load: Load, scale: Scale) -> float:
         """How far the load is from the published one, in shares of the replica's capacity."""
         published = self._published.get(key, NO_LOAD)
-        moved = abs(load.running - published.running) / max(1, scale.batch_slots)
-        moved += abs(load.tokens - published.tokens) / max(1, scale.tokens)
+        changed = abs(load.running - published.running) / max(1, scale.batch_slots)
+        changed += abs(load.tokens - published.tokens) / max(1, scale.tokens)
         if (load.suspect_count > 0, load.flags) != (published.suspect_count > 0, published.flags):
-            moved += 1.0
-        return moved + self._waiting[key] * AGE_WEIGHT
+            changed += 1.0
+        return changed + self._waiting[key] * AGE_WEIGHT
 
-    def _note_published(self, key: bytes, load: Load) -> None:
+    def _set_published(self, key: bytes, load: Load) -> None:
         if load == NO_LOAD:
             self._published.pop(key, None)
         else:
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -50,14 +50,14 @@
         self._window_s = suspicion_s * 3
         self._eject_s = suspicion_s * 2
         self._spans: dict[bytes, collections.deque[_Span]] = {}  # by replica key
-        self._until_s: dict[bytes, float] = {}  # replica key: when it may be tried again
+        self._ejected_until_s: dict[bytes, float] = {}  # replica key: when it may be tried again
         self._ejections: dict[bytes, _Ejections] = {}
-        self._fresh: set[bytes] = set()
+        self._updated: set[bytes] = set()
         self.failing: set[bytes] = set()
 
     def keep(self, *, keys: Collection[bytes]) -> None:
         """Forgets all replicas but these."""
-        tables: tuple[dict[bytes, typing.Any], ...] = (self._spans, self._until_s, self._ejections)
+        tables: tuple[dict[bytes, typing.Any], ...] = (self._spans, self._ejected_until_s, self._ejections)
         for table in tables:
             for key in [key for key in table if key not in keys]:
                 del table[key]
@@ -71,7 +71,7 @@
             spans.append(_Span(began_s=now))
         spans[-1].ended += ended
         spans[-1].failed += failed
-        self._fresh.add(key)
+        self._updated.add(key)
 
     def update(self) -> set[bytes]:
         """Judges all replicas again.
@@ -81,13 +81,13 @@
         """
         now = self._now()
         changed = set()
-        for key in [key for key, until_s in self._until_s.items() if until_s <= now]:
-            del self._until_s[key]
+        for key in [key for key, until_s in self._ejected_until_s.items() if until_s <= now]:
+            del self._ejected_until_s[key]
             self.failing.discard(key)
             self._spans.pop(key, None)  # it is tried again with an empty window
             changed.add(key)
-        fresh, self._fresh = self._fresh, set()
-        for key in fresh:
+        updated, self._updated = self._updated, set()
+        for key in updated:
             if self._is_failing(key, now):
                 self._eject(key, now)
                 changed.add(key)
@@ -108,6 +108,6 @@
         last = self._ejections.get(key, _Ejections(0, 0.0))
         is_repeat = now - last.until_s < self._window_s * 2
         repeats = min(last.repeats + 1, MAX_REPEATED_EJECTIONS) if is_repeat else 0
-        self._until_s[key] = now + self._eject_s * 2**repeats
-        self._ejections[key] = _Ejections(repeats, self._until_s[key])
+        self._ejected_until_s[key] = now + self._eject_s * 2**repeats
+        self._ejections[key] = _Ejections(repeats, self._ejected_until_s[key])
         self.failing.add(key)
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -118,7 +118,7 @@
         for gone in set(pool.actor.owner_bits) - wanted.replicas:
             pool.actor.drop(replica=gone)
         if not pool.actor.has_owner_bits_for(replicas=wanted.replicas):
-            pool = self._renew(pool, owner_bits=_owner_bits_for(wanted.replicas))
+            pool = self._start_next_generation(pool, owner_bits=_owner_bits_for(wanted.replicas))
             is_changed = True
         for replica in sorted(wanted.replicas):
             pool.actor.admit(replica)
@@ -141,24 +141,24 @@
         self.pools[identity] = pool
         return pool
 
-    def _renew(self, pool: Pool, *, owner_bits: int) -> Pool:
+    def _start_next_generation(self, pool: Pool, *, owner_bits: int) -> Pool:
         """The filter is too small: the generation is withdrawn, the next one starts from the same exact ownership."""
         actor = pool.actor
         self.withdraw(identity=pool.identity)
         self._generation += 1
         actor.resize(owner_bits=owner_bits)
-        fresh = Pool(
+        successor = Pool(
             identity=pool.identity, service=pool.service, model=pool.model, generation=self._generation, actor=actor
         )
-        fresh.catalogued = {} if actor.is_wide else dict(actor.owner_bits)
-        self.pools[pool.identity] = fresh
-        return fresh
+        successor.catalogued = {} if actor.is_wide else dict(actor.owner_bits)
+        self.pools[pool.identity] = successor
+        return successor
 
     def grow(self) -> None:
         """Replaces filters that had no room by larger ones."""
         short = [pool for pool in self.pools.values() if pool.actor.is_short]
         for pool in short:
-            self._renew(pool, owner_bits=len(pool.actor.owner_bits))
+            self._start_next_generation(pool, owner_bits=len(pool.actor.owner_bits))
         if short:
             self._on_catalogue()
 
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -208,9 +208,9 @@
     kinds = [kind for kind in reader.kinds() if kind in expected]
     assert kinds[:3] == expected
     relay_hosts.feed(region, reader)
-    kept = [
+    published_names = [
         name
         for name in names
         if region.kept(service="llm", model="m", chain=relay_hosts.rows(name), replicas=("r1",)) == {"r1": 10}
     ]
-    assert len(kept) == len(names)
+    assert len(published_names) == len(names)
