--- a/ploverward/data_plane/load_balancing/prefix_affinity.py
+++ b/ploverward/data_plane/load_balancing/prefix_affinity.py
@@ -83,7 +83,7 @@
             if region_ids:
                 size = self._table.count(service=service, region=name)
                 cached.update(
-                    region.kept(service=service, model=model, chain=chain, replicas=region_ids, pool_size=size)
+                    region.cached_tokens(service=service, model=model, chain=chain, replicas=region_ids, pool_size=size)
                 )
         shared = chain[:-1]
         if shared:
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -120,7 +120,7 @@
     pool = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
     filled = cuckoo_filter.Filter(bucket_count=64, words=cuckoo_filter.WIDE)
     tag = row_codec.key_of(outside)[: cuckoo_filter.TAG_SIZE]
-    filled.put(full_hash=CHAIN[0][0], bits=cuckoo_filter.wide_value(count=1, tags=[tag]))
+    filled.put(full_hash=CHAIN[0][0], bits=cuckoo_filter.encode_wide_value(count=1, tags=[tag]))
     pool.words, pool.buckets, pool.versions = cuckoo_filter.WIDE, [filled.image(index) for index in range(64)], [0] * 64
     region.pools["p"] = pool
     region.broken_at = None
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -103,7 +103,7 @@
             return
         if stream is not None:
             self._stop_stream(region)
-        self.mirrors[region].fail()
+        self.mirrors[region].mark_broken()
         connector = self._connector_factory.connect(
             owner.address,
             on_up=lambda connection: self._subscribe(region, connection, owner.epoch),
@@ -152,7 +152,7 @@
             gateway.stop()
         self._by_gateway = tuple(regions)
         for region in self._by_gateway:
-            self.mirrors[region].fail()
+            self.mirrors[region].mark_broken()
         if owner is not None:
             self._gateway = DigestConnection(
                 connector_factory=self._connector_factory,
@@ -214,7 +214,7 @@
 
     def _lose_region(self, region: str) -> None:
         self._on_region_lost(region)
-        self.mirrors[region].fail()
+        self.mirrors[region].mark_broken()
         self.fanout.broadcast(frames.pack(messages.RegionLost(region)))
 
     # Members.
--- a/ploverward/data_plane/load_reports/relay_role.py
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -41,7 +41,7 @@
         contact_s: float,
         table: replica_table.ReplicaTable,
     ) -> None:
-        self.host: hosts.Host | None = None
+        self.host: hosts.RelayHost | None = None
         self.gateway: gateways.Gateway | None = None
         self._settings = settings
         self._incarnation = incarnation
@@ -61,7 +61,7 @@
 
     def _begin(self, epoch: int) -> None:
         region = self._settings().region
-        self.host = hosts.Host(region=region, epoch=epoch, now=self._now, suspicion_s=self._contact_s / 4)
+        self.host = hosts.RelayHost(region=region, epoch=epoch, now=self._now, suspicion_s=self._contact_s / 4)
         self.sync()
         self.gateway = gateways.Gateway(
             region=region,
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -157,7 +157,7 @@
     def heard(self, message):
         if isinstance(message, messages.RegionLost):
             self.source.mark_lost(region=message.region)
-            self.views[message.region].fail()
+            self.views[message.region].mark_broken()
         elif isinstance(message, messages.ReportCredited):
             self.source.credit(region=message.region, number=message.number)
         else:
@@ -201,7 +201,9 @@
 
     def start_host(self, region):
         former = self.hosts.get(region)
-        self.hosts[region] = hosts.Host(region=region, epoch=self.epochs[region], now=self.world.now, suspicion_s=1.0)
+        self.hosts[region] = hosts.RelayHost(
+            region=region, epoch=self.epochs[region], now=self.world.now, suspicion_s=1.0
+        )
         self.epochs[region] += 1
         self.hosts[region].sync(
             services={},
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -134,18 +134,20 @@
     chain = (("doc", 100), ("own", 10))
     node.client.source.record_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
-    def kept(one):
+    def cached_tokens(one):
         from ploverward.data_plane.relay import cuckoo_filter
 
-        return one.regions["north"].kept(
+        return one.regions["north"].cached_tokens(
             service="llm", model="m", chain=cuckoo_filter.chain(model="m", parts=chain), replicas=("i0", "i1")
         )
 
-    assert loopback.until(zones.loop, lambda: all(kept(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values()))
+    assert loopback.until(
+        zones.loop, lambda: all(cached_tokens(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values())
+    )
     late = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
     zones.nodes[late].digest_connector.link.close(reason="test")  # it comes back and is given a cut of its own
     assert loopback.until(
-        zones.loop, lambda: zones.nodes[late].is_member and kept(zones.nodes[late]) == {"i0": 110, "i1": 0}
+        zones.loop, lambda: zones.nodes[late].is_member and cached_tokens(zones.nodes[late]) == {"i0": 110, "i1": 0}
     )
 
 
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -211,7 +211,7 @@
 
     def _lose_region(self, region: str) -> None:
         if region in self._mirrors:
-            self._mirrors[region].fail()
+            self._mirrors[region].mark_broken()
         self._source.mark_lost(region=region)
 
     def send_followed_keys(self) -> None:
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -14,18 +14,18 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.transport import row_codec
 
-BUCKET_COUNT = 1024  # of a new filter, at least
+MIN_INITIAL_BUCKETS = 1024  # of a new filter, at least
 MAX_INITIAL_BUCKETS = 1 << 14
-PART_TOKENS = 512  # of a cached part: what a filter is sized for, since one that grows is published again to all
+ASSUMED_PART_TOKENS = 512  # sizes a new filter: one that grows later is published again to all subscribers
 TARGET_LOAD_FACTOR = 0.7  # of a filter's slots
 MAX_BUCKETS = 1 << 17
 OWNER_BIT_HEADROOM = 1.5  # owner bits for each replica listed: a roll-out has old and new ones at the same time
 
 
-def buckets_for(*, cache_tokens: int, replicas: int) -> int:
+def initial_bucket_count(*, cache_tokens: int, replicas: int) -> int:
     """Buckets of a filter for all that so many replicas have in their caches, a power of two."""
-    wanted = cache_tokens / PART_TOKENS * replicas / (cuckoo_filter.SLOTS * TARGET_LOAD_FACTOR)
-    count = BUCKET_COUNT
+    wanted = cache_tokens / ASSUMED_PART_TOKENS * replicas / (cuckoo_filter.SLOTS_PER_BUCKET * TARGET_LOAD_FACTOR)
+    count = MIN_INITIAL_BUCKETS
     while count < min(wanted, MAX_INITIAL_BUCKETS):
         count *= 2
     return count
@@ -40,18 +40,18 @@
         words: of the filter's slots, see `cuckoo_filter.words_for`.
     """
 
-    def __init__(self, *, cache_tokens: int, bucket_count: int = BUCKET_COUNT, words: int = 1) -> None:
+    def __init__(self, *, cache_tokens: int, bucket_count: int = MIN_INITIAL_BUCKETS, words: int = 1) -> None:
         self.cache_tokens = cache_tokens
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
-        self.is_short = False  # the filter had no room for a hash
+        self.needs_larger_filter = False  # the filter had no room for a hash
         self.owner_bits: dict[str, int] = {}  # by replica id
         self._cached: dict[str, collections.OrderedDict[bytes, int]] = {}  # replica id: tokens by hash, oldest first
         self._cached_tokens: dict[str, int] = {}  # replica id: tokens in its cache
         self._owners: dict[bytes, dict[str, bool]] = {}  # hash: its owners, the first one first
         self._hashes_by_slot: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # hashes that share one slot
-        self.omitted = 0  # reads and hashes that had no room
+        self.omission_count = 0  # reads and hashes that had no room
 
-    def admit(self, replica: str) -> bool:
+    def add_replica(self, replica: str) -> bool:
         """Whether the replica has an owner bit now; in a wide pool it needs none."""
         if replica in self.owner_bits:
             return True
@@ -87,11 +87,11 @@
         is_wide = cuckoo_filter.WIDE in (wanted, self.filter.words)
         words = cuckoo_filter.WIDE if is_wide else max(self.filter.words, wanted)
         bucket_count = self.filter.bucket_count
-        if self.is_short and bucket_count < MAX_BUCKETS:
+        if self.needs_larger_filter and bucket_count < MAX_BUCKETS:
             bucket_count *= 2
         while self._rebuild(bucket_count=bucket_count, words=words) and bucket_count < MAX_BUCKETS:
             bucket_count *= 2
-        self.is_short = False
+        self.needs_larger_filter = False
 
     def _rebuild(self, *, bucket_count: int, words: int) -> int:
         """How many slots had no room in a filter of this size."""
@@ -108,19 +108,19 @@
         """Ids of the replicas that have this part."""
         return frozenset(self._owners.get(full_hash, ()))
 
-    def kept_tokens(self, replica: str) -> int:
+    def cached_tokens(self, replica: str) -> int:
         """Tokens in a replica's cache, by the model."""
         return self._cached_tokens.get(replica, 0)
 
-    def read(self, *, replica: str, rows: Sequence[cuckoo_filter.HashedPart]) -> None:
+    def record_prompt(self, *, replica: str, rows: Sequence[cuckoo_filter.HashedPart]) -> None:
         """The replica processed this prompt.
 
         Args:
             replica: its id.
             rows: (canonical sequence hash, tokens) of the prompt's parts, from the front.
         """
-        if not self.admit(replica):
-            self.omitted += 1
+        if not self.add_replica(replica):
+            self.omission_count += 1
             return
         cached = self._cached[replica]
         last = len(rows) - 1
@@ -131,7 +131,7 @@
             cached[full_hash] = tokens
             self._cached_tokens[replica] += tokens
             # The last part is the request's own or its session's: until another replica has it, few will search for it.
-            self._add_owner(replica, full_hash, may_wait=index == last and full_hash not in self._owners)
+            self._add_owner(replica, full_hash, is_deferrable=index == last and full_hash not in self._owners)
         # Children are used no later than their parents: walk back so that the root is the youngest.
         for full_hash, _tokens in reversed(rows):
             if full_hash in cached:
@@ -141,7 +141,7 @@
             self._cached_tokens[replica] -= tokens
             self._remove_owner(replica, full_hash)
 
-    def forget(self, *, replica: str, full_hash: bytes) -> None:
+    def remove_part(self, *, replica: str, full_hash: bytes) -> None:
         """An unknown removal does nothing."""
         cached = self._cached.get(replica)
         if cached is None or full_hash not in cached:
@@ -149,7 +149,7 @@
         self._cached_tokens[replica] -= cached.pop(full_hash)
         self._remove_owner(replica, full_hash)
 
-    def drop(self, *, replica: str) -> None:
+    def remove_replica(self, *, replica: str) -> None:
         """Removes a replica and everything that it owned."""
         cached = self._cached.pop(replica, None)
         if cached is None:
@@ -182,19 +182,19 @@
             owners = self._owners.get(next(iter(hashes)), {})
         else:
             owners = dict.fromkeys(owner for owned in hashes for owner in self._owners.get(owned, ()))
-        first = itertools.islice(owners, cuckoo_filter.OWNERS_NAMED)
-        return cuckoo_filter.wide_value(
+        first = itertools.islice(owners, cuckoo_filter.MAX_NAMED_OWNERS)
+        return cuckoo_filter.encode_wide_value(
             count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
         )
 
-    def _add_owner(self, replica: str, full_hash: bytes, *, may_wait: bool) -> None:
+    def _add_owner(self, replica: str, full_hash: bytes, *, is_deferrable: bool) -> None:
         owners = self._owners.setdefault(full_hash, {})
         owners[replica] = True
         slot_id = self._slot_id(full_hash)
         self._hashes_by_slot.setdefault(slot_id, set()).add(full_hash)
-        if not self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), may_wait=may_wait):
-            self.omitted += 1  # an observable omission; ownership stays exact
-            self.is_short = self.filter.bucket_count < MAX_BUCKETS
+        if not self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), is_deferrable=is_deferrable):
+            self.omission_count += 1  # an observable omission; ownership stays exact
+            self.needs_larger_filter = self.filter.bucket_count < MAX_BUCKETS
 
     def _remove_owner(self, replica: str, full_hash: bytes) -> None:
         """This may wait: until a subscriber knows, it only expects a part in a cache that is not there."""
@@ -205,7 +205,7 @@
             del self._owners[full_hash]
             self._hashes_by_slot[slot_id].discard(full_hash)
         if self._hashes_by_slot[slot_id]:
-            self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), may_wait=True)
+            self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), is_deferrable=True)
         else:
             del self._hashes_by_slot[slot_id]
-            self.filter.remove(full_hash=full_hash, may_wait=True)
+            self.filter.remove(full_hash=full_hash, is_deferrable=True)
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -15,15 +15,15 @@
 from collections.abc import Iterable
 from collections.abc import Sequence
 
-SLOTS = 4  # of a bucket
+SLOTS_PER_BUCKET = 4  # of a bucket
 BITS_PER_MASK_WORD = 32  # masks of owner bits grow by such words, as many as the replicas that are listed need
 MAX_OWNER_BITS = 16  # a pool that needs more is wide: if many replicas leave at once, to clear their bits costs a burst
 MAX_MASK_WORDS = 4  # of an image that a mirror accepts
 WIDE = 0  # used instead of a count of words
-OWNERS_NAMED = 4  # of a wide pool's slot
+MAX_NAMED_OWNERS = 4  # of a wide pool's slot
 TAG_SIZE = 3  # bytes, the front of a replica's key: of a thousand replicas two are alike once in thirty pools
 MAX_OWNERS = 255  # a slot counts no further
-_WIDE_SIZE = 1 + OWNERS_NAMED * TAG_SIZE
+_WIDE_SIZE = 1 + MAX_NAMED_OWNERS * TAG_SIZE
 MAX_KICKS = 64  # slots moved for one insertion, before the filter counts as full
 
 HashedPart = tuple[bytes, int]  # hash, tokens: plain tuples, as every request makes one for each part of its prompt
@@ -70,7 +70,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _bucket_struct(words: int) -> struct.Struct:
-    return struct.Struct(">" + f"H{value_size(words=words)}s" * SLOTS)
+    return struct.Struct(">" + f"H{value_size(words=words)}s" * SLOTS_PER_BUCKET)
 
 
 def words_for(*, owner_bits: int) -> int:
@@ -78,20 +78,20 @@
     return max(1, -(-owner_bits // BITS_PER_MASK_WORD)) if owner_bits <= MAX_OWNER_BITS else WIDE
 
 
-def wide_value(*, count: int, tags: Iterable[bytes]) -> int:
-    """Encodes a wide pool's slot: how many owners, and the tags of the first `OWNERS_NAMED` of them."""
-    named = b"".join(tags).ljust(OWNERS_NAMED * TAG_SIZE, b"\0")
+def encode_wide_value(*, count: int, tags: Iterable[bytes]) -> int:
+    """Encodes a wide pool's slot: how many owners, and the tags of the first `MAX_NAMED_OWNERS` of them."""
+    named = b"".join(tags).ljust(MAX_NAMED_OWNERS * TAG_SIZE, b"\0")
     return int.from_bytes(bytes([min(count, MAX_OWNERS)]) + named, "big")
 
 
-def read_wide(value: int) -> WideValue:
-    """Decodes what `wide_value` encoded."""
+def decode_wide_value(value: int) -> WideValue:
+    """Decodes what `encode_wide_value` encoded."""
     if not value:
         return WideValue(0, ())
     data = value.to_bytes(_WIDE_SIZE, "big")
     count = data[0]
     tags = tuple(data[position : position + TAG_SIZE] for position in range(1, _WIDE_SIZE, TAG_SIZE))
-    return WideValue(count, tags[: min(count, OWNERS_NAMED)])
+    return WideValue(count, tags[: min(count, MAX_NAMED_OWNERS)])
 
 
 def empty_image(*, words: int) -> bytes:
@@ -129,10 +129,12 @@
         model: which processes it.
         parts: (name, tokens) of each part, from the front.
     """
-    return extend(parts=tuple((token_hash(model=model, part=part, tokens=tokens), tokens) for part, tokens in parts))
+    return sequence_hashes(
+        parts=tuple((token_hash(model=model, part=part, tokens=tokens), tokens) for part, tokens in parts)
+    )
 
 
-def extend(*, parts: Iterable[HashedPart]) -> tuple[HashedPart, ...]:
+def sequence_hashes(*, parts: Iterable[HashedPart]) -> tuple[HashedPart, ...]:
     """Canonical sequence hashes from (token hash, tokens) in order."""
     rows = []
     parent = b""
@@ -148,7 +150,7 @@
     value = 0
     for index in (first, second):
         flat = _bucket_struct(words).unpack(images[index])
-        for position in range(0, 2 * SLOTS, 2):
+        for position in range(0, 2 * SLOTS_PER_BUCKET, 2):
             if flat[position] == fingerprint:
                 value |= int.from_bytes(flat[position + 1], "big")
     return value
@@ -167,9 +169,9 @@
             raise ValueError("bucket_count must be a power of two")
         self.bucket_count = bucket_count
         self.words = words
-        self.buckets = [[FREE_SLOT] * SLOTS for _ in range(bucket_count)]
+        self.buckets = [[FREE_SLOT] * SLOTS_PER_BUCKET for _ in range(bucket_count)]
         self.dirty: set[int] = set()  # buckets that changed since the last `pop_dirty`
-        self.dirty_later: set[int] = set()  # the same, of changes that may be published later
+        self.dirty_deferrable: set[int] = set()  # the same, of changes that may be published later
 
     def _locate(self, fingerprint: int, first: int, second: int) -> tuple[int, int] | None:
         """(bucket, position) of a fingerprint's slot."""
@@ -181,23 +183,23 @@
 
     def pop_dirty(self) -> tuple[set[int], set[int]]:
         """(buckets that changed, others that changed and may wait), since the last call."""
-        dirty, dirty_later = self.dirty, self.dirty_later - self.dirty
-        self.dirty, self.dirty_later = set(), set()
-        return dirty, dirty_later
+        dirty, dirty_deferrable = self.dirty, self.dirty_deferrable - self.dirty
+        self.dirty, self.dirty_deferrable = set(), set()
+        return dirty, dirty_deferrable
 
-    def put(self, *, full_hash: bytes, bits: int, may_wait: bool = False) -> bool:
+    def put(self, *, full_hash: bytes, bits: int, is_deferrable: bool = False) -> bool:
         """Sets the owners in the slot of a hash, inserting it.
 
         Args:
             full_hash: whose fingerprint it is.
-            bits: a mask of owner bits, or a `wide_value`.
-            may_wait: whether subscribers lose little where this is published later than other changes.
+            bits: a mask of owner bits, or the result of `encode_wide_value`.
+            is_deferrable: whether subscribers lose little where this is published later than other changes.
 
         Returns:
             False where there is no room; nothing was changed.
         """
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
-        dirty = self.dirty_later if may_wait else self.dirty
+        dirty = self.dirty_deferrable if is_deferrable else self.dirty
         found = self._locate(fingerprint, first, second)
         if found is None:
             return self._insert(Slot(fingerprint, bits), first, second, dirty)
@@ -224,7 +226,7 @@
         moves = []
         index = first
         for step in range(MAX_KICKS):
-            position = (step + row.fingerprint) % SLOTS
+            position = (step + row.fingerprint) % SLOTS_PER_BUCKET
             moves.append(_Move(index, position, self.buckets[index][position]))
             row, self.buckets[index][position] = self.buckets[index][position], row
             index = other_bucket(bucket=index, fingerprint=row.fingerprint, bucket_count=self.bucket_count)
@@ -236,14 +238,14 @@
             self.buckets[move.bucket][move.position] = move.before
         return False
 
-    def remove(self, *, full_hash: bytes, may_wait: bool = False) -> None:
-        """Frees the slot of a hash; an unknown one does nothing. `may_wait`: as in `put`."""
+    def remove(self, *, full_hash: bytes, is_deferrable: bool = False) -> None:
+        """Frees the slot of a hash; an unknown one does nothing. `is_deferrable`: as in `put`."""
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         found = self._locate(fingerprint, first, second)
         if found is not None:
             index, position = found
             self.buckets[index][position] = FREE_SLOT
-            (self.dirty_later if may_wait else self.dirty).add(index)
+            (self.dirty_deferrable if is_deferrable else self.dirty).add(index)
 
     def image(self, index: int) -> bytes:
         """A bucket as frames carry it."""
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -3,7 +3,7 @@
 It ingests the aggregates of digests, one row for each replica that changed (docs/digest.md 2), and publishes pools
 and loads to digests, which forward them unchanged.
 
-A `Host` owns its subscribers and the totals of their loads. It has one epoch; for a new epoch a new host is made,
+A `RelayHost` owns its subscribers and the totals of their loads. It has one epoch; for a new epoch a new host is made,
 with new generations. Invariant: a total is the sum of the connected subscribers' newest loads.
 """
 
@@ -30,26 +30,26 @@
 
 _log = logging.getLogger(__name__)
 
-FAR_TICKS = 2  # ticks between two publications to other regions, whose bytes are priced
+REMOTE_PUBLICATION_TICKS = 2  # ticks between two publications to other regions, whose bytes are priced
 MIN_LOAD_ROWS = 16  # loads published at a time, however small the region is
-ROWS_SHARE = 1 / 16  # of the region's replicas: loads published at a time in a large region
-NEAR_BUCKETS = 8  # buckets of each pool's filter published at a time in this region
-FAR_BUCKETS = 6  # the same, to other regions
+LOAD_ROWS_SHARE = 1 / 16  # of the region's replicas: loads published at a time in a large region
+LOCAL_BUCKETS_PER_TICK = 8  # buckets of each pool's filter published at a time in this region
+REMOTE_BUCKETS_PER_PUBLICATION = 6  # the same, to other regions
 
 
 @dataclasses.dataclass(slots=True)
 class Subscriber:
     """One digest, or the gateway of another region."""
 
-    is_far: bool  # whether it is in another region
+    is_remote: bool  # whether it is in another region
     zone: str  # its zone, or the name of its singleton role
     zone_epoch: int  # of that role; 0: it serves one proxy alone
     loads: dict[bytes, LoadCounts] = dataclasses.field(default_factory=dict)  # by replica key
-    counted: int = 0  # its newest batch in the totals
-    acknowledged: int = 0  # the newest one that was acknowledged to it
+    newest_batch: int = 0  # its newest batch in the totals
+    acknowledged_batch: int = 0  # the newest one that was acknowledged to it
 
 
-class Host:
+class RelayHost:
     """One relay under one epoch.
 
     Args:
@@ -63,17 +63,17 @@
     def __init__(self, *, region: str, epoch: int, now: Callable[[], float], suspicion_s: float) -> None:
         self.region = region
         self.epoch = epoch
-        self.registry = pool_registry.Registry(
+        self.registry = pool_registry.PoolRegistry(
             on_withdraw=self._broadcast_withdrawn,
             on_catalogue=self._broadcast_catalogue,
             first_generation=epoch * 1000000,
         )
         self.subscribers: dict[peer_connection.PeerConnection, Subscriber] = {}
         self._totals: dict[bytes, LoadTotal] = {}  # by replica key
-        self._judge = outcomes.Judge(now=now, suspicion_s=suspicion_s)
+        self._outlier_detector = outcomes.OutlierDetector(now=now, suspicion_s=suspicion_s)
         self._zone_epochs: dict[str, int] = {}  # zone: the newest epoch of its digest
         self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether subscribers are far
-        self._capacities: dict[bytes, load_feed.Scale] = {}  # by replica key
+        self._capacities: dict[bytes, load_feed.Capacity] = {}  # by replica key
         self._ticks = 0
         self._sent: set[str] = set()  # ids of replicas that were sent requests
         self._ids: dict[bytes, str] = {}  # by replica key
@@ -91,13 +91,13 @@
         self._replicas = replicas
         self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
         self._capacities = {
-            row_codec.key_of(row["id"]): load_feed.Scale(
+            row_codec.key_of(row["id"]): load_feed.Capacity(
                 batch_slots=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
             for row in replicas
         }
         self._sent &= set(self._ids.values())
-        self._judge.keep(keys=self._ids)
+        self._outlier_detector.retain(keys=self._ids)
         self._resolve()
 
     def _resolve(self) -> None:
@@ -109,10 +109,10 @@
 
     def _join_new_pools(self) -> None:
         for pool in self.registry.pools.values():
-            new = {is_far for is_far in (False, True) if is_far not in pool.hubs}
+            new = {is_remote for is_remote in (False, True) if is_remote not in pool.hubs}
             for connection, subscriber in list(self.subscribers.items()):
-                if subscriber.is_far in new:
-                    self.registry.join(pool=pool, connection=connection, is_far=subscriber.is_far)
+                if subscriber.is_remote in new:
+                    self.registry.join(pool=pool, connection=connection, is_remote=subscriber.is_remote)
 
     # Publication.
     def _broadcast(
@@ -137,47 +137,51 @@
 
     def tick(self) -> None:
         """Publishes what changed, to other regions in every second tick."""
-        self.registry.grow()
+        self.registry.grow_filters()
         self._join_new_pools()
         self._ticks += 1
-        for key in self._judge.update():
+        for key in self._outlier_detector.update():
             _log.debug(
                 "replica_outcomes_changed",
-                extra={"replica": self._ids.get(key, ""), "is_failing": key in self._judge.failing},
+                extra={"replica": self._ids.get(key, ""), "is_failing": key in self._outlier_detector.failing},
             )
             self._record_change(key)
-        self._publish(is_far=False)
-        if self._ticks % FAR_TICKS == 0:
-            self._publish(is_far=True)
+        self._publish(is_remote=False)
+        if self._ticks % REMOTE_PUBLICATION_TICKS == 0:
+            self._publish(is_remote=True)
 
-    def _publish(self, *, is_far: bool) -> None:
+    def _publish(self, *, is_remote: bool) -> None:
         """Sends buckets, acknowledgements and loads to the subscribers of one kind."""
-        self.registry.flush(is_far=is_far, most=FAR_BUCKETS if is_far else NEAR_BUCKETS)
-        connections = [connection for connection, subscriber in self.subscribers.items() if subscriber.is_far == is_far]
+        self.registry.flush(
+            is_remote=is_remote, most=REMOTE_BUCKETS_PER_PUBLICATION if is_remote else LOCAL_BUCKETS_PER_TICK
+        )
+        connections = [
+            connection for connection, subscriber in self.subscribers.items() if subscriber.is_remote == is_remote
+        ]
         for connection in connections:
             subscriber = self.subscribers[connection]
-            if subscriber.counted != subscriber.acknowledged:
-                subscriber.acknowledged = subscriber.counted
-                connection.send(messages.AggregatesCounted(subscriber.counted))
+            if subscriber.newest_batch != subscriber.acknowledged_batch:
+                subscriber.acknowledged_batch = subscriber.newest_batch
+                connection.send(messages.AggregatesCounted(subscriber.newest_batch))
         if connections:
-            most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * ROWS_SHARE))
+            most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * LOAD_ROWS_SHARE))
         else:  # there is no subscriber, so nothing is kept for later
             most = len(self._ids) + len(self._totals)
-        rows = self._feeds[is_far].next_rows(load_of=self._load_of, scale_of=self._capacity_of, most=most)
+        rows = self._feeds[is_remote].next_rows(load_of=self._load_of, capacity_of=self._capacity_of, most=most)
         if rows and connections:
             loads = messages.ReplicaLoads(self.epoch, is_snapshot=False, load_rows=rows)
             self._broadcast(loads, connections=connections)
 
-    def _capacity_of(self, key: bytes) -> load_feed.Scale:
-        return self._capacities.get(key, load_feed.NO_SCALE)
+    def _capacity_of(self, key: bytes) -> load_feed.Capacity:
+        return self._capacities.get(key, load_feed.UNKNOWN_CAPACITY)
 
     def _load_of(self, key: bytes) -> load_feed.Load:
-        flags = load_feed.FAILING if key in self._judge.failing else 0
+        flags = load_feed.FAILING if key in self._outlier_detector.failing else 0
         total = self._totals.get(key)
         if total is None:
             return load_feed.Load(flags=flags) if flags else load_feed.NO_LOAD
         batch_slots = self._capacity_of(key).batch_slots
-        if batch_slots and total.running >= batch_slots * load_feed.FULL_SHARE:
+        if batch_slots and total.running >= batch_slots * load_feed.FULL_LOAD_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
             row_codec.short(total.running),
@@ -202,12 +206,12 @@
         """
         if zone_epoch and not self._fence_older(connection, zone, zone_epoch):
             return
-        is_far = region != self.region
-        self.subscribers[connection] = Subscriber(is_far=is_far, zone=zone, zone_epoch=zone_epoch)
+        is_remote = region != self.region
+        self.subscribers[connection] = Subscriber(is_remote=is_remote, zone=zone, zone_epoch=zone_epoch)
         self._broadcast(self._catalogue(), connections=[connection])
         for pool in self.registry.pools.values():
-            self.registry.join(pool=pool, connection=connection, is_far=is_far)
-        loads = messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=self._feeds[is_far].snapshot())
+            self.registry.join(pool=pool, connection=connection, is_remote=is_remote)
+        loads = messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=self._feeds[is_remote].snapshot())
         self._broadcast(loads, connections=[connection])
 
     def _fence_older(self, connection: peer_connection.PeerConnection, zone: str, zone_epoch: int) -> bool:
@@ -244,8 +248,8 @@
         reads = [
             row_codec.unpack_read(data=packed) for _region, packed in row_codec.split_reads(data=message.read_rows)
         ]
-        if message.number <= subscriber.counted:
-            raise errors.FrameError(f"cut {message.number} after {subscriber.counted}", step="sums")
+        if message.number <= subscriber.newest_batch:
+            raise errors.FrameError(f"cut {message.number} after {subscriber.newest_batch}", step="sums")
         is_new = False
         for key, _region, running, prefill_tokens, suspect_count, ended, failed in rows:
             self._set_load(subscriber, key, LoadCounts(running, prefill_tokens, suspect_count))
@@ -253,11 +257,11 @@
             if replica_id is None:
                 continue
             if ended:
-                self._judge.record(key=key, ended=ended, failed=failed)
+                self._outlier_detector.record(key=key, ended=ended, failed=failed)
             if replica_id not in self._sent:
                 self._sent.add(replica_id)
                 is_new = True
-        subscriber.counted = message.number
+        subscriber.newest_batch = message.number
         if is_new:
             self._resolve()
         for key, domain, parts in reads:
@@ -287,10 +291,10 @@
             feed.record(key)
 
     def _handle_read(self, key: bytes, domain: str, parts: tuple) -> None:
-        pool = self.registry.find_domain(domain=domain)
+        pool = self.registry.find_by_domain(domain=domain)
         replica_id = self._ids.get(key)
         if pool is not None and replica_id in pool.actor.owner_bits:
-            pool.actor.read(replica=replica_id, rows=cuckoo_filter.extend(parts=parts))
+            pool.actor.record_prompt(replica=replica_id, rows=cuckoo_filter.sequence_hashes(parts=parts))
 
     def total(self, key: bytes) -> LoadCounts:
         """The sum of all subscribers' loads of this replica."""
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -71,21 +71,21 @@
         """How many streams there are."""
         return len(self._subscribers)
 
-    def record(self, *, dirty: Iterable[int], dirty_later: Iterable[int]) -> None:
+    def queue_changes(self, *, dirty: Iterable[int], dirty_deferrable: Iterable[int]) -> None:
         """Buckets of the filter changed.
 
         Args:
             dirty: those that subscribers wait for.
-            dirty_later: the others.
+            dirty_deferrable: the others.
         """
         for index in sorted(dirty):
             self._queued_deferrable.pop(index, None)
             self._queued.setdefault(index, True)
-        for index in sorted(dirty_later):
+        for index in sorted(dirty_deferrable):
             if index not in self._queued:
                 self._queued_deferrable.setdefault(index, True)
 
-    def waiting(self) -> int:
+    def queued_bucket_count(self) -> int:
         """How many buckets are still to be published."""
         return len(self._queued) + len(self._queued_deferrable)
 
@@ -123,7 +123,7 @@
                 rows.append((index, ROW.pack(index, self._versions[index]) + image))
         return rows
 
-    def check(self, *, generation: int) -> None:
+    def check_generation(self, *, generation: int) -> None:
         """Raises `FencedError` where the pool has another generation, or the hub was fenced before."""
         if generation != self.generation or self.is_fenced:
             self.is_fenced = True
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -11,7 +11,7 @@
 from ploverward.transport import row_codec
 
 FAILING, FULL = 1, 2  # flags of a load frame's row
-FULL_SHARE = 0.75  # of a replica's batch slots: with so many attempts running it is published as full
+FULL_LOAD_SHARE = 0.75  # of a replica's batch slots: with so many attempts running it is published as full
 AGE_WEIGHT = 1 / 16  # of all batch slots of a replica, for each time that its row was passed over
 
 
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Scale:
+class Capacity:
     """The capacity of a replica."""
 
     batch_slots: int = 0  # 0: not known
@@ -43,7 +43,7 @@
 
 
 NO_LOAD = Load()
-NO_SCALE = Scale()
+UNKNOWN_CAPACITY = Capacity()
 
 
 class LoadFeed:
@@ -61,12 +61,14 @@
         """Rows of all that was published, for a subscriber that joins now."""
         return b"".join(self._published[key].pack(key) for key in sorted(self._published))
 
-    def next_rows(self, *, load_of: Callable[[bytes], Load], scale_of: Callable[[bytes], Scale], most: int) -> bytes:
+    def next_rows(
+        self, *, load_of: Callable[[bytes], Load], capacity_of: Callable[[bytes], Capacity], most: int
+    ) -> bytes:
         """Rows to be published now: of the replicas whose load changed most, and eventually of each.
 
         Args:
             load_of: gives the present load of a replica key.
-            scale_of: gives the capacity of a replica key.
+            capacity_of: gives the capacity of a replica key.
             most: how many rows at most.
         """
         changed = {}
@@ -78,7 +80,7 @@
                 changed[key] = load
         chosen = list(changed)
         if len(changed) > most:
-            chosen = sorted(changed, key=lambda key: -self._priority(key, changed[key], scale_of(key)))[:most]
+            chosen = sorted(changed, key=lambda key: -self._priority(key, changed[key], capacity_of(key)))[:most]
         for key in chosen:
             del self._waiting[key]
             self._set_published(key, changed[key])
@@ -86,7 +88,7 @@
             self._waiting[key] += 1
         return b"".join(changed[key].pack(key) for key in sorted(chosen))
 
-    def _priority(self, key: bytes, load: Load, scale: Scale) -> float:
+    def _priority(self, key: bytes, load: Load, scale: Capacity) -> float:
         """How far the load is from the published one, in shares of the replica's capacity."""
         published = self._published.get(key, NO_LOAD)
         changed = abs(load.running - published.running) / max(1, scale.batch_slots)
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -137,7 +137,7 @@
         rows = b"".join([row_codec.LOAD.pack(key, *load) for key, load in self.load.items()])
         return messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=rows)
 
-    def fail(self) -> None:
+    def mark_broken(self) -> None:
         """Records that the mirror's connection failed, and when; a later failure does not change the time."""
         if self.broken_at is None:
             self.broken_at = self._now()
@@ -169,7 +169,7 @@
             found.update(key for key in keys if owners.names(key))
         return found
 
-    def kept(
+    def cached_tokens(
         self,
         *,
         service: str,
@@ -191,11 +191,11 @@
         if pool is None:
             return {}
         keys = {name: row_codec.key_of(name) for name in replicas}
-        found = {name: 0 for name, key in keys.items() if pool.knows(key)}
+        found = {name: 0 for name, key in keys.items() if pool.can_name(key)}
         alive = list(found)
         for full_hash, tokens in chain:
             owners = pool.owners(full_hash, pool_size=max(pool_size, len(found)))
-            alive = [name for name in alive if owners.is_most or owners.names(keys[name])] if owners.count else []
+            alive = [name for name in alive if owners.is_widespread or owners.names(keys[name])] if owners.count else []
             if not alive:
                 break
             for name in alive:
@@ -213,4 +213,4 @@
             if not owners.count:
                 break
             depth, longest = depth + 1, owners
-        return NamedOwners(depth, longest.some_tags() if longest is not None else ())
+        return NamedOwners(depth, longest.first_tags() if longest is not None else ())
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -2,7 +2,7 @@
 
 Health checks alone never mark a replica as failing.
 
-A `Judge` owns the window of each replica's outcomes, and which replicas are failing and until when.
+An `OutlierDetector` owns the window of each replica's outcomes, and which replicas are failing and until when.
 """
 
 import collections
@@ -34,7 +34,7 @@
     until_s: float  # when the last one ends, on the loop's clock
 
 
-class Judge:
+class OutlierDetector:
     """A replica fails while too large a share of the attempts that ended in the window failed.
 
     Each repeated ejection lasts longer.
@@ -55,7 +55,7 @@
         self._updated: set[bytes] = set()
         self.failing: set[bytes] = set()
 
-    def keep(self, *, keys: Collection[bytes]) -> None:
+    def retain(self, *, keys: Collection[bytes]) -> None:
         """Forgets all replicas but these."""
         tables: tuple[dict[bytes, typing.Any], ...] = (self._spans, self._ejected_until_s, self._ejections)
         for table in tables:
--- a/ploverward/data_plane/relay/pool_mirror.py
+++ b/ploverward/data_plane/relay/pool_mirror.py
@@ -34,7 +34,7 @@
 
     count: int
     tags: tuple[bytes, ...] = ()
-    is_most: bool = False  # so many that one that is not named is assumed to be an owner too
+    is_widespread: bool = False  # so many that one that is not named is assumed to be an owner too
     bits: int = 0
     owner_bits: dict[bytes, int] | None = None  # by replica key; None: named by tags
 
@@ -45,12 +45,12 @@
         owner_bit = self.owner_bits.get(key)
         return owner_bit is not None and bool(self.bits >> owner_bit & 1)
 
-    def some_tags(self) -> tuple[bytes, ...]:
+    def first_tags(self) -> tuple[bytes, ...]:
         """Tags of the first few that are named."""
         if self.owner_bits is None:
             return self.tags
         keys = (key for key, owner_bit in self.owner_bits.items() if self.bits >> owner_bit & 1)
-        return tuple(key[: cuckoo_filter.TAG_SIZE] for key in itertools.islice(keys, cuckoo_filter.OWNERS_NAMED))
+        return tuple(key[: cuckoo_filter.TAG_SIZE] for key in itertools.islice(keys, cuckoo_filter.MAX_NAMED_OWNERS))
 
 
 class PoolMirror:
@@ -128,7 +128,7 @@
         )
         return messages.PoolCut(self.name, self.generation, len(self.buckets), self.words, rows)
 
-    def knows(self, key: bytes) -> bool:
+    def can_name(self, key: bytes) -> bool:
         """Whether the pool may name this replica. A wide pool's replicas are those of the list."""
         return self.words == cuckoo_filter.WIDE or key in self.owner_bits
 
@@ -142,6 +142,6 @@
         value = cuckoo_filter.find_in_images(images=self.buckets, words=self.words, full_hash=full_hash)
         if self.words != cuckoo_filter.WIDE:
             return Owners(count=value.bit_count(), bits=value, owner_bits=self.owner_bits)
-        count, tags = cuckoo_filter.read_wide(value)
-        is_most = count >= min(cuckoo_filter.MAX_OWNERS, max(1, pool_size * ASSUMED_OWNERS_SHARE))
-        return Owners(count=count, tags=tags, is_most=is_most)
+        count, tags = cuckoo_filter.decode_wide_value(value)
+        is_widespread = count >= min(cuckoo_filter.MAX_OWNERS, max(1, pool_size * ASSUMED_OWNERS_SHARE))
+        return Owners(count=count, tags=tags, is_widespread=is_widespread)
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,6 +1,6 @@
 """The catalogue of live pool generations (docs/relay.md 1, 4).
 
-A `Registry` owns all pools of one relay. Invariant: a generation is withdrawn from the catalogue before it is torn
+A `PoolRegistry` owns all pools of one relay. Invariant: a generation is withdrawn from the catalogue before it is torn
 down, and no generation number is used twice under one epoch.
 """
 
@@ -34,7 +34,7 @@
         self.generation = generation
         self.actor = actor
         self.hubs: dict[bool, hubs.Hub] = {}  # by whether their subscribers are in other regions
-        self.catalogued: dict[str, int] = {}  # replica id: its owner bit in the catalogue
+        self.catalogued_owner_bits: dict[str, int] = {}  # replica id: its owner bit in the catalogue
 
     @property
     def name(self) -> str:
@@ -43,9 +43,9 @@
 
     def record_changes(self) -> None:
         """Passes each hub what changed in the filter since the last call."""
-        dirty, dirty_later = self.actor.filter.pop_dirty()
+        dirty, dirty_deferrable = self.actor.filter.pop_dirty()
         for hub in self.hubs.values():
-            hub.record(dirty=dirty, dirty_later=dirty_later)
+            hub.queue_changes(dirty=dirty, dirty_deferrable=dirty_deferrable)
 
     def flush_all(self) -> None:
         """Publishes everything that changed."""
@@ -68,7 +68,7 @@
     return int(len(replicas) * actors.OWNER_BIT_HEADROOM) + 1
 
 
-class Registry:
+class PoolRegistry:
     """The pools of one relay.
 
     Args:
@@ -116,15 +116,15 @@
         if pool is None:
             pool = self._start(identity, wanted)
         for gone in set(pool.actor.owner_bits) - wanted.replicas:
-            pool.actor.drop(replica=gone)
+            pool.actor.remove_replica(replica=gone)
         if not pool.actor.has_owner_bits_for(replicas=wanted.replicas):
             pool = self._start_next_generation(pool, owner_bits=_owner_bits_for(wanted.replicas))
             is_changed = True
         for replica in sorted(wanted.replicas):
-            pool.actor.admit(replica)
+            pool.actor.add_replica(replica)
         owner_bits = {} if pool.actor.is_wide else pool.actor.owner_bits
-        if owner_bits != pool.catalogued:
-            pool.catalogued = dict(owner_bits)
+        if owner_bits != pool.catalogued_owner_bits:
+            pool.catalogued_owner_bits = dict(owner_bits)
             is_changed = True
         return is_changed
 
@@ -132,7 +132,7 @@
         self._generation += 1
         actor = actors.Actor(
             cache_tokens=wanted.cache_tokens,
-            bucket_count=actors.buckets_for(cache_tokens=wanted.cache_tokens, replicas=len(wanted.replicas)),
+            bucket_count=actors.initial_bucket_count(cache_tokens=wanted.cache_tokens, replicas=len(wanted.replicas)),
             words=cuckoo_filter.words_for(owner_bits=_owner_bits_for(wanted.replicas)),
         )
         pool = Pool(
@@ -150,13 +150,13 @@
         successor = Pool(
             identity=pool.identity, service=pool.service, model=pool.model, generation=self._generation, actor=actor
         )
-        successor.catalogued = {} if actor.is_wide else dict(actor.owner_bits)
+        successor.catalogued_owner_bits = {} if actor.is_wide else dict(actor.owner_bits)
         self.pools[pool.identity] = successor
         return successor
 
-    def grow(self) -> None:
+    def grow_filters(self) -> None:
         """Replaces filters that had no room by larger ones."""
-        short = [pool for pool in self.pools.values() if pool.actor.is_short]
+        short = [pool for pool in self.pools.values() if pool.actor.needs_larger_filter]
         for pool in short:
             self._start_next_generation(pool, owner_bits=len(pool.actor.owner_bits))
         if short:
@@ -166,7 +166,11 @@
         """The catalogue."""
         return tuple(
             messages.Pool(
-                pool.name, pool.service, pool.model, pool.generation, _pack_owner_bits(sorted(pool.catalogued.items()))
+                pool.name,
+                pool.service,
+                pool.model,
+                pool.generation,
+                _pack_owner_bits(sorted(pool.catalogued_owner_bits.items())),
             )
             for pool in self.pools.values()
         )
@@ -178,32 +182,32 @@
             self._on_withdraw(pool)
             pool.tear_down()
 
-    def find_domain(self, *, domain: str) -> Pool | None:
+    def find_by_domain(self, *, domain: str) -> Pool | None:
         """The pool of this indexer domain."""
         return next((pool for identity, pool in self.pools.items() if identity.domain == domain), None)
 
-    def join(self, *, pool: Pool, connection: peer_connection.PeerConnection, is_far: bool) -> None:
+    def join(self, *, pool: Pool, connection: peer_connection.PeerConnection, is_remote: bool) -> None:
         """Starts a subscriber's stream of a pool. Hubs are lazy: the first subscriber of its kind makes one."""
         pool.record_changes()
-        if is_far not in pool.hubs:
-            pool.hubs[is_far] = hubs.Hub(identity=pool.name, generation=pool.generation, actor=pool.actor)
-        pool.hubs[is_far].flush()  # the cut is as new as it can be
-        pool.hubs[is_far].join(connection)
+        if is_remote not in pool.hubs:
+            pool.hubs[is_remote] = hubs.Hub(identity=pool.name, generation=pool.generation, actor=pool.actor)
+        pool.hubs[is_remote].flush()  # the cut is as new as it can be
+        pool.hubs[is_remote].join(connection)
 
-    def flush(self, *, is_far: bool, most: int | None = None) -> None:
+    def flush(self, *, is_remote: bool, most: int | None = None) -> None:
         """Publishes changed buckets to one kind of subscribers. A pool whose publication fails is withdrawn.
 
         Args:
-            is_far: whether to those in other regions.
+            is_remote: whether to those in other regions.
             most: buckets of each pool, at most; None: all.
         """
         for identity, pool in list(self.pools.items()):
             pool.record_changes()
-            hub = pool.hubs.get(is_far)
+            hub = pool.hubs.get(is_remote)
             if hub is None:
                 continue
             try:
-                hub.check(generation=pool.generation)
+                hub.check_generation(generation=pool.generation)
                 hub.flush(most=most)
             except (hubs.FencedError, errors.FrameError, ValueError) as error:
                 _log.error("pool_fenced", extra={"pool": pool.name, "fault": str(error)})
--- a/ploverward/data_plane/relay/test_actor.py
+++ b/ploverward/data_plane/relay/test_actor.py
@@ -24,7 +24,7 @@
     return find_bits(actor.filter, full_hash)
 
 
-def test_sequence_hash_root_is_the_token_hash_and_children_extend():
+def test_sequence_hash_of_root_is_its_token_hash_and_of_child_depends_on_parent():
     first = cuckoo_filter.token_hash(model="m", part="a", tokens=10)
     one, two = relay_hosts.rows("a", "b")
     assert one[0] == first
@@ -34,38 +34,38 @@
     assert relay_hosts.rows("x", "b")[1][0] != two[0]
 
 
-def test_first_owner_inserts_and_last_exit_removes():
+def test_slot_is_filled_by_first_owner_and_freed_with_last_owner():
     actor = actors.Actor(cache_tokens=1000)
     chain = relay_hosts.rows("a")
-    actor.read(replica="r1", rows=chain)
-    actor.read(replica="r2", rows=chain)
+    actor.record_prompt(replica="r1", rows=chain)
+    actor.record_prompt(replica="r2", rows=chain)
     assert owner_bits(actor, chain[0][0]) == 0b11
-    actor.forget(replica="r1", full_hash=chain[0][0])
+    actor.remove_part(replica="r1", full_hash=chain[0][0])
     assert owner_bits(actor, chain[0][0]) == 0b10
-    actor.drop(replica="r2")
+    actor.remove_replica(replica="r2")
     assert owner_bits(actor, chain[0][0]) == 0
     assert actor.owners(chain[0][0]) == frozenset()
 
 
-def test_unknown_removals_do_nothing():
+def test_removal_of_unknown_part_or_replica_changes_nothing():
     actor = actors.Actor(cache_tokens=1000)
-    actor.read(replica="r1", rows=relay_hosts.rows("a"))
+    actor.record_prompt(replica="r1", rows=relay_hosts.rows("a"))
     before = [list(bucket) for bucket in actor.filter.buckets]
-    actor.forget(replica="r1", full_hash=b"12345678")
-    actor.forget(replica="nobody", full_hash=relay_hosts.rows("a")[0][0])
-    actor.drop(replica="nobody")
+    actor.remove_part(replica="r1", full_hash=b"12345678")
+    actor.remove_part(replica="nobody", full_hash=relay_hosts.rows("a")[0][0])
+    actor.remove_replica(replica="nobody")
     assert actor.filter.buckets == before
 
 
 def test_least_recently_used_parts_are_evicted():
     actor = actors.Actor(cache_tokens=40)
     for name in "abcd":
-        actor.read(replica="r1", rows=relay_hosts.rows(name))
-    actor.read(replica="r1", rows=relay_hosts.rows("a"))
-    actor.read(replica="r1", rows=relay_hosts.rows("e"))
+        actor.record_prompt(replica="r1", rows=relay_hosts.rows(name))
+    actor.record_prompt(replica="r1", rows=relay_hosts.rows("a"))
+    actor.record_prompt(replica="r1", rows=relay_hosts.rows("e"))
     assert owner_bits(actor, relay_hosts.rows("b")[0][0]) == 0
     assert owner_bits(actor, relay_hosts.rows("a")[0][0]) == 1
-    assert actor.kept_tokens("r1") == 40
+    assert actor.cached_tokens("r1") == 40
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -76,15 +76,15 @@
     for _ in range(600):
         who = chance.choice(("r1", "r2", "r3"))
         if chance.random() < 0.03:
-            actor.drop(replica=who)
+            actor.remove_replica(replica=who)
         else:
-            actor.read(replica=who, rows=relay_hosts.rows(*chance.sample(names, 2)))
+            actor.record_prompt(replica=who, rows=relay_hosts.rows(*chance.sample(names, 2)))
     for full_hash in actor._owners:
         expected = sum(1 << actor.owner_bits[owner] for owner in actor.owners(full_hash))
-        assert owner_bits(actor, full_hash) & expected == expected or actor.omitted
+        assert owner_bits(actor, full_hash) & expected == expected or actor.omission_count
 
 
-def test_a_full_filter_leaves_nothing_half_moved():
+def test_insertion_into_full_filter_restores_all_moved_slots():
     table = cuckoo_filter.Filter(bucket_count=2)
     chance = random.Random(4)
     inserted = []
@@ -98,7 +98,7 @@
     assert all(find_bits(table, full_hash) for full_hash in inserted)
 
 
-def test_an_image_of_a_wide_pool_does_not_grow_with_its_replicas():
+def test_bucket_image_size_of_wide_pool_is_independent_of_replica_count():
     sizes = {
         count: len(cuckoo_filter.empty_image(words=cuckoo_filter.words_for(owner_bits=count)))
         for count in (3, 16, 17, 200, 900, 4500)
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -28,12 +28,12 @@
             for replica in replicas
         }
 
-    def kept(self, *, service, model, chain, replicas, pool_size=0):
+    def cached_tokens(self, *, service, model, chain, replicas, pool_size=0):
         return {name: self.chance.choice((0, 100, 300, 10**6)) for name in replicas}
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_false_mirror_names_no_replica_that_may_not_be_used(seed):
+def test_choose_with_false_mirror_returns_only_usable_replica(seed):
     chance = random.Random(seed)
     loop = loopback.new_loop()
     peers = [(types.SimpleNamespace(address=("127.0.0.1", 9)), zone) for zone in ZONES]
@@ -65,7 +65,7 @@
     node.server.stop_listening()
 
 
-def test_a_broken_mirror_is_trusted_for_what_is_kept_ten_times_as_long_as_for_load():
+def test_broken_mirror_trusts_cache_contents_ten_times_as_long_as_loads():
     clock = [0.0]
     region = mirror.RegionMirror(now=lambda: clock[0], trust_s=5.0)
     region.handle_publication(messages.Catalogue(1, ()))
@@ -73,7 +73,7 @@
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
     assert region.is_trusted and region.is_fresh  # it is told of each change: silence alone is no break
-    region.fail()
+    region.mark_broken()
     for when, is_trusted, is_fresh in (
         (100.4, True, True),
         (100.6, True, False),
@@ -82,5 +82,5 @@
     ):
         clock[0] = when
         assert (region.is_trusted, region.is_fresh) == (is_trusted, is_fresh)
-    region.fail()  # a second end does not begin the time anew
+    region.mark_broken()  # a second end does not begin the time anew
     assert not region.is_trusted
--- a/ploverward/data_plane/relay/test_host.py
+++ b/ploverward/data_plane/relay/test_host.py
@@ -10,7 +10,7 @@
 from ploverward.transport import row_codec
 
 
-def test_aggregates_of_digests_add_up_and_end_with_their_link():
+def test_totals_sum_aggregates_of_connected_digests_only():
     host, _clock = relay_hosts.make_host()
     one, two, reader = (
         recording_connections.RecordingLink(),
@@ -41,8 +41,8 @@
     assert host.totals() == {}
 
 
-def crowd(count=40):
-    host = hosts.Host(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
+def make_large_host(count=40):
+    host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     host.sync(
         services=relay_hosts.SERVICES,
         replicas=[{**relay_hosts.replica(f"r{number}"), "berths": 10} for number in range(count)],
@@ -53,8 +53,8 @@
     return host, source, reader
 
 
-def test_loads_are_published_a_bounded_number_at_a_time_those_that_moved_most_first_and_in_time_all():
-    host, source, reader = crowd()
+def test_load_rows_per_tick_are_bounded_largest_changes_first_and_all_published_eventually():
+    host, source, reader = make_large_host()
     relay_hosts.send_report(
         host,
         source,
@@ -69,8 +69,8 @@
     assert {load[0] for load in relay_hosts.last_load(reader).values()} == {1, 9} and len(host.totals()) == 40
 
 
-def test_a_small_change_is_published_in_time_however_much_others_change():
-    host, source, reader = crowd()
+def test_small_load_change_is_published_while_larger_changes_continue():
+    host, source, reader = make_large_host()
     published_after = None
     relay_hosts.send_report(host, source, recording_connections.load_row("r39", running=1))
     for step in range(1, 60):
@@ -80,19 +80,19 @@
             *(recording_connections.load_row(f"r{number}", running=5 * (step % 2)) for number in range(39)),
         )
         host.tick()
-        if published_after is None and row_codec.key_of("r39") in last_load_since(reader):
+        if published_after is None and row_codec.key_of("r39") in take_last_loads(reader):
             published_after = step
     assert published_after is not None and published_after <= 20
 
 
-def last_load_since(wire):
+def take_last_loads(wire):
     loads = wire.of_type(messages.ReplicaLoads)
     wire.clear()
     return recording_connections.loads_of(loads[-1]) if loads else {}
 
 
-def test_a_subscriber_that_joins_while_rows_wait_stands_where_the_others_stand():
-    host, source, reader = crowd()
+def test_subscriber_joining_while_rows_are_queued_ends_with_same_loads_as_others():
+    host, source, reader = make_large_host()
     relay_hosts.send_report(
         host, source, *(recording_connections.load_row(f"r{number}", running=2) for number in range(40))
     )
@@ -107,7 +107,7 @@
     assert relay_hosts.last_load(late) == relay_hosts.last_load(reader) == {}
 
 
-def test_a_digest_of_an_older_epoch_is_closed_and_its_part_is_withdrawn():
+def test_digest_of_older_epoch_is_closed_and_its_loads_are_withdrawn():
     host, _clock = relay_hosts.make_host()
     old, new, late = (
         recording_connections.RecordingLink(),
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("data", [b"x", b"x" * 22, recording_connections.load_row("r1", running=1)[:-1]])
-def test_malformed_aggregates_change_nothing(data):
+def test_malformed_or_repeated_aggregates_are_rejected_without_change(data):
     host, _clock = relay_hosts.make_host()
     wire = recording_connections.RecordingLink()
     relay_hosts.send_report(host, wire, recording_connections.load_row("r1", running=2, tokens=7))
@@ -138,7 +138,7 @@
     ):
         with pytest.raises(errors.FrameError):
             host.handle_aggregates(wire, messages.Aggregates(2, loads, reads))
-        assert host.totals() == before and host.subscribers[wire].counted == 1
+        assert host.totals() == before and host.subscribers[wire].newest_batch == 1
     with pytest.raises(errors.FrameError):
         host.handle_aggregates(
             wire, recording_connections.aggregates_message(1, loads=[recording_connections.load_row("r1", running=9)])
@@ -146,7 +146,7 @@
     assert host.totals() == before
 
 
-def test_outcomes_over_all_callers_eject_a_replica_for_a_time_that_grows():
+def test_failures_summed_over_digests_eject_replica_for_longer_each_time():
     host, clock = relay_hosts.make_host()
     reader, one, two = (
         recording_connections.RecordingLink(),
@@ -182,7 +182,7 @@
     assert away[0] < away[1] < away[2]
 
 
-def test_a_few_failures_or_a_small_share_of_them_eject_nobody():
+def test_few_failures_or_small_failure_share_eject_no_replica():
     host, clock = relay_hosts.make_host()
     one = recording_connections.RecordingLink()
     relay_hosts.send_report(
@@ -192,8 +192,8 @@
         recording_connections.load_row("r2", ended=60, failed=6),
     )
     host.tick()
-    assert not host._judge.failing
+    assert not host._outlier_detector.failing
     clock[0] += 10.0  # what is past the window says nothing
     relay_hosts.send_report(host, one, recording_connections.load_row("r1", ended=2, failed=2))
     host.tick()
-    assert not host._judge.failing
+    assert not host._outlier_detector.failing
--- a/ploverward/data_plane/relay/test_publication.py
+++ b/ploverward/data_plane/relay/test_publication.py
@@ -19,7 +19,7 @@
 RESOLVED = resolution.ResolvedPool("llm", "m", 100, frozenset({"r1"}))
 
 
-def test_hub_is_lazy_and_each_subscriber_gets_a_cut_then_deltas():
+def test_hub_starts_with_first_subscriber_and_sends_each_a_cut_then_deltas():
     host, _clock = relay_hosts.make_host()
     one, two = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     registry = host.registry
@@ -27,29 +27,31 @@
     assert registry.pools[POOL_ID].hubs == {}  # nobody subscribed yet
     registry.sync(resolved={})
     source = relay_hosts.send(host)
-    relay_hosts.read(host, source, "r1", "a", "b")
+    relay_hosts.record_prompt(host, source, "r1", "a", "b")
     host.subscribe(one, region="north")
     assert one.kinds()[:2] == [messages.Catalogue, messages.PoolCut]
-    relay_hosts.read(host, source, "r2", "a")
+    relay_hosts.record_prompt(host, source, "r2", "a")
     host.tick()
     host.subscribe(two, region="north")
     views = []
     for wire in (one, two):
         region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
         relay_hosts.feed(region, wire)
-        views.append(region.kept(service="llm", model="m", chain=relay_hosts.rows("a", "b"), replicas=("r1", "r2")))
+        views.append(
+            region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("a", "b"), replicas=("r1", "r2"))
+        )
     assert views == [{"r1": 20, "r2": 10}] * 2
 
 
-def test_a_wrong_sequence_installs_nothing():
+def test_delta_with_wrong_sequence_or_length_installs_nothing():
     host, _clock = relay_hosts.make_host()
     wire = recording_connections.RecordingLink()
     source = relay_hosts.send(host)
     host.subscribe(wire, region="north")
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     relay_hosts.feed(region, wire)
-    relay_hosts.read(host, source, "r1", "a")
-    relay_hosts.read(host, source, "r1", "b")
+    relay_hosts.record_prompt(host, source, "r1", "a")
+    relay_hosts.record_prompt(host, source, "r1", "b")
     host.tick()
     delta = wire.of_type(messages.PoolDelta)[0]
     name, changed = delta.pool, delta.bucket_rows
@@ -66,9 +68,9 @@
     assert region.pools[name].buckets != before
 
 
-def test_withdrawal_comes_before_teardown_and_a_new_generation_follows():
+def test_pool_is_withdrawn_before_teardown_and_restarts_under_higher_generation():
     seen = []
-    registry = pool_registry.Registry(
+    registry = pool_registry.PoolRegistry(
         on_withdraw=lambda pool: seen.append((pool.name, pool.actor is not None)),
         on_catalogue=lambda: None,
         first_generation=5,
@@ -82,34 +84,34 @@
     assert registry.pools[identity].generation > first.generation
 
 
-def test_a_fault_in_publication_fences_the_generation():
+def test_publication_error_withdraws_pool_generation():
     seen = []
-    registry = pool_registry.Registry(on_withdraw=seen.append, on_catalogue=lambda: None, first_generation=0)
+    registry = pool_registry.PoolRegistry(on_withdraw=seen.append, on_catalogue=lambda: None, first_generation=0)
     identity = POOL_ID
     registry.sync(resolved={identity: RESOLVED})
     pool = registry.pools[identity]
-    registry.join(pool=pool, connection=recording_connections.RecordingLink(), is_far=False)
+    registry.join(pool=pool, connection=recording_connections.RecordingLink(), is_remote=False)
     pool.generation += 1
-    registry.flush(is_far=False)
+    registry.flush(is_remote=False)
     assert [gone.name for gone in seen] == ["1/d/north"] and identity not in registry.pools
 
 
-def test_an_overflowing_subscriber_is_closed_alone():
+def test_queue_overflow_closes_only_that_subscriber():
     actor = actors.Actor(cache_tokens=1000)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
     slow, quick = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     hub.join(slow)
     hub.join(quick)
     slow.queue = hubs.QUEUE_LIMIT_BYTES + 1
-    actor.read(replica="r1", rows=relay_hosts.rows("a"))
-    dirty, dirty_later = actor.filter.pop_dirty()
-    hub.record(dirty=dirty, dirty_later=dirty_later)
+    actor.record_prompt(replica="r1", rows=relay_hosts.rows("a"))
+    dirty, dirty_deferrable = actor.filter.pop_dirty()
+    hub.queue_changes(dirty=dirty, dirty_deferrable=dirty_deferrable)
     hub.flush()
     assert not slow.is_open and quick.is_open
     assert quick.kinds() == [messages.PoolCut, messages.PoolDelta] and hub.subscriber_count() == 1
 
 
-def test_parts_that_others_look_for_are_published_before_those_of_one_request():
+def test_shared_parts_are_published_before_last_parts_of_prompts():
     actor = actors.Actor(cache_tokens=10**6)
     hub = hubs.Hub(identity="p", generation=1, actor=actor)
     reader = recording_connections.RecordingLink()
@@ -118,9 +120,9 @@
     region.owner_bits = {row_codec.key_of("r1"): 0}
     chains = [relay_hosts.rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
-        actor.read(replica="r1", rows=chain)
-    dirty, dirty_later = actor.filter.pop_dirty()
-    hub.record(dirty=dirty, dirty_later=dirty_later)
+        actor.record_prompt(replica="r1", rows=chain)
+    dirty, dirty_deferrable = actor.filter.pop_dirty()
+    hub.queue_changes(dirty=dirty, dirty_deferrable=dirty_deferrable)
     hub.flush(most=len(dirty))
     for message in reader.messages:
         if isinstance(message, messages.PoolCut):
@@ -129,7 +131,7 @@
             region.install_delta(data=message.bucket_rows)
     assert all(region.owners(shared[0]).count == 1 for shared, _own in chains)
     assert sum(region.owners(own[0]).count for _shared, own in chains) < 10  # but for those in the same buckets
-    assert hub.waiting()
-    actor.read(replica="r2", rows=chains[0])  # a second replica reads the whole prompt: it is shared after all
+    assert hub.queued_bucket_count()
+    actor.record_prompt(replica="r2", rows=chains[0])  # a second replica reads the whole prompt: it is shared after all
     dirty, _later = actor.filter.pop_dirty()
     assert dirty
--- a/ploverward/data_plane/relay/test_resolution.py
+++ b/ploverward/data_plane/relay/test_resolution.py
@@ -4,7 +4,7 @@
 from ploverward.simulation import relay_hosts
 
 
-def test_pool_needs_a_live_replica_that_was_sent_requests():
+def test_pool_exists_only_with_unambiguous_replica_that_was_sent_requests():
     row = [relay_hosts.replica("r1")]
     assert resolution.resolve(region="north", services=relay_hosts.SERVICES, replicas=row, sent=set())[0] == {}
     assert resolution.resolve(region="south", services=relay_hosts.SERVICES, replicas=row, sent={"r1"}).pools == {}
@@ -15,7 +15,7 @@
     assert list(pools.values()) == [("llm", "m", 1000, frozenset({"r1"}))]
 
 
-def test_colliding_pool_ids_are_fenced_never_merged():
+def test_pools_with_same_id_are_reported_as_conflict_and_not_merged():
     services = {"llm": relay_hosts.SERVICES["llm"], "other": relay_hosts.SERVICES["llm"]}
     pools, conflicts = resolution.resolve(
         region="north",
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -41,7 +41,7 @@
     def fail_over(self):
         self.epoch += 1
         for link, region in self.views:
-            region.fail()
+            region.mark_broken()
             link.clear()
         self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
         self.host.sync(
--- a/ploverward/simulation/relay_hosts.py
+++ b/ploverward/simulation/relay_hosts.py
@@ -21,33 +21,33 @@
     return {"id": name, "service": service, "region": region, "models": ["m"]}
 
 
-def make_host(*, epoch: int = 1) -> tuple[hosts.Host, list[float]]:
+def make_host(*, epoch: int = 1) -> tuple[hosts.RelayHost, list[float]]:
     """A relay of two replicas, and its clock as a list of one number."""
     clock = [0.0]
-    host = hosts.Host(region="north", epoch=epoch, now=lambda: clock[0], suspicion_s=1.0)
+    host = hosts.RelayHost(region="north", epoch=epoch, now=lambda: clock[0], suspicion_s=1.0)
     host.sync(services=SERVICES, replicas=[replica("r1"), replica("r2")])
     return host, clock
 
 
 def send_report(
-    host: hosts.Host, wire: recording_connections.RecordingLink, *loads: bytes, reads: Iterable[bytes] = ()
+    host: hosts.RelayHost, wire: recording_connections.RecordingLink, *loads: bytes, reads: Iterable[bytes] = ()
 ) -> None:
     """The next batch of the digest at the other end of `wire`."""
     connection = recording_connections.as_peer(wire)
     if connection not in host.subscribers:
         host.subscribe(connection, region="north")
-    number = host.subscribers[connection].counted + 1
+    number = host.subscribers[connection].newest_batch + 1
     host.handle_aggregates(connection, recording_connections.aggregates_message(number, loads=loads, reads=reads))
 
 
-def send(host: hosts.Host, name: str = "r1") -> recording_connections.RecordingLink:
+def send(host: hosts.RelayHost, name: str = "r1") -> recording_connections.RecordingLink:
     """One attempt at a replica began, reported by a digest that does nothing else."""
     source = recording_connections.RecordingLink()
     send_report(host, source, recording_connections.load_row(name, running=1, tokens=20))
     return source
 
 
-def read(host: hosts.Host, source: recording_connections.RecordingLink, name: str, *parts: str) -> None:
+def record_prompt(host: hosts.RelayHost, source: recording_connections.RecordingLink, name: str, *parts: str) -> None:
     """A replica processed a prompt of these parts."""
     send_report(host, source, reads=[recording_connections.read_row(name, *((part, 10) for part in parts))])
 
@@ -66,10 +66,10 @@
     return region.load
 
 
-def drain(host: hosts.Host) -> None:
+def drain(host: hosts.RelayHost) -> None:
     """Ticks until all that changed is published."""
     for _ in range(2000):
         host.tick()
-        if not any(hub.waiting() for pool in host.registry.pools.values() for hub in pool.hubs.values()):
+        if not any(hub.queued_bucket_count() for pool in host.registry.pools.values() for hub in pool.hubs.values()):
             return
     raise AssertionError("never published")
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -85,7 +85,7 @@
         return self.client.zone_digest.digest
 
     @property
-    def relay(self) -> hosts.Host | None:
+    def relay(self) -> hosts.RelayHost | None:
         """The relay of its region, where it owns the role."""
         return self.client.relay_role.host
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -463,8 +463,8 @@
     "acceptor file": Codec(_pack_acceptor_file, _read_acceptor_file),
     "buckets": Codec(_pack_buckets, _read_buckets, takes_value=True),
     "wide slot": Codec(
-        lambda value: cuckoo_filter.wide_value(count=value[0], tags=value[1]).to_bytes(13, "big"),
-        lambda data: cuckoo_filter.read_wide(int.from_bytes(data, "big")),
+        lambda value: cuckoo_filter.encode_wide_value(count=value[0], tags=value[1]).to_bytes(13, "big"),
+        lambda data: cuckoo_filter.decode_wide_value(int.from_bytes(data, "big")),
     ),
     "prompt chain": Codec(_pack_chain),
     "pool domain": Codec(lambda value: bytes.fromhex(resolution.domain_id(service=value[0], model=value[1]))),
