--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -1,9 +1,9 @@
-"""The actor of one pool generation (docs/relay.md 2).
+"""The actor of a pool: the exact record of cached prompt parts, and the filter made from it (docs/relay.md 2).
 
 An `Actor` owns the exact record of which prompt parts each replica has cached, and the filter made from it. Replicas
-announce no evictions, so each one's cache is modelled as a least-recently-used list over its cache tokens. Invariant:
-a slot of the filter agrees with the exact record of the hashes that share it, except for omissions, which are
-counted.
+announce no evictions, so each one's cache is modelled as a least-recently-used list that is limited by the number of
+tokens that the cache holds. Invariant: a slot of the filter agrees with the exact record of the hashes that share it,
+except for omissions, which are counted.
 """
 
 import collections
@@ -14,16 +14,16 @@
 from ploverward.data_plane.relay import cuckoo_filter
 from ploverward.transport import row_codec
 
-MIN_INITIAL_BUCKETS = 1024  # of a new filter, at least
+MIN_INITIAL_BUCKETS = 1024
 MAX_INITIAL_BUCKETS = 1 << 14
 ASSUMED_PART_TOKENS = 512  # sizes a new filter: one that grows later is published again to all subscribers
-TARGET_LOAD_FACTOR = 0.7  # of a filter's slots
+TARGET_LOAD_FACTOR = 0.7  # share of a new filter's slots that are expected to be used
 MAX_BUCKETS = 1 << 17
-OWNER_BIT_HEADROOM = 1.5  # owner bits for each replica listed: a roll-out has old and new ones at the same time
+OWNER_BIT_HEADROOM = 1.5  # owner bits per listed replica: a roll-out has old and new replicas at the same time
 
 
 def initial_bucket_count(*, cache_tokens: int, replicas: int) -> int:
-    """Buckets of a filter for all that so many replicas have in their caches, a power of two."""
+    """Returns the bucket count of a new filter for the caches of this many replicas: a power of two."""
     wanted = cache_tokens / ASSUMED_PART_TOKENS * replicas / (cuckoo_filter.SLOTS_PER_BUCKET * TARGET_LOAD_FACTOR)
     count = MIN_INITIAL_BUCKETS
     while count < min(wanted, MAX_INITIAL_BUCKETS):
@@ -32,27 +32,33 @@
 
 
 class Actor:
-    """Exact ownership, reference counts and the filter of one pool.
+    """Records which replicas of one pool own which prompt parts, and keeps the pool's filter up to date.
+
+    A replica owns a part while the part is in its cache, as modelled.
 
     Args:
-        cache_tokens: of each replica.
-        bucket_count: of the filter, a power of two.
-        words: of the filter's slots, see `cuckoo_filter.words_for`.
+        cache_tokens: Tokens that the cache of each replica holds.
+        bucket_count: Buckets of the filter, a power of two.
+        words: Mask words of each slot of the filter, or `cuckoo_filter.WIDE`; see `cuckoo_filter.words_for`.
     """
 
     def __init__(self, *, cache_tokens: int, bucket_count: int = MIN_INITIAL_BUCKETS, words: int = 1) -> None:
         self.cache_tokens = cache_tokens
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
-        self.needs_larger_filter = False  # the filter had no room for a hash
+        self.needs_larger_filter = False  # the filter had no room for a hash, and may still grow
         self.owner_bits: dict[str, int] = {}  # by replica id
         self._cached: dict[str, collections.OrderedDict[bytes, int]] = {}  # replica id: tokens by hash, oldest first
         self._cached_tokens: dict[str, int] = {}  # replica id: tokens in its cache
-        self._owners: dict[bytes, dict[str, bool]] = {}  # hash: its owners, the first one first
-        self._hashes_by_slot: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # hashes that share one slot
-        self.omission_count = 0  # reads and hashes that had no room
+        self._owners: dict[bytes, dict[str, bool]] = {}  # hash: ids of its owners, in the order of adding
+        self._hashes_by_slot: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # slot: the hashes that share it
+        self.omission_count = 0  # prompts and hashes that were not recorded for lack of room
 
     def add_replica(self, replica: str) -> bool:
-        """Whether the replica has an owner bit now; in a wide pool it needs none."""
+        """Adds a replica to the pool and assigns it a free owner bit; does nothing if it is already in the pool.
+
+        Returns:
+            False if all owner bits are assigned. Replicas of a wide pool need none, so adding one always succeeds.
+        """
         if replica in self.owner_bits:
             return True
         owner_bit = 0 if self.is_wide else self._next_owner_bit()
@@ -65,7 +71,7 @@
 
     @property
     def is_wide(self) -> bool:
-        """Whether slots name owners by tags: then a replica's owner bit has no meaning."""
+        """Whether slots name owners by tags instead of owner bits; then the owner bit of a replica has no meaning."""
         return self.filter.words == cuckoo_filter.WIDE
 
     def _next_owner_bit(self) -> int:
@@ -73,15 +79,15 @@
         return next(owner_bit for owner_bit in range(len(owned) + 1) if owner_bit not in owned)
 
     def has_owner_bits_for(self, *, replicas: Collection[str]) -> bool:
-        """Whether there is room for all these replicas in addition to the present ones."""
+        """Whether there are owner bits for all these replicas in addition to the present ones."""
         count = len(set(self.owner_bits) | set(replicas))
         return self.is_wide or count <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
 
     def resize(self, *, owner_bits: int) -> None:
-        """Makes a larger filter from the exact ownership, for a new generation. A wide pool stays wide.
+        """Rebuilds the filter in a larger size from the exact record, for a new generation. A wide pool stays wide.
 
         Args:
-            owner_bits: how many replicas it needs room for.
+            owner_bits: Number of replicas that need an owner bit.
         """
         wanted = cuckoo_filter.words_for(owner_bits=owner_bits)
         is_wide = cuckoo_filter.WIDE in (wanted, self.filter.words)
@@ -94,7 +100,7 @@
         self.needs_larger_filter = False
 
     def _rebuild(self, *, bucket_count: int, words: int) -> int:
-        """How many slots had no room in a filter of this size."""
+        """Rebuilds the filter with this size and returns the number of slots that had no room in it."""
         self.filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
         self._hashes_by_slot = {}
         for full_hash in self._owners:
@@ -105,18 +111,18 @@
         )
 
     def owners(self, full_hash: bytes) -> frozenset[str]:
-        """Ids of the replicas that have this part."""
+        """Returns the ids of the replicas that have this part in their caches, as modelled."""
         return frozenset(self._owners.get(full_hash, ()))
 
     def cached_tokens(self, replica: str) -> int:
-        """Tokens in a replica's cache, by the model."""
+        """Returns the number of tokens in a replica's cache, as modelled."""
         return self._cached_tokens.get(replica, 0)
 
     def record_prompt(self, *, replica: str, rows: Sequence[cuckoo_filter.HashedPart]) -> None:
-        """The replica processed this prompt.
+        """Records that a replica processed a prompt: its parts enter the cache, the least recently used ones leave it.
 
         Args:
-            replica: its id.
+            replica: Id of the replica.
             rows: (canonical sequence hash, tokens) of the prompt's parts, from the front.
         """
         if not self.add_replica(replica):
@@ -130,9 +136,9 @@
                 continue
             cached[full_hash] = tokens
             self._cached_tokens[replica] += tokens
-            # The last part is the request's own or its session's: until another replica has it, few will search for it.
+            # The last part belongs to one request or session. Until a second replica has it, few requests look it up.
             self._add_owner(replica, full_hash, is_deferrable=index == last and full_hash not in self._owners)
-        # Children are used no later than their parents: walk back so that the root is the youngest.
+        # A child is never used later than its parents: from back to front, so that the root is the most recently used.
         for full_hash, _tokens in reversed(rows):
             if full_hash in cached:
                 cached.move_to_end(full_hash)
@@ -142,7 +148,7 @@
             self._remove_owner(replica, full_hash)
 
     def remove_part(self, *, replica: str, full_hash: bytes) -> None:
-        """An unknown removal does nothing."""
+        """Removes one part from a replica's cache; does nothing if the replica or the part is unknown."""
         cached = self._cached.get(replica)
         if cached is None or full_hash not in cached:
             return
@@ -150,7 +156,7 @@
         self._remove_owner(replica, full_hash)
 
     def remove_replica(self, *, replica: str) -> None:
-        """Removes a replica and everything that it owned."""
+        """Removes a replica and everything that it owned; does nothing if the replica is unknown."""
         cached = self._cached.pop(replica, None)
         if cached is None:
             return
@@ -166,7 +172,7 @@
         return fingerprint, min(first, second)
 
     def _slot_value(self, slot_id: cuckoo_filter.SlotId) -> int:
-        """The owners in the slot."""
+        """Returns the value of a slot: the owners of all hashes that share it."""
         if self.is_wide:
             return self._wide_slot_value(slot_id)
         bits = 0
@@ -193,11 +199,14 @@
         slot_id = self._slot_id(full_hash)
         self._hashes_by_slot.setdefault(slot_id, set()).add(full_hash)
         if not self.filter.put(full_hash=full_hash, bits=self._slot_value(slot_id), is_deferrable=is_deferrable):
-            self.omission_count += 1  # an observable omission; ownership stays exact
+            self.omission_count += 1  # missing in the filter only: the record of owners stays exact
             self.needs_larger_filter = self.filter.bucket_count < MAX_BUCKETS
 
     def _remove_owner(self, replica: str, full_hash: bytes) -> None:
-        """This may wait: until a subscriber knows, it only expects a part in a cache that is not there."""
+        """Removes an owner of a part.
+
+        The change is deferrable: until a subscriber receives it, it only expects a part in a cache that lacks it.
+        """
         owners = self._owners[full_hash]
         owners.pop(replica, None)
         slot_id = self._slot_id(full_hash)
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -1,11 +1,11 @@
-"""The fingerprint filter of a pool (docs/relay.md 3): a cuckoo filter whose slots also name owners.
+"""The fingerprint filter of a pool: a cuckoo filter whose slots also name the owners (docs/relay.md 3).
 
-The paper's filter says that some replica of the pool has a prefix; choosing a replica needs to know which. In a pool
-of few replicas each slot has an owner bit for every owner, in `words` of 32. In a wide pool (`words` is `WIDE`) masks
-would cost more than they are worth: a slot has the number of owners and the tags of the first few. Bucket images are
-absolute.
+The filter of the paper only tells that some replica of the pool has a prefix; to choose a replica, a proxy needs to
+know which one. In a pool of few replicas each slot has a mask with one bit for each replica, in `words` of 32 bits. In
+a wide pool (`words` is `WIDE`) such masks would cost more than they are worth: a slot has the number of owners and the
+tags of the first few. An image is the complete encoded content of a bucket, not a difference from an earlier one.
 
-Invariant: a fingerprint is in one of its two buckets at most.
+Invariant: a fingerprint is in at most one of its two buckets.
 """
 
 import functools
@@ -15,23 +15,26 @@
 from collections.abc import Iterable
 from collections.abc import Sequence
 
-SLOTS_PER_BUCKET = 4  # of a bucket
-BITS_PER_MASK_WORD = 32  # masks of owner bits grow by such words, as many as the replicas that are listed need
-MAX_OWNER_BITS = 16  # a pool that needs more is wide: if many replicas leave at once, to clear their bits costs a burst
-MAX_MASK_WORDS = 4  # of an image that a mirror accepts
-WIDE = 0  # used instead of a count of words
-MAX_NAMED_OWNERS = 4  # of a wide pool's slot
-TAG_SIZE = 3  # bytes, the front of a replica's key: of a thousand replicas two are alike once in thirty pools
-MAX_OWNERS = 255  # a slot counts no further
+SLOTS_PER_BUCKET = 4
+BITS_PER_MASK_WORD = 32  # a mask of owner bits has as many such words as the listed replicas need
+# A pool that needs more owner bits is wide: when many replicas leave at once, clearing their bits in all slots would
+# cause a burst of publication.
+MAX_OWNER_BITS = 16
+MAX_MASK_WORDS = 4  # limit for the images that a mirror accepts
+WIDE = 0  # stands for tags in place of a number of mask words
+MAX_NAMED_OWNERS = 4  # owners whose tags a slot of a wide pool holds
+# Bytes from the front of a replica's key. In one of thirty pools of a thousand replicas, two have the same tag.
+TAG_SIZE = 3
+MAX_OWNERS = 255  # a larger number of owners is stored as this one
 _WIDE_SIZE = 1 + MAX_NAMED_OWNERS * TAG_SIZE
-MAX_KICKS = 64  # slots moved for one insertion, before the filter counts as full
+MAX_KICKS = 64  # slots moved for one insertion before the filter counts as full
 
-HashedPart = tuple[bytes, int]  # hash, tokens: plain tuples, as every request makes one for each part of its prompt
-SlotId = tuple[int, int]  # fingerprint, the lower of its two buckets
+HashedPart = tuple[bytes, int]  # hash, tokens; plain, as every request creates one for each part of its prompt
+SlotId = tuple[int, int]  # fingerprint, the lower of its two bucket indices
 
 
 class FingerprintAndBuckets(typing.NamedTuple):
-    """The fingerprint of a hash, and the two buckets that it may be in."""
+    """The fingerprint of a hash and the indices of the two buckets that it may be in."""
 
     fingerprint: int
     first: int
@@ -42,18 +45,18 @@
     """The decoded slot of a wide pool."""
 
     owner_count: int
-    tags: tuple[bytes, ...]  # of the first few
+    tags: tuple[bytes, ...]  # of the first `MAX_NAMED_OWNERS` owners
 
 
 class Slot(typing.NamedTuple):
-    """One fingerprint with its owners."""
+    """A fingerprint and the encoded owners of the hashes that have it."""
 
     fingerprint: int  # 0: the slot is free
-    bits: int
+    bits: int  # a mask of owner bits, or the result of `encode_wide_value`
 
 
 class _Move(typing.NamedTuple):
-    """A slot that an insertion changed, and what was there before."""
+    """A slot that an insertion changed, with its previous content."""
 
     bucket: int
     position: int
@@ -64,7 +67,7 @@
 
 
 def value_size(*, words: int) -> int:
-    """Bytes of a slot besides its fingerprint."""
+    """Returns the size of a slot without its fingerprint, in bytes."""
     return _WIDE_SIZE if words == WIDE else 4 * words
 
 
@@ -74,18 +77,18 @@
 
 
 def words_for(*, owner_bits: int) -> int:
-    """Words of a slot's mask for so many owners, or `WIDE`."""
+    """Returns the mask words that a slot needs for this many owner bits, or `WIDE`."""
     return max(1, -(-owner_bits // BITS_PER_MASK_WORD)) if owner_bits <= MAX_OWNER_BITS else WIDE
 
 
 def encode_wide_value(*, count: int, tags: Iterable[bytes]) -> int:
-    """Encodes a wide pool's slot: how many owners, and the tags of the first `MAX_NAMED_OWNERS` of them."""
+    """Encodes the slot of a wide pool: the number of owners and the tags of the first `MAX_NAMED_OWNERS`."""
     named = b"".join(tags).ljust(MAX_NAMED_OWNERS * TAG_SIZE, b"\0")
     return int.from_bytes(bytes([min(count, MAX_OWNERS)]) + named, "big")
 
 
 def decode_wide_value(value: int) -> WideValue:
-    """Decodes what `encode_wide_value` encoded."""
+    """Decodes a value that `encode_wide_value` returned; 0 stands for no owners."""
     if not value:
         return WideValue(0, ())
     data = value.to_bytes(_WIDE_SIZE, "big")
@@ -95,12 +98,12 @@
 
 
 def empty_image(*, words: int) -> bytes:
-    """The image of a bucket whose slots are all free."""
+    """Returns the image of a bucket whose slots are all free."""
     return bytes(_bucket_struct(words).size)
 
 
 def fingerprint_and_buckets(*, full_hash: bytes, bucket_count: int) -> FingerprintAndBuckets:
-    """The buckets that a hash may be in, for a filter of so many buckets, a power of two."""
+    """Returns the fingerprint of a hash and its buckets, in a filter of `bucket_count` buckets (a power of two)."""
     fingerprint = int.from_bytes(full_hash[:2], "big") or 1
     first = int.from_bytes(full_hash[2:6], "big") % bucket_count
     second = other_bucket(bucket=first, fingerprint=fingerprint, bucket_count=bucket_count)
@@ -108,25 +111,25 @@
 
 
 def other_bucket(*, bucket: int, fingerprint: int, bucket_count: int) -> int:
-    """The other one of a fingerprint's two buckets."""
+    """Returns the other one of the two buckets of a fingerprint."""
     return bucket ^ ((fingerprint * 0x5BD1E995 >> 3) % bucket_count)
 
 
 def sequence_hash(*, parent: bytes, token_hash: bytes) -> bytes:
-    """Canonical: the root is the first token hash, each child extends its parent."""
+    """Returns the canonical sequence hash of a part: the token hash itself for the root, which has no parent."""
     return token_hash if not parent else hashlib.blake2b(parent + token_hash, digest_size=8).digest()
 
 
 def token_hash(*, model: str, part: str, tokens: int) -> bytes:
-    """The hash of one part of a prompt, independent of the parts before it."""
+    """Returns the hash of one part of a prompt, independent of the parts before it."""
     return hashlib.blake2b(f"{model}\0{part}\0{tokens}".encode(), digest_size=8).digest()
 
 
 def chain(*, model: str, parts: Iterable[tuple[str, int]]) -> tuple[HashedPart, ...]:
-    """Canonical sequence hashes of a prompt.
+    """Returns the canonical sequence hashes of a prompt, each with the tokens of its part.
 
     Args:
-        model: which processes it.
+        model: Model that processes the prompt.
         parts: (name, tokens) of each part, from the front.
     """
     return sequence_hashes(
@@ -135,7 +138,7 @@
 
 
 def sequence_hashes(*, parts: Iterable[HashedPart]) -> tuple[HashedPart, ...]:
-    """Canonical sequence hashes from (token hash, tokens) in order."""
+    """Returns the canonical sequence hashes for (token hash, tokens) of each part, from the front of the prompt."""
     rows = []
     parent = b""
     for stored_hash, tokens in parts:
@@ -145,7 +148,7 @@
 
 
 def find_in_images(*, images: Sequence[bytes], words: int, full_hash: bytes) -> int:
-    """The owners in the slot of this hash, from the bucket images of a filter; 0 where unknown."""
+    """Returns the value of the slot of a hash, from the bucket images of a filter; 0 if there is no such slot."""
     fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=len(images))
     value = 0
     for index in (first, second):
@@ -157,24 +160,27 @@
 
 
 class Filter:
-    """A cuckoo filter.
+    """A cuckoo filter that maps fingerprints to owners and records which buckets changed.
 
     Args:
-        bucket_count: a power of two.
-        words: of 32 bits of each slot's mask, or `WIDE`.
+        bucket_count: Number of buckets, a power of two.
+        words: Words of 32 bits in the mask of each slot, or `WIDE`.
+
+    Raises:
+        ValueError: `bucket_count` is not a power of two.
     """
 
     def __init__(self, *, bucket_count: int, words: int = 1) -> None:
         if bucket_count & (bucket_count - 1):
-            raise ValueError("bucket_count must be a power of two")
+            raise ValueError(f"bucket_count is {bucket_count}, must be a power of two")
         self.bucket_count = bucket_count
         self.words = words
         self.buckets = [[FREE_SLOT] * SLOTS_PER_BUCKET for _ in range(bucket_count)]
         self.dirty: set[int] = set()  # buckets that changed since the last `pop_dirty`
-        self.dirty_deferrable: set[int] = set()  # the same, of changes that may be published later
+        self.dirty_deferrable: set[int] = set()  # the same, for changes that may be published later
 
     def _locate(self, fingerprint: int, first: int, second: int) -> tuple[int, int] | None:
-        """(bucket, position) of a fingerprint's slot."""
+        """Returns (bucket, position) of the slot of a fingerprint, or None if there is none."""
         for index in (first, second):
             for position, (stored, _bits) in enumerate(self.buckets[index]):
                 if stored == fingerprint:
@@ -182,21 +188,21 @@
         return None
 
     def pop_dirty(self) -> tuple[set[int], set[int]]:
-        """(buckets that changed, others that changed and may wait), since the last call."""
+        """Returns (buckets that changed, others whose changes are deferrable) since the last call."""
         dirty, dirty_deferrable = self.dirty, self.dirty_deferrable - self.dirty
         self.dirty, self.dirty_deferrable = set(), set()
         return dirty, dirty_deferrable
 
     def put(self, *, full_hash: bytes, bits: int, is_deferrable: bool = False) -> bool:
-        """Sets the owners in the slot of a hash, inserting it.
+        """Sets the owners in the slot of a hash; inserts the slot if there is none.
 
         Args:
-            full_hash: whose fingerprint it is.
-            bits: a mask of owner bits, or the result of `encode_wide_value`.
-            is_deferrable: whether subscribers lose little where this is published later than other changes.
+            full_hash: Hash whose fingerprint identifies the slot.
+            bits: Mask of owner bits, or the result of `encode_wide_value`.
+            is_deferrable: Whether subscribers lose little if the change is published later than others.
 
         Returns:
-            False where there is no room; nothing was changed.
+            False if there is no room; then nothing was changed.
         """
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         dirty = self.dirty_deferrable if is_deferrable else self.dirty
@@ -210,7 +216,7 @@
         return True
 
     def _fill_free(self, index: int, row: Slot) -> bool:
-        """Whether the bucket had a free slot for the row."""
+        """Puts a row into a free slot of a bucket; returns False if the bucket has none."""
         bucket = self.buckets[index]
         for position, (stored, _bits) in enumerate(bucket):
             if stored == 0:
@@ -234,12 +240,12 @@
                 dirty.add(index)
                 dirty.update(move.bucket for move in moves)
                 return True
-        for move in reversed(moves):  # no room: every slot is restored
+        for move in reversed(moves):  # no room: restore every slot
             self.buckets[move.bucket][move.position] = move.before
         return False
 
     def remove(self, *, full_hash: bytes, is_deferrable: bool = False) -> None:
-        """Frees the slot of a hash; an unknown one does nothing. `is_deferrable`: as in `put`."""
+        """Frees the slot of a hash; does nothing if there is none. `is_deferrable` means the same as in `put`."""
         fingerprint, first, second = fingerprint_and_buckets(full_hash=full_hash, bucket_count=self.bucket_count)
         found = self._locate(fingerprint, first, second)
         if found is not None:
@@ -248,7 +254,7 @@
             (self.dirty_deferrable if is_deferrable else self.dirty).add(index)
 
     def image(self, index: int) -> bytes:
-        """A bucket as frames carry it."""
+        """Returns the content of a bucket as frames carry it."""
         size = value_size(words=self.words)
         flat: list[int | bytes] = []
         for fingerprint, bits in self.buckets[index]:
--- a/ploverward/data_plane/relay/gateway.py
+++ b/ploverward/data_plane/relay/gateway.py
@@ -1,7 +1,8 @@
-"""The gateway of a region, on the relay's node: one stream each way between two regions (docs/scale.md 3).
+"""The gateway of a region: a single stream in each direction between two regions (docs/scale.md 3).
 
-A `Gateway` owns a digest whose members are the region's digests, and mirrors of the other regions. Its epoch is that
-of the region's relay. Invariant: of each digest's singleton role only the newest epoch that ever joined is admitted.
+The gateway runs on the node of the region's relay. A `Gateway` owns a digest whose members are the region's digests,
+and mirrors of the other regions. Its epoch is that of the region's relay. Invariant: of each digest's singleton role
+only the newest epoch that ever joined is admitted.
 """
 
 import types
@@ -18,15 +19,15 @@
 
 
 class Gateway:
-    """Serves the region's digests with the relays of all other regions.
+    """Connects the digests of its region with the relays of all other regions.
 
     Args:
-        region: its own.
-        epoch: of the region's relay.
-        regions: names of all regions.
-        connector_factory: connects to the other regions' relays.
-        now: the loop's clock, in seconds.
-        trust_s: how long a broken mirror is used.
+        region: Name of its own region.
+        epoch: Epoch of the region's relay.
+        regions: Names of all regions.
+        connector_factory: Connects to the other regions' relays.
+        now: Clock of the event loop, in seconds.
+        trust_s: Seconds for which a broken mirror is still used.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         names = tuple(regions)
         self.other_regions = tuple(name for name in names if name != region)
         self._relays: Mapping[str, digest_connection.RoleOwner] = types.MappingProxyType({})
-        self._newest_epochs: dict[str, int] = {}  # by the singleton role of a digest
+        self._newest_epochs: dict[str, int] = {}  # by the name of a digest's singleton role
         self.digest = digest.Digest(
             identity=digest.DigestIdentity(region=region, zone=singleton_roles.relay_name(region=region), epoch=epoch),
             connector_factory=connector_factory,
@@ -54,10 +55,10 @@
         )
 
     def follow_relays(self, relays: Mapping[str, digest_connection.RoleOwner]) -> None:
-        """Keeps a stream to each known relay of another region; without members, to none.
+        """Keeps a stream to each known relay of another region, or to none while the gateway has no members.
 
         Args:
-            relays: the owners that are known, by region.
+            relays: Known owners of the relays' singleton roles, by region.
         """
         self._relays = relays
         if not self.digest.fanout.members:
@@ -68,21 +69,23 @@
                 self.digest.follow_relay(region=region, owner=relays[region])
 
     def join(self, connection: peer_connection.PeerConnection, message: messages.JoinGateway) -> None:
-        """A digest of this region joins. One of an older epoch of the same singleton role is refused."""
+        """Admits a digest of this region, or closes its connection if a newer epoch of the same role joined before."""
         if message.digest_epoch < self._newest_epochs.get(message.digest, 0):
-            connection.close(reason=f"digest of {message.digest} under epoch {message.digest_epoch}")
+            connection.close(
+                reason=f"digest of {message.digest}: epoch {message.digest_epoch} is older than the newest one"
+            )
             return
         self._newest_epochs[message.digest] = message.digest_epoch
         self.digest.admit(connection, address=message.digest)
         self.follow_relays(self._relays)
 
     def remove(self, connection: peer_connection.PeerConnection) -> None:
-        """A connection ended. Without members no stream is kept."""
+        """Removes a member whose connection ended; with the last member the streams to other regions end too."""
         self.digest.remove(connection)
         if not self.digest.fanout.members:
             self.digest.stop()
 
     def stop(self) -> None:
-        """Another node owns the gateway now."""
+        """Ends all streams and closes the members' connections; called when another node owns the gateway."""
         self.digest.stop()
-        self.digest.close_members(reason="the gateway is another's")
+        self.digest.close_members(reason="another node owns the gateway")
