--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -1,10 +1,10 @@
-"""The relay of a region, at the node that owns the singleton role (docs/relay.md 1, 5).
+"""The relay of a region, on the node that owns the singleton role (docs/relay.md 1, 5).
 
-It ingests the aggregates of digests, one row for each replica that changed (docs/digest.md 2), and publishes pools
-and loads to digests, which forward them unchanged.
+It receives the aggregates of digests, one row for each replica whose counts changed (docs/digest.md 2), and publishes
+pools and loads to digests, which forward them unchanged.
 
-A `RelayHost` owns its subscribers and the totals of their loads. It has one epoch; for a new epoch a new host is made,
-with new generations. Invariant: a total is the sum of the connected subscribers' newest loads.
+A `RelayHost` owns its subscribers and the totals of their loads. It has one epoch; for a new epoch a new host is
+created, with new generations. Invariant: a total is the sum of the connected subscribers' newest loads.
 """
 
 import dataclasses
@@ -31,33 +31,33 @@
 _log = logging.getLogger(__name__)
 
 REMOTE_PUBLICATION_TICKS = 2  # ticks between two publications to other regions, whose bytes are priced
-MIN_LOAD_ROWS = 16  # loads published at a time, however small the region is
-LOAD_ROWS_SHARE = 1 / 16  # of the region's replicas: loads published at a time in a large region
-LOCAL_BUCKETS_PER_TICK = 8  # buckets of each pool's filter published at a time in this region
+MIN_LOAD_ROWS = 16  # limit of the load rows published at a time, however small the region is
+LOAD_ROWS_SHARE = 1 / 16  # the same limit in a large region, as a share of its replicas
+LOCAL_BUCKETS_PER_TICK = 8  # buckets of each pool's filter published at a time to this region, at most
 REMOTE_BUCKETS_PER_PUBLICATION = 6  # the same, to other regions
 
 
 @dataclasses.dataclass(slots=True)
 class Subscriber:
-    """One digest, or the gateway of another region."""
+    """A digest, or the gateway of another region, that receives what the relay publishes."""
 
     is_remote: bool  # whether it is in another region
-    zone: str  # its zone, or the name of its singleton role
-    zone_epoch: int  # of that role; 0: it serves one proxy alone
+    zone: str  # zone of the digest, or the name of its singleton role
+    zone_epoch: int  # epoch of that role; 0: the digest serves one proxy alone
     loads: dict[bytes, LoadCounts] = dataclasses.field(default_factory=dict)  # by replica key
-    newest_batch: int = 0  # its newest batch in the totals
-    acknowledged_batch: int = 0  # the newest one that was acknowledged to it
+    newest_batch: int = 0  # number of its newest batch of aggregates that is in the totals
+    acknowledged_batch: int = 0  # number of the newest batch that was acknowledged to it
 
 
 class RelayHost:
-    """One relay under one epoch.
+    """One relay under one epoch of its singleton role.
 
     Args:
-        region: its own.
-        epoch: of the singleton role.
-        now: the loop's clock, in seconds.
-        suspicion_s: for how long a replica that does not respond is suspected; failing ones are ejected for multiples
-            of it.
+        region: Name of its own region.
+        epoch: Epoch of the singleton role.
+        now: Clock of the event loop, in seconds.
+        suspicion_s: Seconds for which a replica that does not respond is suspected; failing replicas are ejected for
+            multiples of it.
     """
 
     def __init__(self, *, region: str, epoch: int, now: Callable[[], float], suspicion_s: float) -> None:
@@ -71,8 +71,8 @@
         self.subscribers: dict[peer_connection.PeerConnection, Subscriber] = {}
         self._totals: dict[bytes, LoadTotal] = {}  # by replica key
         self._outlier_detector = outcomes.OutlierDetector(now=now, suspicion_s=suspicion_s)
-        self._zone_epochs: dict[str, int] = {}  # zone: the newest epoch of its digest
-        self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by whether subscribers are far
+        self._zone_epochs: dict[str, int] = {}  # zone: newest epoch of its digest
+        self._feeds = {False: load_feed.LoadFeed(), True: load_feed.LoadFeed()}  # by `Subscriber.is_remote`
         self._capacities: dict[bytes, load_feed.Capacity] = {}  # by replica key
         self._ticks = 0
         self._sent: set[str] = set()  # ids of replicas that were sent requests
@@ -81,11 +81,11 @@
         self._services: dict[str, dict] = {}
 
     def sync(self, *, services: dict[str, dict], replicas: list[dict]) -> None:
-        """The configuration or the list of replicas changed.
+        """Applies a changed configuration or endpoint list.
 
         Args:
-            services: of the configuration, with `models` and `cache_tokens`, by name.
-            replicas: rows of the list.
+            services: Services of the configuration by name, each with `models` and `cache_tokens`.
+            replicas: Rows of the endpoint list.
         """
         self._services = services
         self._replicas = replicas
@@ -118,7 +118,10 @@
     def _broadcast(
         self, message: tuple, *, connections: Iterable[peer_connection.PeerConnection] | None = None
     ) -> None:
-        """Sends one frame, packed once. For a subscriber that does not read, only its own stream is closed."""
+        """Sends a message, packed once, to all or some subscribers.
+
+        If a subscriber does not read and its queue overflows, only its own connection is closed.
+        """
         frame = frames.pack(message)
         for connection in list(self.subscribers if connections is None else connections):
             if connection.queued() > hub.QUEUE_LIMIT_BYTES:
@@ -136,7 +139,7 @@
         self._broadcast(self._catalogue())
 
     def tick(self) -> None:
-        """Publishes what changed, to other regions in every second tick."""
+        """Publishes what changed since the last tick; to other regions every `REMOTE_PUBLICATION_TICKS` ticks."""
         self.registry.grow_filters()
         self._join_new_pools()
         self._ticks += 1
@@ -151,7 +154,7 @@
             self._publish(is_remote=True)
 
     def _publish(self, *, is_remote: bool) -> None:
-        """Sends buckets, acknowledgements and loads to the subscribers of one kind."""
+        """Sends buckets, acknowledgements and loads to the subscribers in this region, or to those in other regions."""
         self.registry.flush(
             is_remote=is_remote, most=REMOTE_BUCKETS_PER_PUBLICATION if is_remote else LOCAL_BUCKETS_PER_TICK
         )
@@ -165,7 +168,7 @@
                 connection.send(messages.AggregatesCounted(subscriber.newest_batch))
         if connections:
             most = max(MIN_LOAD_ROWS, math.ceil(len(self._ids) * LOAD_ROWS_SHARE))
-        else:  # there is no subscriber, so nothing is kept for later
+        else:  # without subscribers no rows are held back for later
             most = len(self._ids) + len(self._totals)
         rows = self._feeds[is_remote].next_rows(load_of=self._load_of, capacity_of=self._capacity_of, most=most)
         if rows and connections:
@@ -194,15 +197,15 @@
     def subscribe(
         self, connection: peer_connection.PeerConnection, *, region: str, zone: str = "", zone_epoch: int = 0
     ) -> None:
-        """Starts a stream to a digest, or closes the connection.
+        """Starts a stream to a digest, or closes the connection if a newer epoch of the same zone subscribed before.
 
-        The stream of an older epoch of the same zone ends; a later subscriber under an older one is refused.
+        Streams of older epochs of the same zone are closed.
 
         Args:
-            connection: to the digest.
-            region: of the digest.
-            zone: of the digest, or the name of its singleton role.
-            zone_epoch: of that role; 0: it serves one proxy alone.
+            connection: Connection to the digest.
+            region: Region of the digest.
+            zone: Zone of the digest, or the name of its singleton role.
+            zone_epoch: Epoch of that role; 0: the digest serves one proxy alone.
         """
         if zone_epoch and not self._fence_older(connection, zone, zone_epoch):
             return
@@ -215,18 +218,22 @@
         self._broadcast(loads, connections=[connection])
 
     def _fence_older(self, connection: peer_connection.PeerConnection, zone: str, zone_epoch: int) -> bool:
-        """Whether this epoch of the zone's digest is the newest one; streams of older ones are closed."""
+        """Closes the streams of older epochs of a zone's digest.
+
+        Returns:
+            False if this epoch is itself older than the newest one; then its connection is closed.
+        """
         if zone_epoch < self._zone_epochs.get(zone, 0):
-            connection.close(reason=f"digest of {zone} under epoch {zone_epoch}")
+            connection.close(reason=f"digest of {zone}: epoch {zone_epoch} is older than the newest one")
             return False
         self._zone_epochs[zone] = zone_epoch
         for other, subscriber in list(self.subscribers.items()):
             if subscriber.zone == zone and 0 < subscriber.zone_epoch < zone_epoch and other is not connection:
-                other.close(reason="a newer digest of the zone")
+                other.close(reason=f"digest of {zone}: replaced by epoch {zone_epoch}")
         return True
 
     def remove(self, connection: peer_connection.PeerConnection) -> None:
-        """A connection ended: the digest's loads are withdrawn completely."""
+        """Removes a subscriber whose connection ended, and subtracts its loads from the totals."""
         subscriber = self.subscribers.pop(connection, None)
         for pool in self.registry.pools.values():
             pool.leave(connection)
@@ -234,12 +241,12 @@
             for key, load in subscriber.loads.items():
                 self._adjust_total(key, before=load, load=NO_LOAD)
 
-    # Ingest.
+    # Aggregates.
     def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
-        """One batch of a digest; one of a connection that does not subscribe is ignored.
+        """Applies a batch of aggregates from a digest; ignores it if the connection does not subscribe.
 
         Raises:
-            FrameError: it is malformed, or not newer than the last one; nothing was changed.
+            FrameError: The batch is malformed, or not newer than the last one; nothing was changed.
         """
         subscriber = self.subscribers.get(connection)
         if subscriber is None:
@@ -249,7 +256,9 @@
             row_codec.unpack_read(data=packed) for _region, packed in row_codec.split_reads(data=message.read_rows)
         ]
         if message.number <= subscriber.newest_batch:
-            raise errors.FrameError(f"cut {message.number} after {subscriber.newest_batch}", step="sums")
+            raise errors.FrameError(
+                f"batch {message.number} is not newer than batch {subscriber.newest_batch}", step="aggregates"
+            )
         is_new = False
         for key, _region, running, prefill_tokens, suspect_count, ended, failed in rows:
             self._set_load(subscriber, key, LoadCounts(running, prefill_tokens, suspect_count))
@@ -297,10 +306,10 @@
             pool.actor.record_prompt(replica=replica_id, rows=cuckoo_filter.sequence_hashes(parts=parts))
 
     def total(self, key: bytes) -> LoadCounts:
-        """The sum of all subscribers' loads of this replica."""
+        """Returns the load of a replica, summed over all subscribers."""
         total = self._totals.get(key)
         return total.counts() if total is not None else NO_LOAD
 
     def totals(self) -> dict[bytes, LoadCounts]:
-        """The sums by replica key, of the replicas that have load."""
+        """Returns the loads summed over all subscribers, by replica key; replicas without load are omitted."""
         return {key: total.counts() for key, total in self._totals.items()}
--- a/ploverward/data_plane/relay/hub.py
+++ b/ploverward/data_plane/relay/hub.py
@@ -1,8 +1,8 @@
-"""The hub of one producer generation (docs/relay.md 4).
+"""The hub of one pool generation: publishes the pool's filter to subscribers (docs/relay.md 4).
 
-A hub starts with its first subscriber, and has one mirror, and a cut and a bounded queue for each subscriber. It owns
-the images of the filter's buckets as its subscribers have them, and their sequences. Invariant: a subscriber's
-cut with the deltas after it equals the hub's images.
+A hub starts with its first subscriber. It owns the images of the filter's buckets as they were published, with a
+sequence number for each bucket. Each subscriber is sent its own cut and has its own bounded queue. Invariant: a
+subscriber's cut with the deltas after it equals the hub's images.
 """
 
 import struct
@@ -16,15 +16,21 @@
 from ploverward.transport import peer_connection
 
 QUEUE_LIMIT_BYTES = 512 * 1024  # unsent bytes of a subscriber at which its stream is closed
-ROW = struct.Struct(">II")  # bucket, its sequence; the image follows
+ROW = struct.Struct(">II")  # bucket, its sequence number; the image follows
 
 
 class FencedError(errors.PloverwardError):
-    """The identity, lease, sequence or encoding is wrong: the generation is over."""
+    """The hub may not publish any more: its generation is not the pool's, or it was fenced before."""
 
 
 def pack_rows(*, versions: Sequence[int], images: Sequence[bytes], blank: bytes) -> bytes:
-    """Rows of a cut: buckets that were ever published or are not empty."""
+    """Returns the rows of a cut: the buckets that were published at least once or are not empty.
+
+    Args:
+        versions: Sequence number of each bucket.
+        images: Image of each bucket.
+        blank: Image of an empty bucket.
+    """
     return b"".join(
         ROW.pack(index, version) + image
         for index, (version, image) in enumerate(zip(versions, images, strict=True))
@@ -35,13 +41,13 @@
 class Hub:
     """Publishes one filter to subscribers that are sent deltas at the same interval.
 
-    Buckets that changed are queued until they are published: those that subscribers wait for first, each kind in the
-    order in which they changed. A bucket that changes again while it is queued is published once, as it is then.
+    Buckets that changed are queued until they are published: urgent ones before deferrable ones, each kind in the order
+    in which they changed. A bucket that changes again while it is queued is published once, with its newest image.
 
     Args:
-        identity: the pool's name.
-        generation: the pool's.
-        actor: owns the filter.
+        identity: Name of the pool.
+        generation: Generation of the pool.
+        actor: Owner of the filter.
     """
 
     def __init__(self, *, identity: str, generation: int, actor: actors.Actor) -> None:
@@ -50,13 +56,13 @@
         self._actor = actor
         self._images = [actor.filter.image(index) for index in range(actor.filter.bucket_count)]
         self._versions = [0] * actor.filter.bucket_count
-        self._queued: dict[int, bool] = {}  # bucket: True; in order
+        self._queued: dict[int, bool] = {}  # bucket: True, in the order of changes
         self._queued_deferrable: dict[int, bool] = {}
-        self._subscribers: dict[peer_connection.PeerConnection, bool] = {}  # in order
+        self._subscribers: dict[peer_connection.PeerConnection, bool] = {}  # connection: True, in the order of joining
         self.is_fenced = False
 
     def join(self, connection: peer_connection.PeerConnection) -> None:
-        """Sends a subscriber its own cut of what was published; deltas follow on the same connection."""
+        """Adds a subscriber and sends it a cut of what was published; deltas follow on the same connection."""
         rows = pack_rows(versions=self._versions, images=self._images, blank=bytes(len(self._images[0])))
         self._subscribers[connection] = True
         connection.send(
@@ -64,19 +70,19 @@
         )
 
     def leave(self, connection: peer_connection.PeerConnection) -> None:
-        """Ends one subscriber's stream; the others continue."""
+        """Removes one subscriber; the streams of the others continue."""
         self._subscribers.pop(connection, None)
 
     def subscriber_count(self) -> int:
-        """How many streams there are."""
+        """Returns the number of subscribers."""
         return len(self._subscribers)
 
     def queue_changes(self, *, dirty: Iterable[int], dirty_deferrable: Iterable[int]) -> None:
-        """Buckets of the filter changed.
+        """Queues buckets of the filter that changed.
 
         Args:
-            dirty: those that subscribers wait for.
-            dirty_deferrable: the others.
+            dirty: Buckets with urgent changes.
+            dirty_deferrable: Other buckets that changed.
         """
         for index in sorted(dirty):
             self._queued_deferrable.pop(index, None)
@@ -86,14 +92,14 @@
                 self._queued_deferrable.setdefault(index, True)
 
     def queued_bucket_count(self) -> int:
-        """How many buckets are still to be published."""
+        """Returns the number of buckets that are still to be published."""
         return len(self._queued) + len(self._queued_deferrable)
 
     def flush(self, *, most: int | None = None) -> None:
-        """Publishes buckets that changed.
+        """Publishes queued buckets in one delta.
 
         Args:
-            most: how many at most; None: all.
+            most: Maximum number of buckets; None: all.
         """
         rows = self._next_rows(most)
         if not rows:
@@ -109,7 +115,7 @@
             connection.send_bytes(frame)
 
     def _next_rows(self, most: int | None) -> list[tuple[int, bytes]]:
-        """(bucket, its row) of those whose image is another than the published one."""
+        """Takes buckets from the queues; returns (bucket, row) of those whose image differs from the published one."""
         rows: list[tuple[int, bytes]] = []
         for queue in (self._queued, self._queued_deferrable):
             while queue and (most is None or len(rows) < most):
@@ -124,7 +130,16 @@
         return rows
 
     def check_generation(self, *, generation: int) -> None:
-        """Raises `FencedError` where the pool has another generation, or the hub was fenced before."""
+        """Fences the hub if the pool has another generation.
+
+        Args:
+            generation: Present generation of the pool.
+
+        Raises:
+            FencedError: The pool has another generation, or the hub was fenced before.
+        """
         if generation != self.generation or self.is_fenced:
             self.is_fenced = True
-            raise FencedError("another generation", step="publish", peer=self.identity)
+            raise FencedError(
+                f"pool has generation {generation}, hub has {self.generation}", step="publish", peer=self.identity
+            )
--- a/ploverward/data_plane/relay/load_counts.py
+++ b/ploverward/data_plane/relay/load_counts.py
@@ -1,4 +1,6 @@
-"""What is counted of one replica's load and of how attempts at it ended, in reports, aggregates and the relay's totals.
+"""Counts of a replica's load and of the outcomes of attempts at it.
+
+Reports of proxies, aggregates of digests and the totals of the relay consist of these counts.
 
 Reports and aggregates carry absolute numbers, so a newer row replaces an older one and totals are adjusted by the
 difference (docs/digest.md 2, 3).
@@ -8,10 +10,10 @@
 
 
 class LoadCounts(typing.NamedTuple):
-    """The load of one replica, of one proxy or summed over several."""
+    """The load on one replica, caused by one proxy or summed over several."""
 
     running: int = 0  # attempts in flight
-    prefill_tokens: int = 0  # prompt tokens that the replica has still to process
+    prefill_tokens: int = 0  # prompt tokens that the replica still has to process
     suspect_count: int = 0  # proxies that suspect the replica
 
 
@@ -19,9 +21,9 @@
 
 
 class RegionLoad(typing.NamedTuple):
-    """The load of one replica, with the index of its region."""
+    """The load on one replica, with the index of its region."""
 
-    region: int  # index into the sorted names of all regions; `UNKNOWN_REGION` where it is none of them
+    region: int  # index into the sorted names of all regions; `UNKNOWN_REGION` if it is none of them
     load: LoadCounts
 
 
@@ -30,7 +32,7 @@
 
 
 class LoadTotal:
-    """A sum of `LoadCounts` that is adjusted in place: one exists for each replica, and reports are frequent."""
+    """A sum of `LoadCounts`, adjusted in place because reports are frequent; there is one for each replica."""
 
     __slots__ = ("prefill_tokens", "running", "suspect_count")
 
@@ -40,7 +42,7 @@
         self.suspect_count = 0
 
     def replace(self, before: LoadCounts, load: LoadCounts) -> None:
-        """One of the summed loads is `load` now; it was `before`."""
+        """Replaces one of the summed loads, `before`, by `load`."""
         self.running += load.running - before.running
         self.prefill_tokens += load.prefill_tokens - before.prefill_tokens
         self.suspect_count += load.suspect_count - before.suspect_count
@@ -51,12 +53,12 @@
         return not (self.running or self.prefill_tokens or self.suspect_count)
 
     def counts(self) -> LoadCounts:
-        """The sum as it is now."""
+        """Returns the present sum."""
         return LoadCounts(self.running, self.prefill_tokens, self.suspect_count)
 
 
 class OutcomeCounts:
-    """How many attempts at a replica ended, and how many of these failed."""
+    """Number of attempts at a replica that ended, and number of these that failed."""
 
     __slots__ = ("ended", "failed")
 
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -1,7 +1,8 @@
-"""Loads of replicas as published at one interval: largest changes first, a bounded number of rows at a time.
+"""Publication of replica loads: the largest changes first, in a bounded number of rows at a time.
 
-A `LoadFeed` owns what its subscribers were sent. Invariant: a replica whose published load differs from its current
-load is queued, and its priority grows each time that it is passed over (docs/scale.md 4).
+A `LoadFeed` owns the loads that its subscribers were sent; all of them are sent rows at the same interval. Invariant: a
+replica whose published load differs from its current load is queued, and its priority grows each time that its row is
+not selected (docs/scale.md 4).
 """
 
 import dataclasses
@@ -10,21 +11,21 @@
 
 from ploverward.transport import row_codec
 
-FAILING, FULL = 1, 2  # flags of a load frame's row
-FULL_LOAD_SHARE = 0.75  # of a replica's batch slots: with so many attempts running it is published as full
-AGE_WEIGHT = 1 / 16  # of all batch slots of a replica, for each time that its row was passed over
+FAILING, FULL = 1, 2  # flags in the rows of a load frame
+FULL_LOAD_SHARE = 0.75  # share of a replica's batch slots; with so many running attempts it is published as full
+AGE_WEIGHT = 1 / 16  # priority added each time that a row is not selected, as a share of the replica's capacity
 
 
 class Load(typing.NamedTuple):
-    """One replica's load, summed over all proxies, as a row of a load frame has it."""
+    """The load on one replica, summed over all proxies, as published in a row of a load frame."""
 
     running: int = 0  # attempts in flight
-    tokens: int = 0  # prompt tokens still to be processed
-    suspect_count: int = 0  # proxies that suspect it
+    tokens: int = 0  # prompt tokens that the replica still has to process
+    suspect_count: int = 0  # proxies that suspect the replica
     flags: int = 0  # `FAILING`, `FULL`
 
     def pack(self, key: bytes) -> bytes:
-        """The row, for the replica of this key; numbers that are too large become the largest."""
+        """Encodes the row of the replica with this key; numbers that do not fit are capped."""
         return row_codec.LOAD.pack(
             key,
             row_codec.short(self.running),
@@ -39,7 +40,7 @@
     """The capacity of a replica."""
 
     batch_slots: int = 0  # 0: not known
-    tokens: int = 1  # of its cache
+    tokens: int = 1  # tokens that its cache holds
 
 
 NO_LOAD = Load()
@@ -47,55 +48,55 @@
 
 
 class LoadFeed:
-    """What all subscribers of one kind were sent, and what is still to be sent to them."""
+    """Tracks which loads the subscribers were sent, and which changes are still to be sent to them."""
 
     def __init__(self) -> None:
-        self._published: dict[bytes, Load] = {}  # by replica key; those without load are omitted
-        self._waiting: dict[bytes, int] = {}  # replica key: how often it was passed over
+        self._published: dict[bytes, Load] = {}  # by replica key; replicas without load are omitted
+        self._skip_counts: dict[bytes, int] = {}  # replica key: number of times that its row was not selected
 
     def record(self, key: bytes) -> None:
-        """This replica's load changed."""
-        self._waiting.setdefault(key, 0)
+        """Queues a replica whose load changed."""
+        self._skip_counts.setdefault(key, 0)
 
     def snapshot(self) -> bytes:
-        """Rows of all that was published, for a subscriber that joins now."""
+        """Returns the rows of all published loads, for a subscriber that joins now."""
         return b"".join(self._published[key].pack(key) for key in sorted(self._published))
 
     def next_rows(
         self, *, load_of: Callable[[bytes], Load], capacity_of: Callable[[bytes], Capacity], most: int
     ) -> bytes:
-        """Rows to be published now: of the replicas whose load changed most, and eventually of each.
+        """Returns the rows to publish now: those of the replicas whose load changed most, and eventually all.
 
         Args:
-            load_of: gives the present load of a replica key.
-            capacity_of: gives the capacity of a replica key.
-            most: how many rows at most.
+            load_of: Returns the present load of the replica with a key.
+            capacity_of: Returns the capacity of the replica with a key.
+            most: Maximum number of rows.
         """
         changed = {}
-        for key in list(self._waiting):
+        for key in list(self._skip_counts):
             load = load_of(key)
             if load == self._published.get(key, NO_LOAD):
-                del self._waiting[key]
+                del self._skip_counts[key]
             else:
                 changed[key] = load
         chosen = list(changed)
         if len(changed) > most:
             chosen = sorted(changed, key=lambda key: -self._priority(key, changed[key], capacity_of(key)))[:most]
         for key in chosen:
-            del self._waiting[key]
+            del self._skip_counts[key]
             self._set_published(key, changed[key])
-        for key in self._waiting:
-            self._waiting[key] += 1
+        for key in self._skip_counts:
+            self._skip_counts[key] += 1
         return b"".join(changed[key].pack(key) for key in sorted(chosen))
 
-    def _priority(self, key: bytes, load: Load, scale: Capacity) -> float:
-        """How far the load is from the published one, in shares of the replica's capacity."""
+    def _priority(self, key: bytes, load: Load, capacity: Capacity) -> float:
+        """Returns the difference from the published load as a share of the capacity, plus the bonus for waiting."""
         published = self._published.get(key, NO_LOAD)
-        changed = abs(load.running - published.running) / max(1, scale.batch_slots)
-        changed += abs(load.tokens - published.tokens) / max(1, scale.tokens)
+        priority = abs(load.running - published.running) / max(1, capacity.batch_slots)
+        priority += abs(load.tokens - published.tokens) / max(1, capacity.tokens)
         if (load.suspect_count > 0, load.flags) != (published.suspect_count > 0, published.flags):
-            changed += 1.0
-        return changed + self._waiting[key] * AGE_WEIGHT
+            priority += 1.0
+        return priority + self._skip_counts[key] * AGE_WEIGHT
 
     def _set_published(self, key: bytes, load: Load) -> None:
         if load == NO_LOAD:
