--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -1,7 +1,7 @@
-"""A proxy's mirror of what one region's relay publishes (docs/relay.md 5).
+"""The mirror of what one region's relay publishes (docs/relay.md 5).
 
-A `RegionMirror` owns the region's pools and loads as this proxy knows them. Invariant: a frame is checked completely
-before any of it shows; a frame that does not fit changes nothing.
+A `RegionMirror` owns the region's pools and loads as this proxy, digest or gateway received them. Invariant: a frame is
+checked completely before any of it takes effect; a frame that is rejected changes nothing.
 """
 
 import typing
@@ -17,21 +17,21 @@
 
 
 class NamedOwners(typing.NamedTuple):
-    """Owners of the longest run of a prompt that is in some replica's cache."""
+    """The owners of the longest run of parts, from the front of a prompt, that is in some replica's cache."""
 
-    depth: int  # parts in the run
+    depth: int  # number of parts in the run
     tags: tuple[bytes, ...]  # of the first few owners that the mirror names
 
 
 class RegionMirror:
     """A copy of what one region's relay publishes: pools and loads.
 
-    While its stream is broken, it is used for `trust_s` more and counts as unknown afterwards. Loads change much
-    faster than caches, and count as unknown after a tenth of that.
+    After its stream broke, the pools are used for `trust_s` and count as unknown afterwards. Loads change much faster
+    than caches, so they count as unknown after a tenth of that time.
 
     Args:
-        now: the loop's clock, in seconds.
-        trust_s: how long a broken mirror is used.
+        now: Clock of the event loop, in seconds.
+        trust_s: Seconds for which the pools of a broken mirror are still used.
     """
 
     def __init__(self, *, now: Callable[[], float], trust_s: float) -> None:
@@ -51,19 +51,19 @@
 
     @property
     def is_trusted(self) -> bool:
-        """Whether its pools may be used."""
+        """Whether its pools may be used: its stream is not broken, or broke at most `trust_s` ago."""
         return self.broken_at is None or self._now() - self.broken_at <= self._trust_s
 
     @property
     def is_fresh(self) -> bool:
-        """Whether its loads may be used."""
+        """Whether its loads may be used: its stream is not broken, or broke at most a tenth of `trust_s` ago."""
         return self.broken_at is None or self._now() - self.broken_at <= self._trust_s / 10
 
     def handle_publication(self, message: tuple) -> None:
-        """Installs a message of the relay; messages of other kinds are ignored.
+        """Installs a message of the relay; ignores messages of other kinds.
 
         Raises:
-            FrameError: it is malformed or does not continue the present state; nothing was changed.
+            FrameError: The message is malformed or does not continue the present state; nothing was changed.
         """
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -101,7 +101,9 @@
 
     def _handle_catalogue(self, message: messages.Catalogue) -> None:
         if message.epoch < self.epoch:
-            raise errors.FrameError(f"epoch {message.epoch} is below {self.epoch}", step="catalogue")
+            raise errors.FrameError(
+                f"epoch {message.epoch} is older than the mirror's epoch {self.epoch}", step="catalogue"
+            )
         checked = [
             (row, dict(row_codec.rows(shape=row_codec.OWNER_BIT, data=row.owner_bit_rows))) for row in message.pools
         ]
@@ -119,7 +121,7 @@
         self.pools = pools
 
     def catalogue(self) -> messages.Catalogue:
-        """The catalogue of pools, for a later member of the zone; each pool's cut is sent separately."""
+        """Returns the catalogue of pools, for a member of the zone that joins later; cuts are sent separately."""
         rows = tuple(
             messages.Pool(
                 pool.name,
@@ -133,17 +135,17 @@
         return messages.Catalogue(self.epoch, rows)
 
     def load_snapshot(self) -> messages.ReplicaLoads:
-        """All loads, as a relay would publish them now."""
+        """Returns all loads as a relay would publish them now."""
         rows = b"".join([row_codec.LOAD.pack(key, *load) for key, load in self.load.items()])
         return messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=rows)
 
     def mark_broken(self) -> None:
-        """Records that the mirror's connection failed, and when; a later failure does not change the time."""
+        """Records the time when the mirror's connection failed; a repeated failure does not change it."""
         if self.broken_at is None:
             self.broken_at = self._now()
 
     def _find_pool(self, *, service: str, model: str) -> PoolMirror | None:
-        """The pool of this model, once its cut was received."""
+        """Returns the pool of this model, or None if its cut was not received yet."""
         for pool in self.pools.values():
             if pool.service == service and pool.model == model and pool.buckets:
                 return pool
@@ -152,13 +154,13 @@
     def find_cache_owners(
         self, *, service: str, model: str, hashes: Iterable[bytes], keys: Collection[bytes]
     ) -> set[bytes]:
-        """Those of the replicas that have any of these prompt parts in their caches, as far as the mirror names them.
+        """Returns those of the replicas that are named as owners of any of these prompt parts.
 
         Args:
-            service: of the pool.
-            model: of the pool.
-            hashes: full hashes of prompt parts.
-            keys: of the replicas.
+            service: Service of the pool.
+            model: Model of the pool.
+            hashes: Full hashes of prompt parts.
+            keys: Keys of the replicas.
         """
         pool = self._find_pool(service=service, model=model)
         if pool is None:
@@ -178,14 +180,16 @@
         replicas: Iterable[str],
         pool_size: int = 0,
     ) -> dict[str, int]:
-        """Tokens of the prompt that each replica has in its cache, by the mirror: a run from the front.
+        """Returns how many tokens of the prompt, without a gap from its front, are in each replica's cache.
+
+        Replicas that the pool cannot name are omitted, and all replicas while the mirror is not trusted.
 
         Args:
-            service: of the pool.
-            model: of the pool.
+            service: Service of the pool.
+            model: Model of the pool.
             chain: (full hash, tokens) of the prompt's parts, from the front.
-            replicas: their ids.
-            pool_size: how many replicas the pool has, where more than those named here.
+            replicas: Ids of the replicas.
+            pool_size: Number of replicas in the pool, if more than in `replicas`.
         """
         pool = self._find_pool(service=service, model=model) if self.is_trusted else None
         if pool is None:
@@ -203,7 +207,7 @@
         return found
 
     def named_owners(self, *, service: str, model: str, chain: Iterable[tuple[bytes, int]]) -> NamedOwners:
-        """Who has the longest run of the prompt, from its front, that some replica has in its cache."""
+        """Returns the owners of the longest run of the prompt, from its front, that is in some replica's cache."""
         pool = self._find_pool(service=service, model=model) if self.is_trusted else None
         if pool is None:
             return NamedOwners(0, ())
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -1,4 +1,4 @@
-"""Replicas judged by the outcomes of attempts at them, over all proxies (docs/digest.md 5).
+"""Detection of failing replicas by the outcomes of attempts at them, over all proxies (docs/digest.md 5).
 
 Health checks alone never mark a replica as failing.
 
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from collections.abc import Collection
 
-WINDOW_SPANS = 6  # a window slides in so many steps
-FAILING_SHARE = 0.25  # of what ended in the window
-MIN_FAILURES = 4  # failures below which a replica is not judged
-MAX_REPEATED_EJECTIONS = 3  # an ejection doubles with each repeat, up to eight times the first one
+WINDOW_SPANS = 6  # parts of the window, which slides by one at a time
+FAILING_SHARE = 0.25  # share of failures, among the attempts that ended in the window, at which a replica is failing
+MIN_FAILURES = 4  # with fewer failures in the window a replica is never failing
+MAX_REPEATED_EJECTIONS = 3  # an ejection takes twice as long with each repeat, up to eight times the first one
 
 
 class _Span:
-    """Outcomes of a part of the window."""
+    """Counts of the outcomes in one part of the window."""
 
     __slots__ = ("began_s", "ended", "failed")
 
@@ -28,21 +28,21 @@
 
 
 class _Ejections(typing.NamedTuple):
-    """How often a replica was found failing, one time soon after the other."""
+    """Ejections of a replica that followed each other closely."""
 
     repeats: int
-    until_s: float  # when the last one ends, on the loop's clock
+    until_s: float  # end of the last one, on the event loop's clock
 
 
 class OutlierDetector:
-    """A replica fails while too large a share of the attempts that ended in the window failed.
+    """Ejects a replica when too large a share of the attempts that ended in a sliding window failed.
 
-    Each repeated ejection lasts longer.
+    Each ejection soon after the last one takes longer.
 
     Args:
-        now: the loop's clock, in seconds.
-        suspicion_s: for how long a replica that does not respond is suspected: the window is three times, an ejection
-            twice as long.
+        now: Clock of the event loop, in seconds.
+        suspicion_s: Seconds for which a replica that does not respond is suspected. The window is three times as long,
+            a first ejection twice.
     """
 
     def __init__(self, *, now: Callable[[], float], suspicion_s: float) -> None:
@@ -50,13 +50,13 @@
         self._window_s = suspicion_s * 3
         self._eject_s = suspicion_s * 2
         self._spans: dict[bytes, collections.deque[_Span]] = {}  # by replica key
-        self._ejected_until_s: dict[bytes, float] = {}  # replica key: when it may be tried again
+        self._ejected_until_s: dict[bytes, float] = {}  # replica key: time at which it may be tried again
         self._ejections: dict[bytes, _Ejections] = {}
         self._updated: set[bytes] = set()
         self.failing: set[bytes] = set()
 
     def retain(self, *, keys: Collection[bytes]) -> None:
-        """Forgets all replicas but these."""
+        """Removes all replicas except these."""
         tables: tuple[dict[bytes, typing.Any], ...] = (self._spans, self._ejected_until_s, self._ejections)
         for table in tables:
             for key in [key for key in table if key not in keys]:
@@ -64,7 +64,13 @@
         self.failing &= set(keys)
 
     def record(self, *, key: bytes, ended: int, failed: int) -> None:
-        """So many attempts at a replica ended, and so many of these failed."""
+        """Adds the outcomes of attempts at a replica.
+
+        Args:
+            key: Key of the replica.
+            ended: Number of attempts that ended.
+            failed: Number of these that failed.
+        """
         now = self._now()
         spans = self._spans.setdefault(key, collections.deque())
         if not spans or now - spans[-1].began_s > self._window_s / WINDOW_SPANS:
@@ -74,10 +80,10 @@
         self._updated.add(key)
 
     def update(self) -> set[bytes]:
-        """Judges all replicas again.
+        """Ends the ejections that are over, and ejects replicas that are failing by their newest outcomes.
 
         Returns:
-            Keys of the replicas whose judgement changed: that are failing now and were not before, or the reverse.
+            Keys of the replicas that are failing now and were not before, or the reverse.
         """
         now = self._now()
         changed = set()
@@ -94,7 +100,7 @@
         return changed
 
     def _is_failing(self, key: bytes, now: float) -> bool:
-        """Whether the replica is to be ejected now; one that is ejected already is not judged."""
+        """Whether to eject the replica now; False if it is already ejected."""
         spans = self._spans.get(key)
         while spans and now - spans[0].began_s > self._window_s:
             spans.popleft()
--- a/ploverward/data_plane/relay/pool_mirror.py
+++ b/ploverward/data_plane/relay/pool_mirror.py
@@ -1,7 +1,7 @@
-"""A proxy's mirror of one pool generation (docs/relay.md 3, 5).
+"""The mirror of one pool generation (docs/relay.md 3, 5).
 
-A `PoolMirror` owns the images of the buckets of the pool's filter, as the relay published them, and their sequences.
-Invariant: a delta is installed completely or not at all, and each bucket's sequence has no gaps.
+A `PoolMirror` owns the images of the buckets of the pool's filter, as the relay published them, and their sequence
+numbers. Invariant: a delta is installed completely or not at all, and the sequence numbers of a bucket have no gaps.
 """
 
 import dataclasses
@@ -14,14 +14,14 @@
 from ploverward.data_plane.relay import hub
 from ploverward.transport import messages
 
-ASSUMED_OWNERS_SHARE = 0.5  # of a wide pool's replicas: a part that so many have is assumed to be in every cache
+ASSUMED_OWNERS_SHARE = 0.5  # share of a wide pool's replicas; a part that so many have is assumed to be in all caches
 
 
 class BucketRow(typing.NamedTuple):
-    """The image of one bucket."""
+    """A row of a cut or delta: the image of one bucket."""
 
     bucket: int
-    version: int  # its sequence
+    version: int  # sequence number of the bucket
     image: bytes
 
 
@@ -34,19 +34,19 @@
 
     count: int
     tags: tuple[bytes, ...] = ()
-    is_widespread: bool = False  # so many that one that is not named is assumed to be an owner too
-    bits: int = 0
-    owner_bits: dict[bytes, int] | None = None  # by replica key; None: named by tags
+    is_widespread: bool = False  # so many are owners that a replica that is not named is assumed to be one too
+    bits: int = 0  # mask of owner bits
+    owner_bits: dict[bytes, int] | None = None  # by replica key; None: owners are named by tags
 
     def names(self, key: bytes) -> bool:
-        """Whether this replica is known to be an owner."""
+        """Whether this replica is one of the named owners."""
         if self.owner_bits is None:
             return key[: cuckoo_filter.TAG_SIZE] in self.tags
         owner_bit = self.owner_bits.get(key)
         return owner_bit is not None and bool(self.bits >> owner_bit & 1)
 
     def first_tags(self) -> tuple[bytes, ...]:
-        """Tags of the first few that are named."""
+        """Returns the tags of the first few named owners."""
         if self.owner_bits is None:
             return self.tags
         keys = (key for key, owner_bit in self.owner_bits.items() if self.bits >> owner_bit & 1)
@@ -54,7 +54,7 @@
 
 
 class PoolMirror:
-    """One pool generation as this proxy knows it. Bucket images are decoded only when a prompt needs them."""
+    """A copy of one pool generation. Bucket images are decoded only when a prompt is looked up in them."""
 
     def __init__(self, *, name: str, service: str, model: str, generation: int) -> None:
         self.name = name
@@ -63,18 +63,22 @@
         self.generation = generation
         self.owner_bits: dict[bytes, int] = {}  # by replica key
         self.words = 1
-        self.buckets: list[bytes] = []  # images; none before the cut
-        self.versions: list[int] = []
+        self.buckets: list[bytes] = []  # images; empty before the cut
+        self.versions: list[int] = []  # sequence numbers of the buckets
 
     def _rows(self, data: bytes, *, size: int, bucket_count: int, step: str) -> list[BucketRow]:
         width = hub.ROW.size + size
         if len(data) % width:
-            raise errors.FrameError(f"{len(data)} bytes of rows", step=step, peer=self.name)
+            raise errors.FrameError(
+                f"{len(data)} bytes are not a multiple of the row size {width}", step=step, peer=self.name
+            )
         rows = []
         for offset in range(0, len(data), width):
             index, version = hub.ROW.unpack_from(data, offset)
             if index >= bucket_count:
-                raise errors.FrameError(f"bucket {index}", step=step, peer=self.name)
+                raise errors.FrameError(
+                    f"bucket {index} of a filter of {bucket_count} buckets", step=step, peer=self.name
+                )
             rows.append(BucketRow(index, version, data[offset + hub.ROW.size : offset + width]))
         return rows
 
@@ -82,12 +86,12 @@
         """Replaces all buckets.
 
         Args:
-            bucket_count: a power of two.
-            words: of 64 bits that each slot has for its owners; 0: tags instead.
-            data: rows of the buckets that are not empty.
+            bucket_count: Number of buckets, a power of two.
+            words: Words of 32 bits in the mask of each slot; `cuckoo_filter.WIDE`: slots hold tags instead.
+            data: Rows of the buckets that were published or are not empty.
 
         Raises:
-            FrameError: the cut is malformed; nothing was changed.
+            FrameError: The cut is malformed; nothing was changed.
         """
         if (
             bucket_count < 1
@@ -95,7 +99,12 @@
             or bucket_count > actor.MAX_BUCKETS
             or not 0 <= words <= cuckoo_filter.MAX_MASK_WORDS
         ):
-            raise errors.FrameError("bucket count", step="cut", peer=self.name)
+            raise errors.FrameError(
+                f"bucket_count {bucket_count} must be a power of two up to {actor.MAX_BUCKETS}, "
+                f"words {words} must be from 0 to {cuckoo_filter.MAX_MASK_WORDS}",
+                step="cut",
+                peer=self.name,
+            )
         blank = cuckoo_filter.empty_image(words=words)
         buckets = [blank] * bucket_count
         versions = [0] * bucket_count
@@ -105,39 +114,47 @@
         self.words, self.buckets, self.versions = words, buckets, versions
 
     def install_delta(self, *, data: bytes) -> None:
-        """Replaces some buckets; all are checked before any is exposed.
+        """Replaces some buckets; all rows are checked before any is installed.
 
         Raises:
-            FrameError: the delta is malformed, or not the next one of one of its buckets; nothing was changed.
+            FrameError: The delta is malformed, came before the cut, or has a row whose sequence number is not the next
+                one of its bucket; nothing was changed.
         """
         if not self.buckets:
-            raise errors.FrameError("a delta before the cut", step="delta", peer=self.name)
+            raise errors.FrameError("delta received before the cut", step="delta", peer=self.name)
         size = len(cuckoo_filter.empty_image(words=self.words))
         rows = self._rows(data, size=size, bucket_count=len(self.buckets), step="delta")
         for row in rows:
             if row.version != self.versions[row.bucket] + 1:
-                raise errors.FrameError(f"bucket {row.bucket} at {row.version}", step="delta", peer=self.name)
+                raise errors.FrameError(
+                    f"bucket {row.bucket} has sequence number {row.version}, expected {self.versions[row.bucket] + 1}",
+                    step="delta",
+                    peer=self.name,
+                )
         for row in rows:
             self.buckets[row.bucket] = row.image
             self.versions[row.bucket] = row.version
 
     def cut(self) -> messages.PoolCut:
-        """A cut of the present state, with the same sequences, for a member of the zone that joins later."""
+        """Returns a cut of the present state, with the same sequence numbers, for a zone member that joins later."""
         rows = hub.pack_rows(
             versions=self.versions, images=self.buckets, blank=cuckoo_filter.empty_image(words=self.words)
         )
         return messages.PoolCut(self.name, self.generation, len(self.buckets), self.words, rows)
 
     def can_name(self, key: bytes) -> bool:
-        """Whether the pool may name this replica. A wide pool's replicas are those of the list."""
+        """Whether the pool can name this replica as an owner.
+
+        A wide pool has no list of its replicas, so it can name any: the caller passes replicas of the endpoint list.
+        """
         return self.words == cuckoo_filter.WIDE or key in self.owner_bits
 
     def owners(self, full_hash: bytes, *, pool_size: int = 0) -> Owners:
-        """The replicas that have a prompt part in their caches.
+        """Returns the replicas that have a prompt part in their caches.
 
         Args:
-            full_hash: of the part.
-            pool_size: replicas of the pool, for wide pools.
+            full_hash: Full hash of the part.
+            pool_size: Number of replicas in the pool; used for wide pools only.
         """
         value = cuckoo_filter.find_in_images(images=self.buckets, words=self.words, full_hash=full_hash)
         if self.words != cuckoo_filter.WIDE:
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -1,4 +1,4 @@
-"""The catalogue of live pool generations (docs/relay.md 1, 4).
+"""The registry and catalogue of live pool generations (docs/relay.md 1, 4).
 
 A `PoolRegistry` owns all pools of one relay. Invariant: a generation is withdrawn from the catalogue before it is torn
 down, and no generation number is used twice under one epoch.
@@ -38,28 +38,28 @@
 
     @property
     def name(self) -> str:
-        """The identity as frames carry it."""
+        """The identity of the pool as frames carry it."""
         return f"{self.identity.version}/{self.identity.domain}/{self.identity.region}"
 
     def record_changes(self) -> None:
-        """Passes each hub what changed in the filter since the last call."""
+        """Passes the buckets that changed since the last call to each hub."""
         dirty, dirty_deferrable = self.actor.filter.pop_dirty()
         for hub in self.hubs.values():
             hub.queue_changes(dirty=dirty, dirty_deferrable=dirty_deferrable)
 
     def flush_all(self) -> None:
-        """Publishes everything that changed."""
+        """Publishes all buckets that changed."""
         self.record_changes()
         for hub in self.hubs.values():
             hub.flush()
 
     def leave(self, connection: peer_connection.PeerConnection) -> None:
-        """A subscriber disconnected."""
+        """Removes a disconnected subscriber from all hubs."""
         for hub in self.hubs.values():
             hub.leave(connection)
 
     def tear_down(self) -> None:
-        """The generation is over; the next one may use its actor."""
+        """Releases the hubs and the actor of a generation that ended; the next generation may use the actor."""
         self.hubs = {}
         self.actor = None  # type: ignore[assignment]  # a pool that left the registry is not used
 
@@ -69,12 +69,12 @@
 
 
 class PoolRegistry:
-    """The pools of one relay.
+    """Starts, replaces and withdraws the pools of one relay.
 
     Args:
-        on_withdraw: called with a pool before it is torn down.
-        on_catalogue: called when the catalogue changed.
-        first_generation: the generations count on from it.
+        on_withdraw: Called with a pool before it is torn down.
+        on_catalogue: Called when the catalogue changed.
+        first_generation: Number after which the generations are counted.
     """
 
     def __init__(
@@ -95,7 +95,12 @@
         resolved: Mapping[resolution.PoolId, resolution.ResolvedPool],
         conflicts: Collection[resolution.PoolId] = (),
     ) -> None:
-        """Changes the pools to those that resolution requires."""
+        """Makes the live pools match the resolved ones.
+
+        Args:
+            resolved: Pools that should exist.
+            conflicts: Identities of several pools; a live pool with such an identity is withdrawn.
+        """
         for identity in list(self.pools):
             if identity not in resolved or identity in conflicts:
                 self.withdraw(identity=identity)
@@ -110,7 +115,7 @@
             self._on_catalogue()
 
     def _sync_pool(self, identity: resolution.PoolId, wanted: resolution.ResolvedPool) -> bool:
-        """Whether the pool's row of the catalogue changed."""
+        """Starts or updates a pool; returns whether its row of the catalogue changed."""
         pool = self.pools.get(identity)
         is_changed = pool is None
         if pool is None:
@@ -142,7 +147,7 @@
         return pool
 
     def _start_next_generation(self, pool: Pool, *, owner_bits: int) -> Pool:
-        """The filter is too small: the generation is withdrawn, the next one starts from the same exact ownership."""
+        """Withdraws a generation whose filter is too small, and starts the next one from the same exact record."""
         actor = pool.actor
         self.withdraw(identity=pool.identity)
         self._generation += 1
@@ -155,7 +160,7 @@
         return successor
 
     def grow_filters(self) -> None:
-        """Replaces filters that had no room by larger ones."""
+        """Replaces the filters that had no room by larger ones, under new generations."""
         short = [pool for pool in self.pools.values() if pool.actor.needs_larger_filter]
         for pool in short:
             self._start_next_generation(pool, owner_bits=len(pool.actor.owner_bits))
@@ -163,7 +168,7 @@
             self._on_catalogue()
 
     def rows(self) -> tuple[messages.Pool, ...]:
-        """The catalogue."""
+        """Returns the rows of the catalogue."""
         return tuple(
             messages.Pool(
                 pool.name,
@@ -176,30 +181,32 @@
         )
 
     def withdraw(self, *, identity: resolution.PoolId) -> None:
-        """Ends a pool's generation."""
+        """Withdraws the generation of a pool from the subscribers and tears it down."""
         pool = self.pools.pop(identity, None)
         if pool is not None:
             self._on_withdraw(pool)
             pool.tear_down()
 
     def find_by_domain(self, *, domain: str) -> Pool | None:
-        """The pool of this indexer domain."""
+        """Returns the pool of an indexer domain, or None if there is none."""
         return next((pool for identity, pool in self.pools.items() if identity.domain == domain), None)
 
     def join(self, *, pool: Pool, connection: peer_connection.PeerConnection, is_remote: bool) -> None:
-        """Starts a subscriber's stream of a pool. Hubs are lazy: the first subscriber of its kind makes one."""
+        """Adds a subscriber to a pool's hub; the first subscriber in this or in other regions creates the hub."""
         pool.record_changes()
         if is_remote not in pool.hubs:
             pool.hubs[is_remote] = hubs.Hub(identity=pool.name, generation=pool.generation, actor=pool.actor)
-        pool.hubs[is_remote].flush()  # the cut is as new as it can be
+        pool.hubs[is_remote].flush()  # so that the cut holds all changes
         pool.hubs[is_remote].join(connection)
 
     def flush(self, *, is_remote: bool, most: int | None = None) -> None:
-        """Publishes changed buckets to one kind of subscribers. A pool whose publication fails is withdrawn.
+        """Publishes changed buckets; a pool whose publication fails is withdrawn.
+
+        Publication fails if the hub is fenced or has another generation, or if a message can't be encoded.
 
         Args:
-            is_remote: whether to those in other regions.
-            most: buckets of each pool, at most; None: all.
+            is_remote: Whether to publish to subscribers in other regions, or to those in this region.
+            most: Maximum number of buckets of each pool; None: all.
         """
         for identity, pool in list(self.pools.items()):
             pool.record_changes()
--- a/ploverward/data_plane/relay/resolution.py
+++ b/ploverward/data_plane/relay/resolution.py
@@ -1,7 +1,7 @@
-"""Which pools there should be (docs/relay.md 1).
+"""Resolution of the pools that should exist in a region (docs/relay.md 1).
 
-A pure function of the configuration, the endpoint list and the replicas that were sent requests. In the paper
-replicas send cards; ours do not, so the facts are derived.
+It is a pure function of the configuration, the endpoint list and the replicas that were sent requests. In the paper
+replicas send cards that describe them; replicas of this system do not, so the same facts are derived.
 """
 
 import hashlib
@@ -10,40 +10,40 @@
 from collections.abc import Collection
 
 IDENTITY_VERSION = 1
-HASH_FORMAT = "part-id/blake2b-8/v1"  # part of every domain: pools of two hash formats never mix
+HASH_FORMAT = "part-id/blake2b-8/v1"  # hashed into every domain, so that pools of two hash formats never mix
 
 
 class PoolId(typing.NamedTuple):
-    """What identifies a pool."""
+    """The identity of a pool."""
 
-    version: int  # of the identity itself
-    domain: str  # of the indexer: service, model and hash format
+    version: int  # version of the identity's own format
+    domain: str  # indexer domain: a hash of service, model and hash format
     region: str
 
 
 class ResolvedPool(typing.NamedTuple):
-    """A pool that there should be."""
+    """A pool that should exist."""
 
     service: str
     model: str
-    cache_tokens: int  # of each replica
-    replicas: frozenset[str]  # ids of the live ones
+    cache_tokens: int  # tokens that the cache of each replica holds
+    replicas: frozenset[str]  # ids of the live replicas
 
 
 class Resolution(typing.NamedTuple):
-    """All pools that there should be."""
+    """All pools that should exist, and the conflicts between them."""
 
     pools: dict[PoolId, ResolvedPool]
-    conflicts: tuple[PoolId, ...]  # identities that several pools would have
+    conflicts: tuple[PoolId, ...]  # identities that several pools would share
 
 
 def domain_id(*, service: str, model: str) -> str:
-    """The indexer domain, in hex."""
+    """Returns the indexer domain of a service and a model, in hex."""
     return hashlib.blake2b(f"{service}\0{model}\0{HASH_FORMAT}".encode(), digest_size=8).hexdigest()
 
 
 def pool_id(*, service: str, model: str, region: str, domain: Callable[..., str] = domain_id) -> PoolId:
-    """The identity of a pool."""
+    """Returns the identity of the pool of a service and a model in a region."""
     return PoolId(IDENTITY_VERSION, domain(service=service, model=model), region)
 
 
@@ -55,17 +55,17 @@
     sent: Collection[str],
     domain: Callable[..., str] = domain_id,
 ) -> Resolution:
-    """The pools of a region.
+    """Returns the pools of a region.
 
     A pool exists if its identity resolves without conflict, its source is unambiguous (each replica id is listed
     once, with one service and one address), and a live replica has been sent requests.
 
     Args:
-        region: of the relay.
-        services: of the configuration, with `models` and `cache_tokens`, by name.
-        replicas: rows of the list.
-        sent: ids of replicas that were sent requests.
-        domain: gives the domain of a service and a model.
+        region: Region of the relay.
+        services: Services of the configuration by name, each with `models` and `cache_tokens`.
+        replicas: Rows of the endpoint list.
+        sent: Ids of the replicas that were sent requests.
+        domain: Returns the indexer domain of a service and a model.
     """
     expected = _expected_replicas(region, services, replicas)
     by_id: dict[PoolId, list[tuple[str, str]]] = {}
@@ -86,7 +86,7 @@
 
 
 def _expected_replicas(region: str, services: dict[str, dict], replicas: list[dict]) -> dict[tuple[str, str], set[str]]:
-    """Ids of the region's replicas by service and model; one that is listed twice is omitted."""
+    """Returns the ids of the region's replicas by service and model; a replica that is listed twice is omitted."""
     rows_by_id: dict[str, list[dict]] = {}
     for row in replicas:
         rows_by_id.setdefault(row["id"], []).append(row)
