--- a/ploverward/data_plane/relay/test_actor.py
+++ b/ploverward/data_plane/relay/test_actor.py
@@ -1,4 +1,4 @@
-"""The actor and its filter: exact ownership, reference counts, evictions, what fits into a slot."""
+"""Tests of the actor and its filter: exact ownership, shared slots, evictions, full filters, image sizes."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def find_bits(table, full_hash):
-    """What the slot of a hash says of its owners; 0 where it has none."""
+    """Returns the owner bits in the slot of a hash; 0 if it has none."""
     fingerprint, *buckets = cuckoo_filter.fingerprint_and_buckets(full_hash=full_hash, bucket_count=table.bucket_count)
     found = 0
     for index in buckets:
@@ -70,15 +70,15 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_filter_agrees_with_exact_ownership(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     actor = actors.Actor(cache_tokens=400, bucket_count=64)
     names = [f"p{number}" for number in range(60)]
     for _ in range(600):
-        who = chance.choice(("r1", "r2", "r3"))
-        if chance.random() < 0.03:
-            actor.remove_replica(replica=who)
+        replica = rng.choice(("r1", "r2", "r3"))
+        if rng.random() < 0.03:
+            actor.remove_replica(replica=replica)
         else:
-            actor.record_prompt(replica=who, rows=relay_hosts.rows(*chance.sample(names, 2)))
+            actor.record_prompt(replica=replica, rows=relay_hosts.rows(*rng.sample(names, 2)))
     for full_hash in actor._owners:
         expected = sum(1 << actor.owner_bits[owner] for owner in actor.owners(full_hash))
         assert owner_bits(actor, full_hash) & expected == expected or actor.omission_count
@@ -86,10 +86,10 @@
 
 def test_insertion_into_full_filter_restores_all_moved_slots():
     table = cuckoo_filter.Filter(bucket_count=2)
-    chance = random.Random(4)
+    rng = random.Random(4)
     inserted = []
     for _ in range(40):
-        full_hash = chance.randbytes(8)
+        full_hash = rng.randbytes(8)
         before = [list(bucket) for bucket in table.buckets]
         if table.put(full_hash=full_hash, bits=1):
             inserted.append(full_hash)
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -1,4 +1,7 @@
-"""What a mirror that is broken, stale or plainly false may do to a request: cost, and nothing that a rule forbids."""
+"""Tests of mirrors that are broken, stale or false.
+
+Such a mirror may make a request slower, but never sends it to a replica that may not be used.
+"""
 
 import random
 import types
@@ -17,36 +20,36 @@
 
 
 class FalseRegion:
-    """A mirror that says what it likes, and never says that it is broken."""
+    """A mirror that returns random loads and cache contents, and never counts as broken."""
 
     is_fresh = True
 
-    def __init__(self, *, chance, replicas):
-        self.chance = chance
+    def __init__(self, *, rng, replicas):
+        self.rng = rng
         self.load = {
-            replica.key: (chance.randrange(20), chance.randrange(9000), chance.randrange(2), chance.randrange(2))
+            replica.key: (rng.randrange(20), rng.randrange(9000), rng.randrange(2), rng.randrange(2))
             for replica in replicas
         }
 
     def cached_tokens(self, *, service, model, chain, replicas, pool_size=0):
-        return {name: self.chance.choice((0, 100, 300, 10**6)) for name in replicas}
+        return {name: self.rng.choice((0, 100, 300, 10**6)) for name in replicas}
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_choose_with_false_mirror_returns_only_usable_replica(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     loop = loopback.new_loop()
     peers = [(types.SimpleNamespace(address=("127.0.0.1", 9)), zone) for zone in ZONES]
     node = loopback_proxy.LoopbackProxy(loop=loop, peers=peers)
-    rows = [dict(row, is_clearing=chance.random() < 0.2) for row in node.rows]
+    rows = [dict(row, is_clearing=rng.random() < 0.2) for row in node.rows]
     node.table.install_list(rows)
     replicas = list(node.table.replicas.values())
     for replica in replicas:
-        replica.is_suspected = chance.random() < 0.2
-    node.table.evacuated_zones = frozenset(chance.sample(("za", "zb"), chance.randint(0, 1)))
-    node.chooser._regions.update({name: FalseRegion(chance=chance, replicas=replicas) for name in ("north", "south")})
-    permitted = chance.choice((None, {"north"}, {"south"}, set()))
-    avoid = set(chance.sample([row["id"] for row in rows], 2))
+        replica.is_suspected = rng.random() < 0.2
+    node.table.evacuated_zones = frozenset(rng.sample(("za", "zb"), rng.randint(0, 1)))
+    node.chooser._regions.update({name: FalseRegion(rng=rng, replicas=replicas) for name in ("north", "south")})
+    permitted = rng.choice((None, {"north"}, {"south"}, set()))
+    avoid = set(rng.sample([row["id"] for row in rows], 2))
     usable = {
         replica.id
         for replica in replicas
@@ -72,7 +75,7 @@
     region.handle_publication(messages.ReplicaLoads(1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
-    assert region.is_trusted and region.is_fresh  # it is told of each change: silence alone is no break
+    assert region.is_trusted and region.is_fresh  # only changes are sent, so a stream without messages is not broken
     region.mark_broken()
     for when, is_trusted, is_fresh in (
         (100.4, True, True),
@@ -82,5 +85,5 @@
     ):
         clock[0] = when
         assert (region.is_trusted, region.is_fresh) == (is_trusted, is_fresh)
-    region.mark_broken()  # a second end does not begin the time anew
+    region.mark_broken()  # a repeated failure does not restart the time
     assert not region.is_trusted
--- a/ploverward/data_plane/relay/test_host.py
+++ b/ploverward/data_plane/relay/test_host.py
@@ -1,4 +1,4 @@
-"""The relay's totals and what it publishes of them: sums of digests, bounded rows, outcomes, older epochs."""
+"""Tests of the relay's totals and loads: sums over digests, bounded rows, outlier detection, older epochs."""
 
 import pytest
 
@@ -42,6 +42,7 @@
 
 
 def make_large_host(count=40):
+    """Returns a relay of many replicas, a digest that sends it reports, and a subscriber that records its loads."""
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     host.sync(
         services=relay_hosts.SERVICES,
@@ -86,6 +87,7 @@
 
 
 def take_last_loads(wire):
+    """Returns the rows of the last load message, and clears all recorded messages."""
     loads = wire.of_type(messages.ReplicaLoads)
     wire.clear()
     return recording_connections.loads_of(loads[-1]) if loads else {}
@@ -101,7 +103,7 @@
     host.subscribe(late, region="north")
     relay_hosts.send_report(
         host, source, *(recording_connections.load_row(f"r{number}", running=0) for number in range(40))
-    )  # back before it was told
+    )  # zero again before all rows of the first change were published
     for _ in range(6):
         host.tick()
     assert relay_hosts.last_load(late) == relay_hosts.last_load(reader) == {}
@@ -142,7 +144,7 @@
     with pytest.raises(errors.FrameError):
         host.handle_aggregates(
             wire, recording_connections.aggregates_message(1, loads=[recording_connections.load_row("r1", running=9)])
-        )  # told twice
+        )  # the same batch number again
     assert host.totals() == before
 
 
@@ -154,9 +156,9 @@
         recording_connections.RecordingLink(),
     )
     host.subscribe(reader, region="north")
-    away = []
+    ejected_for_s = []
     for _round in range(3):
-        for _step in range(3):  # each caller alone sees too little
+        for _step in range(3):  # the failures reported by one digest are too few to eject
             relay_hosts.send_report(
                 host,
                 one,
@@ -175,11 +177,11 @@
             if last and recording_connections.loads_of(last[-1]).get(row_codec.key_of("r1")) == (0, 0, 0, 0):
                 break
             assert clock[0] - began < 60
-        away.append(clock[0] - began)
+        ejected_for_s.append(clock[0] - began)
         reader.clear()
         host.remove(reader)
         host.subscribe(reader, region="north")
-    assert away[0] < away[1] < away[2]
+    assert ejected_for_s[0] < ejected_for_s[1] < ejected_for_s[2]
 
 
 def test_few_failures_or_small_failure_share_eject_no_replica():
@@ -193,7 +195,7 @@
     )
     host.tick()
     assert not host._outlier_detector.failing
-    clock[0] += 10.0  # what is past the window says nothing
+    clock[0] += 10.0  # failures older than the window are not counted
     relay_hosts.send_report(host, one, recording_connections.load_row("r1", ended=2, failed=2))
     host.tick()
     assert not host._outlier_detector.failing
--- a/ploverward/data_plane/relay/test_publication.py
+++ b/ploverward/data_plane/relay/test_publication.py
@@ -1,4 +1,4 @@
-"""Publication: lazy hubs, bounded queues, withdrawal order, fencing, frames installed completely or not at all."""
+"""Tests of publication: hubs created on demand, bounded queues, order of withdrawal, fencing, atomic deltas."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     one, two = recording_connections.RecordingLink(), recording_connections.RecordingLink()
     registry = host.registry
     registry.sync(resolved={POOL_ID: RESOLVED})
-    assert registry.pools[POOL_ID].hubs == {}  # nobody subscribed yet
+    assert registry.pools[POOL_ID].hubs == {}  # no subscriber yet
     registry.sync(resolved={})
     source = relay_hosts.send(host)
     relay_hosts.record_prompt(host, source, "r1", "a", "b")
@@ -56,7 +56,7 @@
     delta = wire.of_type(messages.PoolDelta)[0]
     name, changed = delta.pool, delta.bucket_rows
     last = len(changed) - hubs.ROW.size - len(cuckoo_filter.empty_image(words=1))
-    assert last > 0  # more than one bucket: the fault is in the last
+    assert last > 0  # there is more than one bucket, and the wrong sequence number is in the last
     index, version = hubs.ROW.unpack_from(changed, last)
     broken = changed[:last] + hubs.ROW.pack(index, version + 1) + changed[last + hubs.ROW.size :]
     before = list(region.pools[name].buckets)
@@ -130,8 +130,10 @@
         else:
             region.install_delta(data=message.bucket_rows)
     assert all(region.owners(shared[0]).count == 1 for shared, _own in chains)
-    assert sum(region.owners(own[0]).count for _shared, own in chains) < 10  # but for those in the same buckets
+    assert (
+        sum(region.owners(own[0]).count for _shared, own in chains) < 10
+    )  # only those in the same buckets as shared parts
     assert hub.queued_bucket_count()
-    actor.record_prompt(replica="r2", rows=chains[0])  # a second replica reads the whole prompt: it is shared after all
+    actor.record_prompt(replica="r2", rows=chains[0])  # with a second owner the last part is urgent too
     dirty, _later = actor.filter.pop_dirty()
     assert dirty
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay from a digest's report to a proxy's mirror: generations, owner bits, wide pools, broken streams."""
+"""Tests of the relay from a digest's report to a mirror: generations, owner bits, wide pools, broken streams."""
 
 import pytest
 
@@ -62,7 +62,12 @@
 
 
 def set_up_roll_out(count, *, more=1):
-    """A pool whose replicas are replaced, old and new lives (so many times more) side by side, all keeping one part."""
+    """Sets up a roll-out: a pool of `count` old and `count * more` new replicas that all have one part in their caches.
+
+    Returns:
+        The relay, a mirror, its connection, the generation before the roll-out, ids of the old and of the new replicas,
+        and the rows of the new replicas.
+    """
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     old = [relay_hosts.replica(f"old{number}") for number in range(count)]
     host.sync(services=relay_hosts.SERVICES, replicas=old)
@@ -84,7 +89,7 @@
 
 
 def test_small_pool_has_owner_bits_for_old_and_new_replicas_during_roll_out():
-    host, region, reader, first, old, new, rows_left = set_up_roll_out(10)
+    host, region, reader, first, old, new, new_rows = set_up_roll_out(10)
     names = old + new
     cached_tokens = region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("shared"), replicas=names)
     assert cached_tokens == dict.fromkeys(names, 10)
@@ -93,7 +98,7 @@
         pool.generation == first and len(set(pool.actor.owner_bits.values())) == 20 and pool.actor.omission_count == 0
     )
     assert not pool.actor.is_wide
-    host.sync(services=relay_hosts.SERVICES, replicas=rows_left)
+    host.sync(services=relay_hosts.SERVICES, replicas=new_rows)
     host.tick()
     relay_hosts.feed(region, reader)
     cached_tokens = region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("shared"), replicas=names)
@@ -101,7 +106,7 @@
 
 
 def test_pool_with_too_many_owners_becomes_wide_under_new_generation():
-    host, region, reader, first, old, new, rows_left = set_up_roll_out(10, more=4)
+    host, region, reader, first, old, new, new_rows = set_up_roll_out(10, more=4)
     names = old + new
     cached_tokens = region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("shared"), replicas=names)
     assert cached_tokens == dict.fromkeys(names, 10)
@@ -111,7 +116,11 @@
 
 
 def test_removal_of_many_replicas_from_wide_pool_keeps_publication_bounded():
-    """A release on bbs-ploverward-large: the digest's link stood still while lanes of those gone were cleared."""
+    """Guards against a burst of deltas when many replicas of a pool are removed at once.
+
+    In a release on bbs-ploverward-large, the digest's connection stalled while the owner bits of the removed replicas
+    were cleared in all slots.
+    """
     services = {"llm": {"models": ("m",), "cache_tokens": 10**6}}
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     names = [f"r{number}" for number in range(40)]
@@ -133,16 +142,16 @@
 
 
 def test_wide_pool_keeps_all_old_and_new_replicas_as_owners_during_roll_out():
-    host, region, reader, first, old, new, rows_left = set_up_roll_out(300)
+    host, region, reader, first, old, new, new_rows = set_up_roll_out(300)
     names = old + new
     cached_tokens = region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("shared"), replicas=names)
     assert cached_tokens == dict.fromkeys(names, 10)
     pool = next(iter(host.registry.pools.values()))
     assert pool.actor.is_wide and len(pool.actor.owner_bits) == 600 and pool.actor.omission_count == 0
-    assert pool.generation == first  # tags need no room: nothing is withdrawn for a roll-out
+    assert pool.generation == first  # tags need no owner bits, so a roll-out starts no new generation
     full_hash = relay_hosts.rows("shared")[0][0]
     assert pool.actor.owners(full_hash) == set(names)
-    host.sync(services=relay_hosts.SERVICES, replicas=rows_left)
+    host.sync(services=relay_hosts.SERVICES, replicas=new_rows)
     relay_hosts.drain(host)
     relay_hosts.feed(region, reader)
     assert pool.actor.owners(full_hash) == set(new)
@@ -181,7 +190,7 @@
     relay_hosts.drain(host)
     relay_hosts.feed(region, reader)
     _depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
-    expected = ("r0", "r3", "r4", "r5")  # others take the place of those that are gone
+    expected = ("r0", "r3", "r4", "r5")  # later owners take the place of removed ones
     assert tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
     assert cached_tokens("r6") == {"r6": 10}
 
@@ -204,7 +213,7 @@
         )
         host.tick()
     pool = next(iter(host.registry.pools.values()))
-    while pool.hubs[False].queued_bucket_count():  # so many buckets at a time are told
+    while pool.hubs[False].queued_bucket_count():  # a limited number of buckets is published at a time
         host.tick()
     expected = [messages.PoolWithdrawn, messages.Catalogue, messages.PoolCut]
     kinds = [kind for kind in reader.kinds() if kind in expected]
--- a/ploverward/data_plane/relay/test_resolution.py
+++ b/ploverward/data_plane/relay/test_resolution.py
@@ -1,4 +1,4 @@
-"""Which pools there should be: those of live replicas that were sent requests, without conflict."""
+"""Tests of resolution: pools exist for listed replicas that were sent requests, unless their identities conflict."""
 
 from ploverward.data_plane.relay import resolution
 from ploverward.simulation import relay_hosts
