--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -71,7 +71,7 @@
 
     @property
     def is_wide(self) -> bool:
-        """Whether slots name owners by tags instead of owner bits; then the owner bit of a replica has no meaning."""
+        """True if slots name owners by tags instead of owner bits; then the owner bit of a replica has no meaning."""
         return self.filter.words == cuckoo_filter.WIDE
 
     def _next_owner_bit(self) -> int:
@@ -79,7 +79,7 @@
         return next(owner_bit for owner_bit in range(len(owned) + 1) if owner_bit not in owned)
 
     def has_owner_bits_for(self, *, replicas: Collection[str]) -> bool:
-        """Whether there are owner bits for all these replicas in addition to the present ones."""
+        """Returns whether there are owner bits for all these replicas in addition to the present ones."""
         count = len(set(self.owner_bits) | set(replicas))
         return self.is_wide or count <= self.filter.words * cuckoo_filter.BITS_PER_MASK_WORD
 
--- a/ploverward/data_plane/relay/load_counts.py
+++ b/ploverward/data_plane/relay/load_counts.py
@@ -49,7 +49,7 @@
 
     @property
     def is_zero(self) -> bool:
-        """Whether there is no load."""
+        """True if there is no load."""
         return not (self.running or self.prefill_tokens or self.suspect_count)
 
     def counts(self) -> LoadCounts:
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -51,12 +51,12 @@
 
     @property
     def is_trusted(self) -> bool:
-        """Whether its pools may be used: its stream is not broken, or broke at most `trust_s` ago."""
+        """True if its pools may be used: its stream is not broken, or broke at most `trust_s` ago."""
         return self.broken_at is None or self._now() - self.broken_at <= self._trust_s
 
     @property
     def is_fresh(self) -> bool:
-        """Whether its loads may be used: its stream is not broken, or broke at most a tenth of `trust_s` ago."""
+        """True if its loads may be used: its stream is not broken, or broke at most a tenth of `trust_s` ago."""
         return self.broken_at is None or self._now() - self.broken_at <= self._trust_s / 10
 
     def handle_publication(self, message: tuple) -> None:
--- a/ploverward/data_plane/relay/outcomes.py
+++ b/ploverward/data_plane/relay/outcomes.py
@@ -100,7 +100,7 @@
         return changed
 
     def _is_failing(self, key: bytes, now: float) -> bool:
-        """Whether to eject the replica now; False if it is already ejected."""
+        """Returns whether to eject the replica now; False if it is already ejected."""
         spans = self._spans.get(key)
         while spans and now - spans[0].began_s > self._window_s:
             spans.popleft()
--- a/ploverward/data_plane/relay/pool_mirror.py
+++ b/ploverward/data_plane/relay/pool_mirror.py
@@ -39,7 +39,7 @@
     owner_bits: dict[bytes, int] | None = None  # by replica key; None: owners are named by tags
 
     def names(self, key: bytes) -> bool:
-        """Whether this replica is one of the named owners."""
+        """Returns whether this replica is one of the named owners."""
         if self.owner_bits is None:
             return key[: cuckoo_filter.TAG_SIZE] in self.tags
         owner_bit = self.owner_bits.get(key)
@@ -143,7 +143,7 @@
         return messages.PoolCut(self.name, self.generation, len(self.buckets), self.words, rows)
 
     def can_name(self, key: bytes) -> bool:
-        """Whether the pool can name this replica as an owner.
+        """Returns whether the pool can name this replica as an owner.
 
         A wide pool has no list of its replicas, so it can name any: the caller passes replicas of the endpoint list.
         """
