--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -44,7 +44,7 @@
         table: replicas and services.
         adapters: counts this proxy's adapters.
         replicas_in_use: gives the replicas with attempts of this proxy in flight, also of those no longer listed.
-        near_core: gives the connection to a core node, by preference of this region.
+        nearest_core: gives the connection to a core node, by preference of this region.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         table: replica_table.ReplicaTable,
         adapters: adapter_counts.AdapterCounter,
         replicas_in_use: Callable[[], Iterable[replica_table.Replica]],
-        near_core: Callable[[], peer_connection.PeerConnection | None],
+        nearest_core: Callable[[], peer_connection.PeerConnection | None],
     ) -> None:
         own = settings()
         names = tuple(sorted(set(own.zones.values()) | {own.region}))
         self._settings = settings
         self._contact_s = contact_s
         self._table = table
-        self._near_core = near_core
+        self._near_core = nearest_core
         self._region_names = names
         self._roles: Mapping[str, tuple[int, str, str]] = {}
         self.regions = {name: mirror.RegionMirror(now=loop.now, trust_s=contact_s) for name in names}
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -30,13 +30,13 @@
     """What happened to an attempt at a replica."""
 
     SENT = 0
-    READ = 1  # its prompt was processed
+    PREFILLED = 1  # its prompt was processed
     DONE = 2
     BROKEN = 3  # its connection broke: the replica is suspected too
     FAILED = 4
 
 
-SENT, READ, DONE, BROKEN, FAILED = AttemptEvent
+SENT, PREFILLED, DONE, BROKEN, FAILED = AttemptEvent
 _ENDINGS = (DONE, BROKEN, FAILED)
 
 
@@ -78,7 +78,7 @@
         self.on_change: Callable[[], object] = lambda: None
         self._lost = set(self._names)  # regions whose published loads contain nothing of ours
 
-    def record(self, *, replica: replica_table.Replica, kind: int) -> None:
+    def record_attempt(self, *, replica: replica_table.Replica, kind: int) -> None:
         """An attempt at this replica was sent, or its state changed.
 
         Args:
@@ -102,7 +102,7 @@
         """Whether there is something for the next report."""
         return bool(self._dirty or self._outcomes or self._reads or self._suspected)
 
-    def record_read(
+    def record_prefill(
         self,
         *,
         replica: replica_table.Replica,
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -174,7 +174,7 @@
             replica.running += 1
             replica.prefill_tokens[chance.random()] = chance.randint(1, 5000)
             kind = report_source.SENT
-        self.source.record(replica=replica, kind=kind)
+        self.source.record_attempt(replica=replica, kind=kind)
 
     def tick(self):
         report = self.source.next_report()
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_aggregates_converge_to_what_runs_whatever_went_before(seed):
+def test_aggregates_converge_to_actual_load_after_random_faults(seed):
     scene = Scene(seed=seed)
     for _ in range(12):
         scene.world.run(until=scene.world.time + scene.chance.uniform(0.2, 2.0))
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_shown_load_is_off_by_no_more_than_what_is_in_flight(seed):
+def test_visible_load_error_is_bounded_by_recent_changes(seed):
     """Invariant (docs/digest.md 3): without faults, what a proxy takes for others' load was their load a moment ago."""
     scene = Scene(seed=seed)
     history = []
@@ -330,7 +330,7 @@
                 assert least - slack <= shown <= most + slack
 
 
-def test_the_checker_sees_a_report_that_counts_twice():
+def test_convergence_check_detects_load_that_does_not_run():
     scene = Scene(seed=1)
     scene.world.run(until=2.0)
     scene.converge()
@@ -343,7 +343,7 @@
         check_converged(scene)
 
 
-def test_reports_that_are_malformed_or_come_twice_change_nothing():
+def test_malformed_and_repeated_reports_are_refused_without_effect():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     sums.handle_report("p1", messages.LoadReport(1, recording_connections.load_row("i0", running=2, tokens=9), b""))
     key = row_codec.key_of("i0")
@@ -362,7 +362,7 @@
     assert sums.total(region="north", key=key) == (1, 0, 0)
 
 
-def test_the_same_chain_prefilled_at_the_same_replica_is_forwarded_once():
+def test_repeated_prefill_of_same_chain_at_same_replica_is_forwarded_once():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     read = recording_connections.read_row("i0", ("doc", 100))
     sums.handle_report(
@@ -374,7 +374,7 @@
     assert sums.next_batch(region="north") is None
 
 
-def test_a_digest_sends_a_row_for_each_changed_replica_and_not_for_each_request():
+def test_batch_has_one_row_per_changed_replica():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     for member in range(20):
         rows = b"".join(recording_connections.load_row(f"i{number}", running=member + 1) for number in range(3))
@@ -384,7 +384,7 @@
     assert sums.acknowledge(region="north", number=10) == {member: 1 for member in range(20)}
 
 
-def test_without_a_relay_reads_and_outcomes_are_dropped_and_loads_stay():
+def test_discard_drops_reads_and_outcomes_and_keeps_loads():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     for number in range(1, 50):
         load = recording_connections.load_row("i0", running=number, ended=1)
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_members_hold_the_loads_that_they_follow_and_those_of_full_replicas(seed):
+def test_members_receive_loads_of_followed_and_full_replicas(seed):
     chance = random.Random(seed)
     follows = [None, frozenset(KEYS[:10]), frozenset(KEYS[5:25]), frozenset()]
     fanout, members = make(*follows)
@@ -75,7 +75,7 @@
                     assert not entry_load[3], "it was told that the replica is no longer full"
 
 
-def test_a_member_that_follows_others_now_is_sent_their_load():
+def test_member_receives_loads_of_newly_followed_replicas():
     fanout, (member,) = make(frozenset(KEYS[:2]))
     mirrored = mirror.RegionMirror(now=lambda: 0.0, trust_s=5.0)
     mirrored.handle_publication(messages.Catalogue(1, ()))
@@ -91,7 +91,7 @@
     assert set(member.region.load) == set(KEYS[:6])
 
 
-def test_bytes_to_a_member_do_not_grow_with_the_region():
+def test_bytes_sent_to_selective_member_are_independent_of_region_size():
     sizes = {}
     for count in (50, 500):
         keys = [row_codec.key_of(f"r{number}") for number in range(count)]
@@ -101,7 +101,7 @@
     assert sizes[50] == sizes[500]
 
 
-def test_a_newer_link_of_a_member_ends_the_older_and_a_slow_one_is_closed_alone():
+def test_newer_connection_closes_older_one_and_full_queue_closes_only_its_member():
     fanout, (first, other) = make(None, None)
     again = Member()
     fanout.admit(again, address="p0")
--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -6,7 +6,7 @@
 from ploverward.transport import messages
 
 
-def test_one_stream_runs_to_the_other_region_however_many_digests_there_are():
+def test_digests_of_region_share_one_stream_to_other_region():
     zones = zone_proxies.Gates()
     zones.work(seed=20)
     zones.converge()
@@ -18,7 +18,7 @@
     zones.converge()
 
 
-def test_a_gateway_that_ends_takes_its_streams_along_and_its_successor_counts_nothing_twice():
+def test_successor_of_ended_gateway_counts_no_load_twice():
     zones = zone_proxies.Gates()
     zones.work(seed=22)
     zones.converge()
@@ -32,7 +32,7 @@
     zones.converge()
 
 
-def test_a_frozen_gateway_is_refused_when_it_thaws():
+def test_frozen_gateway_is_refused_under_old_epoch_after_thaw():
     zones = zone_proxies.Gates()
     zones.work(seed=25)
     zones.converge()
@@ -49,7 +49,7 @@
     assert epochs == [2]
 
 
-def test_a_lost_far_relay_is_read_anew_through_the_gateway():
+def test_mirrors_of_remote_region_recover_through_gateway_after_its_relay_is_lost():
     zones = zone_proxies.Gates(more={zone_proxies.address(8): "zb"})
     zones.work(seed=27)
     zones.converge()
@@ -64,7 +64,7 @@
     zones.converge()
 
 
-def test_nonsense_from_a_gateway_closes_its_link_and_changes_nothing():
+def test_malformed_frame_from_gateway_closes_connection_and_changes_no_load():
     zones = zone_proxies.Gates()
     zones.work(seed=28)
     zones.converge()
@@ -79,7 +79,7 @@
     zones.converge()  # and the digest comes back with its whole state
 
 
-def test_a_digest_of_an_older_epoch_is_not_admitted_by_the_gateway():
+def test_gateway_refuses_digest_of_older_epoch():
     zones = zone_proxies.Gates()
     zones.work(seed=29)
     zones.converge()
@@ -97,7 +97,7 @@
     assert not late.is_open and late not in gateway.digest.fanout.members
 
 
-def test_members_that_follow_some_replicas_see_those_exactly():
+def test_selective_member_sees_exact_load_of_followed_replicas():
     zones = zone_proxies.Gates()
     member = zones.nodes[zone_proxies.address(1)]
     assert loopback.until(zones.loop, lambda: member.is_member)
@@ -112,7 +112,7 @@
     assert member.sees("i1") == zones.truth("i1")
 
 
-def test_a_connection_that_ends_at_a_heartbeat_harms_no_other():
+def test_heartbeats_reach_all_connections_if_some_close_meanwhile():
     zones = zone_proxies.Gates()
     zones.converge()
     node = zones.relay("north")
--- a/ploverward/data_plane/load_reports/test_relay_role.py
+++ b/ploverward/data_plane/load_reports/test_relay_role.py
@@ -24,7 +24,7 @@
     )
 
 
-def test_a_relay_ends_when_its_role_goes_to_another_incarnation():
+def test_relay_restarts_under_new_epoch_and_ends_if_another_incarnation_owns_role():
     role = make()
     role.update(epoch=1, address="127.0.0.1", incarnation="l1")
     first = role.host
@@ -37,7 +37,7 @@
     assert role.host is None
 
 
-def test_subscribers_are_closed_with_the_relay_and_the_gateway_ends_beside_it():
+def test_losing_role_ends_relay_and_gateway_and_closes_subscribers():
     role = make()
     subscriber = recording_connections.RecordingLink()
     subscribe = messages.Subscribe(epoch=1, region="north", zone="za", zone_epoch=0)
--- a/ploverward/data_plane/load_reports/test_report_ticker.py
+++ b/ploverward/data_plane/load_reports/test_report_ticker.py
@@ -31,14 +31,14 @@
         self.ticker.wake()
 
 
-def test_an_idle_proxy_ticks_seldom():
+def test_idle_proxy_ticks_at_idle_interval():
     scene = Scene()
     scene.ticker.start()
     scene.clock.run(until=1.6)
     assert scene.ticks == [0.0, 0.5, 1.0, 1.5]
 
 
-def test_a_change_is_reported_after_one_interval_and_the_next_ones_at_each():
+def test_change_while_idle_is_reported_after_one_interval():
     scene = Scene()
     scene.ticker.start()
     scene.clock.run(until=0.2)
@@ -48,7 +48,7 @@
     assert scene.ticks == [0.0, 0.3, 0.4, 0.5, 0.6]
 
 
-def test_a_tick_that_raises_is_followed_by_others():
+def test_ticks_continue_after_tick_that_raises():
     scene = Scene()
     scene.ticker.start()
     scene.change(8)
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -13,7 +13,7 @@
 from ploverward.transport import messages
 
 
-def test_members_report_to_the_digest_and_all_see_what_runs():
+def test_members_report_through_digest_and_every_proxy_sees_actual_load():
     zones = zone_proxies.Zones()
     zones.work(seed=1)
     zones.converge()
@@ -29,7 +29,7 @@
     zones.converge()
 
 
-def test_a_digest_that_ends_leaves_its_members_on_their_own_and_the_next_one_takes_them():
+def test_members_report_directly_after_digest_ends_and_join_its_successor():
     zones = zone_proxies.Zones()
     zones.work(seed=2)
     zones.converge()
@@ -45,7 +45,7 @@
     zones.converge()
 
 
-def test_a_frozen_digest_stops_nobody_and_receives_nothing_twice_when_it_thaws():
+def test_frozen_digest_is_replaced_and_refused_under_old_epoch_after_thaw():
     zones = zone_proxies.Zones()
     zones.work(seed=4)
     zones.converge()
@@ -77,7 +77,7 @@
     zones.converge()
 
 
-def test_relay_and_digest_lost_together():
+def test_loads_converge_after_relay_and_digest_fail_together():
     zones = zone_proxies.Zones()
     zones.work(seed=6)
     zones.converge()
@@ -88,7 +88,7 @@
     zones.converge()
 
 
-def test_an_entire_zone_is_lost_and_its_load_with_it():
+def test_load_of_lost_zone_is_withdrawn():
     zones = zone_proxies.Zones()
     zones.work(seed=8)
     zones.converge()
@@ -99,7 +99,7 @@
     assert [ip for ip in zones.live] == [zone_proxies.address(9)]
 
 
-def test_a_member_that_sends_nonsense_is_closed_and_changes_nothing():
+def test_malformed_report_closes_member_connection_and_changes_no_load():
     zones = zone_proxies.Zones()
     zones.work(seed=9)
     zones.converge()
@@ -113,7 +113,7 @@
     zones.converge()
 
 
-def test_a_slow_member_loses_its_own_stream_only():
+def test_slow_member_is_disconnected_alone():
     zones = zone_proxies.Zones()
     zones.work(seed=10)
     zones.converge()
@@ -126,13 +126,13 @@
     zones.converge()
 
 
-def test_a_region_read_anew_reaches_the_members_with_cut_and_sequence():
+def test_cached_prompts_reach_present_members_and_one_that_reconnects():
     zones = zone_proxies.Zones()
     zones.work(seed=12)
     zones.converge()
     node = zones.nodes[zone_proxies.address(9)]
     chain = (("doc", 100), ("own", 10))
-    node.client.source.record_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
+    node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
     def kept(one):
         from ploverward.data_plane.relay import cuckoo_filter
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
-def test_a_zone_of_few_proxies_has_no_digest(count, is_there):
+def test_only_zones_above_minimum_size_have_digest(count, is_there):
     listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
     rows = singleton_roles.role_changes(proxies=listed, find_role=lambda name: (0, "", ""))
     assert ("digest/za" in rows) == is_there and "relay/north" in rows
@@ -165,7 +165,7 @@
         assert ("digest/za" in again) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
 
 
-def test_cuts_go_to_members_a_bounded_number_of_bytes_at_a_time():
+def test_cuts_to_members_are_limited_per_tick_and_precede_their_deltas():
     zones = zone_proxies.Zones()
     zones.converge()
     owner = zones.nodes[zones.digest()]
@@ -175,7 +175,7 @@
     zones.converge()
     for number in range(600):
         parts = ((f"doc{number}", 100), (f"own{number}", 10))
-        node.client.source.record_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
+        node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
     assert loopback.until(zones.loop, lambda: owner.regions["north"].pools)
     sent = []
     send_bytes = type(next(iter(owner.digest.fanout.members))).send_bytes
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -198,7 +198,7 @@
             table=self.table,
             adapters=self.adapters,
             replicas_in_use=self._replicas_in_use,
-            near_core=self._connections.nearest,
+            nearest_core=self._connections.nearest,
         )
         self._report_ticker = report_ticker.ReportTicker(
             loop=self.loop,
@@ -208,8 +208,8 @@
             is_idle=lambda: self._relay_client.is_idle and not self._sessions.subscriber.is_behind,
         )
         self._relay_client.source.on_change = self._report_ticker.wake
-        self.report_attempt = self._relay_client.source.record
-        self.report_prefill = self._relay_client.source.record_read
+        self.report_attempt = self._relay_client.source.record_attempt
+        self.report_prefill = self._relay_client.source.record_prefill
         self.chooser = replica_chooser.ReplicaChooser(
             table=self.table,
             settings=self.settings,
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -85,7 +85,7 @@
         tokens=attempt.prefill_tokens,
         took_s=context.loop.now() - attempt.sent_at - network_latency_s,
     )
-    context.report_attempt(replica=replica, kind=report_source.READ)
+    context.report_attempt(replica=replica, kind=report_source.PREFILLED)
     if facts.prompt.parts:
         context.report_prefill(
             replica=replica,
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -65,7 +65,7 @@
             table=self.table,
             adapters=adapter_counts.AdapterCounter(now=loop.now, window_s=6.0, trust_s=0.5),
             replicas_in_use=lambda: {handler.replica for handler in self.requests},
-            near_core=lambda: None,
+            nearest_core=lambda: None,
         )
         self.regions = self.client.regions
         self.chooser = replica_chooser.ReplicaChooser(
@@ -117,14 +117,14 @@
         replica = self.table.replicas[name]
         replica.running += 1
         self.requests.add(RequestInFlight(replica))
-        self.client.source.record(replica=replica, kind=report_source.SENT)
+        self.client.source.record_attempt(replica=replica, kind=report_source.SENT)
 
     def end(self, name: str) -> None:
         """An attempt at this replica is done."""
         replica = self.table.replicas[name]
         replica.running -= 1
         self.requests.discard(next(one for one in self.requests if one.replica is replica))
-        self.client.source.record(replica=replica, kind=report_source.DONE)
+        self.client.source.record_attempt(replica=replica, kind=report_source.DONE)
 
     def sees(self, name: str) -> int:
         """How many attempts of all proxies it takes to be running there."""
