--- a/ploverward/data_plane/load_reports/adapter_reports.py
+++ b/ploverward/data_plane/load_reports/adapter_reports.py
@@ -32,14 +32,14 @@
         self._counter = counter
         self._settings = settings
         self._incarnation = incarnation
-        self._of_members: dict[tuple[str, int], messages.AdapterCount] = {}  # by incarnation and window
+        self._member_counts: dict[tuple[str, int], messages.AdapterCount] = {}  # by incarnation and window
 
     def collect(self, message: messages.AdapterCounts) -> None:
         """A member's counts: a newer count of a window replaces an older one that is still queued."""
         for count in message.counts:
             key = (count.incarnation, count.window)
-            if key in self._of_members or len(self._of_members) < MAX_MEMBER_COUNTS:
-                self._of_members[key] = count
+            if key in self._member_counts or len(self._member_counts) < MAX_MEMBER_COUNTS:
+                self._member_counts[key] = count
 
     def drain(self) -> messages.AdapterCounts | None:
         """The counts to forward; None where there are none."""
@@ -48,6 +48,6 @@
             messages.AdapterCount(own.node, own.zone, own.region, self._incarnation, window, number, data)
             for window, number, data in self._counter.report()
         ]
-        counts += self._of_members.values()
-        self._of_members = {}
+        counts += self._member_counts.values()
+        self._member_counts = {}
         return messages.AdapterCounts(tuple(counts)) if counts else None
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -20,7 +20,7 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS = 20000  # prompts queued for one region's relay; later ones are dropped
+MAX_QUEUED_READS = 20000  # prompts queued for one region's relay; later ones are dropped
 MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones receive no credit
 
 
@@ -51,7 +51,7 @@
         self.reporters: set[MemberT] = set()  # members whose reports are in the next batch
         self.pending: collections.deque[_PendingBatch[MemberT]] = collections.deque()
 
-    def replace(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
+    def replace_load(self, key: bytes, *, before: LoadCounts, load: LoadCounts) -> None:
         total = self.totals.get(key)
         if total is None:
             total = self.totals[key] = LoadTotal()
@@ -71,10 +71,10 @@
         rows = b"".join([self._pack_row(key) for key in keys])
         reads = b"".join(self.reads)
         self.changed = set()
-        self.discard()
+        self.discard_reads_and_outcomes()
         return rows, reads
 
-    def discard(self) -> None:
+    def discard_reads_and_outcomes(self) -> None:
         self.reads = {}
         self.outcomes = {}
 
@@ -126,34 +126,36 @@
             if region >= len(self._regions):
                 continue
             aggregates = self._regions[region]
-            self._replace(member_loads, key, region, LoadCounts(running, prefill_tokens, suspect_count))
+            self._replace_member_load(member_loads, key, region, LoadCounts(running, prefill_tokens, suspect_count))
             if ended:
                 aggregates.add_outcomes(key, ended=ended, failed=failed)
             aggregates.reporters.add(member)
         for region, read in reads:
-            if region < len(self._regions) and len(self._regions[region].reads) < MAX_READS:
+            if region < len(self._regions) and len(self._regions[region].reads) < MAX_QUEUED_READS:
                 self._regions[region].reads[read] = True
                 self._regions[region].reporters.add(member)
 
-    def _replace(self, member_loads: dict[bytes, RegionLoad], key: bytes, region: int, load: LoadCounts) -> None:
+    def _replace_member_load(
+        self, member_loads: dict[bytes, RegionLoad], key: bytes, region: int, load: LoadCounts
+    ) -> None:
         reported = member_loads.get(key)
         before = NO_LOAD
         if reported is not None:
             if reported.region == region:
                 before = reported.load
             else:
-                self._regions[reported.region].replace(key, before=reported.load, load=NO_LOAD)
+                self._regions[reported.region].replace_load(key, before=reported.load, load=NO_LOAD)
         if load == NO_LOAD:
             member_loads.pop(key, None)
         else:
             member_loads[key] = RegionLoad(region, load)
         if load != before:
-            self._regions[region].replace(key, before=before, load=load)
+            self._regions[region].replace_load(key, before=before, load=load)
 
     def remove(self, member: MemberT) -> None:
         """The member disconnected, or reports elsewhere: its loads are withdrawn."""
         for key, (region, load) in self._loads.pop(member, {}).items():
-            self._regions[region].replace(key, before=load, load=NO_LOAD)
+            self._regions[region].replace_load(key, before=load, load=NO_LOAD)
         self._numbers.pop(member, None)
         for aggregates in self._regions:
             aggregates.reporters.discard(member)
@@ -163,16 +165,16 @@
         aggregates = self._by_name[region]
         if not aggregates.changed and not aggregates.reads and not aggregates.reporters:
             return None
-        return self._batch(aggregates, aggregates.changed)
+        return self._make_batch(aggregates, aggregates.changed)
 
     def checkpoint(self, *, region: str) -> messages.Aggregates:
         """The complete total, for a relay that knows nothing of this digest."""
         aggregates = self._by_name[region]
         aggregates.pending.clear()
         aggregates.reporters = set(self._numbers)
-        return self._batch(aggregates, aggregates.totals.keys() | aggregates.outcomes.keys())
+        return self._make_batch(aggregates, aggregates.totals.keys() | aggregates.outcomes.keys())
 
-    def _batch(self, aggregates: _RegionAggregates[MemberT], keys: Iterable[bytes]) -> messages.Aggregates:
+    def _make_batch(self, aggregates: _RegionAggregates[MemberT], keys: Iterable[bytes]) -> messages.Aggregates:
         rows, reads = aggregates.drain(keys)
         self._batch_number += 1
         report_numbers = {member: self._numbers[member] for member in aggregates.reporters if member in self._numbers}
@@ -182,9 +184,9 @@
             aggregates.pending.popleft()
         return messages.Aggregates(self._batch_number, rows, reads)
 
-    def discard(self, *, region: str) -> None:
+    def discard_reads_and_outcomes(self, *, region: str) -> None:
         """No relay can be sent this region's reads and outcomes now: they are dropped, but the loads kept."""
-        self._by_name[region].discard()
+        self._by_name[region].discard_reads_and_outcomes()
 
     def acknowledge(self, *, region: str, number: int) -> dict[MemberT, int]:
         """The region's relay counted our batches up to this number.
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -84,15 +84,15 @@
         self._on_region_lost = on_region_lost
         self._streams: dict[str, _RelayStream] = {}  # by region
         self._gateway: DigestConnection | None = None
-        self._by_gateway: tuple[str, ...] = ()  # regions whose relays are reached through the gateway
+        self._gateway_regions: tuple[str, ...] = ()  # regions whose relays are reached through the gateway
 
     # Streams to relays.
     @property
-    def is_connected(self) -> bool:
+    def has_relay_streams(self) -> bool:
         """Whether it keeps streams to relays."""
         return bool(self._streams)
 
-    def streams(self) -> dict[str, peer_connection.Connector]:
+    def relay_connectors(self) -> dict[str, peer_connection.Connector]:
         """Region: the connector to its relay."""
         return {region: stream.connector for region, stream in self._streams.items()}
 
@@ -139,7 +139,7 @@
     def _handle_stream_end(self, region: str, owner: RoleOwner) -> None:
         stream = self._streams.get(region)
         if stream is not None and stream.owner == owner:  # else it was stopped by this node
-            self._lose_region(region)
+            self._handle_region_loss(region)
 
     # The gateway of this region: streams to the other regions' relays.
     def follow_gateway(self, *, owner: RoleOwner | None, regions: Iterable[str]) -> None:
@@ -150,8 +150,8 @@
         if gateway is not None:
             self._gateway = None
             gateway.stop()
-        self._by_gateway = tuple(regions)
-        for region in self._by_gateway:
+        self._gateway_regions = tuple(regions)
+        for region in self._gateway_regions:
             self.mirrors[region].fail()
         if owner is not None:
             self._gateway = DigestConnection(
@@ -163,7 +163,7 @@
 
     def on_joined(self, connection: peer_connection.PeerConnection) -> None:
         """The gateway admitted this digest."""
-        for region in self._by_gateway:
+        for region in self._gateway_regions:
             self._send_checkpoint(region, connection)
 
     def _send_checkpoint(self, region: str, connection: peer_connection.PeerConnection) -> None:
@@ -171,12 +171,12 @@
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
         """The gateway forwarded a frame of another region's relay."""
-        if region in self._by_gateway:
+        if region in self._gateway_regions:
             self._handle_publication(region, connection, frames.unpack(frame), frame)
 
     def on_credit(self, region: str, number: int) -> None:
         """The relay of another region counted our reports to the gateway up to this number."""
-        if region in self._by_gateway:
+        if region in self._gateway_regions:
             self._credit(region, number)
 
     def _credit(self, region: str, number: int) -> None:
@@ -189,16 +189,16 @@
 
     def on_region_lost(self, region: str, connection: peer_connection.PeerConnection) -> None:
         """The gateway lost its stream of another region's relay."""
-        if region in self._by_gateway:
-            self._lose_region(region)
+        if region in self._gateway_regions:
+            self._handle_region_loss(region)
             # The region's next relay counts all members again, also those for which nothing changes.
             self._send_checkpoint(region, connection)
 
     def on_left(self) -> None:
         """The connection to the gateway ended."""
         if self._gateway is not None:  # else it was stopped by this node
-            for region in self._by_gateway:
-                self._lose_region(region)
+            for region in self._gateway_regions:
+                self._handle_region_loss(region)
 
     # What relays publish.
     def _handle_publication(
@@ -212,7 +212,7 @@
         else:
             self.fanout.forward_publication(region=region, frame=frame, message=message)
 
-    def _lose_region(self, region: str) -> None:
+    def _handle_region_loss(self, region: str) -> None:
         self._on_region_lost(region)
         self.mirrors[region].fail()
         self.fanout.broadcast(frames.pack(messages.RegionLost(region)))
@@ -222,21 +222,21 @@
         """A member joins: it is sent the complete state of this digest."""
         self.fanout.admit(connection, address=address)
         connection.send(messages.DigestJoined(self.identity.epoch))
-        for region, known in self.mirrors.items():
-            if known.broken_at is not None:
+        for region, region_mirror in self.mirrors.items():
+            if region_mirror.broken_at is not None:
                 connection.send(messages.RegionLost(region))
                 continue
-            for message in (known.catalogue(), known.load_snapshot()):
+            for message in (region_mirror.catalogue(), region_mirror.load_snapshot()):
                 connection.send(messages.RelayedFrame(region, frames.pack(message)))
-            for pool in known.pools:
+            for pool in region_mirror.pools:
                 self.cuts.add(connection, region, pool)
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
         """A member requests the loads of these replicas only, or of all; it is sent the present ones."""
         self.fanout.follow(connection, keys=keys)
-        for region, known in self.mirrors.items():
-            if known.broken_at is None:
-                self.fanout.send_load(connection, region=region, message=known.load_snapshot())
+        for region, region_mirror in self.mirrors.items():
+            if region_mirror.broken_at is None:
+                self.fanout.send_load(connection, region=region, message=region_mirror.load_snapshot())
 
     def handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
         """A member's report. Raises `FrameError` where it is malformed or not newer than the last one."""
@@ -272,10 +272,10 @@
         connection = None
         if stream is not None:
             connection = stream.connector.link
-        elif region in self._by_gateway and self._gateway is not None and self._gateway.is_joined:
+        elif region in self._gateway_regions and self._gateway is not None and self._gateway.is_joined:
             connection = self._gateway.connection
         if connection is None or not connection.is_up:
-            self.aggregates.discard(region=region)
+            self.aggregates.discard_reads_and_outcomes(region=region)
             return
         batch = self.aggregates.next_batch(region=region)
         if batch is not None:
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -51,15 +51,15 @@
         """Whether this was a member's connection."""
         if self.members.pop(connection, None) is None:
             return False
-        self._index_followers()
+        self._rebuild_follower_index()
         return True
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
         """The member requests the loads of these replicas only, or of all."""
         self.members[connection].followed_keys = keys
-        self._index_followers()
+        self._rebuild_follower_index()
 
-    def _index_followers(self) -> None:
+    def _rebuild_follower_index(self) -> None:
         self._followers = {}
         for connection, member in self.members.items():
             for key in member.followed_keys or ():
@@ -95,18 +95,18 @@
 
     def _broadcast_delta(self, region: str, pool: str, frame: bytes) -> None:
         """Sends to all members except those that wait for the pool's cut, which will contain the delta."""
-        relayed = frames.pack(messages.RelayedFrame(region, frame))
+        relayed_frame = frames.pack(messages.RelayedFrame(region, frame))
         for connection, member in list(self.members.items()):
             if (region, pool) not in member.pending_cuts:
-                self._send(connection, relayed)
+                self._send(connection, relayed_frame)
 
     def _broadcast_loads(self, region: str, message: messages.ReplicaLoads, frame: bytes) -> None:
-        relayed = None
+        relayed_frame = None
         rows_by_member = self._rows_by_member(message)
         for connection, member in list(self.members.items()):
             if member.followed_keys is None:
-                relayed = relayed or frames.pack(messages.RelayedFrame(region, frame))
-                self._send(connection, relayed)
+                relayed_frame = relayed_frame or frames.pack(messages.RelayedFrame(region, frame))
+                self._send(connection, relayed_frame)
             elif connection in rows_by_member:
                 self._send_loads(connection, region, message._replace(load_rows=rows_by_member[connection]))
 
@@ -184,14 +184,14 @@
     def send(self) -> None:
         """Sends cuts as the mirrors are now, up to the bytes of one tick."""
         self.budget_bytes = min(MAX_CUT_BYTES_PER_TICK, self.budget_bytes + MAX_CUT_BYTES_PER_TICK)
-        for connection, region, pool in self._due():
-            cut = self._cut(region, pool)
+        for connection, region, pool in self._pop_due():
+            cut = self._make_cut(region, pool)
             if cut is not None:
                 frame = frames.pack(messages.RelayedFrame(region, frames.pack(cut)))
                 connection.send_bytes(frame)
                 self.budget_bytes -= len(frame)
 
-    def _due(self) -> Iterator[tuple[peer_connection.PeerConnection, str, str]]:
+    def _pop_due(self) -> Iterator[tuple[peer_connection.PeerConnection, str, str]]:
         while self.pending and self.budget_bytes > 0:
             connection, region, pool = self.pending.popleft()
             member = self._members.get(connection)
@@ -199,6 +199,6 @@
                 member.pending_cuts.discard((region, pool))
                 yield connection, region, pool
 
-    def _cut(self, region: str, pool: str) -> messages.PoolCut | None:
+    def _make_cut(self, region: str, pool: str) -> messages.PoolCut | None:
         found = self._mirrors[region].pools.get(pool)
         return found.cut() if found is not None and found.buckets else None
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -26,7 +26,7 @@
 from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
-LARGE_ZONE_INTERVALS = 2  # intervals between two reports in a zone with several digests
+LARGE_ZONE_INTERVAL_FACTOR = 2  # intervals between two reports in a zone with several digests
 TICKS_PER_CONTACT = 80  # reports in a contactMs, in a zone of one digest
 
 JoinMessage = messages.Subscribe | messages.JoinDigest | messages.JoinGateway
@@ -195,7 +195,7 @@
         """Seconds between two calls of `tick`: twice as many where the zone has several digests."""
         second = singleton_roles.digest_name(zone=self._settings().zone, number=1)
         _epoch, address, _incarnation = self._roles.get(second, (0, "", ""))
-        return self._contact_s / TICKS_PER_CONTACT * (LARGE_ZONE_INTERVALS if address else 1)
+        return self._contact_s / TICKS_PER_CONTACT * (LARGE_ZONE_INTERVAL_FACTOR if address else 1)
 
     @property
     def is_idle(self) -> bool:
--- a/ploverward/data_plane/load_reports/relay_role.py
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -55,11 +55,11 @@
         """The singleton role has this owner now, under this epoch."""
         is_owner = (address, incarnation) == (self._settings().ip, self._incarnation)
         if self.host is not None and (not is_owner or self.host.epoch != epoch):
-            self._end()
+            self._stop()
         if is_owner and self.host is None:
-            self._begin(epoch)
+            self._start(epoch)
 
-    def _begin(self, epoch: int) -> None:
+    def _start(self, epoch: int) -> None:
         region = self._settings().region
         self.host = hosts.Host(region=region, epoch=epoch, now=self._now, suspicion_s=self._contact_s / 4)
         self.sync()
@@ -72,7 +72,7 @@
             trust_s=self._contact_s,
         )
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         host, self.host = self.host, None
         for connection in list(host.subscribers) if host is not None else ():
             connection.close(reason="the relay is another's")
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -22,7 +22,7 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS = 4000  # prompts in one report; later ones are omitted
+MAX_READS_PER_REPORT = 4000  # prompts in one report; later ones are omitted
 MAX_UNACKNOWLEDGED_REPORTS = 1000  # for each region; without credits, a later checkpoint starts again
 
 
@@ -64,8 +64,8 @@
 
     def __init__(self, *, now: Callable[[], float], regions: Iterable[str], suspicion_s: float) -> None:
         self._now = now
-        self._names = tuple(regions)
-        self._regions = {name: index for index, name in enumerate(self._names)}
+        self._region_names = tuple(regions)
+        self._region_indexes = {name: index for index, name in enumerate(self._region_names)}
         self._suspicion_s = suspicion_s
         self._number = 0
         self._dirty: dict[bytes, replica_table.Replica] = {}
@@ -73,10 +73,10 @@
         self._reported: dict[bytes, RegionLoad] = {}  # as of the last report; replicas without load are omitted
         self._outcomes: dict[bytes, OutcomeCounts] = {}
         self._reads: list[bytes] = []
-        self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._names]
-        self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._names]
+        self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._region_names]
+        self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._region_names]
         self.on_change: Callable[[], object] = lambda: None
-        self._lost = set(self._names)  # regions whose published loads contain nothing of ours
+        self._lost_regions = set(self._region_names)  # regions whose published loads contain nothing of ours
 
     def record_attempt(self, *, replica: replica_table.Replica, kind: int) -> None:
         """An attempt at this replica was sent, or its state changed.
@@ -120,12 +120,12 @@
             parts: (name, tokens) of each part, from the front of the prompt.
             salt: the value of X-Model, where it names an adapter: parts of different adapters are never the same.
         """
-        if len(self._reads) >= MAX_READS or replica.region not in self._regions:
+        if len(self._reads) >= MAX_READS_PER_REPORT or replica.region not in self._region_indexes:
             return
         self._reads.append(
             row_codec.pack_read(
                 replica=row_codec.key_of(replica.id),
-                region=self._regions[replica.region],
+                region=self._region_indexes[replica.region],
                 domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
                 parts=tuple(
                     (cuckoo_filter.token_hash(model=salt or model, part=part, tokens=tokens), tokens)
@@ -140,17 +140,17 @@
         self._end_suspicions()
         changed = {}
         for key, replica in self._dirty.items():
-            row = self._row(key, replica)
+            row = self._current_load(key, replica)
             reported = self._reported.get(key)
             if (row != reported) if reported is not None else (row.load != NO_LOAD):
                 changed[key] = row
-                self._note_reported(key, row)
+                self._set_reported(key, row)
             elif key in self._outcomes:
                 changed[key] = row  # names the region
         self._dirty = {}
         if not changed and not self._reads and not self._outcomes:
             return None
-        return self._report(changed, is_snapshot=False)
+        return self._make_report(changed, is_snapshot=False)
 
     def checkpoint(self, *, replicas: Iterable[replica_table.Replica]) -> messages.LoadReport:
         """The complete state, for a digest that knows nothing of this proxy.
@@ -163,32 +163,32 @@
         self._reported = {}
         for pending in self._pending:
             pending.clear()
-        self._lost = set(self._names)
+        self._lost_regions = set(self._region_names)
         for replica in replicas:
             key = row_codec.key_of(replica.id)
-            self._note_reported(key, self._row(key, replica))
-        return self._report(dict(self._reported), is_snapshot=True)
+            self._set_reported(key, self._current_load(key, replica))
+        return self._make_report(dict(self._reported), is_snapshot=True)
 
-    def _row(self, key: bytes, replica: replica_table.Replica) -> RegionLoad:
+    def _current_load(self, key: bytes, replica: replica_table.Replica) -> RegionLoad:
         load = LoadCounts(
             row_codec.short(replica.running),
             row_codec.long(sum(replica.prefill_tokens.values())),
             int(key in self._suspected),
         )
-        return RegionLoad(self._regions.get(replica.region, UNKNOWN_REGION), load)
+        return RegionLoad(self._region_indexes.get(replica.region, UNKNOWN_REGION), load)
 
     def _end_suspicions(self) -> None:
         now = self._now()
         for key in [key for key, suspicion in self._suspected.items() if suspicion.until_s <= now]:
             self._dirty[key] = self._suspected.pop(key).replica
 
-    def _note_reported(self, key: bytes, row: RegionLoad) -> None:
+    def _set_reported(self, key: bytes, row: RegionLoad) -> None:
         if row.load == NO_LOAD:
             self._reported.pop(key, None)
         else:
             self._reported[key] = row
 
-    def _report(self, changed: dict[bytes, RegionLoad], *, is_snapshot: bool) -> messages.LoadReport:
+    def _make_report(self, changed: dict[bytes, RegionLoad], *, is_snapshot: bool) -> messages.LoadReport:
         self._number += 1
         outcomes, self._outcomes = self._outcomes, {}
         reads, self._reads = self._reads, []
@@ -208,7 +208,7 @@
 
     def credit(self, *, region: str, number: int) -> None:
         """The loads that this region's relay publishes contain our reports up to this number."""
-        index = self._regions.get(region)
+        index = self._region_indexes.get(region)
         if index is None:
             return
         pending, counted = self._pending[index], self._counted[index]
@@ -221,14 +221,14 @@
                     counted.pop(key, None)
                 else:
                     counted[key] = load
-        self._lost.discard(region)
+        self._lost_regions.discard(region)
 
     def mark_lost(self, *, region: str) -> None:
         """The published loads of this region contain nothing of ours until the next credit."""
-        self._lost.add(region)
+        self._lost_regions.add(region)
 
     def counted(self, replica: replica_table.Replica) -> LoadCounts:
         """The part of the replica's published load that is ours."""
-        if replica.region in self._lost or replica.region not in self._regions:
+        if replica.region in self._lost_regions or replica.region not in self._region_indexes:
             return NO_LOAD
-        return self._counted[self._regions[replica.region]].get(row_codec.key_of(replica.id), NO_LOAD)
+        return self._counted[self._region_indexes[replica.region]].get(row_codec.key_of(replica.id), NO_LOAD)
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -390,7 +390,7 @@
         load = recording_connections.load_row("i0", running=number, ended=1)
         read = recording_connections.read_row("i0", (f"p{number}", 5))
         sums.handle_report("p1", messages.LoadReport(number, load, read))
-        sums.discard(region="north")
+        sums.discard_reads_and_outcomes(region="north")
     _number, loads, reads = sums.checkpoint(region="north")
     (row,) = row_codec.rows(shape=row_codec.REPORTED, data=loads)
     assert row[2] == 49 and row[5:] == (0, 0) and reads == b""
--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -13,7 +13,7 @@
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
-    assert not zones.relay("south").gateway.digest.is_connected  # without members it keeps no streams
+    assert not zones.relay("south").gateway.digest.has_relay_streams  # without members it keeps no streams
     zones.work(seed=21)
     zones.converge()
 
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -21,7 +21,7 @@
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     for _ip, node in zones.nodes.items():
         if node.settings.zone == "za" and node is not owner:
-            assert node.is_member and not node.digest.is_connected
+            assert node.is_member and not node.digest.has_relay_streams
     assert len(zones.nodes[zones.singleton_roles["relay/north"][1]].relay.subscribers) == 2  # one for each zone
     zones.nodes[zone_proxies.address(1)].end(
         next(name for name in ("i0", "i1", "i2") if zones.nodes[zone_proxies.address(1)].table.replicas[name].running)
@@ -36,7 +36,7 @@
     former = zones.digest()
     zones.stop(former)
     zones.converge()  # before anybody named another one: each is its own digest
-    assert all(node.digest.is_connected for ip, node in zones.nodes.items() if ip in zones.live)
+    assert all(node.digest.has_relay_streams for ip, node in zones.nodes.items() if ip in zones.live)
     zones.assign_roles()
     assert zones.digest() != former
     zones.work(seed=3)
@@ -64,7 +64,7 @@
         epochs.extend(known.zone_epoch for known in relay.subscribers.values() if known.zone == "digest/za")
         return any(
             link is None or not link.is_open
-            for link in [connector.link for connector in former.digest.streams().values()]
+            for link in [connector.link for connector in former.digest.relay_connectors().values()]
         )
 
     assert loopback.until(zones.loop, refused)
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -26,11 +26,11 @@
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
-SOLO_DELAY_SHARE = (
+DIGEST_WAIT_TIMEOUT_FRACTIONS = (
     0.25,
     0.75,
 )  # of the peer time-out: how long a proxy waits for its zone's digest before it reports directly
-SOLO_TIMER_MARGIN = 1.01  # the timer fires after the time until which the proxy waits
+DIGEST_WAIT_TIMER_FACTOR = 1.01  # the timer fires after the time until which the proxy waits
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,8 +85,8 @@
         self.digest = self._new_digest(digests.DigestIdentity(region=own.region, zone=own.zone))
         self.membership: _Membership | None = None
         self._followed_keys: frozenset[bytes] | None = None  # as the digest knows them; None: all
-        self._solo_from_s = loop.now() + peer_timeout_s * random.uniform(*SOLO_DELAY_SHARE)
-        loop.after(delay=peer_timeout_s * SOLO_DELAY_SHARE[1], callback=self._on_solo_timer)
+        self._wait_for_digest_until_s = loop.now() + peer_timeout_s * random.uniform(*DIGEST_WAIT_TIMEOUT_FRACTIONS)
+        loop.after(delay=peer_timeout_s * DIGEST_WAIT_TIMEOUT_FRACTIONS[1], callback=self._handle_digest_wait_timeout)
 
     @property
     def is_joined(self) -> bool:
@@ -123,7 +123,7 @@
             for name, (epoch, owner, incarnation) in roles.items()
             if owner and singleton_roles.is_digest_of(name=name, zone=own.zone)
         }
-        mine = min(
+        own_role = min(
             (
                 name
                 for name, (_epoch, owner, incarnation) in assigned.items()
@@ -131,17 +131,17 @@
             ),
             default="",
         )
-        self._own_digest(mine, assigned[mine][0] if mine else 0)
-        others = [name for name, (_epoch, owner, _incarnation) in assigned.items() if owner != own.ip]
-        if mine or not others:
-            self._join("", None)
+        self._update_own_digest(own_role, assigned[own_role][0] if own_role else 0)
+        other_roles = [name for name, (_epoch, owner, _incarnation) in assigned.items() if owner != own.ip]
+        if own_role or not other_roles:
+            self._update_membership("", None)
         else:
-            name = singleton_roles.digest_for(names=others, address=own.ip)
+            name = singleton_roles.digest_for(names=other_roles, address=own.ip)
             epoch, address, _incarnation = assigned[name]
-            self._join(name, RoleOwner(epoch=epoch, address=address))
+            self._update_membership(name, RoleOwner(epoch=epoch, address=address))
         self._connect_to_relays()
 
-    def _own_digest(self, role: str, epoch: int) -> None:
+    def _update_own_digest(self, role: str, epoch: int) -> None:
         """Replaces the digest, for another role or epoch or none: members join again with their complete loads."""
         if (role, epoch) == (self.role, self.digest.identity.epoch):
             return
@@ -152,7 +152,7 @@
         own = self._settings()
         self.digest = self._new_digest(digests.DigestIdentity(region=own.region, zone=role or own.zone, epoch=epoch))
 
-    def _join(self, role: str, owner: RoleOwner | None) -> None:
+    def _update_membership(self, role: str, owner: RoleOwner | None) -> None:
         former = self.membership
         if (former.role, former.connection.owner) == (role, owner) if former is not None else owner is None:
             return
@@ -161,8 +161,8 @@
             self.membership = None
         if owner is None:
             return
-        if not self.digest.is_connected:
-            self._wait_for_digest()
+        if not self.digest.has_relay_streams:
+            self._start_digest_wait()
         connection = DigestConnection(
             connector_factory=self._connector_factory,
             owner=owner,
@@ -171,13 +171,13 @@
         )
         self.membership = _Membership(role, connection)
 
-    def _wait_for_digest(self) -> None:
+    def _start_digest_wait(self) -> None:
         """Many proxies that lose or find a digest at once must not all connect to the relays."""
-        delay = self._peer_timeout_s * random.uniform(*SOLO_DELAY_SHARE)
-        self._solo_from_s = self._loop.now() + delay
-        self._loop.after(delay=delay * SOLO_TIMER_MARGIN, callback=self._on_solo_timer)
+        delay = self._peer_timeout_s * random.uniform(*DIGEST_WAIT_TIMEOUT_FRACTIONS)
+        self._wait_for_digest_until_s = self._loop.now() + delay
+        self._loop.after(delay=delay * DIGEST_WAIT_TIMER_FACTOR, callback=self._handle_digest_wait_timeout)
 
-    def _on_solo_timer(self) -> None:
+    def _handle_digest_wait_timeout(self) -> None:
         if not self.is_joined:
             self._connect_to_relays()
 
@@ -201,15 +201,15 @@
 
     def on_region_lost(self, region: str, _connection: peer_connection.PeerConnection) -> None:
         """The digest lost the stream of a region's relay."""
-        self._lose_region(region)
+        self._handle_region_loss(region)
 
     def on_left(self) -> None:
         """The digest disconnected."""
         for region in self._mirrors:
-            self._lose_region(region)
-        self._wait_for_digest()
+            self._handle_region_loss(region)
+        self._start_digest_wait()
 
-    def _lose_region(self, region: str) -> None:
+    def _handle_region_loss(self, region: str) -> None:
         if region in self._mirrors:
             self._mirrors[region].fail()
         self._source.mark_lost(region=region)
@@ -229,8 +229,8 @@
         if self.is_joined:
             return
         is_owner = bool(self.role)
-        is_first = not self.digest.is_connected
-        if not is_owner and is_first and self._loop.now() < self._solo_from_s:
+        is_first = not self.digest.has_relay_streams
+        if not is_owner and is_first and self._loop.now() < self._wait_for_digest_until_s:
             return
         own = self._settings().region
         for region, owner in self._relays.items():
@@ -239,7 +239,7 @@
         if is_owner:
             others = [region for region in self._region_names if region != own]
             self.digest.follow_gateway(owner=self._relays.get(own), regions=others)
-        if is_first and self.digest.is_connected:
+        if is_first and self.digest.has_relay_streams:
             self.digest.remove_own_report()
             self.digest.handle_own_report(self._source.checkpoint(replicas=self._replicas_in_use()))
 
