--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -1,8 +1,10 @@
-"""Aggregates of the reports of a digest's members (docs/digest.md 2, 3).
+"""Aggregates of the load reports of a digest's members (docs/digest.md 2, 3).
 
-`LoadAggregates` owns each member's newest loads and, for each region, their sum and what its relay was not yet sent.
-Invariant: a region's total is the sum of the members' newest loads there. A digest is no actor: it sums loads and
-forwards reads; exact ownership of prompt parts is in the relay's actors alone.
+`LoadAggregates` owns each member's newest loads and, for each region, their sum and the changes that its relay has not
+been sent. Invariant: a region's total is the sum of the members' newest loads there.
+
+A read is a prompt that a replica processed, so that the prompt's parts are in its cache. A digest only sums loads and
+forwards reads; only the relay's actors keep the exact ownership of prompt parts.
 """
 
 import collections
@@ -20,34 +22,34 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_QUEUED_READS = 20000  # prompts queued for one region's relay; later ones are dropped
-MAX_UNACKNOWLEDGED_BATCHES = 2000  # for each region; the members of older ones receive no credit
+MAX_QUEUED_READS = 20000  # reads queued for one region's relay; further ones are dropped
+MAX_UNACKNOWLEDGED_BATCHES = 2000  # per region; the members of older batches receive no credit
 
 
-_NO_TOTAL = LoadTotal()  # never changed
+_NO_TOTAL = LoadTotal()  # shared; must not be modified
 
 MemberT = typing.TypeVar("MemberT", bound=Hashable)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PendingBatch(typing.Generic[MemberT]):
-    """A batch that the region's relay has not acknowledged."""
+    """A batch that the region's relay has not acknowledged yet."""
 
     number: int
-    report_numbers: dict[MemberT, int]  # member: its newest report in the batch
+    report_numbers: dict[MemberT, int]  # number of the newest report in the batch, by member
 
 
 class _RegionAggregates(typing.Generic[MemberT]):
-    """What is known of one region's replicas, and what its relay is still to be sent."""
+    """Loads of one region's replicas, and the changes that its relay has not been sent."""
 
     __slots__ = ("changed", "index", "outcomes", "pending", "reads", "reporters", "totals")
 
     def __init__(self, *, index: int) -> None:
         self.index = index
         self.totals: dict[bytes, LoadTotal] = {}  # by replica key
-        self.changed: set[bytes] = set()
+        self.changed: set[bytes] = set()  # keys of the replicas whose rows are in the next batch
         self.outcomes: dict[bytes, OutcomeCounts] = {}
-        self.reads: dict[bytes, bool] = {}  # in order; the same chain at the same replica counts once
+        self.reads: dict[bytes, bool] = {}  # an ordered set: the same chain at the same replica is sent once
         self.reporters: set[MemberT] = set()  # members whose reports are in the next batch
         self.pending: collections.deque[_PendingBatch[MemberT]] = collections.deque()
 
@@ -67,7 +69,7 @@
         self.changed.add(key)
 
     def drain(self, keys: Iterable[bytes]) -> tuple[bytes, bytes]:
-        """The rows of these replicas and all queued reads; the queue is empty afterwards."""
+        """Returns the rows of these replicas and all queued reads, and clears the changes, reads and outcomes."""
         rows = b"".join([self._pack_row(key) for key in keys])
         reads = b"".join(self.reads)
         self.changed = set()
@@ -98,7 +100,7 @@
 
 
 class LoadAggregates(typing.Generic[MemberT]):
-    """Sums the members' reports for each region, in numbered batches."""
+    """Sums the members' reports for each region and makes numbered batches of the changes."""
 
     def __init__(self, *, regions: Iterable[str]) -> None:
         names = tuple(regions)
@@ -106,20 +108,23 @@
             _RegionAggregates(index=index) for index in range(len(names))
         ]
         self._by_name = dict(zip(names, self._regions, strict=True))
-        self._loads: dict[MemberT, dict[bytes, RegionLoad]] = {}  # member: its loads by replica key
-        self._numbers: dict[MemberT, int] = {}  # member: its newest report
-        self._batch_number = 0  # over all regions
+        self._loads: dict[MemberT, dict[bytes, RegionLoad]] = {}  # by member and replica key
+        self._numbers: dict[MemberT, int] = {}  # number of the newest report, by member
+        self._batch_number = 0  # of the last batch, counted over all regions
 
     def handle_report(self, member: MemberT, report: messages.LoadReport) -> None:
-        """A member's report replaces what it reported earlier of the same replicas.
+        """Replaces what the member reported earlier about the same replicas.
 
         Raises:
-            FrameError: it is malformed, or not newer than the last one; nothing was changed.
+            FrameError: The report is malformed or not newer than the member's last one; nothing was changed.
         """
         rows = row_codec.rows(shape=row_codec.REPORTED, data=report.load_rows)
         reads = row_codec.split_reads(data=report.read_rows)
         if report.number <= self._numbers.get(member, 0):
-            raise errors.FrameError(f"report {report.number} after {self._numbers[member]}", step="report")
+            raise errors.FrameError(
+                f"report number {report.number} is not greater than the last one, {self._numbers[member]}",
+                step="report",
+            )
         member_loads = self._loads.setdefault(member, {})
         self._numbers[member] = report.number
         for key, region, running, prefill_tokens, suspect_count, ended, failed in rows:
@@ -153,7 +158,7 @@
             self._regions[region].replace_load(key, before=before, load=load)
 
     def remove(self, member: MemberT) -> None:
-        """The member disconnected, or reports elsewhere: its loads are withdrawn."""
+        """Withdraws the loads of a member that disconnected or reports elsewhere."""
         for key, (region, load) in self._loads.pop(member, {}).items():
             self._regions[region].replace_load(key, before=load, load=NO_LOAD)
         self._numbers.pop(member, None)
@@ -161,14 +166,17 @@
             aggregates.reporters.discard(member)
 
     def next_batch(self, *, region: str) -> messages.Aggregates | None:
-        """What changed for this region's relay since the last batch; None where nothing did."""
+        """Returns the changes for this region's relay since the last batch, or None if there are none."""
         aggregates = self._by_name[region]
         if not aggregates.changed and not aggregates.reads and not aggregates.reporters:
             return None
         return self._make_batch(aggregates, aggregates.changed)
 
     def checkpoint(self, *, region: str) -> messages.Aggregates:
-        """The complete total, for a relay that knows nothing of this digest."""
+        """Returns the complete totals of a region, for a relay that has no state of this digest.
+
+        Its acknowledgement credits all members, so earlier batches need none.
+        """
         aggregates = self._by_name[region]
         aggregates.pending.clear()
         aggregates.reporters = set(self._numbers)
@@ -185,14 +193,14 @@
         return messages.Aggregates(self._batch_number, rows, reads)
 
     def discard_reads_and_outcomes(self, *, region: str) -> None:
-        """No relay can be sent this region's reads and outcomes now: they are dropped, but the loads kept."""
+        """Drops the region's queued reads and outcomes while its relay is unreachable; loads are kept."""
         self._by_name[region].discard_reads_and_outcomes()
 
     def acknowledge(self, *, region: str, number: int) -> dict[MemberT, int]:
-        """The region's relay counted our batches up to this number.
+        """Handles the acknowledgement that the region's relay counted the batches up to this number.
 
         Returns:
-            For each member with a report in them, the number of its newest one.
+            The number of the newest report in these batches, by member.
         """
         pending = self._by_name[region].pending
         credits: dict[MemberT, int] = {}
@@ -201,6 +209,6 @@
         return credits
 
     def total(self, *, region: str, key: bytes) -> LoadCounts:
-        """The sum of all members' loads of this replica."""
+        """Returns the sum of all members' loads of this replica."""
         total = self._by_name[region].totals.get(key)
         return total.counts() if total is not None else NO_LOAD
--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -1,12 +1,12 @@
-"""A digest: sums its members' load reports for the relays, and forwards to the members what the relays publish.
+"""A digest, which sums its members' load reports for the relays and forwards the relays' publications to its members.
 
 The same code runs in three places (docs/scale.md 3): in a proxy that is its own digest, in the owner of a zone's
 digest, and in the gateway of a region, whose members are digests and which keeps the streams to the other regions'
 relays.
 
-A `Digest` owns the streams to the relays, the members and their aggregates. It reaches each region by a stream of its
-own or through the gateway. Invariant: a stream starts with a checkpoint, so a relay never adds a batch to another
-digest's.
+A `Digest` owns the streams to the relays, the members and their aggregates. It reaches each region through a stream of
+its own or through the gateway. Invariant: a stream starts with a checkpoint, so a relay never adds a batch to the state
+of another digest.
 """
 
 import dataclasses
@@ -28,7 +28,7 @@
 
 
 class OwnNode(enum.Enum):
-    """The proxy itself, as a member of its own digest."""
+    """Type of the key under which a proxy is a member of its own digest; other members are keyed by connection."""
 
     OWN = "own"
 
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DigestIdentity:
-    """How a digest identifies itself to relays and gateways."""
+    """Identity that a digest sends to relays and gateways."""
 
     region: str
-    zone: str  # its zone, or the name of its singleton role
-    epoch: int = 0  # of the singleton role; 0: it serves this proxy alone
+    zone: str  # name of the digest's zone, or of its singleton role
+    epoch: int = 0  # of the singleton role; 0 if the digest serves this proxy alone
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,14 +52,15 @@
 
 
 class Digest:
-    """Aggregates, members and streams.
+    """Connects members with the relays: reports go up in batches, publications come down.
 
     Args:
-        identity: under which it subscribes.
-        connector_factory: connects to relays and gateways.
-        mirrors: by region; the digest installs what the relays publish.
-        on_credit: called with (region, number) when a relay counted this proxy's own reports up to that number.
-        on_region_lost: called with the region whose stream broke.
+        identity: Identity under which the digest subscribes.
+        connector_factory: Connects to relays and gateways.
+        regions: Names of all regions.
+        mirrors: Mirrors by region, in which the digest installs what the relays publish.
+        on_credit: Called with (region, number) when a relay counted this proxy's own reports up to that number.
+        on_region_lost: Called with the region whose stream broke.
     """
 
     def __init__(
@@ -89,15 +90,15 @@
     # Streams to relays.
     @property
     def has_relay_streams(self) -> bool:
-        """Whether it keeps streams to relays."""
+        """Whether this digest keeps streams of its own to relays, connected or being connected."""
         return bool(self._streams)
 
     def relay_connectors(self) -> dict[str, peer_connection.Connector]:
-        """Region: the connector to its relay."""
+        """Returns the connectors to relays by region."""
         return {region: stream.connector for region, stream in self._streams.items()}
 
     def follow_relay(self, *, region: str, owner: RoleOwner) -> None:
-        """Keeps a stream to this region's relay."""
+        """Keeps a stream to this region's relay; a stream to another owner of its role is replaced."""
         stream = self._streams.get(region)
         if stream is not None and stream.owner == owner:
             return
@@ -116,7 +117,7 @@
         self._streams.pop(region).connector.stop()
 
     def stop(self) -> None:
-        """Ends all streams, but keeps the members."""
+        """Ends all streams to relays and the gateway, but keeps the members."""
         for region in list(self._streams):
             self._stop_stream(region)
         self.follow_gateway(owner=None, regions=())
@@ -138,12 +139,12 @@
 
     def _handle_stream_end(self, region: str, owner: RoleOwner) -> None:
         stream = self._streams.get(region)
-        if stream is not None and stream.owner == owner:  # else it was stopped by this node
+        if stream is not None and stream.owner == owner:  # otherwise this node stopped the stream itself
             self._handle_region_loss(region)
 
-    # The gateway of this region: streams to the other regions' relays.
+    # The gateway of this region, which keeps the streams to the other regions' relays.
     def follow_gateway(self, *, owner: RoleOwner | None, regions: Iterable[str]) -> None:
-        """Reaches these regions through this gateway, or through none."""
+        """Joins this owner's gateway for these regions, or leaves the present gateway if there is no owner."""
         gateway = self._gateway
         if (gateway.owner if gateway is not None else None) == owner:
             return
@@ -162,7 +163,7 @@
             )
 
     def on_joined(self, connection: peer_connection.PeerConnection) -> None:
-        """The gateway admitted this digest."""
+        """Sends checkpoints to the gateway that admitted this digest."""
         for region in self._gateway_regions:
             self._send_checkpoint(region, connection)
 
@@ -170,17 +171,17 @@
         connection.send(messages.LoadReport(*self.aggregates.checkpoint(region=region)))
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
-        """The gateway forwarded a frame of another region's relay."""
+        """Handles a frame of another region's relay that the gateway forwarded."""
         if region in self._gateway_regions:
             self._handle_publication(region, connection, frames.unpack(frame), frame)
 
     def on_credit(self, region: str, number: int) -> None:
-        """The relay of another region counted our reports to the gateway up to this number."""
+        """Credits the members for what another region's relay counted of this digest's reports to the gateway."""
         if region in self._gateway_regions:
             self._credit(region, number)
 
     def _credit(self, region: str, number: int) -> None:
-        """Credits each member with those of its reports that are in the batches that the region's relay counted."""
+        """Credits each member with its newest report in the batches that the region's relay counted."""
         for member, report_number in self.aggregates.acknowledge(region=region, number=number).items():
             if member is OWN:
                 self._on_own_credit(region, report_number)
@@ -188,23 +189,23 @@
                 member.send(messages.ReportCredited(region, report_number))
 
     def on_region_lost(self, region: str, connection: peer_connection.PeerConnection) -> None:
-        """The gateway lost its stream of another region's relay."""
+        """Handles the loss of the gateway's stream to another region's relay."""
         if region in self._gateway_regions:
             self._handle_region_loss(region)
-            # The region's next relay counts all members again, also those for which nothing changes.
+            # The region's next relay starts without state, so it needs all members' loads, also the unchanged ones.
             self._send_checkpoint(region, connection)
 
     def on_left(self) -> None:
-        """The connection to the gateway ended."""
-        if self._gateway is not None:  # else it was stopped by this node
+        """Handles the end of the connection to the gateway."""
+        if self._gateway is not None:  # otherwise this node left the gateway itself
             for region in self._gateway_regions:
                 self._handle_region_loss(region)
 
-    # What relays publish.
+    # Publications of relays.
     def _handle_publication(
         self, region: str, connection: peer_connection.PeerConnection, message: tuple, frame: bytes
     ) -> None:
-        """Installs what a relay published, and forwards it to the members."""
+        """Installs what a relay published and forwards it to the members; cuts are queued."""
         if not install_publication(self.mirrors[region], message, connection):
             return
         if isinstance(message, messages.PoolCut):
@@ -219,7 +220,7 @@
 
     # Members.
     def admit(self, connection: peer_connection.PeerConnection, *, address: str) -> None:
-        """A member joins: it is sent the complete state of this digest."""
+        """Admits a member and sends it the complete state of this digest; cuts of pools are queued."""
         self.fanout.admit(connection, address=address)
         connection.send(messages.DigestJoined(self.identity.epoch))
         for region, region_mirror in self.mirrors.items():
@@ -232,37 +233,37 @@
                 self.cuts.add(connection, region, pool)
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
-        """A member requests the loads of these replicas only, or of all; it is sent the present ones."""
+        """Sets the replicas whose loads the member is sent (None: all), and sends it their present loads."""
         self.fanout.follow(connection, keys=keys)
         for region, region_mirror in self.mirrors.items():
             if region_mirror.broken_at is None:
                 self.fanout.send_load(connection, region=region, message=region_mirror.load_snapshot())
 
     def handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
-        """A member's report. Raises `FrameError` where it is malformed or not newer than the last one."""
+        """Adds a member's report; raises `FrameError` if it is malformed or not newer than the last one."""
         self.aggregates.handle_report(connection, message)
 
     def handle_own_report(self, report: messages.LoadReport) -> None:
-        """A report of this proxy itself."""
+        """Adds a report of this proxy itself."""
         self.aggregates.handle_report(OWN, report)
 
     def remove_own_report(self) -> None:
-        """This proxy reports elsewhere now."""
+        """Withdraws this proxy's own loads, because it reports elsewhere now."""
         self.aggregates.remove(OWN)
 
     def remove(self, connection: peer_connection.PeerConnection) -> None:
-        """A connection ended; where it was a member's, its loads are withdrawn."""
+        """Handles the end of a connection; if it was a member's, the member's loads are withdrawn."""
         if self.fanout.remove(connection):
             self.aggregates.remove(connection)
 
     def close_members(self, *, reason: str) -> None:
-        """Ends all members' connections."""
+        """Closes all members' connections."""
         for connection in list(self.fanout.members):
             connection.close(reason=reason)
 
     # Periodic work.
     def tick(self) -> None:
-        """Sends what changed. Reads and outcomes that no relay can be sent now are dropped."""
+        """Sends the changes; reads and outcomes for an unreachable relay are dropped."""
         for region in self.mirrors:
             self._send_batch(region)
         self.cuts.send()
@@ -282,7 +283,7 @@
             connection.send(batch if stream is not None else messages.LoadReport(*batch))
 
     def send_heartbeats(self) -> None:
-        """Shows the relays, the gateway and the members that this node is running."""
+        """Sends heartbeats to the relays, the gateway and the members."""
         connectors = [stream.connector for stream in self._streams.values()]
         if self._gateway is not None:
             connectors.append(self._gateway.connector)
@@ -293,6 +294,6 @@
 
 
 def send_heartbeat(connection: peer_connection.PeerConnection | None) -> None:
-    """Shows that this node is running where there is a connection that is up."""
+    """Sends a heartbeat if there is a connection and it is up."""
     if connection is not None and connection.is_up:
         connection.keep_alive()
--- a/ploverward/data_plane/load_reports/digest_connection.py
+++ b/ploverward/data_plane/load_reports/digest_connection.py
@@ -1,8 +1,8 @@
-"""This node as a member of a digest elsewhere: of its zone's, or of the gateway of its region (docs/digest.md 4).
+"""Membership of this node in a remote digest: its zone's, or the gateway of its region (docs/digest.md 4).
 
-A `DigestConnection` owns the connection to one owner of the singleton role. It is connecting, then connected (the join
-message is sent at once), then joined (the digest confirmed it). Invariant: nothing that arrives before the digest's
-`DigestJoined`, or on an older connection, is passed to `MemberEvents`.
+A `DigestConnection` owns the connection to one owner of the digest's singleton role. It is connecting, then connected
+(the join message is sent at once), then joined (the digest confirmed it). Invariant: nothing that arrives before the
+digest's `DigestJoined`, or on an older connection, is passed to `MemberEvents`.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleOwner:
-    """Who owns the singleton role of a relay or a digest."""
+    """Owner of the singleton role of a relay or a digest."""
 
     epoch: int
     address: str
@@ -38,7 +38,7 @@
     def connect(
         self, address: str, *, on_up: Callable, on_message: Callable, on_end: Callable
     ) -> peer_connection.Connector:
-        """A connector that keeps a connection to this address until it is stopped."""
+        """Returns a connector that keeps a connection to this address until it is stopped."""
         return peer_connection.Connector(
             loop=self._loop,
             address=(address, self._port),
@@ -50,26 +50,33 @@
 
 
 class MemberEvents(typing.Protocol):
-    """Callbacks of a member for what its digest sends."""
+    """Callbacks of a member for the messages of its digest."""
 
     def on_joined(self, connection: peer_connection.PeerConnection) -> None:
-        """The digest admitted this member, and knows nothing of it yet."""
+        """Called when the digest admitted this member; it has no state of the member yet."""
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
-        """A frame that this region's relay published."""
+        """Called with a frame that this region's relay published."""
 
     def on_credit(self, region: str, number: int) -> None:
-        """The loads that the region's relay publishes contain this member's reports up to this number."""
+        """Called when the loads that the region's relay publishes include this member's reports up to this number."""
 
     def on_region_lost(self, region: str, connection: peer_connection.PeerConnection) -> None:
-        """The digest lost its stream of this region's relay."""
+        """Called when the digest lost its stream to this region's relay."""
 
     def on_left(self) -> None:
-        """A connection that had joined ended."""
+        """Called when a connection that had joined ended."""
 
 
 class DigestConnection:
-    """A membership in the digest of one owner."""
+    """A membership in the digest of one owner of the singleton role.
+
+    Args:
+        connector_factory: Connects to the owner.
+        owner: Owner of the digest.
+        join_message: First message on each connection.
+        events: Receives the messages of the digest.
+    """
 
     def __init__(
         self,
@@ -96,11 +103,11 @@
 
     @property
     def connection(self) -> peer_connection.PeerConnection | None:
-        """The present connection, None between two."""
+        """The present connection, None while there is none."""
         return self.connector.link
 
     def stop(self) -> None:
-        """Ends the connection; a joined one is reported as left."""
+        """Ends the connection; `on_left` is called if it had joined."""
         self.connector.stop()
 
     def _handle_message(self, connection: peer_connection.PeerConnection, message: tuple) -> None:
@@ -134,10 +141,11 @@
 def install_publication(
     region: mirror.RegionMirror, message: tuple, connection: peer_connection.PeerConnection
 ) -> bool:
-    """Installs what a relay published in the region's mirror.
+    """Installs a relay's publication in the region's mirror.
 
     Returns:
-        Whether it continued the mirror's state. If not, the stream is closed: it starts again with complete state.
+        Whether it continued the mirror's state. If not, the connection is closed, so that the stream starts again with
+        complete state.
     """
     try:
         region.handle_publication(message)
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -1,7 +1,7 @@
-"""Forwards the relays' publications to a digest's members, each by its own bounded queue (docs/digest.md 2).
+"""Distribution of the relays' publications to a digest's members, with a bounded queue per member (docs/digest.md 2).
 
-`Fanout` owns the members and which replicas each follows; `CutQueue` owns the cuts of pools that members are still to
-be sent. Invariant: no member is sent a delta of a pool while a cut of it waits for that member.
+`Fanout` owns the members and the set of replicas that each follows; `CutQueue` owns the queue of pools' cuts for
+members. Invariant: no member is sent a delta of a pool while a cut of that pool is queued for it.
 """
 
 import collections
@@ -17,45 +17,45 @@
 from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
-MAX_CUT_BYTES_PER_TICK = 16 * 1024  # to members: many cuts at once would delay clients' responses on this machine
+MAX_CUT_BYTES_PER_TICK = 16 * 1024  # over all members; many cuts at once would delay clients' responses on this machine
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One member at the other end of a connection."""
+    """State that a digest keeps of one member."""
 
     address: str
-    followed_keys: frozenset[bytes] | None = None  # replicas whose load it is sent; None: all
+    followed_keys: frozenset[bytes] | None = None  # keys of the replicas whose loads it is sent; None: all
     pending_cuts: set[tuple[str, str]] = dataclasses.field(default_factory=set)  # (region, pool)
 
 
 class Fanout:
-    """Sends publications to members.
+    """Forwards publications to members.
 
-    They are forwarded unchanged, except loads: a member that follows some replicas gets the rows of these, and of all
-    full replicas.
+    Frames are forwarded unchanged, except loads: a member that follows only some replicas is sent the rows of these and
+    of all full replicas.
     """
 
     def __init__(self) -> None:
         self.members: dict[peer_connection.PeerConnection, Member] = {}
         self._followers: dict[bytes, list[peer_connection.PeerConnection]] = {}  # by replica key
-        self._full: set[bytes] = set()  # replicas that were published as full
+        self._full: set[bytes] = set()  # keys of the replicas that were last published as full
 
     def admit(self, connection: peer_connection.PeerConnection, *, address: str) -> None:
-        """A newer connection of a member ends the older one."""
+        """Adds a member; an older connection of the same address is closed."""
         for other in [other for other, member in self.members.items() if member.address == address]:
-            other.close(reason="a newer link of the same member")
+            other.close(reason="replaced by a newer connection of the same member")
         self.members[connection] = Member(address=address)
 
     def remove(self, connection: peer_connection.PeerConnection) -> bool:
-        """Whether this was a member's connection."""
+        """Removes a connection; returns whether it was a member's."""
         if self.members.pop(connection, None) is None:
             return False
         self._rebuild_follower_index()
         return True
 
     def follow(self, connection: peer_connection.PeerConnection, *, keys: frozenset[bytes] | None) -> None:
-        """The member requests the loads of these replicas only, or of all."""
+        """Sets the replicas whose loads the member is sent; None: all."""
         self.members[connection].followed_keys = keys
         self._rebuild_follower_index()
 
@@ -77,12 +77,12 @@
         connection.send_bytes(frame)
 
     def forward_publication(self, *, region: str, frame: bytes, message: tuple) -> None:
-        """Sends what the region's relay published to the members that it concerns.
+        """Forwards a publication of the region's relay to the members that it concerns.
 
         Args:
-            region: the relay's.
-            frame: as the relay sent it.
-            message: what the frame contains.
+            region: Region of the relay.
+            frame: The frame as the relay sent it.
+            message: The unpacked frame.
         """
         if not self.members:
             return
@@ -94,7 +94,7 @@
             self.broadcast(frames.pack(messages.RelayedFrame(region, frame)))
 
     def _broadcast_delta(self, region: str, pool: str, frame: bytes) -> None:
-        """Sends to all members except those that wait for the pool's cut, which will contain the delta."""
+        """Sends a delta to all members without a queued cut of the pool; such a cut will contain the delta."""
         relayed_frame = frames.pack(messages.RelayedFrame(region, frame))
         for connection, member in list(self.members.items()):
             if (region, pool) not in member.pending_cuts:
@@ -118,7 +118,7 @@
     def send_load(
         self, connection: peer_connection.PeerConnection, *, region: str, message: messages.ReplicaLoads
     ) -> None:
-        """Sends one member what it follows of a region's loads."""
+        """Sends one member the rows of a load message for the replicas that it follows and for full ones."""
         keys = self.members[connection].followed_keys
         if keys is not None:
             rows = [
@@ -132,7 +132,10 @@
         self._send_loads(connection, region, message)
 
     def _rows_by_member(self, message: messages.ReplicaLoads) -> dict[peer_connection.PeerConnection, bytes]:
-        """Rows of a load frame for each member that follows some replicas; a snapshot concerns all of these."""
+        """Returns the rows of a load message for each member that follows only some replicas.
+
+        Members without rows are omitted, except from a snapshot, which replaces the loads of every member.
+        """
         selective = [connection for connection, member in self.members.items() if member.followed_keys is not None]
         found: dict[peer_connection.PeerConnection, list] = (
             {connection: [] for connection in selective} if message.is_snapshot else {}
@@ -144,7 +147,10 @@
         return {connection: b"".join(rows) for connection, rows in found.items()}
 
     def _recipients(self, key: bytes, *, flags: int, selective: list) -> list:
-        """Who is sent this row: everyone where the replica becomes full, and where it no longer is."""
+        """Returns the selective members that are sent this row.
+
+        These are the replica's followers; all of them if the replica is full, or was full when last published.
+        """
         is_full = bool(flags & load_feed.FULL)
         if not is_full and key not in self._full:
             return self._followers.get(key, [])
@@ -156,7 +162,7 @@
 
 
 class CutQueue:
-    """Queue of pools' cuts for members; a cut is made from the mirror when it is sent."""
+    """Queue of pools' cuts for members; a cut is made from the mirror at the time it is sent."""
 
     def __init__(
         self,
@@ -167,22 +173,22 @@
         self._members = members
         self._mirrors = mirrors
         self.pending: collections.deque[tuple[peer_connection.PeerConnection, str, str]] = collections.deque()
-        self.budget_bytes = 0  # what may be sent now; below 0 after a large cut
+        self.budget_bytes = 0  # bytes that may be sent now; negative after a large cut
 
     def add(self, connection: peer_connection.PeerConnection, region: str, pool: str) -> None:
-        """This member is to be sent a cut of this pool; once is enough."""
+        """Queues a cut of this pool for a member, unless one is queued already."""
         pending = self._members[connection].pending_cuts
         if (region, pool) not in pending:
             pending.add((region, pool))
             self.pending.append((connection, region, pool))
 
     def add_for_all(self, region: str, pool: str) -> None:
-        """All members are to be sent a cut of this pool."""
+        """Queues a cut of this pool for all members."""
         for connection in self._members:
             self.add(connection, region, pool)
 
     def send(self) -> None:
-        """Sends cuts as the mirrors are now, up to the bytes of one tick."""
+        """Sends queued cuts of the mirrors' present state, until the tick's bytes are spent."""
         self.budget_bytes = min(MAX_CUT_BYTES_PER_TICK, self.budget_bytes + MAX_CUT_BYTES_PER_TICK)
         for connection, region, pool in self._pop_due():
             cut = self._make_cut(region, pool)
