--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -1,9 +1,9 @@
-"""A proxy's side of load reports and relays, composed (docs/digest.md, docs/relay.md, docs/scale.md 3).
+"""Composition of a proxy's components for load reports and relays (docs/digest.md, docs/relay.md, docs/scale.md 3).
 
 `RelayClient` owns the mirrors of all regions and the listener that other proxies connect to. `ReportSource`,
 `ZoneDigest`, `RelayRole` and `AdapterReports` own the remaining state. Invariant: a connection that requests a
 singleton role which this node does not own yet is kept until it does; if that never happens, the peer closes the
-connection after its own time-out.
+connection after its own timeout.
 """
 
 from collections.abc import Callable
@@ -26,25 +26,28 @@
 from ploverward.transport import peer_connection
 from ploverward.transport import row_codec
 
-LARGE_ZONE_INTERVAL_FACTOR = 2  # intervals between two reports in a zone with several digests
-TICKS_PER_CONTACT = 80  # reports in a contactMs, in a zone of one digest
+LARGE_ZONE_INTERVAL_FACTOR = 2  # factor of the report interval in a zone with several digests
+TICKS_PER_CONTACT = 80  # reports per contactMs in a zone with at most one digest
 
 JoinMessage = messages.Subscribe | messages.JoinDigest | messages.JoinGateway
 
 
 class RelayClient:
-    """What one proxy reports, learns about the others, and does for them under singleton roles.
+    """Reports one proxy's load, mirrors what relays publish, and serves other proxies under singleton roles.
 
     Args:
-        loop: the event loop.
-        settings: the settings in force; their reread replaces them.
-        incarnation: of this proxy.
-        contact_s: contactMs, in seconds.
-        peer_timeout_s: a connection on which nothing arrives for so long ends.
-        table: replicas and services.
-        adapters: counts this proxy's adapters.
-        replicas_in_use: gives the replicas with attempts of this proxy in flight, also of those no longer listed.
-        nearest_core: gives the connection to a core node, by preference of this region.
+        loop: Event loop.
+        settings: Returns the settings in force, which change when they are read again.
+        incarnation: Incarnation of this proxy.
+        contact_s: The setting contactMs, in seconds.
+        peer_timeout_s: A connection on which nothing arrives for this time is closed.
+        table: Replicas and services.
+        adapters: Counts the use of adapters at this proxy.
+        replicas_in_use: Returns the replicas with attempts of this proxy in flight, including unlisted ones.
+        nearest_core: Returns the connection to a core node, preferably of this region, or None.
+
+    Attributes:
+        regions: Mirrors of the regions' relays, by region.
     """
 
     def __init__(
@@ -95,7 +98,9 @@
         self._adapter_reports = adapter_reports.AdapterReports(
             counter=adapters, settings=settings, incarnation=incarnation
         )
-        self._waiting: dict[peer_connection.PeerConnection, JoinMessage] = {}  # until this node owns the role
+        self._waiting: dict[
+            peer_connection.PeerConnection, JoinMessage
+        ] = {}  # not admitted, as this node lacks the role
         self._handlers: dict[type, Callable] = {
             messages.Subscribe: self._handle_join,
             messages.JoinDigest: self._handle_join,
@@ -116,10 +121,10 @@
 
     # Singleton roles.
     def update_roles(self, roles: Mapping[str, tuple[int, str, str]]) -> None:
-        """The owners of singleton roles changed.
+        """Applies changed owners of singleton roles, and admits the connections that waited for them.
 
         Args:
-            roles: (epoch, address, incarnation) of the owner, by the role's name.
+            roles: Owners as (epoch, address, incarnation), by name of the role.
         """
         self._roles = roles
         relay = roles.get(singleton_roles.relay_name(region=self._settings().region))
@@ -133,7 +138,7 @@
             self._admit(connection, message)
 
     def _relays(self) -> dict[str, RoleOwner]:
-        """The owners of the regions' relays, where there is one."""
+        """Returns the owners of relays by region; regions whose relay has no owner are omitted."""
         found = {}
         for region in self._region_names:
             epoch, address, _incarnation = self._roles.get(singleton_roles.relay_name(region=region), (0, "", ""))
@@ -142,10 +147,10 @@
         return found
 
     def sync_relay(self) -> None:
-        """The list of replicas or the configuration changed."""
+        """Gives the relay, if this node owns it, the present list of replicas and the configuration."""
         self.relay_role.sync()
 
-    # Connections that others opened: subscribers of the relay, members of the digest or of the gateway.
+    # Connections that other proxies opened: subscribers of the relay, members of the digest or of the gateway.
     def _handle_message(self, connection: peer_connection.PeerConnection, message: tuple) -> None:
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -161,7 +166,7 @@
         else:
             is_admitted = self.relay_role.admit(connection, message)
         if is_admitted:
-            self._waiting.pop(connection, None)  # it is removed already if the admission closed the connection
+            self._waiting.pop(connection, None)  # already removed if the admission closed the connection
 
     def _handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
         if self._is_member(connection):
@@ -192,24 +197,24 @@
 
     # Periodic work.
     def report_interval_s(self) -> float:
-        """Seconds between two calls of `tick`: twice as many where the zone has several digests."""
+        """Returns the seconds between two calls of `tick`, which are doubled in a zone with several digests."""
         second = singleton_roles.digest_name(zone=self._settings().zone, number=1)
         _epoch, address, _incarnation = self._roles.get(second, (0, "", ""))
         return self._contact_s / TICKS_PER_CONTACT * (LARGE_ZONE_INTERVAL_FACTOR if address else 1)
 
     @property
     def is_idle(self) -> bool:
-        """Whether the next tick would report nothing, and this proxy owns no role that publishes what others report."""
+        """Whether the next tick has nothing to report and this proxy owns no role that forwards others' reports."""
         owns_role = bool(self.zone_digest.role) or self.relay_role.host is not None
         return not owns_role and self.relay_role.gateway is None and not self.source.has_changes
 
     def tick(self) -> None:
-        """Reports and publishes what changed."""
+        """Reports this proxy's changes and publishes those of its roles."""
         self.zone_digest.tick()
         self.relay_role.tick()
 
     def send_heartbeats(self) -> None:
-        """Shows all nodes that this one is connected to that it is running."""
+        """Sends heartbeats to all connected nodes."""
         self._table.refresh_fleet_size()
         self.zone_digest.send_heartbeats()
         if self.relay_role.gateway is not None:
@@ -218,7 +223,7 @@
         self.relay_role.send_heartbeats()
 
     def send_adapter_counts(self) -> None:
-        """Sends counts of adapters to the digest that this proxy joined, else to a core node; or drops them."""
+        """Sends counts of adapters to the joined digest, else to a core node; without a connection they are dropped."""
         message = self._adapter_reports.drain()
         if message is None:
             return
--- a/ploverward/data_plane/load_reports/relay_role.py
+++ b/ploverward/data_plane/load_reports/relay_role.py
@@ -1,7 +1,7 @@
-"""The relay and the gateway of this node's region, while this node owns the singleton role (docs/relay.md 1).
+"""Lifetime of a region's relay and gateway on the node that owns the relay's singleton role (docs/relay.md 1).
 
-`RelayRole` owns both. Invariant: both have the same epoch; a new epoch, or another owner, ends them before anything
-else is started.
+`RelayRole` owns both. Invariant: both have the same epoch; a new epoch, or another owner, ends them before new ones are
+started.
 """
 
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 
 
 class RelayRole:
-    """The relay's and the gateway's lifetime, and their work in each tick.
+    """Starts and stops the relay and the gateway, and does their periodic work.
 
     Args:
-        settings: the settings in force.
-        incarnation: of this proxy; a role that an earlier one owned is not this one's.
-        region_names: of all regions.
-        connector_factory: connects the gateway to the other regions' relays.
-        now: the loop's clock, in seconds.
-        contact_s: after this time without contact a lease is over.
-        table: the replicas and services that the relay serves.
+        settings: Returns the settings in force.
+        incarnation: Incarnation of this proxy; a role of an earlier incarnation does not belong to it.
+        region_names: Names of all regions.
+        connector_factory: Connects the gateway to the other regions' relays.
+        now: The loop's clock, in seconds.
+        contact_s: A lease expires after this time without contact.
+        table: Replicas and services that the relay serves.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._table = table
 
     def update(self, *, epoch: int, address: str, incarnation: str) -> None:
-        """The singleton role has this owner now, under this epoch."""
+        """Starts or stops the relay and the gateway, for the present owner and epoch of the singleton role."""
         is_owner = (address, incarnation) == (self._settings().ip, self._incarnation)
         if self.host is not None and (not is_owner or self.host.epoch != epoch):
             self._stop()
@@ -75,13 +75,13 @@
     def _stop(self) -> None:
         host, self.host = self.host, None
         for connection in list(host.subscribers) if host is not None else ():
-            connection.close(reason="the relay is another's")
+            connection.close(reason="this node no longer owns the relay under this epoch")
         gateway, self.gateway = self.gateway, None
         if gateway is not None:
             gateway.stop()
 
     def sync(self) -> None:
-        """The list of replicas or the configuration changed."""
+        """Gives the relay the present list of replicas and the configuration of services."""
         if self.host is None:
             return
         rows = [
@@ -98,14 +98,18 @@
         self.host.sync(services=services, replicas=rows)
 
     def follow_relays(self, relays: Mapping[str, digest_connection.RoleOwner]) -> None:
-        """These are the relays of the regions now."""
+        """Gives the gateway the present owners of the regions' relays."""
         if self.gateway is not None:
             self.gateway.follow_relays(relays)
 
     def admit(
         self, connection: peer_connection.PeerConnection, message: messages.Subscribe | messages.JoinGateway
     ) -> bool:
-        """Whether this node owns the relay under the epoch that a subscriber or a digest names, or a newer one."""
+        """Admits a subscriber or a digest if this node owns the relay under the epoch that it names, or a newer one.
+
+        Returns:
+            Whether it was admitted.
+        """
         if self.host is None or self.gateway is None or self.host.epoch < message.epoch:
             return False
         if isinstance(message, messages.Subscribe):
@@ -115,30 +119,30 @@
         return True
 
     def handle_aggregates(self, connection: peer_connection.PeerConnection, message: messages.Aggregates) -> None:
-        """A subscriber's aggregates. Raises `FrameError` where they are malformed or out of order."""
+        """Adds a subscriber's aggregates; raises `FrameError` if they are malformed or out of order."""
         if self.host is not None:
             self.host.handle_aggregates(connection, message)
 
     def handle_report(self, connection: peer_connection.PeerConnection, message: messages.LoadReport) -> None:
-        """The report of a digest that is a member of the gateway. Raises `FrameError` as `handle_aggregates` does."""
+        """Adds the report of a digest that joined the gateway; raises `FrameError` as `handle_aggregates` does."""
         if self.gateway is not None and connection in self.gateway.digest.fanout.members:
             self.gateway.digest.handle_report(connection, message)
 
     def remove(self, connection: peer_connection.PeerConnection) -> None:
-        """A connection ended."""
+        """Removes an ended connection from the relay and the gateway."""
         if self.gateway is not None:
             self.gateway.remove(connection)
         if self.host is not None:
             self.host.remove(connection)
 
     def tick(self) -> None:
-        """Publishes what changed."""
+        """Publishes the changes of the gateway and the relay."""
         if self.gateway is not None:
             self.gateway.digest.tick()
         if self.host is not None:
             self.host.tick()
 
     def send_heartbeats(self) -> None:
-        """Shows the relay's subscribers that this node is running."""
+        """Sends heartbeats to the relay's subscribers."""
         for connection in list(self.host.subscribers) if self.host is not None else ():
             connection.keep_alive()
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -1,7 +1,9 @@
-"""What one proxy reports, and which of its reports the published loads include already (docs/digest.md 2, 3).
+"""Load reports of one proxy, and the part of them that the published loads already include (docs/digest.md 2, 3).
 
 `ReportSource` owns the numbers of this proxy's reports and, for each region, the loads that its relay is known to
-have counted. Invariant: published total - `counted` + own load now = what runs, up to reports in flight.
+have counted. Invariant: published total - `counted` + own present load = actual load, except for reports in flight.
+
+A read is a prompt that a replica processed, so that the prompt's parts are in its cache.
 """
 
 import collections
@@ -22,17 +24,17 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-MAX_READS_PER_REPORT = 4000  # prompts in one report; later ones are omitted
-MAX_UNACKNOWLEDGED_REPORTS = 1000  # for each region; without credits, a later checkpoint starts again
+MAX_READS_PER_REPORT = 4000  # further ones are omitted
+MAX_UNACKNOWLEDGED_REPORTS = 1000  # per region; without credits, a later checkpoint starts again
 
 
 class AttemptEvent(enum.IntEnum):
-    """What happened to an attempt at a replica."""
+    """Change of an attempt's state at a replica."""
 
     SENT = 0
-    PREFILLED = 1  # its prompt was processed
+    PREFILLED = 1  # the replica processed its prompt
     DONE = 2
-    BROKEN = 3  # its connection broke: the replica is suspected too
+    BROKEN = 3  # its connection broke; the replica is suspected too
     FAILED = 4
 
 
@@ -46,20 +48,26 @@
 
 
 class _PendingReport(typing.NamedTuple):
-    """A report that a region's relay is not known to have counted."""
+    """The part of a report for one region whose relay has not credited it yet."""
 
     number: int
     loads: dict[bytes, LoadCounts]  # by replica key
-    is_snapshot: bool  # whether the loads replace all earlier ones
+    is_snapshot: bool  # the loads replace all earlier ones
 
 
 class ReportSource:
     """Makes the reports of one proxy.
 
-    A report has the absolute loads of the replicas that changed, and the attempts that ended since the last report.
+    A report has the absolute loads of the replicas that changed, the attempts that ended and the prompts that were
+    processed since the last report.
+
+    Args:
+        now: The loop's clock, in seconds.
+        regions: Names of all regions, sorted.
+        suspicion_s: Time for which a replica is suspected after a connection to it broke.
 
     Attributes:
-        on_change: Called whenever something is to be reported.
+        on_change: Called whenever there is something to report.
     """
 
     def __init__(self, *, now: Callable[[], float], regions: Iterable[str], suspicion_s: float) -> None:
@@ -68,22 +76,22 @@
         self._region_indexes = {name: index for index, name in enumerate(self._region_names)}
         self._suspicion_s = suspicion_s
         self._number = 0
-        self._dirty: dict[bytes, replica_table.Replica] = {}
+        self._dirty: dict[bytes, replica_table.Replica] = {}  # replicas whose load may have changed, by key
         self._suspected: dict[bytes, _Suspicion] = {}
-        self._reported: dict[bytes, RegionLoad] = {}  # as of the last report; replicas without load are omitted
+        self._reported: dict[bytes, RegionLoad] = {}  # as last reported; replicas without load are omitted
         self._outcomes: dict[bytes, OutcomeCounts] = {}
         self._reads: list[bytes] = []
         self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._region_names]
         self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._region_names]
         self.on_change: Callable[[], object] = lambda: None
-        self._lost_regions = set(self._region_names)  # regions whose published loads contain nothing of ours
+        self._lost_regions = set(self._region_names)  # their published loads include none of this proxy's loads
 
     def record_attempt(self, *, replica: replica_table.Replica, kind: int) -> None:
-        """An attempt at this replica was sent, or its state changed.
+        """Records that an attempt at a replica was sent or that its state changed.
 
         Args:
-            replica: as the table has it; its load is read when the report is made.
-            kind: an `AttemptEvent`.
+            replica: The replica's entry in the table; its load is read when the report is made.
+            kind: The change, an `AttemptEvent`.
         """
         key = row_codec.key_of(replica.id)
         self._dirty[key] = replica
@@ -99,7 +107,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether there is something for the next report."""
+        """Whether there is something for the next report, including suspicions that may end."""
         return bool(self._dirty or self._outcomes or self._reads or self._suspected)
 
     def record_prefill(
@@ -111,14 +119,14 @@
         parts: Iterable[tuple[str, int]],
         salt: str = "",
     ) -> None:
-        """A replica processed a prompt, so its parts are in its cache now.
+        """Records that a replica processed a prompt, so that the prompt's parts are in its cache now.
 
         Args:
-            replica: which one.
-            service: its service.
-            model: the model that processed the prompt.
+            replica: The replica.
+            service: Service of the replica.
+            model: The model that processed the prompt.
             parts: (name, tokens) of each part, from the front of the prompt.
-            salt: the value of X-Model, where it names an adapter: parts of different adapters are never the same.
+            salt: The value of X-Model if it names an adapter, as parts of different adapters are never the same.
         """
         if len(self._reads) >= MAX_READS_PER_REPORT or replica.region not in self._region_indexes:
             return
@@ -136,7 +144,7 @@
         self.on_change()
 
     def next_report(self) -> messages.LoadReport | None:
-        """What changed since the last report; None where nothing did."""
+        """Returns the changes since the last report, or None if there are none."""
         self._end_suspicions()
         changed = {}
         for key, replica in self._dirty.items():
@@ -146,17 +154,17 @@
                 changed[key] = row
                 self._set_reported(key, row)
             elif key in self._outcomes:
-                changed[key] = row  # names the region
+                changed[key] = row  # the load is unchanged, but the row of its outcomes needs the region
         self._dirty = {}
         if not changed and not self._reads and not self._outcomes:
             return None
         return self._make_report(changed, is_snapshot=False)
 
     def checkpoint(self, *, replicas: Iterable[replica_table.Replica]) -> messages.LoadReport:
-        """The complete state, for a digest that knows nothing of this proxy.
+        """Returns the complete state, for a digest that has no state of this proxy.
 
         Args:
-            replicas: those with attempts of this proxy in flight, also if they are no longer listed.
+            replicas: The replicas with attempts of this proxy in flight, including unlisted ones.
         """
         self._end_suspicions()
         self._dirty = {}
@@ -207,7 +215,7 @@
         return messages.LoadReport(self._number, b"".join(rows), b"".join(reads))
 
     def credit(self, *, region: str, number: int) -> None:
-        """The loads that this region's relay publishes contain our reports up to this number."""
+        """Handles the credit that the region's published loads include this proxy's reports up to this number."""
         index = self._region_indexes.get(region)
         if index is None:
             return
@@ -224,11 +232,11 @@
         self._lost_regions.discard(region)
 
     def mark_lost(self, *, region: str) -> None:
-        """The published loads of this region contain nothing of ours until the next credit."""
+        """Assumes that the region's published loads include none of this proxy's loads until the next credit."""
         self._lost_regions.add(region)
 
     def counted(self, replica: replica_table.Replica) -> LoadCounts:
-        """The part of the replica's published load that is ours."""
+        """Returns this proxy's part of the replica's published load."""
         if replica.region in self._lost_regions or replica.region not in self._region_indexes:
             return NO_LOAD
         return self._counted[self._region_indexes[replica.region]].get(row_codec.key_of(replica.id), NO_LOAD)
--- a/ploverward/data_plane/load_reports/report_ticker.py
+++ b/ploverward/data_plane/load_reports/report_ticker.py
@@ -1,8 +1,8 @@
-"""When a proxy reports: often while there is something to report, seldom otherwise (docs/digest.md 4).
+"""Schedule of a proxy's reports: frequent while there is something to report, rare otherwise (docs/digest.md 4).
 
-`ReportTicker` owns the timer of the next tick. A tick on which nothing is left to do is followed by one after the idle
-interval; the first change after it brings the next tick forward. So what changes is reported as soon as with steady
-ticks, and an idle proxy is woken seldom.
+`ReportTicker` owns the timer of the next tick. After a tick that leaves nothing to do, the next one follows after the
+idle interval; the first change in between brings it forward. So changes are reported no later than with ticks at a
+constant interval, and an idle proxy wakes up rarely.
 """
 
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 
 class ReportTicker:
-    """Calls back at the report interval while there is work.
+    """Calls back at the report interval while there is work, and at the idle interval otherwise.
 
     Args:
         loop: For its timers.
-        on_tick: Reports and publishes what changed.
+        on_tick: Reports and publishes changes.
         interval_s: Returns the seconds between two ticks while there is work.
         idle_interval_s: Seconds between two ticks without work.
         is_idle: Returns whether nothing is left to report or publish.
@@ -36,20 +36,20 @@
         self._idle_interval_s = idle_interval_s
         self._is_idle = is_idle
         self._timer: interfaces.Timer | None = None
-        self._is_slow = False  # the next tick is an idle one
+        self._is_slow = False  # the next tick is scheduled at the idle interval
 
     def start(self) -> None:
-        """Makes the first tick."""
+        """Makes the first tick at once and schedules the next."""
         self._tick()
 
     def wake(self) -> None:
-        """Something changed that is to be reported."""
+        """Brings the next tick forward, as there is something to report."""
         if self._is_slow:
             self._loop.cancel(timer=self._timer)
             self._schedule(is_slow=False)
 
     def _tick(self) -> None:
-        # Scheduled before the call, which may raise; whether nothing is left shows only after it.
+        # Scheduled before the call, because it may raise; whether work is left is known only after it.
         self._schedule(is_slow=False)
         self._on_tick()
         if self._is_idle():
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -1,8 +1,8 @@
-"""How a proxy's reports reach the relays: by a digest it owns, by one it joins, or directly (docs/digest.md 4).
+"""Selection of the path of a proxy's reports: a digest that it owns or joins, or directly (docs/digest.md 4).
 
-`ZoneDigest` owns this node's digest and its membership in another's. A proxy that can reach no digest of its zone is
-its own digest, with itself as the only member. Invariant: at any time the proxy's own load is reported on one path
-only. While it waits for its zone's digest, after a start or a loss, it does not report.
+`ZoneDigest` owns this node's digest and its membership in another node's. A proxy that can reach no digest of its zone
+reports directly: it is its own digest, with itself as the only member. Invariant: at any time the proxy's own load is
+reported on one path only. While it waits for its zone's digest, after a start or a loss, it does not report.
 """
 
 import dataclasses
@@ -29,8 +29,8 @@
 DIGEST_WAIT_TIMEOUT_FRACTIONS = (
     0.25,
     0.75,
-)  # of the peer time-out: how long a proxy waits for its zone's digest before it reports directly
-DIGEST_WAIT_TIMER_FACTOR = 1.01  # the timer fires after the time until which the proxy waits
+)  # of the peer timeout; a proxy waits a random time in this range for its zone's digest, then reports directly
+DIGEST_WAIT_TIMER_FACTOR = 1.01  # above 1 so that the timer fires after the end of the wait
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,19 +40,19 @@
 
 
 class ZoneDigest:
-    """This node's digest, and this node as a member of another's.
+    """Owns this node's digest and its membership in another node's digest.
 
     Args:
-        loop: for its clock and timers.
-        settings: the settings in force.
-        incarnation: of this proxy.
-        region_names: of all regions.
-        mirrors: by region; what relays publish is installed there.
-        source: makes this proxy's reports.
-        connector_factory: connects to digests and relays.
-        peer_timeout_s: a connection on which nothing arrives for so long ends.
-        table: determines which replicas' loads this proxy needs.
-        replicas_in_use: gives the replicas with attempts of this proxy in flight.
+        loop: Event loop, for its clock and timers.
+        settings: Returns the settings in force.
+        incarnation: Incarnation of this proxy.
+        region_names: Names of all regions.
+        mirrors: Mirrors by region, in which the relays' publications are installed.
+        source: Makes this proxy's reports.
+        connector_factory: Connects to digests and relays.
+        peer_timeout_s: A connection on which nothing arrives for this time is closed.
+        table: Determines the replicas whose loads this proxy needs.
+        replicas_in_use: Returns the replicas with attempts of this proxy in flight.
     """
 
     def __init__(
@@ -80,11 +80,11 @@
         self._table = table
         self._replicas_in_use = replicas_in_use
         self._relays: Mapping[str, RoleOwner] = {}
-        self.role = ""  # the singleton role that this node owns
+        self.role = ""  # the digest's singleton role that this node owns; empty: none
         own = settings()
         self.digest = self._new_digest(digests.DigestIdentity(region=own.region, zone=own.zone))
         self.membership: _Membership | None = None
-        self._followed_keys: frozenset[bytes] | None = None  # as the digest knows them; None: all
+        self._followed_keys: frozenset[bytes] | None = None  # as last sent to the joined digest; None: all
         self._wait_for_digest_until_s = loop.now() + peer_timeout_s * random.uniform(*DIGEST_WAIT_TIMEOUT_FRACTIONS)
         loop.after(delay=peer_timeout_s * DIGEST_WAIT_TIMEOUT_FRACTIONS[1], callback=self._handle_digest_wait_timeout)
 
@@ -95,7 +95,7 @@
 
     @property
     def joined_connection(self) -> peer_connection.PeerConnection | None:
-        """The connection to the digest that this proxy joined."""
+        """The connection to the digest that this proxy joined, None if it joined none."""
         return self.membership.connection.connection if self.membership is not None and self.is_joined else None
 
     def _new_digest(self, identity: digests.DigestIdentity) -> digests.Digest:
@@ -108,13 +108,13 @@
             on_region_lost=lambda region: self._source.mark_lost(region=region),
         )
 
-    # Which of the zone's digests this node owns, or which one serves it.
+    # Ownership of the zone's digests.
     def update_roles(self, roles: Mapping[str, tuple[int, str, str]], *, relays: Mapping[str, RoleOwner]) -> None:
-        """The owners of singleton roles changed.
+        """Applies changed owners of singleton roles: takes over, gives up or joins digests of the zone.
 
         Args:
-            roles: (epoch, address, incarnation) of the owner, by the role's name.
-            relays: the owners of the relays that are known, by region.
+            roles: Owners as (epoch, address, incarnation), by name of the role.
+            relays: Known owners of the relays, by region.
         """
         self._relays = relays
         own = self._settings()
@@ -142,13 +142,13 @@
         self._connect_to_relays()
 
     def _update_own_digest(self, role: str, epoch: int) -> None:
-        """Replaces the digest, for another role or epoch or none: members join again with their complete loads."""
+        """Replaces the digest if its role or epoch changed; members have to join again with their complete loads."""
         if (role, epoch) == (self.role, self.digest.identity.epoch):
             return
         self.role = role
         former = self.digest
         former.stop()
-        former.close_members(reason="the digest is another's")
+        former.close_members(reason="this node no longer owns the digest under this epoch")
         own = self._settings()
         self.digest = self._new_digest(digests.DigestIdentity(region=own.region, zone=role or own.zone, epoch=epoch))
 
@@ -172,7 +172,10 @@
         self.membership = _Membership(role, connection)
 
     def _start_digest_wait(self) -> None:
-        """Many proxies that lose or find a digest at once must not all connect to the relays."""
+        """Delays direct reports by a random time.
+
+        Otherwise the many proxies that lose or find a digest at once would all connect to the relays.
+        """
         delay = self._peer_timeout_s * random.uniform(*DIGEST_WAIT_TIMEOUT_FRACTIONS)
         self._wait_for_digest_until_s = self._loop.now() + delay
         self._loop.after(delay=delay * DIGEST_WAIT_TIMER_FACTOR, callback=self._handle_digest_wait_timeout)
@@ -183,7 +186,7 @@
 
     # As a member of another node's digest.
     def on_joined(self, connection: peer_connection.PeerConnection) -> None:
-        """The zone's digest admitted this proxy."""
+        """Reports to the zone's digest, which admitted this proxy, and no longer directly."""
         self.digest.stop()
         self.digest.remove_own_report()
         self._followed_keys = None
@@ -191,20 +194,20 @@
         self.send_followed_keys()
 
     def on_publication(self, region: str, connection: peer_connection.PeerConnection, frame: bytes) -> None:
-        """The digest forwarded a frame of a region's relay."""
+        """Installs a frame of a region's relay that the digest forwarded."""
         if region in self._mirrors:
             install_publication(self._mirrors[region], frames.unpack(frame), connection)
 
     def on_credit(self, region: str, number: int) -> None:
-        """The loads that the region's relay publishes contain our reports up to this number."""
+        """Handles the credit that the region's published loads include this proxy's reports up to this number."""
         self._source.credit(region=region, number=number)
 
     def on_region_lost(self, region: str, _connection: peer_connection.PeerConnection) -> None:
-        """The digest lost the stream of a region's relay."""
+        """Handles the loss of the digest's stream to a region's relay."""
         self._handle_region_loss(region)
 
     def on_left(self) -> None:
-        """The digest disconnected."""
+        """Handles the loss of the connection to the digest, which loses all regions."""
         for region in self._mirrors:
             self._handle_region_loss(region)
         self._start_digest_wait()
@@ -215,7 +218,10 @@
         self._source.mark_lost(region=region)
 
     def send_followed_keys(self) -> None:
-        """Sends the digest the replicas whose loads this proxy needs, where these are not all."""
+        """Sends the digest the keys of the replicas whose loads this proxy needs, if they changed.
+
+        Until it receives some, the digest sends a new member the loads of all replicas.
+        """
         keys = self._table.followed_keys()
         if not self.is_joined or keys == self._followed_keys:
             return
@@ -224,7 +230,7 @@
         if connection is not None:
             connection.send(messages.FollowReplicas(keys is None, b"".join(sorted(keys or ()))))
 
-    # As a digest: of the zone under its singleton role, or of this proxy alone.
+    # As a digest, of the zone under its singleton role or of this proxy alone.
     def _connect_to_relays(self) -> None:
         if self.is_joined:
             return
@@ -244,7 +250,11 @@
             self.digest.handle_own_report(self._source.checkpoint(replicas=self._replicas_in_use()))
 
     def admit(self, connection: peer_connection.PeerConnection, message: messages.JoinDigest) -> bool:
-        """Whether this node owns a digest under the epoch that the member names, or a newer one."""
+        """Admits the member if this node owns a digest under the epoch that the member names, or a newer one.
+
+        Returns:
+            Whether the member was admitted.
+        """
         if not self.role or self.digest.identity.epoch < message.epoch:
             return False
         self.digest.admit(connection, address=message.address)
@@ -252,7 +262,7 @@
 
     # Periodic work.
     def tick(self) -> None:
-        """Reports what changed, and forwards what members reported."""
+        """Reports this proxy's changes and sends the digest's batches and cuts."""
         report = self._source.next_report()
         if report is not None:
             if not self.is_joined:
@@ -263,11 +273,11 @@
             self.digest.tick()
 
     def send_heartbeats(self) -> None:
-        """Shows members, relays and digests that this node is running; sends them the replicas it follows now."""
+        """Sends heartbeats to members, relays and the gateway, and the followed replicas to the joined digest."""
         self.send_followed_keys()
         self.digest.send_heartbeats()
 
     def send_membership_heartbeat(self) -> None:
-        """Shows the digest that this proxy joined, or is about to join, that it is running."""
+        """Sends a heartbeat to the digest that this proxy joined or is joining."""
         if self.membership is not None:
             digests.send_heartbeat(self.membership.connection.connection)
