--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -1,4 +1,4 @@
-"""Digests: random histories of reports, aggregates and credits, compared with an independent count.
+"""Tests of aggregates in random histories of reports, batches and credits, compared with an independent count.
 
 The histories include loss, delay, restarts and two owners of a digest at a time.
 """
@@ -20,6 +20,8 @@
 
 
 class Replica:
+    """A replica as one proxy's table has it."""
+
     def __init__(self, name, region):
         self.id = name
         self.key = row_codec.key_of(name)
@@ -29,32 +31,34 @@
 
 
 class LinkDirection:
-    """One way of a link: in order, delayed, gone when the link ends."""
+    """One direction of a link, which delivers in order after random delays, and nothing once the link is closed."""
 
-    def __init__(self, *, world, act):
+    def __init__(self, *, world, deliver):
         self.world = world
-        self.act = act
+        self.deliver = deliver
         self.is_open = True
         self.last = 0.0
 
     def send(self, *message):
         self.last = max(self.last + 1e-6, self.world.time + self.world.chance.uniform(0.001, 0.2))
-        self.world.later(self.last - self.world.time, lambda: self.act(*message) if self.is_open else None)
+        self.world.later(self.last - self.world.time, lambda: self.deliver(*message) if self.is_open else None)
 
 
 class RelayLink:
-    """A relay's end of a digest's link."""
+    """A digest's link to a relay, which the relay uses as the connection of a subscriber."""
 
     def __init__(self, *, owner, region):
         self.owner = owner
         self.region = region
         self.is_open = True
-        self.up = LinkDirection(world=owner.scene.world, act=self._take)
-        self.down = LinkDirection(world=owner.scene.world, act=lambda data: owner.heard(self, frames.unpack(data)))
+        self.up = LinkDirection(world=owner.scene.world, deliver=self._handle_aggregates)
+        self.down = LinkDirection(
+            world=owner.scene.world, deliver=lambda data: owner.handle_message(self, frames.unpack(data))
+        )
         self.host = owner.scene.hosts[region]
         self.host.subscribe(self, region=owner.region, zone="z", zone_epoch=owner.epoch)
 
-    def _take(self, message):
+    def _handle_aggregates(self, message):
         self.host.handle_aggregates(self, message)
 
     def send(self, message):
@@ -70,11 +74,11 @@
         if self.is_open:
             self.is_open = self.up.is_open = self.down.is_open = False
             self.host.remove(self)
-            self.owner.lost(self)
+            self.owner.handle_close(self)
 
 
 class DigestOwner:
-    """A digest with its streams to both relays: of several members, or of one proxy alone."""
+    """A digest with its streams to both relays; it serves several members or, under epoch 0, one proxy alone."""
 
     def __init__(self, *, scene, epoch):
         self.scene = scene
@@ -82,27 +86,27 @@
         self.region = "north"
         self.aggregates = aggregates.LoadAggregates(regions=REGIONS)
         self.links = {}
-        self.members = {}  # member: lane down
+        self.members = {}  # the link direction to each member
         self.is_up = True
         for region in REGIONS:
-            self.dial(region)
+            self.connect(region)
 
-    def dial(self, region):
+    def connect(self, region):
         if self.is_up:
             link = RelayLink(owner=self, region=region)
             if link.is_open:
                 self.links[region] = link
                 link.up.send(self.aggregates.checkpoint(region=region))
 
-    def lost(self, link):
+    def handle_close(self, link):
         if self.links.get(link.region) is link:
             del self.links[link.region]
             for down in self.members.values():
                 down.send(messages.RegionLost(link.region))
             if self.is_up:
-                self.scene.world.later(0.3, lambda: self.dial(link.region))
+                self.scene.world.later(0.3, lambda: self.connect(link.region))
 
-    def heard(self, link, message):
+    def handle_message(self, link, message):
         if isinstance(message, messages.AggregatesCounted):
             for member, number in self.aggregates.acknowledge(region=link.region, number=message.number).items():
                 if member in self.members:
@@ -124,14 +128,14 @@
 
 
 class Member:
-    """A proxy: attempts begin and end; it reports to one holder at a time and reads what comes back."""
+    """A proxy that begins and ends attempts, and reports to one digest at a time."""
 
     def __init__(self, *, scene, name):
         self.scene = scene
         self.name = name
-        self.own = {name: Replica(name, region) for name, region in scene.places.items()}
+        self.replicas = {name: Replica(name, region) for name, region in scene.replica_regions.items()}
         self.source = report_source.ReportSource(now=scene.world.now, regions=REGIONS, suspicion_s=0.5)
-        self.views = {region: mirror.RegionMirror(now=scene.world.now, trust_s=5.0) for region in REGIONS}
+        self.mirrors = {region: mirror.RegionMirror(now=scene.world.now, trust_s=5.0) for region in REGIONS}
         self.owner = None
         self.up = self.down = None
 
@@ -142,29 +146,31 @@
             self.owner.aggregates.remove(self)
         self.owner = owner
         for region in REGIONS:
-            self.views[region] = mirror.RegionMirror(now=self.scene.world.now, trust_s=5.0)
+            self.mirrors[region] = mirror.RegionMirror(now=self.scene.world.now, trust_s=5.0)
             self.source.mark_lost(region=region)
-        self.up = LinkDirection(world=self.scene.world, act=lambda report: owner.aggregates.handle_report(self, report))
-        self.down = LinkDirection(world=self.scene.world, act=self.heard)
+        self.up = LinkDirection(
+            world=self.scene.world, deliver=lambda report: owner.aggregates.handle_report(self, report)
+        )
+        self.down = LinkDirection(world=self.scene.world, deliver=self.handle_message)
         owner.members[self] = self.down
         for region, link in owner.links.items():
-            host = link.host  # the relay's state as of now stands in for the holder's own mirror
+            host = link.host  # the relay's present state stands in for the digest's own mirror
             loads = b"".join(host._load_of(key).pack(key) for key in host.totals())
             for message in (messages.Catalogue(host.epoch, ()), messages.ReplicaLoads(host.epoch, True, loads)):
                 self.down.send(messages.RelayedFrame(region, frames.pack(message)))
-        self.up.send(self.source.checkpoint(replicas=list(self.own.values())))
+        self.up.send(self.source.checkpoint(replicas=list(self.replicas.values())))
 
-    def heard(self, message):
+    def handle_message(self, message):
         if isinstance(message, messages.RegionLost):
             self.source.mark_lost(region=message.region)
-            self.views[message.region].fail()
+            self.mirrors[message.region].fail()
         elif isinstance(message, messages.ReportCredited):
             self.source.credit(region=message.region, number=message.number)
         else:
-            self.views[message.region].handle_publication(frames.unpack(message.frame))
+            self.mirrors[message.region].handle_publication(frames.unpack(message.frame))
 
-    def act(self, chance):
-        replica = chance.choice(list(self.own.values()))
+    def begin_or_end_attempt(self, chance):
+        replica = chance.choice(list(self.replicas.values()))
         if replica.running and chance.random() < 0.5:
             replica.running -= 1
             if replica.prefill_tokens:
@@ -183,17 +189,19 @@
 
 
 class Scene:
-    def __init__(self, *, seed, count=5):
+    """Proxies, digests and both regions' relays in simulated time, with random faults."""
+
+    def __init__(self, *, seed, member_count=5):
         self.world = simulated_world.World(seed=seed)
         self.chance = self.world.chance
-        self.places = {f"i{number}": REGIONS[number % 2] for number in range(6)}
+        self.replica_regions = {f"i{number}": REGIONS[number % 2] for number in range(6)}
         self.epochs = {region: 1 for region in REGIONS}
         self.hosts = {}
         for region in REGIONS:
             self.start_host(region)
         self.epoch = 1
         self.owners = [DigestOwner(scene=self, epoch=1)]
-        self.members = [Member(scene=self, name=f"p{number}") for number in range(count)]
+        self.members = [Member(scene=self, name=f"p{number}") for number in range(member_count)]
         for member in self.members:
             member.join(self.owners[0])
         self.is_acting = True
@@ -207,7 +215,7 @@
             services={},
             replicas=[
                 {"id": name, "service": "llm", "region": region_name, "models": []}
-                for name, region_name in self.places.items()
+                for name, region_name in self.replica_regions.items()
             ],
         )
         if former is not None:
@@ -217,7 +225,7 @@
     def tick(self):
         for member in self.members:
             if self.is_acting and self.chance.random() < 0.7:
-                member.act(self.chance)
+                member.begin_or_end_attempt(self.chance)
             member.tick()
         for owner in self.owners:
             owner.tick()
@@ -226,19 +234,20 @@
         self.world.later(0.05, self.tick)
 
     def inject_fault(self):
-        kind = self.chance.choice(("holder", "two", "relay", "stream", "member", "alone"))
-        if kind in ("holder", "two"):
+        kind = self.chance.choice(("digest", "second_digest", "relay", "stream", "member", "direct"))
+        if kind in ("digest", "second_digest"):
             former = [owner for owner in self.owners if owner.epoch]
-            if kind == "holder":
+            if kind == "digest":
                 for owner in former:
                     owner.stop()
                     self.owners.remove(owner)
             self.epoch += 1
-            fresh = DigestOwner(scene=self, epoch=self.epoch)  # "two": the former one goes on until it is fenced
-            self.owners.append(fresh)
+            # With "second_digest" the former owner goes on until it is fenced.
+            successor = DigestOwner(scene=self, epoch=self.epoch)
+            self.owners.append(successor)
             for member in self.members:
-                if kind == "holder" or self.chance.random() < 0.6:
-                    member.join(fresh)
+                if kind == "digest" or self.chance.random() < 0.6:
+                    member.join(successor)
         elif kind == "relay":
             self.start_host(self.chance.choice(REGIONS))
         elif kind == "stream":
@@ -247,11 +256,11 @@
                 link.close()
         elif kind == "member":
             number = self.chance.randrange(len(self.members))
-            gone = self.members[number]  # a new life: nothing of the old one runs on
-            gone.up.is_open = gone.down.is_open = False
-            gone.owner.members.pop(gone, None)
-            gone.owner.aggregates.remove(gone)
-            self.members[number] = Member(scene=self, name=gone.name)
+            old_member = self.members[number]  # the proxy restarts, and nothing of its former process goes on
+            old_member.up.is_open = old_member.down.is_open = False
+            old_member.owner.members.pop(old_member, None)
+            old_member.owner.aggregates.remove(old_member)
+            self.members[number] = Member(scene=self, name=old_member.name)
             self.members[number].join(self.chance.choice([owner for owner in self.owners if owner.is_up]))
         else:
             own = DigestOwner(scene=self, epoch=0)
@@ -259,7 +268,7 @@
             self.chance.choice(self.members).join(own)
 
     def converge(self):
-        """All members at the newest holder or alone; older holders are fenced; then nothing happens for a while."""
+        """Moves members of older digests to the newest one, fences the older ones, and waits without new attempts."""
         newest = max(owner.epoch for owner in self.owners)
         for member in self.members:
             if 0 < member.owner.epoch < newest or not member.owner.is_up:
@@ -272,29 +281,29 @@
         self.world.run(until=self.world.time + 5.0)
 
 
-def count(scene):
-    """What runs, counted from the proxies' own attempts: {replica: (running, tokens)}."""
+def count_actual_loads(scene):
+    """Returns the load by replica as (running, tokens), counted from the proxies' own attempts."""
     return {
         name: (
-            sum(member.own[name].running for member in scene.members),
-            sum(sum(member.own[name].prefill_tokens.values()) for member in scene.members),
+            sum(member.replicas[name].running for member in scene.members),
+            sum(sum(member.replicas[name].prefill_tokens.values()) for member in scene.members),
         )
-        for name in scene.places
+        for name in scene.replica_regions
     }
 
 
-def check_converged(scene):
-    """The sums at the relays, and what each proxy makes of them, are what runs."""
-    truth = count(scene)
-    for name, region in scene.places.items():
+def check_convergence(scene):
+    """Asserts that the relays' totals, and the loads that each proxy computes from them, equal the actual loads."""
+    actual_loads = count_actual_loads(scene)
+    for name, region in scene.replica_regions.items():
         key = row_codec.key_of(name)
-        assert scene.hosts[region].total(key)[:2] == truth[name], name
+        assert scene.hosts[region].total(key)[:2] == actual_loads[name], name
         for member in scene.members:
-            total = member.views[region].load.get(key, (0, 0, 0, 0))
-            sums = member.source.counted(member.own[name])
-            own = (member.own[name].running, sum(member.own[name].prefill_tokens.values()))
-            assert sums[:2] == own
-            assert (total[0] - sums[0] + own[0], total[1] - sums[1] + own[1]) == truth[name]
+            total = member.mirrors[region].load.get(key, (0, 0, 0, 0))
+            credited = member.source.counted(member.replicas[name])
+            own = (member.replicas[name].running, sum(member.replicas[name].prefill_tokens.values()))
+            assert credited[:2] == own
+            assert (total[0] - credited[0] + own[0], total[1] - credited[1] + own[1]) == actual_loads[name]
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -304,43 +313,45 @@
         scene.world.run(until=scene.world.time + scene.chance.uniform(0.2, 2.0))
         scene.inject_fault()
     scene.converge()
-    assert any(running for running, _tokens in count(scene).values())
-    check_converged(scene)
+    assert any(running for running, _tokens in count_actual_loads(scene).values())
+    check_convergence(scene)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_visible_load_error_is_bounded_by_recent_changes(seed):
-    """Invariant (docs/digest.md 3): without faults, what a proxy takes for others' load was their load a moment ago."""
+    """Without faults, a proxy sees for the others' load a value that it had a moment ago (docs/digest.md 3)."""
     scene = Scene(seed=seed)
     history = []
     for _ in range(100):
         scene.world.run(until=scene.world.time + 0.05)
-        history.append([{name: member.own[name].running for name in scene.places} for member in scene.members])
+        history.append(
+            [{name: member.replicas[name].running for name in scene.replica_regions} for member in scene.members]
+        )
         if len(history) < 40:
             continue
         for index, member in enumerate(scene.members):
-            for name, region in scene.places.items():
-                total = member.views[region].load.get(row_codec.key_of(name), (0, 0, 0, 0))
-                shown = total[0] - member.source.counted(member.own[name])[0]
-                lately = history[-20:]
-                least = sum(min(row[other][name] for row in lately) for other in range(5) if other != index)
-                most = sum(max(row[other][name] for row in lately) for other in range(5) if other != index)
-                # Our own part may be a report newer or older than the credit that names it.
-                slack = max(row[index][name] for row in lately) - min(row[index][name] for row in lately)
-                assert least - slack <= shown <= most + slack
+            for name, region in scene.replica_regions.items():
+                total = member.mirrors[region].load.get(row_codec.key_of(name), (0, 0, 0, 0))
+                visible = total[0] - member.source.counted(member.replicas[name])[0]
+                recent = history[-20:]
+                lower_bound = sum(min(row[other][name] for row in recent) for other in range(5) if other != index)
+                upper_bound = sum(max(row[other][name] for row in recent) for other in range(5) if other != index)
+                # The proxy's own part may be of a newer or older report than the one that the credit names.
+                slack = max(row[index][name] for row in recent) - min(row[index][name] for row in recent)
+                assert lower_bound - slack <= visible <= upper_bound + slack
 
 
 def test_convergence_check_detects_load_that_does_not_run():
     scene = Scene(seed=1)
     scene.world.run(until=2.0)
     scene.converge()
-    check_converged(scene)
+    check_convergence(scene)
     owner = scene.owners[0]
     report = messages.LoadReport(1, recording_connections.load_row("i0", running=1), b"")
-    owner.aggregates.handle_report("stranger", report)
+    owner.aggregates.handle_report("unknown member", report)
     scene.world.run(until=scene.world.time + 2.0)
     with pytest.raises(AssertionError):
-        check_converged(scene)
+        check_convergence(scene)
 
 
 def test_malformed_and_repeated_reports_are_refused_without_effect():
@@ -357,7 +368,7 @@
         assert sums.total(region="north", key=key) == (2, 9, 0)
     sums.handle_report(
         "p1", messages.LoadReport(2, recording_connections.load_row("i0", running=3, region=99), b"")
-    )  # a region that nobody knows
+    )  # an unknown region
     sums.handle_report("p1", messages.LoadReport(3, recording_connections.load_row("i0", running=1), b""))
     assert sums.total(region="north", key=key) == (1, 0, 0)
 
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -1,4 +1,4 @@
-"""What a digest forwards to its members: publications unchanged, and loads of replicas they follow and of full ones."""
+"""Tests of the publications that a digest forwards to its members, with the loads of followed and of full replicas."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Member(recording_connections.RecordingLink):
-    """A link, and what its member's mirror makes of it."""
+    """A recording connection, with the mirror of the member at its other end."""
 
     def __init__(self):
         super().__init__()
@@ -37,10 +37,10 @@
         self.sent.append(relayed.frame)
 
 
-def make(*follows):
+def make(*followed_keys):
     fanout = fanouts.Fanout()
     members = []
-    for number, keys in enumerate(follows):
+    for number, keys in enumerate(followed_keys):
         member = Member()
         fanout.admit(member, address=f"p{number}")
         fanout.follow(member, keys=keys)
@@ -54,25 +54,25 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_members_receive_loads_of_followed_and_full_replicas(seed):
-    chance = random.Random(seed)
-    follows = [None, frozenset(KEYS[:10]), frozenset(KEYS[5:25]), frozenset()]
-    fanout, members = make(*follows)
-    truth = {}
+    random_source = random.Random(seed)
+    followed_keys = [None, frozenset(KEYS[:10]), frozenset(KEYS[5:25]), frozenset()]
+    fanout, members = make(*followed_keys)
+    published = {}
     for _ in range(80):
-        rows = {key: (chance.randint(0, 9), 0) for key in chance.sample(KEYS, 6)}
+        rows = {key: (random_source.randint(0, 9), 0) for key in random_source.sample(KEYS, 6)}
         rows = {key: (running, load_feed.FULL if running > 7 else 0) for key, (running, _flags) in rows.items()}
-        is_snapshot = chance.random() < 0.05
+        is_snapshot = random_source.random() < 0.05
         if is_snapshot:
-            truth = {}
-        truth.update(rows)
+            published = {}
+        published.update(rows)
         publish(fanout, load(rows, is_snapshot=is_snapshot))
-        for keys, member in zip(follows, members, strict=True):
-            for key, (running, flags) in truth.items():
+        for keys, member in zip(followed_keys, members, strict=True):
+            for key, (running, flags) in published.items():
                 entry_load = member.region.load.get(key, (0, 0, 0, 0))
                 if keys is None or key in keys or flags:
                     assert entry_load == (running, 0, 0, flags)
                 else:
-                    assert not entry_load[3], "it was told that the replica is no longer full"
+                    assert not entry_load[3], "the member must be sent that the replica is no longer full"
 
 
 def test_member_receives_loads_of_newly_followed_replicas():
@@ -103,10 +103,10 @@
 
 def test_newer_connection_closes_older_one_and_full_queue_closes_only_its_member():
     fanout, (first, other) = make(None, None)
-    again = Member()
-    fanout.admit(again, address="p0")
+    newer = Member()
+    fanout.admit(newer, address="p0")
     assert not first.is_open and other.is_open
     assert fanout.remove(first) and not fanout.remove(first)
     other.queue = hub.QUEUE_LIMIT_BYTES + 1
     publish(fanout, load({KEYS[0]: (1, 0)}))
-    assert not other.is_open and again.is_open and again.region.load
+    assert not other.is_open and newer.is_open and newer.region.load
--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -1,4 +1,7 @@
-"""Two digests of a region share its gateway: one stream to the other region, also when a process ends or freezes."""
+"""Tests of the gateway through which a region's digests share one stream to each other region's relay.
+
+Processes end and freeze; the load that each proxy sees is compared with the actual load.
+"""
 
 from ploverward.simulation import loopback
 from ploverward.simulation import zone_proxies
@@ -43,9 +46,11 @@
     zones.work(seed=26)
     zones.converge()
     former.loop.thaw()
-    zones.converge()  # it takes itself for the gateway still; the south's relay refuses its older epoch
+    zones.converge()  # it still acts as the gateway, and the south's relay refuses its older epoch
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
-    epochs = [known.zone_epoch for known in zones.relay("south").relay.subscribers.values() if known.zone_epoch]
+    epochs = [
+        subscriber.zone_epoch for subscriber in zones.relay("south").relay.subscribers.values() if subscriber.zone_epoch
+    ]
     assert epochs == [2]
 
 
@@ -72,11 +77,11 @@
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     link = next(iter(gateway.digest.fanout.members))
     before = {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live}
-    loads = messages.ReplicaLoads(gateway.digest.mirrors["south"].epoch, False, b"nonsense")
+    loads = messages.ReplicaLoads(gateway.digest.mirrors["south"].epoch, False, b"malformed")
     link.send(messages.RelayedFrame("south", frames.pack(loads)))
     assert loopback.until(zones.loop, lambda: not link.is_open)
     assert {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live} == before
-    zones.converge()  # and the digest comes back with its whole state
+    zones.converge()  # the digest joins again with its complete state
 
 
 def test_gateway_refuses_digest_of_older_epoch():
@@ -86,15 +91,15 @@
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
 
-    class Late:
+    class StaleConnection:
         is_open = True
 
         def close(self, *, reason=""):
             self.is_open = False
 
-    late = Late()
-    gateway.join(late, messages.JoinGateway(epoch=1, digest="digest/za", digest_epoch=0))
-    assert not late.is_open and late not in gateway.digest.fanout.members
+    stale = StaleConnection()
+    gateway.join(stale, messages.JoinGateway(epoch=1, digest="digest/za", digest_epoch=0))
+    assert not stale.is_open and stale not in gateway.digest.fanout.members
 
 
 def test_selective_member_sees_exact_load_of_followed_replicas():
@@ -119,7 +124,7 @@
     assert loopback.until(zones.loop, lambda: len(node.relay.subscribers) == 3)
     links = [*node.relay.subscribers, *node.digest.fanout.members, *node.gateway.digest.fanout.members]
     for link in links:
-        link.keep_alive = lambda link=link: link.close(reason="ended as it was written to")
+        link.keep_alive = lambda link=link: link.close(reason="closed during a heartbeat")
     node.client.send_heartbeats()
     assert not any(link.is_open for link in links)
     zones.converge()
--- a/ploverward/data_plane/load_reports/test_relay_role.py
+++ b/ploverward/data_plane/load_reports/test_relay_role.py
@@ -1,4 +1,4 @@
-"""The relay and the gateway of a region live as long as this node owns the singleton role under one epoch."""
+"""Tests that a region's relay and gateway run exactly while this node owns the singleton role under one epoch."""
 
 import types
 
@@ -10,7 +10,7 @@
 from ploverward.transport import messages
 
 
-def make():
+def make_relay_role():
     loop = event_loop.Loop()
     settings = loopback_proxy.settings()
     return relay_role.RelayRole(
@@ -25,20 +25,20 @@
 
 
 def test_relay_restarts_under_new_epoch_and_ends_if_another_incarnation_owns_role():
-    role = make()
+    role = make_relay_role()
     role.update(epoch=1, address="127.0.0.1", incarnation="l1")
-    first = role.host
-    assert first.epoch == 1
+    former_host = role.host
+    assert former_host.epoch == 1
     role.update(epoch=1, address="127.0.0.1", incarnation="l1")
-    assert role.host is first
+    assert role.host is former_host
     role.update(epoch=2, address="127.0.0.1", incarnation="l1")
-    assert role.host is not first and role.host.epoch == 2
-    role.update(epoch=3, address="127.0.0.1", incarnation="an older life of this address")
+    assert role.host is not former_host and role.host.epoch == 2
+    role.update(epoch=3, address="127.0.0.1", incarnation="an earlier process at this address")
     assert role.host is None
 
 
 def test_losing_role_ends_relay_and_gateway_and_closes_subscribers():
-    role = make()
+    role = make_relay_role()
     subscriber = recording_connections.RecordingLink()
     subscribe = messages.Subscribe(epoch=1, region="north", zone="za", zone_epoch=0)
     assert not role.admit(subscriber, subscribe)
--- a/ploverward/data_plane/load_reports/test_report_ticker.py
+++ b/ploverward/data_plane/load_reports/test_report_ticker.py
@@ -1,11 +1,11 @@
-"""Ticks of a proxy's reports: steady while there is work, few without, and the first change is not reported later."""
+"""Tests of the report ticker: constant intervals while there is work, longer ones otherwise, no delay of a change."""
 
 from ploverward.data_plane.load_reports import report_ticker
 from ploverward.simulation.control_plane import simulated_clock
 
 
 class Scene:
-    """A ticker in simulated time; each tick reports one of the changes that wait."""
+    """A ticker in simulated time; each tick reports one of the pending changes."""
 
     def __init__(self):
         self.clock = simulated_clock.Clock(seed=1)
@@ -24,7 +24,7 @@
         self.ticks.append(round(self.clock.time, 3))
         self.changes = max(0, self.changes - 1)
         if self.changes == 7:
-            raise ValueError("one report fails")
+            raise ValueError("simulated failure of one report")
 
     def change(self, changes=1):
         self.changes += changes
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -1,6 +1,7 @@
-"""The zone's digest and the relay among several proxies on real sockets.
+"""Tests of a zone's digest and the region's relay with several proxies on real sockets.
 
-Singleton roles change, owners end, freeze or are partitioned; the load that each proxy sees is compared with what runs.
+Singleton roles change, and owners end or freeze, alone or together; the load that each proxy sees is compared with the
+actual load.
 """
 
 import pytest
@@ -35,7 +36,7 @@
     zones.converge()
     former = zones.digest()
     zones.stop(former)
-    zones.converge()  # before anybody named another one: each is its own digest
+    zones.converge()  # until another owner is assigned, each proxy is its own digest
     assert all(node.digest.has_relay_streams for ip, node in zones.nodes.items() if ip in zones.live)
     zones.assign_roles()
     assert zones.digest() != former
@@ -60,15 +61,18 @@
     relay = zones.nodes[zones.singleton_roles["relay/north"][1]].relay
     epochs = []
 
-    def refused():
-        epochs.extend(known.zone_epoch for known in relay.subscribers.values() if known.zone == "digest/za")
+    def is_any_stream_closed():
+        # Also collects the epochs of the digest at the relay, for the check below.
+        epochs.extend(
+            subscriber.zone_epoch for subscriber in relay.subscribers.values() if subscriber.zone == "digest/za"
+        )
         return any(
             link is None or not link.is_open
             for link in [connector.link for connector in former.digest.relay_connectors().values()]
         )
 
-    assert loopback.until(zones.loop, refused)
-    zones.converge()  # it still takes itself for the holder; the relays refuse it under its old epoch
+    assert loopback.until(zones.loop, is_any_stream_closed)
+    zones.converge()  # it still acts as the owner, and the relays refuse it under its old epoch
     assert 1 not in epochs
     zones.live.add(former.settings.ip)
     zones.announce(former.settings.ip)
@@ -106,9 +110,9 @@
     owner = zones.nodes[zones.digest()]
     member = next(node for node in zones.nodes.values() if node.is_member)
     link = member.digest_connector.link
-    link.send_bytes(frames.pack(messages.LoadReport(10**6, b"nonsense", b"")))
+    link.send_bytes(frames.pack(messages.LoadReport(10**6, b"malformed", b"")))
     assert loopback.until(zones.loop, lambda: not link.is_open)
-    zones.converge()  # and it comes back with its whole state
+    zones.converge()  # the member joins again with its complete state
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     zones.converge()
 
@@ -134,35 +138,42 @@
     chain = (("doc", 100), ("own", 10))
     node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
-    def kept(one):
+    def cached_tokens(proxy):
         from ploverward.data_plane.relay import cuckoo_filter
 
-        return one.regions["north"].kept(
+        return proxy.regions["north"].kept(
             service="llm", model="m", chain=cuckoo_filter.chain(model="m", parts=chain), replicas=("i0", "i1")
         )
 
-    assert loopback.until(zones.loop, lambda: all(kept(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values()))
-    late = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
-    zones.nodes[late].digest_connector.link.close(reason="test")  # it comes back and is given a cut of its own
     assert loopback.until(
-        zones.loop, lambda: zones.nodes[late].is_member and kept(zones.nodes[late]) == {"i0": 110, "i1": 0}
+        zones.loop, lambda: all(cached_tokens(proxy) == {"i0": 110, "i1": 0} for proxy in zones.nodes.values())
+    )
+    reconnecting = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
+    zones.nodes[reconnecting].digest_connector.link.close(reason="test")  # it reconnects and is sent a cut
+    assert loopback.until(
+        zones.loop,
+        lambda: (
+            zones.nodes[reconnecting].is_member and cached_tokens(zones.nodes[reconnecting]) == {"i0": 110, "i1": 0}
+        ),
     )
 
 
-@pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
-def test_only_zones_above_minimum_size_have_digest(count, is_there):
-    listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
-    rows = singleton_roles.role_changes(proxies=listed, find_role=lambda name: (0, "", ""))
-    assert ("digest/za" in rows) == is_there and "relay/north" in rows
-    if is_there:
+@pytest.mark.parametrize("count, has_digest", [(1, False), (3, False), (4, True), (30, True)])
+def test_only_zones_above_minimum_size_have_digest(count, has_digest):
+    proxies = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
+    rows = singleton_roles.role_changes(proxies=proxies, find_role=lambda name: (0, "", ""))
+    assert ("digest/za" in rows) == has_digest and "relay/north" in rows
+    if has_digest:
         assert rows["digest/za"][1] != rows["relay/north"][1]
-        deferred = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
+        assigned = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
         assert (
-            singleton_roles.role_changes(proxies=listed, find_role=lambda name: deferred.get(name, (0, "", ""))) == {}
+            singleton_roles.role_changes(proxies=proxies, find_role=lambda name: assigned.get(name, (0, "", ""))) == {}
+        )
+        remaining = [row for row in proxies if row[0] != rows["digest/za"][1]]
+        later_rows = singleton_roles.role_changes(
+            proxies=remaining, find_role=lambda name: assigned.get(name, (0, "", ""))
         )
-        left = [row for row in listed if row[0] != rows["digest/za"][1]]
-        again = singleton_roles.role_changes(proxies=left, find_role=lambda name: deferred.get(name, (0, "", "")))
-        assert ("digest/za" in again) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
+        assert ("digest/za" in later_rows) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
 
 
 def test_cuts_to_members_are_limited_per_tick_and_precede_their_deltas():
@@ -187,17 +198,18 @@
     for link in owner.digest.fanout.members:
         for name in owner.regions["north"].pools:
             owner.digest.cuts.add(link, "north", name)
-    owner.digest.cuts.budget_bytes = -fanout.MAX_CUT_BYTES_PER_TICK  # a large one was sent just before
+    owner.digest.cuts.budget_bytes = -fanout.MAX_CUT_BYTES_PER_TICK  # a large cut was sent just before
     owner.digest.cuts.send()
     assert not sent and len(owner.digest.cuts.pending) == 4
     zones.work(seed=40)
     zones.converge()
-    assert loopback.until(zones.loop, lambda: not owner.digest.cuts.pending)  # also of pools that the work began
+    # The queue also has cuts of pools that the work created.
+    assert loopback.until(zones.loop, lambda: not owner.digest.cuts.pending)
     kinds = {}
     for link, message in sent:
         if isinstance(message, messages.RelayedFrame) and message.region == "north":
             kinds.setdefault(link, []).append(type(frames.unpack(message.frame)))
     for sent_kinds in kinds.values():
-        # Nothing that builds on the cut comes before it.
+        # A delta is sent only after the cut that it is based on.
         assert messages.PoolCut in sent_kinds
         assert messages.PoolDelta not in sent_kinds[: sent_kinds.index(messages.PoolCut)]
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -26,10 +26,8 @@
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
-DIGEST_WAIT_TIMEOUT_FRACTIONS = (
-    0.25,
-    0.75,
-)  # of the peer timeout; a proxy waits a random time in this range for its zone's digest, then reports directly
+# Fractions of the peer timeout: a proxy waits a random time in this range for its zone's digest, then reports directly.
+DIGEST_WAIT_TIMEOUT_FRACTIONS = (0.25, 0.75)
 DIGEST_WAIT_TIMER_FACTOR = 1.01  # above 1 so that the timer fires after the end of the wait
 
 
