--- a/ploverward/data_plane/load_reports/digest.py
+++ b/ploverward/data_plane/load_reports/digest.py
@@ -90,7 +90,7 @@
     # Streams to relays.
     @property
     def has_relay_streams(self) -> bool:
-        """Whether this digest keeps streams of its own to relays, connected or being connected."""
+        """True if this digest keeps streams of its own to relays, connected or being connected."""
         return bool(self._streams)
 
     def relay_connectors(self) -> dict[str, peer_connection.Connector]:
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -204,7 +204,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the next tick has nothing to report and this proxy owns no role that forwards others' reports."""
+        """True if the next tick has nothing to report and this proxy owns no role that forwards others' reports."""
         owns_role = bool(self.zone_digest.role) or self.relay_role.host is not None
         return not owns_role and self.relay_role.gateway is None and not self.source.has_changes
 
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -82,7 +82,7 @@
         self._outcomes: dict[bytes, OutcomeCounts] = {}
         self._reads: list[bytes] = []
         self._pending: list[collections.deque[_PendingReport]] = [collections.deque() for _name in self._region_names]
-        self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._region_names]
+        self._counted: list[dict[bytes, LoadCounts]] = [{} for _name in self._region_names]  # by region and replica key
         self.on_change: Callable[[], object] = lambda: None
         self._lost_regions = set(self._region_names)  # their published loads include none of this proxy's loads
 
@@ -107,7 +107,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether there is something for the next report, including suspicions that may end."""
+        """True if there is something for the next report, including suspicions that may end."""
         return bool(self._dirty or self._outcomes or self._reads or self._suspected)
 
     def record_prefill(
--- a/ploverward/data_plane/load_reports/zone_digest.py
+++ b/ploverward/data_plane/load_reports/zone_digest.py
@@ -88,7 +88,7 @@
 
     @property
     def is_joined(self) -> bool:
-        """Whether this proxy is a member of another node's digest."""
+        """True if this proxy is a member of another node's digest."""
         return self.membership is not None and self.membership.connection.is_joined
 
     @property
