--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -1,4 +1,7 @@
-"""Two digests of a region share its gateway: one stream to the other region, also when a process ends or freezes."""
+"""Tests of the gateway through which a region's digests share one stream to each other region's relay.
+
+Processes end and freeze; the load that each proxy sees is compared with the actual load.
+"""
 
 from ploverward.simulation import loopback
 from ploverward.simulation import zone_proxies
@@ -6,19 +9,19 @@
 from ploverward.transport import messages
 
 
-def test_one_stream_runs_to_the_other_region_however_many_digests_there_are():
+def test_digests_of_region_share_one_stream_to_other_region():
     zones = zone_proxies.Gates()
     zones.work(seed=20)
     zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
-    assert not zones.relay("south").gateway.digest.is_connected  # without members it keeps no streams
+    assert not zones.relay("south").gateway.digest.has_relay_streams  # without members it keeps no streams
     zones.work(seed=21)
     zones.converge()
 
 
-def test_a_gateway_that_ends_takes_its_streams_along_and_its_successor_counts_nothing_twice():
+def test_successor_of_ended_gateway_counts_no_load_twice():
     zones = zone_proxies.Gates()
     zones.work(seed=22)
     zones.converge()
@@ -32,7 +35,7 @@
     zones.converge()
 
 
-def test_a_frozen_gateway_is_refused_when_it_thaws():
+def test_frozen_gateway_is_refused_under_old_epoch_after_thaw():
     zones = zone_proxies.Gates()
     zones.work(seed=25)
     zones.converge()
@@ -43,13 +46,15 @@
     zones.work(seed=26)
     zones.converge()
     former.loop.thaw()
-    zones.converge()  # it takes itself for the gateway still; the south's relay refuses its older epoch
+    zones.converge()  # it still acts as the gateway, and the south's relay refuses its older epoch
     assert loopback.until(zones.loop, lambda: zones.far_subscribers() == ["relay/north", "zb"])
-    epochs = [known.zone_epoch for known in zones.relay("south").relay.subscribers.values() if known.zone_epoch]
+    epochs = [
+        subscriber.zone_epoch for subscriber in zones.relay("south").relay.subscribers.values() if subscriber.zone_epoch
+    ]
     assert epochs == [2]
 
 
-def test_a_lost_far_relay_is_read_anew_through_the_gateway():
+def test_mirrors_of_remote_region_recover_through_gateway_after_its_relay_is_lost():
     zones = zone_proxies.Gates(more={zone_proxies.address(8): "zb"})
     zones.work(seed=27)
     zones.converge()
@@ -64,7 +69,7 @@
     zones.converge()
 
 
-def test_nonsense_from_a_gateway_closes_its_link_and_changes_nothing():
+def test_malformed_frame_from_gateway_closes_connection_and_changes_no_load():
     zones = zone_proxies.Gates()
     zones.work(seed=28)
     zones.converge()
@@ -72,32 +77,32 @@
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
     link = next(iter(gateway.digest.fanout.members))
     before = {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live}
-    loads = messages.ReplicaLoads(gateway.digest.mirrors["south"].epoch, False, b"nonsense")
+    loads = messages.ReplicaLoads(gateway.digest.mirrors["south"].epoch, False, b"malformed")
     link.send(messages.RelayedFrame("south", frames.pack(loads)))
     assert loopback.until(zones.loop, lambda: not link.is_open)
     assert {ip: dict(zones.nodes[ip].regions["south"].load) for ip in zones.live} == before
-    zones.converge()  # and the digest comes back with its whole state
+    zones.converge()  # the digest joins again with its complete state
 
 
-def test_a_digest_of_an_older_epoch_is_not_admitted_by_the_gateway():
+def test_gateway_refuses_digest_of_older_epoch():
     zones = zone_proxies.Gates()
     zones.work(seed=29)
     zones.converge()
     gateway = zones.relay("north").gateway
     assert loopback.until(zones.loop, lambda: len(gateway.digest.fanout.members) == 2)
 
-    class Late:
+    class StaleConnection:
         is_open = True
 
         def close(self, *, reason=""):
             self.is_open = False
 
-    late = Late()
-    gateway.join(late, messages.JoinGateway(epoch=1, digest="digest/za", digest_epoch=0))
-    assert not late.is_open and late not in gateway.digest.fanout.members
+    stale = StaleConnection()
+    gateway.join(stale, messages.JoinGateway(epoch=1, digest="digest/za", digest_epoch=0))
+    assert not stale.is_open and stale not in gateway.digest.fanout.members
 
 
-def test_members_that_follow_some_replicas_see_those_exactly():
+def test_selective_member_sees_exact_load_of_followed_replicas():
     zones = zone_proxies.Gates()
     member = zones.nodes[zone_proxies.address(1)]
     assert loopback.until(zones.loop, lambda: member.is_member)
@@ -112,14 +117,14 @@
     assert member.sees("i1") == zones.truth("i1")
 
 
-def test_a_connection_that_ends_at_a_heartbeat_harms_no_other():
+def test_heartbeats_reach_all_connections_if_some_close_meanwhile():
     zones = zone_proxies.Gates()
     zones.converge()
     node = zones.relay("north")
     assert loopback.until(zones.loop, lambda: len(node.relay.subscribers) == 3)
     links = [*node.relay.subscribers, *node.digest.fanout.members, *node.gateway.digest.fanout.members]
     for link in links:
-        link.keep_alive = lambda link=link: link.close(reason="ended as it was written to")
+        link.keep_alive = lambda link=link: link.close(reason="closed during a heartbeat")
     node.client.send_heartbeats()
     assert not any(link.is_open for link in links)
     zones.converge()
--- a/ploverward/data_plane/load_reports/test_report_ticker.py
+++ b/ploverward/data_plane/load_reports/test_report_ticker.py
@@ -1,11 +1,11 @@
-"""Ticks of a proxy's reports: steady while there is work, few without, and the first change is not reported later."""
+"""Tests of the report ticker: constant intervals while there is work, longer ones otherwise, no delay of a change."""
 
 from ploverward.data_plane.load_reports import report_ticker
 from ploverward.simulation.control_plane import simulated_clock
 
 
 class Scene:
-    """A ticker in simulated time; each tick reports one of the changes that wait."""
+    """A ticker in simulated time; each tick reports one of the pending changes."""
 
     def __init__(self):
         self.clock = simulated_clock.Clock(seed=1)
@@ -24,21 +24,21 @@
         self.ticks.append(round(self.clock.time, 3))
         self.changes = max(0, self.changes - 1)
         if self.changes == 7:
-            raise ValueError("one report fails")
+            raise ValueError("simulated failure of one report")
 
     def change(self, changes=1):
         self.changes += changes
         self.ticker.wake()
 
 
-def test_an_idle_proxy_ticks_seldom():
+def test_idle_proxy_ticks_at_idle_interval():
     scene = Scene()
     scene.ticker.start()
     scene.clock.run(until=1.6)
     assert scene.ticks == [0.0, 0.5, 1.0, 1.5]
 
 
-def test_a_change_is_reported_after_one_interval_and_the_next_ones_at_each():
+def test_change_while_idle_is_reported_after_one_interval():
     scene = Scene()
     scene.ticker.start()
     scene.clock.run(until=0.2)
@@ -48,7 +48,7 @@
     assert scene.ticks == [0.0, 0.3, 0.4, 0.5, 0.6]
 
 
-def test_a_tick_that_raises_is_followed_by_others():
+def test_ticks_continue_after_tick_that_raises():
     scene = Scene()
     scene.ticker.start()
     scene.change(8)
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -1,6 +1,7 @@
-"""The zone's digest and the relay among several proxies on real sockets.
+"""Tests of a zone's digest and the region's relay with several proxies on real sockets.
 
-Singleton roles change, owners end, freeze or are partitioned; the load that each proxy sees is compared with what runs.
+Singleton roles change, and owners end or freeze, alone or together; the load that each proxy sees is compared with the
+actual load.
 """
 
 import pytest
@@ -13,7 +14,7 @@
 from ploverward.transport import messages
 
 
-def test_members_report_to_the_digest_and_all_see_what_runs():
+def test_members_report_through_digest_and_every_proxy_sees_actual_load():
     zones = zone_proxies.Zones()
     zones.work(seed=1)
     zones.converge()
@@ -21,7 +22,7 @@
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     for _ip, node in zones.nodes.items():
         if node.settings.zone == "za" and node is not owner:
-            assert node.is_member and not node.digest.is_connected
+            assert node.is_member and not node.digest.has_relay_streams
     assert len(zones.nodes[zones.singleton_roles["relay/north"][1]].relay.subscribers) == 2  # one for each zone
     zones.nodes[zone_proxies.address(1)].end(
         next(name for name in ("i0", "i1", "i2") if zones.nodes[zone_proxies.address(1)].table.replicas[name].running)
@@ -29,14 +30,14 @@
     zones.converge()
 
 
-def test_a_digest_that_ends_leaves_its_members_on_their_own_and_the_next_one_takes_them():
+def test_members_report_directly_after_digest_ends_and_join_its_successor():
     zones = zone_proxies.Zones()
     zones.work(seed=2)
     zones.converge()
     former = zones.digest()
     zones.stop(former)
-    zones.converge()  # before anybody named another one: each is its own digest
-    assert all(node.digest.is_connected for ip, node in zones.nodes.items() if ip in zones.live)
+    zones.converge()  # until another owner is assigned, each proxy is its own digest
+    assert all(node.digest.has_relay_streams for ip, node in zones.nodes.items() if ip in zones.live)
     zones.assign_roles()
     assert zones.digest() != former
     zones.work(seed=3)
@@ -45,7 +46,7 @@
     zones.converge()
 
 
-def test_a_frozen_digest_stops_nobody_and_receives_nothing_twice_when_it_thaws():
+def test_frozen_digest_is_replaced_and_refused_under_old_epoch_after_thaw():
     zones = zone_proxies.Zones()
     zones.work(seed=4)
     zones.converge()
@@ -60,15 +61,18 @@
     relay = zones.nodes[zones.singleton_roles["relay/north"][1]].relay
     epochs = []
 
-    def refused():
-        epochs.extend(known.zone_epoch for known in relay.subscribers.values() if known.zone == "digest/za")
+    def is_any_stream_closed():
+        # Also collects the epochs of the digest at the relay, for the check below.
+        epochs.extend(
+            subscriber.zone_epoch for subscriber in relay.subscribers.values() if subscriber.zone == "digest/za"
+        )
         return any(
             link is None or not link.is_open
-            for link in [connector.link for connector in former.digest.streams().values()]
+            for link in [connector.link for connector in former.digest.relay_connectors().values()]
         )
 
-    assert loopback.until(zones.loop, refused)
-    zones.converge()  # it still takes itself for the holder; the relays refuse it under its old epoch
+    assert loopback.until(zones.loop, is_any_stream_closed)
+    zones.converge()  # it still acts as the owner, and the relays refuse it under its old epoch
     assert 1 not in epochs
     zones.live.add(former.settings.ip)
     zones.announce(former.settings.ip)
@@ -77,7 +81,7 @@
     zones.converge()
 
 
-def test_relay_and_digest_lost_together():
+def test_loads_converge_after_relay_and_digest_fail_together():
     zones = zone_proxies.Zones()
     zones.work(seed=6)
     zones.converge()
@@ -88,7 +92,7 @@
     zones.converge()
 
 
-def test_an_entire_zone_is_lost_and_its_load_with_it():
+def test_load_of_lost_zone_is_withdrawn():
     zones = zone_proxies.Zones()
     zones.work(seed=8)
     zones.converge()
@@ -99,21 +103,21 @@
     assert [ip for ip in zones.live] == [zone_proxies.address(9)]
 
 
-def test_a_member_that_sends_nonsense_is_closed_and_changes_nothing():
+def test_malformed_report_closes_member_connection_and_changes_no_load():
     zones = zone_proxies.Zones()
     zones.work(seed=9)
     zones.converge()
     owner = zones.nodes[zones.digest()]
     member = next(node for node in zones.nodes.values() if node.is_member)
     link = member.digest_connector.link
-    link.send_bytes(frames.pack(messages.LoadReport(10**6, b"nonsense", b"")))
+    link.send_bytes(frames.pack(messages.LoadReport(10**6, b"malformed", b"")))
     assert loopback.until(zones.loop, lambda: not link.is_open)
-    zones.converge()  # and it comes back with its whole state
+    zones.converge()  # the member joins again with its complete state
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     zones.converge()
 
 
-def test_a_slow_member_loses_its_own_stream_only():
+def test_slow_member_is_disconnected_alone():
     zones = zone_proxies.Zones()
     zones.work(seed=10)
     zones.converge()
@@ -126,48 +130,53 @@
     zones.converge()
 
 
-def test_a_region_read_anew_reaches_the_members_with_cut_and_sequence():
+def test_cached_prompts_reach_present_members_and_one_that_reconnects():
     zones = zone_proxies.Zones()
     zones.work(seed=12)
     zones.converge()
     node = zones.nodes[zone_proxies.address(9)]
     chain = (("doc", 100), ("own", 10))
-    node.client.source.record_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
+    node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
 
-    def cached_tokens(one):
+    def cached_tokens(proxy):
         from ploverward.data_plane.relay import cuckoo_filter
 
-        return one.regions["north"].cached_tokens(
+        return proxy.regions["north"].cached_tokens(
             service="llm", model="m", chain=cuckoo_filter.chain(model="m", parts=chain), replicas=("i0", "i1")
         )
 
     assert loopback.until(
-        zones.loop, lambda: all(cached_tokens(one) == {"i0": 110, "i1": 0} for one in zones.nodes.values())
+        zones.loop, lambda: all(cached_tokens(proxy) == {"i0": 110, "i1": 0} for proxy in zones.nodes.values())
     )
-    late = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
-    zones.nodes[late].digest_connector.link.close(reason="test")  # it comes back and is given a cut of its own
+    reconnecting = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
+    zones.nodes[reconnecting].digest_connector.link.close(reason="test")  # it reconnects and is sent a cut
     assert loopback.until(
-        zones.loop, lambda: zones.nodes[late].is_member and cached_tokens(zones.nodes[late]) == {"i0": 110, "i1": 0}
+        zones.loop,
+        lambda: (
+            zones.nodes[reconnecting].is_member and cached_tokens(zones.nodes[reconnecting]) == {"i0": 110, "i1": 0}
+        ),
     )
 
 
-@pytest.mark.parametrize("count, is_there", [(1, False), (3, False), (4, True), (30, True)])
-def test_a_zone_of_few_proxies_has_no_digest(count, is_there):
-    listed = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
-    rows = singleton_roles.role_changes(proxies=listed, find_role=lambda name: (0, "", ""))
-    assert ("digest/za" in rows) == is_there and "relay/north" in rows
-    if is_there:
+@pytest.mark.parametrize("count, has_digest", [(1, False), (3, False), (4, True), (30, True)])
+def test_only_zones_above_minimum_size_have_digest(count, has_digest):
+    proxies = [(f"10.0.0.{number}", "l", "za", "north") for number in range(count)]
+    rows = singleton_roles.role_changes(proxies=proxies, find_role=lambda name: (0, "", ""))
+    assert ("digest/za" in rows) == has_digest and "relay/north" in rows
+    if has_digest:
         assert rows["digest/za"][1] != rows["relay/north"][1]
-        deferred = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
+        assigned = {name: (epoch + 1, owner, incarnation) for name, (epoch, owner, incarnation) in rows.items()}
         assert (
-            singleton_roles.role_changes(proxies=listed, find_role=lambda name: deferred.get(name, (0, "", ""))) == {}
+            singleton_roles.role_changes(proxies=proxies, find_role=lambda name: assigned.get(name, (0, "", ""))) == {}
+        )
+        remaining = [row for row in proxies if row[0] != rows["digest/za"][1]]
+        later_rows = singleton_roles.role_changes(
+            proxies=remaining, find_role=lambda name: assigned.get(name, (0, "", ""))
         )
-        left = [row for row in listed if row[0] != rows["digest/za"][1]]
-        again = singleton_roles.role_changes(proxies=left, find_role=lambda name: deferred.get(name, (0, "", "")))
-        assert ("digest/za" in again) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
+        assert ("digest/za" in later_rows) == (count - 1 > singleton_roles.MAX_PROXIES_WITHOUT_DIGEST)
 
 
-def test_cuts_go_to_members_a_bounded_number_of_bytes_at_a_time():
+def test_cuts_to_members_are_limited_per_tick_and_precede_their_deltas():
     zones = zone_proxies.Zones()
     zones.converge()
     owner = zones.nodes[zones.digest()]
@@ -177,7 +186,7 @@
     zones.converge()
     for number in range(600):
         parts = ((f"doc{number}", 100), (f"own{number}", 10))
-        node.client.source.record_read(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
+        node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
     assert loopback.until(zones.loop, lambda: owner.regions["north"].pools)
     sent = []
     send_bytes = type(next(iter(owner.digest.fanout.members))).send_bytes
@@ -189,17 +198,18 @@
     for link in owner.digest.fanout.members:
         for name in owner.regions["north"].pools:
             owner.digest.cuts.add(link, "north", name)
-    owner.digest.cuts.budget_bytes = -fanout.MAX_CUT_BYTES_PER_TICK  # a large one was sent just before
+    owner.digest.cuts.budget_bytes = -fanout.MAX_CUT_BYTES_PER_TICK  # a large cut was sent just before
     owner.digest.cuts.send()
     assert not sent and len(owner.digest.cuts.pending) == 4
     zones.work(seed=40)
     zones.converge()
-    assert loopback.until(zones.loop, lambda: not owner.digest.cuts.pending)  # also of pools that the work began
+    # The queue also has cuts of pools that the work created.
+    assert loopback.until(zones.loop, lambda: not owner.digest.cuts.pending)
     kinds = {}
     for link, message in sent:
         if isinstance(message, messages.RelayedFrame) and message.region == "north":
             kinds.setdefault(link, []).append(type(frames.unpack(message.frame)))
     for sent_kinds in kinds.values():
-        # Nothing that builds on the cut comes before it.
+        # A delta is sent only after the cut that it is based on.
         assert messages.PoolCut in sent_kinds
         assert messages.PoolDelta not in sent_kinds[: sent_kinds.index(messages.PoolCut)]
