--- a/ploverward/control_plane/operator_api/tally_handlers.py
+++ b/ploverward/control_plane/operator_api/tally_handlers.py
@@ -72,7 +72,7 @@
             return
         if self._is_shutting_down:
             call.unavailable(why="this node is shutting down")
-        elif not self._tallies.can_take(add):
+        elif not self._tallies.can_accept(add):
             call.unavailable(why="too many adds are kept or wait here")
         else:
             on_gone = self._tallies.add(add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody()))
--- a/ploverward/control_plane/operator_api/test_tally_handlers.py
+++ b/ploverward/control_plane/operator_api/test_tally_handlers.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self.has_room, self.is_merged, self.adds, self.forgotten = True, True, [], 0
 
-    def can_take(self, _add):
+    def can_accept(self, _add):
         return self.has_room
 
     def add(self, *, add, answer):
--- a/ploverward/control_plane/tallies/add_waiters.py
+++ b/ploverward/control_plane/tallies/add_waiters.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CopyView:
+class DurabilityView:
     """Who has what, at one moment.
 
     Attributes:
@@ -29,20 +29,20 @@
     wanted_copies: int
 
 
-def is_safe(places: Collection[tally_state.Place], view: CopyView) -> bool:
+def may_be_acknowledged(occurrences: Collection[tally_state.Occurrence], view: DurabilityView) -> bool:
     """Whether an add that stands at these places may be acknowledged.
 
     It may once it is on `wanted_copies` disks, or on this one and those of all members in reach.
     """
-    is_own = _covers(view.own, places)
-    holders = {address for address, positions in view.peers.items() if _covers(positions, places)}
+    is_own = _covers(view.own, occurrences)
+    holders = {address for address, positions in view.peers.items() if _covers(positions, occurrences)}
     if len(holders) + is_own >= view.wanted_copies:
         return True
     return is_own and all(address in holders for address in view.in_reach)
 
 
-def _covers(positions: tally_state.Positions, places: Collection[tally_state.Place]) -> bool:
-    return any(positions.get(place.log, 0) >= place.position for place in places)
+def _covers(positions: tally_state.Positions, occurrences: Collection[tally_state.Occurrence]) -> bool:
+    return any(positions.get(occurrence.log, 0) >= occurrence.position for occurrence in occurrences)
 
 
 class AddWaiters:
@@ -53,7 +53,7 @@
         view: Returns who has what now.
     """
 
-    def __init__(self, *, state: tally_state.TallyState, view: Callable[[], CopyView]) -> None:
+    def __init__(self, *, state: tally_state.TallyState, view: Callable[[], DurabilityView]) -> None:
         self._state = state
         self._view = view
         self._answers: dict[AddKey, list[Answer]] = {}
@@ -79,7 +79,7 @@
         if not self._answers:
             return
         view = self._view()
-        safe = [key for key in self._answers if is_safe(self._state.places_of(key), view)]
+        safe = [key for key in self._answers if may_be_acknowledged(self._state.places_of(key), view)]
         for key in safe:
             for answer in self._answers.pop(key):
                 answer()
--- a/ploverward/control_plane/tallies/tally_folder.py
+++ b/ploverward/control_plane/tallies/tally_folder.py
@@ -2,7 +2,7 @@
 
 Nothing is folded while there are few ids. Above that, an add is folded once three things hold:
 
-* It was here for `REPEAT_S`, which is longer than any caller sends the same add again.
+* It was here for `RETRY_HORIZON_S`, which is longer than any caller sends the same add again.
 * Each member has it on its disk, as it told on its present connection. A member that is away holds this up; one that
   was removed from the set does not.
 * This node has all that those members had when they told so. So if a member took the same id before the add reached
@@ -18,11 +18,11 @@
 from ploverward.control_plane.tallies import tally_state
 from ploverward.transport.messages import TallyLogName
 
-REPEAT_S = 120.0  # a caller repeats for its deadline, an operator for receiptMs: seconds, both
-CHECKPOINT_S = 15.0
+RETRY_HORIZON_S = 120.0  # a caller repeats for its deadline, an operator for receiptMs: seconds, both
+CHECKPOINT_INTERVAL_S = 15.0
 
 
-class TallyFolder:
+class FoldScheduler:
     """Folds old adds of a state.
 
     Args:
@@ -50,10 +50,10 @@
     def tick(self) -> None:
         """To be called at each heartbeat interval."""
         now = self._now()
-        if not self._checkpoints or now - self._checkpoints[-1][0] >= CHECKPOINT_S:
+        if not self._checkpoints or now - self._checkpoints[-1][0] >= CHECKPOINT_INTERVAL_S:
             self._checkpoints.append((now, self._state.positions()))
         old: tally_state.Positions | None = None
-        while self._checkpoints and now - self._checkpoints[0][0] >= REPEAT_S:
+        while self._checkpoints and now - self._checkpoints[0][0] >= RETRY_HORIZON_S:
             _at, old = self._checkpoints.popleft()
         if old is not None:
             self._fold(old)
@@ -65,7 +65,7 @@
         if not members or not all(self._state.has(positions) for positions in members):
             return
         for log, position in old.items():
-            self._state.fold(log=log, upto=_least(log, position, members))
+            self._state.fold(log=log, up_to=_least(log, position, members))
 
 
 def _least(log: TallyLogName, position: int, members: Collection[tally_state.Positions]) -> int:
--- a/ploverward/control_plane/tallies/tally_replicator.py
+++ b/ploverward/control_plane/tallies/tally_replicator.py
@@ -136,7 +136,7 @@
             peer = self._current_peer(address)
             if peer is not None and peer.durable is not None:
                 for log in own_logs:
-                    self._send_log(peer, log, upto=self._state.position(log))
+                    self._send_log(peer, log, up_to=self._state.position(log))
 
     def tick(self) -> None:
         """At each heartbeat interval: new connections, relays, and news for followers."""
@@ -162,7 +162,7 @@
         rank = self._relay_rank(address)
         for log, intervals in lagging.items():
             if intervals > rank:
-                self._send_log(peer, log, upto=self._settled[log])
+                self._send_log(peer, log, up_to=self._settled[log])
         peer.lagging_intervals = lagging
         peer.former = dict(peer.durable)
 
@@ -171,17 +171,17 @@
         connected = [other for other in self._peers if other != address and self._current_peer(other) is not None]
         return sum(other < self._own for other in connected)
 
-    def _send_log(self, peer: _Peer, log: TallyLogName, *, upto: int) -> None:
+    def _send_log(self, peer: _Peer, log: TallyLogName, *, up_to: int) -> None:
         assert peer.durable is not None
         durable = peer.durable.get(log, 0)
         start = max(durable, peer.sent.get(log, 0))
-        end = min(upto, max(durable, self._state.folded_position(log)) + WINDOW_ADDS)
+        end = min(up_to, max(durable, self._state.folded_position(log)) + WINDOW_ADDS)
         if start >= end:
             return
         if start < self._state.folded_position(log):
             self._send_snapshot(peer)
             start = peer.sent.get(log, 0)
-        for message in tally_writer.adds_behind(state=self._state, log=log, position=start, upto=end):
+        for message in tally_writer.adds_behind(state=self._state, log=log, position=start, up_to=end):
             peer.connection.send(message)
         peer.sent[log] = end
 
@@ -209,7 +209,7 @@
         """Goes on with logs of which a window was sent."""
         for log in list(peer.sent):
             is_own = log.origin == self._own
-            self._send_log(peer, log, upto=self._state.position(log) if is_own else self._settled.get(log, 0))
+            self._send_log(peer, log, up_to=self._state.position(log) if is_own else self._settled.get(log, 0))
 
     # The side that was dialed.
     def handle_request(self, connection: interfaces.Connection) -> None:
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -39,7 +39,7 @@
 ADD_DISK_BYTES = 80  # some 30 bytes, beside the next version of the file
 ADD_MEMORY_BYTES = 420  # of one id with its amount (docs/CAPACITY.md, "Tallies")
 READ_WAIT_SHARE = 0.6  # of the peer time-out: how long a read waits for the merge, less than its caller does
-KEPT_SHARE = 1 / 8  # of the limit: so many ids are kept before old ones are folded
+FOLD_THRESHOLD_SHARE = 1 / 8  # of the limit: so many ids are kept before old ones are folded
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -181,10 +181,10 @@
             expected=self._other_members, heard_at=self._heard_at, probe=self._replicator.probe
         )
         self._waiters = add_waiters.AddWaiters(state=self.state, view=self._copy_view)
-        self._folder = tally_folder.TallyFolder(
+        self._folder = tally_folder.FoldScheduler(
             state=self.state,
             now=loop.now,
-            max_kept=int(limits.max_kept * KEPT_SHARE),
+            max_kept=int(limits.max_kept * FOLD_THRESHOLD_SHARE),
             member_positions=self._member_positions,
         )
 
@@ -208,7 +208,7 @@
     def _is_full(self) -> bool:
         return self.state.size >= self._limits.max_kept or len(self._waiters) >= MAX_WAITING_ADDS
 
-    def can_take(self, add: messages.TallyAdd) -> bool:
+    def can_accept(self, add: messages.TallyAdd) -> bool:
         """Whether an add is taken: one that is known always is, others while there is room."""
         return self._is_known(add) or not self._is_full
 
@@ -348,7 +348,7 @@
         connection = self._sessions.core_connection(address)
         return connection.heard_at if connection is not None and connection.has_heard else None
 
-    def _copy_view(self) -> add_waiters.CopyView:
+    def _copy_view(self) -> add_waiters.DurabilityView:
         leaving = set(self._sessions.leaving_cores())
         peers = {}
         for address in self._sessions.connected_to():
@@ -356,7 +356,7 @@
             if positions is not None and address not in leaving:
                 peers[address] = positions
         members = self._other_members()
-        return add_waiters.CopyView(
+        return add_waiters.DurabilityView(
             own=self._writer.durable,
             peers=peers,
             in_reach=[address for address in self._reach.in_reach() if address not in leaving],
--- a/ploverward/control_plane/tallies/tally_state.py
+++ b/ploverward/control_plane/tallies/tally_state.py
@@ -34,7 +34,7 @@
     add_id: str
 
 
-class Place(NamedTuple):
+class Occurrence(NamedTuple):
     """Where an add stands. The lowest place decides its amount."""
 
     log: TallyLogName
@@ -47,12 +47,12 @@
 
     Attributes:
         amount: What it adds to its tally.
-        places: Where it stands, folded places left out.
+        occurrences: Where it stands, folded places left out.
         is_folded: Whether one of its places is folded, so that the amount is final.
     """
 
     amount: int
-    places: tuple[Place, ...]
+    occurrences: tuple[Occurrence, ...]
     is_folded: bool = False
 
 
@@ -115,10 +115,10 @@
         """Whether this node has at least so much of each log."""
         return all(self.position(log) >= position for log, position in positions.items())
 
-    def places_of(self, key: AddKey) -> tuple[Place, ...]:
+    def places_of(self, key: AddKey) -> tuple[Occurrence, ...]:
         """Returns where an add stands; nothing where it is not known, or folded."""
         known = self._known_adds.get(key)
-        return known.places if known is not None else ()
+        return known.occurrences if known is not None else ()
 
     def adds_from(self, *, log: TallyLogName, position: int, limit: int) -> Sequence[TallyAdd]:
         """Returns up to `limit` adds of a log, from those behind `position` on.
@@ -136,7 +136,7 @@
         """Appends an add to a log and returns its position there."""
         own = self._logs.setdefault(log, _Log())
         own.adds.append(add)
-        self._refer(Place(log, own.position), add)
+        self._index_occurrence(Occurrence(log, own.position), add)
         return own.position
 
     def merge(self, *, log: TallyLogName, first: int, adds: Iterable[TallyAdd]) -> None:
@@ -156,21 +156,21 @@
         for position, add in enumerate(adds, start=first):
             if position == known.position + 1:
                 known.adds.append(add)
-                self._refer(Place(log, position), add)
+                self._index_occurrence(Occurrence(log, position), add)
 
-    def _refer(self, place: Place, add: TallyAdd) -> None:
+    def _index_occurrence(self, occurrence: Occurrence, add: TallyAdd) -> None:
         key = AddKey(add.tally, add.add_id)
         known = self._known_adds.get(key)
         if known is None:
-            self._known_adds[key] = _KnownAdd(amount=add.amount, places=(place,))
+            self._known_adds[key] = _KnownAdd(amount=add.amount, occurrences=(occurrence,))
             self._totals[add.tally] += add.amount
             return
-        if not known.is_folded and place < min(known.places):
+        if not known.is_folded and occurrence < min(known.occurrences):
             self._totals[add.tally] += add.amount - known.amount
             known.amount = add.amount
-        known.places += (place,)
+        known.occurrences += (occurrence,)
 
-    def fold(self, *, log: TallyLogName, upto: int) -> None:
+    def fold(self, *, log: TallyLogName, up_to: int) -> None:
         """Forgets the ids of the oldest adds of a log; totals do not change.
 
         Sound only where each member has these adds, this node has all that those members had when they said so, and
@@ -178,27 +178,27 @@
 
         Args:
             log: The log.
-            upto: Position of the last add to fold; what is not here yet is not folded.
+            up_to: Position of the last add to fold; what is not here yet is not folded.
         """
         found = self._logs.get(log)
         if found is None:
             return
-        count = min(upto, found.position) - found.folded
+        count = min(up_to, found.position) - found.folded
         if count <= 0:
             return
         for position, add in enumerate(found.adds[:count], start=found.folded + 1):
-            self._dereference(Place(log, position), add)
+            self._dereference(Occurrence(log, position), add)
         del found.adds[:count]
         found.folded += count
 
-    def _dereference(self, place: Place, add: TallyAdd) -> None:
+    def _dereference(self, occurrence: Occurrence, add: TallyAdd) -> None:
         key = AddKey(add.tally, add.add_id)
         known = self._known_adds[key]
         if not known.is_folded:
             known.is_folded = True
             self._folded_totals[add.tally] += known.amount
-        known.places = tuple(other for other in known.places if other != place)
-        if not known.places:
+        known.occurrences = tuple(other for other in known.occurrences if other != occurrence)
+        if not known.occurrences:
             del self._known_adds[key]
 
     # Copies.
--- a/ploverward/control_plane/tallies/tally_writer.py
+++ b/ploverward/control_plane/tallies/tally_writer.py
@@ -110,7 +110,7 @@
 
 
 def adds_behind(
-    *, state: tally_state.TallyState, log: TallyLogName, position: int, upto: int | None = None
+    *, state: tally_state.TallyState, log: TallyLogName, position: int, up_to: int | None = None
 ) -> list[messages.TallyAdds]:
     """Returns the adds of a log behind a position that is not folded, as messages.
 
@@ -118,10 +118,10 @@
         state: Where they are.
         log: The log.
         position: They are behind this one.
-        upto: Position of the last one; None: all.
+        up_to: Position of the last one; None: all.
     """
     found = []
-    end = state.position(log) if upto is None else upto
+    end = state.position(log) if up_to is None else up_to
     while position < end:
         adds = state.adds_from(log=log, position=position, limit=min(ADDS_PER_RECORD, end - position))
         found.append(messages.TallyAdds(log=log, first=position + 1, adds=tuple(adds)))
--- a/ploverward/control_plane/tallies/test_add_waiters.py
+++ b/ploverward/control_plane/tallies/test_add_waiters.py
@@ -8,40 +8,40 @@
 
 OWN, OTHER = TallyLogName("a", "1"), TallyLogName("b", "1")
 HAS = {OWN: 3}
-PLACES = (tally_state.Place(OWN, 3),)
+PLACES = (tally_state.Occurrence(OWN, 3),)
 
 
 def view(*, own=HAS, peers=None, in_reach=("b", "c", "d", "e"), wanted=3):
-    return add_waiters.CopyView(own=own, peers=peers or {}, in_reach=in_reach, wanted_copies=wanted)
+    return add_waiters.DurabilityView(own=own, peers=peers or {}, in_reach=in_reach, wanted_copies=wanted)
 
 
-def test_enough_disks_are_enough_whoever_else_is_slow():
-    assert add_waiters.is_safe(PLACES, view(peers={"b": HAS, "c": HAS}))
-    assert not add_waiters.is_safe(PLACES, view(peers={"b": HAS, "c": {OWN: 2}}))
+def test_add_on_the_wanted_number_of_disks_may_be_acknowledged():
+    assert add_waiters.may_be_acknowledged(PLACES, view(peers={"b": HAS, "c": HAS}))
+    assert not add_waiters.may_be_acknowledged(PLACES, view(peers={"b": HAS, "c": {OWN: 2}}))
 
 
-def test_the_own_disk_may_be_the_slow_one():
-    assert add_waiters.is_safe(PLACES, view(own={}, peers={"b": HAS, "c": HAS, "d": HAS}))
-    assert not add_waiters.is_safe(PLACES, view(own={}, peers={"b": HAS, "c": HAS}))
+def test_add_not_on_own_disk_may_be_acknowledged_with_the_wanted_copies_on_peers():
+    assert add_waiters.may_be_acknowledged(PLACES, view(own={}, peers={"b": HAS, "c": HAS, "d": HAS}))
+    assert not add_waiters.may_be_acknowledged(PLACES, view(own={}, peers={"b": HAS, "c": HAS}))
 
 
-def test_with_the_others_out_of_reach_all_that_are_in_reach_are_needed():
-    assert add_waiters.is_safe(PLACES, view(in_reach=()))
-    assert add_waiters.is_safe(PLACES, view(peers={"b": HAS}, in_reach=("b",)))
-    assert not add_waiters.is_safe(PLACES, view(peers={"b": {OWN: 2}}, in_reach=("b",)))
-    assert not add_waiters.is_safe(PLACES, view(own={}, in_reach=()))
+def test_with_too_few_peers_in_reach_own_disk_and_all_of_theirs_are_required():
+    assert add_waiters.may_be_acknowledged(PLACES, view(in_reach=()))
+    assert add_waiters.may_be_acknowledged(PLACES, view(peers={"b": HAS}, in_reach=("b",)))
+    assert not add_waiters.may_be_acknowledged(PLACES, view(peers={"b": {OWN: 2}}, in_reach=("b",)))
+    assert not add_waiters.may_be_acknowledged(PLACES, view(own={}, in_reach=()))
 
 
-def test_a_peer_in_reach_that_told_nothing_yet_is_waited_for():
-    assert not add_waiters.is_safe(PLACES, view(peers={}, in_reach=("b",)))
+def test_peer_in_reach_without_reported_positions_delays_acknowledgement():
+    assert not add_waiters.may_be_acknowledged(PLACES, view(peers={}, in_reach=("b",)))
 
 
-def test_any_place_of_the_add_is_as_good():
-    places = (*PLACES, tally_state.Place(OTHER, 1))
-    assert add_waiters.is_safe(places, view(peers={"b": {OTHER: 1}, "c": HAS}))
+def test_copies_of_an_add_in_different_logs_count_towards_the_wanted_copies():
+    occurrences = (*PLACES, tally_state.Occurrence(OTHER, 1))
+    assert add_waiters.may_be_acknowledged(occurrences, view(peers={"b": {OTHER: 1}, "c": HAS}))
 
 
-def test_waiting_calls_are_answered_once_and_those_that_left_never():
+def test_waiting_callbacks_run_once_and_cancelled_ones_never():
     state = tally_state.TallyState()
     state.append(log=OWN, add=TallyAdd("t", "x", 1))
     now = [view(own={})]
@@ -84,7 +84,7 @@
         return self.reach.is_out_of_reach("b")
 
 
-def test_a_peer_is_out_of_reach_after_some_silent_intervals_and_back_with_the_first_word():
+def test_silent_peer_is_out_of_reach_until_the_next_received_data():
     scene = Silence()
     assert not scene.ticks(1)
     assert not scene.ticks(peer_reach.SILENT_INTERVALS - 1)
@@ -93,7 +93,7 @@
     assert not scene.ticks(1) and scene.reach.in_reach() == ["b"]
 
 
-def test_a_lost_connection_alone_is_no_reason_and_a_clock_that_leapt_neither():
+def test_lost_connection_or_clock_jump_does_not_put_peer_out_of_reach_at_once():
     scene = Silence()
     scene.ticks(1)
     scene.heard_at = None
@@ -102,7 +102,7 @@
     assert not scene.ticks(1)
 
 
-def test_a_peer_that_is_heard_and_answers_no_probe_is_out_of_reach_too():
+def test_peer_that_sends_data_but_answers_no_probe_is_out_of_reach():
     scene = Silence()
     assert not scene.ticks(10, is_heard=True) and scene.probes == 0
     assert not scene.ticks(peer_reach.SILENT_INTERVALS, is_heard=True, is_waiting=True)
@@ -111,14 +111,14 @@
     assert not scene.reach.is_out_of_reach("b")
 
 
-def test_a_peer_that_answers_each_probe_is_in_reach():
+def test_peer_that_answers_each_probe_stays_in_reach():
     scene = Silence()
     for _number in range(20):
         assert not scene.ticks(1, is_heard=True, is_waiting=True)
         scene.reach.handle_answer("b")
 
 
-def test_a_peer_that_was_never_heard_of_is_given_longer():
+def test_peer_that_never_sent_data_has_the_longer_limit():
     scene = Silence()
     scene.heard_at = None
     assert not scene.ticks(peer_reach.FIRST_SILENT_INTERVALS - 1)
--- a/ploverward/control_plane/tallies/test_tally_folder.py
+++ b/ploverward/control_plane/tallies/test_tally_folder.py
@@ -6,7 +6,7 @@
 from ploverward.transport.messages import TallyLogName
 
 LOG, OTHER = TallyLogName("a", "1"), TallyLogName("b", "1")
-OLD_S = tally_folder.REPEAT_S + tally_folder.CHECKPOINT_S
+OLD_S = tally_folder.RETRY_HORIZON_S + tally_folder.CHECKPOINT_INTERVAL_S
 
 
 class Scene:
@@ -16,7 +16,7 @@
         self.now = 0.0
         self.state = tally_state.TallyState()
         self.members = [{LOG: 4}, {LOG: 4}]
-        self.folder = tally_folder.TallyFolder(
+        self.folder = tally_folder.FoldScheduler(
             state=self.state, now=lambda: self.now, max_kept=max_kept, member_positions=lambda: self.members
         )
         for number in range(4):
@@ -29,30 +29,30 @@
         return self.state.folded_position(LOG)
 
 
-def test_old_adds_that_all_members_have_are_folded():
+def test_adds_past_the_retry_horizon_that_all_members_have_are_folded():
     scene = Scene()
-    assert scene.after(tally_folder.REPEAT_S - 1) == 0
+    assert scene.after(tally_folder.RETRY_HORIZON_S - 1) == 0
     assert scene.after(2) == 4
     assert scene.state.total("t") == 4
 
 
-def test_few_ids_are_kept():
+def test_nothing_is_folded_below_the_kept_limit():
     assert Scene(max_kept=100).after(OLD_S) == 0
 
 
-def test_a_member_that_is_away_holds_it_up():
+def test_nothing_is_folded_while_a_member_is_disconnected():
     scene = Scene()
     scene.members = None
     assert scene.after(OLD_S) == 0
 
 
-def test_a_member_that_lacks_some_holds_up_those():
+def test_adds_that_a_member_lacks_are_not_folded():
     scene = Scene()
     scene.members = [{LOG: 4}, {LOG: 3}]
     assert scene.after(OLD_S) == 3
 
 
-def test_what_a_member_had_must_be_here_as_it_may_be_the_same_add():
+def test_nothing_is_folded_until_this_node_has_all_adds_of_the_members():
     scene = Scene()
     scene.members = [{LOG: 4}, {LOG: 4, OTHER: 1}]
     assert scene.after(OLD_S) == 0
@@ -62,7 +62,7 @@
     assert scene.state.total("t") == 4
 
 
-def test_adds_that_came_meanwhile_stay():
+def test_adds_within_the_retry_horizon_are_not_folded():
     scene = Scene()
     scene.members = [{LOG: 5}, {LOG: 5}]
     scene.now = 100.0
--- a/ploverward/control_plane/tallies/test_tally_replicator.py
+++ b/ploverward/control_plane/tallies/test_tally_replicator.py
@@ -102,13 +102,13 @@
     return [message for link in node.links.values() for message in link.sent if isinstance(message, messages.TallyAdds)]
 
 
-def test_nothing_is_sent_while_nobody_uses_tallies():
+def test_nothing_is_sent_before_tallies_are_used():
     net = Net()
     net.tick(5)
     assert all(not link.sent for node in net.nodes.values() for link in node.links.values())
 
 
-def test_an_add_goes_to_all_others_at_once_and_by_nobody_twice():
+def test_add_is_sent_once_to_each_other_node():
     net = Net()
     net.nodes[HOSTS[0]].add("x", 4)
     net.run()
@@ -118,7 +118,7 @@
     assert not adds_sent(net.nodes[HOSTS[1]]) and not adds_sent(net.nodes[HOSTS[2]])
 
 
-def test_positions_come_back_when_they_are_durable():
+def test_peers_report_their_positions_once_durable():
     net = Net()
     first = net.nodes[HOSTS[0]]
     first.add("x")
@@ -127,7 +127,7 @@
     assert first.replicator.first_positions_of(HOSTS[1]) == {}
 
 
-def test_a_third_node_relays_over_a_bridge():
+def test_third_node_relays_between_two_nodes_without_a_connection():
     net = Net()
     net.cut(HOSTS[0], HOSTS[1])
     net.nodes[HOSTS[0]].add("x", 4)
@@ -137,7 +137,7 @@
     assert net.totals() == [4, 4, 4]
 
 
-def test_after_a_cut_all_that_is_missing_is_sent_and_nothing_else():
+def test_after_a_partition_only_the_missing_adds_are_sent():
     net = Net()
     net.nodes[HOSTS[0]].add("before", 1)
     net.run()
@@ -158,13 +158,13 @@
     assert resent == [(TallyAdd("t", "here", 10),)] * 2
 
 
-def test_a_node_that_needs_folded_adds_gets_a_snapshot():
+def test_node_that_lacks_folded_adds_receives_a_snapshot():
     net = Net()
     first = net.nodes[HOSTS[0]]
     for number in range(3):
         first.add(f"x{number}")
     net.run()
-    first.state.fold(log=first.log, upto=2)
+    first.state.fold(log=first.log, up_to=2)
     emptied = net.nodes[HOSTS[1]]
     emptied.state.__init__()
     net.cut(HOSTS[0], HOSTS[1])
@@ -174,7 +174,7 @@
     assert emptied.state.total("t") == 3 and emptied.state.positions() == {first.log: 3}
 
 
-def test_asking_again_does_not_hide_that_a_node_lags():
+def test_repeated_probes_do_not_reset_the_lag_of_a_node():
     """A probe is answered with all positions; where these are the same as before, the node goes on lagging."""
     net = Net()
     net.cut(HOSTS[0], HOSTS[1])
@@ -187,7 +187,7 @@
     assert net.totals() == [4, 4, 4]
 
 
-def test_adds_with_a_gap_end_the_connection():
+def test_adds_behind_a_gap_are_rejected_and_close_the_connection():
     net = Net()
     node = net.nodes[HOSTS[0]]
     link = Connection(net=net, source=HOSTS[1], target=HOSTS[0])
@@ -196,7 +196,7 @@
     assert not link.is_open and node.state.total("t") == 0
 
 
-def test_many_adds_are_sent_in_windows_and_all_arrive(monkeypatch):
+def test_adds_in_flight_never_exceed_the_window_and_all_arrive(monkeypatch):
     monkeypatch.setattr(tally_replicator, "WINDOW_ADDS", 10)
     net = Net()
     net.cut(HOSTS[0], HOSTS[1])
@@ -217,7 +217,7 @@
     assert net.totals() == [95, 95, 95]
 
 
-def test_a_relay_goes_on_behind_its_window(monkeypatch):
+def test_relay_of_more_than_one_window_completes(monkeypatch):
     monkeypatch.setattr(tally_replicator, "WINDOW_ADDS", 10)
     net = Net()
     net.cut(HOSTS[0], HOSTS[1])
@@ -228,7 +228,7 @@
     assert net.totals() == [35, 35, 35]
 
 
-def test_adds_of_an_earlier_life_go_out_at_once_and_others_traffic_hides_no_lag():
+def test_adds_of_an_earlier_incarnation_are_sent_at_once():
     """A node that was restarted while it was cut off has them in a log that it does not write any more."""
     net = Net()
     last = net.nodes[HOSTS[2]]
@@ -238,7 +238,7 @@
     assert net.totals() == [4, 4, 4]
 
 
-def test_a_log_of_a_node_that_is_gone_is_relayed_while_others_go_on():
+def test_log_of_a_departed_node_is_relayed_under_other_traffic():
     net = Net()
     last = net.nodes[HOSTS[2]]
     last.state.append(log=TallyLogName("10.0.0.9", "gone"), add=TallyAdd("t", "x", 4))
--- a/ploverward/control_plane/tallies/test_tally_service.py
+++ b/ploverward/control_plane/tallies/test_tally_service.py
@@ -161,7 +161,7 @@
     return net, net.nodes[HOSTS[0]], net.nodes[HOSTS[1]]
 
 
-def test_an_add_is_answered_when_it_is_on_enough_disks():
+def test_add_is_acknowledged_once_on_enough_disks():
     net, first, _second = first_two()
     answers = first.add("x", 4)
     assert answers == []
@@ -170,7 +170,7 @@
     assert [node.tallies.state.total("t") for node in net.nodes.values()] == [4, 4, 4]
 
 
-def test_a_stalled_disk_of_its_own_does_not_hold_it_up_and_one_copy_is_no_acknowledgement():
+def test_add_is_acknowledged_despite_a_stalled_own_disk_but_not_with_one_copy():
     net, first, second = first_two()
     first.disk.is_stalled = True
     answers = first.add("x")
@@ -183,7 +183,7 @@
     assert late == []
 
 
-def test_on_its_own_side_a_node_answers_after_some_silent_intervals_and_merges_later():
+def test_isolated_node_acknowledges_adds_alone_and_merges_after_the_partition():
     net, first, second = first_two()
     second.add("before", 1)
     net.run()
@@ -202,7 +202,7 @@
     assert first.read() == second.read() == [112]
 
 
-def test_the_same_add_at_another_node_counts_once_and_is_answered_there():
+def test_same_add_at_two_nodes_counts_once_and_is_acknowledged_by_both():
     net, first, second = first_two()
     first.add("x", 4)
     net.run()
@@ -212,7 +212,7 @@
     assert again == [200] and second.read() == [4]
 
 
-def test_a_caller_that_left_gets_no_answer():
+def test_cancelled_add_is_counted_but_not_acknowledged():
     net, first, _second = first_two()
     answers = []
     forget = first.tallies.add(add=TallyAdd("t", "x", 1), answer=lambda: answers.append(200))
@@ -221,7 +221,7 @@
     assert answers == [] and first.read() == [1]
 
 
-def test_an_emptied_node_answers_reads_when_it_has_what_the_others_had():
+def test_node_with_an_emptied_disk_answers_reads_after_merging():
     net, first, _second = first_two()
     first.add("x", 4)
     net.run()
@@ -233,7 +233,7 @@
     assert answers == [4] and emptied.tallies.is_merged
 
 
-def test_an_emptied_node_that_can_not_merge_says_so_in_time_and_serves_alone_at_last():
+def test_isolated_node_with_an_emptied_disk_fails_reads_until_peers_are_out_of_reach():
     net, first, _second = first_two()
     first.add("x", 4)
     net.run()
@@ -246,7 +246,7 @@
     assert emptied.read() == [0] and emptied.add("y", 1) == [200]
 
 
-def test_a_restarted_node_answers_at_once_and_writes_to_a_new_log():
+def test_restarted_node_answers_reads_at_once_and_writes_to_a_new_log():
     net, first, _second = first_two()
     first.add("x", 4)
     net.run()
@@ -259,19 +259,19 @@
     assert net.nodes[HOSTS[2]].read() == [5]
 
 
-def test_a_full_node_refuses_new_adds_and_no_repeat():
+def test_full_node_rejects_new_adds_and_accepts_repeated_ones():
     net = Net()
     node = net.start(HOSTS[0], max_kept=3)  # two ids and the name of their tally
     net.run()
     for name in ("x", "y"):
-        assert node.tallies.can_take(TallyAdd("t", name, 1))
+        assert node.tallies.can_accept(TallyAdd("t", name, 1))
         node.add(name)
         net.run()
-    assert not node.tallies.can_take(TallyAdd("t", "z", 1))
-    assert node.tallies.can_take(TallyAdd("t", "x", 1))
+    assert not node.tallies.can_accept(TallyAdd("t", "z", 1))
+    assert node.tallies.can_accept(TallyAdd("t", "x", 1))
 
 
-def test_a_node_has_handed_over_when_enough_others_have_all_of_it():
+def test_node_has_handed_over_once_enough_peers_have_all_of_its_adds():
     net, first, second = first_two()
     assert first.tallies.has_handed_over()
     second.disk.is_stalled = net.nodes[HOSTS[2]].disk.is_stalled = True
@@ -287,7 +287,7 @@
     assert first.tallies.has_handed_over()
 
 
-def test_a_node_that_leaves_is_no_copy():
+def test_disk_of_a_leaving_node_does_not_count_as_a_copy():
     net, first, _second = first_two()
     first.add("first")
     net.run()
@@ -298,7 +298,7 @@
     assert answers == []
 
 
-def test_the_report_names_who_is_behind_and_who_is_away():
+def test_report_shows_lagging_and_unreachable_peers():
     net, first, _second = first_two()
     first.add("x", 4)
     net.run()
--- a/ploverward/control_plane/tallies/test_tally_state.py
+++ b/ploverward/control_plane/tallies/test_tally_state.py
@@ -54,7 +54,7 @@
 
 
 @hypothesis.given(histories, strategies.integers())
-def test_any_order_of_logs_and_any_repeats_give_the_same_totals(history, seed):
+def test_merging_logs_in_any_order_with_repeats_gives_the_same_totals(history, seed):
     source = written(history)
     chance = random.Random(seed)
     queues = {log: [row for row in all_of(source) if row[0] == log] for log in LOGS}
@@ -69,10 +69,10 @@
 
 
 @hypothesis.given(histories, strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3))
-def test_folding_changes_no_total(history, upto):
+def test_folding_does_not_change_totals(history, up_to):
     state = written(history)
-    for log, position in zip(LOGS, upto, strict=True):
-        state.fold(log=log, upto=position)
+    for log, position in zip(LOGS, up_to, strict=True):
+        state.fold(log=log, up_to=position)
     assert non_zero(state.totals()) == non_zero(expected(history))
     assert state.positions() == written(history).positions()
 
@@ -82,10 +82,10 @@
     strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3),
     strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3),
 )
-def test_a_snapshot_and_what_follows_it_is_the_whole(history, upto, had):
+def test_snapshot_and_the_adds_after_it_restore_the_whole_state(history, up_to, had):
     source = written(history)
-    for log, position in zip(LOGS, upto, strict=True):
-        source.fold(log=log, upto=position)
+    for log, position in zip(LOGS, up_to, strict=True):
+        source.fold(log=log, up_to=position)
     other = written([log_adds[:count] for log_adds, count in zip(history, had, strict=True)])
     other.install(source.snapshot())
     for log, position in source.positions().items():
@@ -96,28 +96,28 @@
 
 
 @hypothesis.given(histories, strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3))
-def test_what_is_folded_can_go_on_being_folded_after_a_snapshot(history, upto):
+def test_folding_continues_after_installing_a_snapshot(history, up_to):
     source = written(history)
-    for log, position in zip(LOGS, upto, strict=True):
-        source.fold(log=log, upto=position)
+    for log, position in zip(LOGS, up_to, strict=True):
+        source.fold(log=log, up_to=position)
     other = tally_state.TallyState()
     other.install(source.snapshot())
     for log in source.positions():
         start = source.folded_position(log)
         other.merge(log=log, first=start + 1, adds=source.adds_from(log=log, position=start, limit=100))
     for log in source.positions():
-        other.fold(log=log, upto=100)
+        other.fold(log=log, up_to=100)
     assert non_zero(other.totals()) == non_zero(expected(history))
     assert other.size == len(other.totals())  # no id is left
 
 
-def test_an_add_that_two_nodes_took_counts_once():
+def test_add_in_two_logs_counts_once():
     state = written([[TallyAdd("t", "x", 4)], [TallyAdd("t", "x", 4)], []])
     assert state.total("t") == 4
     assert state.total("unknown") == 0
 
 
-def test_of_two_amounts_that_of_the_lowest_log_counts_whichever_comes_first():
+def test_amount_in_the_lowest_log_counts_in_either_merge_order():
     add, other = TallyAdd("t", "x", 4), TallyAdd("t", "x", 9)
     first, second = tally_state.TallyState(), tally_state.TallyState()
     first.merge(log=LOGS[0], first=1, adds=[add])
@@ -127,26 +127,26 @@
     assert first.total("t") == second.total("t") == 4
 
 
-def test_a_gap_is_refused_and_changes_nothing():
+def test_adds_behind_a_gap_are_rejected_without_any_change():
     state = written([[TallyAdd("t", "x", 4)], [], []])
     with pytest.raises(errors.TallyMergeError):
         state.merge(log=LOGS[0], first=3, adds=[TallyAdd("t", "z", 1)])
     assert state.total("t") == 4 and state.position(LOGS[0]) == 1
 
 
-def test_a_snapshot_that_is_behind_what_is_folded_here_is_refused_and_changes_nothing():
+def test_snapshot_older_than_the_folded_state_is_rejected_without_any_change():
     state = written([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
     behind = written([[TallyAdd("t", "x", 4)], [], []])
-    state.fold(log=LOGS[0], upto=2)
-    behind.fold(log=LOGS[0], upto=1)
+    state.fold(log=LOGS[0], up_to=2)
+    behind.fold(log=LOGS[0], up_to=1)
     with pytest.raises(errors.TallyMergeError):
         state.install(behind.snapshot())
     assert state.total("t") == 5
 
 
-def test_adds_that_are_folded_can_not_be_sent_one_by_one():
+def test_reading_folded_adds_raises_and_later_ones_are_returned():
     state = written([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
-    state.fold(log=LOGS[0], upto=1)
+    state.fold(log=LOGS[0], up_to=1)
     with pytest.raises(errors.TallyMergeError):
         state.adds_from(log=LOGS[0], position=0, limit=10)
     assert state.adds_from(log=LOGS[0], position=1, limit=10) == [TallyAdd("t", "y", 1)]
--- a/ploverward/control_plane/tallies/test_tally_storage.py
+++ b/ploverward/control_plane/tallies/test_tally_storage.py
@@ -104,12 +104,12 @@
         return tally_storage.TallyStorage(disk=self.disk).load()
 
 
-def test_without_a_file_a_node_has_nothing_and_knows_that_it_may_lack_something():
+def test_load_without_a_file_is_empty_and_not_complete():
     loaded = Scene().loaded
     assert not loaded.is_complete and loaded.state.positions() == {}
 
 
-def test_what_was_written_is_read_back_and_nothing_is_durable_before_it_was_written_again():
+def test_loaded_adds_are_durable_only_after_the_first_rewrite():
     first = Scene()
     first.add(count=3)
     first.add(log=OTHER, count=2)
@@ -122,7 +122,7 @@
     assert second.writer.durable == {LOG: 3, OTHER: 2} and second.disk.replaced == 2
 
 
-def test_after_a_refused_write_the_file_is_replaced_and_only_then_is_it_durable():
+def test_after_a_failed_write_the_file_is_replaced_before_adds_are_durable():
     scene = Scene()
     scene.add()
     scene.disk.refuses = True
@@ -137,7 +137,7 @@
 
 
 @hypothesis.given(strategies.data())
-def test_a_torn_tail_costs_what_was_in_it_and_no_more(data):
+def test_torn_tail_loses_only_the_torn_record(data):
     scene = Scene()
     scene.add(count=2)
     whole = len(scene.disk.files[tally_storage.FILE_NAME])
@@ -150,7 +150,7 @@
 
 
 @hypothesis.given(strategies.data())
-def test_damage_in_the_middle_is_noticed_and_nothing_wrong_is_read(data):
+def test_corrupted_byte_never_yields_a_wrong_total(data):
     scene = Scene()
     scene.add(count=2)
     scene.add(count=2)
@@ -164,7 +164,7 @@
     assert position in (0, 2, 4) and state.total("t") == position * (position + 1) // 2
 
 
-def test_zeros_behind_the_records_are_a_torn_tail():
+def test_trailing_zeros_are_treated_as_a_torn_tail():
     scene = Scene()
     scene.add(count=2)
     scene.disk.files[tally_storage.FILE_NAME] += b"\0" * 64
@@ -172,12 +172,12 @@
     assert loaded.is_complete and loaded.state.positions() == {LOG: 2}
 
 
-def test_a_file_of_folded_adds_is_rewritten_and_still_has_the_totals():
+def test_file_of_folded_adds_is_rewritten_smaller_with_the_same_totals():
     scene = Scene()
     count = tally_writer.MIN_REWRITE_ADDS + 10
     scene.add(count=count)
     before = len(scene.disk.files[tally_storage.FILE_NAME])
-    scene.state.fold(log=LOG, upto=count)
+    scene.state.fold(log=LOG, up_to=count)
     scene.add()
     assert len(scene.disk.files[tally_storage.FILE_NAME]) < before / 10
     loaded = scene.read_back()
@@ -185,10 +185,10 @@
     assert loaded.state.total("t") == (count + 1) * (count + 2) // 2
 
 
-def test_a_snapshot_of_another_node_is_written():
+def test_installed_snapshot_is_written_to_disk():
     source = tally_state.TallyState()
     source.merge(log=OTHER, first=1, adds=[TallyAdd("t", "x", 5)])
-    source.fold(log=OTHER, upto=1)
+    source.fold(log=OTHER, up_to=1)
     scene = Scene()
     scene.add()
     scene.state.install(source.snapshot())
@@ -197,7 +197,7 @@
     assert scene.read_back().state.total("t") == 6
 
 
-def test_a_real_folder_is_written_and_read(tmp_path):
+def test_adds_written_to_a_real_directory_are_read_back(tmp_path):
     folder = disk.Disk(folder=str(tmp_path))
     storage = tally_storage.TallyStorage(disk=folder)
     record = TallyAdds(log=LOG, first=1, adds=(TallyAdd("t", "x", -3),))
@@ -207,7 +207,7 @@
     assert tally_storage.TallyStorage(disk=folder).load().state.total("t") == 7
 
 
-def test_nothing_is_written_where_nothing_changed():
+def test_write_without_changes_writes_no_file():
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     memory = Memory()
     storage = tally_storage.TallyStorage(disk=memory)
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -352,8 +352,8 @@
 def _early_folding() -> Iterator[None]:
     """Has core nodes fold tallies within a run: after seconds, and however few ids they keep."""
     with (
-        mock.patch.object(tally_folder, "REPEAT_S", FOLD_AFTER_S),
-        mock.patch.object(tally_folder, "CHECKPOINT_S", FOLD_CHECKPOINT_S),
-        mock.patch.object(tally_service, "KEPT_SHARE", 0.0),
+        mock.patch.object(tally_folder, "RETRY_HORIZON_S", FOLD_AFTER_S),
+        mock.patch.object(tally_folder, "CHECKPOINT_INTERVAL_S", FOLD_CHECKPOINT_S),
+        mock.patch.object(tally_service, "FOLD_THRESHOLD_SHARE", 0.0),
     ):
         yield
--- a/ploverward/simulation/control_plane/tally_mutant_patches.py
+++ b/ploverward/simulation/control_plane/tally_mutant_patches.py
@@ -22,31 +22,33 @@
 
 def counted_by_node() -> mutant_patches.Patches:
     """An add that two nodes took counts at each of them."""
-    refer = tally_state.TallyState._refer
+    index_occurrence = tally_state.TallyState._index_occurrence
 
-    def _refer(self: tally_state.TallyState, place: tally_state.Place, add: messages.TallyAdd) -> None:
+    def _index_occurrence(
+        self: tally_state.TallyState, occurrence: tally_state.Occurrence, add: messages.TallyAdd
+    ) -> None:
         key = tally_state.AddKey(add.tally, add.add_id)
         known = self._known_adds.get(key)
-        if known is not None and all(place.log != other.log for other in known.places):
+        if known is not None and all(occurrence.log != other.log for other in known.occurrences):
             self._totals[add.tally] += add.amount
-        refer(self, place, add)
+        index_occurrence(self, occurrence, add)
 
-    return [mock.patch.object(tally_state.TallyState, "_refer", _refer)]
+    return [mock.patch.object(tally_state.TallyState, "_index_occurrence", _index_occurrence)]
 
 
 def acknowledged_before_sync() -> mutant_patches.Patches:
     """An add is acknowledged as soon as it is in memory."""
-    return [mock.patch.object(add_waiters, "is_safe", lambda _places, _view: True)]
+    return [mock.patch.object(add_waiters, "may_be_acknowledged", lambda _occurrences, _view: True)]
 
 
 def acknowledged_on_too_few_disks() -> mutant_patches.Patches:
     """An add is acknowledged on as many disks as may be lost, and not on one more."""
 
-    def is_safe(places: Collection[tally_state.Place], view: add_waiters.CopyView) -> bool:
+    def may_be_acknowledged(occurrences: Collection[tally_state.Occurrence], view: add_waiters.DurabilityView) -> bool:
         holders = [view.own, *view.peers.values()]
-        return sum(add_waiters._covers(positions, places) for positions in holders) >= view.wanted_copies - 1
+        return sum(add_waiters._covers(positions, occurrences) for positions in holders) >= view.wanted_copies - 1
 
-    return [mock.patch.object(add_waiters, "is_safe", is_safe)]
+    return [mock.patch.object(add_waiters, "may_be_acknowledged", may_be_acknowledged)]
 
 
 def kept_after_refusal() -> mutant_patches.Patches:
@@ -73,8 +75,8 @@
 def folded_too_soon() -> mutant_patches.Patches:
     """Ids are forgotten within a second, whoever has them."""
     return [
-        mock.patch.object(tally_folder, "REPEAT_S", 0.8),
-        mock.patch.object(tally_folder, "CHECKPOINT_S", 0.2),
+        mock.patch.object(tally_folder, "RETRY_HORIZON_S", 0.8),
+        mock.patch.object(tally_folder, "CHECKPOINT_INTERVAL_S", 0.2),
         *folded_without_members(),
     ]
 
@@ -82,11 +84,11 @@
 def folded_without_members() -> mutant_patches.Patches:
     """Old ids are forgotten whoever lacks the adds: an add that a member took meanwhile counts once more."""
 
-    def _fold(self: tally_folder.TallyFolder, old: tally_state.Positions) -> None:
+    def _fold(self: tally_folder.FoldScheduler, old: tally_state.Positions) -> None:
         for log, position in old.items():
-            self._state.fold(log=log, upto=position)
+            self._state.fold(log=log, up_to=position)
 
-    return [mock.patch.object(tally_folder.TallyFolder, "_fold", _fold)]
+    return [mock.patch.object(tally_folder.FoldScheduler, "_fold", _fold)]
 
 
 def reused_log() -> mutant_patches.Patches:
