--- a/ploverward/control_plane/tallies/__init__.py
+++ b/ploverward/control_plane/tallies/__init__.py
@@ -1,1 +1,1 @@
-"""Tallies: counters that each core node adds to on any side of a partition and merges later (docs/tallies.md)."""
+"""Tallies: replicated counters that accept adds on every side of a partition and merge later (docs/tallies.md)."""
--- a/ploverward/control_plane/tallies/tally_storage.py
+++ b/ploverward/control_plane/tallies/tally_storage.py
@@ -1,10 +1,10 @@
-"""The file of a node's tallies: what was folded, then adds of logs (docs/tallies.md 4).
+"""The file of a node's tallies: a snapshot of the folded adds, then the adds of the logs (docs/tallies.md 4).
 
-Each record of the file is a frame as it is sent between nodes, with a length and a CRC-32 (`checksummed_records`).
+Each record of the file is a frame as nodes send it to each other, with a length and a CRC-32 (`checksummed_records`).
 
-Invariant: once `TallyStorage.write` returns, all that was handed over so far is on the disk. So the first write of a
-process, and each one after a failed write, replaces the file: what was read at the start may never have been synced,
-and after a failed sync a later one may succeed without having written the pages that were dropped.
+Invariant: once `TallyStorage.write` returns, all records that were passed to it so far are on the disk. So the first
+write of a process and each write after a failed one replace the file: the content that was read at the start may never
+have been synced, and after a failed sync a later one may succeed without having written the pages that were dropped.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 _log = logging.getLogger(__name__)
 
 FILE_NAME = "tallies.log"
-NEW_NAME = "tallies.new"  # the next file until it is renamed
+NEW_NAME = "tallies.new"  # the replacement of the file, until it is renamed
 
 Record = messages.TallySnapshot | messages.TallyAdds
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LoadedTallies:
-    """What a node's disk has at its start.
+    """The tallies that a node's disk holds when the node starts.
 
     Attributes:
         state: The tallies.
-        is_complete: Whether it is all that this node ever wrote, but for a torn tail; not so without a file, or with a
-            damaged one.
+        is_complete: Whether `state` is all that this node ever wrote, except for a torn tail. False if the file is
+            missing or damaged.
     """
 
     state: tally_state.TallyState
@@ -43,13 +43,15 @@
 
 
 class TallyStorage:
-    """Loads and writes the tallies of one node. `write` runs on a thread, one call at a time; `load` at the start.
+    """Loads and writes the tallies of one node.
+
+    `load` is called at the start. `write` runs on a thread, one call at a time.
 
     Args:
-        disk: Where the file is.
+        disk: The disk that holds the file.
 
     Attributes:
-        written_adds: How many adds are in the file, folded ones that are still there included.
+        written_adds: Number of adds in the file, including those that have been folded since they were written.
         needs_rewrite: Whether the next write has to replace the file.
     """
 
@@ -60,7 +62,7 @@
         self.needs_rewrite = True
 
     def load(self) -> LoadedTallies:
-        """Returns what the file has; what can't be read of it is left to the other nodes."""
+        """Returns the readable content of the file; the other nodes send what is missing from it."""
         state = tally_state.TallyState()
         try:
             data = self._disk.read(name=FILE_NAME)
@@ -73,14 +75,14 @@
         return LoadedTallies(state=state, is_complete=True)
 
     def write(self, *, records: Sequence[Record], is_image: bool) -> None:
-        """Appends records to the file, or replaces it by them. Once it returns, they are on the disk.
+        """Appends records to the file or replaces the file by them; once it returns, they are on the disk.
 
         Args:
-            records: What to write.
-            is_image: Whether these are all that the file is to have.
+            records: The records to write.
+            is_image: Whether the records are the whole state and replace the file.
 
         Raises:
-            OSError: The disk refused; the next write has to be an image.
+            OSError: The write failed; the next one has to be an image.
         """
         data = b"".join(checksummed_records.pack(frames.pack(record)) for record in records)
         adds = sum(len(record.adds) for record in records if isinstance(record, messages.TallyAdds))
@@ -96,7 +98,7 @@
 
 
 def _apply(state: tally_state.TallyState, body: bytes) -> bool:
-    """Adds the record's content to the state; returns False where it is none."""
+    """Applies a record to the state; returns False if the body is no valid record or does not follow the state."""
     try:
         record = frames.unpack(body)
         if isinstance(record, messages.TallySnapshot):
