--- a/ploverward/control_plane/tallies/tally_folder.py
+++ b/ploverward/control_plane/tallies/tally_folder.py
@@ -1,12 +1,12 @@
-"""When the ids of old adds are forgotten, so that memory and disk stay bounded (docs/tallies.md 6).
+"""Folds old adds into the totals and drops their ids, so that memory and disk stay bounded (docs/tallies.md 6).
 
-Nothing is folded while there are few ids. Above that, an add is folded once three things hold:
+Nothing is folded while the state keeps few ids. Above that threshold, an add is folded once three conditions hold:
 
-* It was here for `RETRY_HORIZON_S`, which is longer than any caller sends the same add again.
-* Each member has it on its disk, as it told on its present connection. A member that is away holds this up; one that
-  was removed from the set does not.
-* This node has all that those members had when they told so. So if a member took the same id before the add reached
-  it, that place is known here, and none comes later.
+* It has been in the state of this node for `RETRY_HORIZON_S`, which is longer than any caller retries the same add.
+* Each member has it on its disk, as the member reported on its current connection. A disconnected member delays
+  folding; one that was removed from the core set does not.
+* This node has all adds that those members had when they reported. So if a member accepted the same id before the add
+  reached it, that occurrence is known here, and no further one can appear later.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 from ploverward.control_plane.tallies import tally_state
 from ploverward.transport.messages import TallyLogName
 
-RETRY_HORIZON_S = 120.0  # a caller repeats for its deadline, an operator for receiptMs: seconds, both
-CHECKPOINT_INTERVAL_S = 15.0
+# Upper bound for how long the same add is sent again: a caller retries until its deadline and an operator for
+# `receiptMs`, and both are a matter of seconds.
+RETRY_HORIZON_S = 120.0
+CHECKPOINT_INTERVAL_S = 15.0  # between records of the positions, by which the age of adds is known
 
 
 class FoldScheduler:
-    """Folds old adds of a state.
+    """Folds the adds of a state once they meet the conditions above.
 
     Args:
-        state: What is folded.
+        state: The tallies whose adds are folded.
         now: The clock, in seconds.
-        max_kept: How many ids and names are kept without folding.
-        member_positions: Returns the positions on the disk of each member, this node included; None where one of them
-            is not connected.
+        max_kept: Number of ids and names of tallies up to which nothing is folded.
+        member_positions: Returns the positions on the disk of each member, including this node; None while the
+            positions of a member are unknown, as while it is not connected.
     """
 
     def __init__(
@@ -48,25 +50,26 @@
         self._checkpoints: collections.deque[tuple[float, tally_state.Positions]] = collections.deque()
 
     def tick(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Records a checkpoint when one is due and folds old adds; to be called at each heartbeat interval."""
         now = self._now()
         if not self._checkpoints or now - self._checkpoints[-1][0] >= CHECKPOINT_INTERVAL_S:
             self._checkpoints.append((now, self._state.positions()))
-        old: tally_state.Positions | None = None
+        old_positions: tally_state.Positions | None = None
         while self._checkpoints and now - self._checkpoints[0][0] >= RETRY_HORIZON_S:
-            _at, old = self._checkpoints.popleft()
-        if old is not None:
-            self._fold(old)
+            _at, old_positions = self._checkpoints.popleft()
+        if old_positions is not None:
+            self._fold(old_positions)
 
-    def _fold(self, old: tally_state.Positions) -> None:
+    def _fold(self, old_positions: tally_state.Positions) -> None:
         if self._state.size <= self._max_kept:
             return
         members = self._member_positions()
-        if not members or not all(self._state.has(positions) for positions in members):
+        if not members or not all(self._state.has_all(positions) for positions in members):
             return
-        for log, position in old.items():
-            self._state.fold(log=log, up_to=_least(log, position, members))
+        for log, position in old_positions.items():
+            self._state.fold(log=log, up_to=_min_position(log, position, members))
 
 
-def _least(log: TallyLogName, position: int, members: Collection[tally_state.Positions]) -> int:
+def _min_position(log: TallyLogName, position: int, members: Collection[tally_state.Positions]) -> int:
+    """Returns the position, or the lowest one that a member has in the log if that is lower."""
     return min(position, *(positions.get(log, 0) for positions in members))
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -178,7 +178,7 @@
             on_progress=self._handle_progress,
         )
         self._reach = peer_reach.PeerReach(
-            expected=self._other_members, heard_at=self._heard_at, probe=self._replicator.probe
+            expected=self._other_members, last_received_at=self._last_received_at, probe=self._replicator.probe
         )
         self._waiters = add_waiters.AddWaiters(state=self.state, view=self._copy_view)
         self._folder = tally_folder.FoldScheduler(
@@ -213,7 +213,7 @@
         return self._is_known(add) or not self._is_full
 
     def _is_known(self, add: messages.TallyAdd) -> bool:
-        return bool(self.state.places_of(tally_state.AddKey(add.tally, add.add_id)))
+        return bool(self.state.occurrences_of(tally_state.AddKey(add.tally, add.add_id)))
 
     def add(self, *, add: messages.TallyAdd, answer: Callable[[], object]) -> Callable[[], None]:
         """Adds to a tally, unless the same add is known; `answer` is called once it is on enough disks.
@@ -224,12 +224,12 @@
         self._replicator.activate()
         key = tally_state.AddKey(add.tally, add.add_id)
         self._waiters.wait(key=key, answer=answer)
-        if not self.state.places_of(key):
+        if not self.state.occurrences_of(key):
             self.state.append(log=self._own_log, add=add)
             self._writer.write()
             self._replicator.send_own()
         self._waiters.check()
-        return lambda: self._waiters.forget(key=key, answer=answer)
+        return lambda: self._waiters.cancel(key=key, answer=answer)
 
     def read(self, *, tally: str, answer: Callable[[int | None], object]) -> None:
         """Reads a tally.
@@ -306,7 +306,7 @@
     def _check_merged(self) -> None:
         for address in self._reach.in_reach():
             wanted = self._replicator.first_positions_of(address)
-            if wanted is None or not self.state.has(wanted):
+            if wanted is None or not self.state.has_all(wanted):
                 return
         self.is_merged = True
         _log.info("tallies_merged", extra={"kept": self.state.size})
@@ -344,7 +344,7 @@
         known = set(self._members()) or set(self._sessions.connected_to())
         return sorted(known - {self._own})
 
-    def _heard_at(self, address: str) -> float | None:
+    def _last_received_at(self, address: str) -> float | None:
         connection = self._sessions.core_connection(address)
         return connection.heard_at if connection is not None and connection.has_heard else None
 
--- a/ploverward/control_plane/tallies/tally_state.py
+++ b/ploverward/control_plane/tallies/tally_state.py
@@ -1,13 +1,13 @@
-"""The tallies as one node knows them: logs of adds, merged by the id of each add (docs/tallies.md 2).
+"""The tallies as one node knows them: logs of adds, deduplicated by the id of each add (docs/tallies.md 2).
 
-Each start of a node writes its adds to a log of its own, so a log has one writer and its positions never fork. What a
-node has of a log is always a prefix; the prefixes of all logs (`positions`) describe its whole state. Merging is taking
-over adds from the position behind the prefix on, so it is idempotent, and the order of logs does not matter.
+Each process of a node writes its adds to a new log, so a log has one writer and its positions never fork. A node always
+has a prefix of a log, and the lengths of the prefixes of all logs (`positions`) describe its whole state. Merging
+appends the adds that follow the prefix, so it is idempotent, and the order in which logs are merged does not matter.
 
-The same add may be in several logs, where a caller tried several nodes. It counts once. Where its amounts differ, that
-of the lowest log counts, at every node.
+The same add may occur in several logs if a caller tried several nodes. It counts once. If its amounts differ, every
+node counts the amount in the lowest log.
 
-Old adds are folded: their amounts stay in the totals and their ids are forgotten. `fold` has the condition.
+Old adds are folded: their amounts stay in the totals and their ids are dropped. `TallyState.fold` states the condition.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class AddKey(NamedTuple):
-    """What makes two adds the same one."""
+    """The identity of an add: adds with the same key are the same add and count once."""
 
     tally: str
     add_id: str
 
 
 class Occurrence(NamedTuple):
-    """Where an add stands. The lowest place decides its amount."""
+    """The position of an add in a log. The lowest occurrence of an add determines its amount."""
 
     log: TallyLogName
     position: int
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _KnownAdd:
-    """One add by its id.
+    """An add whose id is kept.
 
     Attributes:
-        amount: What it adds to its tally.
-        occurrences: Where it stands, folded places left out.
-        is_folded: Whether one of its places is folded, so that the amount is final.
+        amount: The amount that it contributes to the total of its tally.
+        occurrences: Its occurrences in logs, without folded ones.
+        is_folded: Whether one of its occurrences is folded, so that the amount is final.
     """
 
     amount: int
@@ -58,11 +58,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Log:
-    """A prefix of one log.
+    """The prefix of a log that this node has.
 
     Attributes:
-        folded: How many adds from the start are folded.
-        adds: Those behind them.
+        folded: Number of adds at the start of the log that are folded.
+        adds: The adds after the folded ones.
     """
 
     folded: int = 0
@@ -70,7 +70,7 @@
 
     @property
     def position(self) -> int:
-        """How many adds the prefix has, folded ones included."""
+        """The number of adds in the prefix, including folded ones."""
         return self.folded + len(self.adds)
 
 
@@ -86,76 +86,81 @@
     # Reading.
     @property
     def size(self) -> int:
-        """How many ids and names of tallies are kept, which memory and disk are bounded by."""
+        """The number of ids and names of tallies that are kept; the limit on memory and disk use applies to it."""
         return len(self._known_adds) + len(self._totals)
 
     def total(self, tally: str) -> int:
-        """Returns the sum of a tally; 0 for a name that is new."""
+        """Returns the total of a tally; 0 for an unknown name."""
         return self._totals.get(tally, 0)
 
     def totals(self) -> dict[str, int]:
-        """Returns the sum of each tally."""
+        """Returns the total of each tally."""
         return dict(self._totals)
 
     def positions(self) -> dict[TallyLogName, int]:
-        """Returns how much of each log this node has."""
+        """Returns the position up to which this node has each log."""
         return {name: log.position for name, log in self._logs.items()}
 
     def position(self, log: TallyLogName) -> int:
-        """Returns how much of one log this node has."""
-        found = self._logs.get(log)
-        return found.position if found is not None else 0
+        """Returns the position up to which this node has a log; 0 for an unknown one."""
+        known_log = self._logs.get(log)
+        return known_log.position if known_log is not None else 0
 
     def folded_position(self, log: TallyLogName) -> int:
-        """Returns how much of one log is folded."""
-        found = self._logs.get(log)
-        return found.folded if found is not None else 0
+        """Returns the position up to which a log is folded; 0 for an unknown one."""
+        known_log = self._logs.get(log)
+        return known_log.folded if known_log is not None else 0
 
-    def has(self, positions: Positions) -> bool:
-        """Whether this node has at least so much of each log."""
+    def has_all(self, positions: Positions) -> bool:
+        """Returns whether this node has each log at least up to the given position."""
         return all(self.position(log) >= position for log, position in positions.items())
 
-    def places_of(self, key: AddKey) -> tuple[Occurrence, ...]:
-        """Returns where an add stands; nothing where it is not known, or folded."""
+    def occurrences_of(self, key: AddKey) -> tuple[Occurrence, ...]:
+        """Returns the occurrences of an add in logs; empty if it is unknown or all of them are folded."""
         known = self._known_adds.get(key)
         return known.occurrences if known is not None else ()
 
     def adds_from(self, *, log: TallyLogName, position: int, limit: int) -> Sequence[TallyAdd]:
-        """Returns up to `limit` adds of a log, from those behind `position` on.
+        """Returns up to `limit` adds of a log that follow `position`.
 
         Raises:
-            TallyMergeError: Some of these are folded here.
+            TallyMergeError: Some of these adds are folded here.
         """
-        found = self._logs[log]
-        if position < found.folded:
-            raise errors.TallyMergeError(f"adds from {position} on are folded up to {found.folded}", step="send")
-        return found.adds[position - found.folded : position - found.folded + limit]
-
-    # Changing.
+        known_log = self._logs[log]
+        if position < known_log.folded:
+            raise errors.TallyMergeError(
+                f"adds after position {position} of {log} were requested, but it is folded up to {known_log.folded}",
+                step="send",
+            )
+        return known_log.adds[position - known_log.folded : position - known_log.folded + limit]
+
+    # Writing.
     def append(self, *, log: TallyLogName, add: TallyAdd) -> int:
         """Appends an add to a log and returns its position there."""
-        own = self._logs.setdefault(log, _Log())
-        own.adds.append(add)
-        self._index_occurrence(Occurrence(log, own.position), add)
-        return own.position
+        own_log = self._logs.setdefault(log, _Log())
+        own_log.adds.append(add)
+        self._index_occurrence(Occurrence(log, own_log.position), add)
+        return own_log.position
 
     def merge(self, *, log: TallyLogName, first: int, adds: Iterable[TallyAdd]) -> None:
-        """Takes over adds of a log; those that are here already change nothing.
+        """Merges adds of a log; adds that this node already has change nothing.
 
         Args:
             log: The log.
-            first: The position of the first of these adds, from 1.
-            adds: Adds in the order of the log.
+            first: Position of the first of these adds, counted from 1.
+            adds: The adds, in the order of the log.
 
         Raises:
-            TallyMergeError: There is a gap between what is here and these adds.
+            TallyMergeError: There is a gap between the prefix that this node has and these adds.
         """
-        known = self._logs.setdefault(log, _Log())
-        if first > known.position + 1:
-            raise errors.TallyMergeError(f"adds from {first} on do not follow {known.position}", step="merge")
+        known_log = self._logs.setdefault(log, _Log())
+        if first > known_log.position + 1:
+            raise errors.TallyMergeError(
+                f"adds of {log} begin at position {first}, at most {known_log.position + 1} is allowed", step="merge"
+            )
         for position, add in enumerate(adds, start=first):
-            if position == known.position + 1:
-                known.adds.append(add)
+            if position == known_log.position + 1:
+                known_log.adds.append(add)
                 self._index_occurrence(Occurrence(log, position), add)
 
     def _index_occurrence(self, occurrence: Occurrence, add: TallyAdd) -> None:
@@ -171,27 +176,27 @@
         known.occurrences += (occurrence,)
 
     def fold(self, *, log: TallyLogName, up_to: int) -> None:
-        """Forgets the ids of the oldest adds of a log; totals do not change.
+        """Drops the ids of the oldest adds of a log; totals do not change.
 
-        Sound only where each member has these adds, this node has all that those members had when they said so, and
-        none of the ids is sent again: then each place of an id that there will ever be is known here.
+        This is correct only if each member has these adds, this node has all adds that those members had when they
+        reported so, and none of the ids is sent again: then all occurrences that an id will ever have are known here.
 
         Args:
             log: The log.
-            up_to: Position of the last add to fold; what is not here yet is not folded.
+            up_to: Position of the last add to fold; adds that this node does not have yet are not folded.
         """
-        found = self._logs.get(log)
-        if found is None:
+        known_log = self._logs.get(log)
+        if known_log is None:
             return
-        count = min(up_to, found.position) - found.folded
+        count = min(up_to, known_log.position) - known_log.folded
         if count <= 0:
             return
-        for position, add in enumerate(found.adds[:count], start=found.folded + 1):
-            self._dereference(Occurrence(log, position), add)
-        del found.adds[:count]
-        found.folded += count
+        for position, add in enumerate(known_log.adds[:count], start=known_log.folded + 1):
+            self._drop_occurrence(Occurrence(log, position), add)
+        del known_log.adds[:count]
+        known_log.folded += count
 
-    def _dereference(self, occurrence: Occurrence, add: TallyAdd) -> None:
+    def _drop_occurrence(self, occurrence: Occurrence, add: TallyAdd) -> None:
         key = AddKey(add.tally, add.add_id)
         known = self._known_adds[key]
         if not known.is_folded:
@@ -201,9 +206,9 @@
         if not known.occurrences:
             del self._known_adds[key]
 
-    # Copies.
+    # Snapshots.
     def snapshot(self) -> messages.TallySnapshot:
-        """Returns what is folded: the adds that are not are sent behind it."""
+        """Returns a snapshot of the folded adds, which is sent or written before the adds that are not folded."""
         return messages.TallySnapshot(
             positions=tuple(messages.TallyPosition(name, log.folded) for name, log in self._logs.items() if log.folded),
             totals=tuple(messages.TallyTotal(tally, total) for tally, total in self._folded_totals.items()),
@@ -215,16 +220,19 @@
         )
 
     def install(self, snapshot: messages.TallySnapshot) -> None:
-        """Takes over what another node has folded; adds of this node that it does not cover stay.
+        """Replaces the folded adds by those of a snapshot; adds of this node that it does not cover stay.
 
         Raises:
-            TallyMergeError: This node has folded more of some log.
+            TallyMergeError: This node has folded more of a log than the snapshot covers.
         """
         folded = {TallyLogName(*row.log): row.position for row in snapshot.positions}
         for name, log in self._logs.items():
             if log.folded > folded.get(name, 0):
-                raise errors.TallyMergeError(f"{log.folded} of a log are folded here", step="install")
-        former = self._logs
+                raise errors.TallyMergeError(
+                    f"the snapshot covers {name} up to {folded.get(name, 0)}, at least {log.folded} is required",
+                    step="install",
+                )
+        previous_logs = self._logs
         self._logs = {name: _Log(folded=position) for name, position in folded.items()}
         self._known_adds = {}
         self._totals = collections.defaultdict(int)
@@ -234,7 +242,7 @@
             self._folded_totals[row.tally] += row.total
         for add in snapshot.counted:
             self._known_adds[AddKey(add.tally, add.add_id)] = _KnownAdd(add.amount, (), is_folded=True)
-        for name, log in former.items():
+        for name, log in previous_logs.items():
             start = folded.get(name, 0)
             if log.position > start:
                 self.merge(log=name, first=start + 1, adds=log.adds[start - log.folded :])
--- a/ploverward/control_plane/tallies/test_tally_state.py
+++ b/ploverward/control_plane/tallies/test_tally_state.py
@@ -1,4 +1,4 @@
-"""What a state of tallies is merged from does not matter: order, repeats, who passed it on, snapshots, folding."""
+"""Tests that a merged state does not depend on order, repeats, relays, snapshots or folding."""
 
 import collections
 import random
@@ -22,7 +22,8 @@
 histories = strategies.lists(strategies.lists(adds, max_size=8), min_size=3, max_size=3)
 
 
-def written(history) -> tally_state.TallyState:
+def state_of(history) -> tally_state.TallyState:
+    """Returns a state with the adds of each log of a history."""
     state = tally_state.TallyState()
     for log, log_adds in zip(LOGS, history, strict=True):
         for add in log_adds:
@@ -30,8 +31,8 @@
     return state
 
 
-def expected(history) -> dict:
-    """Each id once, with the amount of its first place in the lowest log."""
+def expected_totals(history) -> dict:
+    """Returns the totals with each id counted once, by the amount of its first occurrence in the lowest log."""
     amounts = {}
     for log_adds in history:
         for add in log_adds:
@@ -43,11 +44,12 @@
 
 
 def non_zero(totals) -> dict:
+    """Returns the totals that are not 0."""
     return {tally: total for tally, total in totals.items() if total}
 
 
-def all_of(state):
-    """Each log's adds one by one, as (log, position, add)."""
+def all_adds(state):
+    """Yields the adds of each log as (log, position, add)."""
     for log, position in state.positions().items():
         for number, add in enumerate(state.adds_from(log=log, position=0, limit=position), start=1):
             yield log, number, add
@@ -55,26 +57,26 @@
 
 @hypothesis.given(histories, strategies.integers())
 def test_merging_logs_in_any_order_with_repeats_gives_the_same_totals(history, seed):
-    source = written(history)
-    chance = random.Random(seed)
-    queues = {log: [row for row in all_of(source) if row[0] == log] for log in LOGS}
+    source = state_of(history)
+    generator = random.Random(seed)
+    queues = {log: [row for row in all_adds(source) if row[0] == log] for log in LOGS}
     other = tally_state.TallyState()
     while any(queues.values()):
-        log = chance.choice([log for log, queue in queues.items() if queue])
+        log = generator.choice([log for log, queue in queues.items() if queue])
         _log, position, add = queues[log].pop(0)
-        for _time in range(chance.choice((1, 1, 2))):
+        for _time in range(generator.choice((1, 1, 2))):
             other.merge(log=log, first=position, adds=[add])
     assert other.positions() == source.positions()
-    assert non_zero(other.totals()) == non_zero(source.totals()) == non_zero(expected(history))
+    assert non_zero(other.totals()) == non_zero(source.totals()) == non_zero(expected_totals(history))
 
 
 @hypothesis.given(histories, strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3))
 def test_folding_does_not_change_totals(history, up_to):
-    state = written(history)
+    state = state_of(history)
     for log, position in zip(LOGS, up_to, strict=True):
         state.fold(log=log, up_to=position)
-    assert non_zero(state.totals()) == non_zero(expected(history))
-    assert state.positions() == written(history).positions()
+    assert non_zero(state.totals()) == non_zero(expected_totals(history))
+    assert state.positions() == state_of(history).positions()
 
 
 @hypothesis.given(
@@ -83,10 +85,10 @@
     strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3),
 )
 def test_snapshot_and_the_adds_after_it_restore_the_whole_state(history, up_to, had):
-    source = written(history)
+    source = state_of(history)
     for log, position in zip(LOGS, up_to, strict=True):
         source.fold(log=log, up_to=position)
-    other = written([log_adds[:count] for log_adds, count in zip(history, had, strict=True)])
+    other = state_of([log_adds[:count] for log_adds, count in zip(history, had, strict=True)])
     other.install(source.snapshot())
     for log, position in source.positions().items():
         start = min(max(other.position(log), source.folded_position(log)), position)
@@ -97,7 +99,7 @@
 
 @hypothesis.given(histories, strategies.lists(strategies.integers(0, 8), min_size=3, max_size=3))
 def test_folding_continues_after_installing_a_snapshot(history, up_to):
-    source = written(history)
+    source = state_of(history)
     for log, position in zip(LOGS, up_to, strict=True):
         source.fold(log=log, up_to=position)
     other = tally_state.TallyState()
@@ -107,12 +109,12 @@
         other.merge(log=log, first=start + 1, adds=source.adds_from(log=log, position=start, limit=100))
     for log in source.positions():
         other.fold(log=log, up_to=100)
-    assert non_zero(other.totals()) == non_zero(expected(history))
+    assert non_zero(other.totals()) == non_zero(expected_totals(history))
     assert other.size == len(other.totals())  # no id is left
 
 
 def test_add_in_two_logs_counts_once():
-    state = written([[TallyAdd("t", "x", 4)], [TallyAdd("t", "x", 4)], []])
+    state = state_of([[TallyAdd("t", "x", 4)], [TallyAdd("t", "x", 4)], []])
     assert state.total("t") == 4
     assert state.total("unknown") == 0
 
@@ -128,15 +130,15 @@
 
 
 def test_adds_behind_a_gap_are_rejected_without_any_change():
-    state = written([[TallyAdd("t", "x", 4)], [], []])
+    state = state_of([[TallyAdd("t", "x", 4)], [], []])
     with pytest.raises(errors.TallyMergeError):
         state.merge(log=LOGS[0], first=3, adds=[TallyAdd("t", "z", 1)])
     assert state.total("t") == 4 and state.position(LOGS[0]) == 1
 
 
 def test_snapshot_older_than_the_folded_state_is_rejected_without_any_change():
-    state = written([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
-    behind = written([[TallyAdd("t", "x", 4)], [], []])
+    state = state_of([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
+    behind = state_of([[TallyAdd("t", "x", 4)], [], []])
     state.fold(log=LOGS[0], up_to=2)
     behind.fold(log=LOGS[0], up_to=1)
     with pytest.raises(errors.TallyMergeError):
@@ -145,7 +147,7 @@
 
 
 def test_reading_folded_adds_raises_and_later_ones_are_returned():
-    state = written([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
+    state = state_of([[TallyAdd("t", "x", 4), TallyAdd("t", "y", 1)], [], []])
     state.fold(log=LOGS[0], up_to=1)
     with pytest.raises(errors.TallyMergeError):
         state.adds_from(log=LOGS[0], position=0, limit=10)
