--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -300,7 +300,7 @@
         self._waiters.check()
 
     def _handle_durable(self) -> None:
-        self._replicator.tell_durable()
+        self._replicator.report_durable()
         self._waiters.check()
 
     def _check_merged(self) -> None:
@@ -331,7 +331,7 @@
 
     def _handle_snapshot(self, connection: interfaces.Connection, message: messages.TallySnapshot) -> None:
         if self._sessions.core_address_of(connection) and self._replicator.handle_snapshot(connection, message):
-            self._writer.note_snapshot()
+            self._writer.note_installed_snapshot()
             self._take_over()
 
     def _take_over(self) -> None:
--- a/ploverward/control_plane/tallies/test_tally_replicator.py
+++ b/ploverward/control_plane/tallies/test_tally_replicator.py
@@ -1,4 +1,4 @@
-"""Who sends which adds to whom, over connections that hand messages over when they are told to."""
+"""Tests of the replication of adds between three nodes, on connections that deliver messages on request."""
 
 from ploverward.control_plane.tallies import tally_replicator
 from ploverward.control_plane.tallies import tally_state
@@ -10,7 +10,7 @@
 
 
 class Connection:
-    """One end of a connection; `deliver` calls the other end's node."""
+    """One end of a connection; its messages wait in the queue of `Net`."""
 
     def __init__(self, *, net, source, target):
         self.net, self.source, self.target = net, source, target
@@ -28,7 +28,7 @@
 
 
 class Node:
-    """A replicator whose disk has whatever is in memory."""
+    """A replicator whose disk always has what is in memory."""
 
     def __init__(self, net, host):
         self.net, self.host = net, host
@@ -56,14 +56,14 @@
             self.replicator.handle_positions(link.target, message)
         elif isinstance(message, messages.TallyAdds):
             if self.replicator.handle_adds(link, message):
-                self.replicator.tell_durable()
+                self.replicator.report_durable()
                 self.replicator.activate()
         elif self.replicator.handle_snapshot(link, message):
-            self.replicator.tell_durable()
+            self.replicator.report_durable()
 
 
 class Net:
-    """Three nodes with a connection in each direction of each pair that is not cut."""
+    """Three nodes with two connections, one in each direction, between each pair that is not cut off."""
 
     def __init__(self):
         self.queue = []
@@ -175,7 +175,7 @@
 
 
 def test_repeated_probes_do_not_reset_the_lag_of_a_node():
-    """A probe is answered with all positions; where these are the same as before, the node goes on lagging."""
+    """Guards against a probe's reply, which repeats all positions, being taken for progress of a lagging node."""
     net = Net()
     net.cut(HOSTS[0], HOSTS[1])
     net.nodes[HOSTS[0]].add("x", 4)
@@ -229,7 +229,7 @@
 
 
 def test_adds_of_an_earlier_incarnation_are_sent_at_once():
-    """A node that was restarted while it was cut off has them in a log that it does not write any more."""
+    """A node that was restarted during a partition has such adds in a log that it no longer appends to."""
     net = Net()
     last = net.nodes[HOSTS[2]]
     last.state.append(log=TallyLogName(HOSTS[2], "earlier"), add=TallyAdd("t", "x", 4))
--- a/ploverward/control_plane/tallies/test_tally_storage.py
+++ b/ploverward/control_plane/tallies/test_tally_storage.py
@@ -1,4 +1,4 @@
-"""The file of the tallies: what was written is read back, whatever the last write left behind it."""
+"""Tests that written tallies are read back from the file, also after torn, damaged and failed writes."""
 
 import os
 
@@ -14,34 +14,34 @@
 from ploverward.transport.messages import TallyAdds
 from ploverward.transport.messages import TallyLogName
 
-LOG, OTHER = TallyLogName("10.0.0.1", "a"), TallyLogName("10.0.0.2", "b")
+LOG, OTHER_LOG = TallyLogName("10.0.0.1", "a"), TallyLogName("10.0.0.2", "b")
 
 
-class Memory:
-    """A disk of one folder in memory that may refuse."""
+class MemoryDisk:
+    """A disk in memory whose writes fail while `is_failing` is set."""
 
     def __init__(self):
         self.files = {}
-        self.refuses = False
+        self.is_failing = False
         self.replaced = 0
 
     def read(self, *, name):
         return self.files.get(name)
 
     def append(self, *, name, data, size_before):
-        if self.refuses:
-            raise OSError("refused")
+        if self.is_failing:
+            raise OSError("write failed")
         self.files[name] = self.files[name][:size_before] + data
 
     def replace(self, *, name, new_name, data):
-        if self.refuses:
-            raise OSError("refused")
+        if self.is_failing:
+            raise OSError("write failed")
         self.files[name] = data
         self.replaced += 1
 
 
 class Loop:
-    """Runs offloaded work at once, and timers when asked."""
+    """Runs offloaded work at once, and timers in `fire`."""
 
     def __init__(self):
         self.timers = []
@@ -67,6 +67,8 @@
 
 
 class Outcome:
+    """The result or the error of offloaded work."""
+
     def __init__(self, *, result=None, error=None):
         self._result, self._error = result, error
 
@@ -80,8 +82,8 @@
 class Scene:
     """A writer over a disk in memory."""
 
-    def __init__(self, files=None):
-        self.disk = files or Memory()
+    def __init__(self, existing_disk=None):
+        self.disk = existing_disk or MemoryDisk()
         self.loop = Loop()
         self.storage = tally_storage.TallyStorage(disk=self.disk)
         self.loaded = self.storage.load()
@@ -112,24 +114,24 @@
 def test_loaded_adds_are_durable_only_after_the_first_rewrite():
     first = Scene()
     first.add(count=3)
-    first.add(log=OTHER, count=2)
-    assert first.writer.durable == {LOG: 3, OTHER: 2} and first.disk.replaced == 1
+    first.add(log=OTHER_LOG, count=2)
+    assert first.writer.durable == {LOG: 3, OTHER_LOG: 2} and first.disk.replaced == 1
     second = Scene(first.disk)
     assert second.loaded.is_complete
-    assert second.state.positions() == {LOG: 3, OTHER: 2} and second.state.total("t") == 9
+    assert second.state.positions() == {LOG: 3, OTHER_LOG: 2} and second.state.total("t") == 9
     assert second.writer.durable == {}
     second.writer.write()
-    assert second.writer.durable == {LOG: 3, OTHER: 2} and second.disk.replaced == 2
+    assert second.writer.durable == {LOG: 3, OTHER_LOG: 2} and second.disk.replaced == 2
 
 
 def test_after_a_failed_write_the_file_is_replaced_before_adds_are_durable():
     scene = Scene()
     scene.add()
-    scene.disk.refuses = True
+    scene.disk.is_failing = True
     scene.add()
     assert scene.writer.durable == {LOG: 1}
-    scene.add()  # while the disk refuses, nothing is tried before the pause is over
-    scene.disk.refuses = False
+    scene.add()  # nothing is written before the pending retry, also once the disk works again
+    scene.disk.is_failing = False
     assert scene.writer.durable == {LOG: 1}
     scene.loop.fire()
     assert scene.writer.durable == {LOG: 3} and scene.disk.replaced == 2
@@ -156,8 +158,8 @@
     scene.add(count=2)
     scene.add(count=2)
     written = bytearray(scene.disk.files[tally_storage.FILE_NAME])
-    place = data.draw(strategies.integers(0, len(written) - 1))
-    written[place] ^= data.draw(strategies.integers(1, 255))
+    offset = data.draw(strategies.integers(0, len(written) - 1))
+    written[offset] ^= data.draw(strategies.integers(1, 255))
     scene.disk.files[tally_storage.FILE_NAME] = bytes(written)
     state = scene.read_back().state
     position = state.position(LOG)
@@ -187,32 +189,32 @@
 
 def test_installed_snapshot_is_written_to_disk():
     source = tally_state.TallyState()
-    source.merge(log=OTHER, first=1, adds=[TallyAdd("t", "x", 5)])
-    source.fold(log=OTHER, up_to=1)
+    source.merge(log=OTHER_LOG, first=1, adds=[TallyAdd("t", "x", 5)])
+    source.fold(log=OTHER_LOG, up_to=1)
     scene = Scene()
     scene.add()
     scene.state.install(source.snapshot())
-    scene.writer.note_snapshot()
+    scene.writer.note_installed_snapshot()
     scene.writer.write()
     assert scene.read_back().state.total("t") == 6
 
 
 def test_adds_written_to_a_real_directory_are_read_back(tmp_path):
-    folder = disk.Disk(folder=str(tmp_path))
-    storage = tally_storage.TallyStorage(disk=folder)
+    real_disk = disk.Disk(folder=str(tmp_path))
+    storage = tally_storage.TallyStorage(disk=real_disk)
     record = TallyAdds(log=LOG, first=1, adds=(TallyAdd("t", "x", -3),))
     storage.write(records=[record], is_image=True)
     storage.write(records=[record._replace(first=2, adds=(TallyAdd("t", "y", 10),))], is_image=False)
     assert os.listdir(tmp_path) == [tally_storage.FILE_NAME]
-    assert tally_storage.TallyStorage(disk=folder).load().state.total("t") == 7
+    assert tally_storage.TallyStorage(disk=real_disk).load().state.total("t") == 7
 
 
 def test_write_without_changes_writes_no_file():
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
-    memory = Memory()
-    storage = tally_storage.TallyStorage(disk=memory)
+    memory_disk = MemoryDisk()
+    storage = tally_storage.TallyStorage(disk=memory_disk)
     writer = tally_writer.TallyWriter(
         loop=loop, storage=storage, state=storage.load().state, retry_s=0.1, on_durable=lambda: None
     )
     writer.write()
-    assert memory.files == {}
+    assert memory_disk.files == {}
