--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -1,10 +1,11 @@
-"""The tallies of a core node: adds, reads, and the exchange with the other core nodes (docs/tallies.md).
+"""The tally service of a core node: adds, reads, and the exchange with the other core nodes (docs/tallies.md).
 
-A tally works on each side of a partition: no majority and no lease is asked for. An add is written here and sent to
-all others at once, and acknowledged when it is on enough disks (`add_waiters`). A read is answered from memory.
+Tallies work on each side of a partition, because they need neither a majority nor a lease. An add is written to the
+local disk and sent to all other core nodes at once, and acknowledged when it is on enough disks (`add_waiters`). A read
+is answered from memory.
 
-A node whose disk was emptied, or that is new, answers reads once it has what the others in reach had (`is_merged`).
-Until somebody uses tallies, nothing is written and nothing is sent.
+A node that is new or whose disk was emptied answers reads once it has all adds that the other nodes in reach had
+(`TallyService.is_merged`). Nothing is written and nothing is sent before tallies are used.
 """
 
 from __future__ import annotations
@@ -31,25 +32,25 @@
 _log = logging.getLogger(__name__)
 
 MAX_WAITING_ADDS = 2000
-DISK_SHARE = 1 / 4  # what ids may take of the disk, which registers have a sixteenth of
-MEMORY_SHARE = 1 / 2  # what ids may take of the process's memory
-MIN_DISK_MB = 8.0  # assumed where the settings give less
-MIN_MEMORY_MB = 64.0
+DISK_SHARE = 1 / 4  # share of the disk that ids may use; registers have a sixteenth
+MEMORY_SHARE = 1 / 2  # share of the process's memory that ids may use
+MIN_DISK_MB = 8.0  # the limits are computed with at least this much, also if the settings give less
+MIN_MEMORY_MB = 64.0  # likewise
 BYTES_PER_MB = 1024 * 1024
-ADD_DISK_BYTES = 80  # some 30 bytes, beside the next version of the file
-ADD_MEMORY_BYTES = 420  # of one id with its amount (docs/CAPACITY.md, "Tallies")
-READ_WAIT_SHARE = 0.6  # of the peer time-out: how long a read waits for the merge, less than its caller does
-FOLD_THRESHOLD_SHARE = 1 / 8  # of the limit: so many ids are kept before old ones are folded
+ADD_DISK_BYTES = 80  # an add has some 30 bytes, and a rewrite needs room for the old and the new file
+ADD_MEMORY_BYTES = 420  # for one id with its amount (docs/CAPACITY.md, "Tallies")
+READ_WAIT_SHARE = 0.6  # share of the peer time-out that a read waits for the merge; its caller waits longer
+FOLD_THRESHOLD_SHARE = 1 / 8  # share of the limit on ids above which old ones are folded
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TallyLimits:
-    """Bounds of a node's tallies.
+    """Limits and timing of a node's tallies.
 
     Attributes:
-        max_kept: How many ids and names there may be; an add beyond it is refused.
-        wanted_copies: On how many disks an add has to be while so many are in reach.
-        peer_timeout_s: After which a silent peer is out of reach, in seconds.
+        max_kept: Maximum number of ids and names of tallies that are kept; further adds are refused.
+        wanted_copies: Number of disks that an add has to be on while that many are in reach.
+        peer_timeout_s: Peer time-out in seconds: the silence after which a peer is out of reach.
     """
 
     max_kept: int
@@ -58,7 +59,7 @@
 
     @classmethod
     def from_settings(cls, settings: node_settings.Settings, *, peer_timeout_s: float) -> TallyLimits:
-        """Derives the bounds from what the machine has and what may be lost at once."""
+        """Derives the limits from the machine's disk and memory and the number of machines that may be lost at once."""
         disk_adds = max(settings.disk_mb, MIN_DISK_MB) * BYTES_PER_MB * DISK_SHARE / ADD_DISK_BYTES
         memory_adds = max(settings.memory_mb, MIN_MEMORY_MB) * BYTES_PER_MB * MEMORY_SHARE / ADD_MEMORY_BYTES
         return cls(
@@ -69,28 +70,29 @@
 
 
 class CoreSessions(Protocol):
-    """What tallies need of the sessions with other core nodes."""
+    """The part of the sessions with other core nodes that tallies use."""
 
     def connected_to(self) -> Collection[str]:
-        """The addresses of the core nodes that this node connects to."""
+        """Returns the addresses of the core nodes that this node connects to."""
 
     def core_connection(self, address: str) -> interfaces.Connection | None:
-        """The open connection that this node dialed to a core node."""
+        """Returns the open connection that this node dialed to a core node; None without one."""
 
     def core_address_of(self, connection: interfaces.Connection) -> str:
-        """The address of the core node on a connection; empty where it is none."""
+        """Returns the address of the core node on a connection; empty if the peer is not a core node."""
 
     def leaving_cores(self) -> Collection[str]:
-        """The addresses of connected core nodes that are shutting down."""
+        """Returns the addresses of connected core nodes that are shutting down."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PeerReport:
-    """How another core node stands, for operators.
+    """State of another core node as seen by this one, for operators.
 
     Attributes:
         is_in_reach: Whether adds wait for it.
-        behind: How many adds of this node are not known to be on its disk; None: it told nothing.
+        behind: Number of adds that this node has and that are not known to be on the other node's disk; None if it has
+            not reported its positions.
     """
 
     is_in_reach: bool
@@ -99,14 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TallyReport:
-    """How the tallies of this node stand, for operators.
+    """State of the tallies of this node, for operators.
 
     Attributes:
-        is_merged: Whether it answers reads.
-        totals: The sum of each tally.
-        kept: How many ids and names are kept.
-        max_kept: How many may be.
-        waiting: How many adds wait for disks.
+        is_merged: Whether this node answers reads.
+        totals: The total of each tally.
+        kept: Number of ids and names of tallies that are kept.
+        max_kept: Maximum of `kept`.
+        waiting: Number of adds that wait until they are on enough disks.
         peers: The other core nodes, by address.
     """
 
@@ -120,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _WaitingRead:
-    """A read that waits for the merge."""
+    """A read that waits until this node has merged with the others, at most until `until`."""
 
     tally: str
     answer: Callable[[int | None], object]
@@ -128,16 +130,21 @@
 
 
 class TallyService:
-    """Composes the parts of the tallies.
+    """Accepts adds and reads of tallies and replicates the adds between core nodes.
 
     Args:
         own: Address of this node.
-        incarnation: Of this process; no other one ever has it.
+        incarnation: Id of this process; no other process ever has it.
         loop: The event loop.
-        disk: Where the file is.
+        disk: The disk that holds the file.
         sessions: Connections with other core nodes.
         members: Returns the agreed core set; empty while it is not known.
-        limits: The bounds.
+        limits: Limits and timing.
+
+    Attributes:
+        state: The tallies of this node.
+        is_merged: Whether this node answers reads: its file was complete at the start, or it has received all adds that
+            the other nodes in reach had.
     """
 
     def __init__(
@@ -180,8 +187,8 @@
         self._reach = peer_reach.PeerReach(
             expected=self._other_members, last_received_at=self._last_received_at, probe=self._replicator.probe
         )
-        self._waiters = add_waiters.AddWaiters(state=self.state, view=self._copy_view)
-        self._folder = tally_folder.FoldScheduler(
+        self._waiters = add_waiters.AddWaiters(state=self.state, view=self._durability_view)
+        self._fold_scheduler = tally_folder.FoldScheduler(
             state=self.state,
             now=loop.now,
             max_kept=int(limits.max_kept * FOLD_THRESHOLD_SHARE),
@@ -189,13 +196,13 @@
         )
 
     def start(self) -> None:
-        """Writes what the file had once more, as it may never have been synced, and offers it to the others."""
+        """Rewrites the loaded adds, which may never have been synced, and begins the exchange with the other nodes."""
         if self.state.positions():
             self._writer.write()
             self._replicator.activate()
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handlers of messages, by type."""
+        """Returns the message handlers by message type."""
         return {
             messages.TallyPositionsRequest: self._handle_request,
             messages.TallyPositions: self._handle_positions,
@@ -203,23 +210,27 @@
             messages.TallySnapshot: self._handle_snapshot,
         }
 
-    # Calls.
+    # Adds and reads.
     @property
     def _is_full(self) -> bool:
         return self.state.size >= self._limits.max_kept or len(self._waiters) >= MAX_WAITING_ADDS
 
     def can_accept(self, add: messages.TallyAdd) -> bool:
-        """Whether an add is taken: one that is known always is, others while there is room."""
+        """Returns whether an add is accepted: a known one always is, a new one unless the limits are reached."""
         return self._is_known(add) or not self._is_full
 
     def _is_known(self, add: messages.TallyAdd) -> bool:
         return bool(self.state.occurrences_of(tally_state.AddKey(add.tally, add.add_id)))
 
     def add(self, *, add: messages.TallyAdd, answer: Callable[[], object]) -> Callable[[], None]:
-        """Adds to a tally, unless the same add is known; `answer` is called once it is on enough disks.
+        """Adds to a tally unless the same add is known.
+
+        Args:
+            add: The add.
+            answer: Called once, when the add is on enough disks.
 
         Returns:
-            To be called when the caller leaves: nobody waits for the answer any more.
+            A function that cancels the call of `answer`, for a caller that disconnects; the add itself stays.
         """
         self._replicator.activate()
         key = tally_state.AddKey(add.tally, add.add_id)
@@ -235,8 +246,8 @@
         """Reads a tally.
 
         Args:
-            tally: Its name.
-            answer: Called once with the sum; with None where this node can't tell it in time.
+            tally: Name of the tally.
+            answer: Called once with the total, or with None if this node has not merged with the others in time.
         """
         self._replicator.activate()
         if not self.is_merged:
@@ -246,18 +257,18 @@
             return
         wait_s = self._limits.peer_timeout_s * READ_WAIT_SHARE
         self._reads.append(_WaitingRead(tally, answer, self._loop.now() + wait_s))
-        self._loop.after(delay=wait_s, callback=self._end_late_reads)
+        self._loop.after(delay=wait_s, callback=self._fail_expired_reads)
 
-    def _end_late_reads(self) -> None:
+    def _fail_expired_reads(self) -> None:
         now = self._loop.now()
-        late = [read for read in self._reads if read.until <= now]
+        expired = [read for read in self._reads if read.until <= now]
         self._reads = [read for read in self._reads if read.until > now]
-        for read in late:
+        for read in expired:
             read.answer(None)
 
     def has_handed_over(self) -> bool:
-        """Whether all that this node has is on enough other disks, so that it may leave."""
-        others = list(self._copy_view().peers.values())
+        """Returns whether all adds that this node has are on enough other disks, so that it may shut down."""
+        others = list(self._durability_view().peers.values())
         wanted = min(self._limits.wanted_copies, len(others))
         return all(
             sum(positions.get(log, 0) >= position for positions in others) >= wanted
@@ -265,7 +276,7 @@
         )
 
     def report(self) -> TallyReport:
-        """Returns how the tallies stand."""
+        """Returns the state of the tallies for operators."""
         return TallyReport(
             is_merged=self.is_merged,
             totals=self.state.totals(),
@@ -282,16 +293,16 @@
             behind = sum(max(0, position - durable.get(log, 0)) for log, position in self.state.positions().items())
         return PeerReport(is_in_reach=not self._reach.is_out_of_reach(address), behind=behind)
 
-    # What the node reports.
+    # Events of the node.
     def tick(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Performs the periodic work; to be called at each heartbeat interval."""
         self._reach.tick(is_waiting=len(self._waiters) > 0 or bool(self._reads))
         self._replicator.tick()
-        self._folder.tick()
+        self._fold_scheduler.tick()
         self._handle_progress()
 
     def handle_dialed(self) -> None:
-        """A connection to another core node is being opened."""
+        """Starts the exchange on new connections; to be called when one to another core node is being opened."""
         self._replicator.connect_all()
 
     def _handle_progress(self) -> None:
@@ -305,8 +316,8 @@
 
     def _check_merged(self) -> None:
         for address in self._reach.in_reach():
-            wanted = self._replicator.first_positions_of(address)
-            if wanted is None or not self.state.has_all(wanted):
+            required = self._replicator.first_positions_of(address)
+            if required is None or not self.state.has_all(required):
                 return
         self.is_merged = True
         _log.info("tallies_merged", extra={"kept": self.state.size})
@@ -327,19 +338,19 @@
 
     def _handle_adds(self, connection: interfaces.Connection, message: messages.TallyAdds) -> None:
         if self._sessions.core_address_of(connection) and self._replicator.handle_adds(connection, message):
-            self._take_over()
+            self._handle_merged_adds()
 
     def _handle_snapshot(self, connection: interfaces.Connection, message: messages.TallySnapshot) -> None:
         if self._sessions.core_address_of(connection) and self._replicator.handle_snapshot(connection, message):
             self._writer.note_installed_snapshot()
-            self._take_over()
+            self._handle_merged_adds()
 
-    def _take_over(self) -> None:
+    def _handle_merged_adds(self) -> None:
         self._writer.write()
         self._replicator.activate()
         self._handle_progress()
 
-    # Views.
+    # State of the core set.
     def _other_members(self) -> list[str]:
         known = set(self._members()) or set(self._sessions.connected_to())
         return sorted(known - {self._own})
@@ -348,7 +359,7 @@
         connection = self._sessions.core_connection(address)
         return connection.heard_at if connection is not None and connection.has_heard else None
 
-    def _copy_view(self) -> add_waiters.DurabilityView:
+    def _durability_view(self) -> add_waiters.DurabilityView:
         leaving = set(self._sessions.leaving_cores())
         peers = {}
         for address in self._sessions.connected_to():
@@ -364,10 +375,10 @@
         )
 
     def _member_positions(self) -> list[tally_state.Positions] | None:
-        found: list[tally_state.Positions] = [self._writer.durable]
+        member_positions: list[tally_state.Positions] = [self._writer.durable]
         for address in self._other_members():
             positions = self._replicator.positions_of(address)
             if positions is None:
                 return None
-            found.append(positions)
-        return found
+            member_positions.append(positions)
+        return member_positions
--- a/ploverward/control_plane/tallies/test_tally_service.py
+++ b/ploverward/control_plane/tallies/test_tally_service.py
@@ -1,4 +1,4 @@
-"""Three core nodes with tallies, on connections and disks that do what a test says."""
+"""Tests of the tally service on three core nodes, with connections and disks that the test controls."""
 
 from ploverward.control_plane.tallies import peer_reach
 from ploverward.control_plane.tallies import tally_service
@@ -23,7 +23,7 @@
 
 
 class Disk:
-    """A disk in memory; one that stalls keeps its work."""
+    """A disk in memory; while it stalls, `Loop` keeps the writes back."""
 
     def __init__(self):
         self.files, self.is_stalled = {}, False
@@ -39,12 +39,14 @@
 
 
 class Outcome:
+    """The outcome of offloaded work that succeeded."""
+
     def exception(self):
         return None
 
 
 class Loop:
-    """Runs offloaded work at once unless the disk stalls; time passes when a test says so."""
+    """Runs offloaded work at once unless the disk stalls; time advances only in `run_until`."""
 
     def __init__(self, disk):
         self.time, self.disk, self.timers, self.stalled = 0.0, disk, [], []
@@ -71,16 +73,16 @@
 
 
 class Node:
-    """One node, which is the sessions of its own tallies too."""
+    """One node, which also stands in for the sessions (`CoreSessions`) of its tally service."""
 
     def __init__(self, net, host, *, disk=None, max_kept=100):
         self.net, self.host, self.links, self.leaving = net, host, {}, set()
         self.disk = disk or Disk()
         self.loop = Loop(self.disk)
-        net.lives += 1
+        net.incarnations += 1
         self.tallies = tally_service.TallyService(
             own=host,
-            incarnation=f"life{net.lives}",
+            incarnation=f"life{net.incarnations}",
             loop=self.loop,
             disk=self.disk,
             sessions=self,
@@ -112,14 +114,16 @@
 
 
 class Net:
+    """Three nodes, and the messages in flight between them."""
+
     def __init__(self):
-        self.queue, self.lives = [], 0
+        self.queue, self.incarnations = [], 0
         self.nodes = {}
         for host in HOSTS:
             self.start(host)
 
-    def start(self, host, **about):
-        node = self.nodes[host] = Node(self, host, **about)
+    def start(self, host, **options):
+        node = self.nodes[host] = Node(self, host, **options)
         for other in self.nodes:
             if other != host:
                 self.join(host, other)
@@ -156,13 +160,14 @@
             self.run()
 
 
-def first_two():
+def net_and_first_two_nodes():
+    """Returns a net of three nodes, and the first two of them."""
     net = Net()
     return net, net.nodes[HOSTS[0]], net.nodes[HOSTS[1]]
 
 
 def test_add_is_acknowledged_once_on_enough_disks():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     answers = first.add("x", 4)
     assert answers == []
     net.run()
@@ -171,20 +176,20 @@
 
 
 def test_add_is_acknowledged_despite_a_stalled_own_disk_but_not_with_one_copy():
-    net, first, second = first_two()
+    net, first, second = net_and_first_two_nodes()
     first.disk.is_stalled = True
     answers = first.add("x")
     net.run()
-    assert answers == [200]  # on the disks of the two others
+    assert answers == [200]  # the add is on the disks of the two others
     second.disk.is_stalled = True
     late = first.add("y")
     net.run()
-    net.tick(20)  # a disk that stalls is in reach for ever
+    net.tick(20)  # a node whose disk stalls stays in reach
     assert late == []
 
 
 def test_isolated_node_acknowledges_adds_alone_and_merges_after_the_partition():
-    net, first, second = first_two()
+    net, first, second = net_and_first_two_nodes()
     second.add("before", 1)
     net.run()
     net.tick()
@@ -203,7 +208,7 @@
 
 
 def test_same_add_at_two_nodes_counts_once_and_is_acknowledged_by_both():
-    net, first, second = first_two()
+    net, first, second = net_and_first_two_nodes()
     first.add("x", 4)
     net.run()
     again = second.add("x", 4)
@@ -213,16 +218,16 @@
 
 
 def test_cancelled_add_is_counted_but_not_acknowledged():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     answers = []
-    forget = first.tallies.add(add=TallyAdd("t", "x", 1), answer=lambda: answers.append(200))
-    forget()
+    cancel = first.tallies.add(add=TallyAdd("t", "x", 1), answer=lambda: answers.append(200))
+    cancel()
     net.run()
     assert answers == [] and first.read() == [1]
 
 
 def test_node_with_an_emptied_disk_answers_reads_after_merging():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     first.add("x", 4)
     net.run()
     net.tick()
@@ -234,7 +239,7 @@
 
 
 def test_isolated_node_with_an_emptied_disk_fails_reads_until_peers_are_out_of_reach():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     first.add("x", 4)
     net.run()
     emptied = net.start(HOSTS[1])
@@ -247,7 +252,7 @@
 
 
 def test_restarted_node_answers_reads_at_once_and_writes_to_a_new_log():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     first.add("x", 4)
     net.run()
     again = net.start(HOSTS[0], disk=first.disk)
@@ -261,7 +266,7 @@
 
 def test_full_node_rejects_new_adds_and_accepts_repeated_ones():
     net = Net()
-    node = net.start(HOSTS[0], max_kept=3)  # two ids and the name of their tally
+    node = net.start(HOSTS[0], max_kept=3)  # room for two ids and the name of their tally
     net.run()
     for name in ("x", "y"):
         assert node.tallies.can_accept(TallyAdd("t", name, 1))
@@ -272,7 +277,7 @@
 
 
 def test_node_has_handed_over_once_enough_peers_have_all_of_its_adds():
-    net, first, second = first_two()
+    net, first, second = net_and_first_two_nodes()
     assert first.tallies.has_handed_over()
     second.disk.is_stalled = net.nodes[HOSTS[2]].disk.is_stalled = True
     first.add("x")
@@ -288,7 +293,7 @@
 
 
 def test_disk_of_a_leaving_node_does_not_count_as_a_copy():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     first.add("first")
     net.run()
     first.leaving = {HOSTS[1]}
@@ -299,7 +304,7 @@
 
 
 def test_report_shows_lagging_and_unreachable_peers():
-    net, first, _second = first_two()
+    net, first, _second = net_and_first_two_nodes()
     first.add("x", 4)
     net.run()
     net.tick()
