--- a/ploverward/control_plane/cluster/topic_exchange.py
+++ b/ploverward/control_plane/cluster/topic_exchange.py
@@ -70,12 +70,12 @@
 
     def handle_joined(self, peer: peer_sessions.Peer) -> None:
         """Announces all topics to a newly connected node."""
-        self._publisher.join(peer.connection)
+        self._publisher.add_connection(peer.connection)
 
     def handle_ended(self, connection: interfaces.Connection, peer: peer_sessions.Peer | None) -> None:
         """Removes a connection that ended. Orders no longer wait for a proxy that disconnected."""
-        self._publisher.leave(connection)
-        self._subscriber.drop(connection)
+        self._publisher.remove_connection(connection)
+        self._subscriber.remove_connection(connection)
         if peer is not None and peer.role is peer_sessions.NodeRole.PROXY:
             self._check_applied()
 
--- a/ploverward/control_plane/configuration/evacuations.py
+++ b/ploverward/control_plane/configuration/evacuations.py
@@ -23,7 +23,7 @@
     return (payload or {}).get(CHANGE_COUNTS_KEY, {})
 
 
-def edit_for(*, zone: str, is_out: bool, is_late: collections.abc.Callable[[], bool]) -> Edit:
+def edit_for(*, zone: str, is_evacuated: bool, is_late: collections.abc.Callable[[], bool]) -> Edit:
     """Makes the edit for one order to evacuate a zone or to end its evacuation.
 
     A consensus round may make several attempts. The first attempt that sees the value binds the order to that moment:
@@ -32,7 +32,7 @@
 
     Args:
         zone: the zone.
-        is_out: True to evacuate it, False to end the evacuation.
+        is_evacuated: True to evacuate it, False to end the evacuation.
         is_late: whether the caller was answered already. An order that no attempt has seen by then is dropped.
 
     Returns:
@@ -47,9 +47,9 @@
                 raise errors.QuorumUnavailableError("no majority in time", step="evacuation", peer=zone)
             first_seen.append(change_count)
         zones = zones_of(payload)
-        if change_count != first_seen[0] or (zone in zones) == is_out:
+        if change_count != first_seen[0] or (zone in zones) == is_evacuated:
             return payload, None
-        wanted = zones | {zone} if is_out else zones - {zone}
+        wanted = zones | {zone} if is_evacuated else zones - {zone}
         change_counts = {**_change_counts_of(payload), zone: change_count + 1}
         return {ZONES_KEY: sorted(wanted), CHANGE_COUNTS_KEY: change_counts}, None
 
--- a/ploverward/control_plane/configuration/order_archive.py
+++ b/ploverward/control_plane/configuration/order_archive.py
@@ -24,7 +24,7 @@
     return payload[ARCHIVED_THROUGH_KEY] if payload else 0
 
 
-def has(*, payload: Payload, order_id: str) -> bool:
+def contains(*, payload: Payload, order_id: str) -> bool:
     """Whether the archive has this order."""
     wanted = _short_id(order_id)
     data = _short_ids(payload)
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -1,7 +1,7 @@
 """Orders that change the configuration: reading one, and its edit of the register (docs/orders.md 2, 3).
 
 The payload of the register is `{"edition": int, "body": configuration, "recent": [[edition, order identifier], ...]}`.
-Invariants: editions strictly rise; "recent" has the newest `RECENT_KEPT` accepted orders and all older ones that
+Invariants: editions strictly rise; "recent" has the newest `MIN_RECENT_ORDERS` accepted orders and all older ones that
 `order_archive` is not known to have. So an order that is sent again is recognised, whichever node gets it.
 """
 
@@ -18,8 +18,8 @@
 from ploverward.control_plane.configuration.register_payloads import Edit
 from ploverward.control_plane.configuration.register_payloads import Payload
 
-RECENT_KEPT = 64  # orders that stay in the payload although the archive has them
-ARCHIVE_FROM = 64  # so many orders that the archive lacks are appended to it in one write
+MIN_RECENT_ORDERS = 64  # orders that stay in the payload although the archive has them
+MIN_ARCHIVE_BATCH = 64  # so many orders that the archive lacks are appended to it in one write
 ORDER_ID_DIGITS = 20  # hexadecimal: 80 bits
 EDITION_KEY = "edition"
 BODY_KEY = "body"
@@ -31,7 +31,7 @@
 class Outcome(enum.StrEnum):
     """What an edit found of its order."""
 
-    TAKEN = "taken"  # it was accepted now
+    ACCEPTED = "taken"  # it was accepted now
     KNOWN = "known"  # it was accepted before
 
 
@@ -57,7 +57,7 @@
     Attributes:
         method: "PUT" or "PATCH".
         base: the edition that the change builds on, from If-Match.
-        order_id: the same for the same call sent again (`digest`).
+        order_id: the same for the same call sent again (`compute_order_id`).
         body: the object in the call's body: a configuration, or a patch of one.
         candidate: the configuration that the order requests; None for a PATCH that was not merged yet.
     """
@@ -69,7 +69,7 @@
     candidate: Candidate | None = None
 
 
-def digest(*, method: str, base: int, data: bytes) -> str:
+def compute_order_id(*, method: str, base: int, data: bytes) -> str:
     """The identifier of the order with this method, base edition and body bytes."""
     return hashlib.sha256(b"%s %d " % (method.encode(), base) + data).hexdigest()[:ORDER_ID_DIGITS]
 
@@ -86,12 +86,12 @@
         InvalidConfigurationError: the body is not JSON or not a valid configuration.
     """
     body = parser.read_json(data=data)
-    order_id = digest(method=method, base=base, data=data)
+    order_id = compute_order_id(method=method, base=base, data=data)
     candidate = None if method == http.HTTPMethod.PATCH else _checked_candidate(base=base, body=body)
     return Order(method=method, base=base, order_id=order_id, body=body, candidate=candidate)
 
 
-def build(*, order: Order, base_body: dict[str, typing.Any]) -> Order:
+def merge_patch(*, order: Order, base_body: dict[str, typing.Any]) -> Order:
     """The order of a PATCH with its candidate.
 
     Args:
@@ -159,12 +159,12 @@
             raise errors.InvalidConfigurationError(f"{candidate.edition} is not above {current}", field_path="edition")
         rows = [*recent_of(payload), [candidate.edition, order.order_id]]
         recent = trimmed(rows=rows, archived=archived)
-        return {EDITION_KEY: candidate.edition, BODY_KEY: candidate.body, RECENT_KEY: recent}, Outcome.TAKEN
+        return {EDITION_KEY: candidate.edition, BODY_KEY: candidate.body, RECENT_KEY: recent}, Outcome.ACCEPTED
 
     return edit
 
 
 def trimmed(*, rows: list[RecentOrder], archived: int) -> list[RecentOrder]:
-    """The rows without those that the archive has; the newest `RECENT_KEPT` always stay."""
-    older, newest = rows[:-RECENT_KEPT], rows[-RECENT_KEPT:]
+    """The rows without those that the archive has; the newest `MIN_RECENT_ORDERS` always stay."""
+    older, newest = rows[:-MIN_RECENT_ORDERS], rows[-MIN_RECENT_ORDERS:]
     return [row for row in older if row[0] > archived] + newest
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -121,7 +121,7 @@
 Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
 
-def validated(model: type[Model], body: dict[str, typing.Any]) -> Model:
+def validate(model: type[Model], body: dict[str, typing.Any]) -> Model:
     """Reads an object as a pydantic model.
 
     Args:
@@ -148,7 +148,7 @@
     Raises:
         InvalidConfigurationError: it can't be in force. No other exception leaves this function.
     """
-    configuration = validated(Configuration, body)
+    configuration = validate(Configuration, body)
     _check_services(configuration.services)
     _check_routes(configuration.routes, service_names={service.name for service in configuration.services})
     _check_tenants(configuration.tenants or ())
--- a/ploverward/control_plane/configuration/test_parser.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -79,14 +79,14 @@
 
 @CHECKED
 @hypothesis.given(data=strategies.binary(max_size=60) | strategies.text(max_size=60).map(lambda text: text.encode()))
-def test_any_bytes_are_read_or_refused(data):
+def test_read_json_returns_object_or_names_field_for_any_bytes(data):
     body = refused_or_done(lambda: parser.read_json(data=data))
     assert body is None or isinstance(body, dict)
 
 
 @CHECKED
 @hypothesis.given(body=VALUES)
-def test_what_is_read_can_be_written_again(body):
+def test_read_json_result_can_be_encoded_again(body):
     data = json.dumps(body).encode()
     read = refused_or_done(lambda: parser.read_json(data=data))
     if read is not None:
@@ -95,13 +95,13 @@
 
 @CHECKED
 @hypothesis.given(kept_length=strategies.integers(min_value=0, max_value=len(json.dumps(GOOD)) - 1))
-def test_a_truncated_body_is_rejected_entirely(kept_length):
+def test_read_json_rejects_truncated_body(kept_length):
     assert refused(lambda: parser.read_json(data=json.dumps(GOOD).encode()[:kept_length])) == "body"
 
 
 @CHECKED
 @hypothesis.given(path=strategies.sampled_from(PLACES), value=VALUES)
-def test_any_value_at_any_field_is_checked_or_refused(path, value):
+def test_check_accepts_or_rejects_any_value_and_leaves_body_unchanged(path, value):
     body = with_value(GOOD, path, value)
     before = copy.deepcopy(body)
     refused_or_done(lambda: schema.check(body=body))
@@ -110,7 +110,7 @@
 
 @CHECKED
 @hypothesis.given(body=OBJECTS, patch=OBJECTS)
-def test_any_patch_of_any_body_is_merged_or_refused(body, patch):
+def test_merge_accepts_or_rejects_any_patch_and_leaves_arguments_unchanged(body, patch):
     before = copy.deepcopy((body, patch))
     refused_or_done(lambda: patchs.merge(body=body, patch=patch))
     assert repr((body, patch)) == repr(before)
@@ -123,7 +123,7 @@
     body=OBJECTS | strategies.tuples(strategies.sampled_from(PLACES), VALUES).map(lambda at: with_value(GOOD, *at)),
     stored_payload=strategies.sampled_from([None, STORED_PAYLOAD]),
 )
-def test_any_order_is_taken_or_refused_and_changes_nothing_else(method, base, body, stored_payload):
+def test_edit_accepts_or_rejects_any_order_and_leaves_payload_unchanged(method, base, body, stored_payload):
     before = copy.deepcopy(stored_payload)
 
     def callback():
@@ -135,7 +135,7 @@
     except (errors.InvalidConfigurationError, errors.StaleVersionError):
         new, outcome = stored_payload, None
     assert stored_payload == before
-    if outcome == orders.Outcome.TAKEN:
+    if outcome == orders.Outcome.ACCEPTED:
         assert new["edition"] > base and schema.check(body=new["body"]).edition == new["edition"]
         assert json.loads(json.dumps(new, allow_nan=False)) == new
 
@@ -159,7 +159,7 @@
         (b"null", "body"),
     ],
 )
-def test_unclear_json_names_the_field(data, field_path):
+def test_read_json_names_field_of_ambiguous_json(data, field_path):
     assert refused(lambda: parser.read_json(data=data)) == field_path
 
 
@@ -185,7 +185,7 @@
         (("limits", "labelBytes"), "many", "limits.labelBytes"),
     ],
 )
-def test_wrong_values_name_the_field(path, value, field_path):
+def test_check_names_field_of_wrong_value(path, value, field_path):
     assert refused(lambda: schema.check(body=with_value(GOOD, path, value))) == field_path
 
 
@@ -209,11 +209,11 @@
         ({"withdraw": {"routes": ["nobody"]}}, "withdraw.routes.0"),
     ],
 )
-def test_malformed_patches_name_the_field(patch, field_path):
+def test_merge_names_field_of_malformed_patch(patch, field_path):
     assert refused(lambda: patchs.merge(body=GOOD, patch={"edition": 8, **patch})) == field_path
 
 
-def test_a_stored_body_with_an_item_without_a_name_is_refused():
+def test_merge_rejects_stored_body_with_unnamed_item():
     body = with_value(GOOD, ("routes", 1), {"host": "h"})
     patch = {"edition": 8, "upsert": {"routes": [GOOD["routes"][0]]}}
     assert refused(lambda: patchs.merge(body=body, patch=patch)) == "routes.1"
--- a/ploverward/control_plane/configuration/test_schema.py
+++ b/ploverward/control_plane/configuration/test_schema.py
@@ -57,14 +57,14 @@
         (changed(("destinations", 1, "name"), "d1"), "destinations.1.name"),
     ],
 )
-def test_invalid_ones_name_the_field(body, field_path):
+def test_check_names_field_of_invalid_configuration(body, field_path):
     with pytest.raises(errors.InvalidConfigurationError) as outcome:
         schema.check(body=body)
     assert outcome.value.field_path == field_path
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", json.dumps(GOOD).encode()[:-30], b"\xff\xfe"])
-def test_unreadable_ones(data):
+def test_read_json_rejects_unreadable_body(data):
     with pytest.raises(errors.InvalidConfigurationError):
         parser.read_json(data=data)
 
@@ -75,7 +75,7 @@
     return orders.edit_for(order=order, archived=0)(payload)
 
 
-def test_taken_then_resent_unchanged_is_known_also_after_newer_ones():
+def test_edit_recognises_resent_order_after_newer_one():
     first, outcome = take(None, base=0, body=GOOD)
     assert outcome == "taken" and first["body"] == GOOD
     newer, outcome = take(first, base=7, body=changed(("edition",), 9))
@@ -83,7 +83,7 @@
     assert take(newer, base=0, body=GOOD) == (newer, "known")
 
 
-def test_wrong_base_and_an_edition_not_above():
+def test_edit_rejects_wrong_base_and_edition_that_does_not_rise():
     first, _outcome = take(None, base=0, body=GOOD)
     with pytest.raises(errors.StaleVersionError):
         take(first, base=3, body=changed(("edition",), 9))
@@ -92,7 +92,7 @@
     assert outcome.value.field_path == "edition"
 
 
-def test_patch_adds_replaces_and_withdraws():
+def test_patch_adds_replaces_and_withdraws_items():
     first, _outcome = take(None, base=0, body=GOOD)
     patch = {
         "edition": 8,
@@ -111,7 +111,7 @@
         take(first, base=7, body={"edition": 8, "withdraw": {"routes": ["nobody"]}}, method="PATCH")
 
 
-def test_260_routes_are_checked_quickly_enough_to_be_acknowledged():
+def test_check_accepts_400_routes():
     body = changed(
         ("routes",),
         [
@@ -133,7 +133,7 @@
     return schema.check(body={"edition": 1, "routes": [], "destinations": [], "senders": list(senders)})
 
 
-def test_tenants_are_read():
+def test_check_reads_tenants():
     senders = with_tenants({"name": "a", "apiKeys": ["k", "l"], "perS": 2}, {"name": "b", "apiKeys": ["m"]}).tenants
     assert [(tenant.name, len(tenant.api_keys)) for tenant in senders] == [("a", 2), ("b", 1)]
 
@@ -150,13 +150,13 @@
         (({"apiKeys": ["secret"]},), "senders.0.name"),
     ],
 )
-def test_tenants_that_are_none_name_the_field_and_never_a_key(senders, field_path):
+def test_check_names_field_of_invalid_tenant_and_never_a_key(senders, field_path):
     with pytest.raises(errors.InvalidConfigurationError) as caught:
         with_tenants(*senders)
     assert caught.value.field_path == field_path and "secret" not in str(caught.value)
 
 
-def test_a_patch_that_gives_a_key_to_a_second_tenant_is_invalid():
+def test_check_rejects_patch_that_gives_key_to_second_tenant():
     body = {"edition": 1, "routes": [], "destinations": [], "senders": [{"name": "a", "apiKeys": ["secret"]}]}
     merged = patchs.merge(
         body=body, patch={"edition": 2, "upsert": {"senders": [{"name": "b", "apiKeys": ["secret"]}]}}
@@ -168,10 +168,10 @@
 
 
 @pytest.mark.parametrize("kind, is_valid", [("batch", True), ("streaming", True), ("Batch", False), ("", False)])
-def test_a_route_takes_lots_or_requests_of_one_of_three_kinds(kind, is_valid):
+def test_route_accepts_batch_and_known_request_kinds_only(kind, is_valid):
     route = {"name": "r", "host": "h", "pathLead": "/r/", "kind": kind, "expiryMs": 5, "destination": "d"}
     if is_valid:
-        assert schema.validated(schema.Route, route).kind == kind
+        assert schema.validate(schema.Route, route).kind == kind
     else:
         with pytest.raises(errors.InvalidConfigurationError):
-            schema.validated(schema.Route, route)
+            schema.validate(schema.Route, route)
--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -108,7 +108,7 @@
     for row in history:
         order = configuration_orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
         if order.method == "PATCH":
-            order = configuration_orders.build(order=order, base_body=payload["body"])
+            order = configuration_orders.merge_patch(order=order, base_body=payload["body"])
         payload, _said = configuration_orders.edit_for(order=order, archived=0)(payload)
     return json.loads(json.dumps(payload)), payload["recent"]
 
@@ -120,7 +120,7 @@
 def evacuated(history) -> dict:
     payload = None
     for row in history:
-        edit = evacuations.edit_for(zone=row["zone"], is_out=row["method"] == "POST", is_late=lambda: False)
+        edit = evacuations.edit_for(zone=row["zone"], is_evacuated=row["method"] == "POST", is_late=lambda: False)
         payload, _said = edit(payload)
     return payload
 
--- a/ploverward/control_plane/distribution/publisher.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -77,14 +77,14 @@
                 connection.send(announcement)
         return True
 
-    def join(self, connection: interfaces.Connection) -> None:
+    def add_connection(self, connection: interfaces.Connection) -> None:
         """A connection begins: it is sent the versions of all topics."""
         self._acknowledged[connection] = {}
         if self.topics:
             versions = tuple(messages.TopicVersion(current.topic, current.version) for current in self.topics.values())
             connection.send(messages.Announcement(versions=versions))
 
-    def leave(self, connection: interfaces.Connection) -> None:
+    def remove_connection(self, connection: interfaces.Connection) -> None:
         """A connection ended."""
         self._acknowledged.pop(connection, None)
 
@@ -115,8 +115,8 @@
         for topic, version in message.versions:
             acknowledged[topic] = max(acknowledged.get(topic, NO_VERSION), version)
 
-    def lagging(
-        self, *, topic: str, version: tuple[int, int], links: Iterable[interfaces.Connection]
+    def lagging_connections(
+        self, *, topic: str, version: tuple[int, int], connections: Iterable[interfaces.Connection]
     ) -> list[interfaces.Connection]:
         """Those of the connections that have not acknowledged this version of the topic or a newer one."""
-        return [link for link in links if self._acknowledged.get(link, {}).get(topic, NO_VERSION) < version]
+        return [link for link in connections if self._acknowledged.get(link, {}).get(topic, NO_VERSION) < version]
--- a/ploverward/control_plane/distribution/subscriber.py
+++ b/ploverward/control_plane/distribution/subscriber.py
@@ -176,7 +176,7 @@
         if fetch is not None and fetch.version <= version:
             del self._fetches[topic]
 
-    def drop(self, connection: interfaces.Connection) -> None:
+    def remove_connection(self, connection: interfaces.Connection) -> None:
         """A connection ended: what it announced counts no longer, and a fetch may have been lost with it."""
         for topic, announced in self._announced.items():
             if announced.pop(connection, None) is not None:
--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -28,7 +28,7 @@
     return platform_replicas.read_row(platform_replica={**PLATFORM_REPLICA, **changed})
 
 
-def test_a_change_is_what_matters_and_not_the_passing_of_a_cold_time():
+def test_delta_to_reports_changed_rows_but_not_elapsed_warm_up():
     published = endpoint_list.from_rows(rows=[row()], read_at=10.0)
     assert published.delta_to(rows=[row(warmupLeftMs=2000)], read_at=11.0, is_same_clock=True) is None
     later = published.delta_to(rows=[row(warmupLeftMs=3000)], read_at=11.0, is_same_clock=True)
@@ -40,13 +40,13 @@
     assert noticed.rows[0]["left_ms"] == 900
 
 
-def test_under_another_clock_a_warming_row_is_published_again():
+def test_delta_to_of_another_clock_repeats_warming_row():
     published = endpoint_list.from_rows(rows=[row()], read_at=900.0)
     assert published.delta_to(rows=[row(warmupLeftMs=2000)], read_at=3.0, is_same_clock=False).rows
     assert published.delta_to(rows=[row(warmupLeftMs=0)], read_at=3.0, is_same_clock=False) is None
 
 
-def test_cold_times_of_rows_that_are_not_named_run_down():
+def test_apply_counts_down_warm_up_of_rows_not_in_delta():
     published = endpoint_list.from_rows(rows=[row(), row(id="j", warmupLeftMs=0)], read_at=10.0)
     change = published.delta_to(rows=[row(warmupLeftMs=2000), row(id="k")], read_at=11.0, is_same_clock=True)
     after = published.apply(change)
@@ -66,7 +66,7 @@
         endpoint_list._pack({}),
     ],
 )
-def test_malformed_lists_and_changes_are_frame_errors(data):
+def test_unpack_of_malformed_list_or_delta_raises_frame_error(data):
     with pytest.raises(errors.FrameError):
         endpoint_list.unpack_list(data)
     with pytest.raises(errors.FrameError):
@@ -146,15 +146,15 @@
         self.up = {}
         self.listeners = []
         for _ in range(3):
-            self.join()
+            self.add_connection()
         self.rows = {f"i{number}": row(id=f"i{number}", warmupLeftMs=0) for number in range(30)}
 
-    def join(self):
+    def add_connection(self):
         listener = self.listener(now=lambda: self.time)
         self.listeners.append(listener)
         for publisher in self.tellers:
             self.down[publisher, listener], self.up[publisher, listener] = Wire(), Wire()
-            publisher.publisher.join(self.down[publisher, listener])
+            publisher.publisher.add_connection(self.down[publisher, listener])
 
     def change_rows(self):
         name = f"i{self.chance.randrange(40)}"
@@ -204,13 +204,13 @@
             if epoch == 2 and step % 7 == 0:  # the deposed holder tells on: nobody that heard of its successor listens
                 self.tellers[0].publish(rows=[row(id="stale")], version=Version(1, 1000 + step), read_at=self.time)
             if step in (30, 80):
-                self.join()
+                self.add_connection()
             self.carry(loss=0.2)
             self.check()
         for (publisher, listener), link in self.down.items():  # what was lost ended its link: a new one offers anew
-            listener.subscriber.drop(self.up[publisher, listener])
-            publisher.publisher.leave(link)
-            publisher.publisher.join(link)
+            listener.subscriber.remove_connection(self.up[publisher, listener])
+            publisher.publisher.remove_connection(link)
+            publisher.publisher.add_connection(link)
         for _ in range(12):
             self.time += 0.31
             self.carry(loss=0.0)
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_subscribers_have_only_lists_that_were_published_and_converge(seed):
+def test_subscribers_install_only_published_lists_and_converge(seed):
     history = History(seed=seed)
     history.play()
     assert sum(listener.deltas for listener in history.listeners) > 20  # both ways were gone
@@ -270,11 +270,11 @@
 
 
 @pytest.mark.parametrize("planted", [TakesAnySteps, SkipsAStep])
-def test_the_histories_find_steps_that_are_taken_wrongly(planted):
+def test_histories_detect_subscriber_that_applies_deltas_wrongly(planted):
     assert failing_seeds(planted) > 0
 
 
-def test_a_list_of_an_older_epoch_is_not_taken_and_planted_it_would_be_seen():
+def test_subscriber_rejects_snapshot_of_older_epoch():
     for listener, expected in ((Listener, (2, 1)), (TakesOlderEpochs, (1, 9))):
         found = listener(now=lambda: 0.0)
         for version in ((2, 1), (1, 9)):
@@ -283,7 +283,7 @@
         assert found.version == expected
 
 
-def test_a_publisher_sends_deltas_where_they_are_fewer_bytes_and_a_snapshot_otherwise():
+def test_publisher_sends_deltas_if_smaller_and_snapshot_otherwise():
     publisher = Publisher()
     rows = [row(id=f"i{number:04}", warmupLeftMs=0) for number in range(300)]
     publisher.publish(rows=rows, version=Version(1, 1), read_at=0.0)
@@ -306,7 +306,7 @@
     assert isinstance(link.waiting[-1], messages.Snapshot)
 
 
-def test_deltas_without_order_are_a_frame_error():
+def test_deltas_that_are_empty_or_do_not_rise_raise_frame_error():
     found = Listener(now=lambda: 0.0)
     for numbers in ((), (3, 3), (1,)):
         deltas = tuple(messages.Delta(version=Version(1, number), data=b"") for number in numbers)
--- a/ploverward/control_plane/distribution/test_subscriber.py
+++ b/ploverward/control_plane/distribution/test_subscriber.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_subscriber_never_reverts_whatever_the_delivery_order(seed):
+def test_subscriber_never_reverts_for_any_delivery_order(seed):
     chance = random.Random(seed)
     clock = [0.0]
     seen = []
@@ -35,7 +35,7 @@
     assert seen and seen == sorted(set(seen))
 
 
-def test_a_subscriber_fetches_from_another_publisher_where_one_is_silent():
+def test_subscriber_fetches_from_another_publisher_after_timeout():
     clock = [0.0]
     subscriber = subscribers.Subscriber(now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None)
     one, two = RecordingConnection(), RecordingConnection()
@@ -48,7 +48,7 @@
     assert two.sent and two.sent[0] == frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))
 
 
-def test_a_near_publisher_is_asked_first_and_a_far_one_where_it_times_out():
+def test_subscriber_prefers_near_publisher_and_falls_back_to_far_one():
     clock = [0.0]
     near, far = RecordingConnection(), RecordingConnection()
     subscriber = subscribers.Subscriber(
@@ -67,7 +67,7 @@
     assert far.sent == [frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))]
 
 
-def test_a_subscriber_never_fetches_a_topic_it_does_not_want():
+def test_subscriber_never_fetches_ignored_topic():
     subscriber = subscribers.Subscriber(
         now=lambda: 0.0, fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None, ignored_topics=("orders",)
     )
--- a/ploverward/control_plane/operator_api/apply_barrier.py
+++ b/ploverward/control_plane/operator_api/apply_barrier.py
@@ -59,9 +59,9 @@
     def check(self) -> None:
         """Acknowledges what all have applied. To be called when a proxy has applied something or disconnected."""
         for waiter in list(self._waiters):
-            links = [proxy.connection for proxy in self._proxies(serving_only=False)]
+            connections = [proxy.connection for proxy in self._proxies(serving_only=False)]
             version = Version(epoch=0, number=waiter.number)
-            if not self._publisher.lagging(topic=waiter.topic, version=version, links=links):
+            if not self._publisher.lagging_connections(topic=waiter.topic, version=version, connections=connections):
                 self._acknowledge(waiter)
 
     def _acknowledge(self, waiter: _Waiter) -> None:
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -103,7 +103,7 @@
             else:
                 self._start_round(future.result())
 
-        self._loop.offload(work=lambda: orders.build(order=order, base_body=base_body), done=done)
+        self._loop.offload(work=lambda: orders.merge_patch(order=order, base_body=base_body), done=done)
 
     def _start_round(self, order: orders.Order) -> None:
         def done(error: Exception | None, number: int, payload: Payload, _result: object) -> None:
@@ -128,7 +128,7 @@
         def done(error: Exception | None, _number: int, payload: Payload, _result: object) -> None:
             if error is not None:
                 self._end(order, error)
-            elif order_archive.has(payload=payload, order_id=order.order_id):
+            elif order_archive.contains(payload=payload, order_id=order.order_id):
                 self._acknowledge(order, 0)  # it was applied long ago, so no proxy is waited for
             else:
                 self._end(order, stale)
--- a/ploverward/control_plane/operator_api/dependencies.py
+++ b/ploverward/control_plane/operator_api/dependencies.py
@@ -84,7 +84,7 @@
     def get(self, topic: str) -> messages.Snapshot | None:
         """The newest version."""
 
-    def lagging(self, *, topic: str, version: Version, links: list[Connection]) -> list[Connection]:
+    def lagging_connections(self, *, topic: str, version: Version, connections: list[Connection]) -> list[Connection]:
         """Those of the connections that have not acknowledged this version."""
 
 
--- a/ploverward/control_plane/operator_api/evacuation_handlers.py
+++ b/ploverward/control_plane/operator_api/evacuation_handlers.py
@@ -52,13 +52,13 @@
 
     def handle_post(self, call: Call, zone: str) -> None:
         """Evacuates a zone."""
-        self._change(call, zone, is_out=True)
+        self._change(call, zone, is_evacuated=True)
 
     def handle_delete(self, call: Call, zone: str) -> None:
         """Ends the evacuation of a zone."""
-        self._change(call, zone, is_out=False)
+        self._change(call, zone, is_evacuated=False)
 
-    def _change(self, call: Call, zone: str, *, is_out: bool) -> None:
+    def _change(self, call: Call, zone: str, *, is_evacuated: bool) -> None:
         if zone not in self._zones():
             body = FieldErrorBody(error=f"unknown zone '{zone}'", place="zone")
             call.answer(status=http.HTTPStatus.NOT_FOUND, body=body)
@@ -66,7 +66,7 @@
         response = self._lifecycle.begin(call)
         if response is None:
             return
-        edit = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: response.is_over)
+        edit = evacuations.edit_for(zone=zone, is_evacuated=is_evacuated, is_late=lambda: response.is_over)
         self._lifecycle.change(response, register=register_names.EVACUATIONS, edit=edit)
 
 
--- a/ploverward/control_plane/operator_api/order_archiver.py
+++ b/ploverward/control_plane/operator_api/order_archiver.py
@@ -31,13 +31,13 @@
         self.archived = max(self.archived, order_archive.archived_through(payload))
 
     def reconcile(self, payload: Payload) -> None:
-        """Archives the orders of a chosen configuration once there are `ARCHIVE_FROM` that the archive lacks.
+        """Archives the orders of a chosen configuration once there are `MIN_ARCHIVE_BATCH` that the archive lacks.
 
         Args:
             payload: a chosen value of the configuration's register.
         """
         rows = [row for row in orders.recent_of(payload) if row[0] > self.archived]
-        if self._is_writing or len(rows) < orders.ARCHIVE_FROM:
+        if self._is_writing or len(rows) < orders.MIN_ARCHIVE_BATCH:
             return
         self._is_writing = True
 
--- a/ploverward/control_plane/operator_api/test_apply_barrier.py
+++ b/ploverward/control_plane/operator_api/test_apply_barrier.py
@@ -36,7 +36,7 @@
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     publisher = desks.Publisher()
     for link in links:
-        publisher.join(link)
+        publisher.add_connection(link)
     barrier = apply_barrier.ApplyBarrier(
         publisher=publisher,
         proxies=lambda *, serving_only=True: [types.SimpleNamespace(connection=link) for link in links],
--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -240,12 +240,12 @@
 
 
 def test_an_attempt_that_comes_late_does_not_undo_the_opposite_order():
-    first = evacuations.edit_for(zone="za", is_out=True, is_late=lambda: False)
+    first = evacuations.edit_for(zone="za", is_evacuated=True, is_late=lambda: False)
     evacuated, _result = first(None)
-    back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)(evacuated)
+    back, _result = evacuations.edit_for(zone="za", is_evacuated=False, is_late=lambda: False)(evacuated)
     assert first(back) == (back, None)  # a further attempt of the first round
     assert first(evacuated) == (evacuated, None)
-    again, _result = evacuations.edit_for(zone="za", is_out=True, is_late=lambda: False)(back)
+    again, _result = evacuations.edit_for(zone="za", is_evacuated=True, is_late=lambda: False)(back)
     assert again["zones"] == ["za"]
 
 
@@ -254,9 +254,11 @@
     data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
     new, outcome = orders.edit_for(order=order, archived=0)(older)
-    assert outcome == orders.Outcome.TAKEN and new["recent"] == [[9, "0" * 20], [12, order.order_id]]
-    assert not order_archive.has(payload=None, order_id=order.order_id) and order_archive.archived_through(None) == 0
-    back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)({"zones": ["za", "zb"]})
+    assert outcome == orders.Outcome.ACCEPTED and new["recent"] == [[9, "0" * 20], [12, order.order_id]]
+    assert (
+        not order_archive.contains(payload=None, order_id=order.order_id) and order_archive.archived_through(None) == 0
+    )
+    back, _result = evacuations.edit_for(zone="za", is_evacuated=False, is_late=lambda: False)({"zones": ["za", "zb"]})
     assert back["zones"] == ["zb"]
 
 
@@ -266,9 +268,9 @@
     for end in (100, 90, 260, 260, 400):
         payload, _last = order_archive.edit_for(rows=rows[max(0, end - 200) : end])(payload)
     assert order_archive.archived_through(payload) == 1200
-    assert all(order_archive.has(payload=payload, order_id=order_id) for _edition, order_id in rows)
+    assert all(order_archive.contains(payload=payload, order_id=order_id) for _edition, order_id in rows)
     assert len(order_archive._short_ids(payload)) == 400 * order_archive.SHORT_ID_BYTES
-    assert not order_archive.has(payload=payload, order_id=f"{7:020x}")
+    assert not order_archive.contains(payload=payload, order_id=f"{7:020x}")
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
@@ -277,14 +279,14 @@
 
 def test_the_checker_finds_a_window_of_48_without_an_archive(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-48:])
-    monkeypatch.setattr(order_archive, "has", lambda *, payload, order_id: False)
+    monkeypatch.setattr(order_archive, "contains", lambda *, payload, order_id: False)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=80, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
 
 def test_the_checker_finds_order_ids_that_leave_before_they_are_archived(monkeypatch):
-    monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.RECENT_KEPT :])
-    monkeypatch.setattr(orders, "ARCHIVE_FROM", 10**6)
+    monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.MIN_RECENT_ORDERS :])
+    monkeypatch.setattr(orders, "MIN_ARCHIVE_BATCH", 10**6)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=120, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
@@ -293,7 +295,7 @@
     def edit_for(*, order, archived):
         def edit(payload):
             rows = [*orders.recent_of(payload), [order.candidate.edition, order.order_id]]
-            return {"edition": order.candidate.edition, "body": order.body, "recent": rows}, orders.Outcome.TAKEN
+            return {"edition": order.candidate.edition, "body": order.body, "recent": rows}, orders.Outcome.ACCEPTED
 
         return edit
 
@@ -309,12 +311,12 @@
 def test_histories_find_evacuations_whose_late_attempts_undo_others(monkeypatch):
     """The former edit: each attempt set the zone anew (docs/incidents/evacuation-undone.md)."""
 
-    def edit_for(*, zone, is_out, is_late):
+    def edit_for(*, zone, is_evacuated, is_late):
         def edit(payload):
             zones = evacuations.zones_of(payload)
-            if payload is not None and (zone in zones) == is_out:
+            if payload is not None and (zone in zones) == is_evacuated:
                 return payload, None
-            wanted = zones | {zone} if is_out else zones - {zone}
+            wanted = zones | {zone} if is_evacuated else zones - {zone}
             return {"zones": sorted(wanted)}, None
 
         return edit
--- a/ploverward/control_plane/operator_api/test_rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -56,7 +56,7 @@
         self.error = None
         self.changes = 0
         self.loop = Loop()
-        publisher = types.SimpleNamespace(lagging=lambda **_about: [])
+        publisher = types.SimpleNamespace(lagging_connections=lambda **_about: [])
         self.order_api = order_api.OrderApi(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
--- a/ploverward/control_plane/rollouts/orders.py
+++ b/ploverward/control_plane/rollouts/orders.py
@@ -43,7 +43,7 @@
     from ploverward.control_plane.configuration import schema  # deferred: loading pydantic would delay a node's start
     from ploverward.control_plane.rollouts import order_body
 
-    checked = schema.validated(order_body.OrderBody, parser.read_json(data=data))
+    checked = schema.validate(order_body.OrderBody, parser.read_json(data=data))
     return Order(service=checked.destination, target=checked.target_edition, over_s=checked.over_s)
 
 
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -99,7 +99,7 @@
 
     def handle_end(self, connection: peer_connection.PeerConnection) -> None:
         """A connection ended."""
-        self.subscriber.drop(connection)
+        self.subscriber.remove_connection(connection)
 
     def check_serving(self) -> None:
         """Begins to serve if the proxy has what it needs for that."""
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -131,7 +131,7 @@
     """Identifiers of accepted orders are kept for the last few only."""
     return [
         mock.patch.object(orders, "trimmed", lambda *, rows, archived: rows[-4:]),
-        mock.patch.object(order_archive, "has", lambda *, payload, order_id: False),
+        mock.patch.object(order_archive, "contains", lambda *, payload, order_id: False),
     ]
 
 
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -115,7 +115,7 @@
             address=(host, machines.INNER_PORT),
             on_up=self._send_handshake,
             on_message=lambda link, message: self._handle_message(host, link, message),
-            on_end=lambda link, _reason: self.subscriber.drop(link),
+            on_end=lambda link, _reason: self.subscriber.remove_connection(link),
             peer_timeout_s=self._peer_timeout_s,
         )
 
--- a/ploverward/simulation/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -96,7 +96,7 @@
         "read_ms": median_ms(lambda: parser.read_json(data=data)),
         "check_ms": median_ms(lambda: schema.check(body=body)),
         "put_off_loop_ms": median_ms(lambda: orders.read(method="PUT", base=7, data=data)),
-        "patch_off_loop_ms": median_ms(lambda: orders.build(order=patch_order, base_body=body)),
+        "patch_off_loop_ms": median_ms(lambda: orders.merge_patch(order=patch_order, base_body=body)),
         "edit_on_loop_ms": median_ms(lambda: edit(base_body)),
         "pack_on_loop_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=base_body)),
         "unpack_on_loop_ms": median_ms(lambda: ballots.unpack(value)),
@@ -108,7 +108,7 @@
 
 def by_order_ids(count: int) -> dict[str, Any]:
     """Returns the costs of an archive with so many identifiers of orders."""
-    rows = recent_orders(count + orders.ARCHIVE_FROM)
+    rows = recent_orders(count + orders.MIN_ARCHIVE_BATCH)
     payload, _through = order_archive.edit_for(rows=rows[:count])(None)
     value = ballots.pack(members=MEMBERS, payload=payload)
     return {
@@ -117,8 +117,8 @@
         "append_ms": median_ms(lambda: order_archive.edit_for(rows=rows[count:])(payload)),
         "pack_ms": median_ms(lambda: ballots.pack(members=MEMBERS, payload=payload)),
         "unpack_ms": median_ms(lambda: ballots.unpack(value)),
-        "miss_ms": median_ms(lambda: order_archive.has(payload=payload, order_id="f" * orders.ORDER_ID_DIGITS)),
-        "bytes_a_change": round(len(value) / orders.ARCHIVE_FROM),
+        "miss_ms": median_ms(lambda: order_archive.contains(payload=payload, order_id="f" * orders.ORDER_ID_DIGITS)),
+        "bytes_a_change": round(len(value) / orders.MIN_ARCHIVE_BATCH),
     }
 
 
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -107,7 +107,7 @@
         order = order_history.SentOrder(
             method=method,
             base=base,
-            order_id=orders.digest(method=method, base=base, data=data),
+            order_id=orders.compute_order_id(method=method, base=base, data=data),
             begun=self.world.now(),
             is_again=is_again,
         )
@@ -141,10 +141,10 @@
         self._start(order_attempts.OperatorCall(method="GET", target=CONFIGURATION_PATH), limit_s, end)
 
     def evacuate(
-        self, *, zone: str, is_out: bool, done: order_attempts.OnEnded, limit_s: float = order_nodes.RECEIPT_S
+        self, *, zone: str, is_evacuated: bool, done: order_attempts.OnEnded, limit_s: float = order_nodes.RECEIPT_S
     ) -> None:
         """Orders a zone out or back; `done(status, body)` when that ended."""
-        method = "POST" if is_out else "DELETE"
+        method = "POST" if is_evacuated else "DELETE"
         target = f"{order_nodes.EVACUATION_PATH}{zone}"
         self._start(order_attempts.OperatorCall(method=method, target=target), limit_s, done)
 
@@ -323,12 +323,14 @@
         """Makes an order, and all after it."""
         if number == self._count:
             return
-        is_out = number % 2 == 0
+        is_evacuated = number % 2 == 0
         self._simulation.evacuate(
-            zone=self._zone, is_out=is_out, done=lambda status, _body: self._end(number, is_out, status)
+            zone=self._zone,
+            is_evacuated=is_evacuated,
+            done=lambda status, _body: self._end(number, is_evacuated, status),
         )
 
-    def _end(self, number: int, is_out: bool, status: int | None) -> None:
+    def _end(self, number: int, is_evacuated: bool, status: int | None) -> None:
         if status != 200:
             self.order(number + 1)
             return
@@ -337,11 +339,13 @@
         pause_s = world.chance.choice((0.0, 0.5, 3.5))
         world.later(
             pause_s,
-            lambda: self._simulation.read_evacuations(done=lambda _status, body: self._check(number, is_out, body)),
+            lambda: self._simulation.read_evacuations(
+                done=lambda _status, body: self._check(number, is_evacuated, body)
+            ),
         )
 
-    def _check(self, number: int, is_out: bool, body: Any) -> None:  # noqa: ANN401
-        if (self._zone in body["zones"]) != is_out:
+    def _check(self, number: int, is_evacuated: bool, body: Any) -> None:  # noqa: ANN401
+        if (self._zone in body["zones"]) != is_evacuated:
             self.report.wrong.append(number)
         self.order(number + 1)
 
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -141,7 +141,7 @@
             peer_timeout_s=self._peer_timeout_s,
             node_state=lambda: messages.NodeState(is_ready=True, is_draining=False),
             on_message=self._handle_core_message,
-            on_end=lambda _host, connection: self._subscriber.drop(connection),
+            on_end=lambda _host, connection: self._subscriber.remove_connection(connection),
             role=ROLE,
             on_up=lambda connection: connection.send(self.identity()),
         )
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -362,8 +362,8 @@
 
 
 def _pack_evacuations(value) -> bytes:
-    held, zone, is_out = value
-    payload, _nothing = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: False)(held)
+    held, zone, is_evacuated = value
+    payload, _nothing = evacuations.edit_for(zone=zone, is_evacuated=is_evacuated, is_late=lambda: False)(held)
     return _json_bytes(payload)
 
 
@@ -468,7 +468,7 @@
     ),
     "prompt chain": Codec(_pack_chain),
     "pool domain": Codec(lambda value: bytes.fromhex(resolution.domain_id(service=value[0], model=value[1]))),
-    "order mark": Codec(lambda value: orders.digest(method=value[0], base=value[1], data=value[2]).encode()),
+    "order mark": Codec(lambda value: orders.compute_order_id(method=value[0], base=value[1], data=value[2]).encode()),
     "configuration payload": Codec(_pack_configuration),
     "archive payload": Codec(_pack_archive),
     "evacuations payload": Codec(_pack_evacuations),
