--- a/ploverward/control_plane/configuration/evacuations.py
+++ b/ploverward/control_plane/configuration/evacuations.py
@@ -1,7 +1,8 @@
-"""The register of evacuated zones: how it is stored and the edit for one order (docs/orders.md 4).
+"""The register of evacuated zones: its stored form and the edit for one order (docs/orders.md 4).
 
-The payload is `{"zones": [evacuated zones], "turns": {zone: how many times it changed}}`. Values written by earlier
-versions lack "turns". Invariant: the change count of a zone rises with each change and with nothing else.
+The payload is `{"zones": [evacuated zones], "turns": {zone: number of changes}}`. Values written by earlier versions of
+the software lack "turns". Invariant: the change count of a zone rises by one with each change of that zone, and only
+then.
 """
 
 import collections.abc
@@ -15,7 +16,7 @@
 
 
 def zones_of(payload: Payload) -> set[str]:
-    """The zones that are evacuated."""
+    """Returns the evacuated zones."""
     return set((payload or {}).get(ZONES_KEY, ()))
 
 
@@ -24,30 +25,31 @@
 
 
 def edit_for(*, zone: str, is_evacuated: bool, is_late: collections.abc.Callable[[], bool]) -> Edit:
-    """Makes the edit for one order to evacuate a zone or to end its evacuation.
+    """Returns the edit for one order to evacuate a zone or to end its evacuation.
 
-    A consensus round may make several attempts. The first attempt that sees the value binds the order to that moment:
-    if the zone has changed since, by this order or by another, it is not changed again, as that would undo a later
-    order (docs/incidents/evacuation-undone.md).
+    A consensus round may apply the edit several times. The first application records the change count of the zone. If
+    a later one finds another count, the zone has changed since, by this order or by another, and is left as it is:
+    a further change would undo a later order (docs/incidents/evacuation-undone.md).
 
     Args:
-        zone: the zone.
-        is_evacuated: True to evacuate it, False to end the evacuation.
-        is_late: whether the caller was answered already. An order that no attempt has seen by then is dropped.
+        zone: The zone.
+        is_evacuated: True to evacuate the zone, False to end its evacuation.
+        is_late: Returns whether the caller has been answered already. If so at the first application, the order is
+            dropped.
 
     Returns:
-        The edit. It raises `QuorumUnavailableError` where the order is dropped.
+        The edit. It raises `QuorumUnavailableError` if the order is dropped.
     """
-    first_seen: list[int] = []
+    first_change_count: list[int] = []  # one entry after the first application
 
     def edit(payload: Payload) -> tuple[Payload, None]:
         change_count = _change_counts_of(payload).get(zone, 0)
-        if not first_seen:
+        if not first_change_count:
             if is_late():
                 raise errors.QuorumUnavailableError("no majority in time", step="evacuation", peer=zone)
-            first_seen.append(change_count)
+            first_change_count.append(change_count)
         zones = zones_of(payload)
-        if change_count != first_seen[0] or (zone in zones) == is_evacuated:
+        if change_count != first_change_count[0] or (zone in zones) == is_evacuated:
             return payload, None
         wanted = zones | {zone} if is_evacuated else zones - {zone}
         change_counts = {**_change_counts_of(payload), zone: change_count + 1}
--- a/ploverward/control_plane/configuration/order_archive.py
+++ b/ploverward/control_plane/configuration/order_archive.py
@@ -1,8 +1,8 @@
-"""The register with the identifiers of orders accepted long ago (docs/orders.md 3).
+"""The archive: a register with the identifiers of orders that were accepted long ago (docs/orders.md 3).
 
-The payload is `{"through": edition, "marks": base64 of 8 bytes for each order}`, the oldest first. Invariant: the
-archive holds the identifier of every accepted order up to edition "through", except those beyond `MAX_ARCHIVED_IDS`.
-Editions strictly rise, so a repeated append, also by another node, adds nothing twice and leaves no gap.
+The payload is `{"through": edition, "marks": base64 of 8 bytes per order, oldest first}`. Invariant: the archive has
+the identifier of every order accepted up to edition "through", except the oldest ones beyond `MAX_ARCHIVED_IDS`.
+Editions strictly rise, so a repeated append, also by another node, neither adds a duplicate nor leaves a gap.
 """
 
 import base64
@@ -12,35 +12,35 @@
 from ploverward.control_plane.configuration.register_payloads import Edit
 from ploverward.control_plane.configuration.register_payloads import Payload
 
-MAX_ARCHIVED_IDS = 12288  # about three days of 4,100 changes
-SHORT_ID_BYTES = 8  # of each identifier; a false match has a chance below 12,288 / 2^64
+MAX_ARCHIVED_IDS = 12288  # about three days at 4,100 changes a day
+SHORT_ID_BYTES = 8  # kept of each identifier; the probability of a false match is below 12,288 / 2^64
 ARCHIVED_THROUGH_KEY = "through"
 SHORT_IDS_KEY = "marks"
-_SHORT_ID_DIGITS = SHORT_ID_BYTES * 2
+_SHORT_ID_DIGITS = SHORT_ID_BYTES * 2  # hexadecimal
 
 
 def archived_through(payload: Payload) -> int:
-    """The edition up to which the archive has all identifiers; 0 where it has none."""
+    """Returns the edition up to which the archive has all identifiers; 0 if it is empty."""
     return payload[ARCHIVED_THROUGH_KEY] if payload else 0
 
 
 def contains(*, payload: Payload, order_id: str) -> bool:
-    """Whether the archive has this order."""
+    """Returns whether the archive has this order."""
     wanted = _short_id(order_id)
     data = _short_ids(payload)
     offset = data.find(wanted)
     while offset >= 0:
         if offset % SHORT_ID_BYTES == 0:
             return True
-        offset = data.find(wanted, offset + 1)  # a match across two identifiers
+        offset = data.find(wanted, offset + 1)  # the match straddled two identifiers
     return False
 
 
 def edit_for(*, rows: collections.abc.Sequence[RecentOrder]) -> Edit:
-    """Makes the edit that appends the orders which the archive lacks.
+    """Returns the edit that appends the orders that the archive lacks.
 
     Args:
-        rows: accepted orders from a chosen value of the configuration's register, the oldest first.
+        rows: Accepted orders from a chosen value of the configuration's register, oldest first.
 
     Returns:
         The edit. Its result is the edition up to which the archive has all identifiers.
--- a/ploverward/control_plane/configuration/orders.py
+++ b/ploverward/control_plane/configuration/orders.py
@@ -1,8 +1,8 @@
-"""Orders that change the configuration: reading one, and its edit of the register (docs/orders.md 2, 3).
+"""Orders that change the configuration: parsing an order, and its edit of the register (docs/orders.md 2, 3).
 
 The payload of the register is `{"edition": int, "body": configuration, "recent": [[edition, order identifier], ...]}`.
-Invariants: editions strictly rise; "recent" has the newest `MIN_RECENT_ORDERS` accepted orders and all older ones that
-`order_archive` is not known to have. So an order that is sent again is recognised, whichever node gets it.
+Invariants: editions strictly rise; "recent" has the newest `MIN_RECENT_ORDERS` accepted orders, and all older ones that
+`order_archive` is not known to have. So every node recognises an order that is sent again.
 """
 
 import collections.abc
@@ -18,31 +18,31 @@
 from ploverward.control_plane.configuration.register_payloads import Edit
 from ploverward.control_plane.configuration.register_payloads import Payload
 
-MIN_RECENT_ORDERS = 64  # orders that stay in the payload although the archive has them
-MIN_ARCHIVE_BATCH = 64  # so many orders that the archive lacks are appended to it in one write
-ORDER_ID_DIGITS = 20  # hexadecimal: 80 bits
+MIN_RECENT_ORDERS = 64  # accepted orders that stay in the payload even if the archive has them
+MIN_ARCHIVE_BATCH = 64  # orders that the archive lacks before they are appended to it in one write
+ORDER_ID_DIGITS = 20  # hexadecimal, 80 bits
 EDITION_KEY = "edition"
 BODY_KEY = "body"
 RECENT_KEY = "recent"
 
-RecentOrder: typing.TypeAlias = collections.abc.Sequence  # [edition, order identifier], as JSON stores it
+RecentOrder: typing.TypeAlias = collections.abc.Sequence  # [edition, order identifier], a JSON list
 
 
 class Outcome(enum.StrEnum):
-    """What an edit found of its order."""
+    """The result of an order's edit."""
 
-    ACCEPTED = "taken"  # it was accepted now
-    KNOWN = "known"  # it was accepted before
+    ACCEPTED = "taken"  # the edit accepted the order
+    KNOWN = "known"  # the order had been accepted before; nothing was changed
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A complete, checked configuration.
+    """A complete, validated configuration that is to replace the one in force.
 
     Attributes:
-        base: the edition that it replaces.
-        edition: its own edition.
-        body: the configuration as the operator wrote it.
+        base: The edition that it replaces.
+        edition: Its own edition.
+        body: The configuration as the operator wrote it.
     """
 
     base: int
@@ -52,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One call to change the configuration.
+    """A call that changes the configuration.
 
     Attributes:
         method: "PUT" or "PATCH".
-        base: the edition that the change builds on, from If-Match.
-        order_id: the same for the same call sent again (`compute_order_id`).
-        body: the object in the call's body: a configuration, or a patch of one.
-        candidate: the configuration that the order requests; None for a PATCH that was not merged yet.
+        base: The edition that the change builds on, from If-Match.
+        order_id: The identifier, the same if the same call is sent again (`compute_order_id`).
+        body: The JSON object in the call's body: a configuration, or a patch of one.
+        candidate: The configuration that the order requests; None for a PATCH that has not been merged yet.
     """
 
     method: str
@@ -70,20 +70,22 @@
 
 
 def compute_order_id(*, method: str, base: int, data: bytes) -> str:
-    """The identifier of the order with this method, base edition and body bytes."""
+    """Returns the identifier of the order with this method, base edition and body."""
     return hashlib.sha256(b"%s %d " % (method.encode(), base) + data).hexdigest()[:ORDER_ID_DIGITS]
 
 
 def read(*, method: str, base: int, data: bytes) -> Order:
-    """Reads a call, and checks it as far as that is possible without the edition that it builds on.
+    """Parses a call, and validates it as far as possible without the configuration that it builds on.
+
+    A PUT is validated completely, a PATCH only after it has been merged.
 
     Args:
         method: "PUT" or "PATCH".
-        base: the edition in If-Match.
-        data: the call's body.
+        base: The edition in If-Match.
+        data: The call's body.
 
     Raises:
-        InvalidConfigurationError: the body is not JSON or not a valid configuration.
+        InvalidConfigurationError: The body is not a JSON object, or that of a PUT is not a valid configuration.
     """
     body = parser.read_json(data=data)
     order_id = compute_order_id(method=method, base=base, data=data)
@@ -92,14 +94,14 @@
 
 
 def merge_patch(*, order: Order, base_body: dict[str, typing.Any]) -> Order:
-    """The order of a PATCH with its candidate.
+    """Returns the order of a PATCH with its candidate, the merged and validated configuration.
 
     Args:
-        order: the order.
-        base_body: the configuration that it builds on.
+        order: The order.
+        base_body: The configuration that it builds on.
 
     Raises:
-        InvalidConfigurationError: the patch can't be merged, or the result is not valid.
+        InvalidConfigurationError: The patch can't be merged, or the result is not valid.
     """
     return dataclasses.replace(order, candidate=_merged_candidate(order=order, base_body=base_body))
 
@@ -109,41 +111,42 @@
 
 
 def _checked_candidate(*, base: int, body: dict[str, typing.Any]) -> Candidate:
-    from ploverward.control_plane.configuration import schema  # a start does not wait for pydantic
+    from ploverward.control_plane.configuration import schema  # deferred: loading pydantic would delay a node's start
 
     edition = schema.check(body=body).edition
     return Candidate(base=base, edition=edition, body=body)
 
 
 def edition_of(payload: Payload) -> int:
-    """The edition in force; 0 where there is none yet."""
+    """Returns the edition in force; 0 before the first configuration."""
     return payload[EDITION_KEY] if payload else 0
 
 
 def body_of(payload: Payload) -> dict[str, typing.Any] | None:
-    """The configuration in force; None where there is none yet."""
+    """Returns the configuration in force; None before the first one."""
     return payload[BODY_KEY] if payload else None
 
 
 def recent_of(payload: Payload) -> list[RecentOrder]:
-    """[edition, order identifier] of the newest accepted orders, the oldest first."""
+    """Returns [edition, order identifier] of the recently accepted orders, oldest first."""
     return payload[RECENT_KEY] if payload else []
 
 
 def _is_recent(*, payload: Payload, order_id: str) -> bool:
-    return any(known == order_id for _edition, known in recent_of(payload))
+    return any(accepted_id == order_id for _edition, accepted_id in recent_of(payload))
 
 
 def edit_for(*, order: Order, archived: int) -> Edit:
-    """Makes the edit for one order. Its result is an `Outcome`.
+    """Returns the edit for one order. Its result is an `Outcome`.
 
     Args:
-        order: the order; a PATCH without a candidate is merged and checked inside the edit.
-        archived: the edition up to which the archive is known to have all orders; only these may leave the payload.
+        order: The order; a PATCH without a candidate is merged and validated inside the edit.
+        archived: The edition up to which the archive is known to have all orders; only these may leave the payload.
 
     Returns:
-        The edit. It raises `StaleVersionError` where the order builds on another edition than the present one, and
-        `InvalidConfigurationError` where its edition does not rise or its merged configuration is not valid.
+        The edit. It raises `StaleVersionError` if the order builds on another edition than the one in force, and
+        `InvalidConfigurationError` if the order's edition is not above that one or the merged configuration is not
+        valid.
     """
 
     def edit(payload: Payload) -> tuple[Payload, Outcome]:
@@ -165,6 +168,6 @@
 
 
 def trimmed(*, rows: list[RecentOrder], archived: int) -> list[RecentOrder]:
-    """The rows without those that the archive has; the newest `MIN_RECENT_ORDERS` always stay."""
+    """Returns the rows that the archive lacks, and always the newest `MIN_RECENT_ORDERS`."""
     older, newest = rows[:-MIN_RECENT_ORDERS], rows[-MIN_RECENT_ORDERS:]
     return [row for row in older if row[0] > archived] + newest
--- a/ploverward/control_plane/configuration/parser.py
+++ b/ploverward/control_plane/configuration/parser.py
@@ -1,7 +1,7 @@
-"""Reads the body of an operator's call as strict JSON (docs/orders.md 6).
+"""A strict JSON parser for the bodies of operators' calls (docs/orders.md 6).
 
-Refused is what two readers could understand differently or what can't be written again: duplicate keys, NaN, infinite
-numbers, deep nesting, lone surrogates.
+It rejects input that two parsers may interpret differently or that can't be encoded again: duplicate keys, NaN,
+infinite numbers, deep nesting and lone surrogates.
 """
 
 import json
@@ -10,18 +10,18 @@
 
 from ploverward.common import errors
 
-MAX_NESTING_DEPTH = 64  # levels; far below the encoder's limit, so a stored body can always be written again
-BODY_PATH = "body"  # the field path of an error that concerns the complete body
+MAX_NESTING_DEPTH = 64  # levels; far below the encoder's limit, so a stored body can always be encoded again
+BODY_PATH = "body"  # the field path in errors that concern the whole body
 
 
 def read_json(*, data: bytes) -> dict[str, typing.Any]:
-    """Reads a JSON object.
+    """Parses a JSON object.
 
     Args:
-        data: the bytes of a call's body.
+        data: The bytes of a call's body.
 
     Raises:
-        InvalidConfigurationError: the bytes are anything else. No other exception leaves this function.
+        InvalidConfigurationError: The bytes are not a strict JSON object. No other exception leaves this function.
     """
     try:
         text = data.decode("utf-8")
@@ -39,12 +39,14 @@
 
 
 def _unique_keys(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
-    table = dict(pairs)
-    if len(table) != len(pairs):
+    fields = dict(pairs)
+    if len(fields) != len(pairs):
         names = [name for name, _value in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise errors.InvalidConfigurationError(f"the key '{twice}' stands twice in one object", field_path=twice)
-    return table
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise errors.InvalidConfigurationError(
+            f"the key '{duplicate}' stands twice in one object", field_path=duplicate
+        )
+    return fields
 
 
 def _reject_constant(name: str) -> typing.NoReturn:
@@ -61,18 +63,18 @@
 def _check_nesting(body: dict[str, typing.Any]) -> None:
     level: list[typing.Any] = [body]
     for _depth in range(MAX_NESTING_DEPTH):
-        below: list[typing.Any] = []
+        next_level: list[typing.Any] = []
         for item in level:
             values = item.values() if isinstance(item, dict) else item
-            below += [value for value in values if isinstance(value, (dict, list))]
-        if not below:
+            next_level += [value for value in values if isinstance(value, (dict, list))]
+        if not next_level:
             return
-        level = below
+        level = next_level
     raise errors.InvalidConfigurationError(f"nested in more than {MAX_NESTING_DEPTH} levels", field_path=BODY_PATH)
 
 
 def _check_surrogates(body: dict[str, typing.Any]) -> None:
-    """JSON can escape half of a surrogate pair, but text with it can be neither encoded nor compared."""
+    """Rejects lone surrogates, which JSON can escape although the text can then be neither encoded nor compared."""
     try:
         json.dumps(body, ensure_ascii=False).encode()
     except UnicodeEncodeError:
--- a/ploverward/control_plane/configuration/patch.py
+++ b/ploverward/control_plane/configuration/patch.py
@@ -1,7 +1,7 @@
-"""Merges a PATCH into a configuration: named items are added, replaced or withdrawn (docs/orders.md 6).
+"""Merging of a PATCH into a configuration: named items are added, replaced or withdrawn (docs/orders.md 6).
 
 The object of a PATCH is `{"edition", "upsert": {section: items}, "withdraw": {section: names}}`. The result is not
-checked here; `schema.check` does that.
+validated here but by `schema.check`.
 """
 
 import typing
@@ -11,24 +11,24 @@
 EDITION = "edition"
 UPSERT = "upsert"
 WITHDRAW = "withdraw"
-LIMITS = "limits"  # the one section that is an object
+LIMITS = "limits"  # the only section that is an object
 LIST_SECTIONS = ("routes", "destinations", "senders")
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
 
 def merge(*, body: Json, patch: Json) -> Json:
-    """The complete configuration that a patch makes of another one. Neither argument is changed.
+    """Returns the complete configuration after a patch. Neither argument is changed.
 
     Args:
-        body: the configuration that the patch builds on; empty where there is none yet.
-        patch: the object in the call's body.
+        body: The configuration that the patch builds on; empty before the first one.
+        patch: The JSON object in the call's body.
 
     Raises:
-        InvalidConfigurationError: the patch has another shape, or withdraws what is not there.
+        InvalidConfigurationError: The patch is malformed, or withdraws an item that does not exist.
     """
-    upsert = _operation(patch, UPSERT)
-    withdraw = _operation(patch, WITHDRAW)
+    upsert = _sections_of(patch, UPSERT)
+    withdraw = _sections_of(patch, WITHDRAW)
     merged = dict(body)
     for name in sorted(set(upsert) | set(withdraw)):
         if name == LIMITS:
@@ -41,7 +41,8 @@
     return merged
 
 
-def _operation(patch: Json, name: str) -> Json:
+def _sections_of(patch: Json, name: str) -> Json:
+    """Returns the sections that the operation `name` ("upsert" or "withdraw") of the patch changes."""
     sections = patch.get(name)
     if sections is None:
         return {}
@@ -61,22 +62,22 @@
 
 
 def _merged_list(*, name: str, body: Json, upsert: Json, withdraw: Json) -> list[Json]:
-    items = _named_items(_list(upsert, name, field_path=f"{UPSERT}.{name}"), field_path=f"{UPSERT}.{name}")
-    withdrawn = _list(withdraw, name, field_path=f"{WITHDRAW}.{name}")
+    items = _items_by_name(_list_of(upsert, name, field_path=f"{UPSERT}.{name}"), field_path=f"{UPSERT}.{name}")
+    withdrawn = _list_of(withdraw, name, field_path=f"{WITHDRAW}.{name}")
     existing = body.get(name)
-    table = _named_items(existing if isinstance(existing, list) else [], field_path=name)
+    merged = _items_by_name(existing if isinstance(existing, list) else [], field_path=name)
     for index, key in enumerate(withdrawn):
         field_path = f"{WITHDRAW}.{name}.{index}"
         if not isinstance(key, str):
             raise errors.InvalidConfigurationError("not a name", field_path=field_path)
-        if key not in table:
+        if key not in merged:
             raise errors.InvalidConfigurationError(f"no item '{key}' to withdraw", field_path=field_path)
-        del table[key]
-    table.update(items)
-    return list(table.values())
+        del merged[key]
+    merged.update(items)
+    return list(merged.values())
 
 
-def _list(sections: Json, name: str, *, field_path: str) -> list[typing.Any]:
+def _list_of(sections: Json, name: str, *, field_path: str) -> list[typing.Any]:
     items = sections.get(name)
     if items is None:
         return []
@@ -85,14 +86,14 @@
     return items
 
 
-def _named_items(items: list[typing.Any], *, field_path: str) -> dict[str, Json]:
-    table: dict[str, Json] = {}
+def _items_by_name(items: list[typing.Any], *, field_path: str) -> dict[str, Json]:
+    items_by_name: dict[str, Json] = {}
     for index, item in enumerate(items):
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
             raise errors.InvalidConfigurationError("an item without a name", field_path=f"{field_path}.{index}")
-        if item["name"] in table:
+        if item["name"] in items_by_name:
             raise errors.InvalidConfigurationError(
                 f"'{item['name']}' stands twice", field_path=f"{field_path}.{index}.name"
             )
-        table[item["name"]] = item
-    return table
+        items_by_name[item["name"]] = item
+    return items_by_name
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -1,8 +1,8 @@
-"""The schema of an operator's configuration and the rules between its parts (docs/orders.md 6).
+"""The schema of an operator's configuration, and the rules between its parts (docs/orders.md 6).
 
-The fields have the terms of the code; their aliases are the names of the protocol, which are also used in the field
-paths of errors. Unknown fields are allowed. A checked configuration is stored as the operator wrote it: the models
-here only check, they are never written back.
+Field names are those of the code; aliases are the names in the protocol, which also stand in the field paths of errors.
+Unknown fields are allowed. A valid configuration is stored as the operator wrote it: the models here only validate and
+are never written back.
 """
 
 import collections.abc
@@ -12,11 +12,11 @@
 
 from ploverward.common import errors
 
-MAX_EDITION = 2**63 - 1  # what a signed 64-bit integer can store
+MAX_EDITION = 2**63 - 1  # the largest signed 64-bit integer
 
 
 def _reject_text_and_booleans(value: object) -> object:
-    """Without this, pydantic would accept "5" and true as numbers."""
+    """Rejects text and booleans, since pydantic would accept "5" and true as numbers."""
     if isinstance(value, (str, bool)):
         raise ValueError("not a number")  # noqa: TRY004 - pydantic reports a ValueError at its field
     return value
@@ -30,7 +30,7 @@
 
 
 def _accept_batch(value: object, check: pydantic.ValidatorFunctionWrapHandler) -> object:
-    """Takes the kind of routes for lots; the published error for other values names the kinds of requests."""
+    """Accepts the kind of batch routes; the error for other values, which is published, lists the kinds of requests."""
     return value if value == BATCH_KIND else check(value)
 
 
@@ -42,6 +42,8 @@
 
 
 class _OpenModel(pydantic.BaseModel):
+    """Base class of models that allow unknown fields."""
+
     model_config = pydantic.ConfigDict(extra="allow")
 
 
@@ -53,7 +55,7 @@
 
 
 class Route(_OpenModel):
-    """Which requests go to which services, and how they are treated."""
+    """A route: the requests that match it, the services that they are sent to, and how they are treated."""
 
     name: str = pydantic.Field(min_length=1)
     host: str = pydantic.Field(min_length=1)
@@ -72,14 +74,14 @@
     traffic_split: list[WeightedService] | None = pydantic.Field(alias="apportion", default=None)
 
     def weights(self) -> list[tuple[str, float]]:
-        """(service, weight) of each service of this route; empty where it names none."""
+        """Returns (service, weight) of each service of this route; empty if it names none."""
         if self.traffic_split is not None:
             return [(target.service, target.weight) for target in self.traffic_split]
         return [(self.service, 1.0)] if self.service else []
 
 
 class Service(_OpenModel):
-    """A service: replicas that serve the same."""
+    """A service: interchangeable replicas, their health check and their limits."""
 
     name: str = pydantic.Field(min_length=1)
     health_check_path: str = pydantic.Field(alias="health", default="/health")
@@ -100,7 +102,7 @@
 
 
 class Limits(_OpenModel):
-    """Limits of a client's request."""
+    """Size limits and time-outs of client requests."""
 
     head_bytes: Integer = pydantic.Field(alias="labelBytes", default=16384, ge=256)
     body_bytes: Integer = pydantic.Field(alias="parcelBytes", default=4194304, ge=0)
@@ -122,14 +124,14 @@
 
 
 def validate(model: type[Model], body: dict[str, typing.Any]) -> Model:
-    """Reads an object as a pydantic model.
+    """Returns a JSON object as a pydantic model.
 
     Args:
-        model: the model.
-        body: the object.
+        model: The class of the model.
+        body: The JSON object.
 
     Raises:
-        InvalidConfigurationError: the object does not fit; it has the path of the first field that is wrong.
+        InvalidConfigurationError: The object does not match the model; the error names the first wrong field.
     """
     try:
         return model.model_validate(body)
@@ -140,13 +142,13 @@
 
 
 def check(*, body: dict[str, typing.Any]) -> Configuration:
-    """Checks a complete configuration.
+    """Validates a complete configuration.
 
     Args:
-        body: the configuration as the operator wrote it.
+        body: The configuration as the operator wrote it.
 
     Raises:
-        InvalidConfigurationError: it can't be in force. No other exception leaves this function.
+        InvalidConfigurationError: The configuration is not valid. No other exception leaves this function.
     """
     configuration = validate(Configuration, body)
     _check_services(configuration.services)
@@ -168,7 +170,7 @@
 
 
 def _check_routes(routes: collections.abc.Iterable[Route], *, service_names: set[str]) -> None:
-    """Names, and pairs of host and path prefix, are unique; services exist; a traffic split has some weight."""
+    """Checks that names and (host, path prefix) pairs are unique, services exist and the weights sum to more than 0."""
     names: set[str] = set()
     route_by_match: dict[tuple[str, str], str] = {}
     for index, route in enumerate(routes):
@@ -194,13 +196,13 @@
 
 
 def _check_tenants(tenants: collections.abc.Iterable[Tenant]) -> None:
-    """Names are unique, and so are keys between tenants. The text of an error never repeats a key."""
+    """Checks that names are unique and no two tenants share a key. The text of an error never contains a key."""
     names: set[str] = set()
     tenant_by_key: dict[str, str] = {}
     for index, tenant in enumerate(tenants):
         _add_name(names, tenant.name, field_path=f"senders.{index}.name")
-        for number, key in enumerate(tenant.api_keys):
+        for key_index, key in enumerate(tenant.api_keys):
             owner = tenant_by_key.setdefault(key, tenant.name)
             if owner != tenant.name:
                 text = f"the key is held by '{owner}' too"
-                raise errors.InvalidConfigurationError(text, field_path=f"senders.{index}.apiKeys.{number}")
+                raise errors.InvalidConfigurationError(text, field_path=f"senders.{index}.apiKeys.{key_index}")
