--- a/ploverward/control_plane/configuration/test_parser.py
+++ b/ploverward/control_plane/configuration/test_parser.py
@@ -1,4 +1,8 @@
-"""Whatever an operator sends: a clear refusal with its place, nothing changed, and no other exception."""
+"""Tests of the parser, the validation, patches and edits on arbitrary input.
+
+Any input is either accepted or rejected with an `InvalidConfigurationError` that names the field; an order on another
+edition may also be rejected with a `StaleVersionError`. No argument is changed and no other exception is raised.
+"""
 
 import copy
 import json
@@ -10,13 +14,13 @@
 from ploverward.common import errors
 from ploverward.control_plane.configuration import orders
 from ploverward.control_plane.configuration import parser
-from ploverward.control_plane.configuration import patch as patchs
+from ploverward.control_plane.configuration import patch as configuration_patch
 from ploverward.control_plane.configuration import schema
 from ploverward.control_plane.configuration import test_schema
 
-GOOD = test_schema.GOOD
-STORED_PAYLOAD = {"edition": GOOD["edition"], "body": GOOD, "recent": [[GOOD["edition"], "0" * 20]]}
-CHECKED = hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
+VALID_BODY = test_schema.VALID_BODY
+STORED_PAYLOAD = {"edition": VALID_BODY["edition"], "body": VALID_BODY, "recent": [[VALID_BODY["edition"], "0" * 20]]}
+PROPERTY_TEST = hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
 
 SCALARS = strategies.one_of(
     strategies.none(),
@@ -26,44 +30,44 @@
     strategies.floats(),
     strategies.text(max_size=4),
 )
-NAMES = strategies.sampled_from(
+FIELD_NAMES = strategies.sampled_from(
     ["edition", "routes", "destinations", "limits", "name", "host", "pathLead", "kind", "expiryMs", "apportion"]
     + ["destination", "share", "upsert", "withdraw", "r1", "r2", "d1", "labelBytes", "homeRegions", "tries"]
 )
 VALUES = strategies.recursive(
-    SCALARS | NAMES,
-    lambda inner: strategies.lists(inner, max_size=3) | strategies.dictionaries(NAMES, inner, max_size=4),
+    SCALARS | FIELD_NAMES,
+    lambda inner: strategies.lists(inner, max_size=3) | strategies.dictionaries(FIELD_NAMES, inner, max_size=4),
     max_leaves=12,
 )
-OBJECTS = strategies.dictionaries(NAMES, VALUES, max_size=5)
+OBJECTS = strategies.dictionaries(FIELD_NAMES, VALUES, max_size=5)
 
 
-def places(body, path=()):
-    """Every place in a body, as a path."""
+def paths_of(body, path=()):
+    """Returns the path of each value inside a body, and of the body itself."""
     found = [path]
     if isinstance(body, dict):
         for key in body:
-            found += places(body[key], (*path, key))
+            found += paths_of(body[key], (*path, key))
     elif isinstance(body, list):
         for index, item in enumerate(body):
-            found += places(item, (*path, index))
+            found += paths_of(item, (*path, index))
     return found
 
 
-PLACES = [path for path in places(GOOD) if path]
+PATHS = [path for path in paths_of(VALID_BODY) if path]
 
 
 def with_value(body, path, value):
     changed = copy.deepcopy(body)
-    inner = changed
+    container = changed
     for key in path[:-1]:
-        inner = inner[key]
-    inner[path[-1]] = value
+        container = container[key]
+    container[path[-1]] = value
     return changed
 
 
-def refused_or_done(callback):
-    """What `act` gives, or None where it refused with a place."""
+def result_or_rejection(callback):
+    """Returns the result of the callback, or None if it raised an error that names a field."""
     try:
         return callback()
     except errors.InvalidConfigurationError as error:
@@ -71,56 +75,58 @@
         return None
 
 
-def refused(callback) -> str:
-    with pytest.raises(errors.InvalidConfigurationError) as outcome:
+def rejected_field(callback) -> str:
+    """Returns the path of the field for which the callback raises an error."""
+    with pytest.raises(errors.InvalidConfigurationError) as caught:
         callback()
-    return outcome.value.field_path
+    return caught.value.field_path
 
 
-@CHECKED
+@PROPERTY_TEST
 @hypothesis.given(data=strategies.binary(max_size=60) | strategies.text(max_size=60).map(lambda text: text.encode()))
 def test_read_json_returns_object_or_names_field_for_any_bytes(data):
-    body = refused_or_done(lambda: parser.read_json(data=data))
+    body = result_or_rejection(lambda: parser.read_json(data=data))
     assert body is None or isinstance(body, dict)
 
 
-@CHECKED
+@PROPERTY_TEST
 @hypothesis.given(body=VALUES)
 def test_read_json_result_can_be_encoded_again(body):
     data = json.dumps(body).encode()
-    read = refused_or_done(lambda: parser.read_json(data=data))
+    read = result_or_rejection(lambda: parser.read_json(data=data))
     if read is not None:
         assert json.loads(json.dumps(read, allow_nan=False)) == read
 
 
-@CHECKED
-@hypothesis.given(kept_length=strategies.integers(min_value=0, max_value=len(json.dumps(GOOD)) - 1))
+@PROPERTY_TEST
+@hypothesis.given(kept_length=strategies.integers(min_value=0, max_value=len(json.dumps(VALID_BODY)) - 1))
 def test_read_json_rejects_truncated_body(kept_length):
-    assert refused(lambda: parser.read_json(data=json.dumps(GOOD).encode()[:kept_length])) == "body"
+    assert rejected_field(lambda: parser.read_json(data=json.dumps(VALID_BODY).encode()[:kept_length])) == "body"
 
 
-@CHECKED
-@hypothesis.given(path=strategies.sampled_from(PLACES), value=VALUES)
+@PROPERTY_TEST
+@hypothesis.given(path=strategies.sampled_from(PATHS), value=VALUES)
 def test_check_accepts_or_rejects_any_value_and_leaves_body_unchanged(path, value):
-    body = with_value(GOOD, path, value)
+    body = with_value(VALID_BODY, path, value)
     before = copy.deepcopy(body)
-    refused_or_done(lambda: schema.check(body=body))
+    result_or_rejection(lambda: schema.check(body=body))
     assert repr(body) == repr(before)
 
 
-@CHECKED
+@PROPERTY_TEST
 @hypothesis.given(body=OBJECTS, patch=OBJECTS)
 def test_merge_accepts_or_rejects_any_patch_and_leaves_arguments_unchanged(body, patch):
     before = copy.deepcopy((body, patch))
-    refused_or_done(lambda: patchs.merge(body=body, patch=patch))
+    result_or_rejection(lambda: configuration_patch.merge(body=body, patch=patch))
     assert repr((body, patch)) == repr(before)
 
 
-@CHECKED
+@PROPERTY_TEST
 @hypothesis.given(
     method=strategies.sampled_from(["PUT", "PATCH"]),
     base=strategies.sampled_from([0, 3, 7, 10**18]),
-    body=OBJECTS | strategies.tuples(strategies.sampled_from(PLACES), VALUES).map(lambda at: with_value(GOOD, *at)),
+    body=OBJECTS
+    | strategies.tuples(strategies.sampled_from(PATHS), VALUES).map(lambda at: with_value(VALID_BODY, *at)),
     stored_payload=strategies.sampled_from([None, STORED_PAYLOAD]),
 )
 def test_edit_accepts_or_rejects_any_order_and_leaves_payload_unchanged(method, base, body, stored_payload):
@@ -160,7 +166,7 @@
     ],
 )
 def test_read_json_names_field_of_ambiguous_json(data, field_path):
-    assert refused(lambda: parser.read_json(data=data)) == field_path
+    assert rejected_field(lambda: parser.read_json(data=data)) == field_path
 
 
 @pytest.mark.parametrize(
@@ -186,7 +192,7 @@
     ],
 )
 def test_check_names_field_of_wrong_value(path, value, field_path):
-    assert refused(lambda: schema.check(body=with_value(GOOD, path, value))) == field_path
+    assert rejected_field(lambda: schema.check(body=with_value(VALID_BODY, path, value))) == field_path
 
 
 @pytest.mark.parametrize(
@@ -210,10 +216,12 @@
     ],
 )
 def test_merge_names_field_of_malformed_patch(patch, field_path):
-    assert refused(lambda: patchs.merge(body=GOOD, patch={"edition": 8, **patch})) == field_path
+    assert (
+        rejected_field(lambda: configuration_patch.merge(body=VALID_BODY, patch={"edition": 8, **patch})) == field_path
+    )
 
 
 def test_merge_rejects_stored_body_with_unnamed_item():
-    body = with_value(GOOD, ("routes", 1), {"host": "h"})
-    patch = {"edition": 8, "upsert": {"routes": [GOOD["routes"][0]]}}
-    assert refused(lambda: patchs.merge(body=body, patch=patch)) == "routes.1"
+    body = with_value(VALID_BODY, ("routes", 1), {"host": "h"})
+    patch = {"edition": 8, "upsert": {"routes": [VALID_BODY["routes"][0]]}}
+    assert rejected_field(lambda: configuration_patch.merge(body=body, patch=patch)) == "routes.1"
