--- a/ploverward/control_plane/distribution/publisher.py
+++ b/ploverward/control_plane/distribution/publisher.py
@@ -1,11 +1,11 @@
-"""The publishing end of versioned topics: announce, send on request, count acknowledgements (docs/scale.md 2).
+"""The publishing end of versioned topics: announces, sends on request, tracks acknowledgements (docs/scale.md 2).
 
-A topic's value is sent only on request. The version is announced to each connection, whose other side answers with a
-`Fetch` that names the version it has, so that a proxy connected to three core nodes receives a large configuration
-once, and only the deltas where these are known.
+The version of a topic is announced on each connection, but its value is sent only on request: the subscriber answers
+with a `Fetch` that names the version it has. So a proxy connected to three core nodes receives a large configuration
+only once, and only the deltas if these are known.
 
-The state is, for each topic, the newest value and the newest deltas, and for each connection the versions that it
-acknowledged. Invariant: the version of a topic only rises.
+The state is the newest value and the newest deltas of each topic, and the versions that each connection acknowledged.
+Invariant: the version of a topic only rises.
 """
 
 import collections
@@ -17,35 +17,35 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-MAX_DELTAS = 64  # of a topic; a subscriber that is further behind gets a snapshot
+MAX_DELTAS = 64  # kept for each topic; a subscriber that is further behind receives a snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Step:
-    """A delta, and the version that it applies to."""
+class _BasedDelta:
+    """A delta and the version that it applies to."""
 
     base: Version
     delta: messages.Delta
 
 
 class Publisher:
-    """The topics of one core node.
+    """Publishes the topics of one core node.
 
     Attributes:
-        topics: the newest value of each topic.
+        topics: The newest value of each topic.
     """
 
     def __init__(self) -> None:
         self.topics: dict[str, messages.Snapshot] = {}
-        self._steps: dict[str, collections.deque[_Step]] = {}  # each starts from the version where the last one ended
+        self._deltas: dict[str, collections.deque[_BasedDelta]] = {}  # each applies to the version of the one before it
         self._acknowledged: dict[interfaces.Connection, dict[str, Version]] = {}
 
     def get(self, topic: str) -> messages.Snapshot | None:
-        """The newest value of the topic; None before there is one."""
+        """Returns the newest value of the topic; None before there is one."""
         return self.topics.get(topic)
 
     def version(self, topic: str) -> Version:
-        """The newest version of the topic; `NO_VERSION` before there is one."""
+        """Returns the newest version of the topic; `NO_VERSION` before there is one."""
         current = self.topics.get(topic)
         return current.version if current is not None else NO_VERSION
 
@@ -53,43 +53,46 @@
         """Installs a value and announces it to all connections that have not acknowledged it.
 
         Args:
-            topic: its name on the wire.
-            version: of the value.
-            data: the complete value.
-            delta: leads from the current value to this one, where that is known.
+            topic: The name of the topic on the wire.
+            version: The version of the value.
+            data: The complete value.
+            delta: The difference from the current value to this one, if known.
 
         Returns:
-            Whether the version is newer than the current one; another changes nothing.
+            Whether the version is newer than the current one; otherwise nothing is changed.
         """
         base = self.version(topic)
         if version <= base:
             return False
-        steps = self._steps.setdefault(topic, collections.deque(maxlen=MAX_DELTAS))
+        deltas = self._deltas.setdefault(topic, collections.deque(maxlen=MAX_DELTAS))
         if delta is None:
-            steps.clear()
+            deltas.clear()
         else:
-            steps.append(_Step(base=base, delta=messages.Delta(version=version, data=delta)))
+            deltas.append(_BasedDelta(base=base, delta=messages.Delta(version=version, data=delta)))
         self.topics[topic] = messages.Snapshot(topic=topic, version=version, data=data)
         announcement = messages.Announcement(versions=(messages.TopicVersion(topic=topic, version=version),))
-        # A connection may end by being sent to, and leaves then.
+        # Iterates over a copy: sending may end the connection, which is then removed.
         for connection, acknowledged in list(self._acknowledged.items()):
             if acknowledged.get(topic, NO_VERSION) < version:
                 connection.send(announcement)
         return True
 
     def add_connection(self, connection: interfaces.Connection) -> None:
-        """A connection begins: it is sent the versions of all topics."""
+        """Adds a new connection and announces the versions of all topics on it."""
         self._acknowledged[connection] = {}
         if self.topics:
             versions = tuple(messages.TopicVersion(current.topic, current.version) for current in self.topics.values())
             connection.send(messages.Announcement(versions=versions))
 
     def remove_connection(self, connection: interfaces.Connection) -> None:
-        """A connection ended."""
+        """Removes a connection that ended."""
         self._acknowledged.pop(connection, None)
 
     def handle_fetch(self, connection: interfaces.Connection, message: messages.Fetch) -> None:
-        """Sends the deltas since the version that the subscriber has, or the complete value where that is smaller."""
+        """Sends the deltas since the version that the subscriber has, or a snapshot.
+
+        The snapshot, the complete value, is sent if the deltas are not all known or not smaller.
+        """
         current = self.topics.get(message.topic)
         if current is None:
             return
@@ -100,15 +103,15 @@
             connection.send(current)
 
     def _deltas_since(self, topic: str, base: Version) -> tuple[messages.Delta, ...]:
-        """The deltas that lead from this version to the newest; empty where they are not all known."""
-        steps = list(self._steps.get(topic, ()))
-        for index, step in enumerate(steps):
-            if step.base == base:
-                return tuple(later.delta for later in steps[index:])
+        """Returns the deltas from this version to the newest; empty if they are not all known."""
+        deltas = list(self._deltas.get(topic, ()))
+        for index, delta in enumerate(deltas):
+            if delta.base == base:
+                return tuple(later.delta for later in deltas[index:])
         return ()
 
     def handle_acknowledgement(self, connection: interfaces.Connection, message: messages.Acknowledgement) -> None:
-        """Records which versions the subscriber has installed."""
+        """Records the versions that the subscriber has installed."""
         acknowledged = self._acknowledged.get(connection)
         if acknowledged is None:
             return
@@ -118,5 +121,5 @@
     def lagging_connections(
         self, *, topic: str, version: tuple[int, int], connections: Iterable[interfaces.Connection]
     ) -> list[interfaces.Connection]:
-        """Those of the connections that have not acknowledged this version of the topic or a newer one."""
+        """Returns the given connections that have not acknowledged this version of the topic or a newer one."""
         return [link for link in connections if self._acknowledged.get(link, {}).get(topic, NO_VERSION) < version]
--- a/ploverward/control_plane/distribution/recording_connection.py
+++ b/ploverward/control_plane/distribution/recording_connection.py
@@ -1,4 +1,4 @@
-"""A test double of a connection, which records what is sent."""
+"""A test double of a connection that records the messages sent on it."""
 
 from ploverward.transport import frames
 from ploverward.transport import messages
@@ -8,7 +8,8 @@
     """A test double of `PeerConnection`.
 
     Attributes:
-        sent: the frames, oldest first; a frame names the type of its message, which a named tuple does not compare.
+        sent: The encoded frames, oldest first. Frames are compared instead of messages because a frame contains the
+            type of its message, which the comparison of named tuples ignores.
     """
 
     is_open = True
@@ -22,5 +23,5 @@
 
 
 def announcement(*versions: tuple) -> messages.Announcement:
-    """Of (topic, version) pairs."""
+    """Returns an announcement of (topic, version) pairs."""
     return messages.Announcement(versions=tuple(messages.TopicVersion(*pair) for pair in versions))
--- a/ploverward/control_plane/distribution/subscriber.py
+++ b/ploverward/control_plane/distribution/subscriber.py
@@ -1,16 +1,17 @@
-"""The receiving end of versioned topics: fetches what is missing, from one publisher at a time (docs/scale.md 2).
+"""The receiving end of versioned topics: fetches newer versions from one publisher at a time (docs/scale.md 2).
 
-Its state, for each topic:
+The state of each topic is:
 
-- `versions`: the version installed. It only rises, whatever the order in which messages arrive.
-- the version that each open connection announced. A topic is behind while one of them is above the installed version.
-- at most one outstanding fetch: when it was sent, and for which version. Until it is answered or `fetch_timeout_s`
-  has passed, no other connection is sent one. A fetch ends when its version is installed, or a connection that
-  announced the topic ends.
+- `versions`: The installed version. It only rises, whatever the order in which messages arrive.
+- The version that each open connection announced. A topic is behind while one of them is above the installed version.
+- At most one outstanding fetch, with the time when it was sent and the version that it is for. Until it is answered or
+  `fetch_timeout_s` has passed, this version is fetched from no other connection. A fetch ends when its version is
+  installed, or when a connection that announced the topic ends.
 
-An announcement from a publisher in another region is not answered at once: a publisher in the own region usually
-announces the same version a moment later. A fetch for `NO_VERSION`, dated back by half of the time-out, represents
-that wait; the next `tick` after it fetches from wherever the version was announced.
+A version announced by a publisher in another region is not fetched at once, because a publisher in the own region
+usually announces the same version a moment later. This wait is represented by a fetch for `NO_VERSION` whose sending
+time lies `FAR_WAIT_FRACTION` of the time-out in the past; the first `tick` after the wait fetches from any connection
+that announced the version.
 """
 
 import dataclasses
@@ -23,12 +24,12 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-FAR_WAIT_SHARE = 0.5  # of fetch_timeout_s: how long a topic announced in another region waits for a nearer publisher
+FAR_WAIT_FRACTION = 0.5  # of fetch_timeout_s: how long a topic announced in another region waits for a nearer publisher
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _OutstandingFetch:
-    """A request that is not answered yet."""
+    """A fetch that has not been answered, or the wait for a publisher in the own region (`NO_VERSION`)."""
 
     sent_at: float  # seconds
     version: Version
@@ -38,7 +39,7 @@
     """Keeps the topics of one node at the newest version that any connection announces.
 
     Attributes:
-        versions: the installed version of each topic.
+        versions: The installed version of each topic.
     """
 
     def __init__(
@@ -53,19 +54,21 @@
         delta_topics: Iterable[str] = (),
         installed_version: Callable[[str], Version] | None = None,
     ) -> None:
-        """Creates a subscriber that has nothing yet.
+        """Creates a subscriber without any topic.
 
         Args:
-            now: seconds on a monotonic clock.
-            fetch_timeout_s: after this time without an answer the fetch is sent to another publisher.
-            on_snapshot: installs a complete value that is newer than the installed one.
-            is_near: whether a connection leads to a publisher of the own region; without it all are equal.
-            ignored_topics: topics that are never fetched.
-            on_delta: (topic, delta) installs what leads from the installed version to the next one. It is called for
-                `delta_topics` alone; of the other topics complete values are fetched.
-            delta_topics: topics whose deltas `on_delta` can read.
-            installed_version: (topic) the version that a delta has to start from, where that isn't simply the one
-                installed last by this subscriber: a core node installs values of its own as well.
+            now: Returns the time in seconds on a monotonic clock.
+            fetch_timeout_s: The time without an answer after which a fetch is sent again, if possible to another
+                publisher.
+            on_snapshot: Installs a complete value that is newer than the installed one.
+            is_near: Returns whether a connection leads to a publisher in the own region. Without it, all publishers
+                are treated alike.
+            ignored_topics: Topics that are never fetched.
+            on_delta: Installs a delta (topic, delta) from the installed version to the next one. Called only for
+                `delta_topics`; of other topics, complete values are fetched.
+            delta_topics: Topics whose deltas `on_delta` can apply.
+            installed_version: Returns the version of a topic that a delta has to start from. By default this is the
+                version that this subscriber installed last; a core node also installs values of its own.
         """
         self._now = now
         self._fetch_timeout_s = fetch_timeout_s
@@ -83,7 +86,7 @@
         return self.versions.get(topic, NO_VERSION)
 
     def handle_announcement(self, connection: interfaces.Connection, message: messages.Announcement) -> None:
-        """Fetches the versions that are newer; those that are not are acknowledged."""
+        """Fetches announced versions that are newer than the installed ones, and acknowledges the others."""
         for topic, version in message.versions:
             if topic in self._ignored_topics:
                 continue
@@ -95,13 +98,13 @@
             if self._is_near is None or self._is_near(connection):
                 self._fetch_unless_outstanding(topic, connection)
             else:
-                waits_from = self._now() - self._fetch_timeout_s * FAR_WAIT_SHARE
-                self._fetches.setdefault(topic, _OutstandingFetch(sent_at=waits_from, version=NO_VERSION))
+                sent_at = self._now() - self._fetch_timeout_s * FAR_WAIT_FRACTION
+                self._fetches.setdefault(topic, _OutstandingFetch(sent_at=sent_at, version=NO_VERSION))
 
     def _fetch_unless_outstanding(self, topic: str, connection: interfaces.Connection) -> None:
         fetch = self._fetches.get(topic)
-        is_asked_for = fetch is not None and fetch.version >= self._announced[topic][connection]
-        if not (is_asked_for and self._is_outstanding(fetch)):
+        is_requested = fetch is not None and fetch.version >= self._announced[topic][connection]
+        if not (is_requested and self._is_outstanding(fetch)):
             self._fetch(topic, connection)
 
     def _is_outstanding(self, fetch: _OutstandingFetch | None) -> bool:
@@ -115,7 +118,7 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a publisher announced a version that is not here yet."""
+        """True while a publisher has announced a version that is not installed."""
         return any(
             version > self._version(topic)
             for topic, announced in self._announced.items()
@@ -123,10 +126,10 @@
         )
 
     def tick(self) -> None:
-        """Fetches again where a publisher did not answer in time, from another one where there is one."""
+        """Fetches again what a publisher did not send in time, if possible from another one."""
         for topic, announced in self._announced.items():
             version = self._version(topic)
-            newer = [link for link, announced_version in announced.items() if announced_version > version]
+            newer = [connection for connection, announced_version in announced.items() if announced_version > version]
             newer = [connection for connection in newer if connection.is_open]
             fetch = self._fetches.get(topic)
             if not newer or self._is_outstanding(fetch):
@@ -140,44 +143,46 @@
         """Installs a complete value.
 
         Returns:
-            Whether it was newer than the installed one; another changes nothing.
+            Whether the value is newer than the installed one; otherwise nothing is changed.
         """
         if message.version <= self._version(message.topic):
             return False
         self._on_snapshot(message)
-        self._note_installed(message.topic, message.version)
+        self._record_installed(message.topic, message.version)
         return True
 
     def handle_deltas(self, _connection: interfaces.Connection, message: messages.Deltas) -> bool:
-        """Installs deltas, if they start from exactly the installed version; any others change nothing.
+        """Installs deltas that start from exactly the installed version; others are ignored.
 
         Returns:
-            Whether they were installed.
+            Whether the deltas were installed.
 
         Raises:
-            FrameError: there are no deltas, or their versions do not rise.
+            FrameError: The message contains no deltas, or their versions do not rise.
         """
         topic = message.topic
         versions = [message.base, *(delta.version for delta in message.deltas)]
         if not message.deltas or versions != sorted(set(versions)):
-            raise errors.FrameError(f"steps {[tuple(version) for version in versions]}", step="changes")
+            raise errors.FrameError(
+                f"no deltas, or versions do not rise: {[tuple(version) for version in versions]}", step="changes"
+            )
         if topic not in self._delta_topics or self._installed_version(topic) != message.base:
             return False
         if versions[-1] <= self._version(topic) or self._on_delta is None:
             return False
         for delta in message.deltas:
             self._on_delta(topic, delta)
-            self._note_installed(topic, delta.version)
+            self._record_installed(topic, delta.version)
         return True
 
-    def _note_installed(self, topic: str, version: Version) -> None:
+    def _record_installed(self, topic: str, version: Version) -> None:
         self.versions[topic] = version
         fetch = self._fetches.get(topic)
         if fetch is not None and fetch.version <= version:
             del self._fetches[topic]
 
     def remove_connection(self, connection: interfaces.Connection) -> None:
-        """A connection ended: what it announced counts no longer, and a fetch may have been lost with it."""
+        """Forgets what a connection that ended announced, and outstanding fetches, which may have been lost with it."""
         for topic, announced in self._announced.items():
             if announced.pop(connection, None) is not None:
                 self._fetches.pop(topic, None)
