--- a/ploverward/control_plane/distribution/test_endpoint_list.py
+++ b/ploverward/control_plane/distribution/test_endpoint_list.py
@@ -1,4 +1,8 @@
-"""The list of replicas by deltas: histories with loss, reordering, restarts, old epochs and late joiners."""
+"""Tests of the endpoint list and of its distribution by snapshots and deltas.
+
+Random histories with loss, reordering, ended connections, older epochs and late subscribers check that each subscriber
+has only lists that were published, and in the end the newest one.
+"""
 
 import random
 
@@ -73,27 +77,27 @@
         endpoint_list.unpack_delta(data)
 
 
-class Wire:
-    """A link from a desk to a follower whose messages wait to be carried, lost or passed by others."""
+class QueuedConnection:
+    """A connection whose messages are queued until the history delivers, drops or reorders them."""
 
     is_open = True
 
     def __init__(self):
-        self.waiting = []
+        self.queue = []
 
     def send(self, message):
-        self.waiting.append(frames.unpack(frames.pack(message)))
+        self.queue.append(frames.unpack(frames.pack(message)))
 
 
-class Publisher:
-    """A core node as far as news go: it holds the duty, or follows the holder."""
+class ListPublisher:
+    """A core node that publishes versions of the replica list, by deltas within an epoch."""
 
     def __init__(self):
-        self.publisher = publishers.Publisher()
-        self.published = {}  # version: rows by id
+        self.topics = publishers.Publisher()
+        self.published = {}  # list by version
 
     def publish(self, *, rows, version, read_at):
-        base = self.publisher.get("list")
+        base = self.topics.get("list")
         if base is None or base.version.epoch != version.epoch:
             data, change = endpoint_list.from_rows(rows=rows, read_at=read_at).pack(), None
         else:
@@ -102,18 +106,18 @@
             if change is None:
                 return
             data, change = current.apply(change).pack(), change.pack()
-        self.publisher.publish(topic="list", version=version, data=data, delta=change)
+        self.topics.publish(topic="list", version=version, data=data, delta=change)
         self.published[version] = endpoint_list.unpack_list(data)
 
 
-class Listener:
-    """A follower that keeps the list by images and steps, as a proxy does."""
+class ListSubscriber:
+    """Installs the list from snapshots and deltas, as a proxy does."""
 
     def __init__(self, *, now):
         self.current = None
         self.version = NO_VERSION
         self.snapshots = self.deltas = 0
-        self.subscriber = subscribers.Subscriber(
+        self.topics = subscribers.Subscriber(
             now=now, fetch_timeout_s=0.3, on_snapshot=self._snapshot, on_delta=self._delta, delta_topics=("list",)
         )
 
@@ -125,190 +129,201 @@
         self.current, self.version = self.current.apply(endpoint_list.unpack_delta(delta.data)), delta.version
         self.deltas += 1
 
-    def handle(self, link, message):
+    def handle(self, connection, message):
         handlers = {
-            messages.Announcement: self.subscriber.handle_announcement,
-            messages.Snapshot: self.subscriber.handle_snapshot,
-            messages.Deltas: self.subscriber.handle_deltas,
+            messages.Announcement: self.topics.handle_announcement,
+            messages.Snapshot: self.topics.handle_snapshot,
+            messages.Deltas: self.topics.handle_deltas,
         }
-        handlers[type(message)](link, message)
+        handlers[type(message)](connection, message)
+
 
+class RandomHistory:
+    """Two publishers and several subscribers, some of which join late; all reconnect at the end.
 
-class History:
-    """Two tellers, of which the second takes over under a higher epoch, and followers that join late or start anew."""
+    The second publisher takes over under a higher epoch.
+    """
 
-    def __init__(self, *, seed, listener=Listener):
-        self.chance = random.Random(seed)
+    def __init__(self, *, seed, subscriber_class=ListSubscriber):
+        self.random = random.Random(seed)
         self.time = 0.0
-        self.tellers = [Publisher(), Publisher()]
-        self.listener = listener
-        self.down = {}  # (teller, listener): link that carries news
-        self.up = {}
-        self.listeners = []
+        self.publishers = [ListPublisher(), ListPublisher()]
+        self.subscriber_class = subscriber_class
+        self.to_subscriber = {}  # connection by (publisher, subscriber)
+        self.to_publisher = {}
+        self.subscribers = []
         for _ in range(3):
-            self.add_connection()
+            self.add_subscriber()
         self.rows = {f"i{number}": row(id=f"i{number}", warmupLeftMs=0) for number in range(30)}
 
-    def add_connection(self):
-        listener = self.listener(now=lambda: self.time)
-        self.listeners.append(listener)
-        for publisher in self.tellers:
-            self.down[publisher, listener], self.up[publisher, listener] = Wire(), Wire()
-            publisher.publisher.add_connection(self.down[publisher, listener])
+    def add_subscriber(self):
+        subscriber = self.subscriber_class(now=lambda: self.time)
+        self.subscribers.append(subscriber)
+        for publisher in self.publishers:
+            self.to_subscriber[publisher, subscriber], self.to_publisher[publisher, subscriber] = (
+                QueuedConnection(),
+                QueuedConnection(),
+            )
+            publisher.topics.add_connection(self.to_subscriber[publisher, subscriber])
 
     def change_rows(self):
-        name = f"i{self.chance.randrange(40)}"
-        if name in self.rows and self.chance.random() < 0.5:
+        name = f"i{self.random.randrange(40)}"
+        if name in self.rows and self.random.random() < 0.5:
             del self.rows[name]
         else:
-            condition = self.chance.choice(("accepting", "clearing"))
-            self.rows[name] = row(id=name, condition=condition, warmupLeftMs=self.chance.choice((0, 0, 3000)))
-
-    def carry(self, *, loss):
-        for (publisher, listener), link in list(self.down.items()):
-            back = self.up[publisher, listener]
-            if self.chance.random() < 0.3:
-                self.chance.shuffle(link.waiting)
-            for message in link.waiting:
-                if self.chance.random() >= loss:
-                    listener.handle(back, message)
-            link.waiting = []
-            for message in back.waiting:
-                if isinstance(message, messages.Fetch) and self.chance.random() >= loss:
-                    publisher.publisher.handle_fetch(link, message)
-            back.waiting = []
-            listener.subscriber.tick()
+            condition = self.random.choice(("accepting", "clearing"))
+            self.rows[name] = row(id=name, condition=condition, warmupLeftMs=self.random.choice((0, 0, 3000)))
+
+    def deliver(self, *, loss):
+        for (publisher, subscriber), connection in list(self.to_subscriber.items()):
+            reply_connection = self.to_publisher[publisher, subscriber]
+            if self.random.random() < 0.3:
+                self.random.shuffle(connection.queue)
+            for message in connection.queue:
+                if self.random.random() >= loss:
+                    subscriber.handle(reply_connection, message)
+            connection.queue = []
+            for message in reply_connection.queue:
+                if isinstance(message, messages.Fetch) and self.random.random() >= loss:
+                    publisher.topics.handle_fetch(connection, message)
+            reply_connection.queue = []
+            subscriber.topics.tick()
 
     def check(self):
-        for listener in self.listeners:
-            if listener.current is None:
+        for subscriber in self.subscribers:
+            if subscriber.current is None:
                 continue
             published = [
-                publisher.published[listener.version]
-                for publisher in self.tellers
-                if listener.version in publisher.published
+                publisher.published[subscriber.version]
+                for publisher in self.publishers
+                if subscriber.version in publisher.published
             ]
-            assert listener.current in published, f"{listener.version} was never told so"
+            assert subscriber.current in published, f"{subscriber.version} was not published with this content"
 
     def play(self):
         number = 0
         for step in range(120):
             self.time += 0.1
             epoch = 1 if step < 60 else 2
-            for _ in range(self.chance.choice((0, 0, 1, 2))):
+            for _ in range(self.random.choice((0, 0, 1, 2))):
                 self.change_rows()
             number = 1 if step == 60 else number + 1
-            self.tellers[epoch - 1].publish(
+            self.publishers[epoch - 1].publish(
                 rows=list(self.rows.values()), version=Version(epoch, number), read_at=self.time
             )
-            if epoch == 2 and step % 7 == 0:  # the deposed holder tells on: nobody that heard of its successor listens
-                self.tellers[0].publish(rows=[row(id="stale")], version=Version(1, 1000 + step), read_at=self.time)
+            # The replaced coordinator still publishes; subscribers that know of the newer epoch ignore its lists.
+            if epoch == 2 and step % 7 == 0:
+                self.publishers[0].publish(rows=[row(id="stale")], version=Version(1, 1000 + step), read_at=self.time)
             if step in (30, 80):
-                self.add_connection()
-            self.carry(loss=0.2)
+                self.add_subscriber()
+            self.deliver(loss=0.2)
             self.check()
-        for (publisher, listener), link in self.down.items():  # what was lost ended its link: a new one offers anew
-            listener.subscriber.remove_connection(self.up[publisher, listener])
-            publisher.publisher.remove_connection(link)
-            publisher.publisher.add_connection(link)
+        # The loss of a message ends its connection; a new connection announces all topics again.
+        for (publisher, subscriber), connection in self.to_subscriber.items():
+            subscriber.topics.remove_connection(self.to_publisher[publisher, subscriber])
+            publisher.topics.remove_connection(connection)
+            publisher.topics.add_connection(connection)
         for _ in range(12):
             self.time += 0.31
-            self.carry(loss=0.0)
+            self.deliver(loss=0.0)
         self.check()
-        newest = self.tellers[1].publisher.version("list")
-        assert {listener.version for listener in self.listeners} == {newest}
+        newest = self.publishers[1].topics.version("list")
+        assert {subscriber.version for subscriber in self.subscribers} == {newest}
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_subscribers_install_only_published_lists_and_converge(seed):
-    history = History(seed=seed)
+    history = RandomHistory(seed=seed)
     history.play()
-    assert sum(listener.deltas for listener in history.listeners) > 20  # both ways were gone
-    assert sum(listener.snapshots for listener in history.listeners) > 3
+    # Both forms of the list were installed.
+    assert sum(subscriber.deltas for subscriber in history.subscribers) > 20
+    assert sum(subscriber.snapshots for subscriber in history.subscribers) > 3
 
 
-def failing_seeds(listener) -> int:
+def failing_seeds(subscriber_class) -> int:
+    """Returns the number of seeds whose history fails with this class of subscriber."""
     failed = 0
     for seed in range(10):
         try:
-            History(seed=seed, listener=listener).play()
+            RandomHistory(seed=seed, subscriber_class=subscriber_class).play()
         except AssertionError:
             failed += 1
     return failed
 
 
-class TakesAnySteps(Listener):
-    """Planted: steps are applied whatever version they start from."""
+class AppliesAnyDeltas(ListSubscriber):
+    """Fault: Applies deltas whatever version they start from."""
 
-    def handle(self, link, message):
+    def handle(self, connection, message):
         if isinstance(message, messages.Deltas) and self.current is not None:
             for delta in message.deltas:
                 self._delta("list", delta)
-            self.subscriber.versions["list"] = self.version
+            self.topics.versions["list"] = self.version
             return
-        super().handle(link, message)
+        super().handle(connection, message)
 
 
-class SkipsAStep(Listener):
-    """Planted: of several steps the last one alone is applied."""
+class SkipsDeltas(ListSubscriber):
+    """Fault: Applies only the last one of several deltas."""
 
-    def handle(self, link, message):
+    def handle(self, connection, message):
         if isinstance(message, messages.Deltas) and len(message.deltas) > 1 and self.version == message.base:
             self._delta("list", message.deltas[-1])
-            self.subscriber.versions["list"] = self.version
+            self.topics.versions["list"] = self.version
             return
-        super().handle(link, message)
+        super().handle(connection, message)
 
 
-class TakesOlderEpochs(Listener):
-    """Planted: a whole list counts though one of a newer epoch is held."""
+class AcceptsOlderEpochs(ListSubscriber):
+    """Fault: Installs a snapshot although the installed list is of a newer epoch."""
 
-    def handle(self, link, message):
+    def handle(self, connection, message):
         if isinstance(message, messages.Snapshot):
-            self.subscriber.versions.pop("list", None)
-        super().handle(link, message)
+            self.topics.versions.pop("list", None)
+        super().handle(connection, message)
 
 
-@pytest.mark.parametrize("planted", [TakesAnySteps, SkipsAStep])
-def test_histories_detect_subscriber_that_applies_deltas_wrongly(planted):
-    assert failing_seeds(planted) > 0
+@pytest.mark.parametrize("faulty_class", [AppliesAnyDeltas, SkipsDeltas])
+def test_histories_detect_subscriber_that_applies_deltas_wrongly(faulty_class):
+    assert failing_seeds(faulty_class) > 0
 
 
 def test_subscriber_rejects_snapshot_of_older_epoch():
-    for listener, expected in ((Listener, (2, 1)), (TakesOlderEpochs, (1, 9))):
-        found = listener(now=lambda: 0.0)
+    """A faulty subscriber, which installs the older list, shows that the check can fail."""
+    for subscriber_class, expected in ((ListSubscriber, (2, 1)), (AcceptsOlderEpochs, (1, 9))):
+        subscriber = subscriber_class(now=lambda: 0.0)
         for version in ((2, 1), (1, 9)):
             data = endpoint_list.from_rows(rows=[row()], read_at=0.0).pack()
-            found.handle(Wire(), messages.Snapshot(topic="list", version=Version(*version), data=data))
-        assert found.version == expected
+            subscriber.handle(QueuedConnection(), messages.Snapshot(topic="list", version=Version(*version), data=data))
+        assert subscriber.version == expected
 
 
 def test_publisher_sends_deltas_if_smaller_and_snapshot_otherwise():
-    publisher = Publisher()
+    publisher = ListPublisher()
     rows = [row(id=f"i{number:04}", warmupLeftMs=0) for number in range(300)]
     publisher.publish(rows=rows, version=Version(1, 1), read_at=0.0)
     for number in range(2, 6):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
         publisher.publish(rows=rows, version=Version(1, number), read_at=float(number))
-    link = Wire()
-    publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(1, 2)))
-    deltas = link.waiting[-1]
+    connection = QueuedConnection()
+    publisher.topics.handle_fetch(connection, messages.Fetch(topic="list", known=Version(1, 2)))
+    deltas = connection.queue[-1]
     assert isinstance(deltas, messages.Deltas) and deltas.base == (1, 2)
     assert [delta.version for delta in deltas.deltas] == [(1, 3), (1, 4), (1, 5)]
-    assert len(frames.pack(link.waiting[-1])) < len(publisher.publisher.get("list").data)
+    assert len(frames.pack(connection.queue[-1])) < len(publisher.topics.get("list").data)
     for unknown in ((0, 0), (1, 0), (7, 3)):
-        publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(*unknown)))
-        assert isinstance(link.waiting[-1], messages.Snapshot)
+        publisher.topics.handle_fetch(connection, messages.Fetch(topic="list", known=Version(*unknown)))
+        assert isinstance(connection.queue[-1], messages.Snapshot)
     for number in range(6, 6 + publishers.MAX_DELTAS + 1):
         rows = [{**one, "is_clearing": one["id"] == f"i{number:04}"} for one in rows]
         publisher.publish(rows=rows, version=Version(1, number), read_at=float(number))
-    publisher.publisher.handle_fetch(link, messages.Fetch(topic="list", known=Version(1, 2)))
-    assert isinstance(link.waiting[-1], messages.Snapshot)
+    publisher.topics.handle_fetch(connection, messages.Fetch(topic="list", known=Version(1, 2)))
+    assert isinstance(connection.queue[-1], messages.Snapshot)
 
 
 def test_deltas_that_are_empty_or_do_not_rise_raise_frame_error():
-    found = Listener(now=lambda: 0.0)
+    subscriber = ListSubscriber(now=lambda: 0.0)
     for numbers in ((), (3, 3), (1,)):
         deltas = tuple(messages.Delta(version=Version(1, number), data=b"") for number in numbers)
         with pytest.raises(errors.FrameError):
-            found.handle(Wire(), messages.Deltas(topic="list", base=Version(1, 1), deltas=deltas))
+            subscriber.handle(QueuedConnection(), messages.Deltas(topic="list", base=Version(1, 1), deltas=deltas))
--- a/ploverward/control_plane/distribution/test_publisher.py
+++ b/ploverward/control_plane/distribution/test_publisher.py
@@ -1,4 +1,4 @@
-"""Topics are announced to all and sent on request."""
+"""Tests of the publisher: topics are announced on all connections and sent on request."""
 
 from ploverward.common.identifiers import NO_VERSION
 from ploverward.common.identifiers import Version
@@ -11,15 +11,15 @@
 
 def test_publisher_announces_versions_and_sends_values_on_request():
     publisher = publishers.Publisher()
-    link = RecordingConnection()
-    publisher.add_connection(link)
+    connection = RecordingConnection()
+    publisher.add_connection(connection)
     assert publisher.publish(topic="spec", version=Version(0, 3), data=b"v3")
-    assert link.sent == [frames.pack(announcement(("spec", Version(0, 3))))]
-    publisher.handle_fetch(link, messages.Fetch(topic="spec", known=NO_VERSION))
-    assert link.sent[-1] == frames.pack(messages.Snapshot(topic="spec", version=Version(0, 3), data=b"v3"))
-    assert publisher.lagging_connections(topic="spec", version=Version(0, 3), connections=[link]) == [link]
+    assert connection.sent == [frames.pack(announcement(("spec", Version(0, 3))))]
+    publisher.handle_fetch(connection, messages.Fetch(topic="spec", known=NO_VERSION))
+    assert connection.sent[-1] == frames.pack(messages.Snapshot(topic="spec", version=Version(0, 3), data=b"v3"))
+    assert publisher.lagging_connections(topic="spec", version=Version(0, 3), connections=[connection]) == [connection]
     publisher.handle_acknowledgement(
-        link, messages.Acknowledgement(versions=(messages.TopicVersion("spec", Version(0, 3)),))
+        connection, messages.Acknowledgement(versions=(messages.TopicVersion("spec", Version(0, 3)),))
     )
-    assert publisher.lagging_connections(topic="spec", version=Version(0, 3), connections=[link]) == []
+    assert publisher.lagging_connections(topic="spec", version=Version(0, 3), connections=[connection]) == []
     assert not publisher.publish(topic="spec", version=Version(0, 2), data=b"v2")
--- a/ploverward/control_plane/distribution/test_subscriber.py
+++ b/ploverward/control_plane/distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""Versions only rise; a publisher that does not answer is replaced; publishers of the own region are preferred."""
+"""Tests of the subscriber: versions only rise, fetches are repeated elsewhere, the own region is preferred."""
 
 import random
 
@@ -15,51 +15,59 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_subscriber_never_reverts_for_any_delivery_order(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     clock = [0.0]
-    seen = []
+    installed = []
     subscriber = subscribers.Subscriber(
         now=lambda: clock[0],
         fetch_timeout_s=0.3,
-        on_snapshot=lambda snapshot: seen.append(snapshot.version),
+        on_snapshot=lambda snapshot: installed.append(snapshot.version),
     )
-    links = [RecordingConnection() for _ in range(3)]
+    connections = [RecordingConnection() for _ in range(3)]
     for _ in range(200):
-        clock[0] += chance.random() * 0.2
-        version = Version(chance.randint(1, 3), chance.randint(1, 20))
-        if chance.random() < 0.5:
-            subscriber.handle_announcement(chance.choice(links), announcement(("list", version)))
+        clock[0] += rng.random() * 0.2
+        version = Version(rng.randint(1, 3), rng.randint(1, 20))
+        if rng.random() < 0.5:
+            subscriber.handle_announcement(rng.choice(connections), announcement(("list", version)))
         else:
-            subscriber.handle_snapshot(chance.choice(links), messages.Snapshot(topic="list", version=version, data=b""))
+            subscriber.handle_snapshot(
+                rng.choice(connections), messages.Snapshot(topic="list", version=version, data=b"")
+            )
         subscriber.tick()
-    assert seen and seen == sorted(set(seen))
+    assert installed and installed == sorted(set(installed))
 
 
 def test_subscriber_fetches_from_another_publisher_after_timeout():
     clock = [0.0]
     subscriber = subscribers.Subscriber(now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None)
-    one, two = RecordingConnection(), RecordingConnection()
-    for link in (one, two):
-        subscriber.handle_announcement(link, announcement(("spec", Version(0, 5))))
-    assert [len(link.sent) for link in (one, two)] == [1, 0]
+    first, second = RecordingConnection(), RecordingConnection()
+    for connection in (first, second):
+        subscriber.handle_announcement(connection, announcement(("spec", Version(0, 5))))
+    assert [len(connection.sent) for connection in (first, second)] == [1, 0]
     for _ in range(4):
         clock[0] += 0.31
         subscriber.tick()
-    assert two.sent and two.sent[0] == frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))
+    assert second.sent and second.sent[0] == frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))
 
 
 def test_subscriber_prefers_near_publisher_and_falls_back_to_far_one():
     clock = [0.0]
     near, far = RecordingConnection(), RecordingConnection()
     subscriber = subscribers.Subscriber(
-        now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None, is_near=lambda link: link is near
+        now=lambda: clock[0],
+        fetch_timeout_s=0.3,
+        on_snapshot=lambda _snapshot: None,
+        is_near=lambda connection: connection is near,
     )
     subscriber.handle_announcement(far, announcement(("spec", Version(0, 5))))
     assert far.sent == []
     subscriber.handle_announcement(near, announcement(("spec", Version(0, 5))))
     assert near.sent == [frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))]
     subscriber = subscribers.Subscriber(
-        now=lambda: clock[0], fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None, is_near=lambda link: link is near
+        now=lambda: clock[0],
+        fetch_timeout_s=0.3,
+        on_snapshot=lambda _snapshot: None,
+        is_near=lambda connection: connection is near,
     )
     subscriber.handle_announcement(far, announcement(("spec", Version(0, 5))))
     clock[0] = 0.16
@@ -71,7 +79,7 @@
     subscriber = subscribers.Subscriber(
         now=lambda: 0.0, fetch_timeout_s=0.3, on_snapshot=lambda _snapshot: None, ignored_topics=("orders",)
     )
-    link = RecordingConnection()
-    subscriber.handle_announcement(link, announcement(("orders", Version(0, 5)), ("spec", Version(0, 5))))
+    connection = RecordingConnection()
+    subscriber.handle_announcement(connection, announcement(("orders", Version(0, 5)), ("spec", Version(0, 5))))
     subscriber.tick()
-    assert link.sent == [frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))]
+    assert connection.sent == [frames.pack(messages.Fetch(topic="spec", known=NO_VERSION))]
