--- a/ploverward/control_plane/consensus/test_stored_folder.py
+++ b/ploverward/control_plane/consensus/test_stored_folder.py
@@ -110,7 +110,7 @@
     for row in history:
         order = configuration_orders.read(method=row["method"], base=row["base"], data=row["data"].encode())
         if order.method == "PATCH":
-            order = configuration_orders.build(order=order, base_body=payload["body"])
+            order = configuration_orders.merge_patch(order=order, base_body=payload["body"])
         payload, _result = configuration_orders.edit_for(order=order, archived=0)(payload)
     return json.loads(json.dumps(payload)), payload["recent"]
 
@@ -122,7 +122,7 @@
 def apply_evacuation_orders(history) -> dict:
     payload = None
     for row in history:
-        edit = evacuations.edit_for(zone=row["zone"], is_out=row["method"] == "POST", is_late=lambda: False)
+        edit = evacuations.edit_for(zone=row["zone"], is_evacuated=row["method"] == "POST", is_late=lambda: False)
         payload, _result = edit(payload)
     return payload
 
