--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -43,7 +43,7 @@
         for link, region in self.views:
             region.mark_broken()
             link.clear()
-        self.host = host.Host(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
+        self.host = host.RelayHost(region="south", epoch=self.epoch, now=self.scenes[0].loop.now, suspicion_s=1.0)
         self.host.sync(
             services={"llm": {"models": ("m",), "cache_tokens": 1000}},
             replicas=[
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -73,7 +73,7 @@
 
 def test_flapping_replica_is_excluded_for_longer_each_time():
     clock = [0.0]
-    judge = outcomes.Judge(now=lambda: clock[0], suspicion_s=1.0)
+    judge = outcomes.OutlierDetector(now=lambda: clock[0], suspicion_s=1.0)
     changes = []
     while clock[0] < 60.0:
         clock[0] += 0.1
@@ -86,7 +86,7 @@
         end - start for (start, is_failing), (end, _) in zip(changes, changes[1:], strict=False) if is_failing
     ]
     assert len(exclusions_s) >= 3 and exclusions_s[0] < exclusions_s[1] < exclusions_s[2] and max(exclusions_s) < 17.0
-    assert outcomes.Judge(now=lambda: 0.0, suspicion_s=1.0).failing == set()
+    assert outcomes.OutlierDetector(now=lambda: 0.0, suspicion_s=1.0).failing == set()
 
 
 def test_replica_is_chosen_even_if_all_replicas_fail():
