--- a/ploverward/control_plane/operator_api/call_lifecycle.py
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -67,10 +67,10 @@
         case errors.InvalidConfigurationError():
             answer_field_error(call, error)
         case errors.PloverwardError():
-            call.unavailable(why=str(error))
+            call.answer_unavailable(reason=str(error))
         case _:
             _log.error("order_failed", exc_info=error)
-            call.unavailable(why=str(error))
+            call.answer_unavailable(reason=str(error))
 
 
 class CallLifecycle:
@@ -219,13 +219,13 @@
         if address is not None:
             call.redirect(address=address)
         else:
-            call.unavailable(why="no other core node is known")
+            call.answer_unavailable(reason="no other core node is known")
 
     def _time_out(self, response: PendingResponse) -> None:
         call = response.claim()
         if call is None:
             return
         if self._has_majority_contact():
-            call.unavailable(why="no majority answered in time")
+            call.answer_unavailable(reason="no majority answered in time")
         else:
             self._forward(call, is_isolated=True)
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -143,7 +143,7 @@
         """Ends an order that was not accepted.
 
         Only the first call gets the error. Those that joined get a round of their own, as they may have arrived after
-        the state that refused the first (`test_a_duplicate_order_joins_the_round_in_progress`).
+        the state that refused the first (`test_duplicate_orders_join_the_round_in_progress`).
         """
         first, *later = self._waiting.pop(order.order_id)
         self._lifecycle.fail(first, error)
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -100,9 +100,9 @@
         """Has a callback called where the caller leaves before it is answered."""
         self._request.on_gone = callback
 
-    def unavailable(self, *, why: str) -> None:
+    def answer_unavailable(self, *, reason: str) -> None:
         """Answers 503, which leaves the outcome open: the caller retries, at this node or another."""
-        body = ErrorBody(error=why)
+        body = ErrorBody(error=reason)
         self.answer(status=http.HTTPStatus.SERVICE_UNAVAILABLE, body=body, headers=[(b"Retry-After", RETRY_AFTER)])
 
     def redirect(self, *, address: str) -> None:
--- a/ploverward/control_plane/operator_api/tally_handlers.py
+++ b/ploverward/control_plane/operator_api/tally_handlers.py
@@ -71,9 +71,9 @@
             call.answer(status=http.HTTPStatus.BAD_REQUEST, body=ErrorBody(error=error.text))
             return
         if self._is_shutting_down:
-            call.unavailable(why="this node is shutting down")
+            call.answer_unavailable(reason="this node is shutting down")
         elif not self._tallies.can_take(add):
-            call.unavailable(why="too many adds are kept or wait here")
+            call.answer_unavailable(reason="too many adds are kept or wait here")
         else:
             on_gone = self._tallies.add(add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody()))
             call.on_gone(on_gone)
@@ -87,7 +87,7 @@
 
         def answer(total: int | None) -> None:
             if total is None:
-                call.unavailable(why="this node has not merged with the others yet")
+                call.answer_unavailable(reason="this node has not merged with the others yet")
             else:
                 call.answer(status=http.HTTPStatus.OK, body=TotalBody(total=total))
 
--- a/ploverward/control_plane/operator_api/tenant_handlers.py
+++ b/ploverward/control_plane/operator_api/tenant_handlers.py
@@ -51,7 +51,7 @@
         """Answers with all tenants."""
         configuration = self._configuration()
         if configuration is None:
-            call.unavailable(why="no configuration is known yet")
+            call.answer_unavailable(reason="no configuration is known yet")
             return
         buckets = self._meter.view()
         tenants = {row["name"]: _tenant_body(row, buckets) for row in configuration.get("senders") or ()}
--- a/ploverward/control_plane/operator_api/test_apply_barrier.py
+++ b/ploverward/control_plane/operator_api/test_apply_barrier.py
@@ -47,7 +47,7 @@
     return barrier, publisher, call, loop
 
 
-def test_the_operator_is_answered_once_all_live_proxies_applied_it():
+def test_wait_acknowledges_once_all_connected_proxies_have_applied_the_change():
     links = [PeerConnection(), PeerConnection()]
     barrier, publisher, call, _loop = make(links)
     assert call.answers == []
@@ -59,7 +59,7 @@
     assert call.answers == [(200, {"serial": 3})]
 
 
-def test_a_proxy_whose_lease_ran_out_is_not_waited_for():
+def test_check_does_not_wait_for_disconnected_proxies():
     links = [PeerConnection(), PeerConnection()]
     barrier, publisher, call, _loop = make(links)
     publisher.handle_acknowledgement(links[0], acknowledgement(3))
@@ -68,7 +68,7 @@
     assert len(call.answers) == 1
 
 
-def test_the_wait_has_a_limit_and_one_answer_only():
+def test_wait_acknowledges_exactly_once_when_its_limit_is_reached():
     barrier, _publisher, call, loop = make([PeerConnection()])
     loop.world.run(until=MAX_WAIT_S - 0.01)
     assert call.answers == []
--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_orders_of_operators_who_race_through_faults(seed):
+def test_concurrent_orders_stay_consistent_through_faults(seed):
     simulation = order_simulation.run_simulation(seed=seed, operators=3, count=60)
     assert simulation.violations() == []
     assert len(simulation.chosen) > 40
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_hundreds_of_changes_and_each_of_them_sent_again(seed):
+def test_hundreds_of_orders_are_acknowledged_again_when_resent(seed):
     simulation = order_simulation.run_simulation(seed=seed, operators=2, count=220, again=0.1)
     assert simulation.violations() == []
     assert len(simulation.chosen) > 250
@@ -36,7 +36,7 @@
     assert payload is not None
 
 
-def test_an_order_that_was_not_taken_is_refused_however_old_its_base():
+def test_unaccepted_order_returns_412_however_old_its_base_is():
     simulation = order_simulation.run_simulation(seed=1, operators=1, count=150, loss=0.0, fault_count=0, again=0.0)
     outcome = []
     for base in (0, sorted(simulation.chosen)[3], sorted(simulation.chosen)[-2]):
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_old_orders_are_known_after_a_move_of_the_set_and_an_emptied_disk(seed):
+def test_old_orders_are_recognised_after_a_core_set_move_and_a_wiped_disk(seed):
     simulation = order_simulation.OrderSimulation(seed=seed, names=("a", "b", "c", "d"))
     simulation.world.delay = (0.001, 0.01)
     operator = order_simulation.Operator(simulation=simulation, count=150, again=0.0)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_two_operators_on_one_version_and_exactly_one_is_confirmed(seed):
+def test_exactly_one_of_several_orders_on_one_base_is_accepted(seed):
     simulation = order_simulation.OrderSimulation(seed=seed)
     simulation.world.loss = 0.05
     for number in range(8):
@@ -82,7 +82,7 @@
     assert sorted(order.status for order in simulation.sent) == [200] + [412] * 7
 
 
-def test_a_duplicate_order_joins_the_round_in_progress():
+def test_duplicate_orders_join_the_round_in_progress():
     simulation = order_simulation.OrderSimulation(seed=4, names=("a", "b", "c"))
     node = simulation.nodes["a"]
     changes = []
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_knows_it_is_isolated_redirects_the_caller(about):
+def test_isolated_node_redirects_calls_to_another_node(about):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.world.run(until=1.0)
     _isolate(simulation, "a")
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("about", CALLS)
-def test_a_node_unaware_of_its_isolation_leaves_the_call_within_a_second(about):
+def test_node_unaware_of_its_isolation_answers_503_within_the_caller_timeout(about):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_has_not_learned_its_state_or_is_leaving_refuses_nothing(about):
+def test_non_voting_or_shutting_down_node_redirects_calls(about):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["b"].stop()
     simulation.nodes["a"].stop(is_wiped=True)
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_orders_in_progress_when_a_node_leaves_are_taken_or_left(seed):
+def test_order_in_progress_during_a_shutdown_is_accepted_or_can_be_resent(seed):
     simulation = order_simulation.OrderSimulation(seed=seed)
     simulation.world.delay = (0.01, 0.2)
     outcome = []
@@ -187,7 +187,7 @@
     assert [order.status for order in simulation.sent] == [200] and simulation.violations() == []
 
 
-def test_routes_are_checked_off_the_loop(monkeypatch):
+def test_schema_check_runs_off_the_event_loop(monkeypatch):
     simulation = order_simulation.OrderSimulation(seed=1)
     loop = simulation.nodes["a"].loop
     places = []
@@ -217,7 +217,7 @@
     assert [first[0][0], second[0][0]] == [200, 200]
 
 
-def test_orders_whose_time_ran_out_in_the_queue_do_not_block_the_node():
+def test_orders_that_time_out_in_the_queue_do_not_block_later_orders():
     """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
     simulation = order_simulation.OrderSimulation(seed=5)
     simulation.nodes["a"].has_majority_contact = lambda: True
@@ -233,13 +233,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_evacuations_read_back_as_the_last_acknowledged_order_left_them(seed):
+def test_evacuations_match_the_last_acknowledged_order(seed):
     """One operator, one order after the other; each is resent until it is acknowledged or its time is over."""
     outcome = order_simulation.run_evacuations(seed=seed)
     assert outcome.wrong == [] and outcome.acknowledged > 20
 
 
-def test_an_attempt_that_comes_late_does_not_undo_the_opposite_order():
+def test_late_attempt_of_an_evacuation_does_not_undo_the_opposite_order():
     first = evacuations.edit_for(zone="za", is_out=True, is_late=lambda: False)
     evacuated, _result = first(None)
     back, _result = evacuations.edit_for(zone="za", is_out=False, is_late=lambda: False)(evacuated)
@@ -249,7 +249,7 @@
     assert again["zones"] == ["za"]
 
 
-def test_values_without_the_archive_and_without_turns_are_read():
+def test_edits_accept_payloads_without_archive_and_turns():
     older = {"edition": 9, "body": order_simulation.configuration(edition=9), "recent": [[9, "0" * 20]]}
     data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
@@ -260,7 +260,7 @@
     assert back["zones"] == ["zb"]
 
 
-def test_the_archive_takes_each_order_id_once_and_keeps_the_newest():
+def test_archive_stores_each_order_id_once_and_tracks_the_newest_edition():
     rows = [[edition * 3, "%020x" % (edition * 2654435761)] for edition in range(1, 401)]
     payload = None
     for end in (100, 90, 260, 260, 400):
@@ -275,21 +275,21 @@
 # The checker and the tests above find what they are for.
 
 
-def test_the_checker_finds_a_window_of_48_without_an_archive(monkeypatch):
+def test_checker_detects_a_window_of_48_orders_without_an_archive(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-48:])
     monkeypatch.setattr(order_archive, "has", lambda *, payload, order_id: False)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=80, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
 
-def test_the_checker_finds_order_ids_that_leave_before_they_are_archived(monkeypatch):
+def test_checker_detects_order_ids_dropped_before_they_are_archived(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.RECENT_KEPT :])
     monkeypatch.setattr(orders, "ARCHIVE_FROM", 10**6)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=120, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
 
-def test_the_checker_finds_orders_taken_on_any_base(monkeypatch):
+def test_checker_detects_orders_accepted_on_any_base(monkeypatch):
     def edit_for(*, order, archived):
         def edit(payload):
             rows = [*orders.recent_of(payload), [order.candidate.edition, order.order_id]]
@@ -306,7 +306,7 @@
     assert any("two orders were confirmed on 0" in line for line in simulation.violations())
 
 
-def test_histories_find_evacuations_whose_late_attempts_undo_others(monkeypatch):
+def test_histories_detect_late_evacuation_attempts_that_undo_other_orders(monkeypatch):
     """The former edit: each attempt set the zone anew (docs/incidents/evacuation-undone.md)."""
 
     def edit_for(*, zone, is_out, is_late):
@@ -329,7 +329,7 @@
     assert any(order_simulation.run_evacuations(seed=seed).wrong for seed in range(60))
 
 
-def test_the_checker_finds_lost_and_altered_configurations():
+def test_checker_detects_lost_and_altered_configurations():
     order = order_history.SentOrder(method="PUT", base=0, order_id="m", begun=0.0, ended=1.0, status=200)
     chosen = [order_history.ChosenConfiguration(base=0, edition=2, order_id="m", body={"edition": 2})]
     older = order_history.ConfigurationRead(begun=2.0, ended=3.0, edition=0, body=None)
--- a/ploverward/control_plane/operator_api/test_retire_handlers.py
+++ b/ploverward/control_plane/operator_api/test_retire_handlers.py
@@ -81,7 +81,7 @@
     return list(batch_partitions.pack_owners(batch_partitions.PartitionOwners(1, members)))
 
 
-def test_a_store_is_in_service_until_no_partition_names_it():
+def test_get_reports_in_service_until_no_partition_lists_the_store():
     scene = Scene()
     scene.lifecycle.roles = {"jobs/0": arrangement("10.0.0.1", "10.1.0.1", "10.2.0.1")}
     assert scene.condition("store-0") == (200, "in_service")
@@ -92,25 +92,25 @@
     assert scene.condition("store-1") == (200, "in_service")  # nobody asked for it
 
 
-def test_the_order_may_come_again():
+def test_repeated_post_is_acknowledged_and_recorded_once():
     scene = Scene()
     assert scene.post("store-0").status == scene.post("store-0", body=b"").status == 200
     assert len(scene.lifecycle.roles) == 1
 
 
-def test_unknown_stores_are_404():
+def test_calls_on_an_unknown_store_return_404():
     scene = Scene()
     assert scene.post("store-9").status == 404 and scene.condition("store-9") == (404, None)
 
 
-def test_too_few_left_is_409_and_changes_nothing():
+def test_post_returns_409_and_changes_nothing_if_too_few_stores_would_remain():
     scene = Scene(count=3)
     call = scene.post("store-0")
     assert call.status == 409 and "store-0" in call.answered["error"] and not scene.lifecycle.roles
 
 
 @pytest.mark.parametrize("body", [b"{", b"[]", b'{"overS":-1}', b'{"overS":"soon"}', b'{"overS":1e999}'])
-def test_bad_bodies_get_one_clear_error(body):
+def test_post_with_an_invalid_body_returns_400_and_changes_nothing(body):
     scene = Scene()
     call = scene.post("store-0", body=body)
     assert call.status == 400 and call.answered["error"] and not scene.lifecycle.roles
--- a/ploverward/control_plane/operator_api/test_rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -25,8 +25,8 @@
         assert self.answered is None
         self.answered = (status, body)
 
-    def unavailable(self, *, why):
-        self.answer(status=503, body={"error": why})
+    def answer_unavailable(self, *, reason):
+        self.answer(status=503, body={"error": reason})
 
     def redirect(self, *, address):
         self.answer(status=307, body={"location": address})
@@ -99,7 +99,7 @@
 ORDER = {"destination": "pool", "targetEdition": "v2", "overS": 14.0}
 
 
-def test_an_order_is_taken_once_and_acknowledged_each_time():
+def test_repeated_order_is_acknowledged_each_time_and_applied_once():
     node = Node()
     assert [node.post(**ORDER)[0] for _index in range(3)] == [200, 200, 200]
     assert node.changes == 1
@@ -107,7 +107,7 @@
     assert (status, body["condition"], body["targetEdition"]) == (200, "in_service", "v2")
 
 
-def test_another_order_for_the_same_service_is_refused_and_one_for_another_is_taken():
+def test_second_rollout_of_a_service_returns_409_and_one_of_another_service_starts():
     node = Node()
     node.post(**ORDER)
     status, body = node.post(**{**ORDER, "targetEdition": "v3"})
@@ -125,19 +125,19 @@
         ({"overS": -1}, "overS"),
     ],
 )
-def test_what_is_no_order_changes_nothing(about, field_path):
+def test_invalid_order_returns_400_and_changes_nothing(about, field_path):
     node = Node()
     status, body = node.post(**{**ORDER, **about})
     assert (status, body["place"], node.changes) == (400, field_path, 0)
 
 
-def test_a_service_that_this_node_has_not_heard_of_is_looked_up():
+def test_service_unknown_to_this_node_is_looked_up_in_the_register():
     node = Node(applied=None)
     assert node.post(**ORDER)[0] == 200
     assert node.post(**{**ORDER, "destination": "nobody"})[0] == 400
 
 
-def test_an_unsure_node_answers_503_and_an_isolated_one_names_another():
+def test_calls_return_503_without_a_quorum_and_307_on_an_isolated_node():
     node = Node()
     node.error = errors.QuorumUnavailableError("no majority answered in time")
     assert node.post(**ORDER)[0] == 503 and node.get("pool")[0] == 503
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("stage", [state.Stage.DELIVERED, state.Stage.RETURNED])
-def test_ends_are_read_back(stage):
+def test_get_reports_the_final_stage_of_an_ended_rollout(stage):
     node = Node()
     node.post(**ORDER)
     row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
@@ -161,5 +161,5 @@
     assert node.post(**ORDER)[0] == 200 and node.get("pool")[1]["condition"] == str(stage)
 
 
-def test_a_service_without_a_roll_out_is_answered_so():
+def test_get_returns_404_for_a_service_without_a_rollout():
     assert Node().get("pool")[0] == 404
--- a/ploverward/control_plane/operator_api/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -66,14 +66,14 @@
     version=PRINTABLE,
     body=strategies.binary(max_size=20),
 )
-def test_any_head_gets_one_clear_answer(method, tail, version, body):
+def test_any_request_head_gets_exactly_one_response(method, tail, version, body):
     request = Request(method=method, target=b"/ploverward" + tail, headers=[(b"if-match", version)], body=body)
     status, _headers, answer, changes = respond(request)
     assert status in (400, 404, 405) and answer["error"] or status == 503 and changes
 
 
 @pytest.mark.parametrize("version", [b"", b"x", b"-1", b"1.0", b'W/"1"', b'"1', b"\xb2", b"9" * 20, b"1,2", b"*"])
-def test_a_version_that_is_none_is_refused_with_the_header_named(version):
+def test_malformed_if_match_returns_400_that_names_the_header(version):
     request = Request(
         method=b"PUT", target=b"/ploverward/configuration", headers=[(b"if-match", version)], body=b'{"edition":3}'
     )
@@ -81,24 +81,24 @@
     assert (status, answer["place"], changes) == (400, "If-Match", [])
 
 
-def test_a_call_without_a_version_is_refused_with_the_header_named():
+def test_missing_if_match_returns_400_that_names_the_header():
     status, _headers, answer, changes = respond(Request(method=b"PATCH", target=b"/ploverward/configuration"))
     assert (status, answer["place"], changes) == (400, "If-Match", [])
 
 
-def test_zones_are_read_from_the_path_as_it_is_encoded():
+def test_zone_in_the_path_is_percent_decoded():
     assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/z%20b"))[3] == ["evac"]
     assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/zc"))[0] == 404
 
 
-def test_a_caller_is_sent_on_with_the_target_as_it_came():
+def test_redirect_keeps_the_request_target():
     request = Request(method=b"POST", target=b"/ploverward/evacuation/z%20b?x=1")
     status, headers, _answer, changes = respond(request, has_contact=False)
     assert status == 307 and changes == []
     assert headers[b"Location"] == b"http://c:81/ploverward/evacuation/z%20b?x=1"  # no link to it: maybe the other side
 
 
-def test_redirects_name_members_round_robin():
+def test_choose_address_rotates_among_the_preferred_members():
     redirect = redirector.Redirector(own="a", port=81, members=lambda: tuple("abcde"), is_live=lambda host: host == "b")
     assert {redirect.choose_address(is_isolated=True) for _ in range(6)} == {"c:81", "d:81", "e:81"}
     assert {redirect.choose_address(is_isolated=False) for _ in range(6)} == {"b:81"}
--- a/ploverward/control_plane/operator_api/test_tally_handlers.py
+++ b/ploverward/control_plane/operator_api/test_tally_handlers.py
@@ -70,7 +70,7 @@
         return self.call(b"POST", target, body if isinstance(body, bytes) else json.dumps(body).encode())
 
 
-def test_an_add_and_a_read_as_the_operators_page_shows_them():
+def test_add_reaches_the_tally_service_and_get_returns_the_sum():
     scene = Scene()
     assert scene.add({"id": "5c0e7a21d94b36f8", "actor": 4})[0] == 200
     assert scene.tallies.adds == [TallyAdd("t3", "5c0e7a21d94b36f8", 4)]
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("amount", [0, -7, 2**53 - 1, -(2**53 - 1)])
-def test_zero_and_negative_amounts_are_adds_too(amount):
+def test_add_accepts_zero_and_negative_amounts(amount):
     scene = Scene()
     assert scene.add({"id": "x", "actor": amount, "more": "is ignored"})[0] == 200
     assert scene.tallies.adds == [TallyAdd("t3", "x", amount)]
@@ -111,7 +111,7 @@
         b'{"id": "x", "actor": NaN}',
     ],
 )
-def test_a_malformed_add_is_refused_and_changes_nothing(body):
+def test_malformed_add_returns_400_and_changes_nothing(body):
     scene = Scene()
     status, answer = scene.add(body)
     assert status == 400 and answer["error"] and "\n" not in answer["error"]
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("name", [b"a%0Ab", b"x" * 129, b"%00"])
-def test_an_odd_name_is_refused(name):
+def test_calls_with_an_invalid_tally_name_return_400(name):
     scene = Scene()
     target = b"/ploverward/tallies/" + name
     assert scene.add({"id": "x", "actor": 1}, target=target)[0] == 400
@@ -128,12 +128,12 @@
 
 
 @hypothesis.given(strategies.binary(max_size=60))
-def test_any_body_gets_one_answer(body):
+def test_any_add_body_gets_exactly_one_response(body):
     status, _answer = Scene().add(body)
     assert status in (200, 400)
 
 
-def test_without_room_or_while_shutting_down_an_add_is_refused_before_it_is_made():
+def test_add_returns_503_and_changes_nothing_without_room_or_during_shutdown():
     scene = Scene()
     scene.tallies.has_room = False
     assert scene.add({"id": "x", "actor": 1})[0] == 503
@@ -143,13 +143,13 @@
     assert scene.tallies.adds == []
 
 
-def test_a_node_that_has_not_merged_yet_says_so():
+def test_get_returns_503_before_the_node_has_merged():
     scene = Scene()
     scene.tallies.is_merged = False
     assert scene.call(b"GET", b"/ploverward/tallies/t3")[0] == 503
 
 
-def test_operators_see_all_sums_and_how_far_the_others_are():
+def test_get_all_reports_all_sums_and_the_state_of_the_peers():
     status, body = Scene().call(b"GET", b"/ploverward/tallies")
     assert status == 200 and body["totals"] == {"t3": 4} and body["kept"] == 2
     assert body["peers"] == {"10.0.0.2": {"inReach": False, "behind": None}}
--- a/ploverward/simulation/control_plane/tally_mutant_patches.py
+++ b/ploverward/simulation/control_plane/tally_mutant_patches.py
@@ -60,7 +60,7 @@
             return
         add = tally_handlers._parse_add(name, call.body)
         self._tallies.add(add=add, answer=lambda: None)
-        call.unavailable(why="planted")
+        call.answer_unavailable(reason="planted")
 
     return [mock.patch.object(tally_handlers.TallyHandlers, "handle_add", handle)]
 
--- a/ploverward/simulation/order_nodes.py
+++ b/ploverward/simulation/order_nodes.py
@@ -60,9 +60,9 @@
         self.is_answered = True
         self._on_answer(status, body, "")
 
-    def unavailable(self, *, why: str) -> None:
+    def answer_unavailable(self, *, reason: str) -> None:
         """Answers with 503."""
-        self.answer(status=503, body=why)
+        self.answer(status=503, body=reason)
 
     def redirect(self, *, address: str) -> None:
         """Sends the caller to ADDRESS:PORT of another node."""
