--- a/ploverward/control_plane/operator_api/adapter_handlers.py
+++ b/ploverward/control_plane/operator_api/adapter_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on adapters, for operators: which replicas have which, and how often each had to be loaded (docs/pins.md 3)."""
+"""Operators' calls on adapters: which replicas hold them, and how often each was loaded (docs/pins.md 3)."""
 
 import http
 import typing
@@ -12,11 +12,11 @@
 from ploverward.control_plane.operator_api.router import Rule
 from ploverward.transport.interfaces import Loop
 
-WINDOW_CONTACTS = 6  # adapters are counted over windows of so many contactMs
+WINDOW_CONTACTS = 6  # length of a window in which adapter requests are counted, in multiples of contactMs
 
 
 class ReplicaBody(typing.TypedDict):
-    """One replica and the adapters that it has loaded; None where that is not known."""
+    """A replica and the adapters that it has loaded; `adapters` is None if that is unknown."""
 
     id: str
     service: str
@@ -36,7 +36,7 @@
 
 
 class AdaptersBody(typing.TypedDict):
-    """Everything that the suggestion of pins needs (`ploverward.control_plane.adapter_cache.pin_suggestion`)."""
+    """The data from which pins are suggested (`ploverward.control_plane.adapter_cache.pin_suggestion`)."""
 
     node: str
     window_s: float
@@ -49,14 +49,14 @@
 
 
 class AdapterHandlers:
-    """Reads what proxies counted of adapters.
+    """Reports the adapter counts that proxies sent to this node.
 
     Attributes:
-        usage_store: the counts that proxies reported.
+        usage_store: the adapter counts that proxies reported.
 
     Args:
         loop: the event loop.
-        publisher: has the newest endpoint list.
+        publisher: provides the newest endpoint list.
         node: the state of this node.
         contact_s: `contactMs` of the settings, in seconds.
     """
@@ -68,11 +68,11 @@
         self.usage_store = AdapterUsageStore(now=loop.now, window_s=self._window_s)
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [Rule("GET", "/ploverward/adapters", self.handle_get)]
 
     def handle_get(self, call: Call) -> None:
-        """Answers with counts, replicas and proxies."""
+        """Answers with the adapter counts, the replicas and the connected proxies."""
         replicas = node_handlers.listed_replicas(self._publisher)
         settings = self._node.settings()
         body = AdaptersBody(
--- a/ploverward/control_plane/operator_api/apply_barrier.py
+++ b/ploverward/control_plane/operator_api/apply_barrier.py
@@ -1,7 +1,7 @@
-"""The barrier between a chosen change and its acknowledgement (docs/orders.md 5).
+"""A barrier that delays the acknowledgement of a chosen change until proxies have applied it (docs/orders.md 5).
 
-An acknowledgement waits until the connected proxies have applied the change, but not beyond its limit: a chosen change
-can't be lost, so a proxy that does not answer must not delay the operator.
+An acknowledgement waits until all connected proxies have applied the change, but not beyond its time limit: a chosen
+change can't be lost, so a proxy that does not answer must not delay the operator.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class AcknowledgementBody(typing.TypedDict):
-    """The body of an acknowledgement: the version of the register that has the change."""
+    """The body of an acknowledgement: the version of the register that contains the change."""
 
     serial: int
 
@@ -23,7 +23,7 @@
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _Waiter:
     topic: str
-    number: int  # of the version
+    number: int  # the version's number
     response: PendingResponse
 
 
@@ -31,7 +31,7 @@
     """Delays acknowledgements until the connected proxies have applied the change.
 
     Args:
-        publisher: knows what each proxy has acknowledged.
+        publisher: tracks which versions each proxy has acknowledged.
         proxies: lists the connected proxies.
     """
 
@@ -41,15 +41,15 @@
         self._waiters: list[_Waiter] = []
 
     def wait(self, *, response: PendingResponse, topic: str, number: int, until: float) -> None:
-        """Acknowledges a change once the proxies have applied it.
+        """Acknowledges a change once all connected proxies have applied it, or when the time limit is reached.
 
         Args:
-            response: the answer to give.
-            topic: the register, which is distributed under its own name.
-            number: the version of the register that has the change.
-            until: when to acknowledge at the latest, seconds on the loop's clock.
+            response: the pending response, which becomes the acknowledgement.
+            topic: the topic that distributes the register; it has the register's name.
+            number: the version of the register that contains the change.
+            until: the latest time of the acknowledgement, in seconds on the loop's clock.
         """
-        if response.is_over:
+        if response.is_claimed:
             return
         waiter = _Waiter(topic=topic, number=number, response=response)
         response.extend(until=until, on_timeout=lambda _response: self._acknowledge(waiter))
@@ -57,7 +57,10 @@
         self.check()
 
     def check(self) -> None:
-        """Acknowledges what all have applied. To be called when a proxy has applied something or disconnected."""
+        """Acknowledges the changes that all connected proxies have applied.
+
+        To be called when a proxy has acknowledged a version or has disconnected.
+        """
         for waiter in list(self._waiters):
             links = [proxy.connection for proxy in self._proxies(serving_only=False)]
             version = Version(epoch=0, number=waiter.number)
--- a/ploverward/control_plane/operator_api/call_lifecycle.py
+++ b/ploverward/control_plane/operator_api/call_lifecycle.py
@@ -1,7 +1,8 @@
-"""The handling of a call that needs the registers: forwarded or started, and answered in time (docs/orders.md 5).
+"""The common handling of calls that need the replicated registers (docs/orders.md 5).
 
-Invariant: a call that this node accepted is answered within `CALLER_TIMEOUT_S`, after which callers try another node.
-After a 503 the outcome of the order is open: its round may continue, and the same order is recognised if it is resent.
+A call is either redirected to another core node or started here, and is then answered in time. Invariant: a call that
+this node has started is answered within `CALLER_TIMEOUT_S`, after which callers try another node. After a 503 the
+outcome of the order is open: its round may continue, and the order is recognised if it is resent.
 """
 
 import collections.abc
@@ -22,41 +23,42 @@
 
 _log = logging.getLogger(__name__)
 
-CALLER_TIMEOUT_S = 1.0  # seconds without an answer after which a caller tries another node; the protocol's figure
-ROUND_SHARE = 0.8  # of CALLER_TIMEOUT_S: a round that has not ended by then is answered with 503
-APPLY_SHARE = 0.9  # of CALLER_TIMEOUT_S: an accepted order is acknowledged by then, whichever proxy has not applied it
-RECEIPT_PARTS = 8  # a round has at most receiptMs / 8, also where that is less than ROUND_SHARE
+CALLER_TIMEOUT_S = 1.0  # without a response for so long, a caller tries another node; set by the protocol
+ROUND_TIMEOUT_SHARE = 0.8  # a call whose round has not ended after this share of CALLER_TIMEOUT_S gets 503
+# After this share of CALLER_TIMEOUT_S an accepted order is acknowledged even if some proxies have not applied it.
+APPLY_TIMEOUT_SHARE = 0.9
+ROUND_RECEIPT_DIVISOR = 8  # a round lasts at most receiptMs / 8, also if that is below the limit by ROUND_TIMEOUT_SHARE
 
 
 class FieldErrorBody(typing.TypedDict):
-    """The body of a refusal that names the field which is wrong."""
+    """The body of a refusal that names the invalid field."""
 
     error: str
     place: str
 
 
 class StaleVersionBody(typing.TypedDict):
-    """The body of a refusal of an order on another edition: the edition in force."""
+    """The body of a refusal of an order that builds on another edition; it names the edition in force."""
 
     error: str
     edition: int
 
 
 class RolloutInProgressBody(typing.TypedDict):
-    """The body of a refusal of a second roll-out: the version that the present one introduces."""
+    """The body of a refusal of a second roll-out; it names the target of the one in progress."""
 
     error: str
     targetEdition: str
 
 
 def answer_field_error(call: Call, error: errors.InvalidConfigurationError) -> None:
-    """Refuses a call whose content is not valid."""
+    """Answers 400 to a call whose content is invalid."""
     body = FieldErrorBody(error=error.text, place=error.field_path)
     call.answer(status=http.HTTPStatus.BAD_REQUEST, body=body)
 
 
 def _answer_error(call: Call, error: BaseException) -> None:
-    """Answers a call that failed. What is not one of our errors is a defect: it is logged alone."""
+    """Answers a failed call. An error that is not a `PloverwardError` is a defect, and the only kind that is logged."""
     match error:
         case errors.StaleVersionError():
             stale_body = StaleVersionBody(error=str(error), edition=error.current)
@@ -74,16 +76,16 @@
 
 
 class CallLifecycle:
-    """What the calls on all registers have in common.
+    """Starts, redirects, times and answers the calls on all registers.
 
     Args:
         loop: the event loop.
         registers: the replicated registers.
-        apply_barrier: gives the acknowledgements.
-        redirector: names other nodes.
+        apply_barrier: sends the acknowledgements.
+        redirector: chooses the node to which a call is redirected.
         receipt_s: `receiptMs` of the settings, in seconds.
-        is_voting: whether this node knows the registers and votes.
-        has_majority_contact: whether it is in contact with a majority.
+        is_voting: returns whether this node has the registers' values and votes.
+        has_majority_contact: returns whether this node is in contact with a majority of the voting nodes.
     """
 
     def __init__(
@@ -103,18 +105,18 @@
         self._redirector = redirector
         self._is_voting = is_voting
         self._has_majority_contact = has_majority_contact
-        self._round_limit_s = min(receipt_s / RECEIPT_PARTS, CALLER_TIMEOUT_S * ROUND_SHARE)
+        self._round_limit_s = min(receipt_s / ROUND_RECEIPT_DIVISOR, CALLER_TIMEOUT_S * ROUND_TIMEOUT_SHARE)
         self._is_shutting_down = False
 
     def shut_down(self) -> None:
-        """Forwards new calls from now on. Calls in progress get their answers, or none where the process ends first."""
+        """Redirects all further calls. Calls in progress are still answered, unless the process ends first."""
         self._is_shutting_down = True
 
     def begin(self, call: Call) -> PendingResponse | None:
-        """Begins a call, or forwards it where this node can't answer it.
+        """Starts a call, or redirects it if this node can't answer it.
 
         Returns:
-            The answer to give; None where the call was forwarded.
+            The pending response, or None if the call was redirected.
         """
         has_contact = self._has_majority_contact()
         if not has_contact or not self._is_voting() or self._is_shutting_down:
@@ -123,24 +125,29 @@
         return PendingResponse(loop=self._loop, call=call, limit_s=self._round_limit_s, on_timeout=self._time_out)
 
     def fail(self, response: PendingResponse, error: BaseException) -> None:
-        """Answers with the status for an error, where there is no answer yet."""
+        """Answers with the status of an error, unless the call was answered before."""
         call = response.claim()
         if call is not None:
             _answer_error(call, error)
 
     def acknowledge(self, response: PendingResponse, *, register: str, number: int) -> None:
-        """Acknowledges a change once proxies have applied it, `APPLY_SHARE` of the caller's time-out at the latest.
+        """Acknowledges a change once the proxies have applied it.
+
+        It is acknowledged at the latest after `APPLY_TIMEOUT_SHARE` of the caller's timeout.
 
         Args:
-            response: the answer to give.
+            response: the pending response.
             register: the register that was changed.
-            number: the version that has the change.
+            number: the version that contains the change.
         """
-        until = response.begun_at + CALLER_TIMEOUT_S * APPLY_SHARE
+        until = response.started_at + CALLER_TIMEOUT_S * APPLY_TIMEOUT_SHARE
         self._apply_barrier.wait(response=response, topic=register, number=number, until=until)
 
     def change(self, response: PendingResponse, *, register: str, edit: Edit) -> None:
-        """Changes a register and acknowledges that. The round makes no further attempt once the answer was given."""
+        """Changes a register and acknowledges the change.
+
+        Once the call was answered, for example by its timeout, the round makes no further attempt.
+        """
 
         def done(error: Exception | None, number: int, _payload: Payload, _result: object) -> None:
             if error is not None:
@@ -148,15 +155,15 @@
             else:
                 self.acknowledge(response, register=register, number=number)
 
-        self._registers.change(name=register, edit=edit, done=done, is_wanted=lambda: not response.is_over)
+        self._registers.change(name=register, edit=edit, done=done, is_wanted=lambda: not response.is_claimed)
 
     def read(
         self, response: PendingResponse, *, register: str, then: collections.abc.Callable[[Payload], None]
     ) -> None:
-        """Reads a register at a majority.
+        """Reads a register from a majority of the voting nodes.
 
         Args:
-            response: the answer to give; an error is answered here.
+            response: the pending response; if the read fails, it is answered here with the error.
             register: the register.
             then: called with the payload.
         """
@@ -177,7 +184,7 @@
         Args:
             call: the call.
             register: the register.
-            answer: answers the call from the payload.
+            answer: called with the call and the payload; it answers the call.
         """
         response = self.begin(call)
         if response is None:
@@ -200,9 +207,9 @@
         """Runs a slow function on another thread.
 
         Args:
-            response: the answer to give; an error is answered here.
-            work: what runs there.
-            then: called on the loop with its result.
+            response: the pending response; if the function fails, it is answered here with the error.
+            work: the function.
+            then: called on the event loop with the function's result.
         """
 
         def done(future: Outcome) -> None:
--- a/ploverward/control_plane/operator_api/configuration_handlers.py
+++ b/ploverward/control_plane/operator_api/configuration_handlers.py
@@ -15,15 +15,15 @@
 
 PATH = "/ploverward/configuration"
 BASE_HEADER = "If-Match"
-_EDITION = re.compile(r"[0-9]{1,19}")  # digits; what is above MAX_EDITION is refused as stale
+_EDITION = re.compile(r"[0-9]{1,19}")  # an edition above MAX_EDITION is refused as stale
 
 
 class ConfigurationHandlers:
     """Reads and changes the configuration.
 
     Args:
-        lifecycle: begins and answers calls.
-        rounds: runs the orders.
+        lifecycle: starts and answers calls.
+        rounds: runs the consensus rounds of the orders.
     """
 
     def __init__(self, *, lifecycle: CallLifecycle, rounds: ConfigurationRounds) -> None:
@@ -31,7 +31,7 @@
         self._rounds = rounds
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("GET", PATH, self.handle_get),
             Rule("PUT", PATH, self.handle_change),
@@ -43,8 +43,8 @@
         self._lifecycle.answer_with_register(call, register=register_names.CONFIGURATION, answer=_answer_configuration)
 
     def handle_change(self, call: Call) -> None:
-        """Parses an order on another thread, as the check of many routes is slow, and runs it."""
-        base = _edition_in(call.headers.get(BASE_HEADER))
+        """Runs an order. It is parsed on another thread, as the validation of many routes is slow."""
+        base = _parse_edition(call.headers.get(BASE_HEADER))
         if base is None:
             body = FieldErrorBody(error="If-Match is missing or not a version", place=BASE_HEADER)
             call.answer(status=http.HTTPStatus.BAD_REQUEST, body=body)
@@ -68,8 +68,8 @@
     call.answer(status=http.HTTPStatus.OK, body=orders.body_of(payload), headers=[(b"ETag", etag)])
 
 
-def _edition_in(header: str | None) -> int | None:
-    """The edition that If-Match names, with or without quotes."""
+def _parse_edition(header: str | None) -> int | None:
+    """Returns the edition in an If-Match header, quoted or not; None if it is missing or malformed."""
     text = (header or "").strip()
     if len(text) >= 2 and text[0] == text[-1] == '"':
         text = text[1:-1]
--- a/ploverward/control_plane/operator_api/configuration_rounds.py
+++ b/ploverward/control_plane/operator_api/configuration_rounds.py
@@ -1,8 +1,8 @@
 """Runs the consensus rounds of orders that change the configuration (docs/orders.md 2, 3).
 
-Owns which calls wait for which order. One round runs for an order at a time: a duplicate that arrives meanwhile joins
-it. An order is merged where it is a PATCH, then run as an edit of the register; where that finds a newer edition, the
-archive decides between "accepted long ago" and "refused".
+This module tracks which calls wait for which order. Each order has at most one round at a time: a duplicate that
+arrives meanwhile joins it. A PATCH is first merged with its base. The order then runs as an edit of the register; if
+the edit finds a newer edition, the archive shows whether the order was accepted long ago or has to be refused.
 """
 
 import collections.abc
@@ -23,14 +23,14 @@
 
 
 class ConfigurationRounds:
-    """Rounds in progress and the calls that wait for them.
+    """The rounds in progress and the calls that wait for them.
 
     Args:
         loop: the event loop.
         registers: the replicated registers.
         lifecycle: answers the calls.
-        archiver: writes the archive.
-        configuration: the newest configuration that this node knows to be chosen, or None.
+        archiver: writes the archive of accepted orders.
+        configuration: returns the newest configuration that this node knows to be chosen, or None.
     """
 
     def __init__(
@@ -47,59 +47,59 @@
         self._lifecycle = lifecycle
         self._archiver = archiver
         self._configuration = configuration
-        self._waiting: dict[str, list[PendingResponse]] = {}  # by order identifier
+        self._waiting_responses: dict[str, list[PendingResponse]] = {}  # by order identifier
 
     @property
     def is_idle(self) -> bool:
         """Whether no order is in progress."""
-        return not self._waiting
+        return not self._waiting_responses
 
     def submit(self, order: orders.Order, response: PendingResponse) -> None:
         """Runs an order, or joins the round of the same order that is in progress.
 
         Args:
             order: the order.
-            response: the answer to give at its end.
+            response: the pending response, sent when the round ends.
         """
-        waiting = self._waiting.get(order.order_id)
+        waiting = self._waiting_responses.get(order.order_id)
         if waiting is not None:
             waiting.append(response)
             return
-        self._waiting[order.order_id] = [response]
+        self._waiting_responses[order.order_id] = [response]
         if order.candidate is not None:
             self._start_round(order)
         else:
-            self._build(order)
+            self._merge_patch(order)
 
-    def _build(self, order: orders.Order) -> None:
-        """Merges a PATCH with the configuration that it builds on, where this node has it or can read it."""
+    def _merge_patch(self, order: orders.Order) -> None:
+        """Merges a PATCH with its base configuration, if this node has that or can read it."""
         base_body = self._configuration()
         current = base_body[patch.EDITION] if base_body else 0
         if current == order.base:
-            self._build_on(order, base_body or {})
+            self._merge_onto(order, base_body or {})
         elif current > order.base:
-            self._start_round(order)  # it can only be found to be accepted before, or refused
+            self._start_round(order)  # on an outdated base: accepted before, or to be refused
         else:
             self._registers.read(
                 name=register_names.CONFIGURATION,
-                done=lambda error, _number, payload, _result: self._build_on_read(order, error, payload),
+                done=lambda error, _number, payload, _result: self._merge_onto_read(order, error, payload),
             )
 
-    def _build_on_read(self, order: orders.Order, error: Exception | None, payload: Payload) -> None:
+    def _merge_onto_read(self, order: orders.Order, error: Exception | None, payload: Payload) -> None:
         if error is not None:
-            self._end(order, error)
+            self._fail(order, error)
         elif orders.edition_of(payload) == order.base:
-            self._build_on(order, orders.body_of(payload) or {})
+            self._merge_onto(order, orders.body_of(payload) or {})
         else:
             self._start_round(order)
 
-    def _build_on(self, order: orders.Order, base_body: Json) -> None:
-        """Merges and checks on another thread: both are slow if there are many routes."""
+    def _merge_onto(self, order: orders.Order, base_body: Json) -> None:
+        """Merges and validates on another thread, as both are slow for many routes."""
 
         def done(future: Outcome) -> None:
             error = future.exception()
             if error is not None:
-                self._end(order, error)
+                self._fail(order, error)
             else:
                 self._start_round(future.result())
 
@@ -108,9 +108,9 @@
     def _start_round(self, order: orders.Order) -> None:
         def done(error: Exception | None, number: int, payload: Payload, _result: object) -> None:
             if isinstance(error, errors.StaleVersionError) and order.base < error.current:
-                self._look_up(order, error)
+                self._check_archive(order, error)
             elif error is not None:
-                self._end(order, error)
+                self._fail(order, error)
             else:
                 self._acknowledge(order, number)
                 self._archiver.reconcile(payload)
@@ -119,34 +119,36 @@
             name=register_names.CONFIGURATION,
             edit=orders.edit_for(order=order, archived=self._archiver.archived),
             done=done,
-            is_wanted=lambda: any(not response.is_over for response in self._waiting.get(order.order_id, ())),
+            is_wanted=lambda: any(
+                not response.is_claimed for response in self._waiting_responses.get(order.order_id, ())
+            ),
         )
 
-    def _look_up(self, order: orders.Order, stale: errors.StaleVersionError) -> None:
-        """Finds out whether an order on an older edition was accepted so long ago that only the archive has it."""
+    def _check_archive(self, order: orders.Order, stale: errors.StaleVersionError) -> None:
+        """Checks if an order on an older edition was accepted so long ago that only the archive has its identifier."""
 
         def done(error: Exception | None, _number: int, payload: Payload, _result: object) -> None:
             if error is not None:
-                self._end(order, error)
+                self._fail(order, error)
             elif order_archive.has(payload=payload, order_id=order.order_id):
-                self._acknowledge(order, 0)  # it was applied long ago, so no proxy is waited for
+                self._acknowledge(order, 0)  # it was applied long ago: version 0 waits for no proxy
             else:
-                self._end(order, stale)
+                self._fail(order, stale)
 
         self._registers.read(name=register_names.ARCHIVE, done=done)
 
     def _acknowledge(self, order: orders.Order, number: int) -> None:
-        for response in self._waiting.pop(order.order_id):
+        for response in self._waiting_responses.pop(order.order_id):
             self._lifecycle.acknowledge(response, register=register_names.CONFIGURATION, number=number)
 
-    def _end(self, order: orders.Order, error: BaseException) -> None:
-        """Ends an order that was not accepted.
+    def _fail(self, order: orders.Order, error: BaseException) -> None:
+        """Answers the first call of a failed order with the error and submits the calls that joined it again.
 
-        Only the first call gets the error. Those that joined get a round of their own, as they may have arrived after
-        the state that refused the first (`test_duplicate_orders_join_the_round_in_progress`).
+        The calls that joined run in a new round, as they may have arrived after the state by which the first call
+        was refused (`test_duplicate_orders_join_the_round_in_progress`).
         """
-        first, *later = self._waiting.pop(order.order_id)
+        first, *later = self._waiting_responses.pop(order.order_id)
         self._lifecycle.fail(first, error)
         for response in later:
-            if not response.is_over:
+            if not response.is_claimed:
                 self.submit(order, response)
--- a/ploverward/control_plane/operator_api/custody_handlers.py
+++ b/ploverward/control_plane/operator_api/custody_handlers.py
@@ -1,7 +1,7 @@
-"""Calls on custody trails, for operators (design 10, docs/residency.md).
+"""Operators' calls on custody trails (design 10, docs/residency.md).
 
-Where a trail has parts that replicas may still have in their caches, a proxy is queried which replicas do; the call is
-answered with its reply, or without it if none arrives in time.
+Replicas may still have parts of a trail's prompt in their caches. If a trail lists such parts, this node asks a proxy
+which replicas hold them. The call is answered with the proxy's reply, or without it if none arrives in time.
 """
 
 import dataclasses
@@ -20,19 +20,19 @@
 from ploverward.transport.interfaces import Timer
 
 TRAILS_PER_PAGE = 500
-OWNER_REPLY_PARTS = 12  # a proxy has receiptMs / 12 to say which replicas have parts in their caches
-MAX_OFFSET_DIGITS = 19  # of the offset in a query
+OWNER_REPLY_RECEIPT_DIVISOR = 12  # a proxy has receiptMs / 12 to reply which replicas hold parts in their caches
+MAX_OFFSET_DIGITS = 19  # longer offsets in a query are read as 0
 
 
 class MissingTrailBody(typing.TypedDict):
-    """No trail here; another node may have it."""
+    """The body if this node has no trail of a request; another node may have one."""
 
     error: str
     node: str
 
 
 class TrailBody(typing.TypedDict):
-    """The trails of one request. `kept_known`: whether it is known what replicas still have in their caches."""
+    """The trails of one request. `kept_known` tells if it is known which replicas still hold parts in their caches."""
 
     node: str
     trails: list[Json]
@@ -40,7 +40,7 @@
 
 
 class TrailsBody(typing.TypedDict):
-    """One page of trails and what is missing of them. `last` is the offset of the next page."""
+    """A page of trails, and how complete they are. The next page begins after `last`."""
 
     node: str
     trails: list[Json]
@@ -57,12 +57,12 @@
 
     call: Call
     trails: list[Json]
-    trail: Json  # the one of them that the query is about
+    trail: Json  # the one of `trails` whose parts the proxy looks for
     timer: Timer
 
 
 class CustodyHandlers:
-    """Reads custody trails.
+    """Answers with custody trails.
 
     Args:
         loop: the event loop.
@@ -75,19 +75,19 @@
         self._loop = loop
         self._node = node
         self._custody = custody
-        self._reply_timeout_s = receipt_s / OWNER_REPLY_PARTS
+        self._reply_timeout_s = receipt_s / OWNER_REPLY_RECEIPT_DIVISOR
         self._queries: dict[int, _OwnerQuery] = {}
-        self._numbers = itertools.count(1)
+        self._query_numbers = itertools.count(1)
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("GET", "/ploverward/custody/<request_id>", self.handle_get_trail),
             Rule("GET", "/ploverward/custody", self.handle_get_trails),
         ]
 
     def handle_get_trail(self, call: Call, request_id: str) -> None:
-        """Answers with the trails of one request, and which replicas still have parts of its prompt cached."""
+        """Answers with the trails of one request and the replicas that still have parts of its prompt cached."""
         self._custody.find(request_id=request_id, done=lambda trails: self._answer_found(call, request_id, trails))
 
     def _answer_found(self, call: Call, request_id: str, trails: list[Json]) -> None:
@@ -97,22 +97,22 @@
             return
         with_parts = [trail for trail in trails if trail["parts"]]
         if with_parts and self._node.proxies():
-            self._find_owners(call, trails, with_parts[-1])
+            self._query_cache_owners(call, trails, with_parts[-1])
         else:
             self._answer_trail(call, trails, is_kept_known=not with_parts)
 
     def handle_cache_owners(self, message: messages.CacheOwners) -> None:
-        """A proxy's reply: which replicas have parts of a trail in their caches."""
+        """Completes a call with a proxy's reply about the replicas that hold parts of a trail in their caches."""
         query = self._queries.pop(message.number, None)
         if query is None:
-            return  # it arrived too late
+            return  # the call was answered without the reply, which arrived too late
         self._loop.cancel(timer=query.timer)
         query.trail["kept"] = [{"replica": replica, "zone": zone} for replica, zone in message.owners]
         self._answer_trail(query.call, query.trails, is_kept_known=True)
 
     def handle_get_trails(self, call: Call) -> None:
-        """Answers with a page of trails, from the offset in the query on."""
-        after = _offset_in(call.query.get("after", "0"))
+        """Answers with the page of trails that begins after the offset in the query."""
+        after = _parse_offset(call.query.get("after", "0"))
         self._custody.page(after=after, limit=TRAILS_PER_PAGE, done=lambda page: self._answer_page(call, page))
 
     def _answer_page(self, call: Call, page: TrailPage) -> None:
@@ -129,15 +129,15 @@
         )
         call.answer(status=http.HTTPStatus.OK, body=body)
 
-    def _find_owners(self, call: Call, trails: list[Json], trail: Json) -> None:
-        number = next(self._numbers)
+    def _query_cache_owners(self, call: Call, trails: list[Json], trail: Json) -> None:
+        number = next(self._query_numbers)
         hashes = tuple(messages.PromptHash(full_hash=bytes.fromhex(part)) for part in trail["parts"])
         request = messages.FindCacheOwners(number=number, service=trail["service"], model=trail["model"], hashes=hashes)
-        timer = self._loop.after(delay=self._reply_timeout_s, callback=lambda: self._give_up(number))
+        timer = self._loop.after(delay=self._reply_timeout_s, callback=lambda: self._time_out_query(number))
         self._queries[number] = _OwnerQuery(call=call, trails=trails, trail=trail, timer=timer)
         self._node.proxies()[0].connection.send(request)
 
-    def _give_up(self, number: int) -> None:
+    def _time_out_query(self, number: int) -> None:
         query = self._queries.pop(number, None)
         if query is not None:
             self._answer_trail(query.call, query.trails, is_kept_known=False)
@@ -147,6 +147,6 @@
         call.answer(status=http.HTTPStatus.OK, body=body)
 
 
-def _offset_in(text: str) -> int:
-    """The offset that a query names; 0 where it is none."""
+def _parse_offset(text: str) -> int:
+    """Returns the offset in a query, or 0 if the text is not a valid offset."""
     return int(text) if text.isascii() and text.isdecimal() and len(text) <= MAX_OFFSET_DIGITS else 0
--- a/ploverward/control_plane/operator_api/dependencies.py
+++ b/ploverward/control_plane/operator_api/dependencies.py
@@ -1,4 +1,4 @@
-"""What the operator API needs of its node, as types; the node and the simulations provide it."""
+"""Types of what the operator API needs from its node. The node and the simulations implement them."""
 
 import collections.abc
 import dataclasses
@@ -22,9 +22,9 @@
 
     Args:
         name: the register (`ploverward.control_plane.consensus.register_names`).
-        edit: makes the new payload; it may run several times, and what it raises ends the round.
+        edit: returns the new payload; it may run several times, and an exception that it raises ends the round.
         done: called once with the outcome.
-        is_wanted: a round for which it is False makes no further attempt.
+        is_wanted: returns whether the round is still needed; if not, it makes no further attempt.
     """
 
     def __call__(
@@ -39,7 +39,7 @@
 
 
 class ReadRegister(typing.Protocol):
-    """Reads a register at a majority."""
+    """Reads a register from a majority of the voting nodes."""
 
     def __call__(self, *, name: str, done: RoundDone) -> None:
         """Starts the read."""
@@ -50,8 +50,8 @@
     """Access to the replicated registers.
 
     Attributes:
-        change: starts a round that changes one.
-        read: starts a read of one.
+        change: starts a round that changes a register.
+        read: starts a read of a register.
     """
 
     change: ChangeRegister
@@ -75,44 +75,46 @@
     """Lists the connected proxies."""
 
     def __call__(self, *, serving_only: bool = True) -> collections.abc.Sequence[Proxy]:
-        """Those that may be named to clients (ready and not draining), or with `serving_only=False` all."""
+        """Returns the proxies that clients may use (ready and not draining), or all if `serving_only` is False."""
 
 
 class Publisher(typing.Protocol):
     """The publisher of distributed topics (`ploverward.control_plane.distribution.publisher`)."""
 
     def get(self, topic: str) -> messages.Snapshot | None:
-        """The newest version."""
+        """Returns the newest version of a topic, or None if there is none yet."""
 
     def lagging(self, *, topic: str, version: Version, links: list[Connection]) -> list[Connection]:
-        """Those of the connections that have not acknowledged this version."""
+        """Returns those of the connections that have not acknowledged this version."""
 
 
 class TenantMeter(typing.Protocol):
-    """Counts what proxies admit for tenants (`ploverward.control_plane.quotas.quota_meter`)."""
+    """Tracks how much proxies admit for each tenant (`ploverward.control_plane.quotas.quota_meter`)."""
 
     def view(self) -> dict[str, Json]:
-        """The bucket of each tenant, by the hexadecimal tenant key."""
+        """Returns the token bucket of each tenant, by the hexadecimal tenant key."""
 
     def proxy_count(self) -> int:
-        """How many proxies may be admitting requests."""
+        """Returns the number of proxies that may be admitting requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class NodeState:
-    """What the API reads of its node. The callables are called each time, as what they return changes.
+    """The state of the node as the API reads it.
+
+    The callables are called for each read, as their results change.
 
     Attributes:
-        own: IP address of this node.
-        settings: the settings in force.
-        members: addresses of the voting core nodes.
-        is_core_live: whether this node is connected to the core node with this address.
-        has_majority_contact: whether it is in contact with a majority of the voting nodes.
-        is_voting: whether it knows the registers and votes.
+        own: the IP address of this node.
+        settings: returns the settings in force.
+        members: returns the addresses of the voting core nodes.
+        is_core_live: returns whether this node is connected to the core node with a given address.
+        has_majority_contact: returns whether this node is in contact with a majority of the voting nodes.
+        is_voting: returns whether this node has the registers' values and votes.
         proxies: lists the connected proxies.
-        configuration: the body of the newest configuration that this node knows to be chosen, or None.
-        singleton_roles: the owner of each singleton role, as far as known.
-        core_set: the status of the core set, for operators.
+        configuration: returns the body of the newest configuration that this node knows to be chosen, or None.
+        singleton_roles: returns the known owners of the singleton roles.
+        core_set: returns the status of the core set, for operators.
     """
 
     own: str
@@ -132,7 +134,7 @@
     """Durations from the node's settings.
 
     Attributes:
-        ttl_s: how long a client may use the answer to a look-up.
+        ttl_s: how many seconds a client may use the answer to a look-up.
         contact_s: `contactMs` of the settings, in seconds.
         receipt_s: `receiptMs` of the settings, in seconds.
     """
--- a/ploverward/control_plane/operator_api/evacuation_handlers.py
+++ b/ploverward/control_plane/operator_api/evacuation_handlers.py
@@ -1,6 +1,7 @@
-"""Calls on evacuations: GET of the evacuated zones, POST and DELETE of one (docs/orders.md 4).
+"""Calls on evacuations: GET of the evacuated zones, POST and DELETE of one zone (docs/orders.md 4).
 
-Evacuations are not joined like orders of a configuration: that a zone is evacuated does not stay true.
+Duplicate calls don't join a round in progress, as orders on the configuration do: by the time a round ends, a later
+order may have reversed its effect.
 """
 
 import collections.abc
@@ -19,7 +20,7 @@
 
 
 class EvacuationsBody(typing.TypedDict):
-    """The evacuated zones."""
+    """The body that lists the evacuated zones."""
 
     zones: list[str]
 
@@ -28,8 +29,8 @@
     """Reads and changes evacuations.
 
     Args:
-        lifecycle: begins and answers calls.
-        zones: the zones of the settings in force.
+        lifecycle: starts and answers calls.
+        zones: returns the zones of the settings in force.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._zones = zones
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("GET", PATH, self.handle_get),
             Rule("POST", f"{PATH}/<zone>", self.handle_post),
@@ -66,7 +67,7 @@
         response = self._lifecycle.begin(call)
         if response is None:
             return
-        edit = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: response.is_over)
+        edit = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: response.is_claimed)
         self._lifecycle.change(response, register=register_names.EVACUATIONS, edit=edit)
 
 
--- a/ploverward/control_plane/operator_api/lookup_handlers.py
+++ b/ploverward/control_plane/operator_api/lookup_handlers.py
@@ -1,4 +1,4 @@
-"""The look-up of clients: which proxies they may connect to (design 4, 10)."""
+"""Look-ups of the proxies that a client may connect to (design 4, 10)."""
 
 import http
 import typing
@@ -11,14 +11,14 @@
 
 
 class LookupBody(typing.TypedDict):
-    """Proxies, and for how many seconds the client may use this answer."""
+    """The addresses of proxies, and for how many seconds the client may use them."""
 
     addressList: list[str]
     ttlS: int
 
 
 class LookupHandlers:
-    """Answers look-ups.
+    """Answers the look-ups of clients.
 
     Args:
         proxy_directory: chooses the proxies.
@@ -30,11 +30,11 @@
         self._ttl_s = ttl_s
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [Rule("GET", "/ploverward/lookup", self.handle_get)]
 
     def handle_get(self, call: Call) -> None:
-        """Answers with the addresses of proxies."""
+        """Answers with the addresses of proxies for the host, region and zone in the query."""
         query = call.query
         try:
             addresses = self._directory.find_addresses(
--- a/ploverward/control_plane/operator_api/node_handlers.py
+++ b/ploverward/control_plane/operator_api/node_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on this node's own state, for operators' tools: replicas, connected nodes, the core set (design 10)."""
+"""Operators' calls on the state of this node: replicas, connected nodes and the core set (design 10)."""
 
 import http
 import typing
@@ -25,7 +25,7 @@
 
 
 class ProxyBody(typing.TypedDict):
-    """One connected proxy."""
+    """A proxy that is connected to this node."""
 
     address: str
     counter: str  # ADDRESS:PORT that clients reach
@@ -36,7 +36,7 @@
 
 
 class NodesBody(typing.TypedDict):
-    """This node and what it is connected to."""
+    """This node, its settings and the proxies connected to it."""
 
     node: str
     votes: bool
@@ -48,16 +48,16 @@
 
 
 def listed_replicas(publisher: Publisher) -> list[Json]:
-    """The rows of the newest endpoint list, by id; empty where there is none yet."""
+    """Returns the rows of the newest endpoint list, sorted by id; empty if there is no list yet."""
     current = publisher.get(ENDPOINT_LIST_TOPIC)
     return endpoint_list.unpack_list(current.data).sorted_rows() if current is not None else []
 
 
 class NodeHandlers:
-    """Answers from what this node knows itself; nothing is read at a majority.
+    """Answers from the local state of this node, without a read from a majority.
 
     Args:
-        publisher: has the newest endpoint list.
+        publisher: provides the newest endpoint list.
         node: the state of this node.
     """
 
@@ -66,7 +66,7 @@
         self._node = node
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("GET", "/ploverward/replicas", self.handle_get_replicas),
             Rule("GET", "/ploverward/nodes", self.handle_get_nodes),
@@ -74,7 +74,7 @@
         ]
 
     def handle_get_replicas(self, call: Call) -> None:
-        """Answers with the endpoint list."""
+        """Answers with the newest endpoint list, or 503 if there is none yet."""
         current = self._publisher.get(ENDPOINT_LIST_TOPIC)
         if current is None:
             error = ErrorBody(error="no list of replicas yet")
--- a/ploverward/control_plane/operator_api/order_api.py
+++ b/ploverward/control_plane/operator_api/order_api.py
@@ -1,4 +1,7 @@
-"""Calls that read and change the replicated registers: configuration, evacuations and roll-outs (docs/orders.md)."""
+"""The handlers of calls on the replicated registers (docs/orders.md).
+
+The calls concern the configuration, evacuations, roll-outs and, in deployments with stores, their retirement.
+"""
 
 import collections.abc
 
@@ -20,24 +23,24 @@
 
 
 class OrderApi:
-    """Wires the handlers of the three registers; simulations run it without the rest of a node.
+    """Creates and connects the handlers; simulations run it without the rest of a node.
 
     Attributes:
-        rounds: the rounds of orders for the configuration.
+        rounds: the consensus rounds of orders on the configuration.
         rollouts: the handlers of roll-outs.
 
     Args:
         loop: the event loop.
         registers: the replicated registers.
-        apply_barrier: gives acknowledgements once proxies have applied a change.
-        redirector: names other nodes.
-        configuration: the newest configuration that this node knows to be chosen, or None.
-        zones: the zones of the settings in force.
+        apply_barrier: sends acknowledgements once the proxies have applied a change.
+        redirector: chooses the node to which a call is redirected.
+        configuration: returns the newest configuration that this node knows to be chosen, or None.
+        zones: returns the zones of the settings in force.
         receipt_s: `receiptMs` of the settings, in seconds.
-        is_voting: whether this node knows the registers and votes.
-        has_majority_contact: whether it is in contact with a majority.
-        stores: the stores that this node knows; None: a deployment without any.
-        copies: on how many stores a partition of the batch tier is.
+        is_voting: returns whether this node has the registers' values and votes.
+        has_majority_contact: returns whether this node is in contact with a majority of the voting nodes.
+        stores: the stores that this node knows; None in a deployment without stores.
+        copies: the number of stores that hold each partition of the batch tier.
     """
 
     def __init__(
@@ -78,14 +81,14 @@
         self._retirements = RetireHandlers(lifecycle=self._lifecycle, stores=stores, copies=copies) if stores else None
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         retirements = self._retirements.rules() if self._retirements is not None else []
         return [*self._configuration.rules(), *self._evacuations.rules(), *self.rollouts.rules(), *retirements]
 
     def learn_archive(self, payload: Payload) -> None:
-        """Records a chosen value of the archive's register."""
+        """Records a chosen value of the archive register."""
         self._archiver.learn(payload)
 
     def shut_down(self) -> None:
-        """Forwards new calls from now on; calls in progress get their answers, or none where the process ends first."""
+        """Redirects all further calls. Calls in progress are still answered, unless the process ends first."""
         self._lifecycle.shut_down()
--- a/ploverward/control_plane/operator_api/order_archiver.py
+++ b/ploverward/control_plane/operator_api/order_archiver.py
@@ -1,7 +1,7 @@
-"""Moves the identifiers of accepted orders into the archive's register (docs/orders.md 3).
+"""Copies the identifiers of accepted orders to the archive register (docs/orders.md 3).
 
-Invariant: `archived` is an edition up to which the archive is known to be chosen, so `configuration.orders` may drop
-identifiers up to it from the configuration's register.
+Invariant: a chosen value of the archive contains all orders up to the edition `archived`, so `configuration.orders` may
+drop their identifiers from the configuration's register.
 """
 
 from ploverward.control_plane.configuration import order_archive
@@ -12,10 +12,10 @@
 
 
 class OrderArchiver:
-    """Appends to the archive, one write at a time.
+    """Appends accepted orders to the archive, one write at a time.
 
     Attributes:
-        archived: the edition up to which the archive is known to have all orders.
+        archived: the edition up to which the archive is known to contain all orders.
 
     Args:
         registers: the replicated registers.
@@ -27,11 +27,11 @@
         self._is_writing = False
 
     def learn(self, payload: Payload) -> None:
-        """Records a chosen value of the archive; called for each version that this node learns."""
+        """Records a chosen value of the archive. To be called for each version that this node learns."""
         self.archived = max(self.archived, order_archive.archived_through(payload))
 
     def reconcile(self, payload: Payload) -> None:
-        """Archives the orders of a chosen configuration once there are `ARCHIVE_FROM` that the archive lacks.
+        """Archives the orders of a chosen configuration once the archive lacks `ARCHIVE_FROM` of them.
 
         Args:
             payload: a chosen value of the configuration's register.
--- a/ploverward/control_plane/operator_api/pending_response.py
+++ b/ploverward/control_plane/operator_api/pending_response.py
@@ -1,6 +1,7 @@
-"""The answer to a call that is given later: exactly once, and at the latest when its time limit is over.
+"""The delayed response to a call: sent exactly once, and no later than its time limit.
 
-A consensus round and a time limit race for the answer. Both call `PendingResponse.claim`; only the first gets the call.
+A consensus round and the time limit race to answer the call. Both call `PendingResponse.claim`, and only the first of
+them gets the call.
 """
 
 import collections.abc
@@ -10,17 +11,17 @@
 
 
 class PendingResponse:
-    """The answer that a caller waits for.
+    """A response that a caller waits for.
 
     Attributes:
-        begun_at: when the call arrived, seconds on the loop's clock.
-        is_over: whether the answer was claimed.
+        started_at: when the handling of the call started, in seconds on the loop's clock.
+        is_claimed: whether `claim` has returned the call.
 
     Args:
         loop: the event loop.
-        call: the call.
+        call: the call to answer.
         limit_s: seconds until `on_timeout` is called.
-        on_timeout: called with this object; it has to claim the answer.
+        on_timeout: called with this object at the time limit; it has to claim the call and answer it.
     """
 
     def __init__(
@@ -33,25 +34,25 @@
     ) -> None:
         self._loop = loop
         self._call = call
-        self.begun_at = loop.now()
-        self.is_over = False
+        self.started_at = loop.now()
+        self.is_claimed = False
         self._timer = loop.after(delay=limit_s, callback=lambda: on_timeout(self))
 
     def extend(self, *, until: float, on_timeout: collections.abc.Callable[["PendingResponse"], None]) -> None:
         """Replaces the time limit.
 
         Args:
-            until: the new limit, seconds on the loop's clock.
-            on_timeout: called at the new limit in place of the earlier one.
+            until: the new limit, in seconds on the loop's clock.
+            on_timeout: called at the new limit, in place of the earlier callback.
         """
         self._loop.cancel(timer=self._timer)
         delay = max(0.0, until - self._loop.now())
         self._timer = self._loop.after(delay=delay, callback=lambda: on_timeout(self))
 
     def claim(self) -> Call | None:
-        """The call, which the caller of this method has to answer now; None where it was claimed before."""
-        if self.is_over:
+        """Returns the call, which the claimant has to answer now, or None if it was claimed before."""
+        if self.is_claimed:
             return None
-        self.is_over = True
+        self.is_claimed = True
         self._loop.cancel(timer=self._timer)
         return self._call
--- a/ploverward/control_plane/operator_api/redirector.py
+++ b/ploverward/control_plane/operator_api/redirector.py
@@ -1,16 +1,16 @@
-"""Chooses another core node for the callers of a node that can't answer them (docs/orders.md 5)."""
+"""Chooses the core node to which a node redirects calls that it can't answer (docs/orders.md 5)."""
 
 import collections.abc
 
 
 class Redirector:
-    """Names the other members in turn.
+    """Chooses among the other voting core nodes in turn.
 
     Args:
-        own: IP address of this node.
+        own: the IP address of this node.
         port: the port of the operator API, which is the same on all nodes.
-        members: addresses of the voting core nodes.
-        is_live: whether this node is connected to the node with this address.
+        members: returns the addresses of the voting core nodes.
+        is_live: returns whether this node is connected to the node with a given address.
     """
 
     def __init__(
@@ -31,11 +31,11 @@
         """Chooses a node.
 
         Args:
-            is_isolated: whether this node is cut off from a majority. Nodes connected to it are then likely cut off as
-                well, so one that it is not connected to is preferred.
+            is_isolated: whether this node is cut off from a majority. Nodes that are connected to it are then probably
+                cut off as well, so a node that it is not connected to is preferred.
 
         Returns:
-            ADDRESS:PORT, or None where no other member is known.
+            ADDRESS:PORT of the node, or None if no other member is known.
         """
         others = [host for host in self._members() if host != self._own]
         preferred = [host for host in others if self._is_live(host) != is_isolated]
--- a/ploverward/control_plane/operator_api/retire_handlers.py
+++ b/ploverward/control_plane/operator_api/retire_handlers.py
@@ -1,4 +1,7 @@
-"""Calls that have a store emptied: POST of the order, GET of how far it is (docs/batch.md 6)."""
+"""Calls that retire a store: POST orders the retirement, GET reports whether it is complete (docs/batch.md 6).
+
+The partitions of a retiring store move to other stores until it holds none.
+"""
 
 import http
 import typing
@@ -15,23 +18,23 @@
 from ploverward.control_plane.operator_api.router import Rule
 
 PATH = "/ploverward/retire/<node>"
-IN_SERVICE = "in_service"
-DELIVERED = "delivered"
+IN_SERVICE = "in_service"  # the store may still hold partitions, or no retirement was ordered
+DELIVERED = "delivered"  # the retired store holds no partitions any more
 
 
 class ConditionBody(typing.TypedDict):
-    """Whether a store was emptied."""
+    """The body that reports whether a retired store was emptied."""
 
     condition: str
 
 
 class RetireHandlers:
-    """Has stores emptied.
+    """Retires stores and reports whether they were emptied.
 
     Args:
-        lifecycle: Begins and answers calls.
+        lifecycle: Starts and answers calls.
         stores: The stores that this node knows.
-        copies: How many stores a partition is on.
+        copies: The number of stores that hold each partition.
     """
 
     def __init__(
@@ -46,12 +49,12 @@
         self._copies = copies
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [Rule("POST", PATH, self.handle_post), Rule("GET", PATH, self.handle_get)]
 
     def handle_post(self, call: Call, node: str) -> None:
-        """Has a store emptied."""
-        import pydantic  # a start does not wait for it
+        """Orders the retirement of a store, unless too few stores would remain."""
+        import pydantic  # imported late, as pydantic would slow the start of the node
 
         from ploverward.control_plane.operator_api import call_bodies
 
@@ -61,7 +64,7 @@
             text = error.errors(include_url=False)[0]["msg"]
             call_lifecycle.answer_field_error(call, errors.InvalidConfigurationError(text, field_path="overS"))
             return
-        store = self._find(node)
+        store = self._find_store(node)
         if store is None:
             _answer_unknown(call, node)
             return
@@ -85,7 +88,7 @@
         self._lifecycle.change(response, register=register_names.SINGLETON_ROLES, edit=edit)
 
     def handle_get(self, call: Call, node: str) -> None:
-        """Answers whether a store was emptied."""
+        """Answers whether a retired store was emptied."""
         self._lifecycle.answer_with_register(
             call,
             register=register_names.SINGLETON_ROLES,
@@ -95,14 +98,14 @@
     def _answer_condition(self, call: Call, payload: Payload, node: str) -> None:
         roles = payload or {}
         store = store_retirement.retiring_stores(roles).get(node)
-        if store is None and self._find(node) is None:
+        if store is None and self._find_store(node) is None:
             _answer_unknown(call, node)
             return
         is_emptied = store is not None and store_retirement.is_emptied(roles, store)
         body = ConditionBody(condition=DELIVERED if is_emptied else IN_SERVICE)
         call.answer(status=http.HTTPStatus.OK, body=body)
 
-    def _find(self, node: str) -> partition_placement.StoreState | None:
+    def _find_store(self, node: str) -> partition_placement.StoreState | None:
         address = self._stores.address_of(node)
         return self._stores.states().get(address) if address is not None else None
 
--- a/ploverward/control_plane/operator_api/rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/rollout_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on roll-outs: POST of an order, GET of one service's roll-out or of all (docs/rollouts.md 2)."""
+"""Calls on roll-outs: POST starts one, GET reads that of one service or those of all (docs/rollouts.md 2)."""
 
 import collections.abc
 import http
@@ -21,7 +21,7 @@
 
 
 class RolloutBody(typing.TypedDict):
-    """One service's roll-out: the protocol's two fields, and further ones for operators."""
+    """The roll-out of a service: the two fields that the protocol requires, and further fields for operators."""
 
     condition: str
     targetEdition: str
@@ -35,7 +35,7 @@
 
 
 class RolloutsBody(typing.TypedDict):
-    """The roll-outs of all services, by service."""
+    """The roll-outs of all services, by the service's name."""
 
     rollouts: dict[str, RolloutBody]
 
@@ -44,8 +44,8 @@
     """Starts roll-outs and reads their state.
 
     Args:
-        lifecycle: begins and answers calls.
-        configuration: the newest configuration that this node knows to be chosen, or None.
+        lifecycle: starts and answers calls.
+        configuration: returns the newest configuration that this node knows to be chosen, or None.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._configuration = configuration
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("POST", PATH, self.handle_post),
             Rule("GET", PATH, self.handle_get_all),
@@ -78,7 +78,7 @@
         )
 
     def handle_post(self, call: Call) -> None:
-        """Starts a roll-out of a service that the configuration has."""
+        """Starts a roll-out, if the configuration contains its service."""
         try:
             order = orders.read(data=call.body)
         except errors.InvalidConfigurationError as error:
@@ -105,7 +105,7 @@
         self._lifecycle.fail(response, errors.InvalidConfigurationError(text, field_path="destination"))
 
     def _start(self, order: orders.Order, response: PendingResponse) -> None:
-        edit = orders.edit_for(order=order, is_late=lambda: response.is_over)
+        edit = orders.edit_for(order=order, is_late=lambda: response.is_claimed)
         self._lifecycle.change(response, register=register_names.ROLLOUTS, edit=edit)
 
 
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -1,6 +1,6 @@
-"""Maps HTTP calls to their handlers, by werkzeug (docs/orders.md 6).
+"""Routes HTTP calls to their handlers with werkzeug (docs/orders.md 6).
 
-Every call gets one clear answer, whatever its head contains: a path or method without a rule is answered here.
+Every call gets exactly one answer, whatever its head contains. Paths and methods without a rule are answered here.
 """
 
 import collections.abc
@@ -17,9 +17,9 @@
 
 from ploverward.transport import http_request
 
-RETRY_AFTER = b"0.3"  # seconds; callers have a backoff of their own, this is for those that have none
-RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; what is missing takes longer than a caller's usual backoff
-MAP_BINDING = "core"  # the host name that werkzeug requires; the rules do not depend on it
+RETRY_AFTER = b"0.3"  # seconds, for callers without a backoff of their own
+RETRY_LATER = ((b"Retry-After", b"1"),)  # seconds; for a state that takes longer to reach than a caller's usual backoff
+ROUTING_HOST = "core"  # a host name that werkzeug requires; no rule depends on it
 
 Header: typing.TypeAlias = tuple[bytes, bytes]
 
@@ -37,10 +37,10 @@
 
 
 class Call:
-    """One call of an operator, a tool or a client, and how to answer it.
+    """A call of an operator, a tool or a client, with the methods that answer it.
 
     Args:
-        request: the request, completely received.
+        request: the request, with its complete body.
     """
 
     def __init__(self, *, request: http_request.Request) -> None:
@@ -59,27 +59,27 @@
 
     @property
     def method(self) -> str:
-        """The method, in upper case."""
+        """The HTTP method in upper case."""
         return self._head.method
 
     @property
     def path(self) -> str:
-        """The path, decoded, without the query."""
+        """The percent-decoded path without the query."""
         return self._head.path
 
     @property
     def query(self) -> collections.abc.Mapping[str, str]:
-        """The parameters in the query."""
+        """The parameters of the query."""
         return self._head.args
 
     @property
     def headers(self) -> werkzeug.datastructures.Headers:
-        """The headers; names in any case."""
+        """The headers, with case-insensitive names."""
         return self._head.headers
 
     @property
     def body(self) -> bytes:
-        """The body."""
+        """The body of the request."""
         return self._request.body
 
     def answer(self, *, status: int, body: object, headers: collections.abc.Iterable[Header] = ()) -> None:
@@ -87,8 +87,8 @@
 
         Args:
             status: the HTTP status.
-            body: what is sent as JSON.
-            headers: further headers.
+            body: the content, sent as JSON.
+            headers: headers besides Content-Type.
         """
         self._request.reply(
             status=int(status),
@@ -96,17 +96,17 @@
             body=json.dumps(body, separators=(",", ":")).encode(),
         )
 
-    def on_gone(self, callback: collections.abc.Callable[[], object]) -> None:
-        """Has a callback called where the caller leaves before it is answered."""
+    def set_disconnect_callback(self, callback: collections.abc.Callable[[], object]) -> None:
+        """Sets the callback that runs if the caller disconnects before it is answered."""
         self._request.on_gone = callback
 
     def answer_unavailable(self, *, reason: str) -> None:
-        """Answers 503, which leaves the outcome open: the caller retries, at this node or another."""
+        """Answers 503, which leaves the outcome open: the caller retries at this node or another one."""
         body = ErrorBody(error=reason)
         self.answer(status=http.HTTPStatus.SERVICE_UNAVAILABLE, body=body, headers=[(b"Retry-After", RETRY_AFTER)])
 
     def redirect(self, *, address: str) -> None:
-        """Sends the caller to another node.
+        """Redirects the caller to another node.
 
         Args:
             address: ADDRESS:PORT of that node.
@@ -118,12 +118,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rule:
-    """One method and path, and who handles it.
+    """A route: the handler of a method and a path.
 
     Attributes:
         method: the method.
-        path: the path, with variables as werkzeug writes them.
-        handler: called with the call and the variables by name.
+        path: the path, with variables in werkzeug's syntax.
+        handler: called with the call and, as keyword arguments, the path's variables.
     """
 
     method: str
@@ -132,10 +132,10 @@
 
 
 class Router:
-    """Passes each request from the listeners to its handler.
+    """Passes the requests of the HTTP servers to their handlers.
 
     Args:
-        rules: all rules.
+        rules: the rules of all handlers.
     """
 
     def __init__(self, *, rules: collections.abc.Iterable[Rule]) -> None:
@@ -145,10 +145,10 @@
         )
 
     def handle(self, request: http_request.Request) -> None:
-        """Handles a request."""
+        """Passes a request to its handler, or answers it with an error if no rule matches."""
         call = Call(request=request)
         try:
-            handler, variables = self._map.bind(MAP_BINDING).match(call.path, method=call.method)
+            handler, variables = self._map.bind(ROUTING_HOST).match(call.path, method=call.method)
         except werkzeug.exceptions.HTTPException as error:
             call.answer(status=error.code or http.HTTPStatus.NOT_FOUND, body=ErrorBody(error=error.name))
             return
--- a/ploverward/control_plane/operator_api/server.py
+++ b/ploverward/control_plane/operator_api/server.py
@@ -1,6 +1,6 @@
-"""The HTTP servers of a core node, and the wiring of everything that answers on them (design 4, 5, 9, 10).
+"""The HTTP servers of a core node and the handlers behind them (design 4, 5, 9, 10).
 
-It also handles messages from proxies that answer calls or are stored for them.
+Messages from proxies that complete a call, or whose content is stored for later calls, also arrive here.
 """
 
 import collections.abc
@@ -31,27 +31,27 @@
 from ploverward.transport import messages
 from ploverward.transport.interfaces import Loop
 
-HEAD_BYTES = 65536
-BODY_BYTES = 16 * 1024 * 1024  # a configuration of 2,000 routes has 0.7 MB
-IDLE_CONTACTS = 4  # a connection may be idle for so many contactMs
+MAX_HEAD_BYTES = 65536
+MAX_BODY_BYTES = 16 * 1024 * 1024  # a configuration of 2,000 routes has 0.7 MB
+IDLE_CONTACTS = 4  # how long a connection may be idle, in multiples of contactMs
 MIN_CONNECTIONS = 200
-SERVED = ("control", "directory")  # names of bindings in the settings; both serve all calls
+SERVED_BINDINGS = ("control", "directory")  # bindings in the settings; each serves all calls
 
 
 class OperatorApi:
-    """Servers and handlers.
+    """The HTTP servers and call handlers of a core node.
 
     Args:
         loop: the event loop.
-        make_http_server: makes a `ploverward.transport.http_server.HttpServer`; simulations make another one.
+        make_http_server: creates a `ploverward.transport.http_server.HttpServer`, or its substitute in simulations.
         registers: the replicated registers.
         publisher: the publisher of distributed topics.
-        meter: counts what proxies admit for tenants.
+        meter: tracks how much proxies admit for each tenant.
         tallies: the tallies of this node.
         custody: the custody trails of this node.
         node: the state of this node.
         timing: durations from the settings.
-        stores: the stores that this node knows; None: a deployment without any.
+        stores: the stores that this node knows; None in a deployment without stores.
     """
 
     def __init__(
@@ -110,12 +110,12 @@
             TenantHandlers(configuration=node.configuration, meter=meter),
             self._tallies,
         )
-        self._router = Router(rules=[rule for part in handlers for rule in part.rules()])
+        self._router = Router(rules=[rule for handler in handlers for rule in handler.rules()])
 
     def listen(self) -> None:
-        """Opens the servers that the settings name."""
+        """Starts the servers on the bindings in the settings."""
         settings = self._settings()
-        for name in SERVED:
+        for name in SERVED_BINDINGS:
             if name in settings.bindings:
                 server = self._make_http_server(
                     loop=self._loop,
@@ -128,7 +128,10 @@
                 self._servers.append(server)
 
     def shut_down(self) -> None:
-        """Accepts no new connections; calls on the open ones are forwarded to other nodes."""
+        """Stops accepting connections.
+
+        On the open connections, calls on the registers are redirected to other nodes and adds to tallies are refused.
+        """
         self._orders.shut_down()
         self._tallies.shut_down()
         for server in self._servers:
@@ -136,31 +139,31 @@
             server.leave()
 
     def check_applied(self) -> None:
-        """To be called when a proxy has applied something or disconnected: acknowledgements may be due."""
+        """Sends the acknowledgements that are due. To be called when a proxy acknowledged a version or disconnected."""
         self._apply_barrier.check()
 
     def learn_archive(self, payload: Payload) -> None:
-        """Records a chosen value of the register of old orders."""
+        """Records a chosen value of the archive register, which lists old orders."""
         self._orders.learn_archive(payload)
 
     def handle_adapter_counts(self, message: messages.AdapterCounts) -> None:
-        """Stores what proxies counted of adapters."""
+        """Stores the adapter counts that a proxy reported."""
         for count in message.counts:
             self._adapters.usage_store.record(count)
 
     def handle_cache_owners(self, message: messages.CacheOwners) -> None:
-        """Handles a proxy's reply about what replicas have in their caches."""
+        """Handles a proxy's reply about the replicas that hold parts of a trail in their caches."""
         self._custody.handle_cache_owners(message)
 
     def _limits(self) -> http_request.Limits:
         return http_request.Limits(
-            head_bytes=HEAD_BYTES,
-            body_bytes=BODY_BYTES,
+            head_bytes=MAX_HEAD_BYTES,
+            body_bytes=MAX_BODY_BYTES,
             head_s=self._contact_s,
             idle_s=self._contact_s * IDLE_CONTACTS,
         )
 
 
 def _control_port(settings: node_settings.Settings) -> int:
-    """The port of the operator API, which is the same on all machines; 0 where this one does not serve it."""
+    """Returns the port of the operator API, which is the same on all machines; 0 if this machine does not serve it."""
     return settings.bindings["control"][1] if "control" in settings.bindings else 0
--- a/ploverward/control_plane/operator_api/tally_handlers.py
+++ b/ploverward/control_plane/operator_api/tally_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on tallies (docs/tallies.md 1). They need no majority: each core node answers them by itself."""
+"""Calls on tallies (docs/tallies.md 1). They need no majority: each core node answers them on its own."""
 
 import collections.abc
 import http
@@ -13,21 +13,21 @@
 from ploverward.control_plane.tallies import tally_service
 from ploverward.transport import messages
 
-MAX_NAME_BYTES = 128  # of a tally's name, and of an id
+MAX_NAME_BYTES = 128  # limit for the names of tallies and the ids of adds
 
 
 class AddBody(typing.TypedDict):
-    """The answer to an add: empty, as the sum may be another one already."""
+    """The answer to an add. It is empty, as other adds may have changed the sum already."""
 
 
 class TotalBody(typing.TypedDict):
-    """The sum of one tally."""
+    """The sum of a tally."""
 
     total: int
 
 
 class TalliesBody(typing.TypedDict):
-    """How the tallies of this node stand; `peers` are the other core nodes, by address."""
+    """The state of the tallies on this node; `peers` are the other core nodes, by address."""
 
     node: str
     merged: bool
@@ -39,7 +39,7 @@
 
 
 class TallyHandlers:
-    """Adds and reads.
+    """Adds to tallies and reads them.
 
     Args:
         tallies: The tallies of this node.
@@ -52,7 +52,7 @@
         self._is_shutting_down = False
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [
             Rule("GET", "/ploverward/tallies", self.handle_get_all),
             Rule("GET", "/ploverward/tallies/<name>", self.handle_get),
@@ -60,11 +60,14 @@
         ]
 
     def shut_down(self) -> None:
-        """Refuses adds from now on: another node takes them."""
+        """Refuses all further adds, so that callers send them to other nodes."""
         self._is_shutting_down = True
 
     def handle_add(self, call: Call, name: str) -> None:
-        """Adds to a tally. 200 once it is on enough disks; 4xx and 503 before anything is done."""
+        """Adds to a tally.
+
+        The answer is 200 once the add is on enough disks. 400 and 503 are sent before anything is done.
+        """
         try:
             add = _parse_add(name, call.body)
         except errors.InvalidArgumentError as error:
@@ -75,12 +78,12 @@
         elif not self._tallies.can_take(add):
             call.answer_unavailable(reason="too many adds are kept or wait here")
         else:
-            on_gone = self._tallies.add(add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody()))
-            call.on_gone(on_gone)
+            forget = self._tallies.add(add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody()))
+            call.set_disconnect_callback(forget)
 
     def handle_get(self, call: Call, name: str) -> None:
-        """Answers with the sum of a tally; 503 where this node does not know it yet."""
-        problem = _name_problem("name", name)
+        """Answers with the sum of a tally, or 503 if this node does not know it yet."""
+        problem = _name_error("name", name)
         if problem:
             call.answer(status=http.HTTPStatus.BAD_REQUEST, body=ErrorBody(error=problem))
             return
@@ -94,7 +97,7 @@
         self._tallies.read(tally=name, answer=answer)
 
     def handle_get_all(self, call: Call) -> None:
-        """Answers with all sums and how far the other nodes are, for operators."""
+        """Answers operators with all sums and the replication state of the other nodes."""
         report = self._tallies.report()
         body = TalliesBody(
             node=self._node_name(),
@@ -111,12 +114,12 @@
 
 
 def _parse_add(name: str, body: bytes) -> messages.TallyAdd:
-    """Reads an add.
+    """Parses an add.
 
     Raises:
-        InvalidArgumentError: It is malformed; the text says how.
+        InvalidArgumentError: The name or the body is invalid; the text names the field and the fault.
     """
-    import pydantic  # a start does not wait for it
+    import pydantic  # imported late, as pydantic would slow the start of the node
 
     from ploverward.control_plane.operator_api import call_bodies
 
@@ -128,14 +131,14 @@
         raise errors.InvalidArgumentError(f"{place}: {first['msg']}", step="tally") from None
     except (ValueError, RecursionError):
         raise errors.InvalidArgumentError("the body is no JSON", step="tally") from None
-    problem = _name_problem("name", name) or _name_problem("id", order.id)
+    problem = _name_error("name", name) or _name_error("id", order.id)
     if problem:
         raise errors.InvalidArgumentError(problem, step="tally")
     return messages.TallyAdd(tally=name, add_id=order.id, amount=order.actor)
 
 
-def _name_problem(field: str, text: str) -> str:
-    """Why a name or an id can't be used; empty where it can."""
+def _name_error(field: str, text: str) -> str:
+    """Returns why a tally's name or an add's id is invalid, or an empty string if it is valid."""
     if not text:
         return f"{field}: is empty"
     if not text.isprintable():
--- a/ploverward/control_plane/operator_api/tenant_handlers.py
+++ b/ploverward/control_plane/operator_api/tenant_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on tenants, for operators: limits, how far they are used, keys by digest (docs/quotas.md, docs/keys.md)."""
+"""Operators' calls on tenants: limits, their usage and the digests of keys (docs/quotas.md, docs/keys.md)."""
 
 import collections.abc
 import http
@@ -12,9 +12,9 @@
 
 
 class TenantBody(typing.TypedDict):
-    """One tenant. The last three fields are there where proxies reported requests of it."""
+    """A tenant. The last three fields are present if proxies have reported requests of this tenant."""
 
-    keys: list[str]  # digests: a key itself is never answered
+    keys: list[str]  # digests; the API never returns the keys themselves
     perS: float
     burst: float
     homeRegions: list[str]
@@ -32,11 +32,11 @@
 
 
 class TenantHandlers:
-    """Reads the tenants of the configuration in force.
+    """Answers with the tenants of the configuration in force.
 
     Args:
-        configuration: the newest configuration that this node knows to be chosen, or None.
-        meter: counts what proxies admit.
+        configuration: returns the newest configuration that this node knows to be chosen, or None.
+        meter: tracks how much proxies admit for each tenant.
     """
 
     def __init__(self, *, configuration: collections.abc.Callable[[], Json | None], meter: TenantMeter) -> None:
@@ -44,11 +44,11 @@
         self._meter = meter
 
     def rules(self) -> list[Rule]:
-        """The calls that are handled here."""
+        """Returns the routing rules of the calls that are handled here."""
         return [Rule("GET", "/ploverward/tenants", self.handle_get)]
 
     def handle_get(self, call: Call) -> None:
-        """Answers with all tenants."""
+        """Answers with all tenants, or 503 if no configuration is known yet."""
         configuration = self._configuration()
         if configuration is None:
             call.answer_unavailable(reason="no configuration is known yet")
