--- a/ploverward/control_plane/operator_api/test_apply_barrier.py
+++ b/ploverward/control_plane/operator_api/test_apply_barrier.py
@@ -1,9 +1,9 @@
-"""When an order that was taken is acknowledged: once all live proxies applied it, and never later than the ceiling."""
+"""Tests of the apply barrier: when an accepted order is acknowledged."""
 
 import types
 
 from ploverward.common.identifiers import Version
-from ploverward.control_plane.distribution import publisher as desks
+from ploverward.control_plane.distribution import publisher as publisher_module
 from ploverward.control_plane.operator_api import apply_barrier
 from ploverward.control_plane.operator_api import pending_response
 from ploverward.simulation import simulated_world
@@ -12,7 +12,7 @@
 MAX_WAIT_S = 0.9
 
 
-class PeerConnection:
+class FakeConnection:
     def __init__(self):
         self.sent = []
 
@@ -20,7 +20,7 @@
         self.sent.append(message)
 
 
-class Call:
+class FakeCall:
     def __init__(self):
         self.answers = []
 
@@ -32,24 +32,24 @@
     return messages.Acknowledgement(versions=(messages.TopicVersion(topic="spec", version=Version(0, number)),))
 
 
-def make(links):
+def make_barrier(links):
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
-    publisher = desks.Publisher()
+    publisher = publisher_module.Publisher()
     for link in links:
         publisher.join(link)
     barrier = apply_barrier.ApplyBarrier(
         publisher=publisher,
         proxies=lambda *, serving_only=True: [types.SimpleNamespace(connection=link) for link in links],
     )
-    call = Call()
+    call = FakeCall()
     response = pending_response.PendingResponse(loop=loop, call=call, limit_s=0.75, on_timeout=lambda response: None)
-    barrier.wait(response=response, topic="spec", number=3, until=response.begun_at + MAX_WAIT_S)
+    barrier.wait(response=response, topic="spec", number=3, until=response.started_at + MAX_WAIT_S)
     return barrier, publisher, call, loop
 
 
 def test_wait_acknowledges_once_all_connected_proxies_have_applied_the_change():
-    links = [PeerConnection(), PeerConnection()]
-    barrier, publisher, call, _loop = make(links)
+    links = [FakeConnection(), FakeConnection()]
+    barrier, publisher, call, _loop = make_barrier(links)
     assert call.answers == []
     publisher.handle_acknowledgement(links[0], acknowledgement(3))
     barrier.check()
@@ -60,16 +60,16 @@
 
 
 def test_check_does_not_wait_for_disconnected_proxies():
-    links = [PeerConnection(), PeerConnection()]
-    barrier, publisher, call, _loop = make(links)
+    links = [FakeConnection(), FakeConnection()]
+    barrier, publisher, call, _loop = make_barrier(links)
     publisher.handle_acknowledgement(links[0], acknowledgement(3))
-    links.pop()
+    links.pop()  # the lease of this proxy ran out, so it is no longer listed
     barrier.check()
     assert len(call.answers) == 1
 
 
 def test_wait_acknowledges_exactly_once_when_its_limit_is_reached():
-    barrier, _publisher, call, loop = make([PeerConnection()])
+    barrier, _publisher, call, loop = make_barrier([FakeConnection()])
     loop.world.run(until=MAX_WAIT_S - 0.01)
     assert call.answers == []
     loop.world.run(until=MAX_WAIT_S + 0.01)
--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -1,7 +1,8 @@
-"""Orders in seeded histories: several nodes and operators, lost answers, restarts, emptied disks, cuts, set moves.
+"""Orders in seeded histories of several core nodes and operators.
 
-What must hold is in ploverward/simulation/order_history.py and docs/orders.md. No history uses more than simulated
-time.
+The histories contain lost answers, restarts, wiped disks, network cuts and moves of the core set. The properties that
+must hold are checked by ploverward/simulation/order_history.py and described in docs/orders.md. All histories run in
+simulated time.
 """
 
 import pytest
@@ -87,7 +88,7 @@
     node = simulation.nodes["a"]
     changes = []
     change = node.proposer.change
-    node.registers.change = lambda **about: (changes.append(about["name"]), change(**about))
+    node.registers.change = lambda **arguments: (changes.append(arguments["name"]), change(**arguments))
     data = order_simulation.encode(order_simulation.configuration(edition=1))
     outcome = []
     for _copy in range(4):
@@ -109,7 +110,7 @@
 
 
 def _call_node(simulation, name, *, method="PUT", target="/ploverward/configuration", data=b"", base=0):
-    """(status, body, seconds) once answered."""
+    """Calls a node and returns the answers as (status, address of a redirect, seconds until the answer)."""
     outcome = []
     begun = simulation.world.now()
     call = order_nodes.Call(
@@ -134,35 +135,35 @@
 )
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_isolated_node_redirects_calls_to_another_node(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_isolated_node_redirects_calls_to_another_node(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.world.run(until=1.0)
     _isolate(simulation, "a")
-    ((status, address, seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 307 and address in ("b", "c") and seconds < 0.1
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_node_unaware_of_its_isolation_answers_503_within_the_caller_timeout(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_node_unaware_of_its_isolation_answers_503_within_the_caller_timeout(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
-    ((status, _address, seconds),) = _call_node(simulation, "a", **about)
+    ((status, _address, seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 503 and 0.5 < seconds < 0.9
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_non_voting_or_shutting_down_node_redirects_calls(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_non_voting_or_shutting_down_node_redirects_calls(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["b"].stop()
     simulation.nodes["a"].stop(is_wiped=True)
     simulation.nodes["a"].start()
-    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, _seconds),) = _call_node(simulation, "a", **arguments)
     assert not simulation.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["a"].order_api.shut_down()
-    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, _seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 307 and address in ("b", "c")
 
 
@@ -172,17 +173,16 @@
     simulation.world.delay = (0.01, 0.2)
     outcome = []
     data = order_simulation.encode(order_simulation.configuration(edition=4))
-    about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
+    arguments = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
     simulation.nodes["a"].handle_call(
-        order_nodes.Call(**about, on_answer=lambda status, *_about: outcome.append(status))
+        order_nodes.Call(**arguments, on_answer=lambda status, *_arguments: outcome.append(status))
     )
     simulation.world.later(simulation.world.chance.uniform(0.0, 0.6), simulation.nodes["a"].order_api.shut_down)
     simulation.world.later(0.65, simulation.nodes["a"].stop)
     simulation.world.run(until=3.0)
     assert outcome in ([], [200], [503])
-    simulation.send(
-        method="PUT", base=0, data=data
-    )  # as the protocol has it: to any node, until there is a clear answer
+    # As the protocol says, the operator resends the order to any node until the answer is clear.
+    simulation.send(method="PUT", base=0, data=data)
     simulation.world.run(until=40.0)
     assert [order.status for order in simulation.sent] == [200] and simulation.violations() == []
 
@@ -190,25 +190,25 @@
 def test_schema_check_runs_off_the_event_loop(monkeypatch):
     simulation = order_simulation.OrderSimulation(seed=1)
     loop = simulation.nodes["a"].loop
-    places = []
+    locations = []
     offload, check = loop.offload, schema.check
 
-    def marked(*, work, done):
+    def marking_offload(*, work, done):
         def run():
-            places.append("off")
+            locations.append("off")
             try:
                 return work()
             finally:
-                places.pop()
+                locations.pop()
 
         offload(work=run, done=done)
 
-    def watched(*, body):
-        assert places == ["off"]
+    def checking_location(*, body):
+        assert locations == ["off"]
         return check(body=body)
 
-    loop.offload = marked
-    monkeypatch.setattr(schema, "check", watched)
+    loop.offload = marking_offload
+    monkeypatch.setattr(schema, "check", checking_location)
     first = _call_node(simulation, "a", data=order_simulation.encode(order_simulation.configuration(edition=4)))
     patch = order_simulation.encode(
         {"edition": 6, "upsert": {"routes": [{**order_simulation.ROUTE_PATCH, "expiryMs": 5}]}}
@@ -218,14 +218,17 @@
 
 
 def test_orders_that_time_out_in_the_queue_do_not_block_later_orders():
-    """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
+    """Eight orders wait at a node that is cut off; after the cut it must accept orders again.
+
+    The fault is described in docs/incidents/queue-stuck.md.
+    """
     simulation = order_simulation.OrderSimulation(seed=5)
     simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
     for number in range(8):
         data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
-        about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-        simulation.nodes["a"].handle_call(order_nodes.Call(**about, on_answer=lambda *_about: None))
+        arguments = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
+        simulation.nodes["a"].handle_call(order_nodes.Call(**arguments, on_answer=lambda *_arguments: None))
     simulation.world.run(until=8.0)
     simulation.world.partitions.clear()
     ((status, _address, _seconds),) = _call_node(simulation, "a", **CALLS[0])
@@ -234,7 +237,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_evacuations_match_the_last_acknowledged_order(seed):
-    """One operator, one order after the other; each is resent until it is acknowledged or its time is over."""
+    """One operator sends one order at a time and resends it until it is acknowledged or its time is over."""
     outcome = order_simulation.run_evacuations(seed=seed)
     assert outcome.wrong == [] and outcome.acknowledged > 20
 
@@ -272,7 +275,7 @@
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
-# The checker and the tests above find what they are for.
+# The tests below plant faults and check that the checker and the histories above detect them.
 
 
 def test_checker_detects_a_window_of_48_orders_without_an_archive(monkeypatch):
@@ -307,7 +310,10 @@
 
 
 def test_histories_detect_late_evacuation_attempts_that_undo_other_orders(monkeypatch):
-    """The former edit: each attempt set the zone anew (docs/incidents/evacuation-undone.md)."""
+    """Plants the former edit, of which each attempt set the zone again (docs/incidents/evacuation-undone.md).
+
+    A late attempt then undid an opposite order that was acknowledged in the meantime.
+    """
 
     def edit_for(*, zone, is_out, is_late):
         def edit(payload):
@@ -321,11 +327,11 @@
 
     change = proposer.Proposer.change
 
-    def change_to_the_end(self, *, is_wanted=None, **about):
-        change(self, **about)  # the former rounds went on when their callers had been left
+    def change_without_is_wanted(self, *, is_wanted=None, **arguments):
+        change(self, **arguments)  # former rounds continued after their callers were answered
 
     monkeypatch.setattr(evacuations, "edit_for", edit_for)
-    monkeypatch.setattr(proposer.Proposer, "change", change_to_the_end)
+    monkeypatch.setattr(proposer.Proposer, "change", change_without_is_wanted)
     assert any(order_simulation.run_evacuations(seed=seed).wrong for seed in range(60))
 
 
--- a/ploverward/control_plane/operator_api/test_retire_handlers.py
+++ b/ploverward/control_plane/operator_api/test_retire_handlers.py
@@ -1,4 +1,4 @@
-"""Calls that have a store emptied: orders, answers, what is refused."""
+"""Tests of the calls that retire a store: accepted orders, reports and refusals."""
 
 import json
 
@@ -9,7 +9,7 @@
 from ploverward.control_plane.operator_api import retire_handlers
 
 
-class Call:
+class FakeCall:
     def __init__(self, body=b'{"overS":10}'):
         self.body = body
         self.status = None
@@ -19,8 +19,8 @@
         self.status, self.answered = int(status), json.loads(json.dumps(body))
 
 
-class Lifecycle:
-    """Changes a register at once and acknowledges that."""
+class FakeLifecycle:
+    """Applies each edit at once and acknowledges it."""
 
     def __init__(self):
         self.roles = {}
@@ -38,7 +38,7 @@
         answer(call, self.roles)
 
 
-class Stores:
+class FakeStoreDirectory:
     def __init__(self, count):
         self.names = {f"store-{number}": f"10.{number}.0.1" for number in range(count)}
 
@@ -60,57 +60,59 @@
         }
 
 
-class Scene:
+class Harness:
     def __init__(self, count=4):
-        self.lifecycle = Lifecycle()
-        self.handlers = retire_handlers.RetireHandlers(lifecycle=self.lifecycle, stores=Stores(count), copies=3)
+        self.lifecycle = FakeLifecycle()
+        self.handlers = retire_handlers.RetireHandlers(
+            lifecycle=self.lifecycle, stores=FakeStoreDirectory(count), copies=3
+        )
 
     def post(self, node, body=b'{"overS":10}'):
-        call = Call(body)
+        call = FakeCall(body)
         self.handlers.handle_post(call, node)
         return call
 
     def condition(self, node):
-        call = Call()
+        call = FakeCall()
         self.handlers.handle_get(call, node)
         return call.status, call.answered.get("condition")
 
 
-def arrangement(*addresses):
+def packed_owners(*addresses):
     members = tuple(batch_partitions.Member(address, f"disk-{address}") for address in addresses)
     return list(batch_partitions.pack_owners(batch_partitions.PartitionOwners(1, members)))
 
 
 def test_get_reports_in_service_until_no_partition_lists_the_store():
-    scene = Scene()
-    scene.lifecycle.roles = {"jobs/0": arrangement("10.0.0.1", "10.1.0.1", "10.2.0.1")}
-    assert scene.condition("store-0") == (200, "in_service")
-    assert scene.post("store-0").status == 200
-    assert scene.condition("store-0") == (200, "in_service")
-    scene.lifecycle.roles["jobs/0"] = arrangement("10.3.0.1", "10.1.0.1", "10.2.0.1")
-    assert scene.condition("store-0") == (200, "delivered")
-    assert scene.condition("store-1") == (200, "in_service")  # nobody asked for it
+    harness = Harness()
+    harness.lifecycle.roles = {"jobs/0": packed_owners("10.0.0.1", "10.1.0.1", "10.2.0.1")}
+    assert harness.condition("store-0") == (200, "in_service")
+    assert harness.post("store-0").status == 200
+    assert harness.condition("store-0") == (200, "in_service")
+    harness.lifecycle.roles["jobs/0"] = packed_owners("10.3.0.1", "10.1.0.1", "10.2.0.1")
+    assert harness.condition("store-0") == (200, "delivered")
+    assert harness.condition("store-1") == (200, "in_service")  # its retirement was not ordered
 
 
 def test_repeated_post_is_acknowledged_and_recorded_once():
-    scene = Scene()
-    assert scene.post("store-0").status == scene.post("store-0", body=b"").status == 200
-    assert len(scene.lifecycle.roles) == 1
+    harness = Harness()
+    assert harness.post("store-0").status == harness.post("store-0", body=b"").status == 200
+    assert len(harness.lifecycle.roles) == 1
 
 
 def test_calls_on_an_unknown_store_return_404():
-    scene = Scene()
-    assert scene.post("store-9").status == 404 and scene.condition("store-9") == (404, None)
+    harness = Harness()
+    assert harness.post("store-9").status == 404 and harness.condition("store-9") == (404, None)
 
 
 def test_post_returns_409_and_changes_nothing_if_too_few_stores_would_remain():
-    scene = Scene(count=3)
-    call = scene.post("store-0")
-    assert call.status == 409 and "store-0" in call.answered["error"] and not scene.lifecycle.roles
+    harness = Harness(count=3)
+    call = harness.post("store-0")
+    assert call.status == 409 and "store-0" in call.answered["error"] and not harness.lifecycle.roles
 
 
 @pytest.mark.parametrize("body", [b"{", b"[]", b'{"overS":-1}', b'{"overS":"soon"}', b'{"overS":1e999}'])
 def test_post_with_an_invalid_body_returns_400_and_changes_nothing(body):
-    scene = Scene()
-    call = scene.post("store-0", body=body)
-    assert call.status == 400 and call.answered["error"] and not scene.lifecycle.roles
+    harness = Harness()
+    call = harness.post("store-0", body=body)
+    assert call.status == 400 and call.answered["error"] and not harness.lifecycle.roles
--- a/ploverward/control_plane/operator_api/test_rollout_handlers.py
+++ b/ploverward/control_plane/operator_api/test_rollout_handlers.py
@@ -1,4 +1,4 @@
-"""Calls about roll-outs at a core node: what is acknowledged, what is refused, what changes nothing."""
+"""Tests of the calls on roll-outs at a core node: acknowledgements, refusals and the register's changes."""
 
 import json
 import types
@@ -16,7 +16,7 @@
 CONFIGURATION = {"body": {"destinations": [{"name": "pool"}, {"name": "portal"}]}}
 
 
-class Call:
+class FakeCall:
     def __init__(self, body=b""):
         self.body = body
         self.answered = None
@@ -32,8 +32,8 @@
         self.answer(status=307, body={"location": address})
 
 
-class Loop:
-    """Timers that nobody runs, and rounds that end when they are told to."""
+class FakeLoop:
+    """A loop whose timers never fire."""
 
     def __init__(self):
         self.timers = []
@@ -50,13 +50,13 @@
             self.timers.remove(timer)
 
 
-class Node:
-    def __init__(self, *, applied=CONFIGURATION["body"], contact=True):
+class NodeHarness:
+    def __init__(self, *, applied=CONFIGURATION["body"], has_contact=True):
         self.values = {register_names.CONFIGURATION: CONFIGURATION, register_names.ROLLOUTS: None}
         self.error = None
         self.changes = 0
-        self.loop = Loop()
-        publisher = types.SimpleNamespace(lagging=lambda **_about: [])
+        self.loop = FakeLoop()
+        publisher = types.SimpleNamespace(lagging=lambda **_arguments: [])
         self.order_api = order_api.OrderApi(
             loop=self.loop,
             registers=types.SimpleNamespace(change=self.change, read=self.read),
@@ -66,7 +66,7 @@
             zones=lambda: {"z": "r"},
             receipt_s=8.0,
             is_voting=lambda: True,
-            has_majority_contact=lambda: contact,
+            has_majority_contact=lambda: has_contact,
         )
 
     def change(self, *, name, edit, done, is_wanted):
@@ -74,7 +74,7 @@
             done(self.error, 0, None, None)
             return
         try:
-            value, _said = edit(self.values[name])
+            value, _result = edit(self.values[name])
         except errors.PloverwardError as failure:
             done(failure, 0, None, None)
             return
@@ -86,12 +86,12 @@
         done(self.error, 1, self.values[name], None)
 
     def post(self, **body):
-        call = Call(json.dumps(body).encode())
+        call = FakeCall(json.dumps(body).encode())
         self.order_api.rollouts.handle_post(call)
         return call.answered
 
     def get(self, service):
-        call = Call()
+        call = FakeCall()
         self.order_api.rollouts.handle_get(call, service)
         return call.answered
 
@@ -100,7 +100,7 @@
 
 
 def test_repeated_order_is_acknowledged_each_time_and_applied_once():
-    node = Node()
+    node = NodeHarness()
     assert [node.post(**ORDER)[0] for _index in range(3)] == [200, 200, 200]
     assert node.changes == 1
     status, body = node.get("pool")
@@ -108,7 +108,7 @@
 
 
 def test_second_rollout_of_a_service_returns_409_and_one_of_another_service_starts():
-    node = Node()
+    node = NodeHarness()
     node.post(**ORDER)
     status, body = node.post(**{**ORDER, "targetEdition": "v3"})
     assert status == 409 and body["targetEdition"] == "v2"
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    "about, field_path",
+    "overrides, field_path",
     [
         ({"destination": "nobody"}, "destination"),
         ({"targetEdition": None}, "targetEdition"),
@@ -125,29 +125,29 @@
         ({"overS": -1}, "overS"),
     ],
 )
-def test_invalid_order_returns_400_and_changes_nothing(about, field_path):
-    node = Node()
-    status, body = node.post(**{**ORDER, **about})
+def test_invalid_order_returns_400_and_changes_nothing(overrides, field_path):
+    node = NodeHarness()
+    status, body = node.post(**{**ORDER, **overrides})
     assert (status, body["place"], node.changes) == (400, field_path, 0)
 
 
 def test_service_unknown_to_this_node_is_looked_up_in_the_register():
-    node = Node(applied=None)
+    node = NodeHarness(applied=None)
     assert node.post(**ORDER)[0] == 200
     assert node.post(**{**ORDER, "destination": "nobody"})[0] == 400
 
 
 def test_calls_return_503_without_a_quorum_and_307_on_an_isolated_node():
-    node = Node()
+    node = NodeHarness()
     node.error = errors.QuorumUnavailableError("no majority answered in time")
     assert node.post(**ORDER)[0] == 503 and node.get("pool")[0] == 503
-    isolated = Node(contact=False)
+    isolated = NodeHarness(has_contact=False)
     assert isolated.post(**ORDER)[0] == 307 and isolated.get("pool")[0] == 307 and isolated.changes == 0
 
 
 @pytest.mark.parametrize("stage", [state.Stage.DELIVERED, state.Stage.RETURNED])
 def test_get_reports_the_final_stage_of_an_ended_rollout(stage):
-    node = Node()
+    node = NodeHarness()
     node.post(**ORDER)
     row = state.rollouts_of(node.values[register_names.ROLLOUTS])["pool"]
     for step in (state.Stage.PROMOTING, state.Stage.DRAINING, stage):
@@ -162,4 +162,4 @@
 
 
 def test_get_returns_404_for_a_service_without_a_rollout():
-    assert Node().get("pool")[0] == 404
+    assert NodeHarness().get("pool")[0] == 404
--- a/ploverward/control_plane/operator_api/test_router.py
+++ b/ploverward/control_plane/operator_api/test_router.py
@@ -1,4 +1,4 @@
-"""Every call gets a clear answer and raises no exception, whatever its head contains."""
+"""Tests of routing: every call gets one answer and raises no exception, whatever its head contains."""
 
 import json
 import types
@@ -15,8 +15,8 @@
 PRINTABLE = strategies.binary(max_size=30).map(lambda data: bytes(0x21 + byte % 94 for byte in data))
 
 
-class Request:
-    """What ploverward.transport.http_server hands over."""
+class FakeRequest:
+    """A stand-in for the requests of `ploverward.transport.http_server`."""
 
     def __init__(self, *, method=b"GET", target=b"/", headers=(), body=b""):
         self.method = method
@@ -29,13 +29,14 @@
         self.replies.append((status, dict(headers), body))
 
 
-def make(*, has_contact=True):
+def make_router(*, has_contact=True):
     loop = simulated_world.Loop(world=simulated_world.World(seed=1))
     changes = []
-    handling = order_api.OrderApi(
+    api = order_api.OrderApi(
         loop=loop,
         registers=types.SimpleNamespace(
-            change=lambda **about: changes.append(about["name"]), read=lambda **about: changes.append(about["name"])
+            change=lambda **arguments: changes.append(arguments["name"]),
+            read=lambda **arguments: changes.append(arguments["name"]),
         ),
         apply_barrier=None,
         redirector=redirector.Redirector(
@@ -47,12 +48,12 @@
         is_voting=lambda: True,
         has_majority_contact=lambda: has_contact,
     )
-    return router.Router(rules=handling.rules()), loop, changes
+    return router.Router(rules=api.rules()), loop, changes
 
 
 def respond(request, *, has_contact=True) -> tuple:
-    routing, loop, changes = make(has_contact=has_contact)
-    routing.handle(request)
+    request_router, loop, changes = make_router(has_contact=has_contact)
+    request_router.handle(request)
     loop.world.run(until=5.0)
     ((status, headers, body),) = request.replies
     return status, headers, json.loads(body), changes
@@ -67,14 +68,14 @@
     body=strategies.binary(max_size=20),
 )
 def test_any_request_head_gets_exactly_one_response(method, tail, version, body):
-    request = Request(method=method, target=b"/ploverward" + tail, headers=[(b"if-match", version)], body=body)
+    request = FakeRequest(method=method, target=b"/ploverward" + tail, headers=[(b"if-match", version)], body=body)
     status, _headers, answer, changes = respond(request)
     assert status in (400, 404, 405) and answer["error"] or status == 503 and changes
 
 
 @pytest.mark.parametrize("version", [b"", b"x", b"-1", b"1.0", b'W/"1"', b'"1', b"\xb2", b"9" * 20, b"1,2", b"*"])
 def test_malformed_if_match_returns_400_that_names_the_header(version):
-    request = Request(
+    request = FakeRequest(
         method=b"PUT", target=b"/ploverward/configuration", headers=[(b"if-match", version)], body=b'{"edition":3}'
     )
     status, _headers, answer, changes = respond(request)
@@ -82,20 +83,22 @@
 
 
 def test_missing_if_match_returns_400_that_names_the_header():
-    status, _headers, answer, changes = respond(Request(method=b"PATCH", target=b"/ploverward/configuration"))
+    status, _headers, answer, changes = respond(FakeRequest(method=b"PATCH", target=b"/ploverward/configuration"))
     assert (status, answer["place"], changes) == (400, "If-Match", [])
 
 
 def test_zone_in_the_path_is_percent_decoded():
-    assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/z%20b"))[3] == ["evac"]
-    assert respond(Request(method=b"POST", target=b"/ploverward/evacuation/zc"))[0] == 404
+    assert respond(FakeRequest(method=b"POST", target=b"/ploverward/evacuation/z%20b"))[3] == ["evac"]
+    assert respond(FakeRequest(method=b"POST", target=b"/ploverward/evacuation/zc"))[0] == 404
 
 
 def test_redirect_keeps_the_request_target():
-    request = Request(method=b"POST", target=b"/ploverward/evacuation/z%20b?x=1")
+    request = FakeRequest(method=b"POST", target=b"/ploverward/evacuation/z%20b?x=1")
     status, headers, _answer, changes = respond(request, has_contact=False)
     assert status == 307 and changes == []
-    assert headers[b"Location"] == b"http://c:81/ploverward/evacuation/z%20b?x=1"  # no link to it: maybe the other side
+    assert (
+        headers[b"Location"] == b"http://c:81/ploverward/evacuation/z%20b?x=1"
+    )  # not connected to c, so c may be on the majority's side
 
 
 def test_choose_address_rotates_among_the_preferred_members():
--- a/ploverward/control_plane/operator_api/test_tally_handlers.py
+++ b/ploverward/control_plane/operator_api/test_tally_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on tallies: bad input gets one clear answer and changes nothing."""
+"""Tests of the calls on tallies: invalid input gets one answer and changes nothing."""
 
 import json
 
@@ -12,8 +12,8 @@
 from ploverward.transport.messages import TallyAdd
 
 
-class Request:
-    """What ploverward.transport.http_server hands over."""
+class FakeRequest:
+    """A stand-in for the requests of `ploverward.transport.http_server`."""
 
     def __init__(self, *, method, target, body=b""):
         self.method, self.target, self.headers, self.body = method, target, (), body
@@ -24,8 +24,8 @@
         self.replies.append((status, json.loads(body)))
 
 
-class Tallies:
-    """A service that notes what it is asked."""
+class FakeTallyService:
+    """A tally service that records adds."""
 
     def __init__(self):
         self.has_room, self.is_merged, self.adds, self.forgotten = True, True, [], 0
@@ -52,16 +52,16 @@
         )
 
 
-class Scene:
-    """The handlers behind the real router."""
+class Harness:
+    """The tally handlers behind a real router."""
 
     def __init__(self):
-        self.tallies = Tallies()
+        self.tallies = FakeTallyService()
         self.handlers = tally_handlers.TallyHandlers(tallies=self.tallies, node_name=lambda: "n1")
         self.router = router.Router(rules=self.handlers.rules())
 
     def call(self, method, target, body=b""):
-        request = Request(method=method, target=target, body=body)
+        request = FakeRequest(method=method, target=target, body=body)
         self.router.handle(request)
         assert len(request.replies) == 1
         return request.replies[0]
@@ -71,17 +71,17 @@
 
 
 def test_add_reaches_the_tally_service_and_get_returns_the_sum():
-    scene = Scene()
-    assert scene.add({"id": "5c0e7a21d94b36f8", "actor": 4})[0] == 200
-    assert scene.tallies.adds == [TallyAdd("t3", "5c0e7a21d94b36f8", 4)]
-    assert scene.call(b"GET", b"/ploverward/tallies/t3") == (200, {"total": 1873})
+    harness = Harness()
+    assert harness.add({"id": "5c0e7a21d94b36f8", "actor": 4})[0] == 200
+    assert harness.tallies.adds == [TallyAdd("t3", "5c0e7a21d94b36f8", 4)]
+    assert harness.call(b"GET", b"/ploverward/tallies/t3") == (200, {"total": 1873})
 
 
 @pytest.mark.parametrize("amount", [0, -7, 2**53 - 1, -(2**53 - 1)])
 def test_add_accepts_zero_and_negative_amounts(amount):
-    scene = Scene()
-    assert scene.add({"id": "x", "actor": amount, "more": "is ignored"})[0] == 200
-    assert scene.tallies.adds == [TallyAdd("t3", "x", amount)]
+    harness = Harness()
+    assert harness.add({"id": "x", "actor": amount, "more": "is ignored"})[0] == 200
+    assert harness.tallies.adds == [TallyAdd("t3", "x", amount)]
 
 
 @pytest.mark.parametrize(
@@ -112,44 +112,44 @@
     ],
 )
 def test_malformed_add_returns_400_and_changes_nothing(body):
-    scene = Scene()
-    status, answer = scene.add(body)
+    harness = Harness()
+    status, answer = harness.add(body)
     assert status == 400 and answer["error"] and "\n" not in answer["error"]
-    assert scene.tallies.adds == []
+    assert harness.tallies.adds == []
 
 
 @pytest.mark.parametrize("name", [b"a%0Ab", b"x" * 129, b"%00"])
 def test_calls_with_an_invalid_tally_name_return_400(name):
-    scene = Scene()
+    harness = Harness()
     target = b"/ploverward/tallies/" + name
-    assert scene.add({"id": "x", "actor": 1}, target=target)[0] == 400
-    assert scene.call(b"GET", target)[0] == 400
-    assert scene.tallies.adds == []
+    assert harness.add({"id": "x", "actor": 1}, target=target)[0] == 400
+    assert harness.call(b"GET", target)[0] == 400
+    assert harness.tallies.adds == []
 
 
 @hypothesis.given(strategies.binary(max_size=60))
 def test_any_add_body_gets_exactly_one_response(body):
-    status, _answer = Scene().add(body)
+    status, _answer = Harness().add(body)
     assert status in (200, 400)
 
 
 def test_add_returns_503_and_changes_nothing_without_room_or_during_shutdown():
-    scene = Scene()
-    scene.tallies.has_room = False
-    assert scene.add({"id": "x", "actor": 1})[0] == 503
-    scene.tallies.has_room = True
-    scene.handlers.shut_down()
-    assert scene.add({"id": "x", "actor": 1})[0] == 503
-    assert scene.tallies.adds == []
+    harness = Harness()
+    harness.tallies.has_room = False
+    assert harness.add({"id": "x", "actor": 1})[0] == 503
+    harness.tallies.has_room = True
+    harness.handlers.shut_down()
+    assert harness.add({"id": "x", "actor": 1})[0] == 503
+    assert harness.tallies.adds == []
 
 
 def test_get_returns_503_before_the_node_has_merged():
-    scene = Scene()
-    scene.tallies.is_merged = False
-    assert scene.call(b"GET", b"/ploverward/tallies/t3")[0] == 503
+    harness = Harness()
+    harness.tallies.is_merged = False
+    assert harness.call(b"GET", b"/ploverward/tallies/t3")[0] == 503
 
 
 def test_get_all_reports_all_sums_and_the_state_of_the_peers():
-    status, body = Scene().call(b"GET", b"/ploverward/tallies")
+    status, body = Harness().call(b"GET", b"/ploverward/tallies")
     assert status == 200 and body["totals"] == {"t3": 4} and body["kept"] == 2
     assert body["peers"] == {"10.0.0.2": {"inReach": False, "behind": None}}
