--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -1,7 +1,8 @@
-"""Orders in seeded histories: several nodes and operators, lost answers, restarts, emptied disks, cuts, set moves.
+"""Orders in seeded histories of several core nodes and operators.
 
-What must hold is in ploverward/simulation/order_history.py and docs/orders.md. No history uses more than simulated
-time.
+The histories contain lost answers, restarts, wiped disks, network cuts and moves of the core set. The properties that
+must hold are checked by ploverward/simulation/order_history.py and described in docs/orders.md. All histories run in
+simulated time.
 """
 
 import pytest
@@ -17,7 +18,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_orders_of_operators_who_race_through_faults(seed):
+def test_concurrent_orders_stay_consistent_through_faults(seed):
     simulation = order_simulation.run_simulation(seed=seed, operators=3, count=60)
     assert simulation.violations() == []
     assert len(simulation.chosen) > 40
@@ -27,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_hundreds_of_changes_and_each_of_them_sent_again(seed):
+def test_hundreds_of_orders_are_acknowledged_again_when_resent(seed):
     simulation = order_simulation.run_simulation(seed=seed, operators=2, count=220, again=0.1)
     assert simulation.violations() == []
     assert len(simulation.chosen) > 250
@@ -36,7 +37,7 @@
     assert payload is not None
 
 
-def test_an_order_that_was_not_taken_is_refused_however_old_its_base():
+def test_unaccepted_order_returns_412_however_old_its_base_is():
     simulation = order_simulation.run_simulation(seed=1, operators=1, count=150, loss=0.0, fault_count=0, again=0.0)
     outcome = []
     for base in (0, sorted(simulation.chosen)[3], sorted(simulation.chosen)[-2]):
@@ -48,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_old_orders_are_known_after_a_move_of_the_set_and_an_emptied_disk(seed):
+def test_old_orders_are_recognised_after_a_core_set_move_and_a_wiped_disk(seed):
     simulation = order_simulation.OrderSimulation(seed=seed, names=("a", "b", "c", "d"))
     simulation.world.delay = (0.001, 0.01)
     operator = order_simulation.Operator(simulation=simulation, count=150, again=0.0)
@@ -71,7 +72,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_two_operators_on_one_version_and_exactly_one_is_confirmed(seed):
+def test_exactly_one_of_several_orders_on_one_base_is_accepted(seed):
     simulation = order_simulation.OrderSimulation(seed=seed)
     simulation.world.loss = 0.05
     for number in range(8):
@@ -82,12 +83,12 @@
     assert sorted(order.status for order in simulation.sent) == [200] + [412] * 7
 
 
-def test_a_duplicate_order_joins_the_round_in_progress():
+def test_duplicate_orders_join_the_round_in_progress():
     simulation = order_simulation.OrderSimulation(seed=4, names=("a", "b", "c"))
     node = simulation.nodes["a"]
     changes = []
     change = node.proposer.change
-    node.registers.change = lambda **about: (changes.append(about["name"]), change(**about))
+    node.registers.change = lambda **arguments: (changes.append(arguments["name"]), change(**arguments))
     data = order_simulation.encode(order_simulation.configuration(edition=1))
     outcome = []
     for _copy in range(4):
@@ -109,7 +110,7 @@
 
 
 def _call_node(simulation, name, *, method="PUT", target="/ploverward/configuration", data=b"", base=0):
-    """(status, body, seconds) once answered."""
+    """Calls a node and returns the answers as (status, address of a redirect, seconds until the answer)."""
     outcome = []
     begun = simulation.world.now()
     call = order_nodes.Call(
@@ -134,81 +135,80 @@
 )
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_knows_it_is_isolated_redirects_the_caller(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_isolated_node_redirects_calls_to_another_node(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.world.run(until=1.0)
     _isolate(simulation, "a")
-    ((status, address, seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 307 and address in ("b", "c") and seconds < 0.1
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_a_node_unaware_of_its_isolation_leaves_the_call_within_a_second(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_node_unaware_of_its_isolation_answers_503_within_the_caller_timeout(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
-    ((status, _address, seconds),) = _call_node(simulation, "a", **about)
+    ((status, _address, seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 503 and 0.5 < seconds < 0.9
 
 
-@pytest.mark.parametrize("about", CALLS)
-def test_a_node_that_has_not_learned_its_state_or_is_leaving_refuses_nothing(about):
+@pytest.mark.parametrize("arguments", CALLS)
+def test_non_voting_or_shutting_down_node_redirects_calls(arguments):
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["b"].stop()
     simulation.nodes["a"].stop(is_wiped=True)
     simulation.nodes["a"].start()
-    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, _seconds),) = _call_node(simulation, "a", **arguments)
     assert not simulation.nodes["a"].acceptor.votes and status == 307 and address in ("b", "c")
     simulation = order_simulation.OrderSimulation(seed=2)
     simulation.nodes["a"].order_api.shut_down()
-    ((status, address, _seconds),) = _call_node(simulation, "a", **about)
+    ((status, address, _seconds),) = _call_node(simulation, "a", **arguments)
     assert status == 307 and address in ("b", "c")
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_orders_in_progress_when_a_node_leaves_are_taken_or_left(seed):
+def test_order_in_progress_during_a_shutdown_is_accepted_or_can_be_resent(seed):
     simulation = order_simulation.OrderSimulation(seed=seed)
     simulation.world.delay = (0.01, 0.2)
     outcome = []
     data = order_simulation.encode(order_simulation.configuration(edition=4))
-    about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
+    arguments = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
     simulation.nodes["a"].handle_call(
-        order_nodes.Call(**about, on_answer=lambda status, *_about: outcome.append(status))
+        order_nodes.Call(**arguments, on_answer=lambda status, *_arguments: outcome.append(status))
     )
     simulation.world.later(simulation.world.chance.uniform(0.0, 0.6), simulation.nodes["a"].order_api.shut_down)
     simulation.world.later(0.65, simulation.nodes["a"].stop)
     simulation.world.run(until=3.0)
     assert outcome in ([], [200], [503])
-    simulation.send(
-        method="PUT", base=0, data=data
-    )  # as the protocol has it: to any node, until there is a clear answer
+    # As the protocol says, the operator resends the order to any node until the answer is clear.
+    simulation.send(method="PUT", base=0, data=data)
     simulation.world.run(until=40.0)
     assert [order.status for order in simulation.sent] == [200] and simulation.violations() == []
 
 
-def test_routes_are_checked_off_the_loop(monkeypatch):
+def test_schema_check_runs_off_the_event_loop(monkeypatch):
     simulation = order_simulation.OrderSimulation(seed=1)
     loop = simulation.nodes["a"].loop
-    places = []
+    locations = []
     offload, check = loop.offload, schema.check
 
-    def marked(*, work, done):
+    def marking_offload(*, work, done):
         def run():
-            places.append("off")
+            locations.append("off")
             try:
                 return work()
             finally:
-                places.pop()
+                locations.pop()
 
         offload(work=run, done=done)
 
-    def watched(*, body):
-        assert places == ["off"]
+    def checking_location(*, body):
+        assert locations == ["off"]
         return check(body=body)
 
-    loop.offload = marked
-    monkeypatch.setattr(schema, "check", watched)
+    loop.offload = marking_offload
+    monkeypatch.setattr(schema, "check", checking_location)
     first = _call_node(simulation, "a", data=order_simulation.encode(order_simulation.configuration(edition=4)))
     patch = order_simulation.encode(
         {"edition": 6, "upsert": {"routes": [{**order_simulation.ROUTE_PATCH, "expiryMs": 5}]}}
@@ -217,15 +217,18 @@
     assert [first[0][0], second[0][0]] == [200, 200]
 
 
-def test_orders_whose_time_ran_out_in_the_queue_do_not_block_the_node():
-    """docs/incidents/queue-stuck.md: eight orders meet a cut; after it, this node must take orders again."""
+def test_orders_that_time_out_in_the_queue_do_not_block_later_orders():
+    """Eight orders wait at a node that is cut off; after the cut it must accept orders again.
+
+    The fault is described in docs/incidents/queue-stuck.md.
+    """
     simulation = order_simulation.OrderSimulation(seed=5)
     simulation.nodes["a"].has_majority_contact = lambda: True
     _isolate(simulation, "a")
     for number in range(8):
         data = order_simulation.encode(order_simulation.configuration(edition=3, wait_ms=number + 1))
-        about = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
-        simulation.nodes["a"].handle_call(order_nodes.Call(**about, on_answer=lambda *_about: None))
+        arguments = {"method": "PUT", "target": "/ploverward/configuration", "body": data, "headers": {"If-Match": "0"}}
+        simulation.nodes["a"].handle_call(order_nodes.Call(**arguments, on_answer=lambda *_arguments: None))
     simulation.world.run(until=8.0)
     simulation.world.partitions.clear()
     ((status, _address, _seconds),) = _call_node(simulation, "a", **CALLS[0])
@@ -233,13 +236,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_evacuations_read_back_as_the_last_acknowledged_order_left_them(seed):
-    """One operator, one order after the other; each is resent until it is acknowledged or its time is over."""
+def test_evacuations_match_the_last_acknowledged_order(seed):
+    """One operator sends one order at a time and resends it until it is acknowledged or its time is over."""
     outcome = order_simulation.run_evacuations(seed=seed)
     assert outcome.wrong == [] and outcome.acknowledged > 20
 
 
-def test_an_attempt_that_comes_late_does_not_undo_the_opposite_order():
+def test_late_attempt_of_an_evacuation_does_not_undo_the_opposite_order():
     first = evacuations.edit_for(zone="za", is_evacuated=True, is_late=lambda: False)
     evacuated, _result = first(None)
     back, _result = evacuations.edit_for(zone="za", is_evacuated=False, is_late=lambda: False)(evacuated)
@@ -249,7 +252,7 @@
     assert again["zones"] == ["za"]
 
 
-def test_values_without_the_archive_and_without_turns_are_read():
+def test_edits_accept_payloads_without_archive_and_turns():
     older = {"edition": 9, "body": order_simulation.configuration(edition=9), "recent": [[9, "0" * 20]]}
     data = order_simulation.encode(order_simulation.configuration(edition=12))
     order = orders.read(method="PUT", base=9, data=data)
@@ -262,7 +265,7 @@
     assert back["zones"] == ["zb"]
 
 
-def test_the_archive_takes_each_order_id_once_and_keeps_the_newest():
+def test_archive_stores_each_order_id_once_and_tracks_the_newest_edition():
     rows = [[edition * 3, "%020x" % (edition * 2654435761)] for edition in range(1, 401)]
     payload = None
     for end in (100, 90, 260, 260, 400):
@@ -274,24 +277,24 @@
     assert order_archive.edit_for(rows=rows)(payload)[0] is payload
 
 
-# The checker and the tests above find what they are for.
+# The tests below plant faults and check that the checker and the histories above detect them.
 
 
-def test_the_checker_finds_a_window_of_48_without_an_archive(monkeypatch):
+def test_checker_detects_a_window_of_48_orders_without_an_archive(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-48:])
     monkeypatch.setattr(order_archive, "contains", lambda *, payload, order_id: False)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=80, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
 
-def test_the_checker_finds_order_ids_that_leave_before_they_are_archived(monkeypatch):
+def test_checker_detects_order_ids_dropped_before_they_are_archived(monkeypatch):
     monkeypatch.setattr(orders, "trimmed", lambda *, rows, archived: rows[-orders.MIN_RECENT_ORDERS :])
     monkeypatch.setattr(orders, "MIN_ARCHIVE_BATCH", 10**6)
     simulation = order_simulation.run_simulation(seed=0, operators=1, count=120, fault_count=0, again=0.0)
     assert any("refused with 412" in line for line in simulation.violations())
 
 
-def test_the_checker_finds_orders_taken_on_any_base(monkeypatch):
+def test_checker_detects_orders_accepted_on_any_base(monkeypatch):
     def edit_for(*, order, archived):
         def edit(payload):
             rows = [*orders.recent_of(payload), [order.candidate.edition, order.order_id]]
@@ -308,8 +311,11 @@
     assert any("two orders were confirmed on 0" in line for line in simulation.violations())
 
 
-def test_histories_find_evacuations_whose_late_attempts_undo_others(monkeypatch):
-    """The former edit: each attempt set the zone anew (docs/incidents/evacuation-undone.md)."""
+def test_histories_detect_late_evacuation_attempts_that_undo_other_orders(monkeypatch):
+    """Plants the former edit, of which each attempt set the zone again (docs/incidents/evacuation-undone.md).
+
+    A late attempt then undid an opposite order that was acknowledged in the meantime.
+    """
 
     def edit_for(*, zone, is_evacuated, is_late):
         def edit(payload):
@@ -323,15 +329,15 @@
 
     change = proposer.Proposer.change
 
-    def change_to_the_end(self, *, is_wanted=None, **about):
-        change(self, **about)  # the former rounds went on when their callers had been left
+    def change_without_is_wanted(self, *, is_wanted=None, **arguments):
+        change(self, **arguments)  # former rounds continued after their callers were answered
 
     monkeypatch.setattr(evacuations, "edit_for", edit_for)
-    monkeypatch.setattr(proposer.Proposer, "change", change_to_the_end)
+    monkeypatch.setattr(proposer.Proposer, "change", change_without_is_wanted)
     assert any(order_simulation.run_evacuations(seed=seed).wrong for seed in range(60))
 
 
-def test_the_checker_finds_lost_and_altered_configurations():
+def test_checker_detects_lost_and_altered_configurations():
     order = order_history.SentOrder(method="PUT", base=0, order_id="m", begun=0.0, ended=1.0, status=200)
     chosen = [order_history.ChosenConfiguration(base=0, edition=2, order_id="m", body={"edition": 2})]
     older = order_history.ConfigurationRead(begun=2.0, ended=3.0, edition=0, body=None)
--- a/ploverward/control_plane/operator_api/test_tally_handlers.py
+++ b/ploverward/control_plane/operator_api/test_tally_handlers.py
@@ -1,4 +1,4 @@
-"""Calls on tallies: bad input gets one clear answer and changes nothing."""
+"""Tests of the calls on tallies: invalid input gets one answer and changes nothing."""
 
 import json
 
@@ -12,8 +12,8 @@
 from ploverward.transport.messages import TallyAdd
 
 
-class Request:
-    """What ploverward.transport.http_server hands over."""
+class FakeRequest:
+    """A stand-in for the requests of `ploverward.transport.http_server`."""
 
     def __init__(self, *, method, target, body=b""):
         self.method, self.target, self.headers, self.body = method, target, (), body
@@ -24,8 +24,8 @@
         self.replies.append((status, json.loads(body)))
 
 
-class Tallies:
-    """A service that notes what it is asked."""
+class FakeTallyService:
+    """A tally service that records adds."""
 
     def __init__(self):
         self.has_room, self.is_merged, self.adds, self.forgotten = True, True, [], 0
@@ -52,16 +52,16 @@
         )
 
 
-class Scene:
-    """The handlers behind the real router."""
+class Harness:
+    """The tally handlers behind a real router."""
 
     def __init__(self):
-        self.tallies = Tallies()
+        self.tallies = FakeTallyService()
         self.handlers = tally_handlers.TallyHandlers(tallies=self.tallies, node_name=lambda: "n1")
         self.router = router.Router(rules=self.handlers.rules())
 
     def call(self, method, target, body=b""):
-        request = Request(method=method, target=target, body=body)
+        request = FakeRequest(method=method, target=target, body=body)
         self.router.handle(request)
         assert len(request.replies) == 1
         return request.replies[0]
@@ -70,18 +70,18 @@
         return self.call(b"POST", target, body if isinstance(body, bytes) else json.dumps(body).encode())
 
 
-def test_an_add_and_a_read_as_the_operators_page_shows_them():
-    scene = Scene()
-    assert scene.add({"id": "5c0e7a21d94b36f8", "actor": 4})[0] == 200
-    assert scene.tallies.adds == [TallyAdd("t3", "5c0e7a21d94b36f8", 4)]
-    assert scene.call(b"GET", b"/ploverward/tallies/t3") == (200, {"total": 1873})
+def test_add_reaches_the_tally_service_and_get_returns_the_sum():
+    harness = Harness()
+    assert harness.add({"id": "5c0e7a21d94b36f8", "actor": 4})[0] == 200
+    assert harness.tallies.adds == [TallyAdd("t3", "5c0e7a21d94b36f8", 4)]
+    assert harness.call(b"GET", b"/ploverward/tallies/t3") == (200, {"total": 1873})
 
 
 @pytest.mark.parametrize("amount", [0, -7, 2**53 - 1, -(2**53 - 1)])
-def test_zero_and_negative_amounts_are_adds_too(amount):
-    scene = Scene()
-    assert scene.add({"id": "x", "actor": amount, "more": "is ignored"})[0] == 200
-    assert scene.tallies.adds == [TallyAdd("t3", "x", amount)]
+def test_add_accepts_zero_and_negative_amounts(amount):
+    harness = Harness()
+    assert harness.add({"id": "x", "actor": amount, "more": "is ignored"})[0] == 200
+    assert harness.tallies.adds == [TallyAdd("t3", "x", amount)]
 
 
 @pytest.mark.parametrize(
@@ -111,45 +111,45 @@
         b'{"id": "x", "actor": NaN}',
     ],
 )
-def test_a_malformed_add_is_refused_and_changes_nothing(body):
-    scene = Scene()
-    status, answer = scene.add(body)
+def test_malformed_add_returns_400_and_changes_nothing(body):
+    harness = Harness()
+    status, answer = harness.add(body)
     assert status == 400 and answer["error"] and "\n" not in answer["error"]
-    assert scene.tallies.adds == []
+    assert harness.tallies.adds == []
 
 
 @pytest.mark.parametrize("name", [b"a%0Ab", b"x" * 129, b"%00"])
-def test_an_odd_name_is_refused(name):
-    scene = Scene()
+def test_calls_with_an_invalid_tally_name_return_400(name):
+    harness = Harness()
     target = b"/ploverward/tallies/" + name
-    assert scene.add({"id": "x", "actor": 1}, target=target)[0] == 400
-    assert scene.call(b"GET", target)[0] == 400
-    assert scene.tallies.adds == []
+    assert harness.add({"id": "x", "actor": 1}, target=target)[0] == 400
+    assert harness.call(b"GET", target)[0] == 400
+    assert harness.tallies.adds == []
 
 
 @hypothesis.given(strategies.binary(max_size=60))
-def test_any_body_gets_one_answer(body):
-    status, _answer = Scene().add(body)
+def test_any_add_body_gets_exactly_one_response(body):
+    status, _answer = Harness().add(body)
     assert status in (200, 400)
 
 
-def test_without_room_or_while_shutting_down_an_add_is_refused_before_it_is_made():
-    scene = Scene()
-    scene.tallies.has_room = False
-    assert scene.add({"id": "x", "actor": 1})[0] == 503
-    scene.tallies.has_room = True
-    scene.handlers.shut_down()
-    assert scene.add({"id": "x", "actor": 1})[0] == 503
-    assert scene.tallies.adds == []
+def test_add_returns_503_and_changes_nothing_without_room_or_during_shutdown():
+    harness = Harness()
+    harness.tallies.has_room = False
+    assert harness.add({"id": "x", "actor": 1})[0] == 503
+    harness.tallies.has_room = True
+    harness.handlers.shut_down()
+    assert harness.add({"id": "x", "actor": 1})[0] == 503
+    assert harness.tallies.adds == []
 
 
-def test_a_node_that_has_not_merged_yet_says_so():
-    scene = Scene()
-    scene.tallies.is_merged = False
-    assert scene.call(b"GET", b"/ploverward/tallies/t3")[0] == 503
+def test_get_returns_503_before_the_node_has_merged():
+    harness = Harness()
+    harness.tallies.is_merged = False
+    assert harness.call(b"GET", b"/ploverward/tallies/t3")[0] == 503
 
 
-def test_operators_see_all_sums_and_how_far_the_others_are():
-    status, body = Scene().call(b"GET", b"/ploverward/tallies")
+def test_get_all_reports_all_sums_and_the_state_of_the_peers():
+    status, body = Harness().call(b"GET", b"/ploverward/tallies")
     assert status == 200 and body["totals"] == {"t3": 4} and body["kept"] == 2
     assert body["peers"] == {"10.0.0.2": {"inReach": False, "behind": None}}
