--- a/ploverward/control_plane/audit/test_audit.py
+++ b/ploverward/control_plane/audit/test_audit.py
@@ -28,7 +28,7 @@
     return trail_store.TrailStore(now=lambda: clock[0], retention_s=retention_s, max_trails=max_trails), clock
 
 
-def test_found_by_id_and_by_page():
+def test_find_and_page_return_recorded_trails_in_order():
     trail_log, _clock = make()
     trail_log.record(batch(trail(1), trail(2), node="p1", incarnation="l1", number=0, is_last=False))
     trail_log.record(batch(trail(3), node="p1", incarnation="l1", number=1, is_last=False))
@@ -40,7 +40,7 @@
     assert [row["id"] for row in following.trails] == ["r3"] and not following.has_more
 
 
-def test_bounded_in_number_and_in_time():
+def test_trails_beyond_the_maximum_count_or_the_retention_time_are_dropped():
     trail_log, clock = make(max_trails=10, retention_s=5.0)
     for number in range(30):
         trail_log.record(batch(trail(number), node="p1", incarnation="l1", number=number, is_last=False))
@@ -49,14 +49,14 @@
     assert trail_log.page(after=0, limit=100).trails == [] and trail_log.find("r29") == []
 
 
-def test_a_batch_reported_twice_counts_once():
+def test_a_repeated_batch_is_ignored():
     trail_log, _clock = make()
     for _ in range(2):
         trail_log.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
     assert len(trail_log.find("r1")) == 1
 
 
-def test_a_lost_part_is_missing_not_clean():
+def test_audit_summary_lists_missing_batches_and_unclosed_incarnations():
     trail_log, _clock = make()
     trail_log.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
     trail_log.record(batch(node="p1", incarnation="l1", number=3, is_last=True))
@@ -69,7 +69,7 @@
     ]
 
 
-def test_the_audit_finds_what_is_planted():
+def test_audit_reports_each_planted_violation_and_none_for_clean_trails():
     clean = [trail(1), trail(2, zone="zb"), trail(3, zone="zc", homes=()), trail(4, zone="zc", end="not sent")]
     assert trail_audit.summary(trails=clean, coverage=[], zones=ZONES)["outside"] == []
     planted = [
--- a/ploverward/control_plane/audit/test_custody_service.py
+++ b/ploverward/control_plane/audit/test_custody_service.py
@@ -125,7 +125,7 @@
         return next(row for row in rows if row["life"] == incarnation)
 
 
-def test_what_was_flushed_is_found_by_the_next_process_and_what_was_not_is_missing():
+def test_after_a_restart_flushed_trails_are_found_and_unflushed_batches_are_missing():
     scene = Scene()
     scene.wait(0.1)
     scene.report(0, "a", "b")
@@ -140,7 +140,7 @@
     assert (row["batches"], row["missing_batches"], row["trails"]) == (3, 1, 3)
 
 
-def test_a_batch_that_comes_again_after_a_restart_counts_once():
+def test_a_batch_repeated_after_a_restart_is_counted_once():
     scene = Scene()
     scene.report(0, "a")
     scene.wait(FLUSH_S + 0.1)
@@ -150,7 +150,7 @@
     assert scene.all() == ["a"] and scene.coverage()["missing_batches"] == 0
 
 
-def test_trails_that_memory_dropped_are_found_on_the_disk_in_their_order():
+def test_trails_evicted_from_memory_are_read_from_disk_in_order():
     scene = Scene(max_trails=5)
     scene.wait(0.1)
     names = [f"r{number}" for number in range(40)]
@@ -162,7 +162,7 @@
     assert scene.all() == names
 
 
-def test_several_trails_of_one_request_are_all_found():
+def test_find_returns_all_trails_of_a_request():
     scene = Scene()
     scene.report(0, "a", "b", "a")
     scene.report(0, "a", node="p2", incarnation="l2")
@@ -173,7 +173,7 @@
     assert scene.find("a") == ["a", "a", "a"]
 
 
-def test_first_batches_that_gave_way_to_newer_ones_are_not_missing():
+def test_overwritten_batches_do_not_count_as_missing_after_a_restart():
     scene = Scene(max_trails=2, disk_bytes=8 * 400)
     for number in range(60):
         scene.report(number, f"r{number}")
@@ -187,7 +187,7 @@
     assert row["batches"] == 60 and row["missing_batches"] == 0
 
 
-def test_batches_that_an_emptied_disk_had_are_missing():
+def test_batches_on_an_erased_disk_count_as_missing():
     scene = Scene()
     scene.report(0, "a")
     scene.wait(FLUSH_S + 0.1)
@@ -198,7 +198,7 @@
     assert scene.coverage()["missing_batches"] == 1
 
 
-def test_a_disk_that_refuses_writes_loses_nothing_while_there_is_room():
+def test_failed_writes_lose_no_trails_while_the_write_queue_has_room():
     scene = Scene()
     scene.wait(0.1)
     scene.disk.is_refusing = True
@@ -212,7 +212,7 @@
     assert scene.all() == ["a", "b"] and scene.coverage()["missing_batches"] == 0
 
 
-def test_what_no_disk_takes_is_bounded_and_told(caplog, monkeypatch):
+def test_a_full_write_queue_drops_the_oldest_batches_and_logs_the_number_of_trails(caplog, monkeypatch):
     monkeypatch.setattr(trail_archive, "MAX_WAITING_TRAILS", 3)
     scene = Scene()
     scene.wait(0.1)
@@ -227,7 +227,7 @@
     assert scene.all() == ["r3", "r4", "r5"] and scene.coverage()["missing_batches"] == 3
 
 
-def test_a_shutdown_writes_what_waits():
+def test_flush_at_shutdown_writes_queued_batches():
     scene = Scene()
     scene.wait(0.1)
     scene.report(0, "a", is_last=True)
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("rate", [1, 130])
-def test_blocks_have_the_size_of_a_page_whatever_the_rate(rate):
+def test_a_page_from_disk_has_at_most_one_full_block_of_trails_at_any_rate(rate):
     scene = Scene(max_trails=1)
     scene.wait(0.1)
     names = [f"r{number}" for number in range(rate * 20)]
--- a/ploverward/control_plane/audit/test_trail_segments.py
+++ b/ploverward/control_plane/audit/test_trail_segments.py
@@ -63,7 +63,7 @@
     strategies.floats(min_value=0, max_value=1e10),
     strategies.integers(min_value=1, max_value=2**62),
 )
-def test_a_block_is_read_as_it_was_written(names, written_at, first_offset):
+def test_a_packed_block_is_unpacked_unchanged(names, written_at, first_offset):
     rows = [trail_block.BatchRow("p", "l", 3, True, len(names))]
     body = trail_block.pack(
         number=7, first_offset=first_offset, written_at=written_at, batches=rows, trails=[trail(name) for name in names]
@@ -76,12 +76,12 @@
 
 
 @given(strategies.binary(max_size=200))
-def test_bytes_that_are_no_block_are_refused(data):
+def test_unpack_header_raises_value_error_for_malformed_data(data):
     with pytest.raises(ValueError):
         trail_block.unpack_header(data[:8] + struct.pack(">I", 0xFFFFFFF0) + data)
 
 
-def test_an_id_that_only_shares_bytes_with_two_neighbours_is_not_found():
+def test_id_bytes_that_straddle_two_ids_equal_neither_of_them():
     header = trail_block.unpack_header(block(1, "a", "b"))
     shifted = header.ids[2:6]
     assert shifted in header.ids
@@ -89,7 +89,7 @@
     assert all(pretended.ids[index * 4 : index * 4 + 4] != shifted for index in range(2))
 
 
-def test_blocks_of_an_earlier_process_are_found_and_continued():
+def test_load_returns_blocks_of_an_earlier_process_and_write_appends_to_them():
     disk = Disk()
     first = make(disk)
     first.write(block(1, "a", "b"))
@@ -102,7 +102,7 @@
     assert len(disk.files) == 1
 
 
-def test_the_oldest_segment_gives_way():
+def test_a_write_beyond_the_size_limit_overwrites_the_oldest_segment():
     disk = Disk()
     record = len(checksummed_records.pack(block(1, "name-1")))
     segments = make(disk, limit_bytes=trail_segments.SEGMENTS * (2 * record + 10))
@@ -114,7 +114,7 @@
     assert sum(map(len, disk.files.values())) <= trail_segments.SEGMENTS * (2 * record + 10)
 
 
-def test_a_block_that_was_overwritten_meanwhile_is_read_as_none():
+def test_reading_an_overwritten_block_returns_no_trails():
     disk = Disk()
     record = len(checksummed_records.pack(block(1, "name-1")))
     segments = make(disk, limit_bytes=trail_segments.SEGMENTS * (record + 1))
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("missing", [1, 5, 30])
-def test_a_torn_tail_costs_the_last_block_alone(missing):
+def test_a_truncated_segment_loses_only_its_last_block(missing):
     disk = Disk()
     segments = make(disk)
     segments.write(block(1, "a"))
@@ -140,7 +140,7 @@
     assert names_of(third, third.load()) == [["a"], ["c"]]
 
 
-def test_damage_in_the_middle_keeps_what_stands_before_it():
+def test_corruption_within_a_segment_keeps_the_blocks_before_it():
     disk = Disk()
     segments = make(disk)
     blocks = [segments.write(block(number, f"n{number}")) for number in (1, 2, 3)]
@@ -154,7 +154,7 @@
     assert names_of(make(disk), make(disk).load()) == [["n1"], ["n4"]]
 
 
-def test_after_a_refused_write_the_next_block_goes_to_another_segment():
+def test_the_write_after_a_failed_write_goes_to_the_next_segment():
     disk = Disk()
     segments = make(disk)
     segments.write(block(1, "a"))
--- a/ploverward/data_plane/batch/test_batch_tier.py
+++ b/ploverward/data_plane/batch/test_batch_tier.py
@@ -21,7 +21,7 @@
     return set(answers)
 
 
-def test_a_job_is_kept_run_and_listed_once(scene):
+def test_each_item_of_a_submitted_job_runs_once_and_is_listed_once(scene):
     assert scene.submit("l1", [batch_scene.item(name) for name in ("a", "b", "c")]).status == 202
     results = scene.all_results("l1")
     assert {row["id"] for row in results} == {"a", "b", "c"} and len(results) == 3
@@ -31,7 +31,7 @@
     assert scene.all_results("l1") == results
 
 
-def test_a_202_means_that_each_store_has_it_on_its_disk(scene):
+def test_a_202_is_sent_only_after_each_store_has_the_job_on_disk(scene):
     assert scene.submit("l1", [batch_scene.item("a")]).status == 202
     for address in scene.stores:
         log = scene.log_of(address)
@@ -39,7 +39,7 @@
         assert len(jobs) == 1 and log.durable >= jobs[0]
 
 
-def test_pages_begin_where_the_reader_is_and_another_key_of_the_tenant_reads_too(scene):
+def test_pages_begin_after_the_given_revision_for_any_key_of_the_tenant(scene):
     scene.submit("l1", [batch_scene.item(name) for name in "abcd"])
     results = scene.all_results("l1")
     page = scene.results("l1", after=3, key="key-2").json
@@ -48,12 +48,12 @@
 
 
 @pytest.mark.parametrize("key, status", [("key-3", 404), ("nobody", 401)])
-def test_another_tenant_has_no_such_job(scene, key, status):
+def test_reading_a_job_fails_for_another_tenant_and_for_an_unknown_key(scene, key, status):
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.results("l1", key=key).status == status
 
 
-def test_a_job_that_is_ended_stays_so_and_keeps_what_is_listed(scene):
+def test_ending_a_job_is_idempotent_and_keeps_its_results(scene):
     scene.submit("l1", [batch_scene.item("a")])
     results = scene.all_results("l1")
     for _time in range(2):
@@ -62,14 +62,14 @@
     assert scene.call("DELETE", "/ploverward/lots/other").status == 404
 
 
-def test_what_a_replica_can_never_run_is_a_dead_letter(tmp_path):
+def test_an_item_answered_with_422_becomes_a_dead_letter(tmp_path):
     script = request_scene.answering(status=b"422 Never")
     scene = batch_scene.BatchScene(tmp_path, script)
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.all_results("l1") == [{"id": "a", "condition": "dead_letter", "text": ""}]
 
 
-def test_the_body_of_an_item_is_told_and_the_quota_counts_what_waits(tmp_path):
+def test_queued_items_can_be_read_and_count_against_the_token_quota(tmp_path):
     scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)  # the replica never answers
     assert scene.submit("l1", [batch_scene.item("a", body=b"\x00\xff exactly", tokens=900)]).status == 202
     got = scene.call("GET", "/ploverward/items/l1?id=a")
@@ -81,7 +81,7 @@
     assert scene.submit("l3", [batch_scene.item("c", tokens=900)]).status == 202
 
 
-def test_a_store_that_starts_again_has_what_it_had(scene):
+def test_a_restarted_store_keeps_jobs_and_results(scene):
     scene.submit("l1", [batch_scene.item(name) for name in "ab"])
     results = scene.all_results("l1")
     for address in list(scene.stores):
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("emptied", [(0,), (1,), (0, 1), (0, 2), (1, 2)])
-def test_two_lost_disks_lose_nothing(scene, emptied):
+def test_jobs_and_results_survive_the_loss_of_up_to_two_disks(scene, emptied):
     scene.submit("l1", [batch_scene.item(name) for name in "ab"])
     results = scene.all_results("l1")
     addresses = list(scene.stores)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("lost", [(0,), (1,), (0, 1), (0, 2), (1, 2)])
-def test_the_stores_that_are_left_go_on(scene, lost):
+def test_remaining_stores_serve_jobs_after_the_loss_of_up_to_two_stores(scene, lost):
     scene.submit("l1", [batch_scene.item(name) for name in "ab"])
     results = scene.all_results("l1")
     addresses = [*scene.owners().stores]
@@ -131,7 +131,7 @@
     assert scene.results("l1").json["results"] == results
 
 
-def test_without_a_backup_nothing_is_promised(scene):
+def test_a_submission_is_answered_with_504_while_a_backup_is_lost(scene):
     scene.is_coordinating = False  # nobody takes the lost store out
     scene.stop_store(scene.owners().backups[1])
     answer = scene.submit("l1", [batch_scene.item("a")])
@@ -140,20 +140,20 @@
     assert not scene.arrivals()
 
 
-def test_requests_of_other_routes_are_served_as_before(tmp_path):
+def test_requests_of_other_routes_are_not_handled_as_jobs(tmp_path):
     scene = batch_scene.BatchScene(tmp_path, request_scene.answering())
     more = "X-Attempt-Id: a1\r\nX-Time-Left-Ms: 3000\r\n"
     assert scene.call("POST", "/safe/x", body=b"body", more=more) == batch_scene.Answer(200, b"ok")
     assert scene.proxy.begun == ["clerks"]  # reports of use count it once
 
 
-def test_reports_of_use_do_not_count_items(scene):
+def test_usage_reports_do_not_count_items(scene):
     scene.submit("l1", [batch_scene.item("a")])
     scene.all_results("l1")
     assert not scene.proxy.begun
 
 
-def test_the_end_of_a_job_reaches_its_runs(tmp_path):
+def test_ending_a_job_cancels_its_running_items(tmp_path):
     scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)  # the replica never answers
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.until(lambda: scene.proxy.batch._puller._running)
@@ -161,7 +161,7 @@
     assert scene.until(lambda: not scene.proxy.batch._puller._running)
 
 
-def test_a_run_goes_on_under_the_next_primary(tmp_path):
+def test_a_run_continues_after_failover_to_the_next_primary(tmp_path):
     scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.until(lambda: len(scene.arrivals()) == 1)
@@ -185,7 +185,7 @@
         ({"envelope": {"X-Model": "a\r\nHost: b"}}, "X-Model"),
     ],
 )
-def test_a_malformed_item_is_one_clear_error_and_takes_nothing(scene, change, text):
+def test_a_malformed_item_rejects_the_whole_job_and_the_error_names_the_field(scene, change, text):
     answer = scene.submit("l1", [batch_scene.item("a"), {**batch_scene.item("b"), **change}])
     assert answer.status == 400 and text in answer.json["error"]
     assert scene.results("l1").status == 404
@@ -194,19 +194,19 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"requests":[]}', b'{"requests":{}}', b'{"requests":[1]}', b"\xff"]
 )
-def test_what_is_no_job_is_refused(scene, body):
+def test_a_body_that_is_not_a_job_is_rejected_with_400(scene, body):
     answer = scene.call("POST", "/lots/x", body=body, more="X-Attempt-Id: l1\r\n")
     assert answer.status == 400 and answer.json["error"]
 
 
-def test_too_many_items_and_two_of_one_id_are_refused(scene):
+def test_too_many_items_or_a_duplicate_id_reject_the_job(scene):
     many = [batch_scene.item(f"i{number}") for number in range(201)]
     assert "200" in scene.submit("l1", many).json["error"]
     assert "twice" in scene.submit("l1", [batch_scene.item("a"), batch_scene.item("a")]).json["error"]
     assert scene.results("l1").status == 404
 
 
-def test_a_connection_to_a_store_lasts_without_calls(tmp_path):
+def test_an_idle_store_connection_stays_open_while_heartbeats_are_sent(tmp_path):
     """The proxies of a sweep with 300 machines made 147 new connections a second to each store."""
     scene = batch_scene.BatchScene(tmp_path)
     ended = []
