--- a/ploverward/control_plane/audit/test_trail_segments.py
+++ b/ploverward/control_plane/audit/test_trail_segments.py
@@ -1,4 +1,4 @@
-"""Blocks and segments of custody trails: what is written is read back, whatever the disk does to the last writes."""
+"""Tests of blocks and segments of custody trails: written blocks are read back, also after failed or damaged writes."""
 
 import json
 import struct
@@ -29,24 +29,24 @@
 
 
 class Disk:
-    """Files in memory."""
+    """Files in memory. A failing append leaves half of its data in the file."""
 
     def __init__(self):
         self.files = {}
-        self.is_refusing = False
+        self.fails_writes = False
 
     def read(self, *, name):
         return self.files.get(name)
 
     def append(self, *, name, data, size_before):
-        if self.is_refusing:
+        if self.fails_writes:
             self.files[name] = self.files[name][:size_before] + data[: len(data) // 2]
-            raise OSError("refused")
+            raise OSError("simulated write failure")
         self.files[name] = self.files[name][:size_before] + data
 
     def replace(self, *, name, new_name, data):
-        if self.is_refusing:
-            raise OSError("refused")
+        if self.fails_writes:
+            raise OSError("simulated write failure")
         self.files[name] = data
 
 
@@ -54,7 +54,7 @@
     return trail_segments.TrailSegments(disk=disk, limit_bytes=limit_bytes)
 
 
-def names_of(segments, blocks):
+def read_names(segments, blocks):
     return [[row["id"] for row in segments.read(stored)] for stored in blocks]
 
 
@@ -72,7 +72,7 @@
     assert header[:4] == (7, first_offset, written_at, tuple(rows))
     assert header.end_offset == first_offset + len(names)
     assert [row["id"] for row in trail_block.unpack_trails(body)] == names
-    assert all(index in header.positions_of(name) for index, name in enumerate(names))
+    assert all(index in header.find_candidates(name) for index, name in enumerate(names))
 
 
 @given(strategies.binary(max_size=200))
@@ -85,8 +85,8 @@
     header = trail_block.unpack_header(block(1, "a", "b"))
     shifted = header.ids[2:6]
     assert shifted in header.ids
-    pretended = header._replace(ids=header.ids)
-    assert all(pretended.ids[index * 4 : index * 4 + 4] != shifted for index in range(2))
+    copy = header._replace(ids=header.ids)
+    assert all(copy.ids[index * 4 : index * 4 + 4] != shifted for index in range(2))
 
 
 def test_load_returns_blocks_of_an_earlier_process_and_write_appends_to_them():
@@ -96,30 +96,30 @@
     first.write(block(2, "c"))
     second = make(disk)
     blocks = second.load()
-    assert names_of(second, blocks) == [["a", "b"], ["c"]]
+    assert read_names(second, blocks) == [["a", "b"], ["c"]]
     blocks.append(second.write(block(3, "d")))
-    assert names_of(make(disk), make(disk).load()) == [["a", "b"], ["c"], ["d"]]
+    assert read_names(make(disk), make(disk).load()) == [["a", "b"], ["c"], ["d"]]
     assert len(disk.files) == 1
 
 
 def test_a_write_beyond_the_size_limit_overwrites_the_oldest_segment():
     disk = Disk()
     record = len(checksummed_records.pack(block(1, "name-1")))
-    segments = make(disk, limit_bytes=trail_segments.SEGMENTS * (2 * record + 10))
+    segments = make(disk, limit_bytes=trail_segments.SEGMENT_COUNT * (2 * record + 10))
     for number in range(1, 31):
         segments.write(block(number, f"name-{number}"))
     found = make(disk).load()
     numbers = [stored.header.number for stored in found]
     assert numbers == list(range(15, 31))
-    assert sum(map(len, disk.files.values())) <= trail_segments.SEGMENTS * (2 * record + 10)
+    assert sum(map(len, disk.files.values())) <= trail_segments.SEGMENT_COUNT * (2 * record + 10)
 
 
 def test_reading_an_overwritten_block_returns_no_trails():
     disk = Disk()
     record = len(checksummed_records.pack(block(1, "name-1")))
-    segments = make(disk, limit_bytes=trail_segments.SEGMENTS * (record + 1))
+    segments = make(disk, limit_bytes=trail_segments.SEGMENT_COUNT * (record + 1))
     first = segments.write(block(1, "name-1"))
-    for number in range(2, trail_segments.SEGMENTS + 2):
+    for number in range(2, trail_segments.SEGMENT_COUNT + 2):
         segments.write(block(number, f"name-{number}"))
     assert segments.read(first) == []
 
@@ -134,10 +134,10 @@
     disk.files[name] = disk.files[name][:-missing]
     second = make(disk)
     blocks = second.load()
-    assert names_of(second, blocks) == [["a"]]
+    assert read_names(second, blocks) == [["a"]]
     second.write(block(2, "c"))
     third = make(disk)
-    assert names_of(third, third.load()) == [["a"], ["c"]]
+    assert read_names(third, third.load()) == [["a"], ["c"]]
 
 
 def test_corruption_within_a_segment_keeps_the_blocks_before_it():
@@ -149,20 +149,20 @@
     data[blocks[1].begin + 12] ^= 0xFF
     disk.files[name] = bytes(data)
     second = make(disk)
-    assert names_of(second, second.load()) == [["n1"]]
+    assert read_names(second, second.load()) == [["n1"]]
     second.write(block(4, "n4"))
-    assert names_of(make(disk), make(disk).load()) == [["n1"], ["n4"]]
+    assert read_names(make(disk), make(disk).load()) == [["n1"], ["n4"]]
 
 
 def test_the_write_after_a_failed_write_goes_to_the_next_segment():
     disk = Disk()
     segments = make(disk)
     segments.write(block(1, "a"))
-    disk.is_refusing = True
+    disk.fails_writes = True
     with pytest.raises(OSError):
         segments.write(block(2, "b"))
-    disk.is_refusing = False
+    disk.fails_writes = False
     segments.write(block(2, "b"))
     third = make(disk)
-    assert names_of(third, third.load()) == [["a"], ["b"]]
+    assert read_names(third, third.load()) == [["a"], ["b"]]
     assert len(disk.files) == 2
--- a/ploverward/control_plane/audit/trail_archive.py
+++ b/ploverward/control_plane/audit/trail_archive.py
@@ -1,8 +1,8 @@
-"""Custody trails on a core node's disk: written in the background, found again after a restart (docs/residency.md).
+"""Custody trails on a core node's disk: written in the background, readable after a restart (docs/residency.md).
 
-`TrailArchive` owns what waits for the next write and the index of what is written. States: LOADING (the index is being
-read; batches wait), then IDLE and WRITING by turns. A trail that was received is lost only with the disk, or with a
-process that ends within `flush_s` of it; the numbers of batches then show the gap.
+`TrailArchive` owns the queue of batches to write and the index of the written blocks. Its state is LOADING while the
+index is read (batches are queued), then alternates between IDLE and WRITING. A received trail is lost only with the
+disk, or if the process ends within `flush_s` of receiving it; the batch numbers then show the gap.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 _log = logging.getLogger(__name__)
 
-MAX_WAITING_TRAILS = 4000  # that no disk has taken; the oldest are dropped beyond
-MAX_BLOCK_TRAILS = 500  # a page of an audit
+MAX_WAITING_TRAILS = 4000  # limit of the queue for the disk; beyond it the oldest batches are dropped
+MAX_BLOCK_TRAILS = 500  # a block read from disk is one page of an audit
 
 Trails = list[dict[str, typing.Any]]
 
@@ -34,13 +34,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class NumberedBatch:
-    """A batch that is to be written.
+class QueuedBatch:
+    """A batch in the queue for the disk, whose trails have been assigned offsets.
 
     Attributes:
-        row: What it covers.
-        first_offset: Of its first trail.
-        trails: Request id and trail as JSON.
+        row: The batch's row in the header of its block.
+        first_offset: Offset of the first trail.
+        trails: For each trail its request id and the trail as JSON.
     """
 
     row: trail_block.BatchRow
@@ -49,15 +49,15 @@
 
 
 class TrailArchive:
-    """The trails of one core node's disk.
+    """Writes and reads the custody trails on one core node's disk.
 
     Args:
         loop: The event loop; all methods run on it.
-        segments: The files.
-        wall_time: Wall-clock time in seconds.
-        flush_s: From the first batch that waits to the write.
-        retention_s: How long a trail may be found, in seconds of wall-clock time.
-        on_loaded: Called once with the batches that the disk has.
+        segments: The segment files.
+        wall_time: Returns the wall-clock time in seconds.
+        flush_s: Delay from the first queued batch to the write, in seconds.
+        retention_s: How long a trail can be read after its write, in seconds of wall-clock time.
+        on_loaded: Called once with the rows of all batches on disk.
     """
 
     def __init__(
@@ -77,18 +77,18 @@
         self._retention_s = retention_s
         self._on_loaded = on_loaded
         self._state = _State.LOADING
-        self._waiting: list[NumberedBatch] = []
-        self._waiting_trails = 0  # of these batches
+        self._waiting: list[QueuedBatch] = []
+        self._waiting_trails = 0  # number of trails in the waiting batches
         self._blocks: list[trail_segments.StoredBlock] = []  # the oldest first
         self._next_number = 1
         self._has_timer = False
-        self._dropped = 0
+        self._dropped_trails = 0
         self._spell = failure_spell.FailureSpell(
             now=loop.now, failed_event="custody_write_failed", recovered_event="custody_write_recovered"
         )
 
     def start(self) -> None:
-        """Reads the index."""
+        """Starts reading the index from disk."""
         self._loop.offload(work=self._segments.load, done=self._handle_loaded)
 
     def _handle_loaded(self, outcome: interfaces.Outcome) -> None:
@@ -102,23 +102,23 @@
 
     @property
     def end_offset(self) -> int:
-        """One behind the offset of the newest trail on the disk; 0 where there is none."""
+        """The offset after that of the newest trail on disk; 0 if there is none."""
         return max((block.header.end_offset for block in self._blocks), default=0)
 
     @property
     def has_first_block(self) -> bool:
-        """Whether nothing that was written was overwritten yet; also where nothing was written."""
+        """Whether no block has been overwritten yet; also true if none has been written."""
         return not self._blocks or self._blocks[0].header.number == 1
 
     # Writing.
-    def add(self, batch: NumberedBatch) -> None:
-        """Takes a batch for one of the next writes."""
+    def add(self, batch: QueuedBatch) -> None:
+        """Queues a batch for writing."""
         self._waiting.append(batch)
         self._waiting_trails += len(batch.trails)
         while self._waiting_trails > MAX_WAITING_TRAILS:
             dropped = len(self._waiting.pop(0).trails)
             self._waiting_trails -= dropped
-            self._dropped += dropped
+            self._dropped_trails += dropped
         self._schedule()
 
     def _schedule(self) -> None:
@@ -133,29 +133,32 @@
         self._schedule()
 
     def flush(self) -> None:
-        """Writes what waits, unless a write is under way."""
+        """Starts writing the next block of queued batches, unless the index is being read or a write is in progress."""
         if self._state is not _State.IDLE or not self._waiting:
             return
         batches = self._next_batches()
         self._state = _State.WRITING
         self._loop.offload(
-            work=lambda: self._segments.write(self._block_of(batches)),
+            work=lambda: self._segments.write(self._encode_block(batches)),
             done=lambda outcome: self._handle_written(outcome, batches),
         )
 
-    def _next_batches(self) -> list[NumberedBatch]:
-        """Those of the next block. Its trails have offsets without a gap; a batch without any fits each block."""
-        batches: list[NumberedBatch] = []
+    def _next_batches(self) -> list[QueuedBatch]:
+        """Returns the queued batches for the next block.
+
+        The offsets in a block must have no gap; a batch without trails fits into every block.
+        """
+        batches: list[QueuedBatch] = []
         trails = 0
         for batch in self._waiting:
-            is_gap = bool(trails and batch.trails) and batch.first_offset != _first_offset(batches) + trails
-            if is_gap or (batches and trails + len(batch.trails) > MAX_BLOCK_TRAILS):
+            has_gap = bool(trails and batch.trails) and batch.first_offset != _first_offset(batches) + trails
+            if has_gap or (batches and trails + len(batch.trails) > MAX_BLOCK_TRAILS):
                 break
             batches.append(batch)
             trails += len(batch.trails)
         return batches
 
-    def _block_of(self, batches: Sequence[NumberedBatch]) -> bytes:
+    def _encode_block(self, batches: Sequence[QueuedBatch]) -> bytes:
         return trail_block.pack(
             number=self._next_number,
             first_offset=_first_offset(batches),
@@ -164,29 +167,29 @@
             trails=[trail for batch in batches for trail in batch.trails],
         )
 
-    def _handle_written(self, outcome: interfaces.Outcome, batches: Sequence[NumberedBatch]) -> None:
+    def _handle_written(self, outcome: interfaces.Outcome, batches: Sequence[QueuedBatch]) -> None:
         self._state = _State.IDLE
         error = outcome.exception()
         if error is not None:
             self._spell.note_failure(error)
             return
         self._spell.note_success()
-        self._note_dropped()
+        self._log_dropped_trails()
         written = set(map(id, batches))
         self._waiting = [batch for batch in self._waiting if id(batch) not in written]
         self._waiting_trails = sum(len(batch.trails) for batch in self._waiting)
         stored = outcome.result()
         self._next_number += 1
-        if stored.begin == 0:  # it replaced the segment
+        if stored.begin == 0:  # the write replaced the segment
             self._blocks = [block for block in self._blocks if block.segment != stored.segment]
         self._blocks.append(stored)
         if self._waiting_trails >= MAX_BLOCK_TRAILS:
             self.flush()
 
-    def _note_dropped(self) -> None:
-        if self._dropped:
-            _log.error("custody_dropped", extra={"trails": self._dropped})
-            self._dropped = 0
+    def _log_dropped_trails(self) -> None:
+        if self._dropped_trails:
+            _log.error("custody_dropped", extra={"trails": self._dropped_trails})
+            self._dropped_trails = 0
 
     # Reading.
     def _kept_blocks(self) -> list[trail_segments.StoredBlock]:
@@ -197,14 +200,14 @@
         """Finds the trails of a request.
 
         Args:
-            request_id: Of the request.
-            before: Trails from this offset on are not looked for.
+            request_id: Identifier of the request.
+            before: Only trails with a lower offset are returned.
             done: Called with the trails, the oldest first.
         """
         blocks = [
             block
             for block in self._kept_blocks()
-            if block.header.first_offset < before and block.header.may_have(request_id)
+            if block.header.first_offset < before and block.header.may_contain(request_id)
         ]
 
         def read() -> Trails:
@@ -217,15 +220,15 @@
         self._read(read, done)
 
     def page(self, *, after: int, before: int, done: Callable[[Trails, int], object]) -> bool:
-        """Reads the trails of one block.
+        """Reads the trails of the first block that has trails between two offsets.
 
         Args:
-            after: Those behind this offset.
-            before: Those before this offset.
+            after: Only trails with a higher offset are read.
+            before: Only trails with a lower offset are read.
             done: Called with the trails and the offset of the last one.
 
         Returns:
-            Whether there are any; else `done` is not called.
+            Whether there is such a block; otherwise `done` is not called.
         """
         for block in sorted(self._kept_blocks(), key=lambda block: block.header.first_offset):
             first, end = block.header.first_offset, min(block.header.end_offset, before)
@@ -237,7 +240,7 @@
     def _read_range(
         self, block: trail_segments.StoredBlock, *, begin: int, end: int, done: Callable[[Trails, int], object]
     ) -> None:
-        """Reads the trails of a block from one offset to before another."""
+        """Reads the trails of a block with offsets from `begin` up to, but not including, `end`."""
         first = block.header.first_offset
         self._read(
             lambda: self._segments.read(block)[begin - first : end - first], lambda trails: done(trails, end - 1)
@@ -253,5 +256,5 @@
         self._loop.offload(work=work, done=handle)
 
 
-def _first_offset(batches: Sequence[NumberedBatch]) -> int:
+def _first_offset(batches: Sequence[QueuedBatch]) -> int:
     return next((batch.first_offset for batch in batches if batch.trails), 0)
--- a/ploverward/control_plane/audit/trail_block.py
+++ b/ploverward/control_plane/audit/trail_block.py
@@ -1,8 +1,8 @@
-"""One block of custody trails as it is stored: what it covers in the clear, the trails compressed (docs/residency.md).
+"""The stored format of a block of custody trails: an uncompressed header and compressed trails (docs/residency.md).
 
-The clear part is enough to know which requests and which batches a block has, so that a start reads no trail. Format:
-a head, the covered batches as JSON, four bytes for each request id, then the trails as JSON lines in zlib's format. It
-is stored data: it does not change.
+The uncompressed part tells which requests and batches a block contains, so that a start of the node decompresses no
+trails. Format: a fixed-size head, the covered batches as JSON, four bytes of hash for each request id, then the trails
+as JSON lines compressed with zlib. Blocks are stored data, so the format must not change.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 import zlib
 from collections.abc import Sequence
 
-_HEAD = struct.Struct(">QQdII")  # number, offset of the first trail, when written, bytes of the rows, bytes of the ids
+_HEAD = struct.Struct(">QQdII")  # block number, first offset, time of the write, sizes of rows and ids in bytes
 ID_BYTES = 4
-COMPRESSION_LEVEL = 1  # the fastest; trails shrink to a fifth
+COMPRESSION_LEVEL = 1  # zlib's fastest level; it compresses trails to a fifth of their size
 
 
 class BatchRow(typing.NamedTuple):
-    """A batch of a proxy that a block covers.
+    """A row of a block's header: one batch that a proxy sent.
 
     Attributes:
-        node: The proxy.
-        incarnation: Of its process.
-        number: Of the batch, from 0 in each incarnation.
-        is_last: Whether the process ended with it.
-        trails: How many it has.
+        node: Name of the proxy.
+        incarnation: Identifier of the proxy's process.
+        number: Number of the batch, counted from 0 in each incarnation.
+        is_last: Whether the process ended with this batch.
+        trails: Number of trails in the batch.
     """
 
     node: str
@@ -37,14 +37,14 @@
 
 
 class BlockHeader(typing.NamedTuple):
-    """The clear part of a block.
+    """The uncompressed part of a block.
 
     Attributes:
-        number: Of the block; rises with each one that a node writes.
-        first_offset: Of its first trail; the others follow without a gap.
-        written_at: Wall-clock time in seconds.
-        batches: What it covers.
-        ids: `ID_BYTES` of the hash of each trail's request, in their order.
+        number: Number of the block; increases with each block that a node writes.
+        first_offset: Offset of the first trail; the other trails follow without a gap.
+        written_at: Wall-clock time of the write, in seconds.
+        batches: The batches that the block covers.
+        ids: The short hash of each trail's request id (`ID_BYTES` each), in the order of the trails.
     """
 
     number: int
@@ -55,26 +55,26 @@
 
     @property
     def trails(self) -> int:
-        """How many trails it has."""
+        """The number of trails in the block."""
         return len(self.ids) // ID_BYTES
 
     @property
     def end_offset(self) -> int:
-        """One behind the offset of its last trail."""
+        """The offset after that of the last trail."""
         return self.first_offset + self.trails
 
-    def positions_of(self, request_id: str) -> list[int]:
-        """The indices of trails that may be this request's; another request may share its short hash."""
+    def find_candidates(self, request_id: str) -> list[int]:
+        """Returns the indices of trails that may belong to a request; other requests may share its short hash."""
         wanted = short_hash(request_id)
         return [index for index in range(self.trails) if self.ids[index * ID_BYTES : (index + 1) * ID_BYTES] == wanted]
 
-    def may_have(self, request_id: str) -> bool:
-        """Whether the block may have a trail of this request."""
-        return short_hash(request_id) in self.ids and bool(self.positions_of(request_id))
+    def may_contain(self, request_id: str) -> bool:
+        """Returns whether the block may contain a trail of the request."""
+        return short_hash(request_id) in self.ids and bool(self.find_candidates(request_id))
 
 
 def short_hash(request_id: str) -> bytes:
-    """Returns the hash by which a request is found."""
+    """Returns the hash of a request id that the header stores."""
     return zlib.crc32(request_id.encode()).to_bytes(ID_BYTES, "big")
 
 
@@ -86,14 +86,14 @@
     batches: Sequence[BatchRow],
     trails: Sequence[tuple[str, bytes]],
 ) -> bytes:
-    """Returns the body of a record.
+    """Encodes a block as the body of a record.
 
     Args:
-        number: Of the block.
-        first_offset: Of its first trail.
-        written_at: Wall-clock time in seconds.
-        batches: What it covers.
-        trails: Request id and trail as JSON on one line.
+        number: Number of the block.
+        first_offset: Offset of the first trail.
+        written_at: Wall-clock time of the write, in seconds.
+        batches: The batches that the block covers.
+        trails: For each trail its request id and the trail as JSON on one line.
     """
     rows = json.dumps([list(row) for row in batches], separators=(",", ":")).encode()
     ids = b"".join(short_hash(request_id) for request_id, _trail in trails)
@@ -103,10 +103,10 @@
 
 
 def unpack_header(body: bytes) -> BlockHeader:
-    """Reads the clear part.
+    """Decodes the uncompressed part of a block.
 
     Raises:
-        ValueError: The body is no block.
+        ValueError: The body is not a valid block.
     """
     try:
         number, first_offset, written_at, row_bytes, id_bytes = _HEAD.unpack_from(body)
@@ -114,17 +114,17 @@
         rows = json.loads(body[_HEAD.size : rows_end])
         ids = body[rows_end : rows_end + id_bytes]
         if len(ids) != id_bytes or id_bytes % ID_BYTES:
-            raise ValueError("ids are cut short")
+            raise ValueError(f"ids: {len(ids)} of {id_bytes} bytes, expected a multiple of {ID_BYTES}")
         return BlockHeader(number, first_offset, written_at, tuple(BatchRow(*row) for row in rows), ids)
     except (struct.error, TypeError) as error:
         raise ValueError(str(error)) from error
 
 
 def unpack_trails(body: bytes) -> list[dict[str, typing.Any]]:
-    """Reads the trails, in the order of their offsets.
+    """Decompresses the trails of a block, in the order of their offsets.
 
     Raises:
-        ValueError: The body is no block.
+        ValueError: The body is not a valid block.
     """
     _number, _first_offset, _written_at, row_bytes, id_bytes = _HEAD.unpack_from(body)
     try:
--- a/ploverward/control_plane/audit/trail_segments.py
+++ b/ploverward/control_plane/audit/trail_segments.py
@@ -1,7 +1,8 @@
-"""The files of custody trails: a ring of segments of bounded size (docs/residency.md). The oldest is overwritten.
+"""The files that hold custody trails: a ring of segments of bounded size (docs/residency.md).
 
-A segment is a file of records (`checksummed_records`), each of them a block. Its methods run on threads; one block is
-written at a time. A torn tail ends a segment; a damaged one keeps what stands before the damage.
+When the newest segment is full, the oldest one is overwritten. A segment is a file of records (`checksummed_records`),
+each of which is a block. All methods run on worker threads; one block is written at a time. Reading a segment stops at
+a truncated or damaged record: the blocks before it are kept.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 _log = logging.getLogger(__name__)
 
-SEGMENTS = 8
-NEW_NAME = "custody.new"  # the next content of a segment until it is renamed
+SEGMENT_COUNT = 8
+NEW_NAME = "custody.new"  # temporary file of a segment's new content, until it is renamed
 
 
 class StoredBlock(typing.NamedTuple):
-    """Where a block is.
+    """Location of a block on disk.
 
     Attributes:
-        segment: Number of the file.
-        begin: Its first byte there, the record's head included.
-        end: One behind its last byte.
-        header: What it covers.
+        segment: Number of the segment file.
+        begin: Position of the record's first byte in the file, including the record's head.
+        end: Position after the record's last byte.
+        header: The block's header.
     """
 
     segment: int
@@ -45,26 +46,26 @@
     """Reads and writes the segments of one node.
 
     Args:
-        disk: Where the files are.
-        limit_bytes: Of all segments together.
+        disk: The directory of the segment files.
+        limit_bytes: Upper limit of the size of all segments together.
     """
 
     def __init__(self, *, disk: acceptor_storage.Disk, limit_bytes: int) -> None:
         self._disk = disk
-        self._segment_bytes = max(1, limit_bytes // SEGMENTS)
-        self._segment = 0  # that is written to
-        self._size = 0  # bytes of its good records
-        self._is_new = True  # whether the next block replaces the file
+        self._segment_bytes = max(1, limit_bytes // SEGMENT_COUNT)
+        self._segment = 0  # number of the segment that is written to
+        self._size = 0  # bytes of the valid records in that segment
+        self._must_replace_file = True  # the next write replaces the segment file instead of appending to it
 
     def load(self) -> list[StoredBlock]:
-        """Returns all blocks, the oldest first, and continues behind the newest one."""
+        """Returns all stored blocks, the oldest first; later writes append after the newest one."""
         found: list[StoredBlock] = []
-        for segment in range(SEGMENTS):
+        for segment in range(SEGMENT_COUNT):
             found += self._load_segment(segment)
         found.sort(key=lambda block: block.header.number)
         if found:
             newest = found[-1]
-            self._segment, self._size, self._is_new = newest.segment, newest.end, False
+            self._segment, self._size, self._must_replace_file = newest.segment, newest.end, False
         return found
 
     def _load_segment(self, segment: int) -> list[StoredBlock]:
@@ -93,37 +94,39 @@
         checksummed_records.read(data, on_body=on_body)
 
     def write(self, body: bytes) -> StoredBlock:
-        """Appends a block. Once it returns, the block is on the disk. A full segment is followed by the oldest one.
+        """Writes a block, which is durable when the method returns.
+
+        A block that does not fit the current segment replaces the content of the oldest one.
 
         Raises:
-            OSError: The disk refused; the next block goes to the next segment, as the state of this one is unknown.
+            OSError: The write failed. The next block goes to the next segment, as the state of this one is unknown.
         """
         record = checksummed_records.pack(body)
-        if not self._is_new and self._size + len(record) > self._segment_bytes:
-            self._begin_next()
+        if not self._must_replace_file and self._size + len(record) > self._segment_bytes:
+            self._advance_segment()
         begin = self._size
         try:
-            if self._is_new:
+            if self._must_replace_file:
                 self._disk.replace(name=file_name(self._segment), new_name=NEW_NAME, data=record)
             else:
                 self._disk.append(name=file_name(self._segment), data=record, size_before=begin)
         except OSError:
-            self._begin_next()
+            self._advance_segment()
             raise
-        self._is_new = False
+        self._must_replace_file = False
         self._size = begin + len(record)
         return StoredBlock(self._segment, begin, self._size, trail_block.unpack_header(body))
 
-    def _begin_next(self) -> None:
-        self._segment = (self._segment + 1) % SEGMENTS
+    def _advance_segment(self) -> None:
+        self._segment = (self._segment + 1) % SEGMENT_COUNT
         self._size = 0
-        self._is_new = True
+        self._must_replace_file = True
 
     def read(self, block: StoredBlock) -> list[dict[str, typing.Any]]:
-        """Returns the trails of a block; none where it has been overwritten meanwhile.
+        """Returns the trails of a block; an empty list if the block has been overwritten meanwhile.
 
         Raises:
-            OSError: The disk refused.
+            OSError: The segment file could not be read.
         """
         data = (self._disk.read(name=file_name(block.segment)) or b"")[block.begin : block.end]
         trails: list[dict[str, typing.Any]] = []
