--- a/ploverward/control_plane/audit/test_audit.py
+++ b/ploverward/control_plane/audit/test_audit.py
@@ -1,4 +1,4 @@
-"""Custody trails: kept, bounded, covered, and audited by an independent check."""
+"""Tests of `TrailStore` (lookup, limits, counts of missing batches) and of the audit of trails."""
 
 import json
 
@@ -29,40 +29,40 @@
 
 
 def test_find_and_page_return_recorded_trails_in_order():
-    trail_log, _clock = make()
-    trail_log.record(batch(trail(1), trail(2), node="p1", incarnation="l1", number=0, is_last=False))
-    trail_log.record(batch(trail(3), node="p1", incarnation="l1", number=1, is_last=False))
-    assert [row["id"] for row in trail_log.find("r2")] == ["r2"]
-    assert trail_log.find("r9") == []
-    first = trail_log.page(after=0, limit=2)
+    store, _clock = make()
+    store.record(batch(trail(1), trail(2), node="p1", incarnation="l1", number=0, is_last=False))
+    store.record(batch(trail(3), node="p1", incarnation="l1", number=1, is_last=False))
+    assert [row["id"] for row in store.find("r2")] == ["r2"]
+    assert store.find("r9") == []
+    first = store.page(after=0, limit=2)
     assert [row["id"] for row in first.trails] == ["r1", "r2"] and first.has_more
-    following = trail_log.page(after=first.last, limit=2)
+    following = store.page(after=first.last, limit=2)
     assert [row["id"] for row in following.trails] == ["r3"] and not following.has_more
 
 
 def test_trails_beyond_the_maximum_count_or_the_retention_time_are_dropped():
-    trail_log, clock = make(max_trails=10, retention_s=5.0)
+    store, clock = make(max_trails=10, retention_s=5.0)
     for number in range(30):
-        trail_log.record(batch(trail(number), node="p1", incarnation="l1", number=number, is_last=False))
-    assert len(trail_log.page(after=0, limit=100).trails) == 10
+        store.record(batch(trail(number), node="p1", incarnation="l1", number=number, is_last=False))
+    assert len(store.page(after=0, limit=100).trails) == 10
     clock[0] = 6.0
-    assert trail_log.page(after=0, limit=100).trails == [] and trail_log.find("r29") == []
+    assert store.page(after=0, limit=100).trails == [] and store.find("r29") == []
 
 
 def test_a_repeated_batch_is_ignored():
-    trail_log, _clock = make()
+    store, _clock = make()
     for _ in range(2):
-        trail_log.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
-    assert len(trail_log.find("r1")) == 1
+        store.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
+    assert len(store.find("r1")) == 1
 
 
 def test_audit_summary_lists_missing_batches_and_unclosed_incarnations():
-    trail_log, _clock = make()
-    trail_log.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
-    trail_log.record(batch(node="p1", incarnation="l1", number=3, is_last=True))
-    trail_log.record(batch(trail(2), node="p2", incarnation="l2", number=0, is_last=False))
-    trail_log.record(batch(trail(3), node="p3", incarnation="l3", number=0, is_last=False))
-    summary = trail_audit.summary(trails=[], coverage=trail_log.coverage(live_incarnations={"l3"}), zones=ZONES)
+    store, _clock = make()
+    store.record(batch(trail(1), node="p1", incarnation="l1", number=0, is_last=False))
+    store.record(batch(node="p1", incarnation="l1", number=3, is_last=True))
+    store.record(batch(trail(2), node="p2", incarnation="l2", number=0, is_last=False))
+    store.record(batch(trail(3), node="p3", incarnation="l3", number=0, is_last=False))
+    summary = trail_audit.summary(trails=[], coverage=store.coverage(live_incarnations={"l3"}), zones=ZONES)
     assert summary["lives_with_parts_missing"] == [
         {"node": "p1", "life": "l1", "missing_batches": 2, "ended_without_closing": False},
         {"node": "p2", "life": "l2", "missing_batches": 0, "ended_without_closing": True},
--- a/ploverward/control_plane/audit/test_custody_service.py
+++ b/ploverward/control_plane/audit/test_custody_service.py
@@ -1,4 +1,4 @@
-"""Custody trails of a core node over several processes: found, paged, counted, bounded, and told as missing."""
+"""Tests of `CustodyService` over several processes on one disk: lookup, pages, batch counts, limits, failed writes."""
 
 import json
 
@@ -29,7 +29,7 @@
 
 
 class Loop:
-    """Work takes `work_s` of simulated time."""
+    """An event loop on simulated time; offloaded work takes `work_s`."""
 
     def __init__(self, world):
         self.world = world
@@ -47,11 +47,11 @@
 
 
 class Disk:
-    """Files in memory."""
+    """Files in memory; writes can be made to fail."""
 
     def __init__(self):
         self.files = {}
-        self.is_refusing = False
+        self.fails_writes = False
 
     def read(self, *, name):
         return self.files.get(name)
@@ -65,12 +65,12 @@
         self.files[name] = data
 
     def _check(self):
-        if self.is_refusing:
-            raise OSError("refused")
+        if self.fails_writes:
+            raise OSError("simulated write failure")
 
 
 class Scene:
-    """A core node's disk, and the processes that use it one after the other."""
+    """A core node's disk and the successive processes that use it; `start` replaces the running process."""
 
     def __init__(self, *, max_trails=100, disk_bytes=1_000_000):
         self.world = simulated_world.World(seed=1)
@@ -93,7 +93,7 @@
     def wait(self, seconds):
         self.world.run(until=self.world.now() + seconds)
 
-    def report(self, number, *names, node="p1", incarnation="l1", is_last=False):
+    def record(self, number, *names, node="p1", incarnation="l1", is_last=False):
         rows = tuple(
             messages.CustodyTrail(request_id=name, trail=json.dumps({"id": name, "parts": []}).encode())
             for name in names
@@ -106,7 +106,7 @@
         self.wait(0.1)
         return found[0]
 
-    def all(self, *, limit=7):
+    def read_all(self, *, limit=7):
         names, after = [], 0
         for _page in range(1000):
             pages = []
@@ -118,7 +118,7 @@
             after = page.last
             if not page.has_more:
                 return names
-        raise AssertionError("no end")
+        raise AssertionError("more than 1000 pages")
 
     def coverage(self, incarnation="l1"):
         rows = self.service.coverage(live_incarnations={"l1"})
@@ -128,26 +128,26 @@
 def test_after_a_restart_flushed_trails_are_found_and_unflushed_batches_are_missing():
     scene = Scene()
     scene.wait(0.1)
-    scene.report(0, "a", "b")
+    scene.record(0, "a", "b")
     scene.wait(FLUSH_S + 0.1)
-    scene.report(1, "c")
-    scene.start()  # within flush_s of it
+    scene.record(1, "c")
+    scene.start()  # less than flush_s after batch 1
     scene.wait(0.1)
-    scene.report(2, "d")
+    scene.record(2, "d")
     assert scene.find("a") == ["a"] and scene.find("c") == [] and scene.find("d") == ["d"]
-    assert scene.all() == ["a", "b", "d"]
+    assert scene.read_all() == ["a", "b", "d"]
     row = scene.coverage()
     assert (row["batches"], row["missing_batches"], row["trails"]) == (3, 1, 3)
 
 
 def test_a_batch_repeated_after_a_restart_is_counted_once():
     scene = Scene()
-    scene.report(0, "a")
+    scene.record(0, "a")
     scene.wait(FLUSH_S + 0.1)
     scene.start()
-    scene.report(0, "a")  # before the index is read
+    scene.record(0, "a")  # before the index is read
     scene.wait(FLUSH_S + 0.1)
-    assert scene.all() == ["a"] and scene.coverage()["missing_batches"] == 0
+    assert scene.read_all() == ["a"] and scene.coverage()["missing_batches"] == 0
 
 
 def test_trails_evicted_from_memory_are_read_from_disk_in_order():
@@ -155,17 +155,17 @@
     scene.wait(0.1)
     names = [f"r{number}" for number in range(40)]
     for number in range(20):
-        scene.report(number, *names[2 * number : 2 * number + 2])
+        scene.record(number, *names[2 * number : 2 * number + 2])
         scene.wait(1.0)
     scene.wait(FLUSH_S)
     assert scene.find("r0") == ["r0"] and scene.find("r39") == ["r39"]
-    assert scene.all() == names
+    assert scene.read_all() == names
 
 
 def test_find_returns_all_trails_of_a_request():
     scene = Scene()
-    scene.report(0, "a", "b", "a")
-    scene.report(0, "a", node="p2", incarnation="l2")
+    scene.record(0, "a", "b", "a")
+    scene.record(0, "a", node="p2", incarnation="l2")
     scene.wait(FLUSH_S + 0.1)
     assert scene.find("a") == ["a", "a", "a"]
     scene.start()
@@ -176,66 +176,66 @@
 def test_overwritten_batches_do_not_count_as_missing_after_a_restart():
     scene = Scene(max_trails=2, disk_bytes=8 * 400)
     for number in range(60):
-        scene.report(number, f"r{number}")
+        scene.record(number, f"r{number}")
         scene.wait(FLUSH_S + 0.1)
-    kept = scene.all()
+    kept = scene.read_all()
     assert 8 <= len(kept) < 60 and kept[-1] == "r59"
     scene.start()
     scene.wait(0.1)
-    assert scene.all() == kept
+    assert scene.read_all() == kept
     row = scene.coverage()
     assert row["batches"] == 60 and row["missing_batches"] == 0
 
 
 def test_batches_on_an_erased_disk_count_as_missing():
     scene = Scene()
-    scene.report(0, "a")
+    scene.record(0, "a")
     scene.wait(FLUSH_S + 0.1)
     scene.disk.files.clear()
     scene.start()
     scene.wait(0.1)
-    scene.report(1, "b")
+    scene.record(1, "b")
     assert scene.coverage()["missing_batches"] == 1
 
 
 def test_failed_writes_lose_no_trails_while_the_write_queue_has_room():
     scene = Scene()
     scene.wait(0.1)
-    scene.disk.is_refusing = True
-    scene.report(0, "a")
+    scene.disk.fails_writes = True
+    scene.record(0, "a")
     scene.wait(3 * FLUSH_S)
-    scene.report(1, "b")
-    scene.disk.is_refusing = False
+    scene.record(1, "b")
+    scene.disk.fails_writes = False
     scene.wait(2 * FLUSH_S + 0.1)
     scene.start()
     scene.wait(0.1)
-    assert scene.all() == ["a", "b"] and scene.coverage()["missing_batches"] == 0
+    assert scene.read_all() == ["a", "b"] and scene.coverage()["missing_batches"] == 0
 
 
 def test_a_full_write_queue_drops_the_oldest_batches_and_logs_the_number_of_trails(caplog, monkeypatch):
     monkeypatch.setattr(trail_archive, "MAX_WAITING_TRAILS", 3)
     scene = Scene()
     scene.wait(0.1)
-    scene.disk.is_refusing = True
+    scene.disk.fails_writes = True
     for number in range(6):
-        scene.report(number, f"r{number}")
-    scene.disk.is_refusing = False
+        scene.record(number, f"r{number}")
+    scene.disk.fails_writes = False
     scene.wait(FLUSH_S + 0.1)
     assert [record.trails for record in caplog.records if record.msg == "custody_dropped"] == [3]
     scene.start()
     scene.wait(0.1)
-    assert scene.all() == ["r3", "r4", "r5"] and scene.coverage()["missing_batches"] == 3
+    assert scene.read_all() == ["r3", "r4", "r5"] and scene.coverage()["missing_batches"] == 3
 
 
 def test_flush_at_shutdown_writes_queued_batches():
     scene = Scene()
     scene.wait(0.1)
-    scene.report(0, "a", is_last=True)
+    scene.record(0, "a", is_last=True)
     scene.service.flush()
     scene.wait(0.1)
     scene.start()
     scene.wait(0.1)
-    assert scene.all() == ["a"] and scene.coverage()["is_closed"]
+    assert scene.read_all() == ["a"] and scene.coverage()["is_closed"]
 
 
 @pytest.mark.parametrize("rate", [1, 130])
@@ -244,10 +244,10 @@
     scene.wait(0.1)
     names = [f"r{number}" for number in range(rate * 20)]
     for number in range(20):
-        scene.report(number, *names[rate * number : rate * (number + 1)])
+        scene.record(number, *names[rate * number : rate * (number + 1)])
     scene.wait(2 * FLUSH_S)
     pages = []
     scene.service.page(after=0, limit=1000, done=pages.append)
     scene.wait(0.1)
     assert 0 < len(pages[0].trails) <= trail_archive.MAX_BLOCK_TRAILS
-    assert scene.all(limit=1000) == names
+    assert scene.read_all(limit=1000) == names
--- a/ploverward/control_plane/audit/trail_audit.py
+++ b/ploverward/control_plane/audit/trail_audit.py
@@ -1,6 +1,6 @@
-"""Checks custody trails against the residency rules, from the trails and the zones alone (docs/residency.md).
+"""Checks custody trails against the residency rules, using only the trails and the zones (docs/residency.md).
 
-Pure, and independent of the code that serves requests: it must not repeat that code's errors.
+The check is a pure function and shares no code with the request path, so that it does not repeat that code's errors.
 """
 
 import collections.abc
@@ -10,47 +10,48 @@
 
 # Keys of a trail, as `ploverward.data_plane.requests.custody_trails` writes it.
 REQUEST_ID = "id"
-HOME_REGIONS = "homes"  # of the trail: permitted when the request arrived; of an attempt: when it was sent
+HOME_REGIONS = "homes"  # in a trail: regions permitted when the request arrived; in an attempt: when it was sent
 ATTEMPTS = "goes"
 END = "end"  # how the attempt ended
-NOT_SENT = "not sent"  # an end: no byte was sent
+NOT_SENT = "not sent"  # value of `END` of an attempt that sent no byte
 REPLICA = "replica"
 ZONE = "zone"
-CACHED_AT = "kept"  # the replicas that still have parts of the prompt in their caches
+CACHED_AT = "kept"  # replicas that still have parts of the prompt in their caches
 
 
-def violations_of(*, trail: Json, zones: collections.abc.Mapping[str, str]) -> list[str]:
-    """What of one request was outside the permitted regions.
+def find_violations(*, trail: Json, zones: collections.abc.Mapping[str, str]) -> list[str]:
+    """Checks where one request was sent and cached against its permitted regions.
 
     Args:
-        trail: the trail.
-        zones: the region of each zone.
+        trail: The trail of the request.
+        zones: The region of each zone.
 
     Returns:
-        A line for each violation.
+        One line of text for each violation.
     """
     violations = [
         violation
         for attempt in trail[ATTEMPTS]
-        if (violation := _violation_of_attempt(trail, attempt, zones)) is not None
+        if (violation := _find_attempt_violation(trail, attempt, zones)) is not None
     ]
     permitted = [set(attempt[HOME_REGIONS]) for attempt in trail[ATTEMPTS] if attempt[HOME_REGIONS]]
     for cached in trail.get(CACHED_AT, ()):
         region = zones.get(cached[ZONE], cached[ZONE])
         if any(region not in regions for regions in permitted):
             violations.append(
-                f"{trail[REQUEST_ID]}: {cached[REPLICA]} in {region} still keeps parts outside the permitted regions"
+                f"{trail[REQUEST_ID]}: {cached[REPLICA]} in {region} still caches parts of the prompt,"
+                " outside the permitted regions"
             )
     return violations
 
 
-def _violation_of_attempt(trail: Json, attempt: Json, zones: collections.abc.Mapping[str, str]) -> str | None:
+def _find_attempt_violation(trail: Json, attempt: Json, zones: collections.abc.Mapping[str, str]) -> str | None:
     if attempt[END] == NOT_SENT:
         return None
     request_id, replica, permitted = trail[REQUEST_ID], attempt[REPLICA], attempt[HOME_REGIONS]
     region = zones.get(attempt[ZONE])
     if region is None:
-        return f"{request_id}: {replica} is in a zone that nobody knows, {attempt[ZONE]}"
+        return f"{request_id}: {replica} is in the unknown zone {attempt[ZONE]}"
     if permitted and region not in permitted:
         return f"{request_id}: {replica} in {region} held text and cache; permitted were {', '.join(permitted)}"
     if permitted and trail[HOME_REGIONS] and region not in trail[HOME_REGIONS]:
@@ -65,21 +66,21 @@
     coverage: collections.abc.Collection[Json],
     zones: collections.abc.Mapping[str, str],
 ) -> Json:
-    """The audit of many trails.
+    """Audits many trails and summarizes the result.
 
     Args:
-        trails: the trails.
-        coverage: rows of `trail_store.TrailStore.coverage`.
-        zones: the region of each zone.
+        trails: The trails.
+        coverage: Rows returned by `trail_store.TrailStore.coverage`.
+        zones: The region of each zone.
 
     Returns:
-        Counts, the violations ("outside"), and the incarnations of proxies of which trails are missing.
+        Counts, the violations ("outside"), and the incarnations of proxies whose trails are incomplete.
     """
     incomplete = [row for row in coverage if row["missing_batches"] or _ended_without_closing(row)]
     return {
         "trails": len(trails),
         "homed": sum(1 for trail in trails if trail[HOME_REGIONS]),
-        "outside": [violation for trail in trails for violation in violations_of(trail=trail, zones=zones)],
+        "outside": [violation for trail in trails for violation in find_violations(trail=trail, zones=zones)],
         "lives": len(coverage),
         "lives_with_parts_missing": [
             {
