--- a/ploverward/data_plane/batch/__init__.py
+++ b/ploverward/data_plane/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs at a proxy: calls of clients, the connections to stores, and the items that run here (docs/batch.md)."""
+"""The proxy's side of batch jobs: the API for clients, connections to stores, and runs of items (docs/batch.md)."""
--- a/ploverward/data_plane/batch/batch_api.py
+++ b/ploverward/data_plane/batch/batch_api.py
@@ -1,9 +1,9 @@
-"""The calls of clients on jobs (docs/batch.md 5).
+"""The HTTP API by which clients submit, read and end batch jobs (docs/batch.md 5).
 
-`BatchApi` takes a call where its route takes jobs, or its path is that of a job or an item; other requests go on to the
-code that serves them. A store that can't be reached, or that does not know enough, is answered with 503, which promises
-that nothing was done; a call of which it is not known what became ends with 504, and so does one that a store refuses
-after an attempt of which that is not known.
+`BatchApi` handles a request if its route is a batch route, or if its path names a job or an item; all other requests
+are left to the request handlers. If the store cannot be reached, or cannot answer for the tenant's jobs yet, the
+response is 503, which guarantees that nothing was done. If it is unknown whether a change took effect, the response is
+504, also if a store rejected the last attempt but an earlier attempt may have taken effect.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from ploverward.transport import http_request
 from ploverward.transport.batch_messages import Outcome
 
-JOBS_PATH = "/ploverward/lots/"
+JOBS_PATH = "/ploverward/lots/"  # a batch job is called a "lot" in paths
 ITEMS_PATH = "/ploverward/items/"
-SUBMIT_TIMEOUT_S = 2.0  # for a store to take a job, or to end one
+CHANGE_TIMEOUT_S = 2.0  # for submitting or ending a job, retries included
 READ_TIMEOUT_S = 1.2
-MAX_WAIT_S = 5.0  # of a read that is held
-POLL_INTERVAL_S = 0.2  # of a read that is held
+MAX_WAIT_S = 5.0  # longest wait of a read for the first new result (long polling)
+POLL_INTERVAL_S = 0.2  # between two requests to the store while a read waits
 RETRY_AFTER_S = 0.2
-MAX_POSITION_DIGITS = 9
+MAX_NUMBER_DIGITS = 9
 CONDITIONS = {
     batch_messages.Condition.DELIVERED: "delivered",
     batch_messages.Condition.DEAD_LETTER: "dead_letter",
@@ -44,15 +44,15 @@
     Outcome.NOT_OWNER: http.HTTPStatus.SERVICE_UNAVAILABLE,
 }
 
-Reply = typing.Any  # a message of a store, or None
+Reply = typing.Any  # a reply message from a store; None if no reply arrived
 
 
 class JobCall(typing.NamedTuple):
-    """A call that is admitted.
+    """An admitted API call.
 
     Attributes:
-        request: Of the client.
-        tenant: Its name; empty where no tenants are configured.
+        request: The client's request.
+        tenant: Name of the tenant; empty if no tenants are configured.
     """
 
     request: http_request.Request
@@ -60,11 +60,11 @@
 
 
 class BatchApi:
-    """Answers calls on jobs.
+    """Handles the API calls for batch jobs.
 
     Args:
         node: The proxy.
-        stores: Calls stores.
+        stores: The client for the stores.
     """
 
     def __init__(self, *, node: handler_context.HandlerContext, stores: store_client.StoreClient) -> None:
@@ -72,7 +72,7 @@
         self._stores = stores
 
     def handle(self, request: http_request.Request) -> bool:
-        """Takes a call on jobs; returns whether it was one."""
+        """Handles the request if it is an API call for batch jobs; returns whether it is."""
         host = request.text(b"host")
         url = urllib.parse.urlsplit(request.target.decode("latin-1"))
         if url.path.startswith((JOBS_PATH, ITEMS_PATH)) and self._node.routes.find_batch_route(host) is not None:
@@ -82,32 +82,36 @@
         if route is None or route.batch is None:
             return False
         if request.method != b"POST":
-            _refuse(request, http.HTTPStatus.METHOD_NOT_ALLOWED, "a job is handed in with POST")
+            _reply_error(request, http.HTTPStatus.METHOD_NOT_ALLOWED, "a job is handed in with POST")
         else:
             self._submit(request, route, prefix=self._node.routes.host_and_prefix_of(route.name)[1])
         return True
 
     # Admission.
     def _admit(self, request: http_request.Request, route: route_table.Route) -> JobCall | None:
-        """Returns the call, or None where it was refused."""
+        """Returns the admitted call; None if the request was rejected and answered."""
         if not self._node.is_serving:
-            _refuse(request, http.HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
+            _reply_error(request, http.HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
             return None
         tenant = admission_filters.authenticate_tenant(request=request, route=route, context=self._node)
         if isinstance(tenant, admission_filters.Rejection):
-            _refuse(request, http.HTTPStatus(tenant.status), "no key of a tenant")
+            _reply_error(request, http.HTTPStatus(tenant.status), "no key of a tenant")
             return None
         return JobCall(request, tenant.name if isinstance(tenant, tenant_directory.Tenant) else "")
 
-    def _change(self, call: JobCall, make_message: store_client.MakeMessage, *, done_status: http.HTTPStatus) -> None:
+    def _send_change(
+        self, call: JobCall, make_message: store_client.MakeMessage, *, done_status: http.HTTPStatus
+    ) -> None:
         self._stores.call_owner(
             tenant=call.tenant,
             make_message=make_message,
-            timeout_s=SUBMIT_TIMEOUT_S,
+            timeout_s=CHANGE_TIMEOUT_S,
             done=functools.partial(self._answer_outcome, call, done_status),
         )
 
-    def _read(self, call: JobCall, make_message: store_client.MakeMessage, done: Callable[[Reply], object]) -> None:
+    def _send_read(
+        self, call: JobCall, make_message: store_client.MakeMessage, done: Callable[[Reply], object]
+    ) -> None:
         self._stores.call_owner(
             tenant=call.tenant,
             make_message=make_message,
@@ -115,26 +119,33 @@
             done=lambda reply, _is_uncertain: done(reply),
         )
 
-    # Handing in.
+    # Submission.
     def _submit(self, request: http_request.Request, route: route_table.Route, *, prefix: str) -> None:
-        job = request.text(b"x-attempt-id")
-        if not job:
-            _refuse(request, http.HTTPStatus.BAD_REQUEST, "X-Attempt-Id gives the job's id")
+        job_id = request.text(b"x-attempt-id")
+        if not job_id:
+            _reply_error(request, http.HTTPStatus.BAD_REQUEST, "X-Attempt-Id gives the job's id")
             return
         try:
-            job_request.check(body=request.body, path_prefix=prefix)
+            job_request.validate(body=request.body, path_prefix=prefix)
         except job_request.JobError as error:
-            _refuse(request, http.HTTPStatus.BAD_REQUEST, error.text)
+            _reply_error(request, http.HTTPStatus.BAD_REQUEST, error.text)
             return
         call = self._admit(request, route)
-        terms = route.batch
-        if call is None or terms is None:
+        limits = route.batch
+        if call is None or limits is None:
             return
-        due_ms = int(terms.deadline_s * 1000)
-        self._change(
+        due_ms = int(limits.deadline_s * 1000)
+        self._send_change(
             call,
             lambda number: batch_messages.SubmitJob(
-                number, call.tenant, job, route.name, due_ms, route.max_attempts, terms.max_queued_tokens, request.body
+                number,
+                call.tenant,
+                job_id,
+                route.name,
+                due_ms,
+                route.max_attempts,
+                limits.max_queued_tokens,
+                request.body,
             ),
             done_status=http.HTTPStatus.ACCEPTED,
         )
@@ -144,11 +155,11 @@
         if reply is not None and reply.outcome == Outcome.DONE:
             call.request.reply(status=done_status)
         elif is_uncertain:
-            _refuse(call.request, http.HTTPStatus.GATEWAY_TIMEOUT, "not known what became of it")
+            _reply_error(call.request, http.HTTPStatus.GATEWAY_TIMEOUT, "not known what became of it")
         elif reply is None:
-            _refuse(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "no store can answer for it")
+            _reply_error(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "no store can answer for it")
         else:
-            _refuse_outcome(call.request, Outcome(reply.outcome))
+            _reply_outcome_error(call.request, Outcome(reply.outcome))
 
     # Jobs and items.
     def _handle_resource(self, request: http_request.Request, url: urllib.parse.SplitResult) -> None:
@@ -158,74 +169,74 @@
             return
         query = {name: values[-1] for name, values in urllib.parse.parse_qs(url.query).items()}
         is_item = url.path.startswith(ITEMS_PATH)
-        job = urllib.parse.unquote(url.path.removeprefix(ITEMS_PATH if is_item else JOBS_PATH))
+        job_id = urllib.parse.unquote(url.path.removeprefix(ITEMS_PATH if is_item else JOBS_PATH))
         if is_item and request.method == b"GET":
-            self._read_item(call, job, query.get("id", ""))
+            self._read_item(call, job_id, query.get("id", ""))
         elif not is_item and request.method == b"GET":
-            wait_s = min(MAX_WAIT_S, _number(request.text(b"x-wait-ms")) / 1000)
+            wait_s = min(MAX_WAIT_S, _parse_number(request.text(b"x-wait-ms")) / 1000)
             until = self._node.loop.now() + wait_s
-            self._read_job(call, job, after=_number(query.get("afterRevision", "0")), until=until)
+            self._read_job(call, job_id, after=_parse_number(query.get("afterRevision", "0")), until=until)
         elif not is_item and request.method == b"DELETE":
-            self._change(
+            self._send_change(
                 call,
-                lambda number: batch_messages.EndJob(number, call.tenant, job),
+                lambda number: batch_messages.EndJob(number, call.tenant, job_id),
                 done_status=http.HTTPStatus.OK,
             )
         else:
-            _refuse(request, http.HTTPStatus.METHOD_NOT_ALLOWED, "no such call")
+            _reply_error(request, http.HTTPStatus.METHOD_NOT_ALLOWED, "no such call")
 
-    def _read_job(self, call: JobCall, job: str, *, after: int, until: float) -> None:
-        self._read(
+    def _read_job(self, call: JobCall, job_id: str, *, after: int, until: float) -> None:
+        self._send_read(
             call,
-            lambda number: batch_messages.ReadJob(number, call.tenant, job, after),
-            lambda reply: self._answer_page(call, job, after, until, reply),
+            lambda number: batch_messages.ReadJob(number, call.tenant, job_id, after),
+            lambda reply: self._answer_page(call, job_id, after, until, reply),
         )
 
-    def _answer_page(self, call: JobCall, job: str, after: int, until: float, reply: Reply) -> None:
+    def _answer_page(self, call: JobCall, job_id: str, after: int, until: float, reply: Reply) -> None:
         if reply is None:
-            _refuse(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "the store did not answer")
+            _reply_error(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "the store did not answer")
         elif reply.outcome != Outcome.DONE:
-            _refuse_outcome(call.request, Outcome(reply.outcome))
+            _reply_outcome_error(call.request, Outcome(reply.outcome))
         elif not reply.results and after < reply.total and self._node.loop.now() + POLL_INTERVAL_S <= until:
             self._node.loop.after(
-                delay=POLL_INTERVAL_S, callback=lambda: self._read_job(call, job, after=after, until=until)
+                delay=POLL_INTERVAL_S, callback=lambda: self._read_job(call, job_id, after=after, until=until)
             )
         else:
             results = [
-                {"id": item, "condition": CONDITIONS[condition], "text": text.decode("utf-8", "replace")}
-                for item, condition, text in reply.results
+                {"id": item_id, "condition": CONDITIONS[condition], "text": text.decode("utf-8", "replace")}
+                for item_id, condition, text in reply.results
             ]
             body = {"total": reply.total, "nextPage": after + len(results), "results": results}
             _reply_json(call.request, http.HTTPStatus.OK, body)
 
-    def _read_item(self, call: JobCall, job: str, item: str) -> None:
-        self._read(
+    def _read_item(self, call: JobCall, job_id: str, item_id: str) -> None:
+        self._send_read(
             call,
-            lambda number: batch_messages.ReadItem(number, call.tenant, job, item),
+            lambda number: batch_messages.ReadItem(number, call.tenant, job_id, item_id),
             lambda reply: self._answer_item(call, reply),
         )
 
     @staticmethod
     def _answer_item(call: JobCall, reply: Reply) -> None:
         if reply is None:
-            _refuse(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "the store did not answer")
+            _reply_error(call.request, http.HTTPStatus.SERVICE_UNAVAILABLE, "the store did not answer")
         elif reply.outcome != Outcome.DONE:
-            _refuse_outcome(call.request, Outcome(reply.outcome))
+            _reply_outcome_error(call.request, Outcome(reply.outcome))
         else:
             headers = [(b"Content-Type", b"application/octet-stream")]
             call.request.reply(status=http.HTTPStatus.OK, headers=headers, body=binascii.a2b_base64(reply.parcel))
 
 
-def _number(text: str) -> int:
-    """The number in a query or header; 0 where there is none."""
-    return int(text) if text.isascii() and text.isdecimal() and len(text) <= MAX_POSITION_DIGITS else 0
+def _parse_number(text: str) -> int:
+    """Returns the number in a query parameter or header; 0 if it is missing or malformed."""
+    return int(text) if text.isascii() and text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS else 0
 
 
-def _refuse_outcome(request: http_request.Request, outcome: Outcome) -> None:
-    _refuse(request, STATUS_BY_OUTCOME[outcome], outcome.name.lower().replace("_", " "))
+def _reply_outcome_error(request: http_request.Request, outcome: Outcome) -> None:
+    _reply_error(request, STATUS_BY_OUTCOME[outcome], outcome.name.lower().replace("_", " "))
 
 
-def _refuse(request: http_request.Request, status: http.HTTPStatus, text: str) -> None:
+def _reply_error(request: http_request.Request, status: http.HTTPStatus, text: str) -> None:
     _reply_json(request, status, {"error": text})
 
 
--- a/ploverward/data_plane/batch/job_request.py
+++ b/ploverward/data_plane/batch/job_request.py
@@ -1,4 +1,4 @@
-"""Checks what a client hands in as a job: bad input gets one clear error, and is not taken (docs/batch.md 5)."""
+"""Validation of submitted jobs: a malformed job is rejected as a whole, with one clear error (docs/batch.md 5)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 MAX_ITEMS = 200
 MAX_ID_BYTES = 200
-TOKEN_PATTERN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # a header's name (RFC 9110, 5.6.2)
-VALUE_PATTERN = re.compile(r"[^\x00-\x08\x0a-\x1f\x7f]*")  # a header's value
-OWN_HEADERS = frozenset(
+HEADER_NAME_PATTERN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # a token (RFC 9110, 5.6.2)
+HEADER_VALUE_PATTERN = re.compile(r"[^\x00-\x08\x0a-\x1f\x7f]*")  # no control characters but tabs
+RESERVED_HEADERS = frozenset(  # connection headers and headers that the proxy sets or reads itself
     (
         "authorization",
         "connection",
@@ -33,21 +33,21 @@
 
 
 class JobError(errors.PloverwardError):
-    """A job is malformed; the text names the first fault."""
+    """A job is malformed; the text describes the first error found."""
 
 
-def check(*, body: bytes, path_prefix: str) -> int:
-    """Checks a job.
+def validate(*, body: bytes, path_prefix: str) -> int:
+    """Validates a job.
 
     Args:
-        body: As the client sent it.
-        path_prefix: Of the job's route: each item's path begins with it.
+        body: The body of the client's request.
+        path_prefix: Path prefix of the job's route; the path of each item has to begin with it.
 
     Returns:
-        How many items it has.
+        The number of items in the job.
 
     Raises:
-        JobError: It is malformed.
+        JobError: The job is malformed.
     """
     try:
         job = json.loads(body)
@@ -60,42 +60,46 @@
         raise JobError(f"{len(rows)} items, {MAX_ITEMS} are allowed")
     seen: set[str] = set()
     for index, row in enumerate(rows):
-        _check_item(row, where=f"requests[{index}]", path_prefix=path_prefix)
+        _validate_item(row, location=f"requests[{index}]", path_prefix=path_prefix)
         if row["id"] in seen:
             raise JobError(f"requests[{index}].id: '{row['id']}' comes twice")
         seen.add(row["id"])
     return len(rows)
 
 
-def _check_item(row: typing.Any, *, where: str, path_prefix: str) -> None:  # noqa: ANN401  # any JSON
+def _validate_item(row: typing.Any, *, location: str, path_prefix: str) -> None:  # noqa: ANN401  # any JSON
     if not isinstance(row, dict):
-        raise JobError(f"{where}: no item")
+        raise JobError(f"{location}: no item")
     item_id, path = row.get("id"), row.get("path")
-    if not isinstance(item_id, str) or not 0 < len(item_id) <= MAX_ID_BYTES or not VALUE_PATTERN.fullmatch(item_id):
-        raise JobError(f"{where}.id: no id")
+    if (
+        not isinstance(item_id, str)
+        or not 0 < len(item_id) <= MAX_ID_BYTES
+        or not HEADER_VALUE_PATTERN.fullmatch(item_id)
+    ):
+        raise JobError(f"{location}.id: no id")
     if not isinstance(path, str) or not path.startswith(path_prefix) or not path.isascii() or not path.isprintable():
-        raise JobError(f"{where}.path: no path under {path_prefix}")
+        raise JobError(f"{location}.path: no path under {path_prefix}")
     if " " in path:
-        raise JobError(f"{where}.path: has a space")
+        raise JobError(f"{location}.path: has a space")
     tokens = row.get("tokens", 0)
     if isinstance(tokens, bool) or not isinstance(tokens, int) or tokens < 0:
-        raise JobError(f"{where}.tokens: no count")
-    _check_headers(row.get("envelope", {}), where=f"{where}.envelope")
-    _check_parcel(row.get("parcel", ""), where=f"{where}.parcel")
+        raise JobError(f"{location}.tokens: no count")
+    _validate_headers(row.get("envelope", {}), location=f"{location}.envelope")
+    _validate_parcel(row.get("parcel", ""), location=f"{location}.parcel")
 
 
-def _check_headers(headers: typing.Any, *, where: str) -> None:  # noqa: ANN401  # any JSON
+def _validate_headers(headers: typing.Any, *, location: str) -> None:  # noqa: ANN401  # any JSON
     if not isinstance(headers, dict):
-        raise JobError(f"{where}: no headers")
+        raise JobError(f"{location}: no headers")
     for name, value in headers.items():
-        if not TOKEN_PATTERN.fullmatch(name) or name.lower() in OWN_HEADERS:
-            raise JobError(f"{where}: '{name}' may not be a header")
-        if not isinstance(value, str) or not VALUE_PATTERN.fullmatch(value):
-            raise JobError(f"{where}.{name}: no value")
+        if not HEADER_NAME_PATTERN.fullmatch(name) or name.lower() in RESERVED_HEADERS:
+            raise JobError(f"{location}: '{name}' may not be a header")
+        if not isinstance(value, str) or not HEADER_VALUE_PATTERN.fullmatch(value):
+            raise JobError(f"{location}.{name}: no value")
 
 
-def _check_parcel(parcel: typing.Any, *, where: str) -> None:  # noqa: ANN401  # any JSON
+def _validate_parcel(parcel: typing.Any, *, location: str) -> None:  # noqa: ANN401  # any JSON
     try:
         binascii.a2b_base64(parcel.encode("ascii"), strict_mode=True)
     except (AttributeError, UnicodeEncodeError, binascii.Error) as error:
-        raise JobError(f"{where}: no base64") from error
+        raise JobError(f"{location}: no base64") from error
