--- a/ploverward/data_plane/batch/batch_tier.py
+++ b/ploverward/data_plane/batch/batch_tier.py
@@ -1,4 +1,4 @@
-"""The batch tier of one proxy: its parts and their wiring (docs/batch.md)."""
+"""The batch tier of one proxy: creates its components and connects them (docs/batch.md)."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class BatchTier:
-    """Calls on jobs, and the items that run here.
+    """Handles API calls for batch jobs and runs items on this proxy.
 
     Args:
         node: The proxy.
-        peer_timeout_s: A connection to a store on which nothing arrives for so long is closed.
-        proxy_count: Returns how many proxies there are.
-        is_draining: Whether this proxy is shutting down.
+        peer_timeout_s: Seconds without received data after which a connection to a store is closed.
+        proxy_count: Returns the number of proxies.
+        is_draining: Returns whether this proxy is shutting down.
 
     Attributes:
-        stores: Calls stores.
+        stores: The client for the stores.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         )
 
     def _handle_store_up(self, address: str) -> None:
-        self._puller.renew(address)
+        self._puller.renew_leases(address)
 
     def start(self) -> None:
-        """Begins to run items."""
+        """Starts to pull and run items."""
         self._puller.start()
 
     def handle(self, request: http_request.Request) -> bool:
-        """Takes a call on jobs; returns whether it was one."""
+        """Handles the request if it is an API call for batch jobs; returns whether it is."""
         return self._api.handle(request)
--- a/ploverward/data_plane/batch/item_handler.py
+++ b/ploverward/data_plane/batch/item_handler.py
@@ -1,7 +1,7 @@
-"""Runs one item by the code that serves requests: choice of a replica, attempts, resumption (docs/batch.md 4).
+"""Runs of items by the request handler: choice of a replica, attempts, resumption (docs/batch.md 4).
 
-What differs from a request: the job was admitted, so no filter runs; its time is the job's; quotas and the budget of
-further attempts don't cover it.
+An item differs from a client's request in that no admission filters run, because its job was admitted already; its
+deadline comes from the run limit instead of the client; and quotas and the retry budget do not apply to it.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 from ploverward.data_plane.requests import route_table
 from ploverward.transport import http_request
 
-LATENCY_TARGET_S = 2.0  # within which its first event is looked for
-RUN_LIMIT_S = 60.0  # of one run
+LATENCY_TARGET_S = 2.0  # target for the time to the first event of a response
+RUN_LIMIT_S = 60.0  # longest time of one run
 
 
-class UnlimitedRetries:
-    """The retry budget of items: they don't count against that of requests."""
+class UnlimitedRetryBudget:
+    """A retry budget without a limit: retries of items do not count against the budget of requests."""
 
     def record_request(self, _service: str) -> None:
-        """An item begins."""
+        """Ignores the request."""
 
     def charge(self, _service: str) -> bool:
-        """Whether a further attempt is allowed."""
+        """Returns True: a retry is always allowed."""
         return True
 
     def has_budget(self, _service: str) -> bool:
-        """Whether a further attempt would be allowed."""
+        """Returns True: a retry would always be allowed."""
         return True
 
 
 class ItemQuota:
-    """The limits that items share with requests, but for retries."""
+    """The limits that items share with requests, except for the retry budget."""
 
-    def __init__(self, quota: typing.Any) -> None:  # noqa: ANN401  # of `shared_limits.SharedLimits`
+    def __init__(self, quota: typing.Any) -> None:  # noqa: ANN401  # a `shared_limits.SharedLimits`
         self._quota = quota
-        self.retry_budget = UnlimitedRetries()
+        self.retry_budget = UnlimitedRetryBudget()
 
-    def __getattr__(self, name: str) -> typing.Any:  # noqa: ANN401  # whatever the shared limits have
+    def __getattr__(self, name: str) -> typing.Any:  # noqa: ANN401  # any attribute of the shared limits
         return getattr(self._quota, name)
 
 
 class ItemContext:
-    """The proxy as items see it.
+    """The context of item handlers: the proxy, but with `ItemQuota` and a separate set of handlers.
 
     Args:
         node: The proxy.
@@ -58,17 +58,17 @@
         self.quota = ItemQuota(node.quota)
         self.handlers: set[request_handler.RequestHandler] = set()
 
-    def __getattr__(self, name: str) -> typing.Any:  # noqa: ANN401  # whatever the proxy has
+    def __getattr__(self, name: str) -> typing.Any:  # noqa: ANN401  # any attribute of the proxy
         return getattr(self._node, name)
 
 
 class ItemHandler(request_handler.RequestHandler):
-    """One run of an item.
+    """Handles one run of an item.
 
     Args:
-        context: The proxy as items see it.
+        context: An `ItemContext`.
         request: The item's request.
-        tenant: Whose it is, None where no tenants are configured any more.
+        tenant: The tenant of the item's job; None if the configuration no longer has it.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._tenant = tenant
 
     def start(self, route: route_table.Route) -> None:
-        """Begins the first attempt."""
+        """Starts the first attempt."""
         facts, context = self.facts, self.context
         facts.route, facts.tenant = route, self._tenant
         facts.first_homes = tuple(sorted(context.permitted(route=route, first_homes=(), tenant=self._tenant) or ()))
@@ -96,7 +96,7 @@
         self._begin_attempts()
 
     def _note_request_started(self) -> None:
-        """Reports of use do not cover items."""
+        """Does nothing: usage reports do not count items."""
 
     def _follow_configuration(self) -> bool:
         route = admission_filters.find_route(request=self.request, routes=self.context.routes)
--- a/ploverward/data_plane/batch/item_puller.py
+++ b/ploverward/data_plane/batch/item_puller.py
@@ -1,8 +1,8 @@
-"""Takes items from stores while there is capacity, runs them, and tells the store how each run ended (docs/batch.md 4).
+"""Pulls items from stores while there is capacity, runs them, and reports the outcomes to the store (docs/batch.md 4).
 
-Nothing is pushed to a proxy: after a restart it asks for what it can run. `ItemPuller` owns the runs in progress, and
-names them to their primaries again and again: that renews their leases, makes them known to a new primary, and finds
-out which ones are of no use any more.
+Nothing is pushed to a proxy: after a restart it requests the items that it can run. `ItemPuller` owns the runs in
+progress and lists them to their primaries at regular intervals. This renews the leases of the items, makes the runs
+known to a new primary, and returns the runs whose results are no longer needed.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
 _log = logging.getLogger(__name__)
 
 PULL_INTERVAL_S = 0.1
-RENEWAL_S = 0.75
+RENEWAL_INTERVAL_S = 0.75
 CALL_TIMEOUT_S = 1.0
-FINISH_RETRY_S = 0.3
-MAX_FINISH_ATTEMPTS = 60
-_FIRST_SUCCESS, _FIRST_REDIRECT = 200, 300  # statuses
-SLOTS_SHARE = 0.5  # of the replicas' slots, that items take over all proxies
+REPORT_RETRY_S = 0.3
+MAX_REPORT_ATTEMPTS = 60
+_FIRST_SUCCESS, _FIRST_REDIRECT = 200, 300  # HTTP statuses
+ITEM_SLOT_SHARE = 0.5  # share of the replicas' slots that items of all proxies together may take
 
 
-Key = batch_messages.RunningItem
+ItemKey = batch_messages.RunningItem
 
 
-class _Finish:
-    """A report of how a run ended, until the store has it.
+class _PendingReport:
+    """A report of how a run ended, which the store has not acknowledged yet.
 
     Attributes:
-        is_wanted: False once the item runs here again.
+        is_current: False once the item runs on this proxy again, which makes the report obsolete.
     """
 
     def __init__(self) -> None:
-        self.is_wanted = True
+        self.is_current = True
 
 
 class ItemPuller:
-    """Pulls and runs items.
+    """Pulls items from the stores and runs them.
 
     Args:
         node: The proxy.
-        stores: Calls stores.
-        proxy_count: Returns how many proxies there are.
-        is_draining: Whether this proxy is shutting down.
+        stores: The client for the stores.
+        proxy_count: Returns the number of proxies.
+        is_draining: Returns whether this proxy is shutting down.
     """
 
     def __init__(
@@ -73,23 +73,23 @@
         self._proxy_count = proxy_count
         self._is_draining = is_draining
         self._context = typing.cast(handler_context.HandlerContext, item_handler.ItemContext(node))
-        self._running: dict[Key, item_handler.ItemHandler] = {}
-        self._reports: dict[Key, _Finish] = {}
-        self._expected = 0  # items of calls that are under way
+        self._running: dict[ItemKey, item_handler.ItemHandler] = {}
+        self._reports: dict[ItemKey, _PendingReport] = {}
+        self._requested = 0  # items requested by pulls in progress
         self._next_primary = 0
 
     def start(self) -> None:
-        """Begins to pull."""
-        self._node.loop.every(interval_s=PULL_INTERVAL_S, callback=self._tick)
-        self._node.loop.every(interval_s=RENEWAL_S, callback=self._renew_all)
+        """Starts pulling items and renewing leases."""
+        self._node.loop.every(interval_s=PULL_INTERVAL_S, callback=self._pull)
+        self._node.loop.every(interval_s=RENEWAL_INTERVAL_S, callback=self._renew_all_leases)
 
     # Leases.
-    def _renew_all(self) -> None:
+    def _renew_all_leases(self) -> None:
         for address in {self._stores.primary_of(key.tenant) for key in self._running}:
-            self.renew(address)
+            self.renew_leases(address)
 
-    def renew(self, address: str) -> None:
-        """Names a store the items of its partitions that run here."""
+    def renew_leases(self, address: str) -> None:
+        """Lists to a store the running items of its partitions, which renews their leases."""
         keys = tuple(key for key in self._running if self._stores.primary_of(key.tenant) == address)
         if keys:
             self._stores.call(
@@ -105,14 +105,14 @@
             if handler is not None:
                 handler.on_client_gone()
 
-    def _tick(self) -> None:
+    def _pull(self) -> None:
         primaries = self._stores.primaries()
-        capacity = self._max_running() - len(self._running) - self._expected
+        capacity = self._max_running() - len(self._running) - self._requested
         if not primaries or capacity <= 0 or self._is_draining() or not self._node.is_serving:
             return
         self._next_primary += 1
         address = primaries[self._next_primary % len(primaries)]
-        self._expected += capacity
+        self._requested += capacity
         self._stores.call(
             address=address,
             make_message=lambda number: batch_messages.PullItems(number, capacity),
@@ -121,35 +121,35 @@
         )
 
     def _max_running(self) -> int:
-        """This proxy's part of the slots that items may take."""
+        """Returns this proxy's part of the slots that items may take."""
         slots = sum(
-            replica.batch_slots for replica in self._node.table.replicas.values() if self._takes_items(replica.service)
+            replica.batch_slots for replica in self._node.table.replicas.values() if self._runs_items(replica.service)
         )
-        return max(1, math.ceil(slots * SLOTS_SHARE / max(1, self._proxy_count())))
+        return max(1, math.ceil(slots * ITEM_SLOT_SHARE / max(1, self._proxy_count())))
 
-    def _takes_items(self, service: str) -> bool:
+    def _runs_items(self, service: str) -> bool:
         return service in self._node.routes.batch_services
 
     def _handle_pulled(self, capacity: int, reply: batch_messages.PulledItems | None) -> None:
-        self._expected -= capacity
+        self._requested -= capacity
         for item in reply.items if reply is not None else ():
             self._run(item)
 
     def _run(self, item: batch_messages.PulledItem) -> None:
         if _key(item) in self._running:
-            return  # its lease was renewed by this
+            return  # the pull renewed the lease of the run in progress
         report = self._reports.pop(_key(item), None)
         if report is not None:
-            report.is_wanted = False
+            report.is_current = False
         route = self._node.routes.find_by_name(item.route)
         if route is None or route.batch is None:
-            self._finish(item, Condition.RELEASED, b"")
+            self._report_outcome(item, Condition.RELEASED, b"")
             return
         try:
             self._start(item, route)
         except (ValueError, errors.PloverwardError) as error:
             _log.error("item_not_started", extra={"item": item.item, "fault": str(error)})
-            self._handle_end(item, item_request.BROKEN_OFF, b"")
+            self._handle_end(item, item_request.INCOMPLETE, b"")
 
     def _start(self, item: batch_messages.PulledItem, route: route_table.Route) -> None:
         request = item_request.make_request(
@@ -170,30 +170,30 @@
     def _handle_end(self, item: batch_messages.PulledItem, status: int, body: bytes) -> None:
         self._running.pop(_key(item), None)
         if _FIRST_SUCCESS <= status < _FIRST_REDIRECT:
-            self._finish(item, Condition.DELIVERED, item_request.text_of(body))
+            self._report_outcome(item, Condition.DELIVERED, item_request.extract_event_data(body))
         elif status == http.HTTPStatus.UNPROCESSABLE_ENTITY:
-            self._finish(item, Condition.DEAD_LETTER, b"")
+            self._report_outcome(item, Condition.DEAD_LETTER, b"")
         elif status == http.HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._finish(item, Condition.FAILED, b"")
+            self._report_outcome(item, Condition.FAILED, b"")
         else:
-            self._finish(item, Condition.RELEASED, b"")
+            self._report_outcome(item, Condition.RELEASED, b"")
 
-    def _finish(self, item: batch_messages.PulledItem, condition: Condition, text: bytes) -> None:
-        report = self._reports[_key(item)] = _Finish()
+    def _report_outcome(self, item: batch_messages.PulledItem, condition: Condition, text: bytes) -> None:
+        report = self._reports[_key(item)] = _PendingReport()
         message = batch_messages.FinishItem(0, item.tenant, item.job, item.item, int(condition), text)
         self._send_report(report, message, attempt=1)
 
-    def _send_report(self, report: _Finish, message: batch_messages.FinishItem, *, attempt: int) -> None:
-        """Tells the store, again and again until it answers: a result must not be lost with one message."""
-        if not report.is_wanted:
+    def _send_report(self, report: _PendingReport, message: batch_messages.FinishItem, *, attempt: int) -> None:
+        """Sends a report, and repeats it until the store replies: a lost message must not lose a result."""
+        if not report.is_current:
             return
-        key = Key(message.tenant, message.job, message.item)
+        key = ItemKey(message.tenant, message.job, message.item)
 
         def handle(reply: batch_messages.JobReply | None) -> None:
-            is_kept = reply is not None and reply.outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN)
-            if not is_kept and attempt < MAX_FINISH_ATTEMPTS:
+            is_final = reply is not None and reply.outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN)
+            if not is_final and attempt < MAX_REPORT_ATTEMPTS:
                 self._node.loop.after(
-                    delay=FINISH_RETRY_S, callback=lambda: self._send_report(report, message, attempt=attempt + 1)
+                    delay=REPORT_RETRY_S, callback=lambda: self._send_report(report, message, attempt=attempt + 1)
                 )
             elif self._reports.get(key) is report:
                 del self._reports[key]
@@ -206,5 +206,5 @@
         )
 
 
-def _key(item: batch_messages.PulledItem) -> Key:
-    return Key(item.tenant, item.job, item.item)
+def _key(item: batch_messages.PulledItem) -> ItemKey:
+    return ItemKey(item.tenant, item.job, item.item)
--- a/ploverward/data_plane/batch/item_request.py
+++ b/ploverward/data_plane/batch/item_request.py
@@ -1,7 +1,7 @@
-"""An item of a job as a request without a client: its answer is gathered in memory (docs/batch.md 4).
+"""Requests for items of batch jobs: there is no client, the response is collected in memory (docs/batch.md 4).
 
-`ItemRequest` takes the place of a client's request for the code that serves requests; `AnswerSink` that of the client's
-connection.
+`make_request` creates a request that a request handler processes like that of a client; `ResponseCollector` takes the
+place of the client's connection.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import http_request
 
-BROKEN_OFF = 0  # in place of a status: the answer did not come to its end
+INCOMPLETE = 0  # reported instead of an HTTP status if the response did not complete
 
 
-class AnswerSink:
-    """Gathers one answer.
+class ResponseCollector:
+    """Collects one response; implements `http_request.ResponseWriter`.
 
     Args:
-        on_end: Called once with the status, or `BROKEN_OFF`, and the body.
+        on_end: Called once with the HTTP status, or `INCOMPLETE`, and the body.
     """
 
     def __init__(self, *, on_end: Callable[[int, bytes], object]) -> None:
         self._on_end: Callable[[int, bytes], object] | None = on_end
-        self._status = BROKEN_OFF
+        self._status = INCOMPLETE
         self._body = bytearray()
 
     def is_answering(self, _request: http_request.Request) -> bool:
-        """Whether what is written still counts."""
+        """Returns whether the response is still being written."""
         return self._on_end is not None
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
-        """The head of the answer."""
+        """Records the status of the response."""
         self._status = status
 
     def send(self, event: Any) -> None:  # noqa: ANN401  # any event of h11
-        """A part of the body."""
+        """Collects a part of the body."""
         if isinstance(event, h11.Data):
             self._body += event.data
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """Completes the response."""
         self._end(self._status)
 
     def abort_response(self) -> None:
-        """The answer is broken off."""
-        self._end(BROKEN_OFF)
+        """Ends the response as incomplete."""
+        self._end(INCOMPLETE)
 
     def drop(self) -> None:
-        """As if the client had left: there is none."""
-        self._end(BROKEN_OFF)
+        """Ends the response as incomplete, as if a client had disconnected."""
+        self._end(INCOMPLETE)
 
     def queued(self) -> int:
-        """Bytes that wait to be sent: none ever."""
+        """Returns the number of bytes waiting to be sent, which is always 0."""
         return 0
 
     def _end(self, status: int) -> None:
@@ -70,18 +70,18 @@
 def make_request(
     *, item: batch_messages.PulledItem, host: str, now: float, on_end: Callable[[int, bytes], object]
 ) -> http_request.Request:
-    """Makes the request of an item.
+    """Creates the request for an item.
 
     Args:
-        item: As the store gave it.
-        host: Of its route.
-        now: The loop's clock, in seconds.
-        on_end: Called once with the status, or `BROKEN_OFF`, and the body of its answer.
+        item: The item as pulled from the store.
+        host: Host of the item's route.
+        now: Time of the event loop's clock, in seconds.
+        on_end: Called once with the HTTP status, or `INCOMPLETE`, and the body of the response.
     """
     headers = [(b"host", host.encode()), (b"x-attempt-id", item.item.encode())]
     headers += [(name.lower().encode(), value.encode("latin-1", "replace")) for name, value in _headers(item)]
     request = http_request.Request(
-        http_connection=AnswerSink(on_end=on_end),
+        http_connection=ResponseCollector(on_end=on_end),
         method=b"POST",
         target=item.path.encode(),
         headers=headers,
@@ -95,7 +95,7 @@
     return list(json.loads(item.headers).items())
 
 
-def text_of(stream: bytes) -> bytes:
-    """Returns the data of all events of a stream in order, parted by line feeds."""
+def extract_event_data(stream: bytes) -> bytes:
+    """Returns the data lines of all events of an event stream, in order and separated by line feeds."""
     lines = (line for line in stream.splitlines() if line.startswith(b"data:"))
     return b"\n".join(line[5:].removeprefix(b" ") for line in lines)
--- a/ploverward/data_plane/batch/store_client.py
+++ b/ploverward/data_plane/batch/store_client.py
@@ -1,7 +1,7 @@
-"""Calls of a proxy to stores: one connection a store, numbered requests, a time-out for each (docs/batch.md 2).
+"""The proxy's client for stores: one connection to each, numbered calls, a time-out for each call (docs/batch.md 2).
 
-A call to the owner of a tenant's jobs goes on at whichever store owns them next: all calls may be repeated. What is not
-known of the attempts before the last one is told with its outcome.
+A call to the owner of a tenant's jobs is retried, at the next owner if they are moved; every call may be repeated
+safely. The callback also learns whether an earlier attempt may have taken effect.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from ploverward.transport import peer_connection
 from ploverward.transport.batch_messages import Outcome
 
-RETRY_S = 0.1  # from an attempt that came to nothing to the next one
+RETRY_DELAY_S = 0.1  # between a failed attempt and the next one
 ATTEMPT_TIMEOUT_S = 0.9
 
-Done = Callable[[typing.Any], object]  # called with the reply, or with None where none came in time
-OwnerDone = Callable[[typing.Any, bool], object]  # the same, and whether an earlier attempt may have done something
-MakeMessage = Callable[[int], tuple]  # number: message
+ReplyCallback = Callable[[typing.Any], object]  # argument: the reply; None if none arrived in time
+# Arguments: the reply, and whether an earlier attempt may have taken effect.
+OwnerReplyCallback = Callable[[typing.Any, bool], object]
+MakeMessage = Callable[[int], tuple]  # returns the message with this number
 
 
-class _Call(typing.NamedTuple):
+class _PendingCall(typing.NamedTuple):
     address: str
-    done: Done
+    done: ReplyCallback
     timer: event_loop.Timer
 
 
 class StoreClient:
-    """Knows the stores of each partition, and calls them.
+    """Keeps connections to the primaries of all partitions and sends calls to them.
 
     Args:
         loop: The event loop.
-        port: At which stores listen.
-        peer_timeout_s: A connection on which nothing arrives for so long is closed.
-        on_up: Called with the address of a store that can be called from now on, or owns more than before.
+        port: The port that stores listen on.
+        peer_timeout_s: Seconds without received data after which a connection is closed.
+        on_up: Called with the address of a store that became reachable, or primary of further partitions.
     """
 
     def __init__(
@@ -56,11 +57,11 @@
         self._primaries: dict[int, str] = {}
         self._on_up = on_up
         self._connectors: dict[str, peer_connection.Connector] = {}
-        self._calls: dict[int, _Call] = {}
+        self._calls: dict[int, _PendingCall] = {}
         self._numbers = itertools.count(1)
 
     def update_roles(self, roles: Mapping[str, typing.Sequence]) -> None:
-        """The owners of singleton roles changed."""
+        """Reads the primary of each partition from the register of singleton roles and adjusts the connections."""
         before = dict(self._primaries)
         for partition in range(batch_partitions.PARTITIONS):
             self._primaries[partition] = batch_partitions.owners_of(partition=partition, roles=roles).primary
@@ -84,21 +85,21 @@
         self._on_up(address)
 
     def primaries(self) -> list[str]:
-        """Returns the stores that are primary of a partition."""
+        """Returns the addresses of the stores that are primary of any partition."""
         return sorted(self._connectors)
 
     def primary_of(self, tenant: str) -> str:
-        """Returns the store that owns a tenant's jobs; empty where there is none yet."""
+        """Returns the address of the store that owns a tenant's jobs; empty if there is none yet."""
         return self._primaries.get(batch_partitions.partition_of(tenant), "")
 
-    def call(self, *, address: str, make_message: MakeMessage, timeout_s: float, done: Done) -> None:
-        """Calls a store.
+    def call(self, *, address: str, make_message: MakeMessage, timeout_s: float, done: ReplyCallback) -> None:
+        """Sends a call to a store.
 
         Args:
-            address: Of the store.
-            make_message: Makes the message with the number that its reply is known by.
-            timeout_s: After which nobody waits any more.
-            done: Called once with the reply, or with None: then it is not known what became of the call.
+            address: Address of the store.
+            make_message: Creates the message with the number by which its reply is identified.
+            timeout_s: Seconds to wait for the reply.
+            done: Called once with the reply, or with None if there is none; the call may have taken effect even so.
         """
         connector = self._connectors.get(address)
         connection = connector.link if connector is not None else None
@@ -107,24 +108,24 @@
             return
         number = next(self._numbers)
         timer = self._loop.after(delay=timeout_s, callback=lambda: self._finish(number, None))
-        self._calls[number] = _Call(address, done, timer)
+        self._calls[number] = _PendingCall(address, done, timer)
         connection.send(make_message(number))
 
-    def call_owner(self, *, tenant: str, make_message: MakeMessage, timeout_s: float, done: OwnerDone) -> None:
-        """Calls the owner of a tenant's jobs, again and again until it answers.
+    def call_owner(self, *, tenant: str, make_message: MakeMessage, timeout_s: float, done: OwnerReplyCallback) -> None:
+        """Sends a call to the owner of a tenant's jobs, and repeats it until an owner replies.
 
         Args:
-            tenant: Whose jobs.
-            make_message: Makes the message with the number that its reply is known by.
-            timeout_s: After which no further attempt is made.
-            done: Called once with the reply, None where no owner answered, and whether an attempt may have done
-                something.
+            tenant: Name of the tenant.
+            make_message: Creates the message with the number by which its reply is identified.
+            timeout_s: Seconds after which no further attempt is made.
+            done: Called once with the reply, or None if no owner replied, and with whether an attempt without a
+                conclusive reply may have taken effect.
         """
         until = self._loop.now() + timeout_s
         self._attempt(tenant, make_message, until, done, is_uncertain=False)
 
     def _attempt(
-        self, tenant: str, make_message: MakeMessage, until: float, done: OwnerDone, *, is_uncertain: bool
+        self, tenant: str, make_message: MakeMessage, until: float, done: OwnerReplyCallback, *, is_uncertain: bool
     ) -> None:
         address = self.primary_of(tenant)
         was_reachable = self.is_reachable(address)
@@ -134,25 +135,25 @@
             if outcome is not None and outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN):
                 done(reply, is_uncertain)
                 return
-            may_have_done = is_uncertain or outcome == Outcome.NOT_KNOWN or (reply is None and was_reachable)
-            if self._loop.now() + RETRY_S >= until:
-                done(None, may_have_done)
+            may_have_taken_effect = is_uncertain or outcome == Outcome.NOT_KNOWN or (reply is None and was_reachable)
+            if self._loop.now() + RETRY_DELAY_S >= until:
+                done(None, may_have_taken_effect)
                 return
             self._loop.after(
-                delay=RETRY_S,
-                callback=lambda: self._attempt(tenant, make_message, until, done, is_uncertain=may_have_done),
+                delay=RETRY_DELAY_S,
+                callback=lambda: self._attempt(tenant, make_message, until, done, is_uncertain=may_have_taken_effect),
             )
 
         timeout_s = min(ATTEMPT_TIMEOUT_S, until - self._loop.now())
         self.call(address=address, make_message=make_message, timeout_s=timeout_s, done=handle)
 
     def is_reachable(self, address: str) -> bool:
-        """Whether a call to the store would be sent now."""
+        """Returns whether a call to the store would be sent now."""
         connector = self._connectors.get(address)
         return connector is not None and connector.link is not None and connector.link.is_up
 
     def send_heartbeats(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Sends a heartbeat to each store; to be called at each heartbeat interval."""
         for connector in self._connectors.values():
             if connector.link is not None and connector.link.is_up:
                 connector.link.keep_alive()
--- a/ploverward/data_plane/batch/test_batch_tier.py
+++ b/ploverward/data_plane/batch/test_batch_tier.py
@@ -1,4 +1,4 @@
-"""Jobs from hand-in to results, on real sockets: a proxy, three stores, scripted replicas."""
+"""Tests of batch jobs from submission to results on real sockets: a proxy, three stores and scripted replicas."""
 
 import shutil
 
@@ -10,12 +10,12 @@
 
 
 @pytest.fixture(name="scene")
-def quiet_scene(tmp_path):
+def streaming_scene(tmp_path):
     return batch_scene.BatchScene(tmp_path, batch_scene.streaming(b"one", b"two"))
 
 
 def statuses_until_read(scene, job):
-    """The statuses of all reads of a job up to the first 200."""
+    """Reads a job until the status is 200; returns the statuses of all reads."""
     answers = []
     assert scene.until(lambda: answers.append(scene.results(job).status) or answers[-1] == 200)
     return set(answers)
@@ -27,7 +27,7 @@
     assert {row["id"] for row in results} == {"a", "b", "c"} and len(results) == 3
     assert all(row == {"id": row["id"], "condition": "delivered", "text": "one\ntwo"} for row in results)
     assert sorted(scene.arrivals()) == [b"a", b"b", b"c"]
-    assert scene.submit("l1", [batch_scene.item("a")]).status == 202  # it came again
+    assert scene.submit("l1", [batch_scene.item("a")]).status == 202  # a repeated submission
     assert scene.all_results("l1") == results
 
 
@@ -35,8 +35,10 @@
     assert scene.submit("l1", [batch_scene.item("a")]).status == 202
     for address in scene.stores:
         log = scene.log_of(address)
-        jobs = [at for at, entry in enumerate(log.after(log.base), log.base + 1) if b'{"job":' in entry.data]
-        assert len(jobs) == 1 and log.durable >= jobs[0]
+        positions = [
+            position for position, entry in enumerate(log.after(log.base), log.base + 1) if b'{"job":' in entry.data
+        ]
+        assert len(positions) == 1 and log.durable >= positions[0]
 
 
 def test_pages_begin_after_the_given_revision_for_any_key_of_the_tenant(scene):
@@ -56,7 +58,7 @@
 def test_ending_a_job_is_idempotent_and_keeps_its_results(scene):
     scene.submit("l1", [batch_scene.item("a")])
     results = scene.all_results("l1")
-    for _time in range(2):
+    for _attempt in range(2):
         assert scene.call("DELETE", "/ploverward/lots/l1").status == 200
     assert scene.results("l1").json["results"] == results
     assert scene.call("DELETE", "/ploverward/lots/other").status == 404
@@ -70,10 +72,10 @@
 
 
 def test_queued_items_can_be_read_and_count_against_the_token_quota(tmp_path):
-    scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)  # the replica never answers
+    scene = batch_scene.BatchScene(tmp_path, lambda _number, _received: None)  # the replica never answers
     assert scene.submit("l1", [batch_scene.item("a", body=b"\x00\xff exactly", tokens=900)]).status == 202
-    got = scene.call("GET", "/ploverward/items/l1?id=a")
-    assert (got.status, got.body) == (200, b"\x00\xff exactly")
+    answer = scene.call("GET", "/ploverward/items/l1?id=a")
+    assert (answer.status, answer.body) == (200, b"\x00\xff exactly")
     assert scene.call("GET", "/ploverward/items/l1?id=z").status == 404
     assert scene.submit("l2", [batch_scene.item("b", tokens=101)]).status == 429
     assert scene.submit("l2", [batch_scene.item("b", tokens=100)]).status == 202
@@ -132,10 +134,10 @@
 
 
 def test_a_submission_is_answered_with_504_while_a_backup_is_lost(scene):
-    scene.is_coordinating = False  # nobody takes the lost store out
+    scene.is_coordinating = False  # no coordinator removes the lost store
     scene.stop_store(scene.owners().backups[1])
     answer = scene.submit("l1", [batch_scene.item("a")])
-    assert answer.status == 504  # not a promise: it may be kept later
+    assert answer.status == 504  # the outcome is unknown: the job may still be stored later
     assert scene.results("l1").status in (404, 503)
     assert not scene.arrivals()
 
@@ -144,7 +146,7 @@
     scene = batch_scene.BatchScene(tmp_path, request_scene.answering())
     more = "X-Attempt-Id: a1\r\nX-Time-Left-Ms: 3000\r\n"
     assert scene.call("POST", "/safe/x", body=b"body", more=more) == batch_scene.Answer(200, b"ok")
-    assert scene.proxy.begun == ["clerks"]  # reports of use count it once
+    assert scene.proxy.begun == ["clerks"]  # the usage report counts the request once
 
 
 def test_usage_reports_do_not_count_items(scene):
@@ -154,7 +156,7 @@
 
 
 def test_ending_a_job_cancels_its_running_items(tmp_path):
-    scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)  # the replica never answers
+    scene = batch_scene.BatchScene(tmp_path, lambda _number, _received: None)  # the replica never answers
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.until(lambda: scene.proxy.batch._puller._running)
     assert scene.call("DELETE", "/ploverward/lots/l1").status == 200
@@ -162,13 +164,13 @@
 
 
 def test_a_run_continues_after_failover_to_the_next_primary(tmp_path):
-    scene = batch_scene.BatchScene(tmp_path, lambda _number, _heard: None)
+    scene = batch_scene.BatchScene(tmp_path, lambda _number, _received: None)
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.until(lambda: len(scene.arrivals()) == 1)
     scene.stop_store(scene.owners().primary)
     assert scene.until(lambda: scene.results("l1").status == 200)
     scene.wait(2.5)
-    assert len(scene.arrivals()) == 1  # its lease was renewed: nobody else runs it
+    assert len(scene.arrivals()) == 1  # its lease was renewed, so the item is not run a second time
 
 
 @pytest.mark.parametrize(
@@ -207,7 +209,10 @@
 
 
 def test_an_idle_store_connection_stays_open_while_heartbeats_are_sent(tmp_path):
-    """The proxies of a sweep with 300 machines made 147 new connections a second to each store."""
+    """Guards against idle connections to stores being closed and reopened.
+
+    The proxies of a sweep with 300 machines made 147 new connections a second to each store.
+    """
     scene = batch_scene.BatchScene(tmp_path)
     ended = []
     connector = peer_connection.Connector(
