--- a/ploverward/simulation/batch/simulated_store.py
+++ b/ploverward/simulation/batch/simulated_store.py
@@ -126,7 +126,7 @@
             batch_messages.AppendEntries: self.copies.handle_entries,
         }
         self.disk.start(on_ready=lambda: None)
-        loop.every(interval_s=TIMING.renewal_s, callback=self.primary.tick)
+        loop.every(interval_s=TIMING.renewal_interval_s, callback=self.primary.tick)
 
     def _handle_synced(self, number: int) -> None:
         self.primary.handle_synced(number)
--- a/ploverward/simulation/batch/store_mutants.py
+++ b/ploverward/simulation/batch/store_mutants.py
@@ -51,20 +51,20 @@
 
 
 def _commit_alone() -> list[Patch]:
-    return [_replace(replication.Replication, "_required", lambda _self: iter(()))]
+    return [_replace(replication.Replication, "_required_copies", lambda _self: iter(()))]
 
 
 def _forget_learners() -> list[Patch]:
     """Learners that were reported as level are not waited for."""
 
-    def required(self: replication.Replication) -> Iterator[replication.Copy]:
+    def required(self: replication.Replication) -> Iterator[replication.CopyProgress]:
         return (copy for address, copy in self._copies.items() if address in self.owners.backups)
 
-    return [_replace(replication.Replication, "_required", required)]
+    return [_replace(replication.Replication, "_required_copies", required)]
 
 
 def _serve_before_level() -> list[Patch]:
-    return [_replace(replication.Replication, "is_level", property(lambda _self: True))]
+    return [_replace(replication.Replication, "is_caught_up", property(lambda _self: True))]
 
 
 def _ignore_disks() -> list[Patch]:
@@ -77,7 +77,7 @@
 
 def _list_twice() -> list[Patch]:
     """A result that comes again gets a second position."""
-    original = job_table.JobTable._list
+    original = job_table.JobTable._add_result
     listed = (job_table.ItemState.LISTED, job_table.ItemState.FINISHING)
 
     def list_item(job: job_table.Job, entry: object) -> None:
@@ -98,7 +98,7 @@
         finish(self, message, reply, holder)
 
     return [
-        _replace(job_table.JobTable, "_list", staticmethod(list_item)),
+        _replace(job_table.JobTable, "_add_result", staticmethod(list_item)),
         _replace(partition.Partition, "finish", finish_again),
     ]
 
@@ -108,7 +108,7 @@
     return [
         _replace(
             partition.Partition,
-            "_queued",
+            "_queued_tokens",
             lambda self, message: self.table.queued_tokens(tenant=message.tenant, route=message.route),
         )
     ]
--- a/ploverward/store/copy_service.py
+++ b/ploverward/store/copy_service.py
@@ -36,7 +36,7 @@
         self._send_state(connection, message.partition, message.epoch)
 
     def _send_state(self, connection: interfaces.Connection, number: int, epoch: int) -> None:
-        state = self.member(number).answer_state(connection, epoch)
+        state = self.member(number).begin_session(connection, epoch)
         if state is not None:
             connection.send(state)
 
--- a/ploverward/store/job_service.py
+++ b/ploverward/store/job_service.py
@@ -42,9 +42,9 @@
     def handle_end(self, connection: interfaces.Connection) -> None:
         """The connection of a proxy ended."""
         for owned in self._owned.values():
-            owned.end_holder(connection)
+            owned.detach_holder(connection)
 
-    def _serving(self, tenant: str) -> partitions.Partition | None:
+    def _serving_partition(self, tenant: str) -> partitions.Partition | None:
         """The tenant's partition, where this store may answer for it."""
         owned = self._owned.get(batch_partitions.partition_of(tenant))
         return owned if owned is not None and owned.is_serving else None
@@ -56,7 +56,7 @@
     # Jobs.
     def _handle_submit(self, connection: interfaces.Connection, message: batch_messages.SubmitJob) -> None:
         reply = self._replier(connection, message.number)
-        owned = self._serving(message.tenant)
+        owned = self._serving_partition(message.tenant)
         if owned is None or not self._has_capacity():
             reply(Outcome.NOT_OWNER)
         else:
@@ -64,14 +64,14 @@
 
     def _handle_end_job(self, connection: interfaces.Connection, message: batch_messages.EndJob) -> None:
         reply = self._replier(connection, message.number)
-        owned = self._serving(message.tenant)
+        owned = self._serving_partition(message.tenant)
         if owned is None:
             reply(Outcome.NOT_OWNER)
         else:
             owned.end_job(message, reply)
 
     def _handle_read_job(self, connection: interfaces.Connection, message: batch_messages.ReadJob) -> None:
-        owned = self._serving(message.tenant)
+        owned = self._serving_partition(message.tenant)
         job = owned.table.find(tenant=message.tenant, job=message.job) if owned is not None else None
         if owned is None or job is None:
             outcome = Outcome.NOT_OWNER if owned is None else Outcome.NOT_FOUND
@@ -81,7 +81,7 @@
         connection.send(batch_messages.JobPage(message.number, int(Outcome.DONE), len(job.items), page))
 
     def _handle_read_item(self, connection: interfaces.Connection, message: batch_messages.ReadItem) -> None:
-        owned = self._serving(message.tenant)
+        owned = self._serving_partition(message.tenant)
         job = owned.table.find(tenant=message.tenant, job=message.job) if owned is not None else None
         item = job.items.get(message.item) if job is not None else None
         if item is None:
@@ -97,7 +97,7 @@
             (job.due_at, owned, job, item)
             for owned in self._owned.values()
             if owned.is_serving
-            for job, item in owned.free_items()
+            for job, item in owned.leasable_items()
         ]
         found.sort(key=lambda row: row[0])
         pulled = [owned.lease(job, item, connection) for _due_at, owned, job, item in found[: message.limit]]
@@ -107,14 +107,14 @@
         """A proxy names what it runs; the answer names what is of no use any more."""
         stopped = []
         for running in message.items:
-            owned = self._serving(running.tenant)
+            owned = self._serving_partition(running.tenant)
             if owned is not None and not owned.renew(running, connection):
                 stopped.append(running)
         connection.send(batch_messages.ItemsRenewed(message.number, tuple(stopped)))
 
     def _handle_finish(self, connection: interfaces.Connection, message: batch_messages.FinishItem) -> None:
         reply = self._replier(connection, message.number)
-        owned = self._serving(message.tenant)
+        owned = self._serving_partition(message.tenant)
         if owned is None:
             reply(Outcome.NOT_OWNER)
         else:
--- a/ploverward/store/job_table.py
+++ b/ploverward/store/job_table.py
@@ -93,7 +93,7 @@
         return sum(item.tokens for item in self.items.values() if item.state is not ItemState.LISTED)
 
 
-def items_of(body: bytes) -> dict[str, Item]:
+def parse_items(body: bytes) -> dict[str, Item]:
     """Reads the items of a job that a proxy has checked."""
     rows = json.loads(body)["requests"]
     return {
@@ -108,14 +108,14 @@
     }
 
 
-def _job_of(entry: job_entries.JobAccepted) -> Job:
+def _new_job(entry: job_entries.JobAccepted) -> Job:
     return Job(
         tenant=entry.tenant,
         job_id=entry.job,
         route=entry.route,
         due_at=entry.due_at,
         max_attempts=entry.max_attempts,
-        items=items_of(entry.body),
+        items=parse_items(entry.body),
     )
 
 
@@ -133,7 +133,7 @@
         """Applies a committed entry; one that comes again, or comes too late, changes nothing."""
         key = (entry.tenant, entry.job)
         if isinstance(entry, job_entries.JobAccepted) and key not in self.jobs:
-            self.jobs[key] = _job_of(entry)
+            self.jobs[key] = _new_job(entry)
         job = self.jobs.get(key)
         if job is None:
             return
@@ -141,20 +141,20 @@
         if isinstance(entry, job_entries.JobEnded):
             job.is_ended = True
         elif isinstance(entry, job_entries.ItemListed):
-            self._list(job, entry)
+            self._add_result(job, entry)
         elif isinstance(entry, job_entries.ItemFailed):
-            self._note_failure(job, entry)
+            self._count_failure(job, entry)
         elif isinstance(entry, job_entries.JobForgotten):
             del self.jobs[key]
 
     @staticmethod
-    def _note_failure(job: Job, entry: job_entries.ItemFailed) -> None:
+    def _count_failure(job: Job, entry: job_entries.ItemFailed) -> None:
         item = job.items.get(entry.item)
         if item is not None:
             item.failures += 1
 
     @staticmethod
-    def _list(job: Job, entry: job_entries.ItemListed) -> None:
+    def _add_result(job: Job, entry: job_entries.ItemListed) -> None:
         item = job.items.get(entry.item)
         if item is None or item.state is ItemState.LISTED:
             return
@@ -178,7 +178,7 @@
         return sorted((job for job in self.jobs.values() if job.is_open), key=lambda job: job.due_at)
 
     @staticmethod
-    def free_items(job: Job, *, now: float) -> Iterator[Item]:
+    def leasable_items(job: Job, *, now: float) -> Iterator[Item]:
         """Items of a job that may be leased now: those that wait, and those whose lease has ended."""
         for item in job.items.values():
             is_overdue = item.state is ItemState.LEASED and item.lease_ends_at <= now
--- a/ploverward/store/partition.py
+++ b/ploverward/store/partition.py
@@ -3,8 +3,9 @@
 Each change is an entry of the log. Only when it is committed (`replication`) it is applied, answered and shown, so what
 was shown or promised is known to whoever becomes primary next.
 
-Leases of items are in memory alone. A new primary gives out nothing of what it found for `CLAIM_S`: meanwhile proxies
-name what they run. A report that a run failed, or was given up, counts only from the proxy that has the lease.
+Item leases are held in memory only. A new primary does not lease out items of jobs that it inherited for the first
+`CLAIM_PERIOD_S`, so that proxies can claim the items that they are still running. A report that a run failed or was
+released counts only if it comes from the proxy that holds the lease.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from ploverward.transport.batch_messages import Outcome
 
 LEASE_S = 3.0  # of an item, unless the proxy renews it
-CLAIM_S = 1.2  # for proxies to name what they run
+CLAIM_PERIOD_S = 1.2  # for proxies to name what they run
 RETRY_PAUSE_S = 0.5  # from a run that failed to the next one
 
 Reply = Callable[[Outcome], object]
@@ -53,13 +54,13 @@
         self._submitted: dict[tuple[str, str], int] = {}  # jobs that are being written: position
         self._submitted_tokens: dict[tuple[str, str], dict[str, int]] = {}  # tenant and route: tokens by such a job
         self._forgetting: set[tuple[str, str]] = set()
-        self._found: set[tuple[str, str]] = set()  # jobs of an earlier primary
+        self._inherited: set[tuple[str, str]] = set()  # jobs of an earlier primary
         self._serves_since: float | None = None
 
     def begin(self, replication: replications.Replication) -> None:
         """This store is primary from now on."""
         self.replication = replication
-        replication.advance()
+        replication.advance_commit()
 
     def end(self) -> None:
         """This store is primary no longer: its successor knows what became of what is under way."""
@@ -87,12 +88,12 @@
         key = (entry.tenant, entry.job)
         if isinstance(entry, job_entries.JobAccepted):
             if self._submitted.pop(key, None) is None:
-                self._found.add(key)
+                self._inherited.add(key)
             self._submitted_tokens.get((entry.tenant, entry.route), {}).pop(entry.job, None)
         elif isinstance(entry, job_entries.JobForgotten):
             self.replication.log.forget(entry.positions)
             self._forgetting.discard(key)
-            self._found.discard(key)
+            self._inherited.discard(key)
         for reply in self._waiting.pop(position, ()):
             reply(Outcome.DONE)
 
@@ -117,8 +118,8 @@
         if key in self._submitted:
             self._waiting.setdefault(self._submitted[key], []).append(reply)
             return
-        tokens = sum(item.tokens for item in job_table.items_of(message.body).values())
-        if message.max_queued_tokens and self._queued(message) + tokens > message.max_queued_tokens:
+        tokens = sum(item.tokens for item in job_table.parse_items(message.body).values())
+        if message.max_queued_tokens and self._queued_tokens(message) + tokens > message.max_queued_tokens:
             reply(Outcome.OVER_QUOTA)
             return
         entry = job_entries.JobAccepted(
@@ -132,7 +133,7 @@
         self._submitted_tokens.setdefault((message.tenant, message.route), {})[message.job] = tokens
         self._submitted[key] = self._append(entry, reply)
 
-    def _queued(self, message: batch_messages.SubmitJob) -> int:
+    def _queued_tokens(self, message: batch_messages.SubmitJob) -> int:
         submitted = self._submitted_tokens.get((message.tenant, message.route), {})
         return self.table.queued_tokens(tenant=message.tenant, route=message.route) + sum(submitted.values())
 
@@ -147,20 +148,20 @@
             self._append(job_entries.JobEnded(message.tenant, message.job), reply)
 
     # Items.
-    def free_items(self) -> Iterator[tuple[job_table.Job, job_table.Item]]:
+    def leasable_items(self) -> Iterator[tuple[job_table.Job, job_table.Item]]:
         """The items that may be leased now, those of the job that is due first in front."""
         now = self._now()
         if self._serves_since is None:
             self._serves_since = now
-        has_claims = now >= self._serves_since + CLAIM_S
+        has_claims = now >= self._serves_since + CLAIM_PERIOD_S
         for job in self.table.open_jobs():
-            if has_claims or (job.tenant, job.job_id) not in self._found:
-                for item in self.table.free_items(job, now=now):
+            if has_claims or (job.tenant, job.job_id) not in self._inherited:
+                for item in self.table.leasable_items(job, now=now):
                     yield job, item
 
     def lease(self, job: job_table.Job, item: job_table.Item, holder: Holder) -> batch_messages.PulledItem:
         """Leases an item to a proxy."""
-        self._hold(item, holder)
+        self._set_lease(item, holder)
         return batch_messages.PulledItem(
             tenant=job.tenant,
             job=job.job_id,
@@ -172,7 +173,7 @@
             left_ms=max(0, math.floor((job.due_at - self._wall_time()) * 1000)),
         )
 
-    def _hold(self, item: job_table.Item, holder: Holder) -> None:
+    def _set_lease(self, item: job_table.Item, holder: Holder) -> None:
         item.state = job_table.ItemState.LEASED
         item.holder = holder
         item.lease_ends_at = self._now() + LEASE_S
@@ -187,10 +188,10 @@
             return False
         if item.state is job_table.ItemState.LEASED and item.holder not in (holder, None):
             return False
-        self._hold(item, holder)
+        self._set_lease(item, holder)
         return True
 
-    def end_holder(self, holder: Holder) -> None:
+    def detach_holder(self, holder: Holder) -> None:
         """The connection of a proxy ended: on another one it may go on with what it has leased."""
         for job in self.table.open_jobs():
             for item in job.items.values():
@@ -211,13 +212,13 @@
             self._release(job, item, holder, has_failed=condition is Condition.FAILED)
             reply(Outcome.DONE)
         else:
-            self._list(job, item, condition, message.text, reply)
+            self._list_item(job, item, condition, message.text, reply)
 
     def _release(self, job: job_table.Job, item: job_table.Item, holder: Holder, *, has_failed: bool) -> None:
         if item.state is not job_table.ItemState.LEASED or item.holder is not holder:
             return  # of an earlier run, or reported before
         if has_failed and item.failures + 1 >= job.max_attempts:
-            self._list(job, item, Condition.DEAD_LETTER, b"", None)
+            self._list_item(job, item, Condition.DEAD_LETTER, b"", None)
             return
         if has_failed:
             self._append(job_entries.ItemFailed(job.tenant, job.job_id, item.item_id))
@@ -225,7 +226,7 @@
         item.holder = None
         item.not_before = self._now() + RETRY_PAUSE_S
 
-    def _list(
+    def _list_item(
         self, job: job_table.Job, item: job_table.Item, condition: Condition, text: bytes, reply: Reply | None
     ) -> None:
         item.state = job_table.ItemState.FINISHING
--- a/ploverward/store/partition_log.py
+++ b/ploverward/store/partition_log.py
@@ -72,7 +72,7 @@
         self.live_bytes += len(entry.data)
         return self.last
 
-    def note_durable(self, *, position: int, epoch: int) -> None:
+    def mark_durable(self, *, position: int, epoch: int) -> None:
         """An entry was synced. One that was cut off meanwhile does not count."""
         if self.base < position <= self.last and self.epoch_at(position) == epoch:
             self.durable = max(self.durable, position)
@@ -106,7 +106,7 @@
                 runs.append(batch_messages.EpochRun(entry.epoch, position))
         return tuple(runs)
 
-    def agreed_end(self, other: batch_messages.LogState) -> int | None:
+    def last_common_position(self, other: batch_messages.LogState) -> int | None:
         """Returns up to where another store's log is the same; None where it ends before this log's base."""
         other_last = other.runs[-1].last if other.runs else other.base
         position = min(self.last, other_last)
--- a/ploverward/store/partition_member.py
+++ b/ploverward/store/partition_member.py
@@ -78,7 +78,7 @@
         self.granted_until = self._now() + self._lease_s
         return True
 
-    def answer_state(self, session: Session, epoch: int) -> batch_messages.LogState | None:
+    def begin_session(self, session: Session, epoch: int) -> batch_messages.LogState | None:
         """Returns where the log stands; entries are taken on this connection from now on. None: a refusal."""
         if epoch < self.fence or not self._disk.is_ready:
             return None
--- a/ploverward/store/primary_partitions.py
+++ b/ploverward/store/primary_partitions.py
@@ -74,8 +74,10 @@
         self._make_partition = make_partition
         self._send_report = send_report
         self._links = make_links(on_up=self._handle_up, on_message=self._handle_message, on_end=self._handle_end)
-        self._requested: dict[tuple[str, int], float] = {}  # store and number of a request for leases: when it was sent
-        self._numbers = itertools.count(1)
+        self._lease_requests: dict[
+            tuple[str, int], float
+        ] = {}  # store and number of a request for leases: when it was sent
+        self._request_numbers = itertools.count(1)
         self.owned: dict[int, partitions.Partition] = {}
 
     # Arrangements.
@@ -89,12 +91,12 @@
         if is_primary and owned is not None:
             owned.replication.install(owners)
         elif is_primary:
-            self._begin(number, owners)
+            self._become_primary(number, owners)
         elif owned is not None:
             del self.owned[number]
             owned.end()
 
-    def _begin(self, number: int, owners: batch_partitions.PartitionOwners) -> None:
+    def _become_primary(self, number: int, owners: batch_partitions.PartitionOwners) -> None:
         partition = self._make_partition()
         self.owned[number] = partition
         partition.begin(
@@ -117,17 +119,17 @@
         return {address for owned in self.owned.values() for address in owned.replication.addresses()}
 
     # Connections.
-    def _with(self, address: str) -> Iterable[partitions.Partition]:
+    def _replicated_to(self, address: str) -> Iterable[partitions.Partition]:
         return [owned for owned in self.owned.values() if address in owned.replication.addresses()]
 
     def _handle_up(self, address: str) -> None:
-        for owned in self._with(address):
-            owned.replication.ask(address)
+        for owned in self._replicated_to(address):
+            owned.replication.request_log_state(address)
         self._request_leases(address)
 
     def _handle_end(self, address: str) -> None:
-        for owned in self._with(address):
-            owned.replication.forget_connection(address)
+        for owned in self._replicated_to(address):
+            owned.replication.handle_disconnect(address)
 
     def _handle_message(self, address: str, message: tuple) -> None:
         if isinstance(message, batch_messages.PrimaryLeasesGranted):
@@ -145,11 +147,11 @@
         """This store has synced more of a log."""
         owned = self.owned.get(number)
         if owned is not None:
-            owned.replication.advance()
+            owned.replication.advance_commit()
 
     # Leases and reports.
     def tick(self) -> None:
-        """Renews leases and reports what is to change; to be called each `Timing.renewal_s`."""
+        """Renews leases and reports what is to change; to be called each `Timing.renewal_interval_s`."""
         self._links.update(self._addresses())
         for address in sorted(self._addresses()):
             self._request_leases(address)
@@ -162,23 +164,23 @@
     def _request_leases(self, address: str) -> None:
         rows = tuple(
             batch_messages.PartitionEpoch(owned.replication.number, owned.replication.owners.epoch)
-            for owned in self._with(address)
+            for owned in self._replicated_to(address)
         )
-        number = next(self._numbers)
-        self._requested[address, number] = self._loop.now()
-        while len(self._requested) > MAX_LEASE_REQUESTS * max(1, len(self._addresses())):
-            del self._requested[next(iter(self._requested))]
+        number = next(self._request_numbers)
+        self._lease_requests[address, number] = self._loop.now()
+        while len(self._lease_requests) > MAX_LEASE_REQUESTS * max(1, len(self._addresses())):
+            del self._lease_requests[next(iter(self._lease_requests))]
         self._links.send(address, batch_messages.RenewPrimaryLeases(number, rows))
 
     def _handle_leases(self, address: str, message: batch_messages.PrimaryLeasesGranted) -> None:
-        requested_at = self._requested.pop((address, message.number), None)
+        requested_at = self._lease_requests.pop((address, message.number), None)
         if requested_at is None:
             return
         for number, epoch in message.partitions:
             owned = self.owned.get(number)
             if owned is not None:
                 owned.replication.handle_lease(address, epoch=epoch, requested_at=requested_at)
-                owned.replication.ask_again(address)
+                owned.replication.retry_log_state_request(address)
 
     def keep_alive(self) -> None:
         """To be called at each heartbeat interval."""
--- a/ploverward/store/replication.py
+++ b/ploverward/store/replication.py
@@ -26,8 +26,8 @@
 from ploverward.transport import batch_messages
 
 MAX_SENT_BYTES = 1024 * 1024  # of entries in one message
-MAX_UNANSWERED_BYTES = 4 * 1024 * 1024  # sent to one copy and not yet acknowledged
-LOST_LEASES = 2.0  # of the duration of a lease: a member that does not answer, or get on, for so long is reported
+MAX_UNACKNOWLEDGED_BYTES = 4 * 1024 * 1024  # sent to one copy and not yet acknowledged
+LOST_AFTER_LEASES = 2.0  # of the duration of a lease: a member that does not answer, or get on, for so long is reported
 
 
 class Timing(typing.NamedTuple):
@@ -40,58 +40,58 @@
     lease_s: float
 
     @property
-    def renewal_s(self) -> float:
+    def renewal_interval_s(self) -> float:
         """Between two requests for a lease."""
         return self.lease_s / 3
 
     @property
     def lost_after_s(self) -> float:
         """For how long a member does not answer, or get on, before it is reported."""
-        return self.lease_s * LOST_LEASES
+        return self.lease_s * LOST_AFTER_LEASES
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Copy:
+class CopyProgress:
     """What the primary knows of another store's copy.
 
     Attributes:
-        heard_at: When it answered last.
-        moved_at: When it last had all, or got on.
+        last_reply_at: When it answered last.
+        last_progress_at: When it last had all, or got on.
         disk: The store's disk; empty before it has answered on the connection that there is.
         sent: The position of the last entry that was sent on this connection; None before the store said where it
             stands.
-        stored: Up to which position it has synced this log.
+        durable_position: Up to which position it has synced this log.
         leased_until: When the lease ends that it granted.
-        unanswered_bytes: Of the entries that were sent on this connection and that it has not said to have stored.
+        unacknowledged_bytes: Of the entries that were sent on this connection and that it has not said to have stored.
     """
 
-    heard_at: float
-    moved_at: float
+    last_reply_at: float
+    last_progress_at: float
     disk: str = ""
     sent: int | None = None
-    stored: int = 0
+    durable_position: int = 0
     leased_until: float = 0.0
-    unanswered_bytes: int = 0
-    _unanswered: collections.deque[tuple[int, int]] = dataclasses.field(default_factory=collections.deque)
+    unacknowledged_bytes: int = 0
+    _unacknowledged: collections.deque[tuple[int, int]] = dataclasses.field(default_factory=collections.deque)
 
-    def begin_at(self, position: int | None) -> None:
+    def reset_to(self, position: int | None) -> None:
         """What is sent next on this connection follows this position; None: it is not known."""
         self.sent = position
-        self.unanswered_bytes = 0
-        self._unanswered.clear()
+        self.unacknowledged_bytes = 0
+        self._unacknowledged.clear()
 
-    def note_sent(self, *, last: int, size: int) -> None:
+    def record_sent(self, *, last: int, size: int) -> None:
         """Entries of so many bytes were sent, up to a position."""
         self.sent = last
-        self.unanswered_bytes += size
-        self._unanswered.append((last, size))
+        self.unacknowledged_bytes += size
+        self._unacknowledged.append((last, size))
 
-    def note_stored(self, last: int) -> None:
+    def record_durable(self, last: int) -> None:
         """The store has synced all up to a position."""
-        self.stored = last
-        while self._unanswered and self._unanswered[0][0] <= last:
-            _position, size = self._unanswered.popleft()
-            self.unanswered_bytes -= size
+        self.durable_position = last
+        while self._unacknowledged and self._unacknowledged[0][0] <= last:
+            _position, size = self._unacknowledged.popleft()
+            self.unacknowledged_bytes -= size
 
 
 class Replication:
@@ -134,7 +134,7 @@
         self._on_committed = on_committed
         self._first_epoch = owners.epoch
         self._answers_from = member.granted_until
-        self._copies: dict[str, Copy] = {}
+        self._copies: dict[str, CopyProgress] = {}
         self._reported: set[str] = set()  # learners that were reported as level under this epoch
         self._arrange(owners)
         self._begins_at = self.append(partition_log.EMPTY)
@@ -143,7 +143,7 @@
     def install(self, owners: batch_partitions.PartitionOwners) -> None:
         """The copies changed; this process stays primary."""
         self._arrange(owners)
-        self.advance()
+        self.advance_commit()
 
     def _arrange(self, owners: batch_partitions.PartitionOwners) -> None:
         self.owners = owners
@@ -151,50 +151,53 @@
         self._member.note_epoch(owners.epoch)
         now = self._now()
         addresses = (*owners.backups, *owners.learners)
-        self._copies = {address: self._copies.get(address) or Copy(heard_at=now, moved_at=now) for address in addresses}
+        self._copies = {
+            address: self._copies.get(address) or CopyProgress(last_reply_at=now, last_progress_at=now)
+            for address in addresses
+        }
         for address, copy in self._copies.items():
-            copy.moved_at = now  # a store has its time anew under each arrangement
-            self.ask(address)  # it may have refused what was sent before, where it knew this epoch sooner
+            copy.last_progress_at = now  # a store has its time anew under each arrangement
+            self.request_log_state(address)  # it may have refused what was sent before, where it knew this epoch sooner
 
     def addresses(self) -> list[str]:
         """Returns the stores that have copies, or are to have them."""
         return list(self._copies)
 
-    def _required(self) -> Iterator[Copy]:
+    def _required_copies(self) -> Iterator[CopyProgress]:
         """The copies that count: of all other members, and of learners that may be members by now."""
         for address, copy in self._copies.items():
             if address in self.owners.backups or address in self._reported:
                 yield copy
 
     # Connections.
-    def ask(self, address: str) -> None:
+    def request_log_state(self, address: str) -> None:
         """Asks a store where its log stands: at first, and on each new connection."""
-        self._copies[address].begin_at(None)
+        self._copies[address].reset_to(None)
         self._send(address, batch_messages.RequestLogState(self.number, self.owners.epoch))
 
-    def ask_again(self, address: str) -> None:
+    def retry_log_state_request(self, address: str) -> None:
         """Asks a store that answers, and has not said where its log stands: it may not have been able to."""
         copy = self._copies.get(address)
         if copy is not None and copy.sent is None:
-            self.ask(address)
+            self.request_log_state(address)
 
-    def forget_connection(self, address: str) -> None:
+    def handle_disconnect(self, address: str) -> None:
         """The connection to a store ended."""
         if address in self._copies:
-            self._copies[address].begin_at(None)
+            self._copies[address].reset_to(None)
 
     def handle_state(self, address: str, state: batch_messages.LogState) -> None:
         """A store said where its log stands: what it has beyond that is cut off there, what it lacks is sent."""
         copy = self._copies.get(address)
         if copy is None or state.epoch != self.owners.epoch:
             return
-        copy.heard_at = self._now()
-        agreed = self.log.agreed_end(state)
+        copy.last_reply_at = self._now()
+        agreed = self.log.last_common_position(state)
         is_same_disk = copy.disk == state.disk
         copy.disk = state.disk
         begin = self.log.base if agreed is None else agreed
-        copy.begin_at(begin)
-        copy.stored = min(copy.stored, begin) if is_same_disk and agreed is not None else 0
+        copy.reset_to(begin)
+        copy.durable_position = min(copy.durable_position, begin) if is_same_disk and agreed is not None else 0
         self._send_entries(address, copy, is_reset=agreed is None)
         self._send_missing(address, copy)
 
@@ -205,22 +208,28 @@
         position = self.log.append(entry)
         self._disk.add(store_disk.StoredEntry(self.number, position, entry))
         for address, copy in self._copies.items():
-            if copy.stored >= position - 1:
-                copy.moved_at = self._now()
+            if copy.durable_position >= position - 1:
+                copy.last_progress_at = self._now()
             self._send_missing(address, copy)
         return position
 
-    def _send_missing(self, address: str, copy: Copy) -> None:
+    def _send_missing(self, address: str, copy: CopyProgress) -> None:
         if copy.sent is not None and copy.sent < self.log.base:
-            self.ask(address)  # what it lacks was dropped meanwhile: its answer makes it begin at the base
-        while copy.sent is not None and copy.sent < self.log.last and copy.unanswered_bytes <= MAX_UNANSWERED_BYTES:
+            self.request_log_state(
+                address
+            )  # what it lacks was dropped meanwhile: its answer makes it begin at the base
+        while (
+            copy.sent is not None
+            and copy.sent < self.log.last
+            and copy.unacknowledged_bytes <= MAX_UNACKNOWLEDGED_BYTES
+        ):
             self._send_entries(address, copy)
 
-    def _send_entries(self, address: str, copy: Copy, *, is_reset: bool = False) -> None:
+    def _send_entries(self, address: str, copy: CopyProgress, *, is_reset: bool = False) -> None:
         sent = copy.sent
         assert sent is not None
-        entries = up_to(self.log.after(sent), MAX_SENT_BYTES)
-        copy.note_sent(last=sent + len(entries), size=sum(len(entry.data) for entry in entries))
+        entries = first_entries(self.log.after(sent), MAX_SENT_BYTES)
+        copy.record_sent(last=sent + len(entries), size=sum(len(entry.data) for entry in entries))
         message = batch_messages.AppendEntries(
             self.number,
             self.owners.epoch,
@@ -237,16 +246,16 @@
         copy = self._copies.get(address)
         if copy is None or not self._first_epoch <= message.epoch <= self.owners.epoch or copy.sent is None:
             return
-        copy.heard_at = self._now()
-        if message.last > copy.stored:
-            copy.note_stored(min(message.last, self.log.last))
-            copy.moved_at = copy.heard_at
+        copy.last_reply_at = self._now()
+        if message.last > copy.durable_position:
+            copy.record_durable(min(message.last, self.log.last))
+            copy.last_progress_at = copy.last_reply_at
         self._send_missing(address, copy)
-        self.advance()
+        self.advance_commit()
 
-    def advance(self) -> None:
+    def advance_commit(self) -> None:
         """Commits what all copies that count have by now."""
-        reached = min([self.log.durable, *(copy.stored for copy in self._required())])
+        reached = min([self.log.durable, *(copy.durable_position for copy in self._required_copies())])
         while self.committed < reached:
             self.committed += 1
             data = self.log.data_at(self.committed)
@@ -259,11 +268,11 @@
         copy = self._copies.get(address)
         if copy is None or not self._first_epoch <= epoch <= self.owners.epoch:
             return
-        copy.heard_at = self._now()
+        copy.last_reply_at = self._now()
         copy.leased_until = max(copy.leased_until, requested_at + self._timing.lease_s)
 
     @property
-    def is_level(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Whether all that may have been committed before is committed here."""
         return self.committed >= self._begins_at
 
@@ -271,15 +280,15 @@
     def is_serving(self) -> bool:
         """Whether clients may be answered: what was committed is known, and no other process can be primary."""
         now = self._now()
-        if not self.is_level or now < self._answers_from:
+        if not self.is_caught_up or now < self._answers_from:
             return False
-        return all(copy.leased_until > now for copy in self._required())
+        return all(copy.leased_until > now for copy in self._required_copies())
 
     # What is to change.
     def report(self) -> batch_messages.CopyReport | None:
         """Returns what the coordinator is to change, None where nothing is."""
         now = self._now()
-        level = [address for address in self.owners.learners if self._is_level_copy(self._copies[address], now)]
+        level = [address for address in self.owners.learners if self._is_caught_up_copy(self._copies[address], now)]
         self._reported.update(level)
         required = {*self.owners.backups, *self._reported}
         lost = [address for address in sorted(required) if self._is_lost(self._copies[address], now)]
@@ -292,18 +301,18 @@
             tuple(map(batch_messages.LostCopy, lost)),
         )
 
-    def _is_level_copy(self, copy: Copy, now: float) -> bool:
+    def _is_caught_up_copy(self, copy: CopyProgress, now: float) -> bool:
         is_alive = copy.sent is not None and copy.leased_until > now
-        return is_alive and self.is_level and copy.stored >= self.committed
+        return is_alive and self.is_caught_up and copy.durable_position >= self.committed
 
-    def _is_lost(self, copy: Copy, now: float) -> bool:
-        if copy.stored >= self.log.last:
-            copy.moved_at = now
-        is_silent = now - copy.heard_at > self._timing.lost_after_s
-        return is_silent or now - copy.moved_at > self._timing.lost_after_s
+    def _is_lost(self, copy: CopyProgress, now: float) -> bool:
+        if copy.durable_position >= self.log.last:
+            copy.last_progress_at = now
+        is_silent = now - copy.last_reply_at > self._timing.lost_after_s
+        return is_silent or now - copy.last_progress_at > self._timing.lost_after_s
 
 
-def up_to(entries: Sequence[partition_log.LoggedEntry], limit: int) -> list[partition_log.LoggedEntry]:
+def first_entries(entries: Sequence[partition_log.LoggedEntry], limit: int) -> list[partition_log.LoggedEntry]:
     """Returns the first entries that fit, one at least."""
     found: list[partition_log.LoggedEntry] = []
     size = 0
--- a/ploverward/store/store_disk.py
+++ b/ploverward/store/store_disk.py
@@ -84,12 +84,12 @@
         self._on_durable = on_durable
         self.identity = ""
         self.is_ready = False
-        self._size = 0
+        self._file_size = 0
         self._is_stale = True  # the file is not what is in memory: the next write replaces it
         self._is_writing = False
         self._on_ready: Callable[[], object] = lambda: None
         self._waiting: list[StoredEntry] = []
-        self._spell = failure_spell.FailureSpell(
+        self._failure_spell = failure_spell.FailureSpell(
             now=loop.now, failed_event="jobs_write_failed", recovered_event="jobs_write_recovered"
         )
         self._load()
@@ -163,18 +163,18 @@
             return
         self._is_writing = True
         group, self._waiting = self._waiting, []
-        if self._is_stale or self._size > max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self._live_bytes()):
+        if self._is_stale or self._file_size > max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self._live_bytes()):
             self._is_stale = False
-            self._replace(list(self._everything()))
+            self._replace(list(self._all_entries()))
         else:
             self._append(group)
 
-    def _everything(self) -> Iterator[StoredEntry]:
+    def _all_entries(self) -> Iterator[StoredEntry]:
         for number, log in self._logs.items():
             for position, entry in enumerate(log.after(log.base), log.base + 1):
                 yield StoredEntry(number, position, entry)
 
-    def _image(self, entries: list[StoredEntry]) -> Iterator[bytes]:
+    def _file_records(self, entries: list[StoredEntry]) -> Iterator[bytes]:
         yield checksummed_records.pack(_NUMBER.pack(_IDENTITY) + self.identity.encode())
         for number, log in self._logs.items():
             if log.base:
@@ -182,7 +182,7 @@
         yield from map(_pack, entries)
 
     def _replace(self, group: list[StoredEntry]) -> None:
-        data = b"".join(self._image(group))
+        data = b"".join(self._file_records(group))
         self._loop.offload(
             work=lambda: self._disk.replace(name=FILE_NAME, new_name=NEW_NAME, data=data),
             done=lambda outcome: self._handle_written(outcome, group, size=len(data)),
@@ -190,7 +190,7 @@
 
     def _append(self, group: list[StoredEntry]) -> None:
         data = b"".join(map(_pack, group))
-        size = self._size
+        size = self._file_size
         self._loop.offload(
             work=lambda: self._disk.append(name=FILE_NAME, data=data, size_before=size),
             done=lambda outcome: self._handle_written(outcome, group, size=size + len(data)),
@@ -201,16 +201,16 @@
         error = outcome.exception()
         if error is not None:
             self._is_stale = True
-            self._spell.note_failure(error)
+            self._failure_spell.note_failure(error)
             self._loop.after(delay=RETRY_S, callback=self._write)
             return
-        self._size = size
-        self._spell.note_success()
+        self._file_size = size
+        self._failure_spell.note_success()
         if not self.is_ready:
             self.is_ready = True
             self._on_ready()
         for entry in group:
-            self._logs[entry.partition].note_durable(position=entry.position, epoch=entry.entry.epoch)
+            self._logs[entry.partition].mark_durable(position=entry.position, epoch=entry.entry.epoch)
         for number in {entry.partition for entry in group}:
             self._on_durable(number)
         self._write()
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -47,10 +47,10 @@
 FETCHES_PER_CONTACT = 12
 ROLE = "store"
 DEFAULT_SETTLE_MS = 1000.0
-LEASES_PER_SETTLE = 0.6  # of `settleMs`: a former primary answers for less than that after its successor was named
+LEASE_SHARE_OF_SETTLE = 0.6  # of `settleMs`: a former primary answers for less than that after its successor was named
 DEFAULT_STATUS_S = 120.0
 BYTES_PER_MB = 1024 * 1024
-MEMORY_SHARE = 0.5  # of the memory, for the logs
+LOG_MEMORY_SHARE = 0.5  # of the memory, for the logs
 
 
 class StoreNode:
@@ -86,7 +86,7 @@
         self._coordinator = ""
         self._accepted: set[peer_connection.PeerConnection] = set()
         self._timing = replication.Timing(
-            lease_s=settings.bound_s(name="settleMs", default=DEFAULT_SETTLE_MS) * LEASES_PER_SETTLE
+            lease_s=settings.bound_s(name="settleMs", default=DEFAULT_SETTLE_MS) * LEASE_SHARE_OF_SETTLE
         )
         self._make_partitions(send_report or self._send_report)
         self._make_control_client(contact_s)
@@ -105,7 +105,8 @@
             loop=self.loop,
             disk=node_runtime.NodeRuntime().disk(folder=settings.data_dir),
             logs=logs,
-            limit_bytes=min(settings.disk_mb or settings.memory_mb, settings.memory_mb * MEMORY_SHARE) * BYTES_PER_MB,
+            limit_bytes=min(settings.disk_mb or settings.memory_mb, settings.memory_mb * LOG_MEMORY_SHARE)
+            * BYTES_PER_MB,
             on_durable=self._handle_synced,
         )
         self.copies = copy_service.CopyService(
@@ -195,7 +196,7 @@
         self.disk.start(on_ready=self._connections.connect)
         interval_s = self._peer_timeout_s / HEARTBEATS_PER_PEER_TIMEOUT
         self.loop.every(interval_s=interval_s, callback=self._on_heartbeat)
-        self.loop.every(interval_s=self._timing.renewal_s, callback=self.primary.tick)
+        self.loop.every(interval_s=self._timing.renewal_interval_s, callback=self.primary.tick)
 
     def stop(self) -> None:
         """Ends all connections."""
--- a/ploverward/store/test_job_table.py
+++ b/ploverward/store/test_job_table.py
@@ -42,14 +42,14 @@
 
 
 @given(ENTRIES)
-def test_an_entry_is_read_as_it_was_written(entry):
+def test_unpack_returns_the_packed_entry(entry):
     assert job_entries.unpack(job_entries.pack(entry)) == entry
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"{}\n", b"[]\nx", b'{"other":[]}\n', b'{"end":["t"]}\n', b'{"forgotten":["t"]}\n']
 )
-def test_other_bytes_are_no_entry(data):
+def test_unpack_raises_value_error_for_malformed_data(data):
     with pytest.raises(ValueError):
         job_entries.unpack(data)
 
@@ -68,7 +68,7 @@
         table.apply(1, entry)
 
 
-def test_positions_follow_the_order_of_entries_and_an_item_has_one():
+def test_results_follow_entry_order_and_each_item_is_listed_once():
     table = job_table.JobTable()
     entries = (accepted("a", "b", "c"), listed("b"), listed("a"), listed("b", b"again"), accepted("z"), listed("z"))
     apply(table, *entries)
@@ -77,7 +77,7 @@
     assert list(job.items) == ["a", "b", "c"] and job.is_open
 
 
-def test_only_what_waits_counts_against_the_quota():
+def test_queued_tokens_count_only_unlisted_items_of_open_jobs():
     table = job_table.JobTable()
     apply(table, accepted("a", "b"), accepted("c", job="l2"), listed("a"))
     assert table.queued_tokens(tenant="t", route="r") == 10
@@ -86,18 +86,18 @@
     assert table.queued_tokens(tenant="other", route="r") == 0
 
 
-def test_the_earliest_due_job_comes_first_and_a_leased_item_waits_for_the_end_of_its_lease():
+def test_open_jobs_are_sorted_by_due_time_and_a_leased_item_is_leasable_once_its_lease_ends():
     table = job_table.JobTable()
     apply(table, accepted("a", due_at=20.0), accepted("b", job="l2", due_at=10.0))
     assert [job.job_id for job in table.open_jobs()] == ["l2", "l1"]
     job = table.find(tenant="t", job="l1")
-    (item,) = table.free_items(job, now=0.0)
+    (item,) = table.leasable_items(job, now=0.0)
     item.state, item.lease_ends_at = job_table.ItemState.LEASED, 5.0
-    assert not list(table.free_items(job, now=4.9))
-    assert list(table.free_items(job, now=5.0)) == [item]
+    assert not list(table.leasable_items(job, now=4.9))
+    assert list(table.leasable_items(job, now=5.0)) == [item]
 
 
-def test_a_page_has_one_result_at_least_and_not_many_more_than_fit(monkeypatch):
+def test_page_returns_at_least_one_result_and_stops_at_the_size_limit(monkeypatch):
     monkeypatch.setattr(job_table, "PAGE_BYTES", 25)
     table = job_table.JobTable()
     apply(table, accepted("a", "b", "c"), *(listed(item, b"x" * 12) for item in "abc"))
@@ -110,12 +110,12 @@
 
 
 @given(ENTRIES)
-def test_only_a_job_that_is_forgotten_names_entries_of_no_use(entry):
+def test_forgotten_positions_returns_positions_only_for_job_forgotten(entry):
     positions = entry.positions if isinstance(entry, job_entries.JobForgotten) else ()
     assert job_entries.forgotten_positions(job_entries.pack(entry)) == positions
 
 
-def test_a_job_expires_once_nothing_is_to_run_and_its_time_is_over():
+def test_a_job_expires_once_no_items_are_left_to_run_and_it_is_past_due():
     table = job_table.JobTable()
     apply(table, accepted("a", due_at=10.0), accepted("b", job="l2", due_at=10.0), listed("b", job="l2"))
     assert [job.job_id for job in table.expired_jobs(due_before=10.1)] == ["l2"]
@@ -124,7 +124,7 @@
     assert table.find(tenant="t", job="l2") is None
 
 
-def test_failures_are_counted_by_item():
+def test_failures_are_counted_per_item():
     table = job_table.JobTable()
     apply(table, accepted("a", "b"), *[job_entries.ItemFailed("t", "l1", "a")] * 2)
     items = table.find(tenant="t", job="l1").items
--- a/ploverward/store/test_partition_log.py
+++ b/ploverward/store/test_partition_log.py
@@ -19,29 +19,29 @@
     return batch_messages.LogState(0, 9, "disk", log.base, log.base_epoch, log.runs())
 
 
-def test_runs_name_each_epoch_once_with_its_last_position():
+def test_runs_lists_each_epoch_once_with_its_last_position():
     assert log_of(1, 1, 2, 4).runs() == ((1, 2), (2, 3), (4, 4))
     assert log_of().runs() == ()
 
 
-def test_logs_agree_up_to_the_last_common_entry():
-    assert log_of(1, 1, 3).agreed_end(state_of(log_of(1, 1, 2, 2))) == 2
-    assert log_of(1, 1, 3).agreed_end(state_of(log_of(1))) == 1
-    assert log_of(1, 1).agreed_end(state_of(log_of(1, 1, 1))) == 2
-    assert log_of(2).agreed_end(state_of(log_of(1, 1))) == 0
-    assert log_of().agreed_end(state_of(log_of())) == 0
+def test_last_common_position_is_that_of_the_last_entry_in_both_logs():
+    assert log_of(1, 1, 3).last_common_position(state_of(log_of(1, 1, 2, 2))) == 2
+    assert log_of(1, 1, 3).last_common_position(state_of(log_of(1))) == 1
+    assert log_of(1, 1).last_common_position(state_of(log_of(1, 1, 1))) == 2
+    assert log_of(2).last_common_position(state_of(log_of(1, 1))) == 0
+    assert log_of().last_common_position(state_of(log_of())) == 0
 
 
-def test_what_another_store_has_dropped_was_committed_so_this_one_has_it():
-    assert log_of(1, 1, 2).agreed_end(state_of(log_of(2, base=2, base_epoch=1))) == 3
-    assert log_of(1, 1, 2).agreed_end(state_of(log_of(base=2, base_epoch=1))) == 2
+def test_last_common_position_treats_entries_before_the_other_base_as_common():
+    assert log_of(1, 1, 2).last_common_position(state_of(log_of(2, base=2, base_epoch=1))) == 3
+    assert log_of(1, 1, 2).last_common_position(state_of(log_of(base=2, base_epoch=1))) == 2
 
 
-def test_a_log_that_ends_before_the_base_begins_anew():
+def test_last_common_position_is_none_if_the_other_log_lacks_the_base_entry():
     trimmed = log_of(2, base=5, base_epoch=2)
-    assert trimmed.agreed_end(state_of(log_of(1, 1))) is None
-    assert trimmed.agreed_end(state_of(log_of(1, 1, 1, 1, 1))) is None  # another entry at the base
-    assert trimmed.agreed_end(state_of(log_of(1, 1, 2, 2, 2))) == 5
+    assert trimmed.last_common_position(state_of(log_of(1, 1))) is None
+    assert trimmed.last_common_position(state_of(log_of(1, 1, 1, 1, 1))) is None  # another entry at the base
+    assert trimmed.last_common_position(state_of(log_of(1, 1, 2, 2, 2))) == 5
 
 
 @given(
@@ -49,23 +49,23 @@
     mine=strategies.lists(strategies.sampled_from([6, 8])).map(sorted),
     other=strategies.lists(strategies.sampled_from([7, 9])).map(sorted),
 )
-def test_logs_part_exactly_where_their_epochs_do(common, mine, other):
-    assert log_of(*common, *mine).agreed_end(state_of(log_of(*common, *other))) == len(common)
+def test_last_common_position_is_where_the_epochs_diverge(common, mine, other):
+    assert log_of(*common, *mine).last_common_position(state_of(log_of(*common, *other))) == len(common)
 
 
-def test_an_entry_that_was_cut_off_is_not_made_durable_by_a_late_sync():
+def test_a_late_sync_of_a_truncated_entry_does_not_mark_its_replacement_durable():
     log = log_of(1, 1)
     log.truncate_after(1)
     log.append(partition_log.LoggedEntry(2, b"new"))
-    log.note_durable(position=2, epoch=1)
+    log.mark_durable(position=2, epoch=1)
     assert log.durable == 0
-    log.note_durable(position=2, epoch=2)
+    log.mark_durable(position=2, epoch=2)
     assert log.durable == 2
 
 
-def test_forgotten_entries_are_empty_and_those_at_the_front_go():
+def test_forget_empties_entries_and_trim_removes_leading_empty_ones():
     log = log_of(1, 1, 2, 2)
-    log.note_durable(position=4, epoch=2)
+    log.mark_durable(position=4, epoch=2)
     log.forget((1, 3))
     assert log.data_at(1) == log.data_at(3) == b"" and log.data_at(2)
     log.trim(committed=4)
@@ -75,11 +75,11 @@
     assert (log.base, log.base_epoch) == (3, 2) and log.live_bytes == len(log.data_at(4))
 
 
-def test_nothing_is_trimmed_that_is_not_committed_and_synced():
+def test_trim_keeps_entries_that_are_not_both_committed_and_synced():
     log = log_of(1, 1)
     log.forget((1, 2))
     log.trim(committed=2)
     assert log.base == 0
-    log.note_durable(position=2, epoch=1)
+    log.mark_durable(position=2, epoch=1)
     log.trim(committed=1)
     assert log.base == 1
--- a/ploverward/store/test_replication.py
+++ b/ploverward/store/test_replication.py
@@ -83,12 +83,12 @@
                 answer = self.stores[name].member.acknowledgement()
                 if answer is not None:
                     self.primary.handle_durable(name, answer)
-            self.primary.advance()
+            self.primary.advance_commit()
 
     def _pass_on(self, address, message):
         member = self.stores[address].member
         if isinstance(message, batch_messages.RequestLogState):
-            state = member.answer_state(self.links[address], message.epoch)
+            state = member.begin_session(self.links[address], message.epoch)
             if state is not None:
                 self.primary.handle_state(address, state)
         elif isinstance(message, batch_messages.AppendEntries):
@@ -111,12 +111,12 @@
     position = scene.primary.append(b"entry")
     scene.deliver(only="C")
     assert not scene.committed
-    scene.primary.ask("B")
+    scene.primary.request_log_state("B")
     scene.deliver()
     assert scene.committed == [(position, b"entry")]
 
 
-def test_a_learner_that_was_reported_as_level_is_waited_for():
+def test_commit_waits_for_a_learner_reported_as_caught_up():
     scene = Scene()
     scene.deliver()
     scene.lease("B", "C")
@@ -130,7 +130,7 @@
     assert [data for _position, data in scene.committed] == [b"entry"]
 
 
-def test_it_answers_only_while_all_members_renew_its_lease():
+def test_primary_serves_only_while_all_members_renew_its_lease():
     scene = Scene()
     scene.deliver()
     assert not scene.primary.is_serving
@@ -142,7 +142,7 @@
     assert not scene.primary.is_serving
 
 
-def test_it_does_not_answer_before_what_it_granted_itself_has_ended():
+def test_primary_does_not_serve_before_the_lease_it_granted_has_expired():
     scene = Scene()
     scene.wait(1.0)
     scene.stores["A"].member.grant_lease(5)  # to another primary
@@ -156,13 +156,13 @@
         on_committed=lambda _position, _data: None,
     )
     scene.wait(0.5)
-    successor.advance()
-    assert successor.is_level and not successor.is_serving
+    successor.advance_commit()
+    assert successor.is_caught_up and not successor.is_serving
     scene.wait(0.2)
     assert successor.is_serving
 
 
-def test_a_member_that_answers_and_does_not_get_on_is_reported():
+def test_a_member_that_replies_without_making_progress_is_reported_lost():
     scene = Scene()
     scene.deliver()
     assert not lost(scene.primary)
@@ -176,7 +176,7 @@
     assert lost(scene.primary) == ["B"]
 
 
-def test_a_member_that_is_silent_is_reported():
+def test_a_silent_member_is_reported_lost():
     scene = Scene()
     scene.deliver()
     scene.wait(1.1)
@@ -192,12 +192,12 @@
     scene = Scene()
     scene.deliver()
     member, link = scene.stores["B"].member, Connection()
-    assert member.answer_state(link, older) is None and not member.grant_lease(older)
+    assert member.begin_session(link, older) is None and not member.grant_lease(older)
     message = batch_messages.AppendEntries(NUMBER, older, 1, 0, False, 0, ())
     assert not member.append(link, message) and member.log.last == 1
 
 
-def test_an_older_connection_cuts_nothing_off():
+def test_entries_on_an_older_connection_do_not_truncate_the_log():
     scene = Scene()
     scene.primary.append(b"one")
     scene.deliver()
@@ -207,7 +207,7 @@
     assert member.log.last == 2 and member.log.data_at(2) == b"one"
 
 
-def test_what_a_former_primary_left_behind_is_cut_off():
+def test_uncommitted_entries_of_a_former_primary_are_truncated():
     scene = Scene()
     log = scene.stores["B"].member.log
     for data in (b"stale 1", b"stale 2", b"stale 3"):
@@ -218,7 +218,7 @@
     assert [data for _position, data in scene.committed] == [b"one"]
 
 
-def test_entries_that_do_not_fit_are_refused():
+def test_entries_that_do_not_follow_the_log_are_refused():
     scene = Scene()
     scene.deliver()
     member, link = scene.stores["B"].member, scene.links["B"]
@@ -227,14 +227,14 @@
     assert not member.append(link, gap) and not member.append(link, other)
 
 
-def test_a_learner_that_fell_behind_the_base_is_asked_anew():
+def test_a_learner_that_falls_behind_the_base_is_sent_a_new_state_request():
     scene = Scene()
     scene.deliver()
     copy = scene.primary._copies["C"]
     for _entry in range(3):
         scene.primary.append(b"entry")
     scene.deliver(only="B")
-    copy.sent = copy.stored = 1  # the rest was not sent yet
+    copy.sent = copy.durable_position = 1  # the rest was not sent yet
     scene.primary.log.forget(range(1, 4))
     scene.primary.log.trim(committed=scene.primary.committed)
     scene.sent.clear()
@@ -244,7 +244,7 @@
     assert [tuple(entry) for entry in scene.stores["C"].member.log.after(3)] == [(3, b"entry"), (3, b"last")]
 
 
-def test_a_learner_behind_the_base_gets_the_log_from_there():
+def test_a_learner_behind_the_base_receives_the_log_from_the_base():
     scene = Scene()
     log = scene.primary.log
     for _entry in range(3):
@@ -253,15 +253,15 @@
     log.forget(range(1, 4))
     log.trim(committed=scene.primary.committed)
     assert log.base == 3
-    scene.primary.ask("C")
+    scene.primary.request_log_state("C")
     scene.deliver()
     copy = scene.stores["C"].member.log
     assert (copy.base, copy.base_epoch) == (3, 3)
     assert [tuple(entry) for entry in copy.after(3)] == [(3, b"entry")]
 
 
-def test_a_store_that_does_not_answer_is_sent_a_bounded_number_of_bytes(monkeypatch):
-    monkeypatch.setattr(replication, "MAX_UNANSWERED_BYTES", 1000)
+def test_unacknowledged_bytes_sent_to_a_store_are_bounded(monkeypatch):
+    monkeypatch.setattr(replication, "MAX_UNACKNOWLEDGED_BYTES", 1000)
     scene = Scene()
     scene.deliver()
     scene.sent.clear()
@@ -274,10 +274,10 @@
         if address == "B" and isinstance(message, batch_messages.AppendEntries)
         for entry in message.entries
     )
-    assert copy.unanswered_bytes == sent_bytes == 1100  # one entry goes past the bound
+    assert copy.unacknowledged_bytes == sent_bytes == 1100  # one entry goes past the bound
     scene.deliver()
     scene.deliver()
-    assert copy.unanswered_bytes == 0 and copy.stored == scene.primary.log.last
+    assert copy.unacknowledged_bytes == 0 and copy.durable_position == scene.primary.log.last
     scene.primary.append(b"x" * 100)
-    scene.primary.forget_connection("B")
-    assert copy.unanswered_bytes == 0  # on the next connection the store says where it stands
+    scene.primary.handle_disconnect("B")
+    assert copy.unacknowledged_bytes == 0  # on the next connection the store says where it stands
--- a/ploverward/store/test_store_disk.py
+++ b/ploverward/store/test_store_disk.py
@@ -39,7 +39,7 @@
         return [tuple(entry) for entry in self.logs[number].after(self.logs[number].base)]
 
 
-def test_a_start_finds_what_was_synced_and_keeps_its_identity():
+def test_restart_loads_synced_entries_and_keeps_the_disk_identity():
     scene = Scene()
     assert not scene.ready
     scene.wait()
@@ -56,7 +56,7 @@
     assert scene.logs[3].durable == scene.logs[4].durable == 1
 
 
-def test_an_emptied_disk_has_another_identity():
+def test_an_emptied_disk_gets_a_new_identity():
     scene = Scene()
     scene.wait()
     identity = scene.disk.identity
@@ -65,7 +65,7 @@
     assert scene.disk.identity != identity
 
 
-def test_an_entry_takes_the_place_of_those_that_were_cut_off():
+def test_restart_loads_the_entry_that_replaced_truncated_ones():
     scene = Scene()
     scene.wait()
     for data in (b"one", b"two", b"three"):
@@ -77,7 +77,7 @@
     assert scene.entries(3) == [(1, b"one"), (2, b"new")]
 
 
-def test_a_log_that_begins_anew_is_written_with_its_base():
+def test_a_reset_log_is_stored_with_its_base():
     scene = Scene()
     scene.wait()
     scene.add(3, 1, b"old")
@@ -90,7 +90,7 @@
     assert (scene.logs[3].base, scene.logs[3].base_epoch, scene.entries(3)) == (70, 4, [(5, b"new")])
 
 
-def test_a_failed_write_is_repeated_as_a_whole():
+def test_a_failed_write_is_retried_by_rewriting_the_whole_file():
     scene = Scene()
     scene.wait()
     scene.files.is_refusing = True
@@ -104,7 +104,7 @@
     assert scene.entries(3) == [(1, b"one")]
 
 
-def test_a_file_of_the_first_version_is_read_as_epoch_0():
+def test_entries_of_a_first_version_file_load_with_epoch_0():
     from ploverward.control_plane.consensus import checksummed_records
 
     scene = Scene()
@@ -114,7 +114,7 @@
     assert scene.entries(3) == [(0, b"entry 1"), (0, b"entry 2")] and scene.disk.identity
 
 
-def test_a_file_that_is_mostly_forgotten_is_rewritten(monkeypatch):
+def test_a_file_of_mostly_forgotten_entries_is_rewritten(monkeypatch):
     monkeypatch.setattr(store_disk, "MIN_REWRITE_BYTES", 1000)
     scene = Scene()
     scene.wait()
