--- a/ploverward/store/__init__.py
+++ b/ploverward/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store: keeps jobs of the batch tier on disk, and gives their items to proxies (docs/batch.md)."""
+"""The store node: persists and replicates jobs of the batch tier and leases their items to proxies (docs/batch.md)."""
--- a/ploverward/store/job_entries.py
+++ b/ploverward/store/job_entries.py
@@ -1,6 +1,7 @@
-"""Entries of a partition's log, and their stored form: a JSON object on the first line, then bytes (docs/batch.md 3).
+"""Entries of a partition's log and their stored form (docs/batch.md 3).
 
-The form is stored data and goes from store to store: it does not change.
+The stored form is a JSON object on the first line, followed by raw bytes. It is written to disk and replicated between
+stores, so it must not change.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 
 
 class JobAccepted(typing.NamedTuple):
-    """A job was taken.
+    """A job was accepted.
 
     Attributes:
-        tenant: Whose it is.
-        job: Its id.
-        route: The name of its route.
-        due_at: When all results are due, by wall-clock time in seconds.
-        max_attempts: Answers of 500 after which an item is a dead letter.
+        tenant: The tenant that the job belongs to.
+        job: The id of the job.
+        route: The name of the job's route.
+        due_at: When all results are due, in wall-clock seconds.
+        max_attempts: Number of 500 responses after which an item becomes a dead letter.
         body: The items, as the client sent them.
     """
 
@@ -30,13 +31,13 @@
 
 
 class ItemListed(typing.NamedTuple):
-    """An item has its result; its position follows from the order of these entries.
+    """An item has its final result; the order of these entries determines the positions of the results.
 
     Attributes:
-        tenant: Whose job it is.
-        job: The job.
-        item: The item.
-        condition: Of `batch_messages.Condition`: delivered or dead letter.
+        tenant: The tenant that the job belongs to.
+        job: The id of the job.
+        item: The id of the item.
+        condition: A value of `batch_messages.Condition`: delivered or dead letter.
         text: The result.
     """
 
@@ -48,14 +49,14 @@
 
 
 class JobEnded(typing.NamedTuple):
-    """Its client ended a job."""
+    """The client ended a job."""
 
     tenant: str
     job: str
 
 
 class ItemFailed(typing.NamedTuple):
-    """A replica answered an item's run with 500."""
+    """A replica answered a run of an item with 500."""
 
     tenant: str
     job: str
@@ -63,12 +64,12 @@
 
 
 class JobForgotten(typing.NamedTuple):
-    """Nobody may ask for a job any more.
+    """A job is no longer readable, and its entries can be dropped.
 
     Attributes:
-        tenant: Whose it was.
-        job: Its id.
-        positions: Of the entries that are of no use any more.
+        tenant: The tenant that the job belonged to.
+        job: The id of the job.
+        positions: Log positions of the job's entries, which are no longer needed.
     """
 
     tenant: str
@@ -99,10 +100,10 @@
 
 
 def unpack(data: bytes) -> Entry:
-    """Returns the entry of a stored form.
+    """Parses the stored form of an entry.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The data is not the stored form of an entry.
     """
     head, _newline, rest = data.partition(b"\n")
     try:
@@ -124,11 +125,14 @@
     if kind == "forgotten":
         tenant, job, positions = fields
         return JobForgotten(tenant, job, tuple(positions))
-    raise ValueError(f"unknown entry '{kind}'")
+    raise ValueError(f"unknown kind of log entry '{kind}'")
 
 
 def forgotten_positions(data: bytes) -> tuple[int, ...]:
-    """Returns which entries are of no use any more once this one is committed; none for most entries."""
+    """Returns the positions of the entries that can be dropped once this entry is committed.
+
+    Only a `JobForgotten` entry has any.
+    """
     if not data.startswith(_FORGOTTEN):
         return ()
     entry = unpack(data)
--- a/ploverward/store/job_service.py
+++ b/ploverward/store/job_service.py
@@ -1,6 +1,7 @@
-"""What a store answers proxies: calls on jobs, items to run, results (docs/batch.md 4).
+"""Handlers for messages from proxies: job calls, leases of items, results (docs/batch.md 4).
 
-Each answer is given only while this store is the primary of the tenant's partition and may answer for it.
+A request for a tenant is served only while this store is the primary of the tenant's partition and holds the leases
+that allow it to answer.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 class JobService:
-    """Answers proxies.
+    """Serves the requests of proxies.
 
     Args:
-        owned: The partitions that this store is primary of.
-        has_capacity: Whether the disk and the memory can take a further job.
+        owned: The partitions that this store is primary of, by number.
+        has_capacity: Returns whether disk and memory can hold another job.
     """
 
     def __init__(self, *, owned: Mapping[int, partitions.Partition], has_capacity: Callable[[], bool]) -> None:
@@ -28,7 +29,7 @@
         self._has_capacity = has_capacity
 
     def handlers(self) -> dict[type, Callable]:
-        """Returns the handler of each type of message: (connection, message)."""
+        """Returns the handler of each message type, called with (connection, message)."""
         return {
             batch_messages.SubmitJob: self._handle_submit,
             batch_messages.PullItems: self._handle_pull,
@@ -40,12 +41,12 @@
         }
 
     def handle_end(self, connection: interfaces.Connection) -> None:
-        """The connection of a proxy ended."""
+        """Detaches item leases from a proxy connection that has closed."""
         for owned in self._owned.values():
             owned.detach_holder(connection)
 
     def _serving_partition(self, tenant: str) -> partitions.Partition | None:
-        """The tenant's partition, where this store may answer for it."""
+        """Returns the tenant's partition if this store may answer for it, else None."""
         owned = self._owned.get(batch_partitions.partition_of(tenant))
         return owned if owned is not None and owned.is_serving else None
 
@@ -92,7 +93,7 @@
 
     # Items.
     def _handle_pull(self, connection: interfaces.Connection, message: batch_messages.PullItems) -> None:
-        """Leases the items that are due first, over all partitions of this store."""
+        """Leases the items with the earliest due times across all partitions that this store serves."""
         found = [
             (job.due_at, owned, job, item)
             for owned in self._owned.values()
@@ -104,7 +105,7 @@
         connection.send(batch_messages.PulledItems(message.number, tuple(pulled)))
 
     def _handle_renewal(self, connection: interfaces.Connection, message: batch_messages.RenewItems) -> None:
-        """A proxy names what it runs; the answer names what is of no use any more."""
+        """Renews the leases of items that a proxy runs; the reply lists the runs that it should stop."""
         stopped = []
         for running in message.items:
             owned = self._serving_partition(running.tenant)
--- a/ploverward/store/job_table.py
+++ b/ploverward/store/job_table.py
@@ -1,7 +1,8 @@
-"""The jobs of one partition: what was taken, what is listed, who has leased what (docs/batch.md 4).
+"""The jobs of one partition, their results and the leases of their items (docs/batch.md 4).
 
-`JobTable` applies committed entries in their order, so every primary has the same jobs, positions and results. Leases
-are no part of that: only the primary has them, in memory. Proxies tell its successor what they run.
+`JobTable` applies committed entries in log order, so every primary derives the same jobs, positions and results. Item
+leases are not replicated: they exist only in the primary's memory, and proxies report the items that they run to its
+successor.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from ploverward.store import job_entries
 from ploverward.transport import batch_messages
 
-PAGE_BYTES = 900_000  # of results in one page; the protocol allows a megabyte
+PAGE_BYTES = 900_000  # of results in one page; the protocol allows one megabyte
 
 
 class ItemState(enum.Enum):
-    """Where an item is."""
+    """Processing state of an item."""
 
     WAITING = "waiting"
     LEASED = "leased"
-    FINISHING = "finishing"  # its result is being written
+    FINISHING = "finishing"  # its result is in the log but not committed yet
     LISTED = "listed"
 
 
@@ -31,16 +32,16 @@
     """One item of a job.
 
     Attributes:
-        item_id: Its id.
-        path: Where it is sent to.
-        headers: Value by name.
-        parcel: Its body in base64.
-        tokens: Of the prompt and the most out.
-        state: Where it is.
-        lease_ends_at: By the loop's clock in seconds.
-        holder: The connection of the proxy that has leased it; None where that has ended.
-        not_before: Before which it is not leased again, by the loop's clock in seconds.
-        failures: How many replicas answered 500.
+        item_id: The id of the item.
+        path: Request path that the item is sent to.
+        headers: Request headers: value by name.
+        parcel: Request body in base64.
+        tokens: Prompt tokens plus the maximum number of output tokens.
+        state: Processing state.
+        lease_ends_at: When the lease ends, in seconds of the loop's clock.
+        not_before: Earliest time of the next lease after a failed or released run, in seconds of the loop's clock.
+        holder: Connection of the proxy that holds the lease; None if that connection has closed.
+        failures: Number of runs that a replica answered with 500.
     """
 
     item_id: str
@@ -60,15 +61,15 @@
     """One job.
 
     Attributes:
-        tenant: Whose it is.
-        job_id: Its id.
-        route: The name of its route.
-        due_at: When all results are due, by wall-clock time in seconds.
-        max_attempts: Answers of 500 after which an item is a dead letter.
-        items: By id, in the client's order.
-        results: In the order of their positions.
-        is_ended: Whether its client ended it.
-        positions: Of its entries in the log.
+        tenant: The tenant that the job belongs to.
+        job_id: The id of the job.
+        route: The name of the job's route.
+        due_at: When all results are due, in wall-clock seconds.
+        max_attempts: Number of 500 responses after which an item becomes a dead letter.
+        items: Items by id, in the order in which the client sent them.
+        results: Results in the order of their positions.
+        is_ended: Whether the client has ended the job.
+        positions: Positions of the job's entries in the log.
     """
 
     tenant: str
@@ -83,18 +84,18 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether items are still to run."""
+        """Whether items remain to be run."""
         return not self.is_ended and len(self.results) < len(self.items)
 
     def queued_tokens(self) -> int:
-        """Tokens of items that are not listed; none once its client has ended it."""
+        """Returns the tokens of all items without a listed result; 0 once the job is ended or complete."""
         if not self.is_open:
             return 0
         return sum(item.tokens for item in self.items.values() if item.state is not ItemState.LISTED)
 
 
 def parse_items(body: bytes) -> dict[str, Item]:
-    """Reads the items of a job that a proxy has checked."""
+    """Parses the items of a job body, which a proxy has already validated."""
     rows = json.loads(body)["requests"]
     return {
         row["id"]: Item(
@@ -123,14 +124,18 @@
     """The jobs of one partition.
 
     Attributes:
-        jobs: By tenant and id.
+        jobs: Jobs by tenant and job id.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[tuple[str, str], Job] = {}
 
     def apply(self, position: int, entry: job_entries.Entry) -> None:
-        """Applies a committed entry; one that comes again, or comes too late, changes nothing."""
+        """Applies a committed entry.
+
+        A repeated `JobAccepted` or `ItemListed` only records its position. Any other entry of a job that is not in the
+        table, for example one that follows its `JobForgotten`, is ignored.
+        """
         key = (entry.tenant, entry.job)
         if isinstance(entry, job_entries.JobAccepted) and key not in self.jobs:
             self.jobs[key] = _new_job(entry)
@@ -162,32 +167,32 @@
         job.results.append(batch_messages.ListedItem(entry.item, entry.condition, entry.text))
 
     def find(self, *, tenant: str, job: str) -> Job | None:
-        """Returns a job, or None."""
+        """Returns a job, or None if it is not in the table."""
         return self.jobs.get((tenant, job))
 
     def queued_tokens(self, *, tenant: str, route: str) -> int:
-        """Tokens that a tenant has waiting on a route."""
+        """Returns the tokens of a tenant's unfinished items on a route, which count against its quota."""
         return sum(job.queued_tokens() for job in self.jobs.values() if (job.tenant, job.route) == (tenant, route))
 
     def expired_jobs(self, *, due_before: float) -> list[Job]:
-        """Jobs that nothing is to run for any more, and that were due before a time of day."""
+        """Returns the jobs without items left to run that were due before a wall-clock time."""
         return [job for job in self.jobs.values() if not job.is_open and job.due_at < due_before]
 
     def open_jobs(self) -> list[Job]:
-        """Jobs with items to run, the earliest due first."""
+        """Returns the jobs with items left to run, earliest due time first."""
         return sorted((job for job in self.jobs.values() if job.is_open), key=lambda job: job.due_at)
 
     @staticmethod
     def leasable_items(job: Job, *, now: float) -> Iterator[Item]:
-        """Items of a job that may be leased now: those that wait, and those whose lease has ended."""
+        """Yields the items of a job that may be leased now: waiting ones, and those whose lease has expired."""
         for item in job.items.values():
-            is_overdue = item.state is ItemState.LEASED and item.lease_ends_at <= now
-            if is_overdue or (item.state is ItemState.WAITING and item.not_before <= now):
+            has_expired = item.state is ItemState.LEASED and item.lease_ends_at <= now
+            if has_expired or (item.state is ItemState.WAITING and item.not_before <= now):
                 yield item
 
     @staticmethod
     def page(job: Job, *, after: int) -> tuple[batch_messages.ListedItem, ...]:
-        """Results from a position on, one at least if there is one, as many as a page takes."""
+        """Returns results after a position: as many as fit into `PAGE_BYTES`, but at least one if there is any."""
         page: list[batch_messages.ListedItem] = []
         size = 0
         for result in job.results[after:]:
