--- a/ploverward/store/partition.py
+++ b/ploverward/store/partition.py
@@ -1,7 +1,7 @@
-"""One partition at its primary: jobs taken, items leased, results listed (docs/batch.md 3, 4).
+"""One partition at its primary: accepts jobs, leases items and lists results (docs/batch.md 3, 4).
 
-Each change is an entry of the log. Only when it is committed (`replication`) it is applied, answered and shown, so what
-was shown or promised is known to whoever becomes primary next.
+Each change is an entry of the replicated log. It is applied, acknowledged and made readable only once it is committed
+(`replication`), so the next primary knows everything that clients have been shown or promised.
 
 Item leases are held in memory only. A new primary does not lease out items of jobs that it inherited for the first
 `CLAIM_PERIOD_S`, so that proxies can claim the items that they are still running. A report that a run failed or was
@@ -22,9 +22,9 @@
 from ploverward.transport.batch_messages import Condition
 from ploverward.transport.batch_messages import Outcome
 
-LEASE_S = 3.0  # of an item, unless the proxy renews it
-CLAIM_PERIOD_S = 1.2  # for proxies to name what they run
-RETRY_PAUSE_S = 0.5  # from a run that failed to the next one
+LEASE_S = 3.0  # duration of an item lease, unless the proxy renews it
+CLAIM_PERIOD_S = 1.2  # in which proxies claim the items that they run from a new primary
+RETRY_PAUSE_S = 0.5  # between a failed or released run of an item and its next lease
 
 Reply = Callable[[Outcome], object]
 Holder = object  # the connection of a proxy
@@ -34,9 +34,9 @@
     """A partition that this store is the primary of.
 
     Args:
-        now: The loop's clock, in seconds.
-        wall_time: The time of day, in seconds.
-        status_s: For how long a job can be read after it was due.
+        now: Returns the loop's clock, in seconds.
+        wall_time: Returns the wall-clock time, in seconds.
+        status_s: How long a job stays readable after its due time, in seconds.
 
     Attributes:
         table: The committed jobs.
@@ -50,22 +50,26 @@
         self._now = now
         self._wall_time = wall_time
         self._status_s = status_s
-        self._waiting: dict[int, list[Reply]] = {}  # by position: who waits for its commit
-        self._submitted: dict[tuple[str, str], int] = {}  # jobs that are being written: position
-        self._submitted_tokens: dict[tuple[str, str], dict[str, int]] = {}  # tenant and route: tokens by such a job
-        self._forgetting: set[tuple[str, str]] = set()
-        self._inherited: set[tuple[str, str]] = set()  # jobs of an earlier primary
-        self._serves_since: float | None = None
+        self._pending_replies: dict[int, list[Reply]] = {}  # by position of the entry whose commit they wait for
+        self._submitted: dict[tuple[str, str], int] = {}  # position by job, for jobs that are not committed yet
+        # Tokens of the jobs that are not committed yet, by (tenant, route) and then by job.
+        self._submitted_tokens: dict[tuple[str, str], dict[str, int]] = {}
+        self._expiring: set[tuple[str, str]] = set()  # jobs whose `JobForgotten` is not committed yet
+        self._inherited: set[tuple[str, str]] = set()  # jobs accepted by an earlier primary
+        self._serving_since: float | None = None
 
     def begin(self, replication: replications.Replication) -> None:
-        """This store is primary from now on."""
+        """Starts acting as primary on a replicated log, and commits what is already on all copies."""
         self.replication = replication
         replication.advance_commit()
 
     def end(self) -> None:
-        """This store is primary no longer: its successor knows what became of what is under way."""
-        waiting, self._waiting = self._waiting, {}
-        for replies in waiting.values():
+        """Stops acting as primary.
+
+        Pending requests are answered with `NOT_KNOWN`: only the successor knows whether their entries were committed.
+        """
+        pending, self._pending_replies = self._pending_replies, {}
+        for replies in pending.values():
             for reply in replies:
                 reply(Outcome.NOT_KNOWN)
 
@@ -78,11 +82,11 @@
     def _append(self, entry: job_entries.Entry, reply: Reply | None = None) -> int:
         position = self.replication.append(job_entries.pack(entry))
         if reply is not None:
-            self._waiting.setdefault(position, []).append(reply)
+            self._pending_replies.setdefault(position, []).append(reply)
         return position
 
     def handle_committed(self, position: int, data: bytes) -> None:
-        """An entry is on all copies."""
+        """Applies an entry that was committed, and answers the requests that wait for it."""
         entry = job_entries.unpack(data)
         self.table.apply(position, entry)
         key = (entry.tenant, entry.job)
@@ -92,31 +96,34 @@
             self._submitted_tokens.get((entry.tenant, entry.route), {}).pop(entry.job, None)
         elif isinstance(entry, job_entries.JobForgotten):
             self.replication.log.forget(entry.positions)
-            self._forgetting.discard(key)
+            self._expiring.discard(key)
             self._inherited.discard(key)
-        for reply in self._waiting.pop(position, ()):
+        for reply in self._pending_replies.pop(position, ()):
             reply(Outcome.DONE)
 
     def tick(self) -> None:
-        """Forgets jobs that nobody may ask for any more; to be called now and then."""
+        """Drops jobs that are no longer readable. Called periodically."""
         if not self.is_serving:
             return
         for job in self.table.expired_jobs(due_before=self._wall_time() - self._status_s):
             key = (job.tenant, job.job_id)
-            if key not in self._forgetting:
-                self._forgetting.add(key)
+            if key not in self._expiring:
+                self._expiring.add(key)
                 self._append(job_entries.JobForgotten(*key, tuple(job.positions)))
         self.replication.log.trim(committed=self.replication.committed)
 
     # Jobs.
     def submit(self, message: batch_messages.SubmitJob, reply: Reply) -> None:
-        """Takes a job once; `reply` is called when it is kept, or at once where it is not taken."""
+        """Accepts a job; a repeated call does not accept it again.
+
+        `reply` is called once the job is committed, or immediately if the job is already known or exceeds the quota.
+        """
         key = (message.tenant, message.job)
         if key in self.table.jobs:
             reply(Outcome.DONE)
             return
         if key in self._submitted:
-            self._waiting.setdefault(self._submitted[key], []).append(reply)
+            self._pending_replies.setdefault(self._submitted[key], []).append(reply)
             return
         tokens = sum(item.tokens for item in job_table.parse_items(message.body).values())
         if message.max_queued_tokens and self._queued_tokens(message) + tokens > message.max_queued_tokens:
@@ -138,7 +145,7 @@
         return self.table.queued_tokens(tenant=message.tenant, route=message.route) + sum(submitted.values())
 
     def end_job(self, message: batch_messages.EndJob, reply: Reply) -> None:
-        """Ends a job; repeated calls are answered alike."""
+        """Ends a job; a repeated call gets the same reply."""
         job = self.table.find(tenant=message.tenant, job=message.job)
         if job is None:
             reply(Outcome.NOT_FOUND)
@@ -149,13 +156,13 @@
 
     # Items.
     def leasable_items(self) -> Iterator[tuple[job_table.Job, job_table.Item]]:
-        """The items that may be leased now, those of the job that is due first in front."""
+        """Yields the items that may be leased now, those of the job with the earliest due time first."""
         now = self._now()
-        if self._serves_since is None:
-            self._serves_since = now
-        has_claims = now >= self._serves_since + CLAIM_PERIOD_S
+        if self._serving_since is None:
+            self._serving_since = now
+        is_claim_period_over = now >= self._serving_since + CLAIM_PERIOD_S
         for job in self.table.open_jobs():
-            if has_claims or (job.tenant, job.job_id) not in self._inherited:
+            if is_claim_period_over or (job.tenant, job.job_id) not in self._inherited:
                 for item in self.table.leasable_items(job, now=now):
                     yield job, item
 
@@ -179,7 +186,7 @@
         item.lease_ends_at = self._now() + LEASE_S
 
     def renew(self, running: batch_messages.RunningItem, holder: Holder) -> bool:
-        """A proxy runs an item; returns whether the run is of use."""
+        """Renews the lease of an item that a proxy runs; returns False if the proxy should stop the run."""
         job = self.table.find(tenant=running.tenant, job=running.job)
         item = job.items.get(running.item) if job is not None else None
         if job is None or item is None or job.is_ended:
@@ -192,14 +199,14 @@
         return True
 
     def detach_holder(self, holder: Holder) -> None:
-        """The connection of a proxy ended: on another one it may go on with what it has leased."""
+        """Detaches leases from a connection that has closed, so that the proxy can renew them on another connection."""
         for job in self.table.open_jobs():
             for item in job.items.values():
                 if item.holder is holder:
                     item.holder = None
 
     def finish(self, message: batch_messages.FinishItem, reply: Reply, holder: Holder) -> None:
-        """A run ended: the item is listed, or waits for another run."""
+        """Handles the end of a run: lists the result of the item, or makes the item available for another run."""
         job = self.table.find(tenant=message.tenant, job=message.job)
         item = job.items.get(message.item) if job is not None else None
         if job is None or item is None:
@@ -216,7 +223,7 @@
 
     def _release(self, job: job_table.Job, item: job_table.Item, holder: Holder, *, has_failed: bool) -> None:
         if item.state is not job_table.ItemState.LEASED or item.holder is not holder:
-            return  # of an earlier run, or reported before
+            return  # the report is from an earlier run, or a repetition
         if has_failed and item.failures + 1 >= job.max_attempts:
             self._list_item(job, item, Condition.DEAD_LETTER, b"", None)
             return
--- a/ploverward/store/partition_log.py
+++ b/ploverward/store/partition_log.py
@@ -1,11 +1,12 @@
-"""The entries of one partition at one store (docs/batch.md 3).
+"""The log of one partition at one store (docs/batch.md 3).
 
-Each entry has a position, counted from 1, and the epoch of the primary that added it. Two logs with the same epoch at
-the same position are the same up to there: an epoch belongs to one process, and a store takes entries only behind an
-entry that both have. So where logs part is found by epochs alone, and an end that was never committed can be cut off.
+Each entry has a position, counted from 1, and the epoch of the primary that appended it. Two logs with the same epoch
+at the same position are identical up to that position: an epoch belongs to one process, and a store appends entries
+only after an entry that it shares with the primary. The point where two logs diverge can therefore be found from epochs
+alone, and an uncommitted tail can be truncated.
 
-What a job left behind is dropped once the job is forgotten: its entries become empty, and empty ones at the front are
-taken away. `base` is the position before the first entry that is left; all up to there was committed.
+Once a job is forgotten, its entries are emptied, and leading empty entries are removed. `base` is the position before
+the first remaining entry; everything up to `base` was committed.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 from ploverward.transport import batch_messages
 
-EMPTY = b""  # an entry that changes nothing: it begins an epoch, or its job was forgotten
+EMPTY = b""  # data of an entry without effect: the first entry of an epoch, or one whose job was forgotten
 
 
 class LoggedEntry(typing.NamedTuple):
-    """One entry.
+    """One entry of a partition's log.
 
     Attributes:
-        epoch: Of the primary that added it.
-        data: Its stored form.
+        epoch: Epoch of the primary that appended the entry.
+        data: Stored form of the entry (`job_entries`).
     """
 
     epoch: int
@@ -32,13 +33,13 @@
 
 
 class PartitionLog:
-    """The entries of a partition at one store.
+    """The log of a partition at one store.
 
     Attributes:
-        base: The position before the first entry.
-        base_epoch: The epoch of the entry that was there.
-        durable: The position of the last entry that is synced here, and all before it.
-        live_bytes: Of all entries.
+        base: Position before the first entry.
+        base_epoch: Epoch of the removed entry at `base`.
+        durable: Position up to which all entries are synced to this store's disk.
+        live_bytes: Total size of the data of all entries.
     """
 
     def __init__(self) -> None:
@@ -59,45 +60,45 @@
         return self.epoch_at(self.last)
 
     def epoch_at(self, position: int) -> int:
-        """Returns the epoch of an entry that is here, or of the base."""
+        """Returns the epoch of the entry at a position from `base` to `last`."""
         return self.base_epoch if position == self.base else self._entries[position - self.base - 1].epoch
 
     def data_at(self, position: int) -> bytes:
-        """Returns an entry that is here."""
+        """Returns the data of the entry at a position after `base`, up to `last`."""
         return self._entries[position - self.base - 1].data
 
     def append(self, entry: LoggedEntry) -> int:
-        """Adds an entry and returns its position."""
+        """Appends an entry and returns its position."""
         self._entries.append(entry)
         self.live_bytes += len(entry.data)
         return self.last
 
     def mark_durable(self, *, position: int, epoch: int) -> None:
-        """An entry was synced. One that was cut off meanwhile does not count."""
+        """Records that an entry was synced; has no effect if the entry has been truncated in the meantime."""
         if self.base < position <= self.last and self.epoch_at(position) == epoch:
             self.durable = max(self.durable, position)
 
     def after(self, position: int) -> Sequence[LoggedEntry]:
-        """Returns the entries behind a position that is here."""
+        """Returns the entries after a position from `base` to `last`."""
         return self._entries[position - self.base :]
 
     def truncate_after(self, position: int) -> None:
-        """Cuts off all entries behind a position that is here."""
+        """Removes all entries after a position from `base` to `last`."""
         kept = position - self.base
         self.live_bytes -= sum(len(entry.data) for entry in self._entries[kept:])
         del self._entries[kept:]
         self.durable = min(self.durable, position)
 
     def reset(self, *, base: int, base_epoch: int) -> None:
-        """Drops everything: the log goes on behind a base that another store has."""
+        """Drops all entries; the log continues after the base of another store's log."""
         self._entries.clear()
         self.live_bytes = 0
         self.base, self.base_epoch = base, base_epoch
         self.durable = base
 
-    # What both have.
+    # Comparison with another log.
     def runs(self) -> tuple[batch_messages.EpochRun, ...]:
-        """Returns the epochs of all entries in order, with the position of the last entry of each."""
+        """Returns the epochs of all entries in order, each with the position of its last entry."""
         runs: list[batch_messages.EpochRun] = []
         for position, entry in enumerate(self._entries, self.base + 1):
             if runs and runs[-1].epoch == entry.epoch:
@@ -107,7 +108,10 @@
         return tuple(runs)
 
     def last_common_position(self, other: batch_messages.LogState) -> int | None:
-        """Returns up to where another store's log is the same; None where it ends before this log's base."""
+        """Returns the last position up to which another store's log is identical to this one.
+
+        None if the other log ends before this log's base, or has a different entry there.
+        """
         other_last = other.runs[-1].last if other.runs else other.base
         position = min(self.last, other_last)
         while position > max(self.base, other.base):
@@ -115,13 +119,13 @@
                 return position
             position -= 1
         if other.base >= self.base:
-            return min(other.base, self.last)  # up to its base all was committed, so this log has the same
-        is_base_same = other_last >= self.base and _epoch_at(other, self.base) == self.base_epoch
-        return self.base if is_base_same else None
+            return min(other.base, self.last)  # entries up to the other base were committed, so this log has them
+        has_same_base_entry = other_last >= self.base and _epoch_at(other, self.base) == self.base_epoch
+        return self.base if has_same_base_entry else None
 
-    # Forgetting.
+    # Removal of forgotten entries.
     def forget(self, positions: Iterable[int]) -> None:
-        """Empties committed entries, and takes away the empty ones at the front."""
+        """Empties the committed entries at these positions; `trim` removes the leading ones."""
         for position in positions:
             if self.base < position <= self.last:
                 index = position - self.base - 1
@@ -129,7 +133,7 @@
                 self._entries[index] = self._entries[index]._replace(data=EMPTY)
 
     def trim(self, *, committed: int) -> None:
-        """Takes away empty entries at the front, up to a position that is committed and synced here."""
+        """Removes leading empty entries that are both committed and synced to this store's disk."""
         limit = min(committed, self.durable) - self.base
         count = 0
         while count < limit and not self._entries[count].data:
--- a/ploverward/store/partition_member.py
+++ b/ploverward/store/partition_member.py
@@ -1,14 +1,13 @@
-"""A partition's log at one store, as its primary sees it: questions, entries, leases (docs/batch.md 3).
+"""A store's copy of a partition, which serves the partition's primary (docs/batch.md 3).
 
-`PartitionMember` guards the log. It takes entries only from a primary of the newest epoch that it knows; each entry
-that it has is of an epoch that it knows, so that a restart does not make it forget one under which anything was
-committed.
+`PartitionMember` guards the log: it accepts entries only from a primary of the newest epoch that it knows. The epochs
+of its stored entries count as known, so a restart does not lose an epoch under which an entry was committed.
 
-Entries come on the connection on which the log's state was asked for last, in order. What an older connection still
-brings is dropped: it would cut off what came since.
+Entries arrive in order on the connection on which the log state was last requested. Entries that arrive late on an
+older connection are dropped, because they would truncate newer ones.
 
-A primary answers clients only as long as all other members have lately granted it a lease. A member that becomes the
-primary itself waits until what it granted has ended.
+A primary answers clients only while all other members have recently granted it a lease. A member that becomes primary
+itself first waits until the lease that it granted has expired.
 """
 
 from __future__ import annotations
@@ -21,23 +20,23 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import interfaces
 
-Session = interfaces.Connection  # of a primary
+Session = interfaces.Connection  # connection of a primary
 
 
 class PartitionMember:
     """One store's copy of a partition.
 
     Args:
-        number: Of the partition.
-        log: What this store has of it.
+        number: Number of the partition.
+        log: This store's log of the partition.
         disk: The store's disk.
-        now: The loop's clock, in seconds.
-        lease_s: For how long a lease is granted.
+        now: Returns the loop's clock, in seconds.
+        lease_s: Duration of a granted lease, in seconds.
 
     Attributes:
-        log: As given.
-        number: As given.
-        granted_until: When the last lease ends that this store granted, by the loop's clock.
+        log: This store's log of the partition.
+        number: Number of the partition.
+        granted_until: When the latest lease granted by this store expires, in seconds of the loop's clock.
     """
 
     def __init__(
@@ -57,21 +56,21 @@
         self._known_epoch = 0
         self._session: Session | None = None
         self._session_epoch = 0
-        self._matched = 0  # up to where the log is that of the primary which asked last
+        self._matched_position = 0  # position up to which the log is known to equal that of the session's primary
         self._committed = 0
-        self.granted_until = now() + lease_s  # an earlier start of this process may have granted one
+        self.granted_until = now() + lease_s  # this store may have granted a lease before it restarted
 
     @property
     def fence(self) -> int:
-        """The newest epoch that is known here: primaries of older ones are refused."""
+        """The newest epoch that this store knows; primaries of older epochs are refused."""
         return max(self._known_epoch, self.log.last_epoch)
 
     def note_epoch(self, epoch: int) -> None:
-        """An arrangement of this epoch is known to exist."""
+        """Records that an arrangement of this epoch exists."""
         self._known_epoch = max(self._known_epoch, epoch)
 
     def grant_lease(self, epoch: int) -> bool:
-        """Whether a primary of this epoch may go on to answer for `lease_s`."""
+        """Grants a lease of `lease_s` to the primary of an epoch; returns False if the epoch is outdated."""
         if epoch < self.fence:
             return False
         self.note_epoch(epoch)
@@ -79,17 +78,25 @@
         return True
 
     def begin_session(self, session: Session, epoch: int) -> batch_messages.LogState | None:
-        """Returns where the log stands; entries are taken on this connection from now on. None: a refusal."""
+        """Starts accepting entries on a connection and returns the state of the log.
+
+        None if the request is refused: the epoch is outdated, or the disk is not ready.
+        """
         if epoch < self.fence or not self._disk.is_ready:
             return None
         self.note_epoch(epoch)
         self._session, self._session_epoch = session, epoch
-        self._matched = 0
+        self._matched_position = 0
         log = self.log
         return batch_messages.LogState(self.number, epoch, self._disk.identity, log.base, log.base_epoch, log.runs())
 
     def append(self, session: Session, message: batch_messages.AppendEntries) -> bool:
-        """Takes a primary's entries; returns whether they fit the log."""
+        """Appends entries from a primary; entries of the log after the preceding position are replaced.
+
+        Returns:
+            False if the entries are refused: they came on another connection than the session's or from an outdated
+            epoch, or the log lacks the entry that they follow.
+        """
         if session is not self._session or message.epoch < self.fence:
             return False
         self.note_epoch(message.epoch)
@@ -103,33 +110,38 @@
         if previous < log.last:
             log.truncate_after(previous)
         for entry in message.entries:
-            self._add(partition_log.LoggedEntry(entry.epoch, entry.data))
-        self._matched = log.last
-        self._forget(min(message.committed, log.last))
+            self._append_entry(partition_log.LoggedEntry(entry.epoch, entry.data))
+        self._matched_position = log.last
+        self._apply_commit(min(message.committed, log.last))
         return True
 
-    def _add(self, entry: partition_log.LoggedEntry) -> None:
+    def _append_entry(self, entry: partition_log.LoggedEntry) -> None:
         self._disk.add(store_disk.StoredEntry(self.number, self.log.append(entry), entry))
 
-    def _forget(self, committed: int) -> None:
-        """What committed entries say is to be forgotten goes."""
+    def _apply_commit(self, committed: int) -> None:
+        """Drops the entries that newly committed `JobForgotten` entries name."""
         for position in range(max(self._committed, self.log.base) + 1, committed + 1):
             self.log.forget(job_entries.forgotten_positions(self.log.data_at(position)))
         self._committed = max(self._committed, committed)
         self.log.trim(committed=self._committed)
 
     def acknowledgement(self) -> batch_messages.EntriesDurable | None:
-        """Returns how far the primary that asked last may count on this copy; None where it was replaced."""
+        """Returns the position up to which this copy is durable and matches the log of the session's primary.
+
+        None if there is no session, or a newer epoch has superseded it.
+        """
         if self._session is None or self._session_epoch < self.fence:
             return None
-        return batch_messages.EntriesDurable(self.number, self._session_epoch, min(self.log.durable, self._matched))
+        return batch_messages.EntriesDurable(
+            self.number, self._session_epoch, min(self.log.durable, self._matched_position)
+        )
 
     @property
     def session(self) -> Session | None:
-        """The connection of the primary that asked last."""
+        """The connection on which a primary last requested the log state; None if it has closed."""
         return self._session
 
     def end_session(self, session: Session) -> None:
-        """A connection ended."""
+        """Ends the session if it was on this connection, which has closed."""
         if session is self._session:
             self._session = None
