--- a/ploverward/store/primary_partitions.py
+++ b/ploverward/store/primary_partitions.py
@@ -1,4 +1,4 @@
-"""The partitions that this store is primary of: arrangements, copies, leases, reports (docs/batch.md 2, 3)."""
+"""Manages the partitions that this store is primary of: arrangements, copies, leases, reports (docs/batch.md 2, 3)."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import interfaces
 
-MAX_LEASE_REQUESTS = 16  # to one store that are remembered
+MAX_LEASE_REQUESTS = 16  # unanswered requests remembered per store; a grant for an older one is ignored
 
 
 class Links(typing.Protocol):
-    """Connections to other stores: `store_links.StoreLinks`, or the simulation's twin."""
+    """Connections to other stores: `store_links.StoreLinks`, or its counterpart in the simulation."""
 
     def update(self, addresses: set[str]) -> None:
-        """Connects to these stores, and ends the connections to others."""
+        """Connects to these stores and closes the connections to all others."""
 
     def send(self, address: str, message: tuple) -> None:
-        """Sends to a store; without a connection the message is lost."""
+        """Sends a message to a store; without a connection the message is dropped."""
 
     def keep_alive(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Sends heartbeats. Called at each heartbeat interval."""
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
 
 
 class PrimaryPartitions:
-    """The partitions of this store.
+    """The partitions that this store is primary of.
 
     Args:
         loop: The event loop.
         own: Address of this store.
-        process: Identifies this start of its process.
+        process: Identifier of this incarnation of the store's process.
         disk: The store's disk.
-        members: This store's copy of each partition.
+        members: Returns this store's copy of the partition with the given number.
         timing: Durations.
-        make_partition: Makes the jobs of a partition, without a log.
-        make_links: Makes the connections to stores: (on_up, on_message, on_end).
+        make_partition: Creates a partition that has no log yet.
+        make_links: Creates the connections to other stores; called with on_up, on_message and on_end.
         send_report: Sends a report to the coordinator.
 
     Attributes:
-        owned: By number.
+        owned: Partitions by number.
     """
 
     def __init__(
@@ -74,15 +74,13 @@
         self._make_partition = make_partition
         self._send_report = send_report
         self._links = make_links(on_up=self._handle_up, on_message=self._handle_message, on_end=self._handle_end)
-        self._lease_requests: dict[
-            tuple[str, int], float
-        ] = {}  # store and number of a request for leases: when it was sent
+        self._lease_requests: dict[tuple[str, int], float] = {}  # send time by address of the store and request number
         self._request_numbers = itertools.count(1)
         self.owned: dict[int, partitions.Partition] = {}
 
     # Arrangements.
     def install(self, number: int, owners: batch_partitions.PartitionOwners) -> None:
-        """An arrangement became known: this process is made primary, stays it, or is it no longer."""
+        """Applies an arrangement, under which this process becomes, remains or ceases to be the primary."""
         self._members(number).note_epoch(owners.epoch)
         owned = self.owned.get(number)
         is_primary = (owners.primary, owners.process) == (self._own, self._process)
@@ -112,7 +110,7 @@
         )
 
     def _update_links(self, owners: batch_partitions.PartitionOwners) -> None:
-        """Connects to the stores of a further arrangement; those that are needed no longer go at the next tick."""
+        """Connects to the stores of a new arrangement; connections no longer needed are closed at the next tick."""
         self._links.update(self._addresses() | {*owners.backups, *owners.learners})
 
     def _addresses(self) -> set[str]:
@@ -144,14 +142,14 @@
                 owned.replication.handle_durable(address, message)
 
     def handle_synced(self, number: int) -> None:
-        """This store has synced more of a log."""
+        """Commits entries after this store has synced more of a log."""
         owned = self.owned.get(number)
         if owned is not None:
             owned.replication.advance_commit()
 
     # Leases and reports.
     def tick(self) -> None:
-        """Renews leases and reports what is to change; to be called each `Timing.renewal_interval_s`."""
+        """Renews leases and reports caught-up or lost copies. Called every `Timing.renewal_interval_s`."""
         self._links.update(self._addresses())
         for address in sorted(self._addresses()):
             self._request_leases(address)
@@ -183,9 +181,9 @@
                 owned.replication.retry_log_state_request(address)
 
     def keep_alive(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Sends heartbeats. Called at each heartbeat interval."""
         self._links.keep_alive()
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         self._links.stop()
--- a/ploverward/store/store_links.py
+++ b/ploverward/store/store_links.py
@@ -1,4 +1,4 @@
-"""Connections of a primary to the stores that keep copies of its partitions: one connector a store."""
+"""Connections from a primary to the stores that keep copies of its partitions, one connector per store."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class StoreLinks:
-    """Connects to stores and sends to them.
+    """Opens connections to other stores and sends messages over them.
 
     Args:
         loop: The event loop.
-        port: At which stores listen.
-        peer_timeout_s: A connection on which nothing arrives for so long is closed.
-        on_up: Called with the address of a store that can be sent to from now on.
-        on_message: Called with a store's address and its message.
-        on_end: Called with the address of a store whose connection ended.
+        port: Port on which all stores listen.
+        peer_timeout_s: Seconds without incoming data after which a connection is closed.
+        on_up: Called with the address of a store when its connection is established.
+        on_message: Called with the address of a store and a message from it.
+        on_end: Called with the address of a store when its connection has closed.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._connectors: dict[str, peer_connection.Connector] = {}
 
     def update(self, addresses: set[str]) -> None:
-        """Connects to these stores, and ends the connections to others."""
+        """Connects to these stores and closes the connections to all others."""
         for address in addresses - self._connectors.keys():
             self._connectors[address] = peer_connection.Connector(
                 loop=self._loop,
@@ -63,17 +63,20 @@
         self._on_end(address)
 
     def send(self, address: str, message: tuple) -> None:
-        """Sends to a store; without a connection the message is lost: a new one begins with questions."""
+        """Sends a message to a store; without a connection the message is dropped.
+
+        Nothing needs to be repeated: on each new connection the primary first requests the state of the store's logs.
+        """
         connector = self._connectors.get(address)
         if connector is not None and connector.link is not None and connector.link.is_up:
             connector.link.send(message)
 
     def keep_alive(self) -> None:
-        """To be called at each heartbeat interval."""
+        """Sends heartbeats. Called at each heartbeat interval."""
         for connector in self._connectors.values():
             if connector.link is not None and connector.link.is_up:
                 connector.link.keep_alive()
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         self.update(set())
--- a/ploverward/store/test_replication.py
+++ b/ploverward/store/test_replication.py
@@ -234,7 +234,7 @@
     for _entry in range(3):
         scene.primary.append(b"entry")
     scene.deliver(only="B")
-    copy.sent = copy.durable_position = 1  # the rest was not sent yet
+    copy.sent_position = copy.durable_position = 1  # the rest was not sent yet
     scene.primary.log.forget(range(1, 4))
     scene.primary.log.trim(committed=scene.primary.committed)
     scene.sent.clear()
