--- a/ploverward/store/store_disk.py
+++ b/ploverward/store/store_disk.py
@@ -1,13 +1,15 @@
-"""The store's one log file: entries of all its partitions, written in groups (docs/batch.md 3).
-
-While one write is under way the next one gathers, so that one sync serves many commits. The first write of a process,
-and each one after a write that failed, replaces the file by what is in memory: what was read at the start may never
-have been synced. So does a write that finds the file much longer than that.
-
-A record is a length, a checksum (`checksummed_records`), a number and what follows it. Numbers below `_BASE` are those
-of partitions, with a position and an entry, as the first version wrote them; with `_ENTRY` there is an epoch too; with
-`_BASE` the position and the epoch behind which the partition's log begins; `_IDENTITY` names the disk. Records are
-only added to: an entry at a position that is there already takes the place of all from there on.
+"""The store's single log file, which holds the entries of all its partitions (docs/batch.md 3).
+
+Entries that arrive while a write is in progress are grouped into the next write, so one sync serves many commits. The
+first write of a process, and each write after a failed one, replaces the file with the entries in memory: entries that
+were read at startup may never have been synced. A write also replaces the file if it has become much larger than the
+entries in memory.
+
+A record consists of a length, a checksum (`checksummed_records`), a number and a body. The number identifies the kind
+of record: below `_BASE` it is a partition, followed by a position and an entry, as the first version wrote them. With
+the `_ENTRY` flag there is also an epoch. With `_BASE` the body is the position and epoch after which the partition's
+log begins. `_IDENTITY` marks the identity of the disk. The file is append-only between replacements: an entry at a
+position that already exists replaces all entries from that position on.
 """
 
 from __future__ import annotations
@@ -31,20 +33,20 @@
 
 FILE_NAME = "jobs.log"
 NEW_NAME = "jobs.new"
-RETRY_S = 0.2  # from a failed write to the next attempt
-MIN_REWRITE_BYTES = 16 * 1024 * 1024  # a shorter file is not rewritten to save room
-REWRITE_FACTOR = 2  # times as long as what is kept
-FULL_SHARE = 0.8  # of the disk: from there on nothing new is taken
+RETRY_S = 0.2  # between a failed write and the next attempt
+MIN_REWRITE_BYTES = 16 * 1024 * 1024  # a smaller file is not rewritten to reclaim space
+REWRITE_FACTOR = 2  # a file larger than this multiple of its live entries is rewritten
+FULL_SHARE = 0.8  # of `limit_bytes`; no new jobs are accepted once the file could grow beyond it
 _BASE, _ENTRY, _IDENTITY = 0x40000000, 0x80000000, 0xC0000000
 _FIRST_VERSION = struct.Struct(">IQ")  # partition, position
-_RECORD = struct.Struct(">IQQ")  # partition and kind, position, epoch
+_RECORD = struct.Struct(">IQQ")  # partition with kind flags, position, epoch
 _NUMBER = struct.Struct(">I")
 
 Logs = MutableMapping[int, partition_log.PartitionLog]
 
 
 class StoredEntry(typing.NamedTuple):
-    """An entry and where it belongs."""
+    """An entry with its partition and its position in that partition's log."""
 
     partition: int
     position: int
@@ -52,19 +54,19 @@
 
 
 class StoreDisk:
-    """Reads the logs at the start, and keeps the file.
+    """Loads the partition logs at startup and writes new entries to the log file.
 
     Args:
         loop: The event loop; all methods run on it.
-        disk: Where the file is.
-        logs: By partition; makes one where there is none.
-        limit_bytes: Of the disk; 0: not known.
-        on_durable: Called with a partition whose log is synced further than before.
-        unique_id: Makes the identity of a disk that has none.
+        disk: The folder that contains the file.
+        logs: Logs by partition; a missing one is created on access.
+        limit_bytes: Upper bound of the size of the file, from the disk and memory limits; 0 if unknown.
+        on_durable: Called with the number of a partition after entries of its log were synced.
+        unique_id: Generates the identity of a disk that has none.
 
     Attributes:
-        identity: Of the disk: another one once it was emptied.
-        is_ready: Whether the identity and all that was read are synced.
+        identity: Identity of the disk; an emptied disk gets a new one.
+        is_ready: Whether the identity and the loaded entries are synced.
     """
 
     def __init__(
@@ -85,10 +87,10 @@
         self.identity = ""
         self.is_ready = False
         self._file_size = 0
-        self._is_stale = True  # the file is not what is in memory: the next write replaces it
+        self._is_stale = True  # the file may differ from the entries in memory: the next write replaces it
         self._is_writing = False
         self._on_ready: Callable[[], object] = lambda: None
-        self._waiting: list[StoredEntry] = []
+        self._unwritten: list[StoredEntry] = []
         self._failure_spell = failure_spell.FailureSpell(
             now=loop.now, failed_event="jobs_write_failed", recovered_event="jobs_write_recovered"
         )
@@ -98,28 +100,28 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether nothing new should be taken."""
+        """Whether the store should not accept further jobs."""
         return bool(self._limit_bytes) and self._live_bytes() > self._limit_bytes * FULL_SHARE / REWRITE_FACTOR
 
     def _live_bytes(self) -> int:
         return sum(log.live_bytes for log in self._logs.values())
 
     def start(self, *, on_ready: Callable[[], object]) -> None:
-        """Writes what was read anew, so that it is synced for certain; `on_ready` is called once it is."""
+        """Rewrites the loaded entries to be certain that they are synced, then calls `on_ready`."""
         self._on_ready = on_ready
         self._write()
 
     def add(self, entry: StoredEntry) -> None:
-        """Writes an entry that was added to its log, now or after the write that is under way."""
-        self._waiting.append(entry)
+        """Writes an entry that was appended to its log, immediately or after the write in progress."""
+        self._unwritten.append(entry)
         self._write()
 
     def rewrite(self) -> None:
-        """A log begins anew: the next write replaces the file."""
+        """Replaces the file with the next write. Called after a log was reset."""
         self._is_stale = True
         self._write()
 
-    # Reading.
+    # Loading.
     def _load(self) -> None:
         try:
             data = self._disk.read(name=FILE_NAME)
@@ -127,7 +129,7 @@
                 checksummed_records.read(data, on_body=self._load_record)
         except (errors.StorageError, OSError) as error:
             _log.error("jobs_unreadable", extra={"fault": str(error)})
-            self.identity = ""  # a disk that can't be read is as good as an empty one
+            self.identity = ""  # an unreadable disk is treated as an empty one
             self._logs.clear()
 
     def _load_record(self, body: bytes) -> bool:
@@ -159,10 +161,10 @@
 
     # Writing.
     def _write(self) -> None:
-        if self._is_writing or not (self._waiting or self._is_stale):
+        if self._is_writing or not (self._unwritten or self._is_stale):
             return
         self._is_writing = True
-        group, self._waiting = self._waiting, []
+        group, self._unwritten = self._unwritten, []
         if self._is_stale or self._file_size > max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self._live_bytes()):
             self._is_stale = False
             self._replace(list(self._all_entries()))
--- a/ploverward/store/store_links.py
+++ b/ploverward/store/store_links.py
@@ -65,7 +65,7 @@
     def send(self, address: str, message: tuple) -> None:
         """Sends a message to a store; without a connection the message is dropped.
 
-        Nothing needs to be repeated: on each new connection the primary first requests the state of the store's logs.
+        A dropped message is not sent again: on a new connection the primary first requests the state of the logs.
         """
         connector = self._connectors.get(address)
         if connector is not None and connector.link is not None and connector.link.is_up:
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -1,7 +1,7 @@
-"""The store program: its parts, their wiring and its heartbeat (docs/batch.md).
+"""The store node: wires the components of a store and drives their timers (docs/batch.md).
 
-A store is primary of some partitions and keeps copies of others, as the register of singleton roles says. Everything
-runs in one thread, on one event loop; the log is written on a pool thread.
+A store is primary of some partitions and keeps copies of others, as assigned in the register of singleton roles.
+Everything runs in one thread, on one event loop, except for writes of the log, which run on a pool thread.
 """
 
 from __future__ import annotations
@@ -47,20 +47,23 @@
 FETCHES_PER_CONTACT = 12
 ROLE = "store"
 DEFAULT_SETTLE_MS = 1000.0
-LEASE_SHARE_OF_SETTLE = 0.6  # of `settleMs`: a former primary answers for less than that after its successor was named
+# Lease duration as a share of `settleMs`: a former primary serves for less than `settleMs` after its successor was named.
+LEASE_SHARE_OF_SETTLE = 0.6
 DEFAULT_STATUS_S = 120.0
 BYTES_PER_MB = 1024 * 1024
-LOG_MEMORY_SHARE = 0.5  # of the memory, for the logs
+LOG_MEMORY_SHARE = 0.5  # share of the memory limit that the logs may use
 
 
 class StoreNode:
-    """One process that keeps jobs.
+    """A process that stores batch jobs.
 
     Attributes:
-        settings: In force.
-        incarnation: Differs for each start of the process.
+        settings: The current settings.
+        incarnation: Identifier of this start of the process; each start has another one.
+        loop: The event loop.
+        disk: The log file of this store.
         copies: This store's copies of partitions.
-        primary: The partitions that it is primary of.
+        primary: The partitions that this store is primary of.
     """
 
     def __init__(
@@ -70,12 +73,12 @@
         loop: event_loop.Loop | None = None,
         send_report: Callable[[batch_messages.CopyReport], object] | None = None,
     ) -> None:
-        """Reads the disk; nothing is connected yet.
+        """Loads the logs from disk; connections are opened by `start`.
 
         Args:
-            settings: In force.
+            settings: The settings at startup.
             loop: The event loop; a new one by default.
-            send_report: Takes what the coordinator is to know; sent there by default.
+            send_report: Receives reports for the coordinator; by default they are sent to it.
         """
         self._reloadable = reloadable_settings.ReloadableSettings(initial=settings)
         self.incarnation = uuid.uuid4().hex[:12]
@@ -98,7 +101,7 @@
         }
 
     def _make_partitions(self, send_report: Callable[[batch_messages.CopyReport], object]) -> None:
-        """The disk, copies and jobs."""
+        """Creates the disk, the copies, the primary's partitions and the job service."""
         settings = self.settings
         logs: store_disk.Logs = collections.defaultdict(partition_log.PartitionLog)
         self.disk = store_disk.StoreDisk(
@@ -128,13 +131,13 @@
         )
         self._jobs = job_service.JobService(owned=self.primary.owned, has_capacity=lambda: not self.disk.is_full)
 
-    def _make_links(self, **callbacks: typing.Any) -> store_links.StoreLinks:  # noqa: ANN401  # those of `StoreLinks`
+    def _make_links(self, **callbacks: typing.Any) -> store_links.StoreLinks:  # noqa: ANN401  # callbacks of `StoreLinks`
         return store_links.StoreLinks(
             loop=self.loop, port=self.settings.proxy_port, peer_timeout_s=self._peer_timeout_s, **callbacks
         )
 
     def _make_control_client(self, contact_s: float) -> None:
-        """What core nodes distribute."""
+        """Creates the connections to core nodes and the subscriber to the topics that they distribute."""
         self._connections = core_connections.CoreConnections(
             loop=self.loop,
             settings=lambda: self.settings,
@@ -168,15 +171,15 @@
 
     @property
     def settings(self) -> settings_files.Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._reloadable.current
 
     def identity(self) -> batch_messages.StoreIdentity:
-        """What core nodes know this store and its disk by."""
+        """Returns the identity of this store, its disk and its process, which is sent to core nodes."""
         return batch_messages.StoreIdentity(self.settings.node, self.disk.identity, self.incarnation)
 
     def run(self) -> int:
-        """Serves until SIGTERM. Returns the status of the process."""
+        """Serves until SIGTERM and returns the exit status of the process."""
         self.start()
         signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self.loop.stop))
         signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reload_settings))
@@ -184,7 +187,7 @@
         return 0
 
     def start(self) -> None:
-        """Listens; core nodes are connected to once the identity of the disk is on it."""
+        """Starts listening; core nodes are connected to once the identity of the disk is synced."""
         self._listener = peer_connection.PeerListener(
             loop=self.loop,
             address=(self.settings.ip, self.settings.proxy_port),
@@ -199,7 +202,7 @@
         self.loop.every(interval_s=self._timing.renewal_interval_s, callback=self.primary.tick)
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Stops listening and closes all connections."""
         self._listener.stop()
         for connection in list(self._accepted):
             connection.close(reason="stopped")
@@ -214,11 +217,12 @@
         self._connections.keep_alive()
         self._subscriber.tick()
         self.primary.keep_alive()
-        # A proxy calls the stores in turn: where there are many, it hears nothing from one for longer than a time-out.
+        # Proxies call the stores in turn. With many stores, a proxy would receive nothing from one of them for longer
+        # than the peer timeout.
         for connection in list(self._accepted):
             connection.keep_alive()
 
-    # Roles.
+    # Singleton roles.
     def _handle_core_message(self, host: str, connection: peer_connection.PeerConnection, message: tuple) -> None:
         handler = self._core_handlers.get(type(message))
         if handler is not None:
@@ -232,7 +236,7 @@
             self.install_roles(payload or {})
 
     def install_roles(self, roles: Mapping[str, Sequence]) -> None:
-        """The owners of singleton roles changed."""
+        """Installs the coordinator and the partition arrangements from the register of singleton roles."""
         _epoch, self._coordinator, _incarnation = roles.get(singleton_roles.COORDINATOR, (0, "", ""))
         for number in range(batch_partitions.PARTITIONS):
             owners = batch_partitions.owners_of(partition=number, roles=roles)
@@ -241,12 +245,12 @@
                 self.primary.install(number, owners)
 
     def _send_report(self, report: batch_messages.CopyReport) -> None:
-        """Sends a report to the coordinator; without a connection it is lost, and made again."""
+        """Sends a report to the coordinator. Without a connection it is dropped; the next tick makes a new one."""
         connection = self._connections.to(self._coordinator)
         if connection is not None:
             connection.send(report)
 
-    # Other stores, and proxies.
+    # Connections from other stores and proxies.
     def _handle_synced(self, number: int) -> None:
         self.primary.handle_synced(number)
         self.copies.handle_synced(number)
