--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -47,7 +47,8 @@
 FETCHES_PER_CONTACT = 12
 ROLE = "store"
 DEFAULT_SETTLE_MS = 1000.0
-# Lease duration as a share of `settleMs`: a former primary serves for less than `settleMs` after its successor was named.
+# Lease duration as a share of `settleMs`: a former primary stops serving in less than `settleMs` after its successor
+# was named.
 LEASE_SHARE_OF_SETTLE = 0.6
 DEFAULT_STATUS_S = 120.0
 BYTES_PER_MB = 1024 * 1024
--- a/ploverward/store/test_job_table.py
+++ b/ploverward/store/test_job_table.py
@@ -1,4 +1,4 @@
-"""Entries of a partition's log, and what a table of jobs makes of them."""
+"""Tests of the stored form of log entries and of the job table that applies them."""
 
 import base64
 import json
--- a/ploverward/store/test_partition_log.py
+++ b/ploverward/store/test_partition_log.py
@@ -1,4 +1,4 @@
-"""Logs of partitions: where two of them part, and what is left of one that was trimmed."""
+"""Tests of partition logs: the last common position of two logs, durability, forgetting and trimming."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -40,7 +40,7 @@
 def test_last_common_position_is_none_if_the_other_log_lacks_the_base_entry():
     trimmed = log_of(2, base=5, base_epoch=2)
     assert trimmed.last_common_position(state_of(log_of(1, 1))) is None
-    assert trimmed.last_common_position(state_of(log_of(1, 1, 1, 1, 1))) is None  # another entry at the base
+    assert trimmed.last_common_position(state_of(log_of(1, 1, 1, 1, 1))) is None  # a different entry at the base
     assert trimmed.last_common_position(state_of(log_of(1, 1, 2, 2, 2))) == 5
 
 
--- a/ploverward/store/test_replication.py
+++ b/ploverward/store/test_replication.py
@@ -1,4 +1,4 @@
-"""A partition at its primary: who is waited for, until when it answers, what an older connection may not do."""
+"""Tests of replication: which copies a commit waits for, leases, lost copies, resets and older connections."""
 
 import collections
 
@@ -25,7 +25,7 @@
 
 
 class Store:
-    """One store's copy, on a disk that syncs within 10 ms."""
+    """One store's copy of the partition, on a disk that syncs within 10 ms."""
 
     def __init__(self, world):
         logs = collections.defaultdict(partition_log.PartitionLog)
@@ -43,8 +43,8 @@
         )
 
 
-class Scene:
-    """A primary A with member B and learner C, whose answers a test passes on."""
+class Cluster:
+    """A primary A with member B and learner C; a test delivers the messages between them."""
 
     def __init__(self, members="AB", learners="C", epoch=3):
         self.world = simulated_world.World(seed=1)
@@ -72,12 +72,12 @@
         self.world.run(until=self.world.time + seconds)
 
     def deliver(self, only="BC"):
-        """Passes messages and answers on until there are none, with all that is synced meanwhile."""
+        """Exchanges messages between the primary and these stores, including those that follow from syncs."""
         for _round in range(6):
             messages, self.sent = self.sent, []
             for address, message in messages:
                 if address in only:
-                    self._pass_on(address, message)
+                    self._deliver_message(address, message)
             self.wait()
             for name in only:
                 answer = self.stores[name].member.acknowledgement()
@@ -85,7 +85,7 @@
                     self.primary.handle_durable(name, answer)
             self.primary.advance_commit()
 
-    def _pass_on(self, address, message):
+    def _deliver_message(self, address, message):
         member = self.stores[address].member
         if isinstance(message, batch_messages.RequestLogState):
             state = member.begin_session(self.links[address], message.epoch)
@@ -106,178 +106,178 @@
 
 
 def test_an_entry_is_committed_once_all_members_have_synced_it():
-    scene = Scene()
-    scene.deliver(only="C")
-    position = scene.primary.append(b"entry")
-    scene.deliver(only="C")
-    assert not scene.committed
-    scene.primary.request_log_state("B")
-    scene.deliver()
-    assert scene.committed == [(position, b"entry")]
+    cluster = Cluster()
+    cluster.deliver(only="C")
+    position = cluster.primary.append(b"entry")
+    cluster.deliver(only="C")
+    assert not cluster.committed
+    cluster.primary.request_log_state("B")
+    cluster.deliver()
+    assert cluster.committed == [(position, b"entry")]
 
 
 def test_commit_waits_for_a_learner_reported_as_caught_up():
-    scene = Scene()
-    scene.deliver()
-    scene.lease("B", "C")
-    report = scene.primary.report()
+    cluster = Cluster()
+    cluster.deliver()
+    cluster.lease("B", "C")
+    report = cluster.primary.report()
     assert [row.address for row in report.level] == ["C"] and not report.lost
-    scene.primary.append(b"entry")
-    scene.deliver(only="B")
-    assert not scene.committed
-    scene.primary.install(scene.owners("AB", "C", 4))  # it was not made a member
-    scene.deliver(only="B")
-    assert [data for _position, data in scene.committed] == [b"entry"]
+    cluster.primary.append(b"entry")
+    cluster.deliver(only="B")
+    assert not cluster.committed
+    cluster.primary.install(cluster.owners("AB", "C", 4))  # C was not made a member
+    cluster.deliver(only="B")
+    assert [data for _position, data in cluster.committed] == [b"entry"]
 
 
 def test_primary_serves_only_while_all_members_renew_its_lease():
-    scene = Scene()
-    scene.deliver()
-    assert not scene.primary.is_serving
-    scene.lease("B")
-    assert scene.primary.is_serving
-    scene.wait(0.59)
-    assert scene.primary.is_serving
-    scene.wait(0.02)
-    assert not scene.primary.is_serving
+    cluster = Cluster()
+    cluster.deliver()
+    assert not cluster.primary.is_serving
+    cluster.lease("B")
+    assert cluster.primary.is_serving
+    cluster.wait(0.59)
+    assert cluster.primary.is_serving
+    cluster.wait(0.02)
+    assert not cluster.primary.is_serving
 
 
 def test_primary_does_not_serve_before_the_lease_it_granted_has_expired():
-    scene = Scene()
-    scene.wait(1.0)
-    scene.stores["A"].member.grant_lease(5)  # to another primary
+    cluster = Cluster()
+    cluster.wait(1.0)
+    cluster.stores["A"].member.grant_lease(5)  # granted to another primary
     successor = replication.Replication(
-        member=scene.stores["A"].member,
-        disk=scene.stores["A"].disk,
-        owners=scene.owners("A", "", 6),
+        member=cluster.stores["A"].member,
+        disk=cluster.stores["A"].disk,
+        owners=cluster.owners("A", "", 6),
         timing=TIMING,
-        now=scene.world.now,
+        now=cluster.world.now,
         send=lambda _address, _message: None,
         on_committed=lambda _position, _data: None,
     )
-    scene.wait(0.5)
+    cluster.wait(0.5)
     successor.advance_commit()
     assert successor.is_caught_up and not successor.is_serving
-    scene.wait(0.2)
+    cluster.wait(0.2)
     assert successor.is_serving
 
 
 def test_a_member_that_replies_without_making_progress_is_reported_lost():
-    scene = Scene()
-    scene.deliver()
-    assert not lost(scene.primary)
-    scene.wait(1.1)
-    scene.lease("B")
-    scene.primary.append(b"entry")
-    assert not lost(scene.primary)
+    cluster = Cluster()
+    cluster.deliver()
+    assert not lost(cluster.primary)
+    cluster.wait(1.1)
+    cluster.lease("B")
+    cluster.primary.append(b"entry")
+    assert not lost(cluster.primary)
     for _step in range(5):
-        scene.wait(0.3)
-        scene.lease("B")  # it answers, and does not get on
-    assert lost(scene.primary) == ["B"]
+        cluster.wait(0.3)
+        cluster.lease("B")  # B replies but makes no progress
+    assert lost(cluster.primary) == ["B"]
 
 
 def test_a_silent_member_is_reported_lost():
-    scene = Scene()
-    scene.deliver()
-    scene.wait(1.1)
-    scene.lease("B")
-    scene.wait(1.1)
-    assert not lost(scene.primary)
-    scene.wait(0.2)
-    assert lost(scene.primary) == ["B"]
+    cluster = Cluster()
+    cluster.deliver()
+    cluster.wait(1.1)
+    cluster.lease("B")
+    cluster.wait(1.1)
+    assert not lost(cluster.primary)
+    cluster.wait(0.2)
+    assert lost(cluster.primary) == ["B"]
 
 
 @pytest.mark.parametrize("older", [2, 0])
 def test_a_member_refuses_a_primary_of_an_older_epoch(older):
-    scene = Scene()
-    scene.deliver()
-    member, link = scene.stores["B"].member, Connection()
+    cluster = Cluster()
+    cluster.deliver()
+    member, link = cluster.stores["B"].member, Connection()
     assert member.begin_session(link, older) is None and not member.grant_lease(older)
     message = batch_messages.AppendEntries(NUMBER, older, 1, 0, False, 0, ())
     assert not member.append(link, message) and member.log.last == 1
 
 
 def test_entries_on_an_older_connection_do_not_truncate_the_log():
-    scene = Scene()
-    scene.primary.append(b"one")
-    scene.deliver()
-    member = scene.stores["B"].member
+    cluster = Cluster()
+    cluster.primary.append(b"one")
+    cluster.deliver()
+    member = cluster.stores["B"].member
     late = batch_messages.AppendEntries(NUMBER, 3, 1, 0, False, 0, (batch_messages.EpochEntry(3, b""),))
     assert not member.append(Connection(), late)
     assert member.log.last == 2 and member.log.data_at(2) == b"one"
 
 
 def test_uncommitted_entries_of_a_former_primary_are_truncated():
-    scene = Scene()
-    log = scene.stores["B"].member.log
+    cluster = Cluster()
+    log = cluster.stores["B"].member.log
     for data in (b"stale 1", b"stale 2", b"stale 3"):
         log.append(partition_log.LoggedEntry(2, data))
-    scene.primary.append(b"one")
-    scene.deliver()
+    cluster.primary.append(b"one")
+    cluster.deliver()
     assert [tuple(entry) for entry in log.after(0)] == [(3, b""), (3, b"one")]
-    assert [data for _position, data in scene.committed] == [b"one"]
+    assert [data for _position, data in cluster.committed] == [b"one"]
 
 
 def test_entries_that_do_not_follow_the_log_are_refused():
-    scene = Scene()
-    scene.deliver()
-    member, link = scene.stores["B"].member, scene.links["B"]
+    cluster = Cluster()
+    cluster.deliver()
+    member, link = cluster.stores["B"].member, cluster.links["B"]
     gap = batch_messages.AppendEntries(NUMBER, 3, 9, 3, False, 0, ())
     other = batch_messages.AppendEntries(NUMBER, 3, 2, 2, False, 0, ())
     assert not member.append(link, gap) and not member.append(link, other)
 
 
 def test_a_learner_that_falls_behind_the_base_is_sent_a_new_state_request():
-    scene = Scene()
-    scene.deliver()
-    copy = scene.primary._copies["C"]
+    cluster = Cluster()
+    cluster.deliver()
+    copy = cluster.primary._copies["C"]
     for _entry in range(3):
-        scene.primary.append(b"entry")
-    scene.deliver(only="B")
-    copy.sent_position = copy.durable_position = 1  # the rest was not sent yet
-    scene.primary.log.forget(range(1, 4))
-    scene.primary.log.trim(committed=scene.primary.committed)
-    scene.sent.clear()
-    scene.primary.append(b"last")
-    assert [type(message) for address, message in scene.sent if address == "C"] == [batch_messages.RequestLogState]
-    scene.deliver()
-    assert [tuple(entry) for entry in scene.stores["C"].member.log.after(3)] == [(3, b"entry"), (3, b"last")]
+        cluster.primary.append(b"entry")
+    cluster.deliver(only="B")
+    copy.sent_position = copy.durable_position = 1  # the remaining entries have not been sent yet
+    cluster.primary.log.forget(range(1, 4))
+    cluster.primary.log.trim(committed=cluster.primary.committed)
+    cluster.sent.clear()
+    cluster.primary.append(b"last")
+    assert [type(message) for address, message in cluster.sent if address == "C"] == [batch_messages.RequestLogState]
+    cluster.deliver()
+    assert [tuple(entry) for entry in cluster.stores["C"].member.log.after(3)] == [(3, b"entry"), (3, b"last")]
 
 
 def test_a_learner_behind_the_base_receives_the_log_from_the_base():
-    scene = Scene()
-    log = scene.primary.log
+    cluster = Cluster()
+    log = cluster.primary.log
     for _entry in range(3):
-        scene.primary.append(b"entry")
-    scene.deliver(only="B")
+        cluster.primary.append(b"entry")
+    cluster.deliver(only="B")
     log.forget(range(1, 4))
-    log.trim(committed=scene.primary.committed)
+    log.trim(committed=cluster.primary.committed)
     assert log.base == 3
-    scene.primary.request_log_state("C")
-    scene.deliver()
-    copy = scene.stores["C"].member.log
+    cluster.primary.request_log_state("C")
+    cluster.deliver()
+    copy = cluster.stores["C"].member.log
     assert (copy.base, copy.base_epoch) == (3, 3)
     assert [tuple(entry) for entry in copy.after(3)] == [(3, b"entry")]
 
 
 def test_unacknowledged_bytes_sent_to_a_store_are_bounded(monkeypatch):
     monkeypatch.setattr(replication, "MAX_UNACKNOWLEDGED_BYTES", 1000)
-    scene = Scene()
-    scene.deliver()
-    scene.sent.clear()
+    cluster = Cluster()
+    cluster.deliver()
+    cluster.sent.clear()
     for _entry in range(30):
-        scene.primary.append(b"x" * 100)
-    copy = scene.primary._copies["B"]
+        cluster.primary.append(b"x" * 100)
+    copy = cluster.primary._copies["B"]
     sent_bytes = sum(
         len(entry.data)
-        for address, message in scene.sent
+        for address, message in cluster.sent
         if address == "B" and isinstance(message, batch_messages.AppendEntries)
         for entry in message.entries
     )
-    assert copy.unacknowledged_bytes == sent_bytes == 1100  # one entry goes past the bound
-    scene.deliver()
-    scene.deliver()
-    assert copy.unacknowledged_bytes == 0 and copy.durable_position == scene.primary.log.last
-    scene.primary.append(b"x" * 100)
-    scene.primary.handle_disconnect("B")
-    assert copy.unacknowledged_bytes == 0  # on the next connection the store says where it stands
+    assert copy.unacknowledged_bytes == sent_bytes == 1100  # sending stops after the entry that exceeds the limit
+    cluster.deliver()
+    cluster.deliver()
+    assert copy.unacknowledged_bytes == 0 and copy.durable_position == cluster.primary.log.last
+    cluster.primary.append(b"x" * 100)
+    cluster.primary.handle_disconnect("B")
+    assert copy.unacknowledged_bytes == 0  # the store sends its log state on the next connection
--- a/ploverward/store/test_store_disk.py
+++ b/ploverward/store/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The store's log file: what a start finds, what is written anew, what an emptied disk is known by."""
+"""Tests of the store's log file: loading at startup, rewriting, failed writes and the identity of the disk."""
 
 import collections
 
@@ -7,8 +7,8 @@
 from ploverward.store import store_disk
 
 
-class Scene:
-    """Starts of a store on one disk."""
+class RestartableStore:
+    """A store that can be restarted on the same disk."""
 
     def __init__(self, disk=None):
         self.world = simulated_world.World(seed=1)
@@ -40,91 +40,91 @@
 
 
 def test_restart_loads_synced_entries_and_keeps_the_disk_identity():
-    scene = Scene()
-    assert not scene.ready
-    scene.wait()
-    scene.add(3, 1, b"one")
-    scene.add(4, 2, b"two")
-    scene.wait()
-    identity = scene.disk.identity
-    assert scene.ready and set(scene.synced) == {3, 4} and scene.logs[3].durable == 1
-    scene.start()
-    assert (scene.entries(3), scene.entries(4)) == ([(1, b"one")], [(2, b"two")])
-    assert scene.disk.identity == identity
-    assert scene.logs[3].durable == 0  # what was read may never have been synced
-    scene.wait()
-    assert scene.logs[3].durable == scene.logs[4].durable == 1
+    store = RestartableStore()
+    assert not store.ready
+    store.wait()
+    store.add(3, 1, b"one")
+    store.add(4, 2, b"two")
+    store.wait()
+    identity = store.disk.identity
+    assert store.ready and set(store.synced) == {3, 4} and store.logs[3].durable == 1
+    store.start()
+    assert (store.entries(3), store.entries(4)) == ([(1, b"one")], [(2, b"two")])
+    assert store.disk.identity == identity
+    assert store.logs[3].durable == 0  # loaded entries may never have been synced
+    store.wait()
+    assert store.logs[3].durable == store.logs[4].durable == 1
 
 
 def test_an_emptied_disk_gets_a_new_identity():
-    scene = Scene()
-    scene.wait()
-    identity = scene.disk.identity
-    scene.files.files.clear()
-    scene.start()
-    assert scene.disk.identity != identity
+    store = RestartableStore()
+    store.wait()
+    identity = store.disk.identity
+    store.files.files.clear()
+    store.start()
+    assert store.disk.identity != identity
 
 
 def test_restart_loads_the_entry_that_replaced_truncated_ones():
-    scene = Scene()
-    scene.wait()
+    store = RestartableStore()
+    store.wait()
     for data in (b"one", b"two", b"three"):
-        scene.add(3, 1, data)
-    scene.logs[3].truncate_after(1)
-    scene.add(3, 2, b"new")
-    scene.wait()
-    scene.start()
-    assert scene.entries(3) == [(1, b"one"), (2, b"new")]
+        store.add(3, 1, data)
+    store.logs[3].truncate_after(1)
+    store.add(3, 2, b"new")
+    store.wait()
+    store.start()
+    assert store.entries(3) == [(1, b"one"), (2, b"new")]
 
 
 def test_a_reset_log_is_stored_with_its_base():
-    scene = Scene()
-    scene.wait()
-    scene.add(3, 1, b"old")
-    scene.wait()
-    scene.logs[3].reset(base=70, base_epoch=4)
-    scene.disk.rewrite()
-    scene.add(3, 5, b"new")
-    scene.wait()
-    scene.start()
-    assert (scene.logs[3].base, scene.logs[3].base_epoch, scene.entries(3)) == (70, 4, [(5, b"new")])
+    store = RestartableStore()
+    store.wait()
+    store.add(3, 1, b"old")
+    store.wait()
+    store.logs[3].reset(base=70, base_epoch=4)
+    store.disk.rewrite()
+    store.add(3, 5, b"new")
+    store.wait()
+    store.start()
+    assert (store.logs[3].base, store.logs[3].base_epoch, store.entries(3)) == (70, 4, [(5, b"new")])
 
 
 def test_a_failed_write_is_retried_by_rewriting_the_whole_file():
-    scene = Scene()
-    scene.wait()
-    scene.files.is_refusing = True
-    scene.add(3, 1, b"one")
-    scene.wait()
-    assert scene.logs[3].durable == 0
-    scene.files.is_refusing = False
-    scene.wait()
-    assert scene.logs[3].durable == 1
-    scene.start()
-    assert scene.entries(3) == [(1, b"one")]
+    store = RestartableStore()
+    store.wait()
+    store.files.is_refusing = True
+    store.add(3, 1, b"one")
+    store.wait()
+    assert store.logs[3].durable == 0
+    store.files.is_refusing = False
+    store.wait()
+    assert store.logs[3].durable == 1
+    store.start()
+    assert store.entries(3) == [(1, b"one")]
 
 
 def test_entries_of_a_first_version_file_load_with_epoch_0():
     from ploverward.control_plane.consensus import checksummed_records
 
-    scene = Scene()
+    store = RestartableStore()
     rows = [store_disk._FIRST_VERSION.pack(3, position) + b"entry %d" % position for position in (1, 2)]
-    scene.files.files[store_disk.FILE_NAME] = b"".join(map(checksummed_records.pack, rows))
-    scene.start()
-    assert scene.entries(3) == [(0, b"entry 1"), (0, b"entry 2")] and scene.disk.identity
+    store.files.files[store_disk.FILE_NAME] = b"".join(map(checksummed_records.pack, rows))
+    store.start()
+    assert store.entries(3) == [(0, b"entry 1"), (0, b"entry 2")] and store.disk.identity
 
 
 def test_a_file_of_mostly_forgotten_entries_is_rewritten(monkeypatch):
     monkeypatch.setattr(store_disk, "MIN_REWRITE_BYTES", 1000)
-    scene = Scene()
-    scene.wait()
+    store = RestartableStore()
+    store.wait()
     for _entry in range(20):
-        scene.add(3, 1, b"x" * 100)
-    scene.wait()
-    before = len(scene.files.files[store_disk.FILE_NAME])
-    scene.logs[3].forget(range(1, 20))
-    scene.add(3, 1, b"last")
-    scene.wait()
-    assert len(scene.files.files[store_disk.FILE_NAME]) < before / 2
-    scene.start()
-    assert [data for _epoch, data in scene.entries(3) if data] == [b"x" * 100, b"last"]
+        store.add(3, 1, b"x" * 100)
+    store.wait()
+    before = len(store.files.files[store_disk.FILE_NAME])
+    store.logs[3].forget(range(1, 20))
+    store.add(3, 1, b"last")
+    store.wait()
+    assert len(store.files.files[store_disk.FILE_NAME]) < before / 2
+    store.start()
+    assert [data for _epoch, data in store.entries(3) if data] == [b"x" * 100, b"last"]
