--- a/ploverward/store/replication.py
+++ b/ploverward/store/replication.py
@@ -259,8 +259,8 @@
 
     def advance_commit(self) -> None:
         """Commits the entries that are durable on this store and on all required copies."""
-        durable = min([self.log.durable, *(copy.durable_position for copy in self._required_copies())])
-        while self.committed < durable:
+        commit_position = min([self.log.durable, *(copy.durable_position for copy in self._required_copies())])
+        while self.committed < commit_position:
             self.committed += 1
             data = self.log.data_at(self.committed)
             if data:
