--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -61,7 +61,7 @@
     work = loop.work = work_counter.WorkCounter()
 
     def log() -> None:
-        counts = dataclasses.asdict(work.take())
+        counts = dataclasses.asdict(work.take_counts())
         _log.info("work_counted", extra={"interval_s": interval_s, **counts})
 
     loop.every(interval_s=interval_s, callback=log)
--- a/ploverward/common/rollout_evidence.py
+++ b/ploverward/common/rollout_evidence.py
@@ -43,22 +43,25 @@
         ended: Answers that ended, well or not.
         failed: Of these, with a status of 500 and more.
         broken: Answers that broke off before their end.
-        firsts: Times to the first chunk, by bucket.
-        paces: Pauses between chunks, by bucket.
+        first_chunk_times: Times to the first chunk, by bucket.
+        chunk_intervals: Pauses between chunks, by bucket.
     """
 
     ended: int = 0
     failed: int = 0
     broken: int = 0
-    firsts: Histogram = dataclasses.field(default_factory=collections.Counter)
-    paces: Histogram = dataclasses.field(default_factory=collections.Counter)
+    first_chunk_times: Histogram = dataclasses.field(default_factory=collections.Counter)
+    chunk_intervals: Histogram = dataclasses.field(default_factory=collections.Counter)
 
     def add(self, other: "Tally", *, sign: int = 1) -> None:
         """Adds another tally; subtracts it with a `sign` of -1."""
         self.ended += sign * other.ended
         self.failed += sign * other.failed
         self.broken += sign * other.broken
-        for own, added in ((self.firsts, other.firsts), (self.paces, other.paces)):
+        for own, added in (
+            (self.first_chunk_times, other.first_chunk_times),
+            (self.chunk_intervals, other.chunk_intervals),
+        ):
             for bucket, count in added.items():
                 own[bucket] += sign * count
 
@@ -70,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
-class Key:
+class TallyKey:
     """Whose answers a tally counts.
 
     Attributes:
@@ -95,7 +98,7 @@
         age_s: Seconds since the order, by the proxy's clock.
         sent: Requests that arrived for the service since the order.
         sent_new: Of these, sent to the new version.
-        running_old: Attempts in flight at replicas of other versions.
+        in_flight_old: Attempts in flight at replicas of other versions.
         tallies: The answers.
     """
 
@@ -105,8 +108,8 @@
     age_s: float
     sent: int
     sent_new: int
-    running_old: int
-    tallies: dict[Key, Tally]
+    in_flight_old: int
+    tallies: dict[TallyKey, Tally]
 
 
 def pack(reports: Iterable[Report]) -> bytes:
@@ -119,7 +122,7 @@
             round(report.age_s, 3),
             report.sent,
             report.sent_new,
-            report.running_old,
+            report.in_flight_old,
             [_tally_row(key, tally) for key, tally in sorted(report.tallies.items())],
         ]
         for report in reports
@@ -127,9 +130,9 @@
     return zlib.compress(json.dumps(rows, separators=(",", ":")).encode(), 1)
 
 
-def _tally_row(key: Key, tally: Tally) -> list:
+def _tally_row(key: TallyKey, tally: Tally) -> list:
     counts = [key.route, int(key.is_new), key.group, tally.ended, tally.failed, tally.broken]
-    return [*counts, sorted(tally.firsts.items()), sorted(tally.paces.items())]
+    return [*counts, sorted(tally.first_chunk_times.items()), sorted(tally.chunk_intervals.items())]
 
 
 def unpack(data: bytes) -> list[Report]:
@@ -146,15 +149,15 @@
 
 
 def _report(row: list) -> Report:
-    service, number, step, age_s, sent, sent_new, running_old, rows = row
+    service, number, step, age_s, sent, sent_new, in_flight_old, rows = row
     tallies = {}
-    for route, is_new, group, ended, failed, broken, firsts, paces in rows:
-        tallies[Key(route=str(route), is_new=bool(is_new), group=int(group))] = Tally(
+    for route, is_new, group, ended, failed, broken, first_chunk_times, chunk_intervals in rows:
+        tallies[TallyKey(route=str(route), is_new=bool(is_new), group=int(group))] = Tally(
             ended=int(ended),
             failed=int(failed),
             broken=int(broken),
-            firsts=collections.Counter({int(bucket): int(count) for bucket, count in firsts}),
-            paces=collections.Counter({int(bucket): int(count) for bucket, count in paces}),
+            first_chunk_times=collections.Counter({int(bucket): int(count) for bucket, count in first_chunk_times}),
+            chunk_intervals=collections.Counter({int(bucket): int(count) for bucket, count in chunk_intervals}),
         )
     return Report(
         service=str(service),
@@ -163,6 +166,6 @@
         age_s=float(age_s),
         sent=int(sent),
         sent_new=int(sent_new),
-        running_old=int(running_old),
+        in_flight_old=int(in_flight_old),
         tallies=tallies,
     )
--- a/ploverward/common/test_event_log.py
+++ b/ploverward/common/test_event_log.py
@@ -31,7 +31,7 @@
         return [line["message"] for line in self.lines()]
 
 
-def test_an_event_is_kept_until_an_error_which_is_written_first():
+def test_debug_event_is_buffered_and_written_after_the_next_error():
     scene = Scene()
     scene.log.debug("value_chosen", extra={"register": "configuration", "rev": 3})
     assert scene.lines() == []
@@ -46,7 +46,7 @@
     assert (event["node"], event["role"]) == ("n1", "core")
 
 
-def test_an_event_in_memory_is_written_once():
+def test_buffered_event_is_written_only_once():
     scene = Scene()
     scene.log.debug("value_chosen")
     scene.log.error("step_failed")
@@ -55,7 +55,7 @@
     assert scene.names() == ["step_failed", "value_chosen", "step_failed"]
 
 
-def test_errors_that_follow_within_the_interval_leave_events_in_memory():
+def test_error_within_dump_interval_does_not_write_buffered_events():
     scene = Scene()
     scene.log.error("step_failed")
     scene.log.debug("value_chosen")
@@ -67,7 +67,7 @@
     assert scene.names() == ["order_failed", "value_chosen"]
 
 
-def test_a_full_memory_drops_its_oldest_events():
+def test_full_buffer_drops_oldest_events():
     scene = Scene(capacity=3)
     for number in range(5):
         scene.log.debug("value_chosen", extra={"rev": number})
@@ -75,7 +75,7 @@
     assert [line["seen"]["rev"] for line in scene.lines()[1:]] == [2, 3, 4]
 
 
-def test_info_and_all_when_verbose_are_written_at_once():
+def test_info_events_and_all_events_in_verbose_mode_are_written_immediately():
     scene = Scene()
     scene.log.info("rollout_changed")
     assert scene.names() == ["rollout_changed"]
@@ -84,7 +84,7 @@
     assert verbose.names() == ["value_chosen"]
 
 
-def test_an_error_has_the_traceback_of_its_exception():
+def test_error_event_contains_traceback():
     scene = Scene()
     try:
         raise KeyError("gone")
@@ -104,7 +104,7 @@
     log.handlers[:], log.level, log.propagate = before
 
 
-def test_start_writes_events_of_the_package_to_standard_error(logging_state, capsys):
+def test_start_writes_package_events_to_stderr(logging_state, capsys):
     event_log.start(node="n2", role="proxy")
     log = logging.getLogger("ploverward.data_plane.requests.serving")
     log.debug("attempt_failed", extra={"replica": "r1", "reason": "reset"})
--- a/ploverward/common/test_failure_spell.py
+++ b/ploverward/common/test_failure_spell.py
@@ -5,7 +5,7 @@
 from ploverward.common import failure_spell
 
 
-def test_a_spell_is_logged_twice_however_long_it_is(caplog):
+def test_failure_spell_is_logged_only_at_start_and_end(caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
     time = [10.0]
     spell = failure_spell.FailureSpell(now=lambda: time[0], failed_event="went_wrong", recovered_event="went_well")
--- a/ploverward/common/test_reloadable_settings.py
+++ b/ploverward/common/test_reloadable_settings.py
@@ -31,7 +31,7 @@
     return reloadable_settings.ReloadableSettings(initial=initial, load=load, file_watch=watch), watch
 
 
-def test_a_file_that_is_not_valid_leaves_the_settings_as_they_are():
+def test_reload_keeps_settings_if_file_is_invalid():
     reloadable, _watch = make(errors.SettingsError("no node", step="settings"), types.SimpleNamespace(node="second"))
     reloadable.reload()
     assert reloadable.current.node == "first"
@@ -39,7 +39,7 @@
     assert reloadable.current.node == "second"
 
 
-def test_a_file_is_read_again_only_where_it_was_changed():
+def test_reload_if_changed_reads_file_only_after_a_change():
     reloadable, watch = make(types.SimpleNamespace(node="second"))
     assert not reloadable.reload_if_changed() and reloadable.current.node == "first"
     watch.changes = 1
--- a/ploverward/common/test_residency.py
+++ b/ploverward/common/test_residency.py
@@ -1,17 +1,17 @@
 from ploverward.common import residency
 
 
-def test_no_homes_permit_all():
+def test_permitted_allows_all_regions_without_home_regions():
     assert residency.permitted(homes=()) is None
 
 
-def test_the_stricter_of_two_configurations_binds():
+def test_permitted_intersects_home_regions_of_all_configurations():
     assert residency.permitted(homes=("a", "b"), older=(("b", "c"),)) == {"b"}
     assert residency.permitted(homes=(), older=(("b",),)) == {"b"}
     assert residency.permitted(homes=("a",), older=((),)) == {"a"}
 
 
-def test_disjoint_homes_permit_nothing():
+def test_permitted_is_empty_for_disjoint_home_regions():
     assert residency.permitted(homes=("a",), older=(("b",),)) == frozenset()
 
 
@@ -25,11 +25,11 @@
 }
 
 
-def test_lookup_names_the_own_region_first():
+def test_lookup_returns_own_region_if_it_is_serving():
     assert residency.lookup_regions(configuration=CONFIGURATION, host="h", region="d", serving=("b", "d")) == {"d"}
 
 
-def test_lookup_from_a_lost_region_names_homes_of_all_routes_only():
+def test_lookup_from_unserved_region_returns_home_regions_shared_by_all_routes():
     assert residency.lookup_regions(configuration=CONFIGURATION, host="h", region="x", serving=("a", "b", "c")) == {"b"}
     assert residency.lookup_regions(configuration=CONFIGURATION, host="open", region="x", serving=("a", "c")) == {
         "a",
@@ -37,7 +37,7 @@
     }
 
 
-def test_lookup_fails_openly():
+def test_lookup_returns_no_region_without_shared_home_region_or_configuration():
     assert (
         residency.lookup_regions(configuration=CONFIGURATION, host="h", region="x", serving=("a", "c")) == frozenset()
     )
--- a/ploverward/common/test_settings.py
+++ b/ploverward/common/test_settings.py
@@ -7,7 +7,7 @@
 from ploverward.simulation import loopback_proxy
 
 
-def test_settings_skip_unknown_fields_and_name_what_is_missing():
+def test_check_ignores_unknown_fields_and_names_missing_ones():
     found = settings.check(text=loopback_proxy.SETTINGS + "later.field=1\n")
     assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
     for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
@@ -21,13 +21,13 @@
     "line",
     ["no equals sign", "seedNodes=10.0.0.1", "bounds.contactMs=soon", "firstStart=perhaps", "innerPortRange=9,1"],
 )
-def test_malformed_settings_are_one_clear_line(line):
+def test_malformed_settings_raise_single_line_error(line):
     with pytest.raises(errors.SettingsError) as sent:
         settings.check(text=loopback_proxy.SETTINGS + line + "\n")
     assert "\n" not in str(sent.value)
 
 
-def test_a_changed_settings_file_is_noticed_without_a_signal(tmp_path, monkeypatch):
+def test_file_watch_detects_a_changed_file(tmp_path, monkeypatch):
     path = tmp_path / "boot.conf"
     path.write_text(loopback_proxy.SETTINGS)
     monkeypatch.setenv(settings.PATH_VARIABLE, str(path))
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -153,7 +153,7 @@
     def now(self):
         return self.world.time
 
-    def command(self, *, callback):
+    def call_soon_threadsafe(self, *, callback):
         self.world.later(0.0, callback)
 
     def every(self, interval_s, callback):
--- a/ploverward/control_plane/cluster/peer_sessions.py
+++ b/ploverward/control_plane/cluster/peer_sessions.py
@@ -114,7 +114,7 @@
         self._listener = runtime.peer_listener(
             loop=loop,
             address=(self._own, settings.current.core_port),
-            on_link=lambda _connection: None,
+            on_connection=lambda _connection: None,
             on_message=on_message,
             on_end=self._handle_end,
             peer_timeout_s=peer_timeout_s,
@@ -271,7 +271,7 @@
             return True
         connector = self._connectors.get(address)
         connection = connector.link if connector is not None else None
-        return connection is not None and connection.is_up and connection.has_heard
+        return connection is not None and connection.is_up and connection.has_received
 
 
 def _is_proxy(peer: Peer | None) -> bool:
--- a/ploverward/control_plane/cluster/test_peer_sessions.py
+++ b/ploverward/control_plane/cluster/test_peer_sessions.py
@@ -17,7 +17,7 @@
     """Connection that records the messages sent on it."""
 
     def __init__(self, on_end):
-        self.is_up, self.has_heard = True, False
+        self.is_up, self.has_received = True, False
         self.sent = []
         self._on_end = on_end
 
@@ -87,7 +87,7 @@
     node = SessionsFixture(seeds=[OTHER])
     connection = node.runtime.connectors[OTHER].link
     assert not node.sessions.is_core_live(OTHER)
-    connection.has_heard = True
+    connection.has_received = True
     assert node.sessions.is_core_live(OTHER)
     connection.is_up = False
     assert not node.sessions.is_core_live(OTHER)
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -189,7 +189,7 @@
     def send(self, member: str, message: tuple) -> None:
         """Sends a message to a core node, which may be this one."""
         if member == self.own:
-            self._loop.command(callback=lambda: self.handle(self.own, None, message))
+            self._loop.call_soon_threadsafe(callback=lambda: self.handle(self.own, None, message))
         else:
             self._send_to_peer(member, message)
 
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -87,7 +87,7 @@
         )
         self.own = settings.ip
         self.incarnation = self.runtime.unique_id()
-        self.loop = self.runtime.loop(on_fault=lambda error: _log.error("step_failed", exc_info=error))
+        self.loop = self.runtime.loop(on_error=lambda error: _log.error("step_failed", exc_info=error))
         self.started_at = self.loop.now()
         self.timing = core_timing.CoreTiming.from_settings(settings)
         self.status = node_status.NodeStatus()
@@ -230,7 +230,7 @@
             now=self.loop.now,
             sessions=self.sessions,
             roles=lambda: self.role_table.table,
-            on_change=lambda: self.loop.command(callback=self.roles.reconcile),
+            on_change=lambda: self.loop.call_soon_threadsafe(callback=self.roles.reconcile),
         )
         self.usage = self._make_usage(settings)
         self.roles = role_reconciler.RoleReconciler(
@@ -496,7 +496,7 @@
 
     def _install_roles(self, payload: dict | None, _members: tuple[str, ...]) -> None:
         self.role_table.install(payload=payload)
-        self.loop.command(callback=self.roles.reconcile)
+        self.loop.call_soon_threadsafe(callback=self.roles.reconcile)
 
     def _install_configuration(self, payload: dict | None, _members: tuple[str, ...]) -> None:
         self.state.install_configuration(payload)
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -163,4 +163,4 @@
         )
         self._multi.remove_handle(curl)
         curl.close()
-        self._loop.command(callback=lambda: transfer.done(response))
+        self._loop.call_soon_threadsafe(callback=lambda: transfer.done(response))
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -31,16 +31,16 @@
 class NodeRuntime:
     """The real machine."""
 
-    def loop(self, *, on_fault: Callable[[BaseException], None]) -> event_loop.Loop:
-        """Creates the event loop; `on_fault` is called with the error of a callback that failed."""
-        return event_loop.Loop(on_fault=on_fault)
+    def loop(self, *, on_error: Callable[[BaseException], None]) -> event_loop.Loop:
+        """Creates the event loop; `on_error` is called with the error of a callback that failed."""
+        return event_loop.Loop(on_error=on_error)
 
     def peer_listener(
         self,
         *,
         loop: event_loop.Loop,
         address: tuple[str, int],
-        on_link: Callable,
+        on_connection: Callable,
         on_message: Callable,
         on_end: Callable,
         peer_timeout_s: float,
@@ -49,7 +49,7 @@
         return peer_connection.PeerListener(
             loop=loop,
             address=address,
-            on_link=on_link,
+            on_connection=on_connection,
             on_message=on_message,
             on_end=on_end,
             peer_timeout_s=peer_timeout_s,
@@ -143,5 +143,5 @@
         self, *, loop: event_loop.Loop, on_terminate: Callable[[], None], on_reread: Callable[[], None]
     ) -> None:
         """Calls these on the loop at SIGTERM and SIGHUP. The signal handlers themselves only queue them."""
-        signal.signal(signal.SIGTERM, lambda *_: loop.command(callback=on_terminate))
-        signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reread))
+        signal.signal(signal.SIGTERM, lambda *_: loop.call_soon_threadsafe(callback=on_terminate))
+        signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(callback=on_reread))
--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -96,9 +96,9 @@
             body=json.dumps(body, separators=(",", ":")).encode(),
         )
 
-    def on_gone(self, callback: collections.abc.Callable[[], object]) -> None:
+    def on_disconnect(self, callback: collections.abc.Callable[[], object]) -> None:
         """Has a callback called where the caller leaves before it is answered."""
-        self._request.on_gone = callback
+        self._request.on_disconnect = callback
 
     def unavailable(self, *, why: str) -> None:
         """Answers 503, which leaves the outcome open: the caller retries, at this node or another."""
--- a/ploverward/control_plane/operator_api/tally_handlers.py
+++ b/ploverward/control_plane/operator_api/tally_handlers.py
@@ -75,8 +75,10 @@
         elif not self._tallies.can_take(add):
             call.unavailable(why="too many adds are kept or wait here")
         else:
-            on_gone = self._tallies.add(add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody()))
-            call.on_gone(on_gone)
+            on_disconnect = self._tallies.add(
+                add=add, answer=lambda: call.answer(status=http.HTTPStatus.OK, body=AddBody())
+            )
+            call.on_disconnect(on_disconnect)
 
     def handle_get(self, call: Call, name: str) -> None:
         """Answers with the sum of a tally; 503 where this node does not know it yet."""
--- a/ploverward/control_plane/operator_api/test_tally_handlers.py
+++ b/ploverward/control_plane/operator_api/test_tally_handlers.py
@@ -18,7 +18,7 @@
     def __init__(self, *, method, target, body=b""):
         self.method, self.target, self.headers, self.body = method, target, (), body
         self.replies = []
-        self.on_gone = None
+        self.on_disconnect = None
 
     def reply(self, *, status, headers=(), body=b"", is_last=False):
         self.replies.append((status, json.loads(body)))
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -87,7 +87,9 @@
         separate = {key: tally for key, tally in counted.items() if not key.is_new or key in loaded}
         self._load_judge.record(now=now, counted=separate, has_times=False)
         without_times = {
-            key: dataclasses.replace(counted[key], firsts=collections.Counter(), paces=collections.Counter())
+            key: dataclasses.replace(
+                counted[key], first_chunk_times=collections.Counter(), chunk_intervals=collections.Counter()
+            )
             for key in loaded
         }
         return {**counted, **without_times}
--- a/ploverward/control_plane/rollouts/evidence_summary.py
+++ b/ploverward/control_plane/rollouts/evidence_summary.py
@@ -54,8 +54,8 @@
             tally.ended,
             tally.failed,
             tally.broken,
-            dict(sorted(tally.firsts.items())),
-            dict(sorted(tally.paces.items())),
+            dict(sorted(tally.first_chunk_times.items())),
+            dict(sorted(tally.chunk_intervals.items())),
         ]
         for key, tally in sorted(totals.items())
     }
--- a/ploverward/control_plane/rollouts/evidence_table.py
+++ b/ploverward/control_plane/rollouts/evidence_table.py
@@ -10,7 +10,7 @@
 
 from ploverward.common import rollout_evidence
 
-Tallies = dict[rollout_evidence.Key, rollout_evidence.Tally]
+Tallies = dict[rollout_evidence.TallyKey, rollout_evidence.Tally]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.reports: dict[Origin, rollout_evidence.Report] = {}
-        self._consumed: dict[tuple[Origin, rollout_evidence.Key], rollout_evidence.Tally] = {}
+        self._consumed: dict[tuple[Origin, rollout_evidence.TallyKey], rollout_evidence.Tally] = {}
 
     def record(self, *, origin: Origin, report: rollout_evidence.Report) -> None:
         """Merges a report; one that is older than the known one is ignored."""
@@ -70,4 +70,4 @@
     def is_drained(self, *, origins: Iterable[Origin], step: int) -> bool:
         """Returns whether each of these origins has applied this step and runs no attempts at former versions."""
         reports = [self.reports.get(origin) for origin in origins]
-        return all(report is not None and report.step >= step and not report.running_old for report in reports)
+        return all(report is not None and report.step >= step and not report.in_flight_old for report in reports)
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -103,7 +103,7 @@
 
 
 def _histogram(tally: rollout_evidence.Tally, fault: FaultKind) -> collections.Counter[int]:
-    return tally.firsts if fault is FaultKind.FIRST else tally.paces
+    return tally.first_chunk_times if fault is FaultKind.FIRST else tally.chunk_intervals
 
 
 def _median(histogram: collections.Counter[int]) -> int | None:
@@ -217,7 +217,7 @@
         self._last_windows: dict[str, rollout_evidence.Tally] = {}  # by route: the last window with enough answers
 
     def record(
-        self, *, now: float, counted: Mapping[rollout_evidence.Key, rollout_evidence.Tally], has_times: bool = True
+        self, *, now: float, counted: Mapping[rollout_evidence.TallyKey, rollout_evidence.Tally], has_times: bool = True
     ) -> None:
         """Records the answers that were reported since the last call.
 
--- a/ploverward/control_plane/rollouts/rollout_samples.py
+++ b/ploverward/control_plane/rollouts/rollout_samples.py
@@ -41,21 +41,21 @@
 ) -> rollout_evidence.Tally:
     """Returns a tally of answers whose first chunks are in the bucket `first`, or `slow_first` if they are slow."""
     sample = rollout_evidence.Tally(ended=ended, failed=failed)
-    sample.firsts[first] += ended - failed - slow
-    sample.firsts[slow_first] += slow
+    sample.first_chunk_times[first] += ended - failed - slow
+    sample.first_chunk_times[slow_first] += slow
     return sample
 
 
-def key(*, route: str = "r", is_new: bool = True, group: int = 0) -> rollout_evidence.Key:
+def key(*, route: str = "r", is_new: bool = True, group: int = 0) -> rollout_evidence.TallyKey:
     """Returns the key of a tally."""
-    return rollout_evidence.Key(route=route, is_new=is_new, group=group)
+    return rollout_evidence.TallyKey(route=route, is_new=is_new, group=group)
 
 
 def report(
     *,
-    tallies: dict[rollout_evidence.Key, rollout_evidence.Tally] | None = None,
+    tallies: dict[rollout_evidence.TallyKey, rollout_evidence.Tally] | None = None,
     step: int = 2,
-    running_old: int = 0,
+    in_flight_old: int = 0,
     sent: int = 10,
     sent_new: int = 1,
     number: int = 1,
@@ -68,7 +68,7 @@
         age_s=1.0,
         sent=sent,
         sent_new=sent_new,
-        running_old=running_old,
+        in_flight_old=in_flight_old,
         tallies=tallies or {},
     )
 
--- a/ploverward/control_plane/rollouts/test_evidence_table.py
+++ b/ploverward/control_plane/rollouts/test_evidence_table.py
@@ -57,7 +57,7 @@
     table = evidence_table.EvidenceTable()
     origin = evidence_table.Origin(address="a", incarnation="1")
     waiting = rollout_samples.report(tallies={rollout_samples.key(): rollout_evidence.Tally()})
-    first = rollout_evidence.Tally(firsts=collections.Counter({20: 1}))
+    first = rollout_evidence.Tally(first_chunk_times=collections.Counter({20: 1}))
     answering = dataclasses.replace(waiting, tallies={rollout_samples.key(): first}, age_s=waiting.age_s + 0.4)
     for report in (waiting, answering, waiting):
         table.record(origin=origin, report=report)
@@ -73,7 +73,7 @@
     assert not table.is_drained(origins={first, second}, step=3)
     table.record(origin=second, report=rollout_samples.report(step=2))
     assert not table.is_drained(origins={first, second}, step=3)
-    table.record(origin=second, report=rollout_samples.report(step=3, running_old=1, sent=11))
+    table.record(origin=second, report=rollout_samples.report(step=3, in_flight_old=1, sent=11))
     assert not table.is_drained(origins={first, second}, step=3)
     table.record(origin=second, report=rollout_samples.report(step=3, sent=12))
     assert table.is_drained(origins={first, second}, step=3)
--- a/ploverward/control_plane/rollouts/test_judge.py
+++ b/ploverward/control_plane/rollouts/test_judge.py
@@ -26,7 +26,7 @@
             tally = rollout_evidence.Tally(ended=ended, failed=failed)
             for _index in range(ended - failed):
                 is_slow = chance.random() < slow
-                tally.firsts[8 + chance.choice((-1, 0, 0, 1, 2)) + (times if is_slow else 0)] += 1
+                tally.first_chunk_times[8 + chance.choice((-1, 0, 0, 1, 2)) + (times if is_slow else 0)] += 1
             counted[rollout_samples.key(group=group)] = tally
         judge.record(now=now, counted=counted)
         if judge.verdict is judges.Verdict.BAD and found_at is None:
@@ -39,7 +39,7 @@
     failed = sum(chance.random() < former_bad for _index in range(count))
     tally = rollout_evidence.Tally(ended=count, failed=failed)
     for _index in range(count - failed):
-        tally.firsts[8 + chance.choice((-1, 0, 0, 1, 2))] += 1
+        tally.first_chunk_times[8 + chance.choice((-1, 0, 0, 1, 2))] += 1
     return tally
 
 
@@ -197,12 +197,12 @@
         shift = 6 if tick < 12 else 0  # three buckets are a factor of two
         former = rollout_evidence.Tally(ended=30)
         for _answer in range(30):
-            former.firsts[8 + shift + chance.choice((-1, 0, 0, 1, 2))] += 1
+            former.first_chunk_times[8 + shift + chance.choice((-1, 0, 0, 1, 2))] += 1
         counted = {rollout_samples.key(is_new=False): former}
         for group in range(4) if tick >= 12 else ():  # the canary starts as the slowness ends
             new = rollout_evidence.Tally(ended=2)
             for _answer in range(2):
-                new.firsts[8 + chance.choice((-1, 0, 0, 1, 2)) + chance.choice((0, 9))] += 1
+                new.first_chunk_times[8 + chance.choice((-1, 0, 0, 1, 2)) + chance.choice((0, 9))] += 1
             counted[rollout_samples.key(group=group)] = new
         judge.record(now=tick * 0.4, counted=counted)
     assert judge.verdict is judges.Verdict.BAD
--- a/ploverward/control_plane/rollouts/test_manager.py
+++ b/ploverward/control_plane/rollouts/test_manager.py
@@ -84,7 +84,7 @@
     def row(self):
         return rollout_samples.row_of(self.payload)
 
-    def play(self, coordinator, *, seconds, failing=0.0, chance=None, running_old=0):
+    def play(self, coordinator, *, seconds, failing=0.0, chance=None, in_flight_old=0):
         """Lets all proxies report to a coordinator; answers of the new version fail with probability `failing`."""
         chance = chance or random.Random(1)
         tallies, sent = self.tallies, self.sent
@@ -111,7 +111,7 @@
                             sent=sent,
                             sent_new=sent // 20,
                             number=row.number,
-                            running_old=running_old if index == 0 else 0,
+                            in_flight_old=in_flight_old if index == 0 else 0,
                         )
                     ]
                 )
@@ -169,9 +169,9 @@
 def test_delivery_waits_for_attempts_at_the_former_version_until_the_term_ends():
     world = World()
     coordinator = start_order(world)
-    world.play(coordinator, seconds=13.0, running_old=1)
+    world.play(coordinator, seconds=13.0, in_flight_old=1)
     assert world.row().stage == state.Stage.DRAINING
-    world.play(coordinator, seconds=3.0, running_old=1)
+    world.play(coordinator, seconds=3.0, in_flight_old=1)
     assert world.row().stage == state.Stage.DELIVERED
 
 
@@ -239,7 +239,7 @@
     world = World()
     coordinator = start_order(world)
     while world.row().stage != state.Stage.DRAINING:
-        world.play(coordinator, seconds=0.8, running_old=3)
+        world.play(coordinator, seconds=0.8, in_flight_old=3)
     coordinator.deactivate()
     not_reporting = world.origins.pop(0)
     second = world.coordinator()
--- a/ploverward/control_plane/tallies/peer_reach.py
+++ b/ploverward/control_plane/tallies/peer_reach.py
@@ -22,7 +22,7 @@
 
     Args:
         expected: Returns the addresses of the other core nodes of the set.
-        heard_at: Returns when a core node was last heard of on its open connection; None without one.
+        last_received_at: Returns when a core node was last heard of on its open connection; None without one.
         probe: Sends a core node something that it answers at once.
     """
 
@@ -30,11 +30,11 @@
         self,
         *,
         expected: Callable[[], Collection[str]],
-        heard_at: Callable[[str], float | None],
+        last_received_at: Callable[[str], float | None],
         probe: Callable[[str], object],
     ) -> None:
         self._expected = expected
-        self._heard_at = heard_at
+        self._heard_at = last_received_at
         self._probe = probe
         self._open_probes: set[str] = set()
         self._unanswered_probes: dict[str, int] = {}
@@ -45,9 +45,9 @@
         """To be called at each heartbeat interval; `is_waiting`: whether adds wait, so that peers are probed."""
         for address in self._expected():
             self._count_probe(address, is_waiting)
-            heard_at = self._heard_at(address)
-            if heard_at is not None and heard_at != self._last_heard_at.get(address):
-                self._last_heard_at[address] = heard_at
+            last_received_at = self._heard_at(address)
+            if last_received_at is not None and last_received_at != self._last_heard_at.get(address):
+                self._last_heard_at[address] = last_received_at
                 self._silent_intervals[address] = 0
             else:
                 self._silent_intervals[address] = self._silent_intervals.get(address, 0) + 1
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -178,7 +178,7 @@
             on_progress=self._handle_progress,
         )
         self._reach = peer_reach.PeerReach(
-            expected=self._other_members, heard_at=self._heard_at, probe=self._replicator.probe
+            expected=self._other_members, last_received_at=self._heard_at, probe=self._replicator.probe
         )
         self._waiters = add_waiters.AddWaiters(state=self.state, view=self._copy_view)
         self._folder = tally_folder.TallyFolder(
@@ -346,7 +346,7 @@
 
     def _heard_at(self, address: str) -> float | None:
         connection = self._sessions.core_connection(address)
-        return connection.heard_at if connection is not None and connection.has_heard else None
+        return connection.last_received_at if connection is not None and connection.has_received else None
 
     def _copy_view(self) -> add_waiters.CopyView:
         leaving = set(self._sessions.draining_core_addresses())
--- a/ploverward/control_plane/tallies/test_add_waiters.py
+++ b/ploverward/control_plane/tallies/test_add_waiters.py
@@ -67,10 +67,10 @@
     """One peer, and when it was last heard of."""
 
     def __init__(self):
-        self.heard_at = 1.0
+        self.last_received_at = 1.0
         self.probes = 0
         self.reach = peer_reach.PeerReach(
-            expected=lambda: ["b"], heard_at=lambda _address: self.heard_at, probe=self._count_probe
+            expected=lambda: ["b"], last_received_at=lambda _address: self.last_received_at, probe=self._count_probe
         )
 
     def _count_probe(self, _address):
@@ -79,7 +79,7 @@
     def ticks(self, count, *, is_waiting=False, is_heard=False):
         for _number in range(count):
             if is_heard:
-                self.heard_at += 1.0
+                self.last_received_at += 1.0
             self.reach.tick(is_waiting=is_waiting)
         return self.reach.is_out_of_reach("b")
 
@@ -89,16 +89,16 @@
     assert not scene.ticks(1)
     assert not scene.ticks(peer_reach.SILENT_INTERVALS - 1)
     assert scene.ticks(1) and scene.reach.in_reach() == []
-    scene.heard_at = 2.0
+    scene.last_received_at = 2.0
     assert not scene.ticks(1) and scene.reach.in_reach() == ["b"]
 
 
 def test_a_lost_connection_alone_is_no_reason_and_a_clock_that_leapt_neither():
     scene = Silence()
     scene.ticks(1)
-    scene.heard_at = None
+    scene.last_received_at = None
     assert not scene.ticks(1)
-    scene.heard_at = 10_000.0
+    scene.last_received_at = 10_000.0
     assert not scene.ticks(1)
 
 
@@ -120,6 +120,6 @@
 
 def test_a_peer_that_was_never_heard_of_is_given_longer():
     scene = Silence()
-    scene.heard_at = None
+    scene.last_received_at = None
     assert not scene.ticks(peer_reach.FIRST_SILENT_INTERVALS - 1)
     assert scene.ticks(1)
--- a/ploverward/control_plane/tallies/test_tally_service.py
+++ b/ploverward/control_plane/tallies/test_tally_service.py
@@ -12,7 +12,7 @@
 
     def __init__(self, *, net, source, target):
         self.net, self.source, self.target = net, source, target
-        self.peer, self.is_open, self.has_heard, self.heard_at = target, True, True, 0.0
+        self.peer, self.is_open, self.has_received, self.last_received_at = target, True, True, 0.0
         self.back = None
 
     def send(self, message):
@@ -151,7 +151,7 @@
         for _number in range(count):
             for node in self.nodes.values():
                 for link in node.links.values():
-                    link.heard_at += 1.0
+                    link.last_received_at += 1.0
                 node.tallies.tick()
             self.run()
 
--- a/ploverward/data_plane/batch/store_client.py
+++ b/ploverward/data_plane/batch/store_client.py
@@ -103,7 +103,7 @@
         connector = self._connectors.get(address)
         connection = connector.link if connector is not None else None
         if connection is None or not connection.is_up:
-            self._loop.command(callback=lambda: done(None))
+            self._loop.call_soon_threadsafe(callback=lambda: done(None))
             return
         number = next(self._numbers)
         timer = self._loop.after(delay=timeout_s, callback=lambda: self._finish(number, None))
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -142,7 +142,7 @@
     def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
         self._installer.install(snapshot)
         # Later, not here: the subscriber counts the version as installed only once this returns.
-        self._loop.command(callback=self.check_serving)
+        self._loop.call_soon_threadsafe(callback=self.check_serving)
         if snapshot.topic in (register_names.CONFIGURATION, endpoint_list.TOPIC):
             self._on_endpoints_changed()
 
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -35,7 +35,9 @@
         )
         self.gate = serving_gate.ServingGate()
         self.sessions = core_sessions.CoreSessions(
-            loop=types.SimpleNamespace(now=lambda: 0.0, command=lambda *, callback: self.commands.append(callback)),
+            loop=types.SimpleNamespace(
+                now=lambda: 0.0, call_soon_threadsafe=lambda *, callback: self.commands.append(callback)
+            ),
             contact_s=4.0,
             connections=self.connections,
             gate=self.gate,
--- a/ploverward/data_plane/load_balancing/outlier_detection.py
+++ b/ploverward/data_plane/load_balancing/outlier_detection.py
@@ -73,7 +73,7 @@
                 if not peer.is_suspected and now - peer.last_received_at > self._contact_s * MIN_SILENCE_SHARE:
                     peer.is_suspected = True
                     peer.close_idle()
-        self._loop.command(callback=self.check_suspected)
+        self._loop.call_soon_threadsafe(callback=self.check_suspected)
 
     def check_suspected(self) -> None:
         """Opens a connection to suspected replicas that have none, to `MAX_CONCURRENT_PROBES` of them at most."""
--- a/ploverward/data_plane/load_balancing/test_replica_rules.py
+++ b/ploverward/data_plane/load_balancing/test_replica_rules.py
@@ -27,7 +27,9 @@
         self.by_service = {"llm": list(rows)}
         self.opened = []
         self.commands = []
-        loop = types.SimpleNamespace(now=lambda: now, command=lambda *, callback: self.commands.append(callback))
+        loop = types.SimpleNamespace(
+            now=lambda: now, call_soon_threadsafe=lambda *, callback: self.commands.append(callback)
+        )
         pool = types.SimpleNamespace(connection=lambda *, replica: self.opened.append(replica.id), open=self._open)
         self.detection = outlier_detection.OutlierDetection(loop=loop, table=self, pool=pool, contact_s=CONTACT_S)
 
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -108,7 +108,7 @@
         self.listener = peer_connection.PeerListener(
             loop=loop,
             address=(own.ip, own.proxy_port),
-            on_link=lambda connection: None,
+            on_connection=lambda connection: None,
             on_message=self._handle_message,
             on_end=self._handle_end,
             peer_timeout_s=peer_timeout_s,
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -76,7 +76,7 @@
             initial=settings, file_watch=settings_files.FileWatch()
         )
         self.incarnation = uuid.uuid4().hex[:12]
-        self.loop = event_loop.Loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
+        self.loop = event_loop.Loop(on_error=lambda fault: _log.error("step_failed", exc_info=fault))
         self.contact_s = settings.bound_s(name="contactMs")
         self.peer_timeout_s = self.contact_s / PEER_TIMEOUTS_PER_CONTACT
         self.failover_s = self.contact_s / FAILOVERS_PER_CONTACT
@@ -294,8 +294,8 @@
         if self._batch is not None:
             self._batch.start()
         # A signal may arrive between any two instructions: what follows is left to the loop.
-        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self._shutdown.begin))
-        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reload_settings))
+        signal.signal(signal.SIGTERM, lambda *_: self.loop.call_soon_threadsafe(callback=self._shutdown.begin))
+        signal.signal(signal.SIGHUP, lambda *_: self.loop.call_soon_threadsafe(callback=self._reload_settings))
         self.loop.run()
         return 0
 
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -89,7 +89,7 @@
         self._deadline_timer: event_loop.Timer | None = None
         self._wait_until = 0.0  # on the loop's clock
         self._retry_after_s = 0.0
-        request.on_gone = self.on_client_gone
+        request.on_disconnect = self.on_client_gone
 
     @property
     def is_over(self) -> bool:
--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -31,7 +31,7 @@
         except OSError:
             break
         for _ in range(3):
-            scene.loop.command(callback=lambda: None)
+            scene.loop.call_soon_threadsafe(callback=lambda: None)
             scene.loop.step()
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert not scene.proxy.handlers and not scene.client.got  # closed long before the deadline of the first request
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -145,7 +145,7 @@
         for handler in list(self.proxy.handlers):
             handler.on_client_gone()
         for http_connection in list(self.proxy.server.connections):
-            http_connection.close(is_hard=True)
+            http_connection.close(may_reset=True)
         self.proxy.server.stop_listening()
         self.wait(seconds=3.0)  # time for the replicas to run their remaining requests
 
--- a/ploverward/data_plane/requests/test_requests.py
+++ b/ploverward/data_plane/requests/test_requests.py
@@ -410,7 +410,7 @@
     scene.request("once")
     assert loopback.until(scene.loop, lambda: scene.arrivals() == 1)
     handler = next(iter(scene.proxy.handlers))
-    handler.request.http_connection._write = lambda data: handler.request.http_connection._gone()
+    handler.request.http_connection._write = lambda data: handler.request.http_connection._handle_disconnect()
     scene.peers[0].callback(
         0, [request_scene.head(request_scene.request_id(scene.peers[0].heard[0])) + request_scene.END]
     )
--- a/ploverward/data_plane/rollouts/attempt_tally.py
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -30,7 +30,7 @@
     """
     attempt.is_first_event_counted = True
     if attempt.arrival is None:  # otherwise the time may include the loading of an adapter
-        tally.firsts[_first_bucket(now - attempt.sent_at, expected_s)] += 1
+        tally.first_chunk_times[_first_bucket(now - attempt.sent_at, expected_s)] += 1
 
 
 def count_end(
@@ -67,7 +67,7 @@
         _count_times(tally, attempt, now=now, expected_s=expected_s)
     elif attempt.first_event_at is None and waited_s > latency_target_s:
         tally.ended += 1  # it was given up, and would have taken even longer
-        tally.firsts[_first_bucket(waited_s, expected_s)] += 1
+        tally.first_chunk_times[_first_bucket(waited_s, expected_s)] += 1
     elif kind in (report_source.AttemptEvent.BROKEN, report_source.AttemptEvent.FAILED):
         tally.ended += 1
         tally.broken += 1
@@ -76,10 +76,10 @@
 def _count_times(tally: rollout_evidence.Tally, attempt: attempts.Attempt, *, now: float, expected_s: float) -> None:
     if attempt.arrival is None and not attempt.is_first_event_counted:
         first_s = (attempt.first_event_at or now) - attempt.sent_at
-        tally.firsts[_first_bucket(first_s, expected_s)] += 1
+        tally.first_chunk_times[_first_bucket(first_s, expected_s)] += 1
     if attempt.event_count > 1 and attempt.first_event_at is not None and attempt.last_event_at is not None:
         pause_s = (attempt.last_event_at - attempt.first_event_at) / (attempt.event_count - 1)
-        tally.paces[rollout_evidence.bucket_of(pause_s / rollout_evidence.UNIT_S)] += 1
+        tally.chunk_intervals[rollout_evidence.bucket_of(pause_s / rollout_evidence.UNIT_S)] += 1
 
 
 def _first_bucket(took_s: float, expected_s: float) -> int:
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -206,7 +206,7 @@
 def test_complete_response_is_counted_with_its_times():
     (tally,) = tallies_after(attempt())
     assert (tally.ended, tally.failed, tally.broken) == (1, 0, 0)
-    assert sum(tally.firsts.values()) == sum(tally.paces.values()) == 1
+    assert sum(tally.first_chunk_times.values()) == sum(tally.chunk_intervals.values()) == 1
 
 
 def test_first_event_is_counted_once_when_it_arrives():
@@ -216,14 +216,14 @@
     streaming = attempt(is_complete=False, last_event_at=None, event_count=1)
     router.note_first_event(service="pool", route="r", attempt=streaming, expected_s=0.1)
     (early,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
-    assert (early.ended, sum(early.firsts.values())) == (0, 1)
+    assert (early.ended, sum(early.first_chunk_times.values())) == (0, 1)
     clock.now = 52.0
     streaming.is_complete, streaming.last_event_at, streaming.event_count = True, 52.0, 6
     router.note_attempt_end(
         service="pool", route="r", attempt=streaming, kind=report_source.DONE, latency_target_s=0.6, expected_s=0.1
     )
     (late,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
-    assert (late.ended, late.firsts, sum(late.paces.values())) == (1, early.firsts, 1)
+    assert (late.ended, late.first_chunk_times, sum(late.chunk_intervals.values())) == (1, early.first_chunk_times, 1)
 
 
 def test_first_event_of_an_attempt_sent_before_the_order_is_not_counted():
@@ -235,11 +235,11 @@
 
 def test_first_event_time_with_an_adapter_arrival_is_not_counted():
     (tally,) = tallies_after(attempt(arrival=object()))
-    assert tally.ended == 1 and not tally.firsts and sum(tally.paces.values()) == 1
+    assert tally.ended == 1 and not tally.first_chunk_times and sum(tally.chunk_intervals.values()) == 1
     router, _clock = make_router(began=40.0)
     router.note_first_event(service="pool", route="r", attempt=attempt(arrival=object()), expected_s=0.1)
     (tally,) = rollout_evidence.unpack(router.report().reports)[0].tallies.values()
-    assert not tally.firsts
+    assert not tally.first_chunk_times
 
 
 @pytest.mark.parametrize(
@@ -274,7 +274,7 @@
 def test_report_contains_only_roll_outs_in_progress():
     router, _clock = make_router()
     (report,) = rollout_evidence.unpack(router.report().reports)
-    assert (report.service, report.number, report.step, report.running_old) == ("pool", 1, 2, 3)
+    assert (report.service, report.number, report.step, report.in_flight_old) == ("pool", 1, 2, 3)
     router.install(payload(dataclasses.replace(CANARY, stage=state.Stage.RETURNED, step=3)))
     assert router.report() is None
 
--- a/ploverward/data_plane/rollouts/version_routing.py
+++ b/ploverward/data_plane/rollouts/version_routing.py
@@ -72,7 +72,7 @@
     lease_until: float = 0.0
     sent: int = 0
     sent_new: int = 0
-    tallies: dict[rollout_evidence.Key, rollout_evidence.Tally] = dataclasses.field(default_factory=dict)
+    tallies: dict[rollout_evidence.TallyKey, rollout_evidence.Tally] = dataclasses.field(default_factory=dict)
 
 
 class VersionRouter:
@@ -206,7 +206,7 @@
             return None
         is_new = attempt.replica.edition == tracked.rollout.target
         group = rollout_evidence.group_of(attempt.replica.key) if is_new else 0
-        key = rollout_evidence.Key(route=route, is_new=is_new, group=group)
+        key = rollout_evidence.TallyKey(route=route, is_new=is_new, group=group)
         return tracked.tallies.setdefault(key, rollout_evidence.Tally())
 
     def report(self) -> messages.RolloutEvidence | None:
@@ -220,7 +220,7 @@
                 age_s=now - tracked.ordered_at,
                 sent=tracked.sent,
                 sent_new=tracked.sent_new,
-                running_old=self._running(service, tracked.rollout.target),
+                in_flight_old=self._running(service, tracked.rollout.target),
                 tallies=tracked.tallies,
             )
             for service, tracked in self._tracked.items()
--- a/ploverward/data_plane/test_proxy_node.py
+++ b/ploverward/data_plane/test_proxy_node.py
@@ -38,7 +38,7 @@
         peer_connection.PeerListener(
             loop=loop,
             address=address,
-            on_link=lambda connection: None,
+            on_connection=lambda connection: None,
             on_message=self._handle_message,
             on_end=lambda connection, _reason: None,
             peer_timeout_s=5.0,
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -185,11 +185,11 @@
         self._value_checks.check_installed(self, snapshot.topic, snapshot.version, snapshot.data)
         if snapshot.topic == register_names.CORE_SET:
             self.members = ballots.unpack(snapshot.data)[0]
-            self.loop.command(callback=self._connect)
+            self.loop.call_soon_threadsafe(callback=self._connect)
         elif snapshot.topic == endpoint_list.TOPIC:
             endpoint_list.unpack_list(snapshot.data)  # raises as a proxy would
             self._list = snapshot.data
-        self.loop.command(callback=self._check_serving)
+        self.loop.call_soon_threadsafe(callback=self._check_serving)
 
     def _install_delta(self, topic: str, delta: messages.Delta) -> None:
         """What a delta makes of the list here is checked against the complete list that a core node published."""
--- a/ploverward/simulation/control_plane/simulated_clock.py
+++ b/ploverward/simulation/control_plane/simulated_clock.py
@@ -217,7 +217,7 @@
         """Returns the process's own clock, in seconds."""
         return self._clock.time + self._process.offset
 
-    def command(self, *, callback: interfaces.Callback) -> None:
+    def call_soon_threadsafe(self, *, callback: interfaces.Callback) -> None:
         """Has a callback called soon."""
         self._clock.later(delay=0.0, callback=callback, process=self._process, kind=EventKind.COMMAND)
 
--- a/ploverward/simulation/control_plane/simulated_http.py
+++ b/ploverward/simulation/control_plane/simulated_http.py
@@ -91,8 +91,8 @@
 
 def _end_for_client(request: http_request.Request) -> None:
     """The client closed its connection."""
-    if request.on_gone is not None and not request.is_answered:
-        request.on_gone()
+    if request.on_disconnect is not None and not request.is_answered:
+        request.on_disconnect()
 
 
 class HttpServer:
--- a/ploverward/simulation/control_plane/simulated_peers.py
+++ b/ploverward/simulation/control_plane/simulated_peers.py
@@ -71,8 +71,8 @@
         self.hello: tuple | None = None
         self.is_open = True
         self.is_up = not is_connecting
-        self.heard_at = loop.now()
-        self.has_heard = False
+        self.last_received_at = loop.now()
+        self.has_received = False
         self._has_sent = False  # anything since the last call of `keep_alive`
         self.opened_at = loop.now()
         self.peer_timeout_s = peer_timeout_s
@@ -87,12 +87,12 @@
     def _check_peer_timeout(self) -> None:
         if not self.is_open:
             return
-        if self.loop.now() - self.heard_at > self.peer_timeout_s:
+        if self.loop.now() - self.last_received_at > self.peer_timeout_s:
             self.close(reason="silent")
             return
         # The real one checks each quarter; the checks that can find nothing are left out.
         quarter = self.peer_timeout_s / 4
-        left = self.peer_timeout_s - (self.loop.now() - self.heard_at)
+        left = self.peer_timeout_s - (self.loop.now() - self.last_received_at)
         self._check = self.loop.after(
             delay=quarter * max(1, math.ceil(left / quarter)), callback=self._check_peer_timeout
         )
@@ -141,7 +141,7 @@
             self._handle_frame(item)
         elif item is simulated_network.Signal.OPENED:
             self.is_up = True
-            self.heard_at = self.loop.now()
+            self.last_received_at = self.loop.now()
             unsent, self._unsent = self._unsent, []
             for data in unsent:
                 self.wire.transmit(self._direction, data)
@@ -149,8 +149,8 @@
             self.close(reason="closed" if item is simulated_network.Signal.END else "ECONNRESET")
 
     def _handle_frame(self, frame: bytes) -> None:
-        self.heard_at = self.loop.now()
-        self.has_heard = True
+        self.last_received_at = self.loop.now()
+        self.has_received = True
         message = unpack(frame)
         if type(message) is messages.KeepAlive:
             return
@@ -263,14 +263,14 @@
         runtime: PeerRuntime,
         loop: simulated_clock.Loop,
         address: tuple[str, int],
-        on_link: Callable[[PeerConnection], object],
+        on_connection: Callable[[PeerConnection], object],
         on_message: Callable[[PeerConnection, tuple], object],
         on_end: Callable[[PeerConnection, str], object],
         peer_timeout_s: float,
     ) -> None:
         self.process = runtime.process
         self._loop = loop
-        self._on_link = on_link
+        self._on_connection = on_connection
         self._on_message = on_message
         self._on_end = on_end
         self._peer_timeout_s = peer_timeout_s
@@ -290,5 +290,5 @@
             peer=dialer,
         )
         link.wire = wire
-        self._on_link(link)
+        self._on_connection(link)
         return link
--- a/ploverward/simulation/control_plane/simulated_runtime.py
+++ b/ploverward/simulation/control_plane/simulated_runtime.py
@@ -62,7 +62,7 @@
         self._on_stop = on_stop
 
     # The twins have the methods of the real classes and take their arguments, but none is a subclass of one.
-    def loop(self, *, on_fault: Callable[[BaseException], None] | None = None) -> Any:  # noqa: ANN401
+    def loop(self, *, on_error: Callable[[BaseException], None] | None = None) -> Any:  # noqa: ANN401
         """Creates the event loop. Errors of its callbacks go to the process, as findings."""
         return simulated_clock.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
 
--- a/ploverward/simulation/control_plane/test_simulated_http.py
+++ b/ploverward/simulation/control_plane/test_simulated_http.py
@@ -73,7 +73,7 @@
 
 def test_a_node_hears_that_its_client_gave_up(node):
     answers, gone = call(node), []
-    node.requests[0].on_gone = lambda: gone.append(node.network.clock.time)
+    node.requests[0].on_disconnect = lambda: gone.append(node.network.clock.time)
     node.network.clock.run(until=2.0)
     assert answers == [None] and len(gone) == 1 and gone[0] > LIMIT_S
 
--- a/ploverward/simulation/control_plane/test_simulated_peers.py
+++ b/ploverward/simulation/control_plane/test_simulated_peers.py
@@ -36,7 +36,7 @@
             runtime=self,
             loop=self.loop,
             address=("", 7),
-            on_link=self.links.append,
+            on_connection=self.links.append,
             on_message=lambda _link, message: self.taken.append((self.network.clock.time, message)),
             on_end=lambda _link, reason: self.ended.append((self.network.clock.time, reason)),
             peer_timeout_s=PEER_TIMEOUT_S,
@@ -108,7 +108,7 @@
 def test_what_is_not_read_for_too_long_ends_the_connection_of_its_sender(pair):
     clock, network, one, _other, connector = pair
     network.partition(pairs=[("a", "b"), ("b", "a")], is_reset=False)
-    connector.link.heard_at += 100.0  # as if the other way were heard
+    connector.link.last_received_at += 100.0  # as if the other way were heard
     clock.run(until=1.0 + 2 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in one.ended][0] == "ETIMEDOUT"
 
@@ -149,7 +149,7 @@
     clock.run(until=1.5)
     before = other.loop.now()
     taken = len(other.taken)
-    other.loop.command(callback=lambda: order.append("command"))
+    other.loop.call_soon_threadsafe(callback=lambda: order.append("command"))
     other.process.thaw()
     assert len(other.taken) == taken + 1
     assert order == ["timer"]  # the command comes with the next event, as it was given after the thaw began
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -36,8 +36,8 @@
 class SkippingLoop(event_loop.Loop):
     """A loop whose clock can skip, as a frozen process sees it: all timers of that time are due at once."""
 
-    def __init__(self, *, on_fault: Callable[[Exception], object] | None = None) -> None:
-        super().__init__(on_fault=on_fault)
+    def __init__(self, *, on_error: Callable[[Exception], object] | None = None) -> None:
+        super().__init__(on_error=on_error)
         self._skipped_s = 0.0
 
     def now(self) -> float:
@@ -61,7 +61,7 @@
     def raise_it(error: Exception) -> None:
         raise error
 
-    return SkippingLoop(on_fault=raise_it if faults is None else faults.append)
+    return SkippingLoop(on_error=raise_it if faults is None else faults.append)
 
 
 def until(loop: event_loop.Loop, is_so: Callable[[], object]) -> bool:
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -66,7 +66,7 @@
         """Calls back after so many seconds."""
         self._node.world.later(delay, lambda: callback() if self._node.incarnation == self._incarnation else None)
 
-    def command(self, *, callback: Callback) -> None:
+    def call_soon_threadsafe(self, *, callback: Callback) -> None:
         """Calls back soon."""
         self.after(delay=0.0, callback=callback)
 
--- a/ploverward/simulation/simulated_world.py
+++ b/ploverward/simulation/simulated_world.py
@@ -146,7 +146,7 @@
         """Takes a call back; does nothing where it was made already."""
         timer.is_over = True
 
-    def command(self, *, callback: Callback) -> None:
+    def call_soon_threadsafe(self, *, callback: Callback) -> None:
         """Has a callback called soon."""
         self.after(delay=0.0, callback=callback)
 
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -168,7 +168,7 @@
         """As `event_loop.Loop` does."""
         return self._loop.at(when=when, callback=self._guard(callback))
 
-    def every(self, *, interval_s: float, callback: Callable) -> event_loop.Repetition:
+    def every(self, *, interval_s: float, callback: Callable) -> event_loop.RepeatingCall:
         """As `event_loop.Loop` does."""
         return self._loop.every(interval_s=interval_s, callback=lambda: None if self.is_frozen else callback())
 
@@ -192,9 +192,9 @@
         """As `event_loop.Loop` does; what was sent goes out even if the node freezes in the same step."""
         self._loop.at_end_of_step(callback=callback)
 
-    def command(self, *, callback: Callable) -> None:
+    def call_soon_threadsafe(self, *, callback: Callable) -> None:
         """As `event_loop.Loop` does."""
-        self._loop.command(callback=callback)
+        self._loop.call_soon_threadsafe(callback=callback)
 
 
 class Zones:
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -79,7 +79,7 @@
         """
         self._reloadable = reloadable_settings.ReloadableSettings(initial=settings)
         self.incarnation = uuid.uuid4().hex[:12]
-        self.loop = loop or event_loop.Loop(on_fault=lambda fault: _log.error("step_failed", exc_info=fault))
+        self.loop = loop or event_loop.Loop(on_error=lambda fault: _log.error("step_failed", exc_info=fault))
         contact_s = settings.bound_s(name="contactMs")
         self._peer_timeout_s = contact_s / PEER_TIMEOUTS_PER_CONTACT
         self._epochs: dict[int, int] = {}
@@ -177,8 +177,8 @@
     def run(self) -> int:
         """Serves until SIGTERM. Returns the status of the process."""
         self.start()
-        signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self.loop.stop))
-        signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reload_settings))
+        signal.signal(signal.SIGTERM, lambda *_: self.loop.call_soon_threadsafe(callback=self.loop.stop))
+        signal.signal(signal.SIGHUP, lambda *_: self.loop.call_soon_threadsafe(callback=self._reload_settings))
         self.loop.run()
         return 0
 
@@ -187,7 +187,7 @@
         self._listener = peer_connection.PeerListener(
             loop=self.loop,
             address=(self.settings.ip, self.settings.proxy_port),
-            on_link=self._accepted.add,
+            on_connection=self._accepted.add,
             on_message=self._handle_message,
             on_end=self._handle_end,
             peer_timeout_s=self._peer_timeout_s,
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -4,7 +4,7 @@
 that are due, what was left to the end of the step. Sockets come first, so that a process that was frozen reads what
 arrived meanwhile before its time-outs judge by the clock that their peers are silent.
 
-An exception of a callback ends that callback alone: it goes to `on_fault`, and the loop runs on. This is the one place
+An exception of a callback ends that callback alone: it goes to `on_error`, and the loop runs on. This is the one place
 that catches everything.
 """
 
@@ -49,7 +49,7 @@
         self.is_over = False
 
 
-class Repetition:
+class RepeatingCall:
     """A callback that is called again and again.
 
     Attributes:
@@ -68,18 +68,18 @@
     """The event loop of a process; `ploverward.transport.interfaces.Loop` documents its methods.
 
     Args:
-        on_fault: Called with the exception of a callback. None: exceptions leave the loop, as tests want it.
+        on_error: Called with the exception of a callback. None: exceptions leave the loop, as tests want it.
 
     Attributes:
         work: Counts what the loop does; None: nothing is counted.
     """
 
-    def __init__(self, *, on_fault: Callable[[Exception], object] | None = None) -> None:
+    def __init__(self, *, on_error: Callable[[Exception], object] | None = None) -> None:
         self._selector = selectors.DefaultSelector()
         self._timers = sortedcontainers.SortedKeyList(key=lambda timer: (timer.when, timer.order))
         self._order = 0
         self._commands: collections.deque[Callback] = collections.deque()
-        self._repetitions: dict[float, list[Repetition]] = {}  # by interval in seconds
+        self._repetitions: dict[float, list[RepeatingCall]] = {}  # by interval in seconds
         self._end_of_step: collections.deque[Callback] = collections.deque()
         self._wake_in, self._wake_out = os.pipe()
         os.set_blocking(self._wake_in, False)
@@ -87,14 +87,14 @@
         self._selector.register(self._wake_in, selectors.EVENT_READ, self._drain_wake)
         self._pool: concurrent.futures.ThreadPoolExecutor | None = None
         self._is_running = True
-        self._on_fault = on_fault
+        self._on_error = on_error
         self.work: work_counter.WorkCounter | None = None
 
     def now(self) -> float:
         """Returns a clock that only grows, in seconds."""
         return time.monotonic()
 
-    def command(self, *, callback: Callback) -> None:
+    def call_soon_threadsafe(self, *, callback: Callback) -> None:
         """Has a callback called soon; the one method that other threads and signal handlers may call."""
         self._commands.append(callback)
         with contextlib.suppress(BlockingIOError, BrokenPipeError):  # a full pipe wakes the loop as well
@@ -109,7 +109,7 @@
         if self._pool is None:
             self._pool = concurrent.futures.ThreadPoolExecutor(max_workers=WORKER_THREADS)
         future = self._pool.submit(work)
-        future.add_done_callback(lambda ended: self.command(callback=lambda: done(ended)))
+        future.add_done_callback(lambda ended: self.call_soon_threadsafe(callback=lambda: done(ended)))
 
     def at(self, *, when: float, callback: Callback) -> Timer:
         """Has a callback called at a time of `now`; calls for the same time keep their order."""
@@ -122,12 +122,12 @@
         """Has a callback called after so many seconds."""
         return self.at(when=self.now() + delay, callback=callback)
 
-    def every(self, *, interval_s: float, callback: Callback) -> "Repetition":
-        """Has a callback called again and again, until its `Repetition` is stopped.
+    def every(self, *, interval_s: float, callback: Callback) -> "RepeatingCall":
+        """Has a callback called again and again, until its `RepeatingCall` is stopped.
 
         All calls with the same interval are made in the same turn: the first one comes after an interval at most.
         """
-        repetition = Repetition(callback)
+        repetition = RepeatingCall(callback)
         group = self._repetitions.get(interval_s)
         if group is None:
             group = self._repetitions[interval_s] = []
@@ -214,6 +214,6 @@
         try:
             callback(*args)
         except Exception as error:  # one broken callback must not end the process; it is logged
-            if self._on_fault is None:
+            if self._on_error is None:
                 raise
-            self._on_fault(error)
+            self._on_error(error)
--- a/ploverward/transport/http_connection.py
+++ b/ploverward/transport/http_connection.py
@@ -84,7 +84,7 @@
         self._ahead_bytes = 0  # read behind the request that is answered
         self._mask = selectors.EVENT_READ
         self._limits = server.limits()
-        self._ends_at = server.connection_end()
+        self._close_at = server.choose_close_time()
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=self._limits.head_bytes)
         peer_connection.configure_socket(sock=sock, peer_timeout_s=server.peer_timeout_s)
         self.loop.watch(sock=sock, mask=self._mask, callback=self._ready)
@@ -117,7 +117,7 @@
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
         """Writes the head of the answer."""
         headers = [*headers]
-        if is_last or self.server.is_draining or self.loop.now() >= self._ends_at:
+        if is_last or self.server.is_draining or self.loop.now() >= self._close_at:
             headers.append((b"Connection", b"close"))
         elif self._limits.idle_s > MIN_ANNOUNCED_IDLE_S:
             headers.append((b"Keep-Alive", b"timeout=%d" % int(self._limits.idle_s * ANNOUNCED_IDLE_SHARE)))
@@ -152,7 +152,7 @@
             self._state = _READING_HEAD
             self._head_begun = self.loop.now()
             # Not at once: the handler that ended this answer is still running.
-            self.loop.command(callback=self._read_events)
+            self.loop.call_soon_threadsafe(callback=self._read_events)
 
     def abort_response(self) -> None:
         """Ends an answer so that it can't look complete.
@@ -161,15 +161,15 @@
         """
         if self._h11.their_http_version is not None and self._h11.their_http_version < b"1.1":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-        self.close(is_hard=True)
+        self.close(may_reset=True)
 
     # Ends.
 
-    def close(self, *, is_hard: bool = False) -> None:
+    def close(self, *, may_reset: bool = False) -> None:
         """Closes the connection.
 
         Args:
-            is_hard: Leaves unread what the client sent. Otherwise it is read first: unread bytes would turn the close
+            may_reset: Leaves unread what the client sent. Otherwise it is read first: unread bytes would turn the close
                 into a reset, which can destroy the answer on its way.
         """
         if self._state is _CLOSED:
@@ -177,25 +177,25 @@
         self._state = _CLOSED
         self.loop.cancel(timer=self._timer)
         self.loop.unwatch(sock=self.sock)
-        self.server.forget(self)
-        if not is_hard:
+        self.server.remove_connection(self)
+        if not may_reset:
             self._discard_unread()
         self.sock.close()
 
     def close_if_idle(self) -> None:
         """Closes an idle connection, but for one with a request that was not read yet: that one is answered first."""
         if self.is_idle() and not self._has_unread_bytes():
-            self.close(is_hard=True)
+            self.close(may_reset=True)
 
     def drop(self) -> None:
         """Closes the connection as if its client had left."""
-        self._gone()
+        self._handle_disconnect()
 
-    def _gone(self) -> None:
+    def _handle_disconnect(self) -> None:
         request = self._request
         self.close()
-        if request is not None and request.on_gone is not None and not request.is_answered:
-            request.on_gone()
+        if request is not None and request.on_disconnect is not None and not request.is_answered:
+            request.on_disconnect()
 
     def _refuse(self, error: RefusedRequestError) -> None:
         """Answers what never became a complete request; the connection ends after it."""
@@ -226,7 +226,7 @@
         elif self._state in _READING:
             self._refuse(ClientRequestError(status=408))
         else:
-            self.close(is_hard=True)
+            self.close(may_reset=True)
 
     def _has_unread_bytes(self) -> bool:
         try:
@@ -248,15 +248,15 @@
         except BlockingIOError:
             return
         except OSError:
-            self._gone()
+            self._handle_disconnect()
             return
         if not data:
-            self._gone()
+            self._handle_disconnect()
             return
         if self._state in _ENDING:
             return
         if self._state is _ANSWERING and self._is_too_far_ahead(len(data)):
-            self._gone()
+            self._handle_disconnect()
             return
         self._feed(data)
 
@@ -364,7 +364,7 @@
         except BlockingIOError:
             pass
         except OSError:
-            self._gone()
+            self._handle_disconnect()
             return
         if not self._out:
             self._on_all_sent()
--- a/ploverward/transport/http_request.py
+++ b/ploverward/transport/http_request.py
@@ -142,7 +142,7 @@
         begun_at: As given.
         body: The body.
         at: When it was complete, by the loop's clock in seconds.
-        on_gone: Set by the handler; called where the client leaves before the answer ended.
+        on_disconnect: Set by the handler; called where the client leaves before the answer ended.
         on_drain: Set by the handler; called whenever all that was written has been sent.
         is_started: Whether an answer was begun.
         is_answered: Whether an answer was ended or aborted.
@@ -157,7 +157,7 @@
         "body",
         "at",
         "begun_at",
-        "on_gone",
+        "on_disconnect",
         "on_drain",
         "is_answered",
         "is_started",
@@ -174,7 +174,7 @@
         self.body = b""
         self.begun_at = begun_at
         self.at = begun_at
-        self.on_gone: Callable[[], object] | None = None
+        self.on_disconnect: Callable[[], object] | None = None
         self.on_drain: Callable[[], object] | None = None
         self.is_answered = False
         self.is_started = False
--- a/ploverward/transport/http_server.py
+++ b/ploverward/transport/http_server.py
@@ -115,14 +115,14 @@
             request.http_connection.drop()  # nobody would answer it; a closed connection promises nothing
             raise
 
-    def connection_end(self) -> float:
+    def choose_close_time(self) -> float:
         """Returns after when a connection that is accepted now ends with its next answer; infinity for most."""
         now = self.loop.now()
         if now - self._started_at >= self._rebalance_s:
             return math.inf
         return now + self._rebalance_s * random.uniform(*REBALANCE_AGES)
 
-    def forget(self, http_connection: HttpConnection) -> None:
+    def remove_connection(self, http_connection: HttpConnection) -> None:
         """Drops a connection that was closed, and what its body took."""
         self.connections.discard(http_connection)
         self.body_budget.release(owner=http_connection)
--- a/ploverward/transport/interfaces.py
+++ b/ploverward/transport/interfaces.py
@@ -42,7 +42,7 @@
     def now(self) -> float:
         """Returns a clock that only grows, in seconds."""
 
-    def command(self, *, callback: Callback) -> None:
+    def call_soon_threadsafe(self, *, callback: Callback) -> None:
         """Has a callback called soon; the one method that other threads and signal handlers may call."""
 
     def offload(self, *, work: Callable[[], object], done: Callable[[Outcome], object]) -> None:
@@ -74,16 +74,16 @@
     Attributes:
         peer: ADDRESS:PORT of the other end, or its host.
         hello: What the peer's handshake said, as the owner of the connection noted it; None before.
-        has_heard: Whether any byte came from the peer.
-        heard_at: When the peer was last heard of, by the loop's clock in seconds.
+        has_received: Whether any byte came from the peer.
+        last_received_at: When the peer was last heard of, by the loop's clock in seconds.
         opened_at: When this end was made, by the loop's clock in seconds.
         frame: The bytes of the message that is being delivered.
     """
 
     peer: str
     hello: tuple | None
-    has_heard: bool
-    heard_at: float
+    has_received: bool
+    last_received_at: float
     opened_at: float
     frame: bytes
 
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -15,8 +15,8 @@
 * The receiver finds out by silence: each side sends heartbeats three times per `peer_timeout_s`, and a connection on
   which nothing came for that long is closed. This also finds a process that is stopped, whose kernel acknowledges all
   the same.
-* Whoever counts on a peer asks for `has_heard`: the kernel of a stopped process still accepts connections, so one that
-  is established shows nothing until its first byte came.
+* Code that relies on a peer checks `has_received`: the kernel of a stopped process still accepts connections, so an
+  established connection proves nothing until its first byte arrives.
 
 Closing is a guess as well: the peer may be alive and have acted on what was sent. So what is sent over connections has
 to be idempotent, or fenced by an epoch.
@@ -150,8 +150,8 @@
         self.peer = peer
         self.hello: tuple | None = None
         self.state = State.CONNECTING if is_connecting else State.UP
-        self.heard_at = loop.now()
-        self.has_heard = False
+        self.last_received_at = loop.now()
+        self.has_received = False
         self.opened_at = loop.now()
         self.peer_timeout_s = peer_timeout_s
         self._on_message = on_message
@@ -226,7 +226,7 @@
         self._on_end(self, reason)
 
     def _check_peer_timeout(self) -> None:
-        if self.loop.now() - self.heard_at > self.peer_timeout_s:
+        if self.loop.now() - self.last_received_at > self.peer_timeout_s:
             self.close(reason="silent")
 
     def _ready(self, mask: int) -> None:
@@ -245,7 +245,7 @@
             self.close(reason=errno.errorcode.get(code, str(code)))
             return False
         self.state = State.UP
-        self.heard_at = self.loop.now()
+        self.last_received_at = self.loop.now()
         return True
 
     def _receive(self) -> None:
@@ -259,8 +259,8 @@
         if not data:
             self.close(reason="closed")
             return
-        self.heard_at = self.loop.now()
-        self.has_heard = True
+        self.last_received_at = self.loop.now()
+        self.has_received = True
         self._in += data
         try:
             self._deliver(frames.split(self._in))
@@ -398,7 +398,7 @@
     Args:
         loop: Calls back.
         address: Where to listen.
-        on_link: Called with each new connection.
+        on_connection: Called with each new connection.
         on_message: As of `PeerConnection`.
         on_end: As of `PeerConnection`.
         peer_timeout_s: As of `PeerConnection`.
@@ -412,14 +412,14 @@
         *,
         loop: Loop,
         address: SocketAddress,
-        on_link: Callable[[PeerConnection], object],
+        on_connection: Callable[[PeerConnection], object],
         on_message: Callable[[PeerConnection, tuple], object],
         on_end: Callable[[PeerConnection, str], object],
         peer_timeout_s: float,
     ) -> None:
         self.loop = loop
         self._sock = listen(address=address)
-        self._on_link = on_link
+        self._on_connection = on_connection
         self._on_message = on_message
         self._on_end = on_end
         self._peer_timeout_s = peer_timeout_s
@@ -435,7 +435,7 @@
         self._acceptor.accept_all()
 
     def _handle_accepted(self, sock: socket.socket, address: SocketAddress) -> None:
-        self._on_link(
+        self._on_connection(
             PeerConnection(
                 loop=self.loop,
                 sock=sock,
--- a/ploverward/transport/test_event_loop.py
+++ b/ploverward/transport/test_event_loop.py
@@ -9,19 +9,19 @@
 from ploverward.transport import event_loop
 
 
-def test_ready_sockets_are_read_before_timers_that_are_due():
+def test_step_runs_ready_sockets_then_commands_then_due_timers():
     loop = loopback.new_loop()
     calls = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()):
         loop.watch(sock=server, mask=1, callback=lambda _mask: (calls.append("socket"), loop.unwatch(sock=server)))
         loop.after(delay=1.0, callback=lambda: calls.append("timer"))
-        loop.command(callback=lambda: calls.append("command"))
+        loop.call_soon_threadsafe(callback=lambda: calls.append("command"))
         loop.skip(seconds=5.0)  # as a frozen process finds them: all due at once
         assert loopback.until(loop, lambda: "timer" in calls)
     assert calls == ["socket", "command", "timer"]
 
 
-def test_timers_of_the_same_time_keep_their_order_and_a_cancelled_one_is_not_called():
+def test_timers_due_at_same_time_run_in_order_and_cancelled_one_does_not_run():
     loop = event_loop.Loop()
     calls = []
     now = loop.now()
@@ -33,25 +33,25 @@
     assert calls == [0, 1, 3] and all(timer.is_over for timer in timers)
 
 
-def test_an_error_of_a_callback_goes_to_on_fault_and_the_loop_goes_on():
+def test_callback_exception_is_passed_to_on_error_and_loop_continues():
     caught, calls = [], []
-    loop = event_loop.Loop(on_fault=caught.append)
-    loop.command(callback=lambda: 1 / 0)
-    loop.command(callback=lambda: calls.append("next"))
+    loop = event_loop.Loop(on_error=caught.append)
+    loop.call_soon_threadsafe(callback=lambda: 1 / 0)
+    loop.call_soon_threadsafe(callback=lambda: calls.append("next"))
     loop.step()
     assert calls == ["next"] and isinstance(caught[0], ZeroDivisionError)
 
 
-def test_without_on_fault_an_error_leaves_the_loop():
+def test_callback_exception_propagates_without_on_error():
     loop = event_loop.Loop()
-    loop.command(callback=lambda: 1 / 0)
+    loop.call_soon_threadsafe(callback=lambda: 1 / 0)
     with pytest.raises(ZeroDivisionError):
         loop.step()
 
 
-def test_a_callback_that_raises_is_called_again_at_its_next_time():
+def test_repeating_callback_that_raises_is_called_again():
     caught = []
-    loop = loopback.SkippingLoop(on_fault=caught.append)
+    loop = loopback.SkippingLoop(on_error=caught.append)
     loop.every(interval_s=1.0, callback=lambda: 1 / 0)
     for _second in range(3):
         loop.skip(seconds=1.01)
@@ -59,7 +59,7 @@
     assert len(caught) == 3
 
 
-def test_work_runs_on_another_thread_and_its_outcome_comes_back_to_the_loop():
+def test_offload_runs_work_on_another_thread_and_done_on_the_loop():
     loop = event_loop.Loop()
     outcomes = []
     loop.offload(work=threading.get_ident, done=lambda outcome: outcomes.append((outcome, threading.get_ident())))
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -109,13 +109,13 @@
 
 def _pack_evidence(value) -> bytes:
     reports = []
-    for service, number, step, age_s, sent, sent_new, running_old, rows in value:
+    for service, number, step, age_s, sent, sent_new, in_flight_old, rows in value:
         tallies = {}
-        for route, is_new, group, ended, failed, broken, firsts, paces in rows:
+        for route, is_new, group, ended, failed, broken, first_chunk_times, chunk_intervals in rows:
             tally = rollout_evidence.Tally(ended=ended, failed=failed, broken=broken)
-            tally.firsts.update(dict(firsts))
-            tally.paces.update(dict(paces))
-            tallies[rollout_evidence.Key(route=route, is_new=is_new, group=group)] = tally
+            tally.first_chunk_times.update(dict(first_chunk_times))
+            tally.chunk_intervals.update(dict(chunk_intervals))
+            tallies[rollout_evidence.TallyKey(route=route, is_new=is_new, group=group)] = tally
         reports.append(
             rollout_evidence.Report(
                 service=service,
@@ -124,7 +124,7 @@
                 age_s=age_s,
                 sent=sent,
                 sent_new=sent_new,
-                running_old=running_old,
+                in_flight_old=in_flight_old,
                 tallies=tallies,
             )
         )
@@ -140,7 +140,7 @@
             report.age_s,
             report.sent,
             report.sent_new,
-            report.running_old,
+            report.in_flight_old,
             [
                 (
                     key.route,
@@ -149,8 +149,8 @@
                     tally.ended,
                     tally.failed,
                     tally.broken,
-                    sorted(tally.firsts.items()),
-                    sorted(tally.paces.items()),
+                    sorted(tally.first_chunk_times.items()),
+                    sorted(tally.chunk_intervals.items()),
                 )
                 for key, tally in report.tallies.items()
             ],
--- a/ploverward/transport/test_http_server.py
+++ b/ploverward/transport/test_http_server.py
@@ -39,7 +39,7 @@
         return self.until(lambda: connection.state is state)
 
 
-def test_a_connection_passes_through_its_states():
+def test_connection_state_follows_a_request_from_idle_to_closed():
     scene = Scene()
     connection = scene.connection()
     assert connection.state is State.IDLE and connection.is_idle()
@@ -56,7 +56,7 @@
     assert connection.state is State.CLOSED and not scene.server.connections
 
 
-def test_pipelined_requests_are_answered_one_after_the_other():
+def test_pipelined_requests_are_answered_in_order():
     scene = Scene()
     scene.client.send(REQUEST * 3)
     for number in range(3):
@@ -66,7 +66,7 @@
     assert scene.client.got.count(b"HTTP/1.1 200") == 3
 
 
-def test_an_answer_that_ends_the_connection_is_sent_before_it_closes():
+def test_last_response_is_sent_before_connection_closes():
     scene = Scene()
     scene.client.send(REQUEST)
     assert scene.until(lambda: scene.requests)
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("is_last", [False, True])
 @pytest.mark.parametrize("by", ["close_idle", "idle time"])
-def test_a_connection_that_still_sends_its_last_answer_is_not_idle(by, is_last):
+def test_connection_with_unsent_response_is_not_closed_as_idle(by, is_last):
     scene = Scene()
     slow = SlowClient(address=scene.server.address)
     slow.sock.send(REQUEST)
@@ -127,14 +127,14 @@
         (b"POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n" + b"x" * 99, 413),
     ],
 )
-def test_a_request_that_the_client_has_to_correct_is_refused_and_its_connection_ends(text, status):
+def test_malformed_or_too_large_request_is_rejected_and_connection_closed(text, status):
     scene = Scene(head_bytes=200, body_bytes=50)
     scene.client.send(text)
     assert scene.until(lambda: scene.client.is_closed)
     assert scene.client.got.startswith(b"HTTP/1.1 %d " % status) and not scene.requests
 
 
-def test_bodies_beyond_the_memory_of_all_connections_are_refused_with_503_and_given_back():
+def test_body_beyond_shared_budget_gets_503_and_budget_is_released():
     scene = Scene(max_bytes=3)
     scene.client.send(REQUEST)
     assert scene.until(lambda: scene.requests)
@@ -147,7 +147,7 @@
     assert scene.server.body_budget.reserved_bytes == 0
 
 
-def test_a_request_that_does_not_come_to_its_end_gets_408_and_an_idle_connection_is_closed_without_an_answer():
+def test_incomplete_request_gets_408_and_idle_connection_is_closed_without_response():
     scene = Scene(head_s=0.1, idle_s=0.2)
     scene.client.send(REQUEST[:10])
     idle = loopback.Client(loop=scene.loop, address=scene.server.address)
@@ -155,17 +155,17 @@
     assert scene.client.got.startswith(b"HTTP/1.1 408 ") and idle.got == b""
 
 
-def test_a_client_that_leaves_is_reported_to_the_handler_unless_its_request_was_answered():
+def test_on_disconnect_is_called_if_client_disconnects_before_response():
     gone = []
     scene = Scene()
     scene.client.send(REQUEST)
     assert scene.until(lambda: scene.requests)
-    scene.requests[0].on_gone = lambda: gone.append(1)
+    scene.requests[0].on_disconnect = lambda: gone.append(1)
     scene.client.leave()
     assert scene.until(lambda: gone) and not scene.server.connections
 
 
-def test_a_handler_that_raises_ends_the_connection():
+def test_handler_exception_closes_connection():
     faults = []
     loop = loopback.new_loop(faults=faults)
     server = http_server.HttpServer(
@@ -181,7 +181,7 @@
     assert client.got == b"" and isinstance(faults[0], ZeroDivisionError)
 
 
-def test_a_refusal_says_whose_fault_it_is():
+def test_rejections_distinguish_client_errors_from_server_overload():
     head = h11.Request(method="POST", target="/x", headers=[("Host", "h"), ("Content-Length", "11")])
     with pytest.raises(http_request.ClientRequestError) as caught:
         http_request.check_head(head=head, limits=loopback.limits(body_bytes=10))
@@ -190,23 +190,23 @@
     assert not issubclass(http_request.ServerOverloadedError, http_request.ClientRequestError)
 
 
-def test_connections_of_the_first_seconds_end_with_an_answer_and_later_ones_do_not():
+def test_only_connections_accepted_soon_after_start_get_a_close_time():
     scene = Scene()
     early = scene.server._rebalance_s = 1000.0
-    ends = [scene.server.connection_end() - scene.loop.now() for _number in range(50)]
+    ends = [scene.server.choose_close_time() - scene.loop.now() for _number in range(50)]
     low, high = http_server.REBALANCE_AGES
     assert all(low * early - 1 <= left <= high * early for left in ends) and len(set(ends)) > 1
     scene.server._started_at -= early
-    assert scene.server.connection_end() == float("inf")
+    assert scene.server.choose_close_time() == float("inf")
 
 
-def test_a_connection_whose_time_is_over_says_so_with_its_answer():
+def test_response_after_close_time_has_connection_close_header():
     scene = Scene()
     connection = scene.connection()
     for is_over in (False, True):
         scene.client.send(REQUEST)
         assert scene.until_state(State.ANSWERING)
-        connection._ends_at = 0.0 if is_over else float("inf")
+        connection._close_at = 0.0 if is_over else float("inf")
         scene.requests[-1].reply(status=200, body=b"ok")
     assert not connection.is_open or connection.state in (State.CLOSING, State.CLOSED)
     assert scene.until(lambda: scene.client.got.lower().count(b"connection: close") == 1)
--- a/ploverward/transport/test_interfaces.py
+++ b/ploverward/transport/test_interfaces.py
@@ -29,13 +29,13 @@
         (interfaces.Connection, simulated_peers.PeerConnection),
     ],
 )
-def test_both_implementations_take_the_arguments_that_the_interface_states(interface, twin):
+def test_implementations_have_the_parameters_of_the_interface(interface, twin):
     assert methods(interface)
     for name, function in methods(interface).items():
         assert parameters(getattr(twin, name)) == parameters(function), name
 
 
-def test_a_connection_has_the_attributes_that_the_interface_states():
+def test_connection_and_loop_satisfy_their_protocols():
     loop = event_loop.Loop()
     with (
         peer_connection.listen(address=("127.0.0.1", 0)) as listener,
@@ -47,6 +47,6 @@
         )
         assert isinstance(link, interfaces.Connection)
         assert isinstance(loop, interfaces.Loop)
-        assert link.is_open and link.is_up and not link.has_heard
+        assert link.is_open and link.is_up and not link.has_received
         link.close(reason="over")
         assert not link.is_open and not link.is_up
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -38,7 +38,7 @@
         return self.until(lambda: self.connector.link is not None and self.connector.link.is_up)
 
 
-def test_a_connection_is_connecting_then_up_then_closed():
+def test_connection_goes_from_connecting_to_up_to_closed():
     scene = Scene()
     link = scene.connector.link
     assert link.state is peer_connection.State.CONNECTING and link.is_open and not link.is_up
@@ -51,23 +51,23 @@
     assert scene.ends == ["stopped"] and scene.connector.link is None and link.queued() == 0
 
 
-def test_what_is_sent_while_connecting_is_sent_once_it_is_up():
+def test_message_sent_while_connecting_is_transmitted_once_up():
     scene = Scene()
     scene.connector.link.send(KEEP_ALIVE)
     assert scene.until(lambda: scene.peer.heard and scene.peer.heard[0] == frames.pack(KEEP_ALIVE))
 
 
-def test_a_peer_that_accepts_and_says_nothing_is_closed_as_silent_and_was_never_heard():
+def test_connection_to_silent_peer_times_out_without_has_received():
     """A stopped process: its kernel accepts and acknowledges, so the connection is up, and shows nothing."""
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
-    assert not link.has_heard
+    assert not link.has_received
     assert scene.until(lambda: scene.ends)
-    assert scene.ends == ["silent"] and not link.has_heard
+    assert scene.ends == ["silent"] and not link.has_received
 
 
-def test_heartbeats_keep_a_connection_and_are_not_delivered():
+def test_heartbeats_keep_connection_open_and_are_not_delivered():
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
@@ -80,11 +80,11 @@
     assert scene.until(lambda: scene.peer.socks)
     beat()
     assert scene.until(lambda: scene.loop.now() > end)
-    assert scene.connector.link is link and link.has_heard and not scene.ends and not scene.received
+    assert scene.connector.link is link and link.has_received and not scene.ends and not scene.received
 
 
 @pytest.mark.parametrize("data", [b"\xff\xff\xff\xff\x01", frames.pack(KEEP_ALIVE)[:4] + b"\xee\x00"])
-def test_bytes_that_are_no_frame_end_the_connection_and_another_is_made(data):
+def test_malformed_frame_closes_connection_and_connector_reconnects(data):
     sent = []
 
     def script(number, _heard):
@@ -99,7 +99,7 @@
     assert len(scene.ends) == 1 and "kind" in scene.ends[0]
 
 
-def test_the_pause_grows_while_no_message_comes_and_stays_below_a_quarter_of_the_time_out(monkeypatch):
+def test_backoff_grows_without_messages_up_to_a_quarter_of_the_timeout(monkeypatch):
     pauses = []
     monkeypatch.setattr(peer_connection.random, "uniform", lambda _low, high: high)
     scene = Scene()
@@ -120,7 +120,7 @@
     assert pauses[-1] == pytest.approx(PEER_TIMEOUT_S * peer_connection.MAX_BACKOFF_SHARE)
 
 
-def test_a_peer_that_does_not_read_is_closed_before_it_fills_the_memory():
+def test_full_send_buffer_closes_connection():
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
@@ -159,7 +159,7 @@
         return outcome, ("127.0.0.1", 1)
 
 
-def test_failures_to_accept_are_logged_once_and_so_is_their_end(caplog):
+def test_accept_failures_are_logged_once_and_recovery_once(caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
     exhausted = OSError(errno.EMFILE, "Too many open files")
     clock = [5.0]
--- a/ploverward/transport/test_work_counter.py
+++ b/ploverward/transport/test_work_counter.py
@@ -10,19 +10,19 @@
 from ploverward.transport import work_counter
 
 
-def test_turns_are_counted_by_what_they_found():
+def test_steps_are_counted_by_what_they_found():
     loop = event_loop.Loop()
     loop.work = work_counter.WorkCounter()
     loop.at(when=loop.now(), callback=lambda: None)
     loop.step()
-    loop.command(callback=lambda: None)
+    loop.call_soon_threadsafe(callback=lambda: None)
     loop.step()
-    counts = loop.work.take()
+    counts = loop.work.take_counts()
     assert counts.turns == {"timers": 1, "sockets+commands": 1}  # a command wakes the loop by its pipe
-    assert loop.work.take().turns == {}
+    assert loop.work.take_counts().turns == {}
 
 
-def test_frames_are_counted_by_kind_on_both_sides():
+def test_frames_are_counted_by_kind_at_sender_and_receiver():
     loop = loopback.new_loop()
     loop.work = work_counter.WorkCounter()
     received = []
@@ -45,7 +45,7 @@
     one.send_bytes(frames.pack(fetch) + frames.pack(fetch))
     one.send(messages.KeepAlive(number=0))
     assert loopback.until(loop, lambda: len(received) == 2)
-    counts = loop.work.take()
+    counts = loop.work.take_counts()
     size = len(frames.pack(fetch))
     assert counts.sent == {
         "Fetch": work_counter.FrameCount(frames=2, bytes=2 * size),
--- a/ploverward/transport/work_counter.py
+++ b/ploverward/transport/work_counter.py
@@ -1,7 +1,7 @@
 """Counts what a node's loop does: turns by what woke it, calls, frames and bytes by kind (docs/operations.md).
 
-`WorkCounter` is attached to a loop as its `work` and told of each turn, call and frame; `take` returns the counts since
-the last call of it. A loop without one counts nothing.
+A `WorkCounter` is attached to a loop as its `work` and is notified of each step, call and frame; `take_counts` returns
+the counts since its last call. A loop without one counts nothing.
 """
 
 import collections
@@ -67,7 +67,7 @@
         """A complete frame of another node arrived."""
         self._count(self._received, frame)
 
-    def take(self) -> WorkCounts:
+    def take_counts(self) -> WorkCounts:
         """Returns the counts since the last call."""
         counts = WorkCounts(
             turns=dict(self._turns),
