--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -1,11 +1,14 @@
-"""One loop on one thread (docs/design.md 2). It owns all tables; other threads only hand it commands.
+"""Single-threaded event loop: sockets, timers, commands from other threads (docs/design.md 2).
 
-A step waits for sockets until the next timer is due, then calls back in this order: ready sockets, commands, timers
-that are due, what was left to the end of the step. Sockets come first, so that a process that was frozen reads what
-arrived meanwhile before its time-outs judge by the clock that their peers are silent.
+All state of a process belongs to the loop's thread; other threads only queue commands, which are callbacks that the
+loop calls in its next step.
 
-An exception of a callback ends that callback alone: it goes to `on_error`, and the loop runs on. This is the one place
-that catches everything.
+A step waits for sockets until the next timer is due, then makes the calls in this order: ready sockets, commands, due
+timers, callbacks deferred to the end of the step. Sockets come first so that a process that was frozen reads the data
+that arrived in the meantime before its timers conclude from the clock that the peers are silent.
+
+An exception in a callback ends only that callback: it is passed to `on_error`, and the loop continues. This is the only
+place that catches all exceptions.
 """
 
 import collections
@@ -23,21 +26,23 @@
 from ploverward.transport import work_counter
 from ploverward.transport.interfaces import Callback
 
-MAX_WAIT_S = 1.0  # of a step without timers
-WORKER_THREADS = 3  # the registers' disk, the tallies', a configuration that is built: none waits for a disk that hangs
+MAX_WAIT_S = 1.0  # longest wait of a step, also if no timer is set
+# One thread each for writes of the registers, writes of the tallies and building configurations, so that none of them
+# waits for a disk that hangs.
+WORKER_THREADS = 3
 _WAKE_READ_BYTES = 4096
 
-SocketCallback = Callable[[int], object]  # called with the ready events, a mask of `selectors`
+SocketCallback = Callable[[int], object]  # called with the ready events, a bit mask of `selectors` events
 
 
 class Timer:
-    """One call that is to come.
+    """A scheduled call.
 
     Attributes:
-        when: When, by the loop's clock in seconds.
-        order: Orders calls for the same time.
-        callback: What is called.
-        is_over: Whether it was called or cancelled.
+        when: Time of the call, in seconds on the loop's clock.
+        order: Serial number; orders calls for the same time.
+        callback: The function to call.
+        is_over: Whether the call was made or cancelled.
     """
 
     __slots__ = ("when", "order", "callback", "is_over")
@@ -50,11 +55,11 @@
 
 
 class RepeatingCall:
-    """A callback that is called again and again.
+    """A callback that is called at regular intervals.
 
     Attributes:
-        callback: What is called.
-        is_stopped: Whether it is called no more; its owner sets it.
+        callback: The function to call.
+        is_stopped: Set by the owner to end the calls.
     """
 
     __slots__ = ("callback", "is_stopped")
@@ -68,10 +73,11 @@
     """The event loop of a process; `ploverward.transport.interfaces.Loop` documents its methods.
 
     Args:
-        on_error: Called with the exception of a callback. None: exceptions leave the loop, as tests want it.
+        on_error: Called with an exception that a callback raised. If None, exceptions propagate to the caller of
+            `step`, as tests need it.
 
     Attributes:
-        work: Counts what the loop does; None: nothing is counted.
+        work: Counter of steps, calls and frames; None if nothing is counted.
     """
 
     def __init__(self, *, on_error: Callable[[Exception], object] | None = None) -> None:
@@ -91,13 +97,13 @@
         self.work: work_counter.WorkCounter | None = None
 
     def now(self) -> float:
-        """Returns a clock that only grows, in seconds."""
+        """Returns the time of a monotonic clock, in seconds."""
         return time.monotonic()
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Has a callback called soon; the one method that other threads and signal handlers may call."""
+        """Queues a callback for the next step; the only method that other threads and signal handlers may call."""
         self._commands.append(callback)
-        with contextlib.suppress(BlockingIOError, BrokenPipeError):  # a full pipe wakes the loop as well
+        with contextlib.suppress(BlockingIOError, BrokenPipeError):  # a full pipe also wakes the loop
             os.write(self._wake_out, b"w")
 
     def _drain_wake(self, _mask: int) -> None:
@@ -105,27 +111,28 @@
             os.read(self._wake_in, _WAKE_READ_BYTES)
 
     def offload(self, *, work: Callable[[], Any], done: Callable[[concurrent.futures.Future], object]) -> None:
-        """Runs `work` on another thread, then `done(future)` on the loop."""
+        """Runs `work` on a worker thread, then calls `done(future)` on the loop's thread."""
         if self._pool is None:
             self._pool = concurrent.futures.ThreadPoolExecutor(max_workers=WORKER_THREADS)
         future = self._pool.submit(work)
         future.add_done_callback(lambda ended: self.call_soon_threadsafe(callback=lambda: done(ended)))
 
     def at(self, *, when: float, callback: Callback) -> Timer:
-        """Has a callback called at a time of `now`; calls for the same time keep their order."""
+        """Schedules a callback for a time of `now`; calls for the same time are made in the order of scheduling."""
         self._order += 1
         timer = Timer(when=when, order=self._order, callback=callback)
         self._timers.add(timer)
         return timer
 
     def after(self, *, delay: float, callback: Callback) -> Timer:
-        """Has a callback called after so many seconds."""
+        """Schedules a callback in `delay` seconds."""
         return self.at(when=self.now() + delay, callback=callback)
 
     def every(self, *, interval_s: float, callback: Callback) -> "RepeatingCall":
-        """Has a callback called again and again, until its `RepeatingCall` is stopped.
+        """Calls a callback at an interval until its `RepeatingCall` is stopped.
 
-        All calls with the same interval are made in the same turn: the first one comes after an interval at most.
+        All callbacks with the same interval are called in the same step, so the first call may come in less than one
+        interval.
         """
         repetition = RepeatingCall(callback)
         group = self._repetitions.get(interval_s)
@@ -148,20 +155,20 @@
         self._schedule_repetitions(interval_s)
         for repetition in list(group):
             if not repetition.is_stopped:
-                self._guard(repetition.callback)
+                self._run_callback(repetition.callback)
 
     def at_end_of_step(self, *, callback: Callback) -> None:
-        """Has a callback called once all other calls of this step were made, before the loop waits again."""
+        """Schedules a callback after all other calls of this step, before the loop waits again."""
         self._end_of_step.append(callback)
 
     def cancel(self, *, timer: interfaces.Timer | None) -> None:
-        """Takes a call back; does nothing where it was made already, or for None."""
+        """Cancels a timer; does nothing for None or if its call was already made."""
         if timer is not None and not timer.is_over:
             timer.is_over = True
             self._timers.discard(timer)
 
     def watch(self, *, sock: Any, mask: int, callback: SocketCallback) -> None:  # noqa: ANN401  # sockets and fakes
-        """Has `callback(events)` called whenever a socket is ready for one of the events of `mask`."""
+        """Calls `callback(events)` whenever a socket is ready for one of the events of `mask`."""
         self._selector.register(sock, mask, callback)
 
     def rewatch(self, *, sock: Any, mask: int, callback: SocketCallback) -> None:  # noqa: ANN401  # as in `watch`
@@ -169,23 +176,23 @@
         self._selector.modify(sock, mask, callback)
 
     def unwatch(self, *, sock: Any) -> None:  # noqa: ANN401  # as in `watch`
-        """Ends the watch of a socket; does nothing where it is not watched."""
+        """Stops watching a socket; does nothing if it is not watched."""
         with contextlib.suppress(KeyError, ValueError):
             self._selector.unregister(sock)
 
     def stop(self) -> None:
-        """Ends `run` after the step in progress."""
+        """Makes `run` return after the current step."""
         self._is_running = False
 
     def run(self) -> None:
-        """Makes all calls until `stop`; work on other threads that has not begun is dropped then."""
+        """Runs steps until `stop` is called; queued work that no worker thread has started is then dropped."""
         while self._is_running:
             self.step()
         if self._pool is not None:
             self._pool.shutdown(wait=False, cancel_futures=True)
 
     def step(self) -> None:
-        """Waits for the next event and makes all calls that are due."""
+        """Waits for the next event, then makes all calls that are due."""
         wait_s = MAX_WAIT_S
         if self._commands or self._end_of_step:
             wait_s = 0.0
@@ -193,27 +200,27 @@
             wait_s = min(wait_s, max(0.0, self._timers[0].when - self.now()))
         ready = self._selector.select(wait_s)
         for key, mask in ready:
-            self._guard(key.data, mask)
+            self._run_callback(key.data, mask)
         has_commands = bool(self._commands)
         while self._commands:
-            self._guard(self._commands.popleft())
+            self._run_callback(self._commands.popleft())
         now = self.now()
         has_timers = bool(self._timers) and self._timers[0].when <= now
         while self._timers and self._timers[0].when <= now:
             timer = self._timers.pop(0)
             timer.is_over = True
-            self._guard(timer.callback)
+            self._run_callback(timer.callback)
         while self._end_of_step:
-            self._guard(self._end_of_step.popleft())
+            self._run_callback(self._end_of_step.popleft())
         if self.work is not None:
             self.work.note_turn(has_sockets=bool(ready), has_commands=has_commands, has_timers=has_timers)
 
-    def _guard(self, callback: Callable, *args: int) -> None:
+    def _run_callback(self, callback: Callable, *args: int) -> None:
         if self.work is not None:
             self.work.note_call(callback)
         try:
             callback(*args)
-        except Exception as error:  # one broken callback must not end the process; it is logged
+        except Exception as error:  # one failing callback must not end the process
             if self._on_error is None:
                 raise
             self._on_error(error)
--- a/ploverward/transport/interfaces.py
+++ b/ploverward/transport/interfaces.py
@@ -1,8 +1,8 @@
-"""What nodes use of the event loop and of connections between nodes, stated once for both implementations.
+"""Interfaces of the event loop and of connections between nodes, with a real and a simulated implementation.
 
-The real ones are `event_loop.Loop` and `peer_connection.PeerConnection`; the simulation puts its own in their place
-(ploverward/simulation/control_plane), so that the code of a core node is played as it is (docs/simulate.md).
-test_interfaces.py compares both with what stands here.
+The real implementations are `event_loop.Loop` and `peer_connection.PeerConnection`. The simulation replaces them by its
+own (ploverward/simulation/control_plane), so that it runs the code of a core node unchanged (docs/simulate.md).
+test_interfaces.py compares both implementations with these protocols.
 """
 
 from collections.abc import Callable
@@ -11,73 +11,74 @@
 from typing import runtime_checkable
 
 Callback = Callable[[], object]
-Message = tuple  # of a type of ploverward.transport.messages
+Message = tuple  # a named tuple of one of the types in ploverward.transport.messages
 
 
 @runtime_checkable
 class Timer(Protocol):
-    """One call that is to come.
+    """A scheduled call.
 
     Attributes:
-        is_over: Whether it was made or cancelled.
+        is_over: Whether the call was made or cancelled.
     """
 
     is_over: bool
 
 
 class Outcome(Protocol):
-    """What became of work on another thread: a finished `concurrent.futures.Future`, or the simulation's twin."""
+    """Outcome of work on a worker thread: a finished `concurrent.futures.Future` or its simulated counterpart."""
 
     def exception(self) -> BaseException | None:
-        """Returns what the work raised, or None."""
+        """Returns the exception that the work raised, or None."""
 
-    def result(self) -> Any:  # noqa: ANN401  # whatever the work returned
-        """Returns what the work returned; raises what it raised."""
+    def result(self) -> Any:  # noqa: ANN401  # the type depends on the work
+        """Returns the result of the work, or raises the exception that it raised."""
 
 
 @runtime_checkable
 class Loop(Protocol):
-    """Calls back on one thread, which owns all state: timers, commands of other threads, work that blocks."""
+    """Event loop whose thread owns all state: runs timers, commands from other threads and offloaded blocking work."""
 
     def now(self) -> float:
-        """Returns a clock that only grows, in seconds."""
+        """Returns the time of a monotonic clock, in seconds."""
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Has a callback called soon; the one method that other threads and signal handlers may call."""
+        """Queues a callback for the next step; the only method that other threads and signal handlers may call."""
 
     def offload(self, *, work: Callable[[], object], done: Callable[[Outcome], object]) -> None:
-        """Runs `work` on another thread, then `done(outcome)` on the loop."""
+        """Runs `work` on a worker thread, then calls `done(outcome)` on the loop's thread."""
 
     def at(self, *, when: float, callback: Callback) -> Timer:
-        """Has a callback called at a time of `now`; calls for the same time keep their order."""
+        """Schedules a callback for a time of `now`; calls for the same time are made in the order of scheduling."""
 
     def after(self, *, delay: float, callback: Callback) -> Timer:
-        """Has a callback called after so many seconds."""
+        """Schedules a callback in `delay` seconds."""
 
     def every(self, *, interval_s: float, callback: Callback) -> object:
-        """Has a callback called again and again, also where one call raised."""
+        """Calls a callback at an interval; a call that raises does not end the repetition."""
 
     def cancel(self, *, timer: Timer | None) -> None:
-        """Takes a call back; does nothing where it was made already, or for None."""
+        """Cancels a timer; does nothing for None or if its call was already made."""
 
     def stop(self) -> None:
-        """Ends `run` after the step in progress."""
+        """Makes `run` return after the current step."""
 
     def run(self) -> None:
-        """Makes all calls until `stop`."""
+        """Runs steps until `stop` is called."""
 
 
 @runtime_checkable
 class Connection(Protocol):
-    """One connection to another node.
+    """A connection to another node.
 
     Attributes:
         peer: ADDRESS:PORT of the other end, or its host.
-        hello: What the peer's handshake said, as the owner of the connection noted it; None before.
-        has_received: Whether any byte came from the peer.
-        last_received_at: When the peer was last heard of, by the loop's clock in seconds.
-        opened_at: When this end was made, by the loop's clock in seconds.
-        frame: The bytes of the message that is being delivered.
+        hello: Handshake of the peer, stored by the owner of the connection; None before it arrived.
+        has_received: Whether any byte was received from the peer.
+        last_received_at: When data last arrived from the peer, in seconds on the loop's clock; before the first data,
+            when the connection was created or established.
+        opened_at: When this end was created, in seconds on the loop's clock.
+        frame: Encoded bytes of the message that is being delivered.
     """
 
     peer: str
@@ -89,23 +90,23 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it was not closed yet."""
+        """Whether the connection is not closed."""
 
     @property
     def is_up(self) -> bool:
-        """Whether it was established."""
+        """Whether the connection is established."""
 
     def send(self, message: Message) -> None:
         """Sends a message; does nothing on a closed connection."""
 
     def keep_alive(self) -> None:
-        """Shows the peer that this process runs, unless something was sent since the last call of this."""
+        """Sends a heartbeat to the peer, unless something was sent since the last call."""
 
     def send_bytes(self, data: bytes) -> None:
-        """Sends complete frames that are packed already; does nothing on a closed connection."""
+        """Sends complete encoded frames; does nothing on a closed connection."""
 
     def queued(self) -> int:
-        """Returns how many bytes wait to be sent."""
+        """Returns the number of bytes that wait to be sent."""
 
     def close(self, *, reason: str = "") -> None:
-        """Ends the connection; its owner hears of it with the reason before this returns."""
+        """Closes the connection; its owner is notified with the reason before this returns."""
--- a/ploverward/transport/test_event_loop.py
+++ b/ploverward/transport/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: the order of calls, cancelled timers, errors of callbacks, other threads."""
+"""Tests of the event loop: order of calls, cancelled timers, exceptions of callbacks, work on other threads."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
         loop.watch(sock=server, mask=1, callback=lambda _mask: (calls.append("socket"), loop.unwatch(sock=server)))
         loop.after(delay=1.0, callback=lambda: calls.append("timer"))
         loop.call_soon_threadsafe(callback=lambda: calls.append("command"))
-        loop.skip(seconds=5.0)  # as a frozen process finds them: all due at once
+        loop.skip(seconds=5.0)  # after a freeze of the process everything is due at once
         assert loopback.until(loop, lambda: "timer" in calls)
     assert calls == ["socket", "command", "timer"]
 
--- a/ploverward/transport/test_interfaces.py
+++ b/ploverward/transport/test_interfaces.py
@@ -1,4 +1,4 @@
-"""The loop and the connections, and their twins in the simulation, have what the interfaces state."""
+"""Checks that the real and the simulated loop and connections conform to the interfaces."""
 
 import inspect
 import socket
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    "interface, twin",
+    "interface, implementation",
     [
         (interfaces.Loop, event_loop.Loop),
         (interfaces.Loop, simulated_clock.Loop),
@@ -29,10 +29,10 @@
         (interfaces.Connection, simulated_peers.PeerConnection),
     ],
 )
-def test_implementations_have_the_parameters_of_the_interface(interface, twin):
+def test_implementations_have_the_parameters_of_the_interface(interface, implementation):
     assert methods(interface)
     for name, function in methods(interface).items():
-        assert parameters(getattr(twin, name)) == parameters(function), name
+        assert parameters(getattr(implementation, name)) == parameters(function), name
 
 
 def test_connection_and_loop_satisfy_their_protocols():
--- a/ploverward/transport/test_work_counter.py
+++ b/ploverward/transport/test_work_counter.py
@@ -1,4 +1,4 @@
-"""Counts of a loop's work."""
+"""Tests of the counts of an event loop's work."""
 
 import socket
 
@@ -18,7 +18,7 @@
     loop.call_soon_threadsafe(callback=lambda: None)
     loop.step()
     counts = loop.work.take_counts()
-    assert counts.turns == {"timers": 1, "sockets+commands": 1}  # a command wakes the loop by its pipe
+    assert counts.turns == {"timers": 1, "sockets+commands": 1}  # a command wakes the loop through its pipe
     assert loop.work.take_counts().turns == {}
 
 
--- a/ploverward/transport/work_counter.py
+++ b/ploverward/transport/work_counter.py
@@ -1,4 +1,4 @@
-"""Counts what a node's loop does: turns by what woke it, calls, frames and bytes by kind (docs/operations.md).
+"""Counts the work of a node's event loop: steps by what they found, calls, frames and bytes (docs/operations.md).
 
 A `WorkCounter` is attached to a loop as its `work` and is notified of each step, call and frame; `take_counts` returns
 the counts since its last call. A loop without one counts nothing.
@@ -10,12 +10,12 @@
 
 from ploverward.transport import frames
 
-MAX_LISTED = 20  # calls and kinds of frames that are listed, those with the most first
+MAX_LISTED = 20  # functions and kinds of frames in a report; the most frequent are kept
 
 
 @dataclasses.dataclass(frozen=True)
 class FrameCount:
-    """Frames of one kind, and their bytes."""
+    """Number of frames of one kind, and their total size in bytes."""
 
     frames: int
     bytes: int
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkCounts:
-    """What was done since the last counts.
+    """Counts since the previous report.
 
     Attributes:
-        turns: Steps of the loop, by what they found: "sockets", "commands", "timers", joined by "+"; "nothing".
-        calls: Calls of the loop, by the name of the function.
+        turns: Steps of the loop, by what they found: "sockets", "commands" and "timers", joined with "+", or "nothing".
+        calls: Calls that the loop made, by the qualified name of the function.
         sent: Frames sent to other nodes, by kind.
         received: Frames received from other nodes, by kind.
     """
@@ -39,7 +39,7 @@
 
 
 class WorkCounter:
-    """The counts of one loop."""
+    """Counters of one event loop."""
 
     def __init__(self) -> None:
         self._clear()
@@ -51,24 +51,24 @@
         self._received: dict[str, FrameCount] = {}
 
     def note_turn(self, *, has_sockets: bool, has_commands: bool, has_timers: bool) -> None:
-        """The loop made a turn, with calls for these reasons."""
+        """Counts a step of the loop by what it found."""
         found = (("sockets", has_sockets), ("commands", has_commands), ("timers", has_timers))
         self._turns["+".join(name for name, is_found in found if is_found) or "nothing"] += 1
 
     def note_call(self, callback: Callable) -> None:
-        """The loop calls back."""
+        """Counts a call that the loop makes."""
         self._calls[getattr(callback, "__qualname__", type(callback).__name__)] += 1
 
     def note_sent(self, data: bytes) -> None:
-        """Complete frames are sent to another node."""
+        """Counts complete frames that are sent to another node."""
         self._count(self._sent, data)
 
     def note_received(self, frame: bytes) -> None:
-        """A complete frame of another node arrived."""
+        """Counts a complete frame received from another node."""
         self._count(self._received, frame)
 
     def take_counts(self) -> WorkCounts:
-        """Returns the counts since the last call."""
+        """Returns the counts since the last call and resets them."""
         counts = WorkCounts(
             turns=dict(self._turns),
             calls=dict(self._calls.most_common(MAX_LISTED)),
