--- a/ploverward/transport/http_connection.py
+++ b/ploverward/transport/http_connection.py
@@ -1,18 +1,19 @@
-"""One connection of a client to the HTTP server: HTTP/1.1 by h11, one request at a time (docs/design.md 3).
+"""Connection of a client to the HTTP server: HTTP/1.1 with h11, one request at a time (docs/design.md 3).
 
 The states (`State`):
 
     IDLE --first byte--> READING_HEAD --head--> READING_BODY --complete--> ANSWERING --answered--> IDLE
     READING_HEAD, READING_BODY --refused--> REFUSING --sent--> CLOSED
-    ANSWERING --answered, and the connection is not to be used again--> CLOSING --sent--> CLOSED
-    any --the client left, or the server closes it--> CLOSED
+    ANSWERING --answered, and the connection can't be reused--> CLOSING --sent--> CLOSED
+    any --the client disconnected, or the server closes it--> CLOSED
 
-A request is handed over once it is complete. What the client sends behind it waits in h11 (up to one request of the
-largest size, then the connection ends) and is read when the answer has ended.
+A request is passed to the handler once it is complete. Pipelined bytes that the client sends after it are buffered in
+h11 (up to the size of one request of maximum size, beyond that the connection is closed) and are parsed when the
+response has ended.
 
-The client and this process may both be slow, and a time-out has to tell them apart: when one fires while bytes wait on
-the socket, it is this process that is late, so those are read first. Neither a request that arrived in time nor the one
-that crosses with the end of an idle connection is thrown away.
+Both the client and this process may be slow, and a timeout has to tell which one is: if it fires while there are unread
+bytes on the socket, this process is late, so they are read first. This way neither a request that arrived in time nor
+one that crosses with the close of an idle connection is lost.
 """
 
 import enum
@@ -36,13 +37,13 @@
 if TYPE_CHECKING:
     from ploverward.transport.http_server import HttpServer
 
-SEND_HIGH_WATERMARK_BYTES = 256 * 1024  # queued for a client; who streams an answer pauses above it
+SEND_HIGH_WATERMARK_BYTES = 256 * 1024  # queued for a client; the source of a streamed response pauses above this
 IO_BYTES = 128 * 1024  # read or written at a time
-DISCARD_BYTES = 64 * 1024  # read at a time from a connection that ends
-IDLE_RECHECK_S = 0.05  # until a connection whose time is over is checked again, where bytes wait on it
+DISCARD_BYTES = 64 * 1024  # read and discarded at a time from a connection that is closed
+IDLE_RECHECK_S = 0.05  # until a timed-out connection with unread bytes is checked again
 MIN_ANNOUNCED_IDLE_S = 2  # shorter times are not worth a Keep-Alive header
-ANNOUNCED_IDLE_SHARE = 0.7  # of the idle time; a client that counts on it must not meet the end of the connection
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
+ANNOUNCED_IDLE_SHARE = 0.7  # of the idle timeout; clients that reuse a connection until then must not find it closed
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset
 
 
 class State(enum.Enum):
@@ -57,18 +58,18 @@
     CLOSED = "closed"
 
 
-# Enum members are looked up by name at each use; these are on the path of every request.
+# Module-level names avoid an attribute lookup on the enum at each use; these are on the path of every request.
 _IDLE, _READING_HEAD, _READING_BODY, _ANSWERING, _REFUSING, _CLOSING, _CLOSED = State
 _READING = (_READING_HEAD, _READING_BODY)
 _ENDING = (_REFUSING, _CLOSING)
 
 
 class HttpConnection:
-    """One accepted connection.
+    """A connection that the HTTP server accepted.
 
     Args:
-        server: Gives limits, takes complete requests, and bounds the memory that bodies take.
-        sock: Connected; it does not block.
+        server: Provides limits, handles complete requests and bounds the memory used by bodies.
+        sock: Connected non-blocking socket.
     """
 
     def __init__(self, *, server: "HttpServer", sock: socket.socket) -> None:
@@ -77,11 +78,11 @@
         self.sock = sock
         self._state = _IDLE
         self._out = bytearray()
-        self._request: Request | None = None  # the one that is read or answered
-        self._chunks: list[bytes] = []  # of the body that is read
+        self._request: Request | None = None  # being read or answered
+        self._chunks: list[bytes] = []  # of the body being read
         self._body_bytes = 0
-        self._head_begun = 0.0  # when the first byte of the current request came
-        self._ahead_bytes = 0  # read behind the request that is answered
+        self._head_started_at = 0.0  # when the first byte of the current request arrived
+        self._pipelined_bytes = 0  # received after the request being answered
         self._mask = selectors.EVENT_READ
         self._limits = server.limits()
         self._close_at = server.choose_close_time()
@@ -92,30 +93,30 @@
 
     @property
     def state(self) -> State:
-        """The connection's state."""
+        """The current state."""
         return self._state
 
     @property
     def is_open(self) -> bool:
-        """Whether it was not closed yet."""
+        """Whether the connection is not closed."""
         return self._state is not _CLOSED
 
     def is_idle(self) -> bool:
-        """Whether no request is being read or answered, and its last answer was sent."""
+        """Whether no request is being read or answered and the last response was sent completely."""
         return self._state is _IDLE and not self._out
 
     def queued(self) -> int:
-        """Returns how many bytes of answers wait to be sent."""
+        """Returns the number of response bytes that wait to be sent."""
         return len(self._out)
 
-    # Writing an answer, for `Request`.
+    # Writing a response; called by `Request`.
 
     def is_answering(self, request: Request) -> bool:
-        """Whether what is written now belongs to this request: not once it is answered, or its client has left."""
+        """Whether `request` may still write its response: not once that has ended or the client has disconnected."""
         return self._state is not _CLOSED and self._request is request
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
-        """Writes the head of the answer."""
+        """Writes the head of the response."""
         headers = [*headers]
         if is_last or self.server.is_draining or self.loop.now() >= self._close_at:
             headers.append((b"Connection", b"close"))
@@ -124,7 +125,7 @@
         self.send(h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b"")))
 
     def send(self, event: Any) -> None:  # noqa: ANN401  # any event of h11
-        """Writes a part of the answer."""
+        """Writes a part of the response."""
         if self._state is _CLOSED:
             return
         data = self._h11.send(event)
@@ -132,10 +133,10 @@
             self._write(data)
 
     def finish(self) -> None:
-        """Ends the answer; the connection's next request is read, unless the connection is not to be used again."""
+        """Ends the response, then reads the next request or closes the connection if it can't be reused."""
         self.send(h11.EndOfMessage())
         if self._state is _CLOSED:
-            return  # the client left at this very write
+            return  # the write found that the client had disconnected
         self.server.body_budget.release(owner=self)
         self._request = None
         if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
@@ -146,31 +147,32 @@
         self._state = _IDLE
         self._limits = self.server.limits()
         self._h11.start_next_cycle()
-        self._arm(delay=self._limits.idle_s)
-        self._ahead_bytes = len(self._h11.trailing_data[0])
-        if self._ahead_bytes:
+        self._set_timeout(delay=self._limits.idle_s)
+        self._pipelined_bytes = len(self._h11.trailing_data[0])
+        if self._pipelined_bytes:
             self._state = _READING_HEAD
-            self._head_begun = self.loop.now()
-            # Not at once: the handler that ended this answer is still running.
+            self._head_started_at = self.loop.now()
+            # Not called directly: the handler that ended this response is still running.
             self.loop.call_soon_threadsafe(callback=self._read_events)
 
     def abort_response(self) -> None:
-        """Ends an answer so that it can't look complete.
+        """Closes the connection so that the client can't take the response for complete.
 
-        To a client that knows no chunks (HTTP/1.0) the end of the connection is the end of the body: it gets a reset.
+        An HTTP/1.0 client knows no chunked encoding and takes the end of the connection for the end of the body, so its
+        connection is reset.
         """
         if self._h11.their_http_version is not None and self._h11.their_http_version < b"1.1":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         self.close(may_reset=True)
 
-    # Ends.
+    # Closing.
 
     def close(self, *, may_reset: bool = False) -> None:
         """Closes the connection.
 
         Args:
-            may_reset: Leaves unread what the client sent. Otherwise it is read first: unread bytes would turn the close
-                into a reset, which can destroy the answer on its way.
+            may_reset: Whether to close without reading the bytes that the client sent. Otherwise they are read and
+                discarded first: unread bytes would turn the close into a reset, which can destroy a response in flight.
         """
         if self._state is _CLOSED:
             return
@@ -183,12 +185,12 @@
         self.sock.close()
 
     def close_if_idle(self) -> None:
-        """Closes an idle connection, but for one with a request that was not read yet: that one is answered first."""
+        """Closes an idle connection; one with an unread request is kept, so that the request is answered first."""
         if self.is_idle() and not self._has_unread_bytes():
             self.close(may_reset=True)
 
     def drop(self) -> None:
-        """Closes the connection as if its client had left."""
+        """Closes the connection as if the client had disconnected."""
         self._handle_disconnect()
 
     def _handle_disconnect(self) -> None:
@@ -198,7 +200,7 @@
             request.on_disconnect()
 
     def _refuse(self, error: RefusedRequestError) -> None:
-        """Answers what never became a complete request; the connection ends after it."""
+        """Sends an error response to an incomplete request; the connection is closed after it."""
         self._state = _REFUSING
         reason = REASONS.get(error.status, b"Error")
         self._write(b"HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" % (error.status, reason))
@@ -210,9 +212,9 @@
         except OSError:
             pass
 
-    # Time-outs.
+    # Timeouts.
 
-    def _arm(self, *, delay: float) -> None:
+    def _set_timeout(self, *, delay: float) -> None:
         self.loop.cancel(timer=self._timer)
         self._timer = self.loop.after(delay=delay, callback=self._on_timeout)
 
@@ -220,9 +222,11 @@
         if self._state in (_ANSWERING, _REFUSING, _CLOSED):
             return
         if self._has_unread_bytes():
-            self._arm(delay=IDLE_RECHECK_S)  # this process is late, not the client
+            self._set_timeout(delay=IDLE_RECHECK_S)  # this process is late, not the client
         elif self._out:
-            self._arm(delay=self._limits.idle_s)  # a client that takes nothing any more ends by TCP_USER_TIMEOUT
+            self._set_timeout(
+                delay=self._limits.idle_s
+            )  # TCP_USER_TIMEOUT ends a connection whose client stopped reading
         elif self._state in _READING:
             self._refuse(ClientRequestError(status=408))
         else:
@@ -255,20 +259,20 @@
             return
         if self._state in _ENDING:
             return
-        if self._state is _ANSWERING and self._is_too_far_ahead(len(data)):
+        if self._state is _ANSWERING and self._exceeds_pipeline_limit(len(data)):
             self._handle_disconnect()
             return
-        self._feed(data)
+        self._feed_parser(data)
 
-    def _is_too_far_ahead(self, size: int) -> bool:
-        self._ahead_bytes += size
-        return self._ahead_bytes > self._limits.head_bytes + self._limits.body_bytes
+    def _exceeds_pipeline_limit(self, size: int) -> bool:
+        self._pipelined_bytes += size
+        return self._pipelined_bytes > self._limits.head_bytes + self._limits.body_bytes
 
-    def _feed(self, data: bytes) -> None:
+    def _feed_parser(self, data: bytes) -> None:
         if self._state is _IDLE:
             self._state = _READING_HEAD
-            self._head_begun = self.loop.now()
-            self._arm(delay=self._limits.head_s)
+            self._head_started_at = self.loop.now()
+            self._set_timeout(delay=self._limits.head_s)
         try:
             self._h11.receive_data(data)
         except h11.RemoteProtocolError as error:
@@ -277,7 +281,7 @@
         self._read_events()
 
     def _read_events(self) -> None:
-        """Reads what h11 has made of the bytes, up to the end of one request."""
+        """Processes the events that h11 parsed, up to the end of one request."""
         try:
             is_complete = self._read_request()
         except h11.RemoteProtocolError as error:
@@ -286,19 +290,19 @@
             self._refuse(error)
         else:
             if is_complete:
-                self._hand_over()
+                self._dispatch_request()
 
     def _read_request(self) -> bool:
-        """Returns whether the request is complete.
+        """Processes events of h11 and returns whether the request is complete.
 
         Raises:
-            h11.RemoteProtocolError: The bytes are no request.
-            RefusedRequestError: The request is refused.
+            h11.RemoteProtocolError: The bytes are not a valid request.
+            RefusedRequestError: The request is rejected.
         """
         while self._state in _READING:
             event = self._h11.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
-                self._allow_body()
+                self._send_continue()
                 return False
             if isinstance(event, h11.EndOfMessage):
                 return True
@@ -310,7 +314,7 @@
                 self.close()
         return False
 
-    def _allow_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._h11.they_are_waiting_for_100_continue:
             self._write(self._h11.send(h11.InformationalResponse(status_code=100, headers=[])))
 
@@ -321,12 +325,12 @@
             method=head.method,
             target=head.target,
             headers=list(head.headers),
-            begun_at=self._head_begun,
+            begun_at=self._head_started_at,
         )
         self._state = _READING_BODY
         self._chunks = []
         self._body_bytes = 0
-        self._arm(delay=self._limits.idle_s)
+        self._set_timeout(delay=self._limits.idle_s)
 
     def _handle_data(self, data: bytes) -> None:
         self._body_bytes += len(data)
@@ -336,7 +340,7 @@
             raise ClientRequestError(status=413)
         self._chunks.append(bytes(data))
 
-    def _hand_over(self) -> None:
+    def _dispatch_request(self) -> None:
         request = self._request
         assert request is not None
         request.body = b"".join(self._chunks)
--- a/ploverward/transport/http_request.py
+++ b/ploverward/transport/http_request.py
@@ -1,8 +1,9 @@
-"""Requests of clients as handlers see them, and the rules by which one is refused before any handler sees it.
+"""HTTP requests as handlers see them, and the checks that reject a request before any handler is called.
 
-A request reaches its handler complete, body included. Its answer is written through the request: `reply` for a complete
-answer, or `start`, `data` and `end` for a streamed one, or `abort`. An answer is written once: after it began, `reply`
-does nothing, and what a late handler writes after the connection ended, or moved on to its next request, is dropped.
+A request reaches its handler complete, including the body. The handler responds through the request: `reply` sends a
+complete response, `start`, `data` and `end` send a streamed one, `abort` breaks it off. A request gets one response:
+once it has started, `reply` does nothing, and writes of a late handler are dropped after the connection was closed or
+moved on to its next request.
 """
 
 from collections.abc import Callable
@@ -37,17 +38,17 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-HEADER_LINE_BYTES = 4  # ": " and the line's end, of each header
+HEADER_LINE_BYTES = 4  # ": " and the line ending of each header
 
 
 class Limits(NamedTuple):
-    """What a client may send, and how slowly.
+    """Limits on the size and the duration of a client's requests.
 
     Attributes:
-        head_bytes: Size of a request's line and headers.
-        body_bytes: Size of a request's body.
-        head_s: Seconds from a request's first byte to the end of its head.
-        idle_s: Seconds for a body, and between two requests.
+        head_bytes: Maximum size of the request line and headers.
+        body_bytes: Maximum size of the body.
+        head_s: Maximum seconds from the first byte of a request to the end of its head.
+        idle_s: Maximum seconds for receiving a body, and between two requests.
     """
 
     head_bytes: int
@@ -57,10 +58,10 @@
 
 
 class RefusedRequestError(errors.PloverwardError):
-    """A request that is answered before it is complete; its connection ends with the answer.
+    """A request is rejected before it is complete; its connection is closed after the error response.
 
     Args:
-        status: The HTTP status of the answer.
+        status: HTTP status of the response.
 
     Attributes:
         status: As given.
@@ -72,21 +73,21 @@
 
 
 class ClientRequestError(RefusedRequestError):
-    """The client is at fault: the request is malformed (400, 501), too large (413, 431) or too slow (408)."""
+    """The request is malformed (400, 501), too large (413, 431) or too slow (408): an error of the client."""
 
 
 class ServerOverloadedError(RefusedRequestError):
-    """The server is at fault: the bodies of all its connections would take too much memory (503)."""
+    """The bodies of all connections would take too much memory (503): not an error of the client."""
 
 
 def check_head(*, head: h11.Request, limits: Limits) -> None:
-    """Checks what h11 leaves to the server: ambiguous lengths, and sizes.
+    """Checks what h11 does not: ambiguous body lengths and the sizes of head and body.
 
-    Two lengths, or a length with chunks, are refused: a server behind this one could take another part of the bytes
-    for the body, and the remainder for a request of its own (request smuggling).
+    Two different lengths, or a length together with chunked encoding, are rejected: a server behind this one could
+    interpret the length differently and take the remaining bytes for another request (request smuggling).
 
     Raises:
-        ClientRequestError: With 400, 413 or 431.
+        ClientRequestError: With status 400, 413 or 431.
     """
     lengths = {value for name, value in head.headers if name == b"content-length"}
     has_chunks = any(name == b"transfer-encoding" for name, _value in head.headers)
@@ -100,39 +101,39 @@
 
 
 class ResponseWriter(Protocol):
-    """What a request uses of its connection."""
+    """The part of a connection that a request uses to write its response."""
 
     def is_answering(self, request: "Request") -> bool:
-        """Whether what is written now belongs to this request."""
+        """Whether `request` may still write its response."""
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
-        """Writes the head of the answer."""
+        """Writes the head of the response."""
 
     def send(self, event: Any) -> None:  # noqa: ANN401  # any event of h11
-        """Writes a part of the answer."""
+        """Writes a part of the response."""
 
     def finish(self) -> None:
-        """Ends the answer."""
+        """Ends the response."""
 
     def abort_response(self) -> None:
-        """Ends the connection so that the answer can't look complete."""
+        """Closes the connection so that the client can't take the response for complete."""
 
     def drop(self) -> None:
-        """Ends the connection as if its client had left."""
+        """Closes the connection as if the client had disconnected."""
 
     def queued(self) -> int:
-        """Returns how many bytes of answers wait to be sent."""
+        """Returns the number of response bytes that wait to be sent."""
 
 
 class Request:
-    """One complete request, and the means to answer it.
+    """A complete request, with methods to respond to it.
 
     Args:
-        http_connection: Where it came from.
-        method: In capitals, as bytes.
+        http_connection: The connection that the request arrived on.
+        method: HTTP method in upper case.
         target: Path and query.
-        headers: Names in small letters, and values.
-        begun_at: When its first byte came, by the loop's clock in seconds.
+        headers: Pairs of lower-case name and value.
+        begun_at: When the first byte arrived, in seconds on the loop's clock.
 
     Attributes:
         http_connection: As given.
@@ -140,13 +141,13 @@
         target: As given.
         headers: As given.
         begun_at: As given.
-        body: The body.
-        at: When it was complete, by the loop's clock in seconds.
-        on_disconnect: Set by the handler; called where the client leaves before the answer ended.
-        on_drain: Set by the handler; called whenever all that was written has been sent.
-        is_started: Whether an answer was begun.
-        is_answered: Whether an answer was ended or aborted.
-        record: Free for the handler.
+        body: The complete body.
+        at: When the request was complete, in seconds on the loop's clock.
+        on_disconnect: Set by the handler; called if the client disconnects before the response has ended.
+        on_drain: Set by the handler; called whenever everything written so far has been sent.
+        is_started: Whether a response was started.
+        is_answered: Whether the response was ended or aborted.
+        record: State that the handler may attach to the request.
     """
 
     __slots__ = (
@@ -181,14 +182,14 @@
         self.record: Any = None
 
     def header(self, name: bytes, default: bytes = b"") -> bytes:
-        """Returns the value of the first header of this name, in small letters, or the default."""
+        """Returns the value of the first header with the lower-case name `name`, or `default`."""
         for key, value in self.headers:
             if key == name:
                 return value
         return default
 
     def text(self, name: bytes, default: str = "") -> str:
-        """Returns a header's value as text."""
+        """Returns the value of a header as text, or `default`."""
         return self.header(name, default.encode()).decode("latin-1")
 
     def reply(
@@ -199,13 +200,13 @@
         body: bytes = b"",
         is_last: bool = False,
     ) -> None:
-        """Writes a complete answer, unless one was begun.
+        """Sends a complete response; does nothing if one was started already.
 
         Args:
-            status: The HTTP status.
-            headers: Headers but for the length.
+            status: HTTP status.
+            headers: Headers without Content-Length.
             body: The body.
-            is_last: Whether the connection ends with this answer.
+            is_last: Whether to close the connection after this response.
         """
         if self.is_answered or self.is_started:
             return
@@ -214,24 +215,24 @@
         self.end()
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool = False) -> None:
-        """Begins a streamed answer; arguments as of `reply`."""
+        """Starts a streamed response; the arguments are those of `reply`."""
         self.is_started = True
         if self.http_connection.is_answering(self):
             self.http_connection.start(status=status, headers=headers, is_last=is_last)
 
     def data(self, data: bytes) -> None:
-        """Writes a part of a streamed answer's body."""
+        """Sends a part of the body of a streamed response."""
         if data and self.http_connection.is_answering(self):
             self.http_connection.send(h11.Data(data=data))
 
     def end(self) -> None:
-        """Ends a streamed answer."""
+        """Ends a streamed response."""
         self.is_answered = True
         if self.http_connection.is_answering(self):
             self.http_connection.finish()
 
     def abort(self) -> None:
-        """Ends the connection so that the answer can't look complete."""
+        """Closes the connection so that the client can't take the response for complete."""
         self.is_answered = True
         if self.http_connection.is_answering(self):
             self.http_connection.abort_response()
--- a/ploverward/transport/http_server.py
+++ b/ploverward/transport/http_server.py
@@ -1,6 +1,6 @@
-"""The HTTP server: listens, bounds connections and the memory of bodies, hands over complete requests.
+"""HTTP server: listens, limits connections and the memory used by bodies, passes complete requests to a handler.
 
-`http_connection` has the states of one connection, `http_request` what handlers see.
+`http_connection` implements the states of a connection, `http_request` the requests that handlers get.
 """
 
 import math
@@ -18,19 +18,19 @@
 from ploverward.transport.peer_connection import SocketAddress
 
 DEFAULT_MAX_CONNECTIONS = 3000
-DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024  # of the bodies of all connections
-REBALANCE_AGES = (0.25, 0.75)  # of `rebalance_s`: spread, so that clients do not come back in a wave
+DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024  # for the bodies of all connections together
+REBALANCE_AGES = (0.25, 0.75)  # shares of `rebalance_s`; spread, so that clients do not all reconnect at once
 
 
 class BodyBudget:
-    """Bounds the memory that the bodies of all connections take until their requests are answered.
+    """Limits the memory used by the bodies of all connections until their requests are answered.
 
     Args:
-        max_bytes: The bound.
+        max_bytes: Limit in bytes.
 
     Attributes:
         max_bytes: As given.
-        reserved_bytes: What is reserved now.
+        reserved_bytes: Currently reserved bytes; may exceed the limit until a rejected body is released.
     """
 
     def __init__(self, *, max_bytes: int) -> None:
@@ -39,35 +39,36 @@
         self._by_owner: dict[Hashable, int] = {}
 
     def reserve(self, *, owner: Hashable, size: int) -> bool:
-        """Sets what a connection's body takes, in bytes; returns whether all of them stay inside the bound."""
+        """Sets the reservation of a connection to `size` bytes; returns whether the total is within the limit."""
         self.reserved_bytes += size - self._by_owner.get(owner, 0)
         self._by_owner[owner] = size
         return self.reserved_bytes <= self.max_bytes
 
     def release(self, *, owner: Hashable) -> None:
-        """Gives back what a connection's body took."""
+        """Releases the reservation of a connection."""
         self.reserved_bytes -= self._by_owner.pop(owner, 0)
 
 
 class HttpServer:
-    """A listener and its connections.
+    """A listening socket and the connections accepted on it.
 
     Args:
-        loop: Calls back.
-        address: Where to listen.
-        limits: Returns the limits for a connection's next request; called for each, as the configuration may change.
-        peer_timeout_s: What is sent and stays unacknowledged for so long ends its connection.
-        on_request: Called with each complete request. Where it raises, the connection is closed.
-        max_connections: At most so many connections; further ones are closed at once.
+        loop: The event loop.
+        address: Address and port to listen on.
+        limits: Returns the limits for the next request of a connection; called for each request, as the configuration
+            may change.
+        peer_timeout_s: A connection is closed if sent data stays unacknowledged for this long.
+        on_request: Called with each complete request. If it raises, the connection is closed.
+        max_connections: Maximum number of connections; further ones are closed at once.
         max_bytes: Memory for the bodies of all requests that are not answered yet.
-        rebalance_s: Connections accepted within so many seconds of the start end after an answer, at an age of a
-            quarter to three quarters of that; 0: none do. After a loss of many servers the first one that is back gets
-            all clients, and would keep them (docs/incidents/herded-clients.md).
+        rebalance_s: Connections accepted within this many seconds of the start are closed after a response, at an age
+            of a quarter to three quarters of this time; 0 closes none. After many servers failed, the first one that
+            is back gets all clients and would otherwise keep them (docs/incidents/herded-clients.md).
 
     Attributes:
         connections: The open connections.
-        is_draining: Whether answers end their connections.
-        body_budget: The memory that bodies take.
+        is_draining: Whether connections are closed after their next response.
+        body_budget: The memory used by bodies.
 
     Raises:
         OSError: The address can't be bound.
@@ -104,40 +105,40 @@
 
     @property
     def address(self) -> SocketAddress:
-        """The address it listens at; tests listen at a port that the kernel chooses."""
+        """The address and port that the server listens on; tests let the kernel choose the port."""
         return self._sock.getsockname()
 
     def handle(self, request: Request) -> None:
-        """Hands a complete request over."""
+        """Passes a complete request to the handler."""
         try:
             self._on_request(request)
         except Exception:
-            request.http_connection.drop()  # nobody would answer it; a closed connection promises nothing
+            request.http_connection.drop()  # no response would follow; a closed connection leaves the outcome open
             raise
 
     def choose_close_time(self) -> float:
-        """Returns after when a connection that is accepted now ends with its next answer; infinity for most."""
+        """Returns the time after which a connection accepted now is closed with a response; infinity for most."""
         now = self.loop.now()
         if now - self._started_at >= self._rebalance_s:
             return math.inf
         return now + self._rebalance_s * random.uniform(*REBALANCE_AGES)
 
     def remove_connection(self, http_connection: HttpConnection) -> None:
-        """Drops a connection that was closed, and what its body took."""
+        """Removes a closed connection and releases the memory reserved for its body."""
         self.connections.discard(http_connection)
         self.body_budget.release(owner=http_connection)
 
     def leave(self) -> None:
-        """Lets answers end their connections from now on; idle ones stay until `close_idle`."""
+        """Closes connections after their next response from now on; idle ones stay open until `close_idle`."""
         self.is_draining = True
 
     def close_idle(self) -> None:
-        """Closes idle connections; called once no client finds this server by a look-up any more."""
+        """Closes idle connections; called once no lookup returns this server to clients any more."""
         for http_connection in list(self.connections):
             http_connection.close_if_idle()
 
     def stop_listening(self) -> None:
-        """Accepts no further connections."""
+        """Stops accepting connections; those that are open continue."""
         if self._is_listening:
             self._is_listening = False
             self.loop.unwatch(sock=self._sock)
--- a/ploverward/transport/test_http_server.py
+++ b/ploverward/transport/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: refusals by whose fault, the memory of bodies, pipelined requests, time-outs."""
+"""Tests of the HTTP server: rejections, the memory limit on bodies, pipelined requests, timeouts."""
 
 import socket
 
@@ -76,7 +76,7 @@
 
 
 class SlowClient:
-    """Takes its answer only when told to; its small buffers leave the rest of a large answer with the server."""
+    """Client that reads only on `read`; its small receive buffer leaves most of a large response with the server."""
 
     def __init__(self, *, address):
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -85,8 +85,8 @@
         self.sock.setblocking(False)
         self.got = b""
 
-    def take(self) -> bool:
-        """Takes what has arrived; returns whether the server closed the connection."""
+    def read(self) -> bool:
+        """Reads what has arrived; returns whether the server closed the connection."""
         try:
             while data := self.sock.recv(1 << 16):
                 self.got += data
@@ -110,8 +110,8 @@
     else:
         connection._on_timeout()
     assert connection.is_open
-    assert scene.until(lambda: slow.take() or slow.got.endswith(b"x") and not connection.queued())
-    assert scene.until(lambda: slow.take() or len(slow.got) >= 8 << 20)
+    assert scene.until(lambda: slow.read() or slow.got.endswith(b"x") and not connection.queued())
+    assert scene.until(lambda: slow.read() or len(slow.got) >= 8 << 20)
     assert slow.got.count(b"x") == 8 << 20
     scene.server.close_idle()
     assert scene.until(lambda: not scene.server.connections)
@@ -192,21 +192,21 @@
 
 def test_only_connections_accepted_soon_after_start_get_a_close_time():
     scene = Scene()
-    early = scene.server._rebalance_s = 1000.0
-    ends = [scene.server.choose_close_time() - scene.loop.now() for _number in range(50)]
+    rebalance_s = scene.server._rebalance_s = 1000.0
+    delays = [scene.server.choose_close_time() - scene.loop.now() for _number in range(50)]
     low, high = http_server.REBALANCE_AGES
-    assert all(low * early - 1 <= left <= high * early for left in ends) and len(set(ends)) > 1
-    scene.server._started_at -= early
+    assert all(low * rebalance_s - 1 <= delay <= high * rebalance_s for delay in delays) and len(set(delays)) > 1
+    scene.server._started_at -= rebalance_s
     assert scene.server.choose_close_time() == float("inf")
 
 
 def test_response_after_close_time_has_connection_close_header():
     scene = Scene()
     connection = scene.connection()
-    for is_over in (False, True):
+    for is_past_close_time in (False, True):
         scene.client.send(REQUEST)
         assert scene.until_state(State.ANSWERING)
-        connection._close_at = 0.0 if is_over else float("inf")
+        connection._close_at = 0.0 if is_past_close_time else float("inf")
         scene.requests[-1].reply(status=200, body=b"ok")
     assert not connection.is_open or connection.state in (State.CLOSING, State.CLOSED)
     assert scene.until(lambda: scene.client.got.lower().count(b"connection: close") == 1)
