--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -1,25 +1,25 @@
-"""Connections between nodes: framed messages over TCP, found dead in time, made anew with backoff (docs/design.md 4).
+"""Connections between nodes: framed messages over TCP, with timeouts and reconnection (docs/design.md 4).
 
-A `PeerConnection` is one established or pending connection. Its states (`State`):
+A `PeerConnection` is an established or pending connection. Its states (`State`):
 
     CONNECTING --established--> UP
     CONNECTING, UP --refused, silent, closed or malformed--> CLOSED   (final; `on_end` is called once, with the reason)
 
-A `Connector` keeps one connection to an address: whenever it is closed, the next is tried after a growing pause.
-A `PeerListener` accepts connections.
+A `Connector` maintains one connection to an address: whenever it is closed, the next attempt follows after a growing
+pause. A `PeerListener` accepts connections.
 
-A connection is never taken for a live peer by itself. TCP reports no error while nothing is sent: a peer whose machine
-lost power, or behind a partition, leaves a half-open connection that looks established for hours. Three things find it:
+An established connection does not mean that the peer is alive. TCP reports no error while nothing is sent: a peer whose
+machine lost power, or that is cut off by a partition, leaves a half-open connection that looks established for hours.
+Three mechanisms detect this:
 
-* The sender finds out by `TCP_USER_TIMEOUT`: data that stays unacknowledged for `peer_timeout_s` ends the connection.
-* The receiver finds out by silence: each side sends heartbeats three times per `peer_timeout_s`, and a connection on
-  which nothing came for that long is closed. This also finds a process that is stopped, whose kernel acknowledges all
-  the same.
+* The sender uses `TCP_USER_TIMEOUT`: data that stays unacknowledged for `peer_timeout_s` ends the connection.
+* The receiver uses heartbeats: each side sends them three times per `peer_timeout_s`, and a connection on which nothing
+  was received for that long is closed. This also detects a stopped process, whose kernel still acknowledges data.
 * Code that relies on a peer checks `has_received`: the kernel of a stopped process still accepts connections, so an
   established connection proves nothing until its first byte arrives.
 
-Closing is a guess as well: the peer may be alive and have acted on what was sent. So what is sent over connections has
-to be idempotent, or fenced by an epoch.
+A closed connection does not mean that the peer is dead either: it may have acted on what was sent. Therefore messages
+have to be idempotent, or fenced by an epoch.
 """
 
 import enum
@@ -38,20 +38,20 @@
 
 _log = logging.getLogger(__name__)
 
-MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024  # above the largest frame; a peer that reads so little is as good as dead
-IO_BYTES = 256 * 1024  # read or written at a time; one peer's data must not keep the loop from the others
-LISTEN_BACKLOG = 512  # connections that wait for accept; all proxies come back at once after a partition
-SILENCE_CHECKS = 4  # within one peer time-out: silence is found at most a quarter late
-FIRST_BACKOFF_SHARE = 1 / 40  # of the peer time-out
-MAX_BACKOFF_SHARE = 1 / 4  # of the peer time-out: a peer that is back is found well within it
+MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024  # above the largest frame; a peer that falls this far behind counts as dead
+IO_BYTES = 256 * 1024  # read or written at a time, so that one peer's data does not delay the others
+LISTEN_BACKLOG = 512  # connections waiting for accept; all proxies reconnect at once after a partition
+SILENCE_CHECKS = 4  # per peer timeout; silence is detected at most a quarter of the timeout late
+FIRST_BACKOFF_SHARE = 1 / 40  # of the peer timeout
+MAX_BACKOFF_SHARE = 1 / 4  # of the peer timeout; a recovered peer is reconnected well within it
 BACKOFF_GROWTH = 1.6
-BACKOFF_JITTER = (0.5, 1.0)  # each pause is multiplied by a number from here, so that nodes do not come in waves
+BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of each pause, so that nodes do not reconnect in waves
 
 SocketAddress = tuple[str, int]
 
 
 def configure_socket(*, sock: socket.socket, peer_timeout_s: float) -> None:
-    """Has a socket send at once, and end when what it sent stays unacknowledged for so many seconds."""
+    """Makes a socket send without delay and fail once sent data stays unacknowledged for `peer_timeout_s`."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(peer_timeout_s * 1000))
@@ -60,7 +60,7 @@
 
 
 def listen(*, address: SocketAddress, backlog: int = LISTEN_BACKLOG) -> socket.socket:
-    """Returns a socket that listens at an address.
+    """Returns a non-blocking socket that listens on an address.
 
     Raises:
         OSError: The address can't be bound.
@@ -76,12 +76,12 @@
 class ConnectionAcceptor:
     """Accepts connections on a listening socket.
 
-    A process without file descriptors can't accept, and its socket stays readable, so each step of the loop tries
-    again: only the first failure and the first success after it are logged.
+    A process that has run out of file descriptors can't accept, and its socket stays readable, so each step of the loop
+    tries again. Only the first failure and the first success after it are logged.
 
     Args:
-        sock: Listens; it does not block.
-        now: The clock, in seconds.
+        sock: Non-blocking listening socket.
+        now: Returns the time of a monotonic clock, in seconds.
         on_accepted: Called with each accepted socket and the address of its other end.
     """
 
@@ -99,7 +99,7 @@
         )
 
     def accept_all(self) -> None:
-        """Accepts all connections that wait."""
+        """Accepts all waiting connections."""
         while True:
             try:
                 accepted, address = self._sock.accept()
@@ -122,15 +122,15 @@
 
 
 class PeerConnection:
-    """One connection; `ploverward.transport.interfaces.Connection` documents what others use of it.
+    """A connection to another node; `ploverward.transport.interfaces.Connection` documents its interface.
 
     Args:
-        loop: Calls back.
-        sock: Connected, or connecting; it does not block.
-        on_message: Called with the connection and each message but heartbeats.
-        on_end: Called once with the connection and the reason, when it is closed by whichever side.
-        peer_timeout_s: A peer that is silent for so long is dead.
-        is_connecting: Whether the socket has yet to connect; what is sent meanwhile waits.
+        loop: The event loop.
+        sock: Non-blocking socket, connected or connecting.
+        on_message: Called with the connection and each message except heartbeats.
+        on_end: Called once with the connection and the reason when either side closes it.
+        peer_timeout_s: A peer that sends nothing for this long counts as dead.
+        is_connecting: Whether the socket is still connecting; messages are queued until it is connected.
         peer: ADDRESS:PORT of the other end.
     """
 
@@ -162,22 +162,22 @@
         configure_socket(sock=sock, peer_timeout_s=peer_timeout_s)
         self._mask = selectors.EVENT_READ | (selectors.EVENT_WRITE if is_connecting else 0)
         loop.watch(sock=sock, mask=self._mask, callback=self._ready)
-        self._check = loop.every(interval_s=peer_timeout_s / SILENCE_CHECKS, callback=self._check_peer_timeout)
-        self._has_sent = False  # anything since the last call of `keep_alive`
-        self._is_flush_due = False  # at the end of this step of the loop
+        self._silence_check = loop.every(interval_s=peer_timeout_s / SILENCE_CHECKS, callback=self._check_peer_timeout)
+        self._has_sent = False  # whether anything was sent since the last call of `keep_alive`
+        self._is_flush_due = False  # whether `_flush` will be called at the end of this step of the loop
 
     @property
     def is_open(self) -> bool:
-        """Whether it was not closed yet."""
+        """Whether the connection is not closed."""
         return self.state is not State.CLOSED
 
     @property
     def is_up(self) -> bool:
-        """Whether it is established; a half-open connection is, too."""
+        """Whether the connection is established; a half-open connection counts as established."""
         return self.state is State.UP
 
     def queued(self) -> int:
-        """Returns how many bytes wait to be sent."""
+        """Returns the number of bytes that wait to be sent."""
         return len(self._out)
 
     def send(self, message: tuple) -> None:
@@ -185,15 +185,15 @@
         self.send_bytes(frames.pack(message))
 
     def keep_alive(self) -> None:
-        """Shows the peer that this process runs, unless something was sent since the last call of this."""
+        """Sends a heartbeat to the peer, unless something was sent since the last call."""
         if not self._has_sent:
             self.send(messages.KeepAlive(number=0))
         self._has_sent = False
 
     def send_bytes(self, data: bytes) -> None:
-        """Sends complete frames that are packed already; does nothing on a closed connection.
+        """Sends complete encoded frames; does nothing on a closed connection.
 
-        They go out at the end of the loop's step, together with all that it sends on this connection.
+        They are written at the end of the loop's step, together with everything else sent on this connection in it.
         """
         if self.state is State.CLOSED:
             return
@@ -214,13 +214,13 @@
             self.loop.at_end_of_step(callback=self._flush)
 
     def close(self, *, reason: str = "") -> None:
-        """Ends the connection; `on_end` is called with the reason before this returns."""
+        """Closes the connection; `on_end` is called with the reason before this returns."""
         if self.state is State.CLOSED:
             return
         if self._is_flush_due:
-            self._write_pending()  # what was sent earlier in this step
+            self._write_pending()  # frames sent earlier in this step
         self.state = State.CLOSED
-        self._check.is_stopped = True
+        self._silence_check.is_stopped = True
         self.loop.unwatch(sock=self.sock)
         self.sock.close()
         self._on_end(self, reason)
@@ -265,7 +265,7 @@
         try:
             self._deliver(frames.split(self._in))
         except errors.FrameError as error:
-            # Raised by the codec or by the owner: a stream can't be read on after a frame that does not fit.
+            # Raised by the codec or by the owner; after an invalid frame the stream can't be decoded any further.
             self.close(reason=str(error))
 
     def _deliver(self, received: list[bytes]) -> None:
@@ -291,7 +291,7 @@
         self._update_mask()
 
     def _write_pending(self) -> OSError | None:
-        """Writes what the socket takes now; returns the error that ends the connection, if there is one."""
+        """Writes as much as the socket accepts; returns the error that ends the connection, or None."""
         try:
             while self._out:
                 count = self.sock.send(memoryview(self._out)[:IO_BYTES])
@@ -311,15 +311,16 @@
 
 
 class Connector:
-    """Keeps one connection to an address, with growing pauses between attempts.
+    """Maintains one connection to an address, with growing pauses between attempts.
 
     Args:
-        loop: Calls back.
-        address: Where to connect to.
-        on_up: Called with each new connection, while it is still connecting; what it sends then goes out first.
-        on_message: As of `PeerConnection`.
-        on_end: As of `PeerConnection`; the next attempt follows by itself.
-        peer_timeout_s: As of `PeerConnection`.
+        loop: The event loop.
+        address: Address and port to connect to.
+        on_up: Called with each new connection while it is still connecting; messages sent by the callback are
+            transmitted first.
+        on_message: As in `PeerConnection`.
+        on_end: As in `PeerConnection`; the next attempt is scheduled automatically.
+        peer_timeout_s: As in `PeerConnection`.
 
     Attributes:
         address: As given.
@@ -348,7 +349,7 @@
         self._connect()
 
     def stop(self) -> None:
-        """Closes the connection and makes no other."""
+        """Closes the connection and makes no further attempts."""
         self._is_stopped = True
         if self.link is not None:
             self.link.close(reason="stopped")
@@ -375,7 +376,8 @@
         self._on_up(self.link)
 
     def _handle_message(self, link: PeerConnection, message: tuple) -> None:
-        # Only a message resets the backoff: a stopped process still accepts, and would be tried without pause.
+        # Only a message resets the backoff: the kernel of a stopped process still accepts connections, and would be
+        # connected to without a pause.
         self._backoff_s = self._peer_timeout_s * FIRST_BACKOFF_SHARE
         self._on_message(link, message)
 
@@ -396,12 +398,12 @@
     """Accepts connections of other nodes.
 
     Args:
-        loop: Calls back.
-        address: Where to listen.
-        on_connection: Called with each new connection.
-        on_message: As of `PeerConnection`.
-        on_end: As of `PeerConnection`.
-        peer_timeout_s: As of `PeerConnection`.
+        loop: The event loop.
+        address: Address and port to listen on.
+        on_connection: Called with each accepted connection.
+        on_message: As in `PeerConnection`.
+        on_end: As in `PeerConnection`.
+        peer_timeout_s: As in `PeerConnection`.
 
     Raises:
         OSError: The address can't be bound.
@@ -427,7 +429,7 @@
         loop.watch(sock=self._sock, mask=selectors.EVENT_READ, callback=self._ready)
 
     def stop(self) -> None:
-        """Accepts no more connections; those that there are go on."""
+        """Stops accepting connections; those that are open continue."""
         self.loop.unwatch(sock=self._sock)
         self._sock.close()
 
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: half-open ones, stopped peers, malformed frames, backoff."""
+"""Tests of connections between nodes: half-open ones, stopped peers, malformed frames, backoff."""
 
 import errno
 import logging
@@ -16,18 +16,18 @@
 
 
 class Scene:
-    """A scripted peer on loopback, and a connector to it."""
+    """A scripted peer on the loopback interface, and a connector to it."""
 
     def __init__(self, *, script=lambda _number, _heard: None):
         self.loop = loopback.new_loop()
         self.peer = loopback.Peer(loop=self.loop, script=script)
-        self.made, self.received, self.ends = [], [], []
+        self.connections, self.received, self.end_reasons = [], [], []
         self.connector = peer_connection.Connector(
             loop=self.loop,
             address=self.peer.address,
-            on_up=self.made.append,
+            on_up=self.connections.append,
             on_message=lambda _link, message: self.received.append(message),
-            on_end=lambda _link, reason: self.ends.append(reason),
+            on_end=lambda _link, reason: self.end_reasons.append(reason),
             peer_timeout_s=PEER_TIMEOUT_S,
         )
 
@@ -45,10 +45,10 @@
     assert scene.until_up()
     assert link.state is peer_connection.State.UP
     scene.connector.stop()
-    assert link.state is peer_connection.State.CLOSED and scene.ends == ["stopped"]
+    assert link.state is peer_connection.State.CLOSED and scene.end_reasons == ["stopped"]
     link.close(reason="again")
     link.send(KEEP_ALIVE)
-    assert scene.ends == ["stopped"] and scene.connector.link is None and link.queued() == 0
+    assert scene.end_reasons == ["stopped"] and scene.connector.link is None and link.queued() == 0
 
 
 def test_message_sent_while_connecting_is_transmitted_once_up():
@@ -58,13 +58,13 @@
 
 
 def test_connection_to_silent_peer_times_out_without_has_received():
-    """A stopped process: its kernel accepts and acknowledges, so the connection is up, and shows nothing."""
+    """A stopped process does this: its kernel accepts and acknowledges, so the connection is up without any data."""
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
     assert not link.has_received
-    assert scene.until(lambda: scene.ends)
-    assert scene.ends == ["silent"] and not link.has_received
+    assert scene.until(lambda: scene.end_reasons)
+    assert scene.end_reasons == ["silent"] and not link.has_received
 
 
 def test_heartbeats_keep_connection_open_and_are_not_delivered():
@@ -73,14 +73,14 @@
     link = scene.connector.link
     end = scene.loop.now() + 2.5 * PEER_TIMEOUT_S
 
-    def beat():
+    def send_heartbeat():
         scene.peer.callback(0, (frames.pack(KEEP_ALIVE),))
-        scene.loop.after(delay=PEER_TIMEOUT_S / 4, callback=beat)
+        scene.loop.after(delay=PEER_TIMEOUT_S / 4, callback=send_heartbeat)
 
     assert scene.until(lambda: scene.peer.socks)
-    beat()
+    send_heartbeat()
     assert scene.until(lambda: scene.loop.now() > end)
-    assert scene.connector.link is link and link.has_received and not scene.ends and not scene.received
+    assert scene.connector.link is link and link.has_received and not scene.end_reasons and not scene.received
 
 
 @pytest.mark.parametrize("data", [b"\xff\xff\xff\xff\x01", frames.pack(KEEP_ALIVE)[:4] + b"\xee\x00"])
@@ -95,8 +95,8 @@
 
     scene = Scene(script=script)
     scene.connector.link.send(KEEP_ALIVE)
-    assert scene.until(lambda: len(scene.made) == 2)
-    assert len(scene.ends) == 1 and "kind" in scene.ends[0]
+    assert scene.until(lambda: len(scene.connections) == 2)
+    assert len(scene.end_reasons) == 1 and "kind" in scene.end_reasons[0]
 
 
 def test_backoff_grows_without_messages_up_to_a_quarter_of_the_timeout(monkeypatch):
@@ -113,9 +113,9 @@
     monkeypatch.setattr(scene.loop, "after", recording_after)
     for _attempt in range(7):
         assert scene.until_up()
-        ended = len(scene.ends)
+        ended = len(scene.end_reasons)
         scene.connector.link.close(reason="refused")
-        assert len(scene.ends) == ended + 1
+        assert len(scene.end_reasons) == ended + 1
     assert pauses == sorted(pauses) and pauses[0] < pauses[1]
     assert pauses[-1] == pytest.approx(PEER_TIMEOUT_S * peer_connection.MAX_BACKOFF_SHARE)
 
@@ -130,11 +130,11 @@
     link.send_bytes(chunk)
     assert link.is_open and link.queued() == peer_connection.MAX_SEND_BUFFER_BYTES
     link.send_bytes(b"x")
-    assert scene.ends == ["peer does not read"]
+    assert scene.end_reasons == ["peer does not read"]
 
 
 class _FullSocket:
-    """A socket whose send buffer is full."""
+    """Wrapper of a socket whose send buffer is full."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -146,8 +146,8 @@
         return getattr(self._sock, name)
 
 
-class ExhaustedSocket:
-    """A listening socket of a process that has no file descriptors for a while."""
+class FakeListeningSocket:
+    """Fake listening socket whose `accept` returns or raises the given outcomes in turn."""
 
     def __init__(self, *, outcomes):
         self.outcomes = list(outcomes)
@@ -164,7 +164,7 @@
     exhausted = OSError(errno.EMFILE, "Too many open files")
     clock = [5.0]
     with socket.socket() as accepted:
-        sock = ExhaustedSocket(outcomes=[exhausted, exhausted, exhausted, accepted, BlockingIOError()])
+        sock = FakeListeningSocket(outcomes=[exhausted, exhausted, exhausted, accepted, BlockingIOError()])
         sockets = []
         acceptor = peer_connection.ConnectionAcceptor(
             sock=sock, now=lambda: clock[0], on_accepted=lambda one, _address: sockets.append(one)
