--- a/ploverward/common/__init__.py
+++ b/ploverward/common/__init__.py
@@ -1,1 +1,1 @@
-"""What both roles and the operators' tools share: errors, settings, log events, residency, rows that nodes exchange."""
+"""Modules shared by core nodes, proxies and tools: errors, settings, log events, residency, exchanged data."""
--- a/ploverward/common/errors.py
+++ b/ploverward/common/errors.py
@@ -1,23 +1,23 @@
-"""The errors of this package: one tree, a class for each outcome that a caller can act on.
+"""Exceptions of this package: one hierarchy, with a class for each outcome that a caller can act on.
 
-Callers tell errors apart by their class and attributes, never by their text. Texts are for people: tools print them,
-and the operators' interfaces answer with them.
+Callers distinguish errors by class and attributes, never by text. Texts are for people: tools print them, and the
+operator API returns them.
 """
 
 
 class PloverwardError(Exception):
-    """The root of all errors that this package raises on purpose.
+    """Base class of all errors that this package raises deliberately.
 
-    Catch it only where every such error ends alike: the command line prints it and exits, the operators' interface
-    answers 503. Any other exception is a fault of the software.
+    Catch it only where all such errors are handled alike: the command line prints it and exits, the operator API
+    responds with 503. Any other exception is a bug.
 
     Args:
-        text: What went wrong, for people, without a full stop.
-        step: What was being done: a verb of the command line, a call, or a stage of the start.
-        peer: With whom or about what: an address, a folder, a zone or a service.
+        text: Description of the error for people, without a full stop.
+        step: The operation that failed: a verb of the command line, a call, or a stage of the start.
+        peer: The object of the operation: an address, a folder, a zone or a service.
 
     Attributes:
-        text: As given; `str()` of the error adds `[step peer]` where they are known.
+        text: As given; `str()` of the error appends `[step peer]` if they are known.
         step: As given.
         peer: As given.
     """
@@ -34,55 +34,55 @@
 
 
 class SettingsError(PloverwardError):
-    """The settings file, or an address given in its form, is missing or malformed; the text begins with the field.
+    """The settings file, or an address in its format, is missing or malformed; the text begins with the field.
 
-    Raised by `common.settings`. A node that starts exits with 2; one that runs keeps the settings that it has.
+    Raised by `common.settings`. A starting node exits with 2; a running node keeps its current settings.
     """
 
 
 class FrameError(PloverwardError):
-    """Bytes from a peer are no valid frame, or a frame's content does not fit what came before.
+    """Bytes from a peer are not a valid frame, or a frame's content contradicts the frames before it.
 
-    Raised by the codecs and by those who follow a stream. The connection is closed and made anew: a stream of frames
-    can't be read on after an error.
+    Raised by the codecs and by the consumers of a stream. The connection is closed and established again, as a stream
+    of frames can't be decoded any further after an error.
     """
 
 
 class StorageError(PloverwardError):
-    """A stored file is damaged other than at its end, where a loss of power may tear it.
+    """A stored file is damaged before its end; a torn end is normal after a power failure and no error.
 
-    Raised by the stores of a core node at their start. The node learns its state anew from its peers before it votes.
+    Raised by the stores of a core node at startup. The node fetches its state from its peers again before it votes.
     """
 
 
 class TallyMergeError(PloverwardError):
-    """Adds or a snapshot of tallies do not follow what this node has.
+    """Received adds or a snapshot of tallies do not continue the state of this node.
 
-    Raised where they are merged or sent. Nothing was changed; the connection is closed, and both sides begin anew with
-    their positions.
+    Raised where tallies are merged or sent. Nothing was changed; the connection is closed, and both sides start again
+    by exchanging their positions.
     """
 
 
 class QuorumUnavailableError(PloverwardError):
-    """No majority of the core set answered in time; whether the order takes effect is not known.
+    """No majority of the core set answered in time; it is unknown whether the order takes effect.
 
-    Raised by what waits for a majority. The caller sends the same order again: orders are idempotent.
+    Raised by operations that wait for a majority. The caller repeats the same order, as orders are idempotent.
     """
 
 
 class InvalidConfigurationError(PloverwardError):
-    """A configuration, or a patch of one, that can't come into force.
+    """A configuration, or a patch of one, is invalid and can't be applied.
 
-    Raised by the checks of `control_plane.configuration`. The caller corrects the field; sent again it fails alike.
+    Raised by the checks of `control_plane.configuration`. The caller has to correct the field; a retry fails again.
 
     Args:
         text: What is wrong with the field.
-        field_path: The field, by names and list positions joined with full stops.
+        field_path: Path of the field: names and list positions joined with full stops.
         step: As in `PloverwardError`.
         peer: As in `PloverwardError`.
 
     Attributes:
-        field_path: As given; the interface's answer calls it `place`.
+        field_path: As given; called `place` in responses of the operator API.
     """
 
     def __init__(self, text: str, *, field_path: str = "", step: str = "check", peer: str = "") -> None:
@@ -93,11 +93,11 @@
 class RolloutInProgressError(PloverwardError):
     """Another roll-out of the service is not finished.
 
-    Raised where a roll-out is ordered. The caller waits for its end (`ploverward rollout watch`), or orders the same
+    Raised when a roll-out is ordered. The caller waits for its end (`ploverward rollout watch`), or orders the same
     target again, which changes nothing.
 
     Args:
-        target: The version that the roll-out under way leads to.
+        target: Target version of the roll-out in progress.
         step: As in `PloverwardError`.
         peer: The service.
 
@@ -111,9 +111,10 @@
 
 
 class StaleVersionError(PloverwardError):
-    """The change was built on another version than the current one.
+    """A change was based on another edition than the current one.
 
-    Raised where a conditional change meets its register. The caller reads, merges and sends again.
+    Raised when a conditional change is applied to its register. The caller reads the current value, merges its change
+    and sends it again.
 
     Args:
         current: The current edition.
@@ -130,7 +131,7 @@
 
 
 class CoreUnreachableError(PloverwardError):
-    """A core node gave no clear answer to an operators' tool: no connection, no answer in time, 307, 408, 429 or 5xx.
+    """A core node gave no conclusive response to a tool: no connection, a timeout, or status 307, 408, 429 or 5xx.
 
     Raised by `command_line.core_client`, with the node's address as `peer`. The tool tries another core node; an order
     may have taken effect.
@@ -138,13 +139,13 @@
 
 
 class UnexpectedAnswerError(PloverwardError):
-    """A core node answered a tool's reading call with a clear status other than 200.
+    """A core node responded to a read call of a tool with a conclusive status other than 200.
 
-    Raised by verbs of the command line, which end with 2.
+    Raised by verbs of the command line, which exit with 2.
 
     Args:
         status: The HTTP status.
-        step: The verb.
+        step: The verb of the command line.
 
     Attributes:
         status: As given.
@@ -156,21 +157,21 @@
 
 
 class InvalidArgumentError(PloverwardError):
-    """An argument or flag of the command line names something unknown, or is out of its range.
+    """An argument or flag of the command line is unknown or out of range.
 
-    Raised by verbs before anything is done; the command ends with 2.
+    Raised by verbs before they do anything; the command exits with 2.
     """
 
 
 class InsufficientDataError(PloverwardError):
-    """What a tool would need for its answer could not be read, and a part of it would mislead.
+    """Data that a tool needs could not be read, and a partial result would mislead.
 
-    Raised by verbs that only read; the command ends with 2. Try again once more core nodes are in reach.
+    Raised by verbs that only read; the command exits with 2. Retry when more core nodes are reachable.
     """
 
 
 class KeptEditionError(PloverwardError):
-    """A repository of configurations has no such edition, or already has one that is as new.
+    """A repository of configurations does not have the edition, or already has one that is as new.
 
     Raised by `command_line.keep`, with the folder as `peer`. Nothing was written.
     """
--- a/ploverward/common/reloadable_settings.py
+++ b/ploverward/common/reloadable_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force, and how newer ones replace them while a node runs (docs/operations.md)."""
+"""Current settings of a node, which can be reloaded while it runs (docs/operations.md)."""
 
 import logging
 from collections.abc import Callable
@@ -10,15 +10,15 @@
 
 
 class ReloadableSettings:
-    """The settings of one process.
+    """Settings of a process that can be reloaded.
 
     Args:
-        initial: The settings with which the process was started.
-        load: Reads the settings file; raises `SettingsError` where it is not valid.
-        file_watch: Finds out whether the file was changed; None: nobody looks.
+        initial: The settings that the process was started with.
+        load: Reads the settings file; raises `SettingsError` if it is invalid.
+        file_watch: Detects changes of the file; None if the file is not checked for changes.
 
     Attributes:
-        current: The settings in force; a file that is not valid leaves them as they are.
+        current: The current settings; an invalid file leaves them unchanged.
     """
 
     def __init__(
@@ -33,17 +33,17 @@
         self.current = initial
 
     def reload(self) -> None:
-        """Reads the settings file again."""
+        """Reads the settings file again; logs an error and keeps the current settings if it is invalid."""
         try:
             self.current = self._load()
         except errors.SettingsError as error:
             _log.error("settings_rejected", extra={"fault": str(error)})
 
     def reload_if_changed(self) -> bool:
-        """Reads the settings file again where it was changed, for operators that send no signal.
+        """Reads the settings file again if it has changed, for operators that do not send a signal.
 
         Returns:
-            Whether it was changed.
+            Whether the file has changed.
         """
         is_changed = self._file_watch is not None and self._file_watch.is_changed()
         if is_changed:
--- a/ploverward/common/residency.py
+++ b/ploverward/common/residency.py
@@ -1,4 +1,7 @@
-"""The one place that computes where a request may be served, cached and sent (docs/residency.md)."""
+"""Data residency: the only code that computes in which regions a request may be processed (docs/residency.md).
+
+This covers where a request may be served, cached and sent.
+"""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -9,38 +12,39 @@
 
 
 def permitted(*, homes: Collection[str], older: Iterable[Collection[str]] = ()) -> Regions | None:
-    """Computes the regions in which a request may be served.
+    """Returns the regions in which a request may be served.
 
     Args:
-        homes: The home regions that the configuration in force gives the request's route; empty where it gives none.
-        older: The same by each configuration that may still be in force, or under which the request arrived. All that
-            name regions bind: a proxy can't know which of them the others apply.
+        homes: Home regions of the request's route in the current configuration; empty if it has none.
+        older: Home regions of the route in each configuration that may still be in use, or under which the request
+            arrived. The result is in the home regions of all of them, as a proxy can't know which configuration the
+            other nodes apply; configurations without home regions do not restrict it.
 
     Returns:
-        The permitted regions, None for all of them. An empty set permits no region.
+        The permitted regions, or None if all are permitted. An empty set permits no region.
     """
-    bound = [frozenset(regions) for regions in (homes, *older) if regions]
-    if not bound:
+    restrictions = [frozenset(regions) for regions in (homes, *older) if regions]
+    if not restrictions:
         return None
-    return frozenset.intersection(*bound)
+    return frozenset.intersection(*restrictions)
 
 
 def lookup_regions(
     *, configuration: Mapping[str, Any] | None, host: str, region: str, serving: Iterable[str]
 ) -> Regions:
-    """Computes the regions whose proxies a client may be given for a host.
+    """Returns the regions whose proxies a lookup of a host may return to a client.
 
-    Its own region where that has proxies. Else the regions that are homes of every route of the host with home regions;
-    without such routes, any.
+    This is the client's own region if it has serving proxies. Otherwise it is the serving regions that are home regions
+    of every route of the host that has home regions, or all serving regions if there is no such route.
 
     Args:
-        configuration: The configuration in force, as operators send it; None where it is not known.
+        configuration: The current configuration, in the form that operators send; None if it is not known.
         host: The host that the client looks up.
-        region: The client's region.
-        serving: Regions with proxies that serve.
+        region: The region of the client.
+        serving: Regions that have serving proxies.
 
     Returns:
-        The regions. Empty means that the look-up has to fail openly: an answer could lead out of the home regions.
+        The regions. If empty, the lookup must fail visibly, as any proxy could be outside the home regions.
     """
     serving = frozenset(serving)
     if region in serving:
--- a/ploverward/common/test_reloadable_settings.py
+++ b/ploverward/common/test_reloadable_settings.py
@@ -1,4 +1,4 @@
-"""Settings that are read again while a node runs."""
+"""Tests of reloading the settings while a node runs."""
 
 import types
 
@@ -6,8 +6,8 @@
 from ploverward.common import reloadable_settings
 
 
-class Watch:
-    """A settings file whose changes the test makes."""
+class FakeFileWatch:
+    """Fake `FileWatch` for which the test sets `changes`."""
 
     def __init__(self):
         self.changes = 0
@@ -17,7 +17,7 @@
         return is_changed
 
 
-def make(*contents):
+def make_reloadable(*contents):
     remaining = list(contents)
 
     def load():
@@ -26,13 +26,15 @@
             raise content
         return content
 
-    watch = Watch()
+    watch = FakeFileWatch()
     initial = types.SimpleNamespace(node="first")
     return reloadable_settings.ReloadableSettings(initial=initial, load=load, file_watch=watch), watch
 
 
 def test_reload_keeps_settings_if_file_is_invalid():
-    reloadable, _watch = make(errors.SettingsError("no node", step="settings"), types.SimpleNamespace(node="second"))
+    reloadable, _watch = make_reloadable(
+        errors.SettingsError("no node", step="settings"), types.SimpleNamespace(node="second")
+    )
     reloadable.reload()
     assert reloadable.current.node == "first"
     reloadable.reload()
@@ -40,7 +42,7 @@
 
 
 def test_reload_if_changed_reads_file_only_after_a_change():
-    reloadable, watch = make(types.SimpleNamespace(node="second"))
+    reloadable, watch = make_reloadable(types.SimpleNamespace(node="second"))
     assert not reloadable.reload_if_changed() and reloadable.current.node == "first"
     watch.changes = 1
     assert reloadable.reload_if_changed() and reloadable.current.node == "second"
--- a/ploverward/common/test_residency.py
+++ b/ploverward/common/test_residency.py
@@ -1,3 +1,5 @@
+"""Tests of the data residency rules."""
+
 from ploverward.common import residency
 
 
--- a/ploverward/common/test_settings.py
+++ b/ploverward/common/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that a node starts with."""
+"""Tests of the settings file of a node."""
 
 import pytest
 
@@ -12,9 +12,9 @@
     assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
     for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
         text = "\n".join(line for line in loopback_proxy.SETTINGS.splitlines() if not line.startswith(name + "="))
-        with pytest.raises(errors.SettingsError) as sent:
+        with pytest.raises(errors.SettingsError) as caught:
             settings.check(text=text)
-        assert name in str(sent.value)
+        assert name in str(caught.value)
 
 
 @pytest.mark.parametrize(
@@ -22,9 +22,9 @@
     ["no equals sign", "seedNodes=10.0.0.1", "bounds.contactMs=soon", "firstStart=perhaps", "innerPortRange=9,1"],
 )
 def test_malformed_settings_raise_single_line_error(line):
-    with pytest.raises(errors.SettingsError) as sent:
+    with pytest.raises(errors.SettingsError) as caught:
         settings.check(text=loopback_proxy.SETTINGS + line + "\n")
-    assert "\n" not in str(sent.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_file_watch_detects_a_changed_file(tmp_path, monkeypatch):
