--- a/ploverward/common/batch_partitions.py
+++ b/ploverward/common/batch_partitions.py
@@ -1,13 +1,13 @@
-"""Partitions of the batch tier: which one a tenant's jobs belong to, and how the roles of their owners are written.
+"""Partitions of the batch tier: the partition of a tenant's jobs, and the stored form of a partition's owners.
 
-A partition has members, stores whose copies have all that was committed, the first of them its primary, and learners,
-stores that are brought level. Its row in the register of singleton roles names them all, so that an epoch belongs to
-one arrangement (docs/batch.md 2). A member is a store with a certain disk: one that comes back with an empty disk is
-none.
+A partition has members, which are stores whose copies contain everything committed, and learners, which are stores that
+are still catching up. The first member is the primary. The row of a partition in the register of singleton roles names
+all of them, so that each epoch belongs to exactly one arrangement (docs/batch.md 2). A member is a store with a
+particular disk: a store that returns with an empty disk is not a member.
 
-The row's stored form: the epoch, then the members' addresses parted by commas, behind a semicolon those of the
-learners, then the primary's process and, behind a semicolon, the disks of the members in the same order. Rows of the
-first version have no process and no disks.
+A row has three columns: the epoch; the addresses of the members, separated by commas, then after a semicolon those of
+the learners; the process of the primary, then after a semicolon the disks of the members in the same order. Rows of the
+first version have neither process nor disks.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 import zlib
 from collections.abc import Mapping
 
-PARTITIONS = 32  # fixed: a tenant's partition never changes
+PARTITIONS = 32  # must not change: the partition of a tenant is fixed
 ROLE = "jobs"
-UNKNOWN_DISK = ""  # of a row of the first version
+UNKNOWN_DISK = ""  # disk of the members in rows of the first version
 
 
 class Member(typing.NamedTuple):
-    """A store whose copy has all that was committed.
+    """A store whose copy contains everything committed.
 
     Attributes:
-        address: Of the store.
-        disk: Identifies the disk that has the copy; empty where the row does not say.
+        address: Address of the store.
+        disk: Identifier of the disk that has the copy; empty if the row does not state it.
     """
 
     address: str
@@ -34,13 +34,14 @@
 
 
 class PartitionOwners(typing.NamedTuple):
-    """The arrangement of a partition.
+    """The stores that a partition is assigned to.
 
     Attributes:
-        epoch: Rises with each arrangement; 0: there is none yet.
-        members: The primary first; empty where there is none yet.
-        learners: Addresses of stores that are brought level.
-        process: Identifies the start of the primary's process that the epoch was given to; empty: any.
+        epoch: Number of the arrangement; increases with each new one, 0 if there is none yet.
+        members: The members, the primary first; empty if there are none yet.
+        learners: Addresses of the stores that are still catching up.
+        process: Identifier of the primary's process that the epoch was given to; a restart changes it. Empty if any
+            process may use the epoch.
     """
 
     epoch: int
@@ -55,12 +56,12 @@
 
     @property
     def primary(self) -> str:
-        """The store that answers; empty where there is none yet."""
+        """Address of the primary, which handles requests; empty if there is none yet."""
         return self.members[0].address if self.members else ""
 
     @property
     def backups(self) -> tuple[str, ...]:
-        """The other members."""
+        """Addresses of the members other than the primary."""
         return self.stores[1:]
 
 
@@ -78,7 +79,7 @@
 
 
 def pack_owners(owners: PartitionOwners) -> tuple[int, str, str]:
-    """Returns the row of an arrangement."""
+    """Returns the stored form of a partition's owners."""
     addresses = ",".join(owners.stores)
     if owners.learners:
         addresses += ";" + ",".join(owners.learners)
@@ -86,24 +87,24 @@
 
 
 def owners_of(*, partition: int, roles: Mapping[str, typing.Sequence]) -> PartitionOwners:
-    """Reads a partition's arrangement from the register of singleton roles."""
+    """Returns the owners of a partition from the register of singleton roles."""
     return unpack_owners(roles.get(role_name(partition), (0, "", "")))
 
 
 def unpack_owners(row: typing.Sequence) -> PartitionOwners:
-    """Reads the row of an arrangement."""
+    """Parses the stored form of a partition's owners."""
     epoch, addresses, identities = row
     member_text, _semicolon, learner_text = addresses.partition(";")
     process, _semicolon, disk_text = identities.partition(";")
-    stores = _parts(member_text)
+    stores = _split(member_text)
     disks = disk_text.split(",") if disk_text else [UNKNOWN_DISK] * len(stores)
-    return PartitionOwners(epoch, tuple(map(Member, stores, disks)), tuple(_parts(learner_text)), process)
+    return PartitionOwners(epoch, tuple(map(Member, stores, disks)), tuple(_split(learner_text)), process)
 
 
-def _parts(text: str) -> list[str]:
+def _split(text: str) -> list[str]:
     return text.split(",") if text else []
 
 
 def is_same_disk(member: Member, disk: str) -> bool:
-    """Whether a store's disk is the one that the arrangement names."""
+    """Whether `disk` is the disk of the member, or the member's disk is unknown."""
     return member.disk in (disk, UNKNOWN_DISK)
--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -1,14 +1,14 @@
-"""The log of a node: JSON lines on standard error, few of them, and what came before an error.
+"""Log of a node: JSON lines on standard error, with the events that preceded an error.
 
-Modules log by `logging.getLogger(__name__)`. The message is the event's name (`noun_verb`), what it is about stands in
-`extra`. The level says when the event is written:
+Modules log with `logging.getLogger(__name__)`. The message is the name of the event (`noun_verb`), its fields are in
+`extra`. The level determines when an event is written:
 
-* DEBUG: kept in memory. An error writes the newest of them, so that its line comes with what led to it.
-* INFO: written at once (steps of a roll-out).
-* ERROR: written at once, followed by the events in memory.
+* DEBUG: buffered in memory. An error writes the newest buffered events, so that the log shows what led to it.
+* INFO: written immediately (steps of a roll-out).
+* ERROR: written immediately, followed by the buffered events.
 
-Programs that do not call `start` (tests, simulations, operators' tools) keep and write none of the events below ERROR.
-docs/operations.md, "Log events", lists each event with its fields and what to do about it.
+Programs that do not call `start` (tests, simulations, tools) neither buffer nor write events below ERROR.
+docs/operations.md, "Log events", lists each event with its fields and the recommended action.
 """
 
 import collections
@@ -17,21 +17,23 @@
 import time
 from collections.abc import Callable
 
-BUFFERED_EVENTS = 200  # a few screens of lines
-DUMP_INTERVAL_S = 5.0  # between two dumps of the memory: errors may come by the thousand, their cause comes once
+BUFFERED_EVENTS = 200  # a few screens of text
+DUMP_INTERVAL_S = (
+    5.0  # between two dumps of the buffer: thousands of errors may follow each other, but their cause occurs once
+)
 
 _LOGGER_NAME = "ploverward"
 
 
 def start(*, node: str, role: str, is_verbose: bool = False) -> None:
-    """Has the events of this process written to standard error; called once, by a node that starts.
+    """Starts logging of this process to standard error; called once when a node starts.
 
     Args:
-        node: The node's name in the settings; each line carries it.
-        role: `core` or `proxy`; each line carries it.
-        is_verbose: Writes events of level DEBUG at once, too.
+        node: Name of the node in the settings; part of each line.
+        role: `core` or `proxy`; part of each line.
+        is_verbose: Whether to write DEBUG events immediately, too.
     """
-    from ploverward.common import log_formatter  # only programs that write need the formatter
+    from ploverward.common import log_formatter  # only programs that write the log load the formatter
 
     _drop_unused_record_fields()
     stream = logging.StreamHandler(sys.stderr)
@@ -43,28 +45,28 @@
 
 
 def _drop_unused_record_fields() -> None:
-    """Makes records cheaper by what no line shows, as the logging HOWTO's chapter on optimization describes.
+    """Omits record fields that are never written, as described under "Optimization" in Python's logging HOWTO.
 
-    Requests that go well log nothing, each failed attempt logs an event. Kept in memory it costs about 2.2 microseconds
-    (timeit, Python 3.11); with these fields it was about 3.5.
+    Successful requests log nothing, but each failed attempt logs an event. Buffering one takes about 2.2 microseconds;
+    with these fields it takes about 3.5 (Python 3.11).
     """
-    logging._srcfile = None  # type: ignore[attr-defined]  # the caller's file and line: a walk up the stack
+    logging._srcfile = None  # type: ignore[attr-defined]  # the caller's file and line; finding them walks the stack
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
 
 
 class EventBuffer(logging.Handler):
-    """Keeps the newest events that are not written at once, and writes them after an error.
+    """Buffers the newest events of low level, and writes them after an error.
 
-    Like `logging.handlers.MemoryHandler`, but it drops its oldest events when it is full, writes an error at once, and
-    leaves its events unwritten at the end of the process.
+    Like `logging.handlers.MemoryHandler`, but a full buffer drops its oldest events, an error is written immediately,
+    and buffered events are discarded at the end of the process.
 
     Args:
-        target: Writes the events.
-        write_level: Events of this level and above are written at once and not kept.
-        capacity: How many events are kept.
-        now: A clock that only grows, in seconds.
+        target: Handler that writes the events.
+        write_level: Events of this level and above are written immediately and not buffered.
+        capacity: Maximum number of buffered events.
+        now: Returns the time of a monotonic clock, in seconds.
     """
 
     def __init__(
@@ -83,7 +85,7 @@
         self._dumped_at = -DUMP_INTERVAL_S
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes or keeps an event; after an error all that is kept is written, at most every `DUMP_INTERVAL_S`."""
+        """Writes or buffers an event; an error also writes the buffer, at most once per `DUMP_INTERVAL_S`."""
         if record.levelno < self._write_level:
             record.at = self._now()
             self._records.append(record)
--- a/ploverward/common/failure_spell.py
+++ b/ploverward/common/failure_spell.py
@@ -1,4 +1,4 @@
-"""A spell of failures of one thing, logged once at its begin and once at its end, however many there are in between."""
+"""Logs a series of consecutive failures twice, at its start and at its end, however many failures are in between."""
 
 import logging
 from collections.abc import Callable
@@ -7,12 +7,12 @@
 
 
 class FailureSpell:
-    """Notes failures and successes.
+    """Tracks whether an operation is failing, and logs the changes.
 
     Args:
-        now: The clock, in seconds.
-        failed_event: Name of the event at the begin; it has the field `fault`.
-        recovered_event: Name of the event at the end; it has the field `failing_s`.
+        now: Returns the time of a monotonic clock, in seconds.
+        failed_event: Name of the event logged at the first failure, with the field `fault`.
+        recovered_event: Name of the event logged at the first success after it, with the field `failing_s`.
     """
 
     def __init__(self, *, now: Callable[[], float], failed_event: str, recovered_event: str) -> None:
@@ -23,17 +23,17 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the newest attempt failed."""
+        """Whether the last attempt failed."""
         return self._since is not None
 
     def note_failure(self, error: BaseException) -> None:
-        """An attempt failed."""
+        """Records that an attempt failed."""
         if self._since is None:
             self._since = self._now()
             _log.error(self._failed_event, extra={"fault": str(error)})
 
     def note_success(self) -> None:
-        """An attempt succeeded."""
+        """Records that an attempt succeeded."""
         if self._since is not None:
             _log.info(self._recovered_event, extra={"failing_s": round(self._now() - self._since, 1)})
             self._since = None
--- a/ploverward/common/identifiers.py
+++ b/ploverward/common/identifiers.py
@@ -1,13 +1,13 @@
-"""Identifiers that several parts of the system share: ballots and versions of what is distributed.
+"""Identifiers shared by several parts of the system: ballots, and versions of distributed topics.
 
-Both are named tuples: they compare by their fields in order, which is the order that the protocols define.
+Both are named tuples, which compare by their fields in order; this is the order that the protocols define.
 """
 
 import typing
 
 
 class Ballot(typing.NamedTuple):
-    """A proposal number of the consensus registers (docs/register.md 1). Ballots are totally ordered."""
+    """Proposal number of the consensus registers (docs/register.md 1). Ballots are totally ordered."""
 
     number: int
     proposer: str  # breaks ties between proposers that chose the same number
@@ -17,9 +17,9 @@
 
 
 class Version(typing.NamedTuple):
-    """A version of a distributed topic (docs/scale.md 2). Versions only rise."""
+    """Version of a distributed topic (docs/scale.md 2). The versions of a topic only increase."""
 
-    epoch: int  # of the publisher that may write the topic; 0 for consensus registers
+    epoch: int  # epoch of the publisher that may write the topic; 0 for consensus registers
     number: int
 
 
--- a/ploverward/common/log_formatter.py
+++ b/ploverward/common/log_formatter.py
@@ -1,21 +1,21 @@
-"""One JSON line an event; a module of its own as only nodes load the JSON formatter."""
+"""Formats each log event as a JSON line; a separate module because only nodes need to load the JSON formatter."""
 
 import logging
 from typing import Any
 
 from pythonjsonlogger import json as json_log
 
-# Attributes of a LogRecord that are not the event's own fields.
+# Attributes of a LogRecord that are not fields of the event.
 _RECORD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "at"}
 
 
 class EventFormatter(json_log.JsonFormatter):
-    """Writes time, level, the event's name as `message`, `node`, `role`, and the event's own fields under `seen`.
+    """Formats time, level, the event's name as `message`, `node`, `role`, and the event's fields under `seen`.
 
-    An event that was kept in memory has `at` as well: the node's monotonic clock, in seconds, when it was logged.
+    A buffered event also has `at`: the time when it was logged, in seconds on the node's monotonic clock.
 
     Args:
-        node: The node's name.
+        node: Name of the node.
         role: `core` or `proxy`.
     """
 
@@ -23,7 +23,7 @@
         super().__init__("%(asctime)s %(levelname)s %(message)s", static_fields={"node": node, "role": role})
 
     def add_fields(self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]) -> None:
-        """Puts the event's own fields under one key, so that none can hide a field of the line."""
+        """Puts the event's fields under one key, so that none of them can overwrite a field of the line."""
         super().add_fields(log_data, record, message_dict)
         seen = {name: value for name, value in vars(record).items() if name not in _RECORD_ATTRIBUTES}
         for name in seen:
--- a/ploverward/common/rollout_evidence.py
+++ b/ploverward/common/rollout_evidence.py
@@ -1,7 +1,7 @@
-"""What proxies count of a roll-out, and how it travels to the core nodes (docs/rollouts.md 4).
+"""Evidence of a roll-out that proxies collect, and its encoding in reports to core nodes (docs/rollouts.md 4).
 
-Counts are cumulative for one incarnation of a proxy and one order, so a report that is lost or comes twice changes
-nothing. Times are counted in buckets of the ratio between what was measured and what was expected.
+Counts are cumulative for one incarnation of a proxy and one order, so lost and repeated reports do no harm. Times are
+counted in histogram buckets by the ratio of the measured to the expected time.
 """
 
 import collections
@@ -13,23 +13,23 @@
 
 from ploverward.common import errors
 
-GROUPS = 8  # replicas of the new version are told apart by so many groups
-BUCKETS_PER_DOUBLING = 3  # each bucket's ratio is the third root of two times the one before
+GROUPS = 8  # groups of replicas of the new version that are counted separately
+BUCKETS_PER_DOUBLING = 3  # the ratio of each bucket is that of the previous one times the cube root of 2
 BUCKETS = 48  # up to a ratio of 2 ** 13
 UNIT_BUCKET = 8  # the bucket of a ratio of one
-UNIT_S = 0.01  # a ratio of one, of a pause between chunks and of a first chunk beyond what was expected
-MAX_REPORT_BYTES = 1024 * 1024  # unpacked; what a peer sends must not fill the memory
+UNIT_S = 0.01  # ratio of one for the interval between chunks, and for the excess time to the first chunk
+MAX_REPORT_BYTES = 1024 * 1024  # after decompression; limits the memory that a report from a peer can take
 
-Histogram = collections.Counter[int]  # bucket: count
+Histogram = collections.Counter[int]  # count by bucket
 
 
 def group_of(key: bytes) -> int:
-    """Returns the group of a replica, by its key (ploverward/transport/row_codec.py)."""
+    """Returns the group of a replica from its key (ploverward/transport/row_codec.py)."""
     return key[0] % GROUPS
 
 
 def bucket_of(ratio: float) -> int:
-    """Returns the bucket of a time, given as a multiple of what was expected."""
+    """Returns the histogram bucket of a time, given as a multiple of the expected time."""
     if ratio <= 0:
         return 0
     return max(0, min(BUCKETS - 1, round(BUCKETS_PER_DOUBLING * math.log2(ratio)) + UNIT_BUCKET))
@@ -37,14 +37,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """Answers of one kind of request by one version.
+    """Counts of the responses of one group of replicas for one route.
 
     Attributes:
-        ended: Answers that ended, well or not.
-        failed: Of these, with a status of 500 and more.
-        broken: Answers that broke off before their end.
-        first_chunk_times: Times to the first chunk, by bucket.
-        chunk_intervals: Pauses between chunks, by bucket.
+        ended: Responses that ended, successfully or not.
+        failed: Those of `ended` with a status of 500 or above.
+        broken: Those of `ended` that were interrupted.
+        first_chunk_times: Histogram of the time to the first chunk.
+        chunk_intervals: Histogram of the interval between chunks.
     """
 
     ended: int = 0
@@ -66,7 +66,7 @@
                 own[bucket] += sign * count
 
     def copy(self) -> "Tally":
-        """Returns a tally with the same counts that changes by itself."""
+        """Returns an independent copy."""
         new = Tally()
         new.add(self)
         return new
@@ -74,12 +74,12 @@
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
 class TallyKey:
-    """Whose answers a tally counts.
+    """Identifies the responses that a tally counts.
 
     Attributes:
-        route: The route's name.
-        is_new: Whether the roll-out's target answered, or a former version.
-        group: The replica's group; 0 of former versions.
+        route: Name of the route.
+        is_new: Whether the responses are of the roll-out's target version or of a former version.
+        group: Group of the replicas; 0 for former versions.
     """
 
     route: str
@@ -89,17 +89,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What one incarnation of a proxy counted since one order.
+    """Cumulative evidence of one incarnation of a proxy since an order.
 
     Attributes:
-        service: The service that is rolled out.
-        number: The order's number.
+        service: The service of the roll-out.
+        number: Number of the order.
         step: The step of the roll-out that the proxy applies.
         age_s: Seconds since the order, by the proxy's clock.
         sent: Requests that arrived for the service since the order.
-        sent_new: Of these, sent to the new version.
+        sent_new: Those of `sent` that were sent to the new version.
         in_flight_old: Attempts in flight at replicas of other versions.
-        tallies: The answers.
+        tallies: Counts of the responses.
     """
 
     service: str
@@ -113,7 +113,7 @@
 
 
 def pack(reports: Iterable[Report]) -> bytes:
-    """Packs reports as compressed JSON; rows rather than objects, as the names would be most of it."""
+    """Encodes reports as compressed JSON; rows instead of objects, as field names would be most of the size."""
     rows = [
         [
             report.service,
@@ -136,19 +136,19 @@
 
 
 def unpack(data: bytes) -> list[Report]:
-    """Unpacks what `pack` packed.
+    """Decodes the reports that `pack` encoded.
 
     Raises:
-        FrameError: The bytes are no reports.
+        FrameError: The bytes are not encoded reports.
     """
     try:
         text = zlib.decompressobj().decompress(data, MAX_REPORT_BYTES)
-        return [_report(row) for row in json.loads(text)]
+        return [_parse_report(row) for row in json.loads(text)]
     except (zlib.error, ValueError, TypeError, IndexError) as error:
-        raise errors.FrameError(f"no evidence: {error}", step="evidence") from None
+        raise errors.FrameError(f"malformed roll-out reports: {error}", step="evidence") from None
 
 
-def _report(row: list) -> Report:
+def _parse_report(row: list) -> Report:
     service, number, step, age_s, sent, sent_new, in_flight_old, rows = row
     tallies = {}
     for route, is_new, group, ended, failed, broken, first_chunk_times, chunk_intervals in rows:
--- a/ploverward/common/tenant_usage.py
+++ b/ploverward/common/tenant_usage.py
@@ -1,7 +1,7 @@
-"""Tenants on the wire between nodes: names and keys by digest, counts and credits as fixed rows.
+"""Encoding of tenants between nodes: names as digests, usage counts and credits as rows of fixed size.
 
-Invariant: neither a key, nor anything that it could be computed from, travels between nodes (docs/keys.md). Counts and
-credits are explained in docs/quotas.md.
+Invariant: neither keys nor data from which a key could be computed are sent between nodes (docs/keys.md). Usage counts
+and credits are explained in docs/quotas.md.
 """
 
 import dataclasses
@@ -14,21 +14,21 @@
 
 from ploverward.transport import row_codec
 
-NAME_DIGEST_BYTES = 8  # among 100,000 names two share a digest once in four billion configurations
-DIGEST_CACHE_NAMES = 8192  # an evicted name is only hashed again
+NAME_DIGEST_BYTES = 8  # with 100,000 names, one configuration in four billion has two names with the same digest
+DIGEST_CACHE_NAMES = 8192  # names evicted from the cache are hashed again
 USAGE = struct.Struct(">8sHI")  # tenant, demand, admitted
 CREDIT = struct.Struct(">8sf")  # tenant, tokens
-MAX_DEMAND = 0xFFFF  # what the row's field can say; more demand than that counts as this
+MAX_DEMAND = 0xFFFF  # largest value of the row's field; higher demand is clamped to it
 
 
 @functools.lru_cache(maxsize=DIGEST_CACHE_NAMES)
 def tenant_key(name: str) -> bytes:
-    """Returns the eight bytes that stand for a tenant's name."""
+    """Returns the digest that identifies a tenant by name, eight bytes long."""
     return hashlib.blake2b(name.encode(), digest_size=NAME_DIGEST_BYTES).digest()
 
 
 def key_digest(key: str) -> str:
-    """Returns what tools show and keep in place of a tenant's key."""
+    """Returns the digest that tools show and store instead of a tenant's key."""
     return "digest:" + hashlib.blake2b(key.encode(), digest_size=NAME_DIGEST_BYTES).hexdigest()
 
 
@@ -37,8 +37,8 @@
     """A tenant's rate limit.
 
     Attributes:
-        per_s: Requests a second; 0: unlimited.
-        burst: Requests at once beyond that.
+        per_s: Requests per second; 0 if unlimited.
+        burst: Additional requests that may come at once.
     """
 
     per_s: float
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What one incarnation of a proxy counted of a tenant.
+    """Requests of a tenant that one incarnation of a proxy counted.
 
     Attributes:
-        tenant: The tenant's digest (`tenant_key`).
-        demand: Requests seen since its last report.
-        admitted: Requests admitted since it started; a report that is lost or repeated changes nothing.
+        tenant: Digest of the tenant (`tenant_key`).
+        demand: Requests received since the last report of the proxy.
+        admitted: Requests admitted since the proxy started; cumulative, so lost and repeated reports do no harm.
     """
 
     tenant: bytes
@@ -62,11 +62,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Credit:
-    """What a proxy may admit of a tenant that is close to its limit.
+    """Requests that a proxy may admit of a tenant that is close to its rate limit.
 
     Attributes:
-        tenant: The tenant's digest (`tenant_key`).
-        tokens: Requests.
+        tenant: Digest of the tenant (`tenant_key`).
+        tokens: Number of requests.
     """
 
     tenant: bytes
@@ -74,38 +74,38 @@
 
 
 def pack_usage(rows: Iterable[Usage]) -> bytes:
-    """Packs usage rows for a report of a proxy."""
+    """Encodes usage rows for a report of a proxy."""
     return b"".join(USAGE.pack(row.tenant, min(MAX_DEMAND, row.demand), row.admitted) for row in rows)
 
 
 def unpack_usage(data: bytes) -> list[Usage]:
-    """Unpacks what `pack_usage` packed.
+    """Decodes rows that `pack_usage` encoded.
 
     Raises:
-        FrameError: The bytes are no rows.
+        FrameError: The bytes are not a sequence of rows.
     """
     return [Usage(*row) for row in row_codec.rows(shape=USAGE, data=data)]
 
 
 def pack_credits(rows: Iterable[Credit]) -> bytes:
-    """Packs credit rows for a quota status of a core node."""
+    """Encodes credit rows for a quota status of a core node."""
     return b"".join(CREDIT.pack(row.tenant, row.tokens) for row in rows)
 
 
 def unpack_credits(data: bytes) -> list[Credit]:
-    """Unpacks what `pack_credits` packed.
+    """Decodes rows that `pack_credits` encoded.
 
     Raises:
-        FrameError: The bytes are no rows.
+        FrameError: The bytes are not a sequence of rows.
     """
     return [Credit(*row) for row in row_codec.rows(shape=CREDIT, data=data)]
 
 
 def limits_of(body: Mapping[str, Any] | None) -> dict[bytes, Limit]:
-    """Returns the limit of each tenant that has one, by the tenant's digest.
+    """Returns the rate limit of each tenant that has one, by digest of the tenant.
 
     Args:
-        body: A configuration as operators send it; None where none is known.
+        body: A configuration in the form that operators send; None if none is known.
     """
     limits = {}
     for row in (body or {}).get("senders") or ():
--- a/ploverward/common/test_event_log.py
+++ b/ploverward/common/test_event_log.py
@@ -1,4 +1,4 @@
-"""What a node's log writes, and when."""
+"""Tests of the log of a node: which events are written, and when."""
 
 import io
 import json
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def logging_state(monkeypatch):
-    """Puts the process's log back as it was."""
+    """Restores the logging configuration of the process after a test."""
     for name in ("_srcfile", "logThreads", "logProcesses", "logMultiprocessing"):
         monkeypatch.setattr(logging, name, getattr(logging, name))
     log = logging.getLogger("ploverward")
--- a/ploverward/common/test_failure_spell.py
+++ b/ploverward/common/test_failure_spell.py
@@ -1,4 +1,4 @@
-"""A spell of failures is logged at its begin and at its end."""
+"""Tests of logging series of failures."""
 
 import logging
 
@@ -7,13 +7,13 @@
 
 def test_failure_spell_is_logged_only_at_start_and_end(caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
-    time = [10.0]
-    spell = failure_spell.FailureSpell(now=lambda: time[0], failed_event="went_wrong", recovered_event="went_well")
+    clock = [10.0]
+    spell = failure_spell.FailureSpell(now=lambda: clock[0], failed_event="went_wrong", recovered_event="went_well")
     spell.note_success()
     assert not spell.is_failing and not caplog.records
     for _number in range(3):
         spell.note_failure(OSError("no space"))
-        time[0] += 1.5
+        clock[0] += 1.5
     assert spell.is_failing
     spell.note_success()
     spell.note_success()
