--- a/ploverward/transport/test_http_server.py
+++ b/ploverward/transport/test_http_server.py
@@ -27,8 +27,8 @@
         )
         self.client = loopback.Client(loop=self.loop, address=self.server.address)
 
-    def until(self, is_so) -> bool:
-        return loopback.until(self.loop, is_so)
+    def until(self, condition) -> bool:
+        return loopback.until(self.loop, condition)
 
     def connection(self):
         assert self.until(lambda: self.server.connections)
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -31,8 +31,8 @@
             peer_timeout_s=PEER_TIMEOUT_S,
         )
 
-    def until(self, is_so) -> bool:
-        return loopback.until(self.loop, is_so)
+    def until(self, condition) -> bool:
+        return loopback.until(self.loop, condition)
 
     def until_up(self) -> bool:
         return self.until(lambda: self.connector.link is not None and self.connector.link.is_up)
