--- a/ploverward/command_line/test_golden_files.py
+++ b/ploverward/command_line/test_golden_files.py
@@ -33,12 +33,12 @@
 
 def read(text: str) -> dict:
     """What the program makes of a settings file."""
-    return json.loads(json.dumps(dataclasses.asdict(settings.check(text=text))))
+    return json.loads(json.dumps(dataclasses.asdict(settings.parse_settings(text=text))))
 
 
 def fault(text: str) -> str:
     with pytest.raises(errors.SettingsError) as raised:
-        settings.check(text=text)
+        settings.parse_settings(text=text)
     return str(raised.value)
 
 
@@ -58,7 +58,7 @@
     parse = settings.parse_lines
     settings.parse_lines = lambda *, text: Noting(parse(text=text))
     try:
-        made = settings.check(text=TEXT)
+        made = settings.parse_settings(text=TEXT)
         assert made.tolerated_machines == 2
     finally:
         settings.parse_lines = parse
--- a/ploverward/common/residency.py
+++ b/ploverward/common/residency.py
@@ -11,19 +11,19 @@
 Regions = frozenset[str]
 
 
-def permitted(*, homes: Collection[str], older: Iterable[Collection[str]] = ()) -> Regions | None:
+def permitted(*, homes: Collection[str], older_homes: Iterable[Collection[str]] = ()) -> Regions | None:
     """Returns the regions in which a request may be served.
 
     Args:
         homes: Home regions of the request's route in the current configuration; empty if it has none.
-        older: Home regions of the route in each configuration that may still be in use, or under which the request
-            arrived. The result is in the home regions of all of them, as a proxy can't know which configuration the
-            other nodes apply; configurations without home regions do not restrict it.
+        older_homes: Home regions of the route in each configuration that may still be in use, or under which the
+            request arrived. The result is in the home regions of all of them, as a proxy can't know which configuration
+            the other nodes apply; configurations without home regions do not restrict it.
 
     Returns:
         The permitted regions, or None if all are permitted. An empty set permits no region.
     """
-    restrictions = [frozenset(regions) for regions in (homes, *older) if regions]
+    restrictions = [frozenset(regions) for regions in (homes, *older_homes) if regions]
     if not restrictions:
         return None
     return frozenset.intersection(*restrictions)
--- a/ploverward/common/settings.py
+++ b/ploverward/common/settings.py
@@ -209,7 +209,7 @@
         return found
 
 
-def check(*, text: str) -> Settings:
+def parse_settings(*, text: str) -> Settings:
     """Parses and checks the text of a settings file.
 
     Raises:
@@ -270,7 +270,7 @@
             text = handle.read()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.SettingsError(f"{name}: {error}", step="settings") from None
-    return check(text=text)
+    return parse_settings(text=text)
 
 
 class FileWatch:
--- a/ploverward/common/test_residency.py
+++ b/ploverward/common/test_residency.py
@@ -8,13 +8,13 @@
 
 
 def test_permitted_intersects_home_regions_of_all_configurations():
-    assert residency.permitted(homes=("a", "b"), older=(("b", "c"),)) == {"b"}
-    assert residency.permitted(homes=(), older=(("b",),)) == {"b"}
-    assert residency.permitted(homes=("a",), older=((),)) == {"a"}
+    assert residency.permitted(homes=("a", "b"), older_homes=(("b", "c"),)) == {"b"}
+    assert residency.permitted(homes=(), older_homes=(("b",),)) == {"b"}
+    assert residency.permitted(homes=("a",), older_homes=((),)) == {"a"}
 
 
 def test_permitted_is_empty_for_disjoint_home_regions():
-    assert residency.permitted(homes=("a",), older=(("b",),)) == frozenset()
+    assert residency.permitted(homes=("a",), older_homes=(("b",),)) == frozenset()
 
 
 CONFIGURATION = {
--- a/ploverward/common/test_settings.py
+++ b/ploverward/common/test_settings.py
@@ -7,13 +7,13 @@
 from ploverward.simulation import loopback_proxy
 
 
-def test_check_ignores_unknown_fields_and_names_missing_ones():
-    found = settings.check(text=loopback_proxy.SETTINGS + "later.field=1\n")
+def test_parse_settings_ignores_unknown_fields_and_names_missing_ones():
+    found = settings.parse_settings(text=loopback_proxy.SETTINGS + "later.field=1\n")
     assert found.zones == {"za": "north", "zb": "south"} and found.bound_s(name="contactMs") == 4.0
     for name in ("node", "seedNodes", "bounds.contactMs", "innerPortRange"):
         text = "\n".join(line for line in loopback_proxy.SETTINGS.splitlines() if not line.startswith(name + "="))
         with pytest.raises(errors.SettingsError) as caught:
-            settings.check(text=text)
+            settings.parse_settings(text=text)
         assert name in str(caught.value)
 
 
@@ -23,7 +23,7 @@
 )
 def test_malformed_settings_raise_single_line_error(line):
     with pytest.raises(errors.SettingsError) as caught:
-        settings.check(text=loopback_proxy.SETTINGS + line + "\n")
+        settings.parse_settings(text=loopback_proxy.SETTINGS + line + "\n")
     assert "\n" not in str(caught.value)
 
 
--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -73,4 +73,4 @@
                     binding.append(former.by_tenant.get(tenant.name, ()))
         if tenant is not None:
             binding.append(tenant.homes)
-        return residency.permitted(homes=route.homes, older=tuple(binding))
+        return residency.permitted(homes=route.homes, older_homes=tuple(binding))
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -72,7 +72,7 @@
     if is_core:
         lines += [f"bindings.control={host}:{CONTROL_PORT}", f"bindings.directory={host}:{DIRECTORY_PORT}"]
         lines += ["dataDir=/data"]
-    return settings_files.check(text="\n".join(lines))
+    return settings_files.parse_settings(text="\n".join(lines))
 
 
 class Program(simulated_clock.Process):
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -55,7 +55,7 @@
 
 def settings(**changed: typing.Any) -> settings_files.Settings:  # noqa: ANN401  # of any field
     """Returns settings of a proxy, with some fields changed."""
-    return dataclasses.replace(settings_files.check(text=SETTINGS), **changed)
+    return dataclasses.replace(settings_files.parse_settings(text=SETTINGS), **changed)
 
 
 def route(name: str, lead: str, **more: object) -> dict[str, typing.Any]:
