--- a/ploverward/common/batch_partitions.py
+++ b/ploverward/common/batch_partitions.py
@@ -106,5 +106,5 @@
 
 
 def is_same_disk(member: Member, disk: str) -> bool:
-    """Whether `disk` is the disk of the member, or the member's disk is unknown."""
+    """Returns whether `disk` is the disk of the member, or the member's disk is unknown."""
     return member.disk in (disk, UNKNOWN_DISK)
--- a/ploverward/common/failure_spell.py
+++ b/ploverward/common/failure_spell.py
@@ -23,7 +23,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last attempt failed."""
+        """True if the last attempt failed."""
         return self._since is not None
 
     def note_failure(self, error: BaseException) -> None:
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -1,7 +1,7 @@
 """Single-threaded event loop: sockets, timers, commands from other threads (docs/design.md 2).
 
-All state of a process belongs to the loop's thread; other threads only queue commands, which are callbacks that the
-loop calls in its next step.
+All state of a process belongs to the loop's thread. Other threads only queue commands, which are callbacks that run on
+the loop's thread.
 
 A step waits for sockets until the next timer is due, then makes the calls in this order: ready sockets, commands, due
 timers, callbacks deferred to the end of the step. Sockets come first so that a process that was frozen reads the data
@@ -32,7 +32,7 @@
 WORKER_THREADS = 3
 _WAKE_READ_BYTES = 4096
 
-SocketCallback = Callable[[int], object]  # called with the ready events, a bit mask of `selectors` events
+SocketCallback = Callable[[int], object]  # called with the ready events, a bit mask as used by `selectors`
 
 
 class Timer:
@@ -87,10 +87,10 @@
         self._commands: collections.deque[Callback] = collections.deque()
         self._repetitions: dict[float, list[RepeatingCall]] = {}  # by interval in seconds
         self._end_of_step: collections.deque[Callback] = collections.deque()
-        self._wake_in, self._wake_out = os.pipe()
-        os.set_blocking(self._wake_in, False)
-        os.set_blocking(self._wake_out, False)
-        self._selector.register(self._wake_in, selectors.EVENT_READ, self._drain_wake)
+        self._wake_reader, self._wake_writer = os.pipe()
+        os.set_blocking(self._wake_reader, False)
+        os.set_blocking(self._wake_writer, False)
+        self._selector.register(self._wake_reader, selectors.EVENT_READ, self._drain_wake)
         self._pool: concurrent.futures.ThreadPoolExecutor | None = None
         self._is_running = True
         self._on_error = on_error
@@ -101,14 +101,14 @@
         return time.monotonic()
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Queues a callback for the next step; the only method that other threads and signal handlers may call."""
+        """Queues a callback as a command; the only method that other threads and signal handlers may call."""
         self._commands.append(callback)
         with contextlib.suppress(BlockingIOError, BrokenPipeError):  # a full pipe also wakes the loop
-            os.write(self._wake_out, b"w")
+            os.write(self._wake_writer, b"w")
 
     def _drain_wake(self, _mask: int) -> None:
         with contextlib.suppress(BlockingIOError):
-            os.read(self._wake_in, _WAKE_READ_BYTES)
+            os.read(self._wake_reader, _WAKE_READ_BYTES)
 
     def offload(self, *, work: Callable[[], Any], done: Callable[[concurrent.futures.Future], object]) -> None:
         """Runs `work` on a worker thread, then calls `done(future)` on the loop's thread."""
--- a/ploverward/transport/http_connection.py
+++ b/ploverward/transport/http_connection.py
@@ -98,11 +98,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is not closed."""
+        """True unless the connection is closed."""
         return self._state is not _CLOSED
 
     def is_idle(self) -> bool:
-        """Whether no request is being read or answered and the last response was sent completely."""
+        """Returns whether no request is being read or answered and the last response was sent completely."""
         return self._state is _IDLE and not self._out
 
     def queued(self) -> int:
@@ -112,7 +112,7 @@
     # Writing a response; called by `Request`.
 
     def is_answering(self, request: Request) -> bool:
-        """Whether `request` may still write its response: not once that has ended or the client has disconnected."""
+        """Returns whether `request` may still write: not after its response ended or the client disconnected."""
         return self._state is not _CLOSED and self._request is request
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
@@ -224,9 +224,8 @@
         if self._has_unread_bytes():
             self._set_timeout(delay=IDLE_RECHECK_S)  # this process is late, not the client
         elif self._out:
-            self._set_timeout(
-                delay=self._limits.idle_s
-            )  # TCP_USER_TIMEOUT ends a connection whose client stopped reading
+            # If the client has stopped reading, TCP_USER_TIMEOUT ends the connection.
+            self._set_timeout(delay=self._limits.idle_s)
         elif self._state in _READING:
             self._refuse(ClientRequestError(status=408))
         else:
--- a/ploverward/transport/http_request.py
+++ b/ploverward/transport/http_request.py
@@ -104,7 +104,7 @@
     """The part of a connection that a request uses to write its response."""
 
     def is_answering(self, request: "Request") -> bool:
-        """Whether `request` may still write its response."""
+        """Returns whether `request` may still write its response."""
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
         """Writes the head of the response."""
--- a/ploverward/transport/interfaces.py
+++ b/ploverward/transport/interfaces.py
@@ -43,7 +43,7 @@
         """Returns the time of a monotonic clock, in seconds."""
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Queues a callback for the next step; the only method that other threads and signal handlers may call."""
+        """Queues a callback to run soon; the only method that other threads and signal handlers may call."""
 
     def offload(self, *, work: Callable[[], object], done: Callable[[Outcome], object]) -> None:
         """Runs `work` on a worker thread, then calls `done(outcome)` on the loop's thread."""
@@ -90,11 +90,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is not closed."""
+        """True unless the connection is closed."""
 
     @property
     def is_up(self) -> bool:
-        """Whether the connection is established."""
+        """True if the connection is established."""
 
     def send(self, message: Message) -> None:
         """Sends a message; does nothing on a closed connection."""
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -168,12 +168,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is not closed."""
+        """True unless the connection is closed."""
         return self.state is not State.CLOSED
 
     @property
     def is_up(self) -> bool:
-        """Whether the connection is established; a half-open connection counts as established."""
+        """True if the connection is established, even if it is half-open."""
         return self.state is State.UP
 
     def queued(self) -> int:
