--- a/ploverward/control_plane/operator_api/router.py
+++ b/ploverward/control_plane/operator_api/router.py
@@ -98,7 +98,7 @@
 
     def set_disconnect_callback(self, callback: collections.abc.Callable[[], object]) -> None:
         """Sets the callback that runs if the caller disconnects before it is answered."""
-        self._request.on_gone = callback
+        self._request.on_disconnect = callback
 
     def answer_unavailable(self, *, reason: str) -> None:
         """Answers 503, which leaves the outcome open: the caller retries at this node or another one."""
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -357,7 +357,7 @@
 
     def _last_received_at(self, address: str) -> float | None:
         connection = self._sessions.core_connection(address)
-        return connection.heard_at if connection is not None and connection.has_heard else None
+        return connection.last_received_at if connection is not None and connection.has_received else None
 
     def _durability_view(self) -> add_waiters.DurabilityView:
         leaving = set(self._sessions.draining_core_addresses())
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: half-open ones, stopped peers, malformed frames, backoff."""
+"""Tests of connections between nodes: half-open ones, stopped peers, malformed frames, backoff."""
 
 import errno
 import logging
@@ -16,75 +16,75 @@
 
 
 class Scene:
-    """A scripted peer on loopback, and a connector to it."""
+    """A scripted peer on the loopback interface, and a connector to it."""
 
     def __init__(self, *, script=lambda _number, _heard: None):
         self.loop = loopback.new_loop()
         self.peer = loopback.Peer(loop=self.loop, script=script)
-        self.made, self.received, self.ends = [], [], []
+        self.connections, self.received, self.end_reasons = [], [], []
         self.connector = peer_connection.Connector(
             loop=self.loop,
             address=self.peer.address,
-            on_up=self.made.append,
+            on_up=self.connections.append,
             on_message=lambda _link, message: self.received.append(message),
-            on_end=lambda _link, reason: self.ends.append(reason),
+            on_end=lambda _link, reason: self.end_reasons.append(reason),
             peer_timeout_s=PEER_TIMEOUT_S,
         )
 
-    def until(self, is_so) -> bool:
-        return loopback.until(self.loop, is_so)
+    def until(self, condition) -> bool:
+        return loopback.until(self.loop, condition)
 
     def until_up(self) -> bool:
         return self.until(lambda: self.connector.link is not None and self.connector.link.is_up)
 
 
-def test_a_connection_is_connecting_then_up_then_closed():
+def test_connection_goes_from_connecting_to_up_to_closed():
     scene = Scene()
     link = scene.connector.link
     assert link.state is peer_connection.State.CONNECTING and link.is_open and not link.is_up
     assert scene.until_up()
     assert link.state is peer_connection.State.UP
     scene.connector.stop()
-    assert link.state is peer_connection.State.CLOSED and scene.ends == ["stopped"]
+    assert link.state is peer_connection.State.CLOSED and scene.end_reasons == ["stopped"]
     link.close(reason="again")
     link.send(KEEP_ALIVE)
-    assert scene.ends == ["stopped"] and scene.connector.link is None and link.queued() == 0
+    assert scene.end_reasons == ["stopped"] and scene.connector.link is None and link.queued() == 0
 
 
-def test_what_is_sent_while_connecting_is_sent_once_it_is_up():
+def test_message_sent_while_connecting_is_transmitted_once_up():
     scene = Scene()
     scene.connector.link.send(KEEP_ALIVE)
     assert scene.until(lambda: scene.peer.heard and scene.peer.heard[0] == frames.pack(KEEP_ALIVE))
 
 
-def test_a_peer_that_accepts_and_says_nothing_is_closed_as_silent_and_was_never_heard():
-    """A stopped process: its kernel accepts and acknowledges, so the connection is up, and shows nothing."""
+def test_connection_to_silent_peer_times_out_without_has_received():
+    """A stopped process does this: its kernel accepts and acknowledges, so the connection is up without any data."""
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
-    assert not link.has_heard
-    assert scene.until(lambda: scene.ends)
-    assert scene.ends == ["silent"] and not link.has_heard
+    assert not link.has_received
+    assert scene.until(lambda: scene.end_reasons)
+    assert scene.end_reasons == ["silent"] and not link.has_received
 
 
-def test_heartbeats_keep_a_connection_and_are_not_delivered():
+def test_heartbeats_keep_connection_open_and_are_not_delivered():
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
     end = scene.loop.now() + 2.5 * PEER_TIMEOUT_S
 
-    def beat():
+    def send_heartbeat():
         scene.peer.callback(0, (frames.pack(KEEP_ALIVE),))
-        scene.loop.after(delay=PEER_TIMEOUT_S / 4, callback=beat)
+        scene.loop.after(delay=PEER_TIMEOUT_S / 4, callback=send_heartbeat)
 
     assert scene.until(lambda: scene.peer.socks)
-    beat()
+    send_heartbeat()
     assert scene.until(lambda: scene.loop.now() > end)
-    assert scene.connector.link is link and link.has_heard and not scene.ends and not scene.received
+    assert scene.connector.link is link and link.has_received and not scene.end_reasons and not scene.received
 
 
 @pytest.mark.parametrize("data", [b"\xff\xff\xff\xff\x01", frames.pack(KEEP_ALIVE)[:4] + b"\xee\x00"])
-def test_bytes_that_are_no_frame_end_the_connection_and_another_is_made(data):
+def test_malformed_frame_closes_connection_and_connector_reconnects(data):
     sent = []
 
     def script(number, _heard):
@@ -95,11 +95,11 @@
 
     scene = Scene(script=script)
     scene.connector.link.send(KEEP_ALIVE)
-    assert scene.until(lambda: len(scene.made) == 2)
-    assert len(scene.ends) == 1 and "kind" in scene.ends[0]
+    assert scene.until(lambda: len(scene.connections) == 2)
+    assert len(scene.end_reasons) == 1 and "kind" in scene.end_reasons[0]
 
 
-def test_the_pause_grows_while_no_message_comes_and_stays_below_a_quarter_of_the_time_out(monkeypatch):
+def test_backoff_grows_without_messages_up_to_a_quarter_of_the_timeout(monkeypatch):
     pauses = []
     monkeypatch.setattr(peer_connection.random, "uniform", lambda _low, high: high)
     scene = Scene()
@@ -113,14 +113,14 @@
     monkeypatch.setattr(scene.loop, "after", recording_after)
     for _attempt in range(7):
         assert scene.until_up()
-        ended = len(scene.ends)
+        ended = len(scene.end_reasons)
         scene.connector.link.close(reason="refused")
-        assert len(scene.ends) == ended + 1
+        assert len(scene.end_reasons) == ended + 1
     assert pauses == sorted(pauses) and pauses[0] < pauses[1]
     assert pauses[-1] == pytest.approx(PEER_TIMEOUT_S * peer_connection.MAX_BACKOFF_SHARE)
 
 
-def test_a_peer_that_does_not_read_is_closed_before_it_fills_the_memory():
+def test_full_send_buffer_closes_connection():
     scene = Scene()
     assert scene.until_up()
     link = scene.connector.link
@@ -130,11 +130,11 @@
     link.send_bytes(chunk)
     assert link.is_open and link.queued() == peer_connection.MAX_SEND_BUFFER_BYTES
     link.send_bytes(b"x")
-    assert scene.ends == ["peer does not read"]
+    assert scene.end_reasons == ["peer does not read"]
 
 
 class _FullSocket:
-    """A socket whose send buffer is full."""
+    """Wrapper of a socket whose send buffer is full."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -146,8 +146,8 @@
         return getattr(self._sock, name)
 
 
-class ExhaustedSocket:
-    """A listening socket of a process that has no file descriptors for a while."""
+class FakeListeningSocket:
+    """Fake listening socket whose `accept` returns or raises the given outcomes in turn."""
 
     def __init__(self, *, outcomes):
         self.outcomes = list(outcomes)
@@ -159,12 +159,12 @@
         return outcome, ("127.0.0.1", 1)
 
 
-def test_failures_to_accept_are_logged_once_and_so_is_their_end(caplog):
+def test_accept_failures_are_logged_once_and_recovery_once(caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
     exhausted = OSError(errno.EMFILE, "Too many open files")
     clock = [5.0]
     with socket.socket() as accepted:
-        sock = ExhaustedSocket(outcomes=[exhausted, exhausted, exhausted, accepted, BlockingIOError()])
+        sock = FakeListeningSocket(outcomes=[exhausted, exhausted, exhausted, accepted, BlockingIOError()])
         sockets = []
         acceptor = peer_connection.ConnectionAcceptor(
             sock=sock, now=lambda: clock[0], on_accepted=lambda one, _address: sockets.append(one)
