--- a/ploverward/control_plane/cluster/owner_witnesses.py
+++ b/ploverward/control_plane/cluster/owner_witnesses.py
@@ -79,17 +79,17 @@
 
     def _does_not_hear(self, witness: str) -> bool:
         now = self._now()
-        replied_at, is_heard = self._replies.get(witness, (float("-inf"), False))
+        replied_at, is_live = self._replies.get(witness, (float("-inf"), False))
         if now - replied_at <= self._reply_ttl_s:
-            return not is_heard
+            return not is_live
         return now - self._queried_since >= self._reply_timeout_s
 
     def _handle_request(self, connection: interfaces.Connection, message: messages.WitnessRequest) -> None:
         if self._sessions.core_address_of(connection):
-            is_heard = self._sessions.is_core_live(message.address)
-            connection.send(messages.WitnessReply(address=message.address, is_heard=is_heard))
+            is_live = self._sessions.is_core_live(message.address)
+            connection.send(messages.WitnessReply(address=message.address, is_live=is_live))
 
     def _handle_reply(self, connection: interfaces.Connection, message: messages.WitnessReply) -> None:
         witness = self._sessions.core_address_of(connection)
         if witness and message.address == self._owner:
-            self._replies[witness] = (self._now(), message.is_heard)
+            self._replies[witness] = (self._now(), message.is_live)
--- a/ploverward/control_plane/cluster/partition_placement.py
+++ b/ploverward/control_plane/cluster/partition_placement.py
@@ -289,13 +289,13 @@
 ) -> PartitionOwners | None:
     """Turns learners that the primary reports as level into members."""
     report = view.reports.get(number)
-    rows = report.level if report is not None else ()
-    level = [Member(*row) for row in rows if row.address in owners.learners and view.is_present(Member(*row))]
-    if not level:
+    rows = report.caught_up if report is not None else ()
+    caught_up = [Member(*row) for row in rows if row.address in owners.learners and view.is_present(Member(*row))]
+    if not caught_up:
         return None
-    addresses = {member.address for member in level}
+    addresses = {member.address for member in caught_up}
     learners = tuple(address for address in owners.learners if address not in addresses)
-    return owners._replace(members=(*owners.members, *level), learners=learners)
+    return owners._replace(members=(*owners.members, *caught_up), learners=learners)
 
 
 def _remove_surplus_member(
--- a/ploverward/control_plane/cluster/test_owner_witnesses.py
+++ b/ploverward/control_plane/cluster/test_owner_witnesses.py
@@ -26,9 +26,9 @@
     def is_core_live(self, address):
         return address in self.live
 
-    def reply(self, witness, *, is_heard, address="a"):
+    def reply(self, witness, *, is_live, address="a"):
         handler = self.witnesses.handlers()[messages.WitnessReply]
-        handler(witness, messages.WitnessReply(address=address, is_heard=is_heard))
+        handler(witness, messages.WitnessReply(address=address, is_live=is_live))
 
     def is_unreachable(self, owner="a", members=MEMBERS):
         return self.witnesses.is_unreachable_from_majority(owner=owner, members=members)
@@ -38,9 +38,9 @@
     fixture = WitnessFixture()
     fixture.witnesses.query_peers("a")
     assert fixture.sent == [messages.WitnessRequest(address="a")] and not fixture.is_unreachable()
-    fixture.reply("c", is_heard=False)
+    fixture.reply("c", is_live=False)
     assert not fixture.is_unreachable()
-    fixture.reply("d", is_heard=False)
+    fixture.reply("d", is_live=False)
     assert fixture.is_unreachable()
 
 
@@ -49,7 +49,7 @@
     for _number in range(20):
         fixture.witnesses.query_peers("a")
         for witness in ("c", "d", "e"):
-            fixture.reply(witness, is_heard=True)
+            fixture.reply(witness, is_live=True)
         assert not fixture.is_unreachable()
         fixture.time += 0.4
 
@@ -57,9 +57,9 @@
 def test_with_three_members_the_one_other_witness_decides():
     fixture = WitnessFixture()
     fixture.witnesses.query_peers("a")
-    fixture.reply("c", is_heard=True)
+    fixture.reply("c", is_live=True)
     assert not fixture.is_unreachable(members=("a", "b", "c"))
-    fixture.reply("c", is_heard=False)
+    fixture.reply("c", is_live=False)
     assert fixture.is_unreachable(members=("a", "b", "c"))
 
 
@@ -76,10 +76,10 @@
     fixture = WitnessFixture()
     fixture.witnesses.query_peers("a")
     for witness in ("c", "d", "e"):
-        fixture.reply(witness, is_heard=False, address="z")
+        fixture.reply(witness, is_live=False, address="z")
     assert not fixture.is_unreachable()
     for witness in ("c", "d", "e"):
-        fixture.reply(witness, is_heard=False)
+        fixture.reply(witness, is_live=False)
     assert fixture.is_unreachable() and not fixture.is_unreachable(owner="z")
     fixture.witnesses.clear_owner()
     assert not fixture.is_unreachable()
@@ -100,4 +100,4 @@
     handler = fixture.witnesses.handlers()[messages.WitnessRequest]
     handler(connection, messages.WitnessRequest(address="d"))
     handler(connection, messages.WitnessRequest(address="a"))
-    assert [reply.is_heard for reply in connection.sent] == [True, False]
+    assert [reply.is_live for reply in connection.sent] == [True, False]
--- a/ploverward/control_plane/cluster/test_partition_placement.py
+++ b/ploverward/control_plane/cluster/test_partition_placement.py
@@ -57,8 +57,8 @@
     )
 
 
-def report(level=(), lost=(), epoch=3):
-    rows = tuple(batch_messages.LevelCopy(address, f"disk-{address}") for address in level)
+def report(caught_up=(), lost=(), epoch=3):
+    rows = tuple(batch_messages.CaughtUpCopy(address, f"disk-{address}") for address in caught_up)
     return {NUMBER: batch_messages.CopyReport(NUMBER, epoch, rows, tuple(map(batch_messages.LostCopy, lost)))}
 
 
@@ -183,13 +183,13 @@
 
 # Learners.
 def test_learner_reported_as_level_becomes_member():
-    changed = next_arrangement(owners(A, B, learners=[C]), reports=report(level=[C]))
+    changed = next_arrangement(owners(A, B, learners=[C]), reports=report(caught_up=[C]))
     assert (changed.members, changed.learners) == (tuple(map(member, (A, B, C))), ())
 
 
 def test_learner_with_new_disk_since_report_stays_learner():
     emptied = store(C, disk="another")
-    assert next_arrangement(owners(A, B, learners=[C]), reports=report(level=[C]), changed=[emptied]) is None
+    assert next_arrangement(owners(A, B, learners=[C]), reports=report(caught_up=[C]), changed=[emptied]) is None
 
 
 def test_missing_copy_gets_learner_in_another_zone():
@@ -214,7 +214,7 @@
     changed = next_arrangement(owners(A, B, C), changed=leaving)
     assert changed.stores == (A, B, C) and len(changed.learners) == 1 and A not in changed.learners
     (learner,) = changed.learners
-    changed = next_arrangement(changed._replace(epoch=3), changed=leaving, reports=report(level=[learner]))
+    changed = next_arrangement(changed._replace(epoch=3), changed=leaving, reports=report(caught_up=[learner]))
     assert changed.stores == (A, B, C, learner)
     changed = next_arrangement(changed, changed=leaving)
     assert len(changed.stores) == 3 and A not in changed.stores and changed.process == f"process-{changed.primary}"
@@ -241,9 +241,9 @@
         for name, row in rows.items():
             number = int(name.partition("/")[2])
             changed = batch_partitions.unpack_owners(row)
-            level = tuple(map(member, changed.learners))
-            arrangements[number] = changed._replace(members=(*changed.members, *level), learners=())
-            moved += len(level)
+            caught_up = tuple(map(member, changed.learners))
+            arrangements[number] = changed._replace(members=(*changed.members, *caught_up), learners=())
+            moved += len(caught_up)
     counts = collections.Counter(address for row in arrangements.values() for address in row.stores)
     assert moved and not rows and max(counts.values()) - min(counts[address] for address in ADDRESSES) <= 4
     assert all(len(row.stores) == 3 for row in arrangements.values())
--- a/ploverward/control_plane/rollouts/lease_granter.py
+++ b/ploverward/control_plane/rollouts/lease_granter.py
@@ -62,5 +62,5 @@
             is_load_test=is_load_test,
         )
         if is_load_test and chosen:
-            trial.start_load_test(group=rollout_evidence.group_of(row_codec.key_of(chosen[0])))
+            trial.start_load_test(group=rollout_evidence.group_of(row_codec.replica_key(chosen[0])))
         return chosen
--- a/ploverward/control_plane/rollouts/replica_inventory.py
+++ b/ploverward/control_plane/rollouts/replica_inventory.py
@@ -30,7 +30,7 @@
     @property
     def group(self) -> int:
         """The group in which the judge counts its answers."""
-        return rollout_evidence.group_of(row_codec.key_of(self.id))
+        return rollout_evidence.group_of(row_codec.replica_key(self.id))
 
 
 class ReplicaInventory:
--- a/ploverward/control_plane/rollouts/test_planner.py
+++ b/ploverward/control_plane/rollouts/test_planner.py
@@ -199,9 +199,9 @@
 def test_choose_avoids_a_group_that_has_shown_faults():
     rows = rollout_samples.listed_rows()
     first = canary_replicas.choose(replicas=replicas_of(rows), share=0.02, bad_groups=())
-    group = rollout_evidence.group_of(row_codec.key_of(first[0]))
+    group = rollout_evidence.group_of(row_codec.replica_key(first[0]))
     second = canary_replicas.choose(replicas=replicas_of(rows), share=0.02, bad_groups={group})
-    assert len(first) == len(second) == 1 and rollout_evidence.group_of(row_codec.key_of(second[0])) != group
+    assert len(first) == len(second) == 1 and rollout_evidence.group_of(row_codec.replica_key(second[0])) != group
 
 
 def test_has_capacity_requires_warm_replicas_in_each_region():
--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -60,7 +60,7 @@
 
     def __init__(self, *, row: Mapping[str, typing.Any], endpoint: tuple[str, int], region: str, now: float) -> None:
         self.id: str = row["id"]
-        self.key = row_codec.key_of(row["id"])
+        self.key = row_codec.replica_key(row["id"])
         self.service: str = row["service"]
         self.endpoint = endpoint
         self.zone: str = row["zone"]
--- a/ploverward/data_plane/load_balancing/test_replica_subset.py
+++ b/ploverward/data_plane/load_balancing/test_replica_subset.py
@@ -119,7 +119,7 @@
     region = mirror.RegionMirror(now=loop.now, trust_s=5.0)
     pool = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
     filled = cuckoo_filter.Filter(bucket_count=64, words=cuckoo_filter.WIDE)
-    tag = row_codec.key_of(outside)[: cuckoo_filter.TAG_SIZE]
+    tag = row_codec.replica_key(outside)[: cuckoo_filter.TAG_SIZE]
     filled.put(full_hash=CHAIN[0][0], bits=cuckoo_filter.wide_value(count=1, tags=[tag]))
     pool.words, pool.buckets, pool.versions = cuckoo_filter.WIDE, [filled.image(index) for index in range(64)], [0] * 64
     region.pools["p"] = pool
--- a/ploverward/data_plane/load_reports/aggregates.py
+++ b/ploverward/data_plane/load_reports/aggregates.py
@@ -86,14 +86,14 @@
             del self.totals[key]
         outcomes = self.outcomes.get(key)
         ended, failed = (outcomes.ended, outcomes.failed) if outcomes is not None else (0, 0)
-        return row_codec.REPORTED.pack(
+        return row_codec.REPORTED_LOAD_ROW.pack(
             key,
             self.index,
-            row_codec.short(total.running),
-            row_codec.long(total.prefill_tokens),
-            row_codec.short(total.suspect_count),
-            row_codec.short(ended),
-            row_codec.short(failed),
+            row_codec.clamp_uint16(total.running),
+            row_codec.clamp_uint32(total.prefill_tokens),
+            row_codec.clamp_uint16(total.suspect_count),
+            row_codec.clamp_uint16(ended),
+            row_codec.clamp_uint16(failed),
         )
 
 
@@ -116,7 +116,7 @@
         Raises:
             FrameError: it is malformed, or not newer than the last one; nothing was changed.
         """
-        rows = row_codec.rows(shape=row_codec.REPORTED, data=report.load_rows)
+        rows = row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=report.load_rows)
         reads = row_codec.split_reads(data=report.read_rows)
         if report.number <= self._numbers.get(member, 0):
             raise errors.FrameError(f"report {report.number} after {self._numbers[member]}", step="report")
--- a/ploverward/data_plane/load_reports/fanout.py
+++ b/ploverward/data_plane/load_reports/fanout.py
@@ -122,9 +122,9 @@
         keys = self.members[connection].followed_keys
         if keys is not None:
             rows = [
-                row_codec.LOAD.pack(key, running, tokens, suspect_count, flags)
+                row_codec.LOAD_ROW.pack(key, running, tokens, suspect_count, flags)
                 for key, running, tokens, suspect_count, flags in row_codec.rows(
-                    shape=row_codec.LOAD, data=message.load_rows
+                    shape=row_codec.LOAD_ROW, data=message.load_rows
                 )
                 if key in keys or flags & load_feed.FULL
             ]
@@ -137,8 +137,8 @@
         found: dict[peer_connection.PeerConnection, list] = (
             {connection: [] for connection in selective} if message.is_snapshot else {}
         )
-        data, size = message.load_rows, row_codec.LOAD.size
-        for index, (key, *_counts, flags) in enumerate(row_codec.rows(shape=row_codec.LOAD, data=data)):
+        data, size = message.load_rows, row_codec.LOAD_ROW.size
+        for index, (key, *_counts, flags) in enumerate(row_codec.rows(shape=row_codec.LOAD_ROW, data=data)):
             for connection in self._recipients(key, flags=flags, selective=selective):
                 found.setdefault(connection, []).append(data[index * size : (index + 1) * size])
         return {connection: b"".join(rows) for connection, rows in found.items()}
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -179,7 +179,7 @@
         self, connection: peer_connection.PeerConnection, message: messages.FollowReplicas
     ) -> None:
         if self._is_member(connection):
-            keys = None if message.is_all else frozenset(row_codec.keys(data=message.key_rows))
+            keys = None if message.follows_all else frozenset(row_codec.keys(data=message.key_rows))
             self.zone_digest.digest.follow(connection, keys=keys)
 
     def _is_member(self, connection: peer_connection.PeerConnection) -> bool:
--- a/ploverward/data_plane/load_reports/report_source.py
+++ b/ploverward/data_plane/load_reports/report_source.py
@@ -85,7 +85,7 @@
             replica: as the table has it; its load is read when the report is made.
             kind: an `AttemptEvent`.
         """
-        key = row_codec.key_of(replica.id)
+        key = row_codec.replica_key(replica.id)
         self._dirty[key] = replica
         if kind == BROKEN:
             self._suspected[key] = _Suspicion(replica, self._now() + self._suspicion_s)
@@ -124,7 +124,7 @@
             return
         self._reads.append(
             row_codec.pack_read(
-                replica=row_codec.key_of(replica.id),
+                replica=row_codec.replica_key(replica.id),
                 region=self._regions[replica.region],
                 domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
                 parts=tuple(
@@ -165,14 +165,14 @@
             pending.clear()
         self._lost = set(self._names)
         for replica in replicas:
-            key = row_codec.key_of(replica.id)
+            key = row_codec.replica_key(replica.id)
             self._note_reported(key, self._row(key, replica))
         return self._report(dict(self._reported), is_snapshot=True)
 
     def _row(self, key: bytes, replica: replica_table.Replica) -> RegionLoad:
         load = LoadCounts(
-            row_codec.short(replica.running),
-            row_codec.long(sum(replica.prefill_tokens.values())),
+            row_codec.clamp_uint16(replica.running),
+            row_codec.clamp_uint32(sum(replica.prefill_tokens.values())),
             int(key in self._suspected),
         )
         return RegionLoad(self._regions.get(replica.region, UNKNOWN_REGION), load)
@@ -197,7 +197,11 @@
             region, load = changed.get(key) or self._reported.get(key) or UNKNOWN_REPLICA
             ended_here = outcomes.get(key)
             ended, failed = (ended_here.ended, ended_here.failed) if ended_here is not None else (0, 0)
-            rows.append(row_codec.REPORTED.pack(key, region, *load, row_codec.short(ended), row_codec.short(failed)))
+            rows.append(
+                row_codec.REPORTED_LOAD_ROW.pack(
+                    key, region, *load, row_codec.clamp_uint16(ended), row_codec.clamp_uint16(failed)
+                )
+            )
         for index, pending in enumerate(self._pending):
             loads = {key: row.load for key, row in changed.items() if row.region == index}
             if loads or is_snapshot:
@@ -231,4 +235,4 @@
         """The part of the replica's published load that is ours."""
         if replica.region in self._lost or replica.region not in self._regions:
             return NO_LOAD
-        return self._counted[self._regions[replica.region]].get(row_codec.key_of(replica.id), NO_LOAD)
+        return self._counted[self._regions[replica.region]].get(row_codec.replica_key(replica.id), NO_LOAD)
--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -22,7 +22,7 @@
 class Replica:
     def __init__(self, name, region):
         self.id = name
-        self.key = row_codec.key_of(name)
+        self.key = row_codec.replica_key(name)
         self.region = region
         self.running = 0
         self.prefill_tokens = {}
@@ -287,7 +287,7 @@
     """The sums at the relays, and what each proxy makes of them, are what runs."""
     truth = count(scene)
     for name, region in scene.places.items():
-        key = row_codec.key_of(name)
+        key = row_codec.replica_key(name)
         assert scene.hosts[region].total(key)[:2] == truth[name], name
         for member in scene.members:
             total = member.views[region].load.get(key, (0, 0, 0, 0))
@@ -320,7 +320,7 @@
             continue
         for index, member in enumerate(scene.members):
             for name, region in scene.places.items():
-                total = member.views[region].load.get(row_codec.key_of(name), (0, 0, 0, 0))
+                total = member.views[region].load.get(row_codec.replica_key(name), (0, 0, 0, 0))
                 shown = total[0] - member.source.counted(member.own[name])[0]
                 lately = history[-20:]
                 least = sum(min(row[other][name] for row in lately) for other in range(5) if other != index)
@@ -346,7 +346,7 @@
 def test_reports_that_are_malformed_or_come_twice_change_nothing():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     sums.handle_report("p1", messages.LoadReport(1, recording_connections.load_row("i0", running=2, tokens=9), b""))
-    key = row_codec.key_of("i0")
+    key = row_codec.replica_key("i0")
     for number, loads, reads in (
         (2, b"xx", b""),
         (2, recording_connections.load_row("i0", running=7), b"\x01"),
@@ -380,7 +380,7 @@
         rows = b"".join(recording_connections.load_row(f"i{number}", running=member + 1) for number in range(3))
         sums.handle_report(member, messages.LoadReport(1, rows, b""))
     _number, loads, _reads = sums.next_batch(region="north")
-    assert len(row_codec.rows(shape=row_codec.REPORTED, data=loads)) == 3
+    assert len(row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=loads)) == 3
     assert sums.acknowledge(region="north", number=10) == {member: 1 for member in range(20)}
 
 
@@ -392,5 +392,5 @@
         sums.handle_report("p1", messages.LoadReport(number, load, read))
         sums.discard(region="north")
     _number, loads, reads = sums.checkpoint(region="north")
-    (row,) = row_codec.rows(shape=row_codec.REPORTED, data=loads)
+    (row,) = row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=loads)
     assert row[2] == 49 and row[5:] == (0, 0) and reads == b""
--- a/ploverward/data_plane/load_reports/test_fanout.py
+++ b/ploverward/data_plane/load_reports/test_fanout.py
@@ -13,7 +13,7 @@
 from ploverward.transport import messages
 from ploverward.transport import row_codec
 
-KEYS = [row_codec.key_of(f"i{number}") for number in range(40)]
+KEYS = [row_codec.replica_key(f"i{number}") for number in range(40)]
 
 
 def load(rows, *, is_snapshot=False):
@@ -94,7 +94,7 @@
 def test_bytes_to_a_member_do_not_grow_with_the_region():
     sizes = {}
     for count in (50, 500):
-        keys = [row_codec.key_of(f"r{number}") for number in range(count)]
+        keys = [row_codec.replica_key(f"r{number}") for number in range(count)]
         fanout, (member,) = make(frozenset(keys[:20]))
         publish(fanout, load({key: (3, 0) for key in keys}))
         sizes[count] = sum(len(frame) for frame in member.sent)
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -184,7 +184,7 @@
             owners = dict.fromkeys(owner for owned in hashes for owner in self._owners.get(owned, ()))
         first = itertools.islice(owners, cuckoo_filter.OWNERS_NAMED)
         return cuckoo_filter.wide_value(
-            count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
+            count=len(owners), tags=[row_codec.replica_key(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
         )
 
     def _own(self, replica: str, full_hash: bytes, *, may_wait: bool) -> None:
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -89,9 +89,9 @@
         """
         self._services = services
         self._replicas = replicas
-        self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
+        self._ids = {row_codec.replica_key(row["id"]): row["id"] for row in replicas}
         self._scales = {
-            row_codec.key_of(row["id"]): load_feed.Scale(
+            row_codec.replica_key(row["id"]): load_feed.Scale(
                 batch_slots=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
             for row in replicas
@@ -180,9 +180,9 @@
         if batch_slots and total.running >= batch_slots * load_feed.FULL_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
-            row_codec.short(total.running),
-            row_codec.long(total.prefill_tokens),
-            row_codec.short(total.suspect_count),
+            row_codec.clamp_uint16(total.running),
+            row_codec.clamp_uint32(total.prefill_tokens),
+            row_codec.clamp_uint16(total.suspect_count),
             flags,
         )
 
@@ -240,7 +240,7 @@
         subscriber = self.subscribers.get(connection)
         if subscriber is None:
             return
-        rows = row_codec.rows(shape=row_codec.REPORTED, data=message.load_rows)
+        rows = row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=message.load_rows)
         reads = [row_codec.unpack_read(data=read) for _region, read in row_codec.split_reads(data=message.read_rows)]
         if message.number <= subscriber.counted:
             raise errors.FrameError(f"cut {message.number} after {subscriber.counted}", step="sums")
--- a/ploverward/data_plane/relay/load_feed.py
+++ b/ploverward/data_plane/relay/load_feed.py
@@ -25,11 +25,11 @@
 
     def pack(self, key: bytes) -> bytes:
         """The row, for the replica of this key; numbers that are too large become the largest."""
-        return row_codec.LOAD.pack(
+        return row_codec.LOAD_ROW.pack(
             key,
-            row_codec.short(self.running),
-            row_codec.long(self.tokens),
-            row_codec.short(self.suspect_count),
+            row_codec.clamp_uint16(self.running),
+            row_codec.clamp_uint32(self.tokens),
+            row_codec.clamp_uint16(self.suspect_count),
             self.flags,
         )
 
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -90,7 +90,7 @@
     def _handle_loads(self, message: messages.ReplicaLoads) -> None:
         if message.epoch != self.epoch:
             return
-        rows = row_codec.rows(shape=row_codec.LOAD, data=message.load_rows)
+        rows = row_codec.rows(shape=row_codec.LOAD_ROW, data=message.load_rows)
         if message.is_snapshot:
             self.load = {}
         for key, running, tokens, suspect_count, flags in rows:
@@ -103,7 +103,7 @@
         if message.epoch < self.epoch:
             raise errors.FrameError(f"epoch {message.epoch} is below {self.epoch}", step="catalogue")
         checked = [
-            (row, dict(row_codec.rows(shape=row_codec.OWNER_BIT, data=row.owner_bit_rows))) for row in message.pools
+            (row, dict(row_codec.rows(shape=row_codec.OWNER_BIT_ROW, data=row.owner_bit_rows))) for row in message.pools
         ]
         if message.epoch != self.epoch:
             self.load = {}
@@ -126,7 +126,7 @@
                 pool.service,
                 pool.model,
                 pool.generation,
-                b"".join(row_codec.OWNER_BIT.pack(key, owner_bit) for key, owner_bit in pool.owner_bits.items()),
+                b"".join(row_codec.OWNER_BIT_ROW.pack(key, owner_bit) for key, owner_bit in pool.owner_bits.items()),
             )
             for pool in self.pools.values()
         )
@@ -134,7 +134,7 @@
 
     def load_snapshot(self) -> messages.ReplicaLoads:
         """All loads, as a relay would publish them now."""
-        rows = b"".join([row_codec.LOAD.pack(key, *load) for key, load in self.load.items()])
+        rows = b"".join([row_codec.LOAD_ROW.pack(key, *load) for key, load in self.load.items()])
         return messages.ReplicaLoads(self.epoch, is_snapshot=True, load_rows=rows)
 
     def fail(self) -> None:
@@ -190,7 +190,7 @@
         pool = self._find_pool(service=service, model=model) if self.is_trusted else None
         if pool is None:
             return {}
-        keys = {name: row_codec.key_of(name) for name in replicas}
+        keys = {name: row_codec.replica_key(name) for name in replicas}
         found = {name: 0 for name, key in keys.items() if pool.knows(key)}
         alive = list(found)
         for full_hash, tokens in chain:
--- a/ploverward/data_plane/relay/pool_registry.py
+++ b/ploverward/data_plane/relay/pool_registry.py
@@ -211,4 +211,4 @@
 
 
 def _pack_owner_bits(owner_bits: Iterable[tuple[str, int]]) -> bytes:
-    return b"".join(row_codec.OWNER_BIT.pack(row_codec.key_of(replica), bit) for replica, bit in owner_bits)
+    return b"".join(row_codec.OWNER_BIT_ROW.pack(row_codec.replica_key(replica), bit) for replica, bit in owner_bits)
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -69,7 +69,9 @@
     clock = [0.0]
     region = mirror.RegionMirror(now=lambda: clock[0], trust_s=5.0)
     region.handle_publication(messages.Catalogue(1, ()))
-    region.handle_publication(messages.ReplicaLoads(1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
+    region.handle_publication(
+        messages.ReplicaLoads(1, True, row_codec.LOAD_ROW.pack(row_codec.replica_key("i0"), 1, 10, 0, 0))
+    )
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
     assert region.is_trusted and region.is_fresh  # it is told of each change: silence alone is no break
--- a/ploverward/data_plane/relay/test_host.py
+++ b/ploverward/data_plane/relay/test_host.py
@@ -30,7 +30,7 @@
     host.tick()
     sent = reader.of_type(messages.ReplicaLoads)
     assert [len(recording_connections.loads_of(message)) for message in sent] == [0, 2, 1]  # only what changed
-    key = row_codec.key_of
+    key = row_codec.replica_key
     assert relay_hosts.last_load(reader) == {key("r1"): (3, 40, 1, 0), key("r2"): (4, 0, 0, 0)}
     assert one.messages[-2] == messages.AggregatesCounted(2)
     host.remove(two)
@@ -63,7 +63,7 @@
     host.tick()
     first = recording_connections.loads_of(reader.of_type(messages.ReplicaLoads)[-1])
     assert len(first) == hosts.MIN_LOAD_ROWS
-    assert {row_codec.key_of("r3"), row_codec.key_of("r30")} <= first.keys()
+    assert {row_codec.replica_key("r3"), row_codec.replica_key("r30")} <= first.keys()
     for _ in range(4):
         host.tick()
     assert {load[0] for load in relay_hosts.last_load(reader).values()} == {1, 9} and len(host.totals()) == 40
@@ -80,7 +80,7 @@
             *(recording_connections.load_row(f"r{number}", running=5 * (step % 2)) for number in range(39)),
         )
         host.tick()
-        if published_after is None and row_codec.key_of("r39") in last_load_since(reader):
+        if published_after is None and row_codec.replica_key("r39") in last_load_since(reader):
             published_after = step
     assert published_after is not None and published_after <= 20
 
@@ -122,7 +122,7 @@
     relay_hosts.send_report(host, new, recording_connections.load_row("r1", running=5))
     host.subscribe(late, region="north", zone="za", zone_epoch=3)
     assert not late.is_open and late not in host.subscribers
-    assert host.totals()[row_codec.key_of("r1")] == (5, 0, 0)
+    assert host.totals()[row_codec.replica_key("r1")] == (5, 0, 0)
 
 
 @pytest.mark.parametrize("data", [b"x", b"x" * 22, recording_connections.load_row("r1", running=1)[:-1]])
@@ -166,13 +166,13 @@
             relay_hosts.send_report(host, two, recording_connections.load_row("r1", ended=2, failed=1))
         host.tick()
         load = relay_hosts.last_load(reader)
-        assert load[row_codec.key_of("r1")][3] == 1 and row_codec.key_of("r2") not in load
+        assert load[row_codec.replica_key("r1")][3] == 1 and row_codec.replica_key("r2") not in load
         began = clock[0]
         while True:
             clock[0] += 0.1
             host.tick()
             last = reader.of_type(messages.ReplicaLoads)
-            if last and recording_connections.loads_of(last[-1]).get(row_codec.key_of("r1")) == (0, 0, 0, 0):
+            if last and recording_connections.loads_of(last[-1]).get(row_codec.replica_key("r1")) == (0, 0, 0, 0):
                 break
             assert clock[0] - began < 60
         away.append(clock[0] - began)
--- a/ploverward/data_plane/relay/test_publication.py
+++ b/ploverward/data_plane/relay/test_publication.py
@@ -115,7 +115,7 @@
     reader = recording_connections.RecordingLink()
     hub.join(reader)
     region = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
-    region.owner_bits = {row_codec.key_of("r1"): 0}
+    region.owner_bits = {row_codec.replica_key("r1"): 0}
     chains = [relay_hosts.rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
         actor.read(replica="r1", rows=chain)
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -146,7 +146,7 @@
     assert pool.actor.owners(full_hash) == set(new)
     (mirror,) = region.pools.values()
     owners = mirror.owners(full_hash, pool_size=300)
-    assert owners.is_most and not any(owners.names(row_codec.key_of(name)) for name in old)
+    assert owners.is_most and not any(owners.names(row_codec.replica_key(name)) for name in old)
 
 
 def test_a_wide_pool_names_the_first_owners_of_a_part_and_counts_the_others():
@@ -171,7 +171,7 @@
 
     assert kept("r0", "r3", "r6", "r150") == {"r0": 20, "r3": 20, "r6": 10, "r150": 10}
     depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
-    assert depth == 2 and tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in names[:4])
+    assert depth == 2 and tags == tuple(row_codec.replica_key(name)[: cuckoo_filter.TAG_SIZE] for name in names[:4])
     host.sync(
         services=relay_hosts.SERVICES,
         replicas=[relay_hosts.replica(name) for name in names if name not in ("r1", "r2")],
@@ -180,7 +180,7 @@
     relay_hosts.feed(region, reader)
     _depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
     expected = ("r0", "r3", "r4", "r5")  # others take the place of those that are gone
-    assert tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
+    assert tags == tuple(row_codec.replica_key(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
     assert kept("r6") == {"r6": 10}
 
 
--- a/ploverward/data_plane/rollouts/test_version_routing.py
+++ b/ploverward/data_plane/rollouts/test_version_routing.py
@@ -29,7 +29,7 @@
 
 
 def replica(edition, name="i1"):
-    return types.SimpleNamespace(id=name, key=row_codec.key_of(name), edition=edition)
+    return types.SimpleNamespace(id=name, key=row_codec.replica_key(name), edition=edition)
 
 
 def payload(rollout):
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -70,13 +70,15 @@
     region: int = 0,
 ) -> bytes:
     """One replica's row of a load report or of aggregates."""
-    return row_codec.REPORTED.pack(row_codec.key_of(name), region, running, tokens, suspect_count, ended, failed)
+    return row_codec.REPORTED_LOAD_ROW.pack(
+        row_codec.replica_key(name), region, running, tokens, suspect_count, ended, failed
+    )
 
 
 def read_row(name: str, *parts: tuple[str, int], service: str = "llm", model: str = "m", region: int = 0) -> bytes:
     """A prompt of these (name, tokens) that a replica processed."""
     return row_codec.pack_read(
-        replica=row_codec.key_of(name),
+        replica=row_codec.replica_key(name),
         region=region,
         domain=bytes.fromhex(resolution.domain_id(service=service, model=model)),
         parts=tuple(
@@ -92,5 +94,5 @@
 
 def loads_of(message: messages.ReplicaLoads) -> dict[bytes, load_feed.Load]:
     """The rows of a load frame by replica key."""
-    rows = row_codec.rows(shape=row_codec.LOAD, data=message.load_rows)
+    rows = row_codec.rows(shape=row_codec.LOAD_ROW, data=message.load_rows)
     return {key: load_feed.Load(*load) for key, *load in rows}
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -58,7 +58,7 @@
 
     def __init__(self, *, name: str, zone: str, edition: str) -> None:
         self.id = name
-        self.key = row_codec.key_of(name)
+        self.key = row_codec.replica_key(name)
         self.zone = zone
         self.edition = edition
         self.is_gone = False
--- a/ploverward/store/job_table.py
+++ b/ploverward/store/job_table.py
@@ -77,7 +77,7 @@
     due_at: float
     max_attempts: int
     items: dict[str, Item]
-    results: list[batch_messages.ListedItem] = dataclasses.field(default_factory=list)
+    results: list[batch_messages.ItemResult] = dataclasses.field(default_factory=list)
     is_ended: bool = False
     positions: list[int] = dataclasses.field(default_factory=list)
 
@@ -159,7 +159,7 @@
         if item is None or item.state is ItemState.LISTED:
             return
         item.state = ItemState.LISTED
-        job.results.append(batch_messages.ListedItem(entry.item, entry.condition, entry.text))
+        job.results.append(batch_messages.ItemResult(entry.item, entry.condition, entry.text))
 
     def find(self, *, tenant: str, job: str) -> Job | None:
         """Returns a job, or None."""
@@ -186,9 +186,9 @@
                 yield item
 
     @staticmethod
-    def page(job: Job, *, after: int) -> tuple[batch_messages.ListedItem, ...]:
+    def page(job: Job, *, after: int) -> tuple[batch_messages.ItemResult, ...]:
         """Results from a position on, one at least if there is one, as many as a page takes."""
-        page: list[batch_messages.ListedItem] = []
+        page: list[batch_messages.ItemResult] = []
         size = 0
         for result in job.results[after:]:
             size += len(result.text) + len(result.item)
--- a/ploverward/store/replication.py
+++ b/ploverward/store/replication.py
@@ -288,7 +288,7 @@
         return batch_messages.CopyReport(
             self.number,
             self.owners.epoch,
-            tuple(batch_messages.LevelCopy(address, self._copies[address].disk) for address in level),
+            tuple(batch_messages.CaughtUpCopy(address, self._copies[address].disk) for address in level),
             tuple(map(batch_messages.LostCopy, lost)),
         )
 
--- a/ploverward/store/test_job_table.py
+++ b/ploverward/store/test_job_table.py
@@ -105,7 +105,7 @@
     assert [row.item for row in table.page(job, after=0)] == ["a"]
     monkeypatch.setattr(job_table, "PAGE_BYTES", 26)
     assert [row.item for row in table.page(job, after=0)] == ["a", "b"]
-    assert table.page(job, after=2) == (batch_messages.ListedItem("c", 1, b"x" * 12),)
+    assert table.page(job, after=2) == (batch_messages.ItemResult("c", 1, b"x" * 12),)
     assert table.page(job, after=3) == ()
 
 
--- a/ploverward/store/test_replication.py
+++ b/ploverward/store/test_replication.py
@@ -121,7 +121,7 @@
     scene.deliver()
     scene.lease("B", "C")
     report = scene.primary.report()
-    assert [row.address for row in report.level] == ["C"] and not report.lost
+    assert [row.address for row in report.caught_up] == ["C"] and not report.lost
     scene.primary.append(b"entry")
     scene.deliver(only="B")
     assert not scene.committed
--- a/ploverward/transport/batch_messages.py
+++ b/ploverward/transport/batch_messages.py
@@ -94,7 +94,7 @@
     after: int
 
 
-class ListedItem(typing.NamedTuple):
+class ItemResult(typing.NamedTuple):
     """One result."""
 
     item: str
@@ -108,7 +108,7 @@
     number: int
     outcome: int
     total: int
-    results: tuple[ListedItem, ...]
+    results: tuple[ItemResult, ...]
 
 
 class ReadItem(typing.NamedTuple):
@@ -167,7 +167,7 @@
     process: str  # identifies the start of its process
 
 
-class LevelCopy(typing.NamedTuple):
+class CaughtUpCopy(typing.NamedTuple):
     """A learner that has all that is committed."""
 
     address: str
@@ -185,7 +185,7 @@
 
     partition: int
     epoch: int
-    level: tuple[LevelCopy, ...]  # learners that have all that is committed
+    caught_up: tuple[CaughtUpCopy, ...]  # learners that have all that is committed
     lost: tuple[LostCopy, ...]  # members that do not answer, or do not get on
 
 
--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -156,7 +156,7 @@
     ),
     batch_messages.FinishItem: (84, NUMBER, TEXT, TEXT, TEXT, NUMBER, BLOB),
     batch_messages.ReadJob: (85, NUMBER, TEXT, TEXT, NUMBER),
-    batch_messages.JobPage: (86, NUMBER, NUMBER, NUMBER, _rows(batch_messages.ListedItem, TEXT, NUMBER, BLOB)),
+    batch_messages.JobPage: (86, NUMBER, NUMBER, NUMBER, _rows(batch_messages.ItemResult, TEXT, NUMBER, BLOB)),
     batch_messages.ReadItem: (87, NUMBER, TEXT, TEXT, TEXT),
     batch_messages.ItemBody: (88, NUMBER, NUMBER, BLOB),
     batch_messages.EndJob: (89, NUMBER, TEXT, TEXT),
@@ -167,7 +167,7 @@
         93,
         NUMBER,
         NUMBER,
-        _rows(batch_messages.LevelCopy, TEXT, TEXT),
+        _rows(batch_messages.CaughtUpCopy, TEXT, TEXT),
         _rows(batch_messages.LostCopy, TEXT),
     ),
     batch_messages.RenewPrimaryLeases: (94, NUMBER, _rows(batch_messages.PartitionEpoch, NUMBER, NUMBER)),
@@ -197,7 +197,7 @@
     batch_messages.ItemsRenewed: (101, NUMBER, _rows(batch_messages.RunningItem, TEXT, TEXT, TEXT)),
 }
 _HEAD = struct.Struct(">IB")  # size of the body in bytes, kind
-HEAD_BYTES = _HEAD.size
+HEADER_BYTES = _HEAD.size
 
 
 def _encodings(fields: tuple) -> list[Any]:
@@ -306,11 +306,11 @@
         return construct.Sequence(*self.encodings).compile()
 
 
-_BY_TYPE = {
+_KINDS_BY_TYPE = {
     message_type: _FrameKind(message_type, number, tuple(fields))
     for message_type, (number, *fields) in _FRAME_KINDS.items()
 }
-_BY_NUMBER = {kind.number: kind for kind in _BY_TYPE.values()}
+_KINDS_BY_NUMBER = {kind.number: kind for kind in _KINDS_BY_TYPE.values()}
 
 
 def pack(message: tuple) -> bytes:
@@ -319,7 +319,7 @@
     Args:
         message: Of a type of `ploverward.transport.messages`.
     """
-    kind = _BY_TYPE[type(message)]
+    kind = _KINDS_BY_TYPE[type(message)]
     body = kind.builder.build(message if kind.is_flat else _flatten(kind.fields, message))
     return _HEAD.pack(len(body), kind.number) + body
 
@@ -331,25 +331,25 @@
         FrameError: The bytes are no frames, or one is larger than `MAX_FRAME_BYTES`.
     """
     frames = []
-    while len(buffer) >= HEAD_BYTES:
+    while len(buffer) >= HEADER_BYTES:
         size, number = _HEAD.unpack_from(buffer, 0)
-        if size > MAX_FRAME_BYTES or number not in _BY_NUMBER:
+        if size > MAX_FRAME_BYTES or number not in _KINDS_BY_NUMBER:
             raise errors.FrameError(f"kind {number}, size {size}", step="frame")
-        if len(buffer) < HEAD_BYTES + size:
+        if len(buffer) < HEADER_BYTES + size:
             break
-        frames.append(bytes(buffer[: HEAD_BYTES + size]))
-        del buffer[: HEAD_BYTES + size]
+        frames.append(bytes(buffer[: HEADER_BYTES + size]))
+        del buffer[: HEADER_BYTES + size]
     return frames
 
 
-def kinds_in(data: bytes) -> list[tuple[str, int]]:
+def list_frame_sizes(data: bytes) -> list[tuple[str, int]]:
     """Returns the type's name and the size in bytes of each frame; `data` holds complete frames of known kinds."""
     found = []
     at = 0
     while at < len(data):
         body_bytes, number = _HEAD.unpack_from(data, at)
-        found.append((_BY_NUMBER[number].message_type.__name__, HEAD_BYTES + body_bytes))
-        at += HEAD_BYTES + body_bytes
+        found.append((_KINDS_BY_NUMBER[number].message_type.__name__, HEADER_BYTES + body_bytes))
+        at += HEADER_BYTES + body_bytes
     return found
 
 
@@ -359,11 +359,11 @@
     Raises:
         FrameError: The bytes are no frame of a known kind.
     """
-    kind = _BY_NUMBER.get(frame[4]) if len(frame) >= HEAD_BYTES else None
-    if kind is None or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEAD_BYTES:
+    kind = _KINDS_BY_NUMBER.get(frame[4]) if len(frame) >= HEADER_BYTES else None
+    if kind is None or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEADER_BYTES:
         raise errors.FrameError("not one complete frame", step="frame")
     try:
-        values = kind.parse(frame[HEAD_BYTES:])
+        values = kind.parse(frame[HEADER_BYTES:])
     except (construct.ConstructError, UnicodeDecodeError) as error:
         raise errors.FrameError(f"{kind.message_type.__name__}: {error}", step="frame") from None
     return kind.message_type(*values) if kind.is_flat else _assemble(kind.message_type, kind.fields, values)
--- a/ploverward/transport/messages.py
+++ b/ploverward/transport/messages.py
@@ -398,7 +398,7 @@
 class FollowReplicas(typing.NamedTuple):
     """Which replicas' loads a member wants."""
 
-    is_all: bool
+    follows_all: bool
     key_rows: bytes  # keys of replicas, where it doesn't want all
 
 
@@ -509,7 +509,7 @@
     """Reply to `WitnessRequest`."""
 
     address: str
-    is_heard: bool  # whether the sender of the reply is connected to it and has heard it
+    is_live: bool  # whether the sender of the reply is connected to it and has heard it
 
 
 # Tallies, between core nodes (docs/tallies.md 3). The node that dialed a connection sends its adds on it; the other
--- a/ploverward/transport/row_codec.py
+++ b/ploverward/transport/row_codec.py
@@ -13,9 +13,9 @@
 from ploverward.common import errors
 
 # Replica key, region, running, prefill tokens, suspect count, ended and failed since the last report.
-REPORTED = struct.Struct(">8sBHIHHH")
-LOAD = struct.Struct(">8sHIHB")  # replica key, running, prefill tokens, suspect count, is failing
-OWNER_BIT = struct.Struct(">8sH")  # replica key, the replica's bit in filters of cached prompts
+REPORTED_LOAD_ROW = struct.Struct(">8sBHIHHH")
+LOAD_ROW = struct.Struct(">8sHIHB")  # replica key, running, prefill tokens, suspect count, is failing
+OWNER_BIT_ROW = struct.Struct(">8sH")  # replica key, the replica's bit in filters of cached prompts
 _KEY = struct.Struct(">8s")
 _READ = struct.Struct(">8sB8sB")  # replica key, region, domain, how many chunks follow
 _CHUNK = struct.Struct(">8sI")  # chunk hash, tokens
@@ -33,7 +33,7 @@
     data: bytes
 
 
-class Read(NamedTuple):
+class PromptRead(NamedTuple):
     """A prompt that a replica has read, and so keeps in its prefix cache."""
 
     replica: bytes  # its key
@@ -42,7 +42,7 @@
 
 
 @functools.lru_cache(maxsize=KEY_CACHE_REPLICAS)
-def key_of(replica: str) -> bytes:
+def replica_key(replica: str) -> bytes:
     """Returns the eight bytes that stand for a replica's id."""
     return hashlib.blake2b(replica.encode(), digest_size=KEY_BYTES).digest()
 
@@ -71,12 +71,12 @@
     return [key for (key,) in rows(shape=_KEY, data=data)]
 
 
-def short(number: float) -> int:
+def clamp_uint16(number: float) -> int:
     """Returns what a field of two bytes can say of a count: the nearest number that fits."""
     return max(0, min(int(number), MAX_UINT16))
 
 
-def long(number: float) -> int:
+def clamp_uint32(number: float) -> int:
     """Returns what a field of four bytes can say of a count: the nearest number that fits."""
     return max(0, min(int(number), MAX_UINT32))
 
@@ -92,7 +92,7 @@
     """
     parts = parts[:MAX_READ_CHUNKS]
     return _READ.pack(replica, region, domain, len(parts)) + b"".join(
-        _CHUNK.pack(chunk_hash, long(tokens)) for chunk_hash, tokens in parts
+        _CHUNK.pack(chunk_hash, clamp_uint32(tokens)) for chunk_hash, tokens in parts
     )
 
 
@@ -116,7 +116,7 @@
     return found
 
 
-def unpack_read(*, data: bytes) -> Read:
+def unpack_read(*, data: bytes) -> PromptRead:
     """Unpacks one read.
 
     Raises:
@@ -125,4 +125,4 @@
     replica, _region, domain, count = _READ.unpack_from(data, 0)
     if len(data) != _READ.size + count * _CHUNK.size:
         raise errors.FrameError("a read of another length", step="frame")
-    return Read(replica, domain, tuple(_CHUNK.iter_unpack(data[_READ.size :])))
+    return PromptRead(replica, domain, tuple(_CHUNK.iter_unpack(data[_READ.size :])))
--- a/ploverward/transport/test_frames.py
+++ b/ploverward/transport/test_frames.py
@@ -21,7 +21,7 @@
 }
 
 
-def test_frames_come_back_as_they_went_and_in_pieces():
+def test_packed_frames_received_in_pieces_unpack_to_the_sent_messages():
     sent = [
         messages.Announcement(
             (messages.TopicVersion("spec", Version(0, 3)), messages.TopicVersion("list", Version(2, 9)))
@@ -50,13 +50,13 @@
         b"\x00\x00\x00\x06\x16\x04spec\x00",
     ],
 )
-def test_malformed_frames_are_frame_errors(data):
+def test_unpack_from_malformed_bytes_raises_frame_error(data):
     with pytest.raises(errors.FrameError):
         frames.unpack_from(bytearray(data))
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_bytes_make_a_frame_fail_otherwise(seed):
+def test_flipped_bit_gives_known_messages_or_frame_error(seed):
     chance = random.Random(seed)
     data = bytearray(frames.pack(messages.Announcement((messages.TopicVersion("spec", Version(0, 3)),))))
     data[chance.randrange(4, len(data))] ^= 1 << chance.randrange(8)
@@ -67,14 +67,14 @@
     assert all(type(message) in MESSAGE_TYPES for message in received)
 
 
-def test_each_type_of_message_has_a_frame_and_rows_have_none():
+def test_frame_kinds_are_exactly_the_message_types_that_are_not_rows():
     """A message without one fails only when it is packed: proxies once failed at every heartbeat by it."""
     row_types = {field.type for fields in frames._FRAME_KINDS.values() for field in fields if hasattr(field, "type")}
     assert set(frames._FRAME_KINDS) == MESSAGE_TYPES - row_types
     assert messages.KeepAlive in frames._FRAME_KINDS and messages.TopicVersion in row_types
 
 
-def test_every_message_that_is_sent_has_a_codec():
+def test_every_message_created_in_the_sources_has_a_frame_kind_or_is_a_row():
     """A message without one fails only when it is packed: proxies once failed at every heartbeat by it."""
     folder = pathlib.Path(frames.__file__).parent.parent
     sources = [
@@ -86,10 +86,10 @@
         untyped |= set(re.findall(r"(?:send|_send_to_cores|broadcast_to_cores|pack)\(\s*\(\s*\"(\w+)\"", text))
         created |= set(re.findall(r"\bmessages\.([A-Z]\w+)\(", text))
     assert not untyped
-    packed = {message_type.__name__ for message_type in frames._BY_TYPE}
+    packed = {message_type.__name__ for message_type in frames._KINDS_BY_TYPE}
     rows = {
         field.type.__name__
-        for kind in frames._BY_TYPE.values()
+        for kind in frames._KINDS_BY_TYPE.values()
         for field in kind.fields
         if isinstance(field, frames.Rows | frames.JsonRows)
     }
@@ -115,6 +115,6 @@
         b"\xff",
     ],
 )
-def test_rows_in_json_that_are_no_such_rows_are_no_frame(blob):
+def test_json_rows_unpack_of_malformed_blob_raises_frame_error(blob):
     with pytest.raises(errors.FrameError):
         frames.TALLY_ADDS.unpack(blob)
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -440,12 +440,12 @@
 
 
 CODECS = {
-    "reported rows": Codec(_pack_struct(row_codec.REPORTED), _read_struct(row_codec.REPORTED)),
-    "load rows": Codec(_pack_loads, _read_struct(row_codec.LOAD)),
-    "lane rows": Codec(_pack_struct(row_codec.OWNER_BIT), _read_struct(row_codec.OWNER_BIT)),
+    "reported rows": Codec(_pack_struct(row_codec.REPORTED_LOAD_ROW), _read_struct(row_codec.REPORTED_LOAD_ROW)),
+    "load rows": Codec(_pack_loads, _read_struct(row_codec.LOAD_ROW)),
+    "lane rows": Codec(_pack_struct(row_codec.OWNER_BIT_ROW), _read_struct(row_codec.OWNER_BIT_ROW)),
     "replica keys": Codec(b"".join, lambda data: row_codec.keys(data=data)),
     "reads": Codec(_pack_reads, _read_reads),
-    "replica key": Codec(row_codec.key_of),
+    "replica key": Codec(row_codec.replica_key),
     "tenant usage": Codec(_pack_usage, _read_usage),
     "tenant credits": Codec(_pack_credits, _read_credits),
     "tenant key": Codec(tenant_usage.tenant_key),
@@ -533,7 +533,7 @@
     assert json.dumps(_decode(entry)) == json.dumps(entry["decoded"])
 
 
-def test_every_kind_has_golden_blobs_and_those_that_can_be_decoded_say_to_what():
+def test_every_codec_has_golden_blobs_and_decoded_values_if_it_has_a_decoder():
     assert {entry["kind"] for entry in ENTRIES} == CODECS.keys()
     for entry in ENTRIES:
         codec = CODECS[entry["kind"]]
--- a/ploverward/transport/test_golden_frames.py
+++ b/ploverward/transport/test_golden_frames.py
@@ -200,7 +200,7 @@
 
 
 @each_entry
-def test_a_golden_frame_with_a_byte_more_or_less_in_its_fields_is_no_frame(entry):
+def test_golden_frame_with_a_byte_added_or_removed_raises_frame_error(entry):
     size, number = HEAD.unpack_from(bytes.fromhex(entry["frame"]))
     body = bytes.fromhex(entry["frame"])[HEAD.size :]
     for other in (body + b"\0", body[:-1]):
@@ -208,13 +208,13 @@
             Representation.decode(frame=HEAD.pack(len(other), number) + other)
 
 
-def test_the_kinds_of_the_code_are_those_of_the_fixture():
+def test_frame_kinds_and_numbers_equal_those_of_the_fixture():
     numbers = Representation.numbers()
     assert numbers == {entry["kind"]: entry["number"] for entry in ENTRIES}
     assert len(set(numbers.values())) == len(numbers)
 
 
-def test_golden_frames_one_behind_the_other_are_split_into_the_same_frames():
+def test_concatenated_golden_frames_are_split_into_the_same_frames():
     frames = [bytes.fromhex(entry["frame"]) for entry in ENTRIES]
     assert Representation.split(data=b"".join(frames)) == frames
 
@@ -227,10 +227,10 @@
 
 
 @each_entry
-def test_the_compiled_parser_says_what_the_other_one_says(entry, monkeypatch):
+def test_compiled_parser_gives_the_results_and_errors_of_the_interpreted_parser(entry, monkeypatch):
     monkeypatch.setattr(frames, "FRAMES_BEFORE_COMPILING", 0)
     frame = bytes.fromhex(entry["frame"])
-    kind = frames._BY_NUMBER[frame[4]]
+    kind = frames._KINDS_BY_NUMBER[frame[4]]
     body = frame[HEAD.size :]
     changed = [body[:at] + bytes([body[at] ^ 0xFF]) + body[at + 1 :] for at in range(min(len(body), 40))]
     for data in (body, body + b"x", *(body[:size] for size in range(min(len(body), 40))), *changed):
--- a/ploverward/transport/work_counter.py
+++ b/ploverward/transport/work_counter.py
@@ -79,7 +79,7 @@
         return counts
 
     def _count(self, counts: dict[str, FrameCount], data: bytes) -> None:
-        for name, size in frames.kinds_in(data):
+        for name, size in frames.list_frame_sizes(data):
             known = counts.get(name, FrameCount(0, 0))
             counts[name] = FrameCount(known.frames + 1, known.bytes + size)
 
