--- a/ploverward/transport/__init__.py
+++ b/ploverward/transport/__init__.py
@@ -1,4 +1,5 @@
-"""How processes talk: the event loop, framed connections between nodes, the messages on them, and the HTTP server.
+"""Communication between processes: event loop, framed connections between nodes, their messages, and the HTTP server.
 
-`interfaces` states what the rest of the program uses of the loop and of connections; the simulation has twins of both.
+`interfaces` defines the parts of the loop and of connections that the rest of the program uses; the simulation
+implements the same interfaces.
 """
--- a/ploverward/transport/batch_messages.py
+++ b/ploverward/transport/batch_messages.py
@@ -1,7 +1,7 @@
-"""The messages of the batch tier, between proxies and stores and among stores (docs/batch.md).
+"""Types of the messages of the batch tier: between proxies and stores, among stores, and to core nodes (docs/batch.md).
 
-`number` is chosen by the sender of a request and comes back in the reply. Like those of `messages`, the types are named
-tuples, and the order of their fields is their order on the wire.
+`number` is chosen by the sender of a request and returned in the reply. As in `messages`, the types are named tuples,
+and the order of their fields is their order on the wire.
 """
 
 import enum
@@ -9,35 +9,35 @@
 
 
 class Outcome(enum.IntEnum):
-    """What became of a request."""
+    """Outcome of a request to a store."""
 
     DONE = 1
-    OVER_QUOTA = 2  # nothing was done
-    NOT_FOUND = 3  # no such job or item, for certain
-    NOT_OWNER = 4  # nothing was done: another store is the primary, or this one does not know enough yet
-    NOT_KNOWN = 5  # the store is no longer the primary: its successor knows what became of it
+    OVER_QUOTA = 2  # the tenant has too many queued tokens; the request had no effect
+    NOT_FOUND = 3  # the job or item certainly does not exist
+    NOT_OWNER = 4  # the request had no effect: another store is the primary, or this one is not yet ready to serve
+    NOT_KNOWN = 5  # the store is no longer the primary: only its successor knows whether the request took effect
 
 
 class Condition(enum.IntEnum):
-    """How a run of an item ended."""
+    """Result of one run of an item."""
 
     DELIVERED = 1
-    DEAD_LETTER = 2
-    FAILED = 3  # the replica answered 500
-    RELEASED = 4  # it did not run to its end, and no replica is known to have failed
+    DEAD_LETTER = 2  # it is not tried again
+    FAILED = 3  # the replica responded with status 500
+    RELEASED = 4  # the run did not finish, and no replica is known to have failed
 
 
 class SubmitJob(typing.NamedTuple):
-    """Takes a job."""
+    """Request to store and run a job."""
 
     number: int
     tenant: str
     job: str
     route: str
-    due_ms: int  # from now
-    max_attempts: int  # answers of 500 after which an item is a dead letter
-    max_queued_tokens: int  # of the tenant on the route; 0: no limit
-    body: bytes  # as the client sent it, checked
+    due_ms: int  # until all results are due, from the time of the request
+    max_attempts: int  # number of responses with status 500 after which an item becomes a dead letter
+    max_queued_tokens: int  # limit for the tenant on the route; 0: no limit
+    body: bytes  # as sent by the client; already validated
 
 
 class JobReply(typing.NamedTuple):
@@ -48,23 +48,23 @@
 
 
 class PullItems(typing.NamedTuple):
-    """Leases items for a while."""
+    """Request of a proxy to lease items that wait to be run."""
 
     number: int
     limit: int
 
 
 class PulledItem(typing.NamedTuple):
-    """One item that the proxy has leased."""
+    """An item that is leased to the proxy."""
 
     tenant: str
     job: str
     item: str
     route: str
     path: str
-    headers: bytes  # JSON: value by name
-    parcel: bytes  # the body in base64
-    left_ms: int  # until all results are due
+    headers: bytes  # JSON object: value by name
+    parcel: bytes  # request body in base64
+    left_ms: int  # until all results of the job are due
 
 
 class PulledItems(typing.NamedTuple):
@@ -75,31 +75,31 @@
 
 
 class FinishItem(typing.NamedTuple):
-    """A run of an item ended."""
+    """Reports the result of a run of an item."""
 
     number: int
     tenant: str
     job: str
     item: str
-    condition: int
-    text: bytes
+    condition: int  # a `Condition`
+    text: bytes  # response, if delivered; otherwise empty
 
 
 class ReadJob(typing.NamedTuple):
-    """Reads results from a position on."""
+    """Request for the results of a job from a position on."""
 
     number: int
     tenant: str
     job: str
-    after: int
+    after: int  # number of results to skip
 
 
 class ItemResult(typing.NamedTuple):
-    """One result."""
+    """The final result of an item."""
 
     item: str
-    condition: int
-    text: bytes
+    condition: int  # `Condition.DELIVERED` or `Condition.DEAD_LETTER`
+    text: bytes  # response, if delivered; otherwise empty
 
 
 class JobPage(typing.NamedTuple):
@@ -112,7 +112,7 @@
 
 
 class ReadItem(typing.NamedTuple):
-    """Reads the body of an item that is not listed yet."""
+    """Request for the body of an item that has no final result yet."""
 
     number: int
     tenant: str
@@ -125,11 +125,11 @@
 
     number: int
     outcome: int
-    parcel: bytes  # the body in base64
+    parcel: bytes  # request body in base64
 
 
 class EndJob(typing.NamedTuple):
-    """Ends a job."""
+    """Request to end a job."""
 
     number: int
     tenant: str
@@ -137,13 +137,13 @@
 
 
 class LogEntry(typing.NamedTuple):
-    """One entry of a partition's log."""
+    """One entry of a partition's log, a row of `ReplicateEntries`."""
 
     data: bytes
 
 
 class ReplicateEntries(typing.NamedTuple):
-    """From a primary of the first version to a backup. No longer sent: `AppendEntries` took its place."""
+    """Log entries for a backup in the first protocol version. No longer sent: replaced by `AppendEntries`."""
 
     partition: int
     epoch: int
@@ -152,7 +152,7 @@
 
 
 class EntriesStored(typing.NamedTuple):
-    """From a backup of the first version to a primary. No longer sent: `EntriesDurable` took its place."""
+    """Reply to `ReplicateEntries` in the first protocol version. No longer sent: replaced by `EntriesDurable`."""
 
     partition: int
     epoch: int
@@ -160,102 +160,102 @@
 
 
 class StoreIdentity(typing.NamedTuple):
-    """From a store to core nodes, on each new connection."""
+    """Identifies a store to core nodes, on each new connection."""
 
-    node: str  # its name in the settings
-    disk: str  # identifies its disk: an emptied one gets another identity
-    process: str  # identifies the start of its process
+    node: str  # name of the store in the settings
+    disk: str  # identifier of its disk; an emptied disk gets a new one
+    process: str  # identifier of the start of its process
 
 
 class CaughtUpCopy(typing.NamedTuple):
-    """A learner that has all that is committed."""
+    """A learner that has all committed entries."""
 
     address: str
     disk: str
 
 
 class LostCopy(typing.NamedTuple):
-    """A member that does not answer, or does not get on."""
+    """A member or learner that does not respond, or makes no progress."""
 
     address: str
 
 
 class CopyReport(typing.NamedTuple):
-    """From a primary to the coordinator: what is to change in the arrangement of a partition."""
+    """From a primary to the coordinator: copies whose role in a partition is to change."""
 
     partition: int
     epoch: int
-    caught_up: tuple[CaughtUpCopy, ...]  # learners that have all that is committed
-    lost: tuple[LostCopy, ...]  # members that do not answer, or do not get on
+    caught_up: tuple[CaughtUpCopy, ...]  # learners that have all committed entries
+    lost: tuple[LostCopy, ...]  # copies that do not respond, or make no progress
 
 
 class PartitionEpoch(typing.NamedTuple):
-    """A partition, and the epoch under which its primary acts."""
+    """A partition and the epoch of its primary."""
 
     partition: int
     epoch: int
 
 
 class RenewPrimaryLeases(typing.NamedTuple):
-    """From a primary to a store that keeps copies: may it go on to answer for these partitions?"""
+    """Request of a primary to a store that keeps copies: renews the leases for serving these partitions."""
 
     number: int
     partitions: tuple[PartitionEpoch, ...]
 
 
 class PrimaryLeasesGranted(typing.NamedTuple):
-    """Reply to `RenewPrimaryLeases`: those for which no later epoch is known."""
+    """Reply to `RenewPrimaryLeases`: the partitions for which the sender knows no later epoch."""
 
     number: int
     partitions: tuple[PartitionEpoch, ...]
 
 
 class RequestLogState(typing.NamedTuple):
-    """From a primary to a store that keeps a copy: where does its log stand?"""
+    """Request of a primary to a store that keeps a copy: the state of its log."""
 
     partition: int
     epoch: int
 
 
 class EpochRun(typing.NamedTuple):
-    """Entries of one epoch that follow each other in a log: up to which position."""
+    """Consecutive entries of one epoch in a log, up to and including position `last`."""
 
     epoch: int
     last: int
 
 
 class LogState(typing.NamedTuple):
-    """Where a store's log of a partition stands."""
+    """Reply to `RequestLogState`: the positions and epochs in a store's log of a partition."""
 
     partition: int
-    epoch: int  # of the question
+    epoch: int  # of the request
     disk: str
     base: int  # position before the first entry
-    base_epoch: int
+    base_epoch: int  # epoch of the entry that was at `base`
     runs: tuple[EpochRun, ...]
 
 
 class EpochEntry(typing.NamedTuple):
-    """One entry of a partition's log, and the epoch in which it was added."""
+    """An entry of a partition's log and the epoch in which it was added."""
 
     epoch: int
     data: bytes
 
 
 class AppendEntries(typing.NamedTuple):
-    """From a primary to a store that keeps a copy. What the store has from `first` on is replaced."""
+    """Entries from a primary to a store that keeps a copy; they replace what the store has from `first` on."""
 
     partition: int
     epoch: int
     first: int  # position of the first entry, from 1
-    previous_epoch: int  # of the entry before
-    is_reset: bool  # the store drops its log first: what is before `first` is not kept any more
-    committed: int
+    previous_epoch: int  # epoch of the entry before `first`
+    is_reset: bool  # the store drops its log first, because the primary no longer has the entries before `first`
+    committed: int  # position up to which entries are committed
     entries: tuple[EpochEntry, ...]
 
 
 class EntriesDurable(typing.NamedTuple):
-    """Reply to `AppendEntries`, as often as more is synced: all up to this position is on the disk."""
+    """Reply to `AppendEntries`, sent whenever more entries are synced: all up to position `last` are on the disk."""
 
     partition: int
     epoch: int
@@ -263,7 +263,7 @@
 
 
 class RunningItem(typing.NamedTuple):
-    """An item that runs at a proxy."""
+    """An item that a proxy is running."""
 
     tenant: str
     job: str
@@ -271,14 +271,14 @@
 
 
 class RenewItems(typing.NamedTuple):
-    """From a proxy to a primary: these items still run here."""
+    """Renews the leases of the items that a proxy is still running, at their primary."""
 
     number: int
     items: tuple[RunningItem, ...]
 
 
 class ItemsRenewed(typing.NamedTuple):
-    """Reply to `RenewItems`: runs that are of no use any more."""
+    """Reply to `RenewItems`: items whose runs are no longer needed."""
 
     number: int
     stopped: tuple[RunningItem, ...]
--- a/ploverward/transport/messages.py
+++ b/ploverward/transport/messages.py
@@ -1,13 +1,17 @@
-"""The messages that nodes send to each other, one type a frame (docs/design.md 2, 4, 5).
+"""Types of the messages that nodes send to each other (docs/design.md 2, 4, 5).
 
-`ploverward.transport.frames` encodes them; the order of the fields here is their order on the wire. They are named
-tuples and not dataclasses: creating the fifty types as frozen, slotted dataclasses adds 30 ms to the start of every
-process.
+`ploverward.transport.frames` encodes each message as one frame; the order of the fields here is their order on the
+wire. The names of the types appear in the log event `work_counted`. The types are named tuples and not dataclasses:
+creating the fifty types as frozen, slotted dataclasses adds 30 ms to the start of every process.
 
-Three kinds of field occur in several messages: `number` is chosen by the sender of a request and comes back in the
-reply, so that a late reply is never taken for that of a newer request; `epoch` is that of the singleton role under
-which a node acts (docs/control.md 1); fields named `rows` or `..._rows` are blobs that
-`ploverward.transport.row_codec` reads.
+Some fields have the same meaning in several messages:
+
+- `number` is chosen by the sender of a request and returned in the reply, so that a late reply is never matched to a
+  newer request.
+- `epoch` is the epoch of the singleton role that the node owns (docs/control.md 1).
+- `known` is the version or ballot that the requester already has, so that the reply can omit it.
+- `..._rows` of type `bytes` are rows of fixed layout, decoded by `ploverward.transport.row_codec` unless the field
+  names another module.
 """
 
 import typing
@@ -15,22 +19,22 @@
 from ploverward.common.identifiers import Ballot
 from ploverward.common.identifiers import Version
 
-# Every connection.
+# Messages on every connection.
 
 
 class Handshake(typing.NamedTuple):
-    """The first message of each side: who it is."""
+    """Identifies the sender; the first message of each side of a connection."""
 
     role: str  # "core" or "proxy"
     address: str  # IP address of the node
     zone: str
     region: str
-    incarnation: str  # a new one for each start of the process
-    public_address: str  # ADDRESS:PORT that clients reach; empty for core nodes
+    incarnation: str  # unique to each start of the process
+    public_address: str  # ADDRESS:PORT for clients; empty for core nodes
 
 
 class KeepAlive(typing.NamedTuple):
-    """Shows that the sender is running; it is answered by nothing."""
+    """Shows that the sender is running; there is no reply."""
 
     number: int  # always 0
 
@@ -44,20 +48,20 @@
     number: int
     register: str
     ballot: Ballot
-    known: Ballot  # accepted ballot whose value the proposer has already; the reply leaves that value out
+    known: Ballot  # accepted ballot whose value the proposer already has; the reply omits that value
 
 
 class Promise(typing.NamedTuple):
-    """Reply to `Prepare`."""
+    """Reply to `Prepare`: a promise, or a refusal if `is_granted` is false."""
 
     number: int
     register: str
     is_granted: bool
-    incarnation: str  # of the acceptor; an `Accept` has to name it
+    incarnation: str  # of the acceptor; an `Accept` must contain the same one
     promised: Ballot
     accepted: Ballot
     revision: int
-    value: bytes  # empty where the proposer has it
+    value: bytes  # empty if the proposer already has it
 
 
 class Accept(typing.NamedTuple):
@@ -72,16 +76,16 @@
 
 
 class Accepted(typing.NamedTuple):
-    """Reply to `Accept`."""
+    """Reply to `Accept`: whether the value was accepted."""
 
     number: int
     register: str
     is_granted: bool
-    ballot: Ballot  # the accepted one, or the one that stood in the way
+    ballot: Ballot  # the accepted one, or the higher promised one that prevented it
 
 
 class Chosen(typing.NamedTuple):
-    """A value that a majority accepted, announced to the other members."""
+    """Announces to the other members that a majority accepted a value."""
 
     register: str
     ballot: Ballot
@@ -89,11 +93,11 @@
 
 
 class QuorumRead(typing.NamedTuple):
-    """Asks for the accepted value; nothing is promised."""
+    """Requests the accepted value; the receiver makes no promise."""
 
     number: int
     register: str
-    known: Ballot  # accepted ballot whose value the reader has already
+    known: Ballot  # accepted ballot whose value the reader already has
 
 
 class QuorumReadReply(typing.NamedTuple):
@@ -105,19 +109,19 @@
     promised: Ballot
     accepted: Ballot
     revision: int
-    value: bytes  # empty where the reader has it
+    value: bytes  # empty if the reader already has it
 
 
 class CatchUpFence(typing.NamedTuple):
-    """What a learner asks of one register."""
+    """The request of a learner for one register, a row of `CatchUpRequest`."""
 
     register: str
-    fence: Ballot  # to be promised before the reply; `NO_BALLOT` asks for no promise
-    known: Ballot  # accepted ballot whose value the learner has already
+    fence: Ballot  # the voter promises it before it replies; `NO_BALLOT`: no promise is requested
+    known: Ballot  # accepted ballot whose value the learner already has
 
 
 class CatchUpRequest(typing.NamedTuple):
-    """A learner asks a voter for its registers (docs/register.md 4)."""
+    """Request of a learner for the registers of a voter (docs/register.md 4)."""
 
     number: int
     fences: tuple[CatchUpFence, ...]
@@ -145,36 +149,39 @@
 
 
 class TopicVersion(typing.NamedTuple):
-    """A topic and a version of it."""
+    """A topic and one of its versions."""
 
     topic: str
     version: Version
 
 
 class Announcement(typing.NamedTuple):
-    """The newest versions that a publisher has."""
+    """Announces the newest versions that a publisher has."""
 
     versions: tuple[TopicVersion, ...]
 
 
 class RegisterRevision(typing.NamedTuple):
-    """A register and its newest revision on a disk."""
+    """A register and its newest revision on a core node's disk."""
 
     register: str
     revision: int
 
 
 class MinimumVersions(typing.NamedTuple):
-    """The revisions on a core node's disk: a proxy that starts must reach the highest ones of a majority (design 5)."""
+    """The register revisions on a core node's disk.
+
+    A starting proxy must reach the highest ones reported by a majority of core nodes (docs/design.md 5).
+    """
 
     revisions: tuple[RegisterRevision, ...]
 
 
 class Fetch(typing.NamedTuple):
-    """A subscriber asks for the newest version of a topic."""
+    """Request of a subscriber for the newest version of a topic."""
 
     topic: str
-    known: Version  # the version that the subscriber has; `NO_VERSION` for none
+    known: Version  # the version that the subscriber has; `NO_VERSION`: none
 
 
 class Snapshot(typing.NamedTuple):
@@ -186,14 +193,14 @@
 
 
 class Delta(typing.NamedTuple):
-    """How to get from the version before to this one."""
+    """The change from the previous version to this one."""
 
     version: Version
     data: bytes
 
 
 class Deltas(typing.NamedTuple):
-    """Reply to `Fetch`: what changed since the version that the subscriber has."""
+    """Reply to `Fetch`: the changes since the version that the subscriber has."""
 
     topic: str
     base: Version  # the version that the first delta applies to
@@ -206,37 +213,37 @@
     versions: tuple[TopicVersion, ...]
 
 
-# Leases, between core nodes and from core nodes to proxies (docs/control.md 2, design 8).
+# Leases between core nodes, and from core nodes to proxies (docs/control.md 2, docs/design.md 8).
 
 
 class NodeState(typing.NamedTuple):
-    """How the sender stands, sent when that changes."""
+    """Readiness and draining state of the sender, sent when either changes."""
 
     is_ready: bool
     is_draining: bool
 
 
 class RenewShares(typing.NamedTuple):
-    """A proxy asks a core node for its share of the limits, and reports what it admitted."""
+    """Request of a proxy for its share of the limits; reports the requests that it admitted."""
 
     number: int
-    usage_rows: bytes  # `ploverward.common.tenant_usage`
+    usage_rows: bytes  # decoded by `ploverward.common.tenant_usage`
 
 
 class ShareLease(typing.NamedTuple):
-    """Reply to `RenewShares`: shares of the limits that hold over all machines (design 8)."""
-
-    slack_share: float  # of the retry slack, 0 to 1
-    rate_share: float  # of the rates, 0 to 1
-    duration_s: float  # counted from when the renewal was sent
-    core_share: float  # the part of every limit that this core node owns, 0 to 1
-    slot: int  # of the rate slots of replicas that are warming up
-    slot_count: int  # 0: there are none
+    """Reply to `RenewShares`: shares of the limits that apply to all machines together (docs/design.md 8)."""
+
+    slack_share: float  # share of the retry slack, 0 to 1
+    rate_share: float  # share of the rates, 0 to 1
+    duration_s: float  # from the time when the renewal was sent
+    core_share: float  # share of every limit that this core node owns, 0 to 1
+    slot: int  # the proxy's rate slot: selects the replicas in warm-up to which it may send
+    slot_count: int  # number of rate slots of all proxies; 0: the proxy has no slot
     number: int
 
 
 class Heartbeat(typing.NamedTuple):
-    """Renews the sender's contact with a majority of the core set."""
+    """Request to renew the sender's contact with a majority of the core set."""
 
     number: int
     core_set_version: int
@@ -247,43 +254,43 @@
 
     number: int
     core_set_version: int
-    configuration_version: int  # the newest one that the replying node accepted
+    configuration_version: int  # the newest one that the sender of the reply has accepted
 
 
 class QuotaStatus(typing.NamedTuple):
-    """Reply to `RenewShares` where there are tenants (docs/quotas.md, docs/keys.md)."""
+    """Additional reply to `RenewShares` if there are tenants (docs/quotas.md, docs/keys.md)."""
 
     number: int
-    configuration_version: int  # the newest one known as chosen
-    age_s: float  # for how long no newer one may have been acknowledged
+    configuration_version: int  # the newest one known to be chosen
+    age_s: float  # for how many seconds before this reply a newer one may have been acknowledged
     proxy_count: int
-    credit_rows: bytes  # `ploverward.common.tenant_usage`
+    credit_rows: bytes  # decoded by `ploverward.common.tenant_usage`
 
 
-# Roll-outs: proxies and the coordinator (docs/rollouts.md 3, 4).
+# Roll-outs: between proxies and the coordinator (docs/rollouts.md 3, 4).
 
 
 class RolloutEvidence(typing.NamedTuple):
-    """What a proxy counted of the roll-outs in progress."""
+    """Request outcomes of the roll-outs in progress, counted by a proxy."""
 
     number: int
-    reports: bytes  # `ploverward.common.rollout_evidence`
+    reports: bytes  # decoded by `ploverward.common.rollout_evidence`
 
 
 class RolloutLeases(typing.NamedTuple):
-    """Reply to `RolloutEvidence`: how much of its traffic the proxy may send to new versions."""
+    """Reply to `RolloutEvidence`: the share of its traffic that the proxy may send to new versions."""
 
     number: int
-    duration_s: float  # counted from when the evidence was sent
-    report_interval: int  # heartbeats between two reports
-    leases: bytes  # `ploverward.control_plane.rollouts.leases`
+    duration_s: float  # from the time when the evidence was sent
+    report_interval: int  # number of heartbeats from one report to the next
+    leases: bytes  # decoded by `ploverward.control_plane.rollouts.leases`
 
 
-# Custody trails: proxies and core nodes (docs/residency.md).
+# Usage counts and custody trails: between proxies and core nodes (docs/residency.md).
 
 
 class UsageCount(typing.NamedTuple):
-    """Requests of one tenant that began to run at replicas in one window, counted by one proxy."""
+    """Number of requests of one tenant that began to run at replicas in one window, counted by one proxy."""
 
     window: int
     tenant: str
@@ -291,21 +298,21 @@
 
 
 class UsageCounts(typing.NamedTuple):
-    """From a proxy to the coordinator: counts that changed; each is cumulative."""
+    """Counts that changed since the last message, from a proxy to the coordinator; each count is cumulative."""
 
-    counted_until: float  # by the proxy's time of day, in seconds since 1970
+    counted_until: float  # by the proxy's wall clock, in seconds since 1970
     counts: tuple[UsageCount, ...]
 
 
 class CustodyTrail(typing.NamedTuple):
-    """What a proxy knows of one request."""
+    """The custody trail of one request, recorded by a proxy."""
 
     request_id: str
     trail: bytes  # JSON
 
 
 class CustodyTrails(typing.NamedTuple):
-    """A batch of trails."""
+    """A batch of custody trails from one proxy."""
 
     node: str
     incarnation: str
@@ -321,7 +328,7 @@
 
 
 class FindCacheOwners(typing.NamedTuple):
-    """A core node asks which replicas have any of these parts in their caches."""
+    """Request of a core node for the replicas that have any of these prompt parts in their caches."""
 
     number: int
     service: str
@@ -330,7 +337,7 @@
 
 
 class CacheOwner(typing.NamedTuple):
-    """A replica and its zone."""
+    """A replica that has a prompt part in its cache, and its zone."""
 
     replica: str
     zone: str
@@ -343,32 +350,33 @@
     owners: tuple[CacheOwner, ...]
 
 
-# Load reports: proxies, the digest of their zone, the gateway of their region (docs/digest.md, docs/scale.md 3).
+# Load reports: between proxies, the digest of their zone and the gateway of their region (docs/digest.md,
+# docs/scale.md 3).
 
 
 class JoinDigest(typing.NamedTuple):
-    """A proxy joins the digest of its zone."""
+    """Request of a proxy to join the digest of its zone."""
 
     epoch: int
     address: str
 
 
 class DigestJoined(typing.NamedTuple):
-    """Reply to `JoinDigest` and `JoinGateway`."""
+    """Reply to `JoinDigest` and `JoinGateway`: the sender was admitted as a member."""
 
     epoch: int
 
 
 class JoinGateway(typing.NamedTuple):
-    """A digest joins the gateway of its region."""
+    """Request of a digest to join the gateway of its region."""
 
     epoch: int  # of the relay
-    digest: str  # the singleton role of the digest
+    digest: str  # name of the digest's singleton role
     digest_epoch: int
 
 
 class LoadReport(typing.NamedTuple):
-    """What a member has running, to its digest."""
+    """Loads and prompt reads that a member of a digest reports."""
 
     number: int
     load_rows: bytes
@@ -376,34 +384,34 @@
 
 
 class ReportCredited(typing.NamedTuple):
-    """The loads that a region's relay publishes contain the member's reports up to this one."""
+    """Confirms that the loads that a region's relay publishes include the member's reports up to this one."""
 
     region: str
     number: int
 
 
 class RelayedFrame(typing.NamedTuple):
-    """A frame of a region's relay, passed on unchanged."""
+    """A frame of a region's relay, forwarded unchanged."""
 
     region: str
     frame: bytes
 
 
 class RegionLost(typing.NamedTuple):
-    """The stream of a region's relay broke at the digest."""
+    """Notifies members that the stream of a region's relay broke at their digest."""
 
     region: str
 
 
 class FollowReplicas(typing.NamedTuple):
-    """Which replicas' loads a member wants."""
+    """Selects the replicas whose loads a member receives."""
 
     follows_all: bool
-    key_rows: bytes  # keys of replicas, where it doesn't want all
+    key_rows: bytes  # keys of the replicas, if not all
 
 
 class AdapterCount(typing.NamedTuple):
-    """What one proxy counted of adapters in one window (docs/pins.md 3)."""
+    """Adapter counts of one proxy for one window (docs/pins.md 3)."""
 
     node: str
     zone: str
@@ -415,22 +423,22 @@
 
 
 class AdapterCounts(typing.NamedTuple):
-    """Counts of several proxies, by way of their digest."""
+    """Adapter counts of several proxies, collected by their digest."""
 
     counts: tuple[AdapterCount, ...]
 
 
 class Subscribe(typing.NamedTuple):
-    """A digest subscribes to the relay of a region."""
+    """Request of a digest to subscribe to the relay of a region."""
 
     epoch: int
     region: str
-    zone: str
-    zone_epoch: int  # of the digest
+    zone: str  # identifies the digest: name of its singleton role, or its zone if it serves a single proxy
+    zone_epoch: int  # epoch of the digest
 
 
 class Aggregates(typing.NamedTuple):
-    """What all members of a digest have running, to a relay."""
+    """Loads and prompt reads of all members of a digest, sent to a relay."""
 
     number: int
     load_rows: bytes
@@ -438,16 +446,16 @@
 
 
 class AggregatesCounted(typing.NamedTuple):
-    """The loads that the relay publishes contain the subscriber's aggregates up to these."""
+    """Confirms that the loads that the relay publishes include the subscriber's aggregates up to this number."""
 
     number: int
 
 
-# KV DC Relay: the relay of a region to its subscribers (docs/relay.md).
+# KV DC Relay: from the relay of a region to its subscribers (docs/relay.md).
 
 
 class Pool(typing.NamedTuple):
-    """A live pool generation."""
+    """A live generation of a pool."""
 
     name: str
     service: str
@@ -464,17 +472,17 @@
 
 
 class PoolCut(typing.NamedTuple):
-    """A complete image of a pool's filter, from which deltas go on."""
+    """A complete image of a pool's filter; later deltas apply to it."""
 
     pool: str
     generation: int
     bucket_count: int
-    words: int  # of 32 bits that each slot has for its owners; 0: tags instead
+    words: int  # 32-bit words of owner bits in each slot; 0: slots have owner tags instead
     bucket_rows: bytes
 
 
 class PoolDelta(typing.NamedTuple):
-    """Buckets of a pool's filter that changed."""
+    """Changed buckets of a pool's filter."""
 
     pool: str
     generation: int
@@ -482,7 +490,7 @@
 
 
 class PoolWithdrawn(typing.NamedTuple):
-    """A pool generation that ended."""
+    """Announces that a generation of a pool has ended."""
 
     pool: str
     generation: int
@@ -492,15 +500,16 @@
     """Loads of replicas, summed over all proxies."""
 
     epoch: int
-    is_snapshot: bool  # whether they replace all loads sent before
+    is_snapshot: bool  # whether these loads replace all earlier ones
     load_rows: bytes
 
 
-# Who hears a lost coordinator, between core nodes (docs/control.md 7).
+# Witness queries between core nodes: whether others can still reach a coordinator that the sender has lost
+# (docs/control.md 7).
 
 
 class WitnessRequest(typing.NamedTuple):
-    """Asks whether the receiver hears a core node that the sender has lost."""
+    """Request for whether the receiver can reach a core node to which the sender has lost its connection."""
 
     address: str
 
@@ -509,22 +518,22 @@
     """Reply to `WitnessRequest`."""
 
     address: str
-    is_live: bool  # whether the sender of the reply is connected to it and has heard it
+    is_live: bool  # whether the sender of the reply is connected to that node and has received messages from it
 
 
-# Tallies, between core nodes (docs/tallies.md 3). The node that dialed a connection sends its adds on it; the other
-# side answers on the same connection with what it has on its disk.
+# Tallies, between core nodes (docs/tallies.md 3). The node that opened a connection sends its adds on it; the other
+# side replies on the same connection with the positions that it has on its disk.
 
 
 class TallyLogName(typing.NamedTuple):
-    """The log of adds that one start of one core node writes."""
+    """Identifies a log of adds. Each start of each core node writes its own log."""
 
     origin: str  # IP address of the node
-    incarnation: str  # of its process
+    incarnation: str  # of the node's process
 
 
 class TallyPosition(typing.NamedTuple):
-    """How much of a log a node has, or has folded."""
+    """The position up to which a node has a log, or has folded it."""
 
     log: TallyLogName
     position: int
@@ -534,41 +543,41 @@
     """One add to one tally."""
 
     tally: str
-    add_id: str  # chosen by the caller; an add that comes again has the same
+    add_id: str  # chosen by the caller; a retried add has the same one
     amount: int
 
 
 class TallyTotal(typing.NamedTuple):
-    """The sum of the folded adds of one tally."""
+    """The sum of all folded adds of one tally."""
 
     tally: str
     total: int
 
 
 class TallyPositionsRequest(typing.NamedTuple):
-    """Asks for the positions on the other node's disk, now and whenever they change."""
+    """Request for the positions on the receiver's disk, now and whenever they change."""
 
     number: int  # always 0
 
 
 class TallyPositions(typing.NamedTuple):
-    """What is on the sender's disk."""
+    """Positions of the logs on the sender's disk."""
 
-    is_complete: bool  # whether all logs are named; otherwise those that changed
+    is_complete: bool  # whether all logs are listed; otherwise only those that changed
     positions: tuple[TallyPosition, ...]
 
 
 class TallyAdds(typing.NamedTuple):
-    """Adds of one log, in order; also a record of the file."""
+    """Consecutive adds of one log; also a record type of the tally file."""
 
     log: TallyLogName
-    first: int  # position of the first of them, from 1
+    first: int  # position of the first add; positions start at 1
     adds: tuple[TallyAdd, ...]
 
 
 class TallySnapshot(typing.NamedTuple):
-    """What the sender has folded; adds behind it follow. Also a record of the file."""
+    """The folded state of the sender; later adds are sent separately. Also a record type of the tally file."""
 
-    positions: tuple[TallyPosition, ...]  # up to where each log is folded
+    positions: tuple[TallyPosition, ...]  # position up to which each log is folded
     totals: tuple[TallyTotal, ...]
-    counted: tuple[TallyAdd, ...]  # ids that are in the totals and stand in adds that follow, too
+    counted: tuple[TallyAdd, ...]  # adds that are in the totals and also occur in the adds sent later
