--- a/ploverward/transport/frames.py
+++ b/ploverward/transport/frames.py
@@ -1,11 +1,11 @@
-"""Frames: how messages between nodes are encoded (docs/design.md 2, 4, 5).
+"""Encodes messages between nodes as frames, and decodes them (docs/design.md 2, 4, 5).
 
-A frame is a head (size of the body and kind, five bytes) and a body whose fields `construct` encodes in the order of
-the message's type. `_FRAME_KINDS` gives each type of `ploverward.transport.messages` its number and the encoding of its
-fields. Other versions of the program may be at the other end, so numbers, order and encodings never change
-(test_golden_frames.py).
+A frame is a header (size of the body and kind, five bytes) and a body whose fields `construct` encodes in the order of
+the message type. `_FRAME_KINDS` assigns each type of `ploverward.transport.messages` and
+`ploverward.transport.batch_messages` its number and the encoding of its fields. The peer may run another version of the
+program, so numbers, order and encodings never change (test_golden_frames.py).
 
-A ballot or a version inside a message is two fields on the wire, one behind the other.
+A ballot or a version inside a message is encoded as two consecutive fields.
 """
 
 import functools
@@ -23,8 +23,8 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import messages
 
-FRAMES_BEFORE_COMPILING = 20  # of one kind, until its parser is compiled
-MAX_FRAME_BYTES = 24 * 1024 * 1024  # what a peer may have this process buffer for one message
+FRAMES_BEFORE_COMPILING = 20  # frames of one kind that are parsed before its parser is compiled
+MAX_FRAME_BYTES = 24 * 1024 * 1024  # limits the memory that a peer can make this process use for one message
 _COMPILED_ERRORS = (construct.ConstructError, UnicodeDecodeError, struct.error, IndexError, ValueError)
 TEXT = construct.PascalString(construct.VarInt, "utf8")
 BLOB = construct.Prefixed(construct.VarInt, construct.GreedyBytes)
@@ -34,44 +34,46 @@
 
 
 class Inline(typing.NamedTuple):
-    """A field that is a named tuple, whose own fields stand in the frame one behind the other."""
+    """A field that is a named tuple; its own fields are encoded one after the other, without a prefix."""
 
     type: type
     fields: tuple
 
 
 class Rows(typing.NamedTuple):
-    """A field that is a tuple of named tuples of one type: their count, then the fields of each."""
+    """A field that is a tuple of named tuples of one type; encoded as their count and the fields of each."""
 
     type: type
     fields: tuple
 
 
 class JsonRows(typing.NamedTuple):
-    """A field that is a tuple of named tuples of texts and whole numbers: a blob with a JSON list of lists.
+    """A field that is a tuple of named tuples of strings and integers; encoded as a blob with a JSON list of lists.
 
-    A tenth of the time that `Rows` take, for fields with thousands of rows.
+    For fields with thousands of rows: it takes a tenth of the time that `Rows` take.
     """
 
     type: type
-    field_types: tuple  # of the fields of each row, each `str` or `int`
+    field_types: tuple  # types of the fields of each row, each `str` or `int`
 
     def pack(self, rows: Iterable[tuple]) -> bytes:
-        """Returns the blob."""
+        """Returns the rows as a blob."""
         return json.dumps([*rows], separators=(",", ":"), ensure_ascii=False).encode()
 
     def unpack(self, blob: bytes) -> tuple:
         """Returns the rows of a blob.
 
         Raises:
-            FrameError: It is no list of such rows.
+            FrameError: The blob is not a JSON list of such rows.
         """
         try:
             rows = json.loads(blob)
         except (ValueError, RecursionError) as error:
             raise errors.FrameError(f"{self.type.__name__}: {error}", step="frame") from None
         if type(rows) is not list or not all(self._is_row(row) for row in rows):
-            raise errors.FrameError(f"{self.type.__name__}: not rows of it", step="frame")
+            raise errors.FrameError(
+                f"{self.type.__name__}: not a JSON list of rows with fields of its types", step="frame"
+            )
         return tuple(self.type(*row) for row in rows)
 
     def _is_row(self, row: object) -> bool:
@@ -196,12 +198,12 @@
     batch_messages.RenewItems: (100, NUMBER, _rows(batch_messages.RunningItem, TEXT, TEXT, TEXT)),
     batch_messages.ItemsRenewed: (101, NUMBER, _rows(batch_messages.RunningItem, TEXT, TEXT, TEXT)),
 }
-_HEAD = struct.Struct(">IB")  # size of the body in bytes, kind
-HEADER_BYTES = _HEAD.size
+_HEADER = struct.Struct(">IB")  # size of the body in bytes, kind
+HEADER_BYTES = _HEADER.size
 
 
 def _encodings(fields: tuple) -> list[Any]:
-    """The `construct` encodings of fields, with those of inline fields in their place."""
+    """Returns the `construct` encodings of fields; an inline field is replaced by the encodings of its own fields."""
     flat: list[Any] = []
     for field in fields:
         if isinstance(field, Inline):
@@ -216,7 +218,7 @@
 
 
 def _flatten(fields: tuple, values: tuple) -> list[Any]:
-    """The values of a message as its encoding takes them."""
+    """Returns the values of a message in the form that its encoding expects."""
     flat: list[Any] = []
     for field, value in zip(fields, values, strict=True):
         if isinstance(field, Inline):
@@ -231,7 +233,7 @@
 
 
 def _assemble(message_type: type, fields: tuple, flat: Iterable[Any]) -> tuple:
-    """The message, or a row of one, that these values make: the reverse of `_flatten`."""
+    """Returns the message, or the row of one, that has these values; the inverse of `_flatten`."""
     remaining = iter(flat)
     values: list[Any] = []
     for field in fields:
@@ -247,47 +249,53 @@
 
 
 class _ExactStream(io.BytesIO):
-    """A body: a read beyond its end is an error. Compiled parsers do not look at how much they got."""
+    """Body of a frame that raises an error on a read beyond its end: compiled parsers do not check for short reads."""
 
     def read(self, size: int | None = -1, /) -> bytes:
-        """Returns the next bytes."""
+        """Returns the next bytes.
+
+        Raises:
+            StreamError: Fewer than `size` bytes are left.
+        """
         data = super().read(size)
         if size is not None and len(data) < size:
-            raise construct.StreamError("the body ends early")
+            raise construct.StreamError(f"{size} bytes needed, but only {len(data)} are left in the body")
         return data
 
 
 class _FrameKind:
-    """The encoding of one type of message."""
+    """A kind of frame: the encoding of one message type."""
 
     def __init__(self, message_type: type, number: int, fields: tuple) -> None:
         self.message_type = message_type
         self.number = number
         self.fields = fields
         self.is_flat = not any(isinstance(field, Inline | Rows | JsonRows) for field in fields)
-        self._parsed = 0  # frames of the kind
+        self._parsed = 0  # frames of this kind that were parsed
 
     @functools.cached_property
     def encodings(self) -> list[Any]:
-        """The encodings of all fields. Made with the first frame: a process sends and receives a third of all kinds."""
+        """Encodings of all fields; created with the first frame, as a process uses only a third of all kinds."""
         return _encodings(self.fields)
 
     @functools.cached_property
     def parser(self) -> construct.Construct:
-        """Parses a body, and decides whether it is malformed."""
+        """Interpreted parser of a body; decides whether the body is malformed."""
         return construct.Sequence(*self.encodings, construct.Terminated)
 
     @functools.cached_property
     def compiled_parser(self) -> construct.Construct:
-        """Takes a third to half of the time of `parser`, and 1 to 3 ms once."""
+        """Compiled parser: takes a third to half of the time of `parser`; compiling it takes 1 to 3 ms once."""
         return construct.Sequence(*self.encodings).compile()
 
     def parse(self, body: bytes) -> list[Any]:
-        """Returns the values of a body, by the compiled parser once the kind has turned out to be frequent.
+        """Returns the values of a body, using the compiled parser after `FRAMES_BEFORE_COMPILING` frames of this kind.
+
+        A body that the compiled parser rejects is parsed again by `parser`: compiled parsers raise other errors.
 
         Raises:
-            ConstructError: The body is malformed. `parser` decides: compiled parsers have errors of their own.
-            UnicodeDecodeError: A text is.
+            ConstructError: The body is malformed.
+            UnicodeDecodeError: A string in it is not valid UTF-8.
         """
         self._parsed += 1
         if self._parsed > FRAMES_BEFORE_COMPILING:
@@ -298,11 +306,11 @@
                 return self.parser.parse(body)[:-1]
             if stream.tell() == len(body):
                 return values
-        return self.parser.parse(body)[:-1]  # without that of `Terminated`
+        return self.parser.parse(body)[:-1]  # without the value of `Terminated`
 
     @functools.cached_property
     def builder(self) -> construct.Construct:
-        """Compiled when the first message of the kind is sent: packing takes a third of the time."""
+        """Compiled encoder: takes a third of the time of an interpreted one; compiled with the first message sent."""
         return construct.Sequence(*self.encodings).compile()
 
 
@@ -317,24 +325,26 @@
     """Returns the frame of a message.
 
     Args:
-        message: Of a type of `ploverward.transport.messages`.
+        message: Instance of a type in `ploverward.transport.messages` or `ploverward.transport.batch_messages`.
     """
     kind = _KINDS_BY_TYPE[type(message)]
     body = kind.builder.build(message if kind.is_flat else _flatten(kind.fields, message))
-    return _HEAD.pack(len(body), kind.number) + body
+    return _HEADER.pack(len(body), kind.number) + body
 
 
 def split(buffer: bytearray) -> list[bytes]:
     """Removes all complete frames from the front of the buffer and returns them.
 
     Raises:
-        FrameError: The bytes are no frames, or one is larger than `MAX_FRAME_BYTES`.
+        FrameError: A frame is of an unknown kind or larger than `MAX_FRAME_BYTES`.
     """
     frames = []
     while len(buffer) >= HEADER_BYTES:
-        size, number = _HEAD.unpack_from(buffer, 0)
+        size, number = _HEADER.unpack_from(buffer, 0)
         if size > MAX_FRAME_BYTES or number not in _KINDS_BY_NUMBER:
-            raise errors.FrameError(f"kind {number}, size {size}", step="frame")
+            raise errors.FrameError(
+                f"kind {number}, {size} bytes: unknown kind, or more than {MAX_FRAME_BYTES} bytes", step="frame"
+            )
         if len(buffer) < HEADER_BYTES + size:
             break
         frames.append(bytes(buffer[: HEADER_BYTES + size]))
@@ -343,13 +353,17 @@
 
 
 def list_frame_sizes(data: bytes) -> list[tuple[str, int]]:
-    """Returns the type's name and the size in bytes of each frame; `data` holds complete frames of known kinds."""
+    """Returns the name of the message type and the size in bytes of each frame.
+
+    Args:
+        data: Complete frames of known kinds, one after the other.
+    """
     found = []
-    at = 0
-    while at < len(data):
-        body_bytes, number = _HEAD.unpack_from(data, at)
+    offset = 0
+    while offset < len(data):
+        body_bytes, number = _HEADER.unpack_from(data, offset)
         found.append((_KINDS_BY_NUMBER[number].message_type.__name__, HEADER_BYTES + body_bytes))
-        at += HEADER_BYTES + body_bytes
+        offset += HEADER_BYTES + body_bytes
     return found
 
 
@@ -357,11 +371,11 @@
     """Returns the message of one complete frame.
 
     Raises:
-        FrameError: The bytes are no frame of a known kind.
+        FrameError: The bytes are not one complete and well-formed frame of a known kind.
     """
     kind = _KINDS_BY_NUMBER.get(frame[4]) if len(frame) >= HEADER_BYTES else None
-    if kind is None or _HEAD.unpack_from(frame, 0)[0] != len(frame) - HEADER_BYTES:
-        raise errors.FrameError("not one complete frame", step="frame")
+    if kind is None or _HEADER.unpack_from(frame, 0)[0] != len(frame) - HEADER_BYTES:
+        raise errors.FrameError(f"{len(frame)} bytes are not one complete frame of a known kind", step="frame")
     try:
         values = kind.parse(frame[HEADER_BYTES:])
     except (construct.ConstructError, UnicodeDecodeError) as error:
@@ -373,6 +387,6 @@
     """Removes all complete frames from the front of the buffer and returns their messages.
 
     Raises:
-        FrameError: As by `split` and `unpack`.
+        FrameError: In the cases of `split` and `unpack`.
     """
     return [unpack(frame) for frame in split(buffer)]
