--- a/ploverward/transport/test_frames.py
+++ b/ploverward/transport/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames of messages between nodes: packed, cut into pieces, malformed."""
+"""Tests of packing, splitting and unpacking frames, including malformed ones."""
 
 import pathlib
 import random
@@ -33,12 +33,12 @@
     ]
     data = b"".join(frames.pack(message) for message in sent)
     buffer = bytearray()
-    got = []
+    received = []
     for start in range(0, len(data), 7):
         buffer += data[start : start + 7]
-        got += frames.unpack_from(buffer)
-    assert got == sent and not buffer
-    assert [type(message) for message in got] == [type(message) for message in sent]
+        received += frames.unpack_from(buffer)
+    assert received == sent and not buffer
+    assert [type(message) for message in received] == [type(message) for message in sent]
 
 
 @pytest.mark.parametrize(
@@ -68,14 +68,14 @@
 
 
 def test_frame_kinds_are_exactly_the_message_types_that_are_not_rows():
-    """A message without one fails only when it is packed: proxies once failed at every heartbeat by it."""
+    """A message type without a frame kind fails only when packed: because of one, proxies failed at every heartbeat."""
     row_types = {field.type for fields in frames._FRAME_KINDS.values() for field in fields if hasattr(field, "type")}
     assert set(frames._FRAME_KINDS) == MESSAGE_TYPES - row_types
     assert messages.KeepAlive in frames._FRAME_KINDS and messages.TopicVersion in row_types
 
 
 def test_every_message_created_in_the_sources_has_a_frame_kind_or_is_a_row():
-    """A message without one fails only when it is packed: proxies once failed at every heartbeat by it."""
+    """A message type without a frame kind fails only when packed: because of one, proxies failed at every heartbeat."""
     folder = pathlib.Path(frames.__file__).parent.parent
     sources = [
         path for path in folder.rglob("*.py") if "simulation" not in path.parts and not path.name.startswith("test_")
--- a/ploverward/transport/test_golden_frames.py
+++ b/ploverward/transport/test_golden_frames.py
@@ -1,8 +1,8 @@
-"""Golden frames: what goes from node to node stays the same to the byte, whatever the code's own names are.
+"""Golden frames: checks that the bytes sent between nodes do not change, independent of names in the code.
 
-`golden/frames.json` holds frames of every kind as the code packed them at commit 0abe51d: the kind's name and number, its
-fields in order, and the frame as hex. It is never made anew from the present code: nodes of two versions run side by
-side, so a frame that has to change needs a new kind, and entries of the fixture beside those that are here.
+`golden/frames.json` holds frames of every kind as the code packed them at commit 0abe51d: the name and number of the
+kind, its fields in order, and the frame as hex. Never regenerate it from the current code: nodes of different versions
+run side by side, so a changed frame needs a new kind, with entries that are added to the existing ones.
 """
 
 import json
@@ -20,9 +20,9 @@
 from ploverward.transport import messages
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
-HEAD = struct.Struct(">IB")  # size of the fields, number of the kind
+HEADER = struct.Struct(">IB")  # size of the body in bytes, number of the kind
 
-MESSAGE_TYPES = {  # by the name of the kind in the fixture
+MESSAGE_TYPES = {  # by the name of the kind in the fixture, which may differ from the name in the code
     "hello": messages.Handshake,
     "beat": messages.KeepAlive,
     "prepare": messages.Prepare,
@@ -103,46 +103,46 @@
     identifiers.Ballot,
     identifiers.Version,
     messages.TallyLogName,
-)  # their fields stand in the frame one behind the other
+)  # types whose fields are encoded one after the other, without a prefix
 
 
 class Representation:
-    """How the code holds a message. The one place here that knows it, and the code's names."""
+    """Converts between golden frames and the message types; only this class and the tables above use the code's names."""
 
     @staticmethod
     def numbers() -> dict:
-        """Name of each kind: its number."""
+        """Returns the number of each kind, by its name in the fixture."""
         return {KIND_NAMES[message_type]: row[0] for message_type, row in frames._FRAME_KINDS.items()}
 
     @staticmethod
     def encode(*, kind: str, fields: list) -> bytes:
-        """The frame of a message of this kind, with these fields in the order of the wire."""
+        """Returns the frame of a message of this kind, with these fields in their order on the wire."""
         return frames.pack(_build(MESSAGE_TYPES[kind], fields))
 
     @staticmethod
     def decode(*, frame: bytes) -> tuple:
-        """(kind, its fields in the order of the wire)"""
+        """Returns the kind of a frame, and its fields in their order on the wire."""
         message = frames.unpack(frame)
         return KIND_NAMES[type(message)], _flat(message)
 
     @staticmethod
     def split(*, data: bytes) -> list:
-        """The complete frames that stand one behind the other."""
+        """Splits concatenated frames."""
         return frames.split(bytearray(data))
 
 
 def _build(row_type, flat):
-    """A message, or a row of one, by the types of its fields."""
-    rest = iter(flat)
+    """Returns the message, or the row of one, with these values, by the type hints of its fields."""
+    remaining = iter(flat)
     values = []
     for hint in typing.get_type_hints(row_type).values():
         if hint in INLINE:
-            values.append(hint(next(rest), next(rest)))
+            values.append(hint(next(remaining), next(remaining)))
         elif typing.get_origin(hint) is tuple:
-            values.append(tuple(_build(typing.get_args(hint)[0], row) for row in next(rest)))
+            values.append(tuple(_build(typing.get_args(hint)[0], row) for row in next(remaining)))
         else:
-            values.append(next(rest))
-    assert not list(rest)
+            values.append(next(remaining))
+    assert not list(remaining)
     return row_type(*values)
 
 
@@ -157,7 +157,7 @@
 
 
 def _from_json(value):
-    """A field as the fixture writes it: a blob is {"hex": ...}, rows are lists."""
+    """Returns a field from its form in the fixture: a blob is {"hex": ...}, rows are lists."""
     if isinstance(value, dict):
         return bytes.fromhex(value["hex"])
     if isinstance(value, list):
@@ -175,7 +175,7 @@
 
 ENTRIES = json.loads((GOLDEN / "frames.json").read_text(encoding="utf-8"))
 each_entry = pytest.mark.parametrize(
-    "entry", ENTRIES, ids=[f"{place}-{entry['kind']}" for place, entry in enumerate(ENTRIES)]
+    "entry", ENTRIES, ids=[f"{index}-{entry['kind']}" for index, entry in enumerate(ENTRIES)]
 )
 
 
@@ -183,7 +183,7 @@
 def test_a_golden_frame_is_decoded_to_its_fields_in_order(entry):
     kind, fields = Representation.decode(frame=bytes.fromhex(entry["frame"]))
     assert kind == entry["kind"]
-    # Compared as JSON text: there 1, 1.0 and true differ.
+    # Compared as JSON text, in which 1, 1.0 and true differ.
     assert json.dumps([_to_json(field) for field in fields]) == json.dumps(entry["fields"])
 
 
@@ -196,16 +196,16 @@
 @each_entry
 def test_a_golden_frame_starts_with_its_size_and_number(entry):
     frame = bytes.fromhex(entry["frame"])
-    assert HEAD.unpack_from(frame) == (len(frame) - HEAD.size, entry["number"])
+    assert HEADER.unpack_from(frame) == (len(frame) - HEADER.size, entry["number"])
 
 
 @each_entry
 def test_golden_frame_with_a_byte_added_or_removed_raises_frame_error(entry):
-    size, number = HEAD.unpack_from(bytes.fromhex(entry["frame"]))
-    body = bytes.fromhex(entry["frame"])[HEAD.size :]
+    size, number = HEADER.unpack_from(bytes.fromhex(entry["frame"]))
+    body = bytes.fromhex(entry["frame"])[HEADER.size :]
     for other in (body + b"\0", body[:-1]):
         with pytest.raises(errors.FrameError):
-            Representation.decode(frame=HEAD.pack(len(other), number) + other)
+            Representation.decode(frame=HEADER.pack(len(other), number) + other)
 
 
 def test_frame_kinds_and_numbers_equal_those_of_the_fixture():
@@ -219,7 +219,8 @@
     assert Representation.split(data=b"".join(frames)) == frames
 
 
-def _outcome(parse, body):
+def _result(parse, body):
+    """Returns the parsed values, or the type of the error."""
     try:
         return list(parse(body))
     except (construct.ConstructError, UnicodeDecodeError) as error:
@@ -231,7 +232,7 @@
     monkeypatch.setattr(frames, "FRAMES_BEFORE_COMPILING", 0)
     frame = bytes.fromhex(entry["frame"])
     kind = frames._KINDS_BY_NUMBER[frame[4]]
-    body = frame[HEAD.size :]
+    body = frame[HEADER.size :]
     changed = [body[:at] + bytes([body[at] ^ 0xFF]) + body[at + 1 :] for at in range(min(len(body), 40))]
     for data in (body, body + b"x", *(body[:size] for size in range(min(len(body), 40))), *changed):
-        assert _outcome(kind.parse, data) == _outcome(lambda data: kind.parser.parse(data)[:-1], data)
+        assert _result(kind.parse, data) == _result(lambda data: kind.parser.parse(data)[:-1], data)
