--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -1,11 +1,11 @@
-"""Golden blobs: rows and JSON inside frames, hashes that nodes have to agree on, and the acceptor's file.
+"""Golden blobs: rows and JSON inside frames, hashes on which nodes must agree, and the acceptor's file.
 
-`golden/blobs.json` holds them as the code packed them at commit 0abe51d; it is never made anew from the present code, as
-nodes of two versions run side by side and disks outlive programs. An entry has the blob's kind, the value that it was
-made of, and the blob as hex; "decoded" is what a decoder makes of the blob, where there is one.
+`golden/blobs.json` holds blobs as the code packed them at commit 0abe51d. Never regenerate it from the current code:
+nodes of different versions run side by side, and data on disks outlives the version that wrote it. An entry has the kind
+of the blob, the value that was encoded, and the blob as hex; "decoded" is the decoded value, if there is a decoder.
 
-Compressed blobs (entries with "text"): builds of zlib may compress the same text to other bytes. What is compared is the
-decompressed text, and the old compressed bytes must still be decoded.
+Compressed blobs have an entry "text": different builds of zlib may compress the same text to different bytes, so the
+decompressed text is compared. The old compressed bytes must still be decoded.
 """
 
 import dataclasses
@@ -49,12 +49,12 @@
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 
 
-# How the code packs and reads each kind. This part alone knows the code's names. Values are positional, as in the fixture;
-# the code's own classes are made and read by name, so that an order of fields that moves there is found.
+# Encoders and decoders of each kind. Only this part uses names of the code. Values are positional, as in the fixture;
+# classes of the code are created and read by field name, so that the tests detect a changed order of fields.
 
 
 def _json_bytes(value) -> bytes:
-    """What a register's value or a row of the list looks like as text, in the order of its keys."""
+    """Returns a register's value or a row of the endpoint list as JSON text, with its keys in their order."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -82,7 +82,7 @@
 
 
 def _pack_loads(value) -> bytes:
-    """Rows as the relay makes them: numbers that are too large are cut to the largest."""
+    """Packs load rows as the relay does: numbers that are too large are clamped to the largest allowed."""
     return b"".join(
         load_feed.Load(running=running, tokens=unread, suspect_count=marks, flags=flags).pack(key)
         for key, running, unread, marks, flags in value
@@ -173,10 +173,10 @@
 
 
 def _pack_trail(value) -> bytes:
-    """A request's trail: id, who served it, when, what it was, and a row for each attempt."""
-    request_id, node, zone, region, incarnation, times, about, homes, status, attempts, chain = value
+    """Packs the trail of a request: its id, the proxy, times, route and model, and a row for each attempt."""
+    request_id, node, zone, region, incarnation, times, request_facts, first_homes, status, attempts, chain = value
     arrived_s, begun_s, now_s = times
-    route, service, model, edition = about
+    route, service, model, edition = request_facts
     proxy = types.SimpleNamespace(
         settings=types.SimpleNamespace(node=node, zone=zone, region=region),
         incarnation=incarnation,
@@ -189,7 +189,7 @@
         facts=types.SimpleNamespace(
             service=service,
             model=types.SimpleNamespace(name=model),
-            first_homes=homes,
+            first_homes=first_homes,
             prompt=types.SimpleNamespace(chain=chain),
         ),
         edition=edition,
@@ -213,7 +213,7 @@
 
 
 def _read_trail(data: bytes) -> list:
-    """As operators get it from a core node."""
+    """Returns the trail as operators receive it from a core node."""
     kept = trail_store.TrailStore(now=lambda: 0.0, retention_s=1.0, max_trails=1)
     kept.record(
         messages.CustodyTrails(
@@ -224,7 +224,11 @@
 
 
 def _pack_counts(value) -> bytes:
-    """Counts of arrivals: (service, model, adapter, replica, route, what the replica holds, seconds waited, target)."""
+    """Packs adapter counts of arrivals.
+
+    Each row of `value` is (service, model, adapter, replica id, route, adapters that the replica has loaded, seconds
+    waited, latency target).
+    """
     clock = [0.0]
     counter = adapter_counts.AdapterCounter(now=lambda: clock[0], window_s=1e9, trust_s=1e-9)
     for service, model, adapter, replica_id, route, held, wait_s, target_s in value:
@@ -251,14 +255,14 @@
 
 
 def _read_list(data: bytes) -> list:
-    told = endpoint_list.unpack_list(data)
-    return [told.sorted_rows(), told.read_at]
+    unpacked = endpoint_list.unpack_list(data)
+    return [unpacked.sorted_rows(), unpacked.read_at]
 
 
 def _pack_list_change(value) -> bytes:
-    rows, gone, read_at, is_same_clock = value
+    rows, removed, read_at, is_same_clock = value
     return endpoint_list.EndpointListDelta(
-        rows=tuple(rows), removed=tuple(gone), read_at=read_at, is_same_clock=is_same_clock
+        rows=tuple(rows), removed=tuple(removed), read_at=read_at, is_same_clock=is_same_clock
     ).pack()
 
 
@@ -281,7 +285,7 @@
 
 
 class _Disk:
-    """One file in memory, in the place of the acceptor's folder."""
+    """In-memory replacement of the acceptor's folder, with a single file."""
 
     def __init__(self, data: bytes | None = None):
         self.data = data
@@ -304,13 +308,13 @@
 
 
 def _pack_acceptor_file(value) -> bytes:
-    """The file after a first, whole write and one append."""
+    """Returns the content of the file after a complete write and one append."""
     incarnation, first_set, rows, appended = value
     disk = _Disk()
-    written = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=1 << 20)
+    storage = acceptor_storage.AcceptorStorage(disk=disk, limit_bytes=1 << 20)
     for changed in ((), appended):
         image = acceptor_storage.Image(incarnation=incarnation, first_set=tuple(first_set), rows=_rows(rows))
-        written.write(rows=_rows(changed), image=image)
+        storage.write(rows=_rows(changed), image=image)
     return disk.data
 
 
@@ -320,23 +324,25 @@
 
 
 def _pack_buckets(value) -> bytes:
-    """A cut's rows: each bucket that is not empty, at version 1 and up."""
+    """Packs the bucket rows of a cut: all buckets that are not empty, with versions from 1 on."""
     words, bucket_count, puts = value
-    held = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
+    pool_filter = cuckoo_filter.Filter(bucket_count=bucket_count, words=words)
     for full_hash, bits in puts:
-        assert held.put(full_hash=full_hash, bits=bits)
-    blank = cuckoo_filter.empty_image(words=words)
-    images = [held.image(index) for index in range(bucket_count)]
-    return b"".join(hub.ROW.pack(index, index + 1) + image for index, image in enumerate(images) if image != blank)
+        assert pool_filter.put(full_hash=full_hash, bits=bits)
+    empty_image = cuckoo_filter.empty_image(words=words)
+    images = [pool_filter.image(index) for index in range(bucket_count)]
+    return b"".join(
+        hub.ROW.pack(index, index + 1) + image for index, image in enumerate(images) if image != empty_image
+    )
 
 
 def _read_buckets(data: bytes, *, value) -> list:
-    """What a mirror that takes the cut says of each hash."""
+    """Returns the owners that a mirror finds for each hash after it has installed the cut."""
     words, bucket_count, puts = value
-    taken = pool_mirror.PoolMirror(name="pool", service="service", model="model", generation=1)
-    taken.install_cut(bucket_count=bucket_count, words=words, data=data)
+    mirror = pool_mirror.PoolMirror(name="pool", service="service", model="model", generation=1)
+    mirror.install_cut(bucket_count=bucket_count, words=words, data=data)
     found = [
-        (full_hash, cuckoo_filter.find_in_images(images=taken.buckets, words=words, full_hash=full_hash))
+        (full_hash, cuckoo_filter.find_in_images(images=mirror.buckets, words=words, full_hash=full_hash))
         for full_hash, _bits in puts
     ]
     return [words, bucket_count, found]
@@ -348,39 +354,43 @@
 
 
 def _pack_configuration(value) -> bytes:
-    held, edition, body, mark = value
-    candidate = orders.Candidate(base=orders.edition_of(held), edition=edition, body=body)
-    order = orders.Order(method="PUT", base=candidate.base, order_id=mark, body=body, candidate=candidate)
-    payload, _outcome = orders.edit_for(order=order, archived=0)(held)
+    current, edition, body, order_id = value
+    candidate = orders.Candidate(base=orders.edition_of(current), edition=edition, body=body)
+    order = orders.Order(method="PUT", base=candidate.base, order_id=order_id, body=body, candidate=candidate)
+    payload, _outcome = orders.edit_for(order=order, archived=0)(current)
     return _json_bytes(payload)
 
 
 def _pack_archive(value) -> bytes:
-    held, rows = value
-    payload, _through = order_archive.edit_for(rows=rows)(held)
+    current, rows = value
+    payload, _result = order_archive.edit_for(rows=rows)(current)
     return _json_bytes(payload)
 
 
 def _pack_evacuations(value) -> bytes:
-    held, zone, is_out = value
-    payload, _nothing = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: False)(held)
+    current, zone, is_out = value
+    payload, _result = evacuations.edit_for(zone=zone, is_out=is_out, is_late=lambda: False)(current)
     return _json_bytes(payload)
 
 
-def _pack_duties(value) -> bytes:
-    held, rows = value
-    made = []
-    table = singleton_role_table.SingletonRoleTable(change=lambda *, name, edit, done: made.append(edit(held)))
+def _pack_singleton_roles(value) -> bytes:
+    current, rows = value
+    edits = []
+    table = singleton_role_table.SingletonRoleTable(change=lambda *, name, edit, done: edits.append(edit(current)))
     table.acquire(rows={name: row for name, *row in rows})
-    [(payload, _nothing)] = made
+    [(payload, _result)] = edits
     return _json_bytes(payload)
 
 
 def _pack_rollouts(value) -> bytes:
-    """Rows by service: admitted, refused, target, seconds, stage, number, step, age, reason, records, is it settled."""
+    """Packs roll-outs.
+
+    Each row of `value` is (service, admitted, refused, target, seconds, stage, number, step, age, reason, records,
+    is settled).
+    """
     payload = None
-    for service, *about, records_of_steps, is_settled in value:
-        admitted, refused, target, over_s, stage, number, step, age_s, reason = about
+    for service, *fields, records_of_steps, is_settled in value:
+        admitted, refused, target, over_s, stage, number, step, age_s, reason = fields
         row = state.Rollout(
             admitted=tuple(admitted),
             refused=tuple(refused),
@@ -393,9 +403,16 @@
             reason=reason,
             record=tuple(
                 dataclasses.asdict(
-                    state.Evidence(stage=at, age_s=at_s, reason=why, sent=sent, sent_new=sent_new, routes=routes)
+                    state.Evidence(
+                        stage=step_stage,
+                        age_s=step_age_s,
+                        reason=step_reason,
+                        sent=sent,
+                        sent_new=sent_new,
+                        routes=routes,
+                    )
                 )
-                for at, at_s, why, sent, sent_new, routes in records_of_steps
+                for step_stage, step_age_s, step_reason, sent, sent_new, routes in records_of_steps
             ),
             is_settled=is_settled,
         )
@@ -414,7 +431,7 @@
 
 
 def _pack_names(_value) -> bytes:
-    """Names that go over the wire or stand on disk: registers (and their topics), rows that are none, duties."""
+    """Packs names that are sent or stored: registers (also topics), rows that are no registers, singleton roles."""
     return _json_bytes(
         {
             "registers": register_names.REGISTERS,
@@ -431,11 +448,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Codec:
-    """`encode`: value to bytes. `decode`: bytes to value, None for hashes and other one-way forms."""
+    """Encoder and decoder of one kind of blob."""
 
-    encode: object
-    decode: object = None
-    takes_value: bool = False  # whether `decode` is told the value too
+    encode: object  # value to bytes
+    decode: object = None  # bytes to value; None for hashes and other one-way encodings
+    takes_value: bool = False  # whether `decode` also receives the original value
     is_compressed: bool = False
 
 
@@ -472,17 +489,17 @@
     "configuration payload": Codec(_pack_configuration),
     "archive payload": Codec(_pack_archive),
     "evacuations payload": Codec(_pack_evacuations),
-    "duties payload": Codec(_pack_duties),
+    "duties payload": Codec(_pack_singleton_roles),
     "roll-outs payload": Codec(_pack_rollouts, _read_rollouts),
     "digest for a proxy": Codec(lambda value: singleton_roles.digest_for(names=value[0], address=value[1]).encode()),
     "names": Codec(_pack_names),
 }
 
-# From here on nothing depends on the code's names.
+# The code below does not depend on names of the code under test.
 
 
 def _from_json(value):
-    """A value as the fixture writes it: bytes are {"hex": ...}."""
+    """Returns a value from its form in the fixture: bytes are {"hex": ...}."""
     if isinstance(value, dict):
         if value.keys() == {"hex"}:
             return bytes.fromhex(value["hex"])
@@ -508,16 +525,16 @@
 
 def _decode(entry: dict):
     codec = CODECS[entry["kind"]]
-    about = {"value": _from_json(entry["value"])} if codec.takes_value else {}
-    return _to_json(codec.decode(bytes.fromhex(entry["blob"]), **about))
+    arguments = {"value": _from_json(entry["value"])} if codec.takes_value else {}
+    return _to_json(codec.decode(bytes.fromhex(entry["blob"]), **arguments))
 
 
 ENTRIES = json.loads((GOLDEN / "blobs.json").read_text(encoding="utf-8"))
-NAMES = [f"{place}-{entry['kind']}" for place, entry in enumerate(ENTRIES)]
-READABLE = [place for place, entry in enumerate(ENTRIES) if "decoded" in entry]
+IDS = [f"{index}-{entry['kind']}" for index, entry in enumerate(ENTRIES)]
+DECODABLE = [index for index, entry in enumerate(ENTRIES) if "decoded" in entry]
 
 
-@pytest.mark.parametrize("entry", ENTRIES, ids=NAMES)
+@pytest.mark.parametrize("entry", ENTRIES, ids=IDS)
 def test_the_value_is_encoded_to_the_golden_blob(entry):
     blob = _encode(entry)
     if "text" in entry:
@@ -527,9 +544,9 @@
         assert blob.hex() == entry["blob"]
 
 
-@pytest.mark.parametrize("entry", [ENTRIES[place] for place in READABLE], ids=[NAMES[place] for place in READABLE])
+@pytest.mark.parametrize("entry", [ENTRIES[index] for index in DECODABLE], ids=[IDS[index] for index in DECODABLE])
 def test_the_golden_blob_is_decoded_to_its_value(entry):
-    # Compared as JSON text: there 1, 1.0 and true differ, and so does the order of keys.
+    # Compared as JSON text, in which 1, 1.0 and true differ, and so do orders of keys.
     assert json.dumps(_decode(entry)) == json.dumps(entry["decoded"])
 
 
