--- a/ploverward/data_plane/load_reports/test_digest.py
+++ b/ploverward/data_plane/load_reports/test_digest.py
@@ -24,7 +24,7 @@
 
     def __init__(self, name, region):
         self.id = name
-        self.key = row_codec.key_of(name)
+        self.key = row_codec.replica_key(name)
         self.region = region
         self.running = 0
         self.prefill_tokens = {}
@@ -298,7 +298,7 @@
     """Asserts that the relays' totals, and the loads that each proxy computes from them, equal the actual loads."""
     actual_loads = count_actual_loads(scene)
     for name, region in scene.replica_regions.items():
-        key = row_codec.key_of(name)
+        key = row_codec.replica_key(name)
         assert scene.hosts[region].total(key)[:2] == actual_loads[name], name
         for member in scene.members:
             total = member.mirrors[region].load.get(key, (0, 0, 0, 0))
@@ -333,7 +333,7 @@
             continue
         for index, member in enumerate(scene.members):
             for name, region in scene.replica_regions.items():
-                total = member.mirrors[region].load.get(row_codec.key_of(name), (0, 0, 0, 0))
+                total = member.mirrors[region].load.get(row_codec.replica_key(name), (0, 0, 0, 0))
                 visible = total[0] - member.source.counted(member.replicas[name])[0]
                 recent = history[-20:]
                 lower_bound = sum(min(row[other][name] for row in recent) for other in range(5) if other != index)
@@ -359,7 +359,7 @@
 def test_malformed_and_repeated_reports_are_refused_without_effect():
     sums = aggregates.LoadAggregates(regions=REGIONS)
     sums.handle_report("p1", messages.LoadReport(1, recording_connections.load_row("i0", running=2, tokens=9), b""))
-    key = row_codec.key_of("i0")
+    key = row_codec.replica_key("i0")
     for number, loads, reads in (
         (2, b"xx", b""),
         (2, recording_connections.load_row("i0", running=7), b"\x01"),
@@ -393,7 +393,7 @@
         rows = b"".join(recording_connections.load_row(f"i{number}", running=member + 1) for number in range(3))
         sums.handle_report(member, messages.LoadReport(1, rows, b""))
     _number, loads, _reads = sums.next_batch(region="north")
-    assert len(row_codec.rows(shape=row_codec.REPORTED, data=loads)) == 3
+    assert len(row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=loads)) == 3
     assert sums.acknowledge(region="north", number=10) == {member: 1 for member in range(20)}
 
 
@@ -405,5 +405,5 @@
         sums.handle_report("p1", messages.LoadReport(number, load, read))
         sums.discard_reads_and_outcomes(region="north")
     _number, loads, reads = sums.checkpoint(region="north")
-    (row,) = row_codec.rows(shape=row_codec.REPORTED, data=loads)
+    (row,) = row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=loads)
     assert row[2] == 49 and row[5:] == (0, 0) and reads == b""
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -190,7 +190,7 @@
             owners = dict.fromkeys(owner for owned in hashes for owner in self._owners.get(owned, ()))
         first = itertools.islice(owners, cuckoo_filter.MAX_NAMED_OWNERS)
         return cuckoo_filter.encode_wide_value(
-            count=len(owners), tags=[row_codec.key_of(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
+            count=len(owners), tags=[row_codec.replica_key(owner)[: cuckoo_filter.TAG_SIZE] for owner in first]
         )
 
     def _add_owner(self, replica: str, full_hash: bytes, *, is_deferrable: bool) -> None:
--- a/ploverward/data_plane/relay/host.py
+++ b/ploverward/data_plane/relay/host.py
@@ -89,9 +89,9 @@
         """
         self._services = services
         self._replicas = replicas
-        self._ids = {row_codec.key_of(row["id"]): row["id"] for row in replicas}
+        self._ids = {row_codec.replica_key(row["id"]): row["id"] for row in replicas}
         self._capacities = {
-            row_codec.key_of(row["id"]): load_feed.Capacity(
+            row_codec.replica_key(row["id"]): load_feed.Capacity(
                 batch_slots=row.get("berths", 0), tokens=services.get(row["service"], {}).get("cache_tokens", 1)
             )
             for row in replicas
@@ -187,9 +187,9 @@
         if batch_slots and total.running >= batch_slots * load_feed.FULL_LOAD_SHARE:
             flags |= load_feed.FULL
         return load_feed.Load(
-            row_codec.short(total.running),
-            row_codec.long(total.prefill_tokens),
-            row_codec.short(total.suspect_count),
+            row_codec.clamp_uint16(total.running),
+            row_codec.clamp_uint32(total.prefill_tokens),
+            row_codec.clamp_uint16(total.suspect_count),
             flags,
         )
 
@@ -251,7 +251,7 @@
         subscriber = self.subscribers.get(connection)
         if subscriber is None:
             return
-        rows = row_codec.rows(shape=row_codec.REPORTED, data=message.load_rows)
+        rows = row_codec.rows(shape=row_codec.REPORTED_LOAD_ROW, data=message.load_rows)
         reads = [
             row_codec.unpack_read(data=packed) for _region, packed in row_codec.split_reads(data=message.read_rows)
         ]
--- a/ploverward/data_plane/relay/test_broken_mirror.py
+++ b/ploverward/data_plane/relay/test_broken_mirror.py
@@ -72,7 +72,9 @@
     clock = [0.0]
     region = mirror.RegionMirror(now=lambda: clock[0], trust_s=5.0)
     region.handle_publication(messages.Catalogue(1, ()))
-    region.handle_publication(messages.ReplicaLoads(1, True, row_codec.LOAD.pack(row_codec.key_of("i0"), 1, 10, 0, 0)))
+    region.handle_publication(
+        messages.ReplicaLoads(1, True, row_codec.LOAD_ROW.pack(row_codec.replica_key("i0"), 1, 10, 0, 0))
+    )
     assert region.is_trusted and region.is_fresh
     clock[0] = 100.0
     assert region.is_trusted and region.is_fresh  # only changes are sent, so a stream without messages is not broken
--- a/ploverward/data_plane/relay/test_publication.py
+++ b/ploverward/data_plane/relay/test_publication.py
@@ -117,7 +117,7 @@
     reader = recording_connections.RecordingLink()
     hub.join(reader)
     region = pool_mirror.PoolMirror(name="p", service="llm", model="m", generation=1)
-    region.owner_bits = {row_codec.key_of("r1"): 0}
+    region.owner_bits = {row_codec.replica_key("r1"): 0}
     chains = [relay_hosts.rows(f"shared{number}", f"own{number}") for number in range(40)]
     for chain in chains:
         actor.record_prompt(replica="r1", rows=chain)
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -157,7 +157,7 @@
     assert pool.actor.owners(full_hash) == set(new)
     (mirror,) = region.pools.values()
     owners = mirror.owners(full_hash, pool_size=300)
-    assert owners.is_widespread and not any(owners.names(row_codec.key_of(name)) for name in old)
+    assert owners.is_widespread and not any(owners.names(row_codec.replica_key(name)) for name in old)
 
 
 def test_wide_pool_names_first_owners_of_part_and_counts_others():
@@ -182,7 +182,7 @@
 
     assert cached_tokens("r0", "r3", "r6", "r150") == {"r0": 20, "r3": 20, "r6": 10, "r150": 10}
     depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
-    assert depth == 2 and tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in names[:4])
+    assert depth == 2 and tags == tuple(row_codec.replica_key(name)[: cuckoo_filter.TAG_SIZE] for name in names[:4])
     host.sync(
         services=relay_hosts.SERVICES,
         replicas=[relay_hosts.replica(name) for name in names if name not in ("r1", "r2")],
@@ -191,7 +191,7 @@
     relay_hosts.feed(region, reader)
     _depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
     expected = ("r0", "r3", "r4", "r5")  # later owners take the place of removed ones
-    assert tags == tuple(row_codec.key_of(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
+    assert tags == tuple(row_codec.replica_key(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
     assert cached_tokens("r6") == {"r6": 10}
 
 
--- a/ploverward/store/job_table.py
+++ b/ploverward/store/job_table.py
@@ -78,7 +78,7 @@
     due_at: float
     max_attempts: int
     items: dict[str, Item]
-    results: list[batch_messages.ListedItem] = dataclasses.field(default_factory=list)
+    results: list[batch_messages.ItemResult] = dataclasses.field(default_factory=list)
     is_ended: bool = False
     positions: list[int] = dataclasses.field(default_factory=list)
 
@@ -164,7 +164,7 @@
         if item is None or item.state is ItemState.LISTED:
             return
         item.state = ItemState.LISTED
-        job.results.append(batch_messages.ListedItem(entry.item, entry.condition, entry.text))
+        job.results.append(batch_messages.ItemResult(entry.item, entry.condition, entry.text))
 
     def find(self, *, tenant: str, job: str) -> Job | None:
         """Returns a job, or None if it is not in the table."""
@@ -191,9 +191,9 @@
                 yield item
 
     @staticmethod
-    def page(job: Job, *, after: int) -> tuple[batch_messages.ListedItem, ...]:
+    def page(job: Job, *, after: int) -> tuple[batch_messages.ItemResult, ...]:
         """Returns results after a position: as many as fit into `PAGE_BYTES`, but at least one if there is any."""
-        page: list[batch_messages.ListedItem] = []
+        page: list[batch_messages.ItemResult] = []
         size = 0
         for result in job.results[after:]:
             size += len(result.text) + len(result.item)
--- a/ploverward/store/replication.py
+++ b/ploverward/store/replication.py
@@ -301,7 +301,7 @@
         return batch_messages.CopyReport(
             self.number,
             self.owners.epoch,
-            tuple(batch_messages.LevelCopy(address, self._copies[address].disk) for address in caught_up),
+            tuple(batch_messages.CaughtUpCopy(address, self._copies[address].disk) for address in caught_up),
             tuple(map(batch_messages.LostCopy, lost)),
         )
 
--- a/ploverward/store/test_job_table.py
+++ b/ploverward/store/test_job_table.py
@@ -105,7 +105,7 @@
     assert [row.item for row in table.page(job, after=0)] == ["a"]
     monkeypatch.setattr(job_table, "PAGE_BYTES", 26)
     assert [row.item for row in table.page(job, after=0)] == ["a", "b"]
-    assert table.page(job, after=2) == (batch_messages.ListedItem("c", 1, b"x" * 12),)
+    assert table.page(job, after=2) == (batch_messages.ItemResult("c", 1, b"x" * 12),)
     assert table.page(job, after=3) == ()
 
 
--- a/ploverward/store/test_replication.py
+++ b/ploverward/store/test_replication.py
@@ -121,7 +121,7 @@
     cluster.deliver()
     cluster.lease("B", "C")
     report = cluster.primary.report()
-    assert [row.address for row in report.level] == ["C"] and not report.lost
+    assert [row.address for row in report.caught_up] == ["C"] and not report.lost
     cluster.primary.append(b"entry")
     cluster.deliver(only="B")
     assert not cluster.committed
