--- a/ploverward/command_line/pin_report.py
+++ b/ploverward/command_line/pin_report.py
@@ -118,7 +118,7 @@
     """Returns which adapters arrive cold as each proxy sees it, most first: where the work lands."""
     table: dict[tuple, list[int]] = collections.defaultdict(lambda: [0, 0])  # cold, arrivals
     for window in windows:
-        for key, counts in count_table.rows_of(window):
+        for key, counts in count_table.parse_rows(window):
             row = table[(window["node"], window["zone"], key.service, key.model, key.adapter)]
             row[0] += counts.cold
             row[1] += counts.arrivals
--- a/ploverward/control_plane/adapter_cache/adapter_demand.py
+++ b/ploverward/control_plane/adapter_cache/adapter_demand.py
@@ -52,7 +52,7 @@
     """
     table: dict[AdapterKey, dict[str, RegionDemand]] = {}
     for window in windows:
-        for key, counts in count_table.rows_of(window):
+        for key, counts in count_table.parse_rows(window):
             adapter = AdapterKey(key.service, key.model, key.adapter)
             row = table.setdefault(adapter, {}).setdefault(window["region"], RegionDemand())
             row.counts = row.counts.plus(counts)
@@ -73,7 +73,7 @@
     """Where each adapter may be loaded: the home regions of all routes that requested it; None for all regions."""
     table: dict[AdapterKey, frozenset[str] | None] = {}
     for window in windows:
-        for key, _counts in count_table.rows_of(window):
+        for key, _counts in count_table.parse_rows(window):
             homes = frozenset(routes.get(key.route, {}).get("homes") or ()) or None
             adapter = AdapterKey(key.service, key.model, key.adapter)
             known = table.get(adapter, homes)
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -73,7 +73,7 @@
                 "zone": window.count.zone,
                 "region": window.count.region,
                 count_table.ROWS_KEY: window.table[count_table.ROWS_KEY],
-                count_table.OVER_KEY: window.table[count_table.OVER_KEY],
+                count_table.OVERFLOW_KEY: window.table[count_table.OVERFLOW_KEY],
             }
             for window in self._windows.values()
         ]
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -264,7 +264,7 @@
             self.answer(request, is_good=False)
             return
         assert homes is None or replica.region in homes
-        arrival = proxy.counter.begin(
+        arrival = proxy.counter.note_sent(
             replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=latency_target_of(kind)
         )
         replica.running += 1
@@ -424,8 +424,8 @@
     scene.traffic = lambda: None
     scene.world.run(until=70.0 + 1e-6)
     windows = adapter_usage.merge(tables=[core.rows() for core in scene.cores]).values()
-    counted = sum(counts.arrivals for window in windows for _key, counts in count_table.rows_of(window))
+    counted = sum(counts.arrivals for window in windows for _key, counts in count_table.parse_rows(window))
     seen = sum(1 for _request, _at, first_at, *_rest in scene.log if first_at <= 68.0)
     assert seen - 20 <= counted <= len(scene.log) + 60
-    waits = sum(counts.waits for window in windows for _key, counts in count_table.rows_of(window))
+    waits = sum(counts.waits for window in windows for _key, counts in count_table.parse_rows(window))
     assert 0 < waits
--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -131,7 +131,7 @@
             return 0.0 if is_steady else load_s * UNSTABLE_ADAPTER_SHARE
         return load_s * (UNKNOWN_ADAPTER_SHARE if state is UNKNOWN else 1.0)
 
-    def begin(
+    def note_sent(
         self, *, replica: Replica, service: str, model: str, adapter: str, route: str, target_s: float
     ) -> Arrival:
         """Notes that an attempt was sent.
@@ -237,4 +237,4 @@
 
     def _next_report(self) -> WindowReport:
         self._number += 1
-        return WindowReport(self._window, self._number, count_table.pack(counts=self._rows, over=self._over))
+        return WindowReport(self._window, self._number, count_table.pack(counts=self._rows, overflow=self._over))
--- a/ploverward/data_plane/adapter_cache/adapter_names.py
+++ b/ploverward/data_plane/adapter_cache/adapter_names.py
@@ -4,7 +4,7 @@
 import typing
 
 
-class NamedModel(typing.NamedTuple):
+class ResolvedModel(typing.NamedTuple):
     """What a request names.
 
     Attributes:
@@ -23,7 +23,7 @@
     text: str,
     models: collections.abc.Container[str],
     adapters: collections.abc.Mapping[str, collections.abc.Collection[str]],
-) -> NamedModel:
+) -> ResolvedModel:
     """Finds out what X-Model names.
 
     The name of a model is that model. A name that the endpoint list or the configuration gives as an adapter of exactly
@@ -35,8 +35,8 @@
         adapters: of each adapter the models that have it.
     """
     if not text or text in models:
-        return NamedModel(text, "", True)
+        return ResolvedModel(text, "", True)
     owners = adapters.get(text, ())
     if len(owners) == 1:
-        return NamedModel(next(iter(owners)), text, True)
-    return NamedModel(text, "", False)
+        return ResolvedModel(next(iter(owners)), text, True)
+    return ResolvedModel(text, "", False)
--- a/ploverward/data_plane/adapter_cache/count_table.py
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -9,7 +9,7 @@
 import typing
 
 ROWS_KEY = "rows"
-OVER_KEY = "over"  # arrivals that found no row, as the table was full
+OVERFLOW_KEY = "over"  # arrivals that found no row, as the table was full
 
 Table: typing.TypeAlias = dict[str, typing.Any]
 
@@ -51,15 +51,15 @@
 _KEY_LENGTH = len(CountKey._fields)
 
 
-def pack(*, counts: collections.abc.Mapping[CountKey, collections.abc.Mapping[str, int]], over: int) -> bytes:
+def pack(*, counts: collections.abc.Mapping[CountKey, collections.abc.Mapping[str, int]], overflow: int) -> bytes:
     """Writes a table.
 
     Args:
         counts: the rows; each has all `FIELDS`.
-        over: arrivals that found no row.
+        overflow: arrivals that found no row.
     """
     rows = [[*key, *(row[field] for field in FIELDS)] for key, row in sorted(counts.items())]
-    return json.dumps({ROWS_KEY: rows, OVER_KEY: over}, separators=(",", ":")).encode()
+    return json.dumps({ROWS_KEY: rows, OVERFLOW_KEY: overflow}, separators=(",", ":")).encode()
 
 
 def read(*, data: bytes) -> Table | None:
@@ -67,10 +67,10 @@
     try:
         body = json.loads(data)
         rows = [list(row) for row in body[ROWS_KEY]]
-        over = int(body[OVER_KEY])
+        overflow = int(body[OVERFLOW_KEY])
     except (ValueError, KeyError, TypeError):
         return None
-    return {ROWS_KEY: rows, OVER_KEY: over} if all(_is_row(row) for row in rows) else None
+    return {ROWS_KEY: rows, OVERFLOW_KEY: overflow} if all(_is_row(row) for row in rows) else None
 
 
 def _is_row(row: list[typing.Any]) -> bool:
@@ -82,7 +82,7 @@
     )
 
 
-def rows_of(window: collections.abc.Mapping[str, typing.Any]) -> list[tuple[CountKey, ArrivalCounts]]:
+def parse_rows(window: collections.abc.Mapping[str, typing.Any]) -> list[tuple[CountKey, ArrivalCounts]]:
     """The rows of a table, or of a window that has the rows of one. Counts that a later version added are omitted."""
     end = _KEY_LENGTH + len(FIELDS)
     return [(CountKey(*row[:_KEY_LENGTH]), ArrivalCounts(*row[_KEY_LENGTH:end])) for row in window[ROWS_KEY]]
--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -27,8 +27,10 @@
         self.clock = [0.0]
         self.counter = adapter_counts.AdapterCounter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
 
-    def begin(self, one, adapter="drafts", target_s=0.6):
-        return self.counter.begin(replica=one, service="llm", model="m", adapter=adapter, route="r", target_s=target_s)
+    def note_sent(self, one, adapter="drafts", target_s=0.6):
+        return self.counter.note_sent(
+            replica=one, service="llm", model="m", adapter=adapter, route="r", target_s=target_s
+        )
 
     def rows(self):
         found = {}
@@ -38,35 +40,35 @@
         return found
 
 
-def test_two_arrivals_that_meet_one_load_are_one_load_and_two_waits():
+def test_two_arrivals_during_one_load_count_one_load_and_two_waits():
     scene = Scene()
     cold = replica()
-    one, two = scene.begin(cold), scene.begin(cold)
+    one, two = scene.note_sent(cold), scene.note_sent(cold)
     scene.clock[0] = 0.9
     scene.counter.note_run(one)
     scene.counter.note_run(two)
-    scene.counter.note_run(scene.begin(cold))  # loaded by now, by our own evidence
+    scene.counter.note_run(scene.note_sent(cold))  # loaded by now, by our own evidence
     row = scene.rows()[("drafts", "i1")]
     assert (row["cold"], row["waits"], row["loads"], row["warm"], row["late"]) == (2, 2, 1, 1, 2)
     assert row["wait_ms"] == 1800 and row["most_wait_ms"] == 900
 
 
-def test_what_never_ran_is_no_load():
+def test_attempt_that_did_not_run_counts_no_load():
     scene = Scene()
     cold = replica()
-    scene.counter.note_not_run(scene.begin(cold))
+    scene.counter.note_not_run(scene.note_sent(cold))
     assert scene.rows() == {}
-    arrival = scene.begin(cold)
+    arrival = scene.note_sent(cold)
     scene.counter.note_run(arrival)
     scene.counter.note_not_run(arrival)  # its end, later: nothing more
     assert scene.rows()[("drafts", "i1")]["loads"] == 1
 
 
-def test_warm_cold_and_unknown_are_three_counts():
+def test_warm_cold_and_unknown_arrivals_are_counted_separately():
     scene = Scene()
-    scene.counter.note_run(scene.begin(replica("warm", [["m", "drafts"]])))
-    scene.counter.note_run(scene.begin(replica("cold", [["m", "reviews"]])))
-    scene.counter.note_run(scene.begin(replica("dark", None)))
+    scene.counter.note_run(scene.note_sent(replica("warm", [["m", "drafts"]])))
+    scene.counter.note_run(scene.note_sent(replica("cold", [["m", "reviews"]])))
+    scene.counter.note_run(scene.note_sent(replica("dark", None)))
     rows = scene.rows()
     assert [
         rows[("drafts", name)][state] for name, state in (("warm", "warm"), ("cold", "cold"), ("dark", "unknown"))
@@ -74,27 +76,27 @@
     assert sum(row["loads"] for row in rows.values()) == 1
 
 
-def test_a_new_incarnation_starts_empty_and_our_own_evidence_ends():
+def test_new_incarnation_is_cold_and_evidence_of_load_expires():
     scene = Scene()
     first = replica("i1")
-    scene.counter.note_run(scene.begin(first))
+    scene.counter.note_run(scene.note_sent(first))
     assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.WARM
     assert scene.counter.state(replica=replica("i2"), model="m", adapter="drafts") == adapter_counts.COLD
     scene.clock[0] = 4.1  # by now the list would say so
     assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.COLD
 
 
-def test_counts_are_bounded_and_what_finds_no_row_is_still_counted(monkeypatch):
+def test_arrivals_beyond_max_rows_are_counted_as_overflow(monkeypatch):
     monkeypatch.setattr(adapter_counts, "MAX_ROWS", 3)
     scene = Scene()
     for number in range(5):
-        scene.counter.note_run(scene.begin(replica(f"i{number}")))
+        scene.counter.note_run(scene.note_sent(replica(f"i{number}")))
     ((_window, _number, data),) = scene.counter.report()
     body = json.loads(data)
     assert len(body["rows"]) == 3 and body["over"] == 2
 
 
-def test_windows_are_sent_complete_and_a_finished_one_again():
+def test_resent_and_closed_window_reports_count_each_arrival_once():
     scene = Scene()
     usage = adapter_usage.AdapterUsageStore(now=lambda: scene.clock[0], window_s=30.0)
 
@@ -109,7 +111,7 @@
     total = 0
     for step in range(40):
         scene.clock[0] = step * 2.0
-        scene.counter.note_run(scene.begin(replica(f"i{step % 3}")))
+        scene.counter.note_run(scene.note_sent(replica(f"i{step % 3}")))
         total += 1
         if step % 2:
             send_counts()
--- a/ploverward/data_plane/adapter_cache/test_adapter_names.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_names.py
@@ -18,5 +18,5 @@
         ("m/drafts", ("m/drafts", "", False)),
     ],
 )
-def test_an_adapter_is_known_by_the_list_or_not_at_all(text, found):
+def test_resolve_knows_only_models_and_unambiguous_adapters(text, found):
     assert adapter_names.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
--- a/ploverward/data_plane/connection_watch.py
+++ b/ploverward/data_plane/connection_watch.py
@@ -20,7 +20,7 @@
         max_handles: File handles of the process.
         clients: Returns the number of connections of clients.
         upstream: Returns the number of connections to replicas.
-        broken_regions: Returns the regions whose loads are not known now.
+        stale_regions: Returns the regions whose loads are not known now.
     """
 
     def __init__(
@@ -29,12 +29,12 @@
         max_handles: float,
         clients: Callable[[], int],
         upstream: Callable[[], int],
-        broken_regions: Callable[[], list[str]],
+        stale_regions: Callable[[], list[str]],
     ) -> None:
         self._first_level = max_handles * HANDLES_SHARE
         self._clients = clients
         self._upstream = upstream
-        self._broken_regions = broken_regions
+        self._stale_regions = stale_regions
         self._next_level = self._first_level
 
     def check(self) -> None:
@@ -44,7 +44,7 @@
         if count >= self._next_level:
             _log.info(
                 "many_connections",
-                extra={"clients": clients, "upstream": upstream, "regions_unknown": self._broken_regions()},
+                extra={"clients": clients, "upstream": upstream, "regions_unknown": self._stale_regions()},
             )
             while self._next_level <= count:
                 self._next_level *= 2
--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -101,7 +101,7 @@
         if not payload:
             return
         body = payload["body"]
-        self._residency.retire(self.routes)
+        self._residency.add_replaced(self.routes)
         self.routes = route_table.Routes(body=body)
         self._table.install_services(route_table.services(body=body))
         self.limits = http_limits(body.get("limits") or {})
--- a/ploverward/data_plane/control_client/core_connections.py
+++ b/ploverward/data_plane/control_client/core_connections.py
@@ -124,27 +124,27 @@
         """Whether it leads to a core node of the own region."""
         return connection in self._near_connections
 
-    def established(self) -> Iterator[tuple[str, peer_connection.PeerConnection]]:
+    def established_connections(self) -> Iterator[tuple[str, peer_connection.PeerConnection]]:
         """The core nodes that can be sent to now: address and connection."""
         for host, connector in self._connectors.items():
             if connector.link is not None and connector.link.is_up:
                 yield host, connector.link
 
-    def to(self, host: str) -> peer_connection.PeerConnection | None:
+    def connection_to(self, host: str) -> peer_connection.PeerConnection | None:
         """The connection to one core node; None where it can't be sent to now."""
-        return dict(self.established()).get(host)
+        return dict(self.established_connections()).get(host)
 
-    def nearest(self) -> peer_connection.PeerConnection | None:
+    def nearest_connection(self) -> peer_connection.PeerConnection | None:
         """The connection to a core node of the own region, or else to another; None where there is none."""
         found = None
-        for host, connection in sorted(self.established()):
+        for host, connection in sorted(self.established_connections()):
             if found is None or host in self._near_hosts:
                 found = connection
         return found
 
     def keep_alive(self) -> None:
         """Shows the core nodes that this process runs; to be called at each heartbeat interval."""
-        for _host, connection in self.established():
+        for _host, connection in self.established_connections():
             connection.keep_alive()
 
     def send_state(self, state: messages.NodeState) -> None:
@@ -159,7 +159,7 @@
 
     def broadcast(self, message: tuple) -> None:
         """Sends to all core nodes that can be sent to now."""
-        for _host, connection in self.established():
+        for _host, connection in self.established_connections():
             connection.send(message)
 
 
--- a/ploverward/data_plane/control_client/core_reports.py
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -32,7 +32,7 @@
     def send(self) -> None:
         """Sends what was counted since the last report, where the coordinator can be reached."""
         _epoch, owner, _incarnation = self._singleton_roles().get(singleton_roles.COORDINATOR, (0, "", ""))
-        connection = self._connections.to(owner)
+        connection = self._connections.connection_to(owner)
         if connection is None:
             return
         report = self._rollouts.report()
@@ -68,7 +68,7 @@
         Args:
             is_last: whether the process is about to end.
         """
-        connection = self._connections.nearest()
+        connection = self._connections.nearest_connection()
         if connection is None:
             return
         self._batches.close_batch(is_last=is_last)
--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -37,7 +37,7 @@
         self._binds_for_s = binds_for_s
         self._former: list[FormerHomes] = []
 
-    def retire(self, routes: route_table.Routes) -> None:
+    def add_replaced(self, routes: route_table.Routes) -> None:
         """The configuration with these routes is about to be replaced; the empty one of a start binds nothing."""
         now = self._now()
         self._former = [former for former in self._former if former.binds_until > now]
--- a/ploverward/data_plane/control_client/share_renewals.py
+++ b/ploverward/data_plane/control_client/share_renewals.py
@@ -29,7 +29,7 @@
         self._number = 0
         self._sent_at: dict[int, float] = {}
 
-    def begin(self) -> int:
+    def start_renewal(self) -> int:
         """The number of a renewal that is sent now."""
         self._number += 1
         self._sent_at[self._number] = self._now()
@@ -70,8 +70,8 @@
 
     def renew(self) -> None:
         """Requests this proxy's share from each core node."""
-        number = self._log.begin()
-        for host, connection in self._connections.established():
+        number = self._log.start_renewal()
+        for host, connection in self._connections.established_connections():
             usage = self._quota_allowance.report(core=host) if self._quota_allowance.has_limits else b""
             connection.send(messages.RenewShares(number=number, usage_rows=usage))
         self._quota_allowance.end_report()
--- a/ploverward/data_plane/control_client/test_core_connections.py
+++ b/ploverward/data_plane/control_client/test_core_connections.py
@@ -10,7 +10,7 @@
 READY = messages.NodeState(is_ready=True, is_draining=False)
 
 
-def test_a_new_state_reaches_core_nodes_whose_connection_is_still_being_established():
+def test_send_state_reaches_core_nodes_with_pending_connections():
     loop = loopback.new_loop()
     received = []
     with peer_connection.listen(address=(loopback.own_address(host=7), 0)) as listener:
@@ -25,9 +25,9 @@
             on_end=lambda _host, _connection: None,
         )
         connections.connect()
-        assert not list(connections.established())
+        assert not list(connections.established_connections())
         connections.send_state(READY)
-        assert loopback.until(loop, lambda: list(connections.established()))
+        assert loopback.until(loop, lambda: list(connections.established_connections()))
         accepted, _address = listener.accept()
         accepted.setblocking(False)
         core = peer_connection.PeerConnection(
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -75,7 +75,7 @@
     return messages.Acknowledgement(versions=(messages.TopicVersion(topic=topic, version=version),))
 
 
-def test_the_proxy_says_that_it_is_ready_once_its_gate_opens():
+def test_proxy_announces_readiness_once_gate_opens():
     scene = Sessions()
     for topic in ("spec", "list", "cores"):
         scene.receive(snapshot(topic, Version(1, 1)))
@@ -89,7 +89,7 @@
     assert scene.broadcasts == [messages.NodeState(is_ready=True, is_draining=False)]
 
 
-def test_the_value_that_opens_the_gate_counts_once_it_is_installed():
+def test_gate_opens_after_last_required_topic_is_installed():
     scene = Sessions()
     for host in ("a", "b"):
         scene.receive(messages.MinimumVersions(revisions=()), host=host)
@@ -100,7 +100,7 @@
     assert scene.gate.is_open
 
 
-def test_values_are_installed_once_and_acknowledged_to_all_core_nodes():
+def test_snapshots_and_deltas_are_installed_once_and_acknowledged_to_all_core_nodes():
     scene = Sessions()
     for version in (Version(1, 2), Version(1, 1), Version(1, 2)):
         scene.receive(snapshot("list", version))
@@ -110,7 +110,7 @@
     assert scene.broadcasts == [acknowledgement("list", Version(1, 2)), acknowledgement("list", Version(1, 3))]
 
 
-def test_messages_find_the_handler_of_their_type_and_others_are_passed_over():
+def test_messages_are_dispatched_by_type_and_other_types_ignored():
     scene = Sessions()
     found = scene.receive(messages.FindCacheOwners(number=7, service="llm", model="m", hashes=()))
     assert found.sent == [messages.CacheOwners(number=7, owners=())]
--- a/ploverward/data_plane/control_client/test_residency_history.py
+++ b/ploverward/data_plane/control_client/test_residency_history.py
@@ -5,10 +5,10 @@
 from ploverward.data_plane.control_client import residency_history
 
 
-def test_older_homes_bind_until_their_time_is_over():
+def test_replaced_home_regions_apply_until_they_expire():
     clock = [0.0]
     history = residency_history.ResidencyHistory(now=lambda: clock[0], binds_for_s=lambda: 2.5)
-    history.retire(types.SimpleNamespace(edition=1, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
+    history.add_replaced(types.SimpleNamespace(edition=1, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
     route = types.SimpleNamespace(name="chat", homes=("north", "south"))
     assert history.permitted(route=route, first_homes=()) == {"north"}
     clock[0] = 2.6
@@ -16,7 +16,7 @@
     assert history.permitted(route=route, first_homes=("south",)) == {"south"}
 
 
-def test_the_empty_configuration_of_a_start_binds_nothing():
+def test_initial_empty_configuration_adds_no_restriction():
     history = residency_history.ResidencyHistory(now=lambda: 0.0, binds_for_s=lambda: 2.5)
-    history.retire(types.SimpleNamespace(edition=0, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
+    history.add_replaced(types.SimpleNamespace(edition=0, homes=lambda: {"chat": ("north",)}, tenant_homes=dict))
     assert history.permitted(route=types.SimpleNamespace(name="chat", homes=()), first_homes=()) is None
--- a/ploverward/data_plane/control_client/test_serving_gate.py
+++ b/ploverward/data_plane/control_client/test_serving_gate.py
@@ -15,7 +15,7 @@
     return messages.MinimumVersions(revisions=rows)
 
 
-def test_no_serving_before_a_majority_answered_and_its_newest_is_here():
+def test_gate_stays_closed_until_newest_revision_of_majority_is_installed():
     gate = serving_gate.ServingGate()
     versions = {"spec": Version(0, 4), "evac": Version(0, 1), "list": Version(1, 1), "cores": Version(0, 1)}
     gate.handle_minimum_versions("a", minimum(spec=4, evac=1))
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("missing", COMPLETE)
-def test_no_serving_without_a_list_a_configuration_or_an_agreed_core_set(missing):
+def test_gate_stays_closed_while_a_required_topic_is_missing(missing):
     gate = serving_gate.ServingGate()
     for host in MEMBERS:
         gate.handle_minimum_versions(host, minimum())
@@ -37,7 +37,7 @@
     assert gate.open_if_ready(members=MEMBERS, versions=COMPLETE)
 
 
-def test_when_isolated_it_keeps_serving_with_what_it_has():
+def test_open_gate_stays_open_when_proxy_is_isolated():
     gate = serving_gate.ServingGate()
     for host in ("a", "b"):
         gate.handle_minimum_versions(host, minimum(spec=1))
--- a/ploverward/data_plane/load_balancing/connection_pool.py
+++ b/ploverward/data_plane/load_balancing/connection_pool.py
@@ -102,7 +102,7 @@
                 else contact_s * CONNECT_TIMEOUT_SHARE + 3 * round_trip_s
             ),
             peer_timeout_s=contact_s * PEER_TIMEOUT_FACTOR,
-            on_free=self._on_free,
+            on_idle=self._on_idle,
             on_connected=self._on_connected,
         )
         replica.connections.add(connection)
@@ -113,7 +113,7 @@
 
         For `contactMs`, no connection of the service that was idle for more than half as long is used. The request
         that was sent on the lost connection fails if it may not be sent again; the limit keeps this to one request
-        per service (`test_connections_that_a_replica_forgets_without_a_word_cost_one_request_not_many`).
+        per service (`test_silently_dropped_idle_connections_fail_only_one_request`).
         """
         if idle_for_s < upstream_connection.UNCHECKED_IDLE_S:
             return  # the connection was hardly idle: its loss is no evidence about other idle connections
@@ -137,7 +137,7 @@
         replica.is_probe_failed = False
         self._latencies.record(replica, took_s=took_s)
 
-    def _on_free(self, connection: upstream_connection.UpstreamConnection) -> None:
+    def _on_idle(self, connection: upstream_connection.UpstreamConnection) -> None:
         replica: replicas.Replica = connection.replica
         if replica.is_listed and self._may_use(replica):
             replica.idle.append(connection)
--- a/ploverward/data_plane/load_balancing/replica.py
+++ b/ploverward/data_plane/load_balancing/replica.py
@@ -95,7 +95,7 @@
             None if pairs is None else {(model, adapter): before.get((model, adapter), now) for model, adapter in pairs}
         )
 
-    def forget(self, connection: upstream_connection.UpstreamConnection) -> None:
+    def remove_connection(self, connection: upstream_connection.UpstreamConnection) -> None:
         """Removes a closed connection; if it was a failed health check, reports the failure."""
         self.connections.discard(connection)
         if connection is self.probe_connection:
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -91,7 +91,7 @@
             max_handles=settings.handles,
             clients=lambda: len(self._front_end.server.connections),
             upstream=lambda: sum(len(replica.connections) for replica in self.table.replicas.values()),
-            broken_regions=lambda: [name for name, region in self._relay_client.regions.items() if not region.is_fresh],
+            stale_regions=lambda: [name for name, region in self._relay_client.regions.items() if not region.is_fresh],
         )
 
     def _make_limits(self) -> None:
@@ -198,7 +198,7 @@
             table=self.table,
             adapters=self.adapters,
             replicas_in_use=self._replicas_in_use,
-            nearest_core=self._connections.nearest,
+            nearest_core=self._connections.nearest_connection,
         )
         self._report_ticker = report_ticker.ReportTicker(
             loop=self.loop,
--- a/ploverward/data_plane/requests/admission_filters.py
+++ b/ploverward/data_plane/requests/admission_filters.py
@@ -155,7 +155,7 @@
     facts.deadline, facts.latency_target_s = timing.deadline, timing.latency_target_s
     if context.loop.now() >= timing.deadline:
         # The request was read late, because the process was frozen or the client sent it slowly. No replica received
-        # it (`test_after_a_freeze_no_idle_connection_is_used_and_no_late_request_is_sent`).
+        # it (`test_after_process_freeze_idle_connections_and_expired_requests_are_dropped`).
         return Rejection(status=503, retry_after_s=LATE_RETRY_AFTER_S)
     if not context.drain_window.may_accept(deadline=timing.deadline):
         return Rejection(status=503, retry_after_s=DRAINING_RETRY_AFTER_S)
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -46,7 +46,7 @@
     context.report_attempt(replica=attempt.replica, kind=report_source.SENT)
     model = facts.model
     if route.is_sticky and (model.adapter or not model.is_adapter_known):
-        attempt.arrival = context.adapters.begin(
+        attempt.arrival = context.adapters.note_sent(
             replica=attempt.replica,
             service=facts.service,
             model=model.name,
--- a/ploverward/data_plane/test_connection_watch.py
+++ b/ploverward/data_plane/test_connection_watch.py
@@ -16,7 +16,7 @@
             max_handles=2000,
             clients=lambda: self.clients,
             upstream=lambda: self.upstream,
-            broken_regions=lambda: ["west"],
+            stale_regions=lambda: ["west"],
         )
 
     def logged(self, *, clients, upstream):
@@ -31,11 +31,11 @@
     return Scene(caplog)
 
 
-def test_usual_numbers_are_not_logged(scene):
+def test_count_below_first_level_is_not_logged(scene):
     assert scene.logged(clients=40, upstream=59) == []
 
 
-def test_a_level_is_logged_once_and_each_doubling(scene):
+def test_first_level_and_each_doubling_are_logged_once(scene):
     assert scene.logged(clients=50, upstream=50) == ["many_connections"]
     assert scene.caplog.records[0].regions_unknown == ["west"]
     assert scene.logged(clients=60, upstream=100) == []
@@ -43,7 +43,7 @@
     assert scene.logged(clients=400, upstream=200) == []
 
 
-def test_the_end_is_logged_well_below_the_level(scene):
+def test_return_to_normal_is_logged_below_clear_level(scene):
     scene.logged(clients=100, upstream=50)
     assert scene.logged(clients=50, upstream=40) == []
     assert scene.logged(clients=50, upstream=20) == ["usual_connections"]
--- a/ploverward/data_plane/test_proxy_node.py
+++ b/ploverward/data_plane/test_proxy_node.py
@@ -110,7 +110,7 @@
         return self.node.run()
 
 
-def test_it_announces_itself_serves_and_ends_in_order(tmp_path, monkeypatch, signals):
+def test_proxy_announces_itself_serves_and_shuts_down_gracefully(tmp_path, monkeypatch, signals):
     scene = Scene(tmp_path, monkeypatch)
     node = scene.node
     seen = []
@@ -137,7 +137,7 @@
     assert [batch.is_last for batch in batches] == [True]
 
 
-def test_it_serves_nothing_without_an_endpoint_list(tmp_path, monkeypatch, signals):
+def test_proxy_does_not_serve_without_endpoint_list(tmp_path, monkeypatch, signals):
     scene = Scene(tmp_path, monkeypatch)
     del scene.core.values["list"]
     assert scene.run(for_s=0.3, then=lambda: signal.raise_signal(signal.SIGTERM)) == 0
--- a/ploverward/data_plane/upstream/response_reader.py
+++ b/ploverward/data_plane/upstream/response_reader.py
@@ -148,7 +148,7 @@
         if trailing:
             self._h11.receive_data(trailing)
 
-    def begin_next_cycle(self) -> bool:
+    def start_next_cycle(self) -> bool:
         """After an answer: whether another request may follow on this connection. It is made ready for that."""
         is_reusable = (
             not self._h11.trailing_data[0]
--- a/ploverward/data_plane/upstream/test_response_reader.py
+++ b/ploverward/data_plane/upstream/test_response_reader.py
@@ -32,39 +32,39 @@
     return found
 
 
-def test_an_answer_comes_out_in_parts_and_another_request_may_follow():
+def test_response_is_returned_in_chunks_and_connection_is_reusable():
     reader = sent()
     data = answer(b"mine")
     assert events(reader, data[:-1]) == [200, b"o"]
     assert events(reader, data[-1:]) == [b"k", Signal.RESPONSE_END]
-    assert reader.served == 1 and reader.begin_next_cycle()
+    assert reader.served == 1 and reader.start_next_cycle()
     assert events(sent(reader, request_id=b"next"), answer(b"next")) == [200, b"ok", Signal.RESPONSE_END]
 
 
 @pytest.mark.parametrize("others", [1, 2])
-def test_answers_too_many_at_the_head_of_ours_are_skipped_and_the_connection_is_not_used_again(others):
+def test_responses_to_other_requests_are_skipped_and_connection_is_not_reused(others):
     reader = sent()
     assert events(reader, answer(b"other", b"theirs") * others + answer(b"mine")) == [200, b"ok", Signal.RESPONSE_END]
-    assert not reader.begin_next_cycle()
+    assert not reader.start_next_cycle()
 
 
-def test_more_answers_of_others_than_that_are_an_error():
+def test_more_than_max_skipped_responses_raise_error():
     with pytest.raises(upstream_errors.RemoteProtocolError):
         events(sent(), answer(b"other") * (response_reader.MAX_SKIPPED_RESPONSES + 1))
 
 
-def test_an_answer_before_a_byte_of_its_request_left_is_nobodys():
+def test_response_before_any_request_byte_was_sent_raises_error():
     with pytest.raises(upstream_errors.RemoteProtocolError):
         events(sent(), answer(b"mine"), is_unsent=True)
 
 
-def test_without_an_id_only_a_failure_on_an_unused_connection_is_ours():
+def test_response_without_id_is_accepted_only_as_error_on_unused_connection():
     assert events(sent(), answer(b"", status=b"500 No")) == [500, b"ok", Signal.RESPONSE_END]
     with pytest.raises(upstream_errors.RemoteProtocolError):
         events(sent(), answer(b""))
     reader = sent()
     events(reader, answer(b"mine"))
-    assert reader.begin_next_cycle()
+    assert reader.start_next_cycle()
     with pytest.raises(upstream_errors.RemoteProtocolError):
         events(sent(reader, request_id=b"next"), answer(b"", status=b"500 No"))
 
@@ -77,27 +77,27 @@
         answer(b"mine").replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
-def test_a_connection_is_not_used_again_behind_more_bytes_a_close_or_an_older_protocol(data):
+def test_connection_is_not_reused_after_trailing_bytes_close_header_or_http_1_0(data):
     reader = sent()
-    assert events(reader, data)[-1] is Signal.RESPONSE_END and not reader.begin_next_cycle()
+    assert events(reader, data)[-1] is Signal.RESPONSE_END and not reader.start_next_cycle()
 
 
 @pytest.mark.parametrize(
     "more, is_framed", [(b"", True), (b"Transfer-Encoding: chunked\r\n", False), (b"X-Other: 1\r\n", True)]
 )
-def test_two_lengths_are_no_certain_length(more, is_framed):
+def test_response_with_content_length_and_chunks_is_not_framed(more, is_framed):
     reader = sent()
     reader.receive_data(answer(b"mine", b"2\r\nok\r\n0\r\n\r\n", more=more))
     assert reader.next_event(is_unsent=False).is_framed is is_framed
 
 
-def test_informational_answers_are_passed_over_and_what_is_not_http_is_an_error():
+def test_informational_responses_are_ignored_and_invalid_http_raises_error():
     assert events(sent(), b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"mine"))[0] == 200
     with pytest.raises(h11.RemoteProtocolError):
         events(sent(), b"\x00 what\r\n\r\n")
 
 
-def test_an_end_before_the_answer_and_one_in_the_middle_are_told_apart_from_one_behind_it():
+def test_connection_end_before_or_within_response_raises_error():
     with pytest.raises((upstream_errors.ConnectionEndedError, h11.RemoteProtocolError)):
         events(sent())
     reader = sent()
@@ -109,5 +109,5 @@
 @pytest.mark.parametrize(
     "value, wanted", [(b"timeout=7", 7.0), (b"max=3, Timeout=4", 4.0), (b"timeout=soon", None), (b"", None)]
 )
-def test_the_stated_idle_time_is_read(value, wanted):
+def test_keep_alive_timeout_is_parsed(value, wanted):
     assert response_reader.keep_alive_timeout_s(value) == wanted
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -9,7 +9,7 @@
 from ploverward.transport import http_connection
 
 
-def test_an_id_that_comes_again_is_not_paired_with_the_answer_of_its_former_request():
+def test_repeated_attempt_id_does_not_match_late_response_to_former_request():
     """The former answer comes twice, late; the id can't tell it from the answer that is due."""
 
     def script(number, heard):
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("end", [False, True])
-def test_an_idle_connection_that_ended_unseen_is_not_used(end):
+def test_idle_connection_with_unhandled_end_is_not_reused(end):
     """Both the end of the connection and the next request wait when the loop looks."""
     scene = request_scene.Scene(request_scene.replying)
     scene.request("unsafe")
@@ -44,7 +44,7 @@
     assert request_scene.statuses(scene.client) == [200] and scene.arrivals() == 2
 
 
-def test_after_a_freeze_no_idle_connection_is_used_and_no_late_request_is_sent():
+def test_after_process_freeze_idle_connections_and_expired_requests_are_dropped():
     scene = request_scene.Scene(request_scene.replying)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
@@ -66,7 +66,7 @@
     assert len(scene.peers[0].heard) == 2 and scene.peers[0].heard[1]  # by a new connection
 
 
-def test_connections_that_a_replica_forgets_without_a_word_cost_one_request_not_many():
+def test_silently_dropped_idle_connections_fail_only_one_request():
     def script(number, heard):
         is_rested = heard.lower().count(b"x-attempt-id") > 1
         return ["reset"] if is_rested else request_scene.answering()(number, heard)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("others", [0, 1])
-def test_a_connection_that_does_not_come_up_carried_nothing(others):
+def test_request_on_connection_that_cannot_be_established_counts_as_unsent(others):
     scene = request_scene.Scene(request_scene.replying, *[request_scene.replying] * others)
     for index in range(others):
         scene.proxy.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
@@ -96,7 +96,7 @@
     assert request_scene.statuses(scene.client) == [200 if others else 503] and scene.arrivals() == others
 
 
-def test_informational_answers_of_a_replica_are_not_taken_for_the_answer():
+def test_informational_responses_of_replica_are_not_taken_as_final_response():
     def script(number, heard):
         return [
             b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3 + request_scene.answer(request_scene.request_id(heard))
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
+def test_request_with_one_byte_sent_is_not_retried(lead, end, monkeypatch):
     scene = request_scene.Scene(lambda number, heard: [end], request_scene.replying)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     request_scene.in_part(scene, monkeypatch, most=1)
@@ -120,7 +120,7 @@
     assert [len(heard) for peer in scene.peers for heard in peer.heard] == [1]
 
 
-def test_no_byte_that_left_is_a_request_that_has_not_run(monkeypatch):
+def test_request_with_no_byte_sent_is_answered_503(monkeypatch):
     scene = request_scene.Scene(request_scene.replying)
     request_scene.in_part(scene, monkeypatch, most=0)
     scene.request("once", left_ms=200)
@@ -135,7 +135,7 @@
         (request_scene.answer(b"a1", status=b"503 Full", more=request_scene.NOT_RUN), [503]),
     ],
 )
-def test_an_early_answer_stands_and_its_connection_ends(early, told, monkeypatch):
+def test_response_before_request_is_fully_sent_is_forwarded_and_connection_closed(early, told, monkeypatch):
     """The replica answers when it has a part; the rest of the request never leaves."""
     scene = request_scene.Scene(lambda number, heard: [early])
     request_scene.in_part(scene, monkeypatch, most=100)
@@ -145,7 +145,7 @@
     assert loopback.until(scene.loop, lambda: not scene.peers[0].socks)
 
 
-def test_an_answer_before_its_request_is_nobodys(monkeypatch):
+def test_response_before_any_request_byte_is_not_forwarded(monkeypatch):
     scene = request_scene.Scene(request_scene.replying)
     request_scene.in_part(scene, monkeypatch, most=0)
     scene.request("once", left_ms=1000)
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -74,7 +74,7 @@
     endpoint: tuple[str, int]
     last_received_at: float
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove_connection(self, connection: UpstreamConnection) -> None:
         """The connection is closed."""
 
 
@@ -106,7 +106,7 @@
         replica: The replica to connect to.
         connect_s: Time-out for establishing it, in seconds.
         peer_timeout_s: Seconds after which the kernel gives up a peer that acknowledges nothing.
-        on_free: Called when it was established without an attempt, or has become idle.
+        on_idle: Called when it was established without an attempt, or has become idle.
         on_connected: Called when it was established, with the replica and the seconds that took.
 
     Attributes:
@@ -126,7 +126,7 @@
         replica: Upstream,
         connect_s: float,
         peer_timeout_s: float,
-        on_free: Callable[[UpstreamConnection], None],
+        on_idle: Callable[[UpstreamConnection], None],
         on_connected: Callable[[typing.Any, float], None],
     ) -> None:
         self.loop = loop
@@ -138,7 +138,7 @@
         self.attempt: UpstreamAttempt | None = None
         self.idle_since = loop.now()
         self.idle_until = 0.0
-        self._on_free = on_free
+        self._on_idle = on_idle
         self._on_connected = on_connected
         self._begun_at = loop.now()
         self._out = bytearray()
@@ -255,7 +255,7 @@
         if self.attempt is None:
             self.idle_since = now
             self.idle_until = now + DEFAULT_KEEP_ALIVE_S
-            self._on_free(self)
+            self._on_idle(self)
         return True
 
     def _read(self) -> None:
@@ -321,14 +321,14 @@
         self.is_paused = False
         self._update_mask()
         # After an answer that arrived before all of its request was sent, the connection is inside that request.
-        if not self._out and self._reader.begin_next_cycle():
+        if not self._out and self._reader.start_next_cycle():
             self.state = ConnectionState.IDLE
             stated_s = self._reader.keep_alive_s
             self.idle_since = self.loop.now()
             self.idle_until = self.idle_since + (
                 stated_s * KEEP_ALIVE_SHARE if stated_s is not None else DEFAULT_KEEP_ALIVE_S
             )
-            self._on_free(self)
+            self._on_idle(self)
         else:
             self.close()
         attempt.on_end()
@@ -365,7 +365,7 @@
         self.loop.cancel(timer=self._timer)
         self.loop.unwatch(sock=self.sock)
         self.sock.close()
-        self.replica.forget(self)
+        self.replica.remove_connection(self)
 
 
 def _connect_error(code: int) -> upstream_errors.ConnectionFailedError:
--- a/ploverward/data_plane/usage/test_usage_counter.py
+++ b/ploverward/data_plane/usage/test_usage_counter.py
@@ -22,7 +22,7 @@
             connections=self, counter=self.counter, roles=lambda: self.roles, wall_time=lambda: self.time
         )
 
-    def to(self, address):
+    def connection_to(self, address):
         return self.connections.get(address)
 
 
@@ -30,7 +30,7 @@
     return [tuple(row) for row in message.counts]
 
 
-def test_counts_are_cumulative_and_only_what_changed_is_sent():
+def test_send_reports_cumulative_counts_of_changed_rows_only():
     scene = Scene()
     for tenant in ("a", "a", "b"):
         scene.counter.note_request_started(tenant)
@@ -46,7 +46,7 @@
     assert all(isinstance(message, messages.UsageCounts) for message in sent)
 
 
-def test_a_new_coordinator_gets_all_windows_and_so_does_a_new_connection():
+def test_new_coordinator_or_connection_receives_all_windows():
     scene = Scene()
     scene.counter.note_request_started("a")
     scene.reports.send()
@@ -58,7 +58,7 @@
     assert rows(scene.connections["c2"].sent[0]) == [(200, "a", 1)]
 
 
-def test_without_a_coordinator_nothing_is_lost():
+def test_counts_are_kept_until_coordinator_is_reachable():
     scene = Scene()
     scene.roles = {}
     scene.counter.note_request_started("a")
@@ -68,7 +68,7 @@
     assert rows(scene.connections["c2"].sent[0]) == [(200, "a", 1)]
 
 
-def test_old_windows_are_forgotten():
+def test_windows_beyond_limit_are_dropped():
     scene = Scene()
     for _window in range(usage_counter.KEPT_WINDOWS + 3):
         scene.counter.note_request_started("a")
--- a/ploverward/data_plane/usage/usage_counter.py
+++ b/ploverward/data_plane/usage/usage_counter.py
@@ -87,7 +87,7 @@
     def send(self) -> None:
         """Sends what changed; without a connection to the coordinator it waits."""
         epoch, address, _incarnation = self._roles().get(singleton_roles.COORDINATOR, (0, "", ""))
-        connection = self._connections.to(address)
+        connection = self._connections.connection_to(address)
         if connection is None:
             return
         if self._receiver != (connection, epoch):
--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -138,7 +138,7 @@
                 connector.link.send(message)
 
     def _on_heartbeat_tick(self) -> None:
-        self._broadcast(messages.RenewShares(number=self._renewals.begin(), usage_rows=b""))
+        self._broadcast(messages.RenewShares(number=self._renewals.start_renewal(), usage_rows=b""))
         self.subscriber.tick()
 
     def _handle_message(self, host: str, link: simulated_peers.PeerConnection, message: tuple) -> None:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -192,7 +192,7 @@
 
     def configure(self, body: dict[str, typing.Any]) -> None:
         """A newer configuration came; the homes of the former one still bind for a while."""
-        self.residency.retire(self.routes)
+        self.residency.add_replaced(self.routes)
         self.routes = route_table.Routes(body=body)
 
     def configuration_age_s(self) -> float:
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -241,7 +241,7 @@
 
     def _send_report(self, report: batch_messages.CopyReport) -> None:
         """Sends a report to the coordinator; without a connection it is lost, and made again."""
-        connection = self._connections.to(self._coordinator)
+        connection = self._connections.connection_to(self._coordinator)
         if connection is not None:
             connection.send(report)
 
--- a/ploverward/transport/test_golden_blobs.py
+++ b/ploverward/transport/test_golden_blobs.py
@@ -230,7 +230,7 @@
     for service, model, adapter, replica_id, route, held, wait_s, target_s in value:
         adapters = None if held is None else {tuple(pair): 0.0 for pair in held}
         replica = types.SimpleNamespace(id=replica_id, service=service, adapters=adapters)
-        arrival = counter.begin(
+        arrival = counter.note_sent(
             replica=replica, service=service, model=model, adapter=adapter, route=route, target_s=target_s
         )
         clock[0] += wait_s
