--- a/ploverward/data_plane/control_client/__init__.py
+++ b/ploverward/data_plane/control_client/__init__.py
@@ -1,6 +1,7 @@
-"""A proxy's side of the control plane: connections to core nodes, and what it installs (docs/design.md 5).
+"""A proxy's client of the control plane: connections to core nodes and installed configuration (docs/design.md 5).
 
-`core_connections` are the connections, `core_sessions` finds the handler of each message. `serving_gate` decides when
-the proxy may serve, `configuration_installer` applies what is distributed, `residency_history` keeps the older homes
-that still bind. `share_renewals` and `core_reports` are what the proxy sends by itself.
+`core_connections` maintains the connections; `core_sessions` dispatches each message to its handler. `serving_gate`
+decides when the proxy may serve, `configuration_installer` applies distributed values, and `residency_history` keeps
+the home regions of replaced configurations that still apply. `share_renewals` and `core_reports` send the proxy's
+periodic messages.
 """
--- a/ploverward/data_plane/control_client/configuration_installer.py
+++ b/ploverward/data_plane/control_client/configuration_installer.py
@@ -1,8 +1,9 @@
-"""Applies what is distributed to this proxy: configuration, evacuations, roll-outs, replicas (docs/design.md 5).
+"""Applies the values distributed to this proxy: configuration, evacuations, roll-outs, replicas (docs/design.md 5).
 
-Registers arrive as consensus payloads, the endpoint list as a list or a delta of it (docs/scale.md 2). The installer
-owns the routes, the limits of HTTP messages and the singleton roles in force; everything else in a value is passed to
-the object that owns it. Versions are not its concern: `Subscriber` delivers each value once, in rising order.
+Registers arrive as consensus payloads; the endpoint list arrives as a full list or as a delta (docs/scale.md 2). The
+installer owns the current routes, the limits of HTTP messages and the singleton roles; everything else in a value is
+passed to the object that owns it. The installer does not check versions: `Subscriber` delivers each value once, in
+ascending order of versions.
 """
 
 import typing
@@ -19,7 +20,7 @@
 from ploverward.transport import http_request
 from ploverward.transport import messages
 
-Payload = dict[str, typing.Any] | None  # of a register; None before it was ever written
+Payload = dict[str, typing.Any] | None  # value of a register; None if it was never written
 
 DEFAULT_HEAD_BYTES = 16384
 DEFAULT_BODY_BYTES = 4194304
@@ -28,7 +29,7 @@
 
 
 def http_limits(body: dict[str, typing.Any]) -> http_request.Limits:
-    """The limits of HTTP messages that a configuration's `limits` set."""
+    """Returns the limits of HTTP messages from the `limits` section of a configuration."""
     return http_request.Limits(
         head_bytes=int(body.get("labelBytes", DEFAULT_HEAD_BYTES)),
         body_bytes=int(body.get("parcelBytes", DEFAULT_BODY_BYTES)),
@@ -38,12 +39,12 @@
 
 
 class ConfigurationInstaller:
-    """Installs values of topics.
+    """Installs the values of topics at this proxy.
 
     Attributes:
-        routes: of the configuration in force; empty before there is one.
-        limits: of HTTP messages.
-        singleton_roles: name of each role: (epoch, address, incarnation) of its owner.
+        routes: Routes of the current configuration; empty until one is installed.
+        limits: Limits of HTTP messages.
+        singleton_roles: Maps the name of each role to (epoch, address, incarnation) of its owner.
     """
 
     def __init__(
@@ -56,15 +57,15 @@
         on_core_set: Callable[[tuple[str, ...]], None],
         on_singleton_roles: Callable[[dict[str, tuple]], None],
     ) -> None:
-        """Creates an installer; nothing is installed.
+        """Creates an installer without installed values.
 
         Args:
-            table: receives services, replicas and evacuations.
-            rollouts: receives the admitted versions and roll-outs.
-            quota_allowance: receives the limits of the tenants.
-            residency: receives the routes that are replaced.
-            on_core_set: called with the members of a newer core set.
-            on_singleton_roles: called with newer `singleton_roles`.
+            table: Receives services, replicas and evacuations.
+            rollouts: Receives the admitted versions and roll-outs.
+            quota_allowance: Receives the limits of the tenants.
+            residency: Receives the routes that are replaced.
+            on_core_set: Called with the members of a newer core set.
+            on_singleton_roles: Called with newer `singleton_roles`.
         """
         self._table = table
         self._rollouts = rollouts
@@ -84,7 +85,7 @@
         }
 
     def install(self, snapshot: messages.Snapshot) -> None:
-        """Installs the complete value of a topic; topics that no proxy needs are passed over."""
+        """Installs the complete value of a topic; ignores topics that proxies do not use."""
         if snapshot.topic == endpoint_list.TOPIC:
             self._table.install_list(endpoint_list.unpack_list(snapshot.data).sorted_rows())
             return
@@ -93,7 +94,7 @@
             installer(*ballots.unpack(snapshot.data))
 
     def install_delta(self, delta: messages.Delta) -> None:
-        """Installs a delta of the endpoint list, the one topic that has deltas."""
+        """Installs a delta of the endpoint list, the only topic that has deltas."""
         change = endpoint_list.unpack_delta(delta.data)
         self._table.change_list(rows=change.rows, gone=change.removed)
 
--- a/ploverward/data_plane/control_client/core_connections.py
+++ b/ploverward/data_plane/control_client/core_connections.py
@@ -1,9 +1,9 @@
 """The connections from a proxy to all core nodes (docs/design.md 5).
 
-The state is one connector for each core node: the members of the core set and the seeds of the settings, since a
-member may be unknown here and a seed may return. Connectors reconnect by themselves. Each new connection begins
-with the handshake and the state of this proxy. Core nodes of the same region are known by their handshake; they are
-preferred where one core node is enough.
+There is one connector for each member of the core set and for each seed in the settings, because a member may still
+be unknown here and a seed may return to the core set. Connectors reconnect automatically. On each new connection the
+handshake and the state of this proxy are sent first. The handshake of a core node states its region; core nodes of
+the proxy's own region are preferred for messages that go to only one core node.
 """
 
 import functools
@@ -18,10 +18,10 @@
 
 
 class CoreConnections:
-    """Connects to the core nodes and sends to them.
+    """Maintains connections to the core nodes and sends messages on them.
 
     Attributes:
-        members: addresses of the core set as far as it is known here; the seeds at first.
+        members: Addresses of the newest core set known here; the seeds until one is installed.
     """
 
     def __init__(
@@ -37,18 +37,18 @@
         role: str = "proxy",
         on_up: Callable[[peer_connection.PeerConnection], object] = lambda _connection: None,
     ) -> None:
-        """Creates no connection yet; `connect` does.
+        """Creates the object without connections; `connect` opens them.
 
         Args:
-            loop: the node's event loop.
-            settings: the settings in force; they may be read again while the node runs.
-            incarnation: of this proxy.
-            peer_timeout_s: a connection on which nothing arrives for so long is closed, in seconds.
-            node_state: returns the present state of this proxy.
-            on_message: (address, connection, message) from a core node.
-            on_end: (address, connection) that ended.
-            role: that the handshake names.
-            on_up: called with a new connection once the handshake and the state were sent.
+            loop: The node's event loop.
+            settings: Returns the current settings, which may be reloaded while the node runs.
+            incarnation: Incarnation of this proxy.
+            peer_timeout_s: Seconds after which a connection without incoming data is closed.
+            node_state: Returns the current state of this proxy.
+            on_message: Called with (address, connection, message) for each message of a core node.
+            on_end: Called with (address, connection) when a connection has ended.
+            role: Role that the handshake states.
+            on_up: Called with a new connection once the handshake and the state were sent.
         """
         self._loop = loop
         self._settings = settings
@@ -68,7 +68,7 @@
         return {host for host, _port in self._settings().seeds}
 
     def connect(self) -> None:
-        """Connects to members and seeds that have no connector, and stops those that are neither any longer."""
+        """Connects to members and seeds without a connector; stops connectors of hosts that are no longer either."""
         wanted = set(self.members) | self._seeds()
         for host in wanted - self._connectors.keys():
             self._connectors[host] = peer_connection.Connector(
@@ -89,7 +89,7 @@
         self._connectors.clear()
 
     def install_members(self, members: tuple[str, ...]) -> None:
-        """A newer core set was agreed."""
+        """Installs the members of a newer core set and connects to them."""
         self.members = members
         self.connect()
 
@@ -121,21 +121,21 @@
             self._near_connections.add(connection)
 
     def is_near(self, connection: interfaces.Connection) -> bool:
-        """Whether it leads to a core node of the own region."""
+        """Returns whether a connection leads to a core node of the own region."""
         return connection in self._near_connections
 
     def established_connections(self) -> Iterator[tuple[str, peer_connection.PeerConnection]]:
-        """The core nodes that can be sent to now: address and connection."""
+        """Yields the address and the connection of each core node whose connection is established."""
         for host, connector in self._connectors.items():
             if connector.link is not None and connector.link.is_up:
                 yield host, connector.link
 
     def connection_to(self, host: str) -> peer_connection.PeerConnection | None:
-        """The connection to one core node; None where it can't be sent to now."""
+        """Returns the connection to one core node; None if it is not established."""
         return dict(self.established_connections()).get(host)
 
     def nearest_connection(self) -> peer_connection.PeerConnection | None:
-        """The connection to a core node of the own region, or else to another; None where there is none."""
+        """Returns a connection to a core node, in the own region if possible; None if none is established."""
         found = None
         for host, connection in sorted(self.established_connections()):
             if found is None or host in self._near_hosts:
@@ -143,26 +143,26 @@
         return found
 
     def keep_alive(self) -> None:
-        """Shows the core nodes that this process runs; to be called at each heartbeat interval."""
+        """Sends a keep-alive to all core nodes; to be called at each heartbeat interval."""
         for _host, connection in self.established_connections():
             connection.keep_alive()
 
     def send_state(self, state: messages.NodeState) -> None:
         """Notifies all core nodes of a new state of this proxy.
 
-        On a connection that is still being established the state of its begin waits behind the handshake: without the
-        new one its core node would go on with the old one for as long as the connection lasts.
+        Pending connections are included: they have already queued the handshake and the former state, and a core node
+        that did not receive the new state would use the former one for as long as the connection lasts.
         """
         for connector in self._connectors.values():
             if connector.link is not None:
                 connector.link.send(state)
 
     def broadcast(self, message: tuple) -> None:
-        """Sends to all core nodes that can be sent to now."""
+        """Sends a message to all core nodes whose connection is established."""
         for _host, connection in self.established_connections():
             connection.send(message)
 
 
 def _public_address(settings: settings_files.Settings) -> str:
-    """Where clients connect; empty for a node that they don't reach."""
+    """Returns the address at which clients connect; empty for a node without a client listener."""
     return "{}:{}".format(*settings.bindings["counter"]) if "counter" in settings.bindings else ""
--- a/ploverward/data_plane/control_client/core_reports.py
+++ b/ploverward/data_plane/control_client/core_reports.py
@@ -1,7 +1,7 @@
-"""What a proxy reports to core nodes by itself: evidence of roll-outs and custody trails.
+"""Periodic reports of a proxy to core nodes: evidence of roll-outs and custody trails.
 
-Roll-out evidence is sent to the cluster coordinator, which answers with leases (docs/rollouts.md 3, 4). Custody
-trails are sent to one core node of the own region, or to another where there is none (docs/residency.md).
+Roll-out evidence is sent to the cluster coordinator, which responds with leases (docs/rollouts.md 3, 4). Custody
+trails are sent to one core node of the own region, or of another region if there is none (docs/residency.md).
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class RolloutReports:
-    """Sends the evidence of roll-outs in progress, and installs the leases that answer it."""
+    """Sends the evidence of roll-outs in progress, and installs the leases sent in response."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._singleton_roles = singleton_roles
 
     def send(self) -> None:
-        """Sends what was counted since the last report, where the coordinator can be reached."""
+        """Sends the counts since the last report if the coordinator is connected."""
         _epoch, owner, _incarnation = self._singleton_roles().get(singleton_roles.COORDINATOR, (0, "", ""))
         connection = self._connections.connection_to(owner)
         if connection is None:
@@ -42,7 +42,7 @@
     def handle_leases(
         self, _host: str, _connection: peer_connection.PeerConnection, message: messages.RolloutLeases
     ) -> None:
-        """Installs how much of its traffic this proxy may send to new versions."""
+        """Installs leases, which limit the traffic that this proxy may send to new versions."""
         self._rollouts.handle_leases(message)
 
 
@@ -63,10 +63,10 @@
         self._incarnation = incarnation
 
     def send(self, *, is_last: bool = False) -> None:
-        """Sends all batches; without a core node in reach they wait.
+        """Sends all batches, or keeps them if no core node is connected.
 
         Args:
-            is_last: whether the process is about to end.
+            is_last: Whether the process is about to end.
         """
         connection = self._connections.nearest_connection()
         if connection is None:
--- a/ploverward/data_plane/control_client/core_sessions.py
+++ b/ploverward/data_plane/control_client/core_sessions.py
@@ -1,8 +1,8 @@
-"""The sessions of a proxy with the core nodes: which handler gets each message, and what follows (docs/design.md 5).
+"""Sessions of a proxy with the core nodes: dispatches and acknowledges their messages (docs/design.md 5).
 
-What core nodes distribute is fetched by a `Subscriber`, applied by a `ConfigurationInstaller` and acknowledged to all
-core nodes, so that each of them knows what this proxy has. After each value the serving gate is checked: the proxy
-announces itself as ready the moment it opens.
+A `Subscriber` fetches the values that core nodes distribute and a `ConfigurationInstaller` applies them. The proxy
+acknowledges each version to all core nodes, so that each of them knows the versions installed here. The serving gate
+is checked after each installed value; when it opens, the proxy announces that it is ready.
 """
 
 import logging
@@ -25,14 +25,14 @@
 
 _log = logging.getLogger(__name__)
 
-FETCHES_PER_CONTACT = 12  # in a contactMs: a core node that does not answer costs a twelfth of it
+FETCHES_PER_CONTACT = 12  # per contactMs: an unresponsive core node delays a fetch by a twelfth of it
 
 
 class CoreSessions:
     """Handles the messages of all core nodes.
 
     Attributes:
-        subscriber: the versions that are installed here.
+        subscriber: Fetches distributed values and tracks the versions that are installed here.
     """
 
     def __init__(
@@ -52,16 +52,16 @@
         """Creates sessions; messages arrive once `connections` are connected.
 
         Args:
-            loop: the node's event loop.
-            contact_s: the bound `contactMs`.
-            connections: to the core nodes.
-            gate: decides when this proxy may serve.
-            installer: applies what is distributed.
-            renewals: handles the answers to them.
-            rollout_reports: handles the answers to them.
-            find_cache_owners: answers a core node's question.
-            is_draining: whether this proxy is shutting down.
-            on_endpoints_changed: called after services or replicas changed.
+            loop: The node's event loop.
+            contact_s: The bound `contactMs`, in seconds.
+            connections: Connections to the core nodes.
+            gate: Decides when this proxy may serve.
+            installer: Applies distributed values.
+            renewals: Handles the responses to share renewals.
+            rollout_reports: Handles the responses to roll-out reports.
+            find_cache_owners: Computes the response to a core node's query for cache owners.
+            is_draining: Returns whether this proxy is shutting down.
+            on_endpoints_changed: Called after services or replicas changed.
         """
         self._loop = loop
         self._connections = connections
@@ -92,17 +92,17 @@
         }
 
     def handle_message(self, host: str, connection: peer_connection.PeerConnection, message: tuple) -> None:
-        """A message from the core node at `host`; types that are not meant for proxies are passed over."""
+        """Handles a message from the core node at `host`; ignores types that are not meant for proxies."""
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(host, connection, message)
 
     def handle_end(self, connection: peer_connection.PeerConnection) -> None:
-        """A connection ended."""
+        """Removes a connection that ended."""
         self.subscriber.remove_connection(connection)
 
     def check_serving(self) -> None:
-        """Begins to serve if the proxy has what it needs for that."""
+        """Opens the serving gate if the installed versions suffice, and announces that the proxy is ready."""
         if self._gate.open_if_ready(members=self._connections.members, versions=self.subscriber.versions):
             _log.debug("serving_started", extra={"edition": self._installer.routes.edition})
             self._connections.send_state(messages.NodeState(is_ready=True, is_draining=self._is_draining()))
@@ -141,7 +141,7 @@
 
     def _install_snapshot(self, snapshot: messages.Snapshot) -> None:
         self._installer.install(snapshot)
-        # Later, not here: the subscriber counts the version as installed only once this returns.
+        # Deferred, since the subscriber counts the version as installed only once this method has returned.
         self._loop.command(callback=self.check_serving)
         if snapshot.topic in (register_names.CONFIGURATION, endpoint_list.TOPIC):
             self._on_endpoints_changed()
@@ -154,7 +154,7 @@
 def find_cache_owners(
     message: messages.FindCacheOwners, *, table: replica_table.ReplicaTable, regions: Mapping[str, mirror.RegionMirror]
 ) -> messages.CacheOwners:
-    """The replicas that, by the mirrors of all regions' relays, have any of these parts in their caches."""
+    """Returns the replicas that have any of these parts cached, according to the mirrors of all regions' relays."""
     by_key = {replica.key: replica for replica in table.replicas.values()}
     hashes = [row.full_hash for row in message.hashes]
     found: set[bytes] = set()
--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -1,8 +1,8 @@
-"""Home regions of earlier configurations that still bind (docs/design.md 10).
+"""Home regions of replaced configurations that still apply (docs/design.md 10).
 
 While a configuration is being replaced, some proxies have the older and some the newer one. Until the older one is
-replaced everywhere, a request may be sent only where both permit it. The state is the homes of each replaced
-configuration with the time until which they bind.
+replaced everywhere, a request may be sent only to regions that both permit. The history keeps the home regions of
+each replaced configuration with the time until which they apply.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 class FormerHomes:
     """The home regions of a configuration that was replaced."""
 
-    binds_until: float  # seconds on the node's clock
+    applies_until: float  # seconds on the node's clock
     by_route: dict[str, tuple[str, ...]]
     by_tenant: dict[str, tuple[str, ...]]
 
@@ -27,24 +27,28 @@
     """Determines the regions to which a request may be sent."""
 
     def __init__(self, *, now: Callable[[], float], binds_for_s: Callable[[], float]) -> None:
-        """Creates a history of nothing.
+        """Creates an empty history.
 
         Args:
-            now: seconds on a monotonic clock.
-            binds_for_s: how long a configuration may still be in force at other proxies once it is replaced here.
+            now: Returns seconds on a monotonic clock.
+            binds_for_s: Returns for how many seconds other proxies may still use a configuration that is replaced
+                here.
         """
         self._now = now
         self._binds_for_s = binds_for_s
         self._former: list[FormerHomes] = []
 
     def add_replaced(self, routes: route_table.Routes) -> None:
-        """The configuration with these routes is about to be replaced; the empty one of a start binds nothing."""
+        """Records the routes of a configuration that is about to be replaced.
+
+        The empty configuration with which a proxy starts adds no restriction.
+        """
         now = self._now()
-        self._former = [former for former in self._former if former.binds_until > now]
+        self._former = [former for former in self._former if former.applies_until > now]
         if routes.edition:
             self._former.append(
                 FormerHomes(
-                    binds_until=now + self._binds_for_s(),
+                    applies_until=now + self._binds_for_s(),
                     by_route=routes.homes(),
                     by_tenant=routes.tenant_homes(),
                 )
@@ -57,20 +61,20 @@
         first_homes: Collection[str],
         tenant: tenant_directory.Tenant | None = None,
     ) -> frozenset[str] | None:
-        """The regions that a request may go to; None for all.
+        """Returns the regions to which a request may be sent; None for all.
 
         Args:
-            route: of the request, in the configuration in force.
-            first_homes: the permitted regions when the request arrived; empty for all.
-            tenant: whose request it is, where there are tenants.
+            route: The request's route in the current configuration.
+            first_homes: The permitted regions when the request arrived; empty for all.
+            tenant: The request's tenant, if tenants are configured.
         """
         now = self._now()
-        binding: list[Collection[str]] = [first_homes]
+        restrictions: list[Collection[str]] = [first_homes]
         for former in self._former:
-            if former.binds_until > now:
-                binding.append(former.by_route.get(route.name, ()))
+            if former.applies_until > now:
+                restrictions.append(former.by_route.get(route.name, ()))
                 if tenant is not None:
-                    binding.append(former.by_tenant.get(tenant.name, ()))
+                    restrictions.append(former.by_tenant.get(tenant.name, ()))
         if tenant is not None:
-            binding.append(tenant.homes)
-        return residency.permitted(homes=route.homes, older=tuple(binding))
+            restrictions.append(tenant.homes)
+        return residency.permitted(homes=route.homes, older=tuple(restrictions))
--- a/ploverward/data_plane/control_client/serving_gate.py
+++ b/ploverward/data_plane/control_client/serving_gate.py
@@ -1,9 +1,9 @@
-"""Whether a proxy may serve (docs/design.md 5).
+"""Decides when a starting proxy may serve (docs/design.md 5).
 
-A proxy that starts must not serve with a configuration older than one that was acknowledged to an operator. Each core
-node sends the revisions on its disk; whatever was acknowledged is on the disks of a majority, so the highest revision
-among any majority is at least as new. Once open, the gate stays open: a proxy that is cut off serves on with what it
-has.
+A proxy must not start serving with a configuration older than one that was acknowledged to an operator. Each core
+node sends the revisions on its disk. Every acknowledged revision is on the disks of a majority, so the highest
+revision within any majority is at least as new. Once open, the gate stays open: a proxy that loses contact with the
+core nodes continues to serve with its installed configuration.
 """
 
 import logging
@@ -21,18 +21,18 @@
 
 
 class ServingGate:
-    """Opens once this proxy has what a majority of the core may have acknowledged.
+    """Opens once this proxy has installed every revision that a majority of the core may have acknowledged.
 
     Attributes:
-        is_open: whether the proxy may serve.
+        is_open: Whether the proxy may serve.
     """
 
     def __init__(self) -> None:
         self.is_open = False
-        self._minimum_versions: dict[str, dict[str, int]] = {}  # core node: revision of each register on its disk
+        self._minimum_versions: dict[str, dict[str, int]] = {}  # by core node: revisions of the registers on its disk
 
     def handle_minimum_versions(self, host: str, message: messages.MinimumVersions) -> None:
-        """What the disk of a core node has."""
+        """Records the revisions on the disk of a core node."""
         if host not in self._minimum_versions:
             _log.debug("minimum_version_received", extra={"host": host})
         self._minimum_versions[host] = {row.register: row.revision for row in message.revisions}
@@ -41,11 +41,11 @@
         """Opens the gate if the installed versions are new enough.
 
         Args:
-            members: addresses of the core set.
-            versions: the installed version of each topic.
+            members: Addresses of the core set.
+            versions: The installed version of each topic.
 
         Returns:
-            Whether it opened by this call.
+            Whether this call opened the gate.
         """
         if self.is_open or not self._is_ready(members, versions):
             return False
@@ -61,5 +61,5 @@
                 return False
         if versions.get(register_names.CONFIGURATION, NO_VERSION).number < 1 or endpoint_list.TOPIC not in versions:
             return False
-        # Without an agreed core set the minimum versions may be those of seeds that no longer vote.
+        # Without an installed core set the minimum versions may come from seeds that no longer vote.
         return register_names.CORE_SET in versions
--- a/ploverward/data_plane/control_client/share_renewals.py
+++ b/ploverward/data_plane/control_client/share_renewals.py
@@ -1,8 +1,9 @@
 """Renewal of a proxy's shares of the limits at each core node (docs/control.md 2, docs/quotas.md, design 8).
 
-At each heartbeat the proxy requests its share from every core node and reports what it admitted of each tenant. An
-answer counts from when the renewal was sent, on this proxy's clock, whenever it arrives: so no lease lasts longer
-here than at the core node that granted it. The state is when each of the newest renewals was sent.
+At each heartbeat the proxy requests its share from every core node and reports the usage that it admitted for each
+tenant. A lease starts when the renewal was sent, on this proxy's clock, however late the response arrives, so that no
+lease lasts longer here than at the core node that granted it. The renewal log keeps when the newest renewals were
+sent.
 """
 
 from collections.abc import Callable
@@ -18,11 +19,11 @@
 from ploverward.transport import messages
 from ploverward.transport import peer_connection
 
-MAX_PENDING_RENEWALS = 16  # leases that answer older renewals have run out
+MAX_PENDING_RENEWALS = 16  # leases granted for older renewals have expired
 
 
 class RenewalLog:
-    """When the newest renewals were sent."""
+    """Records when the newest renewals were sent."""
 
     def __init__(self, *, now: Callable[[], float]) -> None:
         self._now = now
@@ -30,19 +31,19 @@
         self._sent_at: dict[int, float] = {}
 
     def start_renewal(self) -> int:
-        """The number of a renewal that is sent now."""
+        """Returns the number of a renewal that is sent now, and records the time."""
         self._number += 1
         self._sent_at[self._number] = self._now()
         self._sent_at.pop(self._number - MAX_PENDING_RENEWALS, None)
         return self._number
 
     def sent_at(self, number: int) -> float | None:
-        """When the renewal was sent, in seconds; None for one that is too old or was never sent."""
+        """Returns when a renewal was sent, in seconds; None for one that is too old or was never sent."""
         return self._sent_at.get(number)
 
 
 class ShareRenewals:
-    """Sends renewals and installs the answers."""
+    """Sends renewals and installs the shares and quotas received in response."""
 
     def __init__(
         self,
@@ -53,14 +54,14 @@
         quota_allowance: quota_allowances.QuotaAllowance,
         configuration_freshness: credential_freshness.ConfigurationFreshness,
     ) -> None:
-        """Creates renewals of which none is sent.
+        """Creates the object without sending a renewal.
 
         Args:
-            now: seconds on a monotonic clock.
-            connections: to the core nodes.
-            quota: receives the share leases.
-            quota_allowance: reports what was admitted of each tenant, and receives what may be.
-            configuration_freshness: receives how recent the configuration here is.
+            now: Returns seconds on a monotonic clock.
+            connections: Connections to the core nodes.
+            quota: Receives the share leases.
+            quota_allowance: Reports the usage admitted for each tenant, and receives the tenants' credits.
+            configuration_freshness: Receives how recent the installed configuration is.
         """
         self._log = RenewalLog(now=now)
         self._connections = connections
@@ -82,13 +83,13 @@
         """Installs the shares that a core node leases to this proxy."""
         sent_at = self._log.sent_at(message.number)
         if sent_at is not None:
-            # By the core node's address: the lease of an ended connection and that of its successor are one.
+            # Keyed by the core node's address: leases received on an ended connection and on its successor are one.
             self._quota.handle_share_lease(connection.peer, message, sent_at=sent_at)
 
     def handle_quota_status(
         self, host: str, _connection: peer_connection.PeerConnection, message: messages.QuotaStatus
     ) -> None:
-        """Records how fresh the configuration here is, and what may be admitted of each tenant."""
+        """Records how recent the installed configuration is, and the usage that may be admitted for each tenant."""
         sent_at = self._log.sent_at(message.number)
         if sent_at is None:
             return
@@ -103,10 +104,10 @@
         )
 
     def handle_end(self, host: str) -> None:
-        """A connection ended: what was reported last may not have arrived, and is reported again."""
+        """Makes the next usage report complete: the last one may have been lost with the connection that ended."""
         self._quota_allowance.clear_reported(core=host)
 
     def configuration_age_s(self, subscriber: subscribers.Subscriber) -> float:
-        """Seconds since a moment at which nothing newer was acknowledged than what this proxy has."""
+        """Returns the seconds since the installed configuration was last known to be the newest acknowledged one."""
         installed = subscriber.versions.get(register_names.CONFIGURATION, NO_VERSION)
         return self._configuration_freshness.age_s(version=installed.number)
