--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -1,8 +1,8 @@
-"""Counts requests whose adapter was not loaded, and measures how long loads take (docs/pins.md 2, 3, 5).
+"""Counts requests whose adapter was not loaded, and measures the duration of loads (docs/pins.md 2, 3, 5).
 
 A proxy owns one `AdapterCounter`. An attempt is recorded when it is sent and counted when its first event arrives;
-attempts that never ran are not counted. Counts are reported in complete, numbered windows, so a report that is
-resent, or that reaches another core node, is counted once.
+attempts that did not run are not counted. Each report contains a complete, numbered window, so a report that is
+resent, or sent to another core node, is counted only once.
 """
 
 import collections.abc
@@ -13,13 +13,13 @@
 from ploverward.data_plane.adapter_cache import count_table
 from ploverward.data_plane.adapter_cache.count_table import CountKey
 
-MAX_ROWS = 2000  # of one window; arrivals that find no row are counted in one number
-UNSTABLE_ADAPTER_SHARE = 0.25  # of a load: the cost of an adapter that is loaded, but may be evicted soon
-UNKNOWN_ADAPTER_SHARE = 0.5  # of a load: the cost where it is not known whether it is loaded
-FIRST_LOAD_S = 1.0  # the load time that is expected before one was measured
-STEADY_TRUSTS = 4  # an adapter that is listed for so many times the trust is not expected to be evicted soon
-MAX_EVIDENCE = 4 * MAX_ROWS  # of what is known to be loaded by this proxy's own requests, before old rows are dropped
-LATEST_LOAD_WEIGHT = 0.2  # of the newest load in the moving average
+MAX_ROWS = 2000  # per window; further arrivals are only counted in a total
+UNSTABLE_ADAPTER_SHARE = 0.25  # of a load time: expected cost of an adapter that is loaded but may be evicted soon
+UNKNOWN_ADAPTER_SHARE = 0.5  # of a load time: expected cost if it is not known whether the adapter is loaded
+DEFAULT_LOAD_S = 1.0  # expected load time until one was measured
+STABLE_TRUST_PERIODS = 4  # an adapter listed for this many times `trust_s` is not expected to be evicted soon
+MAX_LOADED_ENTRIES = 4 * MAX_ROWS  # adapters known to be loaded by own requests, before expired entries are dropped
+LATEST_LOAD_WEIGHT = 0.2  # weight of the newest load in the moving average
 
 
 class AdapterState(enum.StrEnum):
@@ -30,24 +30,24 @@
     UNKNOWN = "unknown"
 
 
-# Names of the module: access to a member of an enum costs more, and the choice of a replica reads one per candidate.
+# Module-level aliases, because access to an enum member is slower and the choice of a replica reads one per candidate.
 WARM, COLD, UNKNOWN = AdapterState
 
 
 class Replica(typing.Protocol):
-    """A replica as the choice of one sees it (`ploverward.data_plane.load_balancing`)."""
+    """The part of a replica that the counter uses (`ploverward.data_plane.load_balancing`)."""
 
     @property
     def id(self) -> str:
-        """The identifier; another incarnation has another one."""
+        """The identifier, different for each incarnation."""
 
     @property
     def service(self) -> str:
-        """The service."""
+        """The name of its service."""
 
     @property
     def adapters(self) -> collections.abc.Mapping[tuple[str, str], float] | None:
-        """Loaded adapters by (model, adapter), and since when they are listed; None where that is not known."""
+        """Maps (model, adapter) of the loaded adapters to the time since which they are listed; None if unknown."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -55,12 +55,12 @@
     """One attempt at a replica.
 
     Attributes:
-        key: the row that it counts in.
-        replica: the replica.
-        state: what was known of the adapter there when the attempt was sent.
-        sent_at: when that was, seconds on the counter's clock.
-        target_s: the latency target of the route, in seconds; 0 for none.
-        is_over: whether it ran, or is known not to run.
+        key: The key of the row in which it is counted.
+        replica: The replica.
+        state: Known state of the adapter at the replica when the attempt was sent.
+        sent_at: When the attempt was sent, in seconds on the counter's clock.
+        target_s: The latency target of the route, in seconds; 0 for none.
+        is_over: Whether the attempt was counted, or ended without running.
     """
 
     key: CountKey
@@ -72,7 +72,7 @@
 
 
 class WindowReport(typing.NamedTuple):
-    """The counts of one window; a higher number replaces an earlier report of the window."""
+    """The counts of one window; a report with a higher number replaces an earlier one of the same window."""
 
     window: int
     number: int
@@ -81,39 +81,41 @@
 
 @dataclasses.dataclass(slots=True)
 class _Load:
-    """A load of an adapter by a replica, as this proxy infers it from arrivals that found it not loaded."""
+    """A load of an adapter by a replica, inferred from arrivals that found the adapter not loaded."""
 
     open_arrivals: int = 0
     is_counted: bool = False
 
 
 class AdapterCounter:
-    """Counts of this proxy.
+    """Counts the arrivals of this proxy's requests by state of their adapter.
 
     Args:
-        now: the clock, in seconds.
-        window_s: duration of a window.
-        trust_s: how long an adapter is assumed to be loaded after a request of this proxy ran with it.
+        now: Returns seconds on a monotonic clock.
+        window_s: Duration of a window, in seconds.
+        trust_s: Seconds for which an adapter is assumed to be loaded after a request of this proxy ran with it.
     """
 
     def __init__(self, *, now: collections.abc.Callable[[], float], window_s: float, trust_s: float) -> None:
         self._now = now
         self._window_s = window_s
         self._trust_s = trust_s
-        self._steady_s = trust_s * STEADY_TRUSTS
+        self._stable_s = trust_s * STABLE_TRUST_PERIODS
         self._began = now()
         self._window = 0
         self._number = 0
         self._rows: dict[CountKey, dict[str, int]] = {}
-        self._over = 0  # arrivals that found no row
+        self._overflow = 0  # arrivals without a row
         self._is_changed = False
-        self._closed: list[WindowReport] = []  # of the window before; reported again with the next ones
+        self._closed: list[WindowReport] = []  # of the previous window; reported again with the next ones
         self._loads: dict[tuple[str, str, str], _Load] = {}  # by replica, model, adapter
-        self._loaded_until: dict[tuple[str, str, str], float] = {}  # by this proxy's own evidence
+        self._loaded_until: dict[
+            tuple[str, str, str], float
+        ] = {}  # from requests of this proxy that ran; by replica, model, adapter
         self._load_s: dict[str, float] = {}  # by service: moving average of measured loads
 
     def state(self, *, replica: Replica, model: str, adapter: str) -> AdapterState:
-        """Whether a replica has an adapter loaded, as far as this proxy knows now."""
+        """Returns whether a replica has an adapter loaded, as far as this proxy knows."""
         if self._loaded_until.get((replica.id, model, adapter), 0.0) > self._now():
             return WARM
         if replica.adapters is None:
@@ -121,31 +123,35 @@
         return WARM if (model, adapter) in replica.adapters else COLD
 
     def expected_load_s(self, *, replica: Replica, model: str, adapter: str) -> float:
-        """How long a request is expected to wait for a load of the adapter, in seconds; 0 where it is loaded."""
+        """Returns the seconds that a request is expected to wait for a load of the adapter.
+
+        The result is 0 if the adapter is loaded and not expected to be evicted soon.
+        """
         state = self.state(replica=replica, model=model, adapter=adapter)
-        load_s = self._load_s.get(replica.service, FIRST_LOAD_S)
+        load_s = self._load_s.get(replica.service, DEFAULT_LOAD_S)
         if state is WARM:
-            # An adapter that was loaded recently may be evicted before the list shows it; one that stays is preferred.
+            # A recently loaded adapter may be evicted before the list shows this, so one that is listed for long is
+            # preferred.
             since = (replica.adapters or {}).get((model, adapter))
-            is_steady = since is not None and self._now() - since >= self._steady_s
-            return 0.0 if is_steady else load_s * UNSTABLE_ADAPTER_SHARE
+            is_stable = since is not None and self._now() - since >= self._stable_s
+            return 0.0 if is_stable else load_s * UNSTABLE_ADAPTER_SHARE
         return load_s * (UNKNOWN_ADAPTER_SHARE if state is UNKNOWN else 1.0)
 
     def note_sent(
         self, *, replica: Replica, service: str, model: str, adapter: str, route: str, target_s: float
     ) -> Arrival:
-        """Notes that an attempt was sent.
+        """Records that an attempt was sent.
 
         Args:
-            replica: where it was sent.
-            service: the service of its route.
-            model: the model that the request names.
-            adapter: the adapter, or "".
-            route: the name of the route.
-            target_s: the latency target of the route, in seconds; 0 for none.
+            replica: The replica to which it was sent.
+            service: The service of its route.
+            model: The model that the request names.
+            adapter: The adapter, or "".
+            route: The name of the route.
+            target_s: The latency target of the route, in seconds; 0 for none.
 
         Returns:
-            The argument of a later `note_run` or `note_not_run`.
+            The attempt, to be passed to `note_run` or `note_not_run` later.
         """
         state = self.state(replica=replica, model=model, adapter=adapter) if adapter else UNKNOWN
         if state is COLD:
@@ -154,7 +160,7 @@
         return Arrival(key, replica, state, self._now(), target_s)
 
     def note_run(self, arrival: Arrival) -> None:
-        """Counts an attempt whose first event arrived: it ran, so its adapter is loaded there."""
+        """Counts an attempt whose first event arrived, which shows that it ran and that its adapter is loaded."""
         if arrival.is_over:
             return
         arrival.is_over = True
@@ -167,21 +173,21 @@
         if row is None and len(self._rows) < MAX_ROWS:
             row = self._rows[arrival.key] = dict.fromkeys(count_table.FIELDS, 0)
         if row is None:
-            self._over += 1
+            self._overflow += 1
             return
         row[arrival.state] += 1
         if arrival.state is COLD:
             self._count_wait(row, arrival, wait_s=now - arrival.sent_at, is_load=is_load)
 
     def note_not_run(self, arrival: Arrival) -> None:
-        """Notes that an attempt was rejected, lost or given up before its first event: no load of it is known."""
+        """Records that an attempt was rejected, lost or abandoned before its first event, so no load is counted."""
         if not arrival.is_over:
             arrival.is_over = True
             if arrival.state is COLD:
                 self._end_cold_arrival(arrival, is_run=False)
 
     def report(self) -> list[WindowReport]:
-        """What is new: the window that ended last, and the present one where it changed since it was reported."""
+        """Returns the previous window, and the current one if it changed since it was last reported."""
         self._roll_window()
         reports = list(self._closed)
         if self._is_changed:
@@ -192,7 +198,7 @@
     def _note_loaded(self, key: CountKey, now: float) -> None:
         if key.adapter:
             self._loaded_until[(key.replica, key.model, key.adapter)] = now + self._trust_s
-        if len(self._loaded_until) > MAX_EVIDENCE:
+        if len(self._loaded_until) > MAX_LOADED_ENTRIES:
             self._loaded_until = {key: until for key, until in self._loaded_until.items() if until > now}
 
     def _count_wait(self, row: dict[str, int], arrival: Arrival, *, wait_s: float, is_load: bool) -> None:
@@ -211,7 +217,7 @@
         """Ends an arrival that found the adapter not loaded.
 
         Returns:
-            Whether it counts as a load: of several arrivals that wait for the same load only one does.
+            Whether it is counted as a load; of several arrivals that wait for the same load only the first is.
         """
         key = (arrival.key.replica, arrival.key.model, arrival.key.adapter)
         load = self._loads.get(key)
@@ -225,16 +231,16 @@
         return is_first
 
     def _roll_window(self) -> None:
-        """Begins a new window where the time of the present one is over."""
+        """Starts a new window if the current one has ended."""
         window = int((self._now() - self._began) / self._window_s)
         if window == self._window:
             return
-        self._closed = [self._next_report()] if self._rows or self._over else []
+        self._closed = [self._next_report()] if self._rows or self._overflow else []
         self._window = window
         self._rows = {}
-        self._over = 0
+        self._overflow = 0
         self._is_changed = False
 
     def _next_report(self) -> WindowReport:
         self._number += 1
-        return WindowReport(self._window, self._number, count_table.pack(counts=self._rows, overflow=self._over))
+        return WindowReport(self._window, self._number, count_table.pack(counts=self._rows, overflow=self._overflow))
--- a/ploverward/data_plane/adapter_cache/adapter_names.py
+++ b/ploverward/data_plane/adapter_cache/adapter_names.py
@@ -1,16 +1,16 @@
-"""Which model and adapter a request names (docs/pins.md 1). This is the only place that decides it."""
+"""Resolves the model and adapter that a request names (docs/pins.md 1). No other code decides this."""
 
 import collections.abc
 import typing
 
 
 class ResolvedModel(typing.NamedTuple):
-    """What a request names.
+    """The model and adapter that a request names.
 
     Attributes:
-        model: the model; the text of the request where that is not known.
-        adapter: the adapter of that model, or "".
-        is_known: whether the text names a model or an adapter, or nothing.
+        model: The model; the text of the request if it names nothing known.
+        adapter: The adapter of that model, or "".
+        is_known: Whether the text is empty or names a known model or adapter.
     """
 
     model: str
@@ -24,15 +24,15 @@
     models: collections.abc.Container[str],
     adapters: collections.abc.Mapping[str, collections.abc.Collection[str]],
 ) -> ResolvedModel:
-    """Finds out what X-Model names.
+    """Resolves the value of the header X-Model.
 
-    The name of a model is that model. A name that the endpoint list or the configuration gives as an adapter of exactly
-    one model is that adapter. Anything else is unknown; nothing is guessed.
+    The name of a model resolves to that model. A name that the endpoint list or the configuration lists as an adapter
+    of exactly one model resolves to that adapter. Any other name is unknown.
 
     Args:
-        text: the value of the header, or "".
-        models: the models of the service.
-        adapters: of each adapter the models that have it.
+        text: The value of the header, or "".
+        models: The models of the service.
+        adapters: The models that have an adapter, by adapter.
     """
     if not text or text in models:
         return ResolvedModel(text, "", True)
--- a/ploverward/data_plane/adapter_cache/count_table.py
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -1,6 +1,6 @@
 """The codec of the adapter counts of one window (docs/pins.md 3).
 
-The format is JSON: `{"rows": [[key fields..., counts...], ...], "over": number}`. Proxies write it, core nodes check
+The format is JSON: `{"rows": [[key fields..., counts...], ...], "over": number}`. Proxies write it, core nodes validate
 and store it, and the operators' tools read its rows.
 """
 
@@ -9,40 +9,43 @@
 import typing
 
 ROWS_KEY = "rows"
-OVERFLOW_KEY = "over"  # arrivals that found no row, as the table was full
+OVERFLOW_KEY = "over"  # number of arrivals without a row, because the table was full
 
 Table: typing.TypeAlias = dict[str, typing.Any]
 
 
 class CountKey(typing.NamedTuple):
-    """The key of a row of counts. A new incarnation of a replica has its own rows, as it starts with nothing loaded."""
+    """The key of a row of counts.
+
+    A new incarnation of a replica has its own rows, because it starts without loaded adapters.
+    """
 
     service: str
     model: str
-    adapter: str  # "" where the request named none that is known
+    adapter: str  # "" if the request named no known adapter
     replica: str
     route: str
 
 
 class ArrivalCounts(typing.NamedTuple):
-    """Counts of the attempts that ran."""
+    """Counts of the attempts that ran at a replica."""
 
     warm: int = 0  # the adapter was loaded when the request was sent
-    cold: int = 0  # it was not
-    unknown: int = 0  # that was not known
-    loads: int = 0  # arrivals that waited for the same load count once
-    waits: int = 0  # arrivals that found it not loaded
-    wait_ms: int = 0  # until their first events, in sum
-    most_wait_ms: int = 0  # the longest
-    late: int = 0  # waits beyond the latency target
+    cold: int = 0  # the adapter was not loaded when the request was sent
+    unknown: int = 0  # it was not known whether the adapter was loaded
+    loads: int = 0  # loads; arrivals that waited for the same load count once
+    waits: int = 0  # arrivals that found the adapter not loaded
+    wait_ms: int = 0  # sum of the times until the first event of those arrivals
+    most_wait_ms: int = 0  # longest of these times
+    late: int = 0  # waits that exceeded the latency target
 
     @property
     def arrivals(self) -> int:
-        """All attempts that ran."""
+        """Number of all attempts that ran."""
         return self.warm + self.cold + self.unknown
 
     def plus(self, other: "ArrivalCounts") -> "ArrivalCounts":
-        """The counts of both."""
+        """Returns the sums of two counts, with the longer of the longest waits."""
         sums = ArrivalCounts(*map(sum, zip(self, other, strict=True)))
         return sums._replace(most_wait_ms=max(self.most_wait_ms, other.most_wait_ms))
 
@@ -52,18 +55,18 @@
 
 
 def pack(*, counts: collections.abc.Mapping[CountKey, collections.abc.Mapping[str, int]], overflow: int) -> bytes:
-    """Writes a table.
+    """Encodes a table.
 
     Args:
-        counts: the rows; each has all `FIELDS`.
-        overflow: arrivals that found no row.
+        counts: The rows by key; each has all `FIELDS`.
+        overflow: Number of arrivals without a row.
     """
     rows = [[*key, *(row[field] for field in FIELDS)] for key, row in sorted(counts.items())]
     return json.dumps({ROWS_KEY: rows, OVERFLOW_KEY: overflow}, separators=(",", ":")).encode()
 
 
 def read(*, data: bytes) -> Table | None:
-    """Reads a table as JSON gives it; None where the bytes are something else."""
+    """Decodes a table; returns None if the bytes are not a valid one."""
     try:
         body = json.loads(data)
         rows = [list(row) for row in body[ROWS_KEY]]
@@ -83,6 +86,9 @@
 
 
 def parse_rows(window: collections.abc.Mapping[str, typing.Any]) -> list[tuple[CountKey, ArrivalCounts]]:
-    """The rows of a table, or of a window that has the rows of one. Counts that a later version added are omitted."""
+    """Returns the rows of a table, or of a window that contains the rows of one.
+
+    Counts that a later version of the format added are omitted.
+    """
     end = _KEY_LENGTH + len(FIELDS)
     return [(CountKey(*row[:_KEY_LENGTH]), ArrivalCounts(*row[_KEY_LENGTH:end])) for row in window[ROWS_KEY]]
--- a/ploverward/data_plane/usage/__init__.py
+++ b/ploverward/data_plane/usage/__init__.py
@@ -1,1 +1,1 @@
-"""What this proxy's requests used of replicas, by window of time and tenant (docs/platform-duties.md)."""
+"""Counts of this proxy's requests that ran at replicas, by time window and tenant (docs/platform-duties.md)."""
--- a/ploverward/data_plane/usage/test_usage_counter.py
+++ b/ploverward/data_plane/usage/test_usage_counter.py
@@ -70,7 +70,7 @@
 
 def test_windows_beyond_limit_are_dropped():
     scene = Scene()
-    for _window in range(usage_counter.KEPT_WINDOWS + 3):
+    for _window in range(usage_counter.MAX_WINDOWS + 3):
         scene.counter.note_request_started("a")
         scene.time += 5.0
-    assert len(scene.counter.counts) == usage_counter.KEPT_WINDOWS and 200 not in scene.counter.counts
+    assert len(scene.counter.counts) == usage_counter.MAX_WINDOWS and 200 not in scene.counter.counts
--- a/ploverward/data_plane/usage/usage_counter.py
+++ b/ploverward/data_plane/usage/usage_counter.py
@@ -1,7 +1,7 @@
-"""Counts the requests that began to run at replicas, by window and tenant, and sends the counts to the coordinator.
+"""Counts the requests that started at replicas, by window and tenant, and sends the counts to the coordinator.
 
-Counts are cumulative: a message that comes twice, or comes late, changes nothing. A new coordinator, or a new
-connection to the same one, gets all windows that are kept here (docs/platform-duties.md 2).
+Counts are cumulative, so a duplicate or late message has no effect. A new coordinator, or a new connection to the same
+one, receives all windows that are kept here (docs/platform-duties.md 2).
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-KEPT_WINDOWS = 24
+MAX_WINDOWS = 24
 
 
 class UsageCounter:
-    """Counts by window and tenant.
+    """Counts started requests by window and tenant.
 
     Args:
-        wall_time: The time of day, in seconds.
-        window_s: Length of a window; window k begins k times that after the start of 1970.
+        wall_time: Returns the wall-clock time, in seconds since the epoch.
+        window_s: Length of a window in seconds; window k starts k * `window_s` after the epoch.
 
     Attributes:
-        counts: By window number, then by tenant.
-        changed: Windows and tenants whose counts changed since they were taken last.
+        counts: Number of requests, by window number, then by tenant.
+        changed: Windows and tenants whose counts changed since the last `take_changed`.
     """
 
     def __init__(self, *, wall_time: Callable[[], float], window_s: float) -> None:
@@ -37,11 +37,11 @@
         self.changed: set[tuple[int, str]] = set()
 
     def note_request_started(self, tenant: str) -> None:
-        """A request began to run at a replica."""
+        """Counts a request that started at a replica."""
         window = int(self._wall_time() // self._window_s)
         if window not in self.counts:
             self.counts[window] = collections.Counter()
-            for old in sorted(self.counts)[:-KEPT_WINDOWS]:
+            for old in sorted(self.counts)[:-MAX_WINDOWS]:
                 del self.counts[old]
         self.counts[window][tenant] += 1
         self.changed.add((window, tenant))
@@ -56,18 +56,18 @@
         ]
 
     def mark_all_changed(self) -> None:
-        """All counts are to be taken once more: another node needs them."""
+        """Marks all counts as changed, so that the next report to another node is complete."""
         self.changed = {(window, tenant) for window, tenants in self.counts.items() for tenant in tenants}
 
 
 class UsageReports:
-    """Sends counts to the coordinator.
+    """Sends the counts to the coordinator.
 
     Args:
-        connections: To core nodes.
+        connections: Connections to the core nodes.
         counter: The counts.
-        roles: The owners of singleton roles.
-        wall_time: The time of day, in seconds.
+        roles: Returns (epoch, address, incarnation) of the owner of each singleton role, by role.
+        wall_time: Returns the wall-clock time, in seconds since the epoch.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._receiver: tuple[interfaces.Connection, int] | None = None  # connection, epoch of the coordinator
 
     def send(self) -> None:
-        """Sends what changed; without a connection to the coordinator it waits."""
+        """Sends the changed counts; keeps them if the coordinator is not connected."""
         epoch, address, _incarnation = self._roles().get(singleton_roles.COORDINATOR, (0, "", ""))
         connection = self._connections.connection_to(address)
         if connection is None:
