--- a/ploverward/data_plane/__init__.py
+++ b/ploverward/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: it receives requests from clients and sends them to replicas. `proxy_node` is the program."""
+"""The proxy, which forwards requests of clients to replicas. `proxy_node` contains the program."""
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -1,7 +1,7 @@
 """The proxy program: its components, their wiring and its heartbeat (docs/design.md 1, 5, 7).
 
-`ProxyNode` owns no state but the settings in force and the count of heartbeats; each component owns its own.
-Everything runs in one thread, on one event loop.
+`ProxyNode` owns only the current settings and the count of heartbeats; each component owns its own state. Everything
+runs in one thread, on one event loop.
 """
 
 from __future__ import annotations
@@ -52,26 +52,30 @@
 
 PEER_TIMEOUTS_PER_CONTACT = 5
 FAILOVERS_PER_CONTACT = 16
-HEARTBEATS_PER_PEER_TIMEOUT = 3  # two may be lost
-USAGE_HEARTBEATS = 3  # heartbeats between two reports of use
-SLOW_TASKS_HEARTBEATS = 4  # heartbeats between two rounds of trails, adapter counts and a check of the settings file
+HEARTBEATS_PER_PEER_TIMEOUT = 3  # two consecutive ones may be lost
+HEARTBEATS_PER_USAGE_REPORT = 3
+HEARTBEATS_PER_SLOW_TASKS = 4  # interval of custody trails, adapter counts and the check of the settings file
 MAX_TRAILS_PER_BATCH = 200
-ADAPTER_WINDOW_CONTACTS = 6  # contactMs in a window of counts
-ADAPTER_TRUST_CONTACTS = 1 / 2  # contactMs for which an adapter counts as loaded without a sign of it
+ADAPTER_WINDOW_CONTACTS = 6  # window of adapter counts, as a multiple of contactMs
+ADAPTER_TRUST_CONTACTS = 1 / 2  # of contactMs: an adapter counts as loaded this long after a request ran with it
 
 
 class ProxyNode:
-    """One process that serves requests. It is the `HandlerContext` of the requests' handlers.
+    """A proxy process. It is the `HandlerContext` of the request handlers.
 
     Attributes:
-        incarnation: differs for each start of the process.
-        contact_s: the bound `contactMs`, from which most time-outs follow.
-        peer_timeout_s: a connection to another node on which nothing arrives for so long is closed.
-        failover_s: in about this time another node takes over, or the one that failed returns.
+        incarnation: Identifier of this start of the process.
+        contact_s: The bound `contactMs` in seconds, from which most timeouts are derived.
+        peer_timeout_s: Seconds after which a connection to another node is closed if no data arrives on it.
+        failover_s: Seconds in which another node typically takes over, or the one that failed returns.
     """
 
     def __init__(self, *, settings: settings_files.Settings) -> None:
-        """Creates all components. Other proxies may connect from now on, clients and core nodes only after `run`."""
+        """Creates all components.
+
+        Other proxies may connect as soon as the object exists; clients are accepted, and core nodes connected to,
+        only in `run`.
+        """
         self._reloadable = reloadable_settings.ReloadableSettings(
             initial=settings, file_watch=settings_files.FileWatch()
         )
@@ -84,7 +88,7 @@
         self._make_limits()
         self._make_connections()
         self._make_front_end()
-        self._make_balancing()
+        self._make_load_balancing()
         self._make_control_client()
         self._make_batch()
         self._connection_watch = connection_watch.ConnectionWatch(
@@ -95,14 +99,16 @@
         )
 
     def _make_limits(self) -> None:
-        """Quotas, roll-outs and replicas."""
+        """Creates quotas, roll-outs, the replica table and adapter counts."""
         now = self.loop.now
         self.quota = shared_limits.SharedLimits(now=now, settings=self.settings)
         self.credential_freshness = credential_freshness.CredentialFreshness.from_settings(self.settings)
         self.quota_allowance = quota_allowance.QuotaAllowance(
             now=now, lease_s=self.contact_s * quota_allowance.LEASE_CONTACTS
         )
-        self.rollouts = version_routing.VersionRouter(now=now, chance=random.random, running=self._running_elsewhere)
+        self.rollouts = version_routing.VersionRouter(
+            now=now, chance=random.random, running=self._running_other_versions
+        )
         self.table = replica_table.ReplicaTable(loop=self.loop, settings=self.settings, share=self.quota.rate_share)
         self.adapters = adapter_counts.AdapterCounter(
             now=now,
@@ -115,7 +121,7 @@
         self.note_replica_full = feedback.note_replica_full
 
     def _make_connections(self) -> None:
-        """Connections to core nodes, and what this proxy sends there by itself."""
+        """Creates the connections to core nodes and the periodic reports sent on them."""
         self.batches = custody_trails.TrailBatches(max_trails=MAX_TRAILS_PER_BATCH)
         self._connections = core_connections.CoreConnections(
             loop=self.loop,
@@ -147,7 +153,7 @@
         )
 
     def _make_usage_reports(self) -> usage_counter.UsageReports | None:
-        """Counts of use, in deployments whose platform wants them reported."""
+        """Creates usage reports; returns None in deployments whose platform does not require them."""
         if settings_files.USAGE_DUTY not in self.settings.platform_duties:
             return None
         self._usage_counter = usage_counter.UsageCounter(wall_time=time.time, window_s=self.settings.usage_window_s)
@@ -159,12 +165,12 @@
         )
 
     def note_request_started(self, tenant: str) -> None:
-        """A request of a tenant began to run at a replica."""
+        """Counts a request of a tenant that started at a replica, if usage is reported."""
         if self._usage_reports is not None:
             self._usage_counter.note_request_started(tenant)
 
     def _make_front_end(self) -> None:
-        """Traffic from clients, and its end."""
+        """Creates the listener for clients and the graceful shutdown."""
         self._gate = serving_gate.ServingGate()
         self._front_end = http_front_end.HttpFrontEnd(
             loop=self.loop,
@@ -187,8 +193,8 @@
         )
         self.drain_window = self._shutdown.drain_window
 
-    def _make_balancing(self) -> None:
-        """Loads and caches of all replicas, and the choice among them."""
+    def _make_load_balancing(self) -> None:
+        """Creates the exchange of load reports with relays, and the choice of a replica."""
         self._relay_client = relay_client.RelayClient(
             loop=self.loop,
             settings=lambda: self.settings,
@@ -220,7 +226,7 @@
         )
 
     def _make_control_client(self) -> None:
-        """What core nodes distribute, and when that is enough to serve."""
+        """Creates the objects that fetch and install the values distributed by core nodes."""
         residency = residency_history.ResidencyHistory(
             now=self.loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
@@ -249,10 +255,12 @@
         )
 
     def _make_batch(self) -> None:
-        """Lots, in deployments that have stores."""
+        """Creates the batch tier, in deployments that have stores."""
         self._batch: batch_tier.BatchTier | None = None
         if self.settings.deployment == settings_files.BATCH_DEPLOYMENT:
-            from ploverward.data_plane.batch import batch_tier  # other deployments do not pay for it at each start
+            from ploverward.data_plane.batch import (
+                batch_tier,
+            )  # imported only here, to keep the start of other deployments fast
 
             self._batch = batch_tier.BatchTier(
                 node=self,
@@ -268,32 +276,32 @@
 
     @property
     def settings(self) -> settings_files.Settings:
-        """The settings in force; read again at SIGHUP and when the file changes."""
+        """The current settings, reloaded at SIGHUP and when the file changes."""
         return self._reloadable.current
 
     @property
     def is_serving(self) -> bool:
-        """Whether requests are served; False until the configuration is known to be new enough."""
+        """Whether requests are served; False until the installed configuration is known to be recent enough."""
         return self._gate.is_open
 
     @property
     def routes(self) -> route_table.Routes:
-        """Of the configuration in force."""
+        """The routes of the current configuration."""
         return self._installer.routes
 
     def configuration_age_s(self) -> float:
-        """Seconds since a moment at which nothing newer was acknowledged than the configuration in force."""
+        """Returns the seconds since the current configuration was last known to be the newest acknowledged one."""
         return self._renewals.configuration_age_s(self._sessions.subscriber)
 
     def run(self) -> int:
-        """Serves until SIGTERM and the end of the graceful shutdown. Returns the status of the process."""
+        """Serves until the graceful shutdown after SIGTERM is complete. Returns the exit status of the process."""
         self._front_end.start()
         self._connections.connect()
         self._report_ticker.start()
         self.loop.every(interval_s=self.peer_timeout_s / HEARTBEATS_PER_PEER_TIMEOUT, callback=self._on_heartbeat_tick)
         if self._batch is not None:
             self._batch.start()
-        # A signal may arrive between any two instructions: what follows is left to the loop.
+        # A signal may arrive between any two instructions, so its handler only schedules a callback on the loop.
         signal.signal(signal.SIGTERM, lambda *_: self.loop.command(callback=self._shutdown.begin))
         signal.signal(signal.SIGHUP, lambda *_: self.loop.command(callback=self._reload_settings))
         self.loop.run()
@@ -306,16 +314,16 @@
     def _on_heartbeat_tick(self) -> None:
         if self._heartbeats % self.rollouts.report_interval == 0:
             self._rollout_reports.send()
-        if self._usage_reports is not None and self._heartbeats % USAGE_HEARTBEATS == 0:
+        if self._usage_reports is not None and self._heartbeats % HEARTBEATS_PER_USAGE_REPORT == 0:
             self._usage_reports.send()
-        self._renewals.renew()  # it also shows core nodes that this proxy runs
+        self._renewals.renew()  # also serves as the heartbeat to core nodes
         self._relay_client.send_heartbeats()
         if self._batch is not None:
             self._batch.stores.send_heartbeats()
         self.table.sweep()
         self.table.check_suspected_replicas()
         self._heartbeats += 1
-        if self._heartbeats % SLOW_TASKS_HEARTBEATS == 0:
+        if self._heartbeats % HEARTBEATS_PER_SLOW_TASKS == 0:
             self._custody_reports.send()
             self._connection_watch.check()
             self._relay_client.send_adapter_counts()
@@ -345,11 +353,11 @@
         self._sessions.handle_end(connection)
 
     def _replicas_in_use(self) -> list[replica_table.Replica]:
-        """The replicas with attempts of this proxy in progress, also those that are listed no longer."""
+        """Returns the replicas with attempts of this proxy in progress, including those no longer listed."""
         attempts = (handler.attempt for handler in self.handlers if handler.attempt is not None)
         return list({attempt.replica.id: attempt.replica for attempt in attempts}.values())
 
-    def _running_elsewhere(self, service: str, target: str) -> int:
-        """Attempts in progress at replicas of a service that have another version than the target."""
+    def _running_other_versions(self, service: str, target: str) -> int:
+        """Returns the number of attempts in progress at replicas of a service with another version than the target."""
         replicas = (handler.attempt.replica for handler in self.handlers if handler.attempt is not None)
         return sum(replica.service == service and replica.edition != target for replica in replicas)
