--- a/ploverward/data_plane/adapter_cache/test_adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_counts.py
@@ -1,4 +1,4 @@
-"""Counting of cold arrivals on a proxy: what is warm, cold, unknown; what is a load and what a wait."""
+"""Tests of the adapter counts of a proxy: warm, cold and unknown arrivals, loads and waits."""
 
 import json
 
@@ -27,9 +27,9 @@
         self.clock = [0.0]
         self.counter = adapter_counts.AdapterCounter(now=lambda: self.clock[0], window_s=30.0, trust_s=4.0)
 
-    def note_sent(self, one, adapter="drafts", target_s=0.6):
+    def note_sent(self, target, adapter="drafts", target_s=0.6):
         return self.counter.note_sent(
-            replica=one, service="llm", model="m", adapter=adapter, route="r", target_s=target_s
+            replica=target, service="llm", model="m", adapter=adapter, route="r", target_s=target_s
         )
 
     def rows(self):
@@ -47,7 +47,7 @@
     scene.clock[0] = 0.9
     scene.counter.note_run(one)
     scene.counter.note_run(two)
-    scene.counter.note_run(scene.note_sent(cold))  # loaded by now, by our own evidence
+    scene.counter.note_run(scene.note_sent(cold))  # loaded now, since own requests ran with it
     row = scene.rows()[("drafts", "i1")]
     assert (row["cold"], row["waits"], row["loads"], row["warm"], row["late"]) == (2, 2, 1, 1, 2)
     assert row["wait_ms"] == 1800 and row["most_wait_ms"] == 900
@@ -60,7 +60,7 @@
     assert scene.rows() == {}
     arrival = scene.note_sent(cold)
     scene.counter.note_run(arrival)
-    scene.counter.note_not_run(arrival)  # its end, later: nothing more
+    scene.counter.note_not_run(arrival)  # the end of an attempt that was counted has no effect
     assert scene.rows()[("drafts", "i1")]["loads"] == 1
 
 
@@ -68,10 +68,10 @@
     scene = Scene()
     scene.counter.note_run(scene.note_sent(replica("warm", [["m", "drafts"]])))
     scene.counter.note_run(scene.note_sent(replica("cold", [["m", "reviews"]])))
-    scene.counter.note_run(scene.note_sent(replica("dark", None)))
+    scene.counter.note_run(scene.note_sent(replica("unlisted", None)))
     rows = scene.rows()
     assert [
-        rows[("drafts", name)][state] for name, state in (("warm", "warm"), ("cold", "cold"), ("dark", "unknown"))
+        rows[("drafts", name)][state] for name, state in (("warm", "warm"), ("cold", "cold"), ("unlisted", "unknown"))
     ] == [1, 1, 1]
     assert sum(row["loads"] for row in rows.values()) == 1
 
@@ -82,7 +82,7 @@
     scene.counter.note_run(scene.note_sent(first))
     assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.WARM
     assert scene.counter.state(replica=replica("i2"), model="m", adapter="drafts") == adapter_counts.COLD
-    scene.clock[0] = 4.1  # by now the list would say so
+    scene.clock[0] = 4.1  # trust_s has passed, and the endpoint list does not contain the adapter
     assert scene.counter.state(replica=first, model="m", adapter="drafts") == adapter_counts.COLD
 
 
@@ -115,7 +115,7 @@
         total += 1
         if step % 2:
             send_counts()
-            send_counts()  # a resend
+            send_counts()  # sends the last closed window again
     send_counts()
     scene.clock[0] += 30.0
     send_counts()
--- a/ploverward/data_plane/adapter_cache/test_adapter_names.py
+++ b/ploverward/data_plane/adapter_cache/test_adapter_names.py
@@ -1,4 +1,4 @@
-"""What X-Model names: a model, an adapter of exactly one model, or nothing that is known."""
+"""Tests of resolving X-Model to a model, to an adapter of exactly one model, or to nothing known."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, found",
+    "text, expected",
     [
         ("m", ("m", "", True)),
         ("", ("", "", True)),
@@ -18,5 +18,5 @@
         ("m/drafts", ("m/drafts", "", False)),
     ],
 )
-def test_resolve_knows_only_models_and_unambiguous_adapters(text, found):
-    assert adapter_names.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == found
+def test_resolve_knows_only_models_and_unambiguous_adapters(text, expected):
+    assert adapter_names.resolve(text=text, models=("m", "n"), adapters=ADAPTERS) == expected
--- a/ploverward/data_plane/control_client/test_core_connections.py
+++ b/ploverward/data_plane/control_client/test_core_connections.py
@@ -1,4 +1,4 @@
-"""Connections of a proxy to the core nodes: what they are told of its state."""
+"""Tests of a proxy's connections to core nodes: delivery of the proxy's state."""
 
 from ploverward.data_plane.control_client import core_connections
 from ploverward.simulation import loopback
--- a/ploverward/data_plane/control_client/test_core_sessions.py
+++ b/ploverward/data_plane/control_client/test_core_sessions.py
@@ -1,4 +1,4 @@
-"""Messages of core nodes are handled by their type; the proxy announces its readiness once its serving gate opens."""
+"""Tests of the sessions with core nodes: dispatch of messages, acknowledgements and announcement of readiness."""
 
 import types
 
@@ -9,7 +9,7 @@
 
 
 class Connection:
-    """A connection to a core node that keeps what is sent."""
+    """A fake connection to a core node that records sent messages."""
 
     is_open = True
 
@@ -20,8 +20,8 @@
         self.sent.append(message)
 
 
-class Sessions:
-    """Real sessions between stand-ins for the connections and for what messages are handed to."""
+class Scene:
+    """`CoreSessions` with fake connections and fake message handlers."""
 
     def __init__(self):
         self.broadcasts, self.installed, self.handled, self.commands = [], [], [], []
@@ -76,7 +76,7 @@
 
 
 def test_proxy_announces_readiness_once_gate_opens():
-    scene = Sessions()
+    scene = Scene()
     for topic in ("spec", "list", "cores"):
         scene.receive(snapshot(topic, Version(1, 1)))
     scene.run_commands()
@@ -90,7 +90,7 @@
 
 
 def test_gate_opens_after_last_required_topic_is_installed():
-    scene = Sessions()
+    scene = Scene()
     for host in ("a", "b"):
         scene.receive(messages.MinimumVersions(revisions=()), host=host)
     for topic in ("spec", "list", "cores"):
@@ -101,7 +101,7 @@
 
 
 def test_snapshots_and_deltas_are_installed_once_and_acknowledged_to_all_core_nodes():
-    scene = Sessions()
+    scene = Scene()
     for version in (Version(1, 2), Version(1, 1), Version(1, 2)):
         scene.receive(snapshot("list", version))
     delta = messages.Delta(version=Version(1, 3), data=b"")
@@ -111,7 +111,7 @@
 
 
 def test_messages_are_dispatched_by_type_and_other_types_ignored():
-    scene = Sessions()
+    scene = Scene()
     found = scene.receive(messages.FindCacheOwners(number=7, service="llm", model="m", hashes=()))
     assert found.sent == [messages.CacheOwners(number=7, owners=())]
     scene.receive(messages.QuotaStatus(1, 1, 0.0, 1, b""))
--- a/ploverward/data_plane/control_client/test_residency_history.py
+++ b/ploverward/data_plane/control_client/test_residency_history.py
@@ -1,4 +1,4 @@
-"""Homes of replaced configurations bind until their time is over."""
+"""Tests of the home regions of replaced configurations."""
 
 import types
 
--- a/ploverward/data_plane/test_connection_watch.py
+++ b/ploverward/data_plane/test_connection_watch.py
@@ -1,4 +1,4 @@
-"""When a proxy's number of connections is logged."""
+"""Tests of when a proxy logs its number of connections."""
 
 import logging
 
--- a/ploverward/data_plane/test_proxy_node.py
+++ b/ploverward/data_plane/test_proxy_node.py
@@ -1,6 +1,6 @@
-"""A complete proxy on the loopback: it starts, serves once a core node's values allow it, and ends after SIGTERM.
+"""Tests of a complete proxy on loopback addresses: start, serving once values are installed, end after SIGTERM.
 
-The core node and the clients are scripted; the proxy's own loop drives all of them.
+The core node is scripted and runs on the proxy's event loop.
 """
 
 import dataclasses
@@ -29,7 +29,7 @@
 
 
 class ScriptedCore:
-    """The one core node: it keeps what the proxy sends, and answers fetches."""
+    """The only core node: records the proxy's messages, and responds to handshakes, fetches and renewals."""
 
     def __init__(self, *, loop, address, values):
         self.values = values  # topic: Snapshot
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def signals():
-    """Puts back the handlers that a proxy replaces."""
+    """Restores the signal handlers that a proxy replaces."""
     former = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGHUP)}
     yield
     for number, handler in former.items():
--- a/ploverward/data_plane/upstream/test_response_reader.py
+++ b/ploverward/data_plane/upstream/test_response_reader.py
@@ -1,4 +1,4 @@
-"""Which answer belongs to a request, and whether another may follow, without a socket."""
+"""Tests of matching responses to requests and of connection reuse, without a socket."""
 
 import h11
 import pytest
@@ -10,19 +10,19 @@
 REQUEST = h11.Request(method="POST", target="/x", headers=[("Host", "h"), ("Content-Length", "4")])
 
 
-def sent(reader=None, *, request_id=b"mine"):
+def reader_after_request(reader=None, *, request_id=b"mine"):
     reader = reader or response_reader.ResponseReader()
     assert reader.send_request(request_id=request_id, head=REQUEST, body=b"body").endswith(b"\r\n\r\nbody")
     return reader
 
 
-def answer(which, body=b"ok", *, status=b"200 OK", more=b""):
-    named = b"X-Attempt-Id: %s\r\n" % which if which else b""
-    return b"HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s" % (status, named, more, len(body), body)
+def response(attempt_id, body=b"ok", *, status=b"200 OK", more=b""):
+    id_header = b"X-Attempt-Id: %s\r\n" % attempt_id if attempt_id else b""
+    return b"HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s" % (status, id_header, more, len(body), body)
 
 
 def events(reader, data=b"", *, is_unsent=False):
-    """What comes of the data: statuses of heads, bytes, and the end."""
+    """Returns the events in the data: the statuses of heads, bytes of bodies, and the end."""
     reader.receive_data(data)
     found = []
     while (event := reader.next_event(is_unsent=is_unsent)) is not Signal.NEED_DATA:
@@ -33,52 +33,60 @@
 
 
 def test_response_is_returned_in_chunks_and_connection_is_reusable():
-    reader = sent()
-    data = answer(b"mine")
+    reader = reader_after_request()
+    data = response(b"mine")
     assert events(reader, data[:-1]) == [200, b"o"]
     assert events(reader, data[-1:]) == [b"k", Signal.RESPONSE_END]
     assert reader.served == 1 and reader.start_next_cycle()
-    assert events(sent(reader, request_id=b"next"), answer(b"next")) == [200, b"ok", Signal.RESPONSE_END]
-
-
-@pytest.mark.parametrize("others", [1, 2])
-def test_responses_to_other_requests_are_skipped_and_connection_is_not_reused(others):
-    reader = sent()
-    assert events(reader, answer(b"other", b"theirs") * others + answer(b"mine")) == [200, b"ok", Signal.RESPONSE_END]
+    assert events(reader_after_request(reader, request_id=b"next"), response(b"next")) == [
+        200,
+        b"ok",
+        Signal.RESPONSE_END,
+    ]
+
+
+@pytest.mark.parametrize("extra_count", [1, 2])
+def test_responses_to_other_requests_are_skipped_and_connection_is_not_reused(extra_count):
+    reader = reader_after_request()
+    assert events(reader, response(b"other", b"theirs") * extra_count + response(b"mine")) == [
+        200,
+        b"ok",
+        Signal.RESPONSE_END,
+    ]
     assert not reader.start_next_cycle()
 
 
 def test_more_than_max_skipped_responses_raise_error():
     with pytest.raises(upstream_errors.RemoteProtocolError):
-        events(sent(), answer(b"other") * (response_reader.MAX_SKIPPED_RESPONSES + 1))
+        events(reader_after_request(), response(b"other") * (response_reader.MAX_SKIPPED_RESPONSES + 1))
 
 
 def test_response_before_any_request_byte_was_sent_raises_error():
     with pytest.raises(upstream_errors.RemoteProtocolError):
-        events(sent(), answer(b"mine"), is_unsent=True)
+        events(reader_after_request(), response(b"mine"), is_unsent=True)
 
 
 def test_response_without_id_is_accepted_only_as_error_on_unused_connection():
-    assert events(sent(), answer(b"", status=b"500 No")) == [500, b"ok", Signal.RESPONSE_END]
+    assert events(reader_after_request(), response(b"", status=b"500 No")) == [500, b"ok", Signal.RESPONSE_END]
     with pytest.raises(upstream_errors.RemoteProtocolError):
-        events(sent(), answer(b""))
-    reader = sent()
-    events(reader, answer(b"mine"))
+        events(reader_after_request(), response(b""))
+    reader = reader_after_request()
+    events(reader, response(b"mine"))
     assert reader.start_next_cycle()
     with pytest.raises(upstream_errors.RemoteProtocolError):
-        events(sent(reader, request_id=b"next"), answer(b"", status=b"500 No"))
+        events(reader_after_request(reader, request_id=b"next"), response(b"", status=b"500 No"))
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        answer(b"mine") + b"HTTP/1.1 200 OK\r\n",
-        answer(b"mine", more=b"Connection: close\r\n"),
-        answer(b"mine").replace(b"HTTP/1.1", b"HTTP/1.0"),
+        response(b"mine") + b"HTTP/1.1 200 OK\r\n",
+        response(b"mine", more=b"Connection: close\r\n"),
+        response(b"mine").replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
 def test_connection_is_not_reused_after_trailing_bytes_close_header_or_http_1_0(data):
-    reader = sent()
+    reader = reader_after_request()
     assert events(reader, data)[-1] is Signal.RESPONSE_END and not reader.start_next_cycle()
 
 
@@ -86,28 +94,28 @@
     "more, is_framed", [(b"", True), (b"Transfer-Encoding: chunked\r\n", False), (b"X-Other: 1\r\n", True)]
 )
 def test_response_with_content_length_and_chunks_is_not_framed(more, is_framed):
-    reader = sent()
-    reader.receive_data(answer(b"mine", b"2\r\nok\r\n0\r\n\r\n", more=more))
+    reader = reader_after_request()
+    reader.receive_data(response(b"mine", b"2\r\nok\r\n0\r\n\r\n", more=more))
     assert reader.next_event(is_unsent=False).is_framed is is_framed
 
 
 def test_informational_responses_are_ignored_and_invalid_http_raises_error():
-    assert events(sent(), b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"mine"))[0] == 200
+    assert events(reader_after_request(), b"HTTP/1.1 100 Continue\r\n\r\n" + response(b"mine"))[0] == 200
     with pytest.raises(h11.RemoteProtocolError):
-        events(sent(), b"\x00 what\r\n\r\n")
+        events(reader_after_request(), b"\x00 what\r\n\r\n")
 
 
 def test_connection_end_before_or_within_response_raises_error():
     with pytest.raises((upstream_errors.ConnectionEndedError, h11.RemoteProtocolError)):
-        events(sent())
-    reader = sent()
-    assert events(reader, answer(b"mine", b"long")[:-1]) == [200, b"lon"]
+        events(reader_after_request())
+    reader = reader_after_request()
+    assert events(reader, response(b"mine", b"long")[:-1]) == [200, b"lon"]
     with pytest.raises(h11.RemoteProtocolError):
         events(reader)
 
 
 @pytest.mark.parametrize(
-    "value, wanted", [(b"timeout=7", 7.0), (b"max=3, Timeout=4", 4.0), (b"timeout=soon", None), (b"", None)]
+    "value, expected", [(b"timeout=7", 7.0), (b"max=3, Timeout=4", 4.0), (b"timeout=soon", None), (b"", None)]
 )
-def test_keep_alive_timeout_is_parsed(value, wanted):
-    assert response_reader.keep_alive_timeout_s(value) == wanted
+def test_keep_alive_timeout_is_parsed(value, expected):
+    assert response_reader.keep_alive_timeout_s(value) == expected
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to replicas, used again or broken, with scripted peers on real sockets (docs/requests.md 2)."""
+"""Tests of reused and failing connections to replicas, with scripted peers on real sockets (docs/requests.md 2)."""
 
 import re
 
@@ -10,10 +10,10 @@
 
 
 def test_repeated_attempt_id_does_not_match_late_response_to_former_request():
-    """The former answer comes twice, late; the id can't tell it from the answer that is due."""
+    """A late duplicate of the former response has the same id as the response to the second request."""
 
-    def script(number, heard):
-        ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
+    def script(number, received):
+        ids = re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)
         if len(ids) == 2:
             return [request_scene.answer(ids[0], b"first") + request_scene.answer(ids[1], b"second")]
         return [request_scene.answer(ids[0], b"first" if number == 0 else b"second")]
@@ -28,17 +28,17 @@
     assert scene.client.got.endswith(b"second")
 
 
-@pytest.mark.parametrize("end", [False, True])
-def test_idle_connection_with_unhandled_end_is_not_reused(end):
-    """Both the end of the connection and the next request wait when the loop looks."""
+@pytest.mark.parametrize("is_reset", [False, True])
+def test_idle_connection_with_unhandled_end_is_not_reused(is_reset):
+    """Both the end of the connection and the next request are pending when the event loop polls."""
     scene = request_scene.Scene(request_scene.replying)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
     connection = scene.proxy.table.replicas["i0"].idle[0]
-    scene.loop.unwatch(sock=connection.sock)  # its event stands behind the request's in the same step
+    scene.loop.unwatch(sock=connection.sock)  # its event is handled after the request's in the same step
     scene.loop.skip(seconds=2.0)
-    scene.peers[0].end(0, is_reset=end)
+    scene.peers[0].end(0, is_reset=is_reset)
     scene.request("unsafe")
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [200] and scene.arrivals() == 2
@@ -63,24 +63,24 @@
     scene.request("unsafe")
     assert request_scene.settled(scene)
     assert request_scene.statuses(scene.client) == [200]
-    assert len(scene.peers[0].heard) == 2 and scene.peers[0].heard[1]  # by a new connection
+    assert len(scene.peers[0].heard) == 2 and scene.peers[0].heard[1]  # on a new connection
 
 
 def test_silently_dropped_idle_connections_fail_only_one_request():
-    def script(number, heard):
-        is_rested = heard.lower().count(b"x-attempt-id") > 1
-        return ["reset"] if is_rested else request_scene.answering()(number, heard)
+    def script(number, received):
+        is_reused = received.lower().count(b"x-attempt-id") > 1
+        return ["reset"] if is_reused else request_scene.answering()(number, received)
 
     scene = request_scene.Scene(script)
-    told = []
+    statuses = []
     for _ in range(5):
         scene.client.got = b""
         scene.request("unsafe")
         assert request_scene.settled(scene)
-        told += request_scene.statuses(scene.client)
+        statuses += request_scene.statuses(scene.client)
         scene.loop.skip(seconds=0.7)
-    assert told == [200, 502, 200, 200, 200]
-    scene.loop.skip(seconds=4.0)  # contactMs later it is tried again
+    assert statuses == [200, 502, 200, 200, 200]
+    scene.loop.skip(seconds=4.0)  # after contactMs idle connections are reused again
     assert scene.proxy.table.pool.max_idle_s(service="llm", now=scene.loop.now()) is None
 
 
@@ -97,9 +97,10 @@
 
 
 def test_informational_responses_of_replica_are_not_taken_as_final_response():
-    def script(number, heard):
+    def script(number, received):
         return [
-            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3 + request_scene.answer(request_scene.request_id(heard))
+            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
+            + request_scene.answer(request_scene.request_id(received))
         ]
 
     scene = request_scene.Scene(script)
@@ -111,7 +112,7 @@
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_request_with_one_byte_sent_is_not_retried(lead, end, monkeypatch):
-    scene = request_scene.Scene(lambda number, heard: [end], request_scene.replying)
+    scene = request_scene.Scene(lambda number, received: [end], request_scene.replying)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
     request_scene.in_part(scene, monkeypatch, most=1)
     scene.request(lead)
@@ -129,19 +130,19 @@
 
 
 @pytest.mark.parametrize(
-    "early, told",
+    "early, expected",
     [
         (request_scene.answer(b"a1", b"early"), [200]),
         (request_scene.answer(b"a1", status=b"503 Full", more=request_scene.NOT_RUN), [503]),
     ],
 )
-def test_response_before_request_is_fully_sent_is_forwarded_and_connection_closed(early, told, monkeypatch):
-    """The replica answers when it has a part; the rest of the request never leaves."""
-    scene = request_scene.Scene(lambda number, heard: [early])
+def test_response_before_request_is_fully_sent_is_forwarded_and_connection_closed(early, expected, monkeypatch):
+    """The replica responds after a part of the request; the remainder is never sent."""
+    scene = request_scene.Scene(lambda number, received: [early])
     request_scene.in_part(scene, monkeypatch, most=100)
-    scene.request("once" if told == [503] else "unsafe")
+    scene.request("once" if expected == [503] else "unsafe")
     assert request_scene.settled(scene)
-    assert request_scene.statuses(scene.client) == told and len(scene.peers[0].heard[0]) == 100
+    assert request_scene.statuses(scene.client) == expected and len(scene.peers[0].heard[0]) == 100
     assert loopback.until(scene.loop, lambda: not scene.peers[0].socks)
 
 
--- a/ploverward/data_plane/usage/test_usage_counter.py
+++ b/ploverward/data_plane/usage/test_usage_counter.py
@@ -1,4 +1,4 @@
-"""What a proxy counts for reports of use, and to whom it sends it."""
+"""Tests of the usage counts of a proxy and of their delivery to the coordinator."""
 
 from ploverward.data_plane.usage import usage_counter
 from ploverward.transport import messages
