--- a/ploverward/data_plane/control_client/residency_history.py
+++ b/ploverward/data_plane/control_client/residency_history.py
@@ -26,16 +26,16 @@
 class ResidencyHistory:
     """Determines the regions to which a request may be sent."""
 
-    def __init__(self, *, now: Callable[[], float], binds_for_s: Callable[[], float]) -> None:
+    def __init__(self, *, now: Callable[[], float], applies_for_s: Callable[[], float]) -> None:
         """Creates an empty history.
 
         Args:
             now: Returns seconds on a monotonic clock.
-            binds_for_s: Returns for how many seconds other proxies may still use a configuration that is replaced
+            applies_for_s: Returns for how many seconds other proxies may still use a configuration that is replaced
                 here.
         """
         self._now = now
-        self._binds_for_s = binds_for_s
+        self._applies_for_s = applies_for_s
         self._former: list[FormerHomes] = []
 
     def add_replaced(self, routes: route_table.Routes) -> None:
@@ -48,7 +48,7 @@
         if routes.edition:
             self._former.append(
                 FormerHomes(
-                    applies_until=now + self._binds_for_s(),
+                    applies_until=now + self._applies_for_s(),
                     by_route=routes.homes(),
                     by_tenant=routes.tenant_homes(),
                 )
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -228,7 +228,7 @@
     def _make_control_client(self) -> None:
         """Creates the objects that fetch and install the values distributed by core nodes."""
         residency = residency_history.ResidencyHistory(
-            now=self.loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
+            now=self.loop.now, applies_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
         self.permitted = residency.permitted
         self._installer = configuration_installer.ConfigurationInstaller(
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -164,7 +164,7 @@
         self.faults: list[str] = []
         self.begun: list[str] = []  # tenants of requests that replicas began
         self.residency = residency_history.ResidencyHistory(
-            now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
+            now=loop.now, applies_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
         self.permitted = self.residency.permitted
         self.credential_freshness = credential_freshness.CredentialFreshness.from_settings(self.settings)
