--- a/ploverward/data_plane/adapter_cache/count_table.py
+++ b/ploverward/data_plane/adapter_cache/count_table.py
@@ -33,7 +33,7 @@
     warm: int = 0  # the adapter was loaded when the request was sent
     cold: int = 0  # the adapter was not loaded when the request was sent
     unknown: int = 0  # it was not known whether the adapter was loaded
-    loads: int = 0  # loads; arrivals that waited for the same load count once
+    loads: int = 0  # loads of the adapter; arrivals that waited for the same one count once
     waits: int = 0  # arrivals that found the adapter not loaded
     wait_ms: int = 0  # sum of the times until the first event of those arrivals
     most_wait_ms: int = 0  # longest of these times
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -149,7 +149,7 @@
         self.idle_until = 0.0
         self._on_idle = on_idle
         self._on_connected = on_connected
-        self._begun_at = loop.now()
+        self._connecting_since = loop.now()
         self._out = bytearray()
         self._reader = response_reader.ResponseReader()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -264,7 +264,7 @@
         self.state = ConnectionState.IDLE if self.attempt is None else ConnectionState.BUSY
         self.loop.cancel(timer=self._timer)
         self.replica.last_received_at = now
-        self._on_connected(self.replica, now - self._begun_at)
+        self._on_connected(self.replica, now - self._connecting_since)
         if self.attempt is None:
             self.idle_since = now
             self.idle_until = now + DEFAULT_KEEP_ALIVE_S
