--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -164,7 +164,7 @@
         self.faults: list[str] = []
         self.begun: list[str] = []  # tenants of requests that replicas began
         self.residency = residency_history.ResidencyHistory(
-            now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
+            now=loop.now, applies_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
         self.permitted = self.residency.permitted
         self.credential_freshness = credential_freshness.CredentialFreshness.from_settings(self.settings)
@@ -192,7 +192,7 @@
 
     def configure(self, body: dict[str, typing.Any]) -> None:
         """A newer configuration came; the homes of the former one still bind for a while."""
-        self.residency.retire(self.routes)
+        self.residency.add_replaced(self.routes)
         self.routes = route_table.Routes(body=body)
 
     def configuration_age_s(self) -> float:
--- a/ploverward/store/store_node.py
+++ b/ploverward/store/store_node.py
@@ -247,7 +247,7 @@
 
     def _send_report(self, report: batch_messages.CopyReport) -> None:
         """Sends a report to the coordinator. Without a connection it is dropped; the next tick makes a new one."""
-        connection = self._connections.to(self._coordinator)
+        connection = self._connections.connection_to(self._coordinator)
         if connection is not None:
             connection.send(report)
 
