--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_with_the_suggestions_followed_nobody_waits_behind_a_load(seed):
+def test_no_request_waits_for_adapter_load_when_suggestions_are_applied(seed):
     scene, spared = play(seed=seed, is_following=True)
     checked = check(scene, since=STATED_S, spared=[*spared, STRANGERS])
     assert set(checked) == {(kind, region) for kind in KINDS for region in set(ZONES.values())}
@@ -389,7 +389,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_without_them_the_same_checker_sees_cold_waits(seed):
+def test_checker_finds_cold_waits_when_suggestions_are_ignored(seed):
     scene, spared = play(seed=seed, is_following=False)
     with pytest.raises(AssertionError):
         check(scene, since=STATED_S, spared=[*spared, STRANGERS])
@@ -397,7 +397,7 @@
 
 
 @pytest.mark.parametrize("fault", ["twice", "wait", "unanswered", "run twice"])
-def test_the_checker_can_fail(fault):
+def test_checker_detects_injected_fault(fault):
     scene = Scene(seed=1, is_following=True)
     scene.world.run(until=60.0)
     check(scene, since=STATED_S)
@@ -417,7 +417,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_counts_across_the_nodes_are_what_the_replicas_saw(seed):
+def test_merged_counts_match_answered_requests(seed):
     """Exactly: nothing twice over resends and two core nodes; loads no more than the replicas made."""
     scene = Scene(seed=seed, is_following=False)
     scene.world.run(until=70.0)
--- a/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -57,24 +57,24 @@
     return {one["zone"] for one in suggestion["replicas"].values() if ("m", adapter) in one["pins"]}
 
 
-def test_a_cold_adapter_is_pinned_where_its_work_lands_and_in_two_zones():
+def test_cold_adapter_is_pinned_in_requesting_region_and_two_zones():
     suggestion = made([window(row("a"))])
     assert zones_of(suggestion, "a") >= {"n1", "n2"}
     assert suggestion["saving"] == {"cold_waits": 10, "wait_ms": 9000, "of_cold_waits": 10}
     assert suggestion["new"]["llm"]["n1"] == [["m", "a"]]
 
 
-def test_one_zone_in_a_region_puts_the_second_copy_elsewhere():
+def test_second_copy_is_placed_elsewhere_when_region_has_one_zone():
     suggestion = made([window(row("a"), region="south")], capacity=1)
     assert "s1" in zones_of(suggestion, "a") and len(zones_of(suggestion, "a")) > 1
 
 
-def test_homes_bind_the_pins():
+def test_adapter_is_pinned_only_in_home_regions():
     suggestion = made([window(row("a", route="home"), region="north")])
     assert zones_of(suggestion, "a") == {"s1"}
 
 
-def test_an_adapter_whose_home_regions_have_no_replica_is_reported_as_missing():
+def test_adapter_without_replica_in_home_regions_is_reported_missing():
     northern = [one for one in replicas() if one["region"] == "north"]
     suggestion = made([window(row("a", route="home"), row("b"))], rows=northern)
     assert zones_of(suggestion, "a") == set() and zones_of(suggestion, "b")
@@ -89,7 +89,7 @@
     ]
 
 
-def test_an_adapter_of_a_service_without_replicas_is_reported_where_it_is_requested():
+def test_adapter_of_service_without_replicas_is_reported_in_requesting_region():
     suggestion = made([window(row("a", service="gone"), region="south")])
     assert [(one["service"], one["region"]) for one in suggestion["missing"]] == [("gone", "south")]
 
@@ -124,23 +124,23 @@
     assert len(printed) == 1
 
 
-def test_too_little_evidence_pins_nothing_and_says_so():
+def test_adapter_with_too_few_arrivals_is_reported_and_not_pinned():
     suggestion = made([window(row("a", cold=2))])
     assert zones_of(suggestion, "a") == set() and suggestion["too_little_evidence"][0]["adapter"] == "a"
 
 
-def test_unknown_adapters_are_counted_and_never_pinned():
+def test_unknown_adapter_is_never_pinned():
     suggestion = made([window(row("", cold=0, unknown=50))])
     assert all(not one["pins"] for one in suggestion["replicas"].values())
 
 
-def test_what_exceeds_the_capacity_is_named():
+def test_adapters_beyond_capacity_are_reported_missing():
     suggestion = made([window(*[row(f"a{number}", cold=5 + number) for number in range(30)])], capacity=1)
     assert suggestion["missing"] and all(len(one["pins"]) <= 1 for one in suggestion["replicas"].values())
     assert made([window(row("a"))], capacity=0)["missing"]
 
 
-def test_a_pinned_adapter_that_is_warm_now_stays_pinned():
+def test_warm_pinned_adapter_stays_pinned():
     rows = replicas(adapters=[("m", "a")])
     suggestion = made(
         [window(row("a", cold=0, warm=200), row("b", cold=5))],
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_looking_again_at_nearly_the_same_evidence_changes_nothing(seed):
+def test_small_changes_of_counts_move_at_most_two_pins(seed):
     chance = random.Random(seed)
     base = {f"a{number}": chance.randint(20, 200) for number in range(5)}
     previous, last, changes = None, {}, []
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_was_counted_capacity_and_homes_hold(seed):
+def test_pins_respect_capacity_and_home_regions(seed):
     chance = random.Random(seed)
     rows = [
         row(
@@ -188,7 +188,7 @@
             assert permitted is None or one["region"] in permitted
 
 
-def test_a_window_counts_once_whatever_order_and_however_often_it_is_reported():
+def test_window_is_kept_once_for_any_order_and_repetition_of_reports():
     clock = [0.0]
     usage = adapter_usage.AdapterUsageStore(now=lambda: clock[0], window_s=30.0)
 
--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -170,11 +170,11 @@
 
     def _make_coordinator(self, settings: node_settings.Settings) -> None:
         """What the cluster coordinator does, should this node become it."""
-        self.list_poller = self.runtime.platform_watch(
+        self.list_poller = self.runtime.platform_poller(
             loop=self.loop,
             address=settings.cloud_address,
-            gap_s=self.timing.platform_gap_s,
-            limit_s=self.timing.platform_limit_s,
+            poll_interval_s=self.timing.platform_gap_s,
+            timeout_s=self.timing.platform_limit_s,
             on_list=self._on_endpoint_list,
             zones=settings.zones,
         )
@@ -417,7 +417,7 @@
         self.operator_api.listen()
         self.list_poller.start()
         self.loop.every(interval_s=self.timing.heartbeat_interval_s, callback=self._on_heartbeat_interval)
-        self.runtime.on_signals(loop=self.loop, on_terminate=self.shutdown.start, on_reread=self.settings.reload)
+        self.runtime.on_signals(loop=self.loop, on_terminate=self.shutdown.start, on_reload=self.settings.reload)
         _log.debug("core_started", extra={"own": self.own, "first": self.settings.current.first_start})
 
     def run(self) -> int:
--- a/ploverward/control_plane/discovery/endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/endpoint_list_poller.py
@@ -24,8 +24,8 @@
     Args:
         loop: the event loop.
         address: ADDRESS:PORT of the platform.
-        gap_s: from the beginning of a reading to that of the next one.
-        limit_s: how long a request may take.
+        poll_interval_s: from the beginning of a reading to that of the next one.
+        timeout_s: how long a request may take.
         on_list: called with the rows of each complete list, and when its reading began on the loop's clock.
         zones: all zones.
         connection: sends the requests; None for a `PlatformConnection`, which is made at the first start.
@@ -36,22 +36,22 @@
         *,
         loop: event_loop.Loop,
         address: str,
-        gap_s: float,
-        limit_s: float,
+        poll_interval_s: float,
+        timeout_s: float,
         on_list: collections.abc.Callable[[list[Row], float], None],
         zones: collections.abc.Iterable[str] = (),
         connection: platform_connection.Connection | None = None,
     ) -> None:
         self._loop = loop
         self._address = address
-        self._gap_s = gap_s
-        self._limit_s = limit_s
+        self._gap_s = poll_interval_s
+        self._limit_s = timeout_s
         self._on_list = on_list
         self._zones = tuple(sorted(zones))
         self._connection = connection
         self._page_count = 0  # of the last complete list
         self._run = 0
-        self._pause_s = gap_s
+        self._pause_s = poll_interval_s
         self.is_on = False
 
     def start(self) -> None:
@@ -81,7 +81,7 @@
         ) -> None:
             connection.get(
                 url=self._url(zone, token),
-                limit_s=self._limit_s,
+                timeout_s=self._limit_s,
                 done=lambda response: done(response) if run == self._run else None,
             )
 
--- a/ploverward/control_plane/discovery/platform_calls.py
+++ b/ploverward/control_plane/discovery/platform_calls.py
@@ -26,7 +26,7 @@
         path: str,
         headers: collections.abc.Collection[str],
         body: object,
-        limit_s: float,
+        timeout_s: float,
         done: collections.abc.Callable[[platform_connection.PlatformResponse], None],
     ) -> None:
         """Sends a POST.
@@ -35,7 +35,7 @@
             path: Of the call.
             headers: Further headers, each as a line.
             body: What is sent as JSON.
-            limit_s: Seconds until the call is given up; the platform may still carry it out.
+            timeout_s: Seconds until the call is given up; the platform may still carry it out.
             done: Called once with the outcome.
         """
         if self._connection is None:
@@ -44,6 +44,6 @@
             url=f"http://{self._address}{path}",
             headers=headers,
             body=json.dumps(body, separators=(",", ":")).encode(),
-            limit_s=limit_s,
+            timeout_s=timeout_s,
             done=done,
         )
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -35,8 +35,8 @@
 class Connection(typing.Protocol):
     """What sends requests to the platform; simulations put another one in its place."""
 
-    def get(self, *, url: str, limit_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
-        """Sends a GET and calls `done` once, at the latest after `limit_s` seconds."""
+    def get(self, *, url: str, timeout_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
+        """Sends a GET and calls `done` once, at the latest after `timeout_s` seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,17 +61,17 @@
         self._watched: set[int] = set()  # sockets
         self._transfers: dict[pycurl.Curl, _Transfer] = {}
 
-    def get(self, *, url: str, limit_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
+    def get(self, *, url: str, timeout_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
         """Sends a GET.
 
         Args:
             url: the URL.
-            limit_s: seconds until the request is given up.
+            timeout_s: seconds until the request is given up.
             done: called once with the outcome.
         """
         curl = pycurl.Curl()
         curl.setopt(pycurl.HTTPHEADER, ["Accept: application/json"])
-        self._begin(curl, url=url, limit_s=limit_s, done=done)
+        self._begin(curl, url=url, timeout_s=timeout_s, done=done)
 
     def post(
         self,
@@ -79,7 +79,7 @@
         url: str,
         headers: collections.abc.Iterable[str],
         body: bytes,
-        limit_s: float,
+        timeout_s: float,
         done: collections.abc.Callable[[PlatformResponse], None],
     ) -> None:
         """Sends a POST, once: on a connection of its own, as libcurl would send it again on one that was reused.
@@ -88,25 +88,25 @@
             url: the URL.
             headers: further headers, each as a line.
             body: JSON.
-            limit_s: seconds until the request is given up.
+            timeout_s: seconds until the request is given up.
             done: called once with the outcome.
         """
         curl = pycurl.Curl()
         curl.setopt(pycurl.HTTPHEADER, ["Accept: application/json", "Content-Type: application/json", *headers])
         curl.setopt(pycurl.POSTFIELDS, body)
         curl.setopt(pycurl.FRESH_CONNECT, 1)
-        self._begin(curl, url=url, limit_s=limit_s, done=done)
+        self._begin(curl, url=url, timeout_s=timeout_s, done=done)
 
     def _begin(
         self,
         curl: pycurl.Curl,
         *,
         url: str,
-        limit_s: float,
+        timeout_s: float,
         done: collections.abc.Callable[[PlatformResponse], None],
     ) -> None:
         body = io.BytesIO()
-        limit_ms = int(limit_s * 1000)
+        limit_ms = int(timeout_s * 1000)
         curl.setopt(pycurl.URL, url)
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.NOPROXY, "*")
--- a/ploverward/control_plane/discovery/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -38,7 +38,7 @@
     return node, clock
 
 
-def test_when_isolated_it_forwards_then_answers_again_when_nobody_else_may():
+def test_is_isolated_ends_after_two_contact_periods_or_with_majority():
     live = {"a", "b"}
     node, clock = make(live)
     assert not node.is_isolated()
@@ -58,7 +58,7 @@
     return node.find_addresses(host="h", region=region, zone=zone)
 
 
-def test_only_proxies_that_are_listed_now_are_named():
+def test_find_addresses_returns_only_currently_listed_proxies():
     """A proxy that was killed or removed leaves the list with its connection (`PeerSessions.proxies`)."""
     listed = list(PROXIES)
     clock = [0.0]
@@ -79,7 +79,7 @@
         find(node)
 
 
-def test_a_client_outside_the_homes_of_all_routes_is_sent_to_its_own_region_or_a_home():
+def test_find_addresses_returns_proxies_in_client_region_or_home_region():
     node, _clock = make({"a", "b"}, proxies=PROXIES, configuration=HOMED)
     regions = {"10.1": "north", "10.2": "south", "10.3": "west"}
     for region, zone in (("north", "n1"), ("south", "s1"), ("west", "w1"), ("north", "other")):
@@ -88,7 +88,7 @@
     assert find(node, region="east", zone="e1") == ["10.2.0.1:80"]
 
 
-def test_isolated_for_long_it_names_proxies_of_the_client_s_region_alone():
+def test_find_addresses_after_long_isolation_returns_only_client_region():
     live = {"a", "b"}
     node, clock = make(live, proxies=[proxy for proxy in PROXIES if proxy.region != "south"], configuration=HOMED)
     live.discard("b")
@@ -113,13 +113,13 @@
     return node, clock
 
 
-def test_a_complete_region_goes_on_by_itself_at_once():
+def test_isolated_node_answers_at_once_when_region_is_complete():
     node, _clock = cut_off(NORTH, FREE)
     assert find(node) == ["10.1.0.1:80"]
     assert find(node, zone="n2") == ["10.1.0.2:80"]
 
 
-def test_whose_home_is_out_of_reach_is_sent_to_another_node_first():
+def test_isolated_node_refuses_lookup_when_home_region_is_unreachable():
     node, clock = cut_off(NORTH, HOMED)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
@@ -129,20 +129,20 @@
     assert find(node) == ["10.1.0.1:80"]
 
 
-def test_where_the_cut_goes_through_the_region_the_other_part_may_serve_better():
+def test_isolated_node_refuses_lookup_when_region_is_incomplete():
     node, _clock = cut_off(NORTH[:1], FREE)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
 
 
-def test_clients_of_other_regions_are_sent_to_another_node_first():
+def test_isolated_node_refuses_lookup_of_client_in_other_region():
     node, _clock = cut_off(NORTH, FREE)
     for region in ("south", "east", ""):
         with pytest.raises(directory.LookupRefusedError):
             find(node, region=region, zone="s1")
 
 
-def test_a_node_that_knows_no_configuration_answers_nobody_while_it_is_isolated():
+def test_isolated_node_without_configuration_refuses_lookups():
     node, _clock = cut_off(NORTH, None)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
--- a/ploverward/control_plane/discovery/test_endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/test_endpoint_list_poller.py
@@ -18,7 +18,7 @@
         self.calls = []
         self.failing = None
 
-    def get(self, *, url, limit_s, done):
+    def get(self, *, url, timeout_s, done):
         query = dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(url).query))
         self.calls.append(query)
         self.waiting.append((query, done))
@@ -57,8 +57,8 @@
     poller = endpoint_list_poller.EndpointListPoller(
         loop=loop,
         address="x:1",
-        gap_s=0.5,
-        limit_s=1.0,
+        poll_interval_s=0.5,
+        timeout_s=1.0,
         on_list=lambda rows, at: lists.append(sorted(row["id"] for row in rows)),
         zones=ZONES,
         connection=platform,
@@ -77,14 +77,14 @@
     return count
 
 
-def test_a_short_list_is_read_page_by_page_without_zones():
+def test_short_list_is_read_page_by_page_without_zones():
     _poller, platform, _loop, lists = make(za=4, zb=4)
     assert round_trips(platform, lists) == 4
     assert lists == [sorted(platform.rows["za"] + platform.rows["zb"])]
     assert all("zone" not in query for query in platform.calls)
 
 
-def test_a_long_list_is_read_by_zones_from_the_first_reading_on():
+def test_long_list_is_read_by_zone_from_first_reading():
     _poller, platform, loop, lists = make(za=30, zb=20)
     first = round_trips(platform, lists)
     assert lists == [sorted(platform.rows["za"] + platform.rows["zb"])]
@@ -95,7 +95,7 @@
     assert len(platform.calls) - calls == 25 and all("zone" in query for query in platform.calls[calls:])
 
 
-def test_with_a_page_of_a_zone_missing_nothing_is_published_and_late_answers_change_nothing():
+def test_list_with_missing_zone_page_is_not_delivered_despite_late_answers():
     _poller, platform, loop, lists = make(za=30, zb=20)
     round_trips(platform, lists)
     platform.failing = {"zone": "zb", "page": "4"}
@@ -109,7 +109,7 @@
     assert lists[1] == lists[0]
 
 
-def test_a_list_that_became_short_is_read_without_zones_again():
+def test_list_that_became_short_is_read_without_zones():
     _poller, platform, loop, lists = make(za=30, zb=20)
     round_trips(platform, lists)
     platform.rows = {"za": ["za0"], "zb": ["zb0"]}
@@ -119,7 +119,7 @@
     assert lists[-1] == ["za0", "zb0"] and "zone" not in platform.calls[-1]
 
 
-def test_a_stopped_poller_delivers_nothing_of_a_reading_in_progress():
+def test_stopped_poller_discards_reading_in_progress():
     poller, platform, _loop, lists = make(za=30, zb=20)
     platform.carry()
     poller.stop()
@@ -128,7 +128,7 @@
     assert lists == [] and not platform.waiting
 
 
-def test_the_list_is_read_page_by_page_and_published_completely_or_not_at_all():
+def test_paged_list_is_delivered_completely_or_not_at_all():
     def row(name):
         return {"id": name, "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
@@ -145,7 +145,7 @@
     class Connection:
         failing = None
 
-        def get(self, *, url, limit_s, done):
+        def get(self, *, url, timeout_s, done):
             token = url.partition("?page=")[2]
             asked.append(token)
             names, following = pages[token]
@@ -157,8 +157,8 @@
     poller = endpoint_list_poller.EndpointListPoller(
         loop=Loop(),
         address="x:1",
-        gap_s=0.5,
-        limit_s=1.0,
+        poll_interval_s=0.5,
+        timeout_s=1.0,
         on_list=lambda rows, at: sent.append([one["id"] for one in rows]),
         connection=connection,
     )
--- a/ploverward/control_plane/discovery/test_platform_connection.py
+++ b/ploverward/control_plane/discovery/test_platform_connection.py
@@ -33,7 +33,7 @@
     server.server_close()
 
 
-def responses_of(*urls, limit_s=LIMIT_S):
+def responses_of(*urls, timeout_s=LIMIT_S):
     """What each request gives; all are sent at once."""
     loop = event_loop.Loop()
     connection = platform_connection.PlatformConnection(loop=loop)
@@ -45,25 +45,25 @@
             loop.stop()
 
     for url in urls:
-        connection.get(url=url, limit_s=limit_s, done=lambda response, url=url: done(url, response))
+        connection.get(url=url, timeout_s=timeout_s, done=lambda response, url=url: done(url, response))
     loop.after(delay=3 * LIMIT_S, callback=loop.stop)
     loop.run()
     return [responses[url] for url in urls]
 
 
-def test_requests_sent_at_once_get_their_own_bodies(address):
+def test_concurrent_requests_get_their_own_bodies(address):
     first, second = responses_of(f"http://{address}/first", f"http://{address}/second")
     assert (first.status, first.error, first.body) == (200, None, b"/first" * 20000)
     assert (second.status, second.error, second.body) == (200, None, b"/second" * 20000)
 
 
-def test_a_platform_that_does_not_answer_is_given_up_at_the_limit():
+def test_request_without_answer_fails_after_timeout():
     with socket.create_server(("127.0.0.1", 0)) as silent:
-        (response,) = responses_of(f"http://127.0.0.1:{silent.getsockname()[1]}/replicas", limit_s=0.2)
+        (response,) = responses_of(f"http://127.0.0.1:{silent.getsockname()[1]}/replicas", timeout_s=0.2)
     assert response.error is not None and response.status == 0
 
 
-def test_a_platform_that_refuses_the_connection_is_an_error():
+def test_refused_connection_is_reported_as_error():
     with socket.create_server(("127.0.0.1", 0)) as closed:
         port = closed.getsockname()[1]
     (response,) = responses_of(f"http://127.0.0.1:{port}/replicas")
--- a/ploverward/control_plane/discovery/test_platform_replicas.py
+++ b/ploverward/control_plane/discovery/test_platform_replicas.py
@@ -4,7 +4,7 @@
 from ploverward.control_plane.distribution import endpoint_list
 
 
-def test_the_list_gives_adapters_and_malformed_ones_are_skipped_and_counted():
+def test_read_row_lists_adapters_and_marks_malformed_ones():
     platform_replica = {"id": "i", "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     def row(*models):
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -96,19 +96,24 @@
         os.makedirs(folder, exist_ok=True)
         return disk.Disk(folder=folder)
 
-    def platform_watch(
+    def platform_poller(
         self,
         *,
         loop: event_loop.Loop,
         address: str,
-        gap_s: float,
-        limit_s: float,
+        poll_interval_s: float,
+        timeout_s: float,
         on_list: Callable[[list, float], None],
         zones: Collection[str],
     ) -> endpoint_list_poller.EndpointListPoller:
         """Reads the platform's list of replicas; the arguments are those of `EndpointListPoller`."""
         return endpoint_list_poller.EndpointListPoller(
-            loop=loop, address=address, gap_s=gap_s, limit_s=limit_s, on_list=on_list, zones=zones
+            loop=loop,
+            address=address,
+            poll_interval_s=poll_interval_s,
+            timeout_s=timeout_s,
+            on_list=on_list,
+            zones=zones,
         )
 
     def platform_calls(self, *, loop: event_loop.Loop, address: str) -> platform_calls.PlatformCalls:
@@ -140,8 +145,8 @@
         return uuid.uuid4().hex[:ID_DIGITS]
 
     def on_signals(
-        self, *, loop: event_loop.Loop, on_terminate: Callable[[], None], on_reread: Callable[[], None]
+        self, *, loop: event_loop.Loop, on_terminate: Callable[[], None], on_reload: Callable[[], None]
     ) -> None:
         """Calls these on the loop at SIGTERM and SIGHUP. The signal handlers themselves only queue them."""
         signal.signal(signal.SIGTERM, lambda *_: loop.command(callback=on_terminate))
-        signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reread))
+        signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reload))
--- a/ploverward/control_plane/usage/test_usage.py
+++ b/ploverward/control_plane/usage/test_usage.py
@@ -60,7 +60,7 @@
         return [(call["body"]["windowNo"], call["body"]["tallies"]) for call in self.calls]
 
 
-def test_counts_are_merged_by_the_largest():
+def test_totals_use_largest_count_of_each_proxy():
     table = usage_table.UsageTable()
     for incarnation, row in [
         ("p1", (200, "a", 3)),
@@ -72,7 +72,7 @@
     assert table.totals(200) == {"a": 7} and table.totals(201) == {"b": 1} and table.totals(202) == {}
 
 
-def test_a_window_is_reported_once_all_proxies_have_told_their_counts():
+def test_window_is_reported_once_all_proxies_reported_counts():
     scene = Scene().at(2.0)
     scene.reporter.table.record("p1", counts((200, "a", 3), until=BEGIN + 5.1))
     scene.at(6.6, ticks=3)
@@ -84,7 +84,7 @@
     assert scene.calls[0]["path"] == "/usage"
 
 
-def test_a_window_is_not_reported_right_after_its_end_and_not_later_than_due_whoever_is_silent():
+def test_window_closes_after_minimum_delay_and_by_deadline_despite_silent_proxy():
     scene = Scene().at(2.0)
     for proxy in scene.proxies:
         scene.reporter.table.record(proxy, counts(until=BEGIN + 6.0))
@@ -94,7 +94,7 @@
     assert scene.at(11.0, ticks=2).sent == [(200, {})]
 
 
-def test_a_report_is_agreed_on_before_it_is_sent_and_repeated_unchanged():
+def test_report_is_agreed_before_sending_and_resent_unchanged():
     scene = Scene().at(2.0).at(11.0)
     assert not scene.calls and usage_report.report_of(scene.roles) == usage_report.UsageReport(200, {})
     scene.reporter.table.record("p1", counts((200, "a", 3)))  # too late
@@ -106,7 +106,7 @@
     assert scene.sent == [(200, {}), (200, {})]
 
 
-def test_the_next_window_follows_once_the_one_before_was_accepted():
+def test_next_window_is_reported_after_previous_was_accepted():
     scene = Scene().at(2.0).at(40.0, ticks=2)
     assert scene.sent == [(200, {})]
     scene.at(41.0, ticks=3)
@@ -116,7 +116,7 @@
     assert scene.sent[1:] == [(201, {})]
 
 
-def test_a_successor_repeats_what_was_agreed_on_and_has_its_own_fence():
+def test_new_owner_resends_agreed_report_under_own_fence():
     first = Scene().at(2.0)
     first.reporter.table.record("p1", counts((200, "a", 3)))
     first.at(11.0, ticks=2)
@@ -128,13 +128,13 @@
 
 
 @pytest.mark.parametrize("is_owner", [False, True])
-def test_who_may_not_act_sends_nothing(is_owner):
+def test_only_owner_sends_reports(is_owner):
     scene = Scene()
     scene.owner = OWNER if is_owner else None
     assert bool(scene.at(2.0).at(11.0, ticks=3).calls) == is_owner
 
 
-def test_an_agreement_that_ends_after_the_duty_was_lost_changes_nothing():
+def test_agreement_after_losing_ownership_changes_nothing():
     scene = Scene().at(2.0)
 
     def change(*, name, edit, done):
@@ -146,7 +146,7 @@
     assert scene.rounds == 1 and scene.roles == {}
 
 
-def test_after_a_refusal_nothing_is_sent_under_the_same_fence():
+def test_refused_epoch_sends_no_more_reports():
     scene = Scene().at(2.0).at(11.0, ticks=2)
     scene.answer(409)
     scene.at(30.0, ticks=3)
@@ -155,7 +155,7 @@
     assert len(scene.at(32.0, ticks=2).calls) == 2
 
 
-def test_a_platform_that_is_down_is_not_flooded():
+def test_failed_calls_are_retried_with_backoff():
     scene = Scene().at(2.0).at(11.0, ticks=2)
     for step in range(200):
         if len(scene.calls) == scene.calls.index(scene.calls[-1]) + 1 and scene.reporter._is_busy:
@@ -164,7 +164,7 @@
     assert 4 <= len(scene.calls) <= 10
 
 
-def test_an_older_report_never_replaces_a_later_one():
+def test_with_report_keeps_report_of_same_or_later_window():
     roles = usage_report.with_report({"watch": [1, "x", "y"]}, usage_report.UsageReport(7, {"a": 1}))
     assert usage_report.with_report(roles, usage_report.UsageReport(7, {"a": 2})) == roles
     assert usage_report.with_report(roles, usage_report.UsageReport(6, {})) == roles
@@ -173,6 +173,6 @@
     assert newer["watch"] == [1, "x", "y"] and json.loads(json.dumps(newer)) == newer
 
 
-def test_a_row_that_is_damaged_is_an_error_of_its_own():
+def test_agreed_report_raises_storage_error_for_damaged_row():
     with pytest.raises(errors.StorageError):
         usage_report.report_of({"usage": [7, "no base85 \x00", ""]})
--- a/ploverward/control_plane/usage/usage_reporter.py
+++ b/ploverward/control_plane/usage/usage_reporter.py
@@ -70,7 +70,7 @@
         path: str,
         headers: Collection[str],
         body: object,
-        limit_s: float,
+        timeout_s: float,
         done: Callable[[platform_connection.PlatformResponse], None],
     ) -> None:
         """Sends a POST with a JSON body and calls `done` once."""
@@ -170,7 +170,7 @@
             path="/usage",
             headers=(f"X-Duty-Holder: {owner.node}", f"X-Fence-Number: {owner.epoch}"),
             body={"windowNo": report.window, "tallies": report.tallies},
-            limit_s=CALL_LIMIT_S,
+            timeout_s=CALL_LIMIT_S,
             done=lambda response: self._handle_response(owner, report, response),
         )
 
--- a/ploverward/simulation/control_plane/platform_model.py
+++ b/ploverward/simulation/control_plane/platform_model.py
@@ -57,13 +57,13 @@
         self._process = process
         self._clock = process.clock
 
-    def get(self, *, url: str, limit_s: float, done: Callable[[PlatformResponse], object]) -> None:
-        """Reads the list, whatever the URL; `done(response)` after at most `limit_s` seconds."""
+    def get(self, *, url: str, timeout_s: float, done: Callable[[PlatformResponse], object]) -> None:
+        """Reads the list, whatever the URL; `done(response)` after at most `timeout_s` seconds."""
         self._platform.calls += 1
         if self._platform.is_up:
             response = PlatformResponse(status=200, body=self._platform.body())
             delay = self._clock.chance.uniform(*ANSWER_S)
         else:
             response = PlatformResponse(error=OSError("timed out"))
-            delay = limit_s
+            delay = timeout_s
         self._clock.later(delay=delay, callback=lambda: done(response), process=self._process)
--- a/ploverward/simulation/control_plane/simulated_runtime.py
+++ b/ploverward/simulation/control_plane/simulated_runtime.py
@@ -82,7 +82,7 @@
         """Opens the machine's one folder."""
         return self.machine.disk
 
-    def platform_watch(self, **arguments: Any) -> endpoint_list_poller.EndpointListPoller:  # noqa: ANN401
+    def platform_poller(self, **arguments: Any) -> endpoint_list_poller.EndpointListPoller:  # noqa: ANN401
         """Reads the platform's list of replicas with the real poller."""
         connection = platform_model.SimulatedPlatformConnection(platform=self._platform, process=self.process)
         return endpoint_list_poller.EndpointListPoller(connection=connection, **arguments)
@@ -107,7 +107,7 @@
         """Returns an identifier that no other call returns."""
         return f"{self._clock.chance.getrandbits(ID_BITS):012x}"
 
-    def on_signals(self, *, loop: Any, on_terminate: Callable[[], None], on_reread: Callable[[], None]) -> None:  # noqa: ANN401
+    def on_signals(self, *, loop: Any, on_terminate: Callable[[], None], on_reload: Callable[[], None]) -> None:  # noqa: ANN401
         """Notes what the node does at SIGTERM; no other signal comes."""
         self.on_terminate = on_terminate
 
