--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -1,9 +1,10 @@
-"""A core node: its components and how they are connected (design 1, 4, 5, 9; docs/control.md).
+"""Assembles a core node from its components (design 1, 4, 5, 9; docs/control.md).
 
-`CoreNode` owns no state of its own. Its constructor creates each component with its dependencies; its other methods
-are sequences whose order matters: at the start, at each heartbeat interval, when a peer joins, when a value was
-chosen. Some components depend on each other: consensus sends over sessions, and sessions connect to the set that
-consensus agreed on. One of the two then gets a method of this class, which looks the other one up when it is called.
+`CoreNode` holds no protocol state of its own. Its constructor creates each component with its dependencies. Its other
+methods call the components in an order that matters: at the start, at each heartbeat interval, when a peer joins, and
+when a register value was chosen. Some components depend on each other: consensus sends over sessions, and sessions
+connect to the core set that consensus agreed on. One of the two then receives a method of this class, which looks up
+the other component when it is called.
 """
 
 import logging
@@ -54,9 +55,10 @@
 
 _log = logging.getLogger(__name__)
 
-REGISTER_EPOCH = 0  # of topics that are registers: their revisions rise without a coordinator
-DISK_SHARE = 1 / 16  # of the disk: the registers' file is rewritten once it is longer
-MIN_DISK_MB = 8.0  # assumed where the settings give less
+# Epoch of the topics that carry registers. It is constant: a register's revisions rise without a coordinator.
+REGISTER_EPOCH = 0
+DISK_SHARE = 1 / 16  # share of the disk that the registers' file may use; a longer file is rewritten
+MIN_DISK_MB = 8.0  # lower bound of the disk size that limits are computed from, also if the settings give less
 BYTES_PER_MB = 1024 * 1024
 INTERVALS_PER_SETTINGS_CHECK = 4  # heartbeat intervals between two checks of the settings file
 
@@ -66,18 +68,18 @@
 
     Args:
         settings: The settings with which the process was started.
-        runtime: What the node uses of its machine; the real one by default.
+        runtime: Access to the machine (loop, connections, disk, clock, randomness); the real one by default.
 
     Attributes:
         own: Address of this node.
         incarnation: Identifies this start of the process.
-        publisher: The newest version of each topic.
+        publisher: Holds the newest version of each topic.
         consensus: Acceptor, proposer and storage of the registers.
         membership: The core set as this node knows it.
         tallies: Counters that work without a majority.
-        custody: Trails of requests, for the audit.
-        role_table: Who owns which singleton role.
-        operator_api: What operators and clients call.
+        custody: Stores the trails of requests for the audit.
+        role_table: The owner of each singleton role.
+        operator_api: The HTTP interface for operators and clients.
     """
 
     def __init__(self, *, settings: node_settings.Settings, runtime: node_runtime.NodeRuntime | None = None) -> None:
@@ -94,15 +96,15 @@
         self.state = installed_state.InstalledState()
         self.publisher = publisher.Publisher()
         self.wanted_voters = 2 * settings.tolerated_machines + 1
-        self._interval_count = 0
+        self._heartbeat_interval_count = 0
         self._make_cluster(settings)
         self._make_coordinator(settings)
-        self._make_granters(settings)
+        self._make_lease_granters(settings)
         self._make_services(settings)
         self._add_handlers()
 
     def _make_cluster(self, settings: node_settings.Settings) -> None:
-        """Sessions, consensus, and what is known of the core set."""
+        """Creates sessions, consensus, and the components that track the core set."""
         self.router = message_router.MessageRouter()
         self.sessions = peer_sessions.PeerSessions(
             runtime=self.runtime,
@@ -136,7 +138,7 @@
             publish=self._publish_chosen,
             on_value=self._install_chosen,
             version=self._chosen_version,
-            on_founded=self._on_founded,
+            on_founded=self._on_core_set_founded,
         )
         self.lease = majority_lease.MajorityLease(own=self.own, now=self.loop.now, lease_s=self.timing.lease_s)
         self.membership = core_membership.CoreMembership(
@@ -169,12 +171,12 @@
         )
 
     def _make_coordinator(self, settings: node_settings.Settings) -> None:
-        """What the cluster coordinator does, should this node become it."""
+        """Creates the components that act while this node is the cluster coordinator."""
         self.list_poller = self.runtime.platform_poller(
             loop=self.loop,
             address=settings.cloud_address,
-            poll_interval_s=self.timing.platform_gap_s,
-            timeout_s=self.timing.platform_limit_s,
+            poll_interval_s=self.timing.platform_poll_interval_s,
+            timeout_s=self.timing.platform_timeout_s,
             on_list=self._on_endpoint_list,
             zones=settings.zones,
         )
@@ -252,7 +254,7 @@
         )
 
     def _make_usage(self, settings: node_settings.Settings) -> usage_reporter.UsageReporter | None:
-        """Reports of use, in deployments whose platform wants them."""
+        """Creates the usage reporter in deployments whose platform requires the usage duty; otherwise returns None."""
         if node_settings.USAGE_DUTY not in settings.platform_duties:
             return None
         return usage_reporter.UsageReporter(
@@ -265,13 +267,13 @@
             post=self.runtime.platform_calls(loop=self.loop, address=settings.cloud_address),
             timing=usage_reporter.Timing(
                 window_s=settings.usage_window_s,
-                late_s=settings.usage_late_s,
-                takeover_pause_s=self.timing.lease_s + usage_reporter.CALL_LIMIT_S,
+                report_due_s=settings.usage_late_s,
+                takeover_pause_s=self.timing.lease_s + usage_reporter.CALL_TIMEOUT_S,
             ),
         )
 
     def _coordinator_ownership(self) -> usage_reporter.Ownership | None:
-        """The right to make the calls of duties: of the coordinator, while it has the majority lease."""
+        """Returns the right to make duty calls, which the coordinator has while it holds the majority lease."""
         since = self.roles.acting_since
         if since is None or not self.coordinator.is_owner or not self.membership.has_majority_lease():
             return None
@@ -282,8 +284,8 @@
         if proxy is not None and self.usage is not None:
             self.usage.table.record(proxy.incarnation, message)
 
-    def _make_granters(self, settings: node_settings.Settings) -> None:
-        """What is granted to proxies."""
+    def _make_lease_granters(self, settings: node_settings.Settings) -> None:
+        """Creates the components that grant leases to proxies."""
         self.owned_shares = share_lease_granter.OwnedShares(own=self.own, now=self.loop.now, timing=self.timing)
         self.meter = quota_meter.QuotaMeter(
             now=self.loop.now,
@@ -309,7 +311,7 @@
         )
 
     def _make_services(self, settings: node_settings.Settings) -> None:
-        """Interfaces for operators and clients, topics for other nodes, and the shutdown."""
+        """Creates the operator API, the topic exchange with other nodes, and the shutdown."""
         self.core_set_status = core_set_status.CoreSetStatus(
             own=self.own,
             node_name=lambda: self.settings.current.node,
@@ -337,7 +339,7 @@
                 members=self.membership.members,
                 is_core_live=self.sessions.is_core_live,
                 has_majority_contact=self.membership.has_majority_lease,
-                is_voting=self._votes,
+                is_voting=self._is_voting,
                 proxies=self.sessions.proxies,
                 configuration=lambda: self.state.configuration,
                 singleton_roles=lambda: self.role_table.table,
@@ -409,7 +411,7 @@
         }
 
     def start(self) -> None:
-        """Resumes what the disk has, connects, and listens."""
+        """Restores the state on disk, connects to the other core nodes, and begins to listen."""
         self._resume_shares()
         self.sessions.connect_to_cores()
         self.tallies.start()
@@ -421,20 +423,20 @@
         _log.debug("core_started", extra={"own": self.own, "first": self.settings.current.first_start})
 
     def run(self) -> int:
-        """Runs until the node was shut down; returns the exit code of the process."""
+        """Runs until the node is shut down and returns the exit code of the process."""
         self.start()
         self.loop.run()
         return 0
 
     def _resume_shares(self) -> None:
-        """Resumes the owned shares of the earlier incarnation, where no change of the core set was in progress."""
+        """Resumes the shares that the previous incarnation owned, unless a change of the core set was in progress."""
         state = self.consensus.acceptor.get(register_names.CORE_SET)
         if not state.value or ballots.is_moving(state.value):
             return
         members, _payload = ballots.unpack(state.value)
         self.owned_shares.resume(core_membership.AgreedCoreSet(members=members, version=state.revision))
 
-    def _on_founded(self, first_set: tuple[str, ...]) -> None:
+    def _on_core_set_founded(self, first_set: tuple[str, ...]) -> None:
         self.owned_shares.begin_first_start(first_set)
         self.share_granter.begin_first_start()
 
@@ -452,8 +454,8 @@
             if peer.role is peer_sessions.NodeRole.PROXY and not peer.is_ready:
                 self.topics.send_minimum_versions(peer.connection)
         self.heartbeats.send()
-        self._interval_count += 1
-        if self._interval_count % INTERVALS_PER_SETTINGS_CHECK == 0:
+        self._heartbeat_interval_count += 1
+        if self._heartbeat_interval_count % INTERVALS_PER_SETTINGS_CHECK == 0:
             self.settings.reload_if_changed()
         self.sessions.connect_to_cores()
         self.topics.tick()
@@ -462,8 +464,12 @@
         self.roles.reconcile()
 
     def _on_peer_joined(self, peer: peer_sessions.Peer) -> None:
-        """A peer identified itself. A core node may know values that were chosen while this node was disconnected."""
-        if peer.role is peer_sessions.NodeRole.CORE and self._votes():
+        """Sends a peer that identified itself what it needs.
+
+        If the peer is a core node, unknown registers are read again: it may know values that were chosen while this
+        node was disconnected.
+        """
+        if peer.role is peer_sessions.NodeRole.CORE and self._is_voting():
             self.consensus.read_unknown_registers()
         if peer.role is not peer_sessions.NodeRole.UNKNOWN:
             self.topics.handle_joined(peer)
@@ -509,5 +515,5 @@
     def _proxy_origins(self) -> list:
         return [rollout_lease_granter.origin_of(proxy) for proxy in self.sessions.proxies(serving_only=False)]
 
-    def _votes(self) -> bool:
+    def _is_voting(self) -> bool:
         return self.consensus.acceptor.votes
--- a/ploverward/control_plane/installed_state.py
+++ b/ploverward/control_plane/installed_state.py
@@ -1,4 +1,4 @@
-"""The chosen register values that several parts of a core node act on (docs/register.md)."""
+"""Chosen register values that several components of a core node act on (docs/register.md)."""
 
 from ploverward.control_plane.configuration import evacuations
 
@@ -7,8 +7,8 @@
     """The newest chosen configuration and evacuations, as far as this node knows.
 
     Attributes:
-        configuration: The body of the configuration in force, or None before there is one.
-        evacuated_zones: Zones that operators evacuated.
+        configuration: The body of the newest chosen configuration, or None if none is known.
+        evacuated_zones: The zones that operators have evacuated.
     """
 
     def __init__(self) -> None:
@@ -17,13 +17,13 @@
 
     @property
     def has_tenants(self) -> bool:
-        """Whether the configuration names tenants."""
+        """Whether the configuration defines tenants."""
         return (self.configuration or {}).get("senders") is not None
 
     def install_configuration(self, payload: dict | None) -> None:
-        """Installs a chosen value of the configuration's register."""
+        """Installs a chosen value of the configuration register."""
         self.configuration = payload["body"] if payload else None
 
     def install_evacuations(self, payload: dict | None) -> None:
-        """Installs a chosen value of the evacuations' register."""
+        """Installs a chosen value of the evacuations register."""
         self.evacuated_zones = evacuations.zones_of(payload)
--- a/ploverward/control_plane/node_runtime.py
+++ b/ploverward/control_plane/node_runtime.py
@@ -1,8 +1,8 @@
-"""What a core node uses of its machine: loop, connections, disk, platform, randomness, signals, settings (design 2).
+"""A core node's access to its machine: loop, connections, disk, platform, randomness, signals, settings (design 2).
 
-`NodeRuntime` is the real one. The simulation (ploverward/simulation/control_plane) puts one with the same methods in
-its place, so nothing else under ploverward/control_plane opens a socket or a file, starts a thread, reads a clock or
-draws a random number of its own.
+`NodeRuntime` uses the real machine. The simulation (ploverward/simulation/control_plane) replaces it by a class with
+the same methods. Therefore nothing else under ploverward/control_plane may open a socket or a file, start a thread,
+read a clock or draw a random number.
 """
 
 import logging
@@ -29,10 +29,10 @@
 
 
 class NodeRuntime:
-    """The real machine."""
+    """Creates the components that use the real machine, and reads its clock and randomness."""
 
     def loop(self, *, on_fault: Callable[[BaseException], None]) -> event_loop.Loop:
-        """Creates the event loop; `on_fault` is called with the error of a callback that failed."""
+        """Creates the event loop; it calls `on_fault` with the exception of a callback that failed."""
         return event_loop.Loop(on_fault=on_fault)
 
     def peer_listener(
@@ -45,7 +45,7 @@
         on_end: Callable,
         peer_timeout_s: float,
     ) -> peer_connection.PeerListener:
-        """Accepts connections of other nodes; the arguments are those of `PeerListener`."""
+        """Creates a listener for connections of other nodes; the arguments are those of `PeerListener`."""
         return peer_connection.PeerListener(
             loop=loop,
             address=address,
@@ -65,7 +65,7 @@
         on_end: Callable,
         peer_timeout_s: float,
     ) -> peer_connection.Connector:
-        """Keeps one connection to an address; the arguments are those of `Connector`."""
+        """Creates a connector, which keeps a connection to an address open; the arguments are those of `Connector`."""
         return peer_connection.Connector(
             loop=loop, address=address, on_up=on_up, on_message=on_message, on_end=on_end, peer_timeout_s=peer_timeout_s
         )
@@ -80,7 +80,7 @@
         peer_timeout_s: float,
         max_connections: int,
     ) -> http_servers.HttpServer:
-        """Listens for HTTP requests; the arguments are those of `HttpServer`."""
+        """Creates an HTTP server; the arguments are those of `HttpServer`."""
         return http_servers.HttpServer(
             loop=loop,
             address=address,
@@ -91,7 +91,7 @@
         )
 
     def disk(self, *, folder: str) -> disk.Disk:
-        """Opens the folder of the registers' files, which is created where it is missing."""
+        """Opens the folder of the node's stored files, and creates it if it does not exist."""
         folder = folder or DEFAULT_FOLDER
         os.makedirs(folder, exist_ok=True)
         return disk.Disk(folder=folder)
@@ -106,7 +106,7 @@
         on_list: Callable[[list, float], None],
         zones: Collection[str],
     ) -> endpoint_list_poller.EndpointListPoller:
-        """Reads the platform's list of replicas; the arguments are those of `EndpointListPoller`."""
+        """Creates a poller of the platform's replica list; the arguments are those of `EndpointListPoller`."""
         return endpoint_list_poller.EndpointListPoller(
             loop=loop,
             address=address,
@@ -117,36 +117,36 @@
         )
 
     def platform_calls(self, *, loop: event_loop.Loop, address: str) -> platform_calls.PlatformCalls:
-        """Makes calls to the platform at an address."""
+        """Creates a client for POST calls to the platform at an address."""
         return platform_calls.PlatformCalls(loop=loop, address=address)
 
     def file_watch(self) -> settings.FileWatch:
-        """Watches the settings file for changes."""
+        """Creates a watch that detects changes of the settings file."""
         return settings.FileWatch()
 
     def load_settings(self) -> settings.Settings:
         """Reads the settings file.
 
         Raises:
-            SettingsError: The file can't be read or is not valid.
+            SettingsError: The file cannot be read or is not valid.
         """
         return settings.load()
 
     def chance(self) -> float:
-        """Returns a random number from 0 to below 1."""
+        """Returns a random number in [0, 1)."""
         return random.random()
 
     def wall_time(self) -> float:
-        """Returns the time of day in seconds since 1970; it may jump."""
+        """Returns the wall-clock time in seconds since 1970; it may jump."""
         return time.time()
 
     def unique_id(self) -> str:
-        """Returns an identifier that no other call returns on any machine."""
+        """Returns an identifier that is unique across machines and calls."""
         return uuid.uuid4().hex[:ID_DIGITS]
 
     def on_signals(
         self, *, loop: event_loop.Loop, on_terminate: Callable[[], None], on_reload: Callable[[], None]
     ) -> None:
-        """Calls these on the loop at SIGTERM and SIGHUP. The signal handlers themselves only queue them."""
+        """Registers callbacks for SIGTERM and SIGHUP. The signal handlers only queue them; the loop calls them."""
         signal.signal(signal.SIGTERM, lambda *_: loop.command(callback=on_terminate))
         signal.signal(signal.SIGHUP, lambda *_: loop.command(callback=on_reload))
--- a/ploverward/control_plane/node_status.py
+++ b/ploverward/control_plane/node_status.py
@@ -1,14 +1,14 @@
-"""Whether this node is shutting down: a flag that several components of a core node read and one of them sets."""
+"""The shutdown flag of a core node, which one component sets and several read."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class NodeStatus:
-    """The status of this node.
+    """The status of a core node.
 
     Attributes:
-        is_draining: Set once by `NodeShutdown`, and never reset.
+        is_draining: Whether the node is shutting down. `NodeShutdown` sets it once; it is never reset.
     """
 
     is_draining: bool = False
--- a/ploverward/control_plane/usage/test_usage.py
+++ b/ploverward/control_plane/usage/test_usage.py
@@ -37,7 +37,7 @@
             roles=lambda: self.roles,
             change=self.change,
             post=lambda **call: self.calls.append(call),
-            timing=usage_reporter.Timing(window_s=5.0, late_s=10.0, takeover_pause_s=2.0),
+            timing=usage_reporter.Timing(window_s=5.0, report_due_s=10.0, takeover_pause_s=2.0),
         )
 
     def change(self, *, name, edit, done):
--- a/ploverward/control_plane/usage/usage_reporter.py
+++ b/ploverward/control_plane/usage/usage_reporter.py
@@ -27,7 +27,7 @@
 CLOSE_SHARE = 0.6  # of the time that a report may take: then a window is closed whoever has not reported
 MIN_RETRY_S = 0.5  # from a call that was not accepted to the next one
 MAX_RETRY_S = 4.0
-CALL_LIMIT_S = 1.0
+CALL_TIMEOUT_S = 1.0
 _OK, _CONFLICT = 200, 409
 
 Roles = Mapping[str, typing.Sequence]
@@ -52,12 +52,12 @@
 
     Attributes:
         window_s: Length of a window.
-        late_s: When the report of a window is due after its end.
+        report_due_s: When the report of a window is due after its end.
         takeover_pause_s: For how long a new owner waits.
     """
 
     window_s: float
-    late_s: float
+    report_due_s: float
     takeover_pause_s: float
 
 
@@ -144,7 +144,7 @@
         """Whether nothing more is expected of a window: all proxies have reported, or it is time."""
         end = (window + 1) * self._timing.window_s
         waited_s = self._wall_time() - end
-        if waited_s >= self._timing.late_s * CLOSE_SHARE:
+        if waited_s >= self._timing.report_due_s * CLOSE_SHARE:
             return True
         return waited_s >= MIN_WAIT_S and self.table.is_complete(until=end, incarnations=self._incarnations())
 
@@ -170,7 +170,7 @@
             path="/usage",
             headers=(f"X-Duty-Holder: {owner.node}", f"X-Fence-Number: {owner.epoch}"),
             body={"windowNo": report.window, "tallies": report.tallies},
-            timeout_s=CALL_LIMIT_S,
+            timeout_s=CALL_TIMEOUT_S,
             done=lambda response: self._handle_response(owner, report, response),
         )
 
