--- a/ploverward/control_plane/discovery/__init__.py
+++ b/ploverward/control_plane/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is where: the platform's list of replicas, read by one core node, and the proxies that clients are sent to."""
+"""Discovery of replicas, through the platform's list, and of proxies, through look-ups by clients."""
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -1,9 +1,11 @@
 """Chooses the proxies that a client may connect to (design 4, 10, docs/residency.md).
 
-Owns the time since which this node has been isolated, that is out of contact with a majority of the core nodes. At
-first the other nodes may serve a client better, and it is referred to them (docs/incidents/region-cut-lookups.md),
-unless nothing that it needs is out of reach: its region is complete, and each route of its host has a home in reach.
-Later the others count as lost, and this node answers from its own state. It sends no client out of its own region.
+The directory records since when this node has been isolated, that is without contact to a majority of the core nodes.
+At first other core nodes may serve a client better, so this node refers the client to them
+(docs/incidents/region-cut-lookups.md). It answers at once only if the client needs nothing that is unreachable: its
+region is complete, and each route of its host has a reachable home region. After `REFUSAL_CONTACTS` contact periods the
+other nodes count as lost, and this node answers from its own state. An isolated node sends no client out of the
+client's region.
 """
 
 import collections.abc
@@ -13,32 +15,32 @@
 from ploverward.common import residency
 from ploverward.control_plane.consensus import ballots
 
-MAX_ADDRESSES = 64  # of one answer; the protocol's figure
-SILENT_CONTACTS = 2  # an isolated node refuses look-ups for so many contactMs
+MAX_ADDRESSES = 64  # per answer, as the look-up protocol specifies
+REFUSAL_CONTACTS = 2  # time for which an isolated node refuses look-ups, in multiples of contactMs
 
 
 class LookupRefusedError(errors.PloverwardError):
-    """No proxy can be named now; the client retries, here or at another node."""
+    """No proxy can be returned now; the client retries at this node or at another one."""
 
 
 class ListedProxy(typing.Protocol):
-    """A proxy that may be named to clients."""
+    """A proxy whose address may be returned to clients."""
 
     zone: str
     region: str
-    public_address: str  # ADDRESS:PORT that clients reach
+    public_address: str  # ADDRESS:PORT at which clients connect
 
 
 class Directory:
-    """Answers look-ups from this node's state.
+    """Answers look-ups of clients from this node's state.
 
     Args:
-        now: the clock, in seconds.
-        members: addresses of the voting core nodes.
-        is_core_live: whether this node is connected to the core node with this address.
-        proxies: lists the proxies that may be named.
-        configuration: the newest configuration that this node knows to be chosen, or None.
-        zones: zone to region, of the settings.
+        now: returns the time of the clock in seconds.
+        members: returns the addresses of the voting core nodes.
+        is_core_live: returns whether this node is connected to the core node with this address.
+        proxies: returns the proxies whose addresses may be returned.
+        configuration: returns the newest configuration that this node knows to be chosen, or None.
+        zones: returns the region of each zone, from the settings.
         contact_s: `contactMs` of the settings, in seconds.
     """
 
@@ -63,7 +65,7 @@
         self._isolated_since: float | None = None
 
     def find_addresses(self, *, host: str, region: str, zone: str) -> list[str]:
-        """Finds proxies for a client: those in its zone, else any that may serve the host.
+        """Finds proxies for a client: those in its zone, or else all that may serve the host.
 
         Args:
             host: the host that the client looks up.
@@ -77,9 +79,9 @@
             LookupRefusedError: this node must not answer now, or no proxy may serve the host.
         """
         listed = self._proxies()
-        if self.is_isolated() and not self._has_all_in_reach(host=host, region=region, listed=listed):
+        if self.is_isolated() and not self._can_serve_while_isolated(host=host, region=region, listed=listed):
             raise LookupRefusedError("cut off from the core; call another node")
-        # An isolated node may not know the newest home regions, so it names proxies of the client's own region alone.
+        # An isolated node may not know the newest home regions, so it returns proxies of the client's own region only.
         configuration = None if self._isolated_since is not None else self._configuration()
         allowed = residency.lookup_regions(
             configuration=configuration, host=host, region=region, serving={proxy.region for proxy in listed}
@@ -91,7 +93,7 @@
         return sorted(proxy.public_address for proxy in in_zone or candidates)[:MAX_ADDRESSES]
 
     def is_isolated(self) -> bool:
-        """Whether this node lost the majority so recently that other nodes may know more."""
+        """Whether this node lost contact to the majority so recently that other nodes may know more."""
         members = self._members()
         live = {host for host in members if self._is_core_live(host)}
         if ballots.has_majority(of=members, among=live):
@@ -99,14 +101,16 @@
             return False
         if self._isolated_since is None:
             self._isolated_since = self._now()
-        return self._now() - self._isolated_since < self._contact_s * SILENT_CONTACTS
+        return self._now() - self._isolated_since < self._contact_s * REFUSAL_CONTACTS
 
-    def _has_all_in_reach(self, *, host: str, region: str, listed: collections.abc.Sequence[ListedProxy]) -> bool:
-        """Whether a client of this region loses nothing if it stays there while this node is isolated.
+    def _can_serve_while_isolated(
+        self, *, host: str, region: str, listed: collections.abc.Sequence[ListedProxy]
+    ) -> bool:
+        """Whether proxies of this region can serve the host in full while this node is isolated.
 
-        That is so where the region is complete, so that the cut goes around it and not through it, and where each route
-        of the host has a home in reach. Which side has a majority, or whether any has, does not matter then: this node
-        can't know it.
+        This holds if the region is complete, so that the cut runs around the region and not through it, and if each
+        route of the host has a reachable home region. It then does not matter which side of the cut has a majority, if
+        any: this node cannot know.
         """
         zones = {zone for zone, its_region in self._zones().items() if its_region == region}
         if not zones or not zones <= {proxy.zone for proxy in listed}:
--- a/ploverward/control_plane/discovery/endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/endpoint_list_poller.py
@@ -1,7 +1,7 @@
-"""Polls the platform's list (design 5). One core node does that at a time, the owner of the singleton role.
+"""Polls the platform's replica list (design 5). One core node at a time does so, the owner of the singleton role.
 
-Invariant: after `stop` nothing is delivered, also where requests are in progress: each start and stop begins a new run,
-and answers of an earlier run are dropped.
+Invariant: no list is delivered after `stop`, even if requests are in progress. Each start and stop begins a new run,
+and responses to requests of an earlier run are discarded.
 """
 
 import collections.abc
@@ -11,24 +11,24 @@
 from ploverward.control_plane.distribution.endpoint_list import Row
 from ploverward.transport import event_loop
 
-BACKOFF_FACTOR = 1.5  # of the pause, after each reading that failed
-MAX_BACKOFF = 3  # times the normal pause
+BACKOFF_FACTOR = 1.5  # multiplies the poll interval after each failed reading
+MAX_BACKOFF_FACTOR = 3  # upper bound, in multiples of the normal poll interval
 
 
 class EndpointListPoller:
-    """Reads the list again and again.
+    """Reads the replica list at intervals.
 
     Attributes:
-        is_on: whether it polls.
+        is_polling: whether the poller was started and not stopped.
 
     Args:
         loop: the event loop.
         address: ADDRESS:PORT of the platform.
-        poll_interval_s: from the beginning of a reading to that of the next one.
-        timeout_s: how long a request may take.
-        on_list: called with the rows of each complete list, and when its reading began on the loop's clock.
+        poll_interval_s: time between the starts of two readings, in seconds.
+        timeout_s: timeout of a request, in seconds.
+        on_list: called with the rows of each complete list and the time of the loop's clock at which its reading began.
         zones: all zones.
-        connection: sends the requests; None for a `PlatformConnection`, which is made at the first start.
+        connection: sends the requests; if None, a `PlatformConnection` is created at the first start.
     """
 
     def __init__(
@@ -44,32 +44,32 @@
     ) -> None:
         self._loop = loop
         self._address = address
-        self._gap_s = poll_interval_s
-        self._limit_s = timeout_s
+        self._poll_interval_s = poll_interval_s
+        self._timeout_s = timeout_s
         self._on_list = on_list
         self._zones = tuple(sorted(zones))
         self._connection = connection
         self._page_count = 0  # of the last complete list
         self._run = 0
-        self._pause_s = poll_interval_s
-        self.is_on = False
+        self._current_interval_s = poll_interval_s
+        self.is_polling = False
 
     def start(self) -> None:
-        """Begins to poll; nothing happens where it polls already."""
-        if self.is_on:
+        """Starts polling. Does nothing if the poller is already running."""
+        if self.is_polling:
             return
-        self.is_on = True
+        self.is_polling = True
         self._run += 1
         if self._connection is None:
             self._connection = platform_connection.PlatformConnection(loop=self._loop)
-        self._begin(self._connection, self._run)
+        self._begin_reading(self._connection, self._run)
 
     def stop(self) -> None:
-        """Ends polling. Nothing is delivered any more."""
-        self.is_on = False
+        """Stops polling. No list is delivered afterwards."""
+        self.is_polling = False
         self._run += 1
 
-    def _begin(self, connection: platform_connection.Connection, run: int) -> None:
+    def _begin_reading(self, connection: platform_connection.Connection, run: int) -> None:
         if run != self._run:
             return
         begun_at = self._loop.now()
@@ -81,30 +81,32 @@
         ) -> None:
             connection.get(
                 url=self._url(zone, token),
-                timeout_s=self._limit_s,
+                timeout_s=self._timeout_s,
                 done=lambda response: done(response) if run == self._run else None,
             )
 
-        def on_end(rows: list[Row] | None, page_count: int) -> None:
-            self._handle_end(rows, page_count, begun_at)
-            delay = max(0.0, begun_at + self._pause_s - self._loop.now())
-            self._loop.after(delay=delay, callback=lambda: self._begin(connection, run))
+        def handle_end(rows: list[Row] | None, page_count: int) -> None:
+            self._handle_reading(rows, page_count, begun_at)
+            delay = max(0.0, begun_at + self._current_interval_s - self._loop.now())
+            self._loop.after(delay=delay, callback=lambda: self._begin_reading(connection, run))
 
         endpoint_list_reader.EndpointListReader(
             request_page=request_page,
             zones=self._zones,
-            is_by_zones=endpoint_list_reader.is_read_by_zones(page_count=self._page_count, zones=self._zones),
-            on_end=on_end,
+            by_zone=endpoint_list_reader.should_read_by_zone(page_count=self._page_count, zones=self._zones),
+            on_end=handle_end,
         )
 
     def _url(self, zone: str, token: str | None) -> str:
         query = "&".join(f"{name}={value}" for name, value in (("zone", zone), ("page", token)) if value)
         return f"http://{self._address}/replicas" + (f"?{query}" if query else "")
 
-    def _handle_end(self, rows: list[Row] | None, page_count: int, begun_at: float) -> None:
+    def _handle_reading(self, rows: list[Row] | None, page_count: int, begun_at: float) -> None:
         if rows is None:
-            self._pause_s = min(self._pause_s * BACKOFF_FACTOR, self._gap_s * MAX_BACKOFF)
+            self._current_interval_s = min(
+                self._current_interval_s * BACKOFF_FACTOR, self._poll_interval_s * MAX_BACKOFF_FACTOR
+            )
             return
         self._page_count = page_count
-        self._pause_s = self._gap_s
+        self._current_interval_s = self._poll_interval_s
         self._on_list(rows, begun_at)
--- a/ploverward/control_plane/discovery/endpoint_list_reader.py
+++ b/ploverward/control_plane/discovery/endpoint_list_reader.py
@@ -1,7 +1,7 @@
-"""One reading of the platform's complete list: page after page, or the pages of all zones at the same time.
+"""Reads the platform's complete replica list once: page by page, or the pages of all zones concurrently.
 
-Invariant: the result is the complete list or nothing. A list of which a page is missing is never published, as replicas
-on that page would count as removed.
+Invariant: the result is the complete list or None. A list with a missing page is never published, as the replicas on
+that page would count as removed.
 """
 
 import collections.abc
@@ -11,30 +11,31 @@
 from ploverward.control_plane.discovery.platform_connection import PlatformResponse
 from ploverward.control_plane.distribution.endpoint_list import Row
 
-MAX_ROWS = 200_000  # a platform that never stops naming next pages is not followed beyond
-PAGES_A_ZONE = 2  # a list with more pages than so many for each zone is read by zones
-ALL_ZONES = ""
+MAX_ROWS = 200_000  # no further page is requested beyond this, in case the platform never stops naming next pages
+MAX_PAGES_PER_ZONE = 2  # a list with more pages than this times the number of zones is read by zone
+ALL_ZONES = ""  # in place of a zone: the pages of the whole list
 
-# Requests a page: (zone or ALL_ZONES, token of the page or None for the first, called with the response).
+# Requests a page. Arguments: zone or ALL_ZONES; token of the page, None for the first one; callback for the response.
 RequestPage = collections.abc.Callable[[str, str | None, collections.abc.Callable[[PlatformResponse], None]], None]
 
 
-def is_read_by_zones(*, page_count: int, zones: collections.abc.Collection[str]) -> bool:
-    """Whether a list of so many pages is read by zones.
+def should_read_by_zone(*, page_count: int, zones: collections.abc.Collection[str]) -> bool:
+    """Whether a list with this number of pages is read by zone.
 
-    The platform may be far away, and each page waits for the one before it; those of several zones do not.
+    The platform may be far away. Each page has to wait for the previous one, as that contains its token, but the pages
+    of different zones can be requested concurrently.
     """
-    return bool(zones) and page_count > PAGES_A_ZONE * len(zones)
+    return bool(zones) and page_count > MAX_PAGES_PER_ZONE * len(zones)
 
 
 class EndpointListReader:
-    """Reads the list once. It begins when it is made.
+    """Reads the list once, beginning at construction.
 
     Args:
-        request_page: requests a page.
+        request_page: requests a page; see `RequestPage`.
         zones: all zones.
-        is_by_zones: whether to begin with a request for each zone.
-        on_end: called once with the rows, or None where a page is missing, and the number of pages.
+        by_zone: whether to read by zone from the start.
+        on_end: called once with the rows, or None if a page is missing, and the number of pages.
     """
 
     def __init__(
@@ -42,24 +43,24 @@
         *,
         request_page: RequestPage,
         zones: collections.abc.Iterable[str],
-        is_by_zones: bool,
+        by_zone: bool,
         on_end: collections.abc.Callable[[list[Row] | None, int], None],
     ) -> None:
         self._request_page = request_page
         self._zones = tuple(zones)
         self._on_end = on_end
-        self._is_over = False
-        self._attempt = 0  # answers to requests of an earlier attempt are ignored
+        self._is_finished = False
+        self._attempt = 0  # responses to requests of an earlier attempt are ignored
         self._page_count = 0
         self._rows: list[Row] = []
-        self._sequences_left = 0  # sequences of pages whose last page was not read yet
-        self._begin(self._zones if is_by_zones else (ALL_ZONES,))
+        self._unfinished_sequences = 0  # sequences of pages (one, or one per zone) whose last page has not been read
+        self._begin_attempt(self._zones if by_zone else (ALL_ZONES,))
 
-    def _begin(self, zones: tuple[str, ...]) -> None:
+    def _begin_attempt(self, zones: tuple[str, ...]) -> None:
         self._attempt += 1
         self._page_count = 0
         self._rows = []
-        self._sequences_left = len(zones)
+        self._unfinished_sequences = len(zones)
         for zone in zones:
             self._request(zone, None)
 
@@ -68,25 +69,25 @@
         self._request_page(zone, token, lambda response: self._handle_response(zone, attempt, response))
 
     def _handle_response(self, zone: str, attempt: int, response: PlatformResponse) -> None:
-        if self._is_over or attempt != self._attempt:
+        if self._is_finished or attempt != self._attempt:
             return
         is_complete = response.error is None and response.status == http.HTTPStatus.OK
         page = platform_replicas.read_page(response.body) if is_complete else None
         if page is None:
-            self._end(None)
+            self._finish(None)
             return
         self._page_count += 1
         self._rows += page.rows
         if page.next_token is not None and len(self._rows) <= MAX_ROWS:
-            if zone == ALL_ZONES and is_read_by_zones(page_count=self._page_count, zones=self._zones):
-                self._begin(self._zones)  # one page after the other would take too long
+            if zone == ALL_ZONES and should_read_by_zone(page_count=self._page_count, zones=self._zones):
+                self._begin_attempt(self._zones)  # page by page would take too long
             else:
                 self._request(zone, page.next_token)
             return
-        self._sequences_left -= 1
-        if not self._sequences_left:
-            self._end(self._rows)
+        self._unfinished_sequences -= 1
+        if not self._unfinished_sequences:
+            self._finish(self._rows)
 
-    def _end(self, rows: list[Row] | None) -> None:
-        self._is_over = True
+    def _finish(self, rows: list[Row] | None) -> None:
+        self._is_finished = True
         self._on_end(rows, self._page_count)
--- a/ploverward/control_plane/discovery/platform_calls.py
+++ b/ploverward/control_plane/discovery/platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls of duties to the platform: POST with a JSON body (docs/platform-duties.md 1)."""
+"""Sends duty calls to the platform: POST requests with a JSON body (docs/platform-duties.md 1)."""
 
 import collections.abc
 import json
@@ -8,7 +8,7 @@
 
 
 class PlatformCalls:
-    """Sends calls to the platform; the connection is made at the first one.
+    """Sends calls to the platform. The connection is created at the first call.
 
     Args:
         loop: The event loop.
@@ -29,14 +29,14 @@
         timeout_s: float,
         done: collections.abc.Callable[[platform_connection.PlatformResponse], None],
     ) -> None:
-        """Sends a POST.
+        """Sends a POST with a JSON body.
 
         Args:
-            path: Of the call.
-            headers: Further headers, each as a line.
-            body: What is sent as JSON.
-            timeout_s: Seconds until the call is given up; the platform may still carry it out.
-            done: Called once with the outcome.
+            path: Path of the URL.
+            headers: Additional headers, each as a "Name: value" line.
+            body: The object to send as JSON.
+            timeout_s: Timeout of the call in seconds; the platform may still carry out a call that timed out.
+            done: Called once with the response or the error.
         """
         if self._connection is None:
             self._connection = platform_connection.PlatformConnection(loop=self._loop)
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -1,7 +1,7 @@
-"""Requests to the platform, by pycurl's multi interface on the event loop (design 3).
+"""Sends HTTP requests to the platform, with the multi interface of pycurl on the event loop (design 3).
 
-libcurl requests sockets and a timer to wait for; the loop reports their events by `socket_action`. Results are
-delivered by a command of the loop, never from inside a call of libcurl, which must not be entered again.
+libcurl names the sockets and the timer to wait for, and the event loop passes their events to `socket_action`. Results
+are delivered by a command of the loop and never from inside a callback of libcurl, as libcurl is not reentrant.
 """
 
 import collections.abc
@@ -22,9 +22,9 @@
     """The outcome of a request.
 
     Attributes:
-        status: the HTTP status; 0 where there is none.
-        body: the body.
-        error: why there is no complete answer, else None.
+        status: the HTTP status, or 0 if there is none.
+        body: the body of the response.
+        error: the reason why there is no complete response, or None.
     """
 
     status: int = 0
@@ -33,10 +33,10 @@
 
 
 class Connection(typing.Protocol):
-    """What sends requests to the platform; simulations put another one in its place."""
+    """The interface of a connection to the platform, which simulations implement too."""
 
     def get(self, *, url: str, timeout_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
-        """Sends a GET and calls `done` once, at the latest after `timeout_s` seconds."""
+        """Sends a GET request and calls `done` once, after `timeout_s` seconds at the latest."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 
 class PlatformConnection:
-    """Sends requests.
+    """Sends requests to the platform through libcurl.
 
     Args:
         loop: the event loop.
@@ -58,16 +58,16 @@
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
         self._timer: event_loop.Timer | None = None
-        self._watched: set[int] = set()  # sockets
+        self._watched: set[int] = set()  # descriptors of the sockets that the loop watches
         self._transfers: dict[pycurl.Curl, _Transfer] = {}
 
     def get(self, *, url: str, timeout_s: float, done: collections.abc.Callable[[PlatformResponse], None]) -> None:
-        """Sends a GET.
+        """Sends a GET request.
 
         Args:
             url: the URL.
-            timeout_s: seconds until the request is given up.
-            done: called once with the outcome.
+            timeout_s: timeout of the request in seconds.
+            done: called once with the response or the error.
         """
         curl = pycurl.Curl()
         curl.setopt(pycurl.HTTPHEADER, ["Accept: application/json"])
@@ -82,14 +82,16 @@
         timeout_s: float,
         done: collections.abc.Callable[[PlatformResponse], None],
     ) -> None:
-        """Sends a POST, once: on a connection of its own, as libcurl would send it again on one that was reused.
+        """Sends a POST request only once.
+
+        It uses a new connection, as libcurl would repeat a request that fails on a reused one.
 
         Args:
             url: the URL.
-            headers: further headers, each as a line.
-            body: JSON.
-            timeout_s: seconds until the request is given up.
-            done: called once with the outcome.
+            headers: additional headers, each as a "Name: value" line.
+            body: the JSON text.
+            timeout_s: timeout of the request in seconds.
+            done: called once with the response or the error.
         """
         curl = pycurl.Curl()
         curl.setopt(pycurl.HTTPHEADER, ["Accept: application/json", "Content-Type: application/json", *headers])
@@ -106,19 +108,19 @@
         done: collections.abc.Callable[[PlatformResponse], None],
     ) -> None:
         body = io.BytesIO()
-        limit_ms = int(timeout_s * 1000)
+        timeout_ms = int(timeout_s * 1000)
         curl.setopt(pycurl.URL, url)
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.NOPROXY, "*")
-        curl.setopt(pycurl.TIMEOUT_MS, limit_ms)
-        curl.setopt(pycurl.CONNECTTIMEOUT_MS, limit_ms)
+        curl.setopt(pycurl.TIMEOUT_MS, timeout_ms)
+        curl.setopt(pycurl.CONNECTTIMEOUT_MS, timeout_ms)
         curl.setopt(pycurl.WRITEFUNCTION, body.write)
         self._transfers[curl] = _Transfer(body=body, done=done)
         self._multi.add_handle(curl)
-        self._act(pycurl.SOCKET_TIMEOUT, 0)
+        self._perform_action(pycurl.SOCKET_TIMEOUT, 0)
 
     def _on_socket(self, what: int, sock: int, _multi: object, _data: object) -> None:
-        """Called by libcurl with the events of a socket that it waits for."""
+        """Watches a socket for the events that libcurl waits for; called by libcurl."""
         if what == pycurl.POLL_REMOVE:
             if sock in self._watched:
                 self._watched.remove(sock)
@@ -134,29 +136,31 @@
         self._watched.add(sock)
 
     def _on_ready(self, sock: int, ready: int) -> None:
-        bits = 0
+        event_bits = 0
         if ready & selectors.EVENT_READ:
-            bits |= pycurl.CSELECT_IN
+            event_bits |= pycurl.CSELECT_IN
         if ready & selectors.EVENT_WRITE:
-            bits |= pycurl.CSELECT_OUT
-        self._act(sock, bits)
+            event_bits |= pycurl.CSELECT_OUT
+        self._perform_action(sock, event_bits)
 
     def _on_timer(self, wait_ms: int) -> None:
-        """Called by libcurl with the delay of its timer; -1: no timer."""
+        """Sets the timer that libcurl waits for, or cancels it if `wait_ms` is -1; called by libcurl."""
         self._loop.cancel(timer=self._timer)
         self._timer = None
         if wait_ms >= 0:
-            self._timer = self._loop.after(delay=wait_ms / 1000.0, callback=lambda: self._act(pycurl.SOCKET_TIMEOUT, 0))
+            self._timer = self._loop.after(
+                delay=wait_ms / 1000.0, callback=lambda: self._perform_action(pycurl.SOCKET_TIMEOUT, 0)
+            )
 
-    def _act(self, sock: int, bits: int) -> None:
-        self._multi.socket_action(sock, bits)
+    def _perform_action(self, sock: int, event_bits: int) -> None:
+        self._multi.socket_action(sock, event_bits)
         _queued, succeeded, failed = self._multi.info_read()
         for curl in succeeded:
-            self._end(curl, None)
+            self._finish(curl, None)
         for curl, _code, text in failed:
-            self._end(curl, errors.PloverwardError(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
+            self._finish(curl, errors.PloverwardError(text, step="call", peer=curl.getinfo(pycurl.EFFECTIVE_URL)))
 
-    def _end(self, curl: pycurl.Curl, error: Exception | None) -> None:
+    def _finish(self, curl: pycurl.Curl, error: Exception | None) -> None:
         transfer = self._transfers.pop(curl)
         response = PlatformResponse(
             status=curl.getinfo(pycurl.RESPONSE_CODE), body=transfer.body.getvalue(), error=error
--- a/ploverward/control_plane/discovery/platform_replicas.py
+++ b/ploverward/control_plane/discovery/platform_replicas.py
@@ -1,4 +1,4 @@
-"""The codec of the platform's interface: pages of replicas in its words, rows in the terms of the code (design 5)."""
+"""Decodes pages of the platform's replica list into rows of the endpoint list (design 5)."""
 
 import dataclasses
 import json
@@ -16,8 +16,8 @@
     """One page of the platform's list.
 
     Attributes:
-        rows: its replicas.
-        next_token: what the request for the next page has to name; None where this is the last one.
+        rows: the replicas of the page, as rows of the endpoint list.
+        next_token: token for requesting the next page; None on the last page.
     """
 
     rows: list[Row]
@@ -25,7 +25,7 @@
 
 
 def read_page(body: bytes) -> Page | None:
-    """Reads the body of an answer; None where it can't be read."""
+    """Decodes the body of a response; returns None if it is malformed."""
     try:
         answer = json.loads(body)
         rows = [read_row(platform_replica=platform_replica) for platform_replica in answer["replicas"]]
@@ -35,10 +35,10 @@
 
 
 def read_row(*, platform_replica: Json) -> Row:
-    """Reads one replica.
+    """Decodes one replica.
 
     Args:
-        platform_replica: the replica as the platform gives it.
+        platform_replica: the replica as the platform sends it.
 
     Returns:
         A row of the endpoint list.
@@ -59,10 +59,10 @@
 
 
 def _adapter_fields(platform_replica: Json) -> Json:
-    """The adapters that a replica has loaded, as pairs with their model (docs/pins.md 1).
+    """Returns the field of the adapters that a replica has loaded, as (model, adapter) pairs (docs/pins.md 1).
 
-    A replica without adapters has no such field. Where it is not known what it has loaded, the field is None; then
-    `is_malformed` is whether the platform named adapters that can't be read.
+    The field is missing if the replica has no adapters, and None if it is unknown which ones it has loaded. In the
+    latter case `is_malformed` states whether the platform sent adapters that cannot be decoded.
     """
     pairs: list[list[str]] = []
     for model in platform_replica.get("models") or []:
--- a/ploverward/control_plane/discovery/test_directory.py
+++ b/ploverward/control_plane/discovery/test_directory.py
@@ -1,4 +1,4 @@
-"""A core node that is cut off from the others stops telling user agents where to go, for a time."""
+"""Tests which proxies a core node returns to clients, and when an isolated core node refuses to answer."""
 
 import dataclasses
 
@@ -21,7 +21,7 @@
     Proxy(zone="w1", region="west", public_address="10.3.0.1:80"),
 ]
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "w1": "west"}
-HOMED = {"routes": [{"name": "r", "host": "h", "homeRegions": ["south"]}]}
+CONFIGURATION_WITH_HOME = {"routes": [{"name": "r", "host": "h", "homeRegions": ["south"]}]}
 
 
 def make(live, *, proxies=(), configuration=None):
@@ -59,7 +59,7 @@
 
 
 def test_find_addresses_returns_only_currently_listed_proxies():
-    """A proxy that was killed or removed leaves the list with its connection (`PeerSessions.proxies`)."""
+    """The list follows connections: a proxy that was killed or removed is not in `PeerSessions.proxies` any more."""
     listed = list(PROXIES)
     clock = [0.0]
     node = directory.Directory(
@@ -80,17 +80,19 @@
 
 
 def test_find_addresses_returns_proxies_in_client_region_or_home_region():
-    node, _clock = make({"a", "b"}, proxies=PROXIES, configuration=HOMED)
+    node, _clock = make({"a", "b"}, proxies=PROXIES, configuration=CONFIGURATION_WITH_HOME)
     regions = {"10.1": "north", "10.2": "south", "10.3": "west"}
     for region, zone in (("north", "n1"), ("south", "s1"), ("west", "w1"), ("north", "other")):
-        named = {regions[address[:4]] for address in find(node, region=region, zone=zone)}
-        assert named and named <= {region, "south"}
+        found = {regions[address[:4]] for address in find(node, region=region, zone=zone)}
+        assert found and found <= {region, "south"}
     assert find(node, region="east", zone="e1") == ["10.2.0.1:80"]
 
 
 def test_find_addresses_after_long_isolation_returns_only_client_region():
     live = {"a", "b"}
-    node, clock = make(live, proxies=[proxy for proxy in PROXIES if proxy.region != "south"], configuration=HOMED)
+    node, clock = make(
+        live, proxies=[proxy for proxy in PROXIES if proxy.region != "south"], configuration=CONFIGURATION_WITH_HOME
+    )
     live.discard("b")
     with pytest.raises(directory.LookupRefusedError):
         find(node)
@@ -98,14 +100,14 @@
     assert find(node, zone="other") == ["10.1.0.1:80", "10.1.0.2:80"]
 
 
-FREE = {
+CONFIGURATION_WITHOUT_HOME = {
     "routes": [{"name": "r", "host": "h", "homeRegions": []}, {"name": "q", "host": "other", "homeRegions": ["east"]}]
 }
-NORTH = [proxy for proxy in PROXIES if proxy.region == "north"]
+NORTHERN_PROXIES = [proxy for proxy in PROXIES if proxy.region == "north"]
 
 
-def cut_off(proxies, configuration):
-    """A node that lost the majority a moment ago."""
+def make_isolated(proxies, configuration):
+    """Makes a node that has just lost contact to the majority."""
     live = {"a", "b"}
     node, clock = make(live, proxies=proxies, configuration=configuration)
     assert not node.is_isolated()
@@ -114,35 +116,37 @@
 
 
 def test_isolated_node_answers_at_once_when_region_is_complete():
-    node, _clock = cut_off(NORTH, FREE)
+    node, _clock = make_isolated(NORTHERN_PROXIES, CONFIGURATION_WITHOUT_HOME)
     assert find(node) == ["10.1.0.1:80"]
     assert find(node, zone="n2") == ["10.1.0.2:80"]
 
 
 def test_isolated_node_refuses_lookup_when_home_region_is_unreachable():
-    node, clock = cut_off(NORTH, HOMED)
+    node, clock = make_isolated(NORTHERN_PROXIES, CONFIGURATION_WITH_HOME)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
     clock[0] = 8.1
     assert find(node) == ["10.1.0.1:80"]
-    node, _clock = cut_off(NORTH, {"routes": [{"name": "r", "host": "h", "homeRegions": ["south", "north"]}]})
+    node, _clock = make_isolated(
+        NORTHERN_PROXIES, {"routes": [{"name": "r", "host": "h", "homeRegions": ["south", "north"]}]}
+    )
     assert find(node) == ["10.1.0.1:80"]
 
 
 def test_isolated_node_refuses_lookup_when_region_is_incomplete():
-    node, _clock = cut_off(NORTH[:1], FREE)
+    node, _clock = make_isolated(NORTHERN_PROXIES[:1], CONFIGURATION_WITHOUT_HOME)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
 
 
 def test_isolated_node_refuses_lookup_of_client_in_other_region():
-    node, _clock = cut_off(NORTH, FREE)
+    node, _clock = make_isolated(NORTHERN_PROXIES, CONFIGURATION_WITHOUT_HOME)
     for region in ("south", "east", ""):
         with pytest.raises(directory.LookupRefusedError):
             find(node, region=region, zone="s1")
 
 
 def test_isolated_node_without_configuration_refuses_lookups():
-    node, _clock = cut_off(NORTH, None)
+    node, _clock = make_isolated(NORTHERN_PROXIES, None)
     with pytest.raises(directory.LookupRefusedError):
         find(node)
--- a/ploverward/control_plane/discovery/test_endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/test_endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""A long list of the platform is read by zones, all beside each other, and delivered complete or not at all."""
+"""Tests that the platform's list is delivered completely or not at all, and that a long one is read by zone."""
 
 import json
 import urllib.parse
@@ -10,7 +10,7 @@
 
 
 class Platform:
-    """Pages of two rows. Answers wait until they are carried; each takes one round trip."""
+    """A platform with pages of two rows, whose responses are held back until `respond` is called."""
 
     def __init__(self, *, sizes):
         self.rows = {zone: [f"{zone}{number}" for number in range(size)] for zone, size in sizes.items()}
@@ -23,8 +23,8 @@
         self.calls.append(query)
         self.waiting.append((query, done))
 
-    def carry(self):
-        """One round trip for all calls that wait."""
+    def respond(self):
+        """Responds to all waiting requests, which takes one round trip."""
         waiting, self.waiting = self.waiting, []
         for query, done in waiting:
             zone = query.get("zone")
@@ -68,10 +68,10 @@
 
 
 def round_trips(platform, lists):
-    """How many round trips until the list is delivered."""
+    """Returns the number of round trips until the list is delivered."""
     count, before = 0, len(lists)
     while len(lists) == before:
-        platform.carry()
+        platform.respond()
         count += 1
         assert count < 100
     return count
@@ -88,10 +88,10 @@
     _poller, platform, loop, lists = make(za=30, zb=20)
     first = round_trips(platform, lists)
     assert lists == [sorted(platform.rows["za"] + platform.rows["zb"])]
-    assert first < 25  # one after the other would take so many
+    assert first < 25  # round trips that reading page by page would take
     calls = len(platform.calls)
     loop.later.pop()[1]()
-    assert round_trips(platform, lists) == 15 and lists[1] == lists[0]  # the longest zone decides
+    assert round_trips(platform, lists) == 15 and lists[1] == lists[0]  # as many as the longest zone has pages
     assert len(platform.calls) - calls == 25 and all("zone" in query for query in platform.calls[calls:])
 
 
@@ -101,7 +101,7 @@
     platform.failing = {"zone": "zb", "page": "4"}
     loop.later.pop()[1]()
     for _ in range(40):
-        platform.carry()
+        platform.respond()
     assert len(lists) == 1 and not platform.waiting and loop.later[-1][0] > 0.5
     platform.failing = None
     loop.later.pop()[1]()
@@ -121,10 +121,10 @@
 
 def test_stopped_poller_discards_reading_in_progress():
     poller, platform, _loop, lists = make(za=30, zb=20)
-    platform.carry()
+    platform.respond()
     poller.stop()
     for _ in range(40):
-        platform.carry()
+        platform.respond()
     assert lists == [] and not platform.waiting
 
 
@@ -133,7 +133,7 @@
         return {"id": name, "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     pages = {"": (["a", "b"], "p-2"), "p-2": (["c"], "p-3"), "p-3": (["d"], None)}
-    sent, later, asked = [], [], []
+    sent, later, requested_tokens = [], [], []
 
     class Loop:
         def now(self):
@@ -147,7 +147,7 @@
 
         def get(self, *, url, timeout_s, done):
             token = url.partition("?page=")[2]
-            asked.append(token)
+            requested_tokens.append(token)
             names, following = pages[token]
             status = 429 if token == self.failing else 200
             body = json.dumps({"replicas": [row(name) for name in names], "nextPage": following}).encode()
@@ -163,12 +163,12 @@
         connection=connection,
     )
     poller.start()
-    assert sent == [["a", "b", "c", "d"]] and asked == ["", "p-2", "p-3"]
+    assert sent == [["a", "b", "c", "d"]] and requested_tokens == ["", "p-2", "p-3"]
     connection.failing = "p-2"
     later.pop()[1]()
-    assert len(sent) == 1  # a list with a page missing is not delivered
-    assert later[-1][0] > 0.5  # and the next reading waits longer
+    assert len(sent) == 1  # a list with a missing page is not delivered
+    assert later[-1][0] > 0.5  # the next reading is delayed longer
     poller.stop()
-    count = len(asked)
+    count = len(requested_tokens)
     later.pop()[1]()
-    assert len(asked) == count
+    assert len(requested_tokens) == count
--- a/ploverward/control_plane/discovery/test_platform_connection.py
+++ b/ploverward/control_plane/discovery/test_platform_connection.py
@@ -1,4 +1,4 @@
-"""Requests to the platform over real sockets."""
+"""Tests requests to the platform over real sockets."""
 
 import http.server
 import socket
@@ -9,7 +9,7 @@
 from ploverward.control_plane.discovery import platform_connection
 from ploverward.transport import event_loop
 
-LIMIT_S = 2.0
+TIMEOUT_S = 2.0
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
@@ -33,8 +33,8 @@
     server.server_close()
 
 
-def responses_of(*urls, timeout_s=LIMIT_S):
-    """What each request gives; all are sent at once."""
+def responses_of(*urls, timeout_s=TIMEOUT_S):
+    """Sends all requests at once and returns their responses."""
     loop = event_loop.Loop()
     connection = platform_connection.PlatformConnection(loop=loop)
     responses = {}
@@ -46,7 +46,7 @@
 
     for url in urls:
         connection.get(url=url, timeout_s=timeout_s, done=lambda response, url=url: done(url, response))
-    loop.after(delay=3 * LIMIT_S, callback=loop.stop)
+    loop.after(delay=3 * TIMEOUT_S, callback=loop.stop)
     loop.run()
     return [responses[url] for url in urls]
 
--- a/ploverward/control_plane/discovery/test_platform_replicas.py
+++ b/ploverward/control_plane/discovery/test_platform_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas as the platform gives them become rows of the endpoint list."""
+"""Tests the decoding of the platform's replicas into rows of the endpoint list."""
 
 from ploverward.control_plane.discovery import platform_replicas
 from ploverward.control_plane.distribution import endpoint_list
