--- a/ploverward/control_plane/usage/__init__.py
+++ b/ploverward/control_plane/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of use to the platform: one node at a time makes them, a window at a time (docs/platform-duties.md)."""
+"""Usage reports to the platform: one node at a time sends one report per time window (docs/platform-duties.md)."""
--- a/ploverward/control_plane/usage/usage_report.py
+++ b/ploverward/control_plane/usage/usage_report.py
@@ -1,7 +1,8 @@
-"""The report that is being made: agreed on before it is first sent, and sent unchanged by whoever owns the duty.
+"""Stores the usage report that is agreed on before it is first sent, so that every owner of the duty sends the same.
 
-It is a row of the register of singleton roles: the window's number, and the tallies as compressed JSON. A window is
-agreed on only once the report of the one before was accepted, so there is one row (docs/platform-duties.md 3).
+The report is a row of the singleton-roles register: the number of the window, and the tallies as compressed JSON. The
+report of a window is agreed on only after the platform accepted the previous one, so one row is enough
+(docs/platform-duties.md 3).
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 from ploverward.common import errors
 from ploverward.control_plane.usage import usage_table
 
-ROLE = "usage"
+ROLE = "usage"  # key of the row in the register
 
 
 class UsageReport(typing.NamedTuple):
-    """A report.
+    """A usage report of one window.
 
     Attributes:
         window: Number of the window.
-        tallies: Requests by tenant.
+        tallies: Number of requests of each tenant.
     """
 
     window: int
     tallies: usage_table.Tallies
 
 
-def report_of(roles: Mapping[str, typing.Sequence]) -> UsageReport | None:
-    """Returns the newest report that was agreed on, None before the first.
+def agreed_report(roles: Mapping[str, typing.Sequence]) -> UsageReport | None:
+    """Returns the newest agreed report, or None if there is none yet.
 
     Raises:
-        StorageError: The row can't be read.
+        StorageError: The row cannot be decoded.
     """
     row = roles.get(ROLE)
     if row is None:
@@ -43,13 +44,13 @@
     try:
         tallies = json.loads(zlib.decompress(base64.b85decode(packed)))
     except (ValueError, zlib.error) as error:
-        raise errors.StorageError(f"usage of window {window}: {error}", step="read") from error
+        raise errors.StorageError(f"usage report of window {window} cannot be decoded: {error}", step="read") from error
     return UsageReport(window, tallies)
 
 
 def with_report(roles: Mapping[str, typing.Sequence], report: UsageReport) -> dict[str, typing.Sequence]:
-    """Returns the register with a report, unchanged where it has one of the same window or a later one."""
-    known = report_of(roles)
+    """Returns the register with this report, or an unchanged copy if it has one of the same or a later window."""
+    known = agreed_report(roles)
     if known is not None and known.window >= report.window:
         return {**roles}
     text = json.dumps(report.tallies, separators=(",", ":"), sort_keys=True)
--- a/ploverward/control_plane/usage/usage_reporter.py
+++ b/ploverward/control_plane/usage/usage_reporter.py
@@ -1,11 +1,12 @@
-"""The duty of usage: the coordinator closes each window, agrees on its report, and sends it (docs/platform-duties.md).
+"""Performs the usage duty: closes each window, agrees on its report, and sends it (docs/platform-duties.md).
 
-The owner of the duty is the cluster coordinator, and the fence is the coordinator's epoch: it belongs to one process
-of one machine, and rises with each change. The coordinator acts only while it has the majority lease. A new one waits
-until the lease of its predecessor, and the calls that it may have under way, have ended.
+The owner of the duty is the cluster coordinator, and the fence of its calls is the coordinator's epoch, which belongs
+to one process on one machine and rises with each change of the owner. The coordinator acts only while it has the
+majority lease. A new coordinator waits until the lease of its predecessor and any calls that it had in progress have
+ended.
 
-`UsageReporter` owns what this process knows of reports: which window was accepted, and what is under way. There is one
-step under way at a time: an agreement or a call.
+`UsageReporter` records which window was accepted and which step is in progress. At most one step is in progress at a
+time: an agreement or a call.
 """
 
 from __future__ import annotations
@@ -23,10 +24,11 @@
 
 _log = logging.getLogger(__name__)
 
-MIN_WAIT_S = 1.5  # from the end of a window until it is closed at the earliest
-CLOSE_SHARE = 0.6  # of the time that a report may take: then a window is closed whoever has not reported
-MIN_RETRY_S = 0.5  # from a call that was not accepted to the next one
-MAX_RETRY_S = 4.0
+MIN_CLOSE_DELAY_S = 1.5  # a window is closed no earlier than this after its end
+# A window is closed after this share of `report_due_s` even if some proxies have not reported.
+CLOSE_DEADLINE_SHARE = 0.6
+MIN_RETRY_DELAY_S = 0.5  # delay after a failed call; it doubles with each further failure
+MAX_RETRY_DELAY_S = 4.0
 CALL_TIMEOUT_S = 1.0
 _OK, _CONFLICT = 200, 409
 
@@ -34,12 +36,12 @@
 
 
 class Ownership(typing.NamedTuple):
-    """The right to act.
+    """The right of this node to perform the duty.
 
     Attributes:
         node: Name of this node.
-        epoch: Of the coordinator: the fence of all calls.
-        since: When this process began to act on it, by the loop's clock.
+        epoch: Epoch of the coordinator, the fence of all calls.
+        since: Time of the loop's clock at which this process began to act as the coordinator.
     """
 
     node: str
@@ -48,12 +50,12 @@
 
 
 class Timing(typing.NamedTuple):
-    """Durations in seconds.
+    """Durations of the usage duty, in seconds.
 
     Attributes:
-        window_s: Length of a window.
-        report_due_s: When the report of a window is due after its end.
-        takeover_pause_s: For how long a new owner waits.
+        window_s: Duration of a window.
+        report_due_s: Time after the end of a window by which its report is due.
+        takeover_pause_s: Time that a new owner waits before its first step.
     """
 
     window_s: float
@@ -62,7 +64,7 @@
 
 
 class Post(typing.Protocol):
-    """Sends a call to the platform."""
+    """The interface for sending a POST call to the platform."""
 
     def __call__(
         self,
@@ -73,26 +75,26 @@
         timeout_s: float,
         done: Callable[[platform_connection.PlatformResponse], None],
     ) -> None:
-        """Sends a POST with a JSON body and calls `done` once."""
+        """Sends a POST with a JSON body and calls `done` once with the response."""
 
 
 class UsageReporter:
-    """Makes the reports while this node may.
+    """Agrees on usage reports and sends them while this node owns the duty.
 
     Args:
-        now: The loop's clock, in seconds.
-        wall_time: The time of day, in seconds.
-        ownership: Returns the right to act, None where this node does not have it at this moment.
-        incarnations: Returns the connected proxies.
-        roles: The register of singleton roles.
-        change: Starts a round of a register.
+        now: Returns the time of the loop's clock in seconds.
+        wall_time: Returns the wall-clock time in seconds.
+        ownership: Returns the right to perform the duty, or None if this node does not have it now.
+        incarnations: Returns the incarnations of the connected proxies.
+        roles: Returns the value of the singleton-roles register.
+        change: Starts a change of a register.
         post: Sends a call to the platform.
-        timing: Durations.
+        timing: Durations of the duty.
 
     Attributes:
-        table: What proxies counted.
+        table: The counts that proxies reported.
         accepted: Number of the last window whose report the platform accepted, as far as this process knows.
-        refused_epoch: Under which the platform refused a call since it has seen a higher fence; 0: none.
+        refused_epoch: Epoch under which the platform refused a call because it had seen a higher fence; 0 if none.
     """
 
     def __init__(
@@ -117,39 +119,38 @@
         self._timing = timing
         self._first_window: int | None = None
         self._is_busy = False
-        self._retry_s = MIN_RETRY_S
-        self._retry_at = 0.0
+        self._retry_delay_s = MIN_RETRY_DELAY_S
+        self._next_call_at = 0.0
         self.table = usage_table.UsageTable()
         self.accepted = -1
         self.refused_epoch = 0
 
     def tick(self) -> None:
-        """Takes the next step, if there is one; to be called again and again."""
+        """Starts the next step, if one is due. To be called at short intervals."""
         owner = self._ownership()
         if owner is None or self._is_busy or owner.epoch == self.refused_epoch:
             return
         if self._first_window is None:
             self._first_window = int(self._wall_time() // self._timing.window_s)
-        if self._now() < max(owner.since + self._timing.takeover_pause_s, self._retry_at):
+        if self._now() < max(owner.since + self._timing.takeover_pause_s, self._next_call_at):
             return
-        report = usage_report.report_of(self._roles())
+        report = usage_report.agreed_report(self._roles())
         if report is not None and report.window > self.accepted:
             self._send(owner, report)
             return
         window = self._first_window if report is None else report.window + 1
-        if self._is_closed(window):
-            self._agree(owner, usage_report.UsageReport(window, self.table.totals(window)))
+        if self._can_close(window):
+            self._propose(owner, usage_report.UsageReport(window, self.table.totals(window)))
 
-    def _is_closed(self, window: int) -> bool:
-        """Whether nothing more is expected of a window: all proxies have reported, or it is time."""
+    def _can_close(self, window: int) -> bool:
+        """Whether a window can be closed: all proxies have reported, or its deadline has passed."""
         end = (window + 1) * self._timing.window_s
         waited_s = self._wall_time() - end
-        if waited_s >= self._timing.report_due_s * CLOSE_SHARE:
+        if waited_s >= self._timing.report_due_s * CLOSE_DEADLINE_SHARE:
             return True
-        return waited_s >= MIN_WAIT_S and self.table.is_complete(until=end, incarnations=self._incarnations())
+        return waited_s >= MIN_CLOSE_DELAY_S and self.table.is_complete(until=end, incarnations=self._incarnations())
 
-    # Agreement.
-    def _agree(self, owner: Ownership, report: usage_report.UsageReport) -> None:
+    def _propose(self, owner: Ownership, report: usage_report.UsageReport) -> None:
         self._is_busy = True
 
         def edit(payload: Roles | None) -> tuple[Roles | None, None]:
@@ -163,7 +164,6 @@
 
         self._change(name=register_names.SINGLETON_ROLES, edit=edit, done=done)
 
-    # Calls.
     def _send(self, owner: Ownership, report: usage_report.UsageReport) -> None:
         self._is_busy = True
         self._post(
@@ -180,7 +180,7 @@
         self._is_busy = False
         if response.status == _OK:
             self.accepted = max(self.accepted, report.window)
-            self._retry_s = MIN_RETRY_S
+            self._retry_delay_s = MIN_RETRY_DELAY_S
             _log.debug("usage_reported", extra={"window": report.window})
             self.tick()
             return
@@ -188,5 +188,5 @@
             self.refused_epoch = owner.epoch
             _log.warning("duty_refused", extra={"duty": "usage", "epoch": owner.epoch})
             return
-        self._retry_at = self._now() + self._retry_s
-        self._retry_s = min(2 * self._retry_s, MAX_RETRY_S)
+        self._next_call_at = self._now() + self._retry_delay_s
+        self._retry_delay_s = min(2 * self._retry_delay_s, MAX_RETRY_DELAY_S)
--- a/ploverward/control_plane/usage/usage_table.py
+++ b/ploverward/control_plane/usage/usage_table.py
@@ -1,4 +1,7 @@
-"""What proxies counted, by window: merged by the largest, as counts are cumulative (docs/platform-duties.md 2)."""
+"""Collects the request counts of proxies by window (docs/platform-duties.md 2).
+
+Counts are cumulative, so the largest one received from a proxy replaces earlier ones.
+"""
 
 from __future__ import annotations
 
@@ -7,24 +10,25 @@
 
 from ploverward.transport import messages
 
-KEPT_WINDOWS = 40
+KEPT_WINDOWS = 40  # number of the latest windows whose counts are kept
 
-Tallies = dict[str, int]  # requests by tenant
+Tallies = dict[str, int]  # number of requests of each tenant
 
 
 class UsageTable:
-    """Counts of all proxies.
+    """Stores the counts of all proxies.
 
     Attributes:
-        counted_until: By incarnation of a proxy: up to when, by its time of day, its counts are complete here.
+        counted_until: For each incarnation of a proxy the wall-clock time of that proxy up to which its counts are
+            complete in this table.
     """
 
     def __init__(self) -> None:
-        self._counts: dict[int, dict[str, Tallies]] = {}  # window, incarnation of a proxy, tenant
+        self._counts: dict[int, dict[str, Tallies]] = {}  # by window and incarnation of the proxy
         self.counted_until: dict[str, float] = {}
 
     def record(self, incarnation: str, message: messages.UsageCounts) -> None:
-        """A proxy says what it counted."""
+        """Stores the counts that a proxy reported."""
         self.counted_until[incarnation] = max(message.counted_until, self.counted_until.get(incarnation, 0.0))
         for window, tenant, count in message.counts:
             tallies = self._counts.setdefault(window, {}).setdefault(incarnation, {})
@@ -33,17 +37,17 @@
             del self._counts[old]
 
     def totals(self, window: int) -> Tallies:
-        """Returns the requests of a window by tenant."""
+        """Returns the number of requests of each tenant in a window."""
         totals: collections.Counter[str] = collections.Counter()
         for tallies in self._counts.get(window, {}).values():
             totals.update(tallies)
         return dict(totals)
 
     def forget_proxies(self, incarnations: Iterable[str]) -> None:
-        """Proxies that are gone for good are waited for no more; their counts stay."""
+        """Stops waiting for proxies that will not return; their counts stay."""
         for incarnation in incarnations:
             self.counted_until.pop(incarnation, None)
 
     def is_complete(self, *, until: float, incarnations: Iterable[str]) -> bool:
-        """Whether these proxies have all said what they counted up to a time of day."""
+        """Whether all these proxies have reported their counts up to a wall-clock time."""
         return all(self.counted_until.get(incarnation, 0.0) >= until for incarnation in incarnations)
