--- a/ploverward/control_plane/adapter_cache/__init__.py
+++ b/ploverward/control_plane/adapter_cache/__init__.py
@@ -1,1 +1,1 @@
-"""Which replicas should keep which adapters loaded: the counts that proxies report, and a suggestion made of them."""
+"""Suggests which adapters each replica should keep loaded, from the request counts that proxies report."""
--- a/ploverward/control_plane/adapter_cache/adapter_demand.py
+++ b/ploverward/control_plane/adapter_cache/adapter_demand.py
@@ -1,4 +1,4 @@
-"""Demand of adapters by region, from the counts of proxies (docs/pins.md 4). Pure."""
+"""Computes the demand for adapters by region from the counts of proxies (docs/pins.md 4), without side effects."""
 
 import collections.abc
 import dataclasses
@@ -8,12 +8,12 @@
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
-MAX_PRIORITY = 9  # the least urgent; 0 is the most urgent
-DEFAULT_PRIORITY = 5  # of a route that the configuration does not have
+MAX_PRIORITY = 9  # the lowest urgency; 0 is the highest
+DEFAULT_PRIORITY = 5  # priority of a route that is not in the configuration
 
 
 class AdapterKey(typing.NamedTuple):
-    """An adapter of a model of a service; the adapter is "" for requests that name none that is known."""
+    """Identifies an adapter of a model of a service; `adapter` is "" for requests without a known adapter."""
 
     service: str
     model: str
@@ -21,17 +21,18 @@
 
     @property
     def pair(self) -> tuple[str, str]:
-        """(model, adapter), as replicas name what they have loaded."""
+        """(model, adapter), the form in which replicas report loaded adapters."""
         return self.model, self.adapter
 
 
 @dataclasses.dataclass(slots=True)
 class RegionDemand:
-    """What arrived for an adapter in one region.
+    """The demand for an adapter in one region.
 
     Attributes:
-        counts: the sums of all windows.
-        weight: arrivals, weighted by the priority of their route and by how near their waits come to its target.
+        counts: the counts of all windows, added up.
+        weight: arrivals, weighted by the priority of their route and by the ratio of their mean wait to its latency
+            target.
     """
 
     counts: count_table.ArrivalCounts = count_table.ArrivalCounts()
@@ -41,14 +42,14 @@
 def demand(
     *, windows: collections.abc.Iterable[Json], routes: collections.abc.Mapping[str, Json]
 ) -> dict[AdapterKey, dict[str, RegionDemand]]:
-    """Sums what arrived.
+    """Adds up the counts of each adapter by region.
 
     Args:
         windows: windows of counts, as core nodes report them.
-        routes: of each route "urgency" and "target_ms".
+        routes: "urgency" and "target_ms" of each route.
 
     Returns:
-        For each adapter the demand by region.
+        The demand for each adapter by region.
     """
     table: dict[AdapterKey, dict[str, RegionDemand]] = {}
     for window in windows:
@@ -62,15 +63,18 @@
 
 def _weight(counts: count_table.ArrivalCounts, route: Json) -> float:
     target_ms = route.get("target_ms")
-    nearness = min(1.0, counts.wait_ms / counts.waits / target_ms) if counts.waits and target_ms else 0.0
+    wait_ratio = min(1.0, counts.wait_ms / counts.waits / target_ms) if counts.waits and target_ms else 0.0
     priority = min(MAX_PRIORITY, max(0, route.get("urgency", DEFAULT_PRIORITY)))
-    return counts.arrivals * (MAX_PRIORITY + 1 - priority) / (MAX_PRIORITY + 1) * (1 + nearness)
+    return counts.arrivals * (MAX_PRIORITY + 1 - priority) / (MAX_PRIORITY + 1) * (1 + wait_ratio)
 
 
-def homes_of(
+def home_regions(
     *, windows: collections.abc.Iterable[Json], routes: collections.abc.Mapping[str, Json]
 ) -> dict[AdapterKey, frozenset[str] | None]:
-    """Where each adapter may be loaded: the home regions of all routes that requested it; None for all regions."""
+    """Returns the regions in which each adapter may be loaded: the home regions of all routes that requested it.
+
+    None stands for all regions: at least one of these routes has no home regions.
+    """
     table: dict[AdapterKey, frozenset[str] | None] = {}
     for window in windows:
         for key, _counts in count_table.rows_of(window):
--- a/ploverward/control_plane/adapter_cache/adapter_usage.py
+++ b/ploverward/control_plane/adapter_cache/adapter_usage.py
@@ -1,7 +1,7 @@
-"""Counts of adapters that proxies reported, as one core node stores them (docs/pins.md 3).
+"""Stores on one core node the request counts of adapters that proxies report (docs/pins.md 3).
 
-Invariant: each window of an incarnation of a proxy is kept once. A report with a higher number replaces it; an older
-one, or a repeated one, changes nothing. So reports may be resent and may arrive on several paths.
+Invariant: each window of a proxy's incarnation is stored once. A report with a higher number replaces the stored one,
+and an older or repeated report changes nothing. Reports may therefore be resent and may arrive on several paths.
 """
 
 import collections
@@ -12,41 +12,41 @@
 from ploverward.data_plane.adapter_cache import count_table
 from ploverward.transport import messages
 
-KEEP_WINDOWS = 20  # number of windows that are kept
-MAX_WINDOWS = 8000  # of all proxies together
+RETENTION_WINDOWS = 20  # retention of a window, in multiples of the duration of a window
+MAX_WINDOWS = 8000  # number of windows that are stored, of all proxies together
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Window:
-    """The newest report of one window."""
+    """The newest report of one window, decoded."""
 
     count: messages.AdapterCount
-    begun_at: float  # when its first report arrived, seconds on the store's clock
+    first_report_at: float  # when its first report arrived, in seconds of the store's clock
     table: count_table.Table
 
 
 class AdapterUsageStore:
-    """Stores the counts of the last windows.
+    """Stores the counts of recent windows.
 
     Attributes:
-        malformed: how many reports could not be read.
+        malformed: number of reports that could not be decoded.
 
     Args:
-        now: the clock, in seconds.
-        window_s: duration of a window.
+        now: returns the time of the clock in seconds.
+        window_s: duration of a window, in seconds.
     """
 
     def __init__(self, *, now: collections.abc.Callable[[], float], window_s: float) -> None:
         self._now = now
-        self._retention_s = window_s * KEEP_WINDOWS
+        self._retention_s = window_s * RETENTION_WINDOWS
         # By incarnation and window, in the order of their first reports.
         self._windows: collections.OrderedDict[tuple[str, int], _Window] = collections.OrderedDict()
         self.malformed = 0
 
     def record(self, count: messages.AdapterCount) -> None:
-        """Stores a report unless a newer one of its window is here."""
+        """Stores a report, unless one of its window with the same or a higher number is already stored."""
         key = (count.incarnation, count.window)
         previous = self._windows.get(key)
         if previous is not None and previous.count.number >= count.number:
@@ -55,12 +55,12 @@
         if table is None:
             self.malformed += 1
             return
-        begun_at = previous.begun_at if previous is not None else self._now()
-        self._windows[key] = _Window(count=count, begun_at=begun_at, table=table)
+        first_report_at = previous.first_report_at if previous is not None else self._now()
+        self._windows[key] = _Window(count=count, first_report_at=first_report_at, table=table)
         self._trim()
 
     def rows(self) -> list[Json]:
-        """The windows as operators' tools read them; `age_s` is counted from the first report of a window."""
+        """Returns the windows in the form that operators' tools read; `age_s` is the time since the first report."""
         self._trim()
         now = self._now()
         return [
@@ -68,7 +68,7 @@
                 "life": window.count.incarnation,
                 "window": window.count.window,
                 "number": window.count.number,
-                "age_s": round(now - window.begun_at, 1),
+                "age_s": round(now - window.first_report_at, 1),
                 "node": window.count.node,
                 "zone": window.count.zone,
                 "region": window.count.region,
@@ -81,16 +81,16 @@
     def _trim(self) -> None:
         oldest_kept = self._now() - self._retention_s
         while self._windows and (
-            len(self._windows) > MAX_WINDOWS or next(iter(self._windows.values())).begun_at < oldest_kept
+            len(self._windows) > MAX_WINDOWS or next(iter(self._windows.values())).first_report_at < oldest_kept
         ):
             self._windows.popitem(last=False)
 
 
 def merge(*, tables: collections.abc.Iterable[collections.abc.Iterable[Json]]) -> dict[tuple[str, int], Json]:
-    """Merges what several core nodes have.
+    """Merges the windows that several core nodes have stored.
 
     Args:
-        tables: the result of `AdapterUsageStore.rows` of each.
+        tables: the result of `AdapterUsageStore.rows` of each core node.
 
     Returns:
         The newest row of each window, by incarnation and window.
--- a/ploverward/control_plane/adapter_cache/pin_assignment.py
+++ b/ploverward/control_plane/adapter_cache/pin_assignment.py
@@ -1,30 +1,32 @@
 """Assigns pins to replicas (docs/pins.md 4).
 
-Earlier pins are kept. Then copies are assigned one by one to the claim with the highest value, each in the zone that
-has the fewest. Invariants: a replica has at most the capacity of its service, only adapters that may be loaded in its
-region, and no pin that was set in this run is replaced in it, so that the assignment ends.
+Previous pins are kept first. Then copies are assigned one by one, each time to the claim with the highest value and
+preferably in a zone without a copy.
+
+Invariants: a replica has at most as many pins as the capacity of its service and only adapters that may be loaded in
+its region. A pin that was set in this run is not replaced in the same run, which ensures that the assignment ends.
 """
 
 import collections.abc
 import dataclasses
 import typing
 
-REPLACEMENT_FACTOR = 3.0  # a pin is replaced only by a copy whose value is so many times as high
-REDUNDANCY_FACTOR = 4.0  # for the first copy in a region and one in another zone: multiplies the value of their share
+REPLACEMENT_FACTOR = 3.0  # a pin is replaced only by a copy whose value is more than this many times as high
+REDUNDANCY_FACTOR = 4.0  # multiplies the value of the first copy in a region and of one in a second zone
 
 Pair: typing.TypeAlias = tuple[str, str]  # (model, adapter)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replica:
-    """A replica that serves requests.
+    """A replica to which pins are assigned.
 
     Attributes:
-        id: its identifier.
-        service: its service.
-        zone: its zone.
-        region: the region of that.
-        adapters: what it has loaded; None where that is not known.
+        id: identifier of the replica.
+        service: the service that it belongs to.
+        zone: the zone that it runs in.
+        region: the region of that zone.
+        adapters: the adapters that it has loaded, or None if unknown.
     """
 
     id: str
@@ -34,12 +36,12 @@
     adapters: tuple[Pair, ...] | None
 
     def has(self, pair: Pair) -> bool:
-        """Whether it is known to have this adapter loaded."""
+        """Whether the replica is known to have this adapter loaded."""
         return pair in (self.adapters or ())
 
 
 class Claim(typing.NamedTuple):
-    """An adapter that is wanted in a region."""
+    """A demand for an adapter in a region."""
 
     service: str
     pair: Pair
@@ -48,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claims:
-    """All that is wanted.
+    """All claims, and where they may be met.
 
     Attributes:
-        weights: the demand behind each claim.
-        allowed: the regions in which an adapter of a service may be loaded.
+        weights: the weight of the demand of each claim.
+        allowed: the regions in which each adapter of a service may be loaded.
     """
 
     weights: dict[Claim, float]
@@ -60,16 +62,16 @@
 
 
 class PinAssignment:
-    """Pins while they are assigned.
+    """Assigns pins to replicas in one run.
 
     Attributes:
         pins: the pins of each replica, by its identifier.
-        claims: what is wanted.
+        claims: the claims to be met.
 
     Args:
-        claims: what is wanted.
-        replicas: the replicas.
-        capacity: pins that a replica of each service can have.
+        claims: the claims to be met.
+        replicas: the replicas to which pins are assigned.
+        capacity: maximum number of pins of a replica, by service.
     """
 
     def __init__(
@@ -83,33 +85,33 @@
         self.pins: dict[str, list[Pair]] = {replica.id: [] for replica in replicas}
         self._replicas = replicas
         self._capacity = capacity
-        self._settled: set[tuple[str, Pair]] = set()  # pins of this run
+        self._new_pins: set[tuple[str, Pair]] = set()  # pins that were set in this run
 
     def keep(self, previous: collections.abc.Mapping[str, collections.abc.Sequence[Pair]]) -> None:
-        """Sets the pins that were set before, as far as the capacity allows and the adapters are still requested."""
+        """Keeps previous pins, as far as the capacity allows and the adapters are still requested and permitted."""
         for replica in self._replicas:
             known = [pair for pair in previous.get(replica.id, ()) if self.may_load(replica, pair)]
             self.pins[replica.id].extend(known[: self._capacity.get(replica.service, 0)])
 
     def assign(self) -> list[Claim]:
-        """Sets copies until no claim can have another one.
+        """Adds copies until no claim can have another one.
 
         Returns:
-            The claims that have no copy although there are replicas that may load the adapter.
+            The claims without a copy in their region although some replica may load the adapter.
         """
-        without_capacity = []
+        unassigned = []
         waiting = set(self.claims.weights.keys())
         while waiting:
             claim = max(waiting, key=lambda one: (self.value(one), *one))
-            if self._place(claim) or self._replace(claim):
+            if self._add_copy(claim) or self._replace_pin(claim):
                 continue
             waiting.discard(claim)
             if not self.copies(claim.service, claim.pair, claim.region) and self._candidates(claim):
-                without_capacity.append(claim)
-        return without_capacity
+                unassigned.append(claim)
+        return unassigned
 
     def copies(self, service: str, pair: Pair, region: str | None = None) -> list[Replica]:
-        """The replicas with this pin, in a region or in all."""
+        """Returns the replicas with this pin, in one region or, if `region` is None, in all regions."""
         return [
             replica
             for replica in self._replicas
@@ -123,21 +125,21 @@
         return replica.region in self.claims.allowed.get((replica.service, pair), ())
 
     def value(self, claim: Claim) -> float:
-        """The value of one more copy."""
+        """Returns the value of one more copy for a claim."""
         weight = self.claims.weights.get(claim, 0.0)
-        factor = REDUNDANCY_FACTOR if self._is_redundancy(claim) else 1.0
+        factor = REDUNDANCY_FACTOR if self._is_next_copy_redundancy(claim) else 1.0
         return weight / (len(self.copies(*claim)) + 1) * factor
 
-    def _is_redundancy(self, claim: Claim) -> bool:
-        """Whether the next copy is the first one in its region, or the second one while there is no other zone."""
+    def _is_next_copy_redundancy(self, claim: Claim) -> bool:
+        """Whether the next copy would be the first one in its region, or the second one while all are in one zone."""
         copies = self.copies(*claim)
         return not copies or (len(copies) == 1 and len(self._zones_with(claim)) < 2)
 
     def _zones_with(self, claim: Claim) -> set[str]:
         return {replica.zone for replica in self.copies(claim.service, claim.pair)}
 
-    def _loss(self, replica: Replica, pair: Pair) -> float:
-        """What is lost with this copy."""
+    def _value_of_pin(self, replica: Replica, pair: Pair) -> float:
+        """Returns the value that would be lost if this pin were removed."""
         claim = Claim(replica.service, pair, replica.region)
         weight = self.claims.weights.get(claim, 0.0)
         copies = self.copies(*claim)
@@ -147,10 +149,14 @@
         return weight / len(copies)
 
     def _candidates(self, claim: Claim) -> list[Replica]:
-        """Where a copy may be set: in the region; a second one, where no other zone there can have it, elsewhere."""
+        """Returns the replicas that may receive a copy for a claim.
+
+        They are in the claim's region. A second copy may be in another region if no other zone of the claim's region
+        has a replica of the service.
+        """
         of_service = [replica for replica in self._replicas if replica.service == claim.service]
         candidates = [replica for replica in of_service if replica.region == claim.region]
-        if self.copies(*claim) and self._is_redundancy(claim):
+        if self.copies(*claim) and self._is_next_copy_redundancy(claim):
             zones = self._zones_with(claim)
             elsewhere = [replica for replica in of_service if replica.zone not in zones]
             candidates = [replica for replica in candidates if replica.zone not in zones] or elsewhere or candidates
@@ -160,8 +166,8 @@
             if claim.pair not in self.pins[replica.id] and self.may_load(replica, claim.pair)
         ]
 
-    def _place(self, claim: Claim) -> bool:
-        """Sets a copy where there is capacity."""
+    def _add_copy(self, claim: Claim) -> bool:
+        """Adds a copy to a replica with free capacity; returns False if there is none."""
         free = [
             replica
             for replica in self._candidates(claim)
@@ -177,20 +183,23 @@
         self._pin(min(free, key=cost).id, claim.pair)
         return True
 
-    def _replace(self, claim: Claim) -> bool:
-        """Replaces the pin with the lowest value, but only for redundancy: a pin that moves costs waits of its own."""
-        if not self._is_redundancy(claim):
+    def _replace_pin(self, claim: Claim) -> bool:
+        """Replaces the pin with the lowest value; returns False if nothing was replaced.
+
+        It does so only for redundancy, since moving a pin makes requests wait for the load of the adapter.
+        """
+        if not self._is_next_copy_redundancy(claim):
             return False
-        losses = [
-            (self._loss(replica, pair), replica.id, pair)
+        values = [
+            (self._value_of_pin(replica, pair), replica.id, pair)
             for replica in self._candidates(claim)
             for pair in self.pins[replica.id]
-            if (replica.id, pair) not in self._settled
+            if (replica.id, pair) not in self._new_pins
         ]
-        if not losses:
+        if not values:
             return False
-        loss, replica_id, pair = min(losses)
-        if loss * REPLACEMENT_FACTOR >= self.value(claim):
+        pin_value, replica_id, pair = min(values)
+        if pin_value * REPLACEMENT_FACTOR >= self.value(claim):
             return False
         self.pins[replica_id].remove(pair)
         self._pin(replica_id, claim.pair)
@@ -198,4 +207,4 @@
 
     def _pin(self, replica_id: str, pair: Pair) -> None:
         self.pins[replica_id].append(pair)
-        self._settled.add((replica_id, pair))
+        self._new_pins.add((replica_id, pair))
--- a/ploverward/control_plane/adapter_cache/pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/pin_suggestion.py
@@ -1,6 +1,6 @@
-"""Suggests which adapters each replica should keep pinned (docs/pins.md 4): from counts to a suggestion, no effects.
+"""Suggests from request counts which adapters each replica should keep pinned (docs/pins.md 4), without side effects.
 
-The suggestion is JSON: operators' tools print it, and read it again as the previous one.
+The suggestion is JSON. Operators' tools print it and pass it to the next run as the previous suggestion.
 """
 
 import collections
@@ -18,21 +18,21 @@
 from ploverward.control_plane.adapter_cache.pin_assignment import PinAssignment
 from ploverward.control_plane.adapter_cache.pin_assignment import Replica
 
-MIN_ARRIVALS = 3  # fewer arrivals of an adapter are no evidence
-OTHER_REGION_FACTOR = 1 / 8  # of the value of an adapter for a new replica where it is wanted in another region
+MIN_ARRIVALS = 3  # an adapter with fewer arrivals is not pinned, unless it was pinned before
+OTHER_REGION_FACTOR = 1 / 8  # reduces the value for a new replica of an adapter that is claimed in another region
 
 Json: typing.TypeAlias = dict[str, typing.Any]
 Demand: typing.TypeAlias = dict[AdapterKey, dict[str, RegionDemand]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Wanted:
-    """What the demand asks for.
+class DemandedPins:
+    """The claims that result from the demand, and the adapters that cannot or should not be pinned.
 
     Attributes:
-        claims: what some replica may load.
-        without_replica: rows on adapters that no replica may load, one for each region in which one could.
-        without_evidence: rows on adapters of which there is too little evidence, one for each region.
+        claims: claims for adapters that some replica may load.
+        without_replica: rows on adapters that no replica may load, one for each region in which a replica would help.
+        without_evidence: rows on adapters with too few arrivals, one for each region.
     """
 
     claims: Claims
@@ -48,27 +48,28 @@
     capacity: collections.abc.Mapping[str, int],
     previous: Json | None = None,
 ) -> Json:
-    """Makes a suggestion.
+    """Suggests pins for all replicas.
 
     Args:
         windows: windows of counts, as core nodes report them.
-        replicas: id, service, zone, region and adapters (pairs, or None) of each replica.
-        routes: of each route "urgency", "target_ms" and "homes".
-        capacity: pins that a replica of each service can have.
-        previous: the suggestion before. Its pins are kept if possible: after a pin moved, its old copy is
-            evicted later, and requests are sent there until the endpoint list shows that.
+        replicas: "id", "service", "zone", "region" and "adapters" (pairs, or None if unknown) of each replica.
+        routes: "urgency", "target_ms" and "homes" of each route.
+        capacity: maximum number of pins of a replica, by service.
+        previous: the previous suggestion. Its pins are kept if possible: the old copy of a moved pin is evicted
+            later, and requests are sent to it until the endpoint list shows the eviction.
 
     Returns:
-        Pins by replica, what new replicas should load, the expected saving, and what is missing or has no evidence.
+        The pins of each replica, the adapters that new replicas should load, the expected saving, and the adapters that
+        are missing or have too little evidence.
     """
     rows = [_replica(row) for row in replicas]
     demand = adapter_demand.demand(windows=windows, routes=routes)
-    homes = adapter_demand.homes_of(windows=windows, routes=routes)
+    homes = adapter_demand.home_regions(windows=windows, routes=routes)
     pins_before = _previous_pins(rows, previous)
-    wanted = _wanted(demand, homes, rows, pins_before)
-    assignment = PinAssignment(claims=wanted.claims, replicas=rows, capacity=capacity)
+    demanded = _demanded_pins(demand, homes, rows, pins_before)
+    assignment = PinAssignment(claims=demanded.claims, replicas=rows, capacity=capacity)
     assignment.keep(pins_before)
-    without_room = [
+    without_capacity = [
         _adapter_body(
             AdapterKey(claim.service, *claim.pair), claim.region, why="no room: raise the capacity or add replicas"
         )
@@ -78,8 +79,8 @@
         "replicas": {replica.id: _replica_body(replica, assignment.pins[replica.id]) for replica in rows},
         "new": _loads_of_new_replicas(assignment, rows, capacity),
         "saving": _saving(demand, assignment.pins, rows),
-        "missing": without_room + wanted.without_replica,
-        "too_little_evidence": wanted.without_evidence,
+        "missing": without_capacity + demanded.without_replica,
+        "too_little_evidence": demanded.without_evidence,
     }
 
 
@@ -104,7 +105,10 @@
 
 
 def _previous_pins(replicas: list[Replica], previous: Json | None) -> dict[str, list[Pair]]:
-    """The pins before. A new replica keeps what it has loaded, first what new ones of its zone were to load."""
+    """Returns the previous pins of each replica.
+
+    For a new replica these are the adapters that it has loaded; those suggested for new replicas of its zone are first.
+    """
     if not previous:
         return {}
     pins: dict[str, list[Pair]] = {}
@@ -123,14 +127,14 @@
     return [typing.cast(Pair, tuple(row)) for row in rows]
 
 
-def _wanted(
+def _demanded_pins(
     demand: Demand,
     homes: dict[AdapterKey, frozenset[str] | None],
     replicas: list[Replica],
     pins_before: dict[str, list[Pair]],
-) -> Wanted:
-    """What the demand asks for."""
-    wanted = Wanted(claims=Claims(weights={}, allowed={}), without_replica=[], without_evidence=[])
+) -> DemandedPins:
+    """Derives the claims from the demand. Requests without a known adapter are skipped."""
+    demanded = DemandedPins(claims=Claims(weights={}, allowed={}), without_replica=[], without_evidence=[])
     for adapter, regions in demand.items():
         if not adapter.adapter:
             continue
@@ -139,12 +143,12 @@
         allowed = {replica.region for replica in of_service if permitted is None or replica.region in permitted}
         was_pinned = any(adapter.pair in pins_before.get(replica.id, ()) for replica in of_service)
         if sum(row.counts.arrivals for row in regions.values()) < MIN_ARRIVALS and not was_pinned:
-            wanted.without_evidence.extend(
+            demanded.without_evidence.extend(
                 _adapter_body(adapter, region, arrivals=row.counts.arrivals) for region, row in regions.items()
             )
             continue
         if not allowed:
-            wanted.without_replica.extend(
+            demanded.without_replica.extend(
                 _adapter_body(adapter, region, why="no replica may load it: add one in this region")
                 for region in sorted(permitted or regions)
             )
@@ -152,20 +156,21 @@
         is_known = was_pinned or any(replica.has(adapter.pair) for replica in of_service)
         weights = _weights_by_region(regions, allowed=allowed, is_known=is_known)
         for region, weight in weights.items():
-            wanted.claims.weights[Claim(adapter.service, adapter.pair, region)] = weight
-            wanted.claims.allowed[(adapter.service, adapter.pair)] = allowed
-    return wanted
+            demanded.claims.weights[Claim(adapter.service, adapter.pair, region)] = weight
+            demanded.claims.allowed[(adapter.service, adapter.pair)] = allowed
+    return demanded
 
 
 def _weights_by_region(
     regions: dict[str, RegionDemand], *, allowed: set[str], is_known: bool
 ) -> collections.Counter[str]:
-    """The demand of an adapter by the regions in which it may be loaded.
+    """Returns the weight of the demand for an adapter by the regions in which it may be loaded.
 
     Args:
-        regions: the demand by the region of the requests.
+        regions: the demand by the region in which the requests arrived.
         allowed: the regions in which the adapter may be loaded.
-        is_known: whether some replica has it or was to have it; else a region where it always was warm claims nothing.
+        is_known: whether some replica has the adapter loaded or had it pinned. If not, a region in which it was always
+            warm has no claim.
     """
     weights: collections.Counter[str] = collections.Counter()
     for region, row in regions.items():
@@ -173,7 +178,7 @@
             continue
         if region in allowed:
             weights[region] += row.weight  # type: ignore[assignment]  # a Counter of floats
-        else:  # its requests are served in any allowed region
+        else:  # its requests may be served in any allowed region
             for other in sorted(allowed):
                 weights[other] += row.weight / len(allowed)  # type: ignore[assignment]
     return weights
@@ -182,10 +187,10 @@
 def _loads_of_new_replicas(
     assignment: PinAssignment, replicas: list[Replica], capacity: collections.abc.Mapping[str, int]
 ) -> dict[str, dict[str, list[list[str]]]]:
-    """What a replica that starts in a zone should load first, by service and zone.
+    """Returns the adapters that a replica starting in a zone should load first, by service and zone.
 
-    Adapters with the fewest copies for their weight are first, so that replicas that are replaced one by one do not all
-    load the same ones.
+    Adapters with the fewest copies relative to their weight are first, so that replicas that are replaced one by one do
+    not all load the same adapters.
     """
     loads: dict[str, dict[str, list[list[str]]]] = {}
     for replica in replicas:
@@ -198,7 +203,7 @@
 
 
 def _values_in_zone(assignment: PinAssignment, replica: Replica) -> dict[Pair, float]:
-    """The value of each adapter on a new replica in the zone of this one."""
+    """Returns the value of each adapter on a new replica in the zone of this replica."""
     values: dict[Pair, float] = {}
     for claim in assignment.claims.weights:
         if claim.service != replica.service or not assignment.may_load(replica, claim.pair):
@@ -212,7 +217,7 @@
 
 
 def _saving(demand: Demand, pins: dict[str, list[Pair]], replicas: list[Replica]) -> Json:
-    """Cold waits in the time of the counts that a pinned copy in their region would have saved."""
+    """Returns how many of the counted cold waits a pinned copy in their region would have avoided."""
     saved_waits, saved_ms, all_waits = 0, 0, 0
     for adapter, regions in demand.items():
         pinned_regions = {
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -1,10 +1,10 @@
-"""A simulated system whose replicas load adapters slowly.
+"""Simulates a system whose replicas load adapters slowly, with and without applying the suggested pins.
 
-With the suggestions followed, no request waits for a load, and every request is answered in time and exactly once, at
-any node and region. Without them the same checks find waits.
+If the suggestions are applied, no request waits for an adapter to load, and each request is answered exactly once and
+in time at every node and region. If they are not applied, the same checks find waits.
 
-Real components: the replica table, the choice, the counts, the stores of two core nodes, the suggestion. Simulated:
-time, network, replicas, the platform's list, the operator who follows the suggestions.
+Real components: the replica table, the replica chooser, the counters, the stores of two core nodes, the suggestion.
+Simulated: time, network, replicas, the platform's list, the operator who applies the suggestions.
 """
 
 import collections
@@ -25,7 +25,7 @@
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"}
 HOMES = {"hearing": ["north", "south"]}
-# The four kinds of the operators: adapter, urgency, aim, whether it may run again elsewhere.
+# Four kinds of requests: adapter, urgency, latency target in seconds, whether it may be retried on another replica.
 KINDS = {
     "minutes": ("drafts", 1, 0.8, False),
     "hearing": ("hearings", 0, 0.6, True),
@@ -33,15 +33,16 @@
     "coach": ("coach", 0, 0.6, True),
 }
 
+# All other requests: kind, adapters, urgency, latency target in seconds. Their waits are not checked.
 REST = (
     "rest",
     [f"town{number}" for number in range(8)],
     9,
     5.0,
-)  # other work, with adapters of its own: nothing is promised to it
+)
 
 
-def latency_target_of(kind):
+def latency_target_s(kind):
     return REST[3] if kind == "rest" else KINDS[kind][2]
 
 
@@ -50,50 +51,50 @@
     for name, (_a, priority, latency_target, _r) in KINDS.items()
 }
 ROUTES["rest"] = {"homes": [], "urgency": REST[2], "target_ms": REST[3] * 1000}
-SLOTS = 3  # adapters that a replica holds at once
+SLOTS = 3  # number of adapters that a replica can have loaded
 PINS = 2
 LOAD_S = 1.2
-READ_S = 0.08
-RUN_S = 0.4
+PREFILL_S = 0.08
+GENERATION_S = 0.4
 WINDOW_S = 24.0
-LAG_S = 0.8
+LIST_DELAY_S = 0.8
 TRUST_S = 2.0
 
 
-class Sim:
-    """A replica: holds what is pinned, and others least lately used; loads one after the other."""
+class SimulatedReplica:
+    """A replica that loads adapters one at a time and evicts the least recently used one that is not pinned."""
 
-    def __init__(self, *, scene, name, zone, pins=()):
-        self.scene, self.name, self.zone = scene, name, zone
+    def __init__(self, *, system, name, zone, pins=()):
+        self.system, self.name, self.zone = system, name, zone
         self.pins = list(pins)
-        self.loaded = collections.OrderedDict()  # adapter: when it is loaded
-        self.busy_until = scene.world.time
+        self.loaded = collections.OrderedDict()  # by adapter, the time at which its load ends
+        self.busy_until = system.world.time
         self.is_up = True
-        for adapter in self.pins:  # pins are loaded before the life takes requests
+        for adapter in self.pins:  # pins are loaded before the replica accepts requests
             self.load(adapter)
         self.ready_at = self.busy_until
 
     def load(self, adapter):
         if adapter not in self.loaded:
-            self.busy_until = max(self.busy_until, self.scene.world.time) + LOAD_S
+            self.busy_until = max(self.busy_until, self.system.world.time) + LOAD_S
             self.loaded[adapter] = self.busy_until
             if len(self.loaded) > SLOTS:
-                gone = next(one for one in self.loaded if one not in self.pins and one != adapter)
-                del self.loaded[gone]
+                evicted = next(one for one in self.loaded if one not in self.pins and one != adapter)
+                del self.loaded[evicted]
         self.loaded.move_to_end(adapter)
         return self.loaded[adapter]
 
     def pin(self, adapters):
         self.pins = list(adapters)
         for adapter in adapters:
-            self.load(adapter)  # before anything else that waits
+            self.load(adapter)  # before adapters that requests wait for
 
 
 class Proxy:
-    def __init__(self, *, scene, name, zone):
-        self.scene, self.name, self.zone = scene, name, zone
-        self.incarnation = f"{name}-{scene.chance.random():.6f}"
-        now = scene.world.now
+    def __init__(self, *, system, name, zone):
+        self.system, self.name, self.zone = system, name, zone
+        self.incarnation = f"{name}-{system.chance.random():.6f}"
+        now = system.world.now
         settings = loopback_proxy.settings(zones=ZONES, zone=zone, region=ZONES[zone])
         self.quota = shared_limits.SharedLimits(now=now, settings=settings)
         self.quota.handle_share_lease(
@@ -102,7 +103,7 @@
                 slack_share=1.0, rate_share=1.0, duration_s=1e9, core_share=1.0, slot=0, slot_count=8, number=1
             ),
         )
-        self.table = replica_table.ReplicaTable(loop=scene, settings=settings, share=self.quota.rate_share)
+        self.table = replica_table.ReplicaTable(loop=system, settings=settings, share=self.quota.rate_share)
         self.table.install_services(
             {
                 "llm": {
@@ -113,41 +114,41 @@
                 }
             }
         )
-        for far, region in ZONES.items():
-            self.table.latencies.by_zone[far] = 0.002 if region == ZONES[zone] else 0.08
+        for other_zone, region in ZONES.items():
+            self.table.latencies.by_zone[other_zone] = 0.002 if region == ZONES[zone] else 0.08
         self.counter = adapter_counts.AdapterCounter(now=now, window_s=WINDOW_S, trust_s=TRUST_S)
         self.chooser = replica_chooser.ReplicaChooser(
             table=self.table, settings=settings, regions={}, quota=self.quota, now=now
         )
 
 
-class Scene:
-    """The loop of the table, too: it only asks for the time."""
+class SimulatedSystem:
+    """The simulated system. It also serves as the event loop of the replica tables, which only read its time."""
 
-    def __init__(self, *, seed, is_following):
+    def __init__(self, *, seed, applies_suggestions):
         self.world = simulated_world.World(seed=seed)
         self.chance = random.Random(seed)
-        self.is_following = is_following
-        self.sims = {}
+        self.applies_suggestions = applies_suggestions
+        self.simulated_replicas = {}
         self.started_replicas = 0
         self.answers = collections.Counter()
         self.runs = collections.Counter()
-        self.asked = {}  # request: (at, kind, region of the proxy)
-        self.log = []  # (request, asked at, first event at, waited for a load, region)
+        self.requests = {}  # by request: (sent at, kind, region of the proxy)
+        self.answered = []  # (request, sent at, first event at, wait for a load, kind, region)
         self.failed = set()
         self.lost_zones = set()
-        self.mix = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
-        self.stray = 0.0  # share of requests for adapters that nobody expects
+        self.kind_weights = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
+        self.unexpected_share = 0.0  # share of requests for adapters not seen before
         self.suggestion = None
         self.cores = [adapter_usage.AdapterUsageStore(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
         for zone in ZONES:
             for _ in range(3):
                 self.start(zone)
-        self.proxies = [Proxy(scene=self, name=f"p-{zone}", zone=zone) for zone in ZONES]
+        self.proxies = [Proxy(system=self, name=f"p-{zone}", zone=zone) for zone in ZONES]
         self.publish()
         self.every(0.5, self.publish)
         self.every(2.0, self.report)
-        self.every(6.0, self.follow)
+        self.every(6.0, self.apply_suggestion)
         self.every(0.05, self.traffic)
 
     def now(self):
@@ -165,42 +166,45 @@
 
     def start(self, zone):
         self.started_replicas += 1
-        pins = self.suggestion["new"].get("llm", {}).get(zone, ()) if self.is_following and self.suggestion else ()
+        pins = (
+            self.suggestion["new"].get("llm", {}).get(zone, ()) if self.applies_suggestions and self.suggestion else ()
+        )
         name = f"i{self.started_replicas}"
-        self.sims[name] = Sim(scene=self, name=name, zone=zone, pins=[adapter for _model, adapter in pins])
+        self.simulated_replicas[name] = SimulatedReplica(
+            system=self, name=name, zone=zone, pins=[adapter for _model, adapter in pins]
+        )
 
     def stop(self, name):
-        self.sims.pop(name).is_up = False
+        self.simulated_replicas.pop(name).is_up = False
 
     def rows(self):
         now = self.world.time
         return [
             {
-                "id": sim.name,
+                "id": simulated_replica.name,
                 "service": "llm",
                 "address": "127.0.0.1:9",
-                "zone": sim.zone,
+                "zone": simulated_replica.zone,
                 "berths": 64,
                 "is_clearing": False,
                 "cold_ms": 0,
                 "left_ms": None,
                 "models": ["m"],
-                "adapters": [["m", adapter] for adapter, at in sim.loaded.items() if at <= now],
+                "adapters": [["m", adapter] for adapter, at in simulated_replica.loaded.items() if at <= now],
             }
-            for sim in self.sims.values()
-            if sim.ready_at <= now
+            for simulated_replica in self.simulated_replicas.values()
+            if simulated_replica.ready_at <= now
         ]
 
     def publish(self):
         rows = self.rows()
-        self.world.later(LAG_S, lambda: [proxy.table.install_list(rows) for proxy in self.proxies])
+        self.world.later(LIST_DELAY_S, lambda: [proxy.table.install_list(rows) for proxy in self.proxies])
 
     def report(self):
         for proxy in self.proxies:
             for window, number, data in proxy.counter.report():
-                for core in self.chance.sample(
-                    self.cores, self.chance.choice((1, 1, 2))
-                ):  # any way, and sometimes twice
+                # Reports reach one of the core nodes, and sometimes both.
+                for core in self.chance.sample(self.cores, self.chance.choice((1, 1, 2))):
                     core.record(
                         messages.AdapterCount(
                             node=proxy.name,
@@ -213,7 +217,7 @@
                         )
                     )
 
-    def follow(self):
+    def apply_suggestion(self):
         windows = list(adapter_usage.merge(tables=[core.rows() for core in self.cores]).values())
         listed = [
             {
@@ -228,26 +232,26 @@
         self.suggestion = pin_suggestion.suggest(
             windows=windows, replicas=listed, routes=ROUTES, capacity={"llm": PINS}, previous=self.suggestion
         )
-        if self.is_following:
+        if self.applies_suggestions:
             for name, row in self.suggestion["replicas"].items():
-                if name in self.sims:
-                    self.sims[name].pin([adapter for _model, adapter in row["pins"]])
+                if name in self.simulated_replicas:
+                    self.simulated_replicas[name].pin([adapter for _model, adapter in row["pins"]])
 
     def traffic(self):
         for proxy in self.proxies:
             if proxy.zone in self.lost_zones:
                 continue
-            kind = self.chance.choices(list(self.mix), list(self.mix.values()))[0]
-            request = len(self.asked)
-            self.asked[request] = (self.world.time, kind, ZONES[proxy.zone])
+            kind = self.chance.choices(list(self.kind_weights), list(self.kind_weights.values()))[0]
+            request = len(self.requests)
+            self.requests[request] = (self.world.time, kind, ZONES[proxy.zone])
             adapter = self.chance.choice(REST[1]) if kind == "rest" else KINDS[kind][0]
-            if self.chance.random() < self.stray:
+            if self.chance.random() < self.unexpected_share:
                 adapter = f"stray{self.chance.randrange(6)}"
                 proxy.table.adapters.setdefault("llm", {}).setdefault(adapter, {"m"})
             self.attempt(proxy, request, kind, adapter, set())
 
-    def attempt(self, proxy, request, kind, text, avoid):
-        model, adapter, is_known = proxy.table.resolve(service="llm", text=text)
+    def attempt(self, proxy, request, kind, adapter_text, avoid):
+        model, adapter, is_known = proxy.table.resolve(service="llm", text=adapter_text)
         assert is_known
         homes = frozenset(HOMES.get(kind, ())) or None
         replica, _tokens, _is_any = proxy.chooser.choose(
@@ -257,7 +261,7 @@
             chain=(),
             prompt_tokens=0,
             avoid=avoid,
-            latency_target_s=latency_target_of(kind),
+            latency_target_s=latency_target_s(kind),
             adapter_load_s=lambda one: proxy.counter.expected_load_s(replica=one, model=model, adapter=adapter),
         )
         if replica is None:
@@ -265,167 +269,180 @@
             return
         assert homes is None or replica.region in homes
         arrival = proxy.counter.begin(
-            replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=latency_target_of(kind)
+            replica=replica, service="llm", model=model, adapter=adapter, route=kind, target_s=latency_target_s(kind)
         )
         replica.running += 1
         one_way_s = proxy.table.latencies.by_zone[replica.zone] / 2
-        sim = self.sims.get(replica.id)
+        simulated_replica = self.simulated_replicas.get(replica.id)
 
-        def lost():
+        def handle_loss():
             replica.running -= 1
             proxy.counter.note_not_run(arrival)
             if kind == "rest" or KINDS[kind][3]:
-                self.attempt(proxy, request, kind, text, avoid | {replica.id})
+                self.attempt(proxy, request, kind, adapter_text, avoid | {replica.id})
             else:
                 self.answer(request, is_good=False)
 
-        def arrive():
-            if sim is None or not sim.is_up:
-                self.world.later(one_way_s, lost)
+        def handle_arrival():
+            if simulated_replica is None or not simulated_replica.is_up:
+                self.world.later(one_way_s, handle_loss)
                 return
             self.runs[(request, replica.id)] += 1
-            loaded = sim.load(adapter)
+            loaded = simulated_replica.load(adapter)
             waited = max(0.0, loaded - self.world.time)
 
-            def first():
-                if not sim.is_up:
-                    self.world.later(one_way_s, lost)
+            def send_first_event():
+                if not simulated_replica.is_up:
+                    self.world.later(one_way_s, handle_loss)
                     return
-                self.world.later(one_way_s, lambda: seen(waited))
+                self.world.later(one_way_s, lambda: handle_first_event(waited))
 
-            self.world.later(waited + READ_S, first)
+            self.world.later(waited + PREFILL_S, send_first_event)
 
-        def seen(waited):
+        def handle_first_event(waited):
             proxy.counter.note_run(arrival)
             at = self.world.time
-            self.world.later(RUN_S, lambda: done(at, waited))
+            self.world.later(GENERATION_S, lambda: handle_end(at, waited))
 
-        def done(at, waited):
+        def handle_end(at, waited):
             replica.running -= 1
             self.answer(request, is_good=True, first_at=at, waited=waited)
 
-        self.world.later(one_way_s, arrive)
+        self.world.later(one_way_s, handle_arrival)
 
     def answer(self, request, *, is_good, first_at=0.0, waited=0.0):
         self.answers[request] += 1
-        at, kind, region = self.asked[request]
+        at, kind, region = self.requests[request]
         if is_good:
-            self.log.append((request, at, first_at, waited, kind, region))
+            self.answered.append((request, at, first_at, waited, kind, region))
         else:
             self.failed.add(request)
 
 
-def check(scene, *, since, spared=()):
-    """Exactly once for all requests; in time and behind no load for those asked after `since`, but for `spared`."""
-    end = scene.world.time - 5.0
+def check_requests(system, *, since, excluded=()):
+    """Checks that each request is answered exactly once, and those sent after `since` in time and without a load.
+
+    Returns the number of requests that were checked for waits, by kind and region. Requests sent in one of the spans
+    of `excluded` are not checked for waits and failures.
+    """
+    end = system.world.time - 5.0
     runs = collections.defaultdict(list)
-    for (request, _replica), count in scene.runs.items():
+    for (request, _replica), count in system.runs.items():
         runs[request].append(count)
-    for request, (at, kind, _region) in scene.asked.items():
+    for request, (at, kind, _region) in system.requests.items():
         if at < end:
-            assert scene.answers[request] == 1, request
+            assert system.answers[request] == 1, request
         ran = runs[request]
         assert all(count == 1 for count in ran)
         if kind != "rest" and not KINDS[kind][3]:
             assert len(ran) <= 1
     checked = collections.Counter()
-    for _request, at, first_at, waited, kind, region in scene.log:
-        if kind == "rest" or at < since or any(start <= at <= stop for start, stop in spared):
+    for _request, at, first_at, waited, kind, region in system.answered:
+        if kind == "rest" or at < since or any(start <= at <= stop for start, stop in excluded):
             continue
         assert waited == 0.0, (kind, region, at)
         assert first_at - at <= KINDS[kind][2]
         checked[(kind, region)] += 1
-    for request in scene.failed:
-        at = scene.asked[request][0]
-        assert at < since or any(start <= at <= stop for start, stop in spared), at
+    for request in system.failed:
+        at = system.requests[request][0]
+        assert at < since or any(start <= at <= stop for start, stop in excluded), at
     return checked
 
 
-def play(*, seed, is_following):
-    """Four minutes: traffic shifts, replicas restart one by one, a region is lost and comes back, strangers pass by."""
-    scene = Scene(seed=seed, is_following=is_following)
-    run = scene.world.run
+def run_scenario(*, seed, applies_suggestions):
+    """Runs a scenario of four minutes.
+
+    The mix of traffic shifts, unexpected adapters are requested for a time, replicas restart one by one, and a region
+    is lost and comes back. Returns the system and the spans to exclude from the checks.
+    """
+    system = SimulatedSystem(seed=seed, applies_suggestions=applies_suggestions)
+    run = system.world.run
     run(until=60.0)
-    scene.mix["review"] = 6.0
+    system.kind_weights["review"] = 6.0
     run(until=90.0)
-    scene.stray = 0.05
+    system.unexpected_share = 0.05
     run(until=100.0)
-    scene.stray = 0.0
-    for name in list(scene.sims)[:6]:  # restarts: the new life comes first, the old one then leaves the list and drains
-        zone = scene.sims[name].zone
-        scene.start(zone)
-        run(until=scene.world.time + 5.0)
-        scene.sims[name].ready_at = 1e9  # off the list
-        run(until=scene.world.time + 3.0)
-        scene.stop(name)
-    lost = scene.chance.choice(("north", "south"))
-    at = scene.world.time
+    system.unexpected_share = 0.0
+    # Rolling restarts: a new replica starts first; the old one then leaves the list and drains.
+    for name in list(system.simulated_replicas)[:6]:
+        zone = system.simulated_replicas[name].zone
+        system.start(zone)
+        run(until=system.world.time + 5.0)
+        system.simulated_replicas[name].ready_at = 1e9  # removes it from the list
+        run(until=system.world.time + 3.0)
+        system.stop(name)
+    lost = system.chance.choice(("north", "south"))
+    at = system.world.time
     zones = [zone for zone, region in ZONES.items() if region == lost]
-    for name in [name for name, sim in scene.sims.items() if sim.zone in zones]:
-        scene.stop(name)
-    scene.lost_zones = set(zones)
+    for name in [name for name, replica in system.simulated_replicas.items() if replica.zone in zones]:
+        system.stop(name)
+    system.lost_zones = set(zones)
     run(until=at + 30.0)
     for zone in zones:
         for _ in range(3):
-            scene.start(zone)
-    scene.lost_zones = set()
+            system.start(zone)
+    system.lost_zones = set()
     run(until=at + 60.0)
-    # While the loss is not yet on the list, what was under way at the lost replicas fails or comes late; LAG_S, and the
-    # list's step.
-    return scene, [(at - 1.0, at + LAG_S + 0.6)]
+    # Requests to the lost replicas fail or are late until the list shows the loss: after LIST_DELAY_S and up to one
+    # publishing interval.
+    return system, [(at - 1.0, at + LIST_DELAY_S + 0.6)]
 
 
-# Strangers push out what is held but not pinned; the list and a proxy's own evidence say so a moment later.
-STRANGERS = (90.0, 100.0 + TRUST_S + LAG_S + 0.6)
-STATED_S = 30.0  # from then on: five suggestions, the first loads over
+# Unexpected adapters evict those that are loaded but not pinned. Proxies notice that when the list shows it and when
+# their own evidence expires (TRUST_S).
+UNEXPECTED_ADAPTERS_SPAN = (90.0, 100.0 + TRUST_S + LIST_DELAY_S + 0.6)
+STEADY_AFTER_S = 30.0  # by then five suggestions were applied and the first loads have ended
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_request_waits_for_adapter_load_when_suggestions_are_applied(seed):
-    scene, spared = play(seed=seed, is_following=True)
-    checked = check(scene, since=STATED_S, spared=[*spared, STRANGERS])
+    system, excluded = run_scenario(seed=seed, applies_suggestions=True)
+    checked = check_requests(system, since=STEADY_AFTER_S, excluded=[*excluded, UNEXPECTED_ADAPTERS_SPAN])
     assert set(checked) == {(kind, region) for kind in KINDS for region in set(ZONES.values())}
     assert min(checked.values()) > 50
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_checker_finds_cold_waits_when_suggestions_are_ignored(seed):
-    scene, spared = play(seed=seed, is_following=False)
+    system, excluded = run_scenario(seed=seed, applies_suggestions=False)
     with pytest.raises(AssertionError):
-        check(scene, since=STATED_S, spared=[*spared, STRANGERS])
-    assert scene.suggestion["saving"]["of_cold_waits"] > 0
+        check_requests(system, since=STEADY_AFTER_S, excluded=[*excluded, UNEXPECTED_ADAPTERS_SPAN])
+    assert system.suggestion["saving"]["of_cold_waits"] > 0
 
 
 @pytest.mark.parametrize("fault", ["twice", "wait", "unanswered", "run twice"])
 def test_checker_detects_injected_fault(fault):
-    scene = Scene(seed=1, is_following=True)
-    scene.world.run(until=60.0)
-    check(scene, since=STATED_S)
+    system = SimulatedSystem(seed=1, applies_suggestions=True)
+    system.world.run(until=60.0)
+    check_requests(system, since=STEADY_AFTER_S)
     request, at, first_at, _waited, kind, region = next(
-        row for row in scene.log if row[4] == "minutes" and 35.0 < row[1] < 50.0
+        row for row in system.answered if row[4] == "minutes" and 35.0 < row[1] < 50.0
     )
     if fault == "twice":
-        scene.answers[request] += 1
+        system.answers[request] += 1
     elif fault == "wait":
-        scene.log.append((request, at, first_at, 0.3, kind, region))
+        system.answered.append((request, at, first_at, 0.3, kind, region))
     elif fault == "unanswered":
-        scene.answers[request] = 0
+        system.answers[request] = 0
     else:
-        scene.runs[(request, "elsewhere")] = 2
+        system.runs[(request, "elsewhere")] = 2
     with pytest.raises(AssertionError):
-        check(scene, since=STATED_S)
+        check_requests(system, since=STEADY_AFTER_S)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_merged_counts_match_answered_requests(seed):
-    """Exactly: nothing twice over resends and two core nodes; loads no more than the replicas made."""
-    scene = Scene(seed=seed, is_following=False)
-    scene.world.run(until=70.0)
-    scene.traffic = lambda: None
-    scene.world.run(until=70.0 + 1e-6)
-    windows = adapter_usage.merge(tables=[core.rows() for core in scene.cores]).values()
+    """Guards against counting an arrival twice when a report is resent or reaches both core nodes.
+
+    The bounds allow for requests in progress and for counts that are not reported yet.
+    """
+    system = SimulatedSystem(seed=seed, applies_suggestions=False)
+    system.world.run(until=70.0)
+    system.traffic = lambda: None
+    system.world.run(until=70.0 + 1e-6)
+    windows = adapter_usage.merge(tables=[core.rows() for core in system.cores]).values()
     counted = sum(counts.arrivals for window in windows for _key, counts in count_table.rows_of(window))
-    seen = sum(1 for _request, _at, first_at, *_rest in scene.log if first_at <= 68.0)
-    assert seen - 20 <= counted <= len(scene.log) + 60
+    seen = sum(1 for _request, _at, first_at, *_rest in system.answered if first_at <= 68.0)
+    assert seen - 20 <= counted <= len(system.answered) + 60
     waits = sum(counts.waits for window in windows for _key, counts in count_table.rows_of(window))
     assert 0 < waits
--- a/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
+++ b/ploverward/control_plane/adapter_cache/test_pin_suggestion.py
@@ -1,4 +1,4 @@
-"""From counts to a suggestion: evidence, room, zones, homes, steadiness; and the ledger that the counts come from."""
+"""Tests the suggestion of pins (evidence, capacity, zones, home regions, stability) and the store of counts."""
 
 import json
 import os
@@ -47,7 +47,7 @@
     return (service, "m", adapter, "n1-0", route, warm, cold, unknown, cold, cold, cold * 900, 900, cold)
 
 
-def made(windows, *, capacity=2, previous=None, rows=None):
+def suggest(windows, *, capacity=2, previous=None, rows=None):
     return pin_suggestion.suggest(
         windows=windows, replicas=rows or replicas(), routes=ROUTES, capacity={"llm": capacity}, previous=previous
     )
@@ -58,25 +58,25 @@
 
 
 def test_cold_adapter_is_pinned_in_requesting_region_and_two_zones():
-    suggestion = made([window(row("a"))])
+    suggestion = suggest([window(row("a"))])
     assert zones_of(suggestion, "a") >= {"n1", "n2"}
     assert suggestion["saving"] == {"cold_waits": 10, "wait_ms": 9000, "of_cold_waits": 10}
     assert suggestion["new"]["llm"]["n1"] == [["m", "a"]]
 
 
 def test_second_copy_is_placed_elsewhere_when_region_has_one_zone():
-    suggestion = made([window(row("a"), region="south")], capacity=1)
+    suggestion = suggest([window(row("a"), region="south")], capacity=1)
     assert "s1" in zones_of(suggestion, "a") and len(zones_of(suggestion, "a")) > 1
 
 
 def test_adapter_is_pinned_only_in_home_regions():
-    suggestion = made([window(row("a", route="home"), region="north")])
+    suggestion = suggest([window(row("a", route="home"), region="north")])
     assert zones_of(suggestion, "a") == {"s1"}
 
 
 def test_adapter_without_replica_in_home_regions_is_reported_missing():
     northern = [one for one in replicas() if one["region"] == "north"]
-    suggestion = made([window(row("a", route="home"), row("b"))], rows=northern)
+    suggestion = suggest([window(row("a", route="home"), row("b"))], rows=northern)
     assert zones_of(suggestion, "a") == set() and zones_of(suggestion, "b")
     assert suggestion["missing"] == [
         {
@@ -90,21 +90,21 @@
 
 
 def test_adapter_of_service_without_replicas_is_reported_in_requesting_region():
-    suggestion = made([window(row("a", service="gone"), region="south")])
+    suggestion = suggest([window(row("a", service="gone"), region="south")])
     assert [(one["service"], one["region"]) for one in suggestion["missing"]] == [("gone", "south")]
 
 
-TIED_SUGGESTION = """
+TIED_SUGGESTION_SCRIPT = """
 import json
-from ploverward.control_plane.adapter_cache import test_pin_suggestion as given
+from ploverward.control_plane.adapter_cache import test_pin_suggestion as fixtures
 rows = [
     {**one, "id": f"{service}-{one['id']}", "service": service}
     for service in ("llm", "tts")
-    for one in given.replicas()
+    for one in fixtures.replicas()
 ]
-windows = [given.window(*[given.row("a", service=service) for service in ("tts", "llm")], region="west")]
-suggestion = given.pin_suggestion.suggest(
-    windows=windows, replicas=rows, routes=given.ROUTES, capacity={"llm": 1, "tts": 1}
+windows = [fixtures.window(*[fixtures.row("a", service=service) for service in ("tts", "llm")], region="west")]
+suggestion = fixtures.pin_suggestion.suggest(
+    windows=windows, replicas=rows, routes=fixtures.ROUTES, capacity={"llm": 1, "tts": 1}
 )
 print(json.dumps(suggestion))
 """
@@ -113,7 +113,7 @@
 def test_ties_between_services_and_regions_do_not_depend_on_the_hash_seed():
     printed = {
         subprocess.run(
-            [sys.executable, "-c", TIED_SUGGESTION],
+            [sys.executable, "-c", TIED_SUGGESTION_SCRIPT],
             env={**os.environ, "PYTHONHASHSEED": str(seed)},
             capture_output=True,
             text=True,
@@ -125,24 +125,24 @@
 
 
 def test_adapter_with_too_few_arrivals_is_reported_and_not_pinned():
-    suggestion = made([window(row("a", cold=2))])
+    suggestion = suggest([window(row("a", cold=2))])
     assert zones_of(suggestion, "a") == set() and suggestion["too_little_evidence"][0]["adapter"] == "a"
 
 
 def test_unknown_adapter_is_never_pinned():
-    suggestion = made([window(row("", cold=0, unknown=50))])
+    suggestion = suggest([window(row("", cold=0, unknown=50))])
     assert all(not one["pins"] for one in suggestion["replicas"].values())
 
 
 def test_adapters_beyond_capacity_are_reported_missing():
-    suggestion = made([window(*[row(f"a{number}", cold=5 + number) for number in range(30)])], capacity=1)
+    suggestion = suggest([window(*[row(f"a{number}", cold=5 + number) for number in range(30)])], capacity=1)
     assert suggestion["missing"] and all(len(one["pins"]) <= 1 for one in suggestion["replicas"].values())
-    assert made([window(row("a"))], capacity=0)["missing"]
+    assert suggest([window(row("a"))], capacity=0)["missing"]
 
 
 def test_warm_pinned_adapter_stays_pinned():
     rows = replicas(adapters=[("m", "a")])
-    suggestion = made(
+    suggestion = suggest(
         [window(row("a", cold=0, warm=200), row("b", cold=5))],
         capacity=1,
         rows=rows,
@@ -156,9 +156,9 @@
     chance = random.Random(seed)
     base = {f"a{number}": chance.randint(20, 200) for number in range(5)}
     previous, last, changes = None, {}, []
-    for _look in range(6):
+    for _round in range(6):
         rows = [row(name, cold=count + chance.randint(-1, 1)) for name, count in base.items()]
-        suggestion = made([window(*rows)], previous=previous)
+        suggestion = suggest([window(*rows)], previous=previous)
         pins = {name: sorted(one["pins"]) for name, one in suggestion["replicas"].items()}
         if previous is not None:
             changes.append(sum(pins[name] != last[name] for name in pins))
@@ -179,8 +179,8 @@
         for _ in range(20)
     ]
     windows = [window(*rows[:10]), window(*rows[10:], region="south", incarnation="k")]
-    suggestion = made(windows, capacity=chance.randint(1, 3))
-    homes = adapter_demand.homes_of(windows=windows, routes=ROUTES)
+    suggestion = suggest(windows, capacity=chance.randint(1, 3))
+    homes = adapter_demand.home_regions(windows=windows, routes=ROUTES)
     for one in suggestion["replicas"].values():
         assert len(one["pins"]) <= 3 and len(set(one["pins"])) == len(one["pins"])
         for pair in one["pins"]:
@@ -211,7 +211,7 @@
     assert reported["number"] == 3 and reported["rows"][0][6] == 9
     other = [{**reported, "number": 2, "rows": []}]
     assert adapter_usage.merge(tables=[other, [reported], other])[("l", 0)]["number"] == 3
-    clock[0] = 30.0 * adapter_usage.KEEP_WINDOWS + 1
+    clock[0] = 30.0 * adapter_usage.RETENTION_WINDOWS + 1
     assert usage.rows() == []
 
 
