--- a/ploverward/control_plane/core_node.py
+++ b/ploverward/control_plane/core_node.py
@@ -58,7 +58,7 @@
 # Epoch of the topics that carry registers. It is constant: a register's revisions rise without a coordinator.
 REGISTER_EPOCH = 0
 DISK_SHARE = 1 / 16  # share of the disk that the registers' file may use; a longer file is rewritten
-MIN_DISK_MB = 8.0  # lower bound of the disk size that limits are computed from, also if the settings give less
+MIN_DISK_MB = 8.0  # disk size from which limits are computed if the settings give less
 BYTES_PER_MB = 1024 * 1024
 INTERVALS_PER_SETTINGS_CHECK = 4  # heartbeat intervals between two checks of the settings file
 
@@ -411,7 +411,7 @@
         }
 
     def start(self) -> None:
-        """Restores the state on disk, connects to the other core nodes, and begins to listen."""
+        """Restores the state on disk, connects to the other core nodes, and starts to listen and to poll."""
         self._resume_shares()
         self.sessions.connect_to_cores()
         self.tallies.start()
@@ -464,10 +464,10 @@
         self.roles.reconcile()
 
     def _on_peer_joined(self, peer: peer_sessions.Peer) -> None:
-        """Sends a peer that identified itself what it needs.
+        """Exchanges the first messages with a peer that identified itself.
 
-        If the peer is a core node, unknown registers are read again: it may know values that were chosen while this
-        node was disconnected.
+        If the peer is a core node, registers whose value is unknown are read: the peer may know values that were chosen
+        while this node was disconnected.
         """
         if peer.role is peer_sessions.NodeRole.CORE and self._is_voting():
             self.consensus.read_unknown_registers()
--- a/ploverward/control_plane/discovery/endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/endpoint_list_poller.py
@@ -49,7 +49,7 @@
         self._on_list = on_list
         self._zones = tuple(sorted(zones))
         self._connection = connection
-        self._page_count = 0  # of the last complete list
+        self._page_count = 0  # number of pages of the last complete list
         self._run = 0
         self._current_interval_s = poll_interval_s
         self.is_polling = False
