--- a/ploverward/control_plane/discovery/test_endpoint_list_poller.py
+++ b/ploverward/control_plane/discovery/test_endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""A long list of the platform is read by zones, all beside each other, and delivered complete or not at all."""
+"""Tests that the platform's list is delivered completely or not at all, and that a long one is read by zone."""
 
 import json
 import urllib.parse
@@ -10,7 +10,7 @@
 
 
 class Platform:
-    """Pages of two rows. Answers wait until they are carried; each takes one round trip."""
+    """A platform with pages of two rows, whose responses are held back until `respond` is called."""
 
     def __init__(self, *, sizes):
         self.rows = {zone: [f"{zone}{number}" for number in range(size)] for zone, size in sizes.items()}
@@ -18,13 +18,13 @@
         self.calls = []
         self.failing = None
 
-    def get(self, *, url, limit_s, done):
+    def get(self, *, url, timeout_s, done):
         query = dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(url).query))
         self.calls.append(query)
         self.waiting.append((query, done))
 
-    def carry(self):
-        """One round trip for all calls that wait."""
+    def respond(self):
+        """Responds to all waiting requests, which takes one round trip."""
         waiting, self.waiting = self.waiting, []
         for query, done in waiting:
             zone = query.get("zone")
@@ -57,8 +57,8 @@
     poller = endpoint_list_poller.EndpointListPoller(
         loop=loop,
         address="x:1",
-        gap_s=0.5,
-        limit_s=1.0,
+        poll_interval_s=0.5,
+        timeout_s=1.0,
         on_list=lambda rows, at: lists.append(sorted(row["id"] for row in rows)),
         zones=ZONES,
         connection=platform,
@@ -68,40 +68,40 @@
 
 
 def round_trips(platform, lists):
-    """How many round trips until the list is delivered."""
+    """Returns the number of round trips until the list is delivered."""
     count, before = 0, len(lists)
     while len(lists) == before:
-        platform.carry()
+        platform.respond()
         count += 1
         assert count < 100
     return count
 
 
-def test_a_short_list_is_read_page_by_page_without_zones():
+def test_short_list_is_read_page_by_page_without_zones():
     _poller, platform, _loop, lists = make(za=4, zb=4)
     assert round_trips(platform, lists) == 4
     assert lists == [sorted(platform.rows["za"] + platform.rows["zb"])]
     assert all("zone" not in query for query in platform.calls)
 
 
-def test_a_long_list_is_read_by_zones_from_the_first_reading_on():
+def test_long_list_is_read_by_zone_from_first_reading():
     _poller, platform, loop, lists = make(za=30, zb=20)
     first = round_trips(platform, lists)
     assert lists == [sorted(platform.rows["za"] + platform.rows["zb"])]
-    assert first < 25  # one after the other would take so many
+    assert first < 25  # round trips that reading page by page would take
     calls = len(platform.calls)
     loop.later.pop()[1]()
-    assert round_trips(platform, lists) == 15 and lists[1] == lists[0]  # the longest zone decides
+    assert round_trips(platform, lists) == 15 and lists[1] == lists[0]  # as many as the longest zone has pages
     assert len(platform.calls) - calls == 25 and all("zone" in query for query in platform.calls[calls:])
 
 
-def test_with_a_page_of_a_zone_missing_nothing_is_published_and_late_answers_change_nothing():
+def test_list_with_missing_zone_page_is_not_delivered_despite_late_answers():
     _poller, platform, loop, lists = make(za=30, zb=20)
     round_trips(platform, lists)
     platform.failing = {"zone": "zb", "page": "4"}
     loop.later.pop()[1]()
     for _ in range(40):
-        platform.carry()
+        platform.respond()
     assert len(lists) == 1 and not platform.waiting and loop.later[-1][0] > 0.5
     platform.failing = None
     loop.later.pop()[1]()
@@ -109,7 +109,7 @@
     assert lists[1] == lists[0]
 
 
-def test_a_list_that_became_short_is_read_without_zones_again():
+def test_list_that_became_short_is_read_without_zones():
     _poller, platform, loop, lists = make(za=30, zb=20)
     round_trips(platform, lists)
     platform.rows = {"za": ["za0"], "zb": ["zb0"]}
@@ -119,21 +119,21 @@
     assert lists[-1] == ["za0", "zb0"] and "zone" not in platform.calls[-1]
 
 
-def test_a_stopped_poller_delivers_nothing_of_a_reading_in_progress():
+def test_stopped_poller_discards_reading_in_progress():
     poller, platform, _loop, lists = make(za=30, zb=20)
-    platform.carry()
+    platform.respond()
     poller.stop()
     for _ in range(40):
-        platform.carry()
+        platform.respond()
     assert lists == [] and not platform.waiting
 
 
-def test_the_list_is_read_page_by_page_and_published_completely_or_not_at_all():
+def test_paged_list_is_delivered_completely_or_not_at_all():
     def row(name):
         return {"id": name, "destination": "d", "address": "1.1.1.1:1", "zone": "z", "condition": "accepting"}
 
     pages = {"": (["a", "b"], "p-2"), "p-2": (["c"], "p-3"), "p-3": (["d"], None)}
-    sent, later, asked = [], [], []
+    sent, later, requested_tokens = [], [], []
 
     class Loop:
         def now(self):
@@ -145,9 +145,9 @@
     class Connection:
         failing = None
 
-        def get(self, *, url, limit_s, done):
+        def get(self, *, url, timeout_s, done):
             token = url.partition("?page=")[2]
-            asked.append(token)
+            requested_tokens.append(token)
             names, following = pages[token]
             status = 429 if token == self.failing else 200
             body = json.dumps({"replicas": [row(name) for name in names], "nextPage": following}).encode()
@@ -157,18 +157,18 @@
     poller = endpoint_list_poller.EndpointListPoller(
         loop=Loop(),
         address="x:1",
-        gap_s=0.5,
-        limit_s=1.0,
+        poll_interval_s=0.5,
+        timeout_s=1.0,
         on_list=lambda rows, at: sent.append([one["id"] for one in rows]),
         connection=connection,
     )
     poller.start()
-    assert sent == [["a", "b", "c", "d"]] and asked == ["", "p-2", "p-3"]
+    assert sent == [["a", "b", "c", "d"]] and requested_tokens == ["", "p-2", "p-3"]
     connection.failing = "p-2"
     later.pop()[1]()
-    assert len(sent) == 1  # a list with a page missing is not delivered
-    assert later[-1][0] > 0.5  # and the next reading waits longer
+    assert len(sent) == 1  # a list with a missing page is not delivered
+    assert later[-1][0] > 0.5  # the next reading is delayed longer
     poller.stop()
-    count = len(asked)
+    count = len(requested_tokens)
     later.pop()[1]()
-    assert len(asked) == count
+    assert len(requested_tokens) == count
