--- a/ploverward/command_line/__init__.py
+++ b/ploverward/command_line/__init__.py
@@ -1,4 +1,5 @@
-"""The command line: a module a verb, found by `main`; its operators' verbs call core nodes by `core_client`.
+"""Command line of ploverward, in which `main` maps each verb to a module of this package.
 
-A verb's module has `command(verb, arguments)`, which reads the flags of `options` and returns an `ExitCode`.
+A verb's module defines `command(verb, arguments)`, which reads its flags from `options` and returns an `ExitCode`.
+Operators' verbs call the core nodes through `core_client`.
 """
--- a/ploverward/command_line/core_client.py
+++ b/ploverward/command_line/core_client.py
@@ -1,4 +1,4 @@
-"""Calls of operators' tools to the published interfaces of the core nodes, by pycurl."""
+"""HTTP client, based on pycurl, by which operators' tools call the published interfaces of the core nodes."""
 
 import io
 import json
@@ -11,20 +11,20 @@
 from ploverward.common import errors
 from ploverward.common import settings as settings_files
 
-RETRY_STATUSES = (307, 408, 429)  # besides 5xx; 307 is seen only where nodes redirect to each other without end
-CALL_TIMEOUT_S = 5.0  # above the second within which a core node answers or gives up
+RETRY_STATUSES = (307, 408, 429)  # besides 5xx; 307 is left only if nodes redirect to each other in a loop
+CALL_TIMEOUT_S = 5.0  # longer than the 1 s within which a core node answers or gives up
 MAX_REDIRECTS = 3
 
-Response = tuple[int, Any]  # HTTP status; the body as JSON says it, None where it is none
-UnreachableNodes = dict[str, str]  # why a node could not be reached, by its address
+Response = tuple[int, Any]  # HTTP status; the parsed JSON body, or None if it is no JSON
+UnreachableNodes = dict[str, str]  # reason by node address
 
 
 class CoreClient:
-    """Calls the given core nodes.
+    """Client for a list of core nodes.
 
     Args:
-        addresses: ADDRESS:PORT of each.
-        limit_s: Seconds for one call.
+        addresses: ADDRESS:PORT of each node.
+        limit_s: Timeout of one call in seconds.
 
     Raises:
         InvalidArgumentError: No address is given.
@@ -41,10 +41,10 @@
     def call_node(
         self, *, address: str, method: str, path: str, data: bytes = b"", max_redirects: int = MAX_REDIRECTS
     ) -> Response:
-        """Calls one node, and those that it redirects to.
+        """Calls one node and follows its redirects to other nodes.
 
         Raises:
-            CoreUnreachableError: A connection failed, or there was no answer in time.
+            CoreUnreachableError: A connection failed, or no response came in time.
         """
         url = f"http://{address}{path}"
         status, text = 0, b""
@@ -80,10 +80,12 @@
             curl.close()
 
     def call_any(self, *, method: str, path: str, data: bytes = b"") -> Response:
-        """Returns the answer of the first node that gives a clear one.
+        """Calls the nodes in turn and returns the first conclusive response.
+
+        A 5xx status or one of `RETRY_STATUSES` is inconclusive: the next node is called.
 
         Raises:
-            CoreUnreachableError: None does; says why the last one did not.
+            CoreUnreachableError: No node gave a conclusive response; holds the reason of the last node.
         """
         last: errors.CoreUnreachableError | None = None
         for address in self.addresses:
@@ -99,7 +101,7 @@
         raise last
 
     def read_all(self, *, path: str) -> tuple[dict[str, Response], UnreachableNodes]:
-        """Reads a path from each node; returns the answers by address, and which nodes could not be reached."""
+        """Reads a path from each node; returns the responses by address, and the nodes that could not be reached."""
         responses: dict[str, Response] = {}
         unreachable: UnreachableNodes = {}
         for address in self.addresses:
@@ -111,7 +113,7 @@
 
 
 def connect() -> CoreClient:
-    """Returns a client for the core nodes of `--core`, else for the seeds of the settings file.
+    """Returns a client for the core nodes of `--core`, or else for the seed nodes of the settings file.
 
     Raises:
         SettingsError: The settings file, or an address, is missing or malformed.
@@ -125,15 +127,16 @@
 def read_from_all(
     *, core_client: CoreClient, path: str, step: str
 ) -> tuple[dict[str, dict[str, Any]], UnreachableNodes]:
-    """Reads a path at each core node.
+    """Reads a path from each core node, of which at least one must answer.
 
     Args:
         core_client: Calls the core nodes.
-        path: What is read.
-        step: The verb, for the error.
+        path: Path to read.
+        step: The verb, for the error message.
 
     Returns:
-        The body of each node that answered with 200, by its address; and why the others did not answer.
+        The body of each response with status 200 by node address, and the nodes that could not be reached. A node
+        that answers with another status is in neither.
 
     Raises:
         InsufficientDataError: No node answered with 200.
--- a/ploverward/command_line/core_set.py
+++ b/ploverward/command_line/core_set.py
@@ -1,4 +1,4 @@
-"""`ploverward core-set`: who votes, who learns, how far each node is, what may be lost (docs/core-set.md)."""
+"""`ploverward core-set`: prints voters, learners, register versions and tolerable losses (docs/core-set.md)."""
 
 import enum
 from typing import Any
@@ -10,16 +10,16 @@
 
 PATH = "/ploverward/core-set"
 
-Body = dict[str, Any]  # what one core node answers
-Responses = dict[str, Body]  # by the node's address
+Body = dict[str, Any]  # response of one core node
+Responses = dict[str, Body]  # by node address
 
 
 class NonVotingReason(enum.Enum):
-    """Why a member does not vote.
+    """Reason why a member does not vote.
 
     Attributes:
-        role: What the node's line says.
-        reason: How the sentence on the fault ends.
+        role: Role that is printed in the node's line.
+        reason: End of the sentence that reports the fault.
     """
 
     LEARNS = ("learns", " yet: it learns")
@@ -41,8 +41,8 @@
     """Prints the core set.
 
     Returns:
-        `SUCCESS` where it tolerates the losses that it should, `FAILURE` where it does not, `INCOMPLETE` where it does
-        and some nodes are out of reach.
+        `FAILURE` if a fault was found, such as fewer tolerable losses than configured; `INCOMPLETE` if none was found
+        but some nodes are unreachable; else `SUCCESS`.
     """
     answers, unreachable = core_client.read_all(path=PATH)
     responses = {address: body for address, (status, body) in answers.items() if status == 200}
@@ -62,12 +62,12 @@
 def query_named_members(
     *, core_client: core_clients.CoreClient, responses: Responses, unreachable: core_clients.UnreachableNodes
 ) -> None:
-    """Asks the members that the answers name as well, at the port of the node that named them.
+    """Queries also the members named in the responses, at the port of the node that named them.
 
     Args:
-        core_client: Its type makes the clients for further nodes.
-        responses: Gets the further answers.
-        unreachable: Gets the further nodes that are out of reach.
+        core_client: Client whose type is used to make the clients for further nodes.
+        responses: Receives the further responses.
+        unreachable: Receives the further nodes that could not be reached.
     """
     queried = set(responses) | set(unreachable)
     for address, body in list(responses.items()):
@@ -82,11 +82,11 @@
 
 
 def find_faults(*, responses: Responses) -> tuple[Body | None, list[str]]:
-    """Compares the answers with what they should say.
+    """Checks the responses for faults of the core set.
 
     Returns:
-        The newest answer of a node in contact with a majority, None where there is no such node; and a sentence on each
-        thing that is not as it should be.
+        The newest response of a node in contact with a majority, or None if there is no such node; and one sentence
+        for each fault.
     """
     with_majority = [body for body in responses.values() if body["has_majority_contact"]]
     if not with_majority:
@@ -110,13 +110,13 @@
 
 
 def _non_voting_reason(body: Body) -> NonVotingReason:
-    """Why a node that answers does not vote: a learner has nothing on its disk."""
+    """Returns why a node does not vote; unlike a node with a failing disk, a learner has no registers on its disk."""
     has_registers = any(row["on_disk"] for row in body["registers"].values())
     return NonVotingReason.DISK if has_registers else NonVotingReason.LEARNS
 
 
 def format_table(*, responses: Responses, unreachable: core_clients.UnreachableNodes, newest: Body | None) -> list[str]:
-    """Returns lines for people: the set, then a line for each node."""
+    """Returns lines for people: the core set, then one line per node."""
     lines = []
     members = () if newest is None else newest["members"]
     if newest is not None:
--- a/ploverward/command_line/custody.py
+++ b/ploverward/command_line/custody.py
@@ -1,4 +1,4 @@
-"""`ploverward custody`: which nodes had a request's text and cache; the audit of all trails (docs/residency.md)."""
+"""`ploverward custody`: prints which nodes held a request's text and cache, or audits all (docs/residency.md)."""
 
 import urllib.parse
 from typing import Any
@@ -13,21 +13,21 @@
 
 PATH = "/ploverward/custody"
 
-Trail = dict[str, Any]  # one request's trail, as a core node answers it
-Cursors = dict[str, int]  # up to where each core node's trails were read, by its address
+Trail = dict[str, Any]  # trail of one request, as a core node returns it
+Cursors = dict[str, int]  # position up to which each core node's trails were read, by its address
 
 
 class CollectedTrails(NamedTuple):
-    """The trails of all core nodes in reach."""
+    """Trails of all reachable core nodes."""
 
     trails: list[Trail]
-    coverage: list[dict[str, Any]]  # a row for each incarnation of a proxy: whether its trails are complete
+    coverage: list[dict[str, Any]]  # one row per incarnation of a proxy: whether its trails are complete
     unreachable: core_clients.UnreachableNodes
     zones: dict[str, str]  # region by zone
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Shows one request's trail, or audits all of them."""
+    """Prints the trail of one request, or audits all trails."""
     as_json = options.FLAGS.json
     if options.FLAGS.audit:
         if arguments:
@@ -42,7 +42,7 @@
     """Prints the trail of one request.
 
     Returns:
-        `FAILURE` where no trail is found, `INCOMPLETE` where some nodes are out of reach, else `SUCCESS`.
+        `FAILURE` if no trail is found, `INCOMPLETE` if some nodes are unreachable, else `SUCCESS`.
     """
     responses, unreachable = core_client.read_all(path=f"{PATH}/" + urllib.parse.quote(request_id, safe=""))
     bodies = [body for _address, (status, body) in sorted(responses.items()) if status == 200 and body]
@@ -65,11 +65,11 @@
 
 
 def format_trail(*, trail: Trail, kept_known: bool) -> list[str]:
-    """Returns lines for people: the request, its attempts, and who keeps parts of it.
+    """Returns lines for people: the request, its attempts, and the replicas that keep parts of it.
 
     Args:
         trail: The request's trail.
-        kept_known: Whether all nodes said which replicas keep parts of it.
+        kept_known: Whether all nodes reported which replicas keep parts of it.
     """
     homes = ", ".join(trail["homes"]) or "any region"
     lines = [
@@ -96,8 +96,9 @@
     """Reads the trails of all core nodes.
 
     Args:
-        core_client: Calls them.
-        cursors: Where to read on; moved forward, so that the next call gets later trails alone. None: all trails.
+        core_client: Calls the core nodes.
+        cursors: Positions to read from, which are advanced so that the next call returns only later trails. None: reads
+            all trails.
     """
     cursors = {} if cursors is None else cursors
     found = CollectedTrails(trails=[], coverage=[], unreachable={}, zones={})
@@ -130,7 +131,8 @@
     """Checks all trails against the permitted regions.
 
     Returns:
-        `FAILURE` where a node outside held something, `INCOMPLETE` where not all trails could be read, else `SUCCESS`.
+        `FAILURE` if a node outside the permitted regions held a request; `INCOMPLETE` if trails are missing or there
+        are none; else `SUCCESS`.
     """
     collected = collect(core_client=core_client)
     found = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
--- a/ploverward/command_line/drill.py
+++ b/ploverward/command_line/drill.py
@@ -1,6 +1,6 @@
-"""`ploverward drill`: takes a zone out, watches the promises, takes it back (docs/drill.md).
+"""`ploverward drill`: evacuates a zone, checks the promises meanwhile, and restores the zone (docs/drill.md).
 
-Once the zone was ordered out it is ordered back whatever happens, also on SIGINT and SIGTERM.
+Once the evacuation has been ordered, the zone is ordered back in any case, also on SIGINT and SIGTERM.
 """
 
 import enum
@@ -18,14 +18,14 @@
 from ploverward.common import errors
 
 POLL_INTERVAL_S = 0.5
-RETRIES_PER_RECEIPT_BOUND = 10  # an order is sent again at least so often within receiptMs
-MAX_CLOCK_SKEW_S = 1.0  # by how much the nodes' times of day may differ
-ENDS_WITHOUT_EXECUTION = ("not sent", "421")  # ends of attempts that no replica ran
+RETRIES_PER_RECEIPT_BOUND = 10  # an order is sent again at least this often within receiptMs
+MAX_CLOCK_SKEW_S = 1.0  # maximum difference between the nodes' times of day
+ENDS_WITHOUT_EXECUTION = ("not sent", "421")  # ends of attempts that no replica executed
 INTERRUPTION_NOTE = "interrupted"
 
 
 class Verdict(enum.StrEnum):
-    """What was seen of a promise."""
+    """Result of checking a promise."""
 
     KEPT = "kept"
     BROKEN = "broken"
@@ -33,7 +33,7 @@
 
 
 class Promise(enum.StrEnum):
-    """What a drill watches."""
+    """Promises that a drill checks."""
 
     EVACUATED = "evacuation acknowledged in time"
     EMPTY = "nothing new is sent to the zone"
@@ -43,27 +43,27 @@
 
 
 class DrillInterruptedError(errors.PloverwardError):
-    """The operator ended the drill; raised by the signal handlers, and ends the watch at once."""
+    """The operator interrupted the drill; raised by the signal handlers to end the watch at once."""
 
 
 class Drill:
-    """One drill. It sees the system by `call` and `trails` alone, and time by `clock` and `pause`.
+    """Drill of one zone, with access to the system only by `call` and `trails`, and to time by `clock` and `pause`.
 
     Args:
-        zone: The zone.
+        zone: The zone to evacuate.
         call: Calls the core.
-        trails: Returns the custody trails that came since its last call.
-        clock: Time of day in seconds, as trails have it.
-        pause: Waits for so many seconds.
-        watch_s: Seconds that the zone stays out once it is empty.
-        receipt_s: The bound receiptMs, in seconds: an order is acknowledged within it.
-        evacuate_s: The bound evacuateMs, in seconds: nothing new is sent to the zone after it.
-        max_clock_skew_s: Seconds by which the nodes' times of day may differ.
-        out: Gets each line.
+        trails: Returns the custody trails that arrived since the previous call.
+        clock: Returns the time of day in seconds, as used in trails.
+        pause: Waits for a number of seconds.
+        watch_s: Seconds for which the zone stays out after `evacuate_s`.
+        receipt_s: The bound receiptMs in seconds: an order must be acknowledged within it.
+        evacuate_s: The bound evacuateMs in seconds: nothing new may be sent to the zone after it.
+        max_clock_skew_s: Maximum difference between the nodes' times of day, in seconds.
+        out: Receives each line.
 
     Attributes:
-        promises: The verdict on each promise.
-        notes: What was seen of broken promises, and how long orders took.
+        promises: Verdict on each promise.
+        notes: Details of broken promises, and how long orders took.
     """
 
     def __init__(
@@ -93,16 +93,16 @@
         self.promises = dict.fromkeys(Promise, Verdict.NOT_SEEN)
         self.notes: list[str] = []
         self._zones: dict[str, str] = {}  # region by zone
-        self._refused_requests = 0  # requests that got a 5xx before any was served
+        self._refused_requests = 0  # requests answered with 5xx before any was served
 
     def run(self) -> int:
         """Runs the drill and prints its report.
 
         Returns:
-            `NOT_RESTORED`, `INTERRUPTED`, `FAILURE` or `SUCCESS`, the first that holds.
+            The first that applies of `NOT_RESTORED`, `INTERRUPTED`, `FAILURE` and `SUCCESS`.
 
         Raises:
-            DrillRefusedError: The zone can't be taken out; nothing was done.
+            DrillRefusedError: The zone can't be evacuated; nothing was done.
         """
         self._zones = drill_check.check(zone=self.zone, call=self.call)
         was_restored = False
@@ -123,7 +123,7 @@
         return exit_codes.ExitCode.FAILURE if is_broken else exit_codes.ExitCode.SUCCESS
 
     def result(self) -> dict[str, Any]:
-        """Returns the report for programs."""
+        """Returns the report as a JSON object, for programs."""
         return {"zone": self.zone, "promises": self.promises, "notes": self.notes}
 
     def _report(self) -> None:
@@ -133,14 +133,18 @@
             self.out(f"           {note}")
 
     def _record_verdict(self, promise: Promise, verdict: Verdict, note: str = "") -> None:
-        """Notes a verdict; a promise that was broken once stays broken."""
+        """Records a verdict; a promise that was broken once stays broken."""
         if self.promises[promise] is not Verdict.BROKEN:
             self.promises[promise] = verdict
         if note:
             self.notes.append(f"{promise}: {note}")
 
     def _send_order(self, method: str) -> tuple[bool, float]:
-        """Sends an order until it is acknowledged or late; returns whether it was in time, and the seconds it took."""
+        """Sends an order until it is acknowledged or late.
+
+        Returns:
+            Whether it was acknowledged in time, and the seconds that it took.
+        """
         started_at = self.clock()
         while True:
             try:
@@ -225,7 +229,7 @@
     signal.signal(signal.SIGINT, _interrupt)
     signal.signal(signal.SIGTERM, _interrupt)
     cursors: custody.Cursors = {}
-    custody.collect(core_client=core_client, cursors=cursors)  # what came before the drill does not count
+    custody.collect(core_client=core_client, cursors=cursors)  # skips the trails recorded before the drill
     suppressed_lines: list[str] = []
     drill = Drill(
         zone=arguments[0],
--- a/ploverward/command_line/evacuate.py
+++ b/ploverward/command_line/evacuate.py
@@ -10,7 +10,7 @@
 
 
 def command(verb: str, arguments: list[str]) -> int:
-    """Orders it, and says whether the core took the order."""
+    """Sends the order to the core and prints whether it was accepted."""
     if len(arguments) != 1:
         raise exit_codes.UsageError
     zone = arguments[0]
--- a/ploverward/command_line/keep.py
+++ b/ploverward/command_line/keep.py
@@ -1,4 +1,4 @@
-"""`ploverward keep`: the configuration in force, kept in a Git repository by dulwich (docs/operations.md)."""
+"""`ploverward keep`: keeps the active configuration in a Git repository, by dulwich (docs/operations.md)."""
 
 import json
 import os
@@ -16,11 +16,11 @@
 FILE_NAME = "configuration.json"
 AUTHOR = b"ploverward <ploverward@localhost>"
 
-Body = dict[str, Any]  # a configuration as operators send it
+Body = dict[str, Any]  # a configuration in the form that operators send
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Keeps the configuration in force in a folder, or prints the one of an edition that is kept there."""
+    """Commits the active configuration to a folder, or prints an edition that is kept there."""
     match arguments:
         case [folder]:
             return _commit_current(folder)
@@ -45,7 +45,7 @@
 
 
 def with_key_digests(body: Body) -> Body:
-    """Returns the configuration with a digest in place of each key of a tenant."""
+    """Returns the configuration with each tenant key replaced by its digest."""
     if not body.get("senders"):
         return body
     tenant_rows = [
@@ -56,13 +56,13 @@
 
 
 class ConfigurationRepository:
-    """A folder with one commit for each edition that was kept; editions only rise.
+    """Git repository with one commit per kept edition; editions only increase.
 
     Args:
-        folder: Is made a repository where it is none.
+        folder: Path of the repository, which is created if it does not exist.
 
     Attributes:
-        folder: As given.
+        folder: Path of the repository.
     """
 
     def __init__(self, *, folder: str) -> None:
@@ -78,17 +78,17 @@
         self._repo.close()
 
     def log(self) -> list[tuple[int, str]]:
-        """Returns (edition, commit id) of all that is kept, newest first."""
+        """Returns edition and id of each commit, newest first."""
         return [(self._body_at(commit)["edition"], commit.id.decode()) for commit in self._commits()]
 
     def keep(self, *, body: Body) -> str | None:
-        """Commits a configuration; keys of tenants are kept as digests.
+        """Commits a configuration, with tenant keys replaced by digests.
 
         Returns:
-            The new commit's id, None where the newest one holds the same.
+            The id of the new commit, or None if the newest commit holds the same configuration.
 
         Raises:
-            KeptEditionError: The newest one kept is another one and has this edition or a higher one.
+            KeptEditionError: The newest commit holds another configuration with this edition or a higher one.
         """
         body = with_key_digests(body)
         commits = self._commits()
@@ -116,7 +116,7 @@
         """Returns the configuration of an edition.
 
         Raises:
-            KeptEditionError: It is not kept here.
+            KeptEditionError: The repository does not hold this edition.
         """
         for commit in self._commits():
             body = self._body_at(commit)
@@ -131,6 +131,6 @@
             return []  # a repository without commits has no HEAD
 
     def _body_at(self, commit: Any) -> Body:  # noqa: ANN401  # dulwich's commit
-        objects: Any = self._repo  # their types depend on the repository's content
+        objects: Any = self._repo  # the types of its objects depend on the repository's content
         _mode, sha = objects[commit.tree][FILE_NAME.encode()]
         return json.loads(objects[sha].data)
--- a/ploverward/command_line/main.py
+++ b/ploverward/command_line/main.py
@@ -1,7 +1,7 @@
-"""ploverward: serves a language model across regions. One command line for nodes and operators.
+"""Entry point of the command line, for nodes and operators.
 
-Finds the verb's module and maps errors to exit codes. Modules of verbs are loaded when they are called: a node has to
-start soon, and must not keep the operators' tools in its memory.
+Looks up the verb's module, runs it and maps errors to exit codes. A verb's module is imported only when the verb is
+called: a node has to start quickly and must not keep the operators' tools in memory.
 """
 
 import importlib
@@ -92,7 +92,7 @@
 
 
 def parse_flags(argv: list[str]) -> list[str]:
-    """Parses the flags; returns what else was given. Ends the process where a flag is malformed."""
+    """Parses the flags and returns the other arguments; exits with `USAGE_ERROR` if a flag is malformed."""
     try:
         return options.FLAGS(argv)
     except flags.Error as error:
@@ -102,21 +102,21 @@
 
 def print_help(verb: str) -> int:
     """Prints the help of a verb."""
-    from ploverward.command_line import verb_help  # no node needs it
+    from ploverward.command_line import verb_help  # imported here, as nodes do not need it
 
     print(verb_help.help_text(verb))
     return exit_codes.ExitCode.SUCCESS
 
 
 def start() -> None:
-    """Runs the verb of this process's arguments and ends the process with its exit code."""
+    """Runs the verb given in `sys.argv` and exits with its exit code."""
     verb = sys.argv[1] if len(sys.argv) > 1 else ""
     if verb in MODULES and verb != STAND_IN_VERB and not HELP_FLAGS.isdisjoint(sys.argv[2:]):
         sys.exit(print_help(verb))
     if verb == STAND_IN_VERB:
-        sys.exit(run(sys.argv))  # parses its flags by itself
+        sys.exit(run(sys.argv))  # this verb parses its own flags
     if verb in NODE_VERBS:
-        sys.exit(run(parse_flags(sys.argv)))  # a node starts sooner, and smaller, without `absl.app`
+        sys.exit(run(parse_flags(sys.argv)))  # without `absl.app`, a node starts faster and uses less memory
     from absl import app
 
     app.run(run, flags_parser=parse_flags)
--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -1,4 +1,4 @@
-"""`ploverward core`, `ploverward proxy` and `ploverward store`: run a node until it is ended by SIGTERM."""
+"""`ploverward core`, `ploverward proxy` and `ploverward store`: run a node until it receives SIGTERM."""
 
 import dataclasses
 import gc
@@ -15,8 +15,8 @@
 _log = logging.getLogger(__name__)
 
 ROLES = ("core", "proxy", "store")
-# Of gc.set_threshold: objects, then collections of the younger generation. Most of what a node makes ends without the
-# cyclic collector, so it runs less often than by default (700, 10, 10).
+# Arguments of gc.set_threshold: net allocations, then collections of the next younger generation. Most objects of a node
+# are freed by reference counting, so the cyclic collector runs less often than by default (700, 10, 10).
 COLLECTOR_THRESHOLDS = (10000, 20, 20)
 
 
@@ -46,7 +46,7 @@
     loop: event_loop.Loop
 
     def run(self) -> int:
-        """Serves until SIGTERM, and returns the status of the process."""
+        """Serves until SIGTERM and returns the exit status of the process."""
 
 
 def _run(node: _Node) -> int:
@@ -57,7 +57,7 @@
 
 
 def _log_work(loop: event_loop.Loop, interval_s: float) -> None:
-    """Has a loop count its work, and logs the counts of each interval."""
+    """Counts the work of an event loop and logs the counts of each interval."""
     work = loop.work = work_counter.WorkCounter()
 
     def log() -> None:
@@ -68,6 +68,9 @@
 
 
 def _tune_collector() -> None:
-    """Exempts what a node starts with: it lives as long as the node."""
+    """Raises the thresholds of the cyclic collector and exempts the objects made at start.
+
+    Those live as long as the node, so scanning them again would find nothing to free.
+    """
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
--- a/ploverward/command_line/nodes.py
+++ b/ploverward/command_line/nodes.py
@@ -1,4 +1,4 @@
-"""`ploverward nodes`: the nodes that each core node is connected to."""
+"""`ploverward nodes`: prints the nodes that are connected to each core node."""
 
 from ploverward.command_line import core_client as core_clients
 from ploverward.command_line import exit_codes
@@ -6,7 +6,7 @@
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Prints each core node's answer as JSON, for people too."""
+    """Prints the response of each core node, as JSON even without `--json`."""
     if arguments:
         raise exit_codes.UsageError
     answers, unreachable = core_clients.connect().read_all(path="/ploverward/nodes")
--- a/ploverward/command_line/options.py
+++ b/ploverward/command_line/options.py
@@ -1,7 +1,7 @@
-"""The flags of all verbs.
+"""Flags of all verbs.
 
-They stand in one module and not with their verbs, as a process knows its verb only after all flags are parsed, and a
-node's start must not load the modules of operators' verbs to define their flags.
+They are defined here rather than in the modules of their verbs: a process knows its verb only after all flags are
+parsed, and a starting node must not load the modules of operators' verbs to define their flags.
 """
 
 from absl import flags
--- a/ploverward/command_line/output.py
+++ b/ploverward/command_line/output.py
@@ -1,4 +1,4 @@
-"""How verbs print: lines for people, JSON for programs, errors as one line on standard error."""
+"""Output of the verbs: lines for people, JSON for programs, errors as one line on standard error."""
 
 import json
 import sys
@@ -11,7 +11,7 @@
 
 PROGRAM = "ploverward"
 
-LineWriter = Callable[[str], object]  # `print`, or what gathers lines in a test
+LineWriter = Callable[[str], object]  # `print`, or a collector of lines in a test
 
 
 def print_lines(lines: Iterable[str], *, out: LineWriter) -> None:
@@ -20,13 +20,13 @@
         out(line)
 
 
-def print_json(value: Any, *, out: LineWriter, sort_keys: bool = False) -> None:  # noqa: ANN401  # whatever JSON can say
-    """Prints a value for programs."""
+def print_json(value: Any, *, out: LineWriter, sort_keys: bool = False) -> None:  # noqa: ANN401  # any JSON value
+    """Prints a value as JSON, for programs."""
     out(json.dumps(value, indent=2, sort_keys=sort_keys))
 
 
 def print_error(error: errors.PloverwardError | str) -> None:
-    """Prints why nothing was done."""
+    """Prints an error as one line on standard error."""
     print(f"{PROGRAM}: {error}", file=sys.stderr)
 
 
@@ -34,7 +34,7 @@
     """Returns a line for each node that could not be reached.
 
     Args:
-        unreachable: Why, by the node's address.
-        template: The line, with `{address}` and `{why}`.
+        unreachable: Reason by node address.
+        template: Format of the line, with the fields `{address}` and `{why}`.
     """
     return [template.format(address=address, why=why) for address, why in sorted(unreachable.items())]
--- a/ploverward/command_line/pin_report.py
+++ b/ploverward/command_line/pin_report.py
@@ -1,4 +1,4 @@
-"""The report of `ploverward pins`: the suggestion, and the evidence that it rests on (docs/pins.md 6)."""
+"""Builds the report of `ploverward pins`: the suggested pins and the evidence for them (docs/pins.md 6)."""
 
 import collections
 import dataclasses
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Filter:
-    """What the operator wants to see; empty: everything.
+    """Selection of rows of the report; an empty field selects all.
 
     Attributes:
-        service: Only this service.
+        service: Only rows of this service.
         model: Only evidence of this model.
         zone: Only replicas of this zone.
         replica: Only this replica.
@@ -32,7 +32,7 @@
     replica: str = ""
 
     def check(self, *, known: Mapping[str, Collection[str]]) -> None:
-        """Checks that each name is known: an empty table would say that there is nothing to pin.
+        """Checks that each name is known: for an unknown one, an empty table would suggest that nothing has to be pinned.
 
         Raises:
             InvalidArgumentError: A name is unknown.
@@ -45,17 +45,17 @@
 
 
 def build_report(*, usage: Json, routes: Json, capacity: int, previous: Json, row_filter: Filter) -> Json:
-    """Makes the report.
+    """Builds the report.
 
     Args:
-        usage: What the core nodes know, as `pins.collect` returns it.
-        routes: As `pins.read_routes` returns them.
-        capacity: Pins a replica; 0: as many as one is seen to hold.
-        previous: An earlier suggestion, which the new one changes no more than it must.
-        row_filter: What to report; the suggestion is made for all replicas all the same.
+        usage: Adapter counts of the core nodes, as `pins.collect` returns them.
+        routes: Routes, as `pins.read_routes` returns them.
+        capacity: Adapters that a replica can keep pinned; 0: the most that a replica of its service is seen to hold.
+        previous: Earlier suggestion, from which the new one differs only as far as necessary.
+        row_filter: Rows to report; the suggestion is computed for all replicas regardless.
 
     Raises:
-        InvalidArgumentError: The filter names something unknown.
+        InvalidArgumentError: The filter has an unknown name.
     """
     replicas = [
         {**row, "adapters": None if row["adapters"] is None else [tuple(pair) for pair in row["adapters"]]}
@@ -93,7 +93,10 @@
 
 
 def pin_capacities(*, replicas: Iterable[Json], given: int) -> dict[str, int]:
-    """Returns the pins a replica by service: as given, else the most that any replica of it is seen to hold at once."""
+    """Returns the pins per replica, by service.
+
+    The number is `given`, or if that is 0, the most adapters that any replica of the service is seen to hold at once.
+    """
     found: collections.Counter[str] = collections.Counter()
     for row in replicas:
         found[row["service"]] = max(found[row["service"]], given or len(row["adapters"] or ()))
@@ -117,7 +120,7 @@
 
 
 def _cold_arrivals_by_proxy(windows: list[Json]) -> list[Json]:
-    """Returns which adapters arrive cold as each proxy sees it, most first: where the work lands."""
+    """Returns the cold arrivals of each adapter as counted by each proxy, most first; shows where they occur."""
     table: dict[tuple, list[int]] = collections.defaultdict(lambda: [0, 0])  # cold, arrivals
     for window in windows:
         for key, counts in count_table.rows_of(window):
--- a/ploverward/command_line/pin_table.py
+++ b/ploverward/command_line/pin_table.py
@@ -1,4 +1,4 @@
-"""The report of `ploverward pins` as lines for people (docs/pins.md 6)."""
+"""Formats the report of `ploverward pins` as lines for people (docs/pins.md 6)."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def format_report(*, results: Json) -> list[str]:
-    """Returns the lines of a report that `pin_report.build_report` made."""
+    """Returns the lines of a report from `pin_report.build_report`."""
     lines = []
     if not results["evidence"]:
         lines.append("no adapters seen: nothing to pin")
--- a/ploverward/command_line/pins.py
+++ b/ploverward/command_line/pins.py
@@ -1,6 +1,6 @@
 """`ploverward pins`: which adapters keep arriving cold, and which each replica should keep pinned (docs/pins.md).
 
-Reads what the core nodes counted; `pin_report` makes the report of it, `pin_table` prints that for people.
+Reads the adapter counts of the core nodes; `pin_report` builds the report, and `pin_table` formats it for people.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Prints the suggestion for the replicas that the flags name."""
+    """Prints the suggestion for the replicas that the flags select."""
     if arguments:
         raise exit_codes.UsageError
     flags = options.FLAGS
@@ -43,22 +43,23 @@
     previous: str = "",
     row_filter: Filter | None = None,
 ) -> int:
-    """Prints which adapters to pin.
+    """Prints which adapters each replica should keep pinned.
 
     Args:
         core_client: Calls the core nodes.
-        as_json: Whether to print for programs.
-        out: Gets what is printed.
-        capacity: Pins a replica; 0: as many as one is seen to hold.
-        previous: The path of an earlier output for programs, which the suggestion changes no more than it must.
-        row_filter: What to print.
+        as_json: Whether to print JSON instead of lines for people.
+        out: Receives the output.
+        capacity: Adapters that a replica can keep pinned; 0: the most that a replica of its service is seen to hold.
+        previous: Path of an earlier JSON output; the suggestion differs from it only as far as necessary.
+        row_filter: Rows to print; None: all.
 
     Returns:
-        `INCOMPLETE` where a core node is out of reach, else `SUCCESS`.
+        `INCOMPLETE` if a core node is unreachable, else `SUCCESS`.
 
     Raises:
-        InvalidArgumentError: The capacity, the previous output or the filter.
-        InsufficientDataError: No core node is in reach, or the configuration can't be read.
+        InvalidArgumentError: The capacity is negative, the previous output is malformed, or the filter has an unknown
+            name.
+        InsufficientDataError: No core node is reachable, or the configuration can't be read.
     """
     if capacity < 0:
         raise errors.InvalidArgumentError("--capacity must not be below 0", step="pins")
@@ -78,10 +79,10 @@
 
 
 def collect(*, core_client: core_clients.CoreClient) -> Json:
-    """Reads all that the core nodes in reach know, each window of an incarnation once.
+    """Reads the adapter counts of all reachable core nodes; a window of an incarnation that several report counts once.
 
     Raises:
-        InsufficientDataError: No core node is in reach.
+        InsufficientDataError: No core node is reachable.
     """
     results, unreachable = core_client.read_all(path="/ploverward/adapters")
     bodies = []
@@ -110,7 +111,7 @@
 
 
 def read_routes(*, core_client: core_clients.CoreClient) -> Json:
-    """Returns homes, urgency and latency target (ms) of each route, by its name.
+    """Returns home regions, urgency and latency target (ms) of each route, by route name.
 
     Raises:
         InsufficientDataError: The configuration can't be read.
@@ -134,10 +135,10 @@
 
 
 def read_previous(*, path: str) -> Json:
-    """Reads the suggestion of an earlier output; an empty path gives none.
+    """Reads the suggestion of an earlier JSON output; returns an empty one for an empty path.
 
     Raises:
-        InvalidArgumentError: The file has no such output.
+        InvalidArgumentError: The file can't be read or holds no such output.
     """
     if not path:
         return {}
--- a/ploverward/command_line/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -1,4 +1,4 @@
-"""`ploverward rollout`: start a roll-out, see where it stands and why, watch it to its end (docs/rollouts.md 8)."""
+"""`ploverward rollout`: starts a roll-out, prints its state and evidence, or watches it (docs/rollouts.md 8)."""
 
 import json
 import time
@@ -16,7 +16,7 @@
 WATCH_INTERVAL_S = 1.0
 
 Call = Callable[[str, str, bytes], core_clients.Response]  # method, path, body
-Row = dict[str, Any]  # what the core says of one service's roll-out
+Row = dict[str, Any]  # state of one service's roll-out, as the core returns it
 
 
 def command(_verb: str, arguments: list[str]) -> int:
@@ -45,7 +45,7 @@
     """Orders a roll-out.
 
     Returns:
-        `SUCCESS` where the order is taken, or was before; `FAILURE` where it is refused, with the reason.
+        `SUCCESS` if the order is accepted or was accepted before; `FAILURE` if it is refused, with the reason printed.
     """
     body = json.dumps({"destination": service, "targetEdition": edition, "overS": over_s}).encode()
     answer_status, answer = call("POST", PATH, body)
@@ -57,10 +57,10 @@
 
 
 def read_rollouts(*, call: Call, service: str = "") -> dict[str, Row]:
-    """Returns what the core says of each service's roll-out, or of that of one service.
+    """Returns the state of each service's roll-out, or only of the given service's.
 
     Raises:
-        UnexpectedAnswerError: The core can't be sure.
+        UnexpectedAnswerError: The core answers with another status than 200, as when it is not certain of the state.
     """
     answer_status, answer = call("GET", PATH, b"")
     if answer_status != 200:
@@ -69,7 +69,7 @@
 
 
 def format_rollout(*, service: str, row: Row) -> list[str]:
-    """Returns lines for people: the stage, and the evidence of each step."""
+    """Returns lines for people: the stage of the roll-out and the evidence of each step."""
     if not row["number"]:
         return [f"{service}: no roll-out; versions in service: {', '.join(row['admitted']) or 'all'}"]
     found = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
@@ -94,10 +94,10 @@
 
 
 def status(*, call: Call, service: str, as_json: bool, out: output.LineWriter) -> int:
-    """Prints where each roll-out stands, or that of one service.
+    """Prints the state of each roll-out, or only of the given service's.
 
     Returns:
-        `INCOMPLETE` where nothing is known of the service, else `SUCCESS`.
+        `INCOMPLETE` if nothing is known of the service, or of any service; else `SUCCESS`.
     """
     rows = read_rollouts(call=call, service=service)
     if as_json:
@@ -120,11 +120,11 @@
     clock: Callable[[], float] = time.monotonic,
     limit_s: float | None = None,
 ) -> int:
-    """Prints each change until the roll-out is done.
+    """Prints each change of a roll-out until it has ended.
 
     Returns:
-        `SUCCESS` where it is delivered, `FAILURE` where it was rolled back, `INCOMPLETE` where there is none, or it is
-        not done after `limit_s` seconds.
+        `SUCCESS` if it is delivered, `FAILURE` if it was rolled back, `INCOMPLETE` if there is none or it has not ended
+        after `limit_s` seconds.
     """
     started_at, last = clock(), None
     while limit_s is None or clock() - started_at < limit_s:
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -1,4 +1,4 @@
-"""`ploverward simulate`: plays simulation runs of the control plane and reports broken checks (docs/simulate.md)."""
+"""`ploverward simulate`: runs simulations of the control plane and reports failed checks (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -18,8 +18,8 @@
 from ploverward.simulation.control_plane import shrinking
 
 HASH_SEED = "0"
-MAX_REPORTED_SEEDS = 20  # broken seeds that are printed with their findings
-MAX_SHORTENED_SEEDS = 3  # broken seeds that are shortened; each takes a minute or two
+MAX_REPORTED_SEEDS = 20  # failing seeds that are printed with their findings
+MAX_SHORTENED_SEEDS = 3  # failing seeds that are shortened; each takes a minute or two
 SIMULATED_PATHS = (
     "common",
     "control_plane",
@@ -33,7 +33,7 @@
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Plays what the flags say."""
+    """Runs the simulations, the mutants or the one history that the flags select."""
     if arguments:
         raise exit_codes.UsageError
     flags = options.FLAGS
@@ -66,18 +66,20 @@
 
 
 def ensure_fixed_hash_seed() -> None:
-    """Starts this program anew unless strings hash alike in each process: a seed names one history only then."""
+    """Restarts this program with a fixed hash seed, without which a simulation seed doesn't determine one history."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
-        # `sys.argv` names the file of __main__, which would not find its package; `sys.orig_argv` has `-m ploverward`.
+        # `sys.argv` has the path of __main__.py, which would not find its package; `sys.orig_argv` has `-m ploverward`.
         os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], environment)
 
 
 def parse_fault_kinds(*, text: str, has_tallies: bool = False) -> tuple[str, ...]:
-    """Returns the kinds of faults that are named, by commas; where none is, all, long partitions only with tallies.
+    """Returns the kinds of faults in a comma-separated list; for an empty one, all kinds.
+
+    Long partitions are among all kinds only with tallies.
 
     Raises:
-        InvalidArgumentError: There is no such kind.
+        InvalidArgumentError: A kind is unknown.
     """
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
@@ -94,10 +96,10 @@
 
     Args:
         first: The first seed.
-        seeds: How many.
-        machines: Core machines; 0: drawn by the seed.
+        seeds: Number of seeds.
+        machines: Number of core machines; 0: drawn by the seed.
         tolerated: Machines that may be lost at once; 0: drawn by the seed.
-        troubles: Kinds of faults, by commas; empty: all.
+        troubles: Kinds of faults, separated by commas; empty: all.
         has_tallies: Whether applications use tallies.
     """
     kinds = parse_fault_kinds(text=troubles, has_tallies=has_tallies)
@@ -115,7 +117,7 @@
 
 
 def run(*, plans: list[scenario.Plan], jobs: int, out: output.LineWriter) -> int:
-    """Plays all plans on so many processes; `FAILURE` where a check broke."""
+    """Runs all plans in `jobs` processes and prints the results; returns `FAILURE` if a check failed."""
     started_at = time.monotonic()
     broken = []
     totals: collections.Counter[str] = collections.Counter()
@@ -154,7 +156,7 @@
 
 
 def print_history(*, plan: scenario.Plan, out: output.LineWriter) -> int:
-    """Plays one plan and prints all that happened; `FAILURE` where a check broke."""
+    """Runs one plan and prints its history and findings; returns `FAILURE` if a check failed."""
     report = scenario.run_simulation(dataclasses.replace(plan, keeps_history=True))
     for when, text in report.history:
         out(f"{when:9.3f} {text}")
@@ -165,7 +167,7 @@
 
 
 def run_mutants(*, jobs: int, out: output.LineWriter) -> int:
-    """Plays each mutant until a check finds it; `FAILURE` where one is not found in its stated number of runs."""
+    """Runs each mutant until a check detects it; returns `FAILURE` if one is not detected in its number of runs."""
     missed = 0
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for name, found in zip(mutants.MUTANTS, pool.map(mutants.search, mutants.MUTANTS), strict=True):
--- a/ploverward/command_line/simulate_rollouts.py
+++ b/ploverward/command_line/simulate_rollouts.py
@@ -1,4 +1,4 @@
-"""`ploverward simulate --world rollouts`: plays the simulation of roll-outs (docs/simulate.md)."""
+"""`ploverward simulate --world rollouts`: runs simulations of roll-outs (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -15,8 +15,8 @@
 from ploverward.simulation import rollout_simulation
 from ploverward.simulation import state_digest
 
-MAX_REPORTED_SEEDS = 20  # broken seeds that are printed with their first finding
-MAX_SHORTENED_SEEDS = 3  # broken seeds that are played again without some of their faults
+MAX_REPORTED_SEEDS = 20  # failing seeds that are printed with their first finding
+MAX_SHORTENED_SEEDS = 3  # failing seeds that are run again without some of their faults
 UNSUPPORTED_FLAGS = ("machines", "tolerate", "troubles", "tallies", "state")
 SIMULATED_PATHS = (
     "common",
@@ -34,18 +34,18 @@
 
 
 def _disable_logs() -> None:
-    """The model's nodes log what is faulty on purpose."""
+    """Disables logging, as simulated nodes log faults that are injected on purpose."""
     logging.disable(logging.CRITICAL)
 
 
 def reject_unsupported_flags(given: Collection[str]) -> None:
-    """Refuses flags that this world does not have, rather than ignore them.
+    """Rejects flags that the simulation of roll-outs doesn't support, rather than ignoring them.
 
     Args:
-        given: The names of all flags that the command line sets.
+        given: Names of all flags that are set on the command line.
 
     Raises:
-        InvalidArgumentError: One of them belongs to the other world.
+        InvalidArgumentError: One of them belongs to the simulation of the control plane.
     """
     other = sorted(name for name in UNSUPPORTED_FLAGS if name in given)
     if other:
@@ -54,7 +54,7 @@
 
 
 def print_history(*, seed: int, out: output.LineWriter) -> int:
-    """Plays one run and prints its history; `FAILURE` where a check broke."""
+    """Runs one seed and prints its history; returns `FAILURE` if a check failed."""
     _disable_logs()
     report = rollout_simulation.run_simulation(seed)
     for when, text in report.history:
@@ -67,7 +67,7 @@
 
 
 def run_mutants(*, jobs: int, out: output.LineWriter) -> int:
-    """Plays each mutant until its check finds it; `FAILURE` where one is not found."""
+    """Runs each mutant until its check detects it; returns `FAILURE` if one is not detected."""
     missed = 0
     names = list(rollout_mutants.MUTANTS)
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs), initializer=_disable_logs) as pool:
@@ -80,7 +80,7 @@
 
 
 def _needed_faults(report: rollout_checks.Report) -> tuple[str, ...]:
-    """The faults without which the run does not break its first check; others are left out one by one."""
+    """Returns the faults that the run needs to fail its first check; the others are left out one by one."""
 
     def still_breaks(skipped: frozenset[str]) -> bool:
         shorter = rollout_simulation.run_simulation(report.seed, skipped=skipped)
@@ -91,7 +91,7 @@
 
 
 def _quantiles(values: list[float]) -> str:
-    """The middle, the 99th part of 100 and the most of some values."""
+    """Formats the median, the 99th percentile and the maximum of some values."""
     if not values:
         return "none"
     ordered = sorted(values)
@@ -99,15 +99,15 @@
 
 
 def run(*, first: int, seeds: int, jobs: int, out: output.LineWriter) -> int:
-    """Plays a range of seeds; prints, for each kind of version and fault, how often the version was let in.
+    """Runs a range of seeds and prints, by kind of version and fault, how often the version was delivered.
 
     Returns:
-        `FAILURE` where a check broke, else `SUCCESS`.
+        `FAILURE` if a check failed, else `SUCCESS`.
     """
-    played: collections.Counter[tuple[str, str]] = collections.Counter()  # by kind of version and kind of fault
+    played: collections.Counter[tuple[str, str]] = collections.Counter()  # runs by kind of version and kind of fault
     delivered: collections.Counter[tuple[str, str]] = collections.Counter()
     broken = []
-    exposures = []  # of bad versions: requests that they got, as shares of those that they may get
+    exposures = []  # of bad versions: requests received, as shares of those allowed
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs), initializer=_disable_logs) as pool:
         for report in pool.map(rollout_simulation.run_simulation, range(first, first + seeds), chunksize=CHUNK_RUNS):
             for fault in report.fault_kinds:
--- a/ploverward/command_line/stand_in.py
+++ b/ploverward/command_line/stand_in.py
@@ -1,6 +1,6 @@
-"""`ploverward stand-in`: a small deployment on the loopback range, to try the program by hand (README.md).
+"""`ploverward stand-in`: runs a small deployment on loopback addresses, for manual trials (README.md).
 
-It is for those who develop the program, so the operators' usage does not list it, and it has flags of its own
+It is meant for developers of the program, so the operators' usage text does not list it, and it has flags of its own
 (`python3 -m ploverward stand-in --help`).
 """
 
--- a/ploverward/command_line/tallies.py
+++ b/ploverward/command_line/tallies.py
@@ -1,4 +1,4 @@
-"""`ploverward tallies`: the sums of tallies, whether all core nodes agree, and how far behind each one is."""
+"""`ploverward tallies`: prints sums of tallies, whether all core nodes agree, and how far behind each one is."""
 
 from typing import Any
 
@@ -9,11 +9,11 @@
 
 PATH = "/ploverward/tallies"
 
-Responses = dict[str, dict[str, Any]]  # what each core node answers, by its address
+Responses = dict[str, dict[str, Any]]  # response of each core node, by its address
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Prints all tallies, or the one that is named."""
+    """Prints all tallies, or only the named one."""
     if len(arguments) > 1:
         raise exit_codes.UsageError
     name = arguments[0] if arguments else ""
@@ -21,17 +21,17 @@
 
 
 def run(*, core_client: core_clients.CoreClient, name: str, as_json: bool, out: output.LineWriter) -> int:
-    """Prints what each core node in reach has.
+    """Prints the tallies of all reachable core nodes.
 
     Args:
         core_client: Calls the core nodes.
-        name: Only this tally; empty: all.
-        as_json: Whether to print the answers as they are.
-        out: Takes each line.
+        name: The only tally to print; empty: all.
+        as_json: Whether to print the responses unchanged, as JSON.
+        out: Receives each line.
 
     Returns:
-        `FAILURE` where nodes differ, have not merged, or know no such tally; `INCOMPLETE` where a node is out of
-        reach; else `SUCCESS`.
+        `FAILURE` if sums differ, a node has not merged yet, or no node knows the named tally; `INCOMPLETE` if a node
+        is unreachable; else `SUCCESS`.
 
     Raises:
         InsufficientDataError: No core node answers.
@@ -49,7 +49,7 @@
 
 
 def _sums(responses: Responses) -> dict[str, dict[str, int]]:
-    """The sum of each tally at each node, by tally; 0 where a node has not heard of it."""
+    """Returns the sum of each tally at each node, by tally; 0 where a node does not know the tally."""
     names = sorted({name for body in responses.values() for name in body["totals"]})
     return {
         name: {address: body["totals"].get(name, 0) for address, body in sorted(responses.items())} for name in names
--- a/ploverward/command_line/tenants.py
+++ b/ploverward/command_line/tenants.py
@@ -1,4 +1,4 @@
-"""`ploverward tenants`: limits of tenants, how they stand, which keys they have, by digest (docs/quotas.md 6)."""
+"""`ploverward tenants`: prints limits, quota levels and key digests of tenants (docs/quotas.md 6)."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 PATH = "/ploverward/tenants"
 
-Responses = dict[str, dict[str, Any]]  # what each core node answers, by its address
+Responses = dict[str, dict[str, Any]]  # response of each core node, by its address
 
 
 def command(_verb: str, arguments: list[str]) -> int:
@@ -20,10 +20,10 @@
 
 
 def run(*, core_client: core_clients.CoreClient, as_json: bool, out: output.LineWriter) -> int:
-    """Prints what each core node in reach counts.
+    """Prints the tenants and their quota levels, as the reachable core nodes count them.
 
     Returns:
-        `INCOMPLETE` where a node is out of reach or none names a tenant, else `SUCCESS`.
+        `INCOMPLETE` if a node is unreachable or there are no tenants, else `SUCCESS`.
 
     Raises:
         InsufficientDataError: No core node answers.
@@ -38,7 +38,7 @@
 
 
 def format_lines(*, responses: Responses, unreachable: core_clients.UnreachableNodes) -> list[str]:
-    """Returns a line for each tenant of the newest edition, with the lowest and the highest level that nodes count."""
+    """Returns a line for each tenant of the newest edition, with the lowest and the highest level at any node."""
     newest = max(responses.values(), key=lambda body: body["edition"])
     found = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(responses)} core nodes answer"]
     for name, row in sorted(newest["tenants"].items()):
--- a/ploverward/command_line/verb_help.py
+++ b/ploverward/command_line/verb_help.py
@@ -1,6 +1,6 @@
-"""What `python3 -m ploverward VERB --help` prints: what the verb does, its arguments and flags, exit codes, an example.
+"""Texts of `python3 -m ploverward VERB --help`: purpose, arguments, flags, exit codes and an example of each verb.
 
-The flags are those of `options`, with the unit of each value here, as one module defines the flags of all verbs.
+`options` defines the flags of all verbs; this module lists them by verb, with the unit of each value.
 """
 
 import dataclasses
@@ -32,15 +32,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VerbHelp:
-    """The help of one verb.
+    """Help of one verb.
 
     Attributes:
-        synopses: The forms in which it is called, without the program.
-        description: What it does, in a sentence or two.
-        codes: What each exit code means here.
-        example: A complete call.
-        flags: Flags with their values and units, and what they mean.
-        page: The page that says more.
+        synopses: Forms of its call, without the program name.
+        description: One or two sentences on what it does.
+        codes: Meaning of each exit code for this verb.
+        example: A complete command.
+        flags: Meaning of each flag, by the flag with its value and unit.
+        page: Page of the documentation with details.
     """
 
     synopses: tuple[str, ...]
@@ -259,7 +259,7 @@
 
 
 def help_text(verb: str) -> str:
-    """Returns the help of a verb, in lines of at most `WIDTH` characters."""
+    """Returns the help of a verb, with its description wrapped to lines of at most `WIDTH` characters."""
     one = HELP[verb]
     lines = [
         *(f"{'usage:' if not number else '      '} python3 -m ploverward {form}" for number, form in _numbered(one)),
