--- a/ploverward/command_line/custody.py
+++ b/ploverward/command_line/custody.py
@@ -101,29 +101,29 @@
             all trails.
     """
     cursors = {} if cursors is None else cursors
-    found = CollectedTrails(trails=[], coverage=[], unreachable={}, zones={})
+    collected = CollectedTrails(trails=[], coverage=[], unreachable={}, zones={})
     for address in core_client.addresses:
         try:
-            _collect_from(address, core_client=core_client, cursors=cursors, found=found)
+            _collect_from(address, core_client=core_client, cursors=cursors, collected=collected)
         except errors.CoreUnreachableError as error:
-            found.unreachable[address] = error.text
-    return found
+            collected.unreachable[address] = error.text
+    return collected
 
 
 def _collect_from(
-    address: str, *, core_client: core_clients.CoreClient, cursors: Cursors, found: CollectedTrails
+    address: str, *, core_client: core_clients.CoreClient, cursors: Cursors, collected: CollectedTrails
 ) -> None:
     while True:
         path = f"{PATH}?after={cursors.get(address, 0)}"
         status, body = core_client.call_node(address=address, method="GET", path=path)
         if status != 200 or not body:
-            found.unreachable[address] = f"answered {status}"
+            collected.unreachable[address] = f"answered {status}"
             return
-        found.trails.extend(body["trails"])
-        found.zones.update(body["zones"])
+        collected.trails.extend(body["trails"])
+        collected.zones.update(body["zones"])
         cursors[address] = body["last"]
         if not body["has_more"]:
-            found.coverage.extend(body["coverage"])
+            collected.coverage.extend(body["coverage"])
             return
 
 
@@ -135,25 +135,25 @@
         are none; else `SUCCESS`.
     """
     collected = collect(core_client=core_client)
-    found = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
-    found["unreachable"] = collected.unreachable
+    summary = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
+    summary["unreachable"] = collected.unreachable
     if as_json:
-        output.print_json(found, out=out)
+        output.print_json(summary, out=out)
     else:
-        output.print_lines(_audit_lines(found), out=out)
-    if found["outside"]:
+        output.print_lines(_audit_lines(summary), out=out)
+    if summary["outside"]:
         return exit_codes.ExitCode.FAILURE
-    is_partial = found["lives_with_parts_missing"] or collected.unreachable or not collected.trails
+    is_partial = summary["lives_with_parts_missing"] or collected.unreachable or not collected.trails
     return exit_codes.ExitCode.INCOMPLETE if is_partial else exit_codes.ExitCode.SUCCESS
 
 
-def _audit_lines(found: dict[str, Any]) -> list[str]:
-    lines = [f"{found['trails']} trails, {found['homed']} of them bound to regions; {found['lives']} proxy lives"]
-    lines += [f"OUTSIDE: {line}" for line in found["outside"]]
-    for row in found["lives_with_parts_missing"]:
+def _audit_lines(summary: dict[str, Any]) -> list[str]:
+    lines = [f"{summary['trails']} trails, {summary['homed']} of them bound to regions; {summary['lives']} proxy lives"]
+    lines += [f"OUTSIDE: {line}" for line in summary["outside"]]
+    for row in summary["lives_with_parts_missing"]:
         has_ended = row["ended_without_closing"]
         why = "ended without closing" if has_ended else f"{row['missing_batches']} batches did not come"
         lines.append(f"missing: {row['node']} life {row['life']}: {why}")
-    lines += output.unreachable_lines(found["unreachable"], template="unreachable: {address} ({why})")
-    lines.append("outside: none" if not found["outside"] else f"outside: {len(found['outside'])}")
+    lines += output.unreachable_lines(summary["unreachable"], template="unreachable: {address} ({why})")
+    lines.append("outside: none" if not summary["outside"] else f"outside: {len(summary['outside'])}")
     return lines
--- a/ploverward/command_line/drill.py
+++ b/ploverward/command_line/drill.py
@@ -207,11 +207,11 @@
             )
         try:
             is_in_time, took_s = self._send_order("DELETE")
-            status, out = self.call("GET", "/ploverward/evacuation")
+            status, evacuations = self.call("GET", "/ploverward/evacuation")
         except errors.PloverwardError as error:
             self._record_verdict(Promise.RESTORED, Verdict.BROKEN, str(error))
             return False
-        is_back = status == 200 and self.zone not in out["zones"]
+        is_back = status == 200 and self.zone not in evacuations["zones"]
         verdict = Verdict.KEPT if is_in_time and is_back else Verdict.BROKEN
         self._record_verdict(Promise.RESTORED, verdict, f"{took_s:.2f} s of {self.receipt_s:g} s")
         return is_back
--- a/ploverward/command_line/drill_check.py
+++ b/ploverward/command_line/drill_check.py
@@ -1,4 +1,4 @@
-"""What has to hold before a drill takes a zone out; nothing is ordered here (docs/drill.md)."""
+"""Preconditions of a drill, which are checked without sending any order (docs/drill.md)."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,39 +12,41 @@
 
 
 class DrillRefusedError(errors.PloverwardError):
-    """The zone can't be taken out, or the core can't be asked; nothing was done.
+    """A precondition of the drill does not hold or can't be read from the core; nothing was done.
 
-    Raised before the drill gives any order; the command ends with 2.
+    Raised before the drill sends any order; the command exits with 2.
     """
 
 
 def check(*, zone: str, call: Call) -> dict[str, str]:
-    """Checks that the zone is known and in service, and that each route can do without it.
+    """Checks that the zone is known and in service, and that each route can be served without it.
 
     Returns:
         Region by zone.
 
     Raises:
-        DrillRefusedError: It does not hold.
+        DrillRefusedError: One of these conditions does not hold or can't be read.
     """
     nodes = _read(call, "/ploverward/nodes", refusal="the core answers {status}; nothing was done")
     zones = nodes["zones"]
     if zone not in zones:
         raise DrillRefusedError(f"unknown zone '{zone}'; known: {', '.join(sorted(zones))}", step="check")
-    out = _read(call, "/ploverward/evacuation", refusal="evacuations can't be read ({status}); nothing was done")
-    if zone in out["zones"]:
+    evacuations = _read(
+        call, "/ploverward/evacuation", refusal="evacuations can't be read ({status}); nothing was done"
+    )
+    if zone in evacuations["zones"]:
         raise DrillRefusedError(f"{zone} is already out; nothing was done", step="check")
     configuration = _read(
         call, "/ploverward/configuration", refusal="the configuration can't be read ({status}); nothing was done"
     )
     listed = _read(call, "/ploverward/replicas", refusal="the replicas can't be read ({status}); nothing was done")
-    remaining = _remaining_regions(listed["replicas"], zones=zones, out={zone, *out["zones"]})
+    remaining = _remaining_regions(listed["replicas"], zones=zones, out={zone, *evacuations["zones"]})
     for route in configuration["routes"]:
         _check_route(route, zone=zone, remaining=remaining)
     return zones
 
 
-def _read(call: Call, path: str, *, refusal: str) -> Any:  # noqa: ANN401  # the body, as JSON says it
+def _read(call: Call, path: str, *, refusal: str) -> Any:  # noqa: ANN401  # the parsed JSON body
     status, body = call("GET", path)
     if status != 200:
         raise DrillRefusedError(refusal.format(status=status), step="check")
--- a/ploverward/command_line/node.py
+++ b/ploverward/command_line/node.py
@@ -15,8 +15,8 @@
 _log = logging.getLogger(__name__)
 
 ROLES = ("core", "proxy", "store")
-# Arguments of gc.set_threshold: net allocations, then collections of the next younger generation. Most objects of a node
-# are freed by reference counting, so the cyclic collector runs less often than by default (700, 10, 10).
+# Arguments of gc.set_threshold: net allocations, then collections of the next younger generation. Most objects of a
+# node are freed by reference counting, so the cyclic collector runs less often than by default (700, 10, 10).
 COLLECTOR_THRESHOLDS = (10000, 20, 20)
 
 
--- a/ploverward/command_line/pin_report.py
+++ b/ploverward/command_line/pin_report.py
@@ -32,7 +32,7 @@
     replica: str = ""
 
     def check(self, *, known: Mapping[str, Collection[str]]) -> None:
-        """Checks that each name is known: for an unknown one, an empty table would suggest that nothing has to be pinned.
+        """Checks that each name is known: for an unknown one, an empty table would suggest that nothing needs pinning.
 
         Raises:
             InvalidArgumentError: A name is unknown.
--- a/ploverward/command_line/pins.py
+++ b/ploverward/command_line/pins.py
@@ -145,11 +145,11 @@
     try:
         with open(path, encoding="utf-8") as handle:
             body = json.load(handle)
-        made = body["suggestion"]
+        suggestion = body["suggestion"]
         return {
-            "new": made["new"],
+            "new": suggestion["new"],
             "replicas": {
-                name: {"pins": [tuple(pair) for pair in row["pins"]]} for name, row in made["replicas"].items()
+                name: {"pins": [tuple(pair) for pair in row["pins"]]} for name, row in suggestion["replicas"].items()
             },
         }
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
--- a/ploverward/command_line/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -72,25 +72,25 @@
     """Returns lines for people: the stage of the roll-out and the evidence of each step."""
     if not row["number"]:
         return [f"{service}: no roll-out; versions in service: {', '.join(row['admitted']) or 'all'}"]
-    found = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
+    lines = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
     if row["reason"]:
-        found.append(f"  why: {row['reason']}")
-    found.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
+        lines.append(f"  why: {row['reason']}")
+    lines.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
     for step in row["record"]:
-        found += _step_lines(step)
-    return found
+        lines += _step_lines(step)
+    return lines
 
 
 def _step_lines(step: Row) -> list[str]:
-    found = [
+    lines = [
         f"  {step['age_s']:7.1f} s  {step['stage']:<10} {step['sent_new']} of {step['sent']} requests: {step['reason']}"
     ]
     for route, (former, former_failed, new, new_failed, broken) in step["routes"].items():
-        found.append(
+        lines.append(
             f"             {route}: former {former} answers, {former_failed} failed;"
             f" new {new} answers, {new_failed} failed, {broken} broken off"
         )
-    return found
+    return lines
 
 
 def status(*, call: Call, service: str, as_json: bool, out: output.LineWriter) -> int:
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -119,25 +119,25 @@
 def run(*, plans: list[scenario.Plan], jobs: int, out: output.LineWriter) -> int:
     """Runs all plans in `jobs` processes and prints the results; returns `FAILURE` if a check failed."""
     started_at = time.monotonic()
-    broken = []
+    failed_reports = []
     totals: collections.Counter[str] = collections.Counter()
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for report in pool.map(scenario.run_simulation, plans, chunksize=CHUNK_RUNS):
             totals.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
             if report.findings:
-                broken.append(report)
-    output.print_lines(map(_broken_line, broken[:MAX_REPORTED_SEEDS]), out=out)
-    for report in broken[:MAX_SHORTENED_SEEDS]:
+                failed_reports.append(report)
+    output.print_lines(map(_failure_line, failed_reports[:MAX_REPORTED_SEEDS]), out=out)
+    for report in failed_reports[:MAX_SHORTENED_SEEDS]:
         out(_shortened_line(shrinking.Shortening(report=report).shorten()))
     out(
         f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions,"
         f" {totals['troubles']} moments of trouble,"
-        f" {len(broken)} days broke a check, {time.monotonic() - started_at:.0f} s"
+        f" {len(failed_reports)} days broke a check, {time.monotonic() - started_at:.0f} s"
     )
-    return exit_codes.ExitCode.FAILURE if broken else exit_codes.ExitCode.SUCCESS
+    return exit_codes.ExitCode.FAILURE if failed_reports else exit_codes.ExitCode.SUCCESS
 
 
-def _broken_line(report: scenario.Report) -> str:
+def _failure_line(report: scenario.Report) -> str:
     first = report.findings[0]
     checks = ", ".join(sorted({finding.check for finding in report.findings}))
     return (
--- a/ploverward/command_line/simulate_rollouts.py
+++ b/ploverward/command_line/simulate_rollouts.py
@@ -106,7 +106,7 @@
     """
     played: collections.Counter[tuple[str, str]] = collections.Counter()  # runs by kind of version and kind of fault
     delivered: collections.Counter[tuple[str, str]] = collections.Counter()
-    broken = []
+    failed_reports = []
     exposures = []  # of bad versions: requests received, as shares of those allowed
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs), initializer=_disable_logs) as pool:
         for report in pool.map(rollout_simulation.run_simulation, range(first, first + seeds), chunksize=CHUNK_RUNS):
@@ -116,14 +116,14 @@
             if report.kind != "good":
                 exposures.append(report.sent_new / report.allowed_new)
             if report.findings:
-                broken.append(report)
-    for report in broken[:MAX_REPORTED_SEEDS]:
+                failed_reports.append(report)
+    for report in failed_reports[:MAX_REPORTED_SEEDS]:
         finding = report.findings[0]
         out(
             f"seed {report.seed} ({report.kind}, {', '.join(report.fault_kinds)}):"
             f" {finding.check} at {finding.when}: {finding.text}"
         )
-    for report in broken[:MAX_SHORTENED_SEEDS]:
+    for report in failed_reports[:MAX_SHORTENED_SEEDS]:
         out(f"seed {report.seed} needs {', '.join(_needed_faults(report)) or 'no fault'}")
     kinds = ("good", *rollout_simulation.BAD_KINDS)
     out("delivered of played, by trouble: " + ", ".join(kinds))
@@ -131,5 +131,5 @@
         cells = (f"{delivered[kind, fault]}/{played[kind, fault]}" for kind in kinds)
         out(f"  {fault:<16}" + "".join(f"{cell:>12}" for cell in cells))
     out(f"requests to bad versions, of those allowed: {_quantiles(exposures)}")
-    out(f"{seeds} days on state {state_digest.digest(SIMULATED_PATHS)}, {len(broken)} broke a check")
-    return exit_codes.ExitCode.FAILURE if broken else exit_codes.ExitCode.SUCCESS
+    out(f"{seeds} days on state {state_digest.digest(SIMULATED_PATHS)}, {len(failed_reports)} broke a check")
+    return exit_codes.ExitCode.FAILURE if failed_reports else exit_codes.ExitCode.SUCCESS
--- a/ploverward/command_line/tallies.py
+++ b/ploverward/command_line/tallies.py
@@ -65,11 +65,11 @@
 ) -> list[str]:
     differing = _differing(sums)
     agreement = f"{len(differing)} differ" if differing else "all agree"
-    found = [f"{len(sums)} tallies, {len(responses)} core nodes answer, {agreement}"]
-    found += [_tally_line(name, row) for name, row in sums.items()]
+    lines = [f"{len(sums)} tallies, {len(responses)} core nodes answer, {agreement}"]
+    lines += [_tally_line(name, row) for name, row in sums.items()]
     for address, body in sorted(responses.items()):
-        found.append(_node_line(address, body))
-    return found + output.unreachable_lines(unreachable, template="{address}: out of reach: {why}")
+        lines.append(_node_line(address, body))
+    return lines + output.unreachable_lines(unreachable, template="{address}: out of reach: {why}")
 
 
 def _tally_line(name: str, row: dict[str, int]) -> str:
--- a/ploverward/command_line/tenants.py
+++ b/ploverward/command_line/tenants.py
@@ -40,14 +40,14 @@
 def format_lines(*, responses: Responses, unreachable: core_clients.UnreachableNodes) -> list[str]:
     """Returns a line for each tenant of the newest edition, with the lowest and the highest level at any node."""
     newest = max(responses.values(), key=lambda body: body["edition"])
-    found = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(responses)} core nodes answer"]
+    lines = [f"edition {newest['edition']}, {newest['proxies']} proxies count, {len(responses)} core nodes answer"]
     for name, row in sorted(newest["tenants"].items()):
-        found.append(
+        lines.append(
             f"{name}: {_limit(row)}; {_quota_status(name, responses)}; keys {', '.join(row['keys']) or 'none'}"
         )
     if not newest["tenants"]:
-        found.append("no tenants: nobody needs a key")
-    return found + output.unreachable_lines(unreachable, template="{address}: out of reach: {why}")
+        lines.append("no tenants: nobody needs a key")
+    return lines + output.unreachable_lines(unreachable, template="{address}: out of reach: {why}")
 
 
 def _limit(row: dict[str, Any]) -> str:
--- a/ploverward/command_line/test_command.py
+++ b/ploverward/command_line/test_command.py
@@ -1,4 +1,4 @@
-"""The command line as a new user meets it: clear lines and exit codes, no tracebacks."""
+"""Tests of the command line as a new user calls it: clear messages and exit codes, no tracebacks."""
 
 import importlib
 import inspect
--- a/ploverward/command_line/test_core_client.py
+++ b/ploverward/command_line/test_core_client.py
@@ -1,4 +1,4 @@
-"""Calls of operator tools to several core nodes: a node that sends on without end is no answer."""
+"""Tests of calls to several core nodes; an endless redirect does not count as a response."""
 
 import pytest
 
--- a/ploverward/command_line/test_core_set.py
+++ b/ploverward/command_line/test_core_set.py
@@ -1,4 +1,4 @@
-"""The operators' view of the core set, from what nodes answer."""
+"""Tests of `ploverward core-set` with given responses of core nodes."""
 
 import json
 
@@ -30,7 +30,7 @@
 
 
 class CoreClient:
-    """Nodes by address; the others are out of reach."""
+    """Fake client of the nodes in `nodes`, by address; all others are unreachable."""
 
     nodes = {}
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "nodes, said",
+    "nodes, expected",
     [
         ([node("a", contact=False)], "no node is in contact with a majority"),
         ([node("a", borne=0), node("b"), node("c")], "0 further losses are borne now, 1 are wanted"),
@@ -74,9 +74,9 @@
         ),
     ],
 )
-def test_fault_of_the_core_set_is_printed_and_exits_1(nodes, said):
+def test_fault_of_the_core_set_is_printed_and_exits_1(nodes, expected):
     code, text = run(nodes)
-    assert code == exit_codes.ExitCode.FAILURE and said in text
+    assert code == exit_codes.ExitCode.FAILURE and expected in text
 
 
 def test_older_version_of_an_evicted_member_is_ignored():
--- a/ploverward/command_line/test_drill.py
+++ b/ploverward/command_line/test_drill.py
@@ -1,4 +1,4 @@
-"""The drill against stand-ins: a system that keeps its promises, and one for each way of breaking them."""
+"""Drills of a fake system that keeps its promises, and of one for each way of breaking them."""
 
 import pytest
 
@@ -9,8 +9,8 @@
 ZONES = {"za": "north", "zb": "south", "zc": "west"}
 
 
-class StandIn:
-    """A system with simulated time. `fault` names the promise that it breaks."""
+class FakeSystem:
+    """Fake system with simulated time; `fault` says how it breaks a promise."""
 
     def __init__(self, *, fault="", out=(), homes=("north", "south"), request_interval_s=0.2):
         self.time = 1000.0
@@ -89,29 +89,29 @@
         return rows
 
 
-def run(stand_in, zone="za"):
+def run(system, zone="za"):
     lines = []
-    work = drill.Drill(
+    drill_run = drill.Drill(
         zone=zone,
-        call=stand_in.call,
-        trails=stand_in.trails,
-        clock=stand_in.clock,
-        pause=stand_in.pause,
+        call=system.call,
+        trails=system.trails,
+        clock=system.clock,
+        pause=system.pause,
         watch_s=8.0,
         receipt_s=5.0,
         evacuate_s=4.0,
         max_clock_skew_s=1.0,
         out=lines.append,
     )
-    return work.run(), work, lines
+    return drill_run.run(), drill_run, lines
 
 
 def test_a_sound_system_keeps_all(snapshot):
-    stand_in = StandIn()
-    code, work, lines = run(stand_in)
+    system = FakeSystem()
+    code, drill_run, lines = run(system)
     assert code == 0
-    assert set(work.promises.values()) == {drill.Verdict.KEPT}
-    assert stand_in.out == set()
+    assert set(drill_run.promises.values()) == {drill.Verdict.KEPT}
+    assert system.out == set()
     assert lines == snapshot
 
 
@@ -127,37 +127,37 @@
     ],
 )
 def test_each_broken_promise_is_reported(fault, promise, code):
-    got, work, _lines = run(StandIn(fault=fault))
-    assert work.promises[promise] == drill.Verdict.BROKEN
+    got, drill_run, _lines = run(FakeSystem(fault=fault))
+    assert drill_run.promises[promise] == drill.Verdict.BROKEN
     assert got == code
 
 
 def test_promises_without_traffic_are_reported_as_not_seen():
-    code, work, _lines = run(StandIn(request_interval_s=10**6))
-    assert work.promises["nothing new is sent to the zone"] == drill.Verdict.NOT_SEEN
-    assert work.promises["serving goes on"] == drill.Verdict.NOT_SEEN
+    code, drill_run, _lines = run(FakeSystem(request_interval_s=10**6))
+    assert drill_run.promises["nothing new is sent to the zone"] == drill.Verdict.NOT_SEEN
+    assert drill_run.promises["serving goes on"] == drill.Verdict.NOT_SEEN
     assert code == 0
 
 
 @pytest.mark.parametrize("at", [1000.3, 1003.0, 1009.0])
 def test_interrupted_drill_restores_the_zone_and_exits_5(at):
-    stand_in = StandIn()
-    stand_in.interrupt_at = at
-    code, _work, _lines = run(stand_in)
+    system = FakeSystem()
+    system.interrupt_at = at
+    code, _drill_run, _lines = run(system)
     assert code == 5
-    assert stand_in.out == set()
-    assert stand_in.orders[-1] == ("DELETE", "za")
+    assert system.out == set()
+    assert system.orders[-1] == ("DELETE", "za")
 
 
 @pytest.mark.parametrize(
-    "stand_in, zone",
+    "system, zone",
     [
-        (StandIn(), "nowhere"),
-        (StandIn(out=("za",)), "za"),
-        (StandIn(homes=("north",)), "za"),
+        (FakeSystem(), "nowhere"),
+        (FakeSystem(out=("za",)), "za"),
+        (FakeSystem(homes=("north",)), "za"),
     ],
 )
-def test_failed_precondition_refuses_the_drill_without_orders(stand_in, zone):
+def test_failed_precondition_refuses_the_drill_without_orders(system, zone):
     with pytest.raises(drill_check.DrillRefusedError):
-        run(stand_in, zone=zone)
-    assert stand_in.orders == []
+        run(system, zone=zone)
+    assert system.orders == []
--- a/ploverward/command_line/test_golden_command.py
+++ b/ploverward/command_line/test_golden_command.py
@@ -1,6 +1,7 @@
-"""The command line as ploverward/command_line/golden/command.json holds it: exit codes, JSON, flags and usage, against a stand-in core.
+"""Compares exit codes, JSON, flags and usage of the command line with ploverward/command_line/golden/command.json.
 
-Values are compared as they are; what the clock decides, and the stand-in's port, by type.
+The verbs call a fake core node. Values are compared exactly; its port and values that depend on the clock are replaced
+by placeholders.
 """
 
 import http.server
@@ -21,29 +22,29 @@
 COMMAND = json.loads((FOLDER / "command.json").read_text(encoding="utf-8"))
 USAGE = (FOLDER / "usage.txt").read_text(encoding="utf-8")
 
-# What follows names parts of the program.
+# This section refers to names inside the program.
 ROOT = HERE.parent.parent
 PROGRAM = ("-m", "ploverward")
 SETTINGS_VARIABLE = "PLOVERWARD_NODE_FILE"
 
 
 def run(*words, settings: str = "") -> subprocess.CompletedProcess:
-    return subprocess.run(**_about(words, settings), capture_output=True, timeout=60)
+    return subprocess.run(**_subprocess_arguments(words, settings), capture_output=True, timeout=60)
 
 
-def _about(words, settings: str = "") -> dict:
+def _subprocess_arguments(words, settings: str = "") -> dict:
     env = {**os.environ, SETTINGS_VARIABLE: settings, "PYTHONPATH": os.pathsep.join(sys.path)}
     return {"args": [sys.executable, *PROGRAM, *words], "cwd": ROOT, "env": env, "text": True}
 
 
-# What follows knows the interfaces alone.
+# From here on, only published interfaces are used.
 ANSWERS = COMMAND["answers"]  # "METHOD path": [status, body]
 USAGE_MARK = "USAGE"
 VARYING = {r"\b\d+\.\d\d s of": "N s of", r"after \d+ ms": "after N ms", r"\b[0-9a-f]{40}\b": "COMMIT"}
 
 
 class Core:
-    """Answers as the fixture says, with the rows of `changed` in place of its own, and `later` after an order."""
+    """Fake core node with the golden file's answers; `changed` replaces some of them, and `later` some after an order."""
 
     def __init__(self, *, changed=None, later=None):
         self.answers = {**ANSWERS, **(changed or {})}
@@ -66,7 +67,7 @@
             do_GET = do_POST = do_DELETE = answer
 
             def log_message(self, *_about):
-                """Says nothing."""
+                """Suppresses the log of requests."""
 
         self._server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self.address = "127.0.0.1:%d" % self._server.server_address[1]
@@ -80,33 +81,33 @@
         self._server.server_close()
 
 
-def told(text: str, address: str) -> str:
-    """What a program printed, without the stand-in's port and what time or a commit's time decides."""
+def normalize(text: str, address: str) -> str:
+    """Returns a printed text with placeholders for the fake core's address, durations and commit ids."""
     text = USAGE_MARK if text == USAGE else text.replace(address, "CORE")
     for pattern, mark in VARYING.items():
         text = re.sub(pattern, mark, text)
     return text
 
 
-def run_simulation(case: dict, folder) -> dict:
-    """Exit code and output of one case; FOLDER in its words stands for an empty folder."""
+def run_case(case: dict, folder) -> dict:
+    """Runs one case and returns exit code and output; FOLDER in its words stands for an empty folder."""
     with Core(changed=case.get("changed"), later=case.get("later")) as core:
         words = [word.replace("FOLDER", str(folder)) for word in case["words"]]
         for before in case.get("before", ()):
             run(*[word.replace("FOLDER", str(folder)) for word in before], "--core", core.address)
         done = run(*words, "--core", core.address + case.get("more", ""))
     assert "Traceback" not in done.stderr
-    text = told(done.stdout, core.address)
+    text = normalize(done.stdout, core.address)
     is_json = text[:1] in ("{", "[") and case.get("is_json", True)
     return {
         "code": done.returncode,
         "json" if is_json else "out": json.loads(text) if is_json else text.replace(str(folder), "FOLDER"),
-        "error": told(done.stderr, core.address).replace(str(folder), "FOLDER"),
+        "error": normalize(done.stderr, core.address).replace(str(folder), "FOLDER"),
     }
 
 
 def flags() -> dict:
-    """Flag: type, default, what it is for; of this program's own flags."""
+    """Returns type, default, meaning and choices of each flag that this program itself defines."""
     root = xml.etree.ElementTree.fromstring(run("--helpxml").stdout)
     rows = [{part.tag: part.text or "" for part in flag} for flag in root.iter("flag")]
     own = [row for row in rows if "absl" not in row["file"]]
@@ -123,13 +124,13 @@
 @pytest.mark.parametrize("number", range(len(COMMAND["cases"])))
 def test_verb_output_and_exit_code_match_the_golden_file(number, tmp_path):
     case = COMMAND["cases"][number]
-    assert run_simulation(case, tmp_path / "kept") == case["told"], case["words"]
+    assert run_case(case, tmp_path / "kept") == case["told"], case["words"]
 
 
 def test_interrupted_drill_exits_with_the_published_code():
     with Core() as core:
-        about = _about(["drill", "za", "--watch_s", "60", "--core", core.address])
-        process = subprocess.Popen(**about, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        arguments = _subprocess_arguments(["drill", "za", "--watch_s", "60", "--core", core.address])
+        process = subprocess.Popen(**arguments, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
         try:
             assert core.has_order.wait(timeout=30)
             process.send_signal(signal.SIGINT)
@@ -157,10 +158,10 @@
 @pytest.mark.parametrize("verb", ["check", "core", "proxy", "store"])
 def test_node_with_invalid_settings_exits_with_the_published_error(verb, tmp_path):
     path = tmp_path / "node.conf"
-    for text, said in COMMAND["settings"]:
+    for text, expected in COMMAND["settings"]:
         path.write_text(text, encoding="utf-8")
         done = run(verb, settings=str(path))
-        assert (done.returncode, done.stdout, done.stderr) == (2, "", said)
+        assert (done.returncode, done.stdout, done.stderr) == (2, "", expected)
     done = run(verb)
     assert (done.returncode, done.stderr) == (2, COMMAND["no_settings"])
 
--- a/ploverward/command_line/test_golden_files.py
+++ b/ploverward/command_line/test_golden_files.py
@@ -1,4 +1,4 @@
-"""The settings file and the deploy file, as ploverward/command_line/golden holds what they mean."""
+"""Compares what the program reads from settings and deploy files with the files in ploverward/command_line/golden."""
 
 import dataclasses
 import json
@@ -18,9 +18,9 @@
 DEPLOY = json.loads((FOLDER / "deploy.json").read_text(encoding="utf-8"))
 COMMAND = re.compile(r"python3 .*\b(\w+)$")
 
-# What follows names parts of the program.
+# This section refers to names inside the program.
 ROOT = HERE.parent.parent
-# Operators' tools read bounds from what core nodes answer, not from a settings file; the script that did so stood outside the package.
+# Left out: simulations, and operators' tools, which read bounds from responses of core nodes, not from a settings file.
 OTHER_READERS = {"simulation", "command_line"}
 SOURCES = sorted(
     path
@@ -31,38 +31,38 @@
 BINDING_READ = re.compile(r"\bbindings\[\"(\w+)\"\]|\"(\w+)\" in [\w.]*bindings\b")
 
 
-def read(text: str) -> dict:
-    """What the program makes of a settings file."""
+def read_settings(text: str) -> dict:
+    """Returns the settings that the program reads from a text, as JSON values."""
     return json.loads(json.dumps(dataclasses.asdict(settings.check(text=text))))
 
 
-def fault(text: str) -> str:
+def settings_error(text: str) -> str:
     with pytest.raises(errors.SettingsError) as raised:
         settings.check(text=text)
     return str(raised.value)
 
 
 def fields_read() -> list:
-    """Names that are asked for one by one, besides those taken by their beginning (bounds, zones, bindings)."""
-    asked = set()
+    """Returns the names of the fields that are read one by one, without those read by prefix (bounds, zones, bindings)."""
+    names = set()
 
-    class Noting(dict):
+    class RecordingDict(dict):
         def get(self, name, default=None):
-            asked.add(name)
+            names.add(name)
             return super().get(name, default)
 
         def __getitem__(self, name):
-            asked.add(name)
+            names.add(name)
             return super().__getitem__(name)
 
     parse = settings.parse_lines
-    settings.parse_lines = lambda *, text: Noting(parse(text=text))
+    settings.parse_lines = lambda *, text: RecordingDict(parse(text=text))
     try:
-        made = settings.check(text=TEXT)
-        assert made.tolerated_machines == 2
+        parsed = settings.check(text=TEXT)
+        assert parsed.tolerated_machines == 2
     finally:
         settings.parse_lines = parse
-    return sorted(name for name in asked if not name.startswith(("bounds.", "zones.", "bindings.")))
+    return sorted(name for name in names if not name.startswith(("bounds.", "zones.", "bindings.")))
 
 
 def names_in_sources(pattern) -> list:
@@ -73,7 +73,7 @@
     return sorted(found)
 
 
-# What follows knows the interfaces alone.
+# From here on, only published interfaces are used.
 
 
 def without(name: str) -> str:
@@ -81,7 +81,7 @@
 
 
 def test_complete_settings_file_parses_to_the_published_values():
-    assert read(TEXT) == SETTINGS["values"]
+    assert read_settings(TEXT) == SETTINGS["values"]
 
 
 def test_settings_fields_read_match_the_published_list():
@@ -95,17 +95,17 @@
 
 @pytest.mark.parametrize("name", SETTINGS["missing"])
 def test_missing_field_takes_its_default_or_is_named_in_the_error(name):
-    wanted = SETTINGS["missing"][name]
-    if "error" in wanted:
-        assert fault(without(name)) == wanted["error"] and name in wanted["error"]
+    expected = SETTINGS["missing"][name]
+    if "error" in expected:
+        assert settings_error(without(name)) == expected["error"] and name in expected["error"]
     else:
-        values = read(without(name))
-        assert {key: value for key, value in values.items() if key != "raw"} == wanted["values"]
+        values = read_settings(without(name))
+        assert {key: value for key, value in values.items() if key != "raw"} == expected["values"]
 
 
 @pytest.mark.parametrize("line", SETTINGS["malformed"])
 def test_malformed_field_gives_the_published_error(line):
-    assert fault(TEXT + line + "\n") == SETTINGS["malformed"][line]
+    assert settings_error(TEXT + line + "\n") == SETTINGS["malformed"][line]
 
 
 def deployed() -> dict:
--- a/ploverward/command_line/test_golden_interfaces.py
+++ b/ploverward/command_line/test_golden_interfaces.py
@@ -1,7 +1,7 @@
-"""What core nodes answer to operators and user agents, call for call, as ploverward/command_line/golden/core_calls.json holds it.
+"""Compares responses of core nodes to operators and user agents with ploverward/command_line/golden/core_calls.json.
 
-The core nodes are the real ones on the model world's machines. Values that chance or the clock decides are compared by
-type. The fixtures are what published interfaces promise: a change of one of them is a change of the protocol.
+The core nodes are the real ones, on simulated machines. Values that depend on chance or the clock are compared by type.
+The golden files define published interfaces: a change of one of them is a change of the protocol.
 """
 
 import json
@@ -41,58 +41,58 @@
 WINDOW = {"rows": [["llm", "m", "drafts", "i-0", "r", 3, 6, 0, 2, 6, 5400, 1000, 6]], "over": 0}
 
 
-# What follows names parts of the program.
+# This section refers to names inside the program.
 
 
 def routes(core) -> list:
-    """[method, path] of all that a core node serves; HEAD comes with GET."""
+    """Returns [method, path] of all routes of a core node, without HEAD, which comes with GET."""
     rules = core.operator_api._router._map.iter_rules()
     return sorted([method, rule.rule] for rule in rules for method in rule.methods - {"HEAD"})
 
 
 def wire_parts(core) -> tuple:
-    """Who takes a request, and the limits of the listener."""
+    """Returns the handler of requests and the limits of the listener."""
     return core.operator_api._router.handle, core.operator_api._limits
 
 
 class World:
-    """Three core nodes and a proxy without troubles, and the states that calls are made in."""
+    """Three core nodes and a proxy without faults, and the states in which calls are made."""
 
     def __init__(self):
-        self.day = scenario.SimulationRun(
+        self.simulation = scenario.SimulationRun(
             plan=scenario.Plan(seed=3, machines=3, tolerated=1, disk=0, troubles=(), closing=())
         )
-        self.day.fleet.proxy_hosts = [PROXY]
-        self.day.build()
-        self.core_client = simulated_http.Caller(network=self.day.network, host="operators")
+        self.simulation.fleet.proxy_hosts = [PROXY]
+        self.simulation.build()
+        self.core_client = simulated_http.Caller(network=self.simulation.network, host="operators")
         self.run(0.35)
         while not all(self.core(node).membership.has_majority_lease() for node in range(3)):
-            self.run(0.05)  # the seeds found their set together, which takes them two rounds of messages
+            self.run(0.05)  # founding the core set takes the seeds two rounds of messages
 
     def run(self, seconds: float) -> None:
-        self.day.clock.run(until=self.day.clock.time + seconds)
+        self.simulation.clock.run(until=self.simulation.clock.time + seconds)
 
     def core(self, node: int = 0):
-        return self.day.fleet.slots[node].machine.core.core
+        return self.simulation.fleet.slots[node].machine.core.core
 
     def call(self, *, node: int, method: str, target: str, headers, body: bytes):
-        """(status, {name: value}, body), or None where there is no answer."""
-        told = []
+        """Returns (status, {name: value}, body), or None if there is no response."""
+        responses = []
         self.core_client.call(
-            host=self.day.fleet.slots[node].machine.host,
+            host=self.simulation.fleet.slots[node].machine.host,
             port=machines.CONTROL_PORT,
             method=method,
             target=target,
             headers=[(name.lower(), value) for name, value in headers.items()],
             body=body,
             limit_s=LIMIT_S,
-            done=told.append,
+            done=responses.append,
         )
-        while not told:
+        while not responses:
             self.run(0.05)
-        return told[0]
+        return responses[0]
 
-    # States, by the names that the fixtures use.
+    # States, under the names that the golden file uses.
     def settled(self) -> None:
         self.run(8.0)
 
@@ -100,7 +100,7 @@
         self.run(2.0)
 
     def counted(self) -> None:
-        """A proxy has told of a request and of an adapter."""
+        """A proxy has reported the trail of a request and counts of an adapter."""
         operator_api = self.core().operator_api
         trails = (messages.CustodyTrail("a1", json.dumps(TRAIL).encode()),)
         self.core().custody.record(
@@ -118,7 +118,7 @@
         operator_api.handle_adapter_counts(messages.AdapterCounts(counts=(count,)))
 
     def returned(self) -> None:
-        """The roll-out of llm goes to its next stage, and back."""
+        """The roll-out of llm advances to its next stage and is then rolled back."""
         for stage in (rollout_states.Stage.PROMOTING, rollout_states.Stage.RETURNED):
             core = self.core()
             evidence = rollout_states.Evidence(
@@ -133,24 +133,24 @@
             self.run(1.0)
 
     def just_cut_off(self) -> None:
-        """The first node has lost the others and does not know it yet."""
-        hosts = [slot.machine.host for slot in self.day.fleet.slots]
+        """The first node is partitioned from the others and has not detected it yet."""
+        hosts = [slot.machine.host for slot in self.simulation.fleet.slots]
         pairs = {pair for other in hosts[1:] for pair in ((hosts[0], other), (other, hosts[0]))}
-        self.day.network.partition(pairs=pairs, is_reset=False)
+        self.simulation.network.partition(pairs=pairs, is_reset=False)
 
     def cut_off(self) -> None:
         self.run(3.0)
 
 
-# What follows knows the interfaces alone.
+# From here on, only published interfaces are used.
 
 
-def as_told(value, key: str = ""):
-    """The value with what chance and clock decide replaced by its type."""
+def mask_varying_values(value, key: str = ""):
+    """Returns the value with parts that depend on chance or the clock replaced by their type."""
     if isinstance(value, dict):
-        return {name: as_told(held, key if key in BY_TYPE else name) for name, held in value.items()}
+        return {name: mask_varying_values(held, key if key in BY_TYPE else name) for name, held in value.items()}
     if isinstance(value, list):
-        return [as_told(held, key) for held in value]
+        return [mask_varying_values(held, key) for held in value]
     if key in BY_TYPE and value is not None:
         return "number" if isinstance(value, (int, float)) and not isinstance(value, bool) else type(value).__name__
     if key == "location" and isinstance(value, str):
@@ -158,8 +158,8 @@
     return value
 
 
-def run_simulation(calls: list) -> list:
-    """The answers to these calls, one after the other at one world."""
+def run_calls(calls: list) -> list:
+    """Makes the calls one after the other in one world and returns the responses."""
     world = World()
     found = []
     for call in calls:
@@ -175,13 +175,13 @@
         )
         assert answer is not None, call
         status, headers, data = answer
-        told = {name: CORE_ADDRESS.sub(ANY_CORE, value) for name, value in headers.items()}
-        found.append({"status": status, "headers": told, "body": as_told(json.loads(data))})
+        normalized = {name: CORE_ADDRESS.sub(ANY_CORE, value) for name, value in headers.items()}
+        found.append({"status": status, "headers": normalized, "body": mask_varying_values(json.loads(data))})
     return found
 
 
-def speak(data: str) -> str:
-    """The first node's answer to bytes on a connection, as it stands on the wire."""
+def send_raw(data: str) -> str:
+    """Returns the first node's response to raw bytes on a connection, as sent on the wire."""
     take, limits = wire_parts(World().core())
     loop = loopback.new_loop()
     server = http_servers.HttpServer(
@@ -193,15 +193,15 @@
     return client.got.decode()
 
 
-def is_complete(told: bytes) -> bool:
-    head, _end, body = told.partition(b"\r\n\r\n")
+def is_complete(received: bytes) -> bool:
+    head, _end, body = received.partition(b"\r\n\r\n")
     length = re.search(rb"Content-Length: (\d+)", head)
     return length is not None and len(body) == int(length[1])
 
 
 @pytest.fixture(scope="module")
 def answers():
-    return run_simulation(CALLS["calls"])
+    return run_calls(CALLS["calls"])
 
 
 @pytest.mark.parametrize("number", range(len(CALLS["calls"])))
@@ -225,4 +225,4 @@
 
 @pytest.mark.parametrize("number", range(len(WIRE)))
 def test_bytes_on_the_wire_match_the_golden_file(number):
-    assert speak(WIRE[number]["sent"]) == WIRE[number]["told"]
+    assert send_raw(WIRE[number]["sent"]) == WIRE[number]["told"]
--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -1,4 +1,7 @@
-"""What a proxy answers by itself, and what it tells replicas, as ploverward/command_line/golden/proxy_answers.json holds it."""
+"""Compares a proxy's own responses and the heads that it sends to replicas with a golden file.
+
+The golden file is ploverward/command_line/golden/proxy_answers.json.
+"""
 
 import json
 import pathlib
@@ -20,7 +23,7 @@
 CLOCKED = re.compile(r"(?<=x-time-left-ms: )\d+")
 
 
-# What follows names parts of the program.
+# This section refers to names inside the program.
 
 
 def plain(script=request_scene.replying, zone="za"):
@@ -51,30 +54,36 @@
     return scene
 
 
-def resetting(number, heard):
-    return ["reset"] if request_scene.is_complete(heard) else None
+def resetting(number, received):
+    return ["reset"] if request_scene.is_complete(received) else None
 
 
-def promising(number, heard):
-    which = request_scene.request_id(heard)
-    return [request_scene.answer(which, status=b"503 Full", more=NOT_RUN)] if request_scene.is_complete(heard) else None
+def promising(number, received):
+    request_id = request_scene.request_id(received)
+    return (
+        [request_scene.answer(request_id, status=b"503 Full", more=NOT_RUN)]
+        if request_scene.is_complete(received)
+        else None
+    )
 
 
-def misdirected(number, heard):
-    which = request_scene.request_id(heard)
+def misdirected(number, received):
+    request_id = request_scene.request_id(received)
     return (
-        [request_scene.answer(which, status=b"421 Another", more=NOT_RUN)] if request_scene.is_complete(heard) else None
+        [request_scene.answer(request_id, status=b"421 Another", more=NOT_RUN)]
+        if request_scene.is_complete(received)
+        else None
     )
 
 
-def streaming(number, heard):
-    if not request_scene.is_complete(heard):
+def streaming(number, received):
+    if not request_scene.is_complete(received):
         return None
-    return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.END]
+    return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1) + request_scene.END]
 
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
-    """The status that the readiness listener answers."""
+    """Returns the status of the readiness listener's response."""
     statuses = []
     request = types.SimpleNamespace(target=target.encode(), reply=lambda *, status: statuses.append(status))
     front_end = http_front_end.HttpFrontEnd(
@@ -112,7 +121,7 @@
     "503 promise of the replica": (lambda: plain(promising), {"lead": "once", "left": b"300"}),
     "503 after 421": (lambda: plain(misdirected), {"lead": "once", "left": b"300"}),
     "503 no replica at home": (plain, {"lead": "home"}),
-    "504": (lambda: plain(lambda number, heard: None), {"lead": "once", "left": b"200"}),
+    "504": (lambda: plain(lambda number, received: None), {"lead": "once", "left": b"200"}),
 }
 RAW = {
     "400 two lengths": "GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
@@ -122,11 +131,11 @@
 }
 
 
-# What follows knows the interfaces alone.
+# From here on, only published interfaces are used.
 
 
-def names(head: bytes) -> list:
-    """The lines of a head, names in lower case, with what the clock decides left out."""
+def normalized_lines(head: bytes) -> list:
+    """Returns the lines of a head, with names in lower case and clock-dependent values replaced by N."""
     first, *rows = head.partition(b"\r\n\r\n")[0].decode().split("\r\n")
     lowered = [name.lower() + colon + value for name, colon, value in (row.partition(":") for row in rows)]
     return [first, *sorted(CLOCKED.sub("N", row) for row in lowered if not row.startswith("host:"))]
@@ -141,38 +150,38 @@
     )
 
 
-def run_simulation(name: str) -> dict:
-    """The head that the client gets, and the head that the replica got last."""
+def run_case(name: str) -> dict:
+    """Returns the head that the client gets, the last head that a replica got, and the names of the trail's fields."""
     make, about = CASES[name]
     about = dict(about)
     scene = make()
     end = about.pop("end", b"\r\n\r\n")
     send(scene, **about)
     assert scene.until(end)
-    heard = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
-    sent = heard[-1][heard[-1].rindex(b"POST ") :] if heard else b""
-    told = {"client": names(scene.client.got), "replica": names(sent) if sent else []}
+    received = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
+    sent = received[-1][received[-1].rindex(b"POST ") :] if received else b""
+    result = {"client": normalized_lines(scene.client.got), "replica": normalized_lines(sent) if sent else []}
     trails = scene.proxy.trails()
-    told["trail"] = sorted(trails[-1]) if trails else []
-    told["goes"] = sorted(trails[-1]["goes"][-1]) if trails and trails[-1]["goes"] else []
-    return told
+    result["trail"] = sorted(trails[-1]) if trails else []
+    result["goes"] = sorted(trails[-1]["goes"][-1]) if trails and trails[-1]["goes"] else []
+    return result
 
 
-def play_raw(name: str) -> list:
+def send_raw(name: str) -> list:
     scene = plain()
     scene.client.send(RAW[name].encode("latin-1"))
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
-    return names(scene.client.got)
+    return normalized_lines(scene.client.got)
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_proxy_responses_and_forwarded_heads_match_the_golden_file(name):
-    assert run_simulation(name) == ANSWERS["answers"][name]
+    assert run_case(name) == ANSWERS["answers"][name]
 
 
 @pytest.mark.parametrize("name", RAW)
 def test_malformed_request_gets_the_published_response(name):
-    assert play_raw(name) == ANSWERS["raw"][name]
+    assert send_raw(name) == ANSWERS["raw"][name]
 
 
 def test_each_golden_response_has_a_case():
--- a/ploverward/command_line/test_keep.py
+++ b/ploverward/command_line/test_keep.py
@@ -1,3 +1,5 @@
+"""Tests of `ploverward keep`: commits by edition, rejected editions, digests of keys."""
+
 import pytest
 
 from ploverward.command_line import keep
--- a/ploverward/command_line/test_pins.py
+++ b/ploverward/command_line/test_pins.py
@@ -1,4 +1,4 @@
-"""The pins command: what an operator reads, and what it says to wrong names, lost nodes and empty tables."""
+"""Tests of `ploverward pins`: the report, and unknown names, unreachable nodes and empty tables."""
 
 import json
 
@@ -51,12 +51,12 @@
 
 
 class CoreClient:
-    def __init__(self, *bodies, missed=(), configuration_status=200):
-        self.bodies, self.missed, self.configuration_status = bodies, dict(missed), configuration_status
+    def __init__(self, *bodies, unreachable=(), configuration_status=200):
+        self.bodies, self.unreachable, self.configuration_status = bodies, dict(unreachable), configuration_status
 
     def read_all(self, *, path):
         assert path == "/ploverward/adapters"
-        return {f"c{number}": (200, one) for number, one in enumerate(self.bodies)}, dict(self.missed)
+        return {f"c{number}": (200, one) for number, one in enumerate(self.bodies)}, dict(self.unreachable)
 
     def call_any(self, *, method, path):
         return self.configuration_status, CONFIGURATION if self.configuration_status == 200 else None
@@ -111,11 +111,11 @@
 
 
 def test_unreachable_nodes_are_printed_and_exit_3():
-    code, text = run(CoreClient(body(window()), missed={"10.0.0.9:1": "timed out"}))
+    code, text = run(CoreClient(body(window()), unreachable={"10.0.0.9:1": "timed out"}))
     assert code == 3 and "unreachable: 10.0.0.9:1 (timed out)" in text
     with pytest.raises(errors.InsufficientDataError):
-        run(CoreClient(missed={"10.0.0.9:1": "timed out"}))
-    with pytest.raises(errors.InsufficientDataError):  # without homes nothing is suggested
+        run(CoreClient(unreachable={"10.0.0.9:1": "timed out"}))
+    with pytest.raises(errors.InsufficientDataError):  # without home regions, nothing is suggested
         run(CoreClient(body(window()), configuration_status=503))
 
 
--- a/ploverward/command_line/test_rollout.py
+++ b/ploverward/command_line/test_rollout.py
@@ -1,4 +1,4 @@
-"""The operators' commands for roll-outs, against what a core answers."""
+"""Tests of `ploverward rollout` with given responses of a core node."""
 
 import json
 
@@ -29,7 +29,7 @@
 
 
 class Core:
-    """Answers in turn; the last one again and again."""
+    """Fake core node that gives its answers in turn and repeats the last one."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -63,8 +63,8 @@
     core = Core(rows(stage="returned", condition="returned", reason="failed on chat: 9.0", record=[STEP]))
     assert rollout.status(call=core.call, service="tutor", as_json=False, out=core.lines.append) == 0
     text = "\n".join(core.lines)
-    for wanted in ("returned", "failed on chat", "9 of 100 requests", "5 failed"):
-        assert wanted in text
+    for expected in ("returned", "failed on chat", "9 of 100 requests", "5 failed"):
+        assert expected in text
 
 
 def test_status_of_an_unknown_service_exits_3():
--- a/ploverward/command_line/test_simulate.py
+++ b/ploverward/command_line/test_simulate.py
@@ -1,4 +1,4 @@
-"""The start of simulation runs: strings hash alike in each process."""
+"""Tests of `ploverward simulate`: fixed hash seed, flags, histories, reduction to needed faults, missed mutants."""
 
 import sys
 
--- a/ploverward/command_line/test_tallies.py
+++ b/ploverward/command_line/test_tallies.py
@@ -1,4 +1,4 @@
-"""The operators' view of tallies, from what core nodes answer."""
+"""Tests of `ploverward tallies` with given responses of core nodes."""
 
 import json
 
--- a/ploverward/command_line/test_tenants.py
+++ b/ploverward/command_line/test_tenants.py
@@ -1,4 +1,4 @@
-"""The operators' view of tenants, from what core nodes answer."""
+"""Tests of `ploverward tenants` with given responses of core nodes."""
 
 import json
 
@@ -34,8 +34,8 @@
 def test_limits_and_quota_status_are_merged_over_core_nodes():
     code, text = run(a=answer(), b=answer(level=-3.0, wants=True))
     assert code == 0
-    for wanted in ("edition 7", "12 proxies", "5 a second", "left -3 to 4.5", "wants credits by 1 of 2", "digest:ab"):
-        assert wanted in text
+    for expected in ("edition 7", "12 proxies", "5 a second", "left -3 to 4.5", "wants credits by 1 of 2", "digest:ab"):
+        assert expected in text
 
 
 def test_unreachable_node_is_printed_and_exits_3():
--- a/ploverward/command_line/test_verb_help.py
+++ b/ploverward/command_line/test_verb_help.py
@@ -1,4 +1,4 @@
-"""`VERB --help`: complete for each verb, and true to the flags that are defined."""
+"""Tests of `VERB --help`: complete for each verb, and in agreement with the flags that are defined."""
 
 import re
 
@@ -35,7 +35,7 @@
 
 
 def test_each_flag_is_listed_in_the_help_of_its_verb():
-    """The texts of the flags begin with the verb that they belong to."""
+    """The help text of a flag begins with the verb that it belongs to."""
     for name in ("audit", "capacity", "previous", "over_s", "watch_s", "seeds", "planted", "history", "troubles"):
         verb = re.match(r"[\w-]+", options.FLAGS[name].help)[0]
         assert any(flag.startswith(f"--{name}") for flag in verb_help.HELP[verb].flags), name
--- a/ploverward/command_line/verb_help.py
+++ b/ploverward/command_line/verb_help.py
@@ -260,21 +260,24 @@
 
 def help_text(verb: str) -> str:
     """Returns the help of a verb, with its description wrapped to lines of at most `WIDTH` characters."""
-    one = HELP[verb]
+    verb_help = HELP[verb]
     lines = [
-        *(f"{'usage:' if not number else '      '} python3 -m ploverward {form}" for number, form in _numbered(one)),
+        *(
+            f"{'usage:' if not number else '      '} python3 -m ploverward {form}"
+            for number, form in _numbered_synopses(verb_help)
+        ),
         "",
-        *textwrap.wrap(one.description, WIDTH),
+        *textwrap.wrap(verb_help.description, WIDTH),
     ]
-    if one.flags:
-        lines += ["", "Flags:", *_table(one.flags)]
-    lines += ["", "Exit codes:", *_table({str(int(code)): meaning for code, meaning in one.codes.items()})]
-    lines += ["", f"Example: {one.example}", f"More: {one.page}"]
+    if verb_help.flags:
+        lines += ["", "Flags:", *_table(verb_help.flags)]
+    lines += ["", "Exit codes:", *_table({str(int(code)): meaning for code, meaning in verb_help.codes.items()})]
+    lines += ["", f"Example: {verb_help.example}", f"More: {verb_help.page}"]
     return "\n".join(lines)
 
 
-def _numbered(one: VerbHelp) -> list[tuple[int, str]]:
-    return list(enumerate(one.synopses))
+def _numbered_synopses(verb_help: VerbHelp) -> list[tuple[int, str]]:
+    return list(enumerate(verb_help.synopses))
 
 
 def _table(rows: dict[str, str]) -> list[str]:
