--- a/ploverward/command_line/pins.py
+++ b/ploverward/command_line/pins.py
@@ -1,4 +1,4 @@
-"""`ploverward pins`: which adapters keep arriving cold, and which each replica should keep pinned (docs/pins.md).
+"""`ploverward pins`: prints which adapters keep arriving cold and which each replica should pin (docs/pins.md).
 
 Reads the adapter counts of the core nodes; `pin_report` builds the report, and `pin_table` formats it for people.
 """
--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -47,7 +47,7 @@
     return scene
 
 
-def leaving():
+def draining():
     scene = plain()
     scene.proxy.drain_window.begin()
     scene.loop.skip(seconds=7.0)
@@ -58,7 +58,7 @@
     return ["reset"] if request_scene.is_complete(received) else None
 
 
-def promising(number, received):
+def rejecting_as_not_run(number, received):
     request_id = request_scene.request_id(received)
     return (
         [request_scene.answer(request_id, status=b"503 Full", more=NOT_RUN)]
@@ -113,12 +113,12 @@
     "429 quota": (over_quota, {"lead": "safe", "more": PLAYER}),
     "502 reset": (lambda: plain(resetting), {"lead": "unsafe"}),
     "503 not serving": (not_serving, {"lead": "safe"}),
-    "503 leaving": (leaving, {"lead": "safe"}),
+    "503 leaving": (draining, {"lead": "safe"}),
     "503 behind on keys": (
         lambda: with_tenants(age_s=3.0),
         {"lead": "safe", "more": b"Authorization: Bearer nobody\r\n"},
     ),
-    "503 promise of the replica": (lambda: plain(promising), {"lead": "once", "left": b"300"}),
+    "503 promise of the replica": (lambda: plain(rejecting_as_not_run), {"lead": "once", "left": b"300"}),
     "503 after 421": (lambda: plain(misdirected), {"lead": "once", "left": b"300"}),
     "503 no replica at home": (plain, {"lead": "home"}),
     "504": (lambda: plain(lambda number, received: None), {"lead": "once", "left": b"200"}),
