--- a/ploverward/command_line/core_set.py
+++ b/ploverward/command_line/core_set.py
@@ -1,4 +1,4 @@
-"""`ploverward core-set`: who votes, who learns, how far each node is, what may be lost (docs/core-set.md)."""
+"""`ploverward core-set`: prints voters, learners, register versions and tolerable losses (docs/core-set.md)."""
 
 import enum
 from typing import Any
@@ -10,16 +10,16 @@
 
 PATH = "/ploverward/core-set"
 
-Body = dict[str, Any]  # what one core node answers
-Responses = dict[str, Body]  # by the node's address
+Body = dict[str, Any]  # response of one core node
+Responses = dict[str, Body]  # by node address
 
 
-class Silence(enum.Enum):
-    """Why a member does not vote.
+class NonVotingReason(enum.Enum):
+    """Reason why a member does not vote.
 
     Attributes:
-        role: What the node's line says.
-        reason: How the sentence on the fault ends.
+        role: Role that is printed in the node's line.
+        reason: End of the sentence that reports the fault.
     """
 
     LEARNS = ("learns", " yet: it learns")
@@ -37,57 +37,61 @@
     return run(core_client=core_clients.connect(), as_json=options.FLAGS.json, out=print)
 
 
-def run(*, core_client: core_clients.CoreClient, as_json: bool, out: output.Out) -> int:
+def run(*, core_client: core_clients.CoreClient, as_json: bool, out: output.LineWriter) -> int:
     """Prints the core set.
 
     Returns:
-        `WELL` where it tolerates the losses that it should, `BROKEN` where it does not, `PARTS_MISSING` where it does
-        and some nodes are out of reach.
+        `FAILURE` if a fault was found, such as fewer tolerable losses than configured; `INCOMPLETE` if none was found
+        but some nodes are unreachable; else `SUCCESS`.
     """
-    answers, missed = core_client.all(path=PATH)
+    answers, unreachable = core_client.read_all(path=PATH)
     responses = {address: body for address, (status, body) in answers.items() if status == 200}
-    follow_members(core_client=core_client, responses=responses, missed=missed)
-    newest, faults = judge(responses=responses)
+    query_named_members(core_client=core_client, responses=responses, unreachable=unreachable)
+    newest, faults = find_faults(responses=responses)
     if as_json:
-        output.print_json({"told": responses, "unreachable": missed, "faults": faults}, out=out, sort_keys=True)
+        output.print_json({"told": responses, "unreachable": unreachable, "faults": faults}, out=out, sort_keys=True)
     else:
-        output.print_lines((*table(responses=responses, missed=missed, newest=newest), *faults), out=out)
+        output.print_lines(
+            (*format_table(responses=responses, unreachable=unreachable, newest=newest), *faults), out=out
+        )
     if faults:
-        return exit_codes.ExitCode.BROKEN
-    return exit_codes.ExitCode.PARTS_MISSING if missed else exit_codes.ExitCode.WELL
+        return exit_codes.ExitCode.FAILURE
+    return exit_codes.ExitCode.INCOMPLETE if unreachable else exit_codes.ExitCode.SUCCESS
 
 
-def follow_members(*, core_client: core_clients.CoreClient, responses: Responses, missed: core_clients.Missed) -> None:
-    """Asks the members that the answers name as well, at the port of the node that named them.
+def query_named_members(
+    *, core_client: core_clients.CoreClient, responses: Responses, unreachable: core_clients.UnreachableNodes
+) -> None:
+    """Queries also the members named in the responses, at the port of the node that named them.
 
     Args:
-        core_client: Its type makes the clients for further nodes.
-        responses: Gets the further answers.
-        missed: Gets the further nodes that are out of reach.
+        core_client: Client whose type is used to make the clients for further nodes.
+        responses: Receives the further responses.
+        unreachable: Receives the further nodes that could not be reached.
     """
-    asked = set(responses) | set(missed)
+    queried = set(responses) | set(unreachable)
     for address, body in list(responses.items()):
         port = address.rpartition(":")[2]
         for host in (*body["members"], *body["in_touch"]):
             other = f"{host}:{port}"
-            if other not in asked:
-                asked.add(other)
-                found, unreachable = type(core_client)(addresses=(other,)).all(path=PATH)
+            if other not in queried:
+                queried.add(other)
+                found, also_unreachable = type(core_client)(addresses=(other,)).read_all(path=PATH)
                 responses.update({one: row for one, (status, row) in found.items() if status == 200})
-                missed.update(unreachable)
+                unreachable.update(also_unreachable)
 
 
-def judge(*, responses: Responses) -> tuple[Body | None, list[str]]:
-    """Compares the answers with what they should say.
+def find_faults(*, responses: Responses) -> tuple[Body | None, list[str]]:
+    """Checks the responses for faults of the core set.
 
     Returns:
-        The newest answer of a node in contact with a majority, None where there is no such node; and a sentence on each
-        thing that is not as it should be.
+        The newest response of a node in contact with a majority, or None if there is no such node; and one sentence
+        for each fault.
     """
-    backed = [body for body in responses.values() if body["has_majority_contact"]]
-    if not backed:
+    with_majority = [body for body in responses.values() if body["has_majority_contact"]]
+    if not with_majority:
         return None, ["no node is in contact with a majority: no order is taken, nothing is agreed"]
-    newest = max(backed, key=lambda body: body["version"])
+    newest = max(with_majority, key=lambda body: body["version"])
     faults = []
     tolerated = (newest["wanted_voters"] - 1) // 2
     if newest["losses_borne"] < tolerated:
@@ -98,33 +102,33 @@
                 f"register '{name}' stands under {', '.join(row['members']) or 'no set'}: a move is under way"
             )
     faults += [
-        f"{body['address']} is a member and does not vote{_silence(body).reason}"
+        f"{body['address']} is a member and does not vote{_non_voting_reason(body).reason}"
         for body in responses.values()
         if body["address"] in newest["members"] and not body["votes"]
     ]
     return newest, faults
 
 
-def _silence(body: Body) -> Silence:
-    """Why a node that answers does not vote: a learner has nothing on its disk."""
+def _non_voting_reason(body: Body) -> NonVotingReason:
+    """Returns why a node does not vote; unlike a node with a failing disk, a learner has no registers on its disk."""
     has_registers = any(row["on_disk"] for row in body["registers"].values())
-    return Silence.DISK if has_registers else Silence.LEARNS
+    return NonVotingReason.DISK if has_registers else NonVotingReason.LEARNS
 
 
-def table(*, responses: Responses, missed: core_clients.Missed, newest: Body | None) -> list[str]:
-    """Returns lines for people: the set, then a line for each node."""
+def format_table(*, responses: Responses, unreachable: core_clients.UnreachableNodes, newest: Body | None) -> list[str]:
+    """Returns lines for people: the core set, then one line per node."""
     lines = []
     members = () if newest is None else newest["members"]
     if newest is not None:
         lines.append(f"core set, version {newest['version']}: {', '.join(members)}")
         lines.append(f"watch: {newest['watch'] or 'nobody'}; further losses borne now: {newest['losses_borne']}")
     lines += [_node_line(address, body, members) for address, body in sorted(responses.items())]
-    return lines + output.unreachable_lines(missed, template="{address}  unreachable: {why}")
+    return lines + output.unreachable_lines(unreachable, template="{address}  unreachable: {why}")
 
 
 def _node_line(address: str, body: Body, members: tuple | list) -> str:
     voting_role = "votes" if body["address"] in members else "outside the set"
-    role = voting_role if body["votes"] else _silence(body).role
+    role = voting_role if body["votes"] else _non_voting_reason(body).role
     contact = "in contact" if body["has_majority_contact"] else "no majority"
     versions = " ".join(f"{name}={row['on_disk']}/{row['known']}" for name, row in sorted(body["registers"].items()))
     return f"{address}  {role:15}  {contact:11}  {versions}"
--- a/ploverward/command_line/custody.py
+++ b/ploverward/command_line/custody.py
@@ -1,4 +1,4 @@
-"""`ploverward custody`: which nodes had a request's text and cache; the audit of all trails (docs/residency.md)."""
+"""`ploverward custody`: prints which nodes held a request's text and cache, or audits all (docs/residency.md)."""
 
 import urllib.parse
 from typing import Any
@@ -13,21 +13,21 @@
 
 PATH = "/ploverward/custody"
 
-Trail = dict[str, Any]  # one request's trail, as a core node answers it
-Cursors = dict[str, int]  # up to where each core node's trails were read, by its address
+Trail = dict[str, Any]  # trail of one request, as a core node returns it
+Cursors = dict[str, int]  # position up to which each core node's trails were read, by its address
 
 
-class Collected(NamedTuple):
-    """The trails of all core nodes in reach."""
+class CollectedTrails(NamedTuple):
+    """Trails of all reachable core nodes."""
 
     trails: list[Trail]
-    coverage: list[dict[str, Any]]  # a row for each incarnation of a proxy: whether its trails are complete
-    missed: core_clients.Missed
+    coverage: list[dict[str, Any]]  # one row per incarnation of a proxy: whether its trails are complete
+    unreachable: core_clients.UnreachableNodes
     zones: dict[str, str]  # region by zone
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Shows one request's trail, or audits all of them."""
+    """Prints the trail of one request, or audits all trails."""
     as_json = options.FLAGS.json
     if options.FLAGS.audit:
         if arguments:
@@ -38,38 +38,38 @@
     return show(core_client=core_clients.connect(), request_id=arguments[0], as_json=as_json, out=print)
 
 
-def show(*, core_client: core_clients.CoreClient, request_id: str, as_json: bool, out: output.Out) -> int:
+def show(*, core_client: core_clients.CoreClient, request_id: str, as_json: bool, out: output.LineWriter) -> int:
     """Prints the trail of one request.
 
     Returns:
-        `BROKEN` where no trail is found, `PARTS_MISSING` where some nodes are out of reach, else `WELL`.
+        `FAILURE` if no trail is found, `INCOMPLETE` if some nodes are unreachable, else `SUCCESS`.
     """
-    responses, missed = core_client.all(path=f"{PATH}/" + urllib.parse.quote(request_id, safe=""))
+    responses, unreachable = core_client.read_all(path=f"{PATH}/" + urllib.parse.quote(request_id, safe=""))
     bodies = [body for _address, (status, body) in sorted(responses.items()) if status == 200 and body]
     trails = [trail for body in bodies for trail in body["trails"]]
     kept_known = all(body["kept_known"] for body in bodies)
     if as_json:
         output.print_json(
-            {"id": request_id, "trails": trails, "unreachable": missed, "kept_known": kept_known}, out=out
+            {"id": request_id, "trails": trails, "unreachable": unreachable, "kept_known": kept_known}, out=out
         )
     else:
         for trail in trails:
-            output.print_lines(lines_of(trail=trail, kept_known=kept_known), out=out)
+            output.print_lines(format_trail(trail=trail, kept_known=kept_known), out=out)
         template = "unreachable: {address} ({why}); its part of the trail is missing"
-        output.print_lines(output.unreachable_lines(missed, template=template), out=out)
+        output.print_lines(output.unreachable_lines(unreachable, template=template), out=out)
         if not trails:
             out(f"no trail of '{request_id}' on the nodes in reach: never seen, too long ago, or lost with its proxy")
     if not trails:
-        return exit_codes.ExitCode.BROKEN
-    return exit_codes.ExitCode.PARTS_MISSING if missed else exit_codes.ExitCode.WELL
+        return exit_codes.ExitCode.FAILURE
+    return exit_codes.ExitCode.INCOMPLETE if unreachable else exit_codes.ExitCode.SUCCESS
 
 
-def lines_of(*, trail: Trail, kept_known: bool) -> list[str]:
-    """Returns lines for people: the request, its attempts, and who keeps parts of it.
+def format_trail(*, trail: Trail, kept_known: bool) -> list[str]:
+    """Returns lines for people: the request, its attempts, and the replicas that keep parts of it.
 
     Args:
         trail: The request's trail.
-        kept_known: Whether all nodes said which replicas keep parts of it.
+        kept_known: Whether all nodes reported which replicas keep parts of it.
     """
     homes = ", ".join(trail["homes"]) or "any region"
     lines = [
@@ -92,64 +92,68 @@
     return f"  {what:<10} {where}  from {attempt['from_ms']} ms {end}  ({attempt['end']})"
 
 
-def collect(*, core_client: core_clients.CoreClient, cursors: Cursors | None = None) -> Collected:
+def collect(*, core_client: core_clients.CoreClient, cursors: Cursors | None = None) -> CollectedTrails:
     """Reads the trails of all core nodes.
 
     Args:
-        core_client: Calls them.
-        cursors: Where to read on; moved forward, so that the next call gets later trails alone. None: all trails.
+        core_client: Calls the core nodes.
+        cursors: Positions to read from, which are advanced so that the next call returns only later trails. None: reads
+            all trails.
     """
     cursors = {} if cursors is None else cursors
-    found = Collected(trails=[], coverage=[], missed={}, zones={})
+    collected = CollectedTrails(trails=[], coverage=[], unreachable={}, zones={})
     for address in core_client.addresses:
         try:
-            _collect_from(address, core_client=core_client, cursors=cursors, found=found)
+            _collect_from(address, core_client=core_client, cursors=cursors, collected=collected)
         except errors.CoreUnreachableError as error:
-            found.missed[address] = error.text
-    return found
+            collected.unreachable[address] = error.text
+    return collected
 
 
-def _collect_from(address: str, *, core_client: core_clients.CoreClient, cursors: Cursors, found: Collected) -> None:
+def _collect_from(
+    address: str, *, core_client: core_clients.CoreClient, cursors: Cursors, collected: CollectedTrails
+) -> None:
     while True:
         path = f"{PATH}?after={cursors.get(address, 0)}"
-        status, body = core_client.one(address=address, method="GET", path=path)
+        status, body = core_client.call_node(address=address, method="GET", path=path)
         if status != 200 or not body:
-            found.missed[address] = f"answered {status}"
+            collected.unreachable[address] = f"answered {status}"
             return
-        found.trails.extend(body["trails"])
-        found.zones.update(body["zones"])
+        collected.trails.extend(body["trails"])
+        collected.zones.update(body["zones"])
         cursors[address] = body["last"]
         if not body["has_more"]:
-            found.coverage.extend(body["coverage"])
+            collected.coverage.extend(body["coverage"])
             return
 
 
-def audit(*, core_client: core_clients.CoreClient, as_json: bool, out: output.Out) -> int:
+def audit(*, core_client: core_clients.CoreClient, as_json: bool, out: output.LineWriter) -> int:
     """Checks all trails against the permitted regions.
 
     Returns:
-        `BROKEN` where a node outside held something, `PARTS_MISSING` where not all trails could be read, else `WELL`.
+        `FAILURE` if a node outside the permitted regions held a request; `INCOMPLETE` if trails are missing or there
+        are none; else `SUCCESS`.
     """
     collected = collect(core_client=core_client)
-    found = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
-    found["unreachable"] = collected.missed
+    summary = trail_audit.summary(trails=collected.trails, coverage=collected.coverage, zones=collected.zones)
+    summary["unreachable"] = collected.unreachable
     if as_json:
-        output.print_json(found, out=out)
+        output.print_json(summary, out=out)
     else:
-        output.print_lines(_audit_lines(found), out=out)
-    if found["outside"]:
-        return exit_codes.ExitCode.BROKEN
-    is_partial = found["lives_with_parts_missing"] or collected.missed or not collected.trails
-    return exit_codes.ExitCode.PARTS_MISSING if is_partial else exit_codes.ExitCode.WELL
+        output.print_lines(_audit_lines(summary), out=out)
+    if summary["outside"]:
+        return exit_codes.ExitCode.FAILURE
+    is_partial = summary["lives_with_parts_missing"] or collected.unreachable or not collected.trails
+    return exit_codes.ExitCode.INCOMPLETE if is_partial else exit_codes.ExitCode.SUCCESS
 
 
-def _audit_lines(found: dict[str, Any]) -> list[str]:
-    lines = [f"{found['trails']} trails, {found['homed']} of them bound to regions; {found['lives']} proxy lives"]
-    lines += [f"OUTSIDE: {line}" for line in found["outside"]]
-    for row in found["lives_with_parts_missing"]:
+def _audit_lines(summary: dict[str, Any]) -> list[str]:
+    lines = [f"{summary['trails']} trails, {summary['homed']} of them bound to regions; {summary['lives']} proxy lives"]
+    lines += [f"OUTSIDE: {line}" for line in summary["outside"]]
+    for row in summary["lives_with_parts_missing"]:
         has_ended = row["ended_without_closing"]
         why = "ended without closing" if has_ended else f"{row['missing_batches']} batches did not come"
         lines.append(f"missing: {row['node']} life {row['life']}: {why}")
-    lines += output.unreachable_lines(found["unreachable"], template="unreachable: {address} ({why})")
-    lines.append("outside: none" if not found["outside"] else f"outside: {len(found['outside'])}")
+    lines += output.unreachable_lines(summary["unreachable"], template="unreachable: {address} ({why})")
+    lines.append("outside: none" if not summary["outside"] else f"outside: {len(summary['outside'])}")
     return lines
--- a/ploverward/command_line/keep.py
+++ b/ploverward/command_line/keep.py
@@ -1,4 +1,4 @@
-"""`ploverward keep`: the configuration in force, kept in a Git repository by dulwich (docs/operations.md)."""
+"""`ploverward keep`: keeps the active configuration in a Git repository, by dulwich (docs/operations.md)."""
 
 import json
 import os
@@ -16,36 +16,36 @@
 FILE_NAME = "configuration.json"
 AUTHOR = b"ploverward <ploverward@localhost>"
 
-Body = dict[str, Any]  # a configuration as operators send it
+Body = dict[str, Any]  # a configuration in the form that operators send
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Keeps the configuration in force in a folder, or prints the one of an edition that is kept there."""
+    """Commits the active configuration to a folder, or prints an edition that is kept there."""
     match arguments:
         case [folder]:
-            return _keep(folder)
+            return _commit_current(folder)
         case [folder, edition] if edition.isdigit():
-            return _show(folder, edition=int(edition))
+            return _print_edition(folder, edition=int(edition))
     raise exit_codes.UsageError
 
 
-def _keep(folder: str) -> int:
+def _commit_current(folder: str) -> int:
     repository = ConfigurationRepository(folder=folder)
-    status, body = core_clients.connect().any(method="GET", path="/ploverward/configuration")
+    status, body = core_clients.connect().call_any(method="GET", path="/ploverward/configuration")
     if status != 200:
         raise errors.UnexpectedAnswerError(status=status, step="keep")
-    made = repository.keep(body=body)
-    print(f"edition {body['edition']}: {made or 'kept already'}")
-    return exit_codes.ExitCode.WELL
+    commit_id = repository.keep(body=body)
+    print(f"edition {body['edition']}: {commit_id or 'kept already'}")
+    return exit_codes.ExitCode.SUCCESS
 
 
-def _show(folder: str, *, edition: int) -> int:
+def _print_edition(folder: str, *, edition: int) -> int:
     output.print_json(ConfigurationRepository(folder=folder).show(edition=edition), out=print, sort_keys=True)
-    return exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.SUCCESS
 
 
-def without_keys(body: Body) -> Body:
-    """Returns the configuration with a digest in place of each key of a tenant."""
+def with_key_digests(body: Body) -> Body:
+    """Returns the configuration with each tenant key replaced by its digest."""
     if not body.get("senders"):
         return body
     tenant_rows = [
@@ -56,13 +56,13 @@
 
 
 class ConfigurationRepository:
-    """A folder with one commit for each edition that was kept; editions only rise.
+    """Git repository with one commit per kept edition; editions only increase.
 
     Args:
-        folder: Is made a repository where it is none.
+        folder: Path of the repository, which is created if it does not exist.
 
     Attributes:
-        folder: As given.
+        folder: Path of the repository.
     """
 
     def __init__(self, *, folder: str) -> None:
@@ -78,19 +78,19 @@
         self._repo.close()
 
     def log(self) -> list[tuple[int, str]]:
-        """Returns (edition, commit id) of all that is kept, newest first."""
+        """Returns edition and id of each commit, newest first."""
         return [(self._body_at(commit)["edition"], commit.id.decode()) for commit in self._commits()]
 
     def keep(self, *, body: Body) -> str | None:
-        """Commits a configuration; keys of tenants are kept as digests.
+        """Commits a configuration, with tenant keys replaced by digests.
 
         Returns:
-            The new commit's id, None where the newest one holds the same.
+            The id of the new commit, or None if the newest commit holds the same configuration.
 
         Raises:
-            KeptEditionError: The newest one kept is another one and has this edition or a higher one.
+            KeptEditionError: The newest commit holds another configuration with this edition or a higher one.
         """
-        body = without_keys(body)
+        body = with_key_digests(body)
         commits = self._commits()
         if commits:
             newest = self._body_at(commits[0])
@@ -107,14 +107,16 @@
             json.dump(body, handle, indent=2, sort_keys=True)
             handle.write("\n")
         porcelain.add(self._repo, paths=[path])
-        made = porcelain.commit(self._repo, message=b"edition %d" % body["edition"], author=AUTHOR, committer=AUTHOR)
-        return made.decode()
+        commit_id = porcelain.commit(
+            self._repo, message=b"edition %d" % body["edition"], author=AUTHOR, committer=AUTHOR
+        )
+        return commit_id.decode()
 
     def show(self, *, edition: int) -> Body:
         """Returns the configuration of an edition.
 
         Raises:
-            KeptEditionError: It is not kept here.
+            KeptEditionError: The repository does not hold this edition.
         """
         for commit in self._commits():
             body = self._body_at(commit)
@@ -129,6 +131,6 @@
             return []  # a repository without commits has no HEAD
 
     def _body_at(self, commit: Any) -> Body:  # noqa: ANN401  # dulwich's commit
-        objects: Any = self._repo  # their types depend on the repository's content
+        objects: Any = self._repo  # the types of its objects depend on the repository's content
         _mode, sha = objects[commit.tree][FILE_NAME.encode()]
         return json.loads(objects[sha].data)
--- a/ploverward/command_line/pins.py
+++ b/ploverward/command_line/pins.py
@@ -1,6 +1,6 @@
-"""`ploverward pins`: which adapters keep arriving cold, and which each replica should keep pinned (docs/pins.md).
+"""`ploverward pins`: prints which adapters keep arriving cold and which each replica should pin (docs/pins.md).
 
-Reads what the core nodes counted; `pin_report` makes the report of it, `pin_table` prints that for people.
+Reads the adapter counts of the core nodes; `pin_report` builds the report, and `pin_table` formats it for people.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Prints the suggestion for the replicas that the flags name."""
+    """Prints the suggestion for the replicas that the flags select."""
     if arguments:
         raise exit_codes.UsageError
     flags = options.FLAGS
@@ -30,7 +30,7 @@
         out=print,
         capacity=flags.capacity,
         previous=flags.previous,
-        wanted=Filter(service=flags.service, model=flags.model, zone=flags.zone, replica=flags.replica),
+        row_filter=Filter(service=flags.service, model=flags.model, zone=flags.zone, replica=flags.replica),
     )
 
 
@@ -38,61 +38,63 @@
     *,
     core_client: core_clients.CoreClient,
     as_json: bool,
-    out: output.Out,
+    out: output.LineWriter,
     capacity: int = 0,
     previous: str = "",
-    wanted: Filter | None = None,
+    row_filter: Filter | None = None,
 ) -> int:
-    """Prints which adapters to pin.
+    """Prints which adapters each replica should keep pinned.
 
     Args:
         core_client: Calls the core nodes.
-        as_json: Whether to print for programs.
-        out: Gets what is printed.
-        capacity: Pins a replica; 0: as many as one is seen to hold.
-        previous: The path of an earlier output for programs, which the suggestion changes no more than it must.
-        wanted: What to print.
+        as_json: Whether to print JSON instead of lines for people.
+        out: Receives the output.
+        capacity: Adapters that a replica can keep pinned; 0: the most that a replica of its service is seen to hold.
+        previous: Path of an earlier JSON output; the suggestion differs from it only as far as necessary.
+        row_filter: Rows to print; None: all.
 
     Returns:
-        `PARTS_MISSING` where a core node is out of reach, else `WELL`.
+        `INCOMPLETE` if a core node is unreachable, else `SUCCESS`.
 
     Raises:
-        InvalidArgumentError: The capacity, the previous output or the filter.
-        InsufficientDataError: No core node is in reach, or the configuration can't be read.
+        InvalidArgumentError: The capacity is negative, the previous output is malformed, or the filter has an unknown
+            name.
+        InsufficientDataError: No core node is reachable, or the configuration can't be read.
     """
     if capacity < 0:
         raise errors.InvalidArgumentError("--capacity must not be below 0", step="pins")
-    seen = collect(core_client=core_client)
-    results = pin_report.make(
-        seen=seen,
+    usage = collect(core_client=core_client)
+    results = pin_report.build_report(
+        usage=usage,
         routes=read_routes(core_client=core_client),
         capacity=capacity,
         previous=read_previous(path=previous),
-        wanted=wanted or Filter(),
+        row_filter=row_filter or Filter(),
     )
     if as_json:
         output.print_json(results, out=out)
     else:
-        output.print_lines(pin_table.lines_of(results=results), out=out)
-    return exit_codes.ExitCode.PARTS_MISSING if seen["unreachable"] else exit_codes.ExitCode.WELL
+        output.print_lines(pin_table.format_report(results=results), out=out)
+    return exit_codes.ExitCode.INCOMPLETE if usage["unreachable"] else exit_codes.ExitCode.SUCCESS
 
 
 def collect(*, core_client: core_clients.CoreClient) -> Json:
-    """Reads all that the core nodes in reach know, each window of an incarnation once.
+    """Reads the adapter counts of all reachable core nodes; a window of an incarnation that several report counts once.
 
     Raises:
-        InsufficientDataError: No core node is in reach.
+        InsufficientDataError: No core node is reachable.
     """
-    results, missed = core_client.all(path="/ploverward/adapters")
+    results, unreachable = core_client.read_all(path="/ploverward/adapters")
     bodies = []
     for address, (status, body) in sorted(results.items()):
         if status == 200 and body:
             bodies.append(body)
         else:
-            missed[address] = f"answered {status}"
+            unreachable[address] = f"answered {status}"
     if not bodies:
         raise errors.InsufficientDataError(
-            "no core node could be reached: " + "; ".join(f"{host} ({why})" for host, why in sorted(missed.items())),
+            "no core node could be reached: "
+            + "; ".join(f"{host} ({why})" for host, why in sorted(unreachable.items())),
             step="pins",
         )
     newest = max(bodies, key=lambda body: len(body["replicas"]))
@@ -100,7 +102,7 @@
         "windows": list(adapter_usage.merge(tables=[body["windows"] for body in bodies]).values()),
         "replicas": newest["replicas"],
         "zones": newest["zones"],
-        "unreachable": missed,
+        "unreachable": unreachable,
         "window_s": newest["window_s"],
         "malformed": sum(body["malformed"] for body in bodies),
         "malformed_replicas": newest["malformed_replicas"],
@@ -109,13 +111,13 @@
 
 
 def read_routes(*, core_client: core_clients.CoreClient) -> Json:
-    """Returns homes, urgency and latency target (ms) of each route, by its name.
+    """Returns home regions, urgency and latency target (ms) of each route, by route name.
 
     Raises:
         InsufficientDataError: The configuration can't be read.
     """
     try:
-        status, body = core_client.any(method="GET", path="/ploverward/configuration")
+        status, body = core_client.call_any(method="GET", path="/ploverward/configuration")
     except errors.CoreUnreachableError:
         status, body = 503, None
     if status != 200:
@@ -133,21 +135,21 @@
 
 
 def read_previous(*, path: str) -> Json:
-    """Reads the suggestion of an earlier output; an empty path gives none.
+    """Reads the suggestion of an earlier JSON output; returns an empty one for an empty path.
 
     Raises:
-        InvalidArgumentError: The file has no such output.
+        InvalidArgumentError: The file can't be read or holds no such output.
     """
     if not path:
         return {}
     try:
         with open(path, encoding="utf-8") as handle:
             body = json.load(handle)
-        made = body["suggestion"]
+        suggestion = body["suggestion"]
         return {
-            "new": made["new"],
+            "new": suggestion["new"],
             "replicas": {
-                name: {"pins": [tuple(pair) for pair in row["pins"]]} for name, row in made["replicas"].items()
+                name: {"pins": [tuple(pair) for pair in row["pins"]]} for name, row in suggestion["replicas"].items()
             },
         }
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
--- a/ploverward/command_line/rollout.py
+++ b/ploverward/command_line/rollout.py
@@ -1,4 +1,4 @@
-"""`ploverward rollout`: start a roll-out, see where it stands and why, watch it to its end (docs/rollouts.md 8)."""
+"""`ploverward rollout`: starts a roll-out, prints its state and evidence, or watches it (docs/rollouts.md 8)."""
 
 import json
 import time
@@ -15,8 +15,8 @@
 PATH = "/ploverward/rollouts"
 WATCH_INTERVAL_S = 1.0
 
-Call = Callable[[str, str, bytes], core_clients.Answer]  # method, path, body
-Row = dict[str, Any]  # what the core says of one service's roll-out
+Call = Callable[[str, str, bytes], core_clients.Response]  # method, path, body
+Row = dict[str, Any]  # state of one service's roll-out, as the core returns it
 
 
 def command(_verb: str, arguments: list[str]) -> int:
@@ -25,8 +25,8 @@
         raise exit_codes.UsageError
     core_client = core_clients.connect()
 
-    def call(method: str, path: str, data: bytes) -> core_clients.Answer:
-        return core_client.any(method=method, path=path, data=data)
+    def call(method: str, path: str, data: bytes) -> core_clients.Response:
+        return core_client.call_any(method=method, path=path, data=data)
 
     as_json, over_s = options.FLAGS.json, options.FLAGS.over_s
     match arguments:
@@ -41,26 +41,26 @@
     raise exit_codes.UsageError
 
 
-def start(*, call: Call, service: str, edition: str, over_s: float, out: output.Out) -> int:
+def start(*, call: Call, service: str, edition: str, over_s: float, out: output.LineWriter) -> int:
     """Orders a roll-out.
 
     Returns:
-        `WELL` where the order is taken, or was before; `BROKEN` where it is refused, with the reason.
+        `SUCCESS` if the order is accepted or was accepted before; `FAILURE` if it is refused, with the reason printed.
     """
     body = json.dumps({"destination": service, "targetEdition": edition, "overS": over_s}).encode()
     answer_status, answer = call("POST", PATH, body)
     if 200 <= answer_status < 300:
         out(f"{service}: roll-out to {edition} over {over_s:g} s is ordered")
-        return exit_codes.ExitCode.WELL
+        return exit_codes.ExitCode.SUCCESS
     out(f"{service}: {(answer or {}).get('error', answer_status)}")
-    return exit_codes.ExitCode.BROKEN
+    return exit_codes.ExitCode.FAILURE
 
 
-def read(*, call: Call, service: str = "") -> dict[str, Row]:
-    """Returns what the core says of each service's roll-out, or of that of one service.
+def read_rollouts(*, call: Call, service: str = "") -> dict[str, Row]:
+    """Returns the state of each service's roll-out, or only of the given service's.
 
     Raises:
-        UnexpectedAnswerError: The core can't be sure.
+        UnexpectedAnswerError: The core answers with another status than 200, as when it is not certain of the state.
     """
     answer_status, answer = call("GET", PATH, b"")
     if answer_status != 200:
@@ -68,46 +68,46 @@
     return {name: row for name, row in answer["rollouts"].items() if not service or name == service}
 
 
-def lines(*, service: str, row: Row) -> list[str]:
-    """Returns lines for people: the stage, and the evidence of each step."""
+def format_rollout(*, service: str, row: Row) -> list[str]:
+    """Returns lines for people: the stage of the roll-out and the evidence of each step."""
     if not row["number"]:
         return [f"{service}: no roll-out; versions in service: {', '.join(row['admitted']) or 'all'}"]
-    found = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
+    lines = [f"{service}: {row['stage']} ({row['condition']}), to {row['targetEdition']} over {row['overS']:g} s"]
     if row["reason"]:
-        found.append(f"  why: {row['reason']}")
-    found.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
+        lines.append(f"  why: {row['reason']}")
+    lines.append(f"  versions in service without a lease: {', '.join(row['admitted']) or 'all but the target'}")
     for step in row["record"]:
-        found += _step_lines(step)
-    return found
+        lines += _step_lines(step)
+    return lines
 
 
 def _step_lines(step: Row) -> list[str]:
-    found = [
+    lines = [
         f"  {step['age_s']:7.1f} s  {step['stage']:<10} {step['sent_new']} of {step['sent']} requests: {step['reason']}"
     ]
     for route, (former, former_failed, new, new_failed, broken) in step["routes"].items():
-        found.append(
+        lines.append(
             f"             {route}: former {former} answers, {former_failed} failed;"
             f" new {new} answers, {new_failed} failed, {broken} broken off"
         )
-    return found
+    return lines
 
 
-def status(*, call: Call, service: str, as_json: bool, out: output.Out) -> int:
-    """Prints where each roll-out stands, or that of one service.
+def status(*, call: Call, service: str, as_json: bool, out: output.LineWriter) -> int:
+    """Prints the state of each roll-out, or only of the given service's.
 
     Returns:
-        `PARTS_MISSING` where nothing is known of the service, else `WELL`.
+        `INCOMPLETE` if nothing is known of the service, or of any service; else `SUCCESS`.
     """
-    rows = read(call=call, service=service)
+    rows = read_rollouts(call=call, service=service)
     if as_json:
         output.print_json(rows, out=out)
     else:
         for name, row in sorted(rows.items()):
-            output.print_lines(lines(service=name, row=row), out=out)
+            output.print_lines(format_rollout(service=name, row=row), out=out)
         if not rows:
             out(f"{service or 'no service'}: nothing is known")
-    return exit_codes.ExitCode.WELL if rows else exit_codes.ExitCode.PARTS_MISSING
+    return exit_codes.ExitCode.SUCCESS if rows else exit_codes.ExitCode.INCOMPLETE
 
 
 def watch(
@@ -115,30 +115,30 @@
     call: Call,
     service: str,
     as_json: bool,
-    out: output.Out,
+    out: output.LineWriter,
     pause: Callable[[float], object] = time.sleep,
     clock: Callable[[], float] = time.monotonic,
     limit_s: float | None = None,
 ) -> int:
-    """Prints each change until the roll-out is done.
+    """Prints each change of a roll-out until it has ended.
 
     Returns:
-        `WELL` where it is delivered, `BROKEN` where it was rolled back, `PARTS_MISSING` where there is none, or it is
-        not done after `limit_s` seconds.
+        `SUCCESS` if it is delivered, `FAILURE` if it was rolled back, `INCOMPLETE` if there is none or it has not ended
+        after `limit_s` seconds.
     """
-    begun, last = clock(), None
-    while limit_s is None or clock() - begun < limit_s:
-        row = read(call=call, service=service).get(service)
+    started_at, last = clock(), None
+    while limit_s is None or clock() - started_at < limit_s:
+        row = read_rollouts(call=call, service=service).get(service)
         if row is None or not row["number"]:
             out(f"{service}: no roll-out")
-            return exit_codes.ExitCode.PARTS_MISSING
+            return exit_codes.ExitCode.INCOMPLETE
         shown = (row["stage"], row["reason"], row["number"])
         if shown != last:
             last = shown
-            out(json.dumps(row) if as_json else "\n".join(lines(service=service, row=row)))
+            out(json.dumps(row) if as_json else "\n".join(format_rollout(service=service, row=row)))
         if row["stage"] == state.Stage.DELIVERED:
-            return exit_codes.ExitCode.WELL
+            return exit_codes.ExitCode.SUCCESS
         if row["stage"] == state.Stage.RETURNED:
-            return exit_codes.ExitCode.BROKEN
+            return exit_codes.ExitCode.FAILURE
         pause(WATCH_INTERVAL_S)
-    return exit_codes.ExitCode.PARTS_MISSING
+    return exit_codes.ExitCode.INCOMPLETE
--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -1,4 +1,4 @@
-"""`ploverward simulate`: plays simulation runs of the control plane and reports broken checks (docs/simulate.md)."""
+"""`ploverward simulate`: runs simulations of the control plane and reports failed checks (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -18,9 +18,9 @@
 from ploverward.simulation.control_plane import shrinking
 
 HASH_SEED = "0"
-MAX_REPORTED_SEEDS = 20  # broken seeds that are printed with their findings
-MAX_SHORTENED_SEEDS = 3  # broken seeds that are shortened; each takes a minute or two
-PLAYED = (
+MAX_REPORTED_SEEDS = 20  # failing seeds that are printed with their findings
+MAX_SHORTENED_SEEDS = 3  # failing seeds that are shortened; each takes a minute or two
+SIMULATED_PATHS = (
     "common",
     "control_plane",
     "data_plane/control_client",
@@ -33,26 +33,26 @@
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Plays what the flags say."""
+    """Runs the simulations, the mutants or the one history that the flags select."""
     if arguments:
         raise exit_codes.UsageError
     flags = options.FLAGS
-    fix_hash_seed()
+    ensure_fixed_hash_seed()
     if flags.world == "rollouts":
         from ploverward.command_line import simulate_rollouts
 
-        simulate_rollouts.refuse_other_flags([name for name in flags if flags[name].present])
+        simulate_rollouts.reject_unsupported_flags([name for name in flags if flags[name].present])
         if flags.planted:
-            return simulate_rollouts.run_planted(jobs=flags.jobs, out=print)
+            return simulate_rollouts.run_mutants(jobs=flags.jobs, out=print)
         if flags.history >= 0:
-            return simulate_rollouts.show(seed=flags.history, out=print)
+            return simulate_rollouts.print_history(seed=flags.history, out=print)
         return simulate_rollouts.run(first=flags.first, seeds=flags.seeds, jobs=flags.jobs, out=print)
     if flags.state:
-        print(f"state {state_digest.digest(PLAYED)}")
+        print(f"state {state_digest.digest(SIMULATED_PATHS)}")
     if flags.planted:
-        return run_planted(jobs=flags.jobs, out=print)
+        return run_mutants(jobs=flags.jobs, out=print)
     has_history = flags.history >= 0
-    chosen = plans(
+    selected_plans = build_plans(
         first=flags.history if has_history else flags.first,
         seeds=1 if has_history else flags.seeds,
         machines=flags.machines,
@@ -61,23 +61,25 @@
         has_tallies=flags.tallies,
     )
     if has_history:
-        return show(plan=chosen[0], out=print)
-    return run(plans=chosen, jobs=flags.jobs, out=print)
+        return print_history(plan=selected_plans[0], out=print)
+    return run(plans=selected_plans, jobs=flags.jobs, out=print)
 
 
-def fix_hash_seed() -> None:
-    """Starts this program anew unless strings hash alike in each process: a seed names one history only then."""
+def ensure_fixed_hash_seed() -> None:
+    """Restarts this program with a fixed hash seed, without which a simulation seed doesn't determine one history."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
-        # `sys.argv` names the file of __main__, which would not find its package; `sys.orig_argv` has `-m ploverward`.
+        # `sys.argv` has the path of __main__.py, which would not find its package; `sys.orig_argv` has `-m ploverward`.
         os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], environment)
 
 
 def parse_fault_kinds(*, text: str, has_tallies: bool = False) -> tuple[str, ...]:
-    """Returns the kinds of faults that are named, by commas; where none is, all, long partitions only with tallies.
+    """Returns the kinds of faults in a comma-separated list; for an empty one, all kinds.
+
+    Long partitions are among all kinds only with tallies.
 
     Raises:
-        InvalidArgumentError: There is no such kind.
+        InvalidArgumentError: A kind is unknown.
     """
     kinds = tuple(kind for kind in text.split(",") if kind)
     for kind in kinds:
@@ -87,17 +89,17 @@
     return kinds or tuple(faults.ALL_KINDS if has_tallies else faults.KINDS)
 
 
-def plans(
+def build_plans(
     *, first: int, seeds: int, machines: int, tolerated: int, troubles: str, has_tallies: bool = False
 ) -> list[scenario.Plan]:
     """Returns the plans of a range of seeds.
 
     Args:
         first: The first seed.
-        seeds: How many.
-        machines: Core machines; 0: drawn by the seed.
+        seeds: Number of seeds.
+        machines: Number of core machines; 0: drawn by the seed.
         tolerated: Machines that may be lost at once; 0: drawn by the seed.
-        troubles: Kinds of faults, by commas; empty: all.
+        troubles: Kinds of faults, separated by commas; empty: all.
         has_tallies: Whether applications use tallies.
     """
     kinds = parse_fault_kinds(text=troubles, has_tallies=has_tallies)
@@ -114,28 +116,28 @@
     ]
 
 
-def run(*, plans: list[scenario.Plan], jobs: int, out: output.Out) -> int:
-    """Plays all plans on so many processes; `BROKEN` where a check broke."""
-    begun = time.monotonic()
-    broken = []
+def run(*, plans: list[scenario.Plan], jobs: int, out: output.LineWriter) -> int:
+    """Runs all plans in `jobs` processes and prints the results; returns `FAILURE` if a check failed."""
+    started_at = time.monotonic()
+    failed_reports = []
     totals: collections.Counter[str] = collections.Counter()
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for report in pool.map(scenario.run_simulation, plans, chunksize=CHUNK_RUNS):
             totals.update(days=1, orders=report.orders, chosen=report.chosen, troubles=report.troubles)
             if report.findings:
-                broken.append(report)
-    output.print_lines(map(_broken_line, broken[:MAX_REPORTED_SEEDS]), out=out)
-    for report in broken[:MAX_SHORTENED_SEEDS]:
+                failed_reports.append(report)
+    output.print_lines(map(_failure_line, failed_reports[:MAX_REPORTED_SEEDS]), out=out)
+    for report in failed_reports[:MAX_SHORTENED_SEEDS]:
         out(_shortened_line(shrinking.Shortening(report=report).shorten()))
     out(
         f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions,"
         f" {totals['troubles']} moments of trouble,"
-        f" {len(broken)} days broke a check, {time.monotonic() - begun:.0f} s"
+        f" {len(failed_reports)} days broke a check, {time.monotonic() - started_at:.0f} s"
     )
-    return exit_codes.ExitCode.BROKEN if broken else exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.FAILURE if failed_reports else exit_codes.ExitCode.SUCCESS
 
 
-def _broken_line(report: scenario.Report) -> str:
+def _failure_line(report: scenario.Report) -> str:
     first = report.findings[0]
     checks = ", ".join(sorted({finding.check for finding in report.findings}))
     return (
@@ -153,19 +155,19 @@
     )
 
 
-def show(*, plan: scenario.Plan, out: output.Out) -> int:
-    """Plays one plan and prints all that happened; `BROKEN` where a check broke."""
+def print_history(*, plan: scenario.Plan, out: output.LineWriter) -> int:
+    """Runs one plan and prints its history and findings; returns `FAILURE` if a check failed."""
     report = scenario.run_simulation(dataclasses.replace(plan, keeps_history=True))
     for when, text in report.history:
         out(f"{when:9.3f} {text}")
     for finding in report.findings:
         out(f"BROKEN {finding.check} at {finding.when:.3f}: {finding.text}")
     out(f"{report.machines} machines, {report.tolerated} tolerated, {len(report.findings)} findings")
-    return exit_codes.ExitCode.BROKEN if report.findings else exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.FAILURE if report.findings else exit_codes.ExitCode.SUCCESS
 
 
-def run_planted(*, jobs: int, out: output.Out) -> int:
-    """Plays each mutant until a check finds it; `BROKEN` where one is not found in its stated number of runs."""
+def run_mutants(*, jobs: int, out: output.LineWriter) -> int:
+    """Runs each mutant until a check detects it; returns `FAILURE` if one is not detected in its number of runs."""
     missed = 0
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for name, found in zip(mutants.MUTANTS, pool.map(mutants.search, mutants.MUTANTS), strict=True):
@@ -175,4 +177,4 @@
             else:
                 out(f"{name}: found on day {found.run_number} (seed {found.seed}): {found.check}")
     out(f"{len(mutants.MUTANTS) - missed} of {len(mutants.MUTANTS)} planted faults were found")
-    return exit_codes.ExitCode.BROKEN if missed else exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.FAILURE if missed else exit_codes.ExitCode.SUCCESS
--- a/ploverward/command_line/simulate_rollouts.py
+++ b/ploverward/command_line/simulate_rollouts.py
@@ -1,4 +1,4 @@
-"""`ploverward simulate --world rollouts`: plays the simulation of roll-outs (docs/simulate.md)."""
+"""`ploverward simulate --world rollouts`: runs simulations of roll-outs (docs/simulate.md)."""
 
 import collections
 import concurrent.futures
@@ -15,10 +15,10 @@
 from ploverward.simulation import rollout_simulation
 from ploverward.simulation import state_digest
 
-MAX_REPORTED_SEEDS = 20  # broken seeds that are printed with their first finding
-MAX_SHORTENED_SEEDS = 3  # broken seeds that are played again without some of their faults
-OTHER_WORLD_FLAGS = ("machines", "tolerate", "troubles", "tallies", "state")
-PLAYED = (
+MAX_REPORTED_SEEDS = 20  # failing seeds that are printed with their first finding
+MAX_SHORTENED_SEEDS = 3  # failing seeds that are run again without some of their faults
+UNSUPPORTED_FLAGS = ("machines", "tolerate", "troubles", "tallies", "state")
+SIMULATED_PATHS = (
     "common",
     "control_plane/rollouts",
     "data_plane/requests/attempts.py",
@@ -34,27 +34,27 @@
 
 
 def _disable_logs() -> None:
-    """The model's nodes log what is faulty on purpose."""
+    """Disables logging, as simulated nodes log faults that are injected on purpose."""
     logging.disable(logging.CRITICAL)
 
 
-def refuse_other_flags(given: Collection[str]) -> None:
-    """Refuses flags that this world does not have, rather than ignore them.
+def reject_unsupported_flags(given: Collection[str]) -> None:
+    """Rejects flags that the simulation of roll-outs doesn't support, rather than ignoring them.
 
     Args:
-        given: The names of all flags that the command line sets.
+        given: Names of all flags that are set on the command line.
 
     Raises:
-        InvalidArgumentError: One of them belongs to the other world.
+        InvalidArgumentError: One of them belongs to the simulation of the control plane.
     """
-    other = sorted(name for name in OTHER_WORLD_FLAGS if name in given)
+    other = sorted(name for name in UNSUPPORTED_FLAGS if name in given)
     if other:
         names = ", ".join(f"--{name}" for name in other)
         raise errors.InvalidArgumentError(f"--world rollouts has no {names}", step="simulate")
 
 
-def show(*, seed: int, out: output.Out) -> int:
-    """Plays one run and prints its history; `BROKEN` where a check broke."""
+def print_history(*, seed: int, out: output.LineWriter) -> int:
+    """Runs one seed and prints its history; returns `FAILURE` if a check failed."""
     _disable_logs()
     report = rollout_simulation.run_simulation(seed)
     for when, text in report.history:
@@ -63,11 +63,11 @@
         f"{report.kind}, {', '.join(report.fault_kinds)}: {report.stage} after {report.ended_s:.2f} s,"
         f" {report.sent_new} of {report.sent} requests to the new version, {len(report.findings)} findings"
     )
-    return exit_codes.ExitCode.BROKEN if report.findings else exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.FAILURE if report.findings else exit_codes.ExitCode.SUCCESS
 
 
-def run_planted(*, jobs: int, out: output.Out) -> int:
-    """Plays each mutant until its check finds it; `BROKEN` where one is not found."""
+def run_mutants(*, jobs: int, out: output.LineWriter) -> int:
+    """Runs each mutant until its check detects it; returns `FAILURE` if one is not detected."""
     missed = 0
     names = list(rollout_mutants.MUTANTS)
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs), initializer=_disable_logs) as pool:
@@ -76,11 +76,11 @@
             found = f"NOT FOUND in {rollout_mutants.MAX_SEEDS} days" if seed is None else f"found with seed {seed}"
             out(f"{name}: {found}: {rollout_mutants.MUTANTS[name].check}")
     out(f"{len(names) - missed} of {len(names)} planted faults were found")
-    return exit_codes.ExitCode.BROKEN if missed else exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.FAILURE if missed else exit_codes.ExitCode.SUCCESS
 
 
 def _needed_faults(report: rollout_checks.Report) -> tuple[str, ...]:
-    """The faults without which the run does not break its first check; others are left out one by one."""
+    """Returns the faults that the run needs to fail its first check; the others are left out one by one."""
 
     def still_breaks(skipped: frozenset[str]) -> bool:
         shorter = rollout_simulation.run_simulation(report.seed, skipped=skipped)
@@ -91,45 +91,45 @@
 
 
 def _quantiles(values: list[float]) -> str:
-    """The middle, the 99th part of 100 and the most of some values."""
+    """Formats the median, the 99th percentile and the maximum of some values."""
     if not values:
         return "none"
     ordered = sorted(values)
     return f"p50 {ordered[len(ordered) // 2]:.2f}, p99 {ordered[len(ordered) * 99 // 100]:.2f}, most {ordered[-1]:.2f}"
 
 
-def run(*, first: int, seeds: int, jobs: int, out: output.Out) -> int:
-    """Plays a range of seeds; prints, for each kind of version and fault, how often the version was let in.
+def run(*, first: int, seeds: int, jobs: int, out: output.LineWriter) -> int:
+    """Runs a range of seeds and prints, by kind of version and fault, how often the version was delivered.
 
     Returns:
-        `BROKEN` where a check broke, else `WELL`.
+        `FAILURE` if a check failed, else `SUCCESS`.
     """
-    played: collections.Counter[tuple[str, str]] = collections.Counter()  # by kind of version and kind of fault
-    let_in: collections.Counter[tuple[str, str]] = collections.Counter()
-    broken = []
-    exposures = []  # of bad versions: requests that they got, as shares of those that they may get
+    played: collections.Counter[tuple[str, str]] = collections.Counter()  # runs by kind of version and kind of fault
+    delivered: collections.Counter[tuple[str, str]] = collections.Counter()
+    failed_reports = []
+    exposures = []  # of bad versions: requests received, as shares of those allowed
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs), initializer=_disable_logs) as pool:
         for report in pool.map(rollout_simulation.run_simulation, range(first, first + seeds), chunksize=CHUNK_RUNS):
             for fault in report.fault_kinds:
                 played[report.kind, fault] += 1
-                let_in[report.kind, fault] += report.stage == state.Stage.DELIVERED
+                delivered[report.kind, fault] += report.stage == state.Stage.DELIVERED
             if report.kind != "good":
                 exposures.append(report.sent_new / report.allowed_new)
             if report.findings:
-                broken.append(report)
-    for report in broken[:MAX_REPORTED_SEEDS]:
+                failed_reports.append(report)
+    for report in failed_reports[:MAX_REPORTED_SEEDS]:
         finding = report.findings[0]
         out(
             f"seed {report.seed} ({report.kind}, {', '.join(report.fault_kinds)}):"
             f" {finding.check} at {finding.when}: {finding.text}"
         )
-    for report in broken[:MAX_SHORTENED_SEEDS]:
+    for report in failed_reports[:MAX_SHORTENED_SEEDS]:
         out(f"seed {report.seed} needs {', '.join(_needed_faults(report)) or 'no fault'}")
     kinds = ("good", *rollout_simulation.BAD_KINDS)
     out("delivered of played, by trouble: " + ", ".join(kinds))
     for fault in rollout_simulation.FAULT_KINDS:
-        cells = (f"{let_in[kind, fault]}/{played[kind, fault]}" for kind in kinds)
+        cells = (f"{delivered[kind, fault]}/{played[kind, fault]}" for kind in kinds)
         out(f"  {fault:<16}" + "".join(f"{cell:>12}" for cell in cells))
     out(f"requests to bad versions, of those allowed: {_quantiles(exposures)}")
-    out(f"{seeds} days on state {state_digest.digest(PLAYED)}, {len(broken)} broke a check")
-    return exit_codes.ExitCode.BROKEN if broken else exit_codes.ExitCode.WELL
+    out(f"{seeds} days on state {state_digest.digest(SIMULATED_PATHS)}, {len(failed_reports)} broke a check")
+    return exit_codes.ExitCode.FAILURE if failed_reports else exit_codes.ExitCode.SUCCESS
--- a/ploverward/command_line/stand_in.py
+++ b/ploverward/command_line/stand_in.py
@@ -1,6 +1,6 @@
-"""`ploverward stand-in`: a small deployment on the loopback range, to try the program by hand (README.md).
+"""`ploverward stand-in`: runs a small deployment on loopback addresses, for manual trials (README.md).
 
-It is for those who develop the program, so the operators' usage does not list it, and it has flags of its own
+It is meant for developers of the program, so the operators' usage text does not list it, and it has flags of its own
 (`python3 -m ploverward stand-in --help`).
 """
 
@@ -12,4 +12,4 @@
     from ploverward.simulation import stand_in
 
     stand_in.main(arguments)
-    return exit_codes.ExitCode.WELL
+    return exit_codes.ExitCode.SUCCESS
--- a/ploverward/command_line/tallies.py
+++ b/ploverward/command_line/tallies.py
@@ -1,4 +1,4 @@
-"""`ploverward tallies`: the sums of tallies, whether all core nodes agree, and how far behind each one is."""
+"""`ploverward tallies`: prints sums of tallies, whether all core nodes agree, and how far behind each one is."""
 
 from typing import Any
 
@@ -9,47 +9,47 @@
 
 PATH = "/ploverward/tallies"
 
-Responses = dict[str, dict[str, Any]]  # what each core node answers, by its address
+Responses = dict[str, dict[str, Any]]  # response of each core node, by its address
 
 
 def command(_verb: str, arguments: list[str]) -> int:
-    """Prints all tallies, or the one that is named."""
+    """Prints all tallies, or only the named one."""
     if len(arguments) > 1:
         raise exit_codes.UsageError
     name = arguments[0] if arguments else ""
     return run(core_client=core_clients.connect(), name=name, as_json=options.FLAGS.json, out=print)
 
 
-def run(*, core_client: core_clients.CoreClient, name: str, as_json: bool, out: output.Out) -> int:
-    """Prints what each core node in reach has.
+def run(*, core_client: core_clients.CoreClient, name: str, as_json: bool, out: output.LineWriter) -> int:
+    """Prints the tallies of all reachable core nodes.
 
     Args:
         core_client: Calls the core nodes.
-        name: Only this tally; empty: all.
-        as_json: Whether to print the answers as they are.
-        out: Takes each line.
+        name: The only tally to print; empty: all.
+        as_json: Whether to print the responses unchanged, as JSON.
+        out: Receives each line.
 
     Returns:
-        `BROKEN` where nodes differ, have not merged, or know no such tally; `PARTS_MISSING` where a node is out of
-        reach; else `WELL`.
+        `FAILURE` if sums differ, a node has not merged yet, or no node knows the named tally; `INCOMPLETE` if a node
+        is unreachable; else `SUCCESS`.
 
     Raises:
         InsufficientDataError: No core node answers.
     """
-    responses, missed = core_clients.answered_by_all(core_client=core_client, path=PATH, step="tallies")
+    responses, unreachable = core_clients.read_from_all(core_client=core_client, path=PATH, step="tallies")
     sums = {tally: row for tally, row in _sums(responses).items() if name in ("", tally)}
     if as_json:
-        output.print_json({"told": responses, "unreachable": missed, "differ": _differing(sums)}, out=out)
+        output.print_json({"told": responses, "unreachable": unreachable, "differ": _differing(sums)}, out=out)
     else:
-        output.print_lines(_lines(sums, responses, missed), out=out)
+        output.print_lines(_lines(sums, responses, unreachable), out=out)
     is_merged = all(body["merged"] for body in responses.values())
     if _differing(sums) or not is_merged or (name and not sums):
-        return exit_codes.ExitCode.BROKEN
-    return exit_codes.ExitCode.PARTS_MISSING if missed else exit_codes.ExitCode.WELL
+        return exit_codes.ExitCode.FAILURE
+    return exit_codes.ExitCode.INCOMPLETE if unreachable else exit_codes.ExitCode.SUCCESS
 
 
 def _sums(responses: Responses) -> dict[str, dict[str, int]]:
-    """The sum of each tally at each node, by tally; 0 where a node has not heard of it."""
+    """Returns the sum of each tally at each node, by tally; 0 where a node does not know the tally."""
     names = sorted({name for body in responses.values() for name in body["totals"]})
     return {
         name: {address: body["totals"].get(name, 0) for address, body in sorted(responses.items())} for name in names
@@ -60,14 +60,16 @@
     return [name for name, row in sums.items() if len(set(row.values())) > 1]
 
 
-def _lines(sums: dict[str, dict[str, int]], responses: Responses, missed: core_clients.Missed) -> list[str]:
+def _lines(
+    sums: dict[str, dict[str, int]], responses: Responses, unreachable: core_clients.UnreachableNodes
+) -> list[str]:
     differing = _differing(sums)
     agreement = f"{len(differing)} differ" if differing else "all agree"
-    found = [f"{len(sums)} tallies, {len(responses)} core nodes answer, {agreement}"]
-    found += [_tally_line(name, row) for name, row in sums.items()]
+    lines = [f"{len(sums)} tallies, {len(responses)} core nodes answer, {agreement}"]
+    lines += [_tally_line(name, row) for name, row in sums.items()]
     for address, body in sorted(responses.items()):
-        found.append(_node_line(address, body))
-    return found + output.unreachable_lines(missed, template="{address}: out of reach: {why}")
+        lines.append(_node_line(address, body))
+    return lines + output.unreachable_lines(unreachable, template="{address}: out of reach: {why}")
 
 
 def _tally_line(name: str, row: dict[str, int]) -> str:
--- a/ploverward/testing/test_external_names.py
+++ b/ploverward/testing/test_external_names.py
@@ -1,6 +1,6 @@
-"""Names that other processes, stored data and operators rely on still stand in the sources.
+"""Tests that names on which other processes, stored data and operators rely still occur in the sources.
 
-Guards against a rename inside the program that changes a published name by mistake: a JSON key, a settings key, a
+Guards against an internal rename that changes a published name by mistake: a JSON key, a settings key, a
 stored field, a flag or a log event.
 """
 
@@ -34,7 +34,7 @@
 
 
 def docstrings(tree: ast.Module) -> set[int]:
-    """The identities of the nodes that are docstrings, in which a name may stand without being written out."""
+    """Returns the ids of the docstring nodes; a name in a docstring is not written out."""
     return {
         id(node.body[0].value)
         for node in ast.walk(tree)
@@ -45,7 +45,7 @@
 
 
 def names_in(source: str) -> set[str]:
-    """The string constants of a module, and the fields that are written out under their own names."""
+    """Returns the string constants of a module, and the fields that are written out under their own names."""
     tree = ast.parse(source)
     skipped = docstrings(tree)
     names = set()
@@ -65,15 +65,15 @@
 
 
 @pytest.mark.parametrize("name", listed_names())
-def test_external_name_stands_in_the_sources(name, source_names):
+def test_external_name_occurs_in_the_sources(name, source_names):
     assert name in source_names
 
 
-def test_names_are_listed_once_and_in_order():
+def test_external_names_are_unique_and_sorted():
     names = listed_names()
     assert names == sorted(set(names))
 
 
-def test_names_in_docstrings_and_of_other_fields_do_not_count():
+def test_names_in_ignores_docstrings_and_fields_of_other_classes():
     source = '"""docstring"""\nclass A:\n    internal: int\nclass Evidence:\n    stage: str\nkey = "value"\n'
     assert names_in(source) == {"stage", "value"}
