--- a/ploverward/simulation/rollout_mutants.py
+++ b/ploverward/simulation/rollout_mutants.py
@@ -98,7 +98,7 @@
     return [unittest.mock.patch.object(judge.CanaryJudge, "record", record)]
 
 
-def doubt_that_never_ends() -> list[contextlib.AbstractContextManager]:
+def permanently_doubtful_verdict() -> list[contextlib.AbstractContextManager]:
     """Of a promoted version: nothing that it answers clears or condemns it. By itself that breaks no check."""
     real = canary_trial.CanaryTrial.evaluate
     promoted: weakref.WeakSet[canary_trial.CanaryTrial] = weakref.WeakSet()
@@ -124,7 +124,7 @@
         is_waiting = view.rollout.stage == state.Stage.PROMOTING and view.verdict is judge.Verdict.DOUBTFUL
         return None if is_waiting else real(view)
 
-    return [*doubt_that_never_ends(), unittest.mock.patch.object(planner, "next_transition", next_transition)]
+    return [*permanently_doubtful_verdict(), unittest.mock.patch.object(planner, "next_transition", next_transition)]
 
 
 def _any_answer_proves_a_version() -> list[contextlib.AbstractContextManager]:
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -12,42 +12,42 @@
 
 
 @pytest.mark.parametrize("first", range(0, DAYS, 8))
-def test_days_break_no_check(first):
+def test_seeded_simulation_violates_no_check(first):
     for seed in range(first, first + 8):
         report = rollout_simulation.run_simulation(seed)
         assert not report.findings, (report.seed, report.kind, report.fault_kinds, report.findings[:3])
 
 
-def test_a_promotion_on_chance_answers_stays_inside_the_bound():
+def test_bad_version_with_failures_hidden_by_others_is_returned_within_exposure_bound():
     """Half of its answers were bad; so many of others failed that this was not seen (incidents/chance-promotion.md)."""
     report = rollout_simulation.run_simulation(470067)
     assert not report.findings and report.stage == state.Stage.RETURNED
 
 
 @pytest.mark.parametrize("kind", rollout_simulation.BAD_KINDS)
-def test_a_bad_version_is_returned_inside_its_term(kind):
+def test_bad_version_is_returned_within_its_term(kind):
     for seed in range(3):
         report = rollout_simulation.run_simulation(seed, kind=kind, fault_kinds=("none",))
         assert report.stage == state.Stage.RETURNED, (seed, report)
 
 
-def test_a_good_version_is_delivered_inside_its_term():
+def test_good_version_is_delivered_within_its_term():
     for seed in range(6):
         report = rollout_simulation.run_simulation(seed, kind="good", fault_kinds=("none",))
         assert report.stage == state.Stage.DELIVERED and report.ended_s < 18.0, (seed, report)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_loss_of_power_of_all_machines_does_not_move_the_term(seed):
+def test_power_loss_of_all_machines_does_not_extend_the_term(seed):
     """No proxy is left that knows the order's age; those of these seeds that broke 'term' before ages were stored."""
     report = rollout_simulation.run_simulation(seed, kind="good", fault_kinds=("all_power",))
     assert not report.findings and report.stage in state.FINAL_STAGES
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_doubt_that_never_ends_does_not_outlast_the_term(seed):
+def test_permanently_doubtful_verdict_does_not_extend_the_term(seed):
     with contextlib.ExitStack() as stack:
-        for patch in rollout_mutants.doubt_that_never_ends():
+        for patch in rollout_mutants.permanently_doubtful_verdict():
             stack.enter_context(patch)
         report = rollout_simulation.run_simulation(seed, kind="good", fault_kinds=("none",))
     assert not report.findings
@@ -55,5 +55,5 @@
 
 
 @pytest.mark.parametrize("name", rollout_mutants.MUTANTS)
-def test_planted_faults_are_found(name):
+def test_checks_detect_each_mutant(name):
     assert rollout_mutants.search(name) is not None, f"not found in {rollout_mutants.MAX_SEEDS} runs"
--- a/ploverward/simulation/test_state_digest.py
+++ b/ploverward/simulation/test_state_digest.py
@@ -17,18 +17,18 @@
 @pytest.mark.parametrize(
     "changed, is_same", [("store/log.py", False), ("store/test_log.py", True), ("other/main.py", True)]
 )
-def test_only_what_is_played_counts(package, changed, is_same):
+def test_digest_covers_only_non_test_modules_of_its_paths(package, changed, is_same):
     before = state_digest.digest(["store"])
     (package / changed).write_text("changed")
     assert (state_digest.digest(["store"]) == before) == is_same
 
 
-def test_a_module_that_moves_is_another_state(package):
+def test_renamed_module_changes_the_digest(package):
     before = state_digest.digest(["store"])
     (package / "store/log.py").rename(package / "store/journal.py")
     assert state_digest.digest(["store"]) != before
 
 
-def test_a_path_that_does_not_exist_is_refused(package):
+def test_missing_path_raises_file_not_found_error(package):
     with pytest.raises(FileNotFoundError):
         state_digest.digest(["stores"])
