--- a/ploverward/simulation/rollout_checks.py
+++ b/ploverward/simulation/rollout_checks.py
@@ -1,6 +1,6 @@
-"""The checks of the simulation of roll-outs: what must hold of every request, lease and stage (docs/rollouts.md 1).
+"""Invariant checks of the roll-out simulation: rules for every request, lease and stage (docs/rollouts.md 1).
 
-`RolloutChecks` owns what was seen of one simulation and the findings. It reads the nodes and changes none of them.
+`RolloutChecks` owns the observations of one simulation and the findings. It reads the nodes and changes none of them.
 """
 
 from __future__ import annotations
@@ -19,18 +19,24 @@
 
 ORDER_AT_S = 2.0
 ALLOWED_STAGES = dict(state.NEXT_STAGES)  # a copy: a seeded bug may change the original
-MAX_BAD_ANSWERS = 50  # after which a bad version has rollbackMs to get nothing more
+MAX_BAD_ANSWERS = 50  # rollbackMs after this many, a bad version must receive no more requests
 CLOCK_TOLERANCE_S = 0.01
-RECORDED_BAD_ANSWERS = 10  # from one line of the history to the next
-MAX_OVERTIME_S = 4.0  # past the term: until another coordinator has the role, its contact and the reports
-LOSSES = frozenset(
-    ("cut_proxies", "freeze_proxies", "kill_proxies", "kill_all", "all_power")
-)  # of proxies, or of all counts
+RECORDED_BAD_ANSWERS = 10  # bad answers between two lines of the history
+# Time past the term for another coordinator to take the role, establish contact and receive the reports.
+MAX_OVERTIME_S = 4.0
+# Faults that lose proxies, or the counts of all nodes.
+LOSSES = frozenset(("cut_proxies", "freeze_proxies", "kill_proxies", "kill_all", "all_power"))
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """A check that a simulation broke, and when, in simulated seconds."""
+    """A violated check.
+
+    Attributes:
+        check: Name of the check.
+        when: Simulated time in seconds.
+        text: The observation that violates it.
+    """
 
     check: str
     when: float
@@ -42,16 +48,16 @@
     """The result of one simulation.
 
     Attributes:
-        seed: Of its randomness.
-        kind: "good", or how the new version is bad.
+        seed: Seed of the random generators.
+        kind: "good", or the defect of the new version.
         fault_kinds: The injected faults.
-        stage: The last one.
-        ended_s: The age of the order at its end, in seconds.
-        sent: Requests from the order to its term.
-        sent_new: Of these, those to the new version.
-        allowed_new: Of these, those that a bad version may get.
-        findings: The checks that broke.
-        history: When and what happened: stages, faults, findings, each tenth bad answer.
+        stage: Last stage of the roll-out.
+        ended_s: Age of the order when it reached a final stage, in seconds.
+        sent: Number of requests from the order to the end of its term.
+        sent_new: Number of these sent to the new version by proxies in contact.
+        allowed_new: Number of these that a bad version may receive.
+        findings: The violated checks.
+        history: Simulated times and descriptions of stages, faults, findings and every tenth bad answer.
     """
 
     seed: int
@@ -67,7 +73,13 @@
 
 
 class Send(typing.NamedTuple):
-    """One attempt."""
+    """An attempt sent by a proxy.
+
+    Attributes:
+        at: Simulated time in seconds.
+        is_new: Whether it went to the new version.
+        is_in_contact: Whether the proxy was in contact with the core nodes.
+    """
 
     at: float
     is_new: bool
@@ -75,12 +87,12 @@
 
 
 class RolloutChecks:
-    """Checks of one simulation.
+    """Checks one simulation while it runs.
 
     Args:
-        report: Gets the findings.
-        now: The simulated clock.
-        over_s: The term of the order.
+        report: Receives the findings and the history.
+        now: Returns the simulated time in seconds.
+        over_s: Term of the order, in seconds.
     """
 
     def __init__(self, *, report: Report, now: Callable[[], float], over_s: float) -> None:
@@ -100,26 +112,26 @@
         self.report.findings.append(Finding(check=check, when=round(self._now(), 3), text=text))
 
     def note_stage(self, row: state.Rollout) -> bool:
-        """A value of the register was chosen; whether it begins another stage."""
+        """Records a chosen value of the register; returns whether it begins another stage."""
         if not row.number or (self._stages and self._stages[-1] == row.stage):
             return False
-        former = self._stages[-1] if self._stages else None
-        if former is not None and row.stage not in ALLOWED_STAGES.get(former, ()):
-            self._find("stage", f"{row.stage} after {former}")
+        previous = self._stages[-1] if self._stages else None
+        if previous is not None and row.stage not in ALLOWED_STAGES.get(previous, ()):
+            self._find("stage", f"{row.stage} after {previous}")
         self._stages.append(row.stage)
         if row.stage in state.FINAL_STAGES:
             self.report.ended_s = self._now() - ORDER_AT_S
         return True
 
     def note_delivered(self, proxies: Iterable[rollout_nodes.Proxy]) -> None:
-        """The former replicas stop at once: nothing may run there."""
+        """Checks that no attempt runs at the former version when the order is delivered: its replicas stop at once."""
         is_forced = self._now() - ORDER_AT_S >= planner.IGNORE_SILENT_PROXIES_FROM * self._over_s
         running = sum(proxy.running[rollout_nodes.FORMER] for proxy in proxies if proxy.is_in_contact)
         if running and not is_forced and not LOSSES & set(self.report.fault_kinds):
             self._find("delivered", f"{running} attempts run at the former version")
 
     def note_send(self, proxy: rollout_nodes.Proxy, replica: rollout_nodes.Replica) -> None:
-        """An attempt begins."""
+        """Records the start of an attempt and checks that its version may receive it."""
         now = self._now()
         is_new = replica.edition == rollout_nodes.NEW
         if is_new and not self._stages:
@@ -132,16 +144,16 @@
             self._check_rollback(now)
 
     def _check_lease(self, proxy: rollout_nodes.Proxy, now: float) -> None:
-        """Before all requests are to go to the new version, one needs a lease that was asked for lately."""
+        """Checks that a proxy sends to the new version on a recent lease, until draining sends all requests there."""
         leased = (state.Stage.CANARY, state.Stage.PROMOTING, state.Stage.RETURNED)
         if not self._stages or self._stages[-1] not in leased or state.Stage.DRAINING in self._stages:
             return
-        age_s = now - proxy.answered_at
+        age_s = now - proxy.lease_report_sent_at
         if age_s > rollout_nodes.ROLLBACK_S * manager.LEASE_SHARE + CLOCK_TOLERANCE_S:
             self._find("lease", f"{age_s:.2f} s after its last lease was asked for")
 
     def _check_rollback(self, now: float) -> None:
-        """A bad version gets nothing any more a while after its last permitted bad answer."""
+        """Checks that a bad version receives no request later than rollbackMs after its last permitted bad answer."""
         if len(self._bad_answers) < MAX_BAD_ANSWERS:
             return
         age_s = now - self._bad_answers[MAX_BAD_ANSWERS - 1]
@@ -149,19 +161,19 @@
             self._find("rollback", f"{age_s:.2f} s after the bad answers")
 
     def note_leases(self, core: rollout_nodes.Core) -> None:
-        """A core node grants leases: it must be in contact with a majority, or have been so a moment ago."""
+        """Checks that a core node that grants leases is, or was very recently, in contact with a majority."""
         if self._now() > core.contact_until + rollout_nodes.CONTACT_S / rollout_nodes.CONTACT_DIVISOR:
             self._find("holder", f"{core.name} hands out leases without contact")
 
     def note_answer(self, attempt: rollout_nodes.SimulatedAttempt) -> None:
-        """An attempt is over."""
+        """Records the end of an attempt."""
         if attempt.replica.edition == rollout_nodes.NEW and attempt.is_bad:
             self._bad_answers.append(self._now())
             if len(self._bad_answers) % RECORDED_BAD_ANSWERS == 0:
                 self.record(f"{len(self._bad_answers)} bad answers of the new version")
 
     def check_exposure(self) -> None:
-        """A bad version gets its share of the requests from the order to its term, and the slack."""
+        """Checks that a bad version received at most its share of the requests during the term, plus the slack."""
         during = [send for send in self.sends if ORDER_AT_S <= send.at <= ORDER_AT_S + self._over_s]
         self.report.sent = len(during)
         self.report.sent_new = sum(send.is_new for send in during if send.is_in_contact)
@@ -170,6 +182,6 @@
             self._find("exposure", f"{self.report.sent_new} of {len(during)}, {self.report.allowed_new:.0f} allowed")
 
     def check_term(self) -> None:
-        """The term is over: the order has ended one way or the other."""
+        """Checks, after the term, that the order has reached a final stage."""
         if self._stages and self._stages[-1] not in state.FINAL_STAGES:
             self._find("term", f"still {self._stages[-1]}")
--- a/ploverward/simulation/rollout_mutants.py
+++ b/ploverward/simulation/rollout_mutants.py
@@ -1,6 +1,6 @@
-"""Mutants of the roll-outs: seeded bugs in the product's code, to show that the checks of the simulation find them.
+"""Mutants of the roll-out code: seeded bugs that show that the checks of the simulation detect them.
 
-Their names are those that `simulate --world rollouts --planted` prints (docs/simulate.md).
+The names in `MUTANTS` are those that `simulate --world rollouts --planted` prints (docs/simulate.md).
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from ploverward.simulation import rollout_simulation
 from ploverward.transport import messages
 
-MAX_SEEDS = 60  # runs within which a mutant is to be found
-JUDGED_AT_FIRST_S = 2.0  # of the mutant judge that does not look later
-LONGER_LEASE = 9  # times the usual lease
+MAX_SEEDS = 60  # runs within which a mutant must be detected
+EARLY_RECORDING_S = 2.0  # time for which the judge of one mutant records answers
+LEASE_DURATION_FACTOR = 9  # extended lease of a mutant, relative to the granted lease
 
 Patches = Callable[[], list[contextlib.AbstractContextManager]]
 
@@ -35,10 +35,10 @@
     """A seeded bug.
 
     Attributes:
-        patches: Makes the patches that put it into the code.
-        kind: Of the new version: "good", or how it is bad.
-        fault_kinds: Of the runs that may show it.
-        check: That is to find it.
+        patches: Creates the patches that apply the bug to the code.
+        kind: "good", or the defect of the new version in the runs.
+        fault_kinds: Faults injected in the runs.
+        check: Name of the check that must detect it.
     """
 
     patches: Patches
@@ -47,17 +47,18 @@
     check: str
 
 
-def _leases_without_end() -> list[contextlib.AbstractContextManager]:
+def _extended_leases() -> list[contextlib.AbstractContextManager]:
+    """Proxies use leases for `LEASE_DURATION_FACTOR` times their duration."""
     real = version_routing.VersionRouter.handle_leases
 
     def handle_leases(router: version_routing.VersionRouter, message: messages.RolloutLeases) -> None:
-        real(router, message._replace(duration_s=message.duration_s * LONGER_LEASE))
+        real(router, message._replace(duration_s=message.duration_s * LEASE_DURATION_FACTOR))
 
     return [unittest.mock.patch.object(version_routing.VersionRouter, "handle_leases", handle_leases)]
 
 
-def _a_stage_that_is_reverted() -> list[contextlib.AbstractContextManager]:
-    """A coordinator that begins anew after the promotion, and a register that takes any step."""
+def _reverted_stage() -> list[contextlib.AbstractContextManager]:
+    """The coordinator returns to the canary stage after promotion, and the register accepts any transition."""
     real = planner.next_transition
 
     def next_transition(view: planner.RolloutView) -> planner.Transition | None:
@@ -72,34 +73,39 @@
     ]
 
 
-def _a_coordinator_that_never_stops() -> list[contextlib.AbstractContextManager]:
+def _coordinator_without_deactivation() -> list[contextlib.AbstractContextManager]:
+    """A coordinator that loses its role remains active."""
+
     def deactivate(acting: manager.RolloutManager) -> None:
         acting._acting_until = 1e9
 
     return [unittest.mock.patch.object(manager.RolloutManager, "deactivate", deactivate)]
 
 
-def _delivered_with_work_running() -> list[contextlib.AbstractContextManager]:
+def _delivery_without_drain() -> list[contextlib.AbstractContextManager]:
+    """The order is delivered while attempts still run at the former version."""
     return [unittest.mock.patch.object(evidence_table.EvidenceTable, "is_drained", lambda _table, **_about: True)]
 
 
-def _the_list_before_the_order() -> list[contextlib.AbstractContextManager]:
+def _admission_without_order() -> list[contextlib.AbstractContextManager]:
+    """A version receives requests as soon as the platform lists it, before any order."""
     return [unittest.mock.patch.object(state.Rollout, "is_admitted", lambda _row, _edition: True)]
 
 
-def _a_judge_that_looks_only_at_the_beginning() -> list[contextlib.AbstractContextManager]:
+def _judge_of_early_answers() -> list[contextlib.AbstractContextManager]:
+    """The judge ignores all answers later than `EARLY_RECORDING_S` after its first one."""
     real = judge.CanaryJudge.record
     began: weakref.WeakKeyDictionary[judge.CanaryJudge, float] = weakref.WeakKeyDictionary()
 
-    def record(judging: judge.CanaryJudge, *, now: float, **about: Any) -> None:  # noqa: ANN401  # handed on
-        if now - began.setdefault(judging, now) < JUDGED_AT_FIRST_S:
+    def record(judging: judge.CanaryJudge, *, now: float, **about: Any) -> None:  # noqa: ANN401  # passed through
+        if now - began.setdefault(judging, now) < EARLY_RECORDING_S:
             real(judging, now=now, **about)
 
     return [unittest.mock.patch.object(judge.CanaryJudge, "record", record)]
 
 
 def permanently_doubtful_verdict() -> list[contextlib.AbstractContextManager]:
-    """Of a promoted version: nothing that it answers clears or condemns it. By itself that breaks no check."""
+    """The verdict on a promoted version stays doubtful whatever it answers. By itself this violates no check."""
     real = canary_trial.CanaryTrial.evaluate
     promoted: weakref.WeakSet[canary_trial.CanaryTrial] = weakref.WeakSet()
 
@@ -117,7 +123,8 @@
     ]
 
 
-def _a_promoted_version_in_doubt_that_waits_for_ever() -> list[contextlib.AbstractContextManager]:
+def _no_transition_in_doubt() -> list[contextlib.AbstractContextManager]:
+    """A promoted version with a doubtful verdict never leaves its stage."""
     real = planner.next_transition
 
     def next_transition(view: planner.RolloutView) -> planner.Transition | None:
@@ -127,16 +134,16 @@
     return [*permanently_doubtful_verdict(), unittest.mock.patch.object(planner, "next_transition", next_transition)]
 
 
-def _any_answer_proves_a_version() -> list[contextlib.AbstractContextManager]:
-    """Promotion as soon as a version answered, all requests at once: the bound rests on the judge alone."""
+def _unconditional_clearance() -> list[contextlib.AbstractContextManager]:
+    """Any answer clears a version, and promotion comes at once: only the judge then limits the exposure."""
     return [
         unittest.mock.patch.object(canary_trial.CanaryTrial, "verdict", property(lambda _trial: judge.Verdict.CLEAR)),
         unittest.mock.patch.object(planner, "EARLIEST_PROMOTION", 0.0),
     ]
 
 
-def _leases_after_the_finding() -> list[contextlib.AbstractContextManager]:
-    """A version that was found bad gets requests until the step is written, and the step is never written."""
+def _leases_after_bad_verdict() -> list[contextlib.AbstractContextManager]:
+    """A version found bad keeps its leases until the transition is written, and the transition is never written."""
     real = lease_granter.LeaseGranter.grant
 
     def grant(granter: lease_granter.LeaseGranter, *, trial: canary_trial.CanaryTrial, **about: Any) -> Any:  # noqa: ANN401
@@ -145,9 +152,9 @@
 
     def next_transition(view: planner.RolloutView) -> planner.Transition | None:
         is_bad = view.verdict is judge.Verdict.BAD
-        return None if is_bad else real_move(view)
+        return None if is_bad else real_transition(view)
 
-    real_move = planner.next_transition
+    real_transition = planner.next_transition
     return [
         unittest.mock.patch.object(lease_granter.LeaseGranter, "grant", grant),
         unittest.mock.patch.object(planner, "next_transition", next_transition),
@@ -156,37 +163,42 @@
 
 MUTANTS: dict[str, Mutant] = {
     "leases without end": Mutant(
-        patches=_leases_without_end, kind="errors", fault_kinds=("kill_all", "cut_proxies"), check="lease"
-    ),
-    "a stage that is reverted": Mutant(
-        patches=_a_stage_that_is_reverted, kind="good", fault_kinds=("none",), check="stage"
+        patches=_extended_leases, kind="errors", fault_kinds=("kill_all", "cut_proxies"), check="lease"
     ),
+    "a stage that is reverted": Mutant(patches=_reverted_stage, kind="good", fault_kinds=("none",), check="stage"),
     "a coordinator that never stops": Mutant(
-        patches=_a_coordinator_that_never_stops, kind="good", fault_kinds=("cut_holder",), check="holder"
+        patches=_coordinator_without_deactivation, kind="good", fault_kinds=("cut_holder",), check="holder"
     ),
     "delivered with work running": Mutant(
-        patches=_delivered_with_work_running, kind="good", fault_kinds=("none",), check="delivered"
+        patches=_delivery_without_drain, kind="good", fault_kinds=("none",), check="delivered"
     ),
     "the list before the order": Mutant(
-        patches=_the_list_before_the_order, kind="errors", fault_kinds=("none",), check="admitted"
+        patches=_admission_without_order, kind="errors", fault_kinds=("none",), check="admitted"
     ),
     "a judge that looks only at the beginning": Mutant(
-        patches=_a_judge_that_looks_only_at_the_beginning, kind="late", fault_kinds=("none",), check="exposure"
+        patches=_judge_of_early_answers, kind="late", fault_kinds=("none",), check="exposure"
     ),
     "a promoted version in doubt that waits for ever": Mutant(
-        patches=_a_promoted_version_in_doubt_that_waits_for_ever, kind="good", fault_kinds=("none",), check="term"
+        patches=_no_transition_in_doubt, kind="good", fault_kinds=("none",), check="term"
     ),
     "any answer proves a version": Mutant(
-        patches=_any_answer_proves_a_version, kind="errors", fault_kinds=("none",), check="exposure"
+        patches=_unconditional_clearance, kind="errors", fault_kinds=("none",), check="exposure"
     ),
     "requests after the finding": Mutant(
-        patches=_leases_after_the_finding, kind="errors", fault_kinds=("none",), check="term"
+        patches=_leases_after_bad_verdict, kind="errors", fault_kinds=("none",), check="term"
     ),
 }
 
 
 def search(name: str) -> int | None:
-    """Plays runs with a mutant until its check finds it; returns the seed, None where `MAX_SEEDS` runs do not."""
+    """Runs simulations with a mutant until its check detects it.
+
+    Args:
+        name: Key of `MUTANTS`.
+
+    Returns:
+        The seed that detects it, or None if none of `MAX_SEEDS` seeds does.
+    """
     mutant = MUTANTS[name]
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -1,7 +1,7 @@
-"""Nodes of the simulation of roll-outs: replicas of two versions, core nodes and proxies.
+"""Nodes of the roll-out simulation: replicas of two versions, core nodes and proxies.
 
 The manager of a core node and the router of a proxy are the real ones; requests, heartbeats and the network are
-simulated (`ploverward.simulation.rollout_simulation`, which each node belongs to).
+simulated. Each node belongs to a `ploverward.simulation.rollout_simulation.RolloutSimulation`.
 """
 
 from __future__ import annotations
@@ -35,26 +35,35 @@
 EXPOSURE = exposure.ExposureBound(share=0.1, slack=50.0)
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "c1": "c"}  # zone: region
 ROUTES = ("draft", "query")
-BATCH_SLOTS = 16  # of a replica
+BATCH_SLOTS = 16  # per replica
 LATENCY_TARGET_S = 0.8
-EXPECTED_S = 0.05  # to the first piece
-CONTACT_DIVISOR = 5  # of contactMs: a proxy that was heard later than this is out of contact
+EXPECTED_FIRST_EVENT_S = 0.05  # from sending a request to its first event
+CONTACT_DIVISOR = 5  # a proxy whose last report is older than contactMs / CONTACT_DIVISOR is out of contact
 
 
 class Settings:
-    """Bounds of the simulated deployment."""
+    """Settings of the simulated deployment: the bounds that the roll-out manager reads."""
 
     def bound(self, *, name: str, default: float = 0.0) -> float:
-        """A bound by its name."""
+        """Returns a bound by its name."""
         return {"exposureShare": EXPOSURE.share, "exposureSlack": EXPOSURE.slack}.get(name, default)
 
     def bound_s(self, *, name: str, default: float = 0.0) -> float:
-        """A bound that is a time, in seconds."""
+        """Returns a bound that is a duration, in seconds."""
         return {"rollbackMs": ROLLBACK_S}.get(name, default)
 
 
 class Replica:
-    """One replica; `is_faulty` is its own fault, whatever its version."""
+    """A replica of one version.
+
+    Attributes:
+        id: Its identifier.
+        key: Its key in rows.
+        zone: Its zone.
+        edition: Its version.
+        is_gone: Whether it has stopped.
+        is_faulty: Whether it fails some requests, independently of its version.
+    """
 
     def __init__(self, *, name: str, zone: str, edition: str) -> None:
         self.id = name
@@ -65,7 +74,7 @@
         self.is_faulty = False
 
     def row(self, *, is_warming_up: bool) -> dict[str, Any]:
-        """Its row of the platform's list."""
+        """Returns its row in the platform's list."""
         return {
             "id": self.id,
             "service": SERVICE,
@@ -78,22 +87,22 @@
 
     @property
     def as_real(self) -> replicas.Replica:
-        """The same, for a router: it reads no more of a replica than this one has."""
+        """This replica as the type that routers expect; they read only the fields that it has."""
         return typing.cast(replicas.Replica, self)
 
 
 @dataclasses.dataclass(frozen=True)
 class SimulatedConnection:
-    """A connection whose request was sent."""
+    """A connection on which the request was sent."""
 
     is_unsent: bool = False
 
 
 @dataclasses.dataclass(kw_only=True)
 class SimulatedAttempt:
-    """One attempt, with the fields of `ploverward.data_plane.requests.attempts.Attempt` that a router reads.
+    """An attempt, with the fields of `ploverward.data_plane.requests.attempts.Attempt` that a router reads.
 
-    Its answer is known from the start; `is_bad`: it shows that its version is bad.
+    Its answer is drawn when it is sent. `is_bad` says whether the answer shows the defect of a bad version.
     """
 
     replica: Replica
@@ -111,7 +120,17 @@
 
 
 class Core:
-    """A core node: what it knows of the register, and the coordinator's role while it has it."""
+    """A core node: its roll-out manager and its contact with proxies and with the other core nodes.
+
+    Attributes:
+        simulation: The simulation that it belongs to.
+        name: Its name.
+        is_partitioned: Whether the network cuts it off.
+        contact_until: Simulated time until which it counts as in contact with a majority.
+        is_up: Whether its process runs.
+        proxies: Time of the last report of each proxy.
+        rollout_manager: The real manager, active while the node has the coordinator's role.
+    """
 
     def __init__(self, *, simulation: rollout_simulation.RolloutSimulation, name: str) -> None:
         self.simulation = simulation
@@ -121,10 +140,10 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process anew; the register is on its disk."""
+        """Restarts the process, which reads the register from its disk."""
         simulation = self.simulation
         self.is_up = True
-        self.proxies: dict[evidence_table.Origin, float] = {}  # when each was heard
+        self.proxies: dict[evidence_table.Origin, float] = {}
         self.rollout_manager = manager.RolloutManager(
             settings=typing.cast(settings_files.Settings, Settings()),
             now=simulation.world.now,
@@ -147,15 +166,15 @@
         if self.is_partitioned:
             simulation.world.later(RECEIPT_S / 2, lambda: done(TimeoutError("no majority"), 0, None, None))
             return
-        # The coordinator learns of the end of a round later than the value is chosen.
-        simulation.world.later(simulation.chance.uniform(0.02, 0.3), lambda: simulation.edit(edit))
+        # The coordinator is notified of the end of a round after the value is chosen.
+        simulation.world.later(simulation.chance.uniform(0.02, 0.3), lambda: simulation.apply_edit(edit))
         simulation.world.later(
             simulation.chance.uniform(0.3, 0.6),
             lambda: done(None, 0, None, None) if rollout_manager is self.rollout_manager else None,
         )
 
     def tick(self) -> None:
-        """One heartbeat."""
+        """Runs one heartbeat: reconciles as coordinator while in contact, else deactivates the manager."""
         now = self.simulation.world.now()
         if not self.is_partitioned:
             self.contact_until = now + 0.3 * CONTACT_S
@@ -166,7 +185,23 @@
 
 
 class Proxy:
-    """A proxy: its router, its traffic of `per_s` requests a second, and its heartbeats."""
+    """A proxy: its router, its traffic and its heartbeats.
+
+    Args:
+        simulation: The simulation that it belongs to.
+        name: Its name.
+        per_s: Mean rate of its requests, per second.
+
+    Attributes:
+        is_partitioned: Whether the network cuts it off from the core nodes.
+        frozen_until: Simulated time until which its process is frozen.
+        incarnation: Number of starts of its process.
+        running: Number of attempts in progress, by version.
+        report_sent_at: Time at which it sent its last report.
+        lease_report_sent_at: Time at which it sent the newest report that was answered with leases.
+        router: The real version router.
+        core: Name of the core node that it takes for the coordinator.
+    """
 
     def __init__(self, *, simulation: rollout_simulation.RolloutSimulation, name: str, per_s: float) -> None:
         self.simulation = simulation
@@ -178,11 +213,11 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process anew."""
+        """Restarts the process."""
         self.incarnation += 1
-        self.running: collections.Counter[str] = collections.Counter()  # by version: attempts in progress
-        self.asked_at = 0.0  # when its last report was sent
-        self.answered_at = 0.0  # when the newest of its reports that was answered by leases was sent
+        self.running: collections.Counter[str] = collections.Counter()
+        self.report_sent_at = 0.0
+        self.lease_report_sent_at = 0.0
         self.router = version_routing.VersionRouter(
             now=self.simulation.world.now,
             chance=self.simulation.chance.random,
@@ -195,25 +230,25 @@
         return sum(count for version, count in self.running.items() if version != target)
 
     def install(self, payload: state.Payload) -> None:
-        """Installs the register's value."""
+        """Installs the value of the register."""
         if payload is not None:
             self.router.install(payload)
 
     @property
     def is_in_contact(self) -> bool:
-        """Whether it runs and reaches the core nodes."""
+        """Whether it is neither frozen nor partitioned from the core nodes."""
         return not self.is_partitioned and self.simulation.world.now() >= self.frozen_until
 
     def send_report(self) -> None:
-        """Reports to the coordinator that it knows, as at each heartbeat."""
+        """Sends a report to the core node that it takes for the coordinator, as at each heartbeat."""
         simulation = self.simulation
         if not self.is_in_contact:
             return
         report = self.router.report()
-        self.asked_at = simulation.world.now()
+        self.report_sent_at = simulation.world.now()
         origin = evidence_table.Origin(address=self.name, incarnation=str(self.incarnation))
         if simulation.chance.random() < 0.3 or not simulation.cores[self.core].is_up:
-            self.core = simulation.coordinator  # it learns late of another coordinator
+            self.core = simulation.coordinator  # it detects a change of coordinator with a delay
         core, router = simulation.cores[self.core], self.router
         simulation.world.later(
             simulation.chance.uniform(0.005, 0.08), lambda: self._handle_report(core, origin, report, router)
@@ -226,7 +261,7 @@
         report: messages.RolloutEvidence | None,
         router: version_routing.VersionRouter,
     ) -> None:
-        """The arrival at the core node, which answers with leases."""
+        """Handles the arrival of a report at a core node, which may answer with leases."""
         if not core.is_up:
             return
         core.proxies[origin] = self.simulation.world.now()
@@ -236,22 +271,22 @@
         if answer is None:
             return
         self.simulation.checks.note_leases(core)
-        asked_at = self.asked_at
+        report_sent_at = self.report_sent_at
 
         def handle_leases() -> None:
             if router is self.router and not self.is_partitioned:
-                self.answered_at = max(self.answered_at, asked_at)
+                self.lease_report_sent_at = max(self.lease_report_sent_at, report_sent_at)
                 router.handle_leases(answer)
 
         self.simulation.world.later(self.simulation.chance.uniform(0.005, 0.4), handle_leases)
 
     def request(self) -> None:
-        """One request, retried at the former version where it fails."""
+        """Sends one request, which is retried once, at the former version, if it fails."""
         simulation = self.simulation
         if simulation.world.now() >= self.frozen_until:
             self._send(route=simulation.chance.choice(ROUTES), is_first=True)
 
-    def _choose(self, *, is_first: bool) -> Replica | None:
+    def _choose_replica(self, *, is_first: bool) -> Replica | None:
         for pool in self.router.pools(service=SERVICE, is_first=is_first):
             usable = [
                 replica
@@ -267,15 +302,15 @@
 
     def _send(self, *, route: str, is_first: bool) -> None:
         simulation, router, incarnation = self.simulation, self.router, self.incarnation
-        replica = self._choose(is_first=is_first)
+        replica = self._choose_replica(is_first=is_first)
         if replica is None:
             return
         router.note_send(service=SERVICE, replica=replica.as_real)
         self.running[replica.edition] += 1
         simulation.checks.note_send(self, replica)
-        attempt = simulation.attempt(replica, route)
+        attempt = simulation.make_attempt(replica, route)
 
-        def begin() -> None:
+        def handle_first_event() -> None:
             if (
                 incarnation == self.incarnation
                 and attempt.response_class is attempts.ResponseClass.SUCCESS
@@ -285,10 +320,10 @@
                     service=SERVICE,
                     route=route,
                     attempt=typing.cast(attempts.Attempt, attempt),
-                    expected_s=EXPECTED_S,
+                    expected_s=EXPECTED_FIRST_EVENT_S,
                 )
 
-        def end() -> None:
+        def handle_end() -> None:
             if incarnation != self.incarnation:
                 return
             self.running[replica.edition] -= 1
@@ -301,11 +336,11 @@
                 attempt=typing.cast(attempts.Attempt, attempt),
                 kind=kind,
                 latency_target_s=LATENCY_TARGET_S,
-                expected_s=EXPECTED_S,
+                expected_s=EXPECTED_FIRST_EVENT_S,
             )
             simulation.checks.note_answer(attempt)
             if is_failed and is_first:
                 self._send(route=route, is_first=False)
 
-        simulation.world.later(attempt.first_event_at - attempt.sent_at, begin)
-        simulation.world.later(attempt.last_event_at - attempt.sent_at, end)
+        simulation.world.later(attempt.first_event_at - attempt.sent_at, handle_first_event)
+        simulation.world.later(attempt.last_event_at - attempt.sent_at, handle_end)
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -1,9 +1,9 @@
-"""A simulation of roll-outs: the real coordinator, judge and routers on a simulated network, good and bad versions.
+"""Seeded simulation of roll-outs: the real coordinator, judge and routers on a simulated network.
 
-One replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one), three core nodes
-of which one has the coordinator's role, proxies with traffic, replicas of two versions. Faults partition, freeze and
-end nodes. `RolloutSimulation` owns the world and the faults, `ploverward.simulation.rollout_checks` the checks;
-`run_simulation(seed)` runs one of thirty simulated seconds.
+A simulation has one replicated register (linearizable, as `ploverward.simulation.control_plane` checks the real one),
+three core nodes of which one has the coordinator's role, proxies with traffic, and replicas of two versions, of which
+the new one is good or bad. Faults partition, freeze and stop nodes. `RolloutSimulation` owns the world and the faults,
+`ploverward.simulation.rollout_checks` the checks; `run_simulation(seed)` simulates thirty seconds.
 """
 
 import random
@@ -20,10 +20,10 @@
 
 HEARTBEAT_INTERVAL_S = 0.4
 END_AT_S = 30.0
-TAKE_OVER_S = 1.5  # from the loss of a coordinator to the next one
-WARM_UP_S = 2.0  # of a replica of the new version
-LEARN_RETRY_S = 0.3  # until a node out of contact asks again for the register's value
-REPLICAS = 24  # of each version
+TAKE_OVER_S = 1.5  # from the loss of a coordinator until another node takes the role
+WARM_UP_S = 2.0  # warm-up time of replicas of the new version
+REGISTER_RETRY_S = 0.3  # interval at which a node out of contact requests the value of the register again
+REPLICAS = 24  # per version
 CORES = ("k1", "k2", "k3")
 BAD_KINDS = ("errors", "slow", "one_class", "late")
 FAULT_KINDS = (
@@ -40,17 +40,17 @@
     "some_fail",
     "all_power",
 )
-SOME_FAIL_RATE = 0.08  # of the answers of all versions: enough for doubt, too little to condemn a version
+SOME_FAIL_RATE = 0.08  # share of failed answers of all versions: causes doubt but does not condemn a version
 
 
 class RolloutSimulation:
-    """One simulation, with all its nodes.
+    """A simulation with its nodes, register and faults.
 
     Args:
-        seed: Of its randomness; the same one gives the same result.
-        kind: "good" or one of `BAD_KINDS`; random where it is empty.
-        fault_kinds: Of `FAULT_KINDS`; one or two random ones where that is None.
-        skipped: Kinds that are drawn and not begun.
+        seed: Seed of the random generators; the same seed gives the same result.
+        kind: "good" or one of `BAD_KINDS`; drawn if empty.
+        fault_kinds: Kinds of `FAULT_KINDS`; one or two are drawn if None.
+        skipped: Kinds whose random values are drawn as usual but which are not injected.
     """
 
     def __init__(
@@ -70,15 +70,15 @@
         self.report = rollout_checks.Report(seed=seed, kind=self.kind, fault_kinds=tuple(fault_kinds))
         self.over_s = self.chance.uniform(12.0, 18.0)
         self.checks = rollout_checks.RolloutChecks(report=self.report, now=self.world.now, over_s=self.over_s)
-        self.bad_after_s = self.chance.uniform(2.0, 3.5)  # when a version that turns bad late does so
+        self.bad_after_s = self.chance.uniform(2.0, 3.5)  # delay after which a "late" bad version turns bad
         admitted = state.Rollout(admitted=(rollout_nodes.FORMER,), step=1)
         self.payload: state.Payload = state.with_rollout(None, service=rollout_nodes.SERVICE, rollout=admitted)
         self.replicas = [_replica(rollout_nodes.FORMER, number) for number in range(REPLICAS)]
         self.listed_ids = {replica.id for replica in self.replicas}
-        self.new_from = 0.0  # start of the new version's replicas
+        self.new_from = 0.0  # start time of the replicas of the new version
         self.cores = {name: rollout_nodes.Core(simulation=self, name=name) for name in CORES}
         self.coordinator = "k1"
-        self.former_coordinator: str | None = None  # one that does not know yet that it lost the role
+        self.former_coordinator: str | None = None  # a node that has not yet detected the loss of the role
         self.is_slow = self.former_fails = self.some_fail = False
         per_s = self.chance.choice((40.0, 120.0, 200.0))
         count = self.chance.choice((12, 30, 60))
@@ -87,10 +87,10 @@
             for number in range(count)
         ]
 
-    # The world, as its nodes see it.
+    # The interface for the nodes.
 
     def listed(self) -> list[dict[str, Any]]:
-        """Rows of the platform's list."""
+        """Returns the rows of the platform's list of replicas."""
         now = self.world.now()
         return [
             replica.row(is_warming_up=replica.edition == rollout_nodes.NEW and now < self.new_from + WARM_UP_S)
@@ -99,11 +99,11 @@
         ]
 
     def holds_coordinator_role(self, core: rollout_nodes.Core) -> bool:
-        """Whether the node has the coordinator's role, or believes so."""
+        """Returns whether the node has the coordinator's role, or wrongly takes itself for the coordinator."""
         return core.name in (self.coordinator, self.former_coordinator)
 
-    def edit(self, edit: orders.Edit) -> None:
-        """One round of the register: the value is chosen now, and each node learns it later."""
+    def apply_edit(self, edit: orders.Edit) -> None:
+        """Runs one round of the register: the value is chosen now, and each node receives it later."""
         chosen, _result = edit(self.payload)
         if chosen is self.payload:
             return
@@ -121,7 +121,7 @@
     def _notify_core(self, core: rollout_nodes.Core, chosen: state.Payload) -> None:
         def notify() -> None:
             if core.is_partitioned:
-                self.world.later(LEARN_RETRY_S, notify)
+                self.world.later(REGISTER_RETRY_S, notify)
             elif core.is_up and chosen is self.payload:
                 core.rollout_manager.install(chosen)
 
@@ -136,12 +136,12 @@
             if proxy.is_in_contact:
                 proxy.install(chosen)
             else:
-                self.world.later(LEARN_RETRY_S, notify)
+                self.world.later(REGISTER_RETRY_S, notify)
 
         self.world.later(self.chance.uniform(0.02, 0.8), notify)
 
-    def attempt(self, replica: rollout_nodes.Replica, route: str) -> rollout_nodes.SimulatedAttempt:
-        """An attempt that begins now, with the answer that it will get."""
+    def make_attempt(self, replica: rollout_nodes.Replica, route: str) -> rollout_nodes.SimulatedAttempt:
+        """Returns an attempt that starts now, with the answer that it will receive."""
         now = self.world.now()
         is_bad = self._is_bad(replica, route, now)
         is_failed = self._is_failed(replica, is_bad=is_bad)
@@ -175,7 +175,7 @@
         return is_failed
 
     def _is_bad(self, replica: rollout_nodes.Replica, route: str, now: float) -> bool:
-        """Whether the fault of a bad version shows: at half of the answers."""
+        """Draws whether an answer shows the defect of a bad version; half of the answers concerned do."""
         if self.kind == "good" or replica.edition != rollout_nodes.NEW or self.chance.random() >= 0.5:
             return False
         if self.kind == "one_class":
@@ -194,15 +194,15 @@
         at_s = chance.uniform(rollout_checks.ORDER_AT_S - 1.0, rollout_checks.ORDER_AT_S + self.over_s)
         for_s = chance.uniform(1.0, 7.0)
         some = [proxy for proxy in self.proxies if chance.random() < 0.3]
-        acts: dict[str, Callable[[], None]] = {
+        actions: dict[str, Callable[[], None]] = {
             "none": lambda: None,
             "cut_proxies": lambda: self._partition(some, for_s),
             "freeze_proxies": lambda: self._freeze(some, for_s),
             "kill_proxies": lambda: self._restart(some),
-            "kill_holder": lambda: self._end(self.cores[self.coordinator], 1.0),
+            "kill_holder": lambda: self._restart_core(self.cores[self.coordinator], 1.0),
             "cut_holder": lambda: self._partition_coordinator(for_s),
-            "kill_all": self._end_all,
-            "all_power": self._end_everything,
+            "kill_all": self._restart_all_cores,
+            "all_power": self._lose_all_power,
             "faulty_replica": lambda: self._make_faulty(for_s),
             "former_fails": lambda: self._set_for("former_fails", for_s),
             "slow_all": lambda: self._set_for("is_slow", for_s),
@@ -211,7 +211,7 @@
 
         def begin() -> None:
             self.checks.record(f"== {name}, {for_s:.2f} s where it has a length")
-            acts[name]()
+            actions[name]()
 
         if name not in self._skipped:
             self.world.later(at_s, begin)
@@ -239,7 +239,7 @@
         for proxy in proxies:
             proxy.start()
 
-    def _end(self, core: rollout_nodes.Core, down_s: float) -> None:
+    def _restart_core(self, core: rollout_nodes.Core, down_s: float) -> None:
         core.is_up = False
         core.rollout_manager.deactivate()
 
@@ -250,17 +250,17 @@
         self.world.later(down_s, start)
         self.world.later(TAKE_OVER_S, self._take_over)
 
-    def _end_all(self) -> None:
+    def _restart_all_cores(self) -> None:
         for core in self.cores.values():
-            self._end(core, 0.8)
+            self._restart_core(core, 0.8)
 
-    def _end_everything(self) -> None:
-        """All machines lose power at once: no proxy is left that knows counts or the age of the order."""
-        self._end_all()
+    def _lose_all_power(self) -> None:
+        """Restarts all machines at once, so that no proxy keeps the counts or the age of the order."""
+        self._restart_all_cores()
         self._restart(self.proxies)
 
     def _partition_coordinator(self, for_s: float) -> None:
-        """It acts on until its contact expires; another one takes the role before it knows."""
+        """Partitions the coordinator: it stays active until its contact expires, while another node takes the role."""
         core = self.cores[self.coordinator]
         core.is_partitioned = True
         self.former_coordinator = core.name
@@ -277,11 +277,11 @@
         if others:
             self.coordinator = others[0]
 
-    # The run.
+    # Running the simulation.
 
-    def _order(self) -> None:
+    def _submit_order(self) -> None:
         order = orders.Order(service=rollout_nodes.SERVICE, target=rollout_nodes.NEW, over_s=self.over_s)
-        self.edit(orders.edit_for(order=order, is_late=lambda: False))
+        self.apply_edit(orders.edit_for(order=order, is_late=lambda: False))
 
     def _start_new_replicas(self) -> None:
         self.new_from = self.world.now()
@@ -291,7 +291,7 @@
         self.world.later(listed_after_s, lambda: self.listed_ids.update(replica.id for replica in new))
 
     def _repeat(self, callback: Callable[[], None]) -> None:
-        """Calls back at each heartbeat, from a random phase on."""
+        """Calls back at each heartbeat interval, starting at a random phase."""
 
         def tick() -> None:
             callback()
@@ -300,19 +300,19 @@
         self.world.later(self.chance.uniform(0.0, HEARTBEAT_INTERVAL_S), tick)
 
     def _arrive(self, proxy: rollout_nodes.Proxy) -> None:
-        """One request at a proxy, and the next one later."""
+        """Sends one request at a proxy and schedules the next one."""
         proxy.request()
         self.world.later(self.chance.expovariate(proxy.per_s), lambda: self._arrive(proxy))
 
     def run_simulation(self) -> rollout_checks.Report:
-        """Runs it to its end."""
+        """Runs the simulation to its end and returns the report."""
         for core in self.cores.values():
             self._repeat(core.tick)
         for proxy in self.proxies:
             self._repeat(proxy.send_report)
             self.world.later(self.chance.expovariate(proxy.per_s), lambda proxy=proxy: self._arrive(proxy))
-        self.world.later(rollout_checks.ORDER_AT_S, self._order)
-        # The platform's list may show the new version before the order comes.
+        self.world.later(rollout_checks.ORDER_AT_S, self._submit_order)
+        # The platform's list may contain the new version before the order is submitted.
         self.world.later(rollout_checks.ORDER_AT_S + self.chance.uniform(-1.0, 0.5), self._start_new_replicas)
         term_end_s = rollout_checks.ORDER_AT_S + self.over_s
         self.world.later(term_end_s + rollout_checks.MAX_OVERTIME_S, self.checks.check_term)
@@ -330,7 +330,7 @@
 
 
 def _counts(row: state.Rollout) -> str:
-    """What the coordinator knew when it took the newest step."""
+    """Returns the request counts that the coordinator recorded with the newest transition, as text."""
     if not row.record:
         return ""
     newest = row.record[-1]
@@ -344,5 +344,5 @@
     fault_kinds: Iterable[str] | None = None,
     skipped: frozenset[str] = frozenset(),
 ) -> rollout_checks.Report:
-    """Runs one simulation; the arguments are those of `RolloutSimulation`."""
+    """Runs one simulation and returns its report; the arguments are those of `RolloutSimulation`."""
     return RolloutSimulation(seed=seed, kind=kind, fault_kinds=fault_kinds, skipped=skipped).run_simulation()
--- a/ploverward/simulation/test_rollout_simulation.py
+++ b/ploverward/simulation/test_rollout_simulation.py
@@ -1,4 +1,4 @@
-"""Days of the model of roll-outs, and faults planted in its parts that its checks must find."""
+"""Tests that seeded roll-out simulations violate no check, and that the checks detect seeded bugs."""
 
 import contextlib
 
@@ -8,10 +8,10 @@
 from ploverward.simulation import rollout_mutants
 from ploverward.simulation import rollout_simulation
 
-DAYS = 40
+SEEDS = 40
 
 
-@pytest.mark.parametrize("first", range(0, DAYS, 8))
+@pytest.mark.parametrize("first", range(0, SEEDS, 8))
 def test_seeded_simulation_violates_no_check(first):
     for seed in range(first, first + 8):
         report = rollout_simulation.run_simulation(seed)
@@ -19,7 +19,11 @@
 
 
 def test_bad_version_with_failures_hidden_by_others_is_returned_within_exposure_bound():
-    """Half of its answers were bad; so many of others failed that this was not seen (incidents/chance-promotion.md)."""
+    """Guards against the promotion of a bad version whose failures are hidden by other failures.
+
+    Half of its answers were bad, but so many others failed as well that the judge did not detect it
+    (incidents/chance-promotion.md).
+    """
     report = rollout_simulation.run_simulation(470067)
     assert not report.findings and report.stage == state.Stage.RETURNED
 
@@ -39,7 +43,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_power_loss_of_all_machines_does_not_extend_the_term(seed):
-    """No proxy is left that knows the order's age; those of these seeds that broke 'term' before ages were stored."""
+    """No proxy keeps the age of the order; before ages were stored, some of these seeds violated the check "term"."""
     report = rollout_simulation.run_simulation(seed, kind="good", fault_kinds=("all_power",))
     assert not report.findings and report.stage in state.FINAL_STAGES
 
