--- a/ploverward/control_plane/consensus/test_catch_up.py
+++ b/ploverward/control_plane/consensus/test_catch_up.py
@@ -23,7 +23,7 @@
 
 def model_with_chosen_values(*, others=(), seed=1):
     """Returns a cluster of three voters and `others`, with one chosen value in each register."""
-    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others)
+    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=SEEDS, others=others)
     for name in register_names.REGISTERS:
         model.nodes["a"].voting.proposer.change(name=name, edit=lambda _payload: (1, None), done=lambda *_row: None)
     model.world.run(until=3.0)
@@ -51,7 +51,7 @@
 
 
 def test_restart_before_any_chosen_value_keeps_the_first_set():
-    model = consensus_cluster.Model(seed=2, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=2, seeds=SEEDS)
     model.world.run(until=0.5)
     for node in model.nodes.values():
         node.stop(loses_power=True)
@@ -83,7 +83,7 @@
 
 def first_start_model(*, names=SEEDS, seed=5):
     """Returns nodes with empty disks whose settings say that this is the first start; only those in `names` run."""
-    model = consensus_cluster.Model(seed=seed, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=SEEDS)
     for name, node in model.nodes.items():
         node.stop(is_wiped=True)
         if name in names:
@@ -115,7 +115,7 @@
 
 
 def test_single_seed_founds_its_set_immediately():
-    model = consensus_cluster.Model(seed=4, seeds=("a",))
+    model = consensus_cluster.ConsensusCluster(seed=4, seeds=("a",))
     model.nodes["a"].stop(is_wiped=True)
     model.nodes["a"].start(is_first_start=True)
     model.world.run(until=0.1)
@@ -169,7 +169,7 @@
 
 
 def test_member_wiped_before_any_chosen_value_catches_up():
-    model = consensus_cluster.Model(seed=3, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=3, seeds=SEEDS)
     model.world.run(until=0.2)
     model.restart("a", restart_after_s=0.8, is_wiped=True)
     model.world.run(until=4.0)
--- a/ploverward/control_plane/consensus/test_cost.py
+++ b/ploverward/control_plane/consensus/test_cost.py
@@ -40,7 +40,7 @@
     )
 
 
-@pytest.mark.parametrize("how", ["restarted", "absent", "emptied", "new"])
-def test_late_member_catches_up_to_the_newest_version_before_it_votes(how):
-    result = register_cost.catch_up(changes=40, how=how)
+@pytest.mark.parametrize("scenario", ["restarted", "absent", "emptied", "new"])
+def test_late_member_catches_up_to_the_newest_version_before_it_votes(scenario):
+    result = register_cost.catch_up(changes=40, scenario=scenario)
     assert result["versions"] == 40 and result["caught_up_s"] < 2.0 and not result["voted_early"]
--- a/ploverward/control_plane/consensus/test_durability.py
+++ b/ploverward/control_plane/consensus/test_durability.py
@@ -36,7 +36,7 @@
     name = chance.choice(sorted(model.nodes))
     duration_s = chance.choice((0.2, 1.0, 4.0))
     if kind in DISK_FAULTS:
-        model.fault(name, kind, duration_s=duration_s)
+        model.inject_disk_fault(name, kind, duration_s=duration_s)
         if chance.random() < 0.5:  # a power loss during the fault
             model.world.later(
                 duration_s * chance.random(), lambda: model.restart(name, restart_after_s=0.8, loses_power=True)
@@ -56,7 +56,7 @@
 
 def run_history(seed, *, others=(), node_type=consensus_node.ConsensusNode):
     """Runs calls, moves of the set and faults, then a read at each node without faults; returns the cluster."""
-    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=others, node_type=node_type)
+    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=SEEDS, others=others, node_type=node_type)
     chance = model.world.chance
     model.world.loss = chance.choice((0.0, 0.02, 0.05))
     names = sorted(model.nodes)
@@ -101,9 +101,9 @@
 @pytest.mark.parametrize("kind", ["full", "refuse", "sync", "rename", "folder"])
 def test_node_with_long_disk_failure_stops_voting_and_rejoins(kind, caplog):
     caplog.set_level(logging.INFO, logger="ploverward")
-    model = consensus_cluster.Model(seed=7, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=7, seeds=SEEDS)
     model.world.run(until=1.0)
-    model.fault("a", kind, duration_s=20.0)
+    model.inject_disk_fault("a", kind, duration_s=20.0)
     for step in range(40):
         model.world.later(step * 0.5, lambda: model.call(model.world.chance.choice("bc"), kind="change"))
     model.world.run(until=20.0)
@@ -125,11 +125,11 @@
 
 
 def test_catch_up_finishes_once_a_refusing_disk_recovers():
-    model = consensus_cluster.Model(seed=9, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=9, seeds=SEEDS)
     model.call("a", kind="change")
     model.world.run(until=2.0)
     model.restart("c", restart_after_s=0.5, is_wiped=True)
-    model.fault("c", "refuse", duration_s=4.0)
+    model.inject_disk_fault("c", "refuse", duration_s=4.0)
     model.world.run(until=5.0)
     node = model.nodes["c"]
     assert node.voting.acceptor.votes and not node.votes and node.voting.proposer.is_learner
@@ -138,10 +138,10 @@
 
 
 def test_replies_waiting_for_a_hanging_disk_are_bounded():
-    model = consensus_cluster.Model(seed=8, seeds=SEEDS)
+    model = consensus_cluster.ConsensusCluster(seed=8, seeds=SEEDS)
     model.world.run(until=1.0)
     node, connection = model.nodes["a"], RecordingConnection()
-    model.fault("a", "hang", duration_s=30.0)
+    model.inject_disk_fault("a", "hang", duration_s=30.0)
     for number in range(1, 400):
         for member in "bc":
             node.voting.handle(member, connection, prepare(number, number, member))
@@ -201,7 +201,7 @@
     Returns:
         The node, its connection, and its replies to a quorum read and to a learner's first request, by type.
     """
-    model = consensus_cluster.Model(seed=1, seeds=SEEDS, node_type=node_type)
+    model = consensus_cluster.ConsensusCluster(seed=1, seeds=SEEDS, node_type=node_type)
     model.world.run(until=1.0)
     node, connection = model.nodes["b"], RecordingConnection()
     node.files.faults.add("refuse")
--- a/ploverward/control_plane/consensus/test_move_priority.py
+++ b/ploverward/control_plane/consensus/test_move_priority.py
@@ -15,9 +15,9 @@
 SETTLED_AT_S = 3.0
 
 
-def settled(*, seed: int) -> consensus_cluster.Model:
+def settled(*, seed: int) -> consensus_cluster.ConsensusCluster:
     """Returns a cluster of voters with a value in each register, and node d outside of the core set."""
-    model = consensus_cluster.Model(seed=seed, seeds=SEEDS, others=("d",))
+    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=SEEDS, others=("d",))
     for name in register_names.REGISTERS:
         model.nodes["a"].voting.proposer.change(name=name, edit=lambda _payload: (1, None), done=lambda *_row: None)
     model.world.run(until=SETTLED_AT_S)
--- a/ploverward/control_plane/operator_api/test_orders.py
+++ b/ploverward/control_plane/operator_api/test_orders.py
@@ -55,7 +55,7 @@
     operator = order_simulation.Operator(simulation=simulation, count=150, again=0.0)
     simulation.world.run(until=60.0)
     ends = []
-    simulation.move(by="a", to=("a", "b", "d"), done=ends.append)
+    simulation.move_registers(by="a", to=("a", "b", "d"), done=ends.append)
     simulation.world.run(until=70.0)
     assert ends == [None]
     simulation.nodes["c"].stop(is_wiped=True)
@@ -239,7 +239,7 @@
 def test_evacuations_match_the_last_acknowledged_order(seed):
     """One operator sends one order at a time and resends it until it is acknowledged or its time is over."""
     outcome = order_simulation.run_evacuations(seed=seed)
-    assert outcome.wrong == [] and outcome.acknowledged > 20
+    assert outcome.mismatched_orders == [] and outcome.acknowledged > 20
 
 
 def test_late_attempt_of_an_evacuation_does_not_undo_the_opposite_order():
@@ -334,7 +334,7 @@
 
     monkeypatch.setattr(evacuations, "edit_for", edit_for)
     monkeypatch.setattr(proposer.Proposer, "change", change_without_is_wanted)
-    assert any(order_simulation.run_evacuations(seed=seed).wrong for seed in range(60))
+    assert any(order_simulation.run_evacuations(seed=seed).mismatched_orders for seed in range(60))
 
 
 def test_checker_detects_lost_and_altered_configurations():
--- a/ploverward/control_plane/quotas/test_quota_meter.py
+++ b/ploverward/control_plane/quotas/test_quota_meter.py
@@ -171,9 +171,9 @@
 def test_simulation_exceeds_the_tolerance_in_no_window(fault_kinds):
     for seed in range(2):
         report = quota_simulation.run_simulation(seed, fault_kinds=fault_kinds)
-        assert not report.over, report
+        assert not report.overruns, report
         if fault_kinds == ("none",):
-            assert report.refused_below <= 0.004 * report.asked, report
+            assert report.refused_below_limit <= 0.004 * report.requested, report
 
 
 def test_restart_of_all_core_nodes_refuses_few_requests():
@@ -183,7 +183,7 @@
     """
     for seed in range(2):
         report = quota_simulation.run_simulation(seed, fault_kinds=("restart_core",))
-        assert not report.over and report.refused_below <= MAX_REFUSED_SHARE * report.asked, report
+        assert not report.overruns and report.refused_below_limit <= MAX_REFUSED_SHARE * report.requested, report
 
 
 def test_simulation_detects_a_meter_that_charges_admissions_before_the_first_report(monkeypatch):
@@ -196,12 +196,12 @@
 
     monkeypatch.setattr(quota_meter.QuotaMeter, "record", record)
     report = quota_simulation.run_simulation(0, fault_kinds=("restart_core",))
-    assert report.refused_below > MAX_REFUSED_SHARE * report.asked
+    assert report.refused_below_limit > MAX_REFUSED_SHARE * report.requested
 
 
 def test_simulation_detects_a_proxy_that_admits_without_limit(monkeypatch):
     monkeypatch.setattr(quota_allowance.QuotaAllowance, "_try_admit", lambda self, tenant, limit: True)
-    assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).over for seed in range(4))
+    assert any(quota_simulation.run_simulation(seed, fault_kinds=("hot",)).overruns for seed in range(4))
 
 
 def test_simulation_detects_a_meter_that_adds_up_repeated_reports(monkeypatch):
@@ -215,4 +215,4 @@
     real = quota_meter.QuotaMeter.record
     monkeypatch.setattr(quota_meter.QuotaMeter, "record", record)
     report = quota_simulation.run_simulation(0, fault_kinds=("none",))
-    assert report.refused_below > 0.01 * report.asked
+    assert report.refused_below_limit > 0.01 * report.requested
--- a/ploverward/simulation/consensus_cluster.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -1,7 +1,7 @@
 """Voting nodes of the registers in a simulated world, the calls made at them and the faults, all from one seed.
 
-A `Model` owns them. What any node acknowledged and lost is in `Model.lost` (docs/register.md 3). Calls are kept as a
-history for `ploverward.simulation.linearizability`.
+A `ConsensusCluster` owns them. `ConsensusCluster.lost` lists acknowledged state that was not on the disk
+(docs/register.md 3). Calls are kept as a history for `ploverward.simulation.linearizability`.
 """
 
 import typing
@@ -14,7 +14,7 @@
 NAME = register_names.CONFIGURATION
 
 
-class Model:
+class ConsensusCluster:
     """Nodes, calls at them, and faults, all from one seed.
 
     Args:
@@ -100,7 +100,7 @@
         node.stop(loses_power=loses_power, is_wiped=is_wiped)
         self.world.later(restart_after_s, node.start)
 
-    def fault(self, name: str, kind: str, *, duration_s: float) -> None:
+    def inject_disk_fault(self, name: str, kind: str, *, duration_s: float) -> None:
         """Puts a fault of `simulated_files.Files`, or "hang", into the disk of a node for so many seconds."""
         node = self.nodes[name]
         if kind == "hang":
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -178,7 +178,7 @@
             self.nodes[name].stop(is_wiped=kind == "wipe")
             self.world.later(duration_s, self.nodes[name].start)
 
-    def move(self, *, by: str, to: tuple[str, ...], done: Callable[[Any], object]) -> None:
+    def move_registers(self, *, by: str, to: tuple[str, ...], done: Callable[[Any], object]) -> None:
         """Moves every register to another set, as the cluster coordinator does.
 
         Args:
@@ -302,11 +302,11 @@
     """What came of a history of evacuations.
 
     Attributes:
-        wrong: Numbers of the orders after which the zones were read back otherwise.
+        mismatched_orders: Numbers of the orders after which the zones were read back otherwise.
         acknowledged: How many orders were.
     """
 
-    wrong: list[int] = dataclasses.field(default_factory=list)
+    mismatched_orders: list[int] = dataclasses.field(default_factory=list)
     acknowledged: int = 0
 
 
@@ -346,7 +346,7 @@
 
     def _check(self, number: int, is_evacuated: bool, body: Any) -> None:  # noqa: ANN401
         if (self._zone in body["zones"]) != is_evacuated:
-            self.report.wrong.append(number)
+            self.report.mismatched_orders.append(number)
         self.order(number + 1)
 
 
@@ -371,7 +371,9 @@
         lines += [
             f"not known again: {order}" for order in simulation.sent if order.begun >= SETTLED_S and order.status != 200
         ]
-        lines += [f"evacuation {number} reads back otherwise" for number in run_evacuations(seed=seed).wrong]
+        lines += [
+            f"evacuation {number} reads back otherwise" for number in run_evacuations(seed=seed).mismatched_orders
+        ]
         sent += len(simulation.sent)
         chosen += len(simulation.chosen)
         found += bool(lines)
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -64,20 +64,20 @@
     Attributes:
         seed: Of its randomness.
         fault_kinds: The injected faults.
-        over: Tenants beyond their bound.
+        overruns: Tenants beyond their bound.
         worst: The largest share of the allowed overrun that any tenant used.
-        asked: Requests.
+        requested: Requests.
         refused: Of these, refused ones.
-        refused_below: Of these, those of tenants that asked for no more than their limit.
+        refused_below_limit: Of these, those of tenants that asked for no more than their limit.
     """
 
     seed: int
     fault_kinds: tuple[str, ...]
-    over: list[Overrun] = dataclasses.field(default_factory=list)
+    overruns: list[Overrun] = dataclasses.field(default_factory=list)
     worst: float = 0.0
-    asked: int = 0
+    requested: int = 0
     refused: int = 0
-    refused_below: int = 0
+    refused_below_limit: int = 0
 
 
 class Core:
@@ -180,7 +180,7 @@
         }
         self.hot_factor = 1.0  # of its usual demand, that the first tenant asks for
         self.admitted: dict[str, list[float]] = collections.defaultdict(list)  # by tenant: times
-        self.asked: dict[str, list[float]] = collections.defaultdict(list)
+        self.requested: dict[str, list[float]] = collections.defaultdict(list)
         self.lowered_at: float | None = None
         self.cores = [Core(simulation=self, name=f"k{number}") for number in range(CORES)]
         count = proxies or chance.choice((12, 60, 120))
@@ -197,20 +197,20 @@
         proxy = self.chance.choices(self.proxies, self.weights[name])[0]
         now = self.world.now()
         if now >= proxy.frozen_until:
-            self.asked[name].append(now)
-            self.report.asked += 1
+            self.requested[name].append(now)
+            self.report.requested += 1
             if proxy.allowance.admit(tenant_usage.tenant_key(name)):
                 self.admitted[name].append(now)
             else:
                 self.report.refused += 1
-                self.report.refused_below += self._is_below_limit(name, now)
+                self.report.refused_below_limit += self._is_below_limit(name, now)
         factor = self.hot_factor if name == "t0" else 1.0
         rate = self.limits[name] * USUAL_LIMIT_SHARE * factor
         self.world.later(self.chance.expovariate(rate), lambda: self._arrive(name))
 
     def _is_below_limit(self, name: str, now: float) -> bool:
         """Whether the tenant has asked for no more than its limit over the window that ends now."""
-        recent = sum(1 for at in self.asked[name][-RECENT_REQUESTS:] if at > now - TOLERANCE.window_s)
+        recent = sum(1 for at in self.requested[name][-RECENT_REQUESTS:] if at > now - TOLERANCE.window_s)
         return recent <= self.limits[name] * TOLERANCE.window_s + round(self.limits[name])
 
     def _schedule_fault(self, name: str) -> None:
@@ -292,7 +292,7 @@
         allowed = TOLERANCE.allowed_overrun(limit)
         self.report.worst = max(self.report.worst, excess / allowed)
         if excess > allowed:
-            self.report.over.append(Overrun(tenant=name, requests=round(excess - allowed, 1)))
+            self.report.overruns.append(Overrun(tenant=name, requests=round(excess - allowed, 1)))
 
     def run_simulation(self) -> Report:
         """Runs it to its end and checks every window."""
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -106,19 +106,20 @@
         }
 
 
-def catch_up(*, changes: int, how: str, seed: int = 1) -> Row:
+def catch_up(*, changes: int, scenario: str, seed: int = 1) -> Row:
     """Simulated seconds from the start of a member until it votes and knows the newest version.
 
     Args:
         changes: made before.
-        how: "restarted" (power lost), "absent" (restarted, away for the last half of the changes), "emptied", "new".
+        scenario: "restarted" (after a power loss), "absent" (restarted, down for the last half of the changes), "emptied"
+            or "new".
         seed: of the simulated world.
 
     Returns:
         A row; `voted_early` counts the times at which it was seen to vote without the newest version.
     """
-    is_new = how == "new"
-    model = consensus_cluster.Model(seed=seed, seeds=("a", "b", "c"))
+    is_new = scenario == "new"
+    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=("a", "b", "c"))
     world, late = model.world, "c"
     if is_new:
         late = "d"
@@ -129,24 +130,30 @@
     for number in range(changes):
         world.later(begun_s + number * STEP_S, lambda: model.call("a", kind="change"))
     end_s = begun_s + changes * STEP_S + 2.0
-    if how == "absent":
+    if scenario == "absent":
         world.later(begun_s + changes * STEP_S / 2, lambda: model.nodes[late].stop(loses_power=True))
     world.run(until=end_s)
-    if how == "restarted":
+    if scenario == "restarted":
         model.nodes[late].stop(loses_power=True)
-    elif how == "emptied":
+    elif scenario == "emptied":
         model.nodes[late].stop(is_wiped=True)
     newest = model.nodes["a"].versions[NAME]
     node = model.nodes[late]
     node.start()
     early = 0
     while node.versions.get(NAME, 0) < newest or not node.votes:
-        if how in ("emptied", "new") and node.votes and node.durable_revision(NAME) < newest:
+        if scenario in ("emptied", "new") and node.votes and node.durable_revision(NAME) < newest:
             early += 1
         world.run(until=world.time + POLL_S)
         if world.time > end_s + MAX_CATCH_UP_S:
             break
-    return {"how": how, "changes": changes, "versions": newest, "caught_up_s": world.time - end_s, "voted_early": early}
+    return {
+        "how": scenario,
+        "changes": changes,
+        "versions": newest,
+        "caught_up_s": world.time - end_s,
+        "voted_early": early,
+    }
 
 
 def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> Row:
@@ -204,11 +211,11 @@
             "file": [file_growth(routes=count, changes=changes[-1]) for count in (routes[0], routes[1])],
             "catch-up": [
                 max(
-                    (catch_up(changes=count, how=how, seed=seed) for seed in seeds),
+                    (catch_up(changes=count, scenario=scenario, seed=seed) for seed in seeds),
                     key=lambda row: (row["voted_early"], row["caught_up_s"]),
                 )
                 for count in changes[1:]
-                for how in ("restarted", "absent", "emptied", "new")
+                for scenario in ("restarted", "absent", "emptied", "new")
             ],
         }
     finally:
