--- a/ploverward/simulation/order_attempts.py
+++ b/ploverward/simulation/order_attempts.py
@@ -1,4 +1,4 @@
-"""How an operator calls: node after node, along redirects, until there is a clear answer (docs/orders.md)."""
+"""Calls of operators, which try node after node and follow redirects until a clear answer arrives (docs/orders.md)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ploverward.simulation import order_nodes
 from ploverward.simulation import simulated_world
 
-CALLER_TIMEOUT_S = 1.0  # without an answer the operator goes to another node
+CALLER_TIMEOUT_S = 1.0  # the operator tries another node if no answer arrives in this time
 MAX_REDIRECTS = 2
-FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.1, 1.0, 1.5  # before the next node
+FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.1, 1.0, 1.5  # pause before the next node is tried
 
-OnEnded = Callable[[int | None, Any], object]  # (status, body), or None twice where there is no clear answer
+OnEnded = Callable[[int | None, Any], object]  # (status, body); both are None if there was no clear answer
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorCall:
-    """What an operator calls: arguments as of `order_nodes.Call`."""
+    """The request of a call; the fields are those of `order_nodes.Call`."""
 
     method: str
     target: str
@@ -29,17 +29,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _Attempt:
-    """One sending to one node; compared by identity."""
+    """One request sent to one node; compared by identity."""
 
     redirects: int
     begun: float
 
 
 class OrderAttempts:
-    """One call of an operator, until it has a clear answer or its time is over.
+    """A call of an operator, retried until it has a clear answer or its time limit has passed.
 
     Attributes:
-        slowest_s: The longest time that a node took to answer.
+        max_response_s: Longest time that a node took to answer, in seconds.
     """
 
     def __init__(
@@ -52,22 +52,22 @@
         limit_s: float,
         done: OnEnded,
     ) -> None:
-        """Sends the call to a node.
+        """Sends the call to a random node.
 
         Args:
-            world: Time and network.
-            nodes: By address.
-            name: The operator's, as the network knows it.
-            call: What is sent.
-            limit_s: After so long no further node is tried.
-            done: Called once.
+            world: Simulated time and network.
+            nodes: Core nodes by address.
+            name: Name of the operator in the network.
+            call: The request.
+            limit_s: Time in seconds after which no further node is tried.
+            done: Called once with the outcome.
         """
-        self.slowest_s = 0.0
+        self.max_response_s = 0.0
         self._world = world
         self._nodes = nodes
         self._name = name
         self._call = call
-        self._until = world.now() + limit_s
+        self._deadline = world.now() + limit_s
         self._done: OnEnded | None = done
         self._pause_s = FIRST_PAUSE_S
         self._current: _Attempt | None = None
@@ -76,7 +76,7 @@
     def _try_any_node(self) -> None:
         if self._done is None:
             return
-        if self._world.now() >= self._until:
+        if self._world.now() >= self._deadline:
             self._end(None, None)
             return
         self._try(self._world.chance.choice(sorted(self._nodes)), redirects=0)
@@ -106,8 +106,8 @@
 
     def _handle_answer(self, attempt: _Attempt, status: int, body: Any, address: str) -> None:  # noqa: ANN401
         if self._current is not attempt:
-            return  # the operator went on to another node meanwhile
-        self.slowest_s = max(self.slowest_s, self._world.now() - attempt.begun)
+            return  # the operator has moved on to another node
+        self.max_response_s = max(self.max_response_s, self._world.now() - attempt.begun)
         if status == 307 and attempt.redirects < MAX_REDIRECTS:
             self._try(address, redirects=attempt.redirects + 1)
         elif status == 307 or status >= 500:
--- a/ploverward/simulation/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -1,6 +1,6 @@
-"""What an order costs in processor time and bytes, by the number of routes and of archived identifiers of orders.
+"""Measures the processor time and bytes of an order, by the number of routes and of archived order identifiers.
 
-`python3 -m ploverward.simulation.order_costs`; its figures stand in docs/orders.md.
+Run with `python3 -m ploverward.simulation.order_costs`; docs/orders.md lists the figures.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from ploverward.control_plane.consensus import ballots
 
 MEMBERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-REPEATS = 7  # of each measurement; the median counts
+REPEATS = 7  # repetitions of each measurement, of which the median is reported
 ROUTES = (10, 260, 2000)
 ORDER_ID_COUNTS = (64, 4096, order_archive.MAX_ARCHIVED_IDS)
 SERVICES = 40
-WINDOW = 128  # recent orders beside a configuration
+WINDOW = 128  # recent orders stored with a configuration
 
 
 def body_of(*, routes: int, edition: int) -> dict[str, Any]:
-    """Returns a configuration with so many routes and the fields that operators use."""
+    """Returns a configuration with this number of routes and the fields that operators use."""
     return {
         "edition": edition,
         "routes": [_route(number) for number in range(routes)],
@@ -63,14 +63,14 @@
 
 
 def recent_orders(count: int) -> list[Any]:
-    """Returns so many rows (edition, identifier) of accepted orders."""
+    """Returns this number of rows (edition, identifier) of accepted orders."""
     return [
         [number + 1, hashlib.sha256(b"%d" % number).hexdigest()[: orders.ORDER_ID_DIGITS]] for number in range(count)
     ]
 
 
 def median_ms(callback: Callable[[], object]) -> float:
-    """Returns the processor time of a call in milliseconds."""
+    """Returns the median processor time of a call in milliseconds."""
     times = []
     for _ in range(REPEATS):
         begun = time.process_time()
@@ -80,7 +80,7 @@
 
 
 def by_routes(routes: int) -> dict[str, Any]:
-    """Returns the costs of a configuration with so many routes."""
+    """Returns the costs of a configuration with this number of routes."""
     body = body_of(routes=routes, edition=7)
     data = json.dumps(body_of(routes=routes, edition=9)).encode()
     patch = json.dumps({"edition": 9, "upsert": {"routes": [{**body["routes"][0], "expiryMs": 4000}]}}).encode()
@@ -107,7 +107,7 @@
 
 
 def by_order_ids(count: int) -> dict[str, Any]:
-    """Returns the costs of an archive with so many identifiers of orders."""
+    """Returns the costs of an archive with this number of order identifiers."""
     rows = recent_orders(count + orders.MIN_ARCHIVE_BATCH)
     payload, _through = order_archive.edit_for(rows=rows[:count])(None)
     value = ballots.pack(members=MEMBERS, payload=payload)
@@ -123,7 +123,7 @@
 
 
 def main() -> int:
-    """Prints a JSON object a line."""
+    """Prints the results as JSON lines."""
     for row in [*map(by_routes, ROUTES), *map(by_order_ids, ORDER_ID_COUNTS)]:
         print(json.dumps(row))
     return 0
--- a/ploverward/simulation/order_history.py
+++ b/ploverward/simulation/order_history.py
@@ -1,6 +1,6 @@
-"""Checks a history of orders after the fact, against the chain of configurations that were chosen.
+"""Checks a complete history of orders against the chain of chosen configurations.
 
-docs/orders.md states what must be true; each rule here is one line of it.
+Each rule checked here corresponds to one line of the requirements in docs/orders.md.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass(slots=True)
 class SentOrder:
-    """One order as its operator sees it.
+    """An order as its operator sees it.
 
     Attributes:
         method: "PUT" or "PATCH".
-        base: The edition that it builds on.
-        order_id: Identifies its content.
-        begun: When it was first sent, by the simulated time in seconds.
-        ended: When it had a clear answer; None: it has none.
-        status: Of that answer.
-        is_again: Whether the same order was ended before and is sent again.
+        base: Edition that it is based on.
+        order_id: Identifier derived from its content.
+        begun: Simulated time in seconds at which it was first sent.
+        ended: Simulated time in seconds at which a clear answer arrived; None if none did.
+        status: Status of that answer.
+        is_again: Whether the same order was answered before and is sent again.
     """
 
     method: str
@@ -36,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """One reading of the configuration.
+    """A read of the configuration.
 
     Attributes:
-        begun: When, by the simulated time in seconds.
-        ended: When it was answered.
-        edition: That was read; 0: there is none.
-        body: The configuration; None: there is none.
+        begun: Simulated time in seconds at which it was sent.
+        ended: Simulated time in seconds at which it was answered.
+        edition: Edition in the answer; 0 if there is no configuration.
+        body: Configuration in the answer; None if there is none.
     """
 
     begun: float
@@ -53,13 +53,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChosenConfiguration:
-    """One configuration of the chain.
+    """A configuration of the chain.
 
     Attributes:
-        base: The edition that it builds on.
-        edition: Its own.
-        order_id: The order that made it.
-        body: What it contains; None: only a later one names it.
+        base: Edition that it is based on.
+        edition: Its own edition.
+        order_id: Identifier of the order that created it.
+        body: Its content; None if it is known only from the recent orders of a later configuration.
     """
 
     base: int
@@ -71,12 +71,12 @@
 def violations(
     *, sent: Sequence[SentOrder], read: Sequence[ConfigurationRead], chosen: Sequence[ChosenConfiguration]
 ) -> list[str]:
-    """Returns what is wrong, as lines of text; nothing where no rule is broken.
+    """Returns the violated rules as lines of text; empty for a correct history.
 
     Args:
         sent: All orders.
-        read: All readings.
-        chosen: All configurations that were chosen, in any order.
+        read: All reads of the configuration.
+        chosen: All chosen configurations, in any order.
     """
     by_order_id = {row.order_id: row for row in chosen}
     confirmed = [order for order in sent if order.status == 200]
--- a/ploverward/simulation/order_nodes.py
+++ b/ploverward/simulation/order_nodes.py
@@ -1,7 +1,7 @@
 """Core nodes reduced to registers and the order API, in simulated time (docs/orders.md).
 
-`Node` owns the real acceptor, proposer and order API of one core node, and what its disk keeps over a stop. The network
-is a `simulated_world.World`; there are no proxies.
+`Node` owns the real acceptor, proposer and order API of one core node, and the content of its disk, which survives a
+stop. The network is a `simulated_world.World`; there are no proxies.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ploverward.simulation import simulated_world
 from ploverward.transport import messages
 
-RECEIPT_S = 6.0  # `receiptMs` of the nodes
+RECEIPT_S = 6.0  # setting `receiptMs` of the nodes
 CONTROL_PORT = 80
 CATCH_UP_RETRY_S = 0.4
 ZONES = ("za", "zb")
@@ -33,14 +33,14 @@
 
 
 class Call:
-    """One copy of a call at a node, with what the order API's handlers use of a call.
+    """A call received by a node, with the interface that the handlers of the order API use.
 
     Attributes:
-        method: In capitals.
-        target: The path.
-        body: The body.
-        headers: By name.
-        is_answered: Whether it was answered.
+        method: HTTP method in capitals.
+        target: Path of the request.
+        body: Body of the request.
+        headers: Headers by name.
+        is_answered: Whether it was answered or redirected.
     """
 
     def __init__(
@@ -65,24 +65,24 @@
         self.answer(status=503, body=reason)
 
     def redirect(self, *, address: str) -> None:
-        """Sends the caller to ADDRESS:PORT of another node."""
+        """Redirects the caller to another node, given as ADDRESS:PORT."""
         self.is_answered = True
         self._on_answer(307, None, address.partition(":")[0])
 
 
 class Node:
-    """One core node.
+    """A core node. Its loop, acceptor, proposer and order API are created again at each start.
 
     Attributes:
-        world: Its time and network.
+        world: Simulated time and network.
         name: Its address.
-        is_up: Whether it runs.
-        loop: Of its present life.
-        acceptor: Of its present life.
-        proposer: Of its present life.
-        registers: What the order API uses of the proposer.
-        order_api: Of its present life.
-        configuration: That it knows of.
+        is_up: Whether its process runs.
+        loop: Event loop of the process.
+        acceptor: The real acceptor.
+        proposer: The real proposer.
+        registers: The methods of the proposer that the order API uses.
+        order_api: The real order API.
+        configuration: Newest configuration that it has received; None if it has none.
     """
 
     def __init__(
@@ -97,11 +97,11 @@
         """Starts a node for the first time.
 
         Args:
-            world: Its time and network.
+            world: Simulated time and network.
             name: Its address.
-            nodes: All nodes by address, this one too in the end.
-            seeds: The first core set.
-            on_chosen: Called with the register and the payload of each value that it knows to be chosen.
+            nodes: All nodes by address; the caller adds this node after it is created.
+            seeds: The initial core set.
+            on_chosen: Called with the register and the payload of each value that this node knows to be chosen.
         """
         self.world = world
         self.name = name
@@ -116,7 +116,7 @@
         self.start(is_first=True)
 
     def start(self, *, is_first: bool = False) -> None:
-        """Starts with what the disk has; without a disk's content the node catches up before it votes."""
+        """Starts from the content of the disk; a node with an empty disk catches up before it votes."""
         self._incarnation += 1
         self.is_up = True
         self.loop = simulated_world.Loop(world=self.world)
@@ -176,7 +176,7 @@
         )
 
     def stop(self, *, is_wiped: bool = False) -> None:
-        """Stops, until `start`; `is_wiped`: the disk loses its content."""
+        """Stops the process until the next `start`; with `is_wiped`, the disk also loses its content."""
         self.is_up = self.loop.is_up = False
         self._incarnation += 1
         if is_wiped:
@@ -184,7 +184,7 @@
             self._disk_incarnation = ""
 
     def members(self) -> tuple[str, ...]:
-        """Returns the core set as this node knows it."""
+        """Returns the core set known to this node."""
         return self.proposer.members(register_names.CORE_SET)
 
     def _is_linked(self, other: str) -> bool:
@@ -197,7 +197,7 @@
         reached = {other for other in members if other == self.name or self._is_linked(other)}
         return ballots.has_majority(of=members, among=reached)
 
-    # Between nodes.
+    # Messages between nodes.
     def _send(self, member: str, message: tuple) -> None:
         target = self._nodes[member]
 
@@ -208,7 +208,7 @@
         self.world.send(self.name, member, arrive)
 
     def _answer(self, source: Node, incarnation: int, message: tuple) -> None:
-        """Sends a reply, which is dropped where the other node was stopped meanwhile."""
+        """Sends a reply, which is dropped if the other node has been stopped since its request."""
 
         def arrive() -> None:
             if source.is_up and source._incarnation == incarnation:
@@ -217,11 +217,11 @@
         self.world.send(self.name, source.name, arrive)
 
     def handle(self, source: Node, incarnation: int, message: tuple) -> None:
-        """Handles a message of another node, or of this one.
+        """Handles a message from another node or from this one.
 
         Args:
             source: The sender.
-            incarnation: Of the sender, to which a reply goes.
+            incarnation: Incarnation of the sender, which alone may receive a reply.
             message: The message.
         """
         handler = self._handlers.get(type(message))
@@ -243,7 +243,7 @@
     def _handle_quorum_read(self, source: Node, incarnation: int, message: messages.QuorumRead) -> None:
         self._answer(source, incarnation, self.acceptor.quorum_read(message))
 
-    # Catching up with an empty disk.
+    # Catch-up of a node with an empty disk.
     def _catch_up(self) -> None:
         if self.acceptor.votes:
             return
@@ -259,7 +259,7 @@
             self._answer(source, incarnation, reply)
 
     def _handle_catch_up_reply(self, source: Node, _incarnation: int, message: messages.CatchUpReply) -> None:
-        """Votes again once every member of every set that is named has replied."""
+        """Starts voting again once all members of every core set named in the replies have replied."""
         if self.acceptor.votes:
             return
         replies = self._catch_up_replies
@@ -281,9 +281,9 @@
         elif name == register_names.ARCHIVE:
             self.order_api.learn_archive(payload)
 
-    # From operators.
+    # Calls of operators.
     def handle_call(self, call: Call) -> None:
-        """Handles a call of an operator."""
+        """Passes a call of an operator to the handler of its path."""
         path, values = call.target, {}
         if path.startswith(EVACUATION_PATH):
             path, values = f"{EVACUATION_PATH}<zone>", {"zone": path.removeprefix(EVACUATION_PATH)}
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -1,7 +1,7 @@
-"""Seeded histories of orders: operators that call core nodes as the protocol says, while nodes fail (docs/orders.md).
+"""Seeded simulation of orders: operators call core nodes by the protocol while nodes fail (docs/orders.md).
 
-`OrderSimulation` owns the nodes, what they chose and what operators sent and read; order_history.py checks that.
-`python3 -m ploverward.simulation.order_simulation` plays many seeds.
+`OrderSimulation` owns the nodes, the configurations that they chose and the calls of operators; order_history.py checks
+this history. `python3 -m ploverward.simulation.order_simulation` runs many seeds.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from ploverward.simulation import simulated_world
 
 CONFIGURATION_PATH = "/ploverward/configuration"
-LIMIT_S = 30.0  # for how long a call is tried
-SETTLED_S = 400.0  # faults and the operators' orders are over by then
-READ_BACK_S = 100.0  # for the repeats and reads after that
-FAULT_S = (0.4, 2.0)  # how long one lasts
+LIMIT_S = 30.0  # time limit of a call
+SETTLED_S = 400.0  # time by which all faults and orders of operators have ended
+READ_BACK_S = 100.0  # time after that for resending orders and reading back
+FAULT_DURATION_S = (0.4, 2.0)  # shortest and longest fault
 ROUTE = {"name": "r", "host": "h", "pathLead": "/a/", "kind": "retry_safe", "expiryMs": 1000, "destination": "d"}
 ROUTE_PATCH = {"name": "q", "host": "h", "pathLead": "/q/", "kind": "streaming", "destination": "d"}
 PARTS = {"routes": [ROUTE], "destinations": [{"name": "d"}]}
 
-OnOrder = Callable[[order_history.SentOrder, Any], object]  # with the body of the answer
+OnOrder = Callable[[order_history.SentOrder, Any], object]  # (order, body of the answer)
 
 
 def configuration(*, edition: int, wait_ms: float = 1000) -> dict[str, Any]:
@@ -40,25 +40,25 @@
 
 
 def encode(body: dict[str, Any]) -> bytes:
-    """Returns the bytes of a call's body."""
+    """Returns a body as JSON bytes."""
     return json.dumps(body).encode()
 
 
 class OrderSimulation:
-    """Nodes, what they chose, and the history of what operators sent.
+    """Core nodes, the configurations that they chose, and the history of the calls of operators.
 
     Attributes:
-        world: Time and network.
-        nodes: By address.
+        world: Simulated time and network.
+        nodes: Core nodes by address.
         sent: All orders for configurations.
-        read: All readings of the configuration that were answered.
-        chosen: The configurations that were chosen, by edition.
+        read: All answered reads of the configuration.
+        chosen: The chosen configurations by edition.
     """
 
     def __init__(
         self, *, seed: int, names: Sequence[str] = ("a", "b", "c"), seeds: tuple[str, ...] = ("a", "b", "c")
     ) -> None:
-        """Starts nodes of these names; `seeds` are the first core set."""
+        """Starts nodes with these names; `seeds` is the initial core set."""
         self.world = simulated_world.World(seed=seed)
         self.nodes: dict[str, order_nodes.Node] = {}
         self.sent: list[order_history.SentOrder] = []
@@ -70,8 +70,11 @@
                 world=self.world, name=name, nodes=self.nodes, seeds=seeds, on_chosen=self._note_chosen
             )
 
-    def _note_chosen(self, name: str, payload: Any) -> None:  # noqa: ANN401  # any register's
-        """Each chosen value names the orders before it too, so that one whose proposer was lost is noted as well."""
+    def _note_chosen(self, name: str, payload: Any) -> None:  # noqa: ANN401  # payload of any register
+        """Records the configurations named by a chosen value.
+
+        A value also names the orders before it, so an order whose proposer was lost is recorded as well.
+        """
         if name != register_names.CONFIGURATION or not payload:
             return
         base = None if self.chosen else 0
@@ -98,11 +101,11 @@
 
         Args:
             method: "PUT" or "PATCH".
-            base: The edition that it builds on.
-            data: The body.
-            done: Called with the order and the answer's body, when it ended.
-            limit_s: For how long it is tried.
-            is_again: Whether it is an order that ended before.
+            base: Edition that it is based on.
+            data: Body of the request.
+            done: Called with the order and the body of the answer when the call ends.
+            limit_s: Time limit of the call, in seconds.
+            is_again: Whether the same order was answered before.
         """
         order = order_history.SentOrder(
             method=method,
@@ -125,7 +128,7 @@
         self._start(call, limit_s, end)
 
     def read_back(self, *, done: order_attempts.OnEnded | None = None, limit_s: float = LIMIT_S) -> None:
-        """Reads the configuration; `done(status, body)` when that ended."""
+        """Reads the configuration; calls `done(status, body)` when the call ends."""
         begun = self.world.now()
 
         def end(status: int | None, body: Any) -> None:  # noqa: ANN401
@@ -143,13 +146,13 @@
     def evacuate(
         self, *, zone: str, is_evacuated: bool, done: order_attempts.OnEnded, limit_s: float = order_nodes.RECEIPT_S
     ) -> None:
-        """Orders a zone out or back; `done(status, body)` when that ended."""
+        """Orders the evacuation or the restoration of a zone; calls `done(status, body)` when the call ends."""
         method = "POST" if is_evacuated else "DELETE"
         target = f"{order_nodes.EVACUATION_PATH}{zone}"
         self._start(order_attempts.OperatorCall(method=method, target=target), limit_s, done)
 
     def read_evacuations(self, *, done: order_attempts.OnEnded, limit_s: float = LIMIT_S) -> None:
-        """Reads the evacuated zones; `done(status, body)` when that ended."""
+        """Reads the evacuated zones; calls `done(status, body)` when the call ends."""
         target = order_nodes.EVACUATION_PATH.rstrip("/")
         self._start(order_attempts.OperatorCall(method="GET", target=target), limit_s, done)
 
@@ -164,12 +167,12 @@
         )
 
     def inject_fault(self) -> None:
-        """One node restarts, loses its disk, or is cut off from the others, for about a second."""
+        """Stops, wipes or partitions a random node for about a second, if all nodes run and vote."""
         if not all(node.is_up and node.acceptor.votes for node in self.nodes.values()):
             return
         kind = self.world.chance.choice(("stop", "wipe", "cut"))
         name = self.world.chance.choice(sorted(self.nodes))
-        duration_s = self.world.chance.uniform(*FAULT_S)
+        duration_s = self.world.chance.uniform(*FAULT_DURATION_S)
         if kind == "cut":
             for other in self.nodes:
                 self.world.partitions |= {(name, other), (other, name)}
@@ -179,12 +182,12 @@
             self.world.later(duration_s, self.nodes[name].start)
 
     def move_registers(self, *, by: str, to: tuple[str, ...], done: Callable[[Any], object]) -> None:
-        """Moves every register to another set, as the cluster coordinator does.
+        """Moves every register to another core set, as the cluster coordinator does.
 
         Args:
-            by: The node that does it.
-            to: The new set.
-            done: Called with None, or with the error that ended it.
+            by: Name of the node that proposes the changes.
+            to: The new core set.
+            done: Called with None, or with the error that ended the move.
         """
         names = list(register_names.REGISTERS)
 
@@ -199,33 +202,33 @@
         step()
 
     def violations(self) -> list[str]:
-        """Returns what is wrong with the history, as lines of text."""
+        """Returns the rules that the history violates, as lines of text."""
         return order_history.violations(sent=self.sent, read=self.read, chosen=list(self.chosen.values()))
 
 
 class Operator:
-    """Sends one change after the other, each on the version that it knows, and some of the older ones again.
+    """An operator that sends orders one by one, each based on the newest edition it knows, and resends some older ones.
 
     Attributes:
-        simulation: Where it sends them.
-        left: How many it has still to send.
-        again: How often it sends an older one again, of 0 to 1.
-        known: The newest edition that it knows.
-        ended: Its acknowledged orders, with their bodies.
+        simulation: The simulation that it belongs to.
+        remaining: Number of orders that it has still to send.
+        again: Share of its orders that are older ones sent again, 0 to 1.
+        known_edition: Newest edition that it knows.
+        ended: Its acknowledged orders with their bodies.
     """
 
     def __init__(self, *, simulation: OrderSimulation, count: int, again: float) -> None:
         self.simulation = simulation
-        self.left = count
+        self.remaining = count
         self.again = again
-        self.known = 0
+        self.known_edition = 0
         self.ended: list[tuple[order_history.SentOrder, bytes]] = []
         self._step()
 
     def _step(self) -> None:
-        if self.left <= 0:
+        if self.remaining <= 0:
             return
-        self.left -= 1
+        self.remaining -= 1
         chance = self.simulation.world.chance
         if self.ended and chance.random() < self.again:
             self._send_again()
@@ -240,8 +243,8 @@
 
     def _send_next(self) -> None:
         chance = self.simulation.world.chance
-        edition = self.known + chance.randint(1, 3)
-        if self.known and chance.random() < 0.5:
+        edition = self.known_edition + chance.randint(1, 3)
+        if self.known_edition and chance.random() < 0.5:
             method = "PATCH"
             route = {**ROUTE_PATCH, "expiryMs": chance.randint(1, 10**6)}
             data = encode({"edition": edition, "upsert": {"routes": [route]}})
@@ -252,16 +255,16 @@
         def end(order: order_history.SentOrder, _body: Any) -> None:  # noqa: ANN401
             if order.status == 200:
                 self.ended.append((order, data))
-                self.known = max(self.known, edition)
+                self.known_edition = max(self.known_edition, edition)
                 self._pause()
             else:
-                self.simulation.read_back(done=self._learn)
+                self.simulation.read_back(done=self._update_known_edition)
 
-        self.simulation.send(method=method, base=self.known, data=data, done=end)
+        self.simulation.send(method=method, base=self.known_edition, data=data, done=end)
 
-    def _learn(self, status: int | None, body: Any) -> None:  # noqa: ANN401
+    def _update_known_edition(self, status: int | None, body: Any) -> None:  # noqa: ANN401
         if status == 200:
-            self.known = body["edition"]
+            self.known_edition = body["edition"]
         self._pause()
 
     def _pause(self) -> None:
@@ -271,25 +274,25 @@
 def run_simulation(
     *, seed: int, operators: int, count: int, loss: float = 0.03, fault_count: int = 6, again: float = 0.2
 ) -> OrderSimulation:
-    """Plays one history; all acknowledged orders are sent once more at its end.
+    """Runs one simulation; all acknowledged orders are sent once more at its end.
 
     Args:
-        seed: Decides all that is drawn.
-        operators: How many.
-        count: How many changes each of them sends.
-        loss: Part of the messages that is lost.
-        fault_count: How many faults there are.
-        again: Part of the changes that are older ones sent again.
+        seed: Seed of the random generator.
+        operators: Number of operators.
+        count: Number of orders that each of them sends.
+        loss: Share of the messages that are lost.
+        fault_count: Number of injected faults.
+        again: Share of the orders that are older ones sent again.
     """
     simulation = OrderSimulation(seed=seed)
     simulation.world.loss = loss
     simulation.world.delay = (0.001, 0.01)
-    crew = [Operator(simulation=simulation, count=count, again=again) for _ in range(operators)]
+    active_operators = [Operator(simulation=simulation, count=count, again=again) for _ in range(operators)]
     for number in range(fault_count):
         simulation.world.later(1.0 + number * 6.0, simulation.inject_fault)
     simulation.world.run(until=SETTLED_S)
     simulation.world.loss = 0.0
-    for operator in crew:
+    for operator in active_operators:
         for order, data in operator.ended:
             simulation.send(method=order.method, base=order.base, data=data, is_again=True)
     simulation.read_back()
@@ -299,11 +302,11 @@
 
 @dataclasses.dataclass(slots=True)
 class EvacuationReport:
-    """What came of a history of evacuations.
+    """The result of a simulation of evacuations.
 
     Attributes:
-        mismatched_orders: Numbers of the orders after which the zones were read back otherwise.
-        acknowledged: How many orders were.
+        mismatched_orders: Numbers of the orders whose effect did not show when the zones were read back.
+        acknowledged: Number of acknowledged orders.
     """
 
     mismatched_orders: list[int] = dataclasses.field(default_factory=list)
@@ -311,7 +314,7 @@
 
 
 class _EvacuationOperator:
-    """Orders a zone out and back in turn, and reads back after each order that was acknowledged."""
+    """Evacuates and restores a zone in turn, and reads the zones back after each acknowledged order."""
 
     def __init__(self, *, simulation: OrderSimulation, count: int) -> None:
         self.report = EvacuationReport()
@@ -320,7 +323,7 @@
         self._zone = order_nodes.ZONES[0]
 
     def order(self, number: int) -> None:
-        """Makes an order, and all after it."""
+        """Sends an order, and then all orders after it."""
         if number == self._count:
             return
         is_evacuated = number % 2 == 0
@@ -351,7 +354,7 @@
 
 
 def run_evacuations(*, seed: int, count: int = 30) -> EvacuationReport:
-    """Plays a history of so many evacuations and restorations of one zone."""
+    """Simulates this number of evacuations and restorations of one zone."""
     simulation = OrderSimulation(seed=seed)
     simulation.world.loss = 0.1
     operator = _EvacuationOperator(simulation=simulation, count=count)
@@ -363,7 +366,7 @@
 
 
 def search_seeds(*, first: int, count: int) -> int:
-    """Plays both kinds of history for each seed and prints what is wrong; returns how many seeds showed something."""
+    """Runs both simulations for each seed and prints the violations; returns the number of seeds with any."""
     sent = chosen = found = 0
     for seed in range(first, first + count):
         simulation = run_simulation(seed=seed, operators=3, count=70, loss=0.08 if seed % 2 else 0.03, fault_count=10)
@@ -384,7 +387,7 @@
 
 
 def main() -> int:
-    """Plays the seeds that the flags name; 1 where one showed something."""
+    """Runs the seeds that the flags name; returns 1 if one shows a violation, else 0."""
     parser = argparse.ArgumentParser(
         description="Plays seeded histories of orders: python3 -m ploverward.simulation.order_simulation"
     )
