--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -1,8 +1,8 @@
-"""A simulation of quotas: the real meters of core nodes and the real allowances of proxies on a simulated network.
+"""Seeded simulation of quotas: the real meters of core nodes and allowances of proxies on a simulated network.
 
-Every admission is counted by itself, in sliding windows, over all proxies, in contact or isolated (docs/quotas.md 1).
-`QuotaSimulation` owns the nodes, the traffic of ten tenants and the faults; `run_simulation(seed)` runs one of some
-forty simulated seconds.
+The check counts each single admission in sliding windows over all proxies, in contact or isolated (docs/quotas.md 1).
+`QuotaSimulation` owns the nodes, the traffic of ten tenants and the faults; `run_simulation(seed)` simulates
+44 seconds.
 """
 
 import collections
@@ -22,16 +22,16 @@
 HEARTBEAT_INTERVAL_S = 0.4
 LEASE_S = 0.9
 TOLERANCE = token_bucket.QuotaTolerance(window_s=5.0, excess=0.1, slack=20.0)
-START_AT_S = 12.0  # start of the traffic: by then the buckets are full
+START_AT_S = 12.0  # start of the traffic; the buckets are full by then
 END_AT_S = 44.0
 FIRST_FAULT_S, LAST_FAULT_S = START_AT_S + 4.0, START_AT_S + 16.0
-USUAL_LIMIT_SHARE = 1 / 1.6  # of a tenant's limit, that it asks for without faults
+USUAL_LIMIT_SHARE = 1 / 1.6  # request rate of a tenant without faults, as a share of its limit
 CORES = 5
-RESTART_S = 0.6  # from the end of all processes to the first that takes requests
-APPLY_S = 4.0  # until a changed configuration binds, applyMs
-LOWERED_LIMIT_SHARE = 0.3
-RECENT_REQUESTS = 500  # that are looked at for the demand of one window
-DELAY_S = (0.001, 0.08)  # of a message
+RESTART_S = 0.6  # from the end of all processes until they accept requests again
+APPLY_S = 4.0  # setting applyMs: time until a changed configuration must be in force
+LOWERED_LIMIT_SHARE = 0.3  # lowered limit, as a share of the original one
+RECENT_REQUESTS = 500  # newest requests of a tenant that are searched for those of one window
+DELAY_S = (0.001, 0.08)  # shortest and longest delay of a message
 FAULT_KINDS = (
     "none",
     "hot",
@@ -45,13 +45,18 @@
     "disks_lost_all_power",
     "lower",
 )
-DISKS_LOST = 2  # of the core nodes, in that fault
-EMPTIED_DOWN_S = 1.5  # until a core node whose disk was lost is back
+DISKS_LOST = 2  # core nodes that lose their disk in the fault "disks_lost_all_power"
+WIPED_RESTART_S = 1.5  # time until a core node whose disk was lost is back
 
 
 @dataclasses.dataclass(frozen=True)
 class Overrun:
-    """A tenant whose worst window had more requests than the bound allows, and how many more."""
+    """A tenant that exceeded its bound.
+
+    Attributes:
+        tenant: Name of the tenant.
+        requests: Number of requests beyond the bound in its worst window.
+    """
 
     tenant: str
     requests: float
@@ -62,13 +67,13 @@
     """The result of one simulation.
 
     Attributes:
-        seed: Of its randomness.
+        seed: Seed of the random generators.
         fault_kinds: The injected faults.
-        overruns: Tenants beyond their bound.
-        worst: The largest share of the allowed overrun that any tenant used.
-        requested: Requests.
-        refused: Of these, refused ones.
-        refused_below_limit: Of these, those of tenants that asked for no more than their limit.
+        overruns: Tenants that exceeded their bound.
+        worst: Largest share of the allowed overrun that any tenant used.
+        requested: Number of requests.
+        refused: Number of refused requests.
+        refused_below_limit: Number of refused requests of tenants whose demand was within their limit.
     """
 
     seed: int
@@ -81,32 +86,32 @@
 
 
 class Core:
-    """A core node, as far as quotas need it."""
+    """A core node, reduced to its quota meter."""
 
     def __init__(self, *, simulation: "QuotaSimulation", name: str) -> None:
         self.simulation = simulation
         self.name = name
-        self.down_until = 0.0  # by the simulated time in seconds
+        self.down_until = 0.0  # simulated time in seconds
         self.start()
 
     @property
     def is_down(self) -> bool:
-        """Whether its machine is not back yet."""
+        """Whether its machine is still down."""
         return self.simulation.world.now() < self.down_until
 
     def start(self) -> None:
-        """Starts the process anew, without what it had counted."""
+        """Restarts the process, which loses its counts."""
         world = self.simulation.world
         self.meter = quota_meter.QuotaMeter(now=world.now, tolerance=TOLERANCE, owned_share=lambda: 1.0 / CORES)
         self.install()
 
     def install(self) -> None:
-        """Installs the configuration in force."""
+        """Installs the current configuration."""
         self.meter.install(self.simulation.configuration)
 
 
 class Proxy:
-    """A proxy, as far as quotas need it."""
+    """A proxy, reduced to its quota allowance."""
 
     def __init__(self, *, simulation: "QuotaSimulation", name: str) -> None:
         self.simulation = simulation
@@ -117,17 +122,17 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process anew."""
+        """Restarts the process."""
         self.incarnation += 1
         self.allowance = quota_allowance.QuotaAllowance(now=self.simulation.world.now, lease_s=LEASE_S)
         self.install()
 
     def install(self) -> None:
-        """Installs the configuration in force."""
+        """Installs the current configuration."""
         self.allowance.install(self.simulation.configuration)
 
     def send_reports(self) -> None:
-        """Reports to all core nodes, as at each heartbeat."""
+        """Sends reports to all core nodes, as at each heartbeat."""
         simulation, allowance = self.simulation, self.allowance
         now = simulation.world.now()
         if now < self.frozen_until:
@@ -141,7 +146,7 @@
     def _delivery(
         self, core: Core, allowance: quota_allowance.QuotaAllowance, *, data: bytes, sent_at: float
     ) -> Callable[[], None]:
-        """The arrival of a report at a core node, which replies."""
+        """Returns the callback that delivers a report to a core node, which replies."""
         incarnation = str(self.incarnation)
 
         def deliver() -> None:
@@ -160,12 +165,12 @@
 
 
 class QuotaSimulation:
-    """One simulation.
+    """A simulation with its nodes, traffic and faults.
 
     Args:
-        seed: Of its randomness; the same one gives the same result.
-        fault_kinds: Of `FAULT_KINDS`; two random ones where that is None.
-        proxies: How many; a random number where that is 0.
+        seed: Seed of the random generators; the same seed gives the same result.
+        fault_kinds: Kinds of `FAULT_KINDS`; two are drawn if None.
+        proxies: Number of proxies; drawn if 0.
     """
 
     def __init__(self, *, seed: int, fault_kinds: Iterable[str] | None = None, proxies: int = 0) -> None:
@@ -174,18 +179,18 @@
         self.fault_kinds = tuple(chance.sample(FAULT_KINDS, 2)) if fault_kinds is None else tuple(fault_kinds)
         self.report = Report(seed=seed, fault_kinds=self.fault_kinds)
         rates = [chance.uniform(20, 40), *(chance.uniform(0.5, 8.0) for _index in range(9))]
-        self.limits = {f"t{number}": rate for number, rate in enumerate(rates)}  # by tenant: requests a second
+        self.limits = {f"t{number}": rate for number, rate in enumerate(rates)}  # tenant: requests per second
         self.configuration: dict[str, list[dict[str, Any]]] = {
             "senders": [{"name": name, "perS": rate, "burst": round(rate)} for name, rate in self.limits.items()]
         }
-        self.hot_factor = 1.0  # of its usual demand, that the first tenant asks for
-        self.admitted: dict[str, list[float]] = collections.defaultdict(list)  # by tenant: times
+        self.hot_factor = 1.0  # demand of the first tenant, as a multiple of its usual demand
+        self.admitted: dict[str, list[float]] = collections.defaultdict(list)  # tenant: times of its admitted requests
         self.requested: dict[str, list[float]] = collections.defaultdict(list)
         self.lowered_at: float | None = None
         self.cores = [Core(simulation=self, name=f"k{number}") for number in range(CORES)]
         count = proxies or chance.choice((12, 60, 120))
         self.proxies = [Proxy(simulation=self, name=f"p{number}") for number in range(count)]
-        # A tenant's clients are at some proxies more than at others.
+        # The clients of a tenant are spread unevenly over the proxies.
         self.weights = {name: [chance.expovariate(1.0) for _proxy in self.proxies] for name in self.limits}
 
     def send(self, deliver: Callable[[], None]) -> None:
@@ -193,7 +198,7 @@
         self.world.later(self.chance.uniform(*DELAY_S), deliver)
 
     def _arrive(self, name: str) -> None:
-        """One request of a tenant, and the next one later."""
+        """Sends one request of a tenant and schedules the next one."""
         proxy = self.chance.choices(self.proxies, self.weights[name])[0]
         now = self.world.now()
         if now >= proxy.frozen_until:
@@ -209,7 +214,7 @@
         self.world.later(self.chance.expovariate(rate), lambda: self._arrive(name))
 
     def _is_below_limit(self, name: str, now: float) -> bool:
-        """Whether the tenant has asked for no more than its limit over the window that ends now."""
+        """Returns whether the demand of the tenant in the window that ends now is within its limit."""
         recent = sum(1 for at in self.requested[name][-RECENT_REQUESTS:] if at > now - TOLERANCE.window_s)
         return recent <= self.limits[name] * TOLERANCE.window_s + round(self.limits[name])
 
@@ -217,9 +222,9 @@
         chance = self.chance
         some = [proxy for proxy in self.proxies if chance.random() < (1 / 3 if name == "cut_region" else 0.15)]
         for_s = chance.uniform(2.0, 8.0)
-        acts: dict[str, Callable[[], None]] = {
+        actions: dict[str, Callable[[], None]] = {
             "none": lambda: None,
-            "hot": lambda: self._heat(chance.uniform(3.0, 8.0), for_s),
+            "hot": lambda: self._raise_demand(chance.uniform(3.0, 8.0), for_s),
             "cut_some": lambda: self._partition(some, for_s),
             "cut_region": lambda: self._partition(some, for_s),
             "freeze": lambda: self._freeze(some, for_s),
@@ -230,34 +235,34 @@
             "disks_lost_all_power": self._lose_disks_and_all_power,
             "lower": self._lower,
         }
-        self.world.later(chance.uniform(FIRST_FAULT_S, LAST_FAULT_S), acts[name])
+        self.world.later(chance.uniform(FIRST_FAULT_S, LAST_FAULT_S), actions[name])
 
     def _restart(self, nodes: Iterable[Core | Proxy]) -> None:
         for node in nodes:
             node.start()
 
     def _restart_all(self) -> None:
-        """All processes end, and come back together."""
+        """Restarts all processes at the same time."""
         self._restart((*self.cores, *self.proxies))
         self._freeze(self.proxies, RESTART_S)
 
     def _lose_disks_and_all_power(self) -> None:
-        """As many core nodes as may be lost lose their disks, all other machines lose power at that moment."""
-        emptied = self.chance.sample(self.cores, DISKS_LOST)
-        for core in emptied:
-            core.down_until = self.world.now() + EMPTIED_DOWN_S
+        """Wipes the disks of as many core nodes as may fail, while all other machines lose power."""
+        wiped = self.chance.sample(self.cores, DISKS_LOST)
+        for core in wiped:
+            core.down_until = self.world.now() + WIPED_RESTART_S
         self._restart_all()
-        self.world.later(EMPTIED_DOWN_S, lambda: self._restart(emptied))
+        self.world.later(WIPED_RESTART_S, lambda: self._restart(wiped))
 
     def _freeze(self, proxies: Iterable[Proxy], for_s: float) -> None:
         for proxy in proxies:
             proxy.frozen_until = self.world.now() + for_s
 
-    def _heat(self, factor: float, for_s: float) -> None:
+    def _raise_demand(self, factor: float, for_s: float) -> None:
         self.hot_factor = factor
-        self.world.later(for_s, self._cool)
+        self.world.later(for_s, self._reset_demand)
 
-    def _cool(self) -> None:
+    def _reset_demand(self) -> None:
         self.hot_factor = 1.0
 
     def _partition(self, proxies: Iterable[Proxy], for_s: float) -> None:
@@ -266,7 +271,7 @@
             self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
     def _lower(self) -> None:
-        """Lowers all limits; core nodes learn of it sooner than proxies."""
+        """Lowers all limits; core nodes receive the configuration earlier than proxies."""
         rows = self.configuration["senders"]
         self.configuration = {"senders": [{**row, "perS": row["perS"] * LOWERED_LIMIT_SHARE} for row in rows]}
         for core in self.cores:
@@ -286,7 +291,7 @@
                 self._check_bound(name, after, per_s=rate * LOWERED_LIMIT_SHARE)
 
     def _check_bound(self, name: str, times: Sequence[float], *, per_s: float) -> None:
-        """Checks the worst window of one tenant under one limit."""
+        """Checks the window with the most admissions of one tenant under one limit."""
         limit = tenant_usage.Limit(per_s=per_s, burst=round(self.limits[name]))
         excess = _worst_window(times, TOLERANCE.window_s) - (per_s * TOLERANCE.window_s + limit.burst)
         allowed = TOLERANCE.allowed_overrun(limit)
@@ -295,7 +300,7 @@
             self.report.overruns.append(Overrun(tenant=name, requests=round(excess - allowed, 1)))
 
     def run_simulation(self) -> Report:
-        """Runs it to its end and checks every window."""
+        """Runs the simulation to its end, checks every window and returns the report."""
         for proxy in self.proxies:
             self._start_heartbeats(proxy)
         for name, rate in self.limits.items():
@@ -315,7 +320,7 @@
 
 
 def _worst_window(times: Sequence[float], window_s: float) -> int:
-    """The most of these times within any window of this length."""
+    """Returns the largest number of these times within any window of this length."""
     worst, first = 0, 0
     for index, at in enumerate(times):
         while times[first] <= at - window_s:
@@ -325,5 +330,5 @@
 
 
 def run_simulation(seed: int, *, fault_kinds: Iterable[str] | None = None, proxies: int = 0) -> Report:
-    """Runs one simulation; the arguments are those of `QuotaSimulation`."""
+    """Runs one simulation and returns its report; the arguments are those of `QuotaSimulation`."""
     return QuotaSimulation(seed=seed, fault_kinds=fault_kinds, proxies=proxies).run_simulation()
