--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -1,12 +1,12 @@
-"""What a change of the configuration's register costs: by changes made before and by routes (docs/register.md 5).
+"""Measures the cost of a change of the configuration register, by earlier changes and by routes (docs/register.md 5).
 
     python3 -m ploverward.simulation.register_cost            measures and prints tables
     python3 -m ploverward.simulation.register_cost --json     the same for machines
 
-The real proposer, acceptors, frames and files (in a folder that is removed again), without sockets. Bytes are those of
-packed frames over all members; processor time is this process's own, for all members together, without the wait for a
-sync. Catch-up is played in the simulated world of `ploverward.simulation.consensus_cluster`, in its time: frames take 1
-to 50 ms, writes 1 to 10 ms.
+The measurements use the real proposer, acceptors, frames and files (in a temporary folder), without sockets. Bytes are
+those of packed frames over all members; processor time is that of this process, for all members together, without the
+wait for a sync. Catch-up runs in the simulated world of `ploverward.simulation.consensus_cluster` and is measured in
+its time: frames take 1 to 50 ms, writes 1 to 10 ms.
 """
 
 import argparse
@@ -30,35 +30,43 @@
 from ploverward.simulation.register_group import CostMeter
 from ploverward.simulation.register_group import Group
 from ploverward.simulation.register_group import Member
-from ploverward.simulation.register_group import archive_of
-from ploverward.simulation.register_group import payload_of
-from ploverward.simulation.register_group import replace_by
+from ploverward.simulation.register_group import archive_payload
+from ploverward.simulation.register_group import configuration_payload
+from ploverward.simulation.register_group import replace_with
 from ploverward.transport import frames
 from ploverward.transport import messages
 
-CHANGES = (0, 100, 1000, 4100)  # made before those that are measured
-ROUTES = (10, 100, 500, 2000)  # of the configuration
+CHANGES = (0, 100, 1000, 4100)  # changes made before the measured ones
+ROUTES = (10, 100, 500, 2000)  # routes in the configuration
 MEMBERS = 5
-MEASURED = 60  # changes that a mean is taken of
+MEASURED = 60  # changes over which a mean is taken
 STEP_S = 0.5  # simulated time between the changes before a catch-up
-POLL_S = 0.005  # simulated time between looks at whether a catch-up is over
-MAX_CATCH_UP_S = 60.0  # simulated
+POLL_S = 0.005  # simulated time between two polls for the end of a catch-up
+MAX_CATCH_UP_S = 60.0  # simulated time after which a catch-up is given up
 
-Row = dict[str, typing.Any]  # of a table: name of a column to a number or text
+Row = dict[str, typing.Any]  # row of a table: column name to number or text
 
 
 def cost(
     *, routes: int, changes: int, members: int = MEMBERS, measured: int = MEASURED, names_accepted_state: bool = True
 ) -> Row:
-    """Means of one change, made on a configuration of so many routes after so many changes."""
+    """Returns the mean costs of a change.
+
+    Args:
+        routes: Number of routes in the configuration.
+        changes: Number of changes made before the measured ones.
+        members: Number of voting members.
+        measured: Number of measured changes.
+        names_accepted_state: Whether the proposer names the value that it has accepted, so that replies omit it.
+    """
     with tempfile.TemporaryDirectory() as folder:
         group = Group(folder=folder, members=members, names_accepted_state=names_accepted_state)
-        group.change(edit=replace_by(payload_of(routes=routes, changes=changes)))
+        group.change(edit=replace_with(configuration_payload(routes=routes, changes=changes)))
         group.meter = CostMeter()
         before = [member.disk.written for member in group.members.values()]
         for number in range(changes + 1, changes + 1 + measured):
-            value = payload_of(routes=routes, changes=number)
-            group.change(edit=replace_by(value))
+            value = configuration_payload(routes=routes, changes=number)
+            group.change(edit=replace_with(value))
         written = max(member.disk.written - size for member, size in zip(group.members.values(), before, strict=True))
         meter = group.meter
         return {
@@ -78,15 +86,15 @@
 
 
 def file_growth(*, routes: int, changes: int, limit_bytes: int = LIMIT_BYTES) -> Row:
-    """The largest file and the rewrites over so many changes at one member."""
+    """Returns the largest file size and the number of rewrites at one member over this number of changes."""
     with tempfile.TemporaryDirectory() as folder:
         member = Member(name="a", folder=os.path.join(folder, "a"), limit_bytes=limit_bytes)
         group = Group(folder=os.path.join(folder, "rest"), members=1, names_accepted_state=True)
-        group.change(edit=replace_by(payload_of(routes=routes, changes=0)))
+        group.change(edit=replace_with(configuration_payload(routes=routes, changes=0)))
         value = next(iter(group.members.values())).acceptor.get(NAME).value
         largest = 0
         for number in range(1, changes + 1):
-            for accepted in (number - 1, number):  # a promise and an accept each
+            for accepted in (number - 1, number):  # one promise and one accept per change
                 row = messages.RegisterRow(
                     NAME, Ballot(number, "a"), Ballot(accepted, "a"), accepted, value if accepted else b""
                 )
@@ -107,38 +115,38 @@
 
 
 def catch_up(*, changes: int, scenario: str, seed: int = 1) -> Row:
-    """Simulated seconds from the start of a member until it votes and knows the newest version.
+    """Measures the simulated time from the start of a member until it votes and knows the newest version.
 
     Args:
-        changes: made before.
-        scenario: "restarted" (after a power loss), "absent" (restarted, down for the last half of the changes), "emptied"
-            or "new".
-        seed: of the simulated world.
+        changes: Number of changes made before the start.
+        scenario: State of the member: "restarted" (after a power loss), "absent" (restarted, and down for the last half
+            of the changes), "emptied" (its disk is lost) or "new".
+        seed: Seed of the simulated world.
 
     Returns:
-        A row; `voted_early` counts the times at which it was seen to vote without the newest version.
+        A row; `voted_early` counts the polls in which an emptied or new member voted without the newest version.
     """
     is_new = scenario == "new"
-    model = consensus_cluster.ConsensusCluster(seed=seed, seeds=("a", "b", "c"))
-    world, late = model.world, "c"
+    cluster = consensus_cluster.ConsensusCluster(seed=seed, seeds=("a", "b", "c"))
+    world, member = cluster.world, "c"
     if is_new:
-        late = "d"
-        node = register_node.Node(world=world, name="d", nodes=model.nodes, seeds=("a", "b", "c"), has_identity=False)
+        member = "d"
+        node = register_node.Node(world=world, name="d", nodes=cluster.nodes, seeds=("a", "b", "c"), has_identity=False)
         node.stop(is_wiped=True)
-        model.nodes["d"] = node
+        cluster.nodes["d"] = node
     begun_s = 2.0
     for number in range(changes):
-        world.later(begun_s + number * STEP_S, lambda: model.call("a", kind="change"))
+        world.later(begun_s + number * STEP_S, lambda: cluster.call("a", kind="change"))
     end_s = begun_s + changes * STEP_S + 2.0
     if scenario == "absent":
-        world.later(begun_s + changes * STEP_S / 2, lambda: model.nodes[late].stop(loses_power=True))
+        world.later(begun_s + changes * STEP_S / 2, lambda: cluster.nodes[member].stop(loses_power=True))
     world.run(until=end_s)
     if scenario == "restarted":
-        model.nodes[late].stop(loses_power=True)
+        cluster.nodes[member].stop(loses_power=True)
     elif scenario == "emptied":
-        model.nodes[late].stop(is_wiped=True)
-    newest = model.nodes["a"].versions[NAME]
-    node = model.nodes[late]
+        cluster.nodes[member].stop(is_wiped=True)
+    newest = cluster.nodes["a"].versions[NAME]
+    node = cluster.nodes[member]
     node.start()
     early = 0
     while node.versions.get(NAME, 0) < newest or not node.votes:
@@ -157,13 +165,13 @@
 
 
 def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> Row:
-    """Bytes that an emptied member is sent, when all others answer at once, by the size of what they have."""
+    """Returns the bytes sent to an emptied member when all others answer at once, by the size of their state."""
     with tempfile.TemporaryDirectory() as folder:
         group = Group(folder=folder, members=members, names_accepted_state=True)
-        group.change(edit=replace_by(payload_of(routes=routes, changes=changes)))
-        group.change(name=register_names.ARCHIVE, edit=replace_by(archive_of(changes=changes)))
-        answerers = list(group.members.values())[1:]
-        row_sets = [member.acceptor.rows() for member in answerers]
+        group.change(edit=replace_with(configuration_payload(routes=routes, changes=changes)))
+        group.change(name=register_names.ARCHIVE, edit=replace_with(archive_payload(changes=changes)))
+        responders = list(group.members.values())[1:]
+        row_sets = [member.acceptor.rows() for member in responders]
         look = sum(len(frames.pack(messages.CatchUpReply(1, True, rows))) for rows in row_sets)
         fence = sum(
             len(frames.pack(messages.CatchUpReply(2, True, tuple(row._replace(value=b"") for row in rows))))
@@ -173,7 +181,7 @@
 
 
 def table(rows: collections.abc.Sequence[Row]) -> str:
-    """The rows as lines of a table."""
+    """Formats rows as a Markdown table."""
     names = list(rows[0])
     lines = ["| " + " | ".join(names) + " |", "|" + " --- |" * len(names)]
     for row in rows:
@@ -189,13 +197,13 @@
     measured: int = MEASURED,
     seeds: collections.abc.Sequence[int] = range(3),
 ) -> dict[str, list[Row]]:
-    """All tables, by title.
+    """Measures all tables and returns them by title.
 
     Args:
-        changes: made before those that are measured.
-        routes: of the configuration.
-        measured: changes that a mean is taken of.
-        seeds: of the catch-ups; the slowest is given.
+        changes: Numbers of changes made before the measured ones.
+        routes: Numbers of routes in the configuration.
+        measured: Number of changes over which a mean is taken.
+        seeds: Seeds of the catch-ups, of which the worst is reported.
     """
     logging.disable(logging.CRITICAL)
     try:
@@ -223,7 +231,7 @@
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures all tables and prints them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
--- a/ploverward/simulation/register_group.py
+++ b/ploverward/simulation/register_group.py
@@ -1,6 +1,6 @@
-"""Voters and a proposer in one process, without sockets: what a change of a register costs is counted here.
+"""Voting members and a proposer in one process, without sockets, that meter the cost of a change of a register.
 
-A `Group` owns the members, with real acceptors and files, and the meter that its steps are added to.
+A `Group` owns the members, with real acceptors and files, and the meter that sums the cost of its steps.
 `ploverward.simulation.register_cost` measures with it (docs/register.md 5).
 """
 
@@ -22,17 +22,17 @@
 from ploverward.transport import frames
 from ploverward.transport import messages
 
-LIMIT_BYTES = 8 * 1024 * 1024  # of the file, as with 128 MB of disk
+LIMIT_BYTES = 8 * 1024 * 1024  # size limit of the file, as with 128 MB of disk
 ORDER_IDS_IN_VALUE = 64
 ORDER_IDS_IN_ARCHIVE = 12288
 NAME = register_names.CONFIGURATION
 Result = typing.TypeVar("Result")
 Edit = collections.abc.Callable[[object], tuple[dict[str, typing.Any], None]]
-Carried = typing.TypeVar("Carried", bound=tuple)
+Message = typing.TypeVar("Message", bound=tuple)
 
 
 def route(number: int) -> dict[str, typing.Any]:
-    """A route of the usual size, as the configuration has it."""
+    """Returns a route of the usual size, in the format of the configuration."""
     lead = hashlib.sha256(b"%d" % number).hexdigest()[:12]
     return {
         "name": f"route-{number}",
@@ -48,8 +48,11 @@
     }
 
 
-def payload_of(*, routes: int, changes: int) -> dict[str, typing.Any]:
-    """A configuration's value after so many changes: its body, and the identifiers of the newest orders."""
+def configuration_payload(*, routes: int, changes: int) -> dict[str, typing.Any]:
+    """Returns the value of the configuration register after this number of changes.
+
+    It has the body and the identifiers of the newest orders.
+    """
     order_ids = [
         [number, hashlib.sha256(b"o%d" % number).hexdigest()[:20]]
         for number in range(max(1, changes - ORDER_IDS_IN_VALUE + 1), changes + 1)
@@ -57,44 +60,44 @@
     return {"edition": changes, "body": {"routes": [route(number) for number in range(routes)]}, "recent": order_ids}
 
 
-def archive_of(*, changes: int) -> dict[str, typing.Any]:
-    """The archive's value after so many changes: 8 bytes an order."""
+def archive_payload(*, changes: int) -> dict[str, typing.Any]:
+    """Returns the value of the archive register after this number of changes: 8 bytes per order."""
     order_ids = b"".join(
         hashlib.sha256(b"o%d" % number).digest()[:8] for number in range(min(changes, ORDER_IDS_IN_ARCHIVE))
     )
     return {"through": changes, "marks": base64.b64encode(order_ids).decode()}
 
 
-def replace_by(payload: dict[str, typing.Any]) -> Edit:
-    """An edit to this payload, whatever it was."""
+def replace_with(payload: dict[str, typing.Any]) -> Edit:
+    """Returns an edit that replaces any payload with this one."""
     return lambda _payload: (payload, None)
 
 
 class CountingDisk(disk.Disk):
-    """Counts the bytes that are written."""
+    """A disk that counts the bytes written to it."""
 
     def __init__(self, *, folder: str) -> None:
         super().__init__(folder=folder)
         self.written = 0
 
     def append(self, *, name: str, data: bytes, size_before: int) -> None:
-        """Counts, then appends."""
+        """Counts the bytes, then appends them."""
         self.written += len(data)
         super().append(name=name, data=data, size_before=size_before)
 
     def replace(self, *, name: str, new_name: str, data: bytes) -> None:
-        """Counts, then replaces."""
+        """Counts the bytes, then replaces the file."""
         self.written += len(data)
         super().replace(name=name, new_name=new_name, data=data)
 
 
 class Member:
-    """One voter: acceptor and file.
+    """A voting member: an acceptor and its file.
 
     Args:
-        name: its incarnation.
-        folder: made here.
-        limit_bytes: of the file.
+        name: Incarnation of the acceptor.
+        folder: Folder of the file, which is created here.
+        limit_bytes: Size limit of the file.
     """
 
     def __init__(self, *, name: str, folder: str, limit_bytes: int = LIMIT_BYTES) -> None:
@@ -106,25 +109,25 @@
         self.save()
 
     def save(self, *rows: messages.RegisterRow) -> None:
-        """Writes rows that have changed, and syncs."""
+        """Writes changed rows and syncs the file."""
         image = acceptor_storage.AcceptorImage(incarnation=self.acceptor.incarnation, rows=self.acceptor.rows())
         self.store.write(rows=rows, image=image)
 
     @property
     def file_bytes(self) -> int:
-        """Bytes of all files."""
+        """Total size of its files, in bytes."""
         return sum(os.path.getsize(os.path.join(self.folder, name)) for name in os.listdir(self.folder))
 
 
 class CostMeter:
-    """Sums of bytes by type of message and of processor seconds by step."""
+    """Sums bytes by type of message, and processor time in seconds by step."""
 
     def __init__(self) -> None:
         self.bytes: collections.Counter[type] = collections.Counter()
         self.seconds: dict[str, float] = collections.defaultdict(float)
 
     def timed(self, step: str, callback: collections.abc.Callable[[], Result]) -> Result:
-        """Adds the processor time of a call to that of a step."""
+        """Runs a callback and adds its processor time to that of a step."""
         begun = time.process_time()
         result = callback()
         self.seconds[step] += time.process_time() - begun
@@ -132,12 +135,12 @@
 
 
 class Group:
-    """Members and one proposer at the first of them; frames are packed, counted and read again.
+    """Voting members and one proposer at the first of them; messages between them are packed, counted and unpacked.
 
     Args:
-        folder: of all members.
-        members: how many.
-        names_accepted_state: whether the proposer names the value it has, so that replies leave that out.
+        folder: Parent folder of the folders of all members.
+        members: Number of members.
+        names_accepted_state: Whether the proposer names the value that it has accepted, so that replies omit it.
     """
 
     def __init__(self, *, folder: str, members: int, names_accepted_state: bool) -> None:
@@ -161,11 +164,11 @@
 
     def _send(self, member: str, message: tuple) -> None:
         if not isinstance(message, messages.Prepare | messages.Accept):
-            raise TypeError(f"{type(message).__name__}: only changes are measured here")
+            raise TypeError(f"{type(message).__name__}: only Prepare and Accept messages can be measured")
         self._queue.append(functools.partial(self._deliver, member, message))
 
     def _later(self, delay: float, callback: collections.abc.Callable[[], object]) -> None:
-        """All messages arrive, so no time-out fires; what is due at once is queued."""
+        """Queues immediate callbacks; drops timeouts, which never fire because all messages arrive."""
         if delay == 0:
             self._queue.append(callback)
 
@@ -173,19 +176,19 @@
         return self.members[self._own].acceptor.get(name).accepted_value
 
     def value_bytes(self, name: str) -> int:
-        """Bytes of the accepted value of a register."""
+        """Returns the size of the accepted value of a register, in bytes."""
         return len(self._accepted_value(name).value)
 
-    def _carry(self, message: Carried, *, is_local: bool) -> Carried:
-        """Messages between a node and itself are handed over as they are."""
+    def _transfer(self, message: Message, *, is_local: bool) -> Message:
+        """Packs, counts and unpacks a message; a message from a node to itself is passed on as it is."""
         if is_local:
             return message
         frame = self.meter.timed("frames", lambda: frames.pack(message))
         self.meter.bytes[type(message)] += len(frame)
-        return typing.cast(Carried, self.meter.timed("frames", lambda: frames.unpack(frame)))
+        return typing.cast(Message, self.meter.timed("frames", lambda: frames.unpack(frame)))
 
     def change(self, *, edit: Edit, name: str = NAME) -> None:
-        """Changes a register, and lets all messages arrive."""
+        """Changes a register and delivers all messages."""
         self.proposer.change(name=name, edit=edit, done=lambda *_row: None)
         while self._queue:
             self._queue.popleft()()
@@ -193,14 +196,14 @@
     def _deliver(self, member: str, message: messages.Prepare | messages.Accept) -> None:
         is_local = member == self._own
         node = self.members[member]
-        arrived = self._carry(message, is_local=is_local)
+        arrived = self._transfer(message, is_local=is_local)
         if isinstance(arrived, messages.Prepare):
             decision = self.meter.timed("acceptor", functools.partial(node.acceptor.prepare, arrived))
         else:
             decision = self.meter.timed("acceptor", functools.partial(node.acceptor.accept, arrived))
         if decision.row is not None:
             self.meter.timed("disk", functools.partial(node.save, decision.row))
-        reply = self._carry(decision.reply, is_local=is_local)
+        reply = self._transfer(decision.reply, is_local=is_local)
         if isinstance(reply, messages.Promise):
             self.meter.timed("proposer", functools.partial(self.proposer.handle_promise, member, reply))
         else:
