--- a/ploverward/simulation/consensus_cluster.py
+++ b/ploverward/simulation/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Voting nodes of the registers in a simulated world, the calls made at them and the faults, all from one seed.
+"""A seeded simulation of voting nodes of the registers, with calls at them and faults.
 
 A `ConsensusCluster` owns them. `ConsensusCluster.lost` lists acknowledged state that was not on the disk
 (docs/register.md 3). Calls are kept as a history for `ploverward.simulation.linearizability`.
@@ -15,18 +15,18 @@
 
 
 class ConsensusCluster:
-    """Nodes, calls at them, and faults, all from one seed.
+    """Voting nodes, the calls made at them, and their faults.
 
     Args:
-        seed: of all that is random.
-        seeds: the first set.
-        others: nodes outside of it.
-        node_type: another class than `ConsensusNode` is a seeded bug.
+        seed: Seed of the random generator.
+        seeds: The initial core set.
+        others: Further nodes outside the core set.
+        node_type: `ConsensusNode`, or a subclass with a seeded bug.
 
     Attributes:
-        world: time and network.
-        nodes: by name.
-        history: the calls, for `linearizability.faults`.
+        world: Simulated time and network.
+        nodes: Nodes by name.
+        history: The calls, in the format of `linearizability.faults`.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.world = simulated_world.World(seed=seed)
         self.nodes: dict[str, Node] = {}
         self.history: list[dict[str, typing.Any]] = []
-        self._wiped: str | None = None  # whose disk was lost last
+        self._wiped: str | None = None  # name of the node whose disk was lost last
         for name in (*seeds, *others):
             self.nodes[name] = Node(
                 world=self.world,
@@ -52,12 +52,12 @@
             )
 
     def call(self, name: str, *, kind: str, to: tuple[str, ...] | None = None) -> None:
-        """Begins a call at a node that runs.
+        """Starts a call at a node, if the node runs.
 
         Args:
-            name: of the node.
-            kind: "read", or "change" of the counter.
-            to: with a change, the set that it moves to.
+            name: Name of the node.
+            kind: "read", or "change", which increments the counter in the register.
+            to: For a change, the core set to which it moves the register.
         """
         voting = self.nodes[name].voting
         if voting is None:
@@ -84,7 +84,7 @@
             voting.proposer.change(name=NAME, edit=edit, done=done, next_set=to)
 
     def wipe(self, name: str, *, restart_after_s: float) -> None:
-        """A node loses its disk. Only one at a time, and the next one once the first node votes again."""
+        """Wipes the disk of a node and restarts it, if all nodes vote: at most one node at a time has lost its disk."""
         if self._wiped is not None and not self.nodes[self._wiped].votes:
             return
         if not all(node.votes for node in self.nodes.values()):
@@ -93,7 +93,7 @@
         self.restart(name, restart_after_s=restart_after_s, is_wiped=True)
 
     def restart(self, name: str, *, restart_after_s: float, loses_power: bool = False, is_wiped: bool = False) -> None:
-        """Ends a node that runs, and starts it after so many seconds."""
+        """Stops a running node, and starts it again after a delay in seconds."""
         node = self.nodes[name]
         if not node.is_up:
             return
@@ -101,7 +101,7 @@
         self.world.later(restart_after_s, node.start)
 
     def inject_disk_fault(self, name: str, kind: str, *, duration_s: float) -> None:
-        """Puts a fault of `simulated_files.Files`, or "hang", into the disk of a node for so many seconds."""
+        """Injects "hang" or a fault of `simulated_files.Files` into the disk of a node for a duration in seconds."""
         node = self.nodes[name]
         if kind == "hang":
             node.hangs_until = max(node.hangs_until, self.world.now() + duration_s)
@@ -111,5 +111,5 @@
 
     @property
     def lost(self) -> list[tuple]:
-        """What any node acknowledged that was not on its disk."""
+        """State that any node acknowledged and that was not on its disk."""
         return [row for node in self.nodes.values() for row in node.lost]
--- a/ploverward/simulation/linearizability.py
+++ b/ploverward/simulation/linearizability.py
@@ -1,8 +1,9 @@
-"""Checks a history of one register after the fact: is there an order of the calls that explains it?
+"""Checks that a complete history of calls at one register is linearizable.
 
-Each successful change names the version it built on and the one it made, so the history itself gives the
-order of changes; a read names the version it saw. What is checked: each version is made at
-most once and on the version before it, and no call saw less than what had ended before it began.
+Each successful change records the version that it is based on and the version that it creates, so the history itself
+gives the order of changes; a read records the version that it returned. The check requires that each version is created
+at most once and from an earlier one, that each version is the base of at most one change, and that no call sees a
+version older than one whose call ended before it began.
 """
 
 import collections.abc
@@ -10,11 +11,12 @@
 
 
 def faults(*, history: collections.abc.Collection[collections.abc.Mapping[str, typing.Any]]) -> list[str]:
-    """What no order of the calls explains; empty for a linearizable history.
+    """Returns the violations of linearizability as lines of text; empty for a linearizable history.
 
     Args:
-        history: a mapping for each call, with `begun` and `ended` (seconds; `ended` is None without a clear answer),
-            and `kind`: a "change" has `base`, the version it was built on, and `made`, its own; a "read" has `saw`.
+        history: A mapping for each call, with `begun` and `ended` (seconds; `ended` is None without a clear answer),
+            and `kind`: a "change" has `base`, the version that it is based on, and `made`, the version that it created;
+            a "read" has `saw`, the version that it returned.
     """
     found = []
     made = {}
--- a/ploverward/simulation/needless_faults.py
+++ b/ploverward/simulation/needless_faults.py
@@ -1,4 +1,4 @@
-"""Which faults of a broken run it does not need: each is left out in turn, and stays out where the run still breaks."""
+"""Reduction of the faults of a failing run: each is left out in turn, and stays out if the run still fails."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -8,11 +8,11 @@
 
 
 def find(faults: Iterable[Fault], *, still_breaks: Callable[[frozenset[Fault]], bool]) -> frozenset[Fault]:
-    """Returns the faults without which, all at once, the run still breaks.
+    """Returns a set of faults without which the run still breaks when all of them are left out.
 
     Args:
         faults: In the order in which they are tried.
-        still_breaks: Plays the run without these faults; whether it still breaks.
+        still_breaks: Runs without these faults, and returns whether the run still breaks.
     """
     needless: frozenset[Fault] = frozenset()
     for fault in faults:
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -1,7 +1,7 @@
-"""One voting node of the registers in a simulated world: the real `ConsensusNode` with its log, on simulated files.
+"""A voting node of the registers in a simulated world: the real `ConsensusNode` with its log, on simulated files.
 
-A `Node` owns its disk and the loop of its newest incarnation. At each answer that leaves it, the disk is looked at as a
-loss of power at that moment would leave it: what was acknowledged has to be there (`Node.lost`, docs/register.md 3).
+A `Node` owns its disk and the loop of its newest incarnation. For each answer that it sends, it checks that the state
+acknowledged by the answer would survive a power loss at that moment (`Node.lost`, docs/register.md 3).
 """
 
 import collections.abc
@@ -24,36 +24,36 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-WRITE_S = (0.001, 0.01)  # the shortest and the longest write
+WRITE_S = (0.001, 0.01)  # duration of the shortest and the longest write
 HEARTBEAT_INTERVAL_S = 0.3
-HELLO_S = 0.1  # until the other core nodes are in touch with a node that starts
+HELLO_S = 0.1  # time until the other core nodes are connected to a node that starts
 RECEIPT_S = 5.0
 CONTACT_S = 4.0
-LIMIT_BYTES = 1500  # of the file: small, so that it is rewritten often
-MAX_CALLS_BEFORE_END = 12  # of `os`, in a write that a node's end breaks off; a rewrite makes seven and more
-NO_ROW = messages.RegisterRow("", *register_state.EMPTY)
+LIMIT_BYTES = 1500  # size limit of the file; small, so that it is rewritten often
+MAX_CALLS_BEFORE_END = 12  # calls of `os` in a write interrupted by the end of a node; a rewrite makes 7 or more
+EMPTY_ROW = messages.RegisterRow("", *register_state.EMPTY)
 Callback = collections.abc.Callable[[], object]
 
 
 class CompletedWork:
-    """The outcome of work on the pool."""
+    """The outcome of work on the thread pool, with the interface of a future."""
 
     def __init__(self, error: OSError | None) -> None:
         self._error = error
 
     def exception(self) -> OSError | None:
-        """What the work raised, or None."""
+        """Returns the error that the work raised, or None."""
         return self._error
 
 
 class Loop:
-    """The loop of one incarnation of a node; its callbacks end with the incarnation.
+    """The event loop of one incarnation of a node; its callbacks are dropped when the incarnation ends.
 
-    Work on the pool is done at its end, or in part where the node ends before.
+    Offloaded work takes effect when its time has passed, or partially if the node is stopped before.
 
     Attributes:
-        now: simulated time in seconds.
-        work: under way on the pool; None: nothing is.
+        now: Returns the simulated time in seconds.
+        work: Work in progress on the thread pool; None if there is none.
     """
 
     def __init__(self, *, node: "Node") -> None:
@@ -63,15 +63,15 @@
         self.work: Callback | None = None
 
     def after(self, *, delay: float, callback: Callback) -> None:
-        """Calls back after so many seconds."""
+        """Schedules a callback after a delay in seconds."""
         self._node.world.later(delay, lambda: callback() if self._node.incarnation == self._incarnation else None)
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Calls back soon."""
+        """Schedules a callback without delay."""
         self.after(delay=0.0, callback=callback)
 
     def offload(self, *, work: Callback, done: collections.abc.Callable[[CompletedWork], object]) -> None:
-        """Does the work after the time of a write, or once the disk hangs no more."""
+        """Runs the work after the duration of a write, counted from the end of a hang of the disk if it hangs."""
         self.work = work
         start = max(self.now(), self._node.hangs_until)
         write_s = self._node.world.chance.uniform(*WRITE_S)
@@ -92,12 +92,12 @@
 
 
 class PeerConnection:
-    """The connection back to the node that sent a message. It ends with the target's incarnation.
+    """The connection back to the node that sent a message; it ends with that incarnation of the target.
 
     Args:
-        owner: who sends.
-        target: who receives.
-        incarnation: of the target.
+        owner: The node that sends answers.
+        target: The node that receives them.
+        incarnation: Incarnation of the target.
     """
 
     def __init__(self, *, owner: "Node", target: "Node", incarnation: int) -> None:
@@ -106,7 +106,7 @@
         self._incarnation = incarnation
 
     def send(self, message: tuple) -> None:
-        """Sends an answer; what it acknowledges has to be on the disk."""
+        """Sends an answer, and checks that the state it acknowledges is on the disk."""
         owner, target = self._owner, self._target
         owner.check_acknowledged(message)
         link = PeerConnection(owner=target, target=owner, incarnation=owner.incarnation)
@@ -119,23 +119,23 @@
 
 
 class Node:
-    """One core node: its disk, and one ConsensusNode for each incarnation.
+    """A core node: its disk, and one `ConsensusNode` per incarnation.
 
     Args:
-        world: where it runs.
-        name: its address.
-        nodes: all nodes by name, also those that are added later.
-        seeds: the set in force before any value was chosen.
-        has_identity: whether its disk has an identity, as if the first set had been founded just now.
-        node_type: another class than `ConsensusNode` is a seeded bug.
+        world: Simulated time and network.
+        name: Its address.
+        nodes: All nodes by name; nodes may be added later.
+        seeds: The core set in force before any value is chosen.
+        has_identity: Whether its disk has an identity, as if the first core set had just been founded.
+        node_type: `ConsensusNode`, or a subclass with a seeded bug.
 
     Attributes:
-        files: its disk.
-        hangs_until: simulated time until which no write ends.
-        incarnation: number of starts and ends.
-        lost: what was acknowledged and is not on the disk.
-        versions: register to the newest version that this incarnation knows as chosen.
-        voting: of this incarnation; None while the node is down.
+        files: Its disk.
+        hangs_until: Simulated time until which no write completes.
+        incarnation: Number of starts and stops.
+        lost: Acknowledged state that was not on the disk.
+        versions: Newest version of each register that this incarnation knows to be chosen.
+        voting: The consensus node of this incarnation; None while the node is down.
     """
 
     loop: Loop
@@ -176,24 +176,24 @@
         self._open_store().write(rows=(), image=image)
 
     def _open_store(self) -> acceptor_storage.AcceptorStorage:
-        # The cast: the register uses no more of `os` than these files have.
+        # The register uses only the functions of `os` that the simulated files have.
         system = typing.cast(types.ModuleType, self.files)
         return acceptor_storage.AcceptorStorage(
             disk=disk.Disk(folder=simulated_files.FOLDER, system=system), limit_bytes=LIMIT_BYTES
         )
 
     def start(self, *, is_first_start: bool = False) -> None:
-        """Starts the process again, from what the disk has.
+        """Starts the process from the content of the disk.
 
         Args:
-            is_first_start: what its settings say.
+            is_first_start: Whether the settings of the node declare a first start.
         """
         self.incarnation += 1
         self.loop = Loop(node=self)
         self.versions = {}
         self.store = self._open_store()
         voting = self.voting = self._voting_type(
-            loop=typing.cast(interfaces.Loop, self.loop),  # it has all that the register uses of a loop
+            loop=typing.cast(interfaces.Loop, self.loop),  # it has all methods of a loop that the register uses
             own=self.name,
             store=self.store,
             seeds=self._seeds,
@@ -214,7 +214,7 @@
         self._on_heartbeat_tick()
 
     def _check_local_answers(self, voting: ConsensusNode) -> None:
-        """What a node answers itself is checked as well; a `PeerConnection` checks all other answers."""
+        """Adds the check to answers that a node sends to itself; a `PeerConnection` checks all other answers."""
         answer = voting._reply
 
         def checked(member: str, link: interfaces.Connection | None, message: tuple) -> None:
@@ -226,7 +226,7 @@
 
     @staticmethod
     def _receive_hello(voting: ConsensusNode) -> None:
-        """As the core does when another core node says hello."""
+        """Reads unknown registers, as a core node does when it receives the hello of another one."""
         if voting.acceptor.votes:
             voting.read_unknown_registers()
 
@@ -237,16 +237,16 @@
 
     @property
     def votes(self) -> bool:
-        """Whether it votes, by what is on its disk, and proposes."""
+        """Whether it votes, according to its disk, and proposes."""
         voting = self.voting
         return voting is not None and voting.write_ahead_log.durable.votes and not voting.proposer.is_learner
 
     def durable_revision(self, name: str) -> int:
-        """The revision of a register's value that its process knows to be on the disk; 0 while it is down."""
+        """Returns the revision of a register that the process knows to be on the disk; 0 while it is down."""
         return 0 if self.voting is None else self.voting.write_ahead_log.durable.get(name).revision
 
     def handle(self, member: str, link: PeerConnection | None, message: tuple) -> None:
-        """Handles a message, where the process runs."""
+        """Handles a message if the process runs."""
         if self.voting is not None:
             self.voting.handle(member, typing.cast(interfaces.Connection | None, link), message)
 
@@ -277,17 +277,17 @@
         return True
 
     def receive(self, name: str, revision: int, value: bytes) -> None:
-        """A core node announces a chosen value."""
+        """Handles the announcement of a chosen value by another core node."""
         if self.voting is not None:
             self.voting.publish(name, revision, value)
 
-    # Ends.
+    # Stops.
     def stop(self, *, loses_power: bool = False, is_wiped: bool = False) -> None:
-        """Ends the process, at any call of a write that is under way.
+        """Stops the process, at a random call of the write in progress.
 
         Args:
-            loses_power: what was not synced may be lost.
-            is_wiped: the disk is lost.
+            loses_power: Whether data that was not synced may be lost.
+            is_wiped: Whether the disk is lost.
         """
         if self.loop.work is not None and self.hangs_until <= self.world.now():
             self.files.calls_left = self.world.chance.randrange(MAX_CALLS_BEFORE_END)
@@ -303,11 +303,11 @@
         else:
             self.files.end_process()
 
-    # What is acknowledged has to be on the disk.
+    # Check that acknowledged state is on the disk.
     def check_acknowledged(self, message: tuple) -> None:
-        """Adds to `lost` what this answer acknowledges and a loss of power would take away."""
+        """Adds to `lost` the state that this answer acknowledges and a power loss at this moment would destroy."""
         for name, promised, accepted in claims(message):
-            kept = self._durable_rows().get(name, NO_ROW)
+            kept = self._durable_rows().get(name, EMPTY_ROW)
             is_bare = accepted.number > 0 and not kept.value
             if kept.promised < promised or kept.accepted < accepted or is_bare:
                 kind = type(message).__name__
@@ -323,7 +323,7 @@
 
 
 class Claim(typing.NamedTuple):
-    """What an answer says of a register's state at its sender."""
+    """The state of a register that an answer claims to be durable at its sender."""
 
     register: str
     promised: Ballot
@@ -331,7 +331,7 @@
 
 
 def claims(message: tuple) -> list[Claim]:
-    """What an answer says to be durable."""
+    """Returns the states of registers that an answer claims to be durable at its sender."""
     if isinstance(message, messages.Promise):
         return [Claim(message.register, message.promised, message.accepted)]
     if isinstance(message, messages.QuorumReadReply) and message.is_voter:
