--- a/ploverward/simulation/random_replica.py
+++ b/ploverward/simulation/random_replica.py
@@ -1,6 +1,6 @@
-"""A replica on a real socket that behaves in a way drawn for each request (docs/requests.md 5).
+"""A replica on a real socket with a random behavior for each request (docs/requests.md 5).
 
-It owns its connections and what it has still to send on them. It records in the log what it runs, before it answers.
+It owns its connections and the data still to be sent on them. It records each run in the log before it answers.
 """
 
 import collections
@@ -23,28 +23,28 @@
 
 
 class Behavior(enum.Enum):
-    """What a replica does with a request."""
+    """The behavior of a replica for a request."""
 
     OK = "ok"
     SLOW = "slow"
-    TWICE = "twice"  # the answer comes again
-    LATE_TWICE = "late twice"  # again, before the answer to the next request
+    TWICE = "twice"  # sends the answer twice
+    LATE_TWICE = "late twice"  # repeats the answer before the answer to the next request
     FULL = "full"
     FULL_TWICE = "full twice"
-    ANOTHER = "another"  # it is not the replica that the request names
-    BARE_503 = "bare 503"  # without saying that nothing was run
+    ANOTHER = "another"  # is not the replica that the request names
+    BARE_503 = "bare 503"  # does not state that nothing was run
     BROKEN = "broken"
-    ENDS = "ends"  # the connection, without an answer
-    CUT = "cut"  # the answer, anywhere
+    ENDS = "ends"  # ends the connection without an answer
+    CUT = "cut"  # truncates the answer anywhere
     CUT_BEHIND_EVENT = "cut behind an event"
     SILENT = "silent"
-    WAKES = "wakes"  # slower than most requests wait
+    WAKES = "wakes"  # answers later than most requests wait
     FOREIGN = "foreign"  # the answer names another request
     NAMELESS = "nameless"  # the answer names no request
     UNSTAMPED = "unstamped"
-    EARLY_FULL = "early full"  # before the request was read
+    EARLY_FULL = "early full"  # rejects the request before it was read
     EARLY_END = "early end"
-    HINTS = "hints"  # an informational response first
+    HINTS = "hints"  # sends an informational response first
     GARBAGE = "garbage"
 
 
@@ -76,30 +76,30 @@
 WAKES_S = (0.1, 0.6)
 
 
-def answer_head(status: int, which: bytes, headers: tuple[bytes, ...] = (), *, length: int | None = None) -> bytes:
-    """The head of an answer.
+def answer_head(status: int, request_id: bytes, headers: tuple[bytes, ...] = (), *, length: int | None = None) -> bytes:
+    """Returns the head of an answer.
 
     Args:
-        status: of the answer.
-        which: the request that it names; empty: none.
-        headers: further lines.
-        length: of the body; None: it comes in chunks.
+        status: Status code.
+        request_id: Identifier of the request that the answer names; empty for none.
+        headers: Further header lines.
+        length: Length of the body; None for a chunked body.
     """
     lines = [b"HTTP/1.1 %d Said" % status]
-    if which:
-        lines.append(b"X-Attempt-Id: " + which)
+    if request_id:
+        lines.append(b"X-Attempt-Id: " + request_id)
     lines += headers
     lines.append(b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length)
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def complete_answer(status: int, which: bytes, headers: tuple[bytes, ...] = (), body: bytes = b"") -> bytes:
-    """An answer with all of its body."""
-    return answer_head(status, which, headers, length=len(body)) + body
+def complete_answer(status: int, request_id: bytes, headers: tuple[bytes, ...] = (), body: bytes = b"") -> bytes:
+    """Returns an answer with its complete body."""
+    return answer_head(status, request_id, headers, length=len(body)) + body
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a body."""
+    """Encodes one chunk of a body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -108,8 +108,8 @@
 
     Args:
         loop: The event loop.
-        chance: Draws what it does.
-        log: What it runs is written there.
+        chance: Random generator of its behaviors.
+        log: Log in which it records its runs.
         name: Its identifier, which requests have to name.
     """
 
@@ -118,19 +118,19 @@
         self.chance = chance
         self.log = log
         self.name = name
-        # All by the number of the connection.
+        # All of these are keyed by the number of the connection.
         self._parsers: dict[int, h11.Connection] = {}
-        self._requests: dict[int, Received] = {}  # while they are read
+        self._requests: dict[int, Received] = {}  # requests not yet read completely
         self._behaviors: dict[int, Behavior] = {}
         self._surplus: dict[int, list[loopback.Act]] = collections.defaultdict(list)  # answers still to be repeated
 
     def replace(self, name: str) -> None:
-        """Another incarnation starts at the same address."""
+        """Starts another incarnation, with another identifier, at the same address; resets all connections."""
         self.name = name
         for number in list(self.socks):
             self.end(number, is_reset=True)
 
-    # Reading.
+    # Reading requests.
     def _read(self, sock: socket.socket, number: int) -> None:
         try:
             data = sock.recv(READ_BYTES)
@@ -148,7 +148,7 @@
             elif isinstance(event, h11.Data):
                 self._requests[number].body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                # The answer is written by hand; the parser only has to read on.
+                # The answer is not written through h11, so a new parser reads the next request.
                 trailing = parser.trailing_data[0]
                 parser = self._parsers[number] = h11.Connection(h11.SERVER)
                 if trailing:
@@ -176,7 +176,7 @@
         elif behavior is Behavior.EARLY_END:
             self.callback(number, [self._ending()])
 
-    # Answering.
+    # Sending answers.
     def _ending(self) -> str:
         return self.chance.choice(("close", "reset"))
 
@@ -206,11 +206,11 @@
         is_stream = status == 200 and request.target.split(b"/")[1].decode() in STREAM_ROUTES
         body = None if is_stream else b"run %d of %s" % (run.number, request.id) * self.chance.choice((1, 1, 50))
         headers = self._headers(run, behavior, status, body)
-        which = {Behavior.FOREIGN: b"elsewhere", Behavior.NAMELESS: b""}.get(behavior, request.id)
-        pieces = self._answer(run, which, headers, status, body)
+        request_id = {Behavior.FOREIGN: b"elsewhere", Behavior.NAMELESS: b""}.get(behavior, request.id)
+        pieces = self._answer(run, request_id, headers, status, body)
         if behavior is Behavior.FOREIGN and self.chance.random() < 0.5:
             pieces = [*pieces, *self._answer(run, request.id, headers, 200, body)]
-        acts = self._disturb(behavior, pieces, is_stream=is_stream)
+        acts = self._apply_behavior(behavior, pieces, is_stream=is_stream)
         if behavior is Behavior.LATE_TWICE:
             self._surplus[number] += acts
         self._perform(number, behavior, [*surplus, *acts])
@@ -226,18 +226,20 @@
         return tuple(headers)
 
     def _answer(
-        self, run: Run, which: bytes, headers: tuple[bytes, ...], status: int, body: bytes | None
+        self, run: Run, request_id: bytes, headers: tuple[bytes, ...], status: int, body: bytes | None
     ) -> list[bytes]:
         if body is not None:
-            return [complete_answer(status, which, headers, body)]
-        is_repeating = run.first_event > 1 and self.chance.random() < 0.5  # the client's newest event once more
-        pieces = [answer_head(200, which, (*headers, b"Content-Type: text/event-stream"))]
+            return [complete_answer(status, request_id, headers, body)]
+        is_repeating = (
+            run.first_event > 1 and self.chance.random() < 0.5
+        )  # repeats the last event that the client received
+        pieces = [answer_head(200, request_id, (*headers, b"Content-Type: text/event-stream"))]
         for number in range(run.first_event - int(is_repeating), EVENTS + 1):
             pieces.append(chunk(b"id: %d\ndata: %s %d\n\n" % (number, run.id, number)))
         return [*pieces, b"0\r\n\r\n"]
 
-    def _disturb(self, behavior: Behavior, pieces: list[bytes], *, is_stream: bool) -> list[loopback.Act]:
-        """What is sent instead of a sound answer."""
+    def _apply_behavior(self, behavior: Behavior, pieces: list[bytes], *, is_stream: bool) -> list[loopback.Act]:
+        """Returns the pieces and endings that the behavior sends in place of a correct answer."""
         if behavior is Behavior.CUT:
             data = b"".join(pieces)
             return [data[: self.chance.randrange(1, len(data))], self._ending()]
@@ -261,7 +263,7 @@
                 self.loop.after(delay=at, callback=functools.partial(self.callback, number, [act]))
             return
         self.callback(number, acts)
-        if self.chance.random() < 0.15:  # an idle connection that ends
+        if self.chance.random() < 0.15:  # ends the idle connection
             delay = self.chance.choice((0.0, 0.05, 1.0, 3.0))
             ending = self._ending()
             self.loop.after(delay=delay, callback=lambda: self.callback(number, [ending]))
--- a/ploverward/simulation/recording_connections.py
+++ b/ploverward/simulation/recording_connections.py
@@ -1,4 +1,4 @@
-"""Connections that keep what they are sent, and rows and messages as digests send them, for tests."""
+"""Test helpers: connections that record sent messages, and rows and messages as digests send them."""
 
 import typing
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 
 class RecordingLink:
-    """A connection that keeps what it is sent, packed and unpacked by the frames' codec.
+    """A connection that records the messages sent on it, after packing and unpacking them with the frame codec.
 
     Attributes:
-        messages: what was sent.
-        is_open: until `close`.
-        queue: unsent bytes, as `queued` reports them.
+        messages: The sent messages.
+        is_open: Whether it has not been closed.
+        queue: Number of unsent bytes that `queued` reports.
     """
 
     def __init__(self) -> None:
@@ -27,36 +27,36 @@
         self.queue = 0
 
     def send(self, message: tuple) -> None:
-        """As a `PeerConnection` does."""
+        """Records a message."""
         self.send_bytes(frames.pack(message))
 
     def send_bytes(self, data: bytes) -> None:
-        """As a `PeerConnection` does."""
+        """Records a packed message."""
         self.messages.append(frames.unpack(data))
 
     def queued(self) -> int:
-        """As a `PeerConnection` does."""
+        """Returns the number of unsent bytes."""
         return self.queue
 
     def close(self, *, reason: str = "") -> None:
-        """As a `PeerConnection` does, but nobody is called at its end."""
+        """Closes the connection; unlike a `PeerConnection`, it runs no callback."""
         self.is_open = False
 
     def kinds(self) -> list[type]:
-        """The types of what was sent."""
+        """Returns the types of the sent messages."""
         return [type(message) for message in self.messages]
 
     def of_type(self, message_type: type) -> list:
-        """What was sent of one type of message."""
+        """Returns the sent messages of one type."""
         return [message for message in self.messages if isinstance(message, message_type)]
 
     def clear(self) -> None:
-        """Forgets what was sent."""
+        """Discards the recorded messages."""
         self.messages.clear()
 
 
 def as_peer(link: RecordingLink) -> peer_connection.PeerConnection:
-    """The same connection, for code that names the real class: it uses no more of it than a `RecordingLink` has."""
+    """Returns the same connection typed as the real class, for code that uses only the methods of `RecordingLink`."""
     return typing.cast(peer_connection.PeerConnection, link)
 
 
@@ -69,14 +69,14 @@
     failed: int = 0,
     region: int = 0,
 ) -> bytes:
-    """One replica's row of a load report or of aggregates."""
+    """Returns the row of a replica in a load report or in aggregates."""
     return row_codec.REPORTED_LOAD_ROW.pack(
         row_codec.replica_key(name), region, running, tokens, suspect_count, ended, failed
     )
 
 
 def read_row(name: str, *parts: tuple[str, int], service: str = "llm", model: str = "m", region: int = 0) -> bytes:
-    """A prompt of these (name, tokens) that a replica processed."""
+    """Returns the row of a prompt that a replica processed; `parts` are its (name, token count) pairs."""
     return row_codec.pack_read(
         replica=row_codec.replica_key(name),
         region=region,
@@ -88,11 +88,11 @@
 
 
 def aggregates_message(number: int, *, loads: Iterable[bytes] = (), reads: Iterable[bytes] = ()) -> messages.Aggregates:
-    """A batch of a digest, of the rows that `load_row` and `read_row` make."""
+    """Returns a batch of a digest, made of rows of `load_row` and `read_row`."""
     return messages.Aggregates(number, b"".join(loads), b"".join(reads))
 
 
 def loads_of(message: messages.ReplicaLoads) -> dict[bytes, load_feed.Load]:
-    """The rows of a load frame by replica key."""
+    """Returns the rows of a load frame by replica key."""
     rows = row_codec.rows(shape=row_codec.LOAD_ROW, data=message.load_rows)
     return {key: load_feed.Load(*load) for key, *load in rows}
