--- a/ploverward/simulation/simulated_files.py
+++ b/ploverward/simulation/simulated_files.py
@@ -1,9 +1,9 @@
-"""A simulated folder with the calls of `os` that the register's disk uses, with faults and losses of power.
+"""A simulated folder with the calls of `os` that the disk of the register uses, with disk faults and power losses.
 
-It owns the files of one machine (docs/register.md 3). After a loss of power a file has what its last sync covered; each
-write after that is there, missing or torn. A name that was made, renamed or removed is kept or lost by itself until
-the folder was synced; a new file survives through its own sync. After a failed sync, what it did not write is dropped,
-and a later sync does not write it either.
+It owns the files of one machine (docs/register.md 3). After a power loss a file has the content of its last sync; each
+later write is kept, missing or torn. Each created, renamed or removed name is kept or lost independently until the
+folder is synced; a new file also survives through its own sync. A failed sync drops the data that it did not write, and
+a later sync does not write it either.
 """
 
 import dataclasses
@@ -15,32 +15,32 @@
 FOLDER = "/disk"
 TORN, MISSING, KEPT = "torn", "missing", "kept"
 
-# The shares of a second outcome are high on purpose: a history of a minute has to meet each of them.
-SHORT_WRITE_SHARE = 0.2  # of the writes
-FULL_DISK_WRITE_SHARE = 0.5  # of the writes to a full disk: these still write a part
+# The shares of rare outcomes are high so that a history of one minute contains each of them.
+SHORT_WRITE_SHARE = 0.2  # share of the writes that are short
+FULL_DISK_FAILURE_SHARE = 0.5  # share of the writes to a full disk that fail; the others write a part
 FULL_DISK_MIN_BYTES = 8  # a shorter write to a full disk fails
-EMPTY_LOSS_SHARE = 0.3  # of the losses of power: these keep nothing that was not synced
-KEPT_NAME_SHARE = 0.5  # of the names that a loss of power may keep
+EMPTY_LOSS_SHARE = 0.3  # share of the power losses that keep no data that was not synced
+KEPT_NAME_SHARE = 0.5  # share of the unsynced name changes that a power loss keeps
 
 
-class PowerLost(BaseException):  # noqa: N818  # not an error of the product: nothing of it may catch this
-    """The process ends in the middle of a call."""
+class PowerLost(BaseException):  # noqa: N818  # not an Exception, so that the product cannot catch it
+    """The process ends during a call."""
 
 
 class Change(typing.NamedTuple):
     """A change of a file's content."""
 
     offset: int
-    data: bytes | None  # None: the file gets this length
+    data: bytes | None  # None: the file is truncated or extended to `offset`
 
 
 class Inode:
-    """One file.
+    """A file.
 
     Attributes:
-        data: what reads see.
-        synced: what is on the disk for sure.
-        pending: the changes in between.
+        data: Content that reads return.
+        synced: Content that is durable.
+        pending: Changes of the content that are not yet synced.
     """
 
     def __init__(self) -> None:
@@ -50,11 +50,11 @@
 
 
 class NameChange(typing.NamedTuple):
-    """A change of a name that a loss of power may undo."""
+    """A change of a name that a power loss may undo."""
 
     name: str
     inode: Inode | None  # None: the name was removed
-    is_safe_with_file: bool  # whether the file's own sync makes it safe
+    is_safe_with_file: bool  # whether a sync of the file makes the change durable
 
 
 @dataclasses.dataclass(slots=True)
@@ -66,7 +66,7 @@
 
 
 def apply(data: bytearray, change: Change) -> None:
-    """Makes a change of a file's content; a gap before it is filled with zeros."""
+    """Applies a change to the content of a file; a gap before it is filled with zeros."""
     offset, written = change
     if written is None:
         del data[offset:]
@@ -77,21 +77,21 @@
 
 
 class Files:
-    """Stands in for `os`. Its methods have the arguments and errors of the functions there.
+    """A replacement for `os`, whose methods have the arguments and errors of the functions there.
 
     Args:
-        chance: decides what a loss of power keeps.
+        chance: Random generator that decides on short writes and on the data that a power loss keeps.
 
     Attributes:
-        faults: those in force, of: "refuse" (every call that changes something), "full", "sync", "rename", "folder"
-            (its sync).
-        calls_left: the process ends in the call after so many; None: it does not.
+        faults: Active faults: "refuse" (all calls that change data), "full" (writes), "sync" (syncs of files),
+            "rename", "folder" (syncs of the folder).
+        calls_left: Number of further calls before the process ends in a call; None if it does not end.
     """
 
     def __init__(self, *, chance: random.Random) -> None:
         self._chance = chance
         self._names: dict[str, Inode] = {}
-        self._durable: dict[str, Inode | None] = {}  # None: removed
+        self._durable: dict[str, Inode | None] = {}  # None: the name was removed
         self._pending_names: list[NameChange] = []
         self._handles: dict[int, Handle] = {}
         self._next_handle = 3
@@ -115,7 +115,7 @@
         return inode
 
     def open(self, path: str, flags: int, _mode: int = 0) -> int:
-        """As `os.open`."""
+        """Opens a file or the folder, like `os.open`."""
         self._count_call()
         if path == FOLDER:
             return self._new_handle(None)
@@ -136,22 +136,22 @@
         return self._next_handle
 
     def close(self, handle: int) -> None:
-        """As `os.close`."""
+        """Closes a handle, like `os.close`."""
         del self._handles[handle]
 
     def read(self, handle: int, size: int) -> bytes:
-        """As `os.read`."""
+        """Reads from a file, like `os.read`."""
         opened = self._handles[handle]
         data = bytes(self._inode(handle).data[opened.offset : opened.offset + size])
         opened.offset += len(data)
         return data
 
     def lseek(self, handle: int, offset: int, _whence: int) -> None:
-        """As `os.lseek`, from the beginning of the file."""
+        """Sets the offset of a handle from the beginning of the file, like `os.lseek`."""
         self._handles[handle].offset = offset
 
     def ftruncate(self, handle: int, size: int) -> None:
-        """As `os.ftruncate`."""
+        """Changes the length of a file, like `os.ftruncate`."""
         self._count_call()
         inode = self._inode(handle)
         self._fail_on("refuse", "refused")
@@ -160,12 +160,12 @@
         apply(inode.data, change)
 
     def write(self, handle: int, data: bytes | memoryview) -> int:
-        """As `os.write`: may write less than it is given; a full disk writes a part first."""
+        """Writes to a file, like `os.write`: it may write only a part of the data, also when the disk is full."""
         self._count_call()
         inode, opened = self._inode(handle), self._handles[handle]
         self._fail_on("refuse", "refused")
         is_full = "full" in self.faults
-        if is_full and (len(data) < FULL_DISK_MIN_BYTES or self._chance.random() < FULL_DISK_WRITE_SHARE):
+        if is_full and (len(data) < FULL_DISK_MIN_BYTES or self._chance.random() < FULL_DISK_FAILURE_SHARE):
             raise OSError(errno.ENOSPC, "full")
         is_short = is_full or self._chance.random() < SHORT_WRITE_SHARE
         written = bytes(data[: max(1, len(data) // 2)]) if is_short else bytes(data)
@@ -176,7 +176,7 @@
         return len(written)
 
     def fsync(self, handle: int) -> None:
-        """As `os.fsync`, of a file or of the folder."""
+        """Syncs a file or the folder, like `os.fsync`."""
         self._count_call()
         inode = self._handles[handle].inode
         if inode is None:
@@ -199,7 +199,7 @@
         self._pending_names = []
 
     def rename(self, old: str, new: str) -> None:
-        """As `os.rename`."""
+        """Renames a file, like `os.rename`."""
         self._count_call()
         self._fail_on("rename", "rename refused")
         inode = self._names.pop(old)
@@ -210,7 +210,7 @@
         ]
 
     def unlink(self, path: str) -> None:
-        """As `os.unlink`."""
+        """Removes a file, like `os.unlink`."""
         self._count_call()
         if path not in self._names:
             raise FileNotFoundError(errno.ENOENT, path)
@@ -218,7 +218,7 @@
         del self._names[path]
         self._pending_names.append(NameChange(path, None, is_safe_with_file=False))
 
-    # Losses.
+    # Power losses and stops.
     def _after_loss(self, inode: Inode, *, keeps_none: bool = False) -> bytearray:
         data = bytearray(inode.synced)
         for change in inode.pending:
@@ -232,7 +232,7 @@
         return data
 
     def lose_power(self) -> None:
-        """Keeps any part of what was not synced; at some losses nothing of it."""
+        """Simulates a power loss, which keeps a random part of the data that was not synced, or none of it."""
         keeps_none = self._chance.random() < EMPTY_LOSS_SHARE
         for row in self._pending_names:
             if not keeps_none and self._chance.random() < KEPT_NAME_SHARE:
@@ -247,20 +247,20 @@
         self.end_process()
 
     def end_process(self) -> None:
-        """Files stay as they were."""
+        """Ends the process: handles are closed, files stay as they are."""
         self._handles = {}
         self.calls_left = None
 
     def wipe(self) -> None:
-        """Another, empty disk is put in."""
+        """Replaces the disk by an empty one."""
         self._names, self._durable, self._pending_names = {}, {}, []
         self.end_process()
 
     def durable_bytes(self, path: str) -> bytes:
-        """What a loss of power that keeps nothing unsynced would leave of this file."""
+        """Returns the content of a file that would survive a power loss that keeps no unsynced data."""
         inode = self._durable.get(path)
         return bytes(inode.synced) if inode is not None else b""
 
     def size(self) -> int:
-        """Bytes of all files."""
+        """Returns the total size of all files, in bytes."""
         return sum(len(inode.data) for inode in self._names.values())
--- a/ploverward/simulation/simulated_world.py
+++ b/ploverward/simulation/simulated_world.py
@@ -1,7 +1,7 @@
-"""Simulated time, network and disk with seeds, for tests and for simulations of single parts. Nothing sleeps.
+"""Seeded simulated time, network and disk for tests and for simulations of single components. Nothing sleeps.
 
-`World` owns the time, the events, the one random generator and which links are cut. The simulation of complete core
-nodes (ploverward/simulation/control_plane) has finer models of its own.
+`World` owns the time, the events, the only random generator and the network partitions. The simulation of complete core
+nodes (ploverward/simulation/control_plane) has more detailed models of its own.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     """The time of a simulation, and its network.
 
     Attributes:
-        chance: The one random generator.
-        time: Now, in seconds.
-        partitions: Directions (source, target) in which nothing arrives.
-        loss: Part of the messages that is lost.
-        delay: Bounds of how long a message takes, in seconds.
+        chance: The only random generator.
+        time: Current simulated time, in seconds.
+        partitions: Directions (source, target) in which no message arrives.
+        loss: Share of the messages that are lost, 0 to 1.
+        delay: Shortest and longest delay of a message, in seconds.
     """
 
     def __init__(self, *, seed: int) -> None:
@@ -36,22 +36,22 @@
         self._events: list[tuple[float, int, Callback]] = []
 
     def now(self) -> float:
-        """Returns the time in seconds."""
+        """Returns the simulated time in seconds."""
         return self.time
 
     def later(self, delay: float, callback: Callback) -> None:
-        """Has a callback called after so many seconds."""
+        """Schedules a callback after a delay in seconds."""
         self._order += 1
         heapq.heappush(self._events, (self.time + delay, self._order, callback))
 
     def send(self, source: str, target: str, callback: Callback) -> None:
-        """Has a callback called when a message arrives, unless it is lost."""
+        """Sends a message: schedules the callback for its arrival, unless the message is lost."""
         if (source, target) in self.partitions or self.chance.random() < self.loss:
             return
         self.later(self.chance.uniform(*self.delay), callback)
 
     def run(self, *, until: float) -> None:
-        """Makes all calls until a moment, which is the time afterwards."""
+        """Runs all callbacks due up to a time, and advances the clock to that time."""
         while self._events and self._events[0][0] <= until:
             self.time, _order, callback = heapq.heappop(self._events)
             callback()
@@ -59,11 +59,11 @@
 
 
 class Disk:
-    """Files that are durable once they are written; a test tears an append by itself.
+    """Files that are durable as soon as they are written; tests simulate a torn append with `tear`.
 
     Attributes:
-        files: Content by name.
-        is_refusing: Whether each write fails.
+        files: Contents by name.
+        is_refusing: Whether all writes fail.
     """
 
     def __init__(self) -> None:
@@ -75,19 +75,24 @@
         return self.files.get(name)
 
     def append(self, *, name: str, data: bytes, size_before: int) -> None:
-        """Writes data behind the first `size_before` bytes of a file, which is cut there.
+        """Truncates a file to `size_before` bytes and appends data.
 
         Raises:
-            OSError: The disk refuses.
+            OSError: The disk refuses writes.
         """
         self._check_writable()
         self.files[name] = self.files.get(name, b"")[:size_before] + data
 
-    def replace(self, *, name: str, new_name: str, data: bytes) -> None:  # `new_name`: the real one's temporary file
+    def replace(self, *, name: str, new_name: str, data: bytes) -> None:
         """Replaces the content of a file.
 
+        Args:
+            name: Name of the file.
+            new_name: Name of the temporary file that the real disk writes first; unused here.
+            data: The new content.
+
         Raises:
-            OSError: The disk refuses.
+            OSError: The disk refuses writes.
         """
         self._check_writable()
         self.files[name] = data
@@ -97,15 +102,15 @@
             raise OSError(errno.EIO, "refused")
 
     def tear(self, *, name: str, keep: int) -> None:
-        """Power was lost in an append: only some of its bytes are there."""
+        """Truncates a file to `keep` bytes, as a power loss during an append does."""
         self.files[name] = self.files[name][:keep]
 
 
 class Timer:
-    """One call that is to come.
+    """A scheduled callback of a `Loop`.
 
     Attributes:
-        is_over: Whether it was made or cancelled.
+        is_over: Whether it has run or was cancelled.
     """
 
     __slots__ = ("is_over",)
@@ -115,23 +120,23 @@
 
 
 class Loop:
-    """The methods of ploverward.transport.event_loop.Loop that handlers use, in a world's time.
+    """The methods of ploverward.transport.event_loop.Loop that handlers use, in simulated time.
 
     Attributes:
-        world: The world.
-        now: Returns its time in seconds.
-        is_up: Whether calls are made; set to False, the loop's process is dead.
+        world: The simulated time and network.
+        now: Returns the simulated time in seconds.
+        is_up: Whether callbacks run; False simulates the death of the process.
     """
 
     def __init__(self, *, world: World, work_s: tuple[float, float] = (0.0, 0.01)) -> None:
-        """Makes a loop; `work_s` bounds how long offloaded work takes."""
+        """Creates a loop; `work_s` is the shortest and longest duration of offloaded work, in seconds."""
         self.world = world
         self.now = world.now
         self.is_up = True
         self._work_s = work_s
 
     def after(self, *, delay: float, callback: Callback) -> Timer:
-        """Has a callback called after so many seconds."""
+        """Schedules a callback after a delay in seconds."""
         timer = Timer()
 
         def call() -> None:
@@ -143,20 +148,20 @@
         return timer
 
     def cancel(self, *, timer: Timer) -> None:
-        """Takes a call back; does nothing where it was made already."""
+        """Cancels a callback; does nothing if it has already run."""
         timer.is_over = True
 
     def call_soon_threadsafe(self, *, callback: Callback) -> None:
-        """Has a callback called soon."""
+        """Schedules a callback without delay."""
         self.after(delay=0.0, callback=callback)
 
     def offload(
         self, *, work: Callable[[], object], done: Callable[[concurrent.futures.Future[object]], object]
     ) -> None:
-        """Runs `work` as on another thread, then `done(future)`."""
+        """Runs `work` as if on another thread, then schedules `done(future)`."""
         future: concurrent.futures.Future[object] = concurrent.futures.Future()
         try:
             future.set_result(work())
-        except Exception as error:  # handed over as a pool does
+        except Exception as error:  # passed on in the future, as an executor does
             future.set_exception(error)
         self.after(delay=self.world.chance.uniform(*self._work_s), callback=lambda: done(future))
--- a/ploverward/simulation/state_digest.py
+++ b/ploverward/simulation/state_digest.py
@@ -1,4 +1,4 @@
-"""Names the state of the code that a simulation plays, so that counts of runs say what they were played on."""
+"""Digests of the code that a simulation runs, which identify the code behind reported counts of runs."""
 
 import hashlib
 import pathlib
@@ -9,7 +9,7 @@
 
 
 def digest(paths: Iterable[str]) -> str:
-    """Returns a digest of all modules below these paths but their tests: a change elsewhere leaves it as it is.
+    """Returns a digest of all modules below these paths except tests; changes elsewhere do not affect it.
 
     Args:
         paths: Files and folders, relative to the package.
--- a/ploverward/simulation/test_state_digest.py
+++ b/ploverward/simulation/test_state_digest.py
@@ -1,4 +1,4 @@
-"""Digests of the code that a simulation plays."""
+"""Tests of the digests of the code that a simulation runs."""
 
 import pytest
 
