--- a/ploverward/simulation/order_costs.py
+++ b/ploverward/simulation/order_costs.py
@@ -27,7 +27,7 @@
 WINDOW = 128  # recent orders stored with a configuration
 
 
-def body_of(*, routes: int, edition: int) -> dict[str, Any]:
+def make_configuration(*, routes: int, edition: int) -> dict[str, Any]:
     """Returns a configuration with this number of routes and the fields that operators use."""
     return {
         "edition": edition,
@@ -79,10 +79,10 @@
     return round(statistics.median(times), 2)
 
 
-def by_routes(routes: int) -> dict[str, Any]:
+def costs_by_routes(routes: int) -> dict[str, Any]:
     """Returns the costs of a configuration with this number of routes."""
-    body = body_of(routes=routes, edition=7)
-    data = json.dumps(body_of(routes=routes, edition=9)).encode()
+    body = make_configuration(routes=routes, edition=7)
+    data = json.dumps(make_configuration(routes=routes, edition=9)).encode()
     patch = json.dumps({"edition": 9, "upsert": {"routes": [{**body["routes"][0], "expiryMs": 4000}]}}).encode()
     put_order = orders.read(method="PUT", base=7, data=data)
     patch_order = orders.read(method="PATCH", base=7, data=patch)
@@ -106,7 +106,7 @@
     }
 
 
-def by_order_ids(count: int) -> dict[str, Any]:
+def costs_by_order_ids(count: int) -> dict[str, Any]:
     """Returns the costs of an archive with this number of order identifiers."""
     rows = recent_orders(count + orders.MIN_ARCHIVE_BATCH)
     payload, _through = order_archive.edit_for(rows=rows[:count])(None)
@@ -124,7 +124,7 @@
 
 def main() -> int:
     """Prints the results as JSON lines."""
-    for row in [*map(by_routes, ROUTES), *map(by_order_ids, ORDER_ID_COUNTS)]:
+    for row in [*map(costs_by_routes, ROUTES), *map(costs_by_order_ids, ORDER_ID_COUNTS)]:
         print(json.dumps(row))
     return 0
 
--- a/ploverward/simulation/order_nodes.py
+++ b/ploverward/simulation/order_nodes.py
@@ -207,7 +207,7 @@
 
         self.world.send(self.name, member, arrive)
 
-    def _answer(self, source: Node, incarnation: int, message: tuple) -> None:
+    def _reply(self, source: Node, incarnation: int, message: tuple) -> None:
         """Sends a reply, which is dropped if the other node has been stopped since its request."""
 
         def arrive() -> None:
@@ -229,19 +229,19 @@
             handler(source, incarnation, message)
 
     def _handle_prepare(self, source: Node, incarnation: int, message: messages.Prepare) -> None:
-        self._reply_with_row(source, incarnation, *self.acceptor.prepare(message))
+        self._persist_and_reply(source, incarnation, *self.acceptor.prepare(message))
 
     def _handle_accept(self, source: Node, incarnation: int, message: messages.Accept) -> None:
-        self._reply_with_row(source, incarnation, *self.acceptor.accept(message))
+        self._persist_and_reply(source, incarnation, *self.acceptor.accept(message))
 
-    def _reply_with_row(self, source: Node, incarnation: int, reply: tuple, row: Any) -> None:  # noqa: ANN401
+    def _persist_and_reply(self, source: Node, incarnation: int, reply: tuple, row: Any) -> None:  # noqa: ANN401
         """Writes the changed row, then replies."""
         if row is not None:
             self._disk[row.register] = row
-        self._answer(source, incarnation, reply)
+        self._reply(source, incarnation, reply)
 
     def _handle_quorum_read(self, source: Node, incarnation: int, message: messages.QuorumRead) -> None:
-        self._answer(source, incarnation, self.acceptor.quorum_read(message))
+        self._reply(source, incarnation, self.acceptor.quorum_read(message))
 
     # Catch-up of a node with an empty disk.
     def _catch_up(self) -> None:
@@ -256,7 +256,7 @@
     def _handle_catch_up_request(self, source: Node, incarnation: int, message: messages.CatchUpRequest) -> None:
         if self.acceptor.votes:
             reply = messages.CatchUpReply(number=message.number, is_voter=True, rows=self.acceptor.rows())
-            self._answer(source, incarnation, reply)
+            self._reply(source, incarnation, reply)
 
     def _handle_catch_up_reply(self, source: Node, _incarnation: int, message: messages.CatchUpReply) -> None:
         """Starts voting again once all members of every core set named in the replies have replied."""
--- a/ploverward/simulation/order_simulation.py
+++ b/ploverward/simulation/order_simulation.py
@@ -67,10 +67,10 @@
         self._operators = itertools.count()
         for name in names:
             self.nodes[name] = order_nodes.Node(
-                world=self.world, name=name, nodes=self.nodes, seeds=seeds, on_chosen=self._note_chosen
+                world=self.world, name=name, nodes=self.nodes, seeds=seeds, on_chosen=self._record_chosen
             )
 
-    def _note_chosen(self, name: str, payload: Any) -> None:  # noqa: ANN401  # payload of any register
+    def _record_chosen(self, name: str, payload: Any) -> None:  # noqa: ANN401  # payload of any register
         """Records the configurations named by a chosen value.
 
         A value also names the orders before it, so an order whose proposer was lost is recorded as well.
@@ -125,7 +125,7 @@
         call = order_attempts.OperatorCall(
             method=method, target=CONFIGURATION_PATH, body=data, headers={"If-Match": str(base)}
         )
-        self._start(call, limit_s, end)
+        self._start_call(call, limit_s, end)
 
     def read_back(self, *, done: order_attempts.OnEnded | None = None, limit_s: float = LIMIT_S) -> None:
         """Reads the configuration; calls `done(status, body)` when the call ends."""
@@ -141,7 +141,7 @@
             if done is not None:
                 done(status, body)
 
-        self._start(order_attempts.OperatorCall(method="GET", target=CONFIGURATION_PATH), limit_s, end)
+        self._start_call(order_attempts.OperatorCall(method="GET", target=CONFIGURATION_PATH), limit_s, end)
 
     def evacuate(
         self, *, zone: str, is_evacuated: bool, done: order_attempts.OnEnded, limit_s: float = order_nodes.RECEIPT_S
@@ -149,14 +149,14 @@
         """Orders the evacuation or the restoration of a zone; calls `done(status, body)` when the call ends."""
         method = "POST" if is_evacuated else "DELETE"
         target = f"{order_nodes.EVACUATION_PATH}{zone}"
-        self._start(order_attempts.OperatorCall(method=method, target=target), limit_s, done)
+        self._start_call(order_attempts.OperatorCall(method=method, target=target), limit_s, done)
 
     def read_evacuations(self, *, done: order_attempts.OnEnded, limit_s: float = LIMIT_S) -> None:
         """Reads the evacuated zones; calls `done(status, body)` when the call ends."""
         target = order_nodes.EVACUATION_PATH.rstrip("/")
-        self._start(order_attempts.OperatorCall(method="GET", target=target), limit_s, done)
+        self._start_call(order_attempts.OperatorCall(method="GET", target=target), limit_s, done)
 
-    def _start(self, call: order_attempts.OperatorCall, limit_s: float, done: order_attempts.OnEnded) -> None:
+    def _start_call(self, call: order_attempts.OperatorCall, limit_s: float, done: order_attempts.OnEnded) -> None:
         order_attempts.OrderAttempts(
             world=self.world,
             nodes=self.nodes,
@@ -322,7 +322,7 @@
         self._count = count
         self._zone = order_nodes.ZONES[0]
 
-    def order(self, number: int) -> None:
+    def send_order(self, number: int) -> None:
         """Sends an order, and then all orders after it."""
         if number == self._count:
             return
@@ -335,7 +335,7 @@
 
     def _end(self, number: int, is_evacuated: bool, status: int | None) -> None:
         if status != 200:
-            self.order(number + 1)
+            self.send_order(number + 1)
             return
         self.report.acknowledged += 1
         world = self._simulation.world
@@ -350,7 +350,7 @@
     def _check(self, number: int, is_evacuated: bool, body: Any) -> None:  # noqa: ANN401
         if (self._zone in body["zones"]) != is_evacuated:
             self.report.mismatched_orders.append(number)
-        self.order(number + 1)
+        self.send_order(number + 1)
 
 
 def run_evacuations(*, seed: int, count: int = 30) -> EvacuationReport:
@@ -360,7 +360,7 @@
     operator = _EvacuationOperator(simulation=simulation, count=count)
     for number in range(8):
         simulation.world.later(2.0 + number * 5.0, simulation.inject_fault)
-    operator.order(0)
+    operator.send_order(0)
     simulation.world.run(until=600.0)
     return operator.report
 
--- a/ploverward/simulation/quota_simulation.py
+++ b/ploverward/simulation/quota_simulation.py
@@ -70,7 +70,7 @@
         seed: Seed of the random generators.
         fault_kinds: The injected faults.
         overruns: Tenants that exceeded their bound.
-        worst: Largest share of the allowed overrun that any tenant used.
+        max_overrun_share: Largest share of the allowed overrun that any tenant used.
         requested: Number of requests.
         refused: Number of refused requests.
         refused_below_limit: Number of refused requests of tenants whose demand was within their limit.
@@ -79,7 +79,7 @@
     seed: int
     fault_kinds: tuple[str, ...]
     overruns: list[Overrun] = dataclasses.field(default_factory=list)
-    worst: float = 0.0
+    max_overrun_share: float = 0.0
     requested: int = 0
     refused: int = 0
     refused_below_limit: int = 0
@@ -140,10 +140,10 @@
         if not self.is_partitioned:
             for core in simulation.cores:
                 data = allowance.report(core=core.name)
-                simulation.send(self._delivery(core, allowance, data=data, sent_at=now))
+                simulation.send(self._make_delivery(core, allowance, data=data, sent_at=now))
         allowance.end_report()
 
-    def _delivery(
+    def _make_delivery(
         self, core: Core, allowance: quota_allowance.QuotaAllowance, *, data: bytes, sent_at: float
     ) -> Callable[[], None]:
         """Returns the callback that delivers a report to a core node, which replies."""
@@ -233,7 +233,7 @@
             "restart_core": lambda: self._restart(self.cores),
             "restart_all": self._restart_all,
             "disks_lost_all_power": self._lose_disks_and_all_power,
-            "lower": self._lower,
+            "lower": self._lower_limits,
         }
         self.world.later(chance.uniform(FIRST_FAULT_S, LAST_FAULT_S), actions[name])
 
@@ -270,7 +270,7 @@
             proxy.is_partitioned = True
             self.world.later(for_s, lambda proxy=proxy: setattr(proxy, "is_partitioned", False))
 
-    def _lower(self) -> None:
+    def _lower_limits(self) -> None:
         """Lowers all limits; core nodes receive the configuration earlier than proxies."""
         rows = self.configuration["senders"]
         self.configuration = {"senders": [{**row, "perS": row["perS"] * LOWERED_LIMIT_SHARE} for row in rows]}
@@ -280,7 +280,7 @@
             self.world.later(self.chance.uniform(0.0, 0.8), proxy.install)
         self.lowered_at = self.world.now() + APPLY_S
 
-    def _check(self) -> None:
+    def _check_tenants(self) -> None:
         for name, rate in self.limits.items():
             admitted = self.admitted[name]
             if self.lowered_at is None:
@@ -295,7 +295,7 @@
         limit = tenant_usage.Limit(per_s=per_s, burst=round(self.limits[name]))
         excess = _worst_window(times, TOLERANCE.window_s) - (per_s * TOLERANCE.window_s + limit.burst)
         allowed = TOLERANCE.allowed_overrun(limit)
-        self.report.worst = max(self.report.worst, excess / allowed)
+        self.report.max_overrun_share = max(self.report.max_overrun_share, excess / allowed)
         if excess > allowed:
             self.report.overruns.append(Overrun(tenant=name, requests=round(excess - allowed, 1)))
 
@@ -308,7 +308,7 @@
         for name in self.fault_kinds:
             self._schedule_fault(name)
         self.world.run(until=END_AT_S)
-        self._check()
+        self._check_tenants()
         return self.report
 
     def _start_heartbeats(self, proxy: Proxy) -> None:
--- a/ploverward/simulation/random_replica.py
+++ b/ploverward/simulation/random_replica.py
@@ -172,12 +172,12 @@
         if request.addressed != self.name.encode():
             self._behaviors[number] = Behavior.ANOTHER
         elif behavior is Behavior.EARLY_FULL:
-            self.callback(number, [complete_answer(503, request.id, (b"X-Not-Run: 1",)), self._ending()])
+            self.callback(number, [complete_answer(503, request.id, (b"X-Not-Run: 1",)), self._draw_ending()])
         elif behavior is Behavior.EARLY_END:
-            self.callback(number, [self._ending()])
+            self.callback(number, [self._draw_ending()])
 
     # Sending answers.
-    def _ending(self) -> str:
+    def _draw_ending(self) -> str:
         return self.chance.choice(("close", "reset"))
 
     def _handle_request(self, number: int, request: Received) -> None:
@@ -195,7 +195,7 @@
             if self.chance.random() < 0.5:
                 self.log.begin(request=request, replica=self.name)
             if behavior is Behavior.ENDS:
-                self.callback(number, [*surplus, self._ending()])
+                self.callback(number, [*surplus, self._draw_ending()])
         else:
             self._run(number, request, behavior, surplus)
 
@@ -213,7 +213,7 @@
         acts = self._apply_behavior(behavior, pieces, is_stream=is_stream)
         if behavior is Behavior.LATE_TWICE:
             self._surplus[number] += acts
-        self._perform(number, behavior, [*surplus, *acts])
+        self._send_acts(number, behavior, [*surplus, *acts])
 
     def _headers(self, run: Run, behavior: Behavior, status: int, body: bytes | None) -> tuple[bytes, ...]:
         stamp = b"s%d" % run.number
@@ -242,7 +242,7 @@
         """Returns the pieces and endings that the behavior sends in place of a correct answer."""
         if behavior is Behavior.CUT:
             data = b"".join(pieces)
-            return [data[: self.chance.randrange(1, len(data))], self._ending()]
+            return [data[: self.chance.randrange(1, len(data))], self._draw_ending()]
         if behavior is Behavior.CUT_BEHIND_EVENT and is_stream:
             count = self.chance.randrange(1, len(pieces))
             return [*pieces[:count], pieces[count][: self.chance.randrange(len(pieces[count]))], "close"]
@@ -254,7 +254,7 @@
             return [*pieces, *pieces]
         return [*pieces]
 
-    def _perform(self, number: int, behavior: Behavior, acts: list[loopback.Act]) -> None:
+    def _send_acts(self, number: int, behavior: Behavior, acts: list[loopback.Act]) -> None:
         if behavior in (Behavior.SLOW, Behavior.WAKES):
             pause_s = SLOW_S if behavior is Behavior.SLOW else WAKES_S
             at = 0.0
@@ -265,5 +265,5 @@
         self.callback(number, acts)
         if self.chance.random() < 0.15:  # ends the idle connection
             delay = self.chance.choice((0.0, 0.05, 1.0, 3.0))
-            ending = self._ending()
+            ending = self._draw_ending()
             self.loop.after(delay=delay, callback=lambda: self.callback(number, [ending]))
--- a/ploverward/simulation/register_cost.py
+++ b/ploverward/simulation/register_cost.py
@@ -28,8 +28,8 @@
 from ploverward.simulation.register_group import LIMIT_BYTES
 from ploverward.simulation.register_group import NAME
 from ploverward.simulation.register_group import CostMeter
-from ploverward.simulation.register_group import Group
 from ploverward.simulation.register_group import Member
+from ploverward.simulation.register_group import MeteredGroup
 from ploverward.simulation.register_group import archive_payload
 from ploverward.simulation.register_group import configuration_payload
 from ploverward.simulation.register_group import replace_with
@@ -60,7 +60,7 @@
         names_accepted_state: Whether the proposer names the value that it has accepted, so that replies omit it.
     """
     with tempfile.TemporaryDirectory() as folder:
-        group = Group(folder=folder, members=members, names_accepted_state=names_accepted_state)
+        group = MeteredGroup(folder=folder, members=members, names_accepted_state=names_accepted_state)
         group.change(edit=replace_with(configuration_payload(routes=routes, changes=changes)))
         group.meter = CostMeter()
         before = [member.disk.written for member in group.members.values()]
@@ -89,7 +89,7 @@
     """Returns the largest file size and the number of rewrites at one member over this number of changes."""
     with tempfile.TemporaryDirectory() as folder:
         member = Member(name="a", folder=os.path.join(folder, "a"), limit_bytes=limit_bytes)
-        group = Group(folder=os.path.join(folder, "rest"), members=1, names_accepted_state=True)
+        group = MeteredGroup(folder=os.path.join(folder, "rest"), members=1, names_accepted_state=True)
         group.change(edit=replace_with(configuration_payload(routes=routes, changes=0)))
         value = next(iter(group.members.values())).acceptor.get(NAME).value
         largest = 0
@@ -167,7 +167,7 @@
 def catch_up_bytes(*, routes: int, changes: int, members: int = MEMBERS) -> Row:
     """Returns the bytes sent to an emptied member when all others answer at once, by the size of their state."""
     with tempfile.TemporaryDirectory() as folder:
-        group = Group(folder=folder, members=members, names_accepted_state=True)
+        group = MeteredGroup(folder=folder, members=members, names_accepted_state=True)
         group.change(edit=replace_with(configuration_payload(routes=routes, changes=changes)))
         group.change(name=register_names.ARCHIVE, edit=replace_with(archive_payload(changes=changes)))
         responders = list(group.members.values())[1:]
@@ -180,7 +180,7 @@
         return {"routes": routes, "changes": changes, "look_bytes": look, "fence_bytes": fence}
 
 
-def table(rows: collections.abc.Sequence[Row]) -> str:
+def format_table(rows: collections.abc.Sequence[Row]) -> str:
     """Formats rows as a Markdown table."""
     names = list(rows[0])
     lines = ["| " + " | ".join(names) + " |", "|" + " --- |" * len(names)]
@@ -240,7 +240,7 @@
         print(json.dumps(tables, indent=1))
         return
     for name, rows in tables.items():
-        print(f"\n{name}\n\n{table(rows)}")
+        print(f"\n{name}\n\n{format_table(rows)}")
 
 
 if __name__ == "__main__":
--- a/ploverward/simulation/register_group.py
+++ b/ploverward/simulation/register_group.py
@@ -1,6 +1,6 @@
 """Voting members and a proposer in one process, without sockets, that meter the cost of a change of a register.
 
-A `Group` owns the members, with real acceptors and files, and the meter that sums the cost of its steps.
+A `MeteredGroup` owns the members, with real acceptors and files, and the meter that sums the cost of its steps.
 `ploverward.simulation.register_cost` measures with it (docs/register.md 5).
 """
 
@@ -126,7 +126,7 @@
         self.bytes: collections.Counter[type] = collections.Counter()
         self.seconds: dict[str, float] = collections.defaultdict(float)
 
-    def timed(self, step: str, callback: collections.abc.Callable[[], Result]) -> Result:
+    def measure_time(self, step: str, callback: collections.abc.Callable[[], Result]) -> Result:
         """Runs a callback and adds its processor time to that of a step."""
         begun = time.process_time()
         result = callback()
@@ -134,7 +134,7 @@
         return result
 
 
-class Group:
+class MeteredGroup:
     """Voting members and one proposer at the first of them; messages between them are packed, counted and unpacked.
 
     Args:
@@ -183,9 +183,9 @@
         """Packs, counts and unpacks a message; a message from a node to itself is passed on as it is."""
         if is_local:
             return message
-        frame = self.meter.timed("frames", lambda: frames.pack(message))
+        frame = self.meter.measure_time("frames", lambda: frames.pack(message))
         self.meter.bytes[type(message)] += len(frame)
-        return typing.cast(Message, self.meter.timed("frames", lambda: frames.unpack(frame)))
+        return typing.cast(Message, self.meter.measure_time("frames", lambda: frames.unpack(frame)))
 
     def change(self, *, edit: Edit, name: str = NAME) -> None:
         """Changes a register and delivers all messages."""
@@ -198,13 +198,13 @@
         node = self.members[member]
         arrived = self._transfer(message, is_local=is_local)
         if isinstance(arrived, messages.Prepare):
-            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.prepare, arrived))
+            decision = self.meter.measure_time("acceptor", functools.partial(node.acceptor.prepare, arrived))
         else:
-            decision = self.meter.timed("acceptor", functools.partial(node.acceptor.accept, arrived))
+            decision = self.meter.measure_time("acceptor", functools.partial(node.acceptor.accept, arrived))
         if decision.row is not None:
-            self.meter.timed("disk", functools.partial(node.save, decision.row))
+            self.meter.measure_time("disk", functools.partial(node.save, decision.row))
         reply = self._transfer(decision.reply, is_local=is_local)
         if isinstance(reply, messages.Promise):
-            self.meter.timed("proposer", functools.partial(self.proposer.handle_promise, member, reply))
+            self.meter.measure_time("proposer", functools.partial(self.proposer.handle_promise, member, reply))
         else:
-            self.meter.timed("proposer", functools.partial(self.proposer.handle_accepted, member, reply))
+            self.meter.measure_time("proposer", functools.partial(self.proposer.handle_accepted, member, reply))
--- a/ploverward/simulation/rollout_checks.py
+++ b/ploverward/simulation/rollout_checks.py
@@ -72,7 +72,7 @@
     history: list[tuple[float, str]] = dataclasses.field(default_factory=list)
 
 
-class Send(typing.NamedTuple):
+class SentAttempt(typing.NamedTuple):
     """An attempt sent by a proxy.
 
     Attributes:
@@ -97,7 +97,7 @@
 
     def __init__(self, *, report: Report, now: Callable[[], float], over_s: float) -> None:
         self.report = report
-        self.sends: list[Send] = []
+        self.sends: list[SentAttempt] = []
         self._now = now
         self._over_s = over_s
         self._stages: list[state.Stage] = []
@@ -107,7 +107,7 @@
         """Adds a line to the history."""
         self.report.history.append((round(self._now(), 3), text))
 
-    def _find(self, check: str, text: str) -> None:
+    def _add_finding(self, check: str, text: str) -> None:
         self.record(f"FINDING {check}: {text}")
         self.report.findings.append(Finding(check=check, when=round(self._now(), 3), text=text))
 
@@ -117,7 +117,7 @@
             return False
         previous = self._stages[-1] if self._stages else None
         if previous is not None and row.stage not in ALLOWED_STAGES.get(previous, ()):
-            self._find("stage", f"{row.stage} after {previous}")
+            self._add_finding("stage", f"{row.stage} after {previous}")
         self._stages.append(row.stage)
         if row.stage in state.FINAL_STAGES:
             self.report.ended_s = self._now() - ORDER_AT_S
@@ -128,18 +128,18 @@
         is_forced = self._now() - ORDER_AT_S >= planner.IGNORE_SILENT_PROXIES_FROM * self._over_s
         running = sum(proxy.running[rollout_nodes.FORMER] for proxy in proxies if proxy.is_in_contact)
         if running and not is_forced and not LOSSES & set(self.report.fault_kinds):
-            self._find("delivered", f"{running} attempts run at the former version")
+            self._add_finding("delivered", f"{running} attempts run at the former version")
 
     def note_send(self, proxy: rollout_nodes.Proxy, replica: rollout_nodes.Replica) -> None:
         """Records the start of an attempt and checks that its version may receive it."""
         now = self._now()
         is_new = replica.edition == rollout_nodes.NEW
         if is_new and not self._stages:
-            self._find("admitted", "a request to a version that nobody let in")
+            self._add_finding("admitted", "a request to a version that nobody let in")
         if is_new:
             self._check_lease(proxy, now)
         is_in_contact = proxy.is_in_contact
-        self.sends.append(Send(at=now, is_new=is_new, is_in_contact=is_in_contact))
+        self.sends.append(SentAttempt(at=now, is_new=is_new, is_in_contact=is_in_contact))
         if is_new and is_in_contact and self.report.kind != "good":
             self._check_rollback(now)
 
@@ -150,7 +150,7 @@
             return
         age_s = now - proxy.lease_report_sent_at
         if age_s > rollout_nodes.ROLLBACK_S * manager.LEASE_SHARE + CLOCK_TOLERANCE_S:
-            self._find("lease", f"{age_s:.2f} s after its last lease was asked for")
+            self._add_finding("lease", f"{age_s:.2f} s after its last lease was asked for")
 
     def _check_rollback(self, now: float) -> None:
         """Checks that a bad version receives no request later than rollbackMs after its last permitted bad answer."""
@@ -158,12 +158,12 @@
             return
         age_s = now - self._bad_answers[MAX_BAD_ANSWERS - 1]
         if now > self._bad_answers[MAX_BAD_ANSWERS - 1] + rollout_nodes.ROLLBACK_S:
-            self._find("rollback", f"{age_s:.2f} s after the bad answers")
+            self._add_finding("rollback", f"{age_s:.2f} s after the bad answers")
 
     def note_leases(self, core: rollout_nodes.Core) -> None:
         """Checks that a core node that grants leases is, or was very recently, in contact with a majority."""
         if self._now() > core.contact_until + rollout_nodes.CONTACT_S / rollout_nodes.CONTACT_DIVISOR:
-            self._find("holder", f"{core.name} hands out leases without contact")
+            self._add_finding("holder", f"{core.name} hands out leases without contact")
 
     def note_answer(self, attempt: rollout_nodes.SimulatedAttempt) -> None:
         """Records the end of an attempt."""
@@ -179,9 +179,11 @@
         self.report.sent_new = sum(send.is_new for send in during if send.is_in_contact)
         self.report.allowed_new = rollout_nodes.EXPOSURE.share * len(during) + rollout_nodes.EXPOSURE.slack
         if self.report.kind != "good" and self.report.sent_new > self.report.allowed_new:
-            self._find("exposure", f"{self.report.sent_new} of {len(during)}, {self.report.allowed_new:.0f} allowed")
+            self._add_finding(
+                "exposure", f"{self.report.sent_new} of {len(during)}, {self.report.allowed_new:.0f} allowed"
+            )
 
     def check_term(self) -> None:
         """Checks, after the term, that the order has reached a final stage."""
         if self._stages and self._stages[-1] not in state.FINAL_STAGES:
-            self._find("term", f"still {self._stages[-1]}")
+            self._add_finding("term", f"still {self._stages[-1]}")
--- a/ploverward/simulation/rollout_mutants.py
+++ b/ploverward/simulation/rollout_mutants.py
@@ -76,8 +76,8 @@
 def _coordinator_without_deactivation() -> list[contextlib.AbstractContextManager]:
     """A coordinator that loses its role remains active."""
 
-    def deactivate(acting: manager.RolloutManager) -> None:
-        acting._acting_until = 1e9
+    def deactivate(rollout_manager: manager.RolloutManager) -> None:
+        rollout_manager._acting_until = 1e9
 
     return [unittest.mock.patch.object(manager.RolloutManager, "deactivate", deactivate)]
 
@@ -97,9 +97,9 @@
     real = judge.CanaryJudge.record
     began: weakref.WeakKeyDictionary[judge.CanaryJudge, float] = weakref.WeakKeyDictionary()
 
-    def record(judging: judge.CanaryJudge, *, now: float, **about: Any) -> None:  # noqa: ANN401  # passed through
-        if now - began.setdefault(judging, now) < EARLY_RECORDING_S:
-            real(judging, now=now, **about)
+    def record(canary_judge: judge.CanaryJudge, *, now: float, **arguments: Any) -> None:  # noqa: ANN401  # passed through
+        if now - began.setdefault(canary_judge, now) < EARLY_RECORDING_S:
+            real(canary_judge, now=now, **arguments)
 
     return [unittest.mock.patch.object(judge.CanaryJudge, "record", record)]
 
@@ -109,8 +109,8 @@
     real = canary_trial.CanaryTrial.evaluate
     promoted: weakref.WeakSet[canary_trial.CanaryTrial] = weakref.WeakSet()
 
-    def evaluate(trial: canary_trial.CanaryTrial, *, is_canary: bool, **about: Any) -> None:  # noqa: ANN401
-        real(trial, is_canary=is_canary, **about)
+    def evaluate(trial: canary_trial.CanaryTrial, *, is_canary: bool, **arguments: Any) -> None:  # noqa: ANN401
+        real(trial, is_canary=is_canary, **arguments)
         if not is_canary:
             promoted.add(trial)
 
@@ -146,9 +146,9 @@
     """A version found bad keeps its leases until the transition is written, and the transition is never written."""
     real = lease_granter.LeaseGranter.grant
 
-    def grant(granter: lease_granter.LeaseGranter, *, trial: canary_trial.CanaryTrial, **about: Any) -> Any:  # noqa: ANN401
+    def grant(granter: lease_granter.LeaseGranter, *, trial: canary_trial.CanaryTrial, **arguments: Any) -> Any:  # noqa: ANN401
         with unittest.mock.patch.object(trial, "is_bad", False):
-            return real(granter, trial=trial, **about)
+            return real(granter, trial=trial, **arguments)
 
     def next_transition(view: planner.RolloutView) -> planner.Transition | None:
         is_bad = view.verdict is judge.Verdict.BAD
--- a/ploverward/simulation/rollout_nodes.py
+++ b/ploverward/simulation/rollout_nodes.py
@@ -173,7 +173,7 @@
             lambda: done(None, 0, None, None) if rollout_manager is self.rollout_manager else None,
         )
 
-    def tick(self) -> None:
+    def run_heartbeat(self) -> None:
         """Runs one heartbeat: reconciles as coordinator while in contact, else deactivates the manager."""
         now = self.simulation.world.now()
         if not self.is_partitioned:
--- a/ploverward/simulation/rollout_simulation.py
+++ b/ploverward/simulation/rollout_simulation.py
@@ -307,7 +307,7 @@
     def run_simulation(self) -> rollout_checks.Report:
         """Runs the simulation to its end and returns the report."""
         for core in self.cores.values():
-            self._repeat(core.tick)
+            self._repeat(core.run_heartbeat)
         for proxy in self.proxies:
             self._repeat(proxy.send_report)
             self.world.later(self.chance.expovariate(proxy.per_s), lambda proxy=proxy: self._arrive(proxy))
