--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -23,7 +23,7 @@
 # What follows names parts of the program.
 
 
-def plain(script=request_scene.replying, zone="za"):
+def plain(script=request_scene.respond_ok, zone="za"):
     return request_scene.Scene(script, zones=[zone])
 
 
@@ -51,26 +51,30 @@
     return scene
 
 
-def resetting(number, heard):
-    return ["reset"] if request_scene.is_complete(heard) else None
+def resetting(number, received):
+    return ["reset"] if request_scene.is_complete(received) else None
 
 
-def promising(number, heard):
-    which = request_scene.request_id(heard)
-    return [request_scene.answer(which, status=b"503 Full", more=NOT_RUN)] if request_scene.is_complete(heard) else None
+def promising(number, received):
+    which = request_scene.request_id(received)
+    return (
+        [request_scene.answer(which, status=b"503 Full", more=NOT_RUN)] if request_scene.is_complete(received) else None
+    )
 
 
-def misdirected(number, heard):
-    which = request_scene.request_id(heard)
+def misdirected(number, received):
+    which = request_scene.request_id(received)
     return (
-        [request_scene.answer(which, status=b"421 Another", more=NOT_RUN)] if request_scene.is_complete(heard) else None
+        [request_scene.answer(which, status=b"421 Another", more=NOT_RUN)]
+        if request_scene.is_complete(received)
+        else None
     )
 
 
-def streaming(number, heard):
-    if not request_scene.is_complete(heard):
+def streaming(number, received):
+    if not request_scene.is_complete(received):
         return None
-    return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.END]
+    return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1) + request_scene.LAST_CHUNK]
 
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
@@ -92,7 +96,7 @@
 
 CASES = {
     "200": (plain, {"lead": "safe"}),
-    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": request_scene.END}),
+    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": request_scene.LAST_CHUNK}),
     "200 for a tenant": (
         with_tenants,
         {"lead": "resume", "more": b"Authorization: Bearer key-of-clerks\r\nX-Sender: other\r\n"},
@@ -112,7 +116,7 @@
     "503 promise of the replica": (lambda: plain(promising), {"lead": "once", "left": b"300"}),
     "503 after 421": (lambda: plain(misdirected), {"lead": "once", "left": b"300"}),
     "503 no replica at home": (plain, {"lead": "home"}),
-    "504": (lambda: plain(lambda number, heard: None), {"lead": "once", "left": b"200"}),
+    "504": (lambda: plain(lambda number, received: None), {"lead": "once", "left": b"200"}),
 }
 RAW = {
     "400 two lengths": "GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
@@ -149,8 +153,8 @@
     end = about.pop("end", b"\r\n\r\n")
     send(scene, **about)
     assert scene.until(end)
-    heard = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
-    sent = heard[-1][heard[-1].rindex(b"POST ") :] if heard else b""
+    received = [bytes(received) for peer in scene.peers for received in peer.received if received]
+    sent = received[-1][received[-1].rindex(b"POST ") :] if received else b""
     told = {"client": names(scene.client.got), "replica": names(sent) if sent else []}
     trails = scene.proxy.trails()
     told["trail"] = sorted(trails[-1]) if trails else []
--- a/ploverward/data_plane/batch/test_batch_tier.py
+++ b/ploverward/data_plane/batch/test_batch_tier.py
@@ -65,7 +65,7 @@
 
 
 def test_an_item_answered_with_422_becomes_a_dead_letter(tmp_path):
-    script = request_scene.answering(status=b"422 Never")
+    script = request_scene.respond_with(status=b"422 Never")
     scene = batch_scene.BatchScene(tmp_path, script)
     scene.submit("l1", [batch_scene.item("a")])
     assert scene.all_results("l1") == [{"id": "a", "condition": "dead_letter", "text": ""}]
@@ -143,16 +143,16 @@
 
 
 def test_requests_of_other_routes_are_not_handled_as_jobs(tmp_path):
-    scene = batch_scene.BatchScene(tmp_path, request_scene.answering())
+    scene = batch_scene.BatchScene(tmp_path, request_scene.respond_with())
     more = "X-Attempt-Id: a1\r\nX-Time-Left-Ms: 3000\r\n"
     assert scene.call("POST", "/safe/x", body=b"body", more=more) == batch_scene.Answer(200, b"ok")
-    assert scene.proxy.begun == ["clerks"]  # the usage report counts the request once
+    assert scene.proxy.started_tenants == ["clerks"]  # the usage report counts the request once
 
 
 def test_usage_reports_do_not_count_items(scene):
     scene.submit("l1", [batch_scene.item("a")])
     scene.all_results("l1")
-    assert not scene.proxy.begun
+    assert not scene.proxy.started_tenants
 
 
 def test_ending_a_job_cancels_its_running_items(tmp_path):
--- a/ploverward/data_plane/load_reports/test_zone.py
+++ b/ploverward/data_plane/load_reports/test_zone.py
@@ -15,9 +15,9 @@
 
 
 def test_members_report_through_digest_and_every_proxy_sees_actual_load():
-    zones = zone_proxies.Zones()
-    zones.work(seed=1)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=1)
+    zones.assert_converges()
     owner = zones.nodes[zones.digest()]
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     for _ip, node in zones.nodes.items():
@@ -27,36 +27,36 @@
     zones.nodes[zone_proxies.address(1)].end(
         next(name for name in ("i0", "i1", "i2") if zones.nodes[zone_proxies.address(1)].table.replicas[name].running)
     )
-    zones.converge()
+    zones.assert_converges()
 
 
 def test_members_report_directly_after_digest_ends_and_join_its_successor():
-    zones = zone_proxies.Zones()
-    zones.work(seed=2)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=2)
+    zones.assert_converges()
     former = zones.digest()
     zones.stop(former)
-    zones.converge()  # until another owner is assigned, each proxy is its own digest
+    zones.assert_converges()  # until another owner is assigned, each proxy is its own digest
     assert all(node.digest.has_relay_streams for ip, node in zones.nodes.items() if ip in zones.live)
     zones.assign_roles()
     assert zones.digest() != former
-    zones.work(seed=3)
-    zones.converge()
+    zones.start_attempts(seed=3)
+    zones.assert_converges()
     assert loopback.until(zones.loop, lambda: len(zones.nodes[zones.digest()].digest.fanout.members) == 3)
-    zones.converge()
+    zones.assert_converges()
 
 
 def test_frozen_digest_is_replaced_and_refused_under_old_epoch_after_thaw():
-    zones = zone_proxies.Zones()
-    zones.work(seed=4)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=4)
+    zones.assert_converges()
     former = zones.nodes[zones.digest()]
     former.loop.is_frozen = True
     zones.live.discard(former.settings.ip)
-    zones.converge()
+    zones.assert_converges()
     zones.assign_roles()
-    zones.work(seed=5)
-    zones.converge()
+    zones.start_attempts(seed=5)
+    zones.assert_converges()
     former.loop.thaw()
     relay = zones.nodes[zones.singleton_roles["relay/north"][1]].relay
     epochs = []
@@ -72,68 +72,68 @@
         )
 
     assert loopback.until(zones.loop, is_any_stream_closed)
-    zones.converge()  # it still acts as the owner, and the relays refuse it under its old epoch
+    zones.assert_converges()  # it still acts as the owner, and the relays refuse it under its old epoch
     assert 1 not in epochs
     zones.live.add(former.settings.ip)
     zones.announce(former.settings.ip)
-    zones.converge()
+    zones.assert_converges()
     assert former.client.zone_digest.role == "" and loopback.until(zones.loop, lambda: former.is_member)
-    zones.converge()
+    zones.assert_converges()
 
 
 def test_loads_converge_after_relay_and_digest_fail_together():
-    zones = zone_proxies.Zones()
-    zones.work(seed=6)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=6)
+    zones.assert_converges()
     for ip in {zones.digest(), zones.singleton_roles["relay/north"][1]}:
         zones.stop(ip)
     zones.assign_roles()
-    zones.work(seed=7)
-    zones.converge()
+    zones.start_attempts(seed=7)
+    zones.assert_converges()
 
 
 def test_load_of_lost_zone_is_withdrawn():
-    zones = zone_proxies.Zones()
-    zones.work(seed=8)
-    zones.converge()
-    for ip in [ip for ip in zones.live if zones.places[ip] == "za"]:
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=8)
+    zones.assert_converges()
+    for ip in [ip for ip in zones.live if zones.zone_by_ip[ip] == "za"]:
         zones.stop(ip)
     zones.assign_roles()
-    zones.converge()
+    zones.assert_converges()
     assert [ip for ip in zones.live] == [zone_proxies.address(9)]
 
 
 def test_malformed_report_closes_member_connection_and_changes_no_load():
-    zones = zone_proxies.Zones()
-    zones.work(seed=9)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=9)
+    zones.assert_converges()
     owner = zones.nodes[zones.digest()]
     member = next(node for node in zones.nodes.values() if node.is_member)
     link = member.digest_connector.link
     link.send_bytes(frames.pack(messages.LoadReport(10**6, b"malformed", b"")))
     assert loopback.until(zones.loop, lambda: not link.is_open)
-    zones.converge()  # the member joins again with its complete state
+    zones.assert_converges()  # the member joins again with its complete state
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
-    zones.converge()
+    zones.assert_converges()
 
 
 def test_slow_member_is_disconnected_alone():
-    zones = zone_proxies.Zones()
-    zones.work(seed=10)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=10)
+    zones.assert_converges()
     owner = zones.nodes[zones.digest()]
     slow, *others = owner.digest.fanout.members
     slow.queued = lambda: 10**9
-    zones.work(seed=11)
+    zones.start_attempts(seed=11)
     assert loopback.until(zones.loop, lambda: not slow.is_open)
     assert all(link.is_open for link in others)
-    zones.converge()
+    zones.assert_converges()
 
 
 def test_cached_prompts_reach_present_members_and_one_that_reconnects():
-    zones = zone_proxies.Zones()
-    zones.work(seed=12)
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.start_attempts(seed=12)
+    zones.assert_converges()
     node = zones.nodes[zone_proxies.address(9)]
     chain = (("doc", 100), ("own", 10))
     node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=chain)
@@ -148,7 +148,7 @@
     assert loopback.until(
         zones.loop, lambda: all(cached_tokens(proxy) == {"i0": 110, "i1": 0} for proxy in zones.nodes.values())
     )
-    reconnecting = max(ip for ip in zones.live if zones.places[ip] == "za" and ip != zones.digest())
+    reconnecting = max(ip for ip in zones.live if zones.zone_by_ip[ip] == "za" and ip != zones.digest())
     zones.nodes[reconnecting].digest_connector.link.close(reason="test")  # it reconnects and is sent a cut
     assert loopback.until(
         zones.loop,
@@ -177,13 +177,13 @@
 
 
 def test_cuts_to_members_are_limited_per_tick_and_precede_their_deltas():
-    zones = zone_proxies.Zones()
-    zones.converge()
+    zones = zone_proxies.ProxyCluster()
+    zones.assert_converges()
     owner = zones.nodes[zones.digest()]
     assert loopback.until(zones.loop, lambda: len(owner.digest.fanout.members) == 4)
     node = zones.nodes[zone_proxies.address(9)]
     node.begin("i0")
-    zones.converge()
+    zones.assert_converges()
     for number in range(600):
         parts = ((f"doc{number}", 100), (f"own{number}", 10))
         node.client.source.record_prefill(replica=node.table.replicas["i0"], service="llm", model="m", parts=parts)
@@ -201,8 +201,8 @@
     owner.digest.cuts.budget_bytes = -fanout.MAX_CUT_BYTES_PER_TICK  # a large cut was sent just before
     owner.digest.cuts.send()
     assert not sent and len(owner.digest.cuts.pending) == 4
-    zones.work(seed=40)
-    zones.converge()
+    zones.start_attempts(seed=40)
+    zones.assert_converges()
     # The queue also has cuts of pools that the work created.
     assert loopback.until(zones.loop, lambda: not owner.digest.cuts.pending)
     kinds = {}
--- a/ploverward/data_plane/quotas/test_tenant_admission.py
+++ b/ploverward/data_plane/quotas/test_tenant_admission.py
@@ -21,7 +21,7 @@
 
 
 def scene_of(*, body=BODY, age_s=0.0, **bounds):
-    scene = request_scene.Scene(request_scene.replying, request_scene.replying, zones=["za", "zb"])
+    scene = request_scene.Scene(request_scene.respond_ok, request_scene.respond_ok, zones=["za", "zb"])
     scene.proxy.routes = route_table.Routes(body=body)
     scene.proxy.quota_allowance.install(body)
     scene.proxy.quota_allowance.record(core="k", sent_at=scene.loop.now() + 60.0, proxy_count=1, credits=[])
@@ -39,7 +39,7 @@
     scene.request(route_name, more=authorization + more)
     assert scene.until(b"HTTP/1.1 ")
     scene.until(b"\r\n\r\n")
-    received = b"".join(bytes(received) for peer in scene.peers for received in peer.heard)
+    received = b"".join(bytes(received) for peer in scene.peers for received in peer.received)
     return int(scene.client.got.split()[1]), received
 
 
@@ -120,7 +120,7 @@
     assert status == 200 and b"x-urgency: 3" in received.lower()
     scene = scene_of()
     assert send_request(scene, key=KEYS["clerks"])[0] == 200
-    assert not scene.peers[0].heard and scene.peers[1].heard  # the first replica is in the region north
+    assert not scene.peers[0].received and scene.peers[1].received  # the first replica is in the region north
 
 
 def test_request_over_quota_gets_429_with_retry_after():
--- a/ploverward/data_plane/relay/test_publication.py
+++ b/ploverward/data_plane/relay/test_publication.py
@@ -26,7 +26,7 @@
     registry.sync(resolved={POOL_ID: RESOLVED})
     assert registry.pools[POOL_ID].hubs == {}  # no subscriber yet
     registry.sync(resolved={})
-    source = relay_hosts.send(host)
+    source = relay_hosts.report_attempt(host)
     relay_hosts.record_prompt(host, source, "r1", "a", "b")
     host.subscribe(one, region="north")
     assert one.kinds()[:2] == [messages.Catalogue, messages.PoolCut]
@@ -36,7 +36,7 @@
     views = []
     for wire in (one, two):
         region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
-        relay_hosts.feed(region, wire)
+        relay_hosts.apply_publications(region, wire)
         views.append(
             region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("a", "b"), replicas=("r1", "r2"))
         )
@@ -46,10 +46,10 @@
 def test_delta_with_wrong_sequence_or_length_installs_nothing():
     host, _clock = relay_hosts.make_host()
     wire = recording_connections.RecordingLink()
-    source = relay_hosts.send(host)
+    source = relay_hosts.report_attempt(host)
     host.subscribe(wire, region="north")
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
-    relay_hosts.feed(region, wire)
+    relay_hosts.apply_publications(region, wire)
     relay_hosts.record_prompt(host, source, "r1", "a")
     relay_hosts.record_prompt(host, source, "r1", "b")
     host.tick()
--- a/ploverward/data_plane/relay/test_relay.py
+++ b/ploverward/data_plane/relay/test_relay.py
@@ -24,18 +24,18 @@
     old, _clock = relay_hosts.make_host(epoch=1)
     new, _clock = relay_hosts.make_host(epoch=2)
     for host in (old, new):
-        relay_hosts.send(host)
+        relay_hosts.report_attempt(host)
     assert next(iter(new.registry.pools.values())).generation > next(iter(old.registry.pools.values())).generation
 
 
 def test_broken_mirror_is_used_for_trust_time_then_returns_nothing():
     host, clock = relay_hosts.make_host()
     wire = recording_connections.RecordingLink()
-    source = relay_hosts.send(host)
+    source = relay_hosts.report_attempt(host)
     relay_hosts.record_prompt(host, source, "r1", "a")
     host.subscribe(wire, region="north")
     region = mirrors.RegionMirror(now=lambda: clock[0], trust_s=5.0)
-    relay_hosts.feed(region, wire)
+    relay_hosts.apply_publications(region, wire)
     region.mark_broken()
     clock[0] = 4.9
     assert region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("a"), replicas=("r1",)) == {"r1": 10}
@@ -46,15 +46,15 @@
 def test_owner_bit_of_removed_replica_is_cleared_before_reuse():
     host, _clock = relay_hosts.make_host()
     wire = recording_connections.RecordingLink()
-    source = relay_hosts.send(host)
+    source = relay_hosts.report_attempt(host)
     relay_hosts.record_prompt(host, source, "r1", "a")
     host.subscribe(wire, region="north")
     host.sync(services=relay_hosts.SERVICES, replicas=[relay_hosts.replica("r2"), relay_hosts.replica("r9")])
     relay_hosts.send_report(host, source, recording_connections.load_row("r2", running=1, tokens=20))
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
-    relay_hosts.feed(region, wire)
+    relay_hosts.apply_publications(region, wire)
     host.tick()
-    relay_hosts.feed(region, wire)
+    relay_hosts.apply_publications(region, wire)
     assert region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("a"), replicas=("r1", "r2", "r9")) == {
         "r2": 0,
         "r9": 0,
@@ -71,7 +71,7 @@
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     old = [relay_hosts.replica(f"old{number}") for number in range(count)]
     host.sync(services=relay_hosts.SERVICES, replicas=old)
-    source = relay_hosts.send(host, "old0")
+    source = relay_hosts.report_attempt(host, "old0")
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
@@ -83,8 +83,8 @@
     relay_hosts.send_report(host, source, recording_connections.load_row("new0", running=1))
     for row in new:
         relay_hosts.record_prompt(host, source, row["id"], "shared")
-    relay_hosts.drain(host)
-    relay_hosts.feed(region, reader)
+    relay_hosts.publish_all(host)
+    relay_hosts.apply_publications(region, reader)
     return host, region, reader, first, [row["id"] for row in old], [row["id"] for row in new], new
 
 
@@ -100,7 +100,7 @@
     assert not pool.actor.is_wide
     host.sync(services=relay_hosts.SERVICES, replicas=new_rows)
     host.tick()
-    relay_hosts.feed(region, reader)
+    relay_hosts.apply_publications(region, reader)
     cached_tokens = region.cached_tokens(service="llm", model="m", chain=relay_hosts.rows("shared"), replicas=names)
     assert cached_tokens == dict.fromkeys(new, 10)
 
@@ -125,11 +125,11 @@
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     names = [f"r{number}" for number in range(40)]
     host.sync(services=services, replicas=[relay_hosts.replica(name) for name in names])
-    source, reader = relay_hosts.send(host, "r0"), recording_connections.RecordingLink()
+    source, reader = relay_hosts.report_attempt(host, "r0"), recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     for name in names:
         relay_hosts.record_prompt(host, source, name, *(f"{name}-{number}" for number in range(40)))
-    relay_hosts.drain(host)
+    relay_hosts.publish_all(host)
     reader.clear()
     host.sync(services=services, replicas=[relay_hosts.replica(name) for name in names[:20]])
     sizes = []
@@ -152,8 +152,8 @@
     full_hash = relay_hosts.rows("shared")[0][0]
     assert pool.actor.owners(full_hash) == set(names)
     host.sync(services=relay_hosts.SERVICES, replicas=new_rows)
-    relay_hosts.drain(host)
-    relay_hosts.feed(region, reader)
+    relay_hosts.publish_all(host)
+    relay_hosts.apply_publications(region, reader)
     assert pool.actor.owners(full_hash) == set(new)
     (mirror,) = region.pools.values()
     owners = mirror.owners(full_hash, pool_size=300)
@@ -164,7 +164,7 @@
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     names = [f"r{number}" for number in range(200)]
     host.sync(services=relay_hosts.SERVICES, replicas=[relay_hosts.replica(name) for name in names])
-    source = relay_hosts.send(host, "r0")
+    source = relay_hosts.report_attempt(host, "r0")
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
@@ -172,8 +172,8 @@
         relay_hosts.record_prompt(host, source, name, "root", "leaf")
     for name in names[7:150]:
         relay_hosts.record_prompt(host, source, name, "root", f"own{name}")
-    relay_hosts.drain(host)
-    relay_hosts.feed(region, reader)
+    relay_hosts.publish_all(host)
+    relay_hosts.apply_publications(region, reader)
 
     def cached_tokens(*chosen):
         return region.cached_tokens(
@@ -187,8 +187,8 @@
         services=relay_hosts.SERVICES,
         replicas=[relay_hosts.replica(name) for name in names if name not in ("r1", "r2")],
     )
-    relay_hosts.drain(host)
-    relay_hosts.feed(region, reader)
+    relay_hosts.publish_all(host)
+    relay_hosts.apply_publications(region, reader)
     _depth, tags = region.named_owners(service="llm", model="m", chain=relay_hosts.rows("root", "leaf"))
     expected = ("r0", "r3", "r4", "r5")  # later owners take the place of removed ones
     assert tags == tuple(row_codec.replica_key(name)[: cuckoo_filter.TAG_SIZE] for name in expected)
@@ -199,11 +199,11 @@
     services = {"llm": {"models": ("m",), "cache_tokens": 10**5}}
     host = hosts.RelayHost(region="north", epoch=1, now=lambda: 0.0, suspicion_s=1.0)
     host.sync(services=services, replicas=[relay_hosts.replica("r1")])
-    source = relay_hosts.send(host)
+    source = relay_hosts.report_attempt(host)
     reader = recording_connections.RecordingLink()
     host.subscribe(reader, region="north")
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
-    relay_hosts.feed(region, reader)
+    relay_hosts.apply_publications(region, reader)
     names = [f"p{number}" for number in range(6000)]
     for start in range(0, len(names), 100):
         relay_hosts.send_report(
@@ -218,7 +218,7 @@
     expected = [messages.PoolWithdrawn, messages.Catalogue, messages.PoolCut]
     kinds = [kind for kind in reader.kinds() if kind in expected]
     assert kinds[:3] == expected
-    relay_hosts.feed(region, reader)
+    relay_hosts.apply_publications(region, reader)
     published_names = [
         name
         for name in names
--- a/ploverward/data_plane/requests/test_client_connections.py
+++ b/ploverward/data_plane/requests/test_client_connections.py
@@ -38,7 +38,7 @@
 
 
 def test_writes_of_a_finished_request_do_not_reach_the_next_response():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
     first = next(iter(scene.proxy.handlers)).request
@@ -50,7 +50,7 @@
     first.data(b"stray")
     first.end()
     first.abort()
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert (
         request_scene.statuses(scene.client) == [504]
         and b"stray" not in scene.client.got
@@ -59,7 +59,7 @@
 
 
 def test_expect_100_continue_is_answered_by_the_proxy_and_not_forwarded():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
     )
@@ -67,7 +67,7 @@
     assert scene.arrivals() == 0
     scene.client.send(b"body")
     assert scene.until(b"\r\n\r\nok")
-    assert b"xpect" not in scene.peers[0].heard[0] and request_scene.statuses(scene.client) == [100, 200]
+    assert b"xpect" not in scene.peers[0].received[0] and request_scene.statuses(scene.client) == [100, 200]
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
@@ -78,7 +78,7 @@
     scene.client.leave(is_reset=is_reset)
     assert loopback.until(scene.loop, lambda: not scene.proxy.handlers and not scene.peers[0].socks)
     scene.client = loopback.Client(loop=scene.loop, address=scene.proxy.address)
-    scene.peers[0].script = request_scene.replying
+    scene.peers[0].script = request_scene.respond_ok
     scene.request("once")
     assert scene.until(b"0\r\n\r\n")
     assert request_scene.statuses(scene.client) == [200]
@@ -100,10 +100,10 @@
 
 @pytest.mark.parametrize("more", [b"Connection: upgrade\r\nUpgrade: other\r\n", b"Expect: something\r\n"])
 def test_upgrade_and_unknown_expect_headers_get_a_plain_response(more):
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("unsafe", more=more)
     assert scene.until(b"\r\n\r\nok")
-    assert b"pgrade" not in scene.peers[0].heard[0]
+    assert b"pgrade" not in scene.peers[0].received[0]
     scene.request("unsafe")
     assert loopback.until(scene.loop, lambda: request_scene.statuses(scene.client) == [200, 200])
 
@@ -124,7 +124,7 @@
 )
 def test_ambiguous_framing_closes_the_connection_without_forwarding(head):
     """The proxy closes a connection whose body length is ambiguous, and never reads the bytes after it as a request."""
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     inner_request = b"POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
     scene.client.send(
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\n%s\r\n4\r\nbody\r\n0\r\n\r\n%s"
@@ -143,8 +143,8 @@
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: outer\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"%x\r\n%s\r\n0\r\nX-Attempt-Id: trailer\r\n\r\n" % (len(inner_request), inner_request)
     )
-    assert request_scene.settled(scene)
-    received = scene.peers[0].heard[0]
+    assert request_scene.wait_until_idle(scene)
+    received = scene.peers[0].received[0]
     assert received.count(b"HTTP/1.1") == 2 and b"trailer" not in received
     assert b"content-length: %d\r\n" % len(inner_request) in received.lower()
 
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("by", ["leaving", "idle time"])
 def test_unread_request_on_an_idle_connection_is_answered_before_closing(by):
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -172,5 +172,5 @@
         scene.proxy.server.close_idle()
     else:
         connection._on_timeout()
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200]
--- a/ploverward/data_plane/requests/test_forwarded_head.py
+++ b/ploverward/data_plane/requests/test_forwarded_head.py
@@ -16,11 +16,11 @@
 
 def received_by_replicas(scene) -> list[bytes]:
     """Returns the bytes that each replica received, without replicas that received nothing."""
-    return [b"".join(peer.heard) for peer in scene.peers if any(peer.heard)]
+    return [b"".join(peer.received) for peer in scene.peers if any(peer.received)]
 
 
 def test_replica_receives_model_token_counts_and_prompt_parts_unchanged():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     (received,) = received_by_replicas(scene)
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("left_ms", [400, 3000, 10**9])
 def test_forwarded_time_left_is_within_client_and_route_limits(left_ms):
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe", left_ms=left_ms)
     assert scene.until(b"\r\n\r\nok")
     (received,) = received_by_replicas(scene)
@@ -48,18 +48,18 @@
     scene = request_scene.Scene(lambda _number, _received: None, lambda _number, _received: None)
     scene.request("safe", left_ms=2000)
     assert loopback.until(scene.loop, lambda: len(received_by_replicas(scene)) == 1)
-    first_replica = next(peer for peer in scene.peers if any(peer.heard))
-    assert loopback.until(scene.loop, lambda: request_scene.is_complete(first_replica.heard[-1]))
+    first_replica = next(peer for peer in scene.peers if any(peer.received))
+    assert loopback.until(scene.loop, lambda: request_scene.is_complete(first_replica.received[-1]))
     scene.loop.skip(seconds=0.6)
-    first_replica.end(len(first_replica.heard) - 1)
+    first_replica.end(len(first_replica.received) - 1)
     assert loopback.until(scene.loop, lambda: len(received_by_replicas(scene)) == 2)
     second_replica = next(peer for peer in scene.peers if peer is not first_replica)
-    time_left_ms = [int(header(peer.heard[-1], b"X-Time-Left-Ms")) for peer in (first_replica, second_replica)]
+    time_left_ms = [int(header(peer.received[-1], b"X-Time-Left-Ms")) for peer in (first_replica, second_replica)]
     assert time_left_ms[0] <= 2000 and time_left_ms[1] <= time_left_ms[0] - 600
 
 
 def test_waiting_request_is_not_sent_after_its_client_disconnects():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.proxy.table.install_list(scene.proxy.list_rows(clearing={"i0"}))
     scene.request("safe")
     assert loopback.until(scene.loop, lambda: scene.proxy.handlers)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("route_name, urgency", [("once", b"0"), ("unsafe", None)])
 def test_client_urgency_header_is_replaced_on_sticky_routes_and_removed_elsewhere(route_name, urgency):
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request(route_name, more=b"X-Urgency: 9\r\n")
     assert scene.until(b"ok") or scene.until(b"200")
     (received,) = received_by_replicas(scene)
--- a/ploverward/data_plane/requests/test_graceful_shutdown.py
+++ b/ploverward/data_plane/requests/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 
 def test_idle_connections_are_closed_during_drain():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     scene.proxy.server.leave()
@@ -31,7 +31,7 @@
 
 
 def test_request_after_the_end_of_drain_is_refused():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     front_end = http_front_end.HttpFrontEnd(
         loop=scene.loop,
         settings=scene.proxy.settings,
@@ -44,7 +44,7 @@
     front_end.has_ended = True
     scene.proxy.server._on_request = front_end.handle_request
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [503] and scene.arrivals() == 0
 
 
@@ -55,10 +55,10 @@
     In a simulation run with a graceS of 8 and streams of 5 s, a stream that began 5.1 s after SIGTERM was aborted at
     7.5 s.
     """
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     request_scene.leave(scene, since_s=since_s)
     scene.request("once", left_ms=5000)
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     if is_accepted:
         assert scene.arrivals() == 1
         return
@@ -68,7 +68,7 @@
 
 
 def test_late_in_drain_a_request_with_an_early_deadline_is_accepted():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     request_scene.leave(scene, since_s=4.0)
     scene.request("safe", left_ms=3000)
     assert scene.until(b"\r\n\r\nok")
@@ -76,9 +76,9 @@
 
 
 def test_second_sigterm_does_not_restart_the_drain_window():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     request_scene.leave(scene, since_s=4.0)
     scene.proxy.drain_window.begin()
     scene.request("once", left_ms=5000)
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [503]
--- a/ploverward/data_plane/requests/test_priority_under_load.py
+++ b/ploverward/data_plane/requests/test_priority_under_load.py
@@ -70,7 +70,7 @@
     def _answer(self, number, request):
         self._is_busy = False
         request_id = request_scene.request_id(request)
-        stream = request_scene.head(request_id) + request_scene.event(1) + request_scene.END
+        stream = request_scene.head(request_id) + request_scene.event(1) + request_scene.LAST_CHUNK
         self.callback(number, [stream])
         self.served.append(re.search(rb"POST /(\w+)/", request)[1])
         self._serve_next()
--- a/ploverward/data_plane/requests/test_processor_quota.py
+++ b/ploverward/data_plane/requests/test_processor_quota.py
@@ -52,4 +52,4 @@
         while len(request_scene.statuses(scene.client)) <= number:
             throttle.step()
     assert request_scene.statuses(scene.client) == [200] * REQUESTS
-    assert scene.arrivals() == REQUESTS and not scene.proxy.faults
+    assert scene.arrivals() == REQUESTS and not scene.proxy.failure_reasons
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -1,8 +1,8 @@
 """Tests random request histories: random clients and replicas with one proxy between them.
 
-The histories are seeded and use real sockets; waiting times are skipped on the loop's clock. `request_history.Checker`
-compares what the replicas ran with what the clients sent and received, independently of the proxy. Injected faults show
-that the checker can fail (docs/requests.md 5).
+The histories are seeded and use real sockets; waiting times are skipped on the loop's clock.
+`request_history.HistoryChecker` compares what the replicas ran with what the clients sent and received, independently
+of the proxy. Injected faults show that the checker can fail (docs/requests.md 5).
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
     def __init__(self, *, seed: int):
         self.chance = random.Random(seed)
         self.loop = loopback.new_loop()
-        self.log = request_log.Log()
+        self.log = request_log.RequestLog()
         self.replicas = [
             random_replica.Replica(loop=self.loop, chance=self.chance, log=self.log, name=f"i{number}")
             for number in range(3)
@@ -56,7 +56,7 @@
         idle = [user for user in self.users if not user.is_closed and user.requests and user.is_done()]
         if idle and self.chance.random() < 0.6:
             return self.chance.choice(idle)
-        user = request_history.User(loop=self.loop, address=self.proxy.address)
+        user = request_history.HistoryClient(loop=self.loop, address=self.proxy.address)
         self.users.append(user)
         return user
 
@@ -87,7 +87,7 @@
         else:
             lines.append(b"Content-Length: %d" % len(body))
             tail = body
-        sent = request_log.Sent(id=request_id, lead=lead, method=method, target=target, body=body)
+        sent = request_log.SentRequest(id=request_id, lead=lead, method=method, target=target, body=body)
         data = b"\r\n".join(lines) + b"\r\n\r\n" + tail
         if tail and chance.random() < 0.05:
             data = data[: -chance.randrange(1, len(tail) + 1)]  # the client will disconnect within the body
@@ -131,7 +131,7 @@
             if self.chance.random() < 0.5:
                 assert self.until(lambda: not self.proxy.handlers and all(user.is_done() for user in self.users))
         self.stop()
-        return request_history.Checker(log=self.log, users=self.users).found()
+        return request_history.HistoryChecker(log=self.log, users=self.users).violations()
 
     def stop(self) -> None:
         """Shuts the proxy down as after SIGTERM, while attempts are in progress, then ends the process."""
@@ -236,9 +236,9 @@
 )
 def test_checker_detects_injected_fault(inject, rule, monkeypatch):
     inject(monkeypatch)
-    found = []
+    violations = []
     for seed in range(8):
-        found += World(seed=seed).run(rounds=25)
-        if any(violation.startswith(rule) for violation in found):
+        violations += World(seed=seed).run(rounds=25)
+        if any(violation.startswith(rule) for violation in violations):
             return
-    raise AssertionError(found)
+    raise AssertionError(violations)
--- a/ploverward/data_plane/requests/test_request_path.py
+++ b/ploverward/data_plane/requests/test_request_path.py
@@ -12,21 +12,27 @@
 
 
 def test_complete_response_is_forwarded_with_postmark_and_replica_is_addressed():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("safe")
     assert scene.until(b"\r\n\r\nok")
     assert b"200 OK" in scene.client.got and re.search(rb"x-postmark: p", scene.client.got, re.I)
-    heard = scene.peers[0].heard[0]
-    assert b"X-Addressed-Replica: i0" in heard and int(re.search(rb"X-Time-Left-Ms: (\d+)", heard, re.I)[1]) <= 3000
+    received = scene.peers[0].received[0]
+    assert (
+        b"X-Addressed-Replica: i0" in received and int(re.search(rb"X-Time-Left-Ms: (\d+)", received, re.I)[1]) <= 3000
+    )
 
 
 @pytest.mark.parametrize("lead", ["once", "unsafe"])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_non_idempotent_request_is_not_resent_after_reused_connection_fails(lead, end):
-    def script(number, heard):
-        if not request_scene.is_complete(heard):
+    def script(number, received):
+        if not request_scene.is_complete(received):
             return None
-        return [request_scene.answer(request_scene.request_id(heard))] if heard.count(b"\r\n\r\nbody") == 1 else [end]
+        return (
+            [request_scene.answer(request_scene.request_id(received))]
+            if received.count(b"\r\n\r\nbody") == 1
+            else [end]
+        )
 
     scene = request_scene.Scene(script)
     scene.request("safe")
@@ -39,7 +45,7 @@
 
 
 def test_an_idempotent_request_is_retried_at_another_replica():
-    scene = request_scene.Scene(lambda number, heard: ["close"], request_scene.replying)
+    scene = request_scene.Scene(lambda number, received: ["close"], request_scene.respond_ok)
     for _ in range(4):
         scene.client.got = b""
         scene.request("safe")
@@ -47,14 +53,14 @@
 
 
 def test_surplus_response_before_next_one_is_skipped():
-    def script(number, heard):
-        if not request_scene.is_complete(heard):
+    def script(number, received):
+        if not request_scene.is_complete(received):
             return None
-        if heard.count(b"\r\n\r\nbody") == 1:
-            return [request_scene.answer(request_scene.request_id(heard))]
+        if received.count(b"\r\n\r\nbody") == 1:
+            return [request_scene.answer(request_scene.request_id(received))]
         return [
-            request_scene.answer(request_scene.request_id(heard, 0), b"stale"),
-            request_scene.answer(request_scene.request_id(heard), b"mine"),
+            request_scene.answer(request_scene.request_id(received, 0), b"stale"),
+            request_scene.answer(request_scene.request_id(received), b"mine"),
         ]
 
     scene = request_scene.Scene(script)
@@ -67,10 +73,13 @@
 
 
 def test_bytes_after_response_are_discarded_and_connection_is_not_reused():
-    def script(number, heard):
+    def script(number, received):
         return (
-            [request_scene.answer(request_scene.request_id(heard)) + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"]
-            if request_scene.is_complete(heard)
+            [
+                request_scene.answer(request_scene.request_id(received))
+                + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
+            ]
+            if request_scene.is_complete(received)
             else None
         )
 
@@ -80,7 +89,7 @@
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
         assert b"bad" not in scene.client.got
-    assert len(scene.peers[0].heard) == 3  # each request used a new connection
+    assert len(scene.peers[0].received) == 3  # each request used a new connection
 
 
 @pytest.mark.parametrize(
@@ -95,10 +104,10 @@
     ],
 )
 def test_invalid_response_is_answered_502(response):
-    def script(number, heard):
-        if not request_scene.is_complete(heard):
+    def script(number, received):
+        if not request_scene.is_complete(received):
             return None
-        return [response.replace(b"%s", request_scene.request_id(heard)), "close"]
+        return [response.replace(b"%s", request_scene.request_id(received)), "close"]
 
     scene = request_scene.Scene(script)
     scene.request("unsafe")
@@ -108,18 +117,18 @@
 
 
 def test_not_run_request_is_retried_within_tries_then_answered_503():
-    def full(number, heard):
+    def full(number, received):
         return (
             [
                 request_scene.answer(
-                    request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"X-Not-Run: 1\r\n"
+                    request_scene.request_id(received), status=b"503 Service Unavailable", more=b"X-Not-Run: 1\r\n"
                 )
             ]
-            if request_scene.is_complete(heard)
+            if request_scene.is_complete(received)
             else None
         )
 
-    scene = request_scene.Scene(full, request_scene.replying)
+    scene = request_scene.Scene(full, request_scene.respond_ok)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene = request_scene.Scene(full)
@@ -130,10 +139,10 @@
 
 
 def test_replica_503_without_x_not_run_is_answered_502():
-    def script(number, heard):
+    def script(number, received):
         return (
-            [request_scene.answer(request_scene.request_id(heard), status=b"503 Service Unavailable", more=b"")]
-            if request_scene.is_complete(heard)
+            [request_scene.answer(request_scene.request_id(received), status=b"503 Service Unavailable", more=b"")]
+            if request_scene.is_complete(received)
             else None
         )
 
@@ -144,25 +153,27 @@
 
 
 def test_a_stream_resumes_at_another_replica_inside_one_response():
-    def interrupting(number, heard):
+    def interrupting(number, received):
         return (
             [
-                request_scene.head(request_scene.request_id(heard)) + request_scene.event(1) + request_scene.event(2),
+                request_scene.head(request_scene.request_id(received))
+                + request_scene.event(1)
+                + request_scene.event(2),
                 "close",
             ]
-            if request_scene.is_complete(heard)
+            if request_scene.is_complete(received)
             else None
         )
 
-    def continuing(number, heard):
-        if not request_scene.is_complete(heard):
+    def continuing(number, received):
+        if not request_scene.is_complete(received):
             return None
-        last = re.search(rb"Last-Event-Id: (\d+)", heard, re.I)
+        last = re.search(rb"Last-Event-Id: (\d+)", received, re.I)
         first = int(last[1]) + 1 if last else 1
         return [
-            request_scene.head(request_scene.request_id(heard))
+            request_scene.head(request_scene.request_id(received))
             + b"".join(request_scene.event(nth) for nth in range(first, 5))
-            + request_scene.END
+            + request_scene.LAST_CHUNK
         ]
 
     for scripts in ((interrupting, continuing), (continuing, interrupting)):
@@ -174,22 +185,22 @@
 
 
 def test_duplicate_events_are_forwarded_once():
-    def interrupting(number, heard):
-        if not request_scene.is_complete(heard):
+    def interrupting(number, received):
+        if not request_scene.is_complete(received):
             return None
-        if b"Last-Event-Id" not in heard:
+        if b"Last-Event-Id" not in received:
             return [
-                request_scene.head(request_scene.request_id(heard))
+                request_scene.head(request_scene.request_id(received))
                 + request_scene.event(1)
                 + request_scene.event(2)
                 + request_scene.event(3)[:9],
                 "close",
             ]
         return [
-            request_scene.head(request_scene.request_id(heard))
+            request_scene.head(request_scene.request_id(received))
             + request_scene.event(2)
             + request_scene.event(3)
-            + request_scene.END
+            + request_scene.LAST_CHUNK
         ]
 
     scene = request_scene.Scene(interrupting, interrupting)
@@ -199,10 +210,10 @@
 
 
 def test_interrupted_stream_that_may_not_resume_has_no_final_chunk():
-    def interrupting(number, heard):
+    def interrupting(number, received):
         return (
-            [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
-            if request_scene.is_complete(heard)
+            [request_scene.head(request_scene.request_id(received)) + request_scene.event(1), "close"]
+            if request_scene.is_complete(received)
             else None
         )
 
@@ -214,7 +225,7 @@
 
 
 def test_request_is_rejected_if_its_home_region_has_no_replica():
-    scene = request_scene.Scene(request_scene.replying, zones=["za"])  # region north; the home region is south
+    scene = request_scene.Scene(request_scene.respond_ok, zones=["za"])  # region north; the home region is south
     scene.request("home")
     assert scene.until(b"HTTP/1.1 503")
     assert re.search(rb"retry-after", scene.client.got, re.I)
@@ -224,12 +235,14 @@
 
 
 def test_custody_trail_lists_each_attempt():
-    def interrupting(number, heard):
-        if not request_scene.is_complete(heard):
+    def interrupting(number, received):
+        if not request_scene.is_complete(received):
             return None
-        if b"Last-Event-Id" not in heard:
-            return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1), "close"]
-        return [request_scene.head(request_scene.request_id(heard)) + request_scene.event(2) + request_scene.END]
+        if b"Last-Event-Id" not in received:
+            return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1), "close"]
+        return [
+            request_scene.head(request_scene.request_id(received)) + request_scene.event(2) + request_scene.LAST_CHUNK
+        ]
 
     scene = request_scene.Scene(interrupting, interrupting, zones=["zb", "zb"])
     scene.request("home")
@@ -242,10 +255,10 @@
 
 
 def test_421_from_another_replica_at_the_address_is_answered_503():
-    def misdirected(number, heard):
+    def misdirected(number, received):
         return (
             [b"HTTP/1.1 421 Misdirected Request\r\nX-Replica-Id: i-x\r\nContent-Length: 0\r\n\r\n"]
-            if request_scene.is_complete(heard)
+            if request_scene.is_complete(received)
             else None
         )
 
@@ -256,7 +269,7 @@
 
 
 def test_request_without_route_is_answered_404_and_connection_stays_open():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("nothing")
     assert scene.until(b"HTTP/1.1 404")
     scene.request("safe")
@@ -274,7 +287,7 @@
     ],
 )
 def test_invalid_framing_is_rejected_and_connection_closed(data, status):
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.client.send(data)
     assert loopback.until(scene.loop, lambda: scene.client.is_closed)
     assert scene.client.got.startswith(b"HTTP/1.1 " + status)
@@ -282,10 +295,10 @@
 
 
 def test_client_disconnect_ends_the_attempt():
-    def script(number, heard):
+    def script(number, received):
         return (
-            [request_scene.head(request_scene.request_id(heard)) + request_scene.event(1)]
-            if request_scene.is_complete(heard)
+            [request_scene.head(request_scene.request_id(received)) + request_scene.event(1)]
+            if request_scene.is_complete(received)
             else None
         )
 
@@ -300,7 +313,7 @@
 
 
 def test_sent_request_past_its_deadline_is_answered_504():
-    scene = request_scene.Scene(lambda number, heard: None)
+    scene = request_scene.Scene(lambda number, received: None)
     scene.request("once", left_ms=200)
     assert scene.until(b"HTTP/1.1 504")
     assert scene.arrivals() == 1
@@ -309,11 +322,11 @@
 def test_client_that_does_not_read_pauses_replica_connection():
     big = b"x" * 30000
 
-    def script(number, heard):
-        if not request_scene.is_complete(heard):
+    def script(number, received):
+        if not request_scene.is_complete(received):
             return None
         return [
-            request_scene.head(request_scene.request_id(heard))
+            request_scene.head(request_scene.request_id(received))
             + b"".join(
                 b"%x\r\n%s\r\n" % (len(text), text)
                 for text in (b"id: %d\ndata: %s\n\n" % (nth, big) for nth in range(1, 3))
@@ -336,7 +349,7 @@
 
 
 def test_request_over_body_budget_is_answered_503():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.proxy.server.body_budget.max_bytes = 3
     scene.request("safe")
     assert scene.until(b"HTTP/1.1 503")
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -180,7 +180,7 @@
 
     received = {}
     for index, (peer, zone) in enumerate(zip(peers, zones, strict=False)):
-        for data in peer.heard:
+        for data in peer.received:
             for request_id in ids(data):
                 received.setdefault(request_id, set()).add((f"i{index}", zone))
     assert len(received) > 5
--- a/ploverward/data_plane/requests/test_resumption.py
+++ b/ploverward/data_plane/requests/test_resumption.py
@@ -29,25 +29,25 @@
     return kinds
 
 
-def failing(number, heard):
+def failing(number, received):
     return (
-        [request_scene.answer(request_scene.request_id(heard), b"no", status=b"500 Broken")]
-        if request_scene.is_complete(heard)
+        [request_scene.answer(request_scene.request_id(received), b"no", status=b"500 Broken")]
+        if request_scene.is_complete(received)
         else None
     )
 
 
 @pytest.mark.parametrize("status", [b"500 Broken", b"502 Broken", b"200 OK"])
 def test_replica_with_failing_attempts_is_reported_and_avoided(status):
-    def script(number, heard):
+    def script(number, received):
         more = b"" if status.startswith(b"200") else b"X-Postmark: p\r\n"  # a success without X-Postmark is invalid
         return (
-            [request_scene.answer(request_scene.request_id(heard), b"no", status=status, more=more)]
-            if request_scene.is_complete(heard)
+            [request_scene.answer(request_scene.request_id(received), b"no", status=status, more=more)]
+            if request_scene.is_complete(received)
             else None
         )
 
-    scene = request_scene.Scene(script, request_scene.replying)
+    scene = request_scene.Scene(script, request_scene.respond_ok)
     kinds = reported_kinds(scene)
     for _ in range(12):
         scene.client.got = b""
@@ -60,15 +60,15 @@
 
 def test_proxy_sends_no_health_requests_to_replicas():
     """A false health response can therefore not influence the choice of replicas."""
-    scene = request_scene.Scene(request_scene.replying, request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok, request_scene.respond_ok)
     for _ in range(8):
         scene.client.got = b""
         scene.request("safe")
         assert scene.until(b"\r\n\r\nok")
     scene.proxy.table.check_suspected_replicas()
     scene.proxy.table.sweep()
-    heard = b"".join(heard for peer in scene.peers for heard in peer.heard)
-    assert b"GET " not in heard and b"/health" not in heard
+    received = b"".join(received for peer in scene.peers for received in peer.received)
+    assert b"GET " not in received and b"/health" not in received
 
 
 def test_flapping_replica_is_excluded_for_longer_each_time():
@@ -108,11 +108,11 @@
     server.bind((loopback.own_address(), 0))
     server.listen(5)
     server.setblocking(False)
-    heard = []
+    received = []
 
     def accept(_mask):
         sock, _address = server.accept()
-        heard.append(sock)  # stays open and accepts all data, but never sends any
+        received.append(sock)  # stays open and accepts all data, but never sends any
 
     loop.watch(sock=server, mask=selectors.EVENT_READ, callback=accept)
     ended = []
@@ -135,12 +135,12 @@
     assert loopback.until(loop, lambda: ended)
     assert ended[0] == "silent" and heartbeats[0] >= 2
     connector.stop()
-    for sock in [server, *heard]:
+    for sock in [server, *received]:
         sock.close()
 
 
 def test_traffic_spike_is_spread_over_replicas_before_load_reports():
-    scene = request_scene.Scene(*[request_scene.replying] * 4)
+    scene = request_scene.Scene(*[request_scene.respond_ok] * 4)
     chance = random.Random(3)
     chosen = collections.Counter()
     for number in range(64):
@@ -155,16 +155,16 @@
 
 @pytest.mark.parametrize("lead, is_answered", [("safe", True), ("once", False)])
 def test_reset_of_stale_idle_connection_is_not_counted_as_replica_failure(lead, is_answered):
-    def script(number, heard):
-        if not request_scene.is_complete(heard):
+    def script(number, received):
+        if not request_scene.is_complete(received):
             return None
         return (
             ["reset"]
-            if len(re.findall(rb"x-attempt-id", heard, re.I)) > 1
-            else [request_scene.answer(request_scene.request_id(heard))]
+            if len(re.findall(rb"x-attempt-id", received, re.I)) > 1
+            else [request_scene.answer(request_scene.request_id(received))]
         )
 
-    scene = request_scene.Scene(script, request_scene.replying)
+    scene = request_scene.Scene(script, request_scene.respond_ok)
     kinds = reported_kinds(scene)
     replica = scene.proxy.table.replicas["i0"]
     scene.proxy.table.replicas["i1"].is_draining = True
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -12,8 +12,8 @@
 def test_an_id_that_comes_again_is_not_paired_with_the_answer_of_its_former_request():
     """The former answer comes twice, late; the id can't tell it from the answer that is due."""
 
-    def script(number, heard):
-        ids = re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)
+    def script(number, received):
+        ids = re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)
         if len(ids) == 2:
             return [request_scene.answer(ids[0], b"first") + request_scene.answer(ids[1], b"second")]
         return [request_scene.answer(ids[0], b"first" if number == 0 else b"second")]
@@ -24,14 +24,14 @@
     scene.client.got = b""
     scene.number -= 1
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert scene.client.got.endswith(b"second")
 
 
 @pytest.mark.parametrize("end", [False, True])
 def test_an_idle_connection_that_ended_unseen_is_not_used(end):
     """Both the end of the connection and the next request wait when the loop looks."""
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -40,12 +40,12 @@
     scene.loop.skip(seconds=2.0)
     scene.peers[0].end(0, is_reset=end)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200] and scene.arrivals() == 2
 
 
 def test_after_a_freeze_no_idle_connection_is_used_and_no_late_request_is_sent():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -61,22 +61,22 @@
     scene.loop.skip(seconds=16.0)
     scene.client = loopback.Client(loop=scene.loop, address=scene.proxy.address)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200]
-    assert len(scene.peers[0].heard) == 2 and scene.peers[0].heard[1]  # by a new connection
+    assert len(scene.peers[0].received) == 2 and scene.peers[0].received[1]  # by a new connection
 
 
 def test_connections_that_a_replica_forgets_without_a_word_cost_one_request_not_many():
-    def script(number, heard):
-        is_rested = heard.lower().count(b"x-attempt-id") > 1
-        return ["reset"] if is_rested else request_scene.answering()(number, heard)
+    def script(number, received):
+        is_rested = received.lower().count(b"x-attempt-id") > 1
+        return ["reset"] if is_rested else request_scene.respond_with()(number, received)
 
     scene = request_scene.Scene(script)
     told = []
     for _ in range(5):
         scene.client.got = b""
         scene.request("unsafe")
-        assert request_scene.settled(scene)
+        assert request_scene.wait_until_idle(scene)
         told += request_scene.statuses(scene.client)
         scene.loop.skip(seconds=0.7)
     assert told == [200, 502, 200, 200, 200]
@@ -86,46 +86,47 @@
 
 @pytest.mark.parametrize("others", [0, 1])
 def test_a_connection_that_does_not_come_up_carried_nothing(others):
-    scene = request_scene.Scene(request_scene.replying, *[request_scene.replying] * others)
+    scene = request_scene.Scene(request_scene.respond_ok, *[request_scene.respond_ok] * others)
     for index in range(others):
         scene.proxy.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
     scene.loop.unwatch(sock=scene.peers[0].sock)
     scene.peers[0].sock.close()
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200 if others else 503] and scene.arrivals() == others
 
 
 def test_informational_answers_of_a_replica_are_not_taken_for_the_answer():
-    def script(number, heard):
+    def script(number, received):
         return [
-            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3 + request_scene.answer(request_scene.request_id(heard))
+            b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
+            + request_scene.answer(request_scene.request_id(received))
         ]
 
     scene = request_scene.Scene(script)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200]
 
 
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
-    scene = request_scene.Scene(lambda number, heard: [end], request_scene.replying)
+    scene = request_scene.Scene(lambda number, received: [end], request_scene.respond_ok)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
-    request_scene.in_part(scene, monkeypatch, most=1)
+    request_scene.limit_sent_bytes(scene, monkeypatch, most=1)
     scene.request(lead)
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [502]
-    assert [len(heard) for peer in scene.peers for heard in peer.heard] == [1]
+    assert [len(received) for peer in scene.peers for received in peer.received] == [1]
 
 
 def test_no_byte_that_left_is_a_request_that_has_not_run(monkeypatch):
-    scene = request_scene.Scene(request_scene.replying)
-    request_scene.in_part(scene, monkeypatch, most=0)
+    scene = request_scene.Scene(request_scene.respond_ok)
+    request_scene.limit_sent_bytes(scene, monkeypatch, most=0)
     scene.request("once", left_ms=200)
-    assert request_scene.settled(scene)
-    assert request_scene.statuses(scene.client) == [503] and scene.peers[0].heard == [b""]
+    assert request_scene.wait_until_idle(scene)
+    assert request_scene.statuses(scene.client) == [503] and scene.peers[0].received == [b""]
 
 
 @pytest.mark.parametrize(
@@ -137,19 +138,19 @@
 )
 def test_an_early_answer_stands_and_its_connection_ends(early, told, monkeypatch):
     """The replica answers when it has a part; the rest of the request never leaves."""
-    scene = request_scene.Scene(lambda number, heard: [early])
-    request_scene.in_part(scene, monkeypatch, most=100)
+    scene = request_scene.Scene(lambda number, received: [early])
+    request_scene.limit_sent_bytes(scene, monkeypatch, most=100)
     scene.request("once" if told == [503] else "unsafe")
-    assert request_scene.settled(scene)
-    assert request_scene.statuses(scene.client) == told and len(scene.peers[0].heard[0]) == 100
+    assert request_scene.wait_until_idle(scene)
+    assert request_scene.statuses(scene.client) == told and len(scene.peers[0].received[0]) == 100
     assert loopback.until(scene.loop, lambda: not scene.peers[0].socks)
 
 
 def test_an_answer_before_its_request_is_nobodys(monkeypatch):
-    scene = request_scene.Scene(request_scene.replying)
-    request_scene.in_part(scene, monkeypatch, most=0)
+    scene = request_scene.Scene(request_scene.respond_ok)
+    request_scene.limit_sent_bytes(scene, monkeypatch, most=0)
     scene.request("once", left_ms=1000)
     assert loopback.until(scene.loop, lambda: scene.peers[0].socks)
     scene.peers[0].callback(0, [request_scene.answer(b"a1", b"early")])
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [503]
--- a/ploverward/simulation/batch_scene.py
+++ b/ploverward/simulation/batch_scene.py
@@ -264,8 +264,8 @@
 
     def arrivals(self) -> list[bytes]:
         """Returns the ids of all requests that replicas heard, in no certain order."""
-        heard = (heard for peer in self.peers for heard in peer.heard)
-        return [which for each in heard for which in re.findall(rb"(?i)X-Attempt-Id: (\S+)", each)]
+        received = (received for peer in self.peers for received in peer.received)
+        return [which for each in received for which in re.findall(rb"(?i)X-Attempt-Id: (\S+)", each)]
 
 
 def _free_port() -> int:
@@ -284,12 +284,12 @@
 def streaming(*texts: bytes) -> loopback.Script:
     """Returns a script that streams an event for each text."""
 
-    def script(_number: int, heard: bytes) -> list[loopback.Act] | None:
-        if not request_scene.is_complete(heard):
+    def script(_number: int, received: bytes) -> list[loopback.Action] | None:
+        if not request_scene.is_complete(received):
             return None
-        which = request_scene.request_id(heard)
+        which = request_scene.request_id(received)
         events = b"".join(_chunk(b"id: %d\ndata: %s\n\n" % (number, text)) for number, text in enumerate(texts, 1))
-        return [request_scene.head(which) + events + request_scene.END]
+        return [request_scene.head(which) + events + request_scene.LAST_CHUNK]
 
     return script
 
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -19,8 +19,8 @@
 PEERS_HOST = 254  # where scripted peers and doors listen; tests take other hosts for nodes of theirs
 
 
-Act = bytes | str  # bytes to send, "close" or "reset"
-Script = Callable[[int, bytes], Iterable[Act] | None]
+Action = bytes | str  # bytes to send, "close" or "reset"
+Script = Callable[[int, bytes], Iterable[Action] | None]
 
 
 def own_address(*, host: int = PEERS_HOST) -> str:
@@ -55,13 +55,13 @@
         self.step()
 
 
-def new_loop(*, faults: list[Exception] | None = None) -> SkippingLoop:
-    """Returns a loop. What a step raises is raised, or gathered in `faults`, as the programs gather it."""
+def new_loop(*, errors: list[Exception] | None = None) -> SkippingLoop:
+    """Returns a loop. What a step raises is raised, or gathered in `errors`, as the programs gather it."""
 
     def raise_it(error: Exception) -> None:
         raise error
 
-    return SkippingLoop(on_error=raise_it if faults is None else faults.append)
+    return SkippingLoop(on_error=raise_it if errors is None else errors.append)
 
 
 def until(loop: event_loop.Loop, is_so: Callable[[], object]) -> bool:
@@ -97,7 +97,7 @@
             bytes to send, "close" or "reset"; None to wait for more.
 
     Attributes:
-        heard: The bytes that came, by connection.
+        received: The bytes that came, by connection.
         socks: The sockets of open connections, by connection.
         address: Where it listens.
     """
@@ -105,7 +105,7 @@
     def __init__(self, *, loop: event_loop.Loop, script: Script) -> None:
         self.loop = loop
         self.script = script
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.socks: dict[int, socket.socket] = {}
         self.sock = socket.socket()
         self.sock.bind((own_address(), 0))
@@ -117,8 +117,8 @@
     def _accept(self, _mask: int) -> None:
         sock, _address = self.sock.accept()
         sock.setblocking(False)
-        number = len(self.heard)
-        self.heard.append(b"")
+        number = len(self.received)
+        self.received.append(b"")
         self.socks[number] = sock
         self.loop.watch(sock=sock, mask=selectors.EVENT_READ, callback=lambda mask: self._read(sock, number))
 
@@ -130,10 +130,10 @@
         if not data:
             self.end(number)
             return
-        self.heard[number] += data
-        self.callback(number, self.script(number, self.heard[number]) or ())
+        self.received[number] += data
+        self.callback(number, self.script(number, self.received[number]) or ())
 
-    def callback(self, number: int, acts: Iterable[Act]) -> None:
+    def callback(self, number: int, acts: Iterable[Action]) -> None:
         """Sends bytes, or ends the connection, as a script says, on connection `number`, if it is still there."""
         for act in acts:
             if number not in self.socks:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -120,7 +120,7 @@
         limits: Of what clients may send.
 
     Attributes:
-        faults: The reasons of attempts that failed.
+        failure_reasons: The reasons of attempts that failed.
         rows: The endpoint list.
         configuration_age: Seconds since the configuration was certainly the newest.
         address: Where clients connect.
@@ -161,8 +161,8 @@
         self.batches = custody_trails.TrailBatches(max_trails=1000)
         self.adapters = adapter_counts.AdapterCounter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
-        self.faults: list[str] = []
-        self.begun: list[str] = []  # tenants of requests that replicas began
+        self.failure_reasons: list[str] = []
+        self.started_tenants: list[str] = []  # tenants of requests that replicas began
         self.residency = residency_history.ResidencyHistory(
             now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
@@ -216,13 +216,13 @@
 
     def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
         """An attempt failed."""
-        self.faults.append(reason)
+        self.failure_reasons.append(reason)
         if not was_up:
             self.table.mark_suspected(replica)
 
     def note_request_started(self, tenant: str) -> None:
         """A request of a tenant began to run at a replica."""
-        self.begun.append(tenant)
+        self.started_tenants.append(tenant)
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
         """421: left alone for 2 s."""
--- a/ploverward/simulation/random_replica.py
+++ b/ploverward/simulation/random_replica.py
@@ -14,9 +14,9 @@
 from ploverward.simulation import loopback
 from ploverward.simulation.request_log import EVENTS
 from ploverward.simulation.request_log import STREAM_ROUTES
-from ploverward.simulation.request_log import Log
-from ploverward.simulation.request_log import Received
-from ploverward.simulation.request_log import Run
+from ploverward.simulation.request_log import ReceivedRequest
+from ploverward.simulation.request_log import ReplicaRun
+from ploverward.simulation.request_log import RequestLog
 from ploverward.simulation.request_log import Stamp
 
 READ_BYTES = 65536
@@ -113,16 +113,16 @@
         name: Its identifier, which requests have to name.
     """
 
-    def __init__(self, *, loop: loopback.SkippingLoop, chance: random.Random, log: Log, name: str) -> None:
+    def __init__(self, *, loop: loopback.SkippingLoop, chance: random.Random, log: RequestLog, name: str) -> None:
         super().__init__(loop=loop, script=lambda _number, _data: None)
         self.chance = chance
         self.log = log
         self.name = name
         # All by the number of the connection.
         self._parsers: dict[int, h11.Connection] = {}
-        self._requests: dict[int, Received] = {}  # while they are read
+        self._requests: dict[int, ReceivedRequest] = {}  # while they are read
         self._behaviors: dict[int, Behavior] = {}
-        self._surplus: dict[int, list[loopback.Act]] = collections.defaultdict(list)  # answers still to be repeated
+        self._surplus: dict[int, list[loopback.Action]] = collections.defaultdict(list)  # answers still to be repeated
 
     def replace(self, name: str) -> None:
         """Another incarnation starts at the same address."""
@@ -159,7 +159,7 @@
 
     def _handle_head(self, number: int, event: h11.Request) -> None:
         headers = dict(event.headers)
-        request = Received(
+        request = ReceivedRequest(
             id=headers.get(b"x-attempt-id", b""),
             addressed=headers.get(b"x-addressed-replica", b""),
             last_event=headers.get(b"last-event-id", b"0"),
@@ -180,7 +180,7 @@
     def _ending(self) -> str:
         return self.chance.choice(("close", "reset"))
 
-    def _handle_request(self, number: int, request: Received) -> None:
+    def _handle_request(self, number: int, request: ReceivedRequest) -> None:
         behavior = self._behaviors[number]
         surplus = self._surplus.pop(number, [])
         if behavior is Behavior.ANOTHER:
@@ -193,14 +193,14 @@
                 self._surplus[number].append(rejection)
         elif behavior in (Behavior.ENDS, Behavior.SILENT):
             if self.chance.random() < 0.5:
-                self.log.begin(request=request, replica=self.name)
+                self.log.record_run(request=request, replica=self.name)
             if behavior is Behavior.ENDS:
                 self.callback(number, [*surplus, self._ending()])
         else:
             self._run(number, request, behavior, surplus)
 
-    def _run(self, number: int, request: Received, behavior: Behavior, surplus: list[loopback.Act]) -> None:
-        run = self.log.begin(request=request, replica=self.name, first_event=int(request.last_event) + 1)
+    def _run(self, number: int, request: ReceivedRequest, behavior: Behavior, surplus: list[loopback.Action]) -> None:
+        run = self.log.record_run(request=request, replica=self.name, first_event=int(request.last_event) + 1)
         overload = self.chance.choice((503, 429, 408))
         status = {Behavior.BARE_503: overload, Behavior.BROKEN: 500}.get(behavior, 200)
         is_stream = status == 200 and request.target.split(b"/")[1].decode() in STREAM_ROUTES
@@ -215,7 +215,7 @@
             self._surplus[number] += acts
         self._perform(number, behavior, [*surplus, *acts])
 
-    def _headers(self, run: Run, behavior: Behavior, status: int, body: bytes | None) -> tuple[bytes, ...]:
+    def _headers(self, run: ReplicaRun, behavior: Behavior, status: int, body: bytes | None) -> tuple[bytes, ...]:
         stamp = b"s%d" % run.number
         self.log.stamps[stamp] = Stamp(run.id, status, body)
         headers = [] if behavior is Behavior.UNSTAMPED else [b"X-Postmark: " + stamp]
@@ -226,7 +226,7 @@
         return tuple(headers)
 
     def _answer(
-        self, run: Run, which: bytes, headers: tuple[bytes, ...], status: int, body: bytes | None
+        self, run: ReplicaRun, which: bytes, headers: tuple[bytes, ...], status: int, body: bytes | None
     ) -> list[bytes]:
         if body is not None:
             return [complete_answer(status, which, headers, body)]
@@ -236,7 +236,7 @@
             pieces.append(chunk(b"id: %d\ndata: %s %d\n\n" % (number, run.id, number)))
         return [*pieces, b"0\r\n\r\n"]
 
-    def _disturb(self, behavior: Behavior, pieces: list[bytes], *, is_stream: bool) -> list[loopback.Act]:
+    def _disturb(self, behavior: Behavior, pieces: list[bytes], *, is_stream: bool) -> list[loopback.Action]:
         """What is sent instead of a sound answer."""
         if behavior is Behavior.CUT:
             data = b"".join(pieces)
@@ -252,7 +252,7 @@
             return [*pieces, *pieces]
         return [*pieces]
 
-    def _perform(self, number: int, behavior: Behavior, acts: list[loopback.Act]) -> None:
+    def _perform(self, number: int, behavior: Behavior, acts: list[loopback.Action]) -> None:
         if behavior in (Behavior.SLOW, Behavior.WAKES):
             pause_s = SLOW_S if behavior is Behavior.SLOW else WAKES_S
             at = 0.0
--- a/ploverward/simulation/relay_hosts.py
+++ b/ploverward/simulation/relay_hosts.py
@@ -40,7 +40,7 @@
     host.handle_aggregates(connection, recording_connections.aggregates_message(number, loads=loads, reads=reads))
 
 
-def send(host: hosts.RelayHost, name: str = "r1") -> recording_connections.RecordingLink:
+def report_attempt(host: hosts.RelayHost, name: str = "r1") -> recording_connections.RecordingLink:
     """One attempt at a replica began, reported by a digest that does nothing else."""
     source = recording_connections.RecordingLink()
     send_report(host, source, recording_connections.load_row(name, running=1, tokens=20))
@@ -52,7 +52,7 @@
     send_report(host, source, reads=[recording_connections.read_row(name, *((part, 10) for part in parts))])
 
 
-def feed(region: mirrors.RegionMirror, wire: recording_connections.RecordingLink) -> None:
+def apply_publications(region: mirrors.RegionMirror, wire: recording_connections.RecordingLink) -> None:
     """Hands a mirror all that a subscriber was sent."""
     for message in wire.messages:
         region.handle_publication(message)
@@ -62,11 +62,11 @@
 def last_load(wire: recording_connections.RecordingLink) -> dict[bytes, load_feed.Load]:
     """The loads that a subscriber has after all that it was sent."""
     region = mirrors.RegionMirror(now=lambda: 0.0, trust_s=5.0)
-    feed(region, wire)
+    apply_publications(region, wire)
     return region.load
 
 
-def drain(host: hosts.RelayHost) -> None:
+def publish_all(host: hosts.RelayHost) -> None:
     """Ticks until all that changed is published."""
     for _ in range(2000):
         host.tick()
--- a/ploverward/simulation/request_history.py
+++ b/ploverward/simulation/request_history.py
@@ -15,9 +15,9 @@
 from ploverward.simulation.request_log import IDEMPOTENT_ROUTES
 from ploverward.simulation.request_log import MAX_ATTEMPTS
 from ploverward.simulation.request_log import STREAM_ROUTES
-from ploverward.simulation.request_log import Log
-from ploverward.simulation.request_log import Run
-from ploverward.simulation.request_log import Sent
+from ploverward.simulation.request_log import ReplicaRun
+from ploverward.simulation.request_log import RequestLog
+from ploverward.simulation.request_log import SentRequest
 from ploverward.simulation.request_log import Stamp
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these the proxy promises that nothing was run
@@ -34,7 +34,7 @@
     is_complete: bool = False
 
 
-class User(loopback.Client):
+class HistoryClient(loopback.Client):
     """A client's connection.
 
     Args:
@@ -48,7 +48,7 @@
 
     def __init__(self, *, loop: loopback.SkippingLoop, address: tuple[str, int]) -> None:
         super().__init__(loop=loop, address=address)
-        self.requests: list[Sent] = []
+        self.requests: list[SentRequest] = []
         self.is_left = False
 
     def leave(self, *, is_reset: bool = False) -> None:
@@ -60,7 +60,7 @@
     def answers(self) -> tuple[dict[bytes, Answer], bytes]:
         """({id: answer}, bytes behind the last one), read again from all bytes."""
         trailing = self.got
-        found = {}
+        violations = {}
         for sent in self.requests:
             answer = Answer()
             is_readable = True
@@ -69,12 +69,12 @@
             except h11.RemoteProtocolError:
                 trailing, is_readable = b"", False
             if answer.status:
-                found[sent.id] = answer
+                violations[sent.id] = answer
             if not is_readable:
                 break
-        return found, trailing
+        return violations, trailing
 
-    def _read_answer(self, sent: Sent, data: bytes, answer: Answer) -> bytes:
+    def _read_answer(self, sent: SentRequest, data: bytes, answer: Answer) -> bytes:
         """Fills in an answer; returns the bytes behind it.
 
         Raises:
@@ -103,14 +103,16 @@
 
     def is_done(self) -> bool:
         """Whether nothing more is to come."""
-        found, _trailing = self.answers()
-        return self.is_closed or all(sent.id in found and found[sent.id].is_complete for sent in self.requests)
+        violations, _trailing = self.answers()
+        return self.is_closed or all(
+            sent.id in violations and violations[sent.id].is_complete for sent in self.requests
+        )
 
 
 Breaches = collections.abc.Iterator[str]
 
 
-class Checker:
+class HistoryChecker:
     """The rules, over what was seen outside.
 
     Args:
@@ -118,14 +120,14 @@
         users: All clients.
     """
 
-    def __init__(self, *, log: Log, users: collections.abc.Sequence[User]) -> None:
+    def __init__(self, *, log: RequestLog, users: collections.abc.Sequence[HistoryClient]) -> None:
         self.log = log
         self.users = users
-        self.runs: dict[bytes, list[Run]] = collections.defaultdict(list)
+        self.runs: dict[bytes, list[ReplicaRun]] = collections.defaultdict(list)
         for run in log.runs:
             self.runs[run.id].append(run)
 
-    def found(self) -> list[str]:
+    def violations(self) -> list[str]:
         """All breaches, each with the name of its rule first."""
         breaches = [*self._of_runs(), *self._of_arrivals()]
         for user in self.users:
@@ -154,7 +156,7 @@
             if sent is not None and count > MAX_ATTEMPTS[sent.lead]:
                 yield f"BUDGET tries {which!r}: {count}"
 
-    def _of_answer(self, sent: Sent, answer: Answer) -> Breaches:
+    def _of_answer(self, sent: SentRequest, answer: Answer) -> Breaches:
         if answer.status in NOT_RUN_STATUSES and sent.lead not in IDEMPOTENT_ROUTES and self.runs[sent.id]:
             yield "REFUSED"
         header = answer.headers.get(b"x-postmark")
@@ -170,7 +172,7 @@
         if 200 <= answer.status < 300:
             yield from self._of_success(sent, answer, stamp)
 
-    def _of_success(self, sent: Sent, answer: Answer, stamp: Stamp | None) -> Breaches:
+    def _of_success(self, sent: SentRequest, answer: Answer, stamp: Stamp | None) -> Breaches:
         if stamp is None:
             yield "MIXED success without a stamp"
         elif sent.lead in STREAM_ROUTES:
@@ -180,7 +182,7 @@
         elif stamp.body is None or not stamp.body.startswith(answer.body):
             yield "MIXED part of a body"
 
-    def _of_stream(self, sent: Sent, answer: Answer) -> Breaches:
+    def _of_stream(self, sent: SentRequest, answer: Answer) -> Breaches:
         wanted = b"".join(b"id: %d\ndata: %s %d\n\n" % (number, sent.id, number) for number in range(1, EVENTS + 1))
         if not wanted.startswith(answer.body):
             yield "ORDER"
--- a/ploverward/simulation/request_log.py
+++ b/ploverward/simulation/request_log.py
@@ -1,7 +1,7 @@
 """What the world outside a proxy saw of its requests: sent by clients, run by replicas (docs/requests.md 5).
 
-`Log` owns it. Replicas and clients write to it, `ploverward.simulation.request_history.Checker` reads it; the proxy
-does neither.
+`RequestLog` owns it. Replicas and clients write to it, `ploverward.simulation.request_history.HistoryChecker` reads it;
+the proxy does neither.
 """
 
 import collections
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentRequest:
     """A request as a client sent it.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass
-class Received:
+class ReceivedRequest:
     """A request as a replica reads it.
 
     Attributes:
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Run:
+class ReplicaRun:
     """A request as a replica began to process it."""
 
     number: int
@@ -82,7 +82,7 @@
     body: bytes | None  # None: a stream
 
 
-class Log:
+class RequestLog:
     """What the world outside the proxy saw.
 
     Attributes:
@@ -93,14 +93,14 @@
     """
 
     def __init__(self) -> None:
-        self.sent: dict[bytes, Sent] = {}
-        self.runs: list[Run] = []
+        self.sent: dict[bytes, SentRequest] = {}
+        self.runs: list[ReplicaRun] = []
         self.arrivals: collections.Counter[bytes] = collections.Counter()
         self.stamps: dict[bytes, Stamp] = {}
 
-    def begin(self, *, request: Received, replica: str, first_event: int = 1) -> Run:
+    def record_run(self, *, request: ReceivedRequest, replica: str, first_event: int = 1) -> ReplicaRun:
         """A replica begins to process a request."""
-        run = Run(
+        run = ReplicaRun(
             number=len(self.runs) + 1,
             id=request.id,
             replica=replica,
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -13,14 +13,14 @@
 from ploverward.simulation import loopback_proxy
 
 
-def request_id(heard: bytes, nth: int = -1) -> bytes:
+def request_id(received: bytes, nth: int = -1) -> bytes:
     """Returns the id of the last request in the bytes, or of the nth."""
-    return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)[nth]
+    return re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)[nth]
 
 
-def is_complete(heard: bytes) -> bool:
+def is_complete(received: bytes) -> bool:
     """Whether each request in the bytes has its body."""
-    return heard.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", heard, re.I))
+    return received.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", received, re.I))
 
 
 def answer(
@@ -44,7 +44,7 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -56,16 +56,16 @@
     Args:
         scripts: One for each replica.
         zones: Of the replicas, in that order; za where none are given.
-        faults: Gathers what steps of the loop raise; without it, that is raised.
+        errors: Gathers what steps of the loop raise; without it, that is raised.
     """
 
     def __init__(
         self,
         *scripts: loopback.Script,
         zones: list[str] | None = None,
-        faults: list[Exception] | None = None,
+        errors: list[Exception] | None = None,
     ) -> None:
-        self.loop = loopback.new_loop(faults=faults)
+        self.loop = loopback.new_loop(errors=errors)
         self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
         self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
@@ -87,19 +87,21 @@
 
     def arrivals(self) -> int:
         """Returns how many requests the replicas heard of."""
-        return sum(len(re.findall(rb"X-Attempt-Id", heard, re.I)) for peer in self.peers for heard in peer.heard)
+        return sum(
+            len(re.findall(rb"X-Attempt-Id", received, re.I)) for peer in self.peers for received in peer.received
+        )
 
 
-def replying(number: int, heard: bytes) -> list[loopback.Act] | None:
+def respond_ok(number: int, received: bytes) -> list[loopback.Action] | None:
     """A script: answers each complete request."""
-    return [answer(request_id(heard))] if is_complete(heard) else None
+    return [answer(request_id(received))] if is_complete(received) else None
 
 
-def answering(body: bytes = b"ok", **about: bytes) -> loopback.Script:
+def respond_with(body: bytes = b"ok", **about: bytes) -> loopback.Script:
     """Returns a script that gives this answer to each complete request."""
 
-    def script(number: int, heard: bytes) -> list[loopback.Act] | None:
-        return [answer(request_id(heard), body, **about)] if is_complete(heard) else None
+    def script(number: int, received: bytes) -> list[loopback.Action] | None:
+        return [answer(request_id(received), body, **about)] if is_complete(received) else None
 
     return script
 
@@ -109,7 +111,7 @@
     return [int(status) for status in re.findall(rb"HTTP/1\.1 (\d+)", client.got)]
 
 
-def settled(scene: Scene) -> bool:
+def wait_until_idle(scene: Scene) -> bool:
     """Steps the loop until the client got something and no request is under way; returns whether that came."""
     return loopback.until(scene.loop, lambda: scene.client.got and not scene.proxy.handlers)
 
@@ -133,7 +135,7 @@
         return count
 
 
-def in_part(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
+def limit_sent_bytes(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
     """Connections to replicas take only so many bytes of a request."""
     open_ = connection_pool.ConnectionPool.open
 
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -126,7 +126,7 @@
         self.requests.discard(next(one for one in self.requests if one.replica is replica))
         self.client.source.record_attempt(replica=replica, kind=report_source.DONE)
 
-    def sees(self, name: str) -> int:
+    def known_load(self, name: str) -> int:
         """How many attempts of all proxies it takes to be running there."""
         return self.chooser.load(self.table.replicas[name])[0]
 
@@ -197,7 +197,7 @@
         self._loop.call_soon_threadsafe(callback=callback)
 
 
-class Zones:
+class ProxyCluster:
     """Five proxies of one zone, one of another; singleton roles as the cluster coordinator would assign them."""
 
     def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
@@ -206,10 +206,10 @@
             probe.bind((loopback.own_address(), 0))
             port = probe.getsockname()[1]
         ports = (port, port + 2)
-        self.places = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
+        self.zone_by_ip = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
         self.nodes = {
             ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
-            for ip, zone in self.places.items()
+            for ip, zone in self.zone_by_ip.items()
         }
         self.singleton_roles: dict[str, tuple[int, str, str]] = {}  # epoch, owner, its incarnation
         self.live = set(self.nodes)
@@ -234,18 +234,21 @@
         """Has one proxy know the owners of roles."""
         self.nodes[ip].client.update_roles(dict(self.singleton_roles))
 
-    def truth(self, name: str) -> int:
+    def actual_load(self, name: str) -> int:
         """How many attempts run at a replica."""
         return sum(self.nodes[ip].table.replicas[name].running for ip in self.live)
 
     def agree(self) -> bool:
         """Whether every live proxy sees what runs."""
-        return all(self.nodes[ip].sees(row["id"]) == self.truth(row["id"]) for ip in self.live for row in ROWS)
+        return all(
+            self.nodes[ip].known_load(row["id"]) == self.actual_load(row["id"]) for ip in self.live for row in ROWS
+        )
 
-    def converge(self) -> None:
+    def assert_converges(self) -> None:
         """Fails unless all live proxies come to see what runs."""
         assert loopback.until(self.loop, self.agree), {
-            ip: [(self.nodes[ip].sees(row["id"]), self.truth(row["id"])) for row in ROWS] for ip in self.live
+            ip: [(self.nodes[ip].known_load(row["id"]), self.actual_load(row["id"])) for row in ROWS]
+            for ip in self.live
         }
 
     def stop(self, ip: str) -> None:
@@ -267,7 +270,7 @@
         """The address of the owner of the zone's first digest."""
         return self.singleton_roles["digest/za"][1]
 
-    def work(self, *, seed: int) -> None:
+    def start_attempts(self, *, seed: int) -> None:
         """Every live proxy begins four attempts."""
         chance = random.Random(seed)
         for ip in self.live:
@@ -275,7 +278,7 @@
                 self.nodes[ip].begin(chance.choice(ROWS)["id"])
 
 
-class Gates(Zones):
+class GatewayCluster(ProxyCluster):
     """A second zone of the north: two digests share the gateway beside the north's relay."""
 
     def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
--- a/ploverward/transport/test_http_server.py
+++ b/ploverward/transport/test_http_server.py
@@ -166,8 +166,8 @@
 
 
 def test_handler_exception_closes_connection():
-    faults = []
-    loop = loopback.new_loop(faults=faults)
+    errors = []
+    loop = loopback.new_loop(errors=errors)
     server = http_server.HttpServer(
         loop=loop,
         address=(loopback.own_address(), 0),
@@ -178,7 +178,7 @@
     client = loopback.Client(loop=loop, address=server.address)
     client.send(REQUEST)
     assert loopback.until(loop, lambda: client.is_closed)
-    assert client.got == b"" and isinstance(faults[0], ZeroDivisionError)
+    assert client.got == b"" and isinstance(errors[0], ZeroDivisionError)
 
 
 def test_rejections_distinguish_client_errors_from_server_overload():
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -54,7 +54,7 @@
 def test_message_sent_while_connecting_is_transmitted_once_up():
     scene = Scene()
     scene.connector.link.send(KEEP_ALIVE)
-    assert scene.until(lambda: scene.peer.heard and scene.peer.heard[0] == frames.pack(KEEP_ALIVE))
+    assert scene.until(lambda: scene.peer.received and scene.peer.received[0] == frames.pack(KEEP_ALIVE))
 
 
 def test_connection_to_silent_peer_times_out_without_has_received():
