--- a/ploverward/simulation/__init__.py
+++ b/ploverward/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Simulations of the product's own code, and what they need: time, networks, disks, faults, checks of histories.
+"""Simulations of the product's own code, with simulated time, networks, disks and faults, and checkers of histories.
 
-Only tests and the commands `simulate`, `simulate_rollouts` and `stand_in` import from here; a node does not.
+Only tests and the commands `simulate`, `simulate_rollouts` and `stand_in` import this package; a node does not.
 """
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -1,4 +1,7 @@
-"""Real sockets on the loopback range with scripted peers. Tests step the loop themselves; nothing sleeps."""
+"""Scripted servers and clients on real sockets of the loopback range 127.0.0.0/8.
+
+Tests step the event loop themselves; nothing sleeps.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,9 @@
 from ploverward.transport import http_request
 
 WAIT_TIMEOUT_S = 10.0
-SOCKET_WAIT_S = 0.0005  # for what was written on one socket of the loopback to be seen on the other
-RESET_AT_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
-PEERS_HOST = 254  # where scripted peers and doors listen; tests take other hosts for nodes of theirs
+SOCKET_WAIT_S = 0.0005  # until data written to one loopback socket is readable on the other
+RESET_AT_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # SO_LINGER on, with a timeout of 0: close() sends RST
+PEERS_HOST = 254  # last byte of the address that scripted peers and servers listen on; test nodes use other values
 
 
 Action = bytes | str  # bytes to send, "close" or "reset"
@@ -24,48 +27,58 @@
 
 
 def own_address(*, host: int = PEERS_HOST) -> str:
-    """Returns an address that no other process of tests binds, so that a port which this one closed stays closed.
+    """Returns a loopback address that belongs to this process.
+
+    No other test process binds it, so a port that this process has closed stays closed.
 
     Args:
-        host: 1 to 254.
+        host: The last byte of the address, 1 to 254.
     """
     process = os.getpid()
     return f"127.{1 + process // 256 % 254}.{process % 256}.{host}"
 
 
 class SkippingLoop(event_loop.Loop):
-    """A loop whose clock can skip, as a frozen process sees it: all timers of that time are due at once."""
+    """An event loop whose clock can skip ahead.
+
+    A skip looks like a process freeze: all timers that fall into the skipped time are due at once.
+    """
 
     def __init__(self, *, on_error: Callable[[Exception], object] | None = None) -> None:
         super().__init__(on_error=on_error)
         self._skipped_s = 0.0
 
     def now(self) -> float:
-        """Returns the clock, with what was skipped."""
+        """Returns the loop's time in seconds, including the skipped time."""
         return super().now() + self._skipped_s
 
     def skip(self, *, seconds: float) -> None:
-        """Time passes in which nothing runs."""
+        """Advances the clock without running anything."""
         self._skipped_s += seconds
 
     def step_or_skip(self) -> None:
-        """One step; where nothing waits on any socket, the time until the next timer is skipped first."""
+        """Runs one step; if no command waits and no socket is ready, first skips the time until the next timer."""
         if not self._commands and self._timers and not self._selector.select(SOCKET_WAIT_S):
             self._skipped_s += max(0.0, self._timers[0].when - self.now())
         self.step()
 
 
 def new_loop(*, errors: list[Exception] | None = None) -> SkippingLoop:
-    """Returns a loop. What a step raises is raised, or gathered in `errors`, as the programs gather it."""
+    """Returns a new event loop.
+
+    Args:
+        errors: Collects the exceptions that callbacks raise, as the programs collect them; without it, `step` raises
+            them.
+    """
 
-    def raise_it(error: Exception) -> None:
+    def raise_error(error: Exception) -> None:
         raise error
 
-    return SkippingLoop(on_error=raise_it if errors is None else errors.append)
+    return SkippingLoop(on_error=raise_error if errors is None else errors.append)
 
 
-def until(loop: event_loop.Loop, is_so: Callable[[], object]) -> bool:
-    """Steps the loop until `is_so()`; returns False where that did not come within `WAIT_TIMEOUT_S`."""
+def until(loop: event_loop.Loop, condition: Callable[[], object]) -> bool:
+    """Steps the loop until `condition()` is true; returns False if that takes longer than `WAIT_TIMEOUT_S`."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     ticking = [True]
 
@@ -74,7 +87,7 @@
             loop.after(delay=0.01, callback=tick)
 
     tick()
-    while not is_so():
+    while not condition():
         if time.monotonic() > end:
             ticking[0] = False
             return False
@@ -83,8 +96,8 @@
     return True
 
 
-def limits(**changed: typing.Any) -> http_request.Limits:  # noqa: ANN401  # of any field
-    """Returns limits of an HTTP server, with some changed."""
+def limits(**changed: typing.Any) -> http_request.Limits:  # noqa: ANN401  # the type depends on the field
+    """Returns the limits of an HTTP server, with the given fields changed."""
     return http_request.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
 
 
@@ -93,13 +106,13 @@
 
     Args:
         loop: The event loop.
-        script: Called with the connection's number and all bytes that came on it so far; returns what to do in turn:
-            bytes to send, "close" or "reset"; None to wait for more.
+        script: Called with the number of a connection and all bytes received on it so far; returns the actions to
+            perform in order (bytes to send, "close" or "reset"), or None to wait for more data.
 
     Attributes:
-        received: The bytes that came, by connection.
-        socks: The sockets of open connections, by connection.
-        address: Where it listens.
+        received: The bytes received on each connection, indexed by its number.
+        socks: The sockets of open connections, by connection number.
+        address: The address it listens on.
     """
 
     def __init__(self, *, loop: event_loop.Loop, script: Script) -> None:
@@ -133,21 +146,21 @@
         self.received[number] += data
         self.callback(number, self.script(number, self.received[number]) or ())
 
-    def callback(self, number: int, acts: Iterable[Action]) -> None:
-        """Sends bytes, or ends the connection, as a script says, on connection `number`, if it is still there."""
-        for act in acts:
+    def callback(self, number: int, actions: Iterable[Action]) -> None:
+        """Performs the actions of a script on connection `number`: sends bytes, closes or resets it, if it is open."""
+        for action in actions:
             if number not in self.socks:
                 return
-            if isinstance(act, str):
-                self.end(number, is_reset=act == "reset")
+            if isinstance(action, str):
+                self.end(number, is_reset=action == "reset")
                 continue
             try:
-                self.socks[number].sendall(act)
+                self.socks[number].sendall(action)
             except OSError:
                 self.end(number)
 
     def end(self, number: int, *, is_reset: bool = False) -> None:
-        """Ends a connection, if it is still there."""
+        """Closes or resets a connection, if it is still open."""
         sock = self.socks.pop(number, None)
         if sock is None:
             return
@@ -158,16 +171,16 @@
 
 
 class Client:
-    """A client's connection.
+    """One connection of a client.
 
     Args:
         loop: The event loop.
-        address: Of the server.
+        address: The address of the server.
 
     Attributes:
-        got: The bytes that came.
-        is_closed: Whether either side has ended it.
-        is_reset: Whether the server has reset it.
+        got: The bytes received so far.
+        is_closed: Whether either side has closed the connection.
+        is_reset: Whether the server has reset the connection.
     """
 
     def __init__(self, *, loop: event_loop.Loop, address: tuple[str, int]) -> None:
@@ -193,11 +206,11 @@
         self.got += data
 
     def send(self, data: bytes) -> None:
-        """Sends bytes."""
+        """Sends bytes to the server."""
         self.sock.sendall(data)
 
     def leave(self, *, is_reset: bool = False) -> None:
-        """Ends the connection, with a request on it still under way or not."""
+        """Closes or resets the connection, even if a request on it is still in progress."""
         if is_reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         self.loop.unwatch(sock=self.sock)
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy's request path on the loopback range, with its control side stood in for.
+"""The request path of a proxy on the loopback range, without core nodes and relays.
 
-`LoopbackProxy` provides `handler_context.HandlerContext` with the real parts of a proxy; what comes from core nodes and
-relays in production is installed directly.
+`LoopbackProxy` implements `handler_context.HandlerContext` with the real parts of a proxy. State that core nodes and
+relays send in production is installed directly.
 """
 
 from __future__ import annotations
@@ -53,13 +53,19 @@
 """
 
 
-def settings(**changed: typing.Any) -> settings_files.Settings:  # noqa: ANN401  # of any field
-    """Returns settings of a proxy, with some fields changed."""
+def settings(**changed: typing.Any) -> settings_files.Settings:  # noqa: ANN401  # the type depends on the field
+    """Returns the settings of a proxy, with the given fields changed."""
     return dataclasses.replace(settings_files.parse_settings(text=SETTINGS), **changed)
 
 
 def route(name: str, lead: str, **more: object) -> dict[str, typing.Any]:
-    """Returns a route of a configuration: a stream that is sent once, with some keys changed or added."""
+    """Returns a route of a configuration: streaming with one attempt, unless keys are changed.
+
+    Args:
+        name: The route's name.
+        lead: The path prefix that it matches.
+        **more: Keys to change or to add.
+    """
     return {
         "name": name,
         "host": "h",
@@ -89,12 +95,12 @@
 
 
 def replica_row(name: str, zone: str = "za", **more: object) -> dict[str, typing.Any]:
-    """A row of the endpoint list: a replica of the service `llm` that is neither draining nor warming up.
+    """Returns a row of the endpoint list: a replica of the service `llm` that is neither draining nor warming up.
 
     Args:
-        name: its id.
-        zone: its zone.
-        **more: fields in place of the ones given here, or besides them.
+        name: The replica's id.
+        zone: The replica's zone.
+        **more: Fields to change or to add.
     """
     return {
         "id": name,
@@ -111,19 +117,20 @@
 
 
 class LoopbackProxy:
-    """What a request handler needs of the proxy.
+    """A proxy that request handlers run in, with scripted replicas as its endpoint list.
 
     Args:
         loop: The event loop.
-        peers: The scripted replicas, each with its zone; they are named i0, i1, ...
-        share: This proxy's share of the limits that hold over all machines.
-        limits: Of what clients may send.
+        peers: The scripted replicas, each with its zone; their ids are i0, i1, ...
+        share: This proxy's share of the limits that all proxies share.
+        limits: Returns the HTTP limits for requests of clients.
 
     Attributes:
-        failure_reasons: The reasons of attempts that failed.
+        failure_reasons: The reasons of all failed attempts, in order.
+        started_tenants: The tenant of each request that a replica started to run, in order.
         rows: The endpoint list.
-        configuration_age: Seconds since the configuration was certainly the newest.
-        address: Where clients connect.
+        configuration_age: Seconds since the configuration was last known to be the newest.
+        address: The address that clients connect to.
     """
 
     def __init__(
@@ -162,7 +169,7 @@
         self.adapters = adapter_counts.AdapterCounter(now=loop.now, window_s=24.0, trust_s=4.0)
         self.number = 0
         self.failure_reasons: list[str] = []
-        self.started_tenants: list[str] = []  # tenants of requests that replicas began
+        self.started_tenants: list[str] = []
         self.residency = residency_history.ResidencyHistory(
             now=loop.now, binds_for_s=lambda: self.settings.bound_s(name="applyMs")
         )
@@ -185,13 +192,13 @@
         self.address = self.server.address
 
     def handle(self, request: http_request.Request) -> None:
-        """A client sent a request."""
+        """Handles a request of a client."""
         handler = request_handler.RequestHandler(context=self, request=request)
         self.handlers.add(handler)
         handler.begin()
 
     def configure(self, body: dict[str, typing.Any]) -> None:
-        """A newer configuration came; the homes of the former one still bind for a while."""
+        """Installs a newer configuration; the home regions of the previous one stay binding for `bounds.applyMs`."""
         self.residency.retire(self.routes)
         self.routes = route_table.Routes(body=body)
 
@@ -200,39 +207,39 @@
         return self.configuration_age
 
     def list_rows(self, *, clearing: typing.Container[str] = ()) -> list[dict[str, typing.Any]]:
-        """Returns the endpoint list with some replicas draining."""
+        """Returns the endpoint list, with the replicas in `clearing` marked as draining."""
         return [{**row, "is_clearing": row["id"] in clearing} for row in self.rows]
 
     def next_attempt_number(self) -> int:
-        """Returns a number that no other attempt has."""
+        """Returns a number that is unique among all attempts."""
         self.number += 1
         return self.number
 
     def report_attempt(self, **about: object) -> None:
-        """Goes to the relay in production."""
+        """Does nothing; in production, this reports an attempt to the relay."""
 
     def report_prefill(self, **about: object) -> None:
-        """Goes to the relay in production."""
+        """Does nothing; in production, this reports a prefill to the relay."""
 
     def note_attempt_failure(self, *, replica: replica_table.Replica, reason: str, was_up: bool) -> None:
-        """An attempt failed."""
+        """Records a failed attempt; marks the replica as suspected if its connection was never established."""
         self.failure_reasons.append(reason)
         if not was_up:
             self.table.mark_suspected(replica)
 
     def note_request_started(self, tenant: str) -> None:
-        """A request of a tenant began to run at a replica."""
+        """Records the tenant of a request that a replica started to run."""
         self.started_tenants.append(tenant)
 
     def note_wrong_replica(self, replica: replica_table.Replica) -> None:
-        """421: left alone for 2 s."""
+        """Backs off from a replica for 2 s after it responded 421."""
         replica.backoff_until = self.loop.now() + 2.0
 
     def note_replica_full(self, replica: replica_table.Replica) -> None:
-        """Declined: left alone for 50 ms."""
+        """Backs off from a replica for 50 ms after it rejected a request because it is full."""
         replica.backoff_until = self.loop.now() + 0.05
 
     def trails(self) -> list[dict[str, typing.Any]]:
-        """Returns the custody trails since the last call."""
+        """Returns the custody trails that were recorded since the last call."""
         self.batches.close_batch()
         return [json.loads(data) for _number, _last, rows in self.batches.drain() for _id, data in rows]
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -1,4 +1,4 @@
-"""Requests through a proxy on the loopback, with scripted replicas: what tests of the request path have in common."""
+"""Shared helpers for tests of the request path: one client, one proxy and scripted replicas on the loopback range."""
 
 import re
 import socket
@@ -14,24 +14,41 @@
 
 
 def request_id(received: bytes, nth: int = -1) -> bytes:
-    """Returns the id of the last request in the bytes, or of the nth."""
+    """Returns the id of a request.
+
+    Args:
+        received: All bytes that a replica received on a connection.
+        nth: The index of the request on that connection; the last one by default.
+    """
     return re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)[nth]
 
 
 def is_complete(received: bytes) -> bool:
-    """Whether each request in the bytes has its body."""
+    """Returns whether the body of every request in `received` has arrived."""
     return received.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", received, re.I))
 
 
 def answer(
     which: bytes, body: bytes = b"ok", *, status: bytes = b"200 OK", more: bytes = b"X-Postmark: p\r\n"
 ) -> bytes:
-    """Returns a complete answer; `more`: headers."""
+    """Returns a complete response.
+
+    Args:
+        which: The id of the request.
+        body: The body of the response.
+        status: The status code and its reason phrase.
+        more: Further header lines, each with its CRLF.
+    """
     return b"HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, which, more, len(body), body)
 
 
 def head(which: bytes, *, more: bytes = b"") -> bytes:
-    """Returns the head of a stream."""
+    """Returns the head of a streaming response.
+
+    Args:
+        which: The id of the request.
+        more: Further header lines, each with its CRLF.
+    """
     return (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Type: text/event-stream\r\n%s"
         b"Transfer-Encoding: chunked\r\n\r\n" % (which, more)
@@ -39,7 +56,7 @@
 
 
 def event(number: int) -> bytes:
-    """Returns one event of a stream, as a chunk."""
+    """Returns one event of a stream, encoded as an HTTP chunk."""
     text = b"id: %d\ndata: t%d\n\n" % (number, number)
     return b"%x\r\n%s\r\n" % (len(text), text)
 
@@ -54,9 +71,9 @@
     """A proxy, its scripted replicas, and one client.
 
     Args:
-        scripts: One for each replica.
-        zones: Of the replicas, in that order; za where none are given.
-        errors: Gathers what steps of the loop raise; without it, that is raised.
+        scripts: One script for each replica.
+        zones: The zone of each replica, in the same order; by default, all are in za.
+        errors: Collects the exceptions of callbacks; without it, the loop raises them.
     """
 
     def __init__(
@@ -73,7 +90,13 @@
         self.number = 0
 
     def request(self, lead: str, *, left_ms: int = 3000, more: bytes = b"") -> None:
-        """Sends a request by the route of a path prefix; `more`: headers."""
+        """Sends a request from the client.
+
+        Args:
+            lead: The path prefix, which selects the route.
+            left_ms: The time left until the request's deadline.
+            more: Further header lines, each with its CRLF.
+        """
         self.number += 1
         self.client.send(
             b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
@@ -82,23 +105,23 @@
         )
 
     def until(self, what: bytes) -> bool:
-        """Steps the loop until the client got these bytes; returns whether it did."""
+        """Steps the loop until the client has received `what`; returns False on a timeout."""
         return loopback.until(self.loop, lambda: what in self.client.got)
 
     def arrivals(self) -> int:
-        """Returns how many requests the replicas heard of."""
+        """Returns the number of requests that the replicas received."""
         return sum(
             len(re.findall(rb"X-Attempt-Id", received, re.I)) for peer in self.peers for received in peer.received
         )
 
 
 def respond_ok(number: int, received: bytes) -> list[loopback.Action] | None:
-    """A script: answers each complete request."""
+    """Responds 200 to each complete request; this is a script."""
     return [answer(request_id(received))] if is_complete(received) else None
 
 
 def respond_with(body: bytes = b"ok", **about: bytes) -> loopback.Script:
-    """Returns a script that gives this answer to each complete request."""
+    """Returns a script that sends this response to each complete request; `about` is passed to `answer`."""
 
     def script(number: int, received: bytes) -> list[loopback.Action] | None:
         return [answer(request_id(received), body, **about)] if is_complete(received) else None
@@ -107,17 +130,17 @@
 
 
 def statuses(client: loopback.Client) -> list[int]:
-    """Returns the statuses of all answers that a client got."""
+    """Returns the status codes of all responses that a client received."""
     return [int(status) for status in re.findall(rb"HTTP/1\.1 (\d+)", client.got)]
 
 
 def wait_until_idle(scene: Scene) -> bool:
-    """Steps the loop until the client got something and no request is under way; returns whether that came."""
+    """Steps the loop until the client has received data and no request is in progress; returns False on a timeout."""
     return loopback.until(scene.loop, lambda: scene.client.got and not scene.proxy.handlers)
 
 
 class SlowSocket:
-    """Lets so many bytes out, then none."""
+    """A socket that accepts at most `most` bytes for sending, then blocks."""
 
     def __init__(self, sock: socket.socket, *, most: int) -> None:
         self.sock = sock
@@ -127,7 +150,11 @@
         return getattr(self.sock, name)
 
     def send(self, data: bytes) -> int:
-        """Sends what is still allowed."""
+        """Sends as many bytes as the limit still allows.
+
+        Raises:
+            BlockingIOError: The limit is used up.
+        """
         if not self.left:
             raise BlockingIOError
         count = self.sock.send(data[: self.left])
@@ -136,21 +163,21 @@
 
 
 def limit_sent_bytes(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
-    """Connections to replicas take only so many bytes of a request."""
-    open_ = connection_pool.ConnectionPool.open
+    """Makes each new connection to a replica accept at most `most` bytes of requests."""
+    open_connection = connection_pool.ConnectionPool.open
 
-    def opened(
+    def open_limited(
         pool: connection_pool.ConnectionPool, replica: replicas.Replica
     ) -> upstream_connection.UpstreamConnection:
-        connection = open_(pool, replica)
+        connection = open_connection(pool, replica)
         connection.sock = typing.cast(socket.socket, SlowSocket(connection.sock, most=most))
         return connection
 
-    monkeypatch.setattr(connection_pool.ConnectionPool, "open", opened)
+    monkeypatch.setattr(connection_pool.ConnectionPool, "open", open_limited)
 
 
 def leave(scene: Scene, *, since_s: float) -> None:
-    """SIGTERM came so many seconds ago."""
+    """Puts the proxy into the state that it has `since_s` seconds after SIGTERM."""
     scene.proxy.server.leave()
     scene.proxy.drain_window.begin()
     scene.loop.skip(seconds=since_s)
