--- a/ploverward/simulation/batch_scene.py
+++ b/ploverward/simulation/batch_scene.py
@@ -1,4 +1,4 @@
-"""A proxy, three stores and scripted replicas on the loopback range: what tests of the batch tier have in common."""
+"""Shared helpers for tests of the batch tier: a proxy, three stores and scripted replicas on the loopback range."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from ploverward.transport import batch_messages
 from ploverward.transport import http_request
 
-STORE_HOSTS = (11, 12, 13)
+STORE_HOSTS = (11, 12, 13)  # last bytes of the addresses of the stores
 TENANTS = [{"name": "clerks", "apiKeys": ["key-1", "key-2"]}, {"name": "players", "apiKeys": ["key-3"]}]
 KEY = "key-1"
 MAX_BODY_BYTES = 1_000_000
-COORDINATION_S = 0.1  # between two steps of the coordinator
+COORDINATION_S = 0.1  # between two runs of the coordinator
 JOB_ROUTE = {"kind": "batch", "tries": 2, "deadlineMs": 15000, "maxWaitS": 40, "maxQueuedTokens": 1000, "sticky": True}
 BODY = {
     **loopback_proxy.CONFIGURATION,
@@ -40,10 +40,10 @@
 
 
 class BatchProxy(loopback_proxy.LoopbackProxy):
-    """The loopback proxy, with a batch tier."""
+    """A loopback proxy with a batch tier."""
 
     def begin_batch(self, port: int) -> None:
-        """Takes calls on jobs from now on; stores listen at `port`."""
+        """Starts the batch tier, which handles job calls from now on; stores listen at `port`."""
         self.routes = route_table.Routes(body=BODY)
         self.quota_allowance.install(BODY)
         self.quota_allowance.record(core="k", sent_at=self.loop.now() + 600.0, proxy_count=1, credits=[])
@@ -54,7 +54,7 @@
         self.batch.start()
 
     def handle(self, request: http_request.Request) -> None:
-        """A client sent a request."""
+        """Handles a request of a client: a job call by the batch tier, any other by a request handler."""
         if self.batch.handle(request):
             return
         handler = request_handler.RequestHandler(context=self, request=request)
@@ -63,19 +63,26 @@
 
 
 class Answer(typing.NamedTuple):
-    """An answer that a client got."""
+    """A response that a client received."""
 
     status: int
     body: bytes
 
     @property
-    def json(self) -> typing.Any:  # noqa: ANN401  # whatever JSON can say
-        """The body, read as JSON."""
+    def json(self) -> typing.Any:  # noqa: ANN401  # any JSON value
+        """The body, parsed as JSON."""
         return json.loads(self.body)
 
 
 def item(name: str, *, body: bytes = b"body", tokens: int = 10, **more: object) -> dict[str, typing.Any]:
-    """Returns an item of a job, with some fields changed or added."""
+    """Returns an item of a job.
+
+    Args:
+        name: The item's id.
+        body: The body of the item's request.
+        tokens: The item's token count.
+        **more: Fields to change or to add.
+    """
     return {
         "id": name,
         "path": f"/lots/3/{name}",
@@ -87,11 +94,11 @@
 
 
 class BatchScene:
-    """Stores, one proxy, scripted replicas.
+    """Three stores, one proxy with a batch tier, and scripted replicas.
 
     Args:
-        folder: Where the stores' disks are.
-        scripts: One for each replica.
+        folder: The folder that holds the stores' disks.
+        scripts: One script for each replica.
     """
 
     def __init__(self, folder: pathlib.Path, *scripts: loopback.Script) -> None:
@@ -117,7 +124,7 @@
         self.loop.every(interval_s=COORDINATION_S, callback=self._coordinate)
 
     def start_store(self, address: str) -> None:
-        """Starts a store on the disk that it has."""
+        """Starts a store, with the contents of its disk if it ran before."""
         settings = loopback_proxy.settings(
             node=f"store-{address}",
             ip=address,
@@ -132,23 +139,23 @@
         self.stores[address] = store
 
     def _record_report(self, store: store_node.StoreNode, report: batch_messages.CopyReport) -> None:
-        if store in self.stores.values():  # the timers of one that was stopped go on
+        if store in self.stores.values():  # the timers of a stopped store keep running
             self._reports[report.partition] = report
 
     def stop_store(self, address: str) -> None:
-        """Ends a store's process; its disk stays."""
+        """Stops a store's process and keeps its disk."""
         self.stores.pop(address).stop()
         self._lost_at[address] = self.loop.now()
 
     def restart_store(self, address: str) -> None:
-        """Ends a store's process and starts it again."""
+        """Stops a store's process and starts it again on the same disk."""
         self.stop_store(address)
         self.start_store(address)
         self.stores[address].install_roles(self.roles)
 
     # The coordinator.
     def _coordinate(self, *, may_place: bool = False) -> None:
-        """What the coordinator would do: its decisions, without its register and its connections."""
+        """Applies the coordinator's decisions directly, without its register and its connections."""
         if not self.is_coordinating:
             return
         rows = partition_placement.arrangement_changes(self._view(may_place=may_place))
@@ -202,15 +209,15 @@
         )
 
     def owners(self, tenant: str = "clerks") -> batch_partitions.PartitionOwners:
-        """Returns the arrangement of a tenant's partition."""
+        """Returns the owners of a tenant's partition."""
         return batch_partitions.owners_of(partition=batch_partitions.partition_of(tenant), roles=self.roles)
 
     def log_of(self, address: str, tenant: str = "clerks") -> partition_log.PartitionLog:
-        """Returns what a store has of a tenant's partition."""
+        """Returns a store's log of a tenant's partition."""
         return self.stores[address].copies.member(batch_partitions.partition_of(tenant)).log
 
     def is_serving(self) -> bool:
-        """Whether each partition is answered for, by all members."""
+        """Returns whether each partition is served with its full set of members and the proxy reaches all primaries."""
         serving = [
             number
             for store in self.stores.values()
@@ -220,17 +227,25 @@
         reachable = map(self.proxy.batch.stores.is_reachable, self.proxy.batch.stores.primaries())
         return len(serving) == batch_partitions.PARTITIONS and all(reachable)
 
-    def until(self, is_so: typing.Callable[[], object]) -> bool:
-        """Steps the loop until `is_so()`; returns whether that came in time."""
-        return loopback.until(self.loop, is_so)
+    def until(self, condition: typing.Callable[[], object]) -> bool:
+        """Steps the loop until `condition()` is true; returns False on a timeout."""
+        return loopback.until(self.loop, condition)
 
     def wait(self, seconds: float) -> None:
-        """Lets so much time pass."""
+        """Steps the loop for this many seconds."""
         end = self.loop.now() + seconds
         assert self.until(lambda: self.loop.now() >= end)
 
     def call(self, method: str, path: str, *, body: bytes = b"", key: str = KEY, more: str = "") -> Answer:
-        """Sends one request on a new connection and returns its answer."""
+        """Sends one request on a new connection and returns the response.
+
+        Args:
+            method: The HTTP method.
+            path: The request target.
+            body: The body.
+            key: The API key of the tenant.
+            more: Further header lines, each with its CRLF.
+        """
         client = loopback.Client(loop=self.loop, address=self.proxy.address)
         head = f"{method} {path} HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer {key}\r\n{more}"
         client.send(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -239,17 +254,28 @@
         return Answer(int(head_bytes.split()[1]), got)
 
     def submit(self, job: str, items: list[dict[str, typing.Any]], *, key: str = KEY) -> Answer:
-        """Hands a job in."""
+        """Submits a job."""
         body = json.dumps({"requests": items}).encode()
         return self.call("POST", "/lots/x", body=body, key=key, more=f"X-Attempt-Id: {job}\r\n")
 
     def results(self, job: str, *, after: int = 0, wait_ms: int = 0, key: str = KEY) -> Answer:
-        """Reads results."""
+        """Reads results of a job.
+
+        Args:
+            job: The job's id.
+            after: The revision after which results are returned.
+            wait_ms: How long the proxy may wait for new results; 0 sends no X-Wait-Ms header.
+            key: The API key of the tenant.
+        """
         more = f"X-Wait-Ms: {wait_ms}\r\n" if wait_ms else ""
         return self.call("GET", f"/ploverward/lots/{job}?afterRevision={after}", key=key, more=more)
 
     def all_results(self, job: str) -> list[dict[str, typing.Any]]:
-        """Reads all results of a job, once they are all there."""
+        """Waits until a job is finished, then returns all of its results.
+
+        Raises:
+            AssertionError: The job did not finish in time.
+        """
         answers: list[Answer] = []
 
         def is_listed() -> bool:
@@ -263,13 +289,16 @@
         raise AssertionError(answers[-1].body)
 
     def arrivals(self) -> list[bytes]:
-        """Returns the ids of all requests that replicas heard, in no certain order."""
+        """Returns the ids of all requests that replicas received, in no particular order."""
         received = (received for peer in self.peers for received in peer.received)
         return [which for each in received for which in re.findall(rb"(?i)X-Attempt-Id: (\S+)", each)]
 
 
 def _free_port() -> int:
-    """A port that is free on the addresses of the stores, and the one behind it too."""
+    """Returns a port that is meant to be free, with the next one, on the addresses of all stores.
+
+    Only the address of the first store is tried; no other process uses these addresses.
+    """
     with socket.socket() as sock:
         sock.bind((loopback.own_address(host=STORE_HOSTS[0]), 0))
         return sock.getsockname()[1]
@@ -282,7 +311,7 @@
 
 
 def streaming(*texts: bytes) -> loopback.Script:
-    """Returns a script that streams an event for each text."""
+    """Returns a script that responds with a stream of one event for each text."""
 
     def script(_number: int, received: bytes) -> list[loopback.Action] | None:
         if not request_scene.is_complete(received):
--- a/ploverward/simulation/request_history.py
+++ b/ploverward/simulation/request_history.py
@@ -1,7 +1,7 @@
-"""Clients of a proxy on real sockets, and the checker that compares what ran with what was answered.
+"""Clients of a proxy on real sockets, and a checker that compares what replicas ran with the responses of clients.
 
-The checker owns the rules (docs/requests.md 3 and 5). It reads the log of the replicas and all bytes that the clients
-received, and nothing of the proxy.
+`HistoryChecker` defines the rules (docs/requests.md 3 and 5). It reads the log of the replicas and all bytes that the
+clients received, but no state of the proxy.
 """
 
 import collections
@@ -20,13 +20,13 @@
 from ploverward.simulation.request_log import SentRequest
 from ploverward.simulation.request_log import Stamp
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these the proxy promises that nothing was run
-MAX_STEPS = 40000  # of the loop, until what a history waits for has come
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # the proxy promises that no replica ran the request
+MAX_STEPS = 40000  # of the loop, in one wait of a history
 
 
 @dataclasses.dataclass
 class Answer:
-    """What a client has of one answer; status 0: nothing yet."""
+    """The part of a response that a client has received; status 0 until its head is complete."""
 
     status: int = 0
     headers: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
@@ -35,32 +35,36 @@
 
 
 class HistoryClient(loopback.Client):
-    """A client's connection.
+    """One connection of a client, with the requests that it sent.
 
     Args:
         loop: The event loop.
-        address: Of the proxy.
+        address: The address of the proxy.
 
     Attributes:
-        requests: What was sent on it, in order.
-        is_left: Whether the client has ended it.
+        requests: The requests that were sent on the connection, in order.
+        has_left: Whether the client has closed the connection.
     """
 
     def __init__(self, *, loop: loopback.SkippingLoop, address: tuple[str, int]) -> None:
         super().__init__(loop=loop, address=address)
         self.requests: list[SentRequest] = []
-        self.is_left = False
+        self.has_left = False
 
     def leave(self, *, is_reset: bool = False) -> None:
-        """Ends the connection, if it is still there."""
+        """Closes or resets the connection, if it is still open."""
         if not self.is_closed:
-            self.is_left = True
+            self.has_left = True
             super().leave(is_reset=is_reset)
 
     def answers(self) -> tuple[dict[bytes, Answer], bytes]:
-        """({id: answer}, bytes behind the last one), read again from all bytes."""
+        """Parses all received bytes.
+
+        Returns:
+            The responses by request id, and the bytes after the last response.
+        """
         trailing = self.got
-        violations = {}
+        answers = {}
         for sent in self.requests:
             answer = Answer()
             is_readable = True
@@ -69,16 +73,16 @@
             except h11.RemoteProtocolError:
                 trailing, is_readable = b"", False
             if answer.status:
-                violations[sent.id] = answer
+                answers[sent.id] = answer
             if not is_readable:
                 break
-        return violations, trailing
+        return answers, trailing
 
     def _read_answer(self, sent: SentRequest, data: bytes, answer: Answer) -> bytes:
-        """Fills in an answer; returns the bytes behind it.
+        """Fills in `answer` from the beginning of `data`; returns the bytes after it.
 
         Raises:
-            h11.RemoteProtocolError: the bytes are no answer to this request.
+            h11.RemoteProtocolError: The bytes are not a response to this request.
         """
         reader = h11.Connection(h11.CLIENT)
         reader.send(h11.Request(method=sent.method, target=sent.target, headers=[(b"Host", b"h")]))
@@ -102,21 +106,27 @@
                 return b""
 
     def is_done(self) -> bool:
-        """Whether nothing more is to come."""
-        violations, _trailing = self.answers()
-        return self.is_closed or all(
-            sent.id in violations and violations[sent.id].is_complete for sent in self.requests
-        )
+        """Returns whether the connection is closed or every request has its complete response."""
+        answers, _trailing = self.answers()
+        return self.is_closed or all(sent.id in answers and answers[sent.id].is_complete for sent in self.requests)
 
 
-Breaches = collections.abc.Iterator[str]
+Violations = collections.abc.Iterator[str]
 
 
 class HistoryChecker:
-    """The rules, over what was seen outside.
+    """Checks the rules of the request path against what clients and replicas observed.
+
+    Each violation begins with the name of its rule:
+        UNASKED: A replica ran a request that no client sent completely, or a changed one.
+        TWICE: A request that is not idempotent ran more than once.
+        BUDGET: A request reached replicas more often than its route allows attempts.
+        REFUSED: A response said that the request was not run, but it was.
+        MIXED: A client received bytes that are not the response to its request.
+        ORDER: A stream has other events than expected, or ran twice although its route is not idempotent.
 
     Args:
-        log: Of the replicas.
+        log: The log of the replicas.
         users: All clients.
     """
 
@@ -128,35 +138,37 @@
             self.runs[run.id].append(run)
 
     def violations(self) -> list[str]:
-        """All breaches, each with the name of its rule first."""
-        breaches = [*self._of_runs(), *self._of_arrivals()]
+        """Returns all violations, each beginning with the name of its rule."""
+        violations = [*self._check_runs(), *self._check_arrivals()]
         for user in self.users:
             answers, trailing = user.answers()
-            if trailing and not user.is_left:
-                breaches.append(f"MIXED bytes that answer nothing: {trailing[:60]!r}")
-            for which, answer in answers.items():
-                breaches += [f"{rule} {which!r}" for rule in self._of_answer(self.log.sent[which], answer)]
-        return breaches
-
-    def _of_runs(self) -> Breaches:
-        for which, runs in self.runs.items():
-            sent = self.log.sent.get(which)
+            if trailing and not user.has_left:
+                violations.append(f"MIXED bytes that answer nothing: {trailing[:60]!r}")
+            for request_id, answer in answers.items():
+                violations += [
+                    f"{rule} {request_id!r}" for rule in self._check_answer(self.log.sent[request_id], answer)
+                ]
+        return violations
+
+    def _check_runs(self) -> Violations:
+        for request_id, runs in self.runs.items():
+            sent = self.log.sent.get(request_id)
             if sent is None or not sent.is_complete:
-                yield f"UNASKED {which!r}"
+                yield f"UNASKED {request_id!r}"
                 continue
             for run in runs:
                 if (run.method, run.target, run.body) != (sent.method, sent.target, sent.body):
-                    yield f"UNASKED changed {which!r}"
+                    yield f"UNASKED changed {request_id!r}"
             if sent.lead not in IDEMPOTENT_ROUTES and len(runs) > 1:
-                yield f"TWICE {which!r}"
+                yield f"TWICE {request_id!r}"
 
-    def _of_arrivals(self) -> Breaches:
-        for which, count in self.log.arrivals.items():
-            sent = self.log.sent.get(which)
+    def _check_arrivals(self) -> Violations:
+        for request_id, count in self.log.arrivals.items():
+            sent = self.log.sent.get(request_id)
             if sent is not None and count > MAX_ATTEMPTS[sent.lead]:
-                yield f"BUDGET tries {which!r}: {count}"
+                yield f"BUDGET tries {request_id!r}: {count}"
 
-    def _of_answer(self, sent: SentRequest, answer: Answer) -> Breaches:
+    def _check_answer(self, sent: SentRequest, answer: Answer) -> Violations:
         if answer.status in NOT_RUN_STATUSES and sent.lead not in IDEMPOTENT_ROUTES and self.runs[sent.id]:
             yield "REFUSED"
         header = answer.headers.get(b"x-postmark")
@@ -170,23 +182,23 @@
         if answer.headers.get(b"x-attempt-id", sent.id) != sent.id:
             yield "MIXED another's id"
         if 200 <= answer.status < 300:
-            yield from self._of_success(sent, answer, stamp)
+            yield from self._check_success(sent, answer, stamp)
 
-    def _of_success(self, sent: SentRequest, answer: Answer, stamp: Stamp | None) -> Breaches:
+    def _check_success(self, sent: SentRequest, answer: Answer, stamp: Stamp | None) -> Violations:
         if stamp is None:
             yield "MIXED success without a stamp"
         elif sent.lead in STREAM_ROUTES:
-            yield from self._of_stream(sent, answer)
+            yield from self._check_stream(sent, answer)
         elif answer.is_complete and answer.body != stamp.body:
             yield "MIXED body"
         elif stamp.body is None or not stamp.body.startswith(answer.body):
             yield "MIXED part of a body"
 
-    def _of_stream(self, sent: SentRequest, answer: Answer) -> Breaches:
-        wanted = b"".join(b"id: %d\ndata: %s %d\n\n" % (number, sent.id, number) for number in range(1, EVENTS + 1))
-        if not wanted.startswith(answer.body):
+    def _check_stream(self, sent: SentRequest, answer: Answer) -> Violations:
+        expected = b"".join(b"id: %d\ndata: %s %d\n\n" % (number, sent.id, number) for number in range(1, EVENTS + 1))
+        if not expected.startswith(answer.body):
             yield "ORDER"
-        if answer.is_complete and answer.body != wanted:
+        if answer.is_complete and answer.body != expected:
             yield "ORDER ended as complete"
         if len(self.runs[sent.id]) > 1 and sent.lead not in IDEMPOTENT_ROUTES:
             yield "ORDER two runs"
--- a/ploverward/simulation/request_log.py
+++ b/ploverward/simulation/request_log.py
@@ -1,7 +1,7 @@
-"""What the world outside a proxy saw of its requests: sent by clients, run by replicas (docs/requests.md 5).
+"""A log of the requests that clients sent and replicas ran, independent of the proxy (docs/requests.md 5).
 
-`RequestLog` owns it. Replicas and clients write to it, `ploverward.simulation.request_history.HistoryChecker` reads it;
-the proxy does neither.
+Replicas and clients write to `RequestLog`, and `ploverward.simulation.request_history.HistoryChecker` reads it; the
+proxy does neither.
 """
 
 import collections
@@ -12,11 +12,11 @@
 
 _ROUTES = typing.cast(list[dict[str, typing.Any]], loopback_proxy.CONFIGURATION["routes"])
 
-# Route to the attempts that its requests may have.
+# The number of attempts that a request may have, by route.
 MAX_ATTEMPTS: dict[str, int] = {row["name"]: row["tries"] for row in _ROUTES}
 IDEMPOTENT_ROUTES = ("safe", "resume")
 STREAM_ROUTES = ("once", "resume")
-EVENTS = 5  # of a complete stream
+EVENTS = 5  # in a complete stream
 
 
 @dataclasses.dataclass
@@ -24,12 +24,12 @@
     """A request as a client sent it.
 
     Attributes:
-        id: of the request; unique.
-        lead: the route, which is also the first part of the path.
-        method: of the request.
-        target: of the request.
-        body: of the request.
-        is_complete: whether the client sent all of it.
+        id: The unique id of the request.
+        lead: The name of its route, which is also the first part of the path.
+        method: The HTTP method.
+        target: The request target.
+        body: The complete body.
+        is_complete: Whether the client sent all of the request.
     """
 
     id: bytes
@@ -42,15 +42,15 @@
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """A request as a replica reads it.
+    """A request as a replica received it.
 
     Attributes:
-        id: of the request.
-        addressed: the replica that it names.
-        last_event: the newest event that the client has; 0: none.
-        method: of the request.
-        target: of the request.
-        body: as much as was read.
+        id: The id of the request.
+        addressed: The id of the replica that the request is addressed to.
+        last_event: The number of the newest event that the client has; 0 if it has none.
+        method: The HTTP method.
+        target: The request target.
+        body: The part of the body that was read so far.
     """
 
     id: bytes
@@ -63,7 +63,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReplicaRun:
-    """A request as a replica began to process it."""
+    """One execution of a request by a replica, as recorded at its start.
+
+    Attributes:
+        number: The position of the run in the log, from 1.
+        id: The id of the request.
+        replica: The name of the replica.
+        method: The HTTP method.
+        target: The request target.
+        body: The complete body.
+        first_event: The number of the first event that the replica will send.
+    """
 
     number: int
     id: bytes
@@ -75,21 +85,21 @@
 
 
 class Stamp(typing.NamedTuple):
-    """What an answer with this stamp has to be."""
+    """The expected response for one value of the X-Postmark header."""
 
-    id: bytes  # of the request
+    id: bytes  # the id of the request
     status: int
-    body: bytes | None  # None: a stream
+    body: bytes | None  # None for a stream
 
 
 class RequestLog:
-    """What the world outside the proxy saw.
+    """The requests of all clients, and what replicas received and ran.
 
     Attributes:
-        sent: requests by id.
-        runs: in the order of their beginning.
-        arrivals: id to the number of requests of which a replica had a byte.
-        stamps: by the value of the header that carries it.
+        sent: The requests of clients, by id.
+        runs: The executions by replicas, in the order in which they started.
+        arrivals: By request id, the number of request heads that replicas received.
+        stamps: The expected responses, by the value of the X-Postmark header.
     """
 
     def __init__(self) -> None:
@@ -99,7 +109,7 @@
         self.stamps: dict[bytes, Stamp] = {}
 
     def record_run(self, *, request: ReceivedRequest, replica: str, first_event: int = 1) -> ReplicaRun:
-        """A replica begins to process a request."""
+        """Records that a replica started to run a request."""
         run = ReplicaRun(
             number=len(self.runs) + 1,
             id=request.id,
