--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies of two regions on real sockets, without traffic and without the core: singleton roles are handed to them."""
+"""Proxies of two regions on real sockets, without client traffic and core nodes; tests assign the singleton roles."""
 
 import dataclasses
 import random
@@ -30,7 +30,7 @@
 
 
 def address(number: int) -> str:
-    """The address of the proxy with this number."""
+    """Returns the IP address of the proxy with this number."""
     return loopback.own_address(host=number)
 
 
@@ -41,15 +41,15 @@
         self.replica = replica
 
 
-class Node:
-    """A proxy without its traffic and without the core: singleton roles are handed to it."""
+class ZoneProxy:
+    """A proxy without client traffic and core nodes; it gets its singleton roles by `ProxyCluster.announce`."""
 
     def __init__(self, *, loop: event_loop.Loop, ip: str, zone: str, ports: tuple[int, int], incarnation: str) -> None:
         zones = {"za": "north", "zc": "north", "zb": "south"}
         self.settings = dataclasses.replace(
             loopback_proxy.settings(), ip=ip, zone=zone, region=zones[zone], zones=zones, inner_ports=ports
         )
-        self.loop = Pausable(loop=loop)
+        self.loop = PausableLoop(loop=loop)
         self.incarnation = incarnation
         self.requests: set[RequestInFlight] = set()
         self.quota = shared_limits.SharedLimits(now=loop.now, settings=self.settings)
@@ -81,58 +81,66 @@
 
     @property
     def digest(self) -> digests.Digest:
-        """Its own digest."""
+        """The digest that this proxy runs."""
         return self.client.zone_digest.digest
 
     @property
     def relay(self) -> hosts.RelayHost | None:
-        """The relay of its region, where it owns the role."""
+        """The relay of its region, or None if another proxy owns that role."""
         return self.client.relay_role.host
 
     @property
     def gateway(self) -> gateways.Gateway | None:
-        """The gateway of its region, where it owns the role."""
+        """The gateway of its region, or None if another proxy owns that role."""
         return self.client.relay_role.gateway
 
     @property
     def is_member(self) -> bool:
-        """Whether it joined another proxy's digest."""
+        """Whether it is a member of another proxy's digest."""
         return self.client.zone_digest.is_joined
 
     @property
     def digest_connector(self) -> peer_connection.Connector:
-        """To the digest that it joins."""
+        """The connector to the digest that this proxy joins.
+
+        Raises:
+            RuntimeError: It joins no digest.
+        """
         membership = self.client.zone_digest.membership
         if membership is None:
-            raise RuntimeError(f"{self.settings.ip} joined no digest")
+            raise RuntimeError(f"{self.settings.ip} joins no digest")
         return membership.connection.connector
 
     def tick(self) -> None:
-        """Reports and publishes, again and again."""
+        """Reports and publishes load, and schedules the next tick."""
         self.client.tick()
         self.loop.after(delay=self.client.report_interval_s(), callback=self.tick)
 
     def begin(self, name: str) -> None:
-        """An attempt at this replica begins."""
+        """Starts an attempt at a replica."""
         replica = self.table.replicas[name]
         replica.running += 1
         self.requests.add(RequestInFlight(replica))
         self.client.source.record_attempt(replica=replica, kind=report_source.SENT)
 
     def end(self, name: str) -> None:
-        """An attempt at this replica is done."""
+        """Ends an attempt at a replica."""
         replica = self.table.replicas[name]
         replica.running -= 1
         self.requests.discard(next(one for one in self.requests if one.replica is replica))
         self.client.source.record_attempt(replica=replica, kind=report_source.DONE)
 
     def known_load(self, name: str) -> int:
-        """How many attempts of all proxies it takes to be running there."""
+        """Returns how many attempts of all proxies run at a replica, as far as this proxy knows."""
         return self.chooser.load(self.table.replicas[name])[0]
 
 
-class Pausable:
-    """One node's view of the loop that all nodes of a test share: it can freeze, or end."""
+class PausableLoop:
+    """One node's view of the event loop that all nodes of a test share.
+
+    Setting `is_frozen` stops the callbacks of this node alone: its timers are deferred until `thaw`, and its socket
+    events and repeating calls are skipped. A node that has ended stays frozen.
+    """
 
     def __init__(self, *, loop: event_loop.Loop) -> None:
         self._loop = loop
@@ -150,7 +158,7 @@
         return run
 
     def thaw(self) -> None:
-        """Goes on, with the newest of the calls that came meanwhile."""
+        """Resumes, and runs the newest 200 of the timer callbacks that were deferred."""
         self.is_frozen = False
         deferred, self._deferred = self._deferred, []
         for callback, args in deferred[-200:]:
@@ -189,7 +197,7 @@
         self._loop.unwatch(sock=sock)
 
     def at_end_of_step(self, *, callback: Callable) -> None:
-        """As `event_loop.Loop` does; what was sent goes out even if the node freezes in the same step."""
+        """As `event_loop.Loop` does; not deferred: sent data is written even if the node freezes in the same step."""
         self._loop.at_end_of_step(callback=callback)
 
     def call_soon_threadsafe(self, *, callback: Callable) -> None:
@@ -198,7 +206,17 @@
 
 
 class ProxyCluster:
-    """Five proxies of one zone, one of another; singleton roles as the cluster coordinator would assign them."""
+    """Five proxies of the zone za and one of zb, with singleton roles as the cluster coordinator would assign them.
+
+    Args:
+        more: The zones of further proxies, by address.
+
+    Attributes:
+        zone_by_ip: The zone of each proxy, by address.
+        nodes: All proxies, by address.
+        singleton_roles: The epoch, owner and owner's incarnation of each role, by its name.
+        live: The addresses of the proxies that run; tests take frozen ones out.
+    """
 
     def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
         self.loop = loopback.new_loop()
@@ -208,15 +226,15 @@
         ports = (port, port + 2)
         self.zone_by_ip = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
         self.nodes = {
-            ip: Node(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
+            ip: ZoneProxy(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
             for ip, zone in self.zone_by_ip.items()
         }
-        self.singleton_roles: dict[str, tuple[int, str, str]] = {}  # epoch, owner, its incarnation
+        self.singleton_roles: dict[str, tuple[int, str, str]] = {}
         self.live = set(self.nodes)
         self.assign_roles()
 
     def assign_roles(self) -> None:
-        """Gives roles whose owners are gone to live proxies, and has all live ones know."""
+        """Assigns roles without a live owner to live proxies, and announces all owners to all live proxies."""
         listed = [
             (ip, node.incarnation, node.settings.zone, node.settings.region)
             for ip, node in self.nodes.items()
@@ -231,28 +249,32 @@
             self.announce(ip)
 
     def announce(self, ip: str) -> None:
-        """Has one proxy know the owners of roles."""
+        """Sends one proxy the owners of all roles."""
         self.nodes[ip].client.update_roles(dict(self.singleton_roles))
 
     def actual_load(self, name: str) -> int:
-        """How many attempts run at a replica."""
+        """Returns how many attempts of live proxies run at a replica."""
         return sum(self.nodes[ip].table.replicas[name].running for ip in self.live)
 
-    def agree(self) -> bool:
-        """Whether every live proxy sees what runs."""
+    def has_converged(self) -> bool:
+        """Returns whether every live proxy knows the actual load of every replica."""
         return all(
             self.nodes[ip].known_load(row["id"]) == self.actual_load(row["id"]) for ip in self.live for row in ROWS
         )
 
     def assert_converges(self) -> None:
-        """Fails unless all live proxies come to see what runs."""
-        assert loopback.until(self.loop, self.agree), {
+        """Steps the loop until every live proxy knows the actual load of every replica.
+
+        Raises:
+            AssertionError: That takes too long; the message has the known and the actual loads by proxy.
+        """
+        assert loopback.until(self.loop, self.has_converged), {
             ip: [(self.nodes[ip].known_load(row["id"]), self.actual_load(row["id"])) for row in ROWS]
             for ip in self.live
         }
 
     def stop(self, ip: str) -> None:
-        """A proxy ends: all its connections close."""
+        """Ends a proxy, which closes all of its connections."""
         node = self.nodes[ip]
         self.live.discard(ip)
         node.digest.stop()
@@ -267,30 +289,34 @@
         node.loop.is_frozen = True
 
     def digest(self) -> str:
-        """The address of the owner of the zone's first digest."""
+        """Returns the address of the owner of the digest of the zone za."""
         return self.singleton_roles["digest/za"][1]
 
     def start_attempts(self, *, seed: int) -> None:
-        """Every live proxy begins four attempts."""
-        chance = random.Random(seed)
+        """Starts four attempts of every live proxy, at replicas drawn by `seed`."""
+        generator = random.Random(seed)
         for ip in self.live:
             for _ in range(4):
-                self.nodes[ip].begin(chance.choice(ROWS)["id"])
+                self.nodes[ip].begin(generator.choice(ROWS)["id"])
 
 
 class GatewayCluster(ProxyCluster):
-    """A second zone of the north: two digests share the gateway beside the north's relay."""
+    """A cluster with a second zone in the region north, whose two digests share the gateway at the north's relay."""
 
     def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
         super().__init__(more={address(number): "zc" for number in range(20, 25)} | dict(more))
 
-    def relay(self, region: str) -> Node:
-        """The owner of a region's relay."""
+    def relay(self, region: str) -> ZoneProxy:
+        """Returns the proxy that owns a region's relay."""
         return self.nodes[self.singleton_roles[f"relay/{region}"][1]]
 
     def far_subscribers(self) -> list[str]:
-        """Zones and singleton roles whose streams the south's relay serves."""
+        """Returns the sorted zones and singleton roles whose streams the south's relay serves.
+
+        Raises:
+            RuntimeError: The owner of the relay does not run it.
+        """
         relay = self.relay("south").relay
         if relay is None:
-            raise RuntimeError("the owner of the south's relay does not run it")
+            raise RuntimeError(f"{self.singleton_roles['relay/south'][1]} owns the south's relay but does not run it")
         return sorted(known.zone for known in relay.subscribers.values())
