--- a/ploverward/simulation/stand_in.py
+++ b/ploverward/simulation/stand_in.py
@@ -1,8 +1,8 @@
-"""A small deployment on the loopback range, to try the programs by hand.
+"""A small deployment on the loopback range, for trying the programs by hand.
 
-`python3 -m ploverward stand-in [--folder F] [--port N]`: three regions with a core node, a proxy and two stand-in
-replicas each, a stand-in platform, and a little traffic. It stands in for a platform and model replicas; it measures
-nothing. Ends with Ctrl-C.
+`python3 -m ploverward stand-in [--folder F] [--port N]` starts three regions, each with a core node, a proxy and two
+stand-in replicas, a stand-in platform, and light traffic. It replaces a real platform and model replicas, and takes no
+measurements. Ctrl-C ends it.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from ploverward.transport import event_loop
 from ploverward.transport import interfaces
 
-MAX_BUSY = 12  # requests in progress
-CONFIGURE_PAUSE_S, REQUEST_PAUSE_S = 0.2, 0.05  # between two attempts, and between two requests
+MAX_IN_FLIGHT = 12  # requests in progress
+CONFIGURE_PAUSE_S, REQUEST_PAUSE_S = 0.2, 0.05  # between two attempts to configure, and two requests
 CONFIGURE_TIMEOUT_S, REQUEST_TIMEOUT_S = 3, 4
 CONFIGURATION = {
     "edition": 1,
@@ -78,25 +78,31 @@
     """Configures the deployment once its core is up, then sends requests to its proxies."""
 
     def __init__(self, *, loop: event_loop.Loop, base_port: int, folder: str) -> None:
-        """Begins at once; `folder` is named to the user, with the core nodes."""
+        """Starts configuring at once.
+
+        Args:
+            loop: The event loop.
+            base_port: The deployment's first port.
+            folder: The folder of the settings files, which is printed with the addresses of the core nodes.
+        """
         self._loop = loop
         self._base_port = base_port
         self._folder = folder
         self._is_configured = False
-        self._is_served = False  # whether any request was
-        self._busy = 0
-        self._tick()
+        self._has_served = False  # whether any request succeeded
+        self._in_flight = 0
+        self._start_next()
 
-    def _tick(self) -> None:
+    def _start_next(self) -> None:
         if not self._is_configured:
-            if not self._busy:
-                self._busy += 1
+            if not self._in_flight:
+                self._in_flight += 1
                 self._loop.offload(work=self._configure, done=self._handle_configured)
-        elif self._busy < MAX_BUSY:
-            self._busy += 1
+        elif self._in_flight < MAX_IN_FLIGHT:
+            self._in_flight += 1
             self._loop.offload(work=self._request, done=self._handle_requested)
         pause_s = REQUEST_PAUSE_S if self._is_configured else CONFIGURE_PAUSE_S
-        self._loop.after(delay=pause_s, callback=self._tick)
+        self._loop.after(delay=pause_s, callback=self._start_next)
 
     def _configure(self) -> bool:
         request = urllib.request.Request(
@@ -112,7 +118,7 @@
             return False  # the core is not up yet
 
     def _handle_configured(self, outcome: interfaces.Outcome) -> None:
-        self._busy -= 1
+        self._in_flight -= 1
         self._is_configured = outcome.result()
         if self._is_configured:
             cores = ",".join(
@@ -122,7 +128,7 @@
             print(f"up: --core {cores}; settings in {self._folder}", flush=True)
 
     def _request(self) -> str | None:
-        """Sends one request; returns its identifier where it was served."""
+        """Sends one request; returns its id, or None if it did not succeed."""
         request_id = uuid.uuid4().hex[:16]
         route = random.choice(("chat", "board"))
         host = stand_in_nodes.proxy_host(random.randrange(len(stand_in_replicas.REGIONS)))
@@ -147,27 +153,35 @@
             return None
 
     def _handle_requested(self, outcome: interfaces.Outcome) -> None:
-        self._busy -= 1
+        self._in_flight -= 1
         request_id = outcome.result()
-        if request_id and not self._is_served:
-            self._is_served = True
+        if request_id and not self._has_served:
+            self._has_served = True
             print(f"first request served: {request_id}", flush=True)
 
 
 class _StopSignal:
-    """Whether SIGINT or SIGTERM came."""
+    """Records whether the process received SIGINT or SIGTERM.
+
+    Attributes:
+        is_received: Whether one of them was received.
+    """
 
     def __init__(self) -> None:
-        self.has_come = False
+        self.is_received = False
         signal.signal(signal.SIGINT, self._handle)
         signal.signal(signal.SIGTERM, self._handle)
 
     def _handle(self, *_signal: object) -> None:
-        self.has_come = True
+        self.is_received = True
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Runs the deployment until it is interrupted."""
+    """Runs the deployment until it is interrupted or its time is over.
+
+    Args:
+        arguments: The command line arguments; those of the process by default.
+    """
     parser = argparse.ArgumentParser()
     parser.add_argument("--folder", default="")
     parser.add_argument("--port", type=int, default=18100)
@@ -186,8 +200,8 @@
     nodes = stand_in_nodes.NodeProcesses(folder=folder, base_port=args.port, platform=replicas.platform)
     stop_signal = _StopSignal()
     Traffic(loop=loop, base_port=args.port, folder=folder)
-    begun = loop.now()
-    while not stop_signal.has_come and not (args.for_s and loop.now() - begun > args.for_s):
+    started_at = loop.now()
+    while not stop_signal.is_received and not (args.for_s and loop.now() - started_at > args.for_s):
         loop.step()
     nodes.stop()
 
--- a/ploverward/simulation/stand_in_nodes.py
+++ b/ploverward/simulation/stand_in_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of the stand-in deployment: a core node and a proxy a region, each a process with a settings file."""
+"""The nodes of the stand-in deployment: one core node and one proxy per region, each a process with a settings file."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from ploverward.simulation import stand_in_replicas
 
-STOP_S = 12  # for a node that is asked to end; then it is killed
-COUNTER_PORT, READINESS_PORT = 2, 3  # of a proxy; these ports are added to the deployment's first one
-FIRST_INNER_PORT, LAST_INNER_PORT = 20, 35
+STOP_S = 12  # a node that has not ended so long after SIGTERM is killed
+COUNTER_PORT, READINESS_PORT = 2, 3  # of a proxy; offsets from the deployment's first port
+FIRST_INNER_PORT, LAST_INNER_PORT = 20, 35  # offsets from the deployment's first port
 BOUNDS = {
     "seedLagS": 3,
     "reuseAfterS": 2,
@@ -50,13 +50,13 @@
 
 
 class NodeProcesses:
-    """The processes of all nodes, from the call until `stop`."""
+    """The processes of all nodes, which run from construction until `stop`."""
 
     def __init__(self, *, folder: str, base_port: int, platform: str) -> None:
         """Starts all nodes.
 
         Args:
-            folder: Gets the settings files and the data folders.
+            folder: The folder for the settings files and the data folders.
             base_port: The deployment's first port.
             platform: ADDRESS:PORT of the platform.
         """
@@ -106,7 +106,7 @@
         return lines + [f"bounds.{name}={value}" for name, value in BOUNDS.items()]
 
     def stop(self) -> None:
-        """Asks all nodes to end, and kills those that do not in time."""
+        """Sends SIGTERM to all nodes, and kills those that do not end within `STOP_S`."""
         for process in self._processes:
             process.send_signal(signal.SIGTERM)
         for process in self._processes:
--- a/ploverward/simulation/stand_in_replicas.py
+++ b/ploverward/simulation/stand_in_replicas.py
@@ -1,7 +1,7 @@
-"""The stand-in platform and its model replicas: HTTP servers on the loopback range that answer as real ones would.
+"""The stand-in platform and its model replicas: HTTP servers on the loopback range that respond like real ones.
 
-`FakeReplicas` owns the platform's list and the servers. A replica serves a path under /chat/ with a stream of eight
-events, the first after its adapter is loaded, and any other with one answer.
+`FakeReplicas` owns the platform's list and the servers. A replica responds to a path under /chat/ with a stream of
+eight events, of which the first waits until the adapter is loaded, and to any other path with one complete response.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 from ploverward.transport import http_server
 
 REGIONS = ("north", "south", "west")
-REPLICAS_PER_REGION = 2  # of a version
+REPLICAS_PER_REGION = 2  # of each version
 PLATFORM_HOST = "127.0.100.1"
-PLATFORM_PORT = 50  # these ports are added to the deployment's first one
-REPLICA_PORT = 60  # and the number of the version
+PLATFORM_PORT = 50  # offset from the deployment's first port
+REPLICA_PORT = 60  # offset from the first port, to which the number of the version is added
 PEER_TIMEOUT_S = 10.0
 SERVICE = "tutor"
 FIRST_VERSION = "v1"
 ADAPTERS = ("drafts", "hearings", "moves", "coach")
-SLOTS = 2  # adapters that a replica holds
-LOAD_S = 0.9  # an adapter's load
-ANSWER_S = 0.02  # until a complete answer
+ADAPTER_SLOTS = 2  # adapters that a replica can hold at the same time
+LOAD_S = 0.9  # to load an adapter
+ANSWER_S = 0.02  # until a complete response
 EVENT_S = 0.05  # between two events
-EVENTS = 8  # of a stream
+EVENTS = 8  # in a stream
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Replica:
-    """One model replica.
+    """A model replica and the adapters that it has loaded.
 
     Attributes:
         name: Its id in the platform's list.
         edition: Its version.
-        started_at: When it was started, by the loop's clock in seconds.
-        row: Its row of the platform's list.
-        adapters: By name, when each is loaded; the least lately used first.
+        started_at: Loop time in seconds at which it was started.
+        row: Its row in the platform's list.
+        adapters: The loop time at which each adapter is loaded, by name; the least recently used first.
     """
 
     name: str
@@ -55,11 +55,19 @@
     adapters: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def load(self, adapter: str, *, now: float) -> float:
-        """Returns how long an adapter's first event waits for its load, in seconds; drops the least lately used one."""
+        """Loads an adapter unless it is loaded or loading; if all slots are in use, evicts the least recently used one.
+
+        Args:
+            adapter: The adapter's name; others than `ADAPTERS` need no load.
+            now: Loop time in seconds.
+
+        Returns:
+            The seconds until the adapter is loaded.
+        """
         if adapter not in ADAPTERS:
             return 0.0
         at = self.adapters.pop(adapter, None)
-        if at is None and len(self.adapters) >= SLOTS:
+        if at is None and len(self.adapters) >= ADAPTER_SLOTS:
             del self.adapters[next(iter(self.adapters))]
         self.adapters[adapter] = at if at is not None else now + LOAD_S
         return max(0.0, self.adapters[adapter] - now)
@@ -77,8 +85,8 @@
         self.platform = f"{PLATFORM_HOST}:{base_port + PLATFORM_PORT}"
         self._loop = loop
         self._base_port = base_port
-        self._replicas: list[Replica] = []  # that are listed
-        self._version_count = 0  # each version has addresses of its own
+        self._replicas: list[Replica] = []  # those that the platform lists
+        self._version_count = 0  # added to the ports, so that each version has its own addresses
         self._listen((PLATFORM_HOST, base_port + PLATFORM_PORT), self._handle_list)
         self.start_version(FIRST_VERSION)
 
@@ -92,7 +100,7 @@
         )
 
     def start_version(self, edition: str) -> None:
-        """Starts replicas of a version in each region."""
+        """Starts the replicas of a version in each region."""
         self._version_count += 1
         for index, region in enumerate(REGIONS):
             for number in range(1, REPLICAS_PER_REGION + 1):
@@ -127,7 +135,7 @@
                 replica.row["condition"] = "clearing"
 
     def stop_versions(self, is_gone: Callable[[str], bool]) -> None:
-        """Ends the replicas of the versions for which `is_gone(edition)`: they answer nothing any more."""
+        """Stops the replicas of all versions for which `is_gone(edition)` is true: they abort all later requests."""
         self._replicas = [replica for replica in self._replicas if not is_gone(replica.edition)]
 
     def _handle_list(self, request: http_request.Request) -> None:
@@ -143,7 +151,7 @@
         )
 
     def _serve(self, replica: Replica, request: http_request.Request) -> None:
-        known = [(b"X-Attempt-Id", request.header(b"x-attempt-id")), (b"X-Postmark", uuid.uuid4().hex.encode())]
+        headers = [(b"X-Attempt-Id", request.header(b"x-attempt-id")), (b"X-Postmark", uuid.uuid4().hex.encode())]
         is_bad = stand_in_versions.is_bad(
             edition=replica.edition,
             target=request.target,
@@ -151,19 +159,19 @@
             chance=random.random(),
         )
         is_slow = is_bad and stand_in_versions.is_slow(replica.edition)
-        times = stand_in_versions.SLOW_TIMES if is_slow else 1.0
+        slowdown = stand_in_versions.SLOWDOWN if is_slow else 1.0
         if replica not in self._replicas:
             request.abort()
         elif is_bad and not is_slow:
-            request.reply(status=500, headers=known)
+            request.reply(status=500, headers=headers)
         elif request.text(b"x-addressed-replica") != replica.name:
             request.reply(status=421, headers=[(b"X-Replica-Id", replica.name.encode())])
         elif not request.target.startswith(b"/chat/"):
             self._loop.after(
-                delay=ANSWER_S * times, callback=lambda: request.reply(status=200, headers=known, body=b"done")
+                delay=ANSWER_S * slowdown, callback=lambda: request.reply(status=200, headers=headers, body=b"done")
             )
         else:
-            self._stream(replica, request, known, event_s=EVENT_S * times)
+            self._stream(replica, request, headers, event_s=EVENT_S * slowdown)
 
     def _stream(
         self,
@@ -173,7 +181,7 @@
         *,
         event_s: float,
     ) -> None:
-        """Sends the events after the one that the client had last."""
+        """Sends the events after the last one that the client has."""
         request.start(
             status=200,
             headers=[*headers, (b"Content-Type", b"text/event-stream"), (b"Transfer-Encoding", b"chunked")],
--- a/ploverward/simulation/stand_in_versions.py
+++ b/ploverward/simulation/stand_in_versions.py
@@ -1,7 +1,7 @@
-"""The stand-in platform's side of roll-outs: starts and stops replicas of versions as the core orders it.
+"""Roll-outs of the stand-in platform: starts and stops the replicas of versions as the core's roll-outs demand.
 
-What a version does is in its name: `v2` is good; `v2-errors`, `v2-slow`, `v2-route` (on /chat/ alone) and `v2-late`
-(from LATE_S after its start) are bad in half of their answers.
+A version's name selects its behavior: `v2` is good, and `v2-errors`, `v2-slow`, `v2-route` (only on /chat/) and
+`v2-late` (only from `LATE_S` after its start) send bad responses to half of the requests.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 from ploverward.transport import interfaces
 
-LATE_S = 3.0
-BAD_SHARE = 0.5  # of the answers of a bad version
-SLOW_TIMES = 8.0  # how many times longer a slow answer takes
-DRAIN_S = 4.0  # from a version's draining to its stop
-POLL_S = 0.5
+LATE_S = 3.0  # from the start of a `-late` version to its first bad response
+BAD_SHARE = 0.5  # the share of bad responses of a bad version
+SLOWDOWN = 8.0  # the factor by which a slow response takes longer
+DRAIN_S = 4.0  # from listing a version as draining until it is stopped
+POLL_S = 0.5  # between two reads of the roll-out
 READ_TIMEOUT_S = 2
 
 
 def is_bad(*, edition: str, target: bytes, age_s: float, chance: float) -> bool:
-    """Whether one answer of a replica is a bad one.
+    """Returns whether a replica's response to one request is bad.
 
     Args:
         edition: The replica's version.
-        target: Of the request.
-        age_s: How long ago the version was started.
-        chance: A random number from 0 to below 1.
+        target: The request target.
+        age_s: Seconds since the replica was started.
+        chance: A random number, at least 0 and below 1.
     """
     kind = edition.partition("-")[2]
     if not kind or chance >= BAD_SHARE:
@@ -41,46 +41,46 @@
 
 
 def is_slow(edition: str) -> bool:
-    """Whether a bad answer of this version comes slowly; else it fails."""
+    """Returns whether bad responses of this version are slow; otherwise they are errors."""
     return edition.endswith("-slow")
 
 
 class VersionedReplicas(Protocol):
-    """Replicas that are started and stopped by their version."""
+    """Interface to replicas that are started and stopped by their version."""
 
     def start_version(self, edition: str) -> None:
-        """Starts replicas of a version."""
+        """Starts the replicas of a version."""
 
     def drain_version(self, edition: str) -> None:
         """Lists the replicas of a version as draining."""
 
     def stop_versions(self, is_gone: Callable[[str], bool]) -> None:
-        """Ends the replicas of the versions for which `is_gone(edition)`."""
+        """Stops the replicas of all versions for which `is_gone(edition)` is true."""
 
 
-class _OrderState(NamedTuple):
-    """A roll-out's state that was acted on."""
+class _RolloutState(NamedTuple):
+    """The number and condition of the roll-out that was handled last."""
 
     number: int
     condition: str
 
 
 class FakeVersions:
-    """Follows the roll-outs of a service, and starts and stops its replicas as a platform does."""
+    """Polls the roll-outs of a service, and starts and stops its replicas like a platform."""
 
     def __init__(self, *, loop: interfaces.Loop, core: str, service: str, replicas: VersionedReplicas) -> None:
-        """Begins to follow.
+        """Starts polling.
 
         Args:
             loop: The event loop.
             core: ADDRESS:PORT of a core node's operator API.
-            service: Its name.
-            replicas: Of the service.
+            service: The name of the service.
+            replicas: The replicas of the service.
         """
         self._loop = loop
         self._url = f"http://{core}/ploverward/rollouts/{service}"
         self._replicas = replicas
-        self._seen = _OrderState(number=0, condition="")
+        self._handled = _RolloutState(number=0, condition="")
         self._loop.after(delay=POLL_S, callback=self._poll)
 
     def _poll(self) -> None:
@@ -91,20 +91,20 @@
             with urllib.request.urlopen(self._url, timeout=READ_TIMEOUT_S) as reply:
                 return json.load(reply)
         except (OSError, ValueError):
-            return None  # the core is not up yet, or there was no roll-out
+            return None  # the core is not up yet, or the service never had a roll-out
 
     def _handle_outcome(self, outcome: interfaces.Outcome) -> None:
         self._loop.after(delay=POLL_S, callback=self._poll)
         row = outcome.result()
         if row is not None:
-            self._follow(row)
+            self._apply(row)
 
-    def _follow(self, row: dict[str, Any]) -> None:
-        state = _OrderState(number=row["number"], condition=row["condition"])
-        if state == self._seen:
+    def _apply(self, row: dict[str, Any]) -> None:
+        state = _RolloutState(number=row["number"], condition=row["condition"])
+        if state == self._handled:
             return
-        is_new = state.number != self._seen.number
-        self._seen = state
+        is_new = state.number != self._handled.number
+        self._handled = state
         target = row["targetEdition"]
         if is_new and state.condition == "in_service":
             self._replicas.start_version(target)
