--- a/ploverward/data_plane/load_reports/test_gateway.py
+++ b/ploverward/data_plane/load_reports/test_gateway.py
@@ -55,7 +55,7 @@
 
 
 def test_mirrors_of_remote_region_recover_through_gateway_after_its_relay_is_lost():
-    zones = zone_proxies.GatewayCluster(more={zone_proxies.address(8): "zb"})
+    zones = zone_proxies.GatewayCluster(more_zones={zone_proxies.address(8): "zb"})
     zones.start_attempts(seed=27)
     zones.assert_converges()
     former = zones.singleton_roles["relay/south"][1]
--- a/ploverward/data_plane/requests/test_priority_under_load.py
+++ b/ploverward/data_plane/requests/test_priority_under_load.py
@@ -28,7 +28,7 @@
 }
 
 
-class PriorityReplica(loopback.Peer):
+class PriorityReplica(loopback.ScriptedServer):
     """A replica that serves one request at a time and has a short priority queue.
 
     When the queue is full, it rejects the least urgent request.
--- a/ploverward/data_plane/requests/test_residency_history.py
+++ b/ploverward/data_plane/requests/test_residency_history.py
@@ -113,7 +113,7 @@
         return script
 
     zones = ["za", "za", "zb", "zb", "zc"]
-    peers = [loopback.Peer(loop=loop, script=script_of(zone)) for zone in zones]
+    peers = [loopback.ScriptedServer(loop=loop, script=script_of(zone)) for zone in zones]
     scenes = [
         loopback_proxy.LoopbackProxy(loop=loop, peers=list(zip(peers, zones, strict=False))) for _ in range(2)
     ]  # two entry proxies
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -114,7 +114,7 @@
 def test_one_byte_that_left_is_a_request_that_may_have_run(lead, end, monkeypatch):
     scene = request_scene.Scene(lambda number, received: [end], request_scene.respond_ok)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
-    request_scene.limit_sent_bytes(scene, monkeypatch, most=1)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=1)
     scene.request(lead)
     assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [502]
@@ -123,7 +123,7 @@
 
 def test_no_byte_that_left_is_a_request_that_has_not_run(monkeypatch):
     scene = request_scene.Scene(request_scene.respond_ok)
-    request_scene.limit_sent_bytes(scene, monkeypatch, most=0)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=0)
     scene.request("once", left_ms=200)
     assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [503] and scene.peers[0].received == [b""]
@@ -139,7 +139,7 @@
 def test_an_early_answer_stands_and_its_connection_ends(early, told, monkeypatch):
     """The replica answers when it has a part; the rest of the request never leaves."""
     scene = request_scene.Scene(lambda number, received: [early])
-    request_scene.limit_sent_bytes(scene, monkeypatch, most=100)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=100)
     scene.request("once" if told == [503] else "unsafe")
     assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == told and len(scene.peers[0].received[0]) == 100
@@ -148,7 +148,7 @@
 
 def test_an_answer_before_its_request_is_nobodys(monkeypatch):
     scene = request_scene.Scene(request_scene.respond_ok)
-    request_scene.limit_sent_bytes(scene, monkeypatch, most=0)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=0)
     scene.request("once", left_ms=1000)
     assert loopback.until(scene.loop, lambda: scene.peers[0].socks)
     scene.peers[0].callback(0, [request_scene.answer(b"a1", b"early")])
--- a/ploverward/simulation/batch_scene.py
+++ b/ploverward/simulation/batch_scene.py
@@ -105,7 +105,7 @@
         self.folder = folder
         self.loop = loopback.new_loop()
         self.port = _free_port()
-        self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
+        self.peers = [loopback.ScriptedServer(loop=self.loop, script=script) for script in scripts]
         self.stores: dict[str, store_node.StoreNode] = {}
         for host in STORE_HOSTS:
             self.start_store(loopback.own_address(host=host))
--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -101,7 +101,7 @@
     return http_request.Limits(**{"head_bytes": 4096, "body_bytes": 10000, "head_s": 5.0, "idle_s": 10.0, **changed})
 
 
-class Peer:
+class ScriptedServer:
     """A scripted server.
 
     Args:
--- a/ploverward/simulation/loopback_proxy.py
+++ b/ploverward/simulation/loopback_proxy.py
@@ -137,7 +137,7 @@
         self,
         *,
         loop: loopback.SkippingLoop,
-        peers: list[tuple[loopback.Peer, str]],
+        peers: list[tuple[loopback.ScriptedServer, str]],
         share: float = 1.0,
         limits: Callable[[], http_request.Limits] = loopback.limits,
     ) -> None:
--- a/ploverward/simulation/random_replica.py
+++ b/ploverward/simulation/random_replica.py
@@ -103,7 +103,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Replica(loopback.Peer):
+class Replica(loopback.ScriptedServer):
     """A replica with a behavior drawn for each request.
 
     Args:
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -83,7 +83,7 @@
         errors: list[Exception] | None = None,
     ) -> None:
         self.loop = loopback.new_loop(errors=errors)
-        self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
+        self.peers = [loopback.ScriptedServer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
         self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
         self.client = loopback.Client(loop=self.loop, address=self.proxy.address)
@@ -139,12 +139,12 @@
     return loopback.until(scene.loop, lambda: scene.client.got and not scene.proxy.handlers)
 
 
-class SlowSocket:
-    """A socket that accepts at most `most` bytes for sending, then blocks."""
+class LimitedSocket:
+    """A socket that accepts at most `max_bytes` bytes for sending, then blocks."""
 
-    def __init__(self, sock: socket.socket, *, most: int) -> None:
+    def __init__(self, sock: socket.socket, *, max_bytes: int) -> None:
         self.sock = sock
-        self.left = most
+        self.left = max_bytes
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.sock, name)
@@ -162,15 +162,15 @@
         return count
 
 
-def limit_sent_bytes(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
-    """Makes each new connection to a replica accept at most `most` bytes of requests."""
+def limit_sent_bytes(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, max_bytes: int) -> None:
+    """Makes each new connection to a replica accept at most `max_bytes` bytes of requests."""
     open_connection = connection_pool.ConnectionPool.open
 
     def open_limited(
         pool: connection_pool.ConnectionPool, replica: replicas.Replica
     ) -> upstream_connection.UpstreamConnection:
         connection = open_connection(pool, replica)
-        connection.sock = typing.cast(socket.socket, SlowSocket(connection.sock, most=most))
+        connection.sock = typing.cast(socket.socket, LimitedSocket(connection.sock, max_bytes=max_bytes))
         return connection
 
     monkeypatch.setattr(connection_pool.ConnectionPool, "open", open_limited)
--- a/ploverward/simulation/zone_proxies.py
+++ b/ploverward/simulation/zone_proxies.py
@@ -209,7 +209,7 @@
     """Five proxies of the zone za and one of zb, with singleton roles as the cluster coordinator would assign them.
 
     Args:
-        more: The zones of further proxies, by address.
+        more_zones: The zones of further proxies, by address.
 
     Attributes:
         zone_by_ip: The zone of each proxy, by address.
@@ -218,13 +218,13 @@
         live: The addresses of the proxies that run; tests take frozen ones out.
     """
 
-    def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
+    def __init__(self, *, more_zones: Mapping[str, str] = types.MappingProxyType({})) -> None:
         self.loop = loopback.new_loop()
         with socket.socket() as probe:
             probe.bind((loopback.own_address(), 0))
             port = probe.getsockname()[1]
         ports = (port, port + 2)
-        self.zone_by_ip = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more)
+        self.zone_by_ip = {address(number): "za" for number in range(1, 6)} | {address(9): "zb"} | dict(more_zones)
         self.nodes = {
             ip: ZoneProxy(loop=self.loop, ip=ip, zone=zone, ports=ports, incarnation=f"l{ip}")
             for ip, zone in self.zone_by_ip.items()
@@ -303,8 +303,8 @@
 class GatewayCluster(ProxyCluster):
     """A cluster with a second zone in the region north, whose two digests share the gateway at the north's relay."""
 
-    def __init__(self, *, more: Mapping[str, str] = types.MappingProxyType({})) -> None:
-        super().__init__(more={address(number): "zc" for number in range(20, 25)} | dict(more))
+    def __init__(self, *, more_zones: Mapping[str, str] = types.MappingProxyType({})) -> None:
+        super().__init__(more_zones={address(number): "zc" for number in range(20, 25)} | dict(more_zones))
 
     def relay(self, region: str) -> ZoneProxy:
         """Returns the proxy that owns a region's relay."""
--- a/ploverward/transport/test_peer_connection.py
+++ b/ploverward/transport/test_peer_connection.py
@@ -20,7 +20,7 @@
 
     def __init__(self, *, script=lambda _number, _heard: None):
         self.loop = loopback.new_loop()
-        self.peer = loopback.Peer(loop=self.loop, script=script)
+        self.peer = loopback.ScriptedServer(loop=self.loop, script=script)
         self.connections, self.received, self.end_reasons = [], [], []
         self.connector = peer_connection.Connector(
             loop=self.loop,
