--- a/ploverward/simulation/loopback.py
+++ b/ploverward/simulation/loopback.py
@@ -102,7 +102,7 @@
 
 
 class ScriptedServer:
-    """A scripted server.
+    """A TCP server that performs the actions of a script on each of its connections.
 
     Args:
         loop: The event loop.
