--- a/ploverward/command_line/test_golden_proxy.py
+++ b/ploverward/command_line/test_golden_proxy.py
@@ -26,7 +26,7 @@
 # This section refers to names inside the program.
 
 
-def plain(script=request_scene.replying, zone="za"):
+def plain(script=request_scene.respond_ok, zone="za"):
     return request_scene.Scene(script, zones=[zone])
 
 
@@ -79,7 +79,7 @@
 def streaming(number, received):
     if not request_scene.is_complete(received):
         return None
-    return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1) + request_scene.END]
+    return [request_scene.head(request_scene.request_id(received)) + request_scene.event(1) + request_scene.LAST_CHUNK]
 
 
 def ready(*, is_serving: bool, is_draining: bool, target: str) -> int:
@@ -101,7 +101,7 @@
 
 CASES = {
     "200": (plain, {"lead": "safe"}),
-    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": request_scene.END}),
+    "200 of a stream": (lambda: plain(streaming), {"lead": "resume", "end": request_scene.LAST_CHUNK}),
     "200 for a tenant": (
         with_tenants,
         {"lead": "resume", "more": b"Authorization: Bearer key-of-clerks\r\nX-Sender: other\r\n"},
@@ -158,7 +158,7 @@
     end = about.pop("end", b"\r\n\r\n")
     send(scene, **about)
     assert scene.until(end)
-    received = [bytes(heard) for peer in scene.peers for heard in peer.heard if heard]
+    received = [bytes(received) for peer in scene.peers for received in peer.received if received]
     sent = received[-1][received[-1].rindex(b"POST ") :] if received else b""
     result = {"client": normalized_lines(scene.client.got), "replica": normalized_lines(sent) if sent else []}
     trails = scene.proxy.trails()
--- a/ploverward/data_plane/upstream/test_upstream_connection.py
+++ b/ploverward/data_plane/upstream/test_upstream_connection.py
@@ -24,14 +24,14 @@
     scene.client.got = b""
     scene.number -= 1
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert scene.client.got.endswith(b"second")
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
 def test_idle_connection_with_unhandled_end_is_not_reused(is_reset):
     """Both the end of the connection and the next request are pending when the event loop polls."""
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -40,12 +40,12 @@
     scene.loop.skip(seconds=2.0)
     scene.peers[0].end(0, is_reset=is_reset)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200] and scene.arrivals() == 2
 
 
 def test_after_process_freeze_idle_connections_and_expired_requests_are_dropped():
-    scene = request_scene.Scene(request_scene.replying)
+    scene = request_scene.Scene(request_scene.respond_ok)
     scene.request("unsafe")
     assert scene.until(b"\r\n\r\nok")
     scene.client.got = b""
@@ -61,22 +61,22 @@
     scene.loop.skip(seconds=16.0)
     scene.client = loopback.Client(loop=scene.loop, address=scene.proxy.address)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200]
-    assert len(scene.peers[0].heard) == 2 and scene.peers[0].heard[1]  # on a new connection
+    assert len(scene.peers[0].received) == 2 and scene.peers[0].received[1]  # on a new connection
 
 
 def test_silently_dropped_idle_connections_fail_only_one_request():
     def script(number, received):
         is_reused = received.lower().count(b"x-attempt-id") > 1
-        return ["reset"] if is_reused else request_scene.answering()(number, received)
+        return ["reset"] if is_reused else request_scene.respond_with()(number, received)
 
     scene = request_scene.Scene(script)
     statuses = []
     for _ in range(5):
         scene.client.got = b""
         scene.request("unsafe")
-        assert request_scene.settled(scene)
+        assert request_scene.wait_until_idle(scene)
         statuses += request_scene.statuses(scene.client)
         scene.loop.skip(seconds=0.7)
     assert statuses == [200, 502, 200, 200, 200]
@@ -86,13 +86,13 @@
 
 @pytest.mark.parametrize("others", [0, 1])
 def test_request_on_connection_that_cannot_be_established_counts_as_unsent(others):
-    scene = request_scene.Scene(request_scene.replying, *[request_scene.replying] * others)
+    scene = request_scene.Scene(request_scene.respond_ok, *[request_scene.respond_ok] * others)
     for index in range(others):
         scene.proxy.table.replicas[f"i{index + 1}"].backoff_until = scene.loop.now() + 1000.0
     scene.loop.unwatch(sock=scene.peers[0].sock)
     scene.peers[0].sock.close()
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200 if others else 503] and scene.arrivals() == others
 
 
@@ -105,28 +105,28 @@
 
     scene = request_scene.Scene(script)
     scene.request("unsafe")
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [200]
 
 
 @pytest.mark.parametrize("lead", ["unsafe", "once"])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_request_with_one_byte_sent_is_not_retried(lead, end, monkeypatch):
-    scene = request_scene.Scene(lambda number, received: [end], request_scene.replying)
+    scene = request_scene.Scene(lambda number, received: [end], request_scene.respond_ok)
     scene.proxy.table.replicas["i1"].backoff_until = scene.loop.now() + 1000.0
-    request_scene.in_part(scene, monkeypatch, most=1)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=1)
     scene.request(lead)
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [502]
-    assert [len(heard) for peer in scene.peers for heard in peer.heard] == [1]
+    assert [len(received) for peer in scene.peers for received in peer.received] == [1]
 
 
 def test_request_with_no_byte_sent_is_answered_503(monkeypatch):
-    scene = request_scene.Scene(request_scene.replying)
-    request_scene.in_part(scene, monkeypatch, most=0)
+    scene = request_scene.Scene(request_scene.respond_ok)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=0)
     scene.request("once", left_ms=200)
-    assert request_scene.settled(scene)
-    assert request_scene.statuses(scene.client) == [503] and scene.peers[0].heard == [b""]
+    assert request_scene.wait_until_idle(scene)
+    assert request_scene.statuses(scene.client) == [503] and scene.peers[0].received == [b""]
 
 
 @pytest.mark.parametrize(
@@ -139,18 +139,18 @@
 def test_response_before_request_is_fully_sent_is_forwarded_and_connection_closed(early, expected, monkeypatch):
     """The replica responds after a part of the request; the remainder is never sent."""
     scene = request_scene.Scene(lambda number, received: [early])
-    request_scene.in_part(scene, monkeypatch, most=100)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=100)
     scene.request("once" if expected == [503] else "unsafe")
-    assert request_scene.settled(scene)
-    assert request_scene.statuses(scene.client) == expected and len(scene.peers[0].heard[0]) == 100
+    assert request_scene.wait_until_idle(scene)
+    assert request_scene.statuses(scene.client) == expected and len(scene.peers[0].received[0]) == 100
     assert loopback.until(scene.loop, lambda: not scene.peers[0].socks)
 
 
 def test_response_before_any_request_byte_is_not_forwarded(monkeypatch):
-    scene = request_scene.Scene(request_scene.replying)
-    request_scene.in_part(scene, monkeypatch, most=0)
+    scene = request_scene.Scene(request_scene.respond_ok)
+    request_scene.limit_sent_bytes(scene, monkeypatch, max_bytes=0)
     scene.request("once", left_ms=1000)
     assert loopback.until(scene.loop, lambda: scene.peers[0].socks)
     scene.peers[0].callback(0, [request_scene.answer(b"a1", b"early")])
-    assert request_scene.settled(scene)
+    assert request_scene.wait_until_idle(scene)
     assert request_scene.statuses(scene.client) == [503]
--- a/ploverward/simulation/request_scene.py
+++ b/ploverward/simulation/request_scene.py
@@ -1,4 +1,4 @@
-"""Requests through a proxy on the loopback, with scripted replicas: what tests of the request path have in common."""
+"""Shared helpers for tests of the request path: one client, one proxy and scripted replicas on the loopback range."""
 
 import re
 import socket
@@ -13,25 +13,42 @@
 from ploverward.simulation import loopback_proxy
 
 
-def request_id(heard: bytes, nth: int = -1) -> bytes:
-    """Returns the id of the last request in the bytes, or of the nth."""
-    return re.findall(rb"X-Attempt-Id: (\w+)", heard, re.I)[nth]
+def request_id(received: bytes, nth: int = -1) -> bytes:
+    """Returns the id of a request.
+
+    Args:
+        received: All bytes that a replica received on a connection.
+        nth: The index of the request on that connection; the last one by default.
+    """
+    return re.findall(rb"X-Attempt-Id: (\w+)", received, re.I)[nth]
 
 
-def is_complete(heard: bytes) -> bool:
-    """Whether each request in the bytes has its body."""
-    return heard.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", heard, re.I))
+def is_complete(received: bytes) -> bool:
+    """Returns whether the body of every request in `received` has arrived."""
+    return received.count(b"\r\n\r\nbody") == len(re.findall(rb"X-Attempt-Id", received, re.I))
 
 
 def answer(
     which: bytes, body: bytes = b"ok", *, status: bytes = b"200 OK", more: bytes = b"X-Postmark: p\r\n"
 ) -> bytes:
-    """Returns a complete answer; `more`: headers."""
+    """Returns a complete response.
+
+    Args:
+        which: The id of the request.
+        body: The body of the response.
+        status: The status code and its reason phrase.
+        more: Further header lines, each with its CRLF.
+    """
     return b"HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, which, more, len(body), body)
 
 
 def head(which: bytes, *, more: bytes = b"") -> bytes:
-    """Returns the head of a stream."""
+    """Returns the head of a streaming response.
+
+    Args:
+        which: The id of the request.
+        more: Further header lines, each with its CRLF.
+    """
     return (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Postmark: p\r\nContent-Type: text/event-stream\r\n%s"
         b"Transfer-Encoding: chunked\r\n\r\n" % (which, more)
@@ -39,12 +56,12 @@
 
 
 def event(number: int) -> bytes:
-    """Returns one event of a stream, as a chunk."""
+    """Returns one event of a stream, encoded as an HTTP chunk."""
     text = b"id: %d\ndata: t%d\n\n" % (number, number)
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -54,26 +71,32 @@
     """A proxy, its scripted replicas, and one client.
 
     Args:
-        scripts: One for each replica.
-        zones: Of the replicas, in that order; za where none are given.
-        faults: Gathers what steps of the loop raise; without it, that is raised.
+        scripts: One script for each replica.
+        zones: The zone of each replica, in the same order; by default, all are in za.
+        errors: Collects the exceptions of callbacks; without it, the loop raises them.
     """
 
     def __init__(
         self,
         *scripts: loopback.Script,
         zones: list[str] | None = None,
-        faults: list[Exception] | None = None,
+        errors: list[Exception] | None = None,
     ) -> None:
-        self.loop = loopback.new_loop(faults=faults)
-        self.peers = [loopback.Peer(loop=self.loop, script=script) for script in scripts]
+        self.loop = loopback.new_loop(errors=errors)
+        self.peers = [loopback.ScriptedServer(loop=self.loop, script=script) for script in scripts]
         zones = zones or ["za"] * len(scripts)
         self.proxy = loopback_proxy.LoopbackProxy(loop=self.loop, peers=list(zip(self.peers, zones, strict=False)))
         self.client = loopback.Client(loop=self.loop, address=self.proxy.address)
         self.number = 0
 
     def request(self, lead: str, *, left_ms: int = 3000, more: bytes = b"") -> None:
-        """Sends a request by the route of a path prefix; `more`: headers."""
+        """Sends a request from the client.
+
+        Args:
+            lead: The path prefix, which selects the route.
+            left_ms: The time left until the request's deadline.
+            more: Further header lines, each with its CRLF.
+        """
         self.number += 1
         self.client.send(
             b"POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Model: m\r\nX-Token-Count: 30,8\r\n"
@@ -82,50 +105,56 @@
         )
 
     def until(self, what: bytes) -> bool:
-        """Steps the loop until the client got these bytes; returns whether it did."""
+        """Steps the loop until the client has received `what`; returns False on a timeout."""
         return loopback.until(self.loop, lambda: what in self.client.got)
 
     def arrivals(self) -> int:
-        """Returns how many requests the replicas heard of."""
-        return sum(len(re.findall(rb"X-Attempt-Id", heard, re.I)) for peer in self.peers for heard in peer.heard)
+        """Returns the number of requests that the replicas received."""
+        return sum(
+            len(re.findall(rb"X-Attempt-Id", received, re.I)) for peer in self.peers for received in peer.received
+        )
 
 
-def replying(number: int, heard: bytes) -> list[loopback.Act] | None:
-    """A script: answers each complete request."""
-    return [answer(request_id(heard))] if is_complete(heard) else None
+def respond_ok(number: int, received: bytes) -> list[loopback.Action] | None:
+    """Responds 200 to each complete request; this is a script."""
+    return [answer(request_id(received))] if is_complete(received) else None
 
 
-def answering(body: bytes = b"ok", **about: bytes) -> loopback.Script:
-    """Returns a script that gives this answer to each complete request."""
+def respond_with(body: bytes = b"ok", **about: bytes) -> loopback.Script:
+    """Returns a script that sends this response to each complete request; `about` is passed to `answer`."""
 
-    def script(number: int, heard: bytes) -> list[loopback.Act] | None:
-        return [answer(request_id(heard), body, **about)] if is_complete(heard) else None
+    def script(number: int, received: bytes) -> list[loopback.Action] | None:
+        return [answer(request_id(received), body, **about)] if is_complete(received) else None
 
     return script
 
 
 def statuses(client: loopback.Client) -> list[int]:
-    """Returns the statuses of all answers that a client got."""
+    """Returns the status codes of all responses that a client received."""
     return [int(status) for status in re.findall(rb"HTTP/1\.1 (\d+)", client.got)]
 
 
-def settled(scene: Scene) -> bool:
-    """Steps the loop until the client got something and no request is under way; returns whether that came."""
+def wait_until_idle(scene: Scene) -> bool:
+    """Steps the loop until the client has received data and no request is in progress; returns False on a timeout."""
     return loopback.until(scene.loop, lambda: scene.client.got and not scene.proxy.handlers)
 
 
-class SlowSocket:
-    """Lets so many bytes out, then none."""
+class LimitedSocket:
+    """A socket that accepts at most `max_bytes` bytes for sending, then blocks."""
 
-    def __init__(self, sock: socket.socket, *, most: int) -> None:
+    def __init__(self, sock: socket.socket, *, max_bytes: int) -> None:
         self.sock = sock
-        self.left = most
+        self.left = max_bytes
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.sock, name)
 
     def send(self, data: bytes) -> int:
-        """Sends what is still allowed."""
+        """Sends as many bytes as the limit still allows.
+
+        Raises:
+            BlockingIOError: The limit is used up.
+        """
         if not self.left:
             raise BlockingIOError
         count = self.sock.send(data[: self.left])
@@ -133,22 +162,22 @@
         return count
 
 
-def in_part(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, most: int) -> None:
-    """Connections to replicas take only so many bytes of a request."""
-    open_ = connection_pool.ConnectionPool.open
+def limit_sent_bytes(scene: Scene, monkeypatch: pytest.MonkeyPatch, *, max_bytes: int) -> None:
+    """Makes each new connection to a replica accept at most `max_bytes` bytes of requests."""
+    open_connection = connection_pool.ConnectionPool.open
 
-    def opened(
+    def open_limited(
         pool: connection_pool.ConnectionPool, replica: replicas.Replica
     ) -> upstream_connection.UpstreamConnection:
-        connection = open_(pool, replica)
-        connection.sock = typing.cast(socket.socket, SlowSocket(connection.sock, most=most))
+        connection = open_connection(pool, replica)
+        connection.sock = typing.cast(socket.socket, LimitedSocket(connection.sock, max_bytes=max_bytes))
         return connection
 
-    monkeypatch.setattr(connection_pool.ConnectionPool, "open", opened)
+    monkeypatch.setattr(connection_pool.ConnectionPool, "open", open_limited)
 
 
 def leave(scene: Scene, *, since_s: float) -> None:
-    """SIGTERM came so many seconds ago."""
+    """Puts the proxy into the state that it has `since_s` seconds after SIGTERM."""
     scene.proxy.server.leave()
     scene.proxy.drain_window.begin()
     scene.loop.skip(seconds=since_s)
