--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -75,7 +75,7 @@
 def _check_repeated(evidence: Evidence, order: order_model.Order) -> None:
     for attempt in order.attempts:
         if 400 <= attempt.status < 500:
-            evidence.recorder.find(
+            evidence.recorder.add_finding(
                 "resent orders",
                 f"{order.name} was taken, sent again to {attempt.host} at {attempt.sent_at:.3f}: {attempt.status}",
             )
@@ -85,9 +85,9 @@
     evidence: Evidence, order: order_model.Order, chosen: value_checks.ChosenConfiguration | None
 ) -> None:
     if any(attempt.status == 200 for attempt in order.attempts):
-        evidence.recorder.find("invalid orders", f"{order.name} is invalid and was acknowledged")
+        evidence.recorder.add_finding("invalid orders", f"{order.name} is invalid and was acknowledged")
     if chosen is not None:
-        evidence.recorder.find("invalid orders", f"{order.name} is invalid and was in force")
+        evidence.recorder.add_finding("invalid orders", f"{order.name} is invalid and was in force")
 
 
 def _check_acknowledged(
@@ -97,9 +97,11 @@
     confirmed: dict[int, str],
 ) -> None:
     if chosen is None:
-        evidence.recorder.find("acknowledged", f"{order.name} was acknowledged and never chosen")
+        evidence.recorder.add_finding("acknowledged", f"{order.name} was acknowledged and never chosen")
     if order.base in confirmed:
-        evidence.recorder.find("one base", f"{order.name} and {confirmed[order.base]} were confirmed on {order.base}")
+        evidence.recorder.add_finding(
+            "one base", f"{order.name} and {confirmed[order.base]} were confirmed on {order.base}"
+        )
     confirmed[order.base] = order.name
 
 
@@ -108,13 +110,13 @@
 ) -> None:
     last = order.attempts[-1]
     if chosen is not None:
-        evidence.recorder.find(
+        evidence.recorder.add_finding(
             "refused orders",
             f"{order.name} was refused by {last.host} at {last.answered_at:.3f} ({last.status}, "
             f"{last.body[:80]!r}) and was taken as edition {chosen.edition} at {chosen.seen_at:.3f}",
         )
     elif order.is_alone and not _has_newer(evidence, order):
-        evidence.recorder.find(
+        evidence.recorder.add_finding(
             "refused orders", f"{order.name} on {order.base} was refused with {last.status} on the newest version"
         )
 
@@ -130,10 +132,12 @@
     rows = sorted(evidence.values.configurations, key=lambda chosen: chosen.version)
     for before, after in zip(rows, rows[1:], strict=False):
         if after.edition <= before.edition:
-            evidence.recorder.find("configurations", f"edition {after.edition} follows {before.edition}")
+            evidence.recorder.add_finding("configurations", f"edition {after.edition} follows {before.edition}")
         order = by_name.get(after.order_name)
         if order is not None and order.base < before.edition:
-            evidence.recorder.find("configurations", f"{order.name} on {order.base} follows edition {before.edition}")
+            evidence.recorder.add_finding(
+                "configurations", f"{order.name} on {order.base} follows edition {before.edition}"
+            )
 
 
 def check_reads(evidence: Evidence) -> None:
@@ -152,7 +156,7 @@
     for read in reads:
         newest = max((edition for at, edition in known if at < read.begun_at), default=0)
         if read.value < newest:
-            evidence.recorder.find(
+            evidence.recorder.add_finding(
                 "reads", f"{read.host} told edition {read.value} at {read.ended_at:.3f}, {newest} was known before"
             )
 
@@ -170,7 +174,7 @@
             last = _last_clear_order(orders, read)
             if last is None or (zone in read.value) == (last.kind == order_model.OrderKind.EVACUATE):
                 continue
-            evidence.recorder.find(
+            evidence.recorder.add_finding(
                 "evacuations",
                 f"{read.host} told {sorted(read.value)} at {read.ended_at:.3f}; {last.name} ({last.kind} "
                 f"{zone}) was acknowledged at {last.ended_at:.3f}",
@@ -200,7 +204,7 @@
             waited = min(ended_at, stretch.end) - max(order.begun_at, stretch.begin)
             if waited > receipt_s + ACK_SLACK_S:
                 answers = [(attempt.host, attempt.status) for attempt in order.attempts[-SHOWN_ATTEMPTS:]]
-                evidence.recorder.find(
+                evidence.recorder.add_finding(
                     "acknowledged in time",
                     f"{order.name} ({order.kind}), begun at {order.begun_at:.3f}, waited {waited:.3f} s of a calm "
                     f"stretch from {stretch.begin:.3f} to {stretch.end:.3f}; last answers {answers}",
@@ -221,7 +225,7 @@
         for stretch in calm:
             waited = min(end, stretch.end) - max(begin, stretch.begin)
             if waited > receipt_s * MOVE_SHARE:
-                evidence.recorder.find(
+                evidence.recorder.add_finding(
                     "moves in time",
                     f"the registers stood under different sets from {begin:.3f} to {end:.3f}, {waited:.3f} s of it "
                     f"in a calm stretch from {stretch.begin:.3f} to {stretch.end:.3f}",
@@ -251,9 +255,9 @@
     newest = max((chosen.edition for chosen in evidence.values.configurations), default=0)
     for host, what, value in last_reads:
         if value is None:
-            evidence.recorder.find("the end", f"{host} does not tell its {what}")
+            evidence.recorder.add_finding("the end", f"{host} does not tell its {what}")
         elif what == order_model.ReadKind.CONFIGURATION and value != newest:
-            evidence.recorder.find("the end", f"{host} tells edition {value}, {newest} was chosen")
+            evidence.recorder.add_finding("the end", f"{host} tells edition {value}, {newest} was chosen")
 
 
 def check_core_set(
@@ -264,11 +268,11 @@
         version = values.newest.get(name)
         if version is None:
             if name == register_names.CORE_SET:
-                recorder.find("core set", "no set was agreed")
+                recorder.add_finding("core set", "no set was agreed")
             continue
         members = values.values[name, version].members
         missing = sorted(set(live) - set(members))
         if missing:
-            recorder.find("core set", f"{name} stands under {members}; live and outside: {missing}")
+            recorder.add_finding("core set", f"{name} stands under {members}; live and outside: {missing}")
         elif len(set(members) & set(live)) < min(wanted, len(live)):
-            recorder.find("core set", f"{name} stands under {members}; live are {live}")
+            recorder.add_finding("core set", f"{name} stands under {members}; live are {live}")
--- a/ploverward/simulation/control_plane/fault_scene.py
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -72,11 +72,11 @@
     def begin(self, name: str, slots: Sequence[fleet.Slot]) -> None:
         """Counts slots as lost, and records that their fault begins."""
         for slot in slots:
-            self.simulation.fleet.lose(slot)
+            self.simulation.fleet.begin_fault(slot)
         self.simulation.fault_log.record_edge(f"{name} begins", [slot.machine.host for slot in slots])
 
     def end(self, name: str, slots: Sequence[fleet.Slot]) -> None:
         """Counts slots as recovered, and records that their fault ends."""
         for slot in slots:
-            self.simulation.fleet.recover(slot)
+            self.simulation.fleet.end_fault(slot)
         self.simulation.fault_log.record_edge(f"{name} ends", [slot.machine.host for slot in slots])
--- a/ploverward/simulation/control_plane/fleet.py
+++ b/ploverward/simulation/control_plane/fleet.py
@@ -156,18 +156,18 @@
             machine=machine,
             platform=self._platform,
             node_settings=slot.settings,
-            on_failure=self._recorder.find_failed_step,
-            on_stop=self._handle_ended,
+            on_failure=self._recorder.add_failed_step,
+            on_stop=self._handle_exit,
             watcher=self._values.watch,
         )
 
-    def _handle_ended(self, machine: machines.Machine, process: machines.Program) -> None:
+    def _handle_exit(self, machine: machines.Machine, process: machines.Program) -> None:
         """A core node ended by itself, which only one that is to be removed does."""
         if machine.process is process and process.is_alive:
             self._recorder.record("ended", host=machine.host)
             machines.stop(machine=machine)
             if not machine.is_removed:
-                self._recorder.find("ended", f"{machine.host} ended by itself")
+                self._recorder.add_finding("ended", f"{machine.host} ended by itself")
 
     def stop(self, slot: Slot, *, is_power_lost: bool) -> None:
         """Stops a slot's machine, until `restart`."""
@@ -206,7 +206,7 @@
     def remove(self, machine: machines.Machine, *, is_in_order: bool) -> None:
         """Takes a machine away for good; in order, its node gets SIGTERM first and SIGKILL after `graceS`."""
         machine.is_removed = True
-        machine.disk.note_loss()
+        machine.disk.record_loss()
         self._recorder.record("removed", host=machine.host, is_in_order=is_in_order)
 
         def switch_off() -> None:
@@ -235,7 +235,7 @@
             network=self._network,
             machine=machine,
             node_settings=node_settings,
-            on_failure=self._recorder.find_failed_step,
+            on_failure=self._recorder.add_failed_step,
             values=self._values,
             shares=self._shares,
         )
@@ -253,11 +253,11 @@
         """Returns the slots that count as lost now."""
         return [slot for slot in self.slots if self.is_lost(slot)]
 
-    def lose(self, slot: Slot) -> None:
+    def begin_fault(self, slot: Slot) -> None:
         """A fault of a slot begins."""
         slot.faults += 1
 
-    def recover(self, slot: Slot) -> None:
+    def end_fault(self, slot: Slot) -> None:
         """A fault of a slot ends."""
         slot.faults -= 1
         slot.lost_until = max(slot.lost_until, self._clock.time + self._catch_up_s)
--- a/ploverward/simulation/control_plane/isolation_probes.py
+++ b/ploverward/simulation/control_plane/isolation_probes.py
@@ -9,8 +9,8 @@
 from ploverward.simulation.control_plane import simulated_http
 from ploverward.simulation.control_plane import simulated_network
 
-ISOLATED_FOR_S = 2.0  # from then on a node must know that it is cut off
-CLEAR_END_S = 1.05  # within which it ends an order
+MIN_ISOLATION_S = 2.0  # from then on a node must know that it is cut off
+ANSWER_TIMEOUT_S = 1.05  # within which it ends an order
 
 
 class IsolationProbes:
@@ -50,24 +50,25 @@
             order.attempts.append(attempt)
             self._check(attempt, since)
 
-        self._operators.sender.call_once(host, order.call, limit_s=CLEAR_END_S, done=handle_answer)
+        self._operators.sender.call_once(host, order.call, limit_s=ANSWER_TIMEOUT_S, done=handle_answer)
 
     def _check(self, attempt: order_model.Attempt, since: float) -> None:
-        if not self._must_know(attempt, since):
+        if not self._must_know_isolation(attempt, since):
             return
         if not attempt.status:
-            self._recorder.find(
-                "cut off", f"{attempt.host} left an order without an end for {CLEAR_END_S} s, cut off since {since:.3f}"
+            self._recorder.add_finding(
+                "cut off",
+                f"{attempt.host} left an order without an end for {ANSWER_TIMEOUT_S} s, cut off since {since:.3f}",
             )
         if 400 <= attempt.status < 500:
-            self._recorder.find("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
+            self._recorder.add_finding("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
 
-    def _must_know(self, attempt: order_model.Attempt, since: float) -> bool:
+    def _must_know_isolation(self, attempt: order_model.Attempt, since: float) -> bool:
         """Whether the node was cut off and running for long enough before the order, and still is."""
         is_still_isolated = self._faults.isolated_since.get(attempt.host) == since
-        if not is_still_isolated or attempt.sent_at - since < ISOLATED_FOR_S:
+        if not is_still_isolated or attempt.sent_at - since < MIN_ISOLATION_S:
             return False
         process = self._network.machines[attempt.host].running_process
         if not process.is_alive or process.is_frozen:
             return False
-        return attempt.sent_at - process.begun_at >= ISOLATED_FOR_S
+        return attempt.sent_at - process.begun_at >= MIN_ISOLATION_S
--- a/ploverward/simulation/control_plane/machine_faults.py
+++ b/ploverward/simulation/control_plane/machine_faults.py
@@ -159,12 +159,12 @@
 
 def kill_all(scene: FaultScene) -> None:
     """All processes are killed at a moment that matters; the disks stay."""
-    scene.simulation.at_moment(lambda: stop_all(scene, "all_killed"))
+    scene.simulation.call_at_moment(lambda: stop_all(scene, "all_killed"))
 
 
 def lose_all_power(scene: FaultScene) -> None:
     """All machines lose power at a moment that matters; the disks stay."""
-    scene.simulation.at_moment(lambda: stop_all(scene, "all_power"))
+    scene.simulation.call_at_moment(lambda: stop_all(scene, "all_power"))
 
 
 def lose_disks_at_moment(scene: FaultScene) -> None:
@@ -174,12 +174,12 @@
         emptied = pick_emptied(scene)
         stop_slots(scene, "disks lost", emptied, is_power_lost=True, is_emptied=True)
 
-    scene.simulation.at_moment(begin)
+    scene.simulation.call_at_moment(begin)
 
 
 def lose_disks_and_all_power(scene: FaultScene) -> None:
     """As many disks as may be lost go at a moment that matters; all other machines lose power, proxies too."""
-    scene.simulation.at_moment(
+    scene.simulation.call_at_moment(
         lambda: stop_all(scene, "all_power", emptied=pick_emptied(scene), has_proxies=True),
     )
 
--- a/ploverward/simulation/control_plane/proxy_checks.py
+++ b/ploverward/simulation/control_plane/proxy_checks.py
@@ -48,7 +48,7 @@
 
     def _check_edition(self, proxy: proxies.Proxy, order: order_model.Order) -> None:
         if proxy.edition < order.edition:
-            self._recorder.find(
+            self._recorder.add_finding(
                 "applied in time", f"{proxy.host} has edition {proxy.edition}, {order.edition} was acknowledged"
             )
 
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -57,12 +57,12 @@
             described = " ".join(f"{name}={value}" for name, value in values.items())
             self.history.append(HistoryLine(self._clock.time, f"{text} {described}"))
 
-    def find(self, check: str, text: str) -> None:
+    def add_finding(self, check: str, text: str) -> None:
         """Notes that a check was broken; of each check only the first few findings are kept."""
         if sum(1 for finding in self.findings if finding.check == check) < MAX_FINDINGS:
             self.findings.append(Finding(when=self._clock.time, check=check, text=text))
         self.record(f"FINDING {check}: {text}")
 
-    def find_failed_step(self, process: simulated_clock.Process, text: str) -> None:
+    def add_failed_step(self, process: simulated_clock.Process, text: str) -> None:
         """Notes that a step of a process raised; `text` is the traceback."""
-        self.find("a step failed", f"{process.name}: {text.strip()}")
+        self.add_finding("a step failed", f"{process.name}: {text.strip()}")
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -38,9 +38,9 @@
 from ploverward.simulation.control_plane import tally_checks
 from ploverward.simulation.control_plane import value_checks
 
-SIZES, SIZE_WEIGHTS = (3, 5, 6, 7), (4, 4, 1, 1)  # core machines
+CORE_SIZES, CORE_SIZE_WEIGHTS = (3, 5, 6, 7), (4, 4, 1, 1)  # core machines
 DISK_SPEED_WEIGHTS = (2, 1, 1)  # of the first speeds; the slowest is never drawn
-SPAN_S = (15.0, 30.0)  # for how long faults begin
+FAULT_SPAN_S = (15.0, 30.0)  # for how long faults begin
 FAULT_GAPS_S = (0.5, 1.5, 4.0)  # mean times between two faults; a run has one of them
 FAULTS_FROM_S = 5.0
 CLOSING_STEP_S = 0.25  # between two checks whether the closing fault began
@@ -148,13 +148,13 @@
         self._contact_s = bounds["contactMs"] / 1000
         self._receipt_s = bounds["receiptMs"] / 1000
         self._catch_up_s = bounds["catchUpS"]
-        self._is_closed = False
+        self._has_closing_begun = False
         self.plan = plan
         self.clock = simulated_clock.Clock(seed=plan.seed)
         chance = self.clock.chance
-        self.size = plan.machines or chance.choices(SIZES, SIZE_WEIGHTS)[0]
+        self.size = plan.machines or chance.choices(CORE_SIZES, CORE_SIZE_WEIGHTS)[0]
         tolerated = plan.tolerated or (1 if self.size < 5 else chance.choice((1, 2, 2)))
-        self._span_s = plan.span_s or chance.uniform(*SPAN_S)
+        self._span_s = plan.span_s or chance.uniform(*FAULT_SPAN_S)
         speeds = range(len(DISK_SPEED_WEIGHTS))
         disk_speed = plan.disk if plan.disk >= 0 else chance.choices(speeds, DISK_SPEED_WEIGHTS)[0]
         proxy_count = chance.randint(2, 4)
@@ -226,7 +226,7 @@
         self.clock.run(until=faults_until)
         self.faults.is_over = True
         self.operators.forget_moments()
-        self._close()
+        self._play_closing_fault()
         self.operators.forget_moments()
         self._stop_callers()
         self.clock.run(until=self.clock.time + 2 * self._contact_s + self._catch_up_s)
@@ -239,19 +239,19 @@
         self._check(self._read_back())
         return self._report(time.process_time() - begun)
 
-    def _close(self) -> None:
+    def _play_closing_fault(self) -> None:
         """Plays the closing fault, if one is drawn, at a moment that matters."""
         kind = self.clock.chance.choice(self.plan.closing) if self.plan.closing else ""
         if not kind:
             return
 
         def close() -> None:
-            self._is_closed = True
+            self._has_closing_begun = True
             self.faults.close(kind)
 
-        self.at_moment(close)
+        self.call_at_moment(close)
         limit = self.clock.time + self._receipt_s + self._contact_s
-        while not self._is_closed and self.clock.time < limit:
+        while not self._has_closing_begun and self.clock.time < limit:
             self.clock.run(until=self.clock.time + CLOSING_STEP_S)
         self._stop_callers()
         self.clock.run(until=self.clock.time + AFTER_CLOSING_S)
@@ -260,13 +260,13 @@
         self.operators.is_stopped = True
         self.tallies.is_stopped = True
 
-    def at_moment(self, callback: Callable[[], object]) -> None:
+    def call_at_moment(self, callback: Callable[[], object]) -> None:
         """Has a callback called right after the next acknowledgement or read, or soon after the next order is sent.
 
         Where applications use tallies, the moment may also be the next acknowledged add.
         """
         if self.plan.has_tallies and self.clock.chance.random() < TALLY_MOMENT_CHANCE:
-            self.tallies.at_next_add(callback)
+            self.tallies.call_at_next_add(callback)
             return
         chance = self.clock.chance
         moment = chance.choice(self.plan.moments)
--- a/ploverward/simulation/control_plane/share_checks.py
+++ b/ploverward/simulation/control_plane/share_checks.py
@@ -94,7 +94,7 @@
         self.peaks[kind] = max(self.peaks[kind], total)
         if total > 1.0 + EPSILON:
             described = ", ".join(f"{host} {share:.3f}" for host, share in sorted(highest.items()))
-            self._recorder.find("grants", f"the shares of {kind} sum to {total:.3f}: {described}")
+            self._recorder.add_finding("grants", f"the shares of {kind} sum to {total:.3f}: {described}")
 
 
 def _past_steps(steps: Sequence[ShareStep], *, since: float, now: float) -> list[ShareStep]:
--- a/ploverward/simulation/control_plane/simulated_clock.py
+++ b/ploverward/simulation/control_plane/simulated_clock.py
@@ -18,9 +18,9 @@
 
 from ploverward.transport import interfaces
 
-WORKERS = 2  # threads of a process's pool
-HAND_OVER_S = 0.0002  # from a thread back to the loop
-OFFSET_S = (100.0, 1000.0)  # between a process's clock and the simulated time
+WORKER_THREADS = 2  # threads of a process's pool
+HANDOVER_S = 0.0002  # from a thread back to the loop
+CLOCK_OFFSET_S = (100.0, 1000.0)  # between a process's clock and the simulated time
 
 
 class EventKind(enum.IntEnum):
@@ -130,7 +130,7 @@
         """Starts a process; `on_failure(process, traceback)` hears of each exception in one of its steps."""
         self.clock = clock
         self.name = name
-        self.offset = clock.chance.uniform(*OFFSET_S)
+        self.offset = clock.chance.uniform(*CLOCK_OFFSET_S)
         self.begun_at = clock.time
         self.is_alive = True
         self.is_frozen = False
@@ -249,7 +249,7 @@
         self._start_work()
 
     def _start_work(self) -> None:
-        if self._busy >= WORKERS or not self._waiting:
+        if self._busy >= WORKER_THREADS or not self._waiting:
             return
         work, done = self._waiting.popleft()
         self._busy += 1
@@ -264,7 +264,7 @@
             self._start_work()
             done(outcome)
 
-        self._clock.later(delay=took_s + HAND_OVER_S, callback=ended, process=self._process, kind=EventKind.COMMAND)
+        self._clock.later(delay=took_s + HANDOVER_S, callback=ended, process=self._process, kind=EventKind.COMMAND)
 
     def stop(self) -> None:
         """Ends the program."""
--- a/ploverward/simulation/control_plane/simulated_disk.py
+++ b/ploverward/simulation/control_plane/simulated_disk.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._speed_s = speed_s
         self._batch: list[Change] = []  # of the work that runs now
-        self._took_s = 0.0
+        self._batch_duration_s = 0.0
         self._unsynced_batches: list[list[Change]] = []
         self._renamed: set[str] = set()  # names whose content differs from what was synced by a rename alone
         self._dropped: dict[str, tuple[int, int]] = {}  # (from, to) of what a failed sync may have dropped for good
@@ -73,7 +73,7 @@
         before = self.files.get(name)
         kept = (before or b"")[:size_before]
         kept += b"\0" * (size_before - len(kept))
-        self._wait()
+        self._add_access_time()
         if self.fault == "refuse":
             raise OSError(errno.EIO, "refused")
         if self.fault == "full":
@@ -107,19 +107,19 @@
         Raises:
             OSError: The disk is faulty.
         """
-        self._wait()
+        self._add_access_time()
         if self.fault.startswith("refuse"):
             raise OSError(errno.EIO, "the sync failed")
         self._batch.append(Change(name, self.files.get(name), self.files.get(name), is_rename=False))
 
-    def _wait(self) -> None:
+    def _add_access_time(self) -> None:
         span = SLOW_S if self.fault == "slow" else self._speed_s
-        self._took_s += self._clock.chance.uniform(*span)
+        self._batch_duration_s += self._clock.chance.uniform(*span)
 
     def finish_batch(self) -> float:
         """Ends the accesses of work on a thread; returns how long they take in seconds, from now on."""
         batch, self._batch = self._batch, []
-        took_s, self._took_s = self._took_s, 0.0
+        took_s, self._batch_duration_s = self._batch_duration_s, 0.0
         if took_s and self.stalled_until > self._clock.time:
             took_s += self.stalled_until - self._clock.time
         if batch:
@@ -130,7 +130,7 @@
     def finish_now(self) -> None:
         """Ends accesses outside the pool, as at a start: they block the process, whose time is not modelled."""
         batch, self._batch = self._batch, []
-        self._took_s = 0.0
+        self._batch_duration_s = 0.0
         self._make_durable(batch)
 
     def _sync(self, batch: list[Change]) -> None:
@@ -166,9 +166,9 @@
                 content = change.before
                 if index == done and not change.is_rename and change.after is not None:
                     content = self._torn_write(change.before or b"", change.after)
-                self._put(change.name, content)
+                self._set_content(change.name, content)
 
-    def _put(self, name: str, content: bytes | None) -> None:
+    def _set_content(self, name: str, content: bytes | None) -> None:
         if content is None:
             self.files.pop(name, None)
         else:
@@ -190,17 +190,17 @@
             choices = [seen, synced]
             if seen is not None and name not in self._renamed:
                 choices.append(self._torn_write(synced or b"", seen))
-            self._put(name, self._clock.chance.choice(choices))
+            self._set_content(name, self._clock.chance.choice(choices))
         self.durable = dict(self.files)
         self._renamed.clear()
 
-    def note_loss(self) -> None:
+    def record_loss(self) -> None:
         """Notes that the content is lost, or gone with the machine."""
         self.lost_at.append(self._clock.time)
 
     def empty(self) -> None:
         """The disk loses its content."""
-        self.note_loss()
+        self.record_loss()
         self._unsynced_batches = []
         self._dropped = {}
         self.files = {}
--- a/ploverward/simulation/control_plane/simulated_http.py
+++ b/ploverward/simulation/control_plane/simulated_http.py
@@ -89,7 +89,7 @@
         return 0
 
 
-def _end_for_client(request: http_request.Request) -> None:
+def _report_client_disconnect(request: http_request.Request) -> None:
     """The client closed its connection."""
     if request.on_disconnect is not None and not request.is_answered:
         request.on_disconnect()
@@ -256,7 +256,7 @@
         request.body = self._body
         server.handle(request)
         if self._is_over:  # the caller gave up while the request waited for a frozen process
-            _end_for_client(request)
+            _report_client_disconnect(request)
 
     def _answer(self, answer: Answer | None) -> None:
         if self._network.is_partitioned(self._host, self._source):
@@ -279,7 +279,7 @@
             return
         self._clock.later(
             delay=self._network.delay(self._source, self._host),
-            callback=lambda: _end_for_client(request),
+            callback=lambda: _report_client_disconnect(request),
             process=self._process,
             kind=simulated_clock.EventKind.DELIVERY,
         )
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -49,7 +49,7 @@
     def handle_item(self, item: Item) -> None:
         """Handles what arrived."""
 
-    def watch_stuck(self) -> None:
+    def watch_held_back(self) -> None:
         """Hears that a partition begins to hold back what this end sent."""
 
 
@@ -79,7 +79,7 @@
         """Whether a fault cuts any link of a host now."""
         return any(host in pair for pair in self.partitions)
 
-    def healed_after(self, host: str, since: float) -> float:
+    def next_healed_at(self, host: str, since: float) -> float:
         """Returns when a host next had no cut link, or infinity."""
         return min((at for at, healed in self._healed if healed == host and at >= since), default=math.inf)
 
@@ -109,16 +109,16 @@
             if not self.is_host_partitioned(host):
                 self._healed.append((self.clock.time, host))
         for source, target in pairs:
-            for wire in self._between(source, target):
+            for wire in self._wires_between(source, target):
                 wire.flush()
 
     def reset(self, *, pairs: Sequence[HostPair]) -> None:
         """Resets all connections between these hosts, whoever dialed."""
         for source, target in pairs:
-            for wire in self._between(source, target):
+            for wire in self._wires_between(source, target):
                 wire.reset()
 
-    def _between(self, source: str, target: str) -> list[Wire]:
+    def _wires_between(self, source: str, target: str) -> list[Wire]:
         return [*self._wires.get((source, target), ()), *self._wires.get((target, source), ())]
 
     def add(self, wire: Wire) -> None:
@@ -143,7 +143,7 @@
         is_over: Whether nothing arrives any more.
     """
 
-    __slots__ = ("network", "hosts", "ends", "port", "_stuck", "_last", "_early", "is_over")
+    __slots__ = ("network", "hosts", "ends", "port", "_held_back", "_last_arrivals", "_before_accept", "is_over")
 
     def __init__(self, *, network: Network, dialer_end: WireEnd, source: str, target: str, port: int) -> None:
         self.network = network
@@ -151,9 +151,9 @@
         self.ends: list[WireEnd | None] = [dialer_end, None]
         self.port = port
         self.is_over = False
-        self._stuck: tuple[list[tuple[float, Item]], ...] = ([], [])  # (sent at, item) that a partition holds back
-        self._last = [0.0, 0.0]  # when the newest item of each direction arrives
-        self._early: list[Item] = []  # what came before the process accepted the connection
+        self._held_back: tuple[list[tuple[float, Item]], ...] = ([], [])  # (sent at, item) that a partition holds back
+        self._last_arrivals = [0.0, 0.0]  # when the newest item of each direction arrives
+        self._before_accept: list[Item] = []  # what came before the process accepted the connection
         network.add(self)
 
     def transmit(self, direction: int, item: Item) -> None:
@@ -162,33 +162,33 @@
             return
         clock = self.network.clock
         source, target = self.hosts if direction == 0 else self.hosts[::-1]
-        stuck = self._stuck[direction]
-        if stuck or self.network.is_partitioned(source, target):
+        held_back = self._held_back[direction]
+        if held_back or self.network.is_partitioned(source, target):
             end = self.ends[direction]
-            if not stuck and end is not None:
-                end.watch_stuck()
-            stuck.append((clock.time, item))
+            if not held_back and end is not None:
+                end.watch_held_back()
+            held_back.append((clock.time, item))
             return
-        when = max(clock.time + self.network.delay(source, target), self._last[direction])
-        self._last[direction] = when
+        when = max(clock.time + self.network.delay(source, target), self._last_arrivals[direction])
+        self._last_arrivals[direction] = when
         clock.schedule(when=when, callback=lambda: self._arrive(direction, item))
 
-    def stuck_for(self, direction: int) -> float:
+    def held_back_for_s(self, direction: int) -> float:
         """Returns for how many seconds the oldest data of a direction has been held back."""
-        stuck = self._stuck[direction]
-        return self.network.clock.time - stuck[0][0] if stuck else 0.0
+        held_back = self._held_back[direction]
+        return self.network.clock.time - held_back[0][0] if held_back else 0.0
 
     def flush(self) -> None:
         """Sends again what was held back, in the directions that are not cut any more."""
         clock = self.network.clock
-        for direction, stuck in enumerate(self._stuck):
+        for direction, held_back in enumerate(self._held_back):
             source, target = self.hosts if direction == 0 else self.hosts[::-1]
-            if not stuck or self.network.is_partitioned(source, target):
+            if not held_back or self.network.is_partitioned(source, target):
                 continue
-            items = [item for _when, item in stuck]
-            stuck.clear()
+            items = [item for _when, item in held_back]
+            held_back.clear()
             pause_s = clock.chance.uniform(*RETRY_S)
-            self._last[direction] = max(self._last[direction], clock.time + pause_s)
+            self._last_arrivals[direction] = max(self._last_arrivals[direction], clock.time + pause_s)
             for item in items:
                 self.transmit(direction, item)
 
@@ -214,7 +214,7 @@
         if direction == 0 and item is Signal.OPEN:
             self._open(target)
         elif end is None and direction == 0:
-            self._early.append(item)
+            self._before_accept.append(item)
         elif end is None or not end.is_open or not end.process.is_alive:
             self._refuse(direction, item)
         else:
@@ -248,8 +248,8 @@
 
         def accept() -> None:
             end = self.ends[1] = listener.accept(self)
-            early, self._early = self._early, []
-            for item in early:
+            before_accept, self._before_accept = self._before_accept, []
+            for item in before_accept:
                 if end.is_open:
                     end.handle_item(item)
 
--- a/ploverward/simulation/control_plane/simulated_peers.py
+++ b/ploverward/simulation/control_plane/simulated_peers.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import machines
 
-GRAIN_S = 1e-6  # spans that differ by less are equal: sums of floats
+FLOAT_TOLERANCE_S = 1e-6  # spans that differ by less are equal: sums of floats
 # The first pause is this part of the peer time-out: the real one's FIRST_BACKOFF_SHARE, as a divisor. The two round
 # differently, and seeds name histories that were made with this one.
 FIRST_BACKOFF_DIVISOR = 40
@@ -82,7 +82,7 @@
         self._on_end = on_end
         self._unsent: list[bytes] = []
         process.links.add(self)
-        self._check = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
+        self._timeout_timer = loop.after(delay=peer_timeout_s / 2, callback=self._check_peer_timeout)
 
     def _check_peer_timeout(self) -> None:
         if not self.is_open:
@@ -93,21 +93,21 @@
         # The real one checks each quarter; the checks that can find nothing are left out.
         quarter = self.peer_timeout_s / 4
         left = self.peer_timeout_s - (self.loop.now() - self.last_received_at)
-        self._check = self.loop.after(
+        self._timeout_timer = self.loop.after(
             delay=quarter * max(1, math.ceil(left / quarter)), callback=self._check_peer_timeout
         )
 
-    def watch_stuck(self) -> None:
+    def watch_held_back(self) -> None:
         """What was sent does not arrive: as TCP_USER_TIMEOUT, ends the connection unless it does in time."""
         if self.is_open:
-            self.loop.after(delay=self.peer_timeout_s, callback=self._check_stuck)
+            self.loop.after(delay=self.peer_timeout_s, callback=self._check_held_back)
 
-    def _check_stuck(self) -> None:
-        stuck_s = self.wire.stuck_for(self._direction)
-        if self.is_open and stuck_s >= self.peer_timeout_s - GRAIN_S:
+    def _check_held_back(self) -> None:
+        held_back_s = self.wire.held_back_for_s(self._direction)
+        if self.is_open and held_back_s >= self.peer_timeout_s - FLOAT_TOLERANCE_S:
             self.close(reason="ETIMEDOUT")
-        elif self.is_open and stuck_s:
-            self.loop.after(delay=self.peer_timeout_s - stuck_s, callback=self._check_stuck)
+        elif self.is_open and held_back_s:
+            self.loop.after(delay=self.peer_timeout_s - held_back_s, callback=self._check_held_back)
 
     def queued(self) -> int:
         """Returns how many bytes wait to be sent."""
@@ -162,7 +162,7 @@
         if not self.is_open:
             return
         self.is_open = False
-        self.loop.cancel(timer=self._check)
+        self.loop.cancel(timer=self._timeout_timer)
         self.process.links.discard(self)
         self.wire.close(self, signal=simulated_network.Signal.END)
         self._on_end(self, reason)
--- a/ploverward/simulation/control_plane/tally_callers.py
+++ b/ploverward/simulation/control_plane/tally_callers.py
@@ -23,20 +23,20 @@
 TALLIES = ("t0", "t1", "t2", "t3")
 CALL_GAP_S = (0.02, 0.5)  # between two calls of one application
 CALL_TIMEOUT_S = 1.0
-MAX_TRIES = 5
-TRY_PAUSE_S = 0.05
+MAX_ADD_ATTEMPTS = 5
+RETRY_DELAY_S = 0.05
 MAX_AMOUNT = 1_000_000
 READ_CHANCE = 0.4
 REPEAT_CHANCE = 0.1  # that an add is one that was sent before
 MERGE_S = 3.0  # within which nodes agree, where no fault begins or ends
 REFUSALS = (429, 503)  # promise that nothing was done
 FIRST_CALL_S = 1.0
-LAST_READ_TRIES = 8
-LAST_READ_PAUSE_S = 0.3
+MAX_LAST_READ_ATTEMPTS = 8
+LAST_READ_RETRY_DELAY_S = 0.3
 
 
 @dataclasses.dataclass(slots=True)
-class Try:
+class AddAttempt:
     """One call of an add.
 
     Attributes:
@@ -45,7 +45,7 @@
         sent_at: When, in seconds of the run.
         answered_at: When its answer came; None without one.
         status: Of the answer; 0 without one.
-        is_cut: Whether the machine was cut off from another one when it answered.
+        is_partitioned: Whether the machine was cut off from another one when it answered.
     """
 
     host: str
@@ -53,7 +53,7 @@
     sent_at: float
     answered_at: float | None = None
     status: int = 0
-    is_cut: bool = False
+    is_partitioned: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -63,7 +63,7 @@
     add_id: str
     tally: str
     amount: int
-    tries: list[Try] = dataclasses.field(default_factory=list)
+    attempts: list[AddAttempt] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -111,16 +111,16 @@
         self._fleet = fleet
         self._recorder = recorder
         self._chance = random.Random(f"tallies {seed}")
-        self._at_next_add: Callable[[], object] | None = None
+        self._on_next_add: Callable[[], object] | None = None
 
     def start(self) -> None:
         """Begins an application beside each core machine."""
         for slot in self._fleet.slots:
             self._clock.later(delay=FIRST_CALL_S, callback=functools.partial(self._begin_call, slot))
 
-    def at_next_add(self, callback: Callable[[], object]) -> None:
+    def call_at_next_add(self, callback: Callable[[], object]) -> None:
         """Has a callback called once, right after the next acknowledged add."""
-        self._at_next_add = callback
+        self._on_next_add = callback
 
     def _begin_call(self, slot: fleets.Slot) -> None:
         if self.is_stopped:
@@ -133,7 +133,7 @@
 
     def _draw_add(self) -> Add:
         oldest = self._clock.time - self._max_repeat_age_s
-        recent = [add for add in self.adds.values() if add.tries[0].sent_at >= oldest]
+        recent = [add for add in self.adds.values() if add.attempts[0].sent_at >= oldest]
         if recent and self._chance.random() < REPEAT_CHANCE:
             return self._chance.choice(recent)
         add = Add(f"a{len(self.adds)}", self._chance.choice(TALLIES), self._chance.randint(1, MAX_AMOUNT))
@@ -143,30 +143,30 @@
     def _draw_hosts(self, slot: fleets.Slot) -> list[str]:
         others = [host for host in self._fleet.core_hosts() if host != slot.machine.host]
         self._chance.shuffle(others)
-        return [slot.machine.host, *others][:MAX_TRIES]
+        return [slot.machine.host, *others][:MAX_ADD_ATTEMPTS]
 
     # Adds.
     def _add(self, slot: fleets.Slot, add: Add, hosts: list[str]) -> None:
         host, rest = hosts[0], hosts[1:]
-        call = Try(host=host, process=self._process(host), sent_at=self._clock.time)
-        add.tries.append(call)
+        call = AddAttempt(host=host, process=self._process(host), sent_at=self._clock.time)
+        add.attempts.append(call)
 
         def done(answer: simulated_http.Answer | None) -> None:
-            self._note_answer(add, call, answer)
+            self._record_answer(add, call, answer)
             if call.status != 200 and rest:
-                self._clock.later(delay=TRY_PAUSE_S, callback=lambda: self._add(slot, add, rest))
+                self._clock.later(delay=RETRY_DELAY_S, callback=lambda: self._add(slot, add, rest))
 
         body = json.dumps({"id": add.add_id, "actor": add.amount}).encode()
         self._call(slot.machine.host, host, "POST", add.tally, body, done)
 
-    def _note_answer(self, add: Add, call: Try, answer: simulated_http.Answer | None) -> None:
+    def _record_answer(self, add: Add, call: AddAttempt, answer: simulated_http.Answer | None) -> None:
         if answer is None:
             return
         call.answered_at, call.status = self._clock.time, answer.status
-        call.is_cut = self._network.is_host_partitioned(call.host)
+        call.is_partitioned = self._network.is_host_partitioned(call.host)
         self._recorder.record("tally add", add=add.add_id, host=call.host, status=answer.status)
-        if answer.status == 200 and self._at_next_add is not None:
-            callback, self._at_next_add = self._at_next_add, None
+        if answer.status == 200 and self._on_next_add is not None:
+            callback, self._on_next_add = self._on_next_add, None
             callback()
 
     # Reads.
@@ -195,14 +195,16 @@
         for host in self._fleet.core_hosts():
             for tally in TALLIES:
                 self.last_reads[host, tally] = None
-                self._read_last(host, tally, LAST_READ_TRIES)
+                self._read_last(host, tally, MAX_LAST_READ_ATTEMPTS)
 
-    def _read_last(self, host: str, tally: str, tries: int) -> None:
+    def _read_last(self, host: str, tally: str, attempts: int) -> None:
         def done(answer: simulated_http.Answer | None) -> None:
             if answer is not None and answer.status == 200:
                 self.last_reads[host, tally] = json.loads(answer.body)["total"]
-            elif tries > 1:
-                self._clock.later(delay=LAST_READ_PAUSE_S, callback=lambda: self._read_last(host, tally, tries - 1))
+            elif attempts > 1:
+                self._clock.later(
+                    delay=LAST_READ_RETRY_DELAY_S, callback=lambda: self._read_last(host, tally, attempts - 1)
+                )
 
         self._call(host, host, "GET", tally, b"", done)
 
--- a/ploverward/simulation/control_plane/tally_checks.py
+++ b/ploverward/simulation/control_plane/tally_checks.py
@@ -40,35 +40,40 @@
 
     def _check_bounds(self, read: tally_callers.TallyRead) -> None:
         adds = [add for add in self._callers.adds.values() if add.tally == read.tally]
-        highest = sum(add.amount for add in adds if _may_count(add, until=read.ended_at))
+        max_total = sum(add.amount for add in adds if _may_count(add, until=read.ended_at))
         where = f"{read.host} answered {read.total} for {read.tally} at {read.ended_at:.3f}"
-        if read.total > highest:
-            self._recorder.find("tally twice", f"{where}, no more than {highest} can have counted")
-        own = sum(add.amount for add in adds if _is_acknowledged_by(add, read))
-        if read.total < own:
-            self._recorder.find("tally stale", f"{where}, this process had acknowledged {own}")
+        if read.total > max_total:
+            self._recorder.add_finding("tally twice", f"{where}, no more than {max_total} can have counted")
+        min_own_total = sum(add.amount for add in adds if _is_acknowledged_by(add, read))
+        if read.total < min_own_total:
+            self._recorder.add_finding("tally stale", f"{where}, this process had acknowledged {min_own_total}")
         if read.is_calm:
-            owed = self._owed(adds, until=read.begun_at - tally_callers.MERGE_S)
-            if read.total < owed:
-                self._recorder.find(
-                    "tally stale", f"{where}, {owed} had been acknowledged {tally_callers.MERGE_S} s before"
+            min_total = self._min_total(adds, until=read.begun_at - tally_callers.MERGE_S)
+            if read.total < min_total:
+                self._recorder.add_finding(
+                    "tally stale", f"{where}, {min_total} had been acknowledged {tally_callers.MERGE_S} s before"
                 )
 
     def _check_end(self, until: float) -> None:
         for tally in tally_callers.TALLIES:
             adds = [add for add in self._callers.adds.values() if add.tally == tally]
-            owed, highest = self._owed(adds, until=until), sum(add.amount for add in adds if _may_count(add, until))
+            min_total, max_total = (
+                self._min_total(adds, until=until),
+                sum(add.amount for add in adds if _may_count(add, until)),
+            )
             totals = {host: total for (host, name), total in self._callers.last_reads.items() if name == tally}
             for host, total in totals.items():
                 if total is None:
-                    self._recorder.find("tally lost", f"{host} does not answer for {tally} at the end")
-                elif not owed <= total <= highest:
-                    kind = "tally lost" if total < owed else "tally twice"
-                    self._recorder.find(kind, f"{host} has {total} for {tally} at the end: {owed} to {highest}")
+                    self._recorder.add_finding("tally lost", f"{host} does not answer for {tally} at the end")
+                elif not min_total <= total <= max_total:
+                    kind = "tally lost" if total < min_total else "tally twice"
+                    self._recorder.add_finding(
+                        kind, f"{host} has {total} for {tally} at the end: {min_total} to {max_total}"
+                    )
             if len(set(totals.values())) > 1:
-                self._recorder.find("tally agreement", f"{tally} at the end: {totals}")
+                self._recorder.add_finding("tally agreement", f"{tally} at the end: {totals}")
 
-    def _owed(self, adds: Iterable[tally_callers.Add], *, until: float) -> int:
+    def _min_total(self, adds: Iterable[tally_callers.Add], *, until: float) -> int:
         return sum(
             add.amount
             for add in adds
@@ -76,22 +81,22 @@
                 call.status == 200
                 and call.answered_at is not None
                 and call.answered_at <= until
-                and not self._is_forgiven(call)
-                for call in add.tries
+                and not self._is_loss_tolerated(call)
+                for call in add.attempts
             )
         )
 
-    def _is_forgiven(self, call: tally_callers.Try) -> bool:
+    def _is_loss_tolerated(self, call: tally_callers.AddAttempt) -> bool:
         """Whether the machine acknowledged while it was cut off, and lost its disk before it could hand over."""
-        if not call.is_cut or call.answered_at is None:
+        if not call.is_partitioned or call.answered_at is None:
             return False
-        healed_at = self._network.healed_after(call.host, call.answered_at)
+        healed_at = self._network.next_healed_at(call.host, call.answered_at)
         lost_at = self._network.machines[call.host].disk.lost_at
         return any(call.answered_at <= lost <= healed_at + tally_callers.MERGE_S for lost in lost_at)
 
 
 def _may_count(add: tally_callers.Add, until: float) -> bool:
-    return any(call.status not in tally_callers.REFUSALS and call.sent_at <= until for call in add.tries)
+    return any(call.status not in tally_callers.REFUSALS and call.sent_at <= until for call in add.attempts)
 
 
 def _is_acknowledged_by(add: tally_callers.Add, read: tally_callers.TallyRead) -> bool:
@@ -100,5 +105,5 @@
         and call.process is read.process
         and call.answered_at is not None
         and call.answered_at <= read.begun_at
-        for call in add.tries
+        for call in add.attempts
     )
--- a/ploverward/simulation/control_plane/tally_mutant_patches.py
+++ b/ploverward/simulation/control_plane/tally_mutant_patches.py
@@ -17,7 +17,7 @@
 from ploverward.simulation.control_plane import mutant_patches
 from ploverward.transport import messages
 
-REFUSED_PART = 7  # one add in so many is refused after it was made
+ADDS_PER_REFUSAL = 7  # one add in so many is refused after it was made
 
 
 def counted_by_node() -> mutant_patches.Patches:
@@ -57,7 +57,7 @@
     numbers = itertools.count()
 
     def handle(self: tally_handlers.TallyHandlers, call: router.Call, name: str) -> None:
-        if next(numbers) % REFUSED_PART:
+        if next(numbers) % ADDS_PER_REFUSAL:
             handle_add(self, call, name)
             return
         add = tally_handlers._parse_add(name, call.body)
--- a/ploverward/simulation/control_plane/test_scenarios.py
+++ b/ploverward/simulation/control_plane/test_scenarios.py
@@ -37,25 +37,25 @@
 """
 
 
-def test_a_few_runs_break_no_check():
+def test_first_seeds_have_no_findings():
     ended = run("-m", "ploverward", "simulate", f"--first={FIRST_SEED}", f"--seeds={SEEDS}", "--jobs=2")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert f"{SEEDS} days" in ended.stdout
 
 
-def test_a_few_runs_with_tallies_break_no_check():
+def test_first_seeds_with_tallies_have_no_findings():
     ended = run("-m", "ploverward", "simulate", "--tallies", f"--first={FIRST_SEED}", f"--seeds={SEEDS}", "--jobs=2")
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert f"{SEEDS} days" in ended.stdout
 
 
 @pytest.mark.parametrize("name", QUICK_MUTANTS)
-def test_a_mutant_is_found(name):
+def test_checks_find_mutant(name):
     ended = run("-c", SEARCH, name)
     assert ended.returncode == 0, ended.stdout + ended.stderr
 
 
-def test_a_seed_names_one_history():
+def test_same_seed_prints_same_history():
     first, second = (run("-m", "ploverward", "simulate", "--history=3", "--machines=3") for _time in range(2))
     assert first.stdout == second.stdout
     assert "configuration chosen" in first.stdout
@@ -67,6 +67,6 @@
     assert "'rain' is no trouble" in ended.stderr and ended.stderr.count("\n") == 1
 
 
-def test_each_closing_fault_of_all_machines_is_a_kind_too():
+def test_closing_faults_of_all_machines_are_fault_kinds_too():
     assert {"all_killed", "all_power"} <= faults.KINDS.keys() & set(faults.CLOSING)
     assert all(kind.weight > 0 for kind in faults.KINDS.values())
--- a/ploverward/simulation/control_plane/test_shrinking.py
+++ b/ploverward/simulation/control_plane/test_shrinking.py
@@ -50,18 +50,18 @@
 
 
 @pytest.mark.parametrize("needed", [set(), {0}, {11}, {3, 4}, {0, 5, 11}, {1, 2, 3, 7}])
-def test_just_the_faults_that_are_needed_are_left(needed):
+def test_shortening_keeps_only_needed_faults(needed):
     result = shortened(Runs(needed=needed))
     assert {fault.number for fault in result.kept} == needed
     assert result.check == "agreement" and result.drawn == len(DRAWN) and not result.has_closing
 
 
-def test_the_closing_fault_stays_where_it_is_needed():
+def test_shortening_keeps_needed_closing_fault():
     result = shortened(Runs(needed={2}, needs_closing=True))
     assert result.has_closing and {fault.number for fault in result.kept} == {2}
 
 
-def test_a_run_that_breaks_another_check_is_no_shorter_form_of_it():
+def test_shortening_rejects_run_that_breaks_another_check():
     result = shortened(Runs(needed={4}, other_check="reads"))
     assert {fault.number for fault in result.kept} == {4}
 
--- a/ploverward/simulation/control_plane/test_simulated_clock.py
+++ b/ploverward/simulation/control_plane/test_simulated_clock.py
@@ -3,7 +3,7 @@
 from ploverward.simulation.control_plane import simulated_clock
 
 
-def test_a_cancelled_timer_does_not_act_and_an_exception_is_reported():
+def test_loop_skips_cancelled_timer_and_reports_exceptions():
     clock = simulated_clock.Clock(seed=1)
     failures = []
     process = simulated_clock.Process(clock=clock, name="p", on_failure=lambda _process, text: failures.append(text))
--- a/ploverward/simulation/control_plane/test_simulated_disk.py
+++ b/ploverward/simulation/control_plane/test_simulated_disk.py
@@ -11,7 +11,7 @@
     clock.run(until=clock.time + disk.finish_batch() + 0.001)
 
 
-def test_what_was_synced_outlives_a_loss_of_power():
+def test_synced_data_survives_power_loss():
     for seed in range(20):
         clock = simulated_clock.Clock(seed=seed)
         disk = simulated_disk.Disk(clock=clock)
@@ -23,7 +23,7 @@
         assert content.startswith(b"first") and b"firstsecond".startswith(content)
 
 
-def test_a_write_in_progress_may_be_kept_lost_or_torn():
+def test_killed_write_may_be_kept_lost_or_torn():
     seen = set()
     for seed in range(60):
         clock = simulated_clock.Clock(seed=seed)
@@ -36,7 +36,7 @@
     assert b"ab" in seen and b"abcdef" in seen and len(seen) > 2
 
 
-def test_a_replaced_file_is_the_old_one_or_the_new_one():
+def test_replaced_file_has_old_or_new_content_after_power_loss():
     seen = set()
     for seed in range(60):
         clock = simulated_clock.Clock(seed=seed)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("fault", ["refuse", "refuse_late", "full"])
-def test_a_disk_with_a_fault_refuses(fault):
+def test_append_to_faulty_disk_raises_os_error(fault):
     disk = simulated_disk.Disk(clock=simulated_clock.Clock(seed=1))
     disk.fault = fault
     with pytest.raises(OSError):
--- a/ploverward/simulation/control_plane/test_simulated_http.py
+++ b/ploverward/simulation/control_plane/test_simulated_http.py
@@ -71,7 +71,7 @@
     assert answers == [None]
 
 
-def test_a_node_hears_that_its_client_gave_up(node):
+def test_node_is_notified_when_client_gives_up(node):
     answers, gone = call(node), []
     node.requests[0].on_disconnect = lambda: gone.append(node.network.clock.time)
     node.network.clock.run(until=2.0)
--- a/ploverward/simulation/control_plane/test_simulated_peers.py
+++ b/ploverward/simulation/control_plane/test_simulated_peers.py
@@ -25,7 +25,7 @@
         self.process = machines.Program(clock=clock, name=host, on_failure=lambda _process, text: failures.append(text))
         self.machine.process = self.process
         self.loop = simulated_clock.Loop(process=self.process, on_stop=lambda: None)
-        self.taken, self.ended = [], []
+        self.received, self.ended = [], []
         self.links = []
 
     def chance(self) -> float:
@@ -37,7 +37,7 @@
             loop=self.loop,
             address=("", 7),
             on_connection=self.links.append,
-            on_message=lambda _link, message: self.taken.append((self.network.clock.time, message)),
+            on_message=lambda _link, message: self.received.append((self.network.clock.time, message)),
             on_end=lambda _link, reason: self.ended.append((self.network.clock.time, reason)),
             peer_timeout_s=PEER_TIMEOUT_S,
         )
@@ -48,7 +48,7 @@
             loop=self.loop,
             address=(host, 7),
             on_up=self.links.append,
-            on_message=lambda _link, message: self.taken.append((self.network.clock.time, message)),
+            on_message=lambda _link, message: self.received.append((self.network.clock.time, message)),
             on_end=lambda _link, reason: self.ended.append((self.network.clock.time, reason)),
             peer_timeout_s=PEER_TIMEOUT_S,
         )
@@ -74,8 +74,8 @@
     assert not failures
 
 
-def numbers(node) -> list:
-    return [message.topic for _when, message in node.taken]
+def received_topics(node) -> list:
+    return [message.topic for _when, message in node.received]
 
 
 def test_messages_keep_their_order_and_pass_the_codec(pair):
@@ -83,7 +83,7 @@
     for number in range(20):
         connector.link.send(messages.Fetch(f"t{number}", NO_VERSION))
     clock.run(until=2.0)
-    assert numbers(other) == [f"t{number}" for number in range(20)]
+    assert received_topics(other) == [f"t{number}" for number in range(20)]
 
 
 def test_a_partition_holds_messages_and_a_short_one_loses_none(pair):
@@ -91,10 +91,10 @@
     network.partition(pairs=[("a", "b")], is_reset=False)
     connector.link.send(messages.Fetch("held", NO_VERSION))
     clock.run(until=1.3)
-    assert numbers(other) == []
+    assert received_topics(other) == []
     network.join(pairs=[("a", "b")])
     clock.run(until=2.0)
-    assert numbers(other) == ["held"] and not other.ended
+    assert received_topics(other) == ["held"] and not other.ended
 
 
 def test_a_long_one_way_partition_closes_both_ends(pair):
@@ -105,7 +105,7 @@
     assert [reason for _when, reason in one.ended][0] == "closed"  # told over the way that is open
 
 
-def test_what_is_not_read_for_too_long_ends_the_connection_of_its_sender(pair):
+def test_sender_closes_connection_when_data_is_held_back_for_peer_timeout(pair):
     clock, network, one, _other, connector = pair
     network.partition(pairs=[("a", "b"), ("b", "a")], is_reset=False)
     connector.link.last_received_at += 100.0  # as if the other way were heard
@@ -122,7 +122,7 @@
     assert connector.link is not None and connector.link.is_up
 
 
-def test_a_killed_process_resets_and_a_machine_without_power_is_silent(pair):
+def test_killed_process_resets_its_connections(pair):
     clock, _network, one, other, _connector = pair
     machines.stop(machine=other.machine)
     clock.run(until=1.2)
@@ -148,16 +148,16 @@
     connector.link.send(messages.Fetch("late", NO_VERSION))
     clock.run(until=1.5)
     before = other.loop.now()
-    taken = len(other.taken)
+    received = len(other.received)
     other.loop.call_soon_threadsafe(callback=lambda: order.append("command"))
     other.process.thaw()
-    assert len(other.taken) == taken + 1
+    assert len(other.received) == received + 1
     assert order == ["timer"]  # the command comes with the next event, as it was given after the thaw began
     clock.run(until=1.6)
     assert order == ["timer", "command"] and other.loop.now() > before
 
 
-def test_messages_of_different_types_with_equal_fields_are_packed_as_what_they_are():
+def test_pack_cache_distinguishes_message_types_with_equal_fields():
     versions = (messages.TopicVersion(topic="list", version=Version(epoch=0, number=1)),)
     sent = [messages.Announcement(versions=versions), messages.Acknowledgement(versions=versions)]
     assert sent[0] == sent[1]  # as named tuples, so a cache of frames must look at their types
--- a/ploverward/simulation/control_plane/value_checks.py
+++ b/ploverward/simulation/control_plane/value_checks.py
@@ -137,7 +137,7 @@
         known = self.values.get((name, version))
         if known is not None:
             if known != value:
-                self._recorder.find("agreement", f"{name} {version}: {node} has {value}, another has {known}")
+                self._recorder.add_finding("agreement", f"{name} {version}: {node} has {value}, another has {known}")
             return
         self.values[name, version] = value
         self._recorder.record("chosen", register=name, version=version, node=node, members=",".join(value.members))
@@ -156,7 +156,7 @@
         known = self._by_edition.get(edition)
         if known is not None:
             if known.order_name != order_name:
-                self._recorder.find(
+                self._recorder.add_finding(
                     "configurations", f"edition {edition} stands for {known.order_name} and for {order_name}"
                 )
             return
@@ -170,7 +170,7 @@
             holder = Incarnation(address, incarnation)
             known = self._holders.setdefault((role, epoch), holder)
             if known != holder:
-                self._recorder.find("duties", f"{role}, epoch {epoch}: {known} and {holder}")
+                self._recorder.add_finding("duties", f"{role}, epoch {epoch}: {known} and {holder}")
 
     def _handle_topic(self, publisher: Incarnation, topic: str, version: Version, data: bytes) -> None:
         epoch, number = version
@@ -180,31 +180,33 @@
             self._recorder.record("told", topic=topic, epoch=epoch, number=number, node=publisher.address)
             holder = self._holders.get((singleton_roles.COORDINATOR, epoch))
             if epoch and holder != publisher:
-                self._recorder.find(
+                self._recorder.add_finding(
                     "topics", f"{topic} of epoch {epoch} comes from {publisher}; the duty was held by {holder}"
                 )
         elif known != data and epoch:
-            self._recorder.find("topics", f"{topic} ({epoch}, {number}) has two contents")
+            self._recorder.add_finding("topics", f"{topic} ({epoch}, {number}) has two contents")
 
     def check_installed(self, proxy: proxies.Proxy, topic: str, version: Version, data: bytes) -> None:
         """Checks what a proxy installs, and notes it at the proxy."""
         before = proxy.versions.get(topic, NO_VERSION)
         if version <= before:
-            self._recorder.find("back", f"{proxy.host} goes from {topic} {before} to {version}")
+            self._recorder.add_finding("back", f"{proxy.host} goes from {topic} {before} to {version}")
         proxy.versions[topic] = version
         if topic in register_names.REGISTERS:
             self._check_installed_register(proxy, topic, version.number, data)
         elif version.epoch and self._topics.get((topic, version)) != data:
-            self._recorder.find("topics", f"{proxy.host} has another {topic} {version} than was published")
+            self._recorder.add_finding("topics", f"{proxy.host} has another {topic} {version} than was published")
 
     def _check_installed_register(self, proxy: proxies.Proxy, name: str, version: int, data: bytes) -> None:
         value = RegisterValue(*unpack(data))
         if self.values.get((name, version)) != value:
-            self._recorder.find("agreement", f"{proxy.host} has a {name} {version} that no core node has")
+            self._recorder.add_finding("agreement", f"{proxy.host} has a {name} {version} that no core node has")
         payload = value.payload
         if name == register_names.CONFIGURATION and payload:
             if payload["edition"] < proxy.edition:
-                self._recorder.find("back", f"{proxy.host} goes from edition {proxy.edition} to {payload['edition']}")
+                self._recorder.add_finding(
+                    "back", f"{proxy.host} goes from edition {proxy.edition} to {payload['edition']}"
+                )
             proxy.edition = payload["edition"]
             self._recorder.record("applied", proxy=proxy.host, edition=proxy.edition)
         elif name == register_names.EVACUATIONS:
