--- a/ploverward/simulation/control_plane/fleet.py
+++ b/ploverward/simulation/control_plane/fleet.py
@@ -1,7 +1,7 @@
-"""The machines of a run: how core machines and proxies start, stop and are replaced (docs/simulate.md).
+"""The machines of a run: starts, stops and replaces core machines and proxies (docs/simulate.md).
 
-`Fleet` owns which machine is in which slot, and which slots are lost. A slot is lost while a fault has it, and
-`catch_up_s` after that.
+`Fleet` keeps track of which machine occupies which slot, and of which slots are lost. A slot counts as lost while a
+fault affects it and for `catchUpS` seconds afterwards.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from ploverward.simulation.control_plane import simulated_runtime
 from ploverward.simulation.control_plane import value_checks
 
-START_SPREAD_S = 0.3  # within which the machines of a run start
-MAX_SEEDS = 3  # core nodes that a settings file names
-STALE_SETTINGS_CHANCE = 0.3  # that an emptied machine starts with its settings of the first start
-REWRITE_CHANCE = 0.5  # that the settings of a machine that starts again name other seeds
+START_SPREAD_S = 0.3  # the machines of a run start within this time
+MAX_SEEDS = 3  # maximum number of core nodes that a settings file lists
+STALE_SETTINGS_CHANCE = 0.3  # chance that a machine with an emptied disk starts with the settings of its first start
+REWRITE_CHANCE = 0.5  # chance that the settings of a restarted machine list newly drawn seeds
 
 
 class Slot:
-    """A place for one core machine; a machine that is replaced leaves it to its successor.
+    """A place for one core machine; when a machine is replaced, its successor takes the place.
 
     Attributes:
-        machine: That is there now.
+        machine: The machine that occupies the slot now.
         is_down: Whether its process was stopped and not started again.
-        faults: How many faults have it now.
-        lost_until: Until when it counts as lost after its last fault, by the simulated time in seconds.
-        settings: With which its machine was last started.
-        first_settings: Those of the first start, if that was of this machine.
+        faults: Number of faults that affect the slot now.
+        lost_until: Simulated time in seconds until which the slot counts as lost after its last fault.
+        settings: The settings with which the machine was last started.
+        first_settings: The settings of the first start of the system; None after the machine was replaced.
     """
 
     def __init__(self, *, machine: machines.Machine, settings: settings_files.Settings) -> None:
@@ -50,9 +50,9 @@
     """All machines of a run.
 
     Attributes:
-        slots: Of the core machines.
-        tolerated: How many of them may be lost at once.
-        proxy_hosts: Of the proxies.
+        slots: The slots of the core machines.
+        tolerated: Number of core machines that may be lost at once.
+        proxy_hosts: Addresses of the proxies.
     """
 
     def __init__(
@@ -67,16 +67,16 @@
         disk_speed_s: tuple[float, float],
         proxy_hosts: Sequence[str],
     ) -> None:
-        """Makes an empty fleet; `build` adds its machines.
+        """Creates an empty fleet, to which `build` adds the machines.
 
         Args:
-            network: That joins the machines.
-            platform: That core nodes read.
-            recorder: Of the run.
-            values: Watches what nodes publish and proxies install.
-            shares: Watches what proxies may use.
-            tolerated: How many core machines may be lost at once.
-            disk_speed_s: Bounds of how long a sync takes.
+            network: The network between the machines.
+            platform: The platform whose list of replicas core nodes read.
+            recorder: Collects the history and the findings of the run.
+            values: Checks the values that core nodes publish and proxies install.
+            shares: Checks the shares that proxies may use.
+            tolerated: Number of core machines that may be lost at once.
+            disk_speed_s: Shortest and longest duration of a sync, in seconds.
             proxy_hosts: Addresses of the proxies.
         """
         self.slots: list[Slot] = []
@@ -95,11 +95,11 @@
         self._machine_count = 0
 
     def core_hosts(self) -> list[str]:
-        """Returns the addresses of the core machines, by slot."""
+        """Returns the addresses of the core machines, in the order of their slots."""
         return [slot.machine.host for slot in self.slots]
 
     def build(self, *, size: int) -> None:
-        """Adds so many core machines and all proxies, and schedules their starts."""
+        """Adds `size` core machines and all proxies, and schedules their starts."""
         core_machines = [self._new_machine() for _number in range(size)]
         seeds = tuple(machine.host for machine in core_machines[:MAX_SEEDS])
         for machine in core_machines:
@@ -162,7 +162,7 @@
         )
 
     def _handle_exit(self, machine: machines.Machine, process: machines.Program) -> None:
-        """A core node ended by itself, which only one that is to be removed does."""
+        """Handles a core node that stops its own loop. Only a node whose machine is being removed may do so."""
         if machine.process is process and process.is_alive:
             self._recorder.record("ended", host=machine.host)
             machines.stop(machine=machine)
@@ -170,19 +170,19 @@
                 self._recorder.add_finding("ended", f"{machine.host} ended by itself")
 
     def stop(self, slot: Slot, *, is_power_lost: bool) -> None:
-        """Stops a slot's machine, until `restart`."""
+        """Stops the process of a slot's machine, or the whole machine, until `restart`."""
         self._recorder.record("stopped", host=slot.machine.host, is_power_lost=is_power_lost)
         slot.is_down = True
         machines.stop(machine=slot.machine, is_power_lost=is_power_lost)
         slot.machine.is_powered = not is_power_lost
 
     def restart(self, slot: Slot, *, is_emptied: bool) -> None:
-        """Starts a slot's machine again, unless another one took its place meanwhile, or will.
+        """Starts a slot's machine again, unless the machine was replaced or is being removed.
 
         Args:
             slot: The slot.
-            is_emptied: Whether its disk lost its content: then its settings are new too, or those of the first start,
-                which an operator put there again.
+            is_emptied: Whether the disk lost its content. The settings are then written again too, or they are those
+                of the first start, which models an operator who restores an old file.
         """
         if not slot.is_down or slot.machine.is_removed:
             return
@@ -204,7 +204,10 @@
         self._start(slot)
 
     def remove(self, machine: machines.Machine, *, is_in_order: bool) -> None:
-        """Takes a machine away for good; in order, its node gets SIGTERM first and SIGKILL after `graceS`."""
+        """Removes a machine permanently.
+
+        If `is_in_order`, its node first gets SIGTERM, and SIGKILL after `graceS` seconds.
+        """
         machine.is_removed = True
         machine.disk.record_loss()
         self._recorder.record("removed", host=machine.host, is_in_order=is_in_order)
@@ -225,7 +228,7 @@
 
     # Proxies.
     def start_proxy(self, host: str, *, seeds: Sequence[str] = ()) -> None:
-        """Starts a proxy unless it runs; without `seeds`, its settings name drawn ones."""
+        """Starts a proxy unless it runs already. Draws the seeds of its settings unless `seeds` are given."""
         machine = self._network.machines[host]
         if machine.process is not None and machine.process.is_alive:
             return
@@ -241,12 +244,12 @@
         )
 
     def stop_proxy(self, host: str, *, is_power_lost: bool) -> None:
-        """Stops a proxy, until `start_proxy`."""
+        """Stops a proxy until `start_proxy`."""
         machines.stop(machine=self._network.machines[host], is_power_lost=is_power_lost)
 
-    # What is lost.
+    # Lost slots.
     def is_lost(self, slot: Slot) -> bool:
-        """Whether a slot counts as lost now."""
+        """Returns whether a slot counts as lost now."""
         return slot.faults > 0 or slot.lost_until > self._clock.time
 
     def lost_slots(self) -> list[Slot]:
@@ -254,10 +257,10 @@
         return [slot for slot in self.slots if self.is_lost(slot)]
 
     def begin_fault(self, slot: Slot) -> None:
-        """A fault of a slot begins."""
+        """Notes that a fault of a slot begins."""
         slot.faults += 1
 
     def end_fault(self, slot: Slot) -> None:
-        """A fault of a slot ends."""
+        """Notes that a fault of a slot ends; the slot counts as lost for `catchUpS` seconds more."""
         slot.faults -= 1
         slot.lost_until = max(slot.lost_until, self._clock.time + self._catch_up_s)
--- a/ploverward/simulation/control_plane/machines.py
+++ b/ploverward/simulation/control_plane/machines.py
@@ -1,4 +1,4 @@
-"""Simulated machines: hosts with a disk, on which one program runs at a time, and their settings (docs/simulate.md)."""
+"""Simulated machines, each with a disk and one running program, and their settings files (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 CONTROL_PORT, DIRECTORY_PORT, INNER_PORT = 8080, 8081, 7720
 PLATFORM = "platform"
-BOUNDS = {  # as in the settings file; short, so that a run of a minute shows what they bound
+BOUNDS = {  # `bounds` of the settings file, short enough that they expire within a run of about a minute
     "contactMs": 4000,
     "receiptMs": 5000,
     "catchUpS": 4,
@@ -42,15 +42,15 @@
 def settings(
     *, host: str, region: str, seeds: Sequence[str], is_first: bool, tolerated: int, is_core: bool = True
 ) -> settings_files.Settings:
-    """Makes a settings file as a machine gets it, read by the real reader.
+    """Returns the settings of a machine, as the product's own parser reads them from a settings file.
 
     Args:
-        host: The machine's.
-        region: The machine's.
-        seeds: Hosts of core nodes that it asks first.
+        host: Address of the machine.
+        region: Region of the machine.
+        seeds: Addresses of the core nodes that the machine contacts first.
         is_first: Whether this is the first start of the whole system.
-        tolerated: How many core machines may be lost at once.
-        is_core: Whether it runs a core node, or a proxy.
+        tolerated: Number of core machines that may be lost at once.
+        is_core: Whether the machine runs a core node rather than a proxy.
     """
     lines = [
         f"node=n-{host}",
@@ -79,7 +79,7 @@
     """A process with connections to other nodes.
 
     Attributes:
-        links: The open ones.
+        links: The open connections.
     """
 
     def __init__(
@@ -90,19 +90,19 @@
 
 
 class Machine:
-    """A machine with a disk, and the program that runs on it now.
+    """A machine with its disk and the program that runs on it.
 
     Attributes:
-        host: Its address.
-        region: Where it stands.
-        disk: Its data folder.
-        peer_listeners: What listens for nodes, by port.
-        http_servers: What listens for HTTP, by port.
-        is_powered: Whether its system answers.
-        is_removed: Whether it is gone for good, or about to go.
-        process: The program's newest life, also after its end; None before the first.
-        core: The core node of that life, if it is one.
-        proxy: The model proxy of that life, if it is one.
+        host: Address of the machine.
+        region: Region of the machine.
+        disk: The disk that holds the data folder.
+        peer_listeners: Listeners for connections of other nodes, by port.
+        http_servers: HTTP servers, by port.
+        is_powered: Whether the operating system runs and answers.
+        is_removed: Whether the machine was removed permanently or is being removed.
+        process: The newest process of the program, also after its end; None before the first start.
+        core: The last core node that started here; None if there was none.
+        proxy: The newest model proxy; None if there was none or its start failed.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         region: str,
         speed_s: tuple[float, float] = simulated_disk.SPEEDS_S[0],
     ) -> None:
-        """Makes a machine with an empty disk; `speed_s` bounds how long a sync takes."""
+        """Creates a machine with an empty disk; `speed_s` is the shortest and the longest duration of a sync."""
         self.host = host
         self.region = region
         self.disk = simulated_disk.Disk(clock=clock, speed_s=speed_s)
@@ -127,13 +127,16 @@
 
     @property
     def running_process(self) -> Program:
-        """The newest process of a machine that was started."""
+        """The newest process; the machine must have been started before."""
         assert self.process is not None
         return self.process
 
 
 def stop(*, machine: Machine, is_power_lost: bool = False) -> None:
-    """Ends the process at once. Its connections are reset by the system, or go silent with the power."""
+    """Ends a machine's process at once.
+
+    The operating system resets the connections of the process, unless the power is lost: then they go silent.
+    """
     process = machine.process
     if process is not None and process.is_alive:
         process.end()
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -1,8 +1,8 @@
-"""One run of the simulation: machines, faults, operators and proxies by one seed, and the checks (docs/simulate.md).
+"""One seeded run of the simulation: machines, faults, operators, proxies and the final checks (docs/simulate.md).
 
-`SimulationRun` draws a run's parameters and wires its parts; `run` plays it: faults for a while, at times a closing
-fault at a moment that matters, then all is healed and the checks look at what is left. What is drawn, and in which
-order, decides the history that a seed names.
+`SimulationRun` draws the parameters of a run and connects its components. `run` executes it: faults begin for some
+time, in some runs a closing fault follows at a critical moment, then all faults end and the checks examine the result.
+The history of a seed depends on which random numbers are drawn and in which order.
 """
 
 from __future__ import annotations
@@ -38,40 +38,42 @@
 from ploverward.simulation.control_plane import tally_checks
 from ploverward.simulation.control_plane import value_checks
 
-CORE_SIZES, CORE_SIZE_WEIGHTS = (3, 5, 6, 7), (4, 4, 1, 1)  # core machines
-DISK_SPEED_WEIGHTS = (2, 1, 1)  # of the first speeds; the slowest is never drawn
-FAULT_SPAN_S = (15.0, 30.0)  # for how long faults begin
-FAULT_GAPS_S = (0.5, 1.5, 4.0)  # mean times between two faults; a run has one of them
+CORE_SIZES, CORE_SIZE_WEIGHTS = (3, 5, 6, 7), (4, 4, 1, 1)  # numbers of core machines and their weights
+DISK_SPEED_WEIGHTS = (2, 1, 1)  # for the first entries of `SPEEDS_S`; the slowest disk is never drawn
+FAULT_SPAN_S = (15.0, 30.0)  # length of the period in which faults begin
+FAULT_GAPS_S = (0.5, 1.5, 4.0)  # mean times between two faults, of which each run draws one
 FAULTS_FROM_S = 5.0
-CLOSING_STEP_S = 0.25  # between two checks whether the closing fault began
+CLOSING_STEP_S = 0.25  # interval at which the run checks whether the closing fault has begun
 AFTER_CLOSING_S = 4.0
 LAST_READS_S = 4.0
 MAX_LAST_READ_ATTEMPTS = 8
-FOLDED_REPEAT_AGE_S = 4.0  # of an add that an application sends again; its tries take 6 s more, a freeze 12 s
+FOLDED_REPEAT_AGE_S = (
+    4.0  # maximum age of an add that an application repeats; its attempts take 6 s more, a freeze 12 s
+)
 FOLD_AFTER_S = 24.0
 FOLD_CHECKPOINT_S = 1.0
-TALLY_MOMENT_CHANCE = 0.5  # that a fault "at a moment that matters" waits for an acknowledged add to a tally
+TALLY_MOMENT_CHANCE = 0.5  # chance that a fault at a critical moment waits for an acknowledged add to a tally
 MOMENTS = (model_operators.Moment.ACKNOWLEDGED, model_operators.Moment.SENT, model_operators.Moment.READ)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What is played.
+    """The parameters of a run.
 
     Attributes:
-        seed: Decides all that is drawn.
-        machines: Core machines; 0: drawn.
-        tolerated: How many of them may be lost at once; 0: drawn.
-        troubles: Kinds of faults, of `faults.KINDS`.
-        closing: Closing faults to draw from; empty: none.
-        span_s: For how long faults begin, in seconds; 0: drawn.
-        disk: Index of the disks' speed; -1: drawn.
-        gap_s: Mean time between two faults, in seconds; 0: drawn.
-        moments: Those that faults "at a moment that matters" wait for.
-        skipped_faults: Numbers of faults that are drawn and not begun.
-        keeps_history: Whether the report has a history.
+        seed: Seed of the run's random generator.
+        machines: Number of core machines; 0 draws it.
+        tolerated: Number of core machines that may be lost at once; 0 draws it.
+        troubles: Kinds of faults to draw from, keys of `faults.KINDS`.
+        closing: Closing faults to draw from; empty for none.
+        span_s: Length of the period in which faults begin, in seconds; 0 draws it.
+        disk: Index into `simulated_disk.SPEEDS_S`; -1 draws it.
+        gap_s: Mean time between two faults, in seconds; 0 draws it.
+        moments: The critical moments that a fault may wait for.
+        skipped_faults: Numbers of the faults that are drawn but not begun.
+        keeps_history: Whether the report contains a history.
         has_tallies: Whether applications use tallies.
-        folds_tallies: Whether core nodes forget ids early, and applications repeat no add that is older.
+        folds_tallies: Whether core nodes forget ids of adds early, and applications repeat only younger adds.
     """
 
     seed: int
@@ -91,21 +93,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Report:
-    """What came of one run.
+    """The result of a run.
 
     Attributes:
-        plan: What was played.
-        findings: By time; empty: no check broke.
-        history: What happened; empty where the plan keeps none.
-        machines: Core machines.
-        tolerated: How many of them might be lost at once.
-        orders: How many the operators sent.
-        chosen: Versions of the configuration.
-        troubles: Moments at which a fault of the core began or ended.
-        faults: What was drawn, skipped faults included; the closing one is none of them.
-        steps: Events.
-        peak_shares: The highest sums of shares.
-        took_s: Processor time.
+        plan: The parameters of the run.
+        findings: Violated checks, ordered by time.
+        history: Recorded events; empty unless the plan keeps a history.
+        machines: Number of core machines.
+        tolerated: Number of core machines that may be lost at once.
+        orders: Number of orders that the operators sent.
+        chosen: Number of configuration versions that were chosen.
+        troubles: How many times a fault of the core began or ended.
+        faults: The drawn faults, including skipped ones and excluding the closing fault.
+        steps: Number of executed events.
+        peak_shares: The highest sum of shares of each kind.
+        took_s: Processor time, in seconds.
     """
 
     plan: Plan
@@ -123,27 +125,27 @@
 
 
 class SimulationRun:
-    """One run, and its parts.
+    """A run and its components.
 
     Attributes:
-        plan: What is played.
-        clock: The simulated time.
-        size: Core machines.
-        network: That joins the machines.
-        platform: That core nodes read.
-        recorder: History and findings.
-        values: Checks of what is published and installed.
-        shares: Checks of what proxies may use.
-        fault_log: When faults began and ended.
-        fleet: The machines.
-        operators: The operators.
-        probes: Orders to nodes that are cut off.
-        faults: Begins faults.
+        plan: The parameters of the run.
+        clock: The simulated clock, with the event queue and the random generator.
+        size: Number of core machines.
+        network: The network between the machines.
+        platform: The platform whose list of replicas core nodes read.
+        recorder: Collects the history and the findings.
+        values: Checks the values that core nodes publish and proxies install.
+        shares: Checks the shares that proxies may use.
+        fault_log: Records when faults begin and end.
+        fleet: The core machines and the proxies.
+        operators: Simulated operators, which send orders and reads.
+        probes: Sends orders to nodes that are cut off.
+        faults: Draws faults and begins them.
         tallies: Applications that use tallies.
     """
 
     def __init__(self, *, plan: Plan) -> None:
-        """Draws the parameters and makes the parts; no machine is started yet."""
+        """Draws the parameters and creates the components; starts no machine."""
         bounds = model_machines.BOUNDS
         self._contact_s = bounds["contactMs"] / 1000
         self._receipt_s = bounds["receiptMs"] / 1000
@@ -215,7 +217,7 @@
         self.fleet.build(size=self.size)
 
     def run(self) -> Report:
-        """Plays the run."""
+        """Executes the run and returns its report."""
         begun = time.process_time()
         self.build()
         self.operators.start()
@@ -240,7 +242,7 @@
         return self._report(time.process_time() - begun)
 
     def _play_closing_fault(self) -> None:
-        """Plays the closing fault, if one is drawn, at a moment that matters."""
+        """Draws a closing fault, if the plan allows any, and begins it at a critical moment."""
         kind = self.clock.chance.choice(self.plan.closing) if self.plan.closing else ""
         if not kind:
             return
@@ -261,9 +263,10 @@
         self.tallies.is_stopped = True
 
     def call_at_moment(self, callback: Callable[[], object]) -> None:
-        """Has a callback called right after the next acknowledgement or read, or soon after the next order is sent.
+        """Calls `callback` at the next critical moment, which is drawn.
 
-        Where applications use tallies, the moment may also be the next acknowledged add.
+        This is right after the next acknowledgement or read, or soon after the next order is sent. If applications use
+        tallies, it may also be right after the next acknowledged add.
         """
         if self.plan.has_tallies and self.clock.chance.random() < TALLY_MOMENT_CHANCE:
             self.tallies.call_at_next_add(callback)
@@ -276,7 +279,7 @@
         self.operators.at_next(moment, lambda: self.clock.later(delay=delay, callback=callback))
 
     def _read_back(self) -> list[checks.LastRead]:
-        """Reads the configuration and the evacuations at each core node."""
+        """Reads the configuration and the evacuations at each core node; the value of an unanswered read is None."""
         reads = {(host, what): None for host in self.fleet.core_hosts() for what in order_model.ReadKind}
         answered: list[checks.LastRead] = []
         for host, what in reads:
@@ -335,14 +338,14 @@
 
 
 def silence_log() -> None:
-    """Drops what nodes log: a report has its own history."""
+    """Discards the log records of the nodes, because a report has its own history."""
     log = logging.getLogger("ploverward")
     log.handlers[:] = [logging.NullHandler()]
     log.propagate = False
 
 
 def run_simulation(plan: Plan) -> Report:
-    """Plays one plan; the process's log of the product is dropped from then on."""
+    """Executes a plan and returns its report. From then on this process discards the log records of the nodes."""
     silence_log()
     with _early_folding() if plan.folds_tallies else contextlib.nullcontext():
         return SimulationRun(plan=plan).run()
@@ -350,7 +353,7 @@
 
 @contextlib.contextmanager
 def _early_folding() -> Iterator[None]:
-    """Has core nodes fold tallies within a run: after seconds, and however few ids they keep."""
+    """Makes core nodes fold tallies during a run: after a few seconds, and however few ids they keep."""
     with (
         mock.patch.object(tally_folder, "RETRY_HORIZON_S", FOLD_AFTER_S),
         mock.patch.object(tally_folder, "CHECKPOINT_INTERVAL_S", FOLD_CHECKPOINT_S),
