--- a/ploverward/simulation/control_plane/simulated_disk.py
+++ b/ploverward/simulation/control_plane/simulated_disk.py
@@ -1,7 +1,8 @@
-"""A simulated disk: what reads see, what a loss of power leaves, writes under way, and faulty disks (docs/simulate.md).
+"""A simulated disk with page cache, power losses, torn writes and faults (docs/simulate.md).
 
-`Disk` owns the content of a machine's data folder. It keeps apart what reads see (`files`) and what is sure to be there
-after a loss of power (`durable`). Between them a name may have either content, or a torn one.
+`Disk` holds the content of a machine's data folder twice: the content that reads return (`files`), and the content that
+is guaranteed to survive a loss of power (`durable`). Where the two differ, a file may have either content after the
+loss, or a torn one.
 """
 
 from __future__ import annotations
@@ -11,19 +12,20 @@
 
 from ploverward.simulation.control_plane import simulated_clock
 
-SPEEDS_S = ((0.0005, 0.004), (0.002, 0.03), (0.02, 0.15), (0.15, 0.35))  # how long a sync takes; a run has one of them
-SLOW_S = (0.05, 0.4)  # how long a sync of a slow disk takes
-LATE_LOSS_CHANCE = 0.5  # that what a failed sync may have dropped is missing after a later one
+# Bounds of the duration of a sync; each run uses one pair.
+SPEEDS_S = ((0.0005, 0.004), (0.002, 0.03), (0.02, 0.15), (0.15, 0.35))
+SLOW_S = (0.05, 0.4)  # bounds of the duration of a sync on a disk with the fault "slow"
+LATE_LOSS_CHANCE = 0.5  # chance that data of a failed sync is missing even after a later successful one
 
 
 class Change(NamedTuple):
-    """One change of a name.
+    """One change of a file.
 
     Attributes:
-        name: Of the file.
-        before: What reads saw before; None: no such file.
-        after: What reads see afterwards; None: no such file.
-        is_rename: Whether the content came there by a rename, which is never torn.
+        name: Name of the file.
+        before: Content that reads returned before the change; None if the file did not exist.
+        after: Content that reads return after the change; None if the file does not exist any more.
+        is_rename: Whether the change is a rename, which is atomic and never leaves a torn file.
     """
 
     name: str
@@ -33,20 +35,20 @@
 
 
 class Disk:
-    """The twin of ploverward.control_plane.consensus.disk.Disk.
+    """The simulated counterpart of ploverward.control_plane.consensus.disk.Disk.
 
-    A write under way when its process is killed may have got to any stage.
+    A write that is in progress when its process is killed may have reached any stage.
 
     Attributes:
-        files: What reads see, by name.
-        durable: What is sure to be there after a loss of power, by name.
-        fault: How it is faulty: "", "slow", "stall", "refuse", "refuse_late" or "full".
-        lost_at: When its content was lost, by the simulated time in seconds.
-        stalled_until: When accesses under way end at the earliest, by the simulated time in seconds.
+        files: The content that reads return, by file name.
+        durable: The content that is guaranteed to survive a loss of power, by file name.
+        fault: The current fault: "", "slow", "stall", "refuse", "refuse_late" or "full".
+        lost_at: Simulated times in seconds at which the content was lost.
+        stalled_until: Simulated time in seconds before which no access in progress ends.
     """
 
     def __init__(self, *, clock: simulated_clock.Clock, speed_s: tuple[float, float] = SPEEDS_S[0]) -> None:
-        """Makes an empty disk; `speed_s` bounds how long a sync takes."""
+        """Creates an empty disk; `speed_s` is the shortest and the longest duration of a sync."""
         self.files: dict[str, bytes] = {}
         self.durable: dict[str, bytes] = {}
         self.fault = ""
@@ -54,18 +56,18 @@
         self.lost_at: list[float] = []
         self._clock = clock
         self._speed_s = speed_s
-        self._batch: list[Change] = []  # of the work that runs now
+        self._batch: list[Change] = []  # changes of the work that runs now
         self._batch_duration_s = 0.0
         self._unsynced_batches: list[list[Change]] = []
-        self._renamed: set[str] = set()  # names whose content differs from what was synced by a rename alone
-        self._dropped: dict[str, tuple[int, int]] = {}  # (from, to) of what a failed sync may have dropped for good
+        self._renamed: set[str] = set()  # files whose content differs from the durable one only by a rename
+        self._dropped: dict[str, tuple[int, int]] = {}  # (start, end) of data that a failed sync may never have written
 
     def read(self, *, name: str) -> bytes | None:
-        """Returns the content of a file, or None."""
+        """Returns the content of a file, or None if it does not exist."""
         return self.files.get(name)
 
     def append(self, *, name: str, data: bytes, size_before: int) -> None:
-        """Writes data behind the first `size_before` bytes of a file, which is cut there, and syncs it.
+        """Truncates a file to `size_before` bytes, appends `data` and syncs the file.
 
         Raises:
             OSError: The disk is faulty.
@@ -86,7 +88,7 @@
         self._batch.append(Change(name, before, kept + data, is_rename=False))
 
     def replace(self, *, name: str, new_name: str, data: bytes) -> None:
-        """Writes a file under a new name, and renames it to `name`.
+        """Replaces a file atomically: writes `new_name`, syncs it and renames it to `name`.
 
         Raises:
             OSError: The disk is faulty.
@@ -102,7 +104,7 @@
         self._batch.append(Change(name, before, data, is_rename=True))
 
     def sync(self, *, name: str) -> None:
-        """Makes what reads see of a name durable.
+        """Makes the content of a file that reads return durable.
 
         Raises:
             OSError: The disk is faulty.
@@ -117,7 +119,7 @@
         self._batch_duration_s += self._clock.chance.uniform(*span)
 
     def finish_batch(self) -> float:
-        """Ends the accesses of work on a thread; returns how long they take in seconds, from now on."""
+        """Ends the accesses of one piece of work on a thread; returns in how many seconds from now they end."""
         batch, self._batch = self._batch, []
         took_s, self._batch_duration_s = self._batch_duration_s, 0.0
         if took_s and self.stalled_until > self._clock.time:
@@ -128,7 +130,10 @@
         return took_s
 
     def finish_now(self) -> None:
-        """Ends accesses outside the pool, as at a start: they block the process, whose time is not modelled."""
+        """Completes accesses that were made outside the thread pool, such as those of a node's start.
+
+        They block the process, and the time that they take is not modelled.
+        """
         batch, self._batch = self._batch, []
         self._batch_duration_s = 0.0
         self._make_durable(batch)
@@ -147,7 +152,10 @@
                 self.durable[change.name] = self._without_dropped(change.name, change.after)
 
     def _without_dropped(self, name: str, content: bytes) -> bytes:
-        """After a failed sync a later one may succeed without having written the pages of the first."""
+        """Returns `content` as a sync writes it, at times with zeros in place of the data of an earlier failed sync.
+
+        After a failed sync a later one may succeed without having written the pages of the first.
+        """
         dropped = self._dropped.get(name)
         if dropped is None or self._clock.chance.random() < LATE_LOSS_CHANCE:
             return content
@@ -156,7 +164,10 @@
         return (content[:begin] + zeros + content[end:])[: len(content)]
 
     def kill(self) -> None:
-        """The process died: writes under way got to some stage; what the system holds in memory stays."""
+        """Handles the death of the process: each write in progress has reached a random stage.
+
+        The content that the operating system holds in memory stays.
+        """
         batches, self._unsynced_batches = self._unsynced_batches, []
         for batch in batches:
             done = self._clock.chance.randrange(len(batch) + 1)
@@ -181,7 +192,7 @@
         return after[: self._clock.chance.randint(start, len(after))]
 
     def lose_power(self) -> None:
-        """Each name that differs from what was synced is kept, lost or torn by itself."""
+        """Handles a loss of power: each file that differs from its durable content is kept, lost or torn by itself."""
         self.kill()
         for name in sorted(set(self.files) | set(self.durable)):
             seen, synced = self.files.get(name), self.durable.get(name)
@@ -195,11 +206,11 @@
         self._renamed.clear()
 
     def record_loss(self) -> None:
-        """Notes that the content is lost, or gone with the machine."""
+        """Records that the content is lost, with or without the machine."""
         self.lost_at.append(self._clock.time)
 
     def empty(self) -> None:
-        """The disk loses its content."""
+        """Deletes the whole content of the disk and records the loss."""
         self.record_loss()
         self._unsynced_batches = []
         self._dropped = {}
--- a/ploverward/simulation/control_plane/simulated_http.py
+++ b/ploverward/simulation/control_plane/simulated_http.py
@@ -1,8 +1,8 @@
 """Simulated HTTP between operators and core nodes (docs/simulate.md).
 
-A node gets real requests (ploverward.transport.http_request.Request) from a `HttpServer` with the interface of
-ploverward.transport.http_server.HttpServer, as far as a core node uses it. `Caller` stands for operators outside: each
-call has a connection of its own, and its answer may be lost.
+A node receives real requests (ploverward.transport.http_request.Request) from `HttpServer`, which has those parts of
+the interface of ploverward.transport.http_server.HttpServer that a core node uses. `Caller` models clients outside the
+system, such as operators: each call has its own connection, and its answer may be lost.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class Answer(NamedTuple):
-    """One HTTP answer.
+    """An HTTP response.
 
     Attributes:
         status: The HTTP status.
-        headers: By name in small letters, without the length.
+        headers: Headers by lower-case name, without Content-Length.
         body: The body.
     """
 
@@ -42,11 +42,11 @@
     body: bytes
 
 
-OnAnswer = Callable[[Answer | None], object]  # None: the connection ended without an answer
+OnAnswer = Callable[[Answer | None], object]  # receives None if the connection ended without an answer
 
 
 class AnswerCollector:
-    """The connection of one request: collects its answer and hands it over when it is complete."""
+    """The connection of one request; collects the answer and passes it on when it is complete."""
 
     def __init__(self, *, on_answer: OnAnswer) -> None:
         self._on_answer = on_answer
@@ -56,32 +56,32 @@
         self._body = b""
 
     def is_answering(self, _request: http_request.Request) -> bool:
-        """Whether what is written now belongs to the request."""
+        """Returns whether data that is written now belongs to the answer to the request."""
         return not self._is_over
 
     def start(self, *, status: int, headers: Iterable[tuple[bytes, bytes]], is_last: bool) -> None:
-        """Writes the head of the answer."""
+        """Takes the status and the headers of the answer."""
         self._status = status
         self._headers = {name.decode().lower(): value.decode() for name, value in headers}
         self._headers.pop("content-length", None)
 
-    def send(self, event: Any) -> None:  # noqa: ANN401  # any event of h11
-        """Writes a part of the answer."""
+    def send(self, event: Any) -> None:  # noqa: ANN401  # any h11 event
+        """Takes a part of the answer."""
         if isinstance(event, h11.Data):
             self._body += event.data
 
     def finish(self) -> None:
-        """Ends the answer."""
+        """Ends the answer and passes it on."""
         self._is_over = True
         self._on_answer(Answer(self._status, self._headers, self._body))
 
     def abort_response(self) -> None:
-        """Ends the connection so that the answer can't look complete."""
+        """Ends the connection without an answer, so that a partial answer can't look complete."""
         self._is_over = True
         self._on_answer(None)
 
     def drop(self) -> None:
-        """Ends the connection as if its client had left."""
+        """Ends the connection as if the client had closed it."""
         self.abort_response()
 
     def queued(self) -> int:
@@ -90,19 +90,19 @@
 
 
 def _report_client_disconnect(request: http_request.Request) -> None:
-    """The client closed its connection."""
+    """Notifies an unanswered request that the client closed its connection."""
     if request.on_disconnect is not None and not request.is_answered:
         request.on_disconnect()
 
 
 class HttpServer:
-    """The server of a core node.
+    """The HTTP server of a core node.
 
     Attributes:
-        loop: The node's.
-        process: Where it runs.
-        is_draining: Whether it was asked to leave.
-        connections: Empty: each call has a connection of its own.
+        loop: The event loop of the node.
+        process: The process in which the server runs.
+        is_draining: Whether clients are requested to use another server.
+        connections: Always empty, because each call has its own connection.
     """
 
     def __init__(
@@ -126,27 +126,27 @@
         self._servers[self._port] = self
 
     def handle(self, request: http_request.Request) -> None:
-        """Hands a request over."""
+        """Passes a request to the node."""
         self._on_request(request)
 
     def leave(self) -> None:
-        """Asks clients to go elsewhere."""
+        """Requests clients to use another server."""
         self.is_draining = True
 
     def close_idle(self) -> None:
-        """Does nothing: no connection is idle."""
+        """Does nothing, because no connection is ever idle."""
 
     def stop_listening(self) -> None:
-        """Accepts no further request."""
+        """Stops accepting requests."""
         if self._servers.get(self._port) is self:
             del self._servers[self._port]
 
 
 class Caller:
-    """Makes calls from outside the system.
+    """An HTTP client outside the system.
 
     Attributes:
-        host: Where they come from, as partitions see it.
+        host: Source address of the calls, to which partitions apply.
     """
 
     def __init__(self, *, network: simulated_network.Network, host: str) -> None:
@@ -169,15 +169,15 @@
         """Makes one call.
 
         Args:
-            host: The node's.
-            port: The node's.
-            method: In capitals.
+            host: Address of the node.
+            port: Port of the node.
+            method: HTTP method, in capitals.
             target: Path and query.
             headers: Names and values.
             body: The body.
-            limit_s: How long to wait for the answer.
-            done: Called once, with the answer or None where there is none in time.
-            on_lost: Where given, the answer is lost on its way, and this is called with it instead.
+            limit_s: How long to wait for the answer, in seconds.
+            done: Called once, with the answer, or with None if there is none in time.
+            on_lost: If given, the answer does not reach the client; this is called with the answer instead.
         """
         _Call(
             network=self._network,
@@ -194,7 +194,7 @@
 
 
 class _Call:
-    """One call on its way: arguments as of `Caller.call`."""
+    """A call in progress; its arguments are those of `Caller.call`."""
 
     def __init__(
         self,
--- a/ploverward/simulation/control_plane/simulated_network.py
+++ b/ploverward/simulation/control_plane/simulated_network.py
@@ -1,11 +1,11 @@
 """Simulated links between machines: delays, partitions, resets, and the wires of connections (docs/simulate.md).
 
-`Network` owns the machines, the partitions and the open wires. A `Wire` carries both directions of one connection. It
-keeps the order of what is sent and loses nothing while it lives: what a partition holds back arrives when the partition
-ends. The system of a machine accepts connections and data while its process is frozen, answers for a dead process with
-a reset, and is silent while the machine has no power.
+`Network` owns the machines, the partitions and the open wires. A `Wire` carries both directions of one connection, as
+TCP does. It preserves the order of the items and loses none while it is open: items that a partition holds back arrive
+after the partition has ended. The operating system of a machine accepts connections and data while its process is
+frozen, answers for a dead process with a reset, and is silent while the machine has no power.
 
-What runs on the wires is in simulated_peers.py; calls of operators, in simulated_http.py, need no wire.
+The connections that use the wires are in simulated_peers.py. HTTP calls, in simulated_http.py, use no wire.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import machines
 
-NEAR_S = (0.0005, 0.004)  # one way, between machines of one region
-FAR_S = (0.01, 0.05)  # one way, between regions
-RETRY_S = (0.0, 0.2)  # from a partition's end until what it held back is sent again
+NEAR_S = (0.0005, 0.004)  # one-way delay between machines of one region
+FAR_S = (0.01, 0.05)  # one-way delay between regions
+RETRY_S = (0.0, 0.2)  # time from the end of a partition until held-back items are sent again
 
-HostPair = tuple[str, str]  # (source, target) of one direction
+HostPair = tuple[str, str]  # (source, target): one direction of a link
 
 
 class Signal(enum.Enum):
-    """What a wire carries besides bytes."""
+    """An item on a wire that is not data."""
 
-    OPEN = "open"  # the dialer's first
-    OPENED = "opened"  # the answer to it
+    OPEN = "open"  # first item from the dialer
+    OPENED = "opened"  # answer to OPEN
     END = "end"
     RESET = "reset"
 
@@ -41,26 +41,26 @@
 
 
 class WireEnd(Protocol):
-    """What a wire uses of the connection at one of its ends."""
+    """The interface that a wire needs of the connection at each of its ends."""
 
     process: machines.Program
     is_open: bool
 
     def handle_item(self, item: Item) -> None:
-        """Handles what arrived."""
+        """Handles an item that arrived."""
 
     def watch_held_back(self) -> None:
-        """Hears that a partition begins to hold back what this end sent."""
+        """Handles that a partition begins to hold back the items that this end sends."""
 
 
 class Network:
-    """Which machines there are, which links are cut or slow, and the wires between them.
+    """The machines, the state of the links between them, and the open wires.
 
     Attributes:
         clock: The clock of the run.
-        machines: By host.
-        partitions: How many faults cut each pair (source, target).
-        added_delays_s: What is added to each direction of a slow host's links, in seconds.
+        machines: The machines, by host.
+        partitions: Number of faults that cut each pair (source, target).
+        added_delays_s: Delay in seconds that is added to each direction of a slow host's links, by host.
     """
 
     def __init__(self, *, clock: simulated_clock.Clock) -> None:
@@ -68,23 +68,23 @@
         self.machines: dict[str, machines.Machine] = {}
         self.partitions: dict[HostPair, int] = {}
         self.added_delays_s: dict[str, float] = {}
-        self._healed: list[tuple[float, str]] = []  # when, and which host has no cut link any more
-        self._wires: dict[HostPair, list[Wire]] = {}  # by (dialer, target), in the order of their making
+        self._healed: list[tuple[float, str]] = []  # (time, host): the last cut link of the host was restored
+        self._wires: dict[HostPair, list[Wire]] = {}  # by (dialer, target), in the order of their creation
 
     def is_partitioned(self, source: str, target: str) -> bool:
-        """Whether a fault cuts this direction."""
+        """Returns whether a fault cuts this direction."""
         return bool(self.partitions) and self.partitions.get((source, target), 0) > 0
 
     def is_host_partitioned(self, host: str) -> bool:
-        """Whether a fault cuts any link of a host now."""
+        """Returns whether a fault cuts any link of a host now."""
         return any(host in pair for pair in self.partitions)
 
     def next_healed_at(self, host: str, since: float) -> float:
-        """Returns when a host next had no cut link, or infinity."""
+        """Returns the first time from `since` on at which the last cut link of a host was restored, or infinity."""
         return min((at for at, healed in self._healed if healed == host and at >= since), default=math.inf)
 
     def delay(self, source: str, target: str) -> float:
-        """Draws how long the next item takes, in seconds."""
+        """Draws the delay of the next item, in seconds."""
         one, other = self.machines.get(source), self.machines.get(target)
         is_near = one is not None and other is not None and one.region == other.region
         delay = self.clock.chance.uniform(*(NEAR_S if is_near else FAR_S))
@@ -93,14 +93,17 @@
         return delay
 
     def partition(self, *, pairs: Sequence[HostPair], is_reset: bool) -> None:
-        """Cuts these directions once more, until `join`; `is_reset`: the connections are reset too."""
+        """Cuts these directions until a matching `join`. If `is_reset`, also resets the connections.
+
+        Partitions may overlap: a direction stays cut until each `partition` of it has been ended.
+        """
         for pair in pairs:
             self.partitions[pair] = self.partitions.get(pair, 0) + 1
         if is_reset:
             self.reset(pairs=pairs)
 
     def join(self, *, pairs: Sequence[HostPair]) -> None:
-        """Takes one `partition` of these directions back."""
+        """Ends one `partition` of these directions, and sends the items that it held back."""
         for pair in pairs:
             self.partitions[pair] -= 1
             if not self.partitions[pair]:
@@ -113,7 +116,7 @@
                 wire.flush()
 
     def reset(self, *, pairs: Sequence[HostPair]) -> None:
-        """Resets all connections between these hosts, whoever dialed."""
+        """Resets all connections between these pairs of hosts, whichever side opened them."""
         for source, target in pairs:
             for wire in self._wires_between(source, target):
                 wire.reset()
@@ -122,25 +125,25 @@
         return [*self._wires.get((source, target), ()), *self._wires.get((target, source), ())]
 
     def add(self, wire: Wire) -> None:
-        """Notes a wire that a partition may hold back."""
+        """Registers an open wire, to which partitions and resets apply."""
         self._wires.setdefault(wire.hosts, []).append(wire)
 
     def drop(self, wire: Wire) -> None:
-        """Forgets a wire; does nothing where it is forgotten already."""
+        """Removes a wire; does nothing if it was removed already."""
         wires = self._wires.get(wire.hosts, [])
         if wire in wires:
             wires.remove(wire)
 
 
 class Wire:
-    """Both directions of one connection; direction 0 is from its dialer.
+    """Both directions of one connection; direction 0 is the one from the dialer.
 
     Attributes:
-        network: Where it runs.
-        hosts: The dialer's and the other.
-        ends: The connection objects at both ends; the second is None until its process accepted.
-        port: That was dialed.
-        is_over: Whether nothing arrives any more.
+        network: The network that it belongs to.
+        hosts: The hosts of the dialer and of the listener.
+        ends: The connection objects at both ends; the second is None until the listener's process accepts.
+        port: The port that was dialed.
+        is_over: Whether the connection has ended, so that no item arrives any more.
     """
 
     __slots__ = ("network", "hosts", "ends", "port", "_held_back", "_last_arrivals", "_before_accept", "is_over")
@@ -151,9 +154,10 @@
         self.ends: list[WireEnd | None] = [dialer_end, None]
         self.port = port
         self.is_over = False
-        self._held_back: tuple[list[tuple[float, Item]], ...] = ([], [])  # (sent at, item) that a partition holds back
-        self._last_arrivals = [0.0, 0.0]  # when the newest item of each direction arrives
-        self._before_accept: list[Item] = []  # what came before the process accepted the connection
+        # (time sent, item) that a partition holds back, by direction
+        self._held_back: tuple[list[tuple[float, Item]], ...] = ([], [])
+        self._last_arrivals = [0.0, 0.0]  # arrival time of the newest item, by direction
+        self._before_accept: list[Item] = []  # items that arrived before the process accepted the connection
         network.add(self)
 
     def transmit(self, direction: int, item: Item) -> None:
@@ -174,12 +178,12 @@
         clock.schedule(when=when, callback=lambda: self._arrive(direction, item))
 
     def held_back_for_s(self, direction: int) -> float:
-        """Returns for how many seconds the oldest data of a direction has been held back."""
+        """Returns for how many seconds the oldest item of a direction has been held back; 0 if none is."""
         held_back = self._held_back[direction]
         return self.network.clock.time - held_back[0][0] if held_back else 0.0
 
     def flush(self) -> None:
-        """Sends again what was held back, in the directions that are not cut any more."""
+        """Sends the held-back items of each direction that is not cut any more, after a drawn pause."""
         clock = self.network.clock
         for direction, held_back in enumerate(self._held_back):
             source, target = self.hosts if direction == 0 else self.hosts[::-1]
@@ -193,13 +197,13 @@
                 self.transmit(direction, item)
 
     def reset(self) -> None:
-        """Resets both ends at once."""
+        """Resets both ends immediately."""
         for direction in (0, 1):
             self._arrive(direction, Signal.RESET)
         self._finish()
 
     def close(self, end: WireEnd, *, signal: Signal) -> None:
-        """Sends the last signal of an end that its process closed, or whose process died on a living machine."""
+        """Sends the last signal of an end whose process closed it, or died while the machine kept running."""
         self.transmit(0 if end is self.ends[0] else 1, signal)
 
     def _finish(self) -> None:
@@ -221,7 +225,7 @@
             self._deliver(end, item)
 
     def _refuse(self, direction: int, item: Item) -> None:
-        """The system answers for a connection that its process closed, or that died with it."""
+        """Answers as the operating system does for a connection whose process closed it or died."""
         if item is Signal.END or item is Signal.RESET:
             self._finish()
         else:
--- a/ploverward/simulation/control_plane/simulated_peers.py
+++ b/ploverward/simulation/control_plane/simulated_peers.py
@@ -1,7 +1,8 @@
-"""Simulated connections between nodes: the twins of ploverward.transport.peer_connection (docs/simulate.md).
+"""Simulated connections between nodes, the counterparts of ploverward.transport.peer_connection (docs/simulate.md).
 
-`PeerConnection` has the interface of ploverward/transport/interfaces.py; `Connector` and `PeerListener` take the
-arguments of the real ones, and a runtime that says where they are. Messages pass the real codec.
+`PeerConnection` has the interface of ploverward/transport/interfaces.py. `Connector` and `PeerListener` take the
+arguments of the real classes, and a runtime that states their process, machine and network. Messages are packed and
+unpacked with the real codec.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import machines
 
-FLOAT_TOLERANCE_S = 1e-6  # spans that differ by less are equal: sums of floats
-# The first pause is this part of the peer time-out: the real one's FIRST_BACKOFF_SHARE, as a divisor. The two round
-# differently, and seeds name histories that were made with this one.
+FLOAT_TOLERANCE_S = 1e-6  # durations that differ by less count as equal, because they are sums of floats
+# The first pause before a reconnect is the peer time-out divided by this, the reciprocal of FIRST_BACKOFF_SHARE of the
+# real connector. A product with the share would round differently and change the histories of existing seeds.
 FIRST_BACKOFF_DIVISOR = 40
 CACHED_FRAMES = 8192
 pack = functools.lru_cache(maxsize=CACHED_FRAMES, typed=True)(frames.pack)
@@ -31,24 +32,24 @@
 
 
 class PeerRuntime(Protocol):
-    """Where connections are made: a process on a machine in a network."""
+    """The process, the machine and the network in which connections are made."""
 
     network: simulated_network.Network
     machine: machines.Machine
     process: machines.Program
 
     def chance(self) -> float:
-        """Returns a random number from 0 to below 1."""
+        """Returns a random number from 0.0 (inclusive) to 1.0 (exclusive)."""
 
 
 class PeerConnection:
     """One end of a connection.
 
-    Args and attributes are those of ploverward.transport.peer_connection.PeerConnection, but for these.
+    Arguments and attributes are those of ploverward.transport.peer_connection.PeerConnection, except for these.
 
     Attributes:
-        process: Where it runs.
-        wire: What it runs on.
+        process: The process in which this end runs.
+        wire: The wire that connects both ends.
     """
 
     wire: simulated_network.Wire
@@ -64,7 +65,7 @@
         is_connecting: bool,
         peer: str,
     ) -> None:
-        """Makes an end, whose wire its maker sets at once."""
+        """Creates an end; the creator must set `wire` before it uses the connection."""
         self.process = process
         self.loop = loop
         self.peer = peer
@@ -73,7 +74,7 @@
         self.is_up = not is_connecting
         self.last_received_at = loop.now()
         self.has_received = False
-        self._has_sent = False  # anything since the last call of `keep_alive`
+        self._has_sent = False  # whether a frame was sent since the last call of `keep_alive`
         self.opened_at = loop.now()
         self.peer_timeout_s = peer_timeout_s
         self.frame = b""
@@ -90,7 +91,7 @@
         if self.loop.now() - self.last_received_at > self.peer_timeout_s:
             self.close(reason="silent")
             return
-        # The real one checks each quarter; the checks that can find nothing are left out.
+        # The real connection checks at each quarter of the time-out; checks that can't yet fail are skipped here.
         quarter = self.peer_timeout_s / 4
         left = self.peer_timeout_s - (self.loop.now() - self.last_received_at)
         self._timeout_timer = self.loop.after(
@@ -98,7 +99,7 @@
         )
 
     def watch_held_back(self) -> None:
-        """What was sent does not arrive: as TCP_USER_TIMEOUT, ends the connection unless it does in time."""
+        """Ends the connection unless the held-back data is sent within the peer time-out, as TCP_USER_TIMEOUT does."""
         if self.is_open:
             self.loop.after(delay=self.peer_timeout_s, callback=self._check_held_back)
 
@@ -118,13 +119,13 @@
         self.send_bytes(pack(message))
 
     def keep_alive(self) -> None:
-        """Shows the peer that this process runs, unless something was sent since the last call of this."""
+        """Sends a keep-alive message unless a frame was sent since the last call of this method."""
         if not self._has_sent:
             self.send(messages.KeepAlive(number=0))
         self._has_sent = False
 
     def send_bytes(self, data: bytes) -> None:
-        """Sends one frame that is packed already; does nothing on a closed connection."""
+        """Sends one packed frame; does nothing on a closed connection."""
         if not self.is_open:
             return
         self._has_sent = True
@@ -134,7 +135,7 @@
             self._unsent.append(data)
 
     def handle_item(self, item: simulated_network.Item) -> None:
-        """Handles what arrived on the wire."""
+        """Handles an item that arrived on the wire."""
         if not self.is_open:
             return
         if isinstance(item, bytes):
@@ -158,7 +159,7 @@
         self._on_message(self, message)
 
     def close(self, *, reason: str = "") -> None:
-        """Ends the connection; its owner hears of it with the reason before this returns."""
+        """Ends the connection; calls `on_end` with the reason before it returns."""
         if not self.is_open:
             return
         self.is_open = False
@@ -169,9 +170,9 @@
 
 
 class Connector:
-    """Keeps one connection to an address.
+    """Keeps one connection to an address open, and reconnects after it has ended.
 
-    Args and attributes are those of ploverward.transport.peer_connection.Connector, and a runtime.
+    Arguments and attributes are those of ploverward.transport.peer_connection.Connector, and a runtime.
     """
 
     def __init__(
@@ -198,7 +199,7 @@
         self._connect()
 
     def stop(self) -> None:
-        """Closes the connection and makes no other."""
+        """Closes the connection and stops reconnecting."""
         self._is_stopped = True
         if self.link is not None:
             self.link.close(reason="stopped")
@@ -251,10 +252,10 @@
 class PeerListener:
     """Accepts connections of other nodes.
 
-    Args are those of ploverward.transport.peer_connection.PeerListener, and a runtime.
+    Arguments are those of ploverward.transport.peer_connection.PeerListener, and a runtime.
 
     Attributes:
-        process: Where it runs.
+        process: The process that listens.
     """
 
     def __init__(
@@ -278,7 +279,7 @@
         runtime.machine.peer_listeners[port] = self
 
     def accept(self, wire: simulated_network.Wire) -> PeerConnection:
-        """Accepts a connection that another host opened; returns its end here."""
+        """Accepts a connection that another host opened; returns the local end."""
         dialer, _own = wire.hosts
         link = PeerConnection(
             process=self.process,
--- a/ploverward/simulation/control_plane/simulated_runtime.py
+++ b/ploverward/simulation/control_plane/simulated_runtime.py
@@ -1,6 +1,7 @@
-"""What a core node takes from its machine, simulated, and how one is started (docs/simulate.md).
+"""The simulated runtime of a core node, and the start of a node on a simulated machine (docs/simulate.md).
 
-`SimulatedRuntime` is the twin of ploverward.control_plane.node_runtime.NodeRuntime; the node itself is the real one.
+`SimulatedRuntime` is the simulated counterpart of ploverward.control_plane.node_runtime.NodeRuntime: it provides what
+a node takes from its machine. The code of the node itself is the real one.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 
 
 class UnchangedFile:
-    """The settings file of a machine, which nobody changes while its node runs."""
+    """The settings file of a machine, which is never changed while its node runs."""
 
     def is_changed(self) -> bool:
-        """Whether it changed: never."""
+        """Returns False, because the file never changes."""
         return False
 
 
@@ -35,10 +36,10 @@
     """The runtime of one process on one machine.
 
     Attributes:
-        network: Where the machine is.
-        machine: On which the node runs.
-        process: In which the node runs.
-        on_terminate: What the node does at SIGTERM; None before it set that.
+        network: The network that the machine belongs to.
+        machine: The machine on which the node runs.
+        process: The process in which the node runs.
+        on_terminate: The node's handler of SIGTERM; None until the node sets it.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         node_settings: settings_files.Settings,
         on_stop: Callable[[], object],
     ) -> None:
-        """Makes the runtime of a node with these settings; `on_stop` is called when the node stops its loop."""
+        """Creates the runtime of a node with these settings; `on_stop` is called when the node stops its loop."""
         self.network = network
         self.machine = machine
         self.process = process
@@ -61,34 +62,34 @@
         self._settings = node_settings
         self._on_stop = on_stop
 
-    # The twins have the methods of the real classes and take their arguments, but none is a subclass of one.
+    # The simulated classes have the methods and the arguments of the real ones, but don't inherit from them.
     def loop(self, *, on_error: Callable[[BaseException], None] | None = None) -> Any:  # noqa: ANN401
-        """Creates the event loop. Errors of its callbacks go to the process, as findings."""
+        """Creates the event loop. Ignores `on_error`: the process reports exceptions in callbacks as findings."""
         return simulated_clock.Loop(process=self.process, on_stop=self._on_stop, disk=self.machine.disk)
 
     def peer_listener(self, **arguments: Any) -> Any:  # noqa: ANN401
-        """Accepts connections of other nodes."""
+        """Creates a listener for connections of other nodes."""
         return simulated_peers.PeerListener(runtime=self, **arguments)
 
     def connector(self, **arguments: Any) -> Any:  # noqa: ANN401
-        """Keeps one connection to an address."""
+        """Creates a connector, which keeps one connection to an address open."""
         return simulated_peers.Connector(runtime=self, **arguments)
 
     def http_server(self, **arguments: Any) -> Any:  # noqa: ANN401
-        """Listens for HTTP requests."""
+        """Creates a server of HTTP requests."""
         return simulated_http.HttpServer(runtime=self, **arguments)
 
     def disk(self, *, folder: str) -> Any:  # noqa: ANN401
-        """Opens the machine's one folder."""
+        """Returns the disk of the machine, which has only one folder."""
         return self.machine.disk
 
     def platform_watch(self, **arguments: Any) -> endpoint_list_poller.EndpointListPoller:  # noqa: ANN401
-        """Reads the platform's list of replicas with the real poller."""
+        """Creates the real poller of the platform's list of replicas, with a simulated connection."""
         connection = platform_model.SimulatedPlatformConnection(platform=self._platform, process=self.process)
         return endpoint_list_poller.EndpointListPoller(connection=connection, **arguments)
 
     def file_watch(self) -> Any:  # noqa: ANN401
-        """Watches the settings file."""
+        """Creates a watch of the settings file, which never changes."""
         return UnchangedFile()
 
     def load_settings(self) -> settings_files.Settings:
@@ -96,11 +97,11 @@
         return self._settings
 
     def chance(self) -> float:
-        """Returns a random number from 0 to below 1, of the run's one generator."""
+        """Returns a random number from 0.0 (inclusive) to 1.0 (exclusive), drawn from the only generator of the run."""
         return self._clock.chance.random()
 
     def wall_time(self) -> float:
-        """Returns the simulated time: all machines agree on it."""
+        """Returns the simulated time, which is the same on all machines."""
         return self._clock.time
 
     def unique_id(self) -> str:
@@ -108,17 +109,17 @@
         return f"{self._clock.chance.getrandbits(ID_BITS):012x}"
 
     def on_signals(self, *, loop: Any, on_terminate: Callable[[], None], on_reread: Callable[[], None]) -> None:  # noqa: ANN401
-        """Notes what the node does at SIGTERM; no other signal comes."""
+        """Stores the node's handler of SIGTERM; the simulation sends no other signal."""
         self.on_terminate = on_terminate
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningNode:
-    """A core node that runs.
+    """A core node that was started, and its runtime.
 
     Attributes:
         core: The node.
-        runtime: What it took from its machine.
+        runtime: The simulated runtime of the node.
     """
 
     core: core_node.CoreNode
@@ -138,16 +139,16 @@
     """Switches a machine on and starts a core node on it.
 
     Args:
-        network: Where the machine is.
+        network: The network that the machine belongs to.
         machine: The machine.
-        platform: The platform that the node reads.
-        node_settings: The node's.
+        platform: The platform whose list of replicas the node reads.
+        node_settings: The settings of the node.
         on_failure: Called with the process and a traceback for each exception in one of its steps.
-        on_stop: Called with the machine and the process when the node ends by itself.
-        watcher: Called with the node before it runs.
+        on_stop: Called with the machine and the process when the node stops its own loop.
+        watcher: Called with the node before it starts.
 
     Returns:
-        The node; None where its start failed.
+        The node; None if its start raised an exception.
     """
     machine.is_powered = True
     process = machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
--- a/ploverward/simulation/control_plane/test_simulated_clock.py
+++ b/ploverward/simulation/control_plane/test_simulated_clock.py
@@ -1,4 +1,4 @@
-"""The loop of a simulated process behaves as the real one does."""
+"""Tests that the loop of a simulated process behaves as the real event loop does."""
 
 from ploverward.simulation.control_plane import simulated_clock
 
--- a/ploverward/simulation/control_plane/test_simulated_disk.py
+++ b/ploverward/simulation/control_plane/test_simulated_disk.py
@@ -1,4 +1,4 @@
-"""The simulated disk keeps, loses and tears what a real one may."""
+"""Tests that the simulated disk keeps, loses and tears the data that a real disk may."""
 
 import pytest
 
--- a/ploverward/simulation/control_plane/test_simulated_http.py
+++ b/ploverward/simulation/control_plane/test_simulated_http.py
@@ -1,4 +1,4 @@
-"""Calls of simulated operators reach a node's server, and end once: with its answer, without one, or by giving up."""
+"""Tests that a simulated HTTP call reaches the server of a node and ends exactly once, with or without an answer."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Node:
-    """A process with a server that notes the requests."""
+    """A process with a server that records the requests."""
 
     def __init__(self, *, network):
         self.network = network
--- a/ploverward/simulation/control_plane/test_simulated_peers.py
+++ b/ploverward/simulation/control_plane/test_simulated_peers.py
@@ -1,4 +1,4 @@
-"""Simulated connections between nodes behave as the real ones do where the nodes depend on it."""
+"""Tests that simulated connections between nodes behave as the real ones do where nodes depend on it."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 class Node:
-    """A process with a loop, a port and what its links told it."""
+    """A process with a loop and a port, which records received messages and ended connections."""
 
     def __init__(self, *, network, host, failures):
         clock = network.clock
@@ -102,13 +102,15 @@
     network.partition(pairs=[("a", "b")], is_reset=False)
     clock.run(until=1.0 + 2.5 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in other.ended] == ["silent"]
-    assert [reason for _when, reason in one.ended][0] == "closed"  # told over the way that is open
+    assert [reason for _when, reason in one.ended][
+        0
+    ] == "closed"  # the end signal arrives in the direction that is not cut
 
 
 def test_sender_closes_connection_when_data_is_held_back_for_peer_timeout(pair):
     clock, network, one, _other, connector = pair
     network.partition(pairs=[("a", "b"), ("b", "a")], is_reset=False)
-    connector.link.last_received_at += 100.0  # as if the other way were heard
+    connector.link.last_received_at += 100.0  # as if data from the other direction still arrived
     clock.run(until=1.0 + 2 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in one.ended][0] == "ETIMEDOUT"
 
@@ -152,7 +154,7 @@
     other.loop.call_soon_threadsafe(callback=lambda: order.append("command"))
     other.process.thaw()
     assert len(other.received) == received + 1
-    assert order == ["timer"]  # the command comes with the next event, as it was given after the thaw began
+    assert order == ["timer"]  # the command was not deferred: its event is still in the clock's queue
     clock.run(until=1.6)
     assert order == ["timer", "command"] and other.loop.now() > before
 
@@ -160,7 +162,7 @@
 def test_pack_cache_distinguishes_message_types_with_equal_fields():
     versions = (messages.TopicVersion(topic="list", version=Version(epoch=0, number=1)),)
     sent = [messages.Announcement(versions=versions), messages.Acknowledgement(versions=versions)]
-    assert sent[0] == sent[1]  # as named tuples, so a cache of frames must look at their types
+    assert sent[0] == sent[1]  # equal as named tuples, so a cache of frames must also compare their types
     assert [frames.unpack(simulated_peers.pack(message)).__class__ for message in sent] == [
         messages.Announcement,
         messages.Acknowledgement,
