--- a/ploverward/simulation/control_plane/isolation_probes.py
+++ b/ploverward/simulation/control_plane/isolation_probes.py
@@ -1,4 +1,8 @@
-"""The check that a node that is cut off ends an order clearly and soon, and refuses none (docs/simulate.md)."""
+"""The check that an isolated node answers each order in time and does not reject it (docs/simulate.md).
+
+A valid order that a node can't carry out because it is cut off must end with an answer within `ANSWER_TIMEOUT_S`, and
+not with a status of 400 to 499, which would blame the order.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +13,15 @@
 from ploverward.simulation.control_plane import simulated_http
 from ploverward.simulation.control_plane import simulated_network
 
-MIN_ISOLATION_S = 2.0  # from then on a node must know that it is cut off
-ANSWER_TIMEOUT_S = 1.05  # within which it ends an order
+MIN_ISOLATION_S = 2.0  # after this time a node must have noticed that it is cut off
+ANSWER_TIMEOUT_S = 1.05  # an order must be answered within this time
 
 
 class IsolationProbes:
-    """Sends orders to nodes that are cut off.
+    """Sends orders to nodes that are cut off, and checks their answers.
 
     Attributes:
-        orders: That were sent.
+        orders: The orders that were sent.
     """
 
     def __init__(
@@ -36,7 +40,7 @@
         self._faults = faults
 
     def probe(self, host: str) -> None:
-        """Sends a proper order to one node that is cut off, and to no other; does nothing where it is not."""
+        """Sends a valid order to a node that is cut off, and to no other node; does nothing if it is not cut off."""
         since = self._faults.isolated_since.get(host)
         if since is None:
             return
@@ -64,7 +68,7 @@
             self._recorder.add_finding("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
 
     def _must_know_isolation(self, attempt: order_model.Attempt, since: float) -> bool:
-        """Whether the node was cut off and running for long enough before the order, and still is."""
+        """Returns whether the node ran, cut off, for `MIN_ISOLATION_S` before the order, and still does."""
         is_still_isolated = self._faults.isolated_since.get(attempt.host) == since
         if not is_still_isolated or attempt.sent_at - since < MIN_ISOLATION_S:
             return False
--- a/ploverward/simulation/control_plane/platform_model.py
+++ b/ploverward/simulation/control_plane/platform_model.py
@@ -1,4 +1,4 @@
-"""A model of the platform: its list of replicas, and how a core node reads it (docs/simulate.md)."""
+"""A model of the platform with its list of replicas, and the connection of core nodes to it (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import simulated_clock
 
-ANSWER_S = (0.005, 0.05)  # how long the platform takes to answer
+ANSWER_S = (0.005, 0.05)  # bounds of the time that the platform takes to answer
 
 
 class Platform:
-    """The platform's list of replicas. While it is down it is silent.
+    """The platform with a list of one replica. While it is down, it does not answer.
 
     Attributes:
         is_up: Whether it answers.
-        number: How many times the list changed; part of the one replica's name.
-        calls: How many times it was called.
+        number: Number of changes of the list; part of the replica's id.
+        calls: Number of received requests.
     """
 
     def __init__(self) -> None:
@@ -29,11 +29,11 @@
         self.calls = 0
 
     def change(self) -> None:
-        """Puts another replica in the place of the one there is."""
+        """Replaces the listed replica by another one."""
         self.number += 1
 
     def body(self) -> bytes:
-        """Returns the answer to a read of the list."""
+        """Returns the body of the response to a read of the list."""
         row = {
             "id": f"i-{self.number}",
             "destination": "llm",
@@ -49,16 +49,16 @@
 
 
 class SimulatedPlatformConnection:
-    """The twin of ploverward.control_plane.discovery.platform_connection.PlatformConnection."""
+    """The simulated counterpart of ploverward.control_plane.discovery.platform_connection.PlatformConnection."""
 
     def __init__(self, *, platform: Platform, process: simulated_clock.Process) -> None:
-        """Connects a process with the platform."""
+        """Creates the connection of a process to the platform."""
         self._platform = platform
         self._process = process
         self._clock = process.clock
 
     def get(self, *, url: str, limit_s: float, done: Callable[[PlatformResponse], object]) -> None:
-        """Reads the list, whatever the URL; `done(response)` after at most `limit_s` seconds."""
+        """Reads the list, ignoring the URL; calls `done(response)` after at most `limit_s` seconds."""
         self._platform.calls += 1
         if self._platform.is_up:
             response = PlatformResponse(status=200, body=self._platform.body())
--- a/ploverward/simulation/control_plane/proxy_checks.py
+++ b/ploverward/simulation/control_plane/proxy_checks.py
@@ -12,7 +12,7 @@
 
 
 class ProxyChecks:
-    """Looks at the proxies some time after an acknowledgement."""
+    """Checks the proxies `applyMs` after each acknowledgement of a configuration."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         faults: fault_log.FaultLog,
         contact_s: float,
     ) -> None:
-        """Makes the check; a proxy that started less than `contact_s` ago is left out."""
+        """Creates the check, which skips proxies that started less than `contact_s` ago."""
         self._network = network
         self._clock = network.clock
         self._recorder = recorder
@@ -33,7 +33,10 @@
         self._apply_s = machines.BOUNDS["applyMs"] / 1000
 
     def check_later(self, order: order_model.Order) -> None:
-        """A proxy without a fault has an acknowledged configuration within `applyMs`, if the core stays calm."""
+        """Schedules the check that proxies have the acknowledged configuration `applyMs` from now.
+
+        Only proxies without a fault are checked, and only if no fault of the core begins or ends meanwhile.
+        """
         edge_count = len(self._faults.edges)
         waiting = {host: self._proxy(host) for host in self._fleet.proxy_hosts if self._is_calm(host)}
 
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -1,4 +1,4 @@
-"""What happened in one run: its history and the findings of its checks (docs/simulate.md)."""
+"""The history of one run and the findings of its checks (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class HistoryLine(NamedTuple):
-    """One thing that happened.
+    """One recorded event of a run.
 
     Attributes:
-        when: By the simulated time, in seconds.
-        text: What, and the values that describe it.
+        when: Simulated time, in seconds.
+        text: Description of the event, followed by its values.
     """
 
     when: float
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """A check that was broken.
+    """A violation of a check.
 
     Attributes:
-        when: By the simulated time, in seconds.
-        check: Its name.
-        text: What was seen.
+        when: Simulated time, in seconds.
+        check: Name of the check.
+        text: Description of the violation.
     """
 
     when: float
@@ -41,8 +41,8 @@
     """Collects the history and the findings of a run.
 
     Attributes:
-        history: What happened; empty where no history is wanted.
-        findings: What was found, by the time of the finding.
+        history: Recorded events; empty unless a history is requested.
+        findings: Violated checks, in the order in which they were reported.
     """
 
     def __init__(self, *, clock: simulated_clock.Clock, keeps_history: bool) -> None:
@@ -58,11 +58,11 @@
             self.history.append(HistoryLine(self._clock.time, f"{text} {described}"))
 
     def add_finding(self, check: str, text: str) -> None:
-        """Notes that a check was broken; of each check only the first few findings are kept."""
+        """Adds a finding, unless the check has `MAX_FINDINGS` already, and records it in the history."""
         if sum(1 for finding in self.findings if finding.check == check) < MAX_FINDINGS:
             self.findings.append(Finding(when=self._clock.time, check=check, text=text))
         self.record(f"FINDING {check}: {text}")
 
     def add_failed_step(self, process: simulated_clock.Process, text: str) -> None:
-        """Notes that a step of a process raised; `text` is the traceback."""
+        """Adds a finding for an exception in a step of a process; `text` is the traceback."""
         self.add_finding("a step failed", f"{process.name}: {text.strip()}")
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -47,9 +47,9 @@
 AFTER_CLOSING_S = 4.0
 LAST_READS_S = 4.0
 MAX_LAST_READ_ATTEMPTS = 8
-FOLDED_REPEAT_AGE_S = (
-    4.0  # maximum age of an add that an application repeats; its attempts take 6 s more, a freeze 12 s
-)
+# Maximum age of an add that an application repeats where ids are forgotten after `FOLD_AFTER_S`. The attempts of the
+# add may take 6 s more, and a freeze 12 s.
+FOLDED_REPEAT_AGE_S = 4.0
 FOLD_AFTER_S = 24.0
 FOLD_CHECKPOINT_S = 1.0
 TALLY_MOMENT_CHANCE = 0.5  # chance that a fault at a critical moment waits for an acknowledged add to a tally
--- a/ploverward/simulation/control_plane/shrinking.py
+++ b/ploverward/simulation/control_plane/shrinking.py
@@ -1,8 +1,9 @@
-"""Shortens a run that broke a check to few faults with which it still breaks it (docs/simulate.md 2).
+"""Reduces a run that broke a check to a few faults with which it still breaks that check (docs/simulate.md 2).
 
-Greedy, like delta debugging (Zeller and Hildebrandt, 2002): leaves out the closing fault, the faults after the finding,
-then ever smaller blocks of the others, and keeps what still breaks the same check. A fault that is left out is drawn as
-before, so the later ones come at nearly the same moments; the result is a run of its own, small enough to be read.
+The search is greedy, like delta debugging (Zeller and Hildebrandt, 2002). It omits the closing fault, then the faults
+after the finding, then ever smaller blocks of the others, and keeps each reduction that still breaks the same check. An
+omitted fault is drawn as before but not begun, so that the later ones come at nearly the same moments. The result is a
+run with a history of its own, small enough to be read.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from ploverward.simulation.control_plane import faults
 from ploverward.simulation.control_plane import scenario
 
-MAX_RUNS = 40  # played for one shortening, some two seconds each
+MAX_RUNS = 40  # limit for one reduction; a run takes about two seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -21,11 +22,11 @@
     """The shortest run that was found.
 
     Attributes:
-        plan: What is played.
-        check: The check that it breaks.
-        kept: The faults that are left.
-        drawn: How many faults the run had.
-        runs: How many runs were played.
+        plan: The plan of the run.
+        check: The check that the run breaks.
+        kept: The remaining faults.
+        drawn: Number of faults that were drawn, omitted ones included.
+        runs: Number of runs that the search executed.
     """
 
     plan: scenario.Plan
@@ -36,17 +37,17 @@
 
     @property
     def has_closing(self) -> bool:
-        """Whether the closing fault is left."""
+        """Whether the run still has its closing fault."""
         return bool(self.plan.closing)
 
 
 class Shortening:
-    """One shortening.
+    """The search for the shortest run that breaks the first check that a given run broke.
 
     Args:
-        report: The run that broke a check.
-        play: Plays a plan.
-        max_runs: How many plans are played at most.
+        report: The report of the run that broke a check.
+        play: Executes a plan and returns its report.
+        max_runs: Maximum number of plans to execute.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         return tuple(fault for fault in self._best.faults if fault.number not in skipped)
 
     def _try_blocks(self, size: int) -> bool:
-        """Leaves out each block of so many faults, from the last on; returns whether any was not needed."""
+        """Tries to omit each block of `size` faults, from the last to the first; returns whether any was not needed."""
         numbers = [fault.number for fault in reversed(self._kept())]
         results = [self._try_without(set(numbers[start : start + size])) for start in range(0, len(numbers), size)]
         return any(results)
@@ -97,7 +98,7 @@
         return bool(numbers) and self._try(dataclasses.replace(self._best.plan, skipped_faults=skipped | numbers))
 
     def _try(self, plan: scenario.Plan) -> bool:
-        """Keeps a plan if it still breaks the check."""
+        """Executes a plan and keeps it if it still breaks the check; returns whether it was kept."""
         if plan == self._best.plan or self._runs >= self._max_runs:
             return False
         self._runs += 1
--- a/ploverward/simulation/control_plane/test_scenarios.py
+++ b/ploverward/simulation/control_plane/test_scenarios.py
@@ -1,6 +1,7 @@
-"""A few fixed runs of the simulation, and mutants that its checks must find (docs/simulate.md).
+"""Runs of the simulation with a few fixed seeds, and mutants that its checks must find (docs/simulate.md).
 
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+Each run is executed in its own process with a fixed hash seed, so that sets of strings have the same order and a seed
+always produces the same history.
 """
 
 import pytest
--- a/ploverward/simulation/control_plane/test_shrinking.py
+++ b/ploverward/simulation/control_plane/test_shrinking.py
@@ -1,4 +1,4 @@
-"""Shortening: what is left still breaks the check, and nothing more can be left out."""
+"""Tests that a shortened run still breaks its check, and that no further fault can be omitted from it."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 
 class Runs:
-    """A run that breaks a check where it has certain faults, and its closing fault if that is needed."""
+    """A fake runner, whose runs break a check if they contain the needed faults and, optionally, the closing fault."""
 
     def __init__(self, *, needed: set[int], needs_closing: bool = False, other_check: str = "") -> None:
         self.needed = needed
