--- a/ploverward/simulation/control_plane/proxies.py
+++ b/ploverward/simulation/control_plane/proxies.py
@@ -1,7 +1,7 @@
-"""A model of a proxy's control side, with the real parts that versions and share leases depend on (docs/simulate.md).
+"""A model of a proxy's control client, with the real classes for versions and share leases (docs/simulate.md).
 
-It follows ploverward/data_plane/control_client without the traffic: distributed values are recorded, not installed.
-The state is what the checks of versions and of share leases look at.
+It follows ploverward/data_plane/control_client but serves no traffic: it records distributed values and does not
+install them. Its state is what the checks of versions and of share leases examine.
 """
 
 from collections.abc import Callable
@@ -30,17 +30,17 @@
     """One incarnation of a model proxy.
 
     Attributes:
-        machine: where it runs.
-        process: in which it runs; the process may be stopped, frozen or slowed.
-        settings: of the node.
-        host: its address.
-        incarnation: of this start.
-        is_serving: whether the serving gate opened.
-        members: the core set as far as it is known here.
-        quota: the shares that core nodes leased to it.
-        subscriber: the versions that it has.
-        edition: of the newest configuration here; `ValueChecks` keeps it.
-        versions: of each topic; `ValueChecks` keeps them.
+        machine: The machine on which it runs.
+        process: The process in which it runs, which may be stopped, frozen or slowed.
+        settings: The settings of the node.
+        host: Address of the machine.
+        incarnation: Random identifier of this start.
+        is_serving: Whether the serving gate is open.
+        members: The addresses of the newest core set that it received, or of the seeds before that.
+        quota: The shares that core nodes leased to it.
+        subscriber: Keeps track of the versions that it has.
+        edition: Edition of the newest configuration that it received; set by `ValueChecks`.
+        versions: Newest version of each topic; set by `ValueChecks`.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         values: value_checks.ValueChecks,
         shares: share_checks.ShareChecks,
     ) -> None:
-        """Starts the model; `values` gets what it installs, `shares` each change of its shares."""
+        """Starts the model; it reports installed values to `values` and each change of its shares to `shares`."""
         self.machine = machine
         self.process = process
         self.settings = node_settings
@@ -70,7 +70,7 @@
         self.quota = shared_limits.SharedLimits(now=self.loop.now, settings=node_settings)
         self._gate = serving_gate.ServingGate()
         self._renewals = share_renewals.RenewalLog(now=self.loop.now)
-        self._list = b""  # packed, as this proxy has it
+        self._list = b""  # the packed list of endpoints that this proxy has
         self.subscriber = subscribers.Subscriber(
             now=self.loop.now,
             fetch_timeout_s=contact_s / core_sessions.FETCHES_PER_CONTACT,
@@ -94,11 +94,11 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether the serving gate opened."""
+        """Whether the serving gate is open."""
         return self._gate.is_open
 
     def chance(self) -> float:
-        """A random number of the simulation's one generator."""
+        """Returns a random number from the only generator of the run."""
         return self.network.clock.chance.random()
 
     def _connect(self) -> None:
@@ -187,12 +187,12 @@
             self.members = ballots.unpack(snapshot.data)[0]
             self.loop.call_soon_threadsafe(callback=self._connect)
         elif snapshot.topic == endpoint_list.TOPIC:
-            endpoint_list.unpack_list(snapshot.data)  # raises as a proxy would
+            endpoint_list.unpack_list(snapshot.data)  # raises on a malformed list, as a real proxy does
             self._list = snapshot.data
         self.loop.call_soon_threadsafe(callback=self._check_serving)
 
     def _install_delta(self, topic: str, delta: messages.Delta) -> None:
-        """What a delta makes of the list here is checked against the complete list that a core node published."""
+        """Applies a delta; the resulting list is checked against the complete list that a core node published."""
         published = endpoint_list.unpack_list(self._list).apply(endpoint_list.unpack_delta(delta.data))
         self._install_snapshot(messages.Snapshot(topic=topic, version=delta.version, data=published.pack()))
 
@@ -206,7 +206,7 @@
     values: value_checks.ValueChecks,
     shares: share_checks.ShareChecks,
 ) -> Proxy | None:
-    """Switches the machine on and starts a proxy in a process of its own; None where its start failed."""
+    """Switches the machine on and starts a proxy in a new process; returns None if the start raised an exception."""
     machine.is_powered = True
     process = machine.process = machines.Program(clock=network.clock, name=machine.host, on_failure=on_failure)
     made: list[Proxy] = []
--- a/ploverward/simulation/control_plane/tally_callers.py
+++ b/ploverward/simulation/control_plane/tally_callers.py
@@ -1,8 +1,8 @@
-"""Model applications that add to tallies and read them, each beside a core machine (docs/simulate.md 6).
+"""Simulated applications that add to tallies and read them, one next to each core machine (docs/simulate.md 6).
 
-An application calls the core machine of its own slot first and moves on after a refusal or a second of silence, with
-the same id. What it was told is kept for `tally_checks.py`. It draws from a generator of its own: a run without it has
-the history that its seed always had.
+An application calls the core machine of its own slot first. After a refusal, or without an answer within
+`CALL_TIMEOUT_S`, it retries at another machine with the same id. The answers are kept for `tally_checks.py`. The
+applications draw from a random generator of their own, so that they don't change the histories of runs without them.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from ploverward.simulation.control_plane import simulated_network
 
 TALLIES = ("t0", "t1", "t2", "t3")
-CALL_GAP_S = (0.02, 0.5)  # between two calls of one application
+CALL_GAP_S = (0.02, 0.5)  # bounds of the pause between two calls of one application
 CALL_TIMEOUT_S = 1.0
 MAX_ADD_ATTEMPTS = 5
 RETRY_DELAY_S = 0.05
 MAX_AMOUNT = 1_000_000
 READ_CHANCE = 0.4
-REPEAT_CHANCE = 0.1  # that an add is one that was sent before
-MERGE_S = 3.0  # within which nodes agree, where no fault begins or ends
-REFUSALS = (429, 503)  # promise that nothing was done
+REPEAT_CHANCE = 0.1  # chance that an application repeats an earlier add
+MERGE_S = 3.0  # nodes agree within this time if no fault begins or ends
+REFUSALS = (429, 503)  # statuses that guarantee that the add was not made
 FIRST_CALL_S = 1.0
 MAX_LAST_READ_ATTEMPTS = 8
 LAST_READ_RETRY_DELAY_S = 0.3
@@ -37,15 +37,15 @@
 
 @dataclasses.dataclass(slots=True)
 class AddAttempt:
-    """One call of an add.
+    """One attempt of an add: a call to one core machine.
 
     Attributes:
-        host: Of the core machine.
-        process: That ran there when the call was sent.
-        sent_at: When, in seconds of the run.
-        answered_at: When its answer came; None without one.
-        status: Of the answer; 0 without one.
-        is_partitioned: Whether the machine was cut off from another one when it answered.
+        host: Address of the core machine.
+        process: The newest process of the machine when the call was sent.
+        sent_at: Simulated time of the call, in seconds.
+        answered_at: Simulated time of the answer; None without an answer.
+        status: Status of the answer; 0 without an answer.
+        is_partitioned: Whether a link of the machine was cut when the answer arrived.
     """
 
     host: str
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Add:
-    """One add, by its id."""
+    """One add with its id and all attempts to make it."""
 
     add_id: str
     tally: str
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TallyRead:
-    """One answered read."""
+    """One successful read of a tally."""
 
     host: str
     process: machines.Program | None
@@ -76,7 +76,7 @@
     begun_at: float
     ended_at: float
     total: int
-    is_calm: bool  # whether there was no fault of the core, and none had ended for a while, when it began
+    is_calm: bool  # whether, when it began, the core had no fault and none had begun or ended for `MERGE_S`
 
 
 class TallyCallers:
@@ -84,9 +84,9 @@
 
     Attributes:
         adds: All adds, by id.
-        reads: All answered reads.
-        last_reads: By host and tally, after all was healed; None: not answered.
-        is_stopped: Whether no further call begins.
+        reads: All successful reads.
+        last_reads: Totals by host and tally that were read after all faults had ended; None if not answered.
+        is_stopped: Whether the applications begin no further calls.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         recorder: recorders.Recorder,
         max_repeat_age_s: float,
     ) -> None:
-        """Makes the applications of a run; they repeat no add that was first sent so long ago."""
+        """Creates the applications; they repeat no add that was first sent more than `max_repeat_age_s` ago."""
         self._max_repeat_age_s = max_repeat_age_s
         self._faults = faults
         self.adds: dict[str, Add] = {}
@@ -114,12 +114,12 @@
         self._on_next_add: Callable[[], object] | None = None
 
     def start(self) -> None:
-        """Begins an application beside each core machine."""
+        """Starts one application next to each core machine."""
         for slot in self._fleet.slots:
             self._clock.later(delay=FIRST_CALL_S, callback=functools.partial(self._begin_call, slot))
 
     def call_at_next_add(self, callback: Callable[[], object]) -> None:
-        """Has a callback called once, right after the next acknowledged add."""
+        """Calls `callback` once, right after the next acknowledged add."""
         self._on_next_add = callback
 
     def _begin_call(self, slot: fleets.Slot) -> None:
@@ -191,7 +191,7 @@
         self._call(host, host, "GET", tally, b"", done)
 
     def read_back(self) -> None:
-        """Reads each tally at each core machine; the answers come to `last_reads`."""
+        """Reads each tally at each core machine and stores the totals in `last_reads`."""
         for host in self._fleet.core_hosts():
             for tally in TALLIES:
                 self.last_reads[host, tally] = None
--- a/ploverward/simulation/control_plane/tally_checks.py
+++ b/ploverward/simulation/control_plane/tally_checks.py
@@ -1,6 +1,6 @@
-"""Checks of the tallies of a complete run against what the applications were told (docs/simulate.md 6).
+"""Checks the tallies of a complete run against the answers that the applications received (docs/simulate.md 6).
 
-The expectation does not know how tallies are replicated: it is computed from the calls and their answers alone.
+The expected totals are computed only from the calls and their answers, independently of how tallies are replicated.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
     """The checks of one run.
 
     Args:
-        recorder: Gets the findings.
-        network: Knows when machines lost their disks, and when partitions ended.
-        callers: What was called and answered.
+        recorder: Collects the findings.
+        network: Holds when machines lost their disks and when partitions ended.
+        callers: The applications, with their calls and the answers.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._callers = callers
 
     def check(self, *, until: float) -> None:
-        """Checks all reads, and those of the end at `until`."""
+        """Checks all reads, and that the last reads contain all adds that were acknowledged up to `until`."""
         for read in self._callers.reads:
             self._check_bounds(read)
         self._check_end(until)
@@ -87,7 +87,10 @@
         )
 
     def _is_loss_tolerated(self, call: tally_callers.AddAttempt) -> bool:
-        """Whether the machine acknowledged while it was cut off, and lost its disk before it could hand over."""
+        """Returns whether an acknowledged add may be lost.
+
+        This is so if the machine acknowledged it while cut off, and lost its disk before it could replicate the add.
+        """
         if not call.is_partitioned or call.answered_at is None:
             return False
         healed_at = self._network.next_healed_at(call.host, call.answered_at)
--- a/ploverward/simulation/control_plane/tally_mutant_patches.py
+++ b/ploverward/simulation/control_plane/tally_mutant_patches.py
@@ -1,4 +1,4 @@
-"""What mutants change in the tallies' code (docs/simulate.md); as mutant_patches.py does for the rest."""
+"""Patches of the mutants of the tallies (docs/simulate.md); those of other mutants are in mutant_patches.py."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from ploverward.simulation.control_plane import mutant_patches
 from ploverward.transport import messages
 
-ADDS_PER_REFUSAL = 7  # one add in so many is refused after it was made
+ADDS_PER_REFUSAL = 7  # one of this many adds is refused after it was made
 
 
 def counted_by_node() -> mutant_patches.Patches:
-    """An add that two nodes took counts at each of them."""
+    """An add that two nodes accepted is counted once for each of them."""
     index_occurrence = tally_state.TallyState._index_occurrence
 
     def _index_occurrence(
@@ -37,12 +37,12 @@
 
 
 def acknowledged_before_sync() -> mutant_patches.Patches:
-    """An add is acknowledged as soon as it is in memory."""
+    """An add is acknowledged when it is in memory, before it is synced to any disk."""
     return [mock.patch.object(add_waiters, "may_be_acknowledged", lambda _occurrences, _view: True)]
 
 
 def acknowledged_on_too_few_disks() -> mutant_patches.Patches:
-    """An add is acknowledged on as many disks as may be lost, and not on one more."""
+    """An add is acknowledged one disk too early, when it is on only as many disks as may be lost."""
 
     def may_be_acknowledged(occurrences: Collection[tally_state.Occurrence], view: add_waiters.DurabilityView) -> bool:
         holders = [view.own, *view.peers.values()]
@@ -68,12 +68,12 @@
 
 
 def nothing_relayed() -> mutant_patches.Patches:
-    """A node passes on its own adds alone: a third side gets nothing from a node that has gone."""
+    """A node sends only its own adds: other nodes get no adds of a node that was removed."""
     return [mock.patch.object(tally_replicator.TallyReplicator, "_relay", lambda _self, _address, _peer: None)]
 
 
 def folded_too_soon() -> mutant_patches.Patches:
-    """Ids are forgotten within a second, whoever has them."""
+    """Ids are forgotten within a second, even if some members lack the adds."""
     return [
         mock.patch.object(tally_folder, "RETRY_HORIZON_S", 0.8),
         mock.patch.object(tally_folder, "CHECKPOINT_INTERVAL_S", 0.2),
@@ -82,7 +82,7 @@
 
 
 def folded_without_members() -> mutant_patches.Patches:
-    """Old ids are forgotten whoever lacks the adds: an add that a member took meanwhile counts once more."""
+    """Old ids are forgotten even if a member lacks the adds: an add that it accepted meanwhile is counted again."""
 
     def _fold(self: tally_folder.FoldScheduler, old: tally_state.Positions) -> None:
         for log, position in old.items():
@@ -92,7 +92,7 @@
 
 
 def reused_log() -> mutant_patches.Patches:
-    """A node goes on with the log of its former life, whatever became of its disk."""
+    """A restarted node continues the log of its previous incarnation, even if its disk was lost."""
     make_log: Callable[[str, str], messages.TallyLogName] = messages.TallyLogName
 
     def own_log(origin: str, _incarnation: str) -> messages.TallyLogName:
