--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -126,7 +126,7 @@
                 broken.append(report)
     output.print_lines(map(_broken_line, broken[:MAX_REPORTED_SEEDS]), out=out)
     for report in broken[:MAX_SHORTENED_SEEDS]:
-        out(_shortened_line(shrinking.Shortening(report=report).shorten()))
+        out(_shortened_line(shrinking.RunShortener(report=report).shorten()))
     out(
         f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions,"
         f" {totals['troubles']} moments of trouble,"
--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -32,13 +32,13 @@
 
 def play(seed: int) -> tuple[int, list[str]]:
     """Plays one run; returns its seed and what broke a check."""
-    scenario.silence_log()
+    scenario.discard_node_logs()
     return seed, batch_run.BatchRun(batch_run.Plan(seed=seed)).play()
 
 
 def shortened(seed: int) -> batch_run.Plan:
     """Leaves out faults, one after the other, as long as the run still breaks a check."""
-    scenario.silence_log()
+    scenario.discard_node_logs()
     plan = batch_run.Plan(seed=seed)
     run = batch_run.BatchRun(plan)
     run.play()
@@ -51,7 +51,7 @@
 
 def show(plan: batch_run.Plan) -> int:
     """Plays one plan and prints its history; 1 where a check broke."""
-    scenario.silence_log()
+    scenario.discard_node_logs()
     run = batch_run.BatchRun(plan)
     findings = run.play()
     for when, text in run.history:
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -337,7 +337,7 @@
         )
 
 
-def silence_log() -> None:
+def discard_node_logs() -> None:
     """Discards the log records of the nodes, because a report has its own history."""
     log = logging.getLogger("ploverward")
     log.handlers[:] = [logging.NullHandler()]
@@ -346,7 +346,7 @@
 
 def run_simulation(plan: Plan) -> Report:
     """Executes a plan and returns its report. From then on this process discards the log records of the nodes."""
-    silence_log()
+    discard_node_logs()
     with _early_folding() if plan.folds_tallies else contextlib.nullcontext():
         return SimulationRun(plan=plan).run()
 
--- a/ploverward/simulation/control_plane/shrinking.py
+++ b/ploverward/simulation/control_plane/shrinking.py
@@ -41,7 +41,7 @@
         return bool(self.plan.closing)
 
 
-class Shortening:
+class RunShortener:
     """The search for the shortest run that breaks the first check that a given run broke.
 
     Args:
--- a/ploverward/simulation/control_plane/test_bridge.py
+++ b/ploverward/simulation/control_plane/test_bridge.py
@@ -7,7 +7,7 @@
 BRIDGE = """
 import sys
 from ploverward.simulation.control_plane import scenario
-scenario.silence_log()
+scenario.discard_node_logs()
 run = scenario.SimulationRun(
     plan=scenario.Plan(seed=int(sys.argv[1]), machines=int(sys.argv[2]), tolerated=1, troubles=(), keeps_history=True)
 )
--- a/ploverward/simulation/control_plane/test_custody_closing.py
+++ b/ploverward/simulation/control_plane/test_custody_closing.py
@@ -18,7 +18,7 @@
 BEGIN_S, CLOSING_S, END_S, BATCH_S, DOWN_S = 10.0, 22.0, 40.0, 0.5, 0.8
 FLUSHED_S = machines.BOUNDS["contactMs"] / 1000 + 2.0  # the timer, a write under way, and the write
 
-scenario.silence_log()
+scenario.discard_node_logs()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=5, tolerated=2, disk=int(sys.argv[2]), troubles=(), closing=())
 run = scenario.SimulationRun(plan=plan)
 run.build()
--- a/ploverward/simulation/control_plane/test_processor_quota.py
+++ b/ploverward/simulation/control_plane/test_processor_quota.py
@@ -14,7 +14,7 @@
 
 PERIOD_S, RUNS_S, SETTLED_AT_S, UNTIL_S = 0.1, 0.04, 10.0, 30.0
 
-scenario.silence_log()
+scenario.discard_node_logs()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=5, tolerated=2, disk=int(sys.argv[2]), troubles=(), closing=())
 run = scenario.SimulationRun(plan=plan)
 run.build()
--- a/ploverward/simulation/control_plane/test_restart_in_move.py
+++ b/ploverward/simulation/control_plane/test_restart_in_move.py
@@ -20,7 +20,7 @@
 CONTACT_S, RECEIPT_S = machines.BOUNDS["contactMs"] / 1000, machines.BOUNDS["receiptMs"] / 1000
 SETTLED_AT_S, STEP_S, DOWN_S, LIMIT_S = 10.0, 0.005, 0.8, 20.0
 
-scenario.silence_log()
+scenario.discard_node_logs()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=7, tolerated=2, disk=2, troubles=())
 run = scenario.SimulationRun(plan=plan)
 run.build()
--- a/ploverward/simulation/control_plane/test_shrinking.py
+++ b/ploverward/simulation/control_plane/test_shrinking.py
@@ -46,7 +46,7 @@
 def shortened(runs: Runs, **about) -> shrinking.ShortenedRun:
     first = runs.play(scenario.Plan(seed=1))
     runs.played.clear()
-    return shrinking.Shortening(report=first, play=runs.play, **about).shorten()
+    return shrinking.RunShortener(report=first, play=runs.play, **about).shorten()
 
 
 @pytest.mark.parametrize("needed", [set(), {0}, {11}, {3, 4}, {0, 5, 11}, {1, 2, 3, 7}])
--- a/ploverward/simulation/control_plane/test_slow_disks.py
+++ b/ploverward/simulation/control_plane/test_slow_disks.py
@@ -18,7 +18,7 @@
 FIRST_MOVE = """
 import sys
 from ploverward.simulation.control_plane import scenario
-scenario.silence_log()
+scenario.discard_node_logs()
 run = scenario.SimulationRun(plan=scenario.Plan(seed=20067, keeps_history=True))
 run.build()
 run.operators.start()
