--- a/ploverward/command_line/simulate.py
+++ b/ploverward/command_line/simulate.py
@@ -128,7 +128,7 @@
                 failed_reports.append(report)
     output.print_lines(map(_failure_line, failed_reports[:MAX_REPORTED_SEEDS]), out=out)
     for report in failed_reports[:MAX_SHORTENED_SEEDS]:
-        out(_shortened_line(shrinking.Shortening(report=report).shorten()))
+        out(_shortened_line(shrinking.RunShortener(report=report).shorten()))
     out(
         f"{totals['days']} days, {totals['orders']} orders, {totals['chosen']} versions,"
         f" {totals['troubles']} moments of trouble,"
--- a/ploverward/simulation/control_plane/isolation_probes.py
+++ b/ploverward/simulation/control_plane/isolation_probes.py
@@ -1,4 +1,8 @@
-"""The check that a node that is cut off ends an order clearly and soon, and refuses none (docs/simulate.md)."""
+"""The check that an isolated node answers each order in time and does not reject it (docs/simulate.md).
+
+A valid order that a node can't carry out because it is cut off must end with an answer within `ANSWER_TIMEOUT_S`, and
+not with a status of 400 to 499, which would blame the order.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +13,15 @@
 from ploverward.simulation.control_plane import simulated_http
 from ploverward.simulation.control_plane import simulated_network
 
-ISOLATED_FOR_S = 2.0  # from then on a node must know that it is cut off
-CLEAR_END_S = 1.05  # within which it ends an order
+MIN_ISOLATION_S = 2.0  # after this time a node must have noticed that it is cut off
+ANSWER_TIMEOUT_S = 1.05  # an order must be answered within this time
 
 
 class IsolationProbes:
-    """Sends orders to nodes that are cut off.
+    """Sends orders to nodes that are cut off, and checks their answers.
 
     Attributes:
-        orders: That were sent.
+        orders: The orders that were sent.
     """
 
     def __init__(
@@ -36,7 +40,7 @@
         self._faults = faults
 
     def probe(self, host: str) -> None:
-        """Sends a proper order to one node that is cut off, and to no other; does nothing where it is not."""
+        """Sends a valid order to a node that is cut off, and to no other node; does nothing if it is not cut off."""
         since = self._faults.isolated_since.get(host)
         if since is None:
             return
@@ -50,24 +54,25 @@
             order.attempts.append(attempt)
             self._check(attempt, since)
 
-        self._operators.sender.call_once(host, order.call, limit_s=CLEAR_END_S, done=handle_answer)
+        self._operators.sender.call_once(host, order.call, limit_s=ANSWER_TIMEOUT_S, done=handle_answer)
 
     def _check(self, attempt: order_model.Attempt, since: float) -> None:
-        if not self._must_know(attempt, since):
+        if not self._must_know_isolation(attempt, since):
             return
         if not attempt.status:
-            self._recorder.find(
-                "cut off", f"{attempt.host} left an order without an end for {CLEAR_END_S} s, cut off since {since:.3f}"
+            self._recorder.add_finding(
+                "cut off",
+                f"{attempt.host} left an order without an end for {ANSWER_TIMEOUT_S} s, cut off since {since:.3f}",
             )
         if 400 <= attempt.status < 500:
-            self._recorder.find("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
+            self._recorder.add_finding("cut off", f"{attempt.host} answered {attempt.status}: {attempt.body[:80]!r}")
 
-    def _must_know(self, attempt: order_model.Attempt, since: float) -> bool:
-        """Whether the node was cut off and running for long enough before the order, and still is."""
+    def _must_know_isolation(self, attempt: order_model.Attempt, since: float) -> bool:
+        """Returns whether the node ran, cut off, for `MIN_ISOLATION_S` before the order, and still does."""
         is_still_isolated = self._faults.isolated_since.get(attempt.host) == since
-        if not is_still_isolated or attempt.sent_at - since < ISOLATED_FOR_S:
+        if not is_still_isolated or attempt.sent_at - since < MIN_ISOLATION_S:
             return False
         process = self._network.machines[attempt.host].running_process
         if not process.is_alive or process.is_frozen:
             return False
-        return attempt.sent_at - process.begun_at >= ISOLATED_FOR_S
+        return attempt.sent_at - process.begun_at >= MIN_ISOLATION_S
--- a/ploverward/simulation/control_plane/test_shrinking.py
+++ b/ploverward/simulation/control_plane/test_shrinking.py
@@ -1,4 +1,4 @@
-"""Shortening: what is left still breaks the check, and nothing more can be left out."""
+"""Tests that a shortened run still breaks its check, and that no further fault can be omitted from it."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 
 class Runs:
-    """A run that breaks a check where it has certain faults, and its closing fault if that is needed."""
+    """A fake runner, whose runs break a check if they contain the needed faults and, optionally, the closing fault."""
 
     def __init__(self, *, needed: set[int], needs_closing: bool = False, other_check: str = "") -> None:
         self.needed = needed
@@ -46,22 +46,22 @@
 def shortened(runs: Runs, **about) -> shrinking.ShortenedRun:
     first = runs.play(scenario.Plan(seed=1))
     runs.played.clear()
-    return shrinking.Shortening(report=first, play=runs.play, **about).shorten()
+    return shrinking.RunShortener(report=first, play=runs.play, **about).shorten()
 
 
 @pytest.mark.parametrize("needed", [set(), {0}, {11}, {3, 4}, {0, 5, 11}, {1, 2, 3, 7}])
-def test_just_the_faults_that_are_needed_are_left(needed):
+def test_shortening_keeps_only_needed_faults(needed):
     result = shortened(Runs(needed=needed))
     assert {fault.number for fault in result.kept} == needed
     assert result.check == "agreement" and result.drawn == len(DRAWN) and not result.has_closing
 
 
-def test_the_closing_fault_stays_where_it_is_needed():
+def test_shortening_keeps_needed_closing_fault():
     result = shortened(Runs(needed={2}, needs_closing=True))
     assert result.has_closing and {fault.number for fault in result.kept} == {2}
 
 
-def test_a_run_that_breaks_another_check_is_no_shorter_form_of_it():
+def test_shortening_rejects_run_that_breaks_another_check():
     result = shortened(Runs(needed={4}, other_check="reads"))
     assert {fault.number for fault in result.kept} == {4}
 
--- a/ploverward/simulation/control_plane/test_simulated_http.py
+++ b/ploverward/simulation/control_plane/test_simulated_http.py
@@ -1,4 +1,4 @@
-"""Calls of simulated operators reach a node's server, and end once: with its answer, without one, or by giving up."""
+"""Tests that a simulated HTTP call reaches the server of a node and ends exactly once, with or without an answer."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Node:
-    """A process with a server that notes the requests."""
+    """A process with a server that records the requests."""
 
     def __init__(self, *, network):
         self.network = network
@@ -71,7 +71,7 @@
     assert answers == [None]
 
 
-def test_a_node_hears_that_its_client_gave_up(node):
+def test_node_is_notified_when_client_gives_up(node):
     answers, gone = call(node), []
     node.requests[0].on_disconnect = lambda: gone.append(node.network.clock.time)
     node.network.clock.run(until=2.0)
