--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -15,7 +15,7 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import value_checks
 
-MOVE_SHARE = 0.5  # of `receipt_s`: how long the registers of a calm core may stand under different sets
+MAX_MOVE_FRACTION = 0.5  # of `receipt_s`: how long the registers of a calm core may stand under different sets
 ACK_SLACK_S = 0.05  # what an acknowledgement may be late, for its way
 SHOWN_ATTEMPTS = 4  # of an order that waited too long
 
@@ -39,14 +39,14 @@
     reads: Sequence[order_model.Read]
 
 
-class Stretch(NamedTuple):
+class TimeSpan(NamedTuple):
     """A span of simulated time, in seconds."""
 
     begin: float
     end: float
 
 
-class LastRead(NamedTuple):
+class FinalRead(NamedTuple):
     """A read at one node after all was healed; a value of None: not answered."""
 
     host: str
@@ -113,7 +113,7 @@
             f"{order.name} was refused by {last.host} at {last.answered_at:.3f} ({last.status}, "
             f"{last.body[:80]!r}) and was taken as edition {chosen.edition} at {chosen.seen_at:.3f}",
         )
-    elif order.is_alone and not _has_newer(evidence, order):
+    elif order.is_uncontested and not _has_newer(evidence, order):
         evidence.recorder.find(
             "refused orders", f"{order.name} on {order.base} was refused with {last.status} on the newest version"
         )
@@ -187,11 +187,11 @@
     return ended[-1]
 
 
-def check_acknowledgements(evidence: Evidence, *, calm: Sequence[Stretch], receipt_s: float, until: float) -> None:
+def check_acknowledgements(evidence: Evidence, *, calm: Sequence[TimeSpan], receipt_s: float, until: float) -> None:
     """A proper order waits no longer than `receipt_s` in one calm stretch; `until` is the end of the run."""
     for order in evidence.orders:
         is_refused = order.outcome == order_model.Outcome.REFUSED
-        if not order.is_valid or not order.is_alone or order.is_repeat or is_refused:
+        if not order.is_valid or not order.is_uncontested or order.is_repeat or is_refused:
             continue
         ended_at = order.ended_at if order.ended_at is not None else until
         if order.lost_at is not None:
@@ -208,7 +208,7 @@
                 break
 
 
-def check_moves(evidence: Evidence, *, calm: Sequence[Stretch], receipt_s: float, until: float) -> None:
+def check_moves(evidence: Evidence, *, calm: Sequence[TimeSpan], receipt_s: float, until: float) -> None:
     """In one calm stretch all registers follow the core set within a bound (docs/set-moves.md 9).
 
     Args:
@@ -220,7 +220,7 @@
     for begin, end in _moves(evidence.values.set_changes, until=until):
         for stretch in calm:
             waited = min(end, stretch.end) - max(begin, stretch.begin)
-            if waited > receipt_s * MOVE_SHARE:
+            if waited > receipt_s * MAX_MOVE_FRACTION:
                 evidence.recorder.find(
                     "moves in time",
                     f"the registers stood under different sets from {begin:.3f} to {end:.3f}, {waited:.3f} s of it "
@@ -228,7 +228,7 @@
                 )
 
 
-def _moves(changes: Sequence[value_checks.SetChange], *, until: float) -> list[Stretch]:
+def _moves(changes: Sequence[value_checks.SetChange], *, until: float) -> list[TimeSpan]:
     """The stretches in which the registers that have a value stood under different sets."""
     sets: dict[str, tuple[str, ...]] = {}
     begun_at: float | None = None
@@ -239,14 +239,14 @@
         if is_moving and begun_at is None:
             begun_at = change.at
         elif not is_moving and begun_at is not None:
-            found.append(Stretch(begun_at, change.at))
+            found.append(TimeSpan(begun_at, change.at))
             begun_at = None
     if begun_at is not None:
-        found.append(Stretch(begun_at, until))
+        found.append(TimeSpan(begun_at, until))
     return found
 
 
-def check_end(evidence: Evidence, last_reads: Sequence[LastRead]) -> None:
+def check_final_reads(evidence: Evidence, last_reads: Sequence[FinalRead]) -> None:
     """Each node answers after all was healed, with the newest configuration."""
     newest = max((chosen.edition for chosen in evidence.values.configurations), default=0)
     for host, what, value in last_reads:
--- a/ploverward/simulation/control_plane/fault_log.py
+++ b/ploverward/simulation/control_plane/fault_log.py
@@ -50,10 +50,10 @@
         """Whether a proxy had no fault for `contact_s`."""
         return self._clock.time - self.proxy_fault_until.get(host, -self._contact_s) >= self._contact_s
 
-    def calm_stretches(self, *, until: float) -> list[checks.Stretch]:
+    def calm_spans(self, *, until: float) -> list[checks.TimeSpan]:
         """Returns the spans in which no fault of the core began or ended for `contact_s`."""
         return [
-            checks.Stretch(edge + self._contact_s, following)
+            checks.TimeSpan(edge + self._contact_s, following)
             for edge, following in zip(self.edges, [*self.edges[1:], until], strict=True)
             if following - edge > self._contact_s
         ]
--- a/ploverward/simulation/control_plane/fault_scene.py
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -20,7 +20,7 @@
 MIN_DURATION_S = 0.05
 
 
-class FaultScene:
+class FaultContext:
     """The run in which faults begin and end.
 
     Attributes:
@@ -42,7 +42,7 @@
         """The one generator of the run."""
         return self.simulation.clock.chance
 
-    def after(self, delay_s: float, callback: Callable[[], object]) -> None:
+    def call_later(self, delay_s: float, callback: Callable[[], object]) -> None:
         """Has a callback called after so many seconds."""
         self.clock.later(delay=delay_s, callback=callback)
 
@@ -56,13 +56,13 @@
         """Returns the slots that are not lost now."""
         return [slot for slot in self.simulation.fleet.slots if not self.simulation.fleet.is_lost(slot)]
 
-    def free_losses(self) -> int:
+    def allowed_losses(self) -> int:
         """Returns how many more slots may be lost now."""
         return self.simulation.fleet.tolerated - len(self.simulation.fleet.lost_slots())
 
     def pick_slots(self) -> list[fleet.Slot]:
         """Draws slots that may be lost now, in addition to those that are; often several at once, or none."""
-        free = self.free_losses()
+        free = self.allowed_losses()
         healthy = self.healthy_slots()
         if free <= 0 or not healthy:
             return []
--- a/ploverward/simulation/control_plane/faults.py
+++ b/ploverward/simulation/control_plane/faults.py
@@ -15,7 +15,7 @@
 from ploverward.simulation.control_plane import link_faults
 from ploverward.simulation.control_plane import machine_faults
 from ploverward.simulation.control_plane import outside_faults
-from ploverward.simulation.control_plane.fault_scene import FaultScene
+from ploverward.simulation.control_plane.fault_scene import FaultContext
 
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import scenario
@@ -41,7 +41,7 @@
     """
 
     weight: float
-    begin: Callable[[FaultScene], None]
+    begin: Callable[[FaultContext], None]
 
 
 KINDS = {
@@ -50,7 +50,7 @@
     "empty": FaultKind(weight=2, begin=machine_faults.empty_disk),
     "freeze": FaultKind(weight=3, begin=machine_faults.freeze),
     "cut": FaultKind(weight=4, begin=link_faults.partition),
-    "split": FaultKind(weight=0.5, begin=link_faults.split),
+    "split": FaultKind(weight=0.5, begin=link_faults.split_core),
     "cut_one_way": FaultKind(weight=2, begin=link_faults.partition_one_way),
     "reset": FaultKind(weight=2, begin=link_faults.reset),
     "slow": FaultKind(weight=1, begin=link_faults.slow_down),
@@ -72,8 +72,8 @@
 
 
 APART_KINDS = {  # long partitions, for runs with tallies; beside `KINDS`, whose number decides what a seed draws
-    "apart": FaultKind(weight=3, begin=link_faults.part_regions),
-    "bridge": FaultKind(weight=3, begin=link_faults.part_two),
+    "apart": FaultKind(weight=3, begin=link_faults.partition_regions),
+    "bridge": FaultKind(weight=3, begin=link_faults.partition_pair),
 }
 ALL_KINDS = KINDS | APART_KINDS
 
@@ -120,7 +120,7 @@
         self.is_over = False
         self.drawn: list[DrawnFault] = []
         self._skipped = skipped
-        self._scene = FaultScene(simulation=simulation)
+        self._scene = FaultContext(simulation=simulation)
         self._kinds = [name for name in kinds if name in ALL_KINDS]
         self._weights = [ALL_KINDS[name].weight for name in self._kinds]
         self._gap_s = gap_s
@@ -132,27 +132,27 @@
             self._scene.clock.schedule(when=begin, callback=self._begin_next)
 
     def _begin_next(self) -> None:
-        scene = self._scene
-        if self.is_over or scene.clock.time >= scene.until:
+        context = self._scene
+        if self.is_over or context.clock.time >= context.until:
             return
-        name = scene.chance.choices(self._kinds, self._weights)[0]
-        fault = DrawnFault(number=len(self.drawn), kind=name, at=scene.clock.time)
+        name = context.chance.choices(self._kinds, self._weights)[0]
+        fault = DrawnFault(number=len(self.drawn), kind=name, at=context.clock.time)
         self.drawn.append(fault)
         if fault.number not in self._skipped:
-            ALL_KINDS[name].begin(scene)
-        scene.after(scene.chance.uniform(0.1, 2.0) * self._gap_s, self._begin_next)
+            ALL_KINDS[name].begin(context)
+        context.call_later(context.chance.uniform(0.1, 2.0) * self._gap_s, self._begin_next)
 
     def close(self, kind: str) -> None:
         """Begins the closing fault, one of `CLOSING`. Slots whose disks are lost stay within what is tolerated."""
-        scene = self._scene
-        scene.until = scene.clock.time + CLOSING_S
+        context = self._scene
+        context.until = context.clock.time + CLOSING_S
         if kind in ("all_killed", "all_power"):
-            machine_faults.stop_all(scene, kind)
+            machine_faults.stop_all(context, kind)
             return
-        emptied = machine_faults.pick_emptied(scene)
+        emptied = machine_faults.pick_emptied(context)
         if kind == "disks_lost_others_power":
-            machine_faults.stop_all(scene, "all_power", emptied=emptied)
+            machine_faults.stop_all(context, "all_power", emptied=emptied)
         elif kind == "disks_lost_all_power":
-            machine_faults.stop_all(scene, "all_power", emptied=emptied, has_proxies=True)
+            machine_faults.stop_all(context, "all_power", emptied=emptied, has_proxies=True)
         elif emptied:
-            machine_faults.stop_slots(scene, "disks lost", emptied, is_power_lost=True, is_emptied=True)
+            machine_faults.stop_slots(context, "disks lost", emptied, is_power_lost=True, is_emptied=True)
--- a/ploverward/simulation/control_plane/link_faults.py
+++ b/ploverward/simulation/control_plane/link_faults.py
@@ -11,7 +11,7 @@
 
 from ploverward.control_plane.consensus import ballots
 from ploverward.control_plane.consensus import register_names
-from ploverward.simulation.control_plane.fault_scene import FaultScene
+from ploverward.simulation.control_plane.fault_scene import FaultContext
 
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import fleet
@@ -24,31 +24,31 @@
 RESET_CHANCE = 0.3  # that a partition also resets the connections
 
 
-def partition(scene: FaultScene) -> None:
+def partition(context: FaultContext) -> None:
     """Machines are cut off in both directions."""
-    _isolate(scene, "cut", is_out=True, is_in=True)
+    _isolate(context, "cut", is_out=True, is_in=True)
 
 
-def partition_one_way(scene: FaultScene) -> None:
+def partition_one_way(context: FaultContext) -> None:
     """Machines are cut off in one direction."""
-    is_out = scene.chance.random() < 0.5
-    _isolate(scene, "cut one way", is_out=is_out, is_in=not is_out)
+    is_out = context.chance.random() < 0.5
+    _isolate(context, "cut one way", is_out=is_out, is_in=not is_out)
 
 
-def split(scene: FaultScene) -> None:
+def split_core(context: FaultContext) -> None:
     """The core machines are cut into two halves, whatever is tolerated; all others reach both."""
-    running = [slot for slot in scene.simulation.fleet.slots if not slot.is_down]
-    slots = scene.chance.sample(running, len(running) // 2)
+    running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
+    slots = context.chance.sample(running, len(running) // 2)
     own = [slot.machine.host for slot in slots]
     others = [slot.machine.host for slot in running if slot not in slots]
     pairs = [pair for one in own for other in others for pair in ((one, other), (other, one))]
-    duration_s = scene.draw_duration_s(PARTITION_S)
-    _cut(scene, "split", slots, pairs=pairs, duration_s=duration_s)
-    _keep_disturbed_without_majority(scene, halves=(own, others), until=scene.clock.time + duration_s)
+    duration_s = context.draw_duration_s(PARTITION_S)
+    _cut(context, "split", slots, pairs=pairs, duration_s=duration_s)
+    _keep_disturbed_without_majority(context, halves=(own, others), until=context.clock.time + duration_s)
 
 
 def _keep_disturbed_without_majority(
-    scene: FaultScene, *, halves: tuple[Sequence[str], Sequence[str]], until: float
+    context: FaultContext, *, halves: tuple[Sequence[str], Sequence[str]], until: float
 ) -> None:
     """Nothing is owed in time while neither half has a majority of each set under which a register stands.
 
@@ -56,9 +56,9 @@
     came after the split reaches both halves. A machine whose disk was emptied before it votes only once it has caught
     up, for which it may need members of the other half.
     """
-    if scene.clock.time >= until:
+    if context.clock.time >= until:
         return
-    running = [slot for slot in scene.simulation.fleet.slots if not slot.is_down]
+    running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
     reaching_both = {slot.machine.host for slot in running} - {host for half in halves for host in half}
     sets = _sets_of_registers(running)
     voters = {
@@ -71,8 +71,8 @@
         for half in halves
     )
     if not has_majority:
-        scene.simulation.fault_log.record_edge("no half has a majority", ())
-    scene.after(APART_EDGE_S, lambda: _keep_disturbed_without_majority(scene, halves=halves, until=until))
+        context.simulation.fault_log.record_edge("no half has a majority", ())
+    context.call_later(APART_EDGE_S, lambda: _keep_disturbed_without_majority(context, halves=halves, until=until))
 
 
 def can_agree(*, members: Sequence[str], reached: Collection[str], voters: Collection[str]) -> bool:
@@ -96,52 +96,52 @@
     return {members for value in values if value for members in ballots.member_sets(value)}
 
 
-def part_regions(scene: FaultScene) -> None:
+def partition_regions(context: FaultContext) -> None:
     """Each region is cut off from each other, whatever is tolerated; at times only in one direction of each pair."""
-    running = [slot for slot in scene.simulation.fleet.slots if not slot.is_down]
+    running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
     pairs = [
         (one.machine.host, other.machine.host)
         for one in running
         for other in running
         if one.machine.region != other.machine.region
     ]
-    if scene.chance.random() < 0.3:
+    if context.chance.random() < 0.3:
         pairs = [(one, other) for one, other in pairs if one < other]
-    duration_s = scene.draw_duration_s(APART_S)
+    duration_s = context.draw_duration_s(APART_S)
     # A machine that takes another's place meanwhile is not cut off, so nobody is sure to be without a majority.
-    _cut(scene, "regions apart", running, pairs=pairs, duration_s=duration_s, isolated=())
-    _keep_disturbed(scene, until=scene.clock.time + duration_s)
+    _cut(context, "regions apart", running, pairs=pairs, duration_s=duration_s, isolated=())
+    _keep_disturbed(context, until=context.clock.time + duration_s)
 
 
-def _keep_disturbed(scene: FaultScene, *, until: float) -> None:
+def _keep_disturbed(context: FaultContext, *, until: float) -> None:
     """Without a majority on any side nothing is owed in time, so the span must not look calm."""
-    if scene.clock.time < until:
-        scene.simulation.fault_log.record_edge("regions are apart", ())
-        scene.after(APART_EDGE_S, lambda: _keep_disturbed(scene, until=until))
+    if context.clock.time < until:
+        context.simulation.fault_log.record_edge("regions are apart", ())
+        context.call_later(APART_EDGE_S, lambda: _keep_disturbed(context, until=until))
 
 
-def part_two(scene: FaultScene) -> None:
+def partition_pair(context: FaultContext) -> None:
     """Two machines have no path to each other, while the others reach both."""
-    slots = scene.pick_slots()[:1]
-    others = [slot for slot in scene.simulation.fleet.slots if slot not in slots and not slot.is_down]
+    slots = context.pick_slots()[:1]
+    others = [slot for slot in context.simulation.fleet.slots if slot not in slots and not slot.is_down]
     if not slots or not others:
         return
-    one, other = slots[0].machine.host, scene.chance.choice(others).machine.host
-    duration_s = scene.draw_duration_s(APART_S)
-    _cut(scene, "bridge", slots, pairs=[(one, other), (other, one)], duration_s=duration_s, isolated=())
+    one, other = slots[0].machine.host, context.chance.choice(others).machine.host
+    duration_s = context.draw_duration_s(APART_S)
+    _cut(context, "bridge", slots, pairs=[(one, other), (other, one)], duration_s=duration_s, isolated=())
 
 
-def _isolate(scene: FaultScene, name: str, *, is_out: bool, is_in: bool) -> None:
-    slots = scene.pick_slots()
+def _isolate(context: FaultContext, name: str, *, is_out: bool, is_in: bool) -> None:
+    slots = context.pick_slots()
     if not slots:
         return
-    duration_s = scene.draw_duration_s(PARTITION_S)
-    pairs = _draw_pairs(scene, slots, duration_s=duration_s, is_out=is_out, is_in=is_in)
-    _cut(scene, name, slots, pairs=pairs, duration_s=duration_s)
+    duration_s = context.draw_duration_s(PARTITION_S)
+    pairs = _draw_pairs(context, slots, duration_s=duration_s, is_out=is_out, is_in=is_in)
+    _cut(context, name, slots, pairs=pairs, duration_s=duration_s)
 
 
 def _cut(
-    scene: FaultScene,
+    context: FaultContext,
     name: str,
     slots: Sequence[fleet.Slot],
     *,
@@ -150,64 +150,64 @@
     isolated: Sequence[fleet.Slot] | None = None,
 ) -> None:
     """Cuts pairs for a while; `isolated`: the slots that are then out of touch with most of the core (None: all)."""
-    simulation = scene.simulation
+    simulation = context.simulation
     cut_off = slots if isolated is None else isolated
-    scene.begin(name, slots)
-    simulation.network.partition(pairs=pairs, is_reset=scene.chance.random() < RESET_CHANCE)
+    context.begin(name, slots)
+    simulation.network.partition(pairs=pairs, is_reset=context.chance.random() < RESET_CHANCE)
     for slot in cut_off:
-        simulation.fault_log.isolated_since[slot.machine.host] = scene.clock.time
+        simulation.fault_log.isolated_since[slot.machine.host] = context.clock.time
 
     def end() -> None:
         for slot in cut_off:
             simulation.fault_log.isolated_since.pop(slot.machine.host, None)
         simulation.network.join(pairs=pairs)
-        scene.end(name, slots)
+        context.end(name, slots)
 
-    scene.after(duration_s, end)
+    context.call_later(duration_s, end)
 
 
 def _draw_pairs(
-    scene: FaultScene, slots: Sequence[fleet.Slot], *, duration_s: float, is_out: bool, is_in: bool
+    context: FaultContext, slots: Sequence[fleet.Slot], *, duration_s: float, is_out: bool, is_in: bool
 ) -> list[simulated_network.HostPair]:
     """Returns the pairs of hosts between which links are cut; some proxies may be on the lost side."""
-    simulation = scene.simulation
+    simulation = context.simulation
     own = [slot.machine.host for slot in slots]
-    beside = [host for host in simulation.fleet.proxy_hosts if scene.chance.random() < 0.4]
+    beside = [host for host in simulation.fleet.proxy_hosts if context.chance.random() < 0.4]
     inside = set(own) | set(beside)
     others = [host for host in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if host not in inside]
-    if scene.chance.random() < 0.5:
+    if context.chance.random() < 0.5:
         inside = set(own)  # the proxies reach both sides
         others = [host for host in simulation.fleet.core_hosts() if host not in own]
     for host in inside - set(own):
-        simulation.fault_log.proxy_fault_until[host] = scene.clock.time + duration_s
+        simulation.fault_log.proxy_fault_until[host] = context.clock.time + duration_s
     pairs = [(one, other) for one in sorted(inside) for other in others]
     return (pairs if is_out else []) + ([(other, one) for one, other in pairs] if is_in else [])
 
 
-def reset(scene: FaultScene) -> None:
+def reset(context: FaultContext) -> None:
     """Connections of one machine are reset; nothing is lost by it."""
-    simulation = scene.simulation
-    host = scene.chance.choice(simulation.fleet.core_hosts())
+    simulation = context.simulation
+    host = context.chance.choice(simulation.fleet.core_hosts())
     others = [other for other in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if other != host]
     simulation.fault_log.record_edge(f"reset of {host}", ())
     simulation.network.reset(pairs=[(host, other) for other in others])
 
 
-def slow_down(scene: FaultScene) -> None:
+def slow_down(context: FaultContext) -> None:
     """Links of some machines are slow."""
-    slots = scene.pick_slots()
+    slots = context.pick_slots()
     if not slots:
         return
-    duration_s = scene.draw_duration_s(PARTITION_S)
-    scene.begin("slow", slots)
-    added_delays_s = scene.simulation.network.added_delays_s
+    duration_s = context.draw_duration_s(PARTITION_S)
+    context.begin("slow", slots)
+    added_delays_s = context.simulation.network.added_delays_s
     hosts = [slot.machine.host for slot in slots]
     for host in hosts:
-        added_delays_s[host] = scene.chance.uniform(*ADDED_DELAY_S)
+        added_delays_s[host] = context.chance.uniform(*ADDED_DELAY_S)
 
     def end() -> None:
         for host in hosts:
             added_delays_s.pop(host, None)
-        scene.end("slow", slots)
+        context.end("slow", slots)
 
-    scene.after(duration_s, end)
+    context.call_later(duration_s, end)
--- a/ploverward/simulation/control_plane/machine_faults.py
+++ b/ploverward/simulation/control_plane/machine_faults.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from ploverward.simulation.control_plane.fault_scene import FaultScene
+from ploverward.simulation.control_plane.fault_scene import FaultContext
 
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import fleet
@@ -24,29 +24,29 @@
 DISK_FAULT_KINDS = ("slow", "stall", "refuse", "refuse_late", "full")
 
 
-def kill(scene: FaultScene) -> None:
+def kill(context: FaultContext) -> None:
     """Processes are killed and start again; what the system holds in memory stays."""
-    stop_slots(scene, "kill", scene.pick_slots(), is_power_lost=False)
+    stop_slots(context, "kill", context.pick_slots(), is_power_lost=False)
 
 
-def lose_power(scene: FaultScene) -> None:
+def lose_power(context: FaultContext) -> None:
     """Machines lose power and start again."""
-    stop_slots(scene, "power", scene.pick_slots(), is_power_lost=True)
+    stop_slots(context, "power", context.pick_slots(), is_power_lost=True)
 
 
-def empty_disk(scene: FaultScene) -> None:
+def empty_disk(context: FaultContext) -> None:
     """Machines stop and start again with an empty disk."""
-    is_power_lost = scene.chance.random() < 0.5
-    stop_slots(scene, "empty", scene.pick_slots(), is_power_lost=is_power_lost, is_emptied=True)
+    is_power_lost = context.chance.random() < 0.5
+    stop_slots(context, "empty", context.pick_slots(), is_power_lost=is_power_lost, is_emptied=True)
 
 
 def stop_slots(
-    scene: FaultScene, name: str, slots: Sequence[fleet.Slot], *, is_power_lost: bool, is_emptied: bool = False
+    context: FaultContext, name: str, slots: Sequence[fleet.Slot], *, is_power_lost: bool, is_emptied: bool = False
 ) -> None:
     """Stops the machines of some slots, and starts them again after a while.
 
     Args:
-        scene: The run.
+        context: The run.
         name: The fault's name in the history.
         slots: The slots; may be empty.
         is_power_lost: Whether the machines lose power, or only their processes are killed.
@@ -54,28 +54,28 @@
     """
     if not slots:
         return
-    duration_s = scene.draw_duration_s(DOWN_S)
-    scene.begin(name, slots)
+    duration_s = context.draw_duration_s(DOWN_S)
+    context.begin(name, slots)
     for slot in slots:
-        scene.simulation.fleet.stop(slot, is_power_lost=is_power_lost)
+        context.simulation.fleet.stop(slot, is_power_lost=is_power_lost)
         if is_emptied:
             slot.machine.disk.empty()
 
     def end() -> None:
         for slot in slots:
-            scene.simulation.fleet.restart(slot, is_emptied=is_emptied)
-        scene.end(name, slots)
+            context.simulation.fleet.restart(slot, is_emptied=is_emptied)
+        context.end(name, slots)
 
-    scene.after(duration_s, end)
+    context.call_later(duration_s, end)
 
 
-def freeze(scene: FaultScene) -> None:
+def freeze(context: FaultContext) -> None:
     """Processes stand still while their clocks go on."""
-    slots = scene.pick_slots()
+    slots = context.pick_slots()
     if not slots:
         return
-    duration_s = scene.draw_duration_s(FREEZE_S)
-    scene.begin("freeze", slots)
+    duration_s = context.draw_duration_s(FREEZE_S)
+    context.begin("freeze", slots)
     processes = [slot.machine.running_process for slot in slots]
     for process in processes:
         process.is_frozen = True
@@ -84,125 +84,127 @@
         for process in processes:
             if process.is_alive:
                 process.thaw()
-        scene.end("freeze", slots)
+        context.end("freeze", slots)
 
-    scene.after(duration_s, end)
+    context.call_later(duration_s, end)
 
 
-def disturb_disk(scene: FaultScene) -> None:
+def disturb_disk(context: FaultContext) -> None:
     """Disks are slow, stall, refuse or are full."""
-    slots = scene.pick_slots()
+    slots = context.pick_slots()
     if not slots:
         return
-    duration_s = scene.draw_duration_s(DISK_S)
-    kind = scene.chance.choice(DISK_FAULT_KINDS)
-    scene.begin(f"disk {kind}", slots)
+    duration_s = context.draw_duration_s(DISK_S)
+    kind = context.chance.choice(DISK_FAULT_KINDS)
+    context.begin(f"disk {kind}", slots)
     disks = [slot.machine.disk for slot in slots]
     for disk in disks:
         disk.fault = kind
-        disk.stalled_until = scene.clock.time + duration_s if kind == "stall" else 0.0
+        disk.stalled_until = context.clock.time + duration_s if kind == "stall" else 0.0
 
     def end() -> None:
         for disk in disks:
             disk.fault = ""
-        scene.end(f"disk {kind}", slots)
+        context.end(f"disk {kind}", slots)
 
-    scene.after(duration_s, end)
+    context.call_later(duration_s, end)
 
 
-def replace(scene: FaultScene) -> None:
+def replace(context: FaultContext) -> None:
     """Unplanned: machines are gone, their successors start later."""
-    _replace_slots(scene, "replace", pause_s=scene.draw_duration_s(REPLACEMENT_PAUSE_S), is_in_order=False)
+    _replace_slots(context, "replace", pause_s=context.draw_duration_s(REPLACEMENT_PAUSE_S), is_in_order=False)
 
 
-def replace_at_once(scene: FaultScene) -> None:
+def replace_at_once(context: FaultContext) -> None:
     """Unplanned: machines are gone, their successors start at the same moment."""
-    _replace_slots(scene, "replace at once", pause_s=0.0, is_in_order=False)
+    _replace_slots(context, "replace at once", pause_s=0.0, is_in_order=False)
 
 
-def replace_in_order(scene: FaultScene) -> None:
+def replace_in_order(context: FaultContext) -> None:
     """Planned: SIGTERM, and the successor starts before or after it."""
-    _replace_slots(scene, "replace in order", pause_s=scene.chance.uniform(*PLANNED_PAUSE_S), is_in_order=True)
+    _replace_slots(context, "replace in order", pause_s=context.chance.uniform(*PLANNED_PAUSE_S), is_in_order=True)
 
 
-def _replace_slots(scene: FaultScene, name: str, *, pause_s: float, is_in_order: bool) -> None:
+def _replace_slots(context: FaultContext, name: str, *, pause_s: float, is_in_order: bool) -> None:
     """A slot stays; its machine becomes another one, at a new address.
 
     Args:
-        scene: The run.
+        context: The run.
         name: The fault's name in the history.
         pause_s: From the removal to the successor's start; negative: the successor starts first.
         is_in_order: Whether the removed machine's process gets SIGTERM first.
     """
-    slots = scene.pick_slots()
+    slots = context.pick_slots()
     if not slots:
         return
-    scene.begin(name, slots)
+    context.begin(name, slots)
     for slot in slots:
-        _replace_slot(scene, slot, pause_s=pause_s, is_in_order=is_in_order)
-    scene.after(abs(pause_s), lambda: scene.end(name, slots))
+        _replace_slot(context, slot, pause_s=pause_s, is_in_order=is_in_order)
+    context.call_later(abs(pause_s), lambda: context.end(name, slots))
 
 
-def _replace_slot(scene: FaultScene, slot: fleet.Slot, *, pause_s: float, is_in_order: bool) -> None:
-    simulation = scene.simulation
+def _replace_slot(context: FaultContext, slot: fleet.Slot, *, pause_s: float, is_in_order: bool) -> None:
+    simulation = context.simulation
     replaced: machines.Machine = slot.machine
     if pause_s < 0:
         simulation.fleet.start_successor(slot)
-        scene.after(-pause_s, lambda: simulation.fleet.remove(replaced, is_in_order=is_in_order))
+        context.call_later(-pause_s, lambda: simulation.fleet.remove(replaced, is_in_order=is_in_order))
         return
     simulation.fleet.remove(replaced, is_in_order=is_in_order)
     if pause_s:
-        scene.after(pause_s, lambda: simulation.fleet.start_successor(slot))
+        context.call_later(pause_s, lambda: simulation.fleet.start_successor(slot))
     else:
         simulation.fleet.start_successor(slot)
 
 
-def kill_all(scene: FaultScene) -> None:
+def kill_all(context: FaultContext) -> None:
     """All processes are killed at a moment that matters; the disks stay."""
-    scene.simulation.at_moment(lambda: stop_all(scene, "all_killed"))
+    context.simulation.at_moment(lambda: stop_all(context, "all_killed"))
 
 
-def lose_all_power(scene: FaultScene) -> None:
+def lose_all_power(context: FaultContext) -> None:
     """All machines lose power at a moment that matters; the disks stay."""
-    scene.simulation.at_moment(lambda: stop_all(scene, "all_power"))
+    context.simulation.at_moment(lambda: stop_all(context, "all_power"))
 
 
-def lose_disks_at_moment(scene: FaultScene) -> None:
+def lose_disks_at_moment(context: FaultContext) -> None:
     """As many disks as may be lost go at a moment that matters; the other machines run on."""
 
     def begin() -> None:
-        emptied = pick_emptied(scene)
-        stop_slots(scene, "disks lost", emptied, is_power_lost=True, is_emptied=True)
+        emptied = pick_emptied(context)
+        stop_slots(context, "disks lost", emptied, is_power_lost=True, is_emptied=True)
 
-    scene.simulation.at_moment(begin)
+    context.simulation.at_moment(begin)
 
 
-def lose_disks_and_all_power(scene: FaultScene) -> None:
+def lose_disks_and_all_power(context: FaultContext) -> None:
     """As many disks as may be lost go at a moment that matters; all other machines lose power, proxies too."""
-    scene.simulation.at_moment(
-        lambda: stop_all(scene, "all_power", emptied=pick_emptied(scene), has_proxies=True),
+    context.simulation.at_moment(
+        lambda: stop_all(context, "all_power", emptied=pick_emptied(context), has_proxies=True),
     )
 
 
-def pick_emptied(scene: FaultScene) -> list[fleet.Slot]:
+def pick_emptied(context: FaultContext) -> list[fleet.Slot]:
     """Draws as many healthy slots as may lose their disks now."""
-    free = scene.free_losses()
-    healthy = scene.healthy_slots()
-    return scene.chance.sample(healthy, min(free, len(healthy))) if free > 0 else []
+    free = context.allowed_losses()
+    healthy = context.healthy_slots()
+    return context.chance.sample(healthy, min(free, len(healthy))) if free > 0 else []
 
 
-def stop_all(scene: FaultScene, kind: str, *, emptied: Sequence[fleet.Slot] = (), has_proxies: bool = False) -> None:
+def stop_all(
+    context: FaultContext, kind: str, *, emptied: Sequence[fleet.Slot] = (), has_proxies: bool = False
+) -> None:
     """Stops all core machines that run, and starts them again after a while.
 
     Args:
-        scene: The run.
+        context: The run.
         kind: "all_power" or "all_killed"; also the name in the history.
         emptied: The slots whose disks lose their content.
         has_proxies: Whether the machines of proxies stop at the same moment.
     """
-    simulation = scene.simulation
+    simulation = context.simulation
     slots = [slot for slot in simulation.fleet.slots if not slot.is_down]
-    scene.begin(kind, slots)
+    context.begin(kind, slots)
     for slot in slots:
         simulation.fleet.stop(slot, is_power_lost=kind == "all_power")
         if slot in emptied:
@@ -217,6 +219,6 @@
             simulation.fleet.restart(slot, is_emptied=slot in emptied)
         for host in proxy_hosts:
             simulation.fleet.start_proxy(host)
-        scene.end(kind, slots)
+        context.end(kind, slots)
 
-    scene.after(scene.chance.uniform(*RESTART_S), end)
+    context.call_later(context.chance.uniform(*RESTART_S), end)
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -62,7 +62,7 @@
     return _founding_at_once(is_always=True)
 
 
-def founds_without_asking() -> Patches:
+def founds_on_first_start() -> Patches:
     """A node with an empty disk founds a set where its settings say that this is the first start."""
     return _founding_at_once(is_always=False)
 
@@ -103,7 +103,7 @@
     return [mock.patch.object(share_lease_granter.ShareLeaseGranter, "handle_renewal", handle_renewal)]
 
 
-def grown_share_at_once() -> Patches:
+def grown_share_used_at_once() -> Patches:
     """A node whose share of the bounds grew leases it out without waiting for the older leases to run out."""
     return [mock.patch.object(share_leases.OwnedShare, "value", lambda self: self._share)]
 
@@ -167,7 +167,7 @@
     return [mock.patch.object(proposer.Proposer, "handle_accepted", handle_accepted)]
 
 
-def restarted_leader() -> Patches:
+def restarted_coordinator_keeps_epoch() -> Patches:
     """A node that was the coordinator goes on under the old epoch after a restart."""
 
     def is_owner(self: coordinator.ClusterCoordinator) -> bool:
@@ -176,7 +176,7 @@
     return [mock.patch.object(coordinator.ClusterCoordinator, "is_owner", property(is_owner))]
 
 
-def lease_from_answers() -> Patches:
+def lease_counted_from_answers() -> Patches:
     """The majority lease counts from when an answer came, not from its heartbeat; newer sets are ignored."""
 
     def lease_until(
@@ -211,7 +211,7 @@
     ]
 
 
-def lost_race_accepted() -> Patches:
+def stale_base_accepted() -> Patches:
     """An order is accepted whatever edition it builds on."""
     edit_for = orders.edit_for
 
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -50,7 +50,7 @@
     check: str
 
 
-HISTORY = (  # checks that may find a bug in how values are chosen
+CONSENSUS_CHECKS = (  # checks that may find a bug in how values are chosen
     "agreement",
     "configurations",
     "one base",
@@ -89,19 +89,19 @@
 MUTANTS = {
     "seeds as the default set": Mutant(
         patches=mutant_patches.seeds_as_default_set,
-        checks=HISTORY,
+        checks=CONSENSUS_CHECKS,
         plan=scenario.Plan(seed=0, troubles=("empty", "replace", "cut")),
         max_seeds=200,
     ),
     "founds without asking": Mutant(
-        patches=mutant_patches.founds_without_asking,
-        checks=HISTORY,
+        patches=mutant_patches.founds_on_first_start,
+        checks=CONSENSUS_CHECKS,
         plan=scenario.Plan(seed=0, troubles=("empty", "cut", "freeze"), closing=("disks_lost",)),
         max_seeds=200,
     ),
     "votes before refill": Mutant(
         patches=mutant_patches.votes_before_catch_up,
-        checks=HISTORY,
+        checks=CONSENSUS_CHECKS,
         plan=scenario.Plan(
             seed=0, troubles=("empty", "cut", "freeze"), closing=("disks_lost", "disks_lost_others_power")
         ),
@@ -120,28 +120,33 @@
         ),
     ),
     "a moved part at once": Mutant(
-        patches=mutant_patches.grown_share_at_once,
+        patches=mutant_patches.grown_share_used_at_once,
         checks=("grants",),
         plan=scenario.Plan(seed=0, troubles=("replace", "replace_at_once", "cut")),
     ),
     "peek ahead of the disk": Mutant(
-        patches=mutant_patches.quorum_read_ahead_of_disk, checks=HISTORY, plan=READ_THEN_POWER_PLAN, max_seeds=200
+        patches=mutant_patches.quorum_read_ahead_of_disk,
+        checks=CONSENSUS_CHECKS,
+        plan=READ_THEN_POWER_PLAN,
+        max_seeds=200,
+    ),
+    "told before durable": Mutant(
+        patches=mutant_patches.acknowledged_before_durable, checks=CONSENSUS_CHECKS, plan=POWER_PLAN
     ),
-    "told before durable": Mutant(patches=mutant_patches.acknowledged_before_durable, checks=HISTORY, plan=POWER_PLAN),
     "few marks of orders": Mutant(patches=mutant_patches.few_order_ids, checks=("resent orders", "refused orders")),
     "the set stops at four": Mutant(
         patches=mutant_patches.set_stops_at_four,
         checks=("core set",),
         plan=scenario.Plan(seed=0, machines=5, tolerated=2),
     ),
-    "acknowledged by one": Mutant(patches=mutant_patches.acknowledged_by_one, checks=HISTORY),
+    "acknowledged by one": Mutant(patches=mutant_patches.acknowledged_by_one, checks=CONSENSUS_CHECKS),
     "a restarted node leads": Mutant(
-        patches=mutant_patches.restarted_leader,
+        patches=mutant_patches.restarted_coordinator_keeps_epoch,
         checks=("topics",),
         plan=scenario.Plan(seed=0, troubles=("kill", "all_killed")),
     ),
     "contact without an end": Mutant(
-        patches=mutant_patches.lease_from_answers,
+        patches=mutant_patches.lease_counted_from_answers,
         checks=("grants", "cut off", "topics"),
         plan=scenario.Plan(seed=0, troubles=("cut", "freeze", "replace", "probe")),
     ),
@@ -173,7 +178,7 @@
         max_seeds=200,
     ),
     "a log used again": Mutant(patches=tally_mutant_patches.reused_log, checks=TALLY_CHECKS, plan=TALLY_PLAN),
-    "a lost race is taken": Mutant(patches=mutant_patches.lost_race_accepted, checks=("one base", "refused orders")),
+    "a lost race is taken": Mutant(patches=mutant_patches.stale_base_accepted, checks=("one base", "refused orders")),
 }
 
 
--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -81,12 +81,12 @@
         self._clock.later(delay=FIRST_EVACUATION_S, callback=self._begin_evacuation)
         self._clock.later(delay=FIRST_READ_S, callback=self._begin_read)
 
-    def at_next(self, moment: Moment, callback: Callable[[], object]) -> None:
+    def call_at_next(self, moment: Moment, callback: Callable[[], object]) -> None:
         """Has a callback called once, at the next such moment."""
         self._at_moments[moment] = callback
 
-    def forget_moments(self) -> None:
-        """Takes all calls of `at_next` back."""
+    def cancel_moments(self) -> None:
+        """Takes all calls of `call_at_next` back."""
         self._at_moments.clear()
 
     def _reach(self, moment: Moment) -> None:
@@ -134,7 +134,7 @@
         """Makes a valid complete configuration that is not sent by the operators themselves."""
         order = self._make_order(edition=self._new_edition())
         order.name = name
-        order.is_alone = False
+        order.is_uncontested = False
         body = order_model.configuration_body(edition=order.edition, order_name=name)
         order.call = dataclasses.replace(order.call, method="PUT", body=body)
         return order
@@ -154,7 +154,7 @@
         first = self._make_order(edition=self._new_edition())
         edition = first.edition if self._chance.random() < 0.5 else self._new_edition()
         second = self._make_order(edition=edition, suffix="b")
-        first.is_alone = second.is_alone = False
+        first.is_uncontested = second.is_uncontested = False
         left = [first, second]
 
         def end(order: order_model.Order) -> None:
--- a/ploverward/simulation/control_plane/order_model.py
+++ b/ploverward/simulation/control_plane/order_model.py
@@ -87,7 +87,7 @@
         edition: The edition that it makes.
         zone: The zone of an evacuation.
         is_valid: Whether the system may accept it.
-        is_alone: Whether no other order has the same base.
+        is_uncontested: Whether no other order has the same base.
         call: What is sent.
         begun_at: When it was first sent, by the simulated time in seconds.
         ended_at: When its outcome was known.
@@ -104,7 +104,7 @@
     edition: int = 0
     zone: str = ""
     is_valid: bool = True
-    is_alone: bool = True
+    is_uncontested: bool = True
     begun_at: float = 0.0
     ended_at: float | None = None
     outcome: Outcome = Outcome.OPEN
--- a/ploverward/simulation/control_plane/order_sender.py
+++ b/ploverward/simulation/control_plane/order_sender.py
@@ -13,7 +13,7 @@
 from ploverward.simulation.control_plane import simulated_network
 
 HOST = "operators"
-LOST_ANSWERS = 0.3  # part of the answers that is lost, while answers are lost
+ANSWER_LOSS_CHANCE = 0.3  # part of the answers that is lost, while answers are lost
 CALLER_TIMEOUT_S = 1.0  # operators go to another node after so long
 MAX_REDIRECTS = 2
 MAX_REJECTIONS = 3  # an unclear 4xx is tried elsewhere so many times
@@ -72,9 +72,9 @@
         """
         _Sending(sender=self, order=order, on_ended=on_ended, max_attempts=max_attempts, limit_s=limit_s).attempt()
 
-    def draw_is_lost(self) -> bool:
+    def draw_answer_loss(self) -> bool:
         """Draws whether the answer to the next attempt is lost."""
-        return self.loses_answers and self._chance.random() < LOST_ANSWERS
+        return self.loses_answers and self._chance.random() < ANSWER_LOSS_CHANCE
 
     def call_once(
         self, host: str, call: order_model.HttpCall, *, limit_s: float, done: simulated_http.OnAnswer
@@ -166,7 +166,7 @@
             host,
             order.call,
             done=lambda answer: self._handle_answer(attempt, answer),
-            on_lost=self._note_lost if self._sender.draw_is_lost() else None,
+            on_lost=self._note_lost if self._sender.draw_answer_loss() else None,
         )
 
     def _note_lost(self, answer: simulated_http.Answer | None) -> None:
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -225,9 +225,9 @@
         self.faults.start(begin=FAULTS_FROM_S, until=faults_until)
         self.clock.run(until=faults_until)
         self.faults.is_over = True
-        self.operators.forget_moments()
+        self.operators.cancel_moments()
         self._close()
-        self.operators.forget_moments()
+        self.operators.cancel_moments()
         self._stop_callers()
         self.clock.run(until=self.clock.time + 2 * self._contact_s + self._catch_up_s)
         checks.check_core_set(
@@ -273,29 +273,29 @@
         delay = (
             chance.uniform(0.0, 0.25) if moment is model_operators.Moment.SENT else chance.choice((0.0, 0.0, 0.01, 0.3))
         )
-        self.operators.at_next(moment, lambda: self.clock.later(delay=delay, callback=callback))
+        self.operators.call_at_next(moment, lambda: self.clock.later(delay=delay, callback=callback))
 
-    def _read_back(self) -> list[checks.LastRead]:
+    def _read_back(self) -> list[checks.FinalRead]:
         """Reads the configuration and the evacuations at each core node."""
         reads = {(host, what): None for host in self.fleet.core_hosts() for what in order_model.ReadKind}
-        answered: list[checks.LastRead] = []
+        answered: list[checks.FinalRead] = []
         for host, what in reads:
             self._read_last(host, what, answered)
         if self.plan.has_tallies:
             self.tallies.read_back()
         self.clock.run(until=self.clock.time + LAST_READS_S)
         missing = reads.keys() - {(read.host, read.what) for read in answered}
-        return [*answered, *(checks.LastRead(*read, None) for read in reads if read in missing)]
+        return [*answered, *(checks.FinalRead(*read, None) for read in reads if read in missing)]
 
-    def _read_last(self, host: str, what: order_model.ReadKind, answered: list[checks.LastRead]) -> None:
+    def _read_last(self, host: str, what: order_model.ReadKind, answered: list[checks.FinalRead]) -> None:
         self.operators.read(
             what=what,
-            then=lambda value: answered.append(checks.LastRead(host, what, value)),
+            then=lambda value: answered.append(checks.FinalRead(host, what, value)),
             max_attempts=MAX_LAST_READ_ATTEMPTS,
             host=host,
         )
 
-    def _check(self, last_reads: list[checks.LastRead]) -> None:
+    def _check(self, last_reads: list[checks.FinalRead]) -> None:
         evidence = checks.Evidence(
             recorder=self.recorder,
             values=self.values,
@@ -308,10 +308,10 @@
         checks.check_chain(evidence)
         checks.check_reads(evidence)
         checks.check_evacuation_reads(evidence)
-        calm = self.fault_log.calm_stretches(until=now)
+        calm = self.fault_log.calm_spans(until=now)
         checks.check_acknowledgements(evidence, calm=calm, receipt_s=self._receipt_s, until=now)
         checks.check_moves(evidence, calm=calm, receipt_s=self._receipt_s, until=now)
-        checks.check_end(evidence, last_reads)
+        checks.check_final_reads(evidence, last_reads)
         if self.plan.has_tallies:
             tally_checks.TallyChecks(recorder=self.recorder, network=self.network, callers=self.tallies).check(
                 until=now - LAST_READS_S - tally_callers.MERGE_S
--- a/ploverward/simulation/control_plane/test_bridge.py
+++ b/ploverward/simulation/control_plane/test_bridge.py
@@ -33,6 +33,6 @@
 
 @pytest.mark.parametrize("machines", ["3", "5"])
 @pytest.mark.parametrize("seed", ["1", "2"])
-def test_neither_takes_the_role_from_the_other(seed, machines):
+def test_coordinator_keeps_its_epoch_while_cut_off_from_one_node(seed, machines):
     ended = run("-c", BRIDGE, seed, machines)
     assert ended.returncode == 0, ended.stdout + ended.stderr
--- a/ploverward/simulation/control_plane/test_custody_closing.py
+++ b/ploverward/simulation/control_plane/test_custody_closing.py
@@ -82,6 +82,6 @@
 
 @pytest.mark.parametrize("disk", ["0", "2"])
 @pytest.mark.parametrize("seed", ["1", "2", "3"])
-def test_trails_outlive_the_closing_or_are_told_as_missing(seed, disk):
+def test_custody_trails_survive_power_loss_or_are_reported_missing(seed, disk):
     ended = run("-c", CLOSING, seed, disk)
     assert ended.returncode == 0, ended.stdout + ended.stderr
--- a/ploverward/simulation/control_plane/test_link_faults.py
+++ b/ploverward/simulation/control_plane/test_link_faults.py
@@ -21,5 +21,5 @@
         (("a", "b", "c", "d", "e"), "abcd", "bcde", True),
     ],
 )
-def test_learners_count_where_enough_voters_are_reached(members, reached, voters, expected):
+def test_can_agree_counts_learners_only_if_enough_voters_are_reached(members, reached, voters, expected):
     assert link_faults.can_agree(members=members, reached=set(reached), voters=set(voters)) is expected
--- a/ploverward/simulation/control_plane/test_processor_quota.py
+++ b/ploverward/simulation/control_plane/test_processor_quota.py
@@ -59,6 +59,6 @@
 
 @pytest.mark.parametrize("disk", ["0", "2"])
 @pytest.mark.parametrize("seed", ["1", "2"])
-def test_a_node_that_stands_still_in_each_tenth_of_a_second_is_no_fault(seed, disk):
+def test_throttled_nodes_keep_roles_core_set_and_order_deadlines(seed, disk):
     ended = run("-c", QUOTA, seed, disk)
     assert ended.returncode == 0, ended.stdout + ended.stderr
--- a/ploverward/simulation/control_plane/test_restart_in_move.py
+++ b/ploverward/simulation/control_plane/test_restart_in_move.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("seed", ["1", "3", "4", "11"])
-def test_a_coordinator_is_agreed_before_the_core_counts_as_calm(seed):
+def test_restart_during_set_move_agrees_on_coordinator_within_contact_time(seed):
     """Without the priorities and pauses of repairs these seeds took 4.8, 5.4, 5.5 and 5.9 s for it, of 4."""
     ended = run("-c", RESTART, seed)
     assert ended.returncode == 0, ended.stdout + ended.stderr
--- a/ploverward/simulation/control_plane/test_slow_disks.py
+++ b/ploverward/simulation/control_plane/test_slow_disks.py
@@ -36,7 +36,7 @@
     assert ended.returncode == 0, ended.stdout + ended.stderr
 
 
-def test_reads_do_not_hold_up_the_first_move_of_the_core_set():
+def test_reads_do_not_delay_first_move_of_core_set():
     """docs/incidents/first-move-duel.md: without the rule for first starts, not one of its rounds succeeded by then."""
     ended = run("-c", FIRST_MOVE)
     assert ended.returncode == 0, ended.stdout + ended.stderr
