--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -1,6 +1,6 @@
-"""Checks of a complete run: orders, reads, acknowledgements in time, and the state at the end (docs/simulate.md).
+"""Checks of a completed run: orders, reads, acknowledgement deadlines and the final state (docs/simulate.md).
 
-Each function looks at the `Evidence` of a run and reports what it finds to its recorder.
+Each function examines the `Evidence` of a run and reports violations to its recorder.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import value_checks
 
-MAX_MOVE_FRACTION = 0.5  # of `receipt_s`: how long the registers of a calm core may stand under different sets
-ACK_SLACK_S = 0.05  # what an acknowledgement may be late, for its way
-SHOWN_ATTEMPTS = 4  # of an order that waited too long
+MAX_MOVE_FRACTION = 0.5  # of `receipt_s`: how long registers may have different core sets while no fault is active
+ACK_SLACK_S = 0.05  # allowance for the network delay of an acknowledgement
+SHOWN_ATTEMPTS = 4  # last attempts that a finding lists for an order that waited too long
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Evidence:
-    """What a run left behind.
+    """Recorded results of a run, the input of the checks.
 
     Attributes:
-        recorder: Gets the findings.
-        values: What was chosen.
+        recorder: Receives the findings.
+        values: The values that were chosen.
         orders: The operators' orders.
-        probes: Orders that were sent to nodes that were cut off.
-        reads: The operators' answered reads.
+        probes: Orders that were sent to isolated nodes.
+        reads: The operators' reads that were answered.
     """
 
     recorder: recorders.Recorder
@@ -47,7 +47,7 @@
 
 
 class FinalRead(NamedTuple):
-    """A read at one node after all was healed; a value of None: not answered."""
+    """A read at one node after all faults have ended; its value is None if the node did not answer."""
 
     host: str
     what: order_model.ReadKind
@@ -55,9 +55,13 @@
 
 
 def check_orders(evidence: Evidence) -> None:
-    """Configurations: compare-and-set on the base, each at most once; refused and invalid ones never in force."""
+    """Checks that configuration orders are a compare-and-set on their base.
+
+    Each base has at most one acknowledged order, an acknowledged order is chosen, and a refused or invalid order never
+    takes effect.
+    """
     chosen_by_name = {chosen.order_name: chosen for chosen in evidence.values.configurations}
-    confirmed: dict[int, str] = {}  # base: the order that was acknowledged on it
+    confirmed: dict[int, str] = {}  # base -> name of the order acknowledged on it
     for order in (*evidence.orders, *evidence.probes):
         chosen = chosen_by_name.get(order.name)
         if not order.is_configuration:
@@ -120,12 +124,12 @@
 
 
 def _has_newer(evidence: Evidence, order: order_model.Order) -> bool:
-    """Whether a version above this order's base was ever in force."""
+    """Returns whether an edition above this order's base was ever chosen."""
     return any(chosen.edition > order.base for chosen in evidence.values.configurations)
 
 
 def check_chain(evidence: Evidence) -> None:
-    """Each version in force builds on the one before it."""
+    """Checks that each chosen configuration builds on the one before it."""
     by_name = {order.name: order for order in (*evidence.orders, *evidence.probes) if not order.is_repeat}
     rows = sorted(evidence.values.configurations, key=lambda chosen: chosen.version)
     for before, after in zip(rows, rows[1:], strict=False):
@@ -137,7 +141,7 @@
 
 
 def check_reads(evidence: Evidence) -> None:
-    """No read returns less than what was acknowledged or read before it began."""
+    """Checks that no read returns an older edition than was acknowledged or read before it began."""
     known = [
         (order.ended_at, order.edition)
         for order in evidence.orders
@@ -158,7 +162,7 @@
 
 
 def check_evacuation_reads(evidence: Evidence) -> None:
-    """A read that begins after an evacuation's last order ended shows its effect."""
+    """Checks that a read reflects a zone's last evacuation or restore order if that ended before the read began."""
     by_zone: dict[str, list[order_model.Order]] = {}
     for order in evidence.orders:
         if order.zone:
@@ -179,7 +183,10 @@
 
 
 def _last_clear_order(orders: Sequence[order_model.Order], read: order_model.Read) -> order_model.Order | None:
-    """Returns the zone's last order where it was acknowledged before a read, and no other began by the read's end."""
+    """Returns a zone's last order if its effect on a read is certain, else None.
+
+    It is certain if the order was acknowledged before the read began and no other order began before the read ended.
+    """
     ended = [order for order in orders if order.ended_at is not None and order.ended_at < read.begun_at]
     begun = [order for order in orders if order.begun_at <= read.ended_at]
     if not ended or ended[-1] is not begun[-1] or ended[-1].outcome != order_model.Outcome.ACKNOWLEDGED:
@@ -188,48 +195,57 @@
 
 
 def check_acknowledgements(evidence: Evidence, *, calm: Sequence[TimeSpan], receipt_s: float, until: float) -> None:
-    """A proper order waits no longer than `receipt_s` in one calm stretch; `until` is the end of the run."""
+    """Checks that no order waits longer than `receipt_s` within one calm span.
+
+    Invalid, repeated, refused and competing orders are left out.
+
+    Args:
+        evidence: The results of the run.
+        calm: Spans without a fault of the core.
+        receipt_s: Time within which an order must be acknowledged.
+        until: End of the run.
+    """
     for order in evidence.orders:
         is_refused = order.outcome == order_model.Outcome.REFUSED
         if not order.is_valid or not order.is_uncontested or order.is_repeat or is_refused:
             continue
         ended_at = order.ended_at if order.ended_at is not None else until
         if order.lost_at is not None:
-            ended_at = order.lost_at  # the acknowledgement was given, and lost on its way
-        for stretch in calm:
-            waited = min(ended_at, stretch.end) - max(order.begun_at, stretch.begin)
+            ended_at = order.lost_at  # the node did acknowledge, but the simulated network lost the response
+        for span in calm:
+            waited = min(ended_at, span.end) - max(order.begun_at, span.begin)
             if waited > receipt_s + ACK_SLACK_S:
                 answers = [(attempt.host, attempt.status) for attempt in order.attempts[-SHOWN_ATTEMPTS:]]
                 evidence.recorder.find(
                     "acknowledged in time",
                     f"{order.name} ({order.kind}), begun at {order.begun_at:.3f}, waited {waited:.3f} s of a calm "
-                    f"stretch from {stretch.begin:.3f} to {stretch.end:.3f}; last answers {answers}",
+                    f"stretch from {span.begin:.3f} to {span.end:.3f}; last answers {answers}",
                 )
                 break
 
 
 def check_moves(evidence: Evidence, *, calm: Sequence[TimeSpan], receipt_s: float, until: float) -> None:
-    """In one calm stretch all registers follow the core set within a bound (docs/set-moves.md 9).
+    """Checks that within a calm span all registers reach the same core set in bounded time (docs/set-moves.md 9).
 
     Args:
-        evidence: Of the run.
-        calm: Stretches without a fault of the core.
-        receipt_s: Within which an order is to be acknowledged; the bound is a share of it.
-        until: The end of the run.
+        evidence: The results of the run.
+        calm: Spans without a fault of the core.
+        receipt_s: Time within which an order must be acknowledged; the bound is a fraction of it.
+        until: End of the run.
     """
-    for begin, end in _moves(evidence.values.set_changes, until=until):
-        for stretch in calm:
-            waited = min(end, stretch.end) - max(begin, stretch.begin)
+    for begin, end in _move_spans(evidence.values.set_changes, until=until):
+        for span in calm:
+            waited = min(end, span.end) - max(begin, span.begin)
             if waited > receipt_s * MAX_MOVE_FRACTION:
                 evidence.recorder.find(
                     "moves in time",
                     f"the registers stood under different sets from {begin:.3f} to {end:.3f}, {waited:.3f} s of it "
-                    f"in a calm stretch from {stretch.begin:.3f} to {stretch.end:.3f}",
+                    f"in a calm stretch from {span.begin:.3f} to {span.end:.3f}",
                 )
 
 
-def _moves(changes: Sequence[value_checks.SetChange], *, until: float) -> list[TimeSpan]:
-    """The stretches in which the registers that have a value stood under different sets."""
+def _move_spans(changes: Sequence[value_checks.SetChange], *, until: float) -> list[TimeSpan]:
+    """Returns the spans in which registers that have a value had different core sets."""
     sets: dict[str, tuple[str, ...]] = {}
     begun_at: float | None = None
     found = []
@@ -247,7 +263,7 @@
 
 
 def check_final_reads(evidence: Evidence, last_reads: Sequence[FinalRead]) -> None:
-    """Each node answers after all was healed, with the newest configuration."""
+    """Checks that after all faults have ended each node answers, and with the newest configuration."""
     newest = max((chosen.edition for chosen in evidence.values.configurations), default=0)
     for host, what, value in last_reads:
         if value is None:
@@ -259,7 +275,10 @@
 def check_core_set(
     *, recorder: recorders.Recorder, values: value_checks.ValueChecks, live: Sequence[str], wanted: int
 ) -> None:
-    """Once all is healed for a while, the set holds every live core machine, and `wanted` (2t + 1) at least."""
+    """Checks the core set of each register some time after all faults have ended.
+
+    It must contain every live core machine, and at least `wanted` (2t + 1) live machines where there are so many.
+    """
     for name in register_names.REGISTERS:
         version = values.newest.get(name)
         if version is None:
--- a/ploverward/simulation/control_plane/fault_log.py
+++ b/ploverward/simulation/control_plane/fault_log.py
@@ -1,4 +1,4 @@
-"""When faults of a run begin and end, for the checks that hold only where nothing changes (docs/simulate.md)."""
+"""Log of the begin and end of faults, for checks that apply only while no fault is active (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class FaultLog:
-    """The faults of a run so far.
+    """Records when the faults of a run begin and end.
 
     Attributes:
-        edges: The moments at which a fault of the core began or ended, by the simulated time in seconds; the first is
-            the end of the start.
-        isolated_since: By host of a core machine that is cut off now: since when.
-        proxy_fault_until: By host of a proxy: when its last fault ends or ended.
+        edges: Times at which a fault of the core began or ended, in seconds of simulated time. The first entry is the
+            time at which all machines had started.
+        isolated_since: Start of the isolation of each core machine that is isolated now, by host.
+        proxy_fault_until: End of the last fault of each proxy, by host; may be in the future.
     """
 
     def __init__(
         self, *, clock: simulated_clock.Clock, recorder: recorders.Recorder, contact_s: float, started_at: float
     ) -> None:
-        """Makes the log of a run.
+        """Initializes the log of a run.
 
         Args:
-            clock: Of the run.
-            recorder: Of the run.
-            contact_s: How long after an edge the system may still be disturbed.
-            started_at: When all machines were started.
+            clock: The clock of the run.
+            recorder: The recorder of the run.
+            contact_s: Time after an edge during which the system may still be affected by it.
+            started_at: Time at which all machines had started.
         """
         self.edges = [started_at]
         self.isolated_since: dict[str, float] = {}
@@ -38,20 +38,20 @@
         self._contact_s = contact_s
 
     def record_edge(self, text: str, hosts: Iterable[str]) -> None:
-        """Notes that a fault of these core machines begins or ends now."""
+        """Records that a fault of these core machines begins or ends now."""
         self.edges.append(self._clock.time)
         self._recorder.record(f"== {text}", hosts=",".join(hosts))
 
     def is_calm(self) -> bool:
-        """Whether no fault of the core began or ended for `contact_s`."""
+        """Returns whether no fault of the core began or ended during the last `contact_s`."""
         return self._clock.time - self.edges[-1] >= self._contact_s
 
     def is_proxy_calm(self, host: str) -> bool:
-        """Whether a proxy had no fault for `contact_s`."""
+        """Returns whether a proxy had no fault during the last `contact_s`."""
         return self._clock.time - self.proxy_fault_until.get(host, -self._contact_s) >= self._contact_s
 
     def calm_spans(self, *, until: float) -> list[checks.TimeSpan]:
-        """Returns the spans in which no fault of the core began or ended for `contact_s`."""
+        """Returns the spans in which the last edge is at least `contact_s` ago."""
         return [
             checks.TimeSpan(edge + self._contact_s, following)
             for edge, following in zip(self.edges, [*self.edges[1:], until], strict=True)
--- a/ploverward/simulation/control_plane/fault_scene.py
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -1,7 +1,7 @@
-"""What every kind of fault needs: the run, a bounded duration, and which slots may be lost (docs/simulate.md).
+"""Context shared by all kinds of faults: the run, durations, and which slots may be lost (docs/simulate.md).
 
-It keeps the invariant of a run's faults: no more than the tolerated number of core machines are lost at once. Faults of
-all machines at once are the exception; they keep the disks.
+It maintains the invariant that at most the tolerated number of core machines is lost at once. The exceptions are faults
+of all machines at once, which keep the disks, and partitions into halves or regions, which stop no machine.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class FaultContext:
-    """The run in which faults begin and end.
+    """Gives faults access to the run and bounds their duration and number.
 
     Attributes:
         simulation: The run.
-        until: When the time for faults is over, by the simulated clock in seconds.
+        until: End of the period for faults, in seconds of simulated time; drawn durations are cut off there.
     """
 
     def __init__(self, *, simulation: scenario.SimulationRun) -> None:
@@ -39,15 +39,15 @@
 
     @property
     def chance(self) -> random.Random:
-        """The one generator of the run."""
+        """The only random generator of the run."""
         return self.simulation.clock.chance
 
     def call_later(self, delay_s: float, callback: Callable[[], object]) -> None:
-        """Has a callback called after so many seconds."""
+        """Schedules a callback after a delay in simulated time."""
         self.clock.later(delay=delay_s, callback=callback)
 
     def draw_duration_s(self, bounds_s: tuple[float, float]) -> float:
-        """Draws a duration between two bounds, each order of magnitude alike, that ends before `until`."""
+        """Draws a duration from a log-uniform distribution between two bounds, cut off at `until`."""
         low, high = bounds_s
         duration_s = low * (high / low) ** self.chance.random()
         return max(MIN_DURATION_S, min(duration_s, self.until - self.clock.time))
@@ -61,7 +61,7 @@
         return self.simulation.fleet.tolerated - len(self.simulation.fleet.lost_slots())
 
     def pick_slots(self) -> list[fleet.Slot]:
-        """Draws slots that may be lost now, in addition to those that are; often several at once, or none."""
+        """Draws healthy slots that may be lost in addition to those lost now; returns none if no loss is allowed."""
         free = self.allowed_losses()
         healthy = self.healthy_slots()
         if free <= 0 or not healthy:
@@ -70,13 +70,13 @@
         return self.chance.sample(healthy, count)
 
     def begin(self, name: str, slots: Sequence[fleet.Slot]) -> None:
-        """Counts slots as lost, and records that their fault begins."""
+        """Marks slots as lost and records that their fault begins."""
         for slot in slots:
             self.simulation.fleet.lose(slot)
         self.simulation.fault_log.record_edge(f"{name} begins", [slot.machine.host for slot in slots])
 
     def end(self, name: str, slots: Sequence[fleet.Slot]) -> None:
-        """Counts slots as recovered, and records that their fault ends."""
+        """Marks slots as recovered and records that their fault ends."""
         for slot in slots:
             self.simulation.fleet.recover(slot)
         self.simulation.fault_log.record_edge(f"{name} ends", [slot.machine.host for slot in slots])
--- a/ploverward/simulation/control_plane/faults.py
+++ b/ploverward/simulation/control_plane/faults.py
@@ -1,7 +1,8 @@
-"""Fault injection: which kinds of faults there are, and when they begin in a run (docs/simulate.md).
+"""Fault injection: the kinds of faults and their schedule in a run (docs/simulate.md).
 
-What a kind does stands in machine_faults.py, link_faults.py and outside_faults.py; fault_scene.py bounds what is lost
-at once. The names of the kinds are those of `simulate --troubles`; their order decides what a seed draws.
+The kinds are implemented in machine_faults.py, link_faults.py and outside_faults.py; fault_scene.py limits how many
+machines are lost at once. The names of the kinds are those of `simulate --troubles`. Their order determines which kinds
+a seed draws.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import scenario
 
-CLOSING_S = 3.0  # how long the closing fault may last
+CLOSING_S = 3.0  # maximum duration of the closing fault
 CLOSING = (
     "all_killed",
     "all_power",
     "disks_lost",
     "disks_lost_others_power",
-    "disks_lost_all_power",  # the others, and the machines that don't count too
+    "disks_lost_all_power",  # the other core machines and the proxies lose power
     "",
 )
 
@@ -36,8 +37,8 @@
     """One kind of fault.
 
     Attributes:
-        weight: How often it is drawn, relative to the others.
-        begin: Begins one, and schedules its end.
+        weight: Relative frequency with which it is drawn.
+        begin: Begins a fault of this kind and schedules its end.
     """
 
     weight: float
@@ -71,7 +72,9 @@
 }
 
 
-APART_KINDS = {  # long partitions, for runs with tallies; beside `KINDS`, whose number decides what a seed draws
+# Long partitions, for runs with tallies. They are kept apart from `KINDS`, as the number of entries there determines
+# which kinds a seed draws.
+APART_KINDS = {
     "apart": FaultKind(weight=3, begin=link_faults.partition_regions),
     "bridge": FaultKind(weight=3, begin=link_faults.partition_pair),
 }
@@ -83,9 +86,9 @@
     """One fault of a run.
 
     Attributes:
-        number: Its place among those that were drawn, from 0.
-        kind: A key of `KINDS`.
-        at: When it begins, by the simulated time in seconds.
+        number: Index in the order of drawing, from 0.
+        kind: A key of `ALL_KINDS`.
+        at: Begin of the fault, in seconds of simulated time.
     """
 
     number: int
@@ -98,7 +101,7 @@
 
     Attributes:
         is_over: Whether no further fault begins.
-        drawn: What was drawn so far, skipped faults included.
+        drawn: All faults drawn so far, including skipped ones.
     """
 
     def __init__(
@@ -109,13 +112,14 @@
         gap_s: float,
         skipped: Collection[int] = frozenset(),
     ) -> None:
-        """Prepares the faults of a run.
+        """Initializes the fault injection of a run.
 
         Args:
             simulation: The run.
             kinds: Names of `ALL_KINDS` to draw from.
-            gap_s: About how long it takes from one fault's begin to the next.
-            skipped: Numbers of faults that are drawn and not begun (`shrinking.py`).
+            gap_s: Approximate time from the begin of one fault to the next.
+            skipped: Numbers of faults that are drawn but not begun, so that the other draws stay the same
+                (`shrinking.py`).
         """
         self.is_over = False
         self.drawn: list[DrawnFault] = []
@@ -126,7 +130,7 @@
         self._gap_s = gap_s
 
     def start(self, *, begin: float, until: float) -> None:
-        """Begins faults from one moment of simulated time to another, in seconds."""
+        """Begins faults between two points of simulated time, in seconds."""
         self._scene.until = until
         if self._kinds:
             self._scene.clock.schedule(when=begin, callback=self._begin_next)
@@ -143,7 +147,7 @@
         context.call_later(context.chance.uniform(0.1, 2.0) * self._gap_s, self._begin_next)
 
     def close(self, kind: str) -> None:
-        """Begins the closing fault, one of `CLOSING`. Slots whose disks are lost stay within what is tolerated."""
+        """Begins the closing fault, one of `CLOSING`; at most the tolerated number of slots lose their disks."""
         context = self._scene
         context.until = context.clock.time + CLOSING_S
         if kind in ("all_killed", "all_power"):
--- a/ploverward/simulation/control_plane/link_faults.py
+++ b/ploverward/simulation/control_plane/link_faults.py
@@ -1,6 +1,6 @@
 """Faults of the links of core machines: partitions, resets and delays (docs/simulate.md).
 
-Each function begins one fault and schedules its end.
+Each public function but `can_agree` begins one fault and schedules its end.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
     from ploverward.simulation.control_plane import fleet
     from ploverward.simulation.control_plane import simulated_network
 
-PARTITION_S = (1.0, 14.0)  # how long links are cut, slow or lose answers
-ADDED_DELAY_S = (0.05, 0.6)  # on each link of a slow machine, each way
-APART_S = (4.0, 45.0)  # how long regions, or two machines, have no path to each other
-APART_EDGE_S = 1.0
-RESET_CHANCE = 0.3  # that a partition also resets the connections
+PARTITION_S = (1.0, 14.0)  # duration of faults in which links are cut or slow or responses are lost
+ADDED_DELAY_S = (0.05, 0.6)  # on each link of a slow machine, in each direction
+APART_S = (4.0, 45.0)  # duration of a partition of regions or of two machines
+APART_EDGE_S = 1.0  # interval at which a long partition is recorded again, so that it does not count as calm
+RESET_CHANCE = 0.3  # probability that a partition also resets the connections
 
 
 def partition(context: FaultContext) -> None:
-    """Machines are cut off in both directions."""
+    """Isolates machines in both directions."""
     _isolate(context, "cut", is_out=True, is_in=True)
 
 
 def partition_one_way(context: FaultContext) -> None:
-    """Machines are cut off in one direction."""
+    """Isolates machines in one direction."""
     is_out = context.chance.random() < 0.5
     _isolate(context, "cut one way", is_out=is_out, is_in=not is_out)
 
 
 def split_core(context: FaultContext) -> None:
-    """The core machines are cut into two halves, whatever is tolerated; all others reach both."""
+    """Partitions the core machines into two halves, even beyond the tolerated losses; all others reach both halves."""
     running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
     slots = context.chance.sample(running, len(running) // 2)
     own = [slot.machine.host for slot in slots]
@@ -50,11 +50,12 @@
 def _keep_disturbed_without_majority(
     context: FaultContext, *, halves: tuple[Sequence[str], Sequence[str]], until: float
 ) -> None:
-    """Nothing is owed in time while neither half has a majority of each set under which a register stands.
+    """Records an edge every second while neither half has a majority of each core set of a register.
 
-    In the middle of a move there are two such sets, and members of the older one may be gone for good. A machine that
-    came after the split reaches both halves. A machine whose disk was emptied before it votes only once it has caught
-    up, for which it may need members of the other half.
+    No deadline applies during that time, and an edge keeps the span from counting as calm. In the middle of a move
+    there are two such sets, and members of the older one may be gone for good. A machine that was started after the
+    split reaches both halves. A machine whose disk was emptied before the split votes only once it has caught up, for
+    which it may need members of the other half.
     """
     if context.clock.time >= until:
         return
@@ -76,12 +77,12 @@
 
 
 def can_agree(*, members: Sequence[str], reached: Collection[str], voters: Collection[str]) -> bool:
-    """Whether machines that reach each other can agree under a set, once its learners among them have caught up.
+    """Returns whether machines that reach each other can agree under a core set once their learners have caught up.
 
     Args:
-        members: The set.
-        reached: The machines.
-        voters: Those of all machines that vote now; a learner needs n - majority + 1 of the n members to catch up.
+        members: The core set.
+        reached: The machines that reach each other.
+        voters: All machines that vote now; a learner needs n - majority + 1 of the n members to catch up.
     """
     voting = {host for host in reached if host in voters}
     needed = len(members) - ballots.majority(members) + 1
@@ -90,14 +91,14 @@
 
 
 def _sets_of_registers(running: Sequence[fleet.Slot]) -> set[tuple[str, ...]]:
-    """The member sets of all values that running nodes have accepted last."""
+    """Returns the member sets of the values that running nodes accepted last in each register."""
     nodes = [slot.machine.core.core for slot in running if slot.machine.core is not None]
     values = (node.consensus.acceptor.get(name).value for node in nodes for name in register_names.REGISTERS)
     return {members for value in values if value for members in ballots.member_sets(value)}
 
 
 def partition_regions(context: FaultContext) -> None:
-    """Each region is cut off from each other, whatever is tolerated; at times only in one direction of each pair."""
+    """Partitions all regions from each other, even beyond the tolerated losses; sometimes in one direction only."""
     running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
     pairs = [
         (one.machine.host, other.machine.host)
@@ -108,20 +109,20 @@
     if context.chance.random() < 0.3:
         pairs = [(one, other) for one, other in pairs if one < other]
     duration_s = context.draw_duration_s(APART_S)
-    # A machine that takes another's place meanwhile is not cut off, so nobody is sure to be without a majority.
+    # A successor that starts meanwhile is not partitioned, so no machine is certain to be without a majority.
     _cut(context, "regions apart", running, pairs=pairs, duration_s=duration_s, isolated=())
     _keep_disturbed(context, until=context.clock.time + duration_s)
 
 
 def _keep_disturbed(context: FaultContext, *, until: float) -> None:
-    """Without a majority on any side nothing is owed in time, so the span must not look calm."""
+    """Records an edge every second, so that the span does not count as calm: no side may have a majority."""
     if context.clock.time < until:
         context.simulation.fault_log.record_edge("regions are apart", ())
         context.call_later(APART_EDGE_S, lambda: _keep_disturbed(context, until=until))
 
 
 def partition_pair(context: FaultContext) -> None:
-    """Two machines have no path to each other, while the others reach both."""
+    """Cuts the link between two machines, while the others reach both."""
     slots = context.pick_slots()[:1]
     others = [slot for slot in context.simulation.fleet.slots if slot not in slots and not slot.is_down]
     if not slots or not others:
@@ -149,7 +150,16 @@
     duration_s: float,
     isolated: Sequence[fleet.Slot] | None = None,
 ) -> None:
-    """Cuts pairs for a while; `isolated`: the slots that are then out of touch with most of the core (None: all)."""
+    """Cuts the links of pairs of hosts for a while.
+
+    Args:
+        context: The run.
+        name: Name of the fault in the history.
+        slots: Slots that count as lost meanwhile.
+        pairs: Pairs of hosts; the first no longer reaches the second.
+        duration_s: Duration of the fault.
+        isolated: Slots that meanwhile do not reach most of the core; None: all of `slots`.
+    """
     simulation = context.simulation
     cut_off = slots if isolated is None else isolated
     context.begin(name, slots)
@@ -169,11 +179,11 @@
 def _draw_pairs(
     context: FaultContext, slots: Sequence[fleet.Slot], *, duration_s: float, is_out: bool, is_in: bool
 ) -> list[simulated_network.HostPair]:
-    """Returns the pairs of hosts between which links are cut; some proxies may be on the lost side."""
+    """Draws the pairs of hosts whose links are cut; some proxies may be on the isolated side."""
     simulation = context.simulation
     own = [slot.machine.host for slot in slots]
-    beside = [host for host in simulation.fleet.proxy_hosts if context.chance.random() < 0.4]
-    inside = set(own) | set(beside)
+    isolated_proxies = [host for host in simulation.fleet.proxy_hosts if context.chance.random() < 0.4]
+    inside = set(own) | set(isolated_proxies)
     others = [host for host in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if host not in inside]
     if context.chance.random() < 0.5:
         inside = set(own)  # the proxies reach both sides
@@ -185,7 +195,7 @@
 
 
 def reset(context: FaultContext) -> None:
-    """Connections of one machine are reset; nothing is lost by it."""
+    """Resets the connections of one machine; it does not count as lost."""
     simulation = context.simulation
     host = context.chance.choice(simulation.fleet.core_hosts())
     others = [other for other in (*simulation.fleet.core_hosts(), *simulation.fleet.proxy_hosts) if other != host]
@@ -194,7 +204,7 @@
 
 
 def slow_down(context: FaultContext) -> None:
-    """Links of some machines are slow."""
+    """Adds delay to the links of some machines."""
     slots = context.pick_slots()
     if not slots:
         return
--- a/ploverward/simulation/control_plane/machine_faults.py
+++ b/ploverward/simulation/control_plane/machine_faults.py
@@ -1,7 +1,7 @@
-"""Faults of core machines: they stop, freeze, are replaced, or have a faulty disk (docs/simulate.md).
+"""Faults of core machines: stops, freezes, replacements and faulty disks (docs/simulate.md).
 
-Each function begins one fault and schedules its end. Numbers are drawn before anything is stopped, in an order that a
-seed's history depends on.
+Each public function but `pick_emptied` begins one fault and schedules its end. The history of a seed depends on the
+order of the random draws: numbers are drawn before anything is stopped, except for the downtime in `stop_all`.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
     from ploverward.simulation.control_plane import fleet
     from ploverward.simulation.control_plane import machines
 
-FREEZE_S = (0.3, 12.0)  # how long a process is frozen
-DOWN_S = (0.3, 8.0)  # how long a machine is down
-DISK_S = (1.0, 8.0)  # how long a disk is faulty
-REPLACEMENT_PAUSE_S = (0.2, 6.0)  # from a machine's loss to the start of its successor
-PLANNED_PAUSE_S = (-2.0, 2.0)  # the same for a planned one; negative: the successor starts first
-RESTART_S = (0.3, 3.0)  # how long all machines are down at once
+FREEZE_S = (0.3, 12.0)  # duration for which a process is frozen
+DOWN_S = (0.3, 8.0)  # duration for which a machine is down
+DISK_S = (1.0, 8.0)  # duration for which a disk is faulty
+REPLACEMENT_PAUSE_S = (0.2, 6.0)  # from the loss of a machine to the start of its successor
+PLANNED_PAUSE_S = (-2.0, 2.0)  # the same for a planned replacement; negative: the successor starts first
+RESTART_S = (0.3, 3.0)  # duration for which all machines are down at once
 DISK_FAULT_KINDS = ("slow", "stall", "refuse", "refuse_late", "full")
 
 
 def kill(context: FaultContext) -> None:
-    """Processes are killed and start again; what the system holds in memory stays."""
+    """Kills processes and restarts them; what the operating system holds in memory is kept."""
     stop_slots(context, "kill", context.pick_slots(), is_power_lost=False)
 
 
 def lose_power(context: FaultContext) -> None:
-    """Machines lose power and start again."""
+    """Cuts the power of machines and restarts them."""
     stop_slots(context, "power", context.pick_slots(), is_power_lost=True)
 
 
 def empty_disk(context: FaultContext) -> None:
-    """Machines stop and start again with an empty disk."""
+    """Stops machines and restarts them with an empty disk."""
     is_power_lost = context.chance.random() < 0.5
     stop_slots(context, "empty", context.pick_slots(), is_power_lost=is_power_lost, is_emptied=True)
 
@@ -43,13 +43,13 @@
 def stop_slots(
     context: FaultContext, name: str, slots: Sequence[fleet.Slot], *, is_power_lost: bool, is_emptied: bool = False
 ) -> None:
-    """Stops the machines of some slots, and starts them again after a while.
+    """Stops the machines of some slots and restarts them after a while.
 
     Args:
         context: The run.
         name: The fault's name in the history.
         slots: The slots; may be empty.
-        is_power_lost: Whether the machines lose power, or only their processes are killed.
+        is_power_lost: Whether the machines lose power; otherwise only their processes are killed.
         is_emptied: Whether the disks lose their content.
     """
     if not slots:
@@ -70,7 +70,7 @@
 
 
 def freeze(context: FaultContext) -> None:
-    """Processes stand still while their clocks go on."""
+    """Freezes processes while their clocks go on."""
     slots = context.pick_slots()
     if not slots:
         return
@@ -90,7 +90,7 @@
 
 
 def disturb_disk(context: FaultContext) -> None:
-    """Disks are slow, stall, refuse or are full."""
+    """Makes disks slow, stalled, full or refuse writes."""
     slots = context.pick_slots()
     if not slots:
         return
@@ -111,22 +111,22 @@
 
 
 def replace(context: FaultContext) -> None:
-    """Unplanned: machines are gone, their successors start later."""
+    """Replaces machines without notice; their successors start later."""
     _replace_slots(context, "replace", pause_s=context.draw_duration_s(REPLACEMENT_PAUSE_S), is_in_order=False)
 
 
 def replace_at_once(context: FaultContext) -> None:
-    """Unplanned: machines are gone, their successors start at the same moment."""
+    """Replaces machines without notice; their successors start at the same moment."""
     _replace_slots(context, "replace at once", pause_s=0.0, is_in_order=False)
 
 
 def replace_in_order(context: FaultContext) -> None:
-    """Planned: SIGTERM, and the successor starts before or after it."""
+    """Replaces machines as planned: they get SIGTERM, and their successors start before or after it."""
     _replace_slots(context, "replace in order", pause_s=context.chance.uniform(*PLANNED_PAUSE_S), is_in_order=True)
 
 
 def _replace_slots(context: FaultContext, name: str, *, pause_s: float, is_in_order: bool) -> None:
-    """A slot stays; its machine becomes another one, at a new address.
+    """Replaces the machines of some slots by successors at new addresses.
 
     Args:
         context: The run.
@@ -158,17 +158,20 @@
 
 
 def kill_all(context: FaultContext) -> None:
-    """All processes are killed at a moment that matters; the disks stay."""
+    """Kills all processes at a critical moment (`SimulationRun.at_moment`); the disks are kept."""
     context.simulation.at_moment(lambda: stop_all(context, "all_killed"))
 
 
 def lose_all_power(context: FaultContext) -> None:
-    """All machines lose power at a moment that matters; the disks stay."""
+    """Cuts the power of all machines at a critical moment (`SimulationRun.at_moment`); the disks are kept."""
     context.simulation.at_moment(lambda: stop_all(context, "all_power"))
 
 
 def lose_disks_at_moment(context: FaultContext) -> None:
-    """As many disks as may be lost go at a moment that matters; the other machines run on."""
+    """Empties as many disks as may be lost at a critical moment (`SimulationRun.at_moment`).
+
+    The other machines go on running.
+    """
 
     def begin() -> None:
         emptied = pick_emptied(context)
@@ -178,14 +181,17 @@
 
 
 def lose_disks_and_all_power(context: FaultContext) -> None:
-    """As many disks as may be lost go at a moment that matters; all other machines lose power, proxies too."""
+    """Empties as many disks as may be lost at a critical moment (`SimulationRun.at_moment`).
+
+    All other machines lose power, including those of the proxies.
+    """
     context.simulation.at_moment(
         lambda: stop_all(context, "all_power", emptied=pick_emptied(context), has_proxies=True),
     )
 
 
 def pick_emptied(context: FaultContext) -> list[fleet.Slot]:
-    """Draws as many healthy slots as may lose their disks now."""
+    """Draws the healthy slots whose disks are to be emptied: as many as may be lost now."""
     free = context.allowed_losses()
     healthy = context.healthy_slots()
     return context.chance.sample(healthy, min(free, len(healthy))) if free > 0 else []
@@ -194,13 +200,13 @@
 def stop_all(
     context: FaultContext, kind: str, *, emptied: Sequence[fleet.Slot] = (), has_proxies: bool = False
 ) -> None:
-    """Stops all core machines that run, and starts them again after a while.
+    """Stops all running core machines and restarts them after a while.
 
     Args:
         context: The run.
         kind: "all_power" or "all_killed"; also the name in the history.
         emptied: The slots whose disks lose their content.
-        has_proxies: Whether the machines of proxies stop at the same moment.
+        has_proxies: Whether the proxies' machines stop at the same moment.
     """
     simulation = context.simulation
     slots = [slot for slot in simulation.fleet.slots if not slot.is_down]
--- a/ploverward/simulation/control_plane/outside_faults.py
+++ b/ploverward/simulation/control_plane/outside_faults.py
@@ -1,4 +1,4 @@
-"""Faults outside the core set, of proxies, operators and the platform: no core machine is lost (docs/simulate.md)."""
+"""Faults of proxies, operators and the platform, which lose no core machine (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def kill_proxy(context: FaultContext) -> None:
-    """One proxy is killed or loses power, and starts again."""
+    """Kills one proxy or cuts its power, and restarts it."""
     simulation = context.simulation
     host = context.chance.choice(simulation.fleet.proxy_hosts)
     simulation.recorder.record("proxy killed", host=host)
@@ -19,7 +19,7 @@
 
 
 def freeze_proxy(context: FaultContext) -> None:
-    """One proxy stands still while its clock goes on."""
+    """Freezes one proxy while its clock goes on."""
     simulation = context.simulation
     host = context.chance.choice(simulation.fleet.proxy_hosts)
     process = simulation.network.machines[host].process
@@ -36,7 +36,7 @@
 
 
 def partition_proxy(context: FaultContext) -> None:
-    """One proxy is cut off from some core machines."""
+    """Partitions one proxy from some core machines."""
     simulation = context.simulation
     host = context.chance.choice(simulation.fleet.proxy_hosts)
     others = [other for other in simulation.fleet.core_hosts() if context.chance.random() < 0.7]
@@ -48,14 +48,14 @@
 
 
 def _disturb_proxy(context: FaultContext, host: str, duration_s: float, end: Callable[[], object]) -> None:
-    """Notes a fault of one proxy: checks leave it out until `contactMs` after its end."""
+    """Records a fault of one proxy and schedules its end; checks skip the proxy until `contactMs` after that."""
     fault_until = context.simulation.fault_log.proxy_fault_until
     fault_until[host] = max(fault_until.get(host, 0.0), context.clock.time + duration_s)
     context.call_later(duration_s, end)
 
 
 def lose_answers(context: FaultContext) -> None:
-    """Some answers to operators are lost on their way."""
+    """Loses some of the responses to operators for a while."""
     sender = context.simulation.operators.sender
     sender.loses_answers = True
 
@@ -66,7 +66,7 @@
 
 
 def change_platform(context: FaultContext) -> None:
-    """The platform's list of replicas changes; at times the platform is down for a while too."""
+    """Changes the platform's list of replicas; sometimes the platform also goes down for a while."""
     platform = context.simulation.platform
     platform.change()
     if context.chance.random() >= 0.5:
@@ -80,7 +80,7 @@
 
 
 def probe_isolated(context: FaultContext) -> None:
-    """An order is sent to a node that is cut off now."""
+    """Sends an order to a node that is isolated now, if there is one."""
     hosts = sorted(context.simulation.fault_log.isolated_since)
     if hosts:
         context.simulation.probes.probe(context.chance.choice(hosts))
