--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -1,7 +1,7 @@
-"""What mutants change in the product's code (docs/simulate.md).
+"""Patches with which mutants change the product's code (docs/simulate.md).
 
-Each function returns the patches of one mutant, which hold while they are entered, in this process alone. A patch whose
-place is gone raises: then it has to be brought to where the code is now.
+Each function returns the patches of one mutant as context managers. They apply while they are entered, in this process
+only. A patch whose target no longer exists raises an error and has to be moved to the code's new place.
 """
 
 from __future__ import annotations
@@ -37,8 +37,12 @@
 Patches = list[AbstractContextManager[Any]]
 
 
-def _founding_at_once(*, is_always: bool) -> Patches:
-    """A node with an empty disk founds a set of its seeds at once; `is_always`: whatever its settings say."""
+def _found_set_on_empty_disk(*, is_always: bool) -> Patches:
+    """Makes a node with an empty disk found a core set of its seeds at once.
+
+    Args:
+        is_always: Whether it does so on every start; otherwise only if its settings mark the start as the first one.
+    """
     load = consensus_node.ConsensusNode._load
 
     def _load(
@@ -58,20 +62,20 @@
 
 
 def seeds_as_default_set() -> Patches:
-    """A node with an empty disk takes the seeds of its settings for the set in force, whenever it starts."""
-    return _founding_at_once(is_always=True)
+    """Makes a node with an empty disk take the seeds of its settings for the current core set on every start."""
+    return _found_set_on_empty_disk(is_always=True)
 
 
 def founds_on_first_start() -> Patches:
-    """A node with an empty disk founds a set where its settings say that this is the first start."""
-    return _founding_at_once(is_always=False)
+    """Makes a node with an empty disk found a core set where its settings say that this is the first start."""
+    return _found_set_on_empty_disk(is_always=False)
 
 
 def votes_before_catch_up() -> Patches:
-    """An emptied node takes a new name and votes at once, with nothing that it had promised or accepted."""
+    """Makes an emptied node take a new incarnation and vote at once, without what it had promised or accepted."""
     load = consensus_node.ConsensusNode._load
 
-    def _request_catch_up(self: Any) -> None:  # noqa: ANN401  # a node with one attribute more
+    def _request_catch_up(self: Any) -> None:  # noqa: ANN401  # a ConsensusNode with the added attribute own_set
         self._start_from_image(acceptor_storage.AcceptorImage(incarnation=self._unique_id(), first_set=self.own_set))
 
     def _load(
@@ -91,7 +95,7 @@
 
 
 def grant_without_lease() -> Patches:
-    """Share leases are granted without the majority lease."""
+    """Grants share leases without the majority lease."""
     handle = share_lease_granter.ShareLeaseGranter.handle_renewal
 
     def handle_renewal(
@@ -104,14 +108,14 @@
 
 
 def grown_share_used_at_once() -> Patches:
-    """A node whose share of the bounds grew leases it out without waiting for the older leases to run out."""
+    """Makes a node whose share of the limits grew lease it out before the older leases have expired."""
     return [mock.patch.object(share_leases.OwnedShare, "value", lambda self: self._share)]
 
 
 def quorum_read_ahead_of_disk() -> Patches:
-    """Quorum reads are answered from memory, whether or not the disk has it."""
+    """Answers quorum reads from memory, even if the state is not on disk yet."""
 
-    def get(self: Any) -> object:  # noqa: ANN401  # its attributes are private
+    def get(self: Any) -> object:  # noqa: ANN401  # reads a private attribute
         return self._acceptor
 
     durable = property(get, lambda self, _value: None)
@@ -119,7 +123,7 @@
 
 
 def acknowledged_before_durable() -> Patches:
-    """Answers go out before what they say is durable."""
+    """Sends responses before the state that they confirm is durable."""
     when_durable = write_ahead_log.WriteAheadLog.when_durable
 
     def early(self: write_ahead_log.WriteAheadLog, *, key: Hashable, callback: Callable[[], None]) -> None:
@@ -130,7 +134,7 @@
 
 
 def few_order_ids() -> Patches:
-    """Identifiers of accepted orders are kept for the last few only."""
+    """Keeps the identifiers of the last four accepted orders only."""
     return [
         mock.patch.object(orders, "trimmed", lambda *, rows, archived: rows[-4:]),
         mock.patch.object(order_archive, "contains", lambda *, payload, order_id: False),
@@ -138,7 +142,7 @@
 
 
 def set_stops_at_four() -> Patches:
-    """The set grows by one machine at a time, and stops at one more than the seeds were."""
+    """Makes the core set grow by one machine at a time and stop at four, one more than the three seeds."""
     choose = voting_set.next_set
 
     def next_set(*, view: voting_set.CoreSetView, wanted: int) -> tuple[str, ...]:
@@ -154,7 +158,7 @@
 
 
 def acknowledged_by_one() -> Patches:
-    """A change counts as chosen once a single member has accepted it."""
+    """Counts a change as chosen once a single member has accepted it."""
     handle = proposer.Proposer.handle_accepted
 
     def has_any(*, of: Collection[str], among: Container[str]) -> bool:
@@ -168,7 +172,7 @@
 
 
 def restarted_coordinator_keeps_epoch() -> Patches:
-    """A node that was the coordinator goes on under the old epoch after a restart."""
+    """Makes a node that was the coordinator continue under the old epoch after a restart."""
 
     def is_owner(self: coordinator.ClusterCoordinator) -> bool:
         return self._role_table.owner(singleton_roles.COORDINATOR).address == self._own
@@ -177,7 +181,7 @@
 
 
 def lease_counted_from_answers() -> Patches:
-    """The majority lease counts from when an answer came, not from its heartbeat; newer sets are ignored."""
+    """Counts the majority lease from the receipt of a response instead of its heartbeat, and ignores newer sets."""
 
     def lease_until(
         self: majority_lease.MajorityLease,
@@ -192,7 +196,7 @@
 
 
 def versions_go_back() -> Patches:
-    """A subscriber installs any snapshot that it gets."""
+    """Makes a subscriber install any snapshot that it receives, also of an older version."""
 
     def handle_snapshot(self: Any, _connection: interfaces.Connection, message: messages.Snapshot) -> bool:  # noqa: ANN401
         self._on_snapshot(message)
@@ -212,13 +216,13 @@
 
 
 def stale_base_accepted() -> Patches:
-    """An order is accepted whatever edition it builds on."""
+    """Accepts an order whatever edition it builds on."""
     edit_for = orders.edit_for
 
     def unchecked_edit(*, order: orders.Order, archived: int) -> Callable[[Any], Any]:
         edit = edit_for(order=order, archived=archived)
 
-        def accept(payload: Any) -> Any:  # noqa: ANN401  # as of orders.Edit
+        def accept(payload: Any) -> Any:  # noqa: ANN401  # the signature of orders.Edit
             base = orders.edition_of(payload)
             if order.candidate is not None and order.base != base and order.candidate.edition > base:
                 return edit_for(order=dataclasses.replace(order, base=base), archived=archived)(payload)
--- a/ploverward/simulation/control_plane/mutants.py
+++ b/ploverward/simulation/control_plane/mutants.py
@@ -1,6 +1,6 @@
-"""Mutants: seeded bugs in the product's code, to show that the checks of the simulation find them (docs/simulate.md).
+"""Mutants: seeded bugs in the product's code which show that the simulation's checks find them (docs/simulate.md).
 
-Their names are those that `simulate --planted` prints; what they change stands in mutant_patches.py.
+`simulate --planted` prints their names. The patches are in mutant_patches.py and tally_mutant_patches.py.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Mutant:
-    """A seeded bug.
+    """A seeded bug, and the runs and checks that are expected to find it.
 
     Attributes:
-        patches: Makes the patches that put it into the code.
-        checks: Those that are to find it.
-        plan: Of the runs, but for the seed.
-        max_seeds: Within how many runs it is to be found.
+        patches: Returns the patches that insert the bug into the code.
+        checks: Names of the checks of which at least one must find it.
+        plan: Plan of the runs; its seed is replaced.
+        max_seeds: Number of runs within which it must be found.
     """
 
     patches: Callable[[], mutant_patches.Patches]
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Detection:
-    """The run that showed a mutant.
+    """The run in which a check found a mutant.
 
     Attributes:
-        run_number: Its place among the runs that were played, from 1.
-        seed: Of the run.
-        check: That found it.
+        run_number: Number of the run among those played, from 1.
+        seed: Seed of the run.
+        check: Name of the check that found the mutant.
     """
 
     run_number: int
@@ -62,8 +62,9 @@
     "the end",
 )
 POWER_PLAN = scenario.Plan(seed=0, troubles=("all_power", "power"), closing=("all_power",), disk=3)
-# A read shows what is not on a majority's disks yet, and all lose power at that moment. With the slowest disks no order
-# is acknowledged at all, as an attempt ends before its two syncs do, so there is nothing to read.
+# A read returns a value that is not yet on the disks of a majority, and all machines lose power at that moment. The
+# slowest disks (3) don't serve here: an attempt ends before its two syncs do, so no order is acknowledged and there is
+# nothing to read.
 READ_THEN_POWER_PLAN = scenario.Plan(
     seed=0,
     machines=3,
@@ -75,7 +76,8 @@
     moments=(operators.Moment.READ,),
 )
 TALLY_PLAN = scenario.Plan(seed=0, troubles=tuple(faults.ALL_KINDS), has_tallies=True)
-# Disks are lost right after an acknowledgement, and the others lose power: what only they had in memory is gone.
+# Some disks are lost right after an acknowledgement and the other machines lose power, so that whatever these held only
+# in memory is lost.
 DISKS_LOST_PLAN = dataclasses.replace(
     TALLY_PLAN,
     machines=3,
@@ -110,7 +112,7 @@
     "grants without contact": Mutant(
         patches=mutant_patches.grant_without_lease,
         checks=("grants",),
-        # A set with a member more than it needs drops the one that is cut off, which goes on granting.
+        # A core set with a spare member drops the isolated one, which goes on granting.
         plan=scenario.Plan(
             seed=0,
             machines=6,
@@ -183,7 +185,7 @@
 
 
 def run_simulation(*, name: str, seed: int) -> scenario.Report:
-    """Plays one run with this mutant."""
+    """Plays one run with a mutant."""
     mutant = MUTANTS[name]
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
@@ -192,7 +194,7 @@
 
 
 def search(name: str) -> Detection | None:
-    """Returns the first run that shows this mutant, or None."""
+    """Returns the first run in which a check finds a mutant, or None."""
     mutant = MUTANTS[name]
     for seed in range(mutant.max_seeds):
         report = run_simulation(name=name, seed=seed)
@@ -203,5 +205,5 @@
 
 
 def _is_found_without(plan: scenario.Plan, check: str) -> bool:
-    """Whether the same run shows the same without the mutant: then it is no proof."""
+    """Returns whether the same check fails in the same run without the mutant, so that the finding proves nothing."""
     return any(finding.check == check for finding in scenario.run_simulation(plan).findings)
