--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -1,7 +1,7 @@
-"""Model operators: orders one after the other, races, repeats, invalid ones, evacuations, and reads (docs/simulate.md).
+"""Simulated operators: sequential, competing, repeated and invalid orders, evacuations and reads (docs/simulate.md).
 
-`Operators` owns all orders and reads of a run, and what an operator knows: the newest edition that was acknowledged or
-read. How an order is sent is in order_sender.py.
+`Operators` owns all orders and reads of a run, and the operators' knowledge: the newest edition that was acknowledged
+or read. order_sender.py sends the orders.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_http
 
-FIRST_CHANGE_S, FIRST_READ_S, FIRST_EVACUATION_S = 0.4, 1.0, 2.0  # since the begin of the run
-RACE_UNTIL, REPEAT_UNTIL, INVALID_UNTIL = 0.12, 0.27, 0.33  # of one roll for the next change; above: a plain one
-PATCH_CHANCE = 0.4  # that a change is a patch, once there is a configuration
+FIRST_CHANGE_S, FIRST_READ_S, FIRST_EVACUATION_S = 0.4, 1.0, 2.0  # after the begin of the run
+# Upper bounds of one random number in [0, 1) that selects the kind of the next change; above them: a plain change.
+RACE_UNTIL, REPEAT_UNTIL, INVALID_UNTIL = 0.12, 0.27, 0.33
+PATCH_CHANCE = 0.4  # probability that a change is a patch, once there is a configuration
 MAX_READ_ATTEMPTS = 60
 READ_PAUSE_S = 0.2  # between two attempts of a read
 MAX_REPEAT_ATTEMPTS, MAX_INVALID_ATTEMPTS = 6, 4
 
-OnRead = Callable[[Any], object]  # with the value; None: not answered
+OnRead = Callable[[Any], object]  # called with the value; None: not answered
 
 
 class Moment(enum.Enum):
-    """Moments of orders and reads at which closing faults may begin."""
+    """Moments of orders and reads at which a fault may begin."""
 
     SENT = "sent"
     ACKNOWLEDGED = "acknowledged"
-    READ = "read"  # of an edition that was not acknowledged yet
+    READ = "read"  # a read returned an edition newer than all acknowledged or read before
 
 
 class Operators:
     """All operators of a run.
 
     Attributes:
-        sender: Sends what they want.
+        sender: Sends the orders and reads.
         orders: All orders that were sent.
         reads: All reads that were answered.
         edition: The newest edition acknowledged or read.
@@ -51,13 +52,13 @@
     def __init__(
         self, *, sender: order_sender.OrderSender, recorder: recorders.Recorder, gap_s: float, receipt_s: float
     ) -> None:
-        """Makes the operators.
+        """Initializes the operators.
 
         Args:
-            sender: Sends what they want.
-            recorder: Of the run.
-            gap_s: About how long it takes from one change's end to the next.
-            receipt_s: For how long an evacuation is sent.
+            sender: Sends the orders and reads.
+            recorder: The recorder of the run.
+            gap_s: Approximate time from the end of one change to the begin of the next.
+            receipt_s: Time after which an evacuation order is given up.
         """
         self.sender = sender
         self.orders: list[order_model.Order] = []
@@ -71,44 +72,44 @@
         self._gap_s = gap_s
         self._receipt_s = receipt_s
         self._acknowledged: list[order_model.Order] = []  # configuration orders
-        self._zone_orders: dict[str, order_model.Order] = {}  # the one under way or the last one
+        self._zone_orders: dict[str, order_model.Order] = {}  # by zone: the order in progress or the last one
         self._at_moments: dict[Moment, Callable[[], object]] = {}
-        self._highest_edition = 0  # used in any order
+        self._highest_edition = 0  # highest edition used in any order
 
     def start(self) -> None:
-        """Begins changes, evacuations and reads."""
+        """Schedules the first change, evacuation and read."""
         self._clock.later(delay=FIRST_CHANGE_S, callback=self._begin_change)
         self._clock.later(delay=FIRST_EVACUATION_S, callback=self._begin_evacuation)
         self._clock.later(delay=FIRST_READ_S, callback=self._begin_read)
 
     def call_at_next(self, moment: Moment, callback: Callable[[], object]) -> None:
-        """Has a callback called once, at the next such moment."""
+        """Registers a callback that is called once, at the next moment of this kind."""
         self._at_moments[moment] = callback
 
     def cancel_moments(self) -> None:
-        """Takes all calls of `call_at_next` back."""
+        """Cancels all callbacks of `call_at_next`."""
         self._at_moments.clear()
 
-    def _reach(self, moment: Moment) -> None:
+    def _trigger(self, moment: Moment) -> None:
         callback = self._at_moments.pop(moment, None)
         if callback is not None:
             callback()
 
-    # Configurations: the next one follows the one before, as an operator does.
+    # Configurations: a change begins only after the one before has ended.
     def _begin_change(self) -> None:
         if self.is_stopped:
             return
         roll = self._chance.random()
         if self.edition and roll < RACE_UNTIL:
-            self._race()
+            self._send_competing_orders()
         elif self._acknowledged and roll < REPEAT_UNTIL:
-            self._repeat()
+            self._send_again()
         elif self.edition and roll < INVALID_UNTIL:
             self._send_invalid()
         else:
-            self._change()
+            self._send_change()
 
-    def _pause(self, _ended: object = None) -> None:
+    def _schedule_change(self, _ended: object = None) -> None:
         self._clock.later(delay=self._chance.uniform(0.2, 1.8) * self._gap_s, callback=self._begin_change)
 
     def _new_edition(self) -> int:
@@ -131,7 +132,7 @@
         return order_model.Order(name=name, kind=kind, call=call, base=self.edition, edition=edition, is_valid=is_valid)
 
     def make_probe(self, *, name: str) -> order_model.Order:
-        """Makes a valid complete configuration that is not sent by the operators themselves."""
+        """Creates an order with a valid complete configuration, which the operators don't send themselves."""
         order = self._make_order(edition=self._new_edition())
         order.name = name
         order.is_uncontested = False
@@ -139,18 +140,18 @@
         order.call = dataclasses.replace(order.call, method="PUT", body=body)
         return order
 
-    def _change(self) -> None:
-        def learn(order: order_model.Order) -> None:
-            # After a refusal the operator reads what is in force.
+    def _send_change(self) -> None:
+        def handle_ended(order: order_model.Order) -> None:
+            # If the order was refused, the operator first reads the current configuration.
             if order.outcome == order_model.Outcome.ACKNOWLEDGED:
-                self._pause()
+                self._schedule_change()
             else:
-                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._pause)
+                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._schedule_change)
 
-        self._send(self._make_order(edition=self._new_edition()), then=learn)
+        self._send(self._make_order(edition=self._new_edition()), then=handle_ended)
 
-    def _race(self) -> None:
-        """Two orders on one base at once, at times for the same edition."""
+    def _send_competing_orders(self) -> None:
+        """Sends two orders with the same base at once, sometimes also with the same edition."""
         first = self._make_order(edition=self._new_edition())
         edition = first.edition if self._chance.random() < 0.5 else self._new_edition()
         second = self._make_order(edition=edition, suffix="b")
@@ -160,27 +161,27 @@
         def end(order: order_model.Order) -> None:
             left.remove(order)
             if not left:
-                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._pause)
+                self.read(what=order_model.ReadKind.CONFIGURATION, then=self._schedule_change)
 
         for order in (first, second):
             self._send(order, then=end)
 
-    def _repeat(self) -> None:
-        """An order that was acknowledged at any time before, sent again as it was."""
+    def _send_again(self) -> None:
+        """Sends an order that was acknowledged before once more, unchanged."""
         earlier = self._chance.choice(self._acknowledged)
         order = dataclasses.replace(
             earlier, outcome=order_model.Outcome.OPEN, attempts=[], is_repeat=True, ended_at=None
         )
-        self._send(order, then=self._pause, max_attempts=MAX_REPEAT_ATTEMPTS)
+        self._send(order, then=self._schedule_change, max_attempts=MAX_REPEAT_ATTEMPTS)
 
     def _send_invalid(self) -> None:
-        """An order that names an unknown destination, or whose edition is not newer."""
+        """Sends an order that names an unknown destination or whose edition is not newer than its base."""
         if self._chance.random() < 0.5:
             order = self._make_order(edition=self._new_edition(), is_valid=False)
         else:
             order = self._make_order(edition=self._chance.randint(0, self.edition))
             order.is_valid = False
-        self._send(order, then=self._pause, max_attempts=MAX_INVALID_ATTEMPTS)
+        self._send(order, then=self._schedule_change, max_attempts=MAX_INVALID_ATTEMPTS)
 
     # Evacuations: one at a time for each zone.
     def _begin_evacuation(self) -> None:
@@ -196,7 +197,7 @@
         self._clock.later(delay=pause_s, callback=self._begin_evacuation)
 
     def _make_evacuation(self, zone: str, previous: order_model.Order | None) -> order_model.Order:
-        """Evacuates and restores by turns; an order that was given up is made again."""
+        """Creates the next order for a zone: evacuate and restore alternate; one that was given up is repeated."""
         kind = order_model.OrderKind.EVACUATE
         if previous is not None and previous.outcome == order_model.Outcome.GIVEN_UP:
             kind = previous.kind
@@ -221,13 +222,13 @@
         max_attempts: int = MAX_READ_ATTEMPTS,
         host: str = "",
     ) -> None:
-        """Reads until it is answered.
+        """Sends a read until it is answered.
 
         Args:
-            what: What to read.
-            then: Called with the value; with None where no attempt was answered.
-            max_attempts: How many.
-            host: The node to ask; empty: any, another one each time.
+            what: Kind of the read.
+            then: Called with the value, or with None if no attempt was answered.
+            max_attempts: Maximum number of attempts.
+            host: The node to read from; empty: a random node for each attempt.
         """
         begun_at = self._clock.time
         hosts = [host] if host else self.sender.shuffled_hosts()
@@ -236,7 +237,7 @@
         def handle_answer(answer: simulated_http.Answer | None) -> None:
             value = _read_value(what, answer)
             if value is not None:
-                self._note_read(what, node, begun_at, value)
+                self._record_read(what, node, begun_at, value)
                 then(value)
             elif max_attempts > 1:
                 self._clock.later(
@@ -250,13 +251,13 @@
         target = order_model.CONFIGURATION_PATH if is_configuration else order_model.EVACUATION_PATH
         self.sender.call(node, order_model.HttpCall(method="GET", target=target), done=handle_answer)
 
-    def _note_read(self, what: order_model.ReadKind, host: str, begun_at: float, value: Any) -> None:  # noqa: ANN401
+    def _record_read(self, what: order_model.ReadKind, host: str, begun_at: float, value: Any) -> None:  # noqa: ANN401
         self._recorder.record("read", what=what, host=host, value=value)
         read = order_model.Read(what=what, host=host, begun_at=begun_at, ended_at=self._clock.time, value=value)
         self.reads.append(read)
         if what == order_model.ReadKind.CONFIGURATION and value > self.edition:
             self.edition = value
-            self._reach(Moment.READ)
+            self._trigger(Moment.READ)
 
     # Sending.
     def _send(
@@ -270,7 +271,7 @@
         order.begun_at = self._clock.time
         self.orders.append(order)
         self._recorder.record("order", name=order.name, kind=order.kind, base=order.base, edition=order.edition)
-        self._reach(Moment.SENT)
+        self._trigger(Moment.SENT)
 
         def end(order: order_model.Order) -> None:
             if order.outcome == order_model.Outcome.ACKNOWLEDGED:
@@ -284,11 +285,11 @@
             self.edition = max(self.edition, order.edition)
             self._acknowledged.append(order)
             self.on_acknowledged(order)
-        self._reach(Moment.ACKNOWLEDGED)
+        self._trigger(Moment.ACKNOWLEDGED)
 
 
 def _read_value(what: order_model.ReadKind, answer: simulated_http.Answer | None) -> Any:  # noqa: ANN401
-    """Returns the edition or the evacuated zones of an answer; None where it says neither."""
+    """Returns the edition or the evacuated zones of a response; None if it contains neither."""
     is_configuration = what == order_model.ReadKind.CONFIGURATION
     if answer is not None and answer.status == 200:
         body = json.loads(answer.body)
--- a/ploverward/simulation/control_plane/order_model.py
+++ b/ploverward/simulation/control_plane/order_model.py
@@ -1,4 +1,4 @@
-"""What model operators want, send and read: the records that the checks look at (docs/simulate.md)."""
+"""Orders and reads of the simulated operators, as the checks examine them (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order changes, and how."""
+    """Kinds of orders."""
 
-    PUT = "put"  # the complete configuration
-    PATCH = "patch"  # a part of it
-    EVACUATE = "evacuate"  # a zone
-    RESTORE = "restore"  # a zone
+    PUT = "put"  # replaces the complete configuration
+    PATCH = "patch"  # changes a part of the configuration
+    EVACUATE = "evacuate"  # evacuates a zone
+    RESTORE = "restore"  # ends the evacuation of a zone
 
 
 CONFIGURATION_KINDS = (OrderKind.PUT, OrderKind.PATCH)
 
 
 class Outcome(enum.StrEnum):
-    """What became of an order as its operator sees it."""
+    """Outcome of an order as its operator sees it."""
 
     OPEN = ""
     ACKNOWLEDGED = "acknowledged"
@@ -35,7 +35,7 @@
 
 
 class ReadKind(enum.StrEnum):
-    """What operators read."""
+    """Kinds of reads."""
 
     CONFIGURATION = "configuration"
     EVACUATION = "evacuation"
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpCall:
-    """What is sent to a node; arguments as of `simulated_http.Caller.call`."""
+    """An HTTP request to a node; the fields are arguments of `simulated_http.Caller.call`."""
 
     method: str
     target: str
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One sending of an order to one node.
+    """One attempt to send an order to one node.
 
     Attributes:
         host: The node.
-        sent_at: By the simulated time in seconds.
-        answered_at: When it was answered or given up.
-        status: Of the answer; 0: none.
-        body: Of the answer.
+        sent_at: Time of sending, in seconds of simulated time.
+        answered_at: Time at which it was answered or given up.
+        status: Status code of the response; 0: no response.
+        body: Body of the response.
     """
 
     host: str
@@ -70,7 +70,7 @@
     body: bytes = b""
 
     def end(self, answer: simulated_http.Answer | None, *, now: float) -> None:
-        """Notes the answer, or that there is none."""
+        """Records the response, or that there is none."""
         self.answered_at = now
         if answer is not None:
             self.status, self.body = answer.status, answer.body
@@ -81,20 +81,20 @@
     """One change that an operator wants.
 
     Attributes:
-        name: Stands in the configuration that it makes.
-        kind: What it changes.
+        name: Name of the order, which is written into the configuration that it creates.
+        kind: Kind of the order.
         base: The edition that it builds on.
-        edition: The edition that it makes.
+        edition: The edition that it creates.
         zone: The zone of an evacuation.
         is_valid: Whether the system may accept it.
-        is_uncontested: Whether no other order has the same base.
-        call: What is sent.
-        begun_at: When it was first sent, by the simulated time in seconds.
-        ended_at: When its outcome was known.
-        outcome: What became of it.
-        attempts: Its sendings.
+        is_uncontested: Whether no other order is known to compete for the same base.
+        call: The request that is sent.
+        begun_at: Time at which it was first sent, in seconds of simulated time.
+        ended_at: Time at which its outcome was known.
+        outcome: Outcome as the operator sees it.
+        attempts: All attempts to send it.
         is_repeat: Whether it is an acknowledged order that is sent again.
-        lost_at: When an acknowledgement was lost on its way.
+        lost_at: Time at which its first lost acknowledgement was lost in the network.
     """
 
     name: str
@@ -120,13 +120,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """One reading that was answered.
+    """One read that was answered.
 
     Attributes:
-        what: What was read.
-        host: The node that was asked.
-        begun_at: When, by the simulated time in seconds.
-        ended_at: When it was answered.
+        what: Kind of the read.
+        host: The node that answered.
+        begun_at: Begin of the read, in seconds of simulated time.
+        ended_at: Time at which it was answered.
         value: The edition of the configuration (0: none), or the evacuated zones.
     """
 
@@ -149,7 +149,7 @@
 
 
 def patch_body(*, edition: int, order_name: str, is_valid: bool = True) -> bytes:
-    """Returns a patch that exchanges the first route."""
+    """Returns a patch that replaces the first route."""
     return _encode({"edition": edition, "upsert": {"routes": [_route(order_name=order_name, is_valid=is_valid)]}})
 
 
--- a/ploverward/simulation/control_plane/order_sender.py
+++ b/ploverward/simulation/control_plane/order_sender.py
@@ -1,4 +1,4 @@
-"""How a model operator sends: to one node after the other, until the answer is clear (docs/simulate.md)."""
+"""Sender for the simulated operators: tries one node after the other until the outcome is clear (docs/simulate.md)."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from ploverward.simulation.control_plane import simulated_network
 
 HOST = "operators"
-ANSWER_LOSS_CHANCE = 0.3  # part of the answers that is lost, while answers are lost
-CALLER_TIMEOUT_S = 1.0  # operators go to another node after so long
+ANSWER_LOSS_CHANCE = 0.3  # probability that a response is lost while `loses_answers`
+CALLER_TIMEOUT_S = 1.0  # time without a response after which operators try another node
 MAX_REDIRECTS = 2
-MAX_REJECTIONS = 3  # an unclear 4xx is tried elsewhere so many times
-MAX_ATTEMPTS = 10_000  # beyond what any run has time for
+MAX_REJECTIONS = 3  # number of other 4xx responses after which an order counts as refused
+MAX_ATTEMPTS = 10_000  # more than any run has time for
 UNLIMITED_S = 10_000.0
 CLEAR_STATUSES = (400, 409, 412, 413, 422)  # refusals that another node would repeat
-UNCLEAR_STATUSES = (408, 429)  # try again
-FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.05, 0.5, 1.6  # between two attempts
+UNCLEAR_STATUSES = (408, 429)  # temporary failures, after which the order is sent again
+FIRST_PAUSE_S, MAX_PAUSE_S, PAUSE_GROWTH = 0.05, 0.5, 1.6  # backoff between two attempts
 
 OnOrder = Callable[[order_model.Order], object]
 
@@ -30,7 +30,7 @@
     """Sends orders and reads for all operators of a run.
 
     Attributes:
-        loses_answers: Whether some answers to orders are lost on their way now.
+        loses_answers: Whether some responses to orders are lost in the network now.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         recorder: recorders.Recorder,
         hosts: Callable[[], Sequence[str]],
     ) -> None:
-        """Makes a sender; `hosts()` are the nodes that the operators know of."""
+        """Initializes a sender; `hosts()` returns the nodes that the operators know."""
         self.loses_answers = False
         self.clock = network.clock
         self.recorder = recorder
@@ -49,7 +49,7 @@
         self._caller = simulated_http.Caller(network=network, host=HOST)
 
     def shuffled_hosts(self) -> list[str]:
-        """Returns the known nodes in a new order."""
+        """Returns the known nodes in random order."""
         hosts = sorted(self._hosts())
         self._chance.shuffle(hosts)
         return hosts
@@ -65,21 +65,23 @@
         """Sends an order until its outcome is clear.
 
         Args:
-            order: The order; its attempts and its outcome are noted there.
-            on_ended: Called with the order then.
-            max_attempts: After so many attempts it is given up.
-            limit_s: After so long it is given up.
+            order: The order; its attempts and its outcome are recorded in it.
+            on_ended: Called with the order once its outcome is clear.
+            max_attempts: Number of attempts after which it is given up.
+            limit_s: Time after which it is given up.
         """
-        _Sending(sender=self, order=order, on_ended=on_ended, max_attempts=max_attempts, limit_s=limit_s).attempt()
+        _OrderDelivery(
+            sender=self, order=order, on_ended=on_ended, max_attempts=max_attempts, limit_s=limit_s
+        ).attempt()
 
     def draw_answer_loss(self) -> bool:
-        """Draws whether the answer to the next attempt is lost."""
+        """Draws whether the response to the next attempt is lost."""
         return self.loses_answers and self._chance.random() < ANSWER_LOSS_CHANCE
 
     def call_once(
         self, host: str, call: order_model.HttpCall, *, limit_s: float, done: simulated_http.OnAnswer
     ) -> None:
-        """Makes one call at one node, and follows no redirect."""
+        """Makes one call to one node without following redirects."""
         self._call(host, call, limit_s=limit_s, done=done)
 
     def call(
@@ -91,7 +93,15 @@
         on_lost: simulated_http.OnAnswer | None = None,
         redirects: int = MAX_REDIRECTS,
     ) -> None:
-        """Makes one call, and follows so many redirects; further arguments as of `simulated_http.Caller.call`."""
+        """Makes one call and follows redirects.
+
+        Args:
+            host: The node.
+            call: The request.
+            done: As for `simulated_http.Caller.call`.
+            on_lost: As for `simulated_http.Caller.call`.
+            redirects: Maximum number of redirects to follow.
+        """
 
         def handle_answer(answer: simulated_http.Answer | None) -> None:
             if answer is None or answer.status != 307 or not redirects:
@@ -125,8 +135,8 @@
         )
 
 
-class _Sending:
-    """One order on its way: arguments as of `OrderSender.send`."""
+class _OrderDelivery:
+    """Delivery of one order; the arguments are those of `OrderSender.send`."""
 
     def __init__(
         self,
@@ -166,10 +176,10 @@
             host,
             order.call,
             done=lambda answer: self._handle_answer(attempt, answer),
-            on_lost=self._note_lost if self._sender.draw_answer_loss() else None,
+            on_lost=self._record_lost if self._sender.draw_answer_loss() else None,
         )
 
-    def _note_lost(self, answer: simulated_http.Answer | None) -> None:
+    def _record_lost(self, answer: simulated_http.Answer | None) -> None:
         if answer is not None and answer.status == 200 and self._order.lost_at is None:
             self._order.lost_at = self._clock.time
 
--- a/ploverward/simulation/control_plane/share_checks.py
+++ b/ploverward/simulation/control_plane/share_checks.py
@@ -1,7 +1,7 @@
-"""The check that the shares which proxies may use never sum to more than all of a limit (docs/simulate.md).
+"""Check that the shares that all proxies may use never sum to more than the whole limit (docs/simulate.md).
 
-`ShareChecks` owns, for each life of a proxy, which share it may use from when on. A limit over a window may have been
-used up to the highest share of that window, so the sum is over these.
+`ShareChecks` owns, for each incarnation of a proxy, the shares that it may use and from when on. Within a window a
+proxy may have used a limit up to its highest share in that window, so the check sums these highest shares.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from ploverward.simulation.control_plane import proxies
 
-EPSILON = 1e-6  # sums of floats
-RATE_WINDOW_S = 1.05  # the span over which a proxy counts what it sends to a cold replica
+EPSILON = 1e-6  # tolerance for rounding in sums of floats
+RATE_WINDOW_S = 1.05  # window over which a proxy counts the requests that it sends to a cold replica
 
 
 class ShareKind(enum.StrEnum):
-    """The kinds of limits that are shared."""
+    """Kinds of limits that are shared among proxies."""
 
-    SLACKS = "slacks"  # spent over a window
-    RATES = "rates"  # from one second to the next
+    SLACKS = "slacks"  # limits over a window
+    RATES = "rates"  # limits per second
 
     def of(self, lease: shared_limits.Lease) -> float:
         """Returns the share of this kind that a lease grants."""
@@ -35,11 +35,11 @@
 
 
 class ShareStep(NamedTuple):
-    """A share that a proxy may use.
+    """A share that a proxy may use until its next step begins.
 
     Attributes:
-        begin: From when on, until the next step, by the simulated time in seconds.
-        share: Of 0 to 1.
+        begin: Begin of the step, in seconds of simulated time.
+        share: The share, from 0 to 1.
     """
 
     begin: float
@@ -50,14 +50,14 @@
 
 
 class ShareChecks:
-    """Watches the leases of all proxies.
+    """Checks the leases of all proxies whenever one of them takes a lease.
 
     Attributes:
-        peaks: The highest sum of shares by kind.
+        peaks: The highest sum of shares so far, by kind.
     """
 
     def __init__(self, *, clock: simulated_clock.Clock, recorder: recorders.Recorder, slack_window_s: float) -> None:
-        """Makes the check; `slack_window_s` is the window over which slacks are spent."""
+        """Initializes the check; `slack_window_s` is the window over which slacks are spent."""
         self.peaks = dict.fromkeys(ShareKind, 0.0)
         self._clock = clock
         self._recorder = recorder
@@ -66,7 +66,7 @@
         self._proxies: dict[str, proxies.Proxy] = {}  # by incarnation
 
     def handle_lease(self, proxy: proxies.Proxy) -> None:
-        """A proxy took a lease: notes what it may use from now on, and checks the sums that grew."""
+        """Records the shares that a proxy may use after it took a lease, and checks the sums of shares that grew."""
         now, offset = self._clock.time, proxy.process.offset
         steps = self._steps.setdefault(proxy.incarnation, {kind: [] for kind in ShareKind})
         self._proxies[proxy.incarnation] = proxy
@@ -74,7 +74,7 @@
         for kind in ShareKind:
             before = max((step for step in steps[kind] if step.begin <= now), default=NO_SHARE).share
             past = _past_steps(steps[kind], since=now - self._windows_s[kind], now=now)
-            steps[kind] = _with_leases(past, leases, kind=kind, now=now, offset=offset)
+            steps[kind] = _with_upcoming_steps(past, leases, kind=kind, now=now, offset=offset)
             if steps[kind] and sum(kind.of(lease) for lease in leases) > before:
                 self._check_sum(kind, now)
 
@@ -103,10 +103,10 @@
     return [step for step, end in zip(steps, ends, strict=False) if end > since and step.begin < now]
 
 
-def _with_leases(
+def _with_upcoming_steps(
     past: list[ShareStep], leases: Iterable[shared_limits.Lease], *, kind: ShareKind, now: float, offset: float
 ) -> list[ShareStep]:
-    """Adds the steps to come: without a further lease the share falls as those there are run out."""
+    """Returns past steps and the upcoming ones: without a further lease the share falls as each lease expires."""
     steps = list(past)
     for begin in (now + offset, *sorted({lease.until for lease in leases})):
         share = sum(kind.of(lease) for lease in leases if lease.until > begin)
--- a/ploverward/simulation/control_plane/value_checks.py
+++ b/ploverward/simulation/control_plane/value_checks.py
@@ -1,8 +1,12 @@
-"""Checks of the values that core nodes publish and proxies install, at each step (docs/simulate.md).
+"""Checks of each value that core nodes publish and proxies install (docs/simulate.md).
 
-`ValueChecks` owns what is known of registers, of topics and of the holders of singleton roles. It checks that a version
-of a register has one value everywhere, that an edition stands for one order, that an epoch of a role has one holder,
-that a topic has one content a version and comes from the holder of its epoch, and that no proxy goes back.
+`ValueChecks` owns the known values of registers and topics and the known holders of singleton roles. It checks that:
+
+- a version of a register has the same value everywhere;
+- an edition belongs to one order;
+- an epoch of a role has one holder;
+- a version of a topic has one content and comes from the holder of its epoch;
+- no proxy installs an older version than it has.
 """
 
 from __future__ import annotations
@@ -35,8 +39,8 @@
     """A value of a register.
 
     Attributes:
-        members: The core set that it stands under.
-        payload: What it holds.
+        members: The core set that is stored with the value.
+        payload: The content of the register.
     """
 
     members: tuple[str, ...]
@@ -44,12 +48,12 @@
 
 
 class SetChange(NamedTuple):
-    """A register's newest value stands under another core set than the one before.
+    """A change of a register's core set from one version to a newer one.
 
     Attributes:
-        at: When that value was first published, by the simulated time in seconds.
-        register: Its name.
-        members: The core set.
+        at: Time at which the newer value was first published, in seconds of simulated time.
+        register: Name of the register.
+        members: The new core set.
     """
 
     at: float
@@ -58,11 +62,11 @@
 
 
 class Incarnation(NamedTuple):
-    """One life of a core node.
+    """One incarnation of a core node.
 
     Attributes:
-        address: Of the node.
-        incarnation: Of the start.
+        address: Address of the node.
+        incarnation: Unique identifier of one start of the node.
     """
 
     address: str
@@ -71,13 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChosenConfiguration:
-    """One value of the configuration's register.
+    """One value of the configuration register.
 
     Attributes:
-        version: Of the register.
-        edition: Of the configuration.
-        order_name: The order that made it.
-        seen_at: When a core node first published it, by the simulated time in seconds.
+        version: Version of the register.
+        edition: Edition of the configuration.
+        order_name: Name of the order that created it.
+        seen_at: Time at which a core node first published it, in seconds of simulated time.
     """
 
     version: int
@@ -87,19 +91,19 @@
 
 
 def order_name_of(body: Mapping[str, Any]) -> str:
-    """Returns the name of the order that made a configuration: it stands in the first route."""
+    """Returns the name of the order that created a configuration, from the note of its first route."""
     routes = body.get("routes") or [{}]
     return routes[0].get("note", "")
 
 
 class ValueChecks:
-    """Watches what is published and installed.
+    """Checks all values when they are published or installed.
 
     Attributes:
-        values: By register and version.
-        newest: The newest version by register.
-        configurations: In the order in which they were first seen.
-        set_changes: Of all registers, by time.
+        values: Known values, by register and version.
+        newest: The newest known version, by register.
+        configurations: Chosen configurations in the order in which they were first seen.
+        set_changes: Changes of the core set of any register, by time.
     """
 
     def __init__(self, *, clock: simulated_clock.Clock, recorder: recorders.Recorder) -> None:
@@ -114,7 +118,7 @@
         self._topics: dict[tuple[str, Version], bytes] = {}
 
     def watch(self, core: core_node.CoreNode) -> None:
-        """Watches what a core node publishes from now on."""
+        """Wraps the publisher of a core node, so that each new value that it publishes is checked."""
         publish = core.publisher.publish
         publisher = Incarnation(core.own, core.incarnation)
 
@@ -187,7 +191,7 @@
             self._recorder.find("topics", f"{topic} ({epoch}, {number}) has two contents")
 
     def check_installed(self, proxy: proxies.Proxy, topic: str, version: Version, data: bytes) -> None:
-        """Checks what a proxy installs, and notes it at the proxy."""
+        """Checks a value that a proxy installs, and records its version and edition in the proxy."""
         before = proxy.versions.get(topic, NO_VERSION)
         if version <= before:
             self._recorder.find("back", f"{proxy.host} goes from {topic} {before} to {version}")
