--- a/ploverward/simulation/control_plane/test_bridge.py
+++ b/ploverward/simulation/control_plane/test_bridge.py
@@ -1,4 +1,7 @@
-"""The coordinator and the node that would follow it have no path to each other, while the others reach both."""
+"""A partition between the coordinator and the node that would take over its role, while the others reach both.
+
+Guards against either node taking the role from the other: the epoch and the core set must stay the same.
+"""
 
 import pytest
 
--- a/ploverward/simulation/control_plane/test_custody_closing.py
+++ b/ploverward/simulation/control_plane/test_custody_closing.py
@@ -1,7 +1,8 @@
-"""Custody trails in the closing fault: two core nodes lose their disks, all others lose power at that moment.
+"""Custody trails when two core nodes lose their disks and all others lose power at the same moment.
 
-What a node had for a while is found again where its disk is left; of the rest, the coverage says what is missing.
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+Trails that a node had long enough to flush must be found again if its disk is kept; the coverage must report all others
+as missing. Each run is played in its own process with a fixed order of string sets, so that a seed identifies one
+history.
 """
 
 import pytest
@@ -16,7 +17,7 @@
 from ploverward.transport import messages
 
 BEGIN_S, CLOSING_S, END_S, BATCH_S, DOWN_S = 10.0, 22.0, 40.0, 0.5, 0.8
-FLUSHED_S = machines.BOUNDS["contactMs"] / 1000 + 2.0  # the timer, a write under way, and the write
+FLUSHED_S = machines.BOUNDS["contactMs"] / 1000 + 2.0  # flush timer, a write in progress, and the write itself
 
 scenario.silence_log()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=5, tolerated=2, disk=int(sys.argv[2]), troubles=(), closing=())
--- a/ploverward/simulation/control_plane/test_link_faults.py
+++ b/ploverward/simulation/control_plane/test_link_faults.py
@@ -1,4 +1,4 @@
-"""When the halves of a split core can agree: only then is a change owed in time."""
+"""Tests of `can_agree`, which decides whether a half of a split core can make progress and deadlines apply."""
 
 import pytest
 
@@ -15,7 +15,7 @@
         (ODD, "ab", "bc", False),  # run 530816: a was emptied and needs b and c to catch up
         (ODD, "abc", "bc", True),
         (EVEN, "abc", "abcd", True),
-        (EVEN, "abc", "bcd", True),  # two voters are enough for the learner, and the three are a majority then
+        (EVEN, "abc", "bcd", True),  # two voters let the learner catch up; the three are then a majority
         (EVEN, "abc", "cd", False),
         (("a", "b", "c", "d", "e"), "abc", "bcde", False),
         (("a", "b", "c", "d", "e"), "abcd", "bcde", True),
--- a/ploverward/simulation/control_plane/test_processor_quota.py
+++ b/ploverward/simulation/control_plane/test_processor_quota.py
@@ -1,7 +1,8 @@
-"""Core nodes whose share of a core is a quota: they stand still for the rest of each tenth of a second.
+"""Core nodes under a CPU quota, which are paused for the rest of each tenth of a second.
 
-Nobody may take that for a fault: no role changes its owner, the core set stays, every order is acknowledged in time.
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+These pauses must not count as faults: no role changes its owner, the core set stays the same, and every order is
+acknowledged in time. Each run is played in its own process with a fixed order of string sets, so that a seed identifies
+one history.
 """
 
 import pytest
@@ -12,7 +13,7 @@
 import sys
 from ploverward.simulation.control_plane import scenario
 
-PERIOD_S, RUNS_S, SETTLED_AT_S, UNTIL_S = 0.1, 0.04, 10.0, 30.0
+PERIOD_S, RUN_S, SETTLED_AT_S, UNTIL_S = 0.1, 0.04, 10.0, 30.0
 
 scenario.silence_log()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=5, tolerated=2, disk=int(sys.argv[2]), troubles=(), closing=())
@@ -28,21 +29,21 @@
     return {(node.coordinator.epoch, node.coordinator.address, node.membership.agreed().members) for node in nodes}
 
 
-def stand_still(process):
+def pause_process(process):
     process.is_frozen = True
-    run.clock.later(delay=PERIOD_S - RUNS_S, callback=lambda: go_on(process))
+    run.clock.later(delay=PERIOD_S - RUN_S, callback=lambda: resume_process(process))
 
 
-def go_on(process):
+def resume_process(process):
     process.thaw()
-    run.clock.later(delay=RUNS_S, callback=lambda: stand_still(process))
+    run.clock.later(delay=RUN_S, callback=lambda: pause_process(process))
 
 
 before = agreed()
 for slot in slots:
     process = slot.machine.running_process
     begins_after_s = run.clock.chance.uniform(0.0, PERIOD_S)
-    run.clock.later(delay=begins_after_s, callback=lambda process=process: stand_still(process))
+    run.clock.later(delay=begins_after_s, callback=lambda process=process: pause_process(process))
 run.clock.run(until=UNTIL_S)
 after = agreed()
 late = [
--- a/ploverward/simulation/control_plane/test_restart_in_move.py
+++ b/ploverward/simulation/control_plane/test_restart_in_move.py
@@ -1,9 +1,9 @@
-"""All core nodes lose power while most registers are in the middle of a move of the core set (docs/set-moves.md 9).
+"""All core nodes lose power in the middle of a move of two or more registers (docs/set-moves.md 9).
 
-Every node then reads every register and finishes every half-done move. These rounds may not hold up the one round that
-all else waits for: that of the node which becomes the coordinator.
+After the restart every node reads every register and finishes every incomplete move. These rounds must not delay the
+round that everything else waits for: that of the node which becomes the coordinator.
 
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+Each run is played in its own process with a fixed order of string sets, so that a seed identifies one history.
 """
 
 import pytest
@@ -70,15 +70,15 @@
 for slot in slots:
     run.fleet.restart(slot, is_emptied=False)
 begun_at = run.clock.time
-coordinator_s = time_until(has_coordinator)
-moved_s = time_until(lambda: has_coordinator() and is_under_one_set())
-print("coordinator after", coordinator_s, "s, one set after", moved_s, "s")
-sys.exit(0 if coordinator_s <= CONTACT_S and moved_s <= CONTACT_S + RECEIPT_S / 2 else 1)
+coordinator_after_s = time_until(has_coordinator)
+moved_after_s = time_until(lambda: has_coordinator() and is_under_one_set())
+print("coordinator after", coordinator_after_s, "s, one set after", moved_after_s, "s")
+sys.exit(0 if coordinator_after_s <= CONTACT_S and moved_after_s <= CONTACT_S + RECEIPT_S / 2 else 1)
 """
 
 
 @pytest.mark.parametrize("seed", ["1", "3", "4", "11"])
 def test_restart_during_set_move_agrees_on_coordinator_within_contact_time(seed):
-    """Without the priorities and pauses of repairs these seeds took 4.8, 5.4, 5.5 and 5.9 s for it, of 4."""
+    """Guards the priorities and pauses of repairs: without them these seeds took 4.8, 5.4, 5.5 and 5.9 s (limit: 4)."""
     ended = run("-c", RESTART, seed)
     assert ended.returncode == 0, ended.stdout + ended.stderr
--- a/ploverward/simulation/control_plane/test_slow_disks.py
+++ b/ploverward/simulation/control_plane/test_slow_disks.py
@@ -1,6 +1,6 @@
-"""Agreement where each sync of each disk takes 0.15 to 0.35 s, and the first move of the core set beside reads.
+"""Agreement while each disk sync takes 0.15 to 0.35 s, and the first move of the core set during concurrent reads.
 
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+Each run is played in its own process with a fixed order of string sets, so that a seed identifies one history.
 """
 
 import pytest
@@ -37,6 +37,9 @@
 
 
 def test_reads_do_not_delay_first_move_of_core_set():
-    """docs/incidents/first-move-duel.md: without the rule for first starts, not one of its rounds succeeded by then."""
+    """Guards the rule for first starts: without it no round of the move succeeded in time.
+
+    See docs/incidents/first-move-duel.md.
+    """
     ended = run("-c", FIRST_MOVE)
     assert ended.returncode == 0, ended.stdout + ended.stderr
