--- a/ploverward/simulation/control_plane/fault_log.py
+++ b/ploverward/simulation/control_plane/fault_log.py
@@ -1,4 +1,4 @@
-"""Log of the begin and end of faults, for checks that apply only while no fault is active (docs/simulate.md)."""
+"""Log of the start and end of faults, for checks that apply only while no fault is active (docs/simulate.md)."""
 
 from __future__ import annotations
 
--- a/ploverward/simulation/control_plane/faults.py
+++ b/ploverward/simulation/control_plane/faults.py
@@ -88,7 +88,7 @@
     Attributes:
         number: Index in the order of drawing, from 0.
         kind: A key of `ALL_KINDS`.
-        at: Begin of the fault, in seconds of simulated time.
+        at: Start of the fault, in seconds of simulated time.
     """
 
     number: int
@@ -117,7 +117,7 @@
         Args:
             simulation: The run.
             kinds: Names of `ALL_KINDS` to draw from.
-            gap_s: Approximate time from the begin of one fault to the next.
+            gap_s: Approximate time from the start of one fault to the next.
             skipped: Numbers of faults that are drawn but not begun, so that the other draws stay the same
                 (`shrinking.py`).
         """
--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -18,7 +18,7 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import simulated_http
 
-FIRST_CHANGE_S, FIRST_READ_S, FIRST_EVACUATION_S = 0.4, 1.0, 2.0  # after the begin of the run
+FIRST_CHANGE_S, FIRST_READ_S, FIRST_EVACUATION_S = 0.4, 1.0, 2.0  # after the start of the run
 # Upper bounds of one random number in [0, 1) that selects the kind of the next change; above them: a plain change.
 RACE_UNTIL, REPEAT_UNTIL, INVALID_UNTIL = 0.12, 0.27, 0.33
 PATCH_CHANCE = 0.4  # probability that a change is a patch, once there is a configuration
@@ -57,7 +57,7 @@
         Args:
             sender: Sends the orders and reads.
             recorder: The recorder of the run.
-            gap_s: Approximate time from the end of one change to the begin of the next.
+            gap_s: Approximate time from the end of one change to the start of the next.
             receipt_s: Time after which an evacuation order is given up.
         """
         self.sender = sender
@@ -207,7 +207,7 @@
         call = order_model.HttpCall(method=method, target=f"{order_model.EVACUATION_PATH}/{zone}")
         return order_model.Order(name=f"e{len(self.orders)}", kind=kind, call=call, zone=zone)
 
-    # Reads.
+    # Reads: each is independent of the others and of the orders.
     def _begin_read(self) -> None:
         if self.is_stopped:
             return
@@ -259,7 +259,7 @@
             self.edition = value
             self._trigger(Moment.READ)
 
-    # Sending.
+    # Sending, recording and acknowledgements of all orders.
     def _send(
         self,
         order: order_model.Order,
--- a/ploverward/simulation/control_plane/order_model.py
+++ b/ploverward/simulation/control_plane/order_model.py
@@ -125,7 +125,7 @@
     Attributes:
         what: Kind of the read.
         host: The node that answered.
-        begun_at: Begin of the read, in seconds of simulated time.
+        begun_at: Start of the read, in seconds of simulated time.
         ended_at: Time at which it was answered.
         value: The edition of the configuration (0: none), or the evacuated zones.
     """
--- a/ploverward/simulation/control_plane/share_checks.py
+++ b/ploverward/simulation/control_plane/share_checks.py
@@ -26,7 +26,7 @@
 class ShareKind(enum.StrEnum):
     """Kinds of limits that are shared among proxies."""
 
-    SLACKS = "slacks"  # limits over a window
+    SLACKS = "slacks"  # limits that are spent over a window
     RATES = "rates"  # limits per second
 
     def of(self, lease: shared_limits.Lease) -> float:
@@ -38,7 +38,7 @@
     """A share that a proxy may use until its next step begins.
 
     Attributes:
-        begin: Begin of the step, in seconds of simulated time.
+        begin: Start of the step, in seconds of simulated time.
         share: The share, from 0 to 1.
     """
 
--- a/ploverward/simulation/control_plane/test_custody_closing.py
+++ b/ploverward/simulation/control_plane/test_custody_closing.py
@@ -71,11 +71,11 @@
         )
     run.clock.run(until=run.clock.time + 5.0)
     lost = [number for number in range(len(sent[host])) if f"{host}-{number}" not in found]
-    owed = [number for number in lost if slot not in emptied and sent[host][number] < closed_at - FLUSHED_S]
-    owed += [number for number in lost if sent[host][number] > closed_at]
+    wrongly_lost = [number for number in lost if slot not in emptied and sent[host][number] < closed_at - FLUSHED_S]
+    wrongly_lost += [number for number in lost if sent[host][number] > closed_at]
     (row,) = custody.coverage(live_incarnations={"l1"})
-    if owed or row["missing_batches"] != len(lost) or row["batches"] != len(sent[host]):
-        faults.append((host, slot in emptied, owed, len(lost), row))
+    if wrongly_lost or row["missing_batches"] != len(lost) or row["batches"] != len(sent[host]):
+        faults.append((host, slot in emptied, wrongly_lost, len(lost), row))
 print(faults, run.recorder.findings)
 sys.exit(1 if faults or run.recorder.findings else 0)
 """
