--- a/ploverward/simulation/control_plane/operators.py
+++ b/ploverward/simulation/control_plane/operators.py
@@ -207,7 +207,7 @@
         call = order_model.HttpCall(method=method, target=f"{order_model.EVACUATION_PATH}/{zone}")
         return order_model.Order(name=f"e{len(self.orders)}", kind=kind, call=call, zone=zone)
 
-    # Reads: each is independent of the others and of the orders.
+    # Reads: periodic ones with a single attempt, and repeated ones that follow an order.
     def _begin_read(self) -> None:
         if self.is_stopped:
             return
