--- a/ploverward/simulation/control_plane/test_custody_closing.py
+++ b/ploverward/simulation/control_plane/test_custody_closing.py
@@ -1,7 +1,8 @@
-"""Custody trails in the closing fault: two core nodes lose their disks, all others lose power at that moment.
+"""Custody trails when two core nodes lose their disks and all others lose power at the same moment.
 
-What a node had for a while is found again where its disk is left; of the rest, the coverage says what is missing.
-Runs are played in a process of their own, in which sets of strings have one order: so a seed names one history.
+Trails that a node had long enough to flush must be found again if its disk is kept; the coverage must report all others
+as missing. Each run is played in its own process with a fixed order of string sets, so that a seed identifies one
+history.
 """
 
 import pytest
@@ -16,7 +17,7 @@
 from ploverward.transport import messages
 
 BEGIN_S, CLOSING_S, END_S, BATCH_S, DOWN_S = 10.0, 22.0, 40.0, 0.5, 0.8
-FLUSHED_S = machines.BOUNDS["contactMs"] / 1000 + 2.0  # the timer, a write under way, and the write
+FLUSHED_S = machines.BOUNDS["contactMs"] / 1000 + 2.0  # flush timer, a write in progress, and the write itself
 
 scenario.discard_node_logs()
 plan = scenario.Plan(seed=int(sys.argv[1]), machines=5, tolerated=2, disk=int(sys.argv[2]), troubles=(), closing=())
@@ -70,11 +71,11 @@
         )
     run.clock.run(until=run.clock.time + 5.0)
     lost = [number for number in range(len(sent[host])) if f"{host}-{number}" not in found]
-    owed = [number for number in lost if slot not in emptied and sent[host][number] < closed_at - FLUSHED_S]
-    owed += [number for number in lost if sent[host][number] > closed_at]
+    wrongly_lost = [number for number in lost if slot not in emptied and sent[host][number] < closed_at - FLUSHED_S]
+    wrongly_lost += [number for number in lost if sent[host][number] > closed_at]
     (row,) = custody.coverage(live_incarnations={"l1"})
-    if owed or row["missing_batches"] != len(lost) or row["batches"] != len(sent[host]):
-        faults.append((host, slot in emptied, owed, len(lost), row))
+    if wrongly_lost or row["missing_batches"] != len(lost) or row["batches"] != len(sent[host]):
+        faults.append((host, slot in emptied, wrongly_lost, len(lost), row))
 print(faults, run.recorder.findings)
 sys.exit(1 if faults or run.recorder.findings else 0)
 """
@@ -82,6 +83,6 @@
 
 @pytest.mark.parametrize("disk", ["0", "2"])
 @pytest.mark.parametrize("seed", ["1", "2", "3"])
-def test_trails_outlive_the_closing_or_are_told_as_missing(seed, disk):
+def test_custody_trails_survive_power_loss_or_are_reported_missing(seed, disk):
     ended = run("-c", CLOSING, seed, disk)
     assert ended.returncode == 0, ended.stdout + ended.stderr
