--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -76,8 +76,8 @@
         """A proposer with those of its timers that may still do something."""
         timers = [action for action in timers if not is_stale(action)]
         memo: dict[int, int] = {}
-        canonical_form = (form(proposer, memo), form(timers, memo))
-        return StateComponent(ProposerState(proposer, timers), self._ids.setdefault(canonical_form, len(self._ids)))
+        proposer_form = (form(proposer, memo), form(timers, memo))
+        return StateComponent(ProposerState(proposer, timers), self._ids.setdefault(proposer_form, len(self._ids)))
 
     def retired(self, old: StateComponent[ProposerState]) -> StateComponent[ProposerState]:
         """A proposer that does nothing any more; all of them compare equal."""
