--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -11,7 +11,7 @@
 from ploverward.simulation.model_checker import scenarios
 from ploverward.simulation.model_checker import search
 
-SCENARIOS = scenarios.small()
+SCENARIOS = scenarios.small_scenarios()
 FAULTS = mutants.mutations()
 
 
@@ -46,7 +46,7 @@
 
 
 def explorer_of(scenario):
-    return moves.Moves(scenario=scenario)
+    return moves.TransitionSystem(scenario=scenario)
 
 
 def state_after(explorer, state, count):
@@ -87,13 +87,15 @@
     state = state_after(explorer, explorer.start(), 3)
     proposer, timers = state.writers["Q"].live
     copied, copied_timers = live_objects.clone((proposer, timers), {})
-    assert live_objects.form((copied, copied_timers), {}) == live_objects.form((proposer, timers), {})
-    before = live_objects.form((proposer, timers), {})
+    assert live_objects.canonical_form((copied, copied_timers), {}) == live_objects.canonical_form(
+        (proposer, timers), {}
+    )
+    before = live_objects.canonical_form((proposer, timers), {})
     for callback in copied_timers:
         callback()
     explorer.writers.ports["Q"].sent.clear()
     explorer.writers.ports["Q"].timers.clear()
-    assert live_objects.form((proposer, timers), {}) == before
+    assert live_objects.canonical_form((proposer, timers), {}) == before
 
 
 def test_command_prints_the_history_of_a_finding_step_by_step(capsys):
--- a/ploverward/simulation/batch/test_batch_run.py
+++ b/ploverward/simulation/batch/test_batch_run.py
@@ -7,12 +7,12 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_a_run_breaks_no_check(seed):
+def test_run_with_random_faults_violates_no_check(seed):
     run = batch_run.BatchRun(batch_run.Plan(seed=seed))
     assert run.play() == []
     assert sum(job.is_taken for job in run.model.jobs.values()) >= 5  # the run has shown something
 
 
 @pytest.mark.parametrize("mutant", store_mutants.MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_seeded_bug_is_found(mutant):
+def test_checks_find_the_bug_of_each_mutant(mutant):
     assert store_mutants.find(mutant) is not None
--- a/ploverward/simulation/batch/test_command_line.py
+++ b/ploverward/simulation/batch/test_command_line.py
@@ -7,18 +7,18 @@
 from ploverward.simulation.batch import store_mutants
 
 
-def test_runs_that_break_no_check_are_counted_with_their_state(capsys):
+def test_command_prints_run_count_and_state_digest_when_no_check_fails(capsys):
     assert command_line.main(["--first", "3", "--seeds", "2", "--jobs", "1"]) == 0
     assert "2 runs of the stores on state " in capsys.readouterr().out
 
 
-def test_the_history_of_a_run_has_its_faults_and_arrangements(capsys):
+def test_history_option_prints_faults_and_arrangements(capsys):
     assert command_line.main(["--history", "3"]) == 0
     printed = capsys.readouterr().out
     assert "== " in printed and "arrangement (" in printed and printed.endswith(" faults, 0 findings\n")
 
 
-def test_a_broken_run_is_shortened_to_the_faults_that_it_needs(monkeypatch):
+def test_shortened_plan_still_fails_with_fewer_faults(monkeypatch):
     def plan_of(mutant, seed):
         return batch_run.Plan(seed=seed, kinds=mutant.kinds, fault_s=mutant.fault_s, sync_s=mutant.sync_s)
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("found, code", [((7, "LOST j1"), 0), (None, 1)])
-def test_mutants_that_are_not_found_fail_the_command(found, code, monkeypatch, capsys):
+def test_planted_option_exits_with_1_when_a_mutant_is_not_found(found, code, monkeypatch, capsys):
     monkeypatch.setattr(store_mutants, "find", lambda _mutant: found)
     assert command_line.main(["--planted"]) == code
     assert ("NOT FOUND" in capsys.readouterr().out) == bool(code)
--- a/ploverward/simulation/model_checker/command_line.py
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -7,8 +7,8 @@
 from ploverward.simulation.model_checker.mutants import explore_mutant
 from ploverward.simulation.model_checker.mutants import mutations
 from ploverward.simulation.model_checker.scenario import Scenario
-from ploverward.simulation.model_checker.scenarios import large
-from ploverward.simulation.model_checker.scenarios import small
+from ploverward.simulation.model_checker.scenarios import large_scenarios
+from ploverward.simulation.model_checker.scenarios import small_scenarios
 from ploverward.simulation.model_checker.search import Outcome
 from ploverward.simulation.model_checker.search import explore
 
@@ -49,7 +49,7 @@
             for mutant in mutations()
         ]
     else:
-        scenarios = large() if is_large else small()
+        scenarios = large_scenarios() if is_large else small_scenarios()
         runs = [
             (scenario, functools.partial(explore, scenario=scenario, max_states=max_states)) for scenario in scenarios
         ]
--- a/ploverward/simulation/model_checker/live_objects.py
+++ b/ploverward/simulation/model_checker/live_objects.py
@@ -87,7 +87,7 @@
     return new
 
 
-def form(item: object, memo: dict[int, int]) -> collections.abc.Hashable:
+def canonical_form(item: object, memo: dict[int, int]) -> collections.abc.Hashable:
     """A hashable canonical form.
 
     Args:
@@ -99,22 +99,22 @@
     if isinstance(item, Immutable):
         return item.name
     if isinstance(item, types.MethodType):
-        return (item.__name__, form(item.__self__, memo))
+        return (item.__name__, canonical_form(item.__self__, memo))
     if isinstance(item, types.FunctionType):
-        cells = tuple(form(cell.cell_contents, memo) for cell in item.__closure__ or ())
-        return (item.__code__.co_firstlineno, cells, form(item.__defaults__, memo))
+        cells = tuple(canonical_form(cell.cell_contents, memo) for cell in item.__closure__ or ())
+        return (item.__code__.co_firstlineno, cells, canonical_form(item.__defaults__, memo))
     if isinstance(item, tuple):
-        return tuple(form(part, memo) for part in item)
+        return tuple(canonical_form(part, memo) for part in item)
     if isinstance(item, set | frozenset):
         return tuple(sorted(item))
     if id(item) in memo:
         return ("again", memo[id(item)])
     memo[id(item)] = len(memo)
     if isinstance(item, dict):
-        return tuple((key, form(item[key], memo)) for key in sorted(item))
+        return tuple((key, canonical_form(item[key], memo)) for key in sorted(item))
     if isinstance(item, list | collections.deque):
-        return tuple(form(part, memo) for part in item)
-    return (type(item).__name__, tuple((name, form(part, memo)) for name, part in _fields(item)))
+        return tuple(canonical_form(part, memo) for part in item)
+    return (type(item).__name__, tuple((name, canonical_form(part, memo)) for name, part in _fields(item)))
 
 
 def _cells(action: object) -> dict[str, typing.Any]:
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -1,7 +1,8 @@
-"""What can happen next in a state: steps of proposers, of nodes and of their disks.
+"""Transitions of the model checker: steps of proposers, of nodes and of their disks.
 
-`Moves.steps` names each step and gives the function that takes it on a copy of the state. `Writers` and `Nodes` know
-what a step does to one proposer or node; here it is put into the state, and what came of it is checked.
+`TransitionSystem.steps` names each possible step and gives the function that takes it on a copy of the state.
+`Writers` and `Nodes` compute what a step does to one proposer or node; this module applies the result to the state
+and checks the invariants.
 """
 
 import collections.abc
@@ -53,7 +54,7 @@
 Steps = collections.abc.Iterator[Step]
 
 
-class Moves:
+class TransitionSystem:
     """All steps that may follow a state of one scenario. A step changes a copy of the state.
 
     Args:
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -10,7 +10,7 @@
 from ploverward.simulation.model_checker.faults import ForgetfulAcceptor
 from ploverward.simulation.model_checker.faults import majority_check_skipped
 from ploverward.simulation.model_checker.faults import previous_set_skipped
-from ploverward.simulation.model_checker.moves import Moves
+from ploverward.simulation.model_checker.moves import TransitionSystem
 from ploverward.simulation.model_checker.product import FIRST_TAG
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.scenarios import FIVE
@@ -96,6 +96,6 @@
 
 def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
     """Searches with the seeded bug in place."""
-    moves = Moves(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
+    moves = TransitionSystem(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
     with fault.mutations():
         return search.run(moves=moves, max_states=max_states)
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -11,8 +11,8 @@
 from ploverward.control_plane.consensus.catch_up import LearnerCatchUp
 from ploverward.control_plane.consensus.catch_up import Stage
 from ploverward.simulation.model_checker import product
+from ploverward.simulation.model_checker.live_objects import canonical_form
 from ploverward.simulation.model_checker.live_objects import clone
-from ploverward.simulation.model_checker.live_objects import form
 from ploverward.simulation.model_checker.product import REGISTER
 from ploverward.simulation.model_checker.product import Answer
 from ploverward.simulation.model_checker.product import Request
@@ -121,7 +121,7 @@
 
     def catch_up_component(self, catch_up: LearnerCatchUp) -> StateComponent[LearnerCatchUp]:
         """A catch-up with the number of its form."""
-        return StateComponent(catch_up, self._intern(("refill", form(catch_up, {}))))
+        return StateComponent(catch_up, self._intern(("refill", canonical_form(catch_up, {}))))
 
     def would_accept(self, node: Node, message: messages.Accept) -> bool:
         """Whether the node would accept this, and has not accepted it already."""
--- a/ploverward/simulation/model_checker/scenarios.py
+++ b/ploverward/simulation/model_checker/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios, and what builds them: `small` for tests, `large` for a longer search."""
+"""The scenarios, and what builds them: `small_scenarios` for tests, `large_scenarios` for a longer search."""
 
 import dataclasses
 import typing
@@ -121,7 +121,7 @@
     )
 
 
-def small() -> tuple[Scenario, ...]:
+def small_scenarios() -> tuple[Scenario, ...]:
     """All states of each are seen within seconds."""
     return (
         move_of(name="swap", to=SWAPPED),
@@ -176,7 +176,7 @@
     )
 
 
-def large() -> tuple[Scenario, ...]:
+def large_scenarios() -> tuple[Scenario, ...]:
     """Minutes; some have more states than the usual bound."""
     return (
         move_of(name="swap, two attempts", to=SWAPPED, attempts=2),
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -8,7 +8,7 @@
 
 from ploverward.common.identifiers import Ballot
 from ploverward.simulation.model_checker.invariants import InvariantError
-from ploverward.simulation.model_checker.moves import Moves
+from ploverward.simulation.model_checker.moves import TransitionSystem
 from ploverward.simulation.model_checker.product import set_of
 from ploverward.simulation.model_checker.product import tags_of
 from ploverward.simulation.model_checker.scenario import Scenario
@@ -60,7 +60,7 @@
     is_exhaustive: bool
 
 
-def run(*, moves: Moves, max_states: int) -> Outcome:
+def run(*, moves: TransitionSystem, max_states: int) -> Outcome:
     """Goes through the states breadth first, until an invariant breaks, none is left, or there are too many."""
     begun = time.monotonic()
     first = moves.start()
@@ -110,4 +110,4 @@
 
 def explore(*, scenario: Scenario, max_states: int) -> Outcome:
     """Searches a scenario with the product as it is."""
-    return run(moves=Moves(scenario=scenario), max_states=max_states)
+    return run(moves=TransitionSystem(scenario=scenario), max_states=max_states)
--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -8,8 +8,8 @@
 import typing
 
 from ploverward.control_plane.consensus.proposer import Proposer
+from ploverward.simulation.model_checker.live_objects import canonical_form
 from ploverward.simulation.model_checker.live_objects import clone
-from ploverward.simulation.model_checker.live_objects import form
 from ploverward.simulation.model_checker.live_objects import is_pause
 from ploverward.simulation.model_checker.live_objects import is_stale
 from ploverward.simulation.model_checker.outside import Event
@@ -76,7 +76,7 @@
         """A proposer with those of its timers that may still do something."""
         timers = [action for action in timers if not is_stale(action)]
         memo: dict[int, int] = {}
-        proposer_form = (form(proposer, memo), form(timers, memo))
+        proposer_form = (canonical_form(proposer, memo), canonical_form(timers, memo))
         return StateComponent(ProposerState(proposer, timers), self._ids.setdefault(proposer_form, len(self._ids)))
 
     def retired(self, old: StateComponent[ProposerState]) -> StateComponent[ProposerState]:
