--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -24,10 +24,10 @@
 from ploverward.transport import batch_messages
 
 TIMEOUTS = partition_placement.PlacementTimeouts(failover_s=0.5, replacement_s=3.0)
-COORDINATION_S = 0.2
-SILENCE_S = 0.8
-FAULTS_FROM_S = 4.0
-HEALED_S = 12.0  # without faults, before the end is checked
+COORDINATION_INTERVAL_S = 0.2
+DISCONNECT_DETECTION_S = 0.8
+FAULT_START_S = 4.0
+RECOVERY_S = 12.0  # without faults, before the end is checked
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -75,7 +75,7 @@
         self.rows: dict[str, tuple] = {}
         self.rounds = 0
         self._reports: dict[int, tuple[str, float, batch_messages.CopyReport]] = {}
-        fault_s = plan.fault_s or self.chance.choice(store_faults.FAULT_PAUSES_S)
+        fault_s = plan.fault_s or self.chance.choice(store_faults.FAULT_INTERVALS_S)
         sync_s = plan.sync_s or self.chance.choice(simulated_disk.SPEEDS_S[:3])
         self.stores = {
             f"s{number}": simulated_store.SimulatedStore(
@@ -89,7 +89,7 @@
             )
             for number in range(plan.stores)
         }
-        self._faults_until = FAULTS_FROM_S + plan.length_s
+        self._faults_until = FAULT_START_S + plan.length_s
         played = scene.StoreScene(
             clock=self.clock,
             chance=self.chance,
@@ -123,12 +123,12 @@
         for store in self.stores.values():
             store.start()
         self.clock.later(delay=0.5, callback=lambda: self._coordinate(may_place=True))
-        self.clock.run(until=FAULTS_FROM_S)
+        self.clock.run(until=FAULT_START_S)
         self._callers.schedule()
         self.faults.schedule()
         self.clock.run(until=self._faults_until)
         self.faults.heal()
-        self.clock.run(until=self.clock.time + HEALED_S)
+        self.clock.run(until=self.clock.time + RECOVERY_S)
         self._check_end()
         return self.findings
 
@@ -138,17 +138,17 @@
             self._reports[report.partition] = (name, self.clock.time, report)
 
     def _coordinate(self, *, may_place: bool = False) -> None:
-        self.clock.later(delay=COORDINATION_S, callback=self._coordinate)
+        self.clock.later(delay=COORDINATION_INTERVAL_S, callback=self._coordinate)
         if self.clock.time < self.faults.coordinator_down_until:
             return
         view = self._view(may_place=may_place)
-        name = batch_partitions.role_name(scene.NUMBER)
+        name = batch_partitions.role_name(scene.PARTITION)
         row = partition_placement.arrangement_changes(view).get(name)
         if row is not None:
             delay = self.chance.uniform(0.002, 0.15)
-            self.clock.later(delay=delay, callback=functools.partial(self._choose, name, tuple(row)))
+            self.clock.later(delay=delay, callback=functools.partial(self._write_arrangement, name, tuple(row)))
 
-    def _choose(self, name: str, row: tuple) -> None:
+    def _write_arrangement(self, name: str, row: tuple) -> None:
         """The register's round: it fails where another one came between."""
         if self.rows.get(name, (0,))[0] != row[0]:
             return
@@ -169,7 +169,7 @@
         self.clock.later(delay=delay, callback=arrive, process=store.process)
 
     def _view(self, *, may_place: bool) -> partition_placement.PlacementView:
-        arrangements = {scene.NUMBER: batch_partitions.owners_of(partition=scene.NUMBER, roles=self.rows)}
+        arrangements = {scene.PARTITION: batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)}
         arrangements = {number: owners for number, owners in arrangements.items() if owners.members}
         reports = {
             number: report
@@ -209,16 +209,16 @@
         if store.is_alive and store.process is not None and not store.process.is_frozen and not is_hidden:
             return 0.0
         since = store.down_since
-        return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else SILENCE_S))
+        return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else DISCONNECT_DETECTION_S))
 
     # The end.
     def _check_end(self) -> None:
         """Once all faults are over, all copies are there again and answer, and nothing that was told is missing."""
-        owners = batch_partitions.owners_of(partition=scene.NUMBER, roles=self.rows)
+        owners = batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)
         if len(owners.members) < scene.COPIES or owners.learners:
             self.model.note_finding(f"not whole again: {owners}")
         primary = self.stores[owners.primary]
-        owned = primary.primary.owned.get(scene.NUMBER)
+        owned = primary.primary.owned.get(scene.PARTITION)
         if owned is None or not owned.is_serving:
             self.model.note_finding(f"nobody serves: {owners}")
             return
--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -16,7 +16,7 @@
 from ploverward.simulation.batch import store_mutants
 from ploverward.simulation.control_plane import scenario
 
-PLAYED = (
+DIGESTED_PATHS = (
     "common",
     "control_plane/cluster/partition_placement.py",
     "simulation/batch",
@@ -25,7 +25,7 @@
     "store",
     "transport",
 )
-MAX_SHORTENED_SEEDS = 3
+MAX_MINIMIZED_SEEDS = 3
 MAX_REPORTED_SEEDS = 20
 CHUNK_RUNS = 8
 
@@ -36,7 +36,7 @@
     return seed, batch_run.BatchRun(batch_run.Plan(seed=seed)).play()
 
 
-def shortened(seed: int) -> batch_run.Plan:
+def minimized_plan(seed: int) -> batch_run.Plan:
     """Leaves out faults, one after the other, as long as the run still breaks a check."""
     scenario.silence_log()
     plan = batch_run.Plan(seed=seed)
@@ -49,7 +49,7 @@
     return dataclasses.replace(plan, skipped_faults=needless)
 
 
-def show(plan: batch_run.Plan) -> int:
+def print_run(plan: batch_run.Plan) -> int:
     """Plays one plan and prints its history; 1 where a check broke."""
     scenario.silence_log()
     run = batch_run.BatchRun(plan)
@@ -60,7 +60,7 @@
     return int(bool(findings))
 
 
-def run_planted() -> int:
+def run_mutants() -> int:
     """Plays each mutant until a check finds it; 1 where one is not found."""
     missed = 0
     for mutant in store_mutants.MUTANTS:
@@ -79,10 +79,10 @@
                 broken.append(seed)
                 if len(broken) <= MAX_REPORTED_SEEDS:
                     print(f"seed {seed}: {findings[0]}")
-    for seed in broken[:MAX_SHORTENED_SEEDS]:
+    for seed in broken[:MAX_MINIMIZED_SEEDS]:
         print(f"seed {seed}, without the faults that it does not need:")
-        show(shortened(seed))
-    print(f"{seeds} runs of the stores on state {state_digest.digest(PLAYED)}, {len(broken)} broke a check")
+        print_run(minimized_plan(seed))
+    print(f"{seeds} runs of the stores on state {state_digest.digest(DIGESTED_PATHS)}, {len(broken)} broke a check")
     return int(bool(broken))
 
 
@@ -105,7 +105,7 @@
     parser.add_argument("--planted", action="store_true", help="shows that the checks find each mutant")
     chosen = parser.parse_args(arguments)
     if chosen.planted:
-        return run_planted()
+        return run_mutants()
     if chosen.history is not None:
-        return show(batch_run.Plan(seed=chosen.history))
+        return print_run(batch_run.Plan(seed=chosen.history))
     return run(first=chosen.first, seeds=chosen.seeds, jobs=chosen.jobs)
--- a/ploverward/simulation/batch/job_model.py
+++ b/ploverward/simulation/batch/job_model.py
@@ -25,21 +25,21 @@
 
     Attributes:
         tokens: By item.
-        made_at: When it was handed in first.
-        is_taken: Whether it was ever acknowledged.
+        submitted_at: When it was handed in first.
+        is_acknowledged: Whether it was ever acknowledged.
         is_uncertain: Whether it may have been taken by an attempt of which nothing is known.
-        is_ended: Whether its client asked for its end.
-        is_end_known: Whether that was acknowledged.
+        is_end_requested: Whether its client asked for its end.
+        is_end_acknowledged: Whether that was acknowledged.
         results: The longest list that was read.
         finished: Items whose output a proxy has handed over, with all texts that were.
     """
 
     tokens: dict[str, int]
-    made_at: float
-    is_taken: bool = False
+    submitted_at: float
+    is_acknowledged: bool = False
     is_uncertain: bool = False
-    is_ended: bool = False
-    is_end_known: bool = False
+    is_end_requested: bool = False
+    is_end_acknowledged: bool = False
     results: list[Result] = dataclasses.field(default_factory=list)
     finished: dict[str, set[bytes]] = dataclasses.field(default_factory=dict)
 
@@ -67,19 +67,19 @@
         self.findings.append(text)
         self._on_finding(text)
 
-    def note_taken(self, job_id: str) -> None:
+    def note_acknowledged(self, job_id: str) -> None:
         """A job was acknowledged; the first time, its items must have fitted the quota."""
         job = self.jobs[job_id]
-        if job.is_taken:
+        if job.is_acknowledged:
             return
-        job.is_taken = True
+        job.is_acknowledged = True
         queued = sum(map(self._queued, self.jobs.values()))
         if queued > self._max_queued_tokens:
             self.note_finding(f"QUOTA {job_id}: {queued} tokens wait")
 
     @staticmethod
     def _queued(job: JobRecord) -> int:
-        if not job.is_taken or job.is_ended:
+        if not job.is_acknowledged or job.is_end_requested:
             return 0
         return sum(tokens for item, tokens in job.tokens.items() if item not in job.finished)
 
@@ -105,20 +105,20 @@
             self.note_finding(f"MIXED {job_id}: {result.item} has a text that no run gave")
         job.results.append(result)
 
-    def note_missing(self, job_id: str, *, was_taken: bool) -> None:
-        """A store said for certain that there is no such job; `was_taken`: before it was asked."""
-        if was_taken:
+    def note_missing(self, job_id: str, *, was_acknowledged: bool) -> None:
+        """A store said for certain that there is no such job; `was_acknowledged`: before it was asked."""
+        if was_acknowledged:
             self.note_finding(f"LOST {job_id}: not found")
 
-    def note_short(self, job_id: str, *, known: int, listed: int) -> None:
+    def note_page_length(self, job_id: str, *, known: int, listed: int) -> None:
         """A page from position 0 has fewer results than were read before it was asked for."""
         if listed < known:
             self.note_finding(f"LOST {job_id}: {listed} results, {known} were read")
 
-    def note_run(self, job_id: str, *, is_ended: bool) -> None:
-        """An item of a job was given out to be run; `is_ended`: the job's end was acknowledged before."""
+    def note_pulled_item(self, job_id: str, *, was_end_acknowledged: bool) -> None:
+        """An item of a job was given out to be run; `was_end_acknowledged`: the job's end was acknowledged before."""
         job = self.jobs.get(job_id)
-        if job is None or not (job.is_taken or job.is_uncertain):
+        if job is None or not (job.is_acknowledged or job.is_uncertain):
             self.note_finding(f"REFUSED {job_id}: it runs")
-        elif is_ended:
+        elif was_end_acknowledged:
             self.note_finding(f"UNASKED {job_id}: it was ended")
--- a/ploverward/simulation/batch/scene.py
+++ b/ploverward/simulation/batch/scene.py
@@ -12,7 +12,7 @@
 
 CORE = "core"  # the name that links to the coordinator have
 TENANT = "t0"
-NUMBER = batch_partitions.partition_of(TENANT)  # of the partition
+PARTITION = batch_partitions.partition_of(TENANT)  # of the partition
 COPIES = 3
 MAX_QUEUED_TOKENS = 400
 
@@ -42,4 +42,4 @@
     @property
     def owners(self) -> batch_partitions.PartitionOwners:
         """Who has the partition, as the register has it."""
-        return batch_partitions.owners_of(partition=NUMBER, roles=self.rows())
+        return batch_partitions.owners_of(partition=PARTITION, roles=self.rows())
--- a/ploverward/simulation/batch/store_callers.py
+++ b/ploverward/simulation/batch/store_callers.py
@@ -18,17 +18,17 @@
 from ploverward.transport.batch_messages import Condition
 from ploverward.transport.batch_messages import Outcome
 
-CALL_S = 0.025  # between two calls of clients, on average
-DUE_MS = 1000
+CALL_INTERVAL_S = 0.025  # between two calls of clients, on average
+JOB_DUE_MS = 1000
 RESUBMISSION_S = 3.0
-ANSWER_S = 0.9  # after which a caller waits no more
-POLL_S = 0.01  # between two looks for a reply
-LAST_CALLS_S = 6.0  # after the time with faults
-TRIES = 3  # of an item
+REPLY_TIMEOUT_S = 0.9  # after which a caller waits no more
+POLL_INTERVAL_S = 0.01  # between two looks for a reply
+CALLS_AFTER_FAULTS_S = 6.0  # after the time with faults
+MAX_ITEM_TRIES = 3  # of an item
 NEW_JOB_CHANCE = 0.1  # that a call hands a new job in
 END_CHANCE = 0.1  # that an end that was drawn is sent
 MAX_FINISH_ATTEMPTS = 20
-FINISH_PAUSE_S = 0.3
+FINISH_RETRY_DELAY_S = 0.3
 
 
 class ReplyBox:
@@ -65,10 +65,10 @@
 
     def schedule(self) -> None:
         """Draws when the next call is made."""
-        self._clock.later(delay=self._chance.expovariate(1 / CALL_S), callback=self._call)
+        self._clock.later(delay=self._chance.expovariate(1 / CALL_INTERVAL_S), callback=self._call)
 
     def _call(self) -> None:
-        if self._clock.time > self._until + LAST_CALLS_S:
+        if self._clock.time > self._until + CALLS_AFTER_FAULTS_S:
             return
         self.schedule()
         is_late = self._clock.time > self._until
@@ -78,14 +78,14 @@
             return
         self._chance.choice((self._read, self._read, self._resubmit, self._pull, self._pull, self._end))()
 
-    def _some_store(self) -> simulated_store.SimulatedStore:
+    def _draw_store(self) -> simulated_store.SimulatedStore:
         """The primary as the register has it, or any store: proxies may know an older arrangement."""
         primary = self._scene.owners.primary
         if primary and self._chance.random() < 0.6:
             return self._stores[primary]
         return self._chance.choice(list(self._stores.values()))
 
-    def _ask(
+    def _send_request(
         self,
         store: simulated_store.SimulatedStore,
         make_message: Callable[[int], tuple],
@@ -103,31 +103,33 @@
 
         def wait() -> None:
             reply = caller.replies.get(number)
-            if reply is not None or self._clock.time - began > ANSWER_S:
+            if reply is not None or self._clock.time - began > REPLY_TIMEOUT_S:
                 then(reply)
             else:
-                self._clock.later(delay=POLL_S, callback=wait)
+                self._clock.later(delay=POLL_INTERVAL_S, callback=wait)
 
-        self._clock.later(delay=POLL_S, callback=wait)
+        self._clock.later(delay=POLL_INTERVAL_S, callback=wait)
 
     def _submit_new(self) -> None:
         self._jobs += 1
         job_id = f"j{self._jobs}"
         items = {f"{job_id}i{number}": self._chance.randint(5, 20) for number in range(self._chance.randint(1, 4))}
-        self._model.jobs[job_id] = job_model.JobRecord(tokens=items, made_at=self._clock.time)
+        self._model.jobs[job_id] = job_model.JobRecord(tokens=items, submitted_at=self._clock.time)
         self._submit(job_id)
 
     def _resubmit(self) -> None:
         """Clients send a job again within some seconds; later it may be forgotten, and would be taken anew."""
         recent = [
-            job_id for job_id, record in self._model.jobs.items() if self._clock.time - record.made_at < RESUBMISSION_S
+            job_id
+            for job_id, record in self._model.jobs.items()
+            if self._clock.time - record.submitted_at < RESUBMISSION_S
         ]
         if recent:
             self._submit(self._chance.choice(recent))
 
     def _may_be_forgotten(self, record: job_model.JobRecord) -> bool:
-        is_over = record.is_ended or record.finished.keys() >= record.tokens.keys()
-        return is_over and self._clock.time - record.made_at > DUE_MS / 1000 + simulated_store.STATUS_S
+        is_over = record.is_end_requested or record.finished.keys() >= record.tokens.keys()
+        return is_over and self._clock.time - record.submitted_at > JOB_DUE_MS / 1000 + simulated_store.STATUS_S
 
     def _submit(self, job_id: str) -> None:
         record = self._model.jobs[job_id]
@@ -143,65 +145,65 @@
             if reply is None or reply.outcome == Outcome.NOT_KNOWN:
                 return
             if reply.outcome == Outcome.DONE:
-                self._model.note_taken(job_id)
+                self._model.note_acknowledged(job_id)
             elif not was_uncertain and self._pending[job_id] == 1:
                 record.is_uncertain = False
             self._pending[job_id] -= 1
 
         self._pending[job_id] += 1
-        self._ask(
-            self._some_store(),
+        self._send_request(
+            self._draw_store(),
             lambda number: batch_messages.SubmitJob(
-                number, scene.TENANT, job_id, "r", DUE_MS, TRIES, scene.MAX_QUEUED_TOKENS, body
+                number, scene.TENANT, job_id, "r", JOB_DUE_MS, MAX_ITEM_TRIES, scene.MAX_QUEUED_TOKENS, body
             ),
             then,
         )
 
     def _read(self) -> None:
         job_id = self._chance.choice(list(self._model.jobs))
-        self.read_from(self._some_store(), job_id)
+        self.read_from(self._draw_store(), job_id)
 
     def read_from(self, store: simulated_store.SimulatedStore, job_id: str) -> None:
         """Reads a job from its start at one store, and notes what it answers."""
         record = self._model.jobs[job_id]
-        was_taken, known = record.is_taken, len(record.results)
+        was_acknowledged, known = record.is_acknowledged, len(record.results)
 
         def then(reply: batch_messages.JobPage | None) -> None:
             if reply is None or self._may_be_forgotten(record):
                 return
             if reply.outcome == Outcome.NOT_FOUND:
-                self._model.note_missing(job_id, was_taken=was_taken)
+                self._model.note_missing(job_id, was_acknowledged=was_acknowledged)
             elif reply.outcome == Outcome.DONE:
                 page = [job_model.Result(*row) for row in reply.results]
                 self._model.note_page(job_id, after=0, total=reply.total, page=page)
-                self._model.note_short(job_id, known=known, listed=len(page))
+                self._model.note_page_length(job_id, known=known, listed=len(page))
 
-        self._ask(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), then)
+        self._send_request(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), then)
 
     def _end(self) -> None:
         if self._chance.random() > END_CHANCE:
             return
         job_id = self._chance.choice(list(self._model.jobs))
         record = self._model.jobs[job_id]
-        record.is_ended = True
+        record.is_end_requested = True
 
         def then(reply: batch_messages.JobReply | None) -> None:
-            record.is_end_known |= reply is not None and reply.outcome == Outcome.DONE
+            record.is_end_acknowledged |= reply is not None and reply.outcome == Outcome.DONE
 
-        self._ask(self._some_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), then)
+        self._send_request(self._draw_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), then)
 
     def _pull(self) -> None:
-        store = self._some_store()
-        ended = {job_id for job_id, record in self._model.jobs.items() if record.is_end_known}
+        store = self._draw_store()
+        ended = {job_id for job_id, record in self._model.jobs.items() if record.is_end_acknowledged}
 
         def then(reply: batch_messages.PulledItems | None) -> None:
             for item in reply.items if reply is not None else ():
-                self._model.note_run(item.job, is_ended=item.job in ended)
+                self._model.note_pulled_item(item.job, was_end_acknowledged=item.job in ended)
                 self._clock.later(
                     delay=self._chance.uniform(0.05, 3.0), callback=functools.partial(self._finish, item, 1)
                 )
 
-        self._ask(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), then)
+        self._send_request(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), then)
 
     def _finish(self, item: batch_messages.PulledItem, attempt: int) -> None:
         """A run ended; its text differs from those of other runs, so that two listings can be told apart."""
@@ -213,10 +215,12 @@
         def then(reply: batch_messages.JobReply | None) -> None:
             is_kept = reply is not None and reply.outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN)
             if not is_kept and attempt < MAX_FINISH_ATTEMPTS:
-                self._clock.later(delay=FINISH_PAUSE_S, callback=functools.partial(self._finish, item, attempt + 1))
+                self._clock.later(
+                    delay=FINISH_RETRY_DELAY_S, callback=functools.partial(self._finish, item, attempt + 1)
+                )
 
-        self._ask(
-            self._some_store(),
+        self._send_request(
+            self._draw_store(),
             lambda number: batch_messages.FinishItem(
                 number, scene.TENANT, item.job, item.item, int(Condition.DELIVERED), text
             ),
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -25,8 +25,8 @@
     "coordinator",
     "half",
 )
-FAULT_PAUSES_S = (0.8, 2.5, 7.0)  # between two faults, on average; disks can only be lost where it is long
-LAST_FAULT_S = 1.0  # before the end of the time with faults
+FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # between two faults, on average; disks can only be lost where it is long
+FAULT_FREE_END_S = 1.0  # before the end of the time with faults
 
 Begin = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
@@ -89,7 +89,7 @@
         self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._begin_one)
 
     def _begin_one(self) -> None:
-        if self._clock.time > self._until - LAST_FAULT_S:
+        if self._clock.time > self._until - FAULT_FREE_END_S:
             return
         self.schedule()
         kind = self._chance.choice(self._kinds)
@@ -169,8 +169,8 @@
 
     def _cut_one_way(self, store: simulated_store.SimulatedStore, span: float) -> None:
         others = [name for name in (*self._stores, scene.CORE) if name != store.name]
-        is_deaf = self._chance.random() < 0.5
-        self._cut({(name, store.name) if is_deaf else (store.name, name) for name in others}, span)
+        is_inbound = self._chance.random() < 0.5
+        self._cut({(name, store.name) if is_inbound else (store.name, name) for name in others}, span)
 
     def _cut_in_half(self, _store: simulated_store.SimulatedStore, span: float) -> None:
         side = set(self._chance.sample(list(self._stores), len(self._stores) // 2))
--- a/ploverward/simulation/batch/store_mutants.py
+++ b/ploverward/simulation/batch/store_mutants.py
@@ -63,7 +63,7 @@
     return [_replace(replication.Replication, "_required_copies", required)]
 
 
-def _serve_before_level() -> list[Patch]:
+def _serve_before_caught_up() -> list[Patch]:
     return [_replace(replication.Replication, "is_caught_up", property(lambda _self: True))]
 
 
@@ -132,7 +132,7 @@
         kinds=("kill", "power", "all", "cut"),
         fault_s=0.5,
     ),
-    Mutant("answers before all copies have what it has", _serve_before_level, fault_s=1.2),
+    Mutant("answers before all copies have what it has", _serve_before_caught_up, fault_s=1.2),
     Mutant("takes an emptied disk for a member", _ignore_disks, kinds=("wipe two", "wipe"), fault_s=5.0),
     Mutant("takes entries of former primaries", _no_fence, kinds=("cut core", "coordinator", "freeze"), fault_s=1.0),
     Mutant("lists an item twice", _list_twice),
@@ -142,7 +142,7 @@
 
 
 @contextlib.contextmanager
-def planted(mutant: Mutant) -> Iterator[None]:
+def apply_mutant(mutant: Mutant) -> Iterator[None]:
     """Puts a mutant into the code while the context lasts."""
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
@@ -158,7 +158,7 @@
     """
     for seed in range(max_seeds):
         plan = batch_run.Plan(seed=seed, kinds=mutant.kinds, fault_s=mutant.fault_s, sync_s=mutant.sync_s)
-        with planted(mutant):
+        with apply_mutant(mutant):
             findings = batch_run.BatchRun(plan).play()
         if findings:
             return seed, findings[0]
--- a/ploverward/simulation/batch/store_network.py
+++ b/ploverward/simulation/batch/store_network.py
@@ -10,8 +10,8 @@
 
 DELAY_S = (0.0005, 0.02)
 RECONNECT_S = 0.1
-SILENCE_S = 0.8  # after which a connection on which nothing arrives is ended
-LATE_END_S = (0.0, 0.5)  # how much later than the one end the other one hears that the connection ended
+SILENCE_TIMEOUT_S = 0.8  # after which a connection on which nothing arrives is ended
+END_NOTICE_DELAY_S = (0.0, 0.5)  # how much later than the one end the other one hears that the connection ended
 
 
 class Endpoint(typing.Protocol):
@@ -68,7 +68,7 @@
         self._stalled: list[tuple[bool, tuple]] = []
         self._stalled_since: float | None = None
         self.is_open = True
-        network.clock.later(delay=SILENCE_S / 4, callback=self._check)
+        network.clock.later(delay=SILENCE_TIMEOUT_S / 4, callback=self._check)
 
     # Sending.
     def send_forward(self, message: tuple) -> None:
@@ -118,10 +118,10 @@
                 self._send(message, is_forward=is_forward)
         elif self._stalled_since is None:
             self._stalled_since = clock.time
-        if not is_alive or (self._stalled_since is not None and clock.time - self._stalled_since >= SILENCE_S):
+        if not is_alive or (self._stalled_since is not None and clock.time - self._stalled_since >= SILENCE_TIMEOUT_S):
             self.close()
             return
-        clock.later(delay=SILENCE_S / 4, callback=self._check)
+        clock.later(delay=SILENCE_TIMEOUT_S / 4, callback=self._check)
 
     def close(self) -> None:
         """Ends the connection: the opening end hears of it at once, the other one later, after what is on its way."""
@@ -132,7 +132,7 @@
         if self._opener_process.is_alive:
             clock.later(delay=0.0, callback=self._on_end, process=self._opener_process)
         if self._target_process is not None and self._target_process.is_alive:
-            late = max(clock.time, self._free_at[True]) + clock.chance.uniform(*LATE_END_S)
+            late = max(clock.time, self._free_at[True]) + clock.chance.uniform(*END_NOTICE_DELAY_S)
             end = functools.partial(self._target.handle_end, self)
             clock.schedule(when=late, callback=end, process=self._target_process)
 
--- a/ploverward/simulation/batch/test_command_line.py
+++ b/ploverward/simulation/batch/test_command_line.py
@@ -26,10 +26,10 @@
     seed, _finding = store_mutants.find(mutant)
     plan = plan_of(mutant, seed)
     monkeypatch.setattr(command_line.batch_run, "Plan", lambda seed: plan)
-    with store_mutants.planted(mutant):
+    with store_mutants.apply_mutant(mutant):
         drawn = batch_run.BatchRun(plan)
         assert drawn.play()
-        shorter = command_line.shortened(seed)
+        shorter = command_line.minimized_plan(seed)
         assert batch_run.BatchRun(shorter).play()
     assert 0 < len(shorter.skipped_faults) < drawn.faults.drawn
 
--- a/ploverward/simulation/model_checker/faults.py
+++ b/ploverward/simulation/model_checker/faults.py
@@ -35,7 +35,7 @@
         ballots.member_sets = real
 
 
-class ForgetfulAcceptor(acceptors.Acceptor):
+class IncarnationBlindAcceptor(acceptors.Acceptor):
     """Seeded bug: an accept is accepted whichever incarnation promised."""
 
     def accept(self, request: messages.Accept) -> acceptors.AcceptorResult:
--- a/ploverward/simulation/model_checker/invariants.py
+++ b/ploverward/simulation/model_checker/invariants.py
@@ -7,18 +7,20 @@
     """A rule is broken in this history."""
 
 
-def check_order(*, owner: str, revision: int, tags: tuple[str, ...], longest: tuple[str, ...]) -> None:
+def check_value_order(*, owner: str, revision: int, tags: tuple[str, ...], longest_chosen: tuple[str, ...]) -> None:
     """A value that `owner` knows as chosen extends, or is extended by, the longest one that was ever chosen."""
     if revision != len(tags):
         raise InvariantError(f"revision {revision} holds {tags}")
-    size = min(len(tags), len(longest))
-    if tags[:size] != longest[:size]:
-        raise InvariantError(f"{owner}: {tags} is chosen at revision {revision}, and so was {longest}")
+    size = min(len(tags), len(longest_chosen))
+    if tags[:size] != longest_chosen[:size]:
+        raise InvariantError(f"{owner}: {tags} is chosen at revision {revision}, and so was {longest_chosen}")
 
 
-def check_end(*, call: Call, tags: tuple[str, ...], begun_at: int) -> None:
-    """A call that ended saw all that was acknowledged before it began (`begun_at` revisions), and made its change."""
-    if len(tags) < begun_at:
-        raise InvariantError(f"{call.name} saw revision {len(tags)}; {begun_at} was acknowledged before it began")
+def check_call_end(*, call: Call, tags: tuple[str, ...], acknowledged_revision: int) -> None:
+    """A call that ended saw all that was acknowledged before it began (`acknowledged_revision` revisions), and made its change."""
+    if len(tags) < acknowledged_revision:
+        raise InvariantError(
+            f"{call.name} saw revision {len(tags)}; {acknowledged_revision} was acknowledged before it began"
+        )
     if call.kind != "read" and call.name not in tags:
         raise InvariantError(f"{call.name} was acknowledged without its change: {tags}")
--- a/ploverward/simulation/model_checker/live_objects.py
+++ b/ploverward/simulation/model_checker/live_objects.py
@@ -1,6 +1,6 @@
 """Copies live proposers, closures and all, and gives them a canonical form to be compared by.
 
-Timers are closures of the proposer: `is_stale` and `is_pause` look up their variables `proposal` and `number` by name.
+Timers are closures of the proposer: `is_stale_timer` and `is_backoff_timer` look up their variables `proposal` and `number` by name.
 """
 
 import collections
@@ -125,7 +125,7 @@
     )
 
 
-def is_stale(action: object) -> bool:
+def is_stale_timer(action: object) -> bool:
     """Whether a timer does nothing, as its attempt is over."""
     cells = _cells(action)
     proposal = cells.get("proposal")
@@ -134,7 +134,7 @@
     return proposal.stage is Stage.FINISHED or proposal.number != cells.get("number", proposal.number)
 
 
-def is_pause(action: object) -> bool:
+def is_backoff_timer(action: object) -> bool:
     """Whether a timer is the backoff before a further attempt.
 
     It is left out of the search: requests may be delayed as long, so it adds no history.
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -19,19 +19,19 @@
 from ploverward.simulation.model_checker.outside import Edit
 from ploverward.simulation.model_checker.outside import Event
 from ploverward.simulation.model_checker.outside import Failed
-from ploverward.simulation.model_checker.product import NOBODY
-from ploverward.simulation.model_checker.product import OVER
+from ploverward.simulation.model_checker.product import CALL_ENDED
+from ploverward.simulation.model_checker.product import NO_PROPOSER
 from ploverward.simulation.model_checker.product import REGISTER
 from ploverward.simulation.model_checker.product import Answer
 from ploverward.simulation.model_checker.product import Item
 from ploverward.simulation.model_checker.product import Reply
 from ploverward.simulation.model_checker.product import Request
 from ploverward.simulation.model_checker.product import acceptor_form
-from ploverward.simulation.model_checker.product import hand_answer
+from ploverward.simulation.model_checker.product import deliver_answer
 from ploverward.simulation.model_checker.product import learn_accepted
 from ploverward.simulation.model_checker.product import learn_chosen
 from ploverward.simulation.model_checker.product import make_catch_up
-from ploverward.simulation.model_checker.product import set_of
+from ploverward.simulation.model_checker.product import members_of
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.start import first_state
 from ploverward.simulation.model_checker.state import Attempt
@@ -41,7 +41,7 @@
 from ploverward.simulation.model_checker.writers import Writers
 from ploverward.transport import messages
 
-NONE_LEFT = -1  # attempts of a proposer that does nothing any more
+NO_ATTEMPTS_LEFT = -1  # attempts of a proposer that does nothing any more
 
 
 class Step(typing.NamedTuple):
@@ -75,7 +75,7 @@
         for writer in self.scenario.writers:
             for call in writer.calls:
                 if call.is_first:
-                    self._begin(state, call.name)
+                    self._begin_call(state, call.name)
         self.prune(state)
         return state
 
@@ -92,20 +92,23 @@
             item = self._items[number]
             yield Step(("deliver", *item), functools.partial(self.deliver_once, number=number))
             if state.budget["repeat"]:
-                yield Step(("repeat", *item), functools.partial(self._repeat, item=item))
+                yield Step(("repeat", *item), functools.partial(self._deliver_duplicate, item=item))
 
     def _writer_steps(self, state: State) -> Steps:
         for name, writer in state.writers.items():
-            if state.left[name] <= 0:
+            if state.attempts_left[name] <= 0:
                 continue
-            for slot in range(len(writer.live.timers)):
-                yield Step(("timer", name, slot), functools.partial(self._fire, name=name, slot=slot))
+            for timer_index in range(len(writer.live.timers)):
+                yield Step(
+                    ("timer", name, timer_index),
+                    functools.partial(self._fire_timer, name=name, timer_index=timer_index),
+                )
         for call in self.writers.calls:
-            if call not in state.begun:
-                yield Step(("begin", call), functools.partial(self._begin, call_name=call))
+            if call not in state.begin_revisions:
+                yield Step(("begin", call), functools.partial(self._begin_call, call_name=call))
         for name in self.scenario.learning_proposers:
             known = state.writers[name].live.proposer.known_sets.members_by_register.get(REGISTER)
-            if known != set_of(state.latest_chosen):
+            if known != members_of(state.latest_chosen):
                 yield Step(("told", name), functools.partial(self._notify_chosen, name=name))
 
     def _failure_steps(self, state: State) -> Steps:
@@ -117,12 +120,14 @@
                 yield Step(("process restarts", name), functools.partial(self._restart, name=name))
 
     def _disk_steps(self, state: State) -> Steps:
-        for own, catch_up in state.gathered.items():
+        for own, catch_up in state.catch_ups.items():
             for other in state.nodes:
-                if other not in state.gathered and other not in catch_up.live.replies:
-                    yield Step(("refill", own, other), functools.partial(self._gather, own=own, other=other))
-        for name in state.waits:
-            yield Step(("safe on disk", name), functools.partial(self._flush, name=name))
+                if other not in state.catch_ups and other not in catch_up.live.replies:
+                    yield Step(
+                        ("refill", own, other), functools.partial(self._deliver_catch_up_reply, own=own, other=other)
+                    )
+        for name in state.pending_answers:
+            yield Step(("safe on disk", name), functools.partial(self._sync_disk, name=name))
             if state.budget["crash"]:
                 yield Step(("crash before safe", name), functools.partial(self._crash, name=name))
 
@@ -132,18 +137,18 @@
         played = self.writers.act(state, name, step, action)
         state.writers[name] = played.component
         self._handle_sent(state, name, played.sent)
-        if state.left[name] < 0:
+        if state.attempts_left[name] < 0:
             self._retire_writer(state, name)
         for event in played.events:
             self._handle_event(state, name, event)
         calls = self.writers.by_name[name].calls
-        if played.events and all(state.begun.get(call.name) == OVER for call in calls):
+        if played.events and all(state.begin_revisions.get(call.name) == CALL_ENDED for call in calls):
             self._retire_writer(state, name)
 
     def _retire_writer(self, state: State, name: str) -> None:
         """A writer without attempts left does nothing more: what it knows no longer makes states differ."""
-        state.left[name] = NONE_LEFT
-        state.latest[name] = Attempt(number=-1, ballot=None)
+        state.attempts_left[name] = NO_ATTEMPTS_LEFT
+        state.latest_attempts[name] = Attempt(number=-1, ballot=None)
         state.writers[name] = self.writers.retired(state.writers[name])
 
     def _number_item(self, item: Item) -> int:
@@ -155,20 +160,20 @@
     def _handle_sent(self, state: State, name: str, sent: tuple[tuple[str, Request], ...]) -> None:
         pool = set(state.pool)
         for member, message in sent:
-            ballot = state.latest[name].ballot
+            ballot = state.latest_attempts[name].ballot
             if isinstance(message, messages.Prepare) and message.ballot != ballot:
                 # A new attempt. Without attempts left the writer sends nothing from here on.
-                state.left[name] -= 1
+                state.attempts_left[name] -= 1
                 ballot = message.ballot
-            state.latest[name] = Attempt(number=message.number, ballot=ballot)
-            if state.left[name] >= 0 and member in state.nodes:
+            state.latest_attempts[name] = Attempt(number=message.number, ballot=ballot)
+            if state.attempts_left[name] >= 0 and member in state.nodes:
                 pool.add(self._number_item(Item(name, member, message)))
         state.pool = frozenset(pool)
 
-    def _begin(self, state: State, call_name: str) -> None:
+    def _begin_call(self, state: State, call_name: str) -> None:
         name, call = self.writers.calls[call_name]
-        state.begun.setdefault(call_name, len(state.longest))
-        state.left[name] += call.attempts
+        state.begin_revisions.setdefault(call_name, len(state.longest_chosen))
+        state.attempts_left[name] += call.attempts
         done = CallEnd(port=self.writers.ports[name], call=call_name)
 
         def action(proposer: Proposer, _timers: list[TimerAction]) -> None:
@@ -182,21 +187,23 @@
 
     def _handle_event(self, state: State, name: str, event: Event) -> None:
         if isinstance(event, Failed):
-            state.begun[event.call] = OVER
+            state.begin_revisions[event.call] = CALL_ENDED
             return
         tags = event.tags
-        invariants.check_order(owner=name, revision=event.revision, tags=tags, longest=state.longest)
+        invariants.check_value_order(
+            owner=name, revision=event.revision, tags=tags, longest_chosen=state.longest_chosen
+        )
         if isinstance(event, Done):
             call = self.writers.calls[event.call][1]
-            invariants.check_end(call=call, tags=tags, begun_at=state.begun[event.call])
-            state.begun[event.call] = OVER
-        if len(tags) > len(state.longest):
-            state.longest = tags
+            invariants.check_call_end(call=call, tags=tags, acknowledged_revision=state.begin_revisions[event.call])
+            state.begin_revisions[event.call] = CALL_ENDED
+        if len(tags) > len(state.longest_chosen):
+            state.longest_chosen = tags
             if isinstance(event, Chosen):
                 state.latest_chosen = event.value
 
-    def _fire(self, state: State, name: str, slot: int) -> None:
-        self._act(state, name, ("timer", slot), lambda _proposer, timers: timers.pop(slot)())
+    def _fire_timer(self, state: State, name: str, timer_index: int) -> None:
+        self._act(state, name, ("timer", timer_index), lambda _proposer, timers: timers.pop(timer_index)())
 
     def _notify_chosen(self, state: State, name: str) -> None:
         value = state.latest_chosen
@@ -207,26 +214,26 @@
         state.budget["restart"] -= 1
         writer = self.writers.by_name[name]
         proposer = self.writers.make_proposer(writer, own=f"{name}2")
-        stored = state.nodes[writer.home].live.safe.get(REGISTER)
+        stored = state.nodes[writer.home].live.durable.get(REGISTER)
         proposer.note_ballot_number(name=REGISTER, number=stored.promised.number)
         if stored.value:
             learn_accepted(proposer, stored.value)
         state.writers[name] = self.writers.component(proposer, [])
-        state.left[name] = 0
-        state.latest[name] = Attempt(number=-1, ballot=None)
-        state.pool = frozenset(self._after_end(state.pool, name))
+        state.attempts_left[name] = 0
+        state.latest_attempts[name] = Attempt(number=-1, ballot=None)
+        state.pool = frozenset(self._items_after_restart(state.pool, name))
         for call in writer.calls:
-            if state.begun.get(call.name, OVER) != OVER:
-                self._begin(state, call.name)
+            if state.begin_revisions.get(call.name, CALL_ENDED) != CALL_ENDED:
+                self._begin_call(state, call.name)
 
-    def _after_end(self, pool: frozenset[int], name: str) -> collections.abc.Iterator[int]:
+    def _items_after_restart(self, pool: frozenset[int], name: str) -> collections.abc.Iterator[int]:
         """Accepts may still arrive when their proposer ends; answers to it, and all else, end with its connections."""
         for number in pool:
             item = self._items[number]
             if item.proposer != name:
                 yield number
             elif isinstance(item.message, messages.Accept):
-                yield self._number_item(item._replace(proposer=NOBODY))
+                yield self._number_item(item._replace(proposer=NO_PROPOSER))
 
     # Steps of nodes and their disks.
     def deliver_once(self, state: State, number: int) -> None:
@@ -234,7 +241,7 @@
         state.pool = state.pool - {number}
         self._deliver(state, self._items[number])
 
-    def _repeat(self, state: State, item: Item) -> None:
+    def _deliver_duplicate(self, state: State, item: Item) -> None:
         state.budget["repeat"] -= 1
         self._deliver(state, item)
 
@@ -250,17 +257,17 @@
 
     def _deliver_to_slow_disk(self, state: State, name: str, member: str, message: Request) -> None:
         """An answer waits until all that the node knows is on its disk; a quorum read is answered from the disk."""
-        current, safe = state.nodes[member].live
+        current, durable = state.nodes[member].live
         if isinstance(message, messages.QuorumRead):
-            source = current if self.scenario.is_quorum_read_early else safe
+            source = current if self.scenario.is_quorum_read_early else durable
             self._send_answer(state, name, member, source.quorum_read(message))
             return
         acceptor, answer = self._nodes.apply(current, message)
-        if current is safe and acceptor_form(acceptor) == acceptor_form(current):
+        if current is durable and acceptor_form(acceptor) == acceptor_form(current):
             self._send_answer(state, name, member, answer)
             return
-        state.nodes[member] = self._nodes.node(acceptor, safe)
-        state.waits[member] = (*state.waits.get(member, ()), (name, answer))
+        state.nodes[member] = self._nodes.node(acceptor, durable)
+        state.pending_answers[member] = (*state.pending_answers.get(member, ()), (name, answer))
 
     def _send_answer(self, state: State, name: str, member: str, answer: Answer) -> None:
         if self.scenario.is_split:
@@ -269,45 +276,45 @@
             self._answer(state, name, member, answer)
 
     def _answer(self, state: State, name: str, member: str, answer: Answer) -> None:
-        if state.left.get(name, NONE_LEFT) >= 0 and answer.number == state.latest[name].number:
+        if state.attempts_left.get(name, NO_ATTEMPTS_LEFT) >= 0 and answer.number == state.latest_attempts[name].number:
             step = ("answer", member, answer)
-            self._act(state, name, step, lambda proposer, _timers: hand_answer(proposer, member, answer))
+            self._act(state, name, step, lambda proposer, _timers: deliver_answer(proposer, member, answer))
 
-    def _flush(self, state: State, name: str) -> None:
+    def _sync_disk(self, state: State, name: str) -> None:
         state.nodes[name] = self._nodes.node(state.nodes[name].live.current)
-        for proposer, answer in state.waits.pop(name):
+        for proposer, answer in state.pending_answers.pop(name):
             self._send_answer(state, proposer, name, answer)
 
     def _crash(self, state: State, name: str) -> None:
         state.budget["crash"] -= 1
-        state.nodes[name] = self._nodes.node(state.nodes[name].live.safe)
-        state.waits.pop(name, None)
+        state.nodes[name] = self._nodes.node(state.nodes[name].live.durable)
+        state.pending_answers.pop(name, None)
 
     def _wipe(self, state: State, name: str) -> None:
         state.budget["wipe"] -= 1
         state.nodes[name] = self._nodes.node(self._nodes.make_acceptor(""))
-        state.waits.pop(name, None)
+        state.pending_answers.pop(name, None)
         catch_up = make_catch_up(own=name, kind=self.scenario.catch_up)
-        state.gathered[name] = self._nodes.catch_up_component(catch_up)
+        state.catch_ups[name] = self._nodes.catch_up_component(catch_up)
 
-    def _gather(self, state: State, own: str, other: str) -> None:
+    def _deliver_catch_up_reply(self, state: State, own: str, other: str) -> None:
         """An emptied node receives one more answer, and votes again once its catch-up is done."""
-        gathered = self._nodes.gather(state.gathered[own], state.nodes[other], own, other)
-        state.nodes[other] = gathered.source
-        if gathered.node is None:
-            state.gathered[own] = gathered.catch_up
+        result = self._nodes.apply_catch_up_reply(state.catch_ups[own], state.nodes[other], own, other)
+        state.nodes[other] = result.source
+        if result.node is None:
+            state.catch_ups[own] = result.catch_up
         else:
-            state.nodes[own] = gathered.node
-            del state.gathered[own]
+            state.nodes[own] = result.node
+            del state.catch_ups[own]
 
     # What is left out.
     def prune(self, state: State) -> None:
         """Drops what can only be rejected (see the head of this package)."""
-        state.pool = frozenset([number for number in state.pool if self._matters(state, number)])
+        state.pool = frozenset([number for number in state.pool if self._can_have_effect(state, number)])
 
-    def _matters(self, state: State, number: int) -> bool:
+    def _can_have_effect(self, state: State, number: int) -> bool:
         name, member, message = self._items[number]
         inner = message.message if isinstance(message, Reply) else message
-        if state.left.get(name, NONE_LEFT) >= 0 and inner.number == state.latest[name].number:
+        if state.attempts_left.get(name, NO_ATTEMPTS_LEFT) >= 0 and inner.number == state.latest_attempts[name].number:
             return True
         return isinstance(message, messages.Accept) and self._nodes.would_accept(state.nodes[member], message)
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -7,7 +7,7 @@
 
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.simulation.model_checker import search
-from ploverward.simulation.model_checker.faults import ForgetfulAcceptor
+from ploverward.simulation.model_checker.faults import IncarnationBlindAcceptor
 from ploverward.simulation.model_checker.faults import majority_check_skipped
 from ploverward.simulation.model_checker.faults import previous_set_skipped
 from ploverward.simulation.model_checker.moves import TransitionSystem
@@ -22,7 +22,7 @@
 from ploverward.simulation.model_checker.scenarios import half_moved
 from ploverward.simulation.model_checker.scenarios import move_of
 from ploverward.simulation.model_checker.scenarios import moved
-from ploverward.simulation.model_checker.scenarios import onward
+from ploverward.simulation.model_checker.scenarios import second_move
 from ploverward.simulation.model_checker.scenarios import slow_disk
 from ploverward.simulation.model_checker.scenarios import write_by
 from ploverward.simulation.model_checker.search import Outcome
@@ -56,7 +56,9 @@
             mutations=functools.partial(majority_check_skipped, SWAPPED),
         ),
         Mutant(
-            scenario=onward(name="the set before is not added", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
+            scenario=second_move(
+                name="the set before is not added", writers=(write_by("Q"), write_by("R", known=SWAPPED))
+            ),
             mutations=previous_set_skipped,
         ),
         Mutant(
@@ -69,7 +71,7 @@
         ),
         Mutant(
             scenario=dataclasses.replace(emptied, name="accept under another incarnation than promised"),
-            acceptor_type=ForgetfulAcceptor,
+            acceptor_type=IncarnationBlindAcceptor,
         ),
         Mutant(scenario=dataclasses.replace(emptied, name="refill from one node", catch_up="single")),
         Mutant(scenario=dataclasses.replace(emptied, name="refill without a fence", catch_up="plain")),
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -26,7 +26,7 @@
 Node = StateComponent[NodeState]
 
 
-class Gathered(typing.NamedTuple):
+class CatchUpResult(typing.NamedTuple):
     """What comes of one more answer to a catch-up."""
 
     source: Node  # the node that answered; it may have promised a fence
@@ -46,22 +46,26 @@
         self.scenario = scenario
         self._acceptor_type = acceptor_type
         self._ids: dict[collections.abc.Hashable, int] = {}  # canonical form of a node or catch-up: its number
-        self._gathered: dict[tuple, Gathered] = {}  # by the keys of catch-up and answering node, and their names
+        self._catch_up_results: dict[
+            tuple, CatchUpResult
+        ] = {}  # by the keys of catch-up and answering node, and their names
         self._accepts: dict[tuple, bool] = {}  # (node, accept): whether the node would accept it
         self._answers: dict[tuple, tuple[Node, Answer]] = {}  # (node, request): the node after it, and its answer
 
     def _intern(self, form_of_node: collections.abc.Hashable) -> int:
         return self._ids.setdefault(form_of_node, len(self._ids))
 
-    def node(self, current: Acceptor, safe: Acceptor | None = None) -> Node:
+    def node(self, current: Acceptor, durable: Acceptor | None = None) -> Node:
         """A node.
 
         Args:
             current: what it knows.
-            safe: what its disk holds where that is older.
+            durable: what its disk holds where that is older.
         """
-        safe = safe or current
-        return StateComponent(NodeState(current, safe), self._intern((acceptor_form(current), acceptor_form(safe))))
+        durable = durable or current
+        return StateComponent(
+            NodeState(current, durable), self._intern((acceptor_form(current), acceptor_form(durable)))
+        )
 
     def make_acceptor(self, incarnation: str) -> Acceptor:
         """An acceptor with nothing promised or accepted; a learner with an empty incarnation."""
@@ -75,11 +79,11 @@
 
     def answer(self, node: Node, message: Request) -> tuple[Node, Answer]:
         """The node after a request, all of it safe on its disk, and its answer."""
-        slot = (node.key, message)
-        if slot not in self._answers:
+        cache_key = (node.key, message)
+        if cache_key not in self._answers:
             acceptor, answer = self.apply(node.live.current, message)
-            self._answers[slot] = (self.node(acceptor), answer)
-        return self._answers[slot]
+            self._answers[cache_key] = (self.node(acceptor), answer)
+        return self._answers[cache_key]
 
     def apply(self, current: Acceptor, message: Request) -> tuple[Acceptor, Answer]:
         """The acceptor after a request, in memory only, and its answer."""
@@ -93,7 +97,9 @@
             answer = acceptor.quorum_read(message)
         return acceptor, answer
 
-    def gather(self, catch_up: StateComponent[LearnerCatchUp], source: Node, own: str, other: str) -> Gathered:
+    def apply_catch_up_reply(
+        self, catch_up: StateComponent[LearnerCatchUp], source: Node, own: str, other: str
+    ) -> CatchUpResult:
         """What comes of one more answer to a catch-up.
 
         Args:
@@ -102,22 +108,24 @@
             own: name of the emptied node.
             other: name of the node that answers.
         """
-        slot = (catch_up.key, source.key, own, other)
-        if slot not in self._gathered:
-            self._gathered[slot] = self._gather(catch_up, source, own, other)
-        return self._gathered[slot]
-
-    def _gather(self, old: StateComponent[LearnerCatchUp], source: Node, own: str, other: str) -> Gathered:
+        cache_key = (catch_up.key, source.key, own, other)
+        if cache_key not in self._catch_up_results:
+            self._catch_up_results[cache_key] = self._apply_catch_up_reply(catch_up, source, own, other)
+        return self._catch_up_results[cache_key]
+
+    def _apply_catch_up_reply(
+        self, old: StateComponent[LearnerCatchUp], source: Node, own: str, other: str
+    ) -> CatchUpResult:
         catch_up = clone(old.live, {})
         request = catch_up.request()
         answering = self.copy_acceptor(source.live.current)
         rows = answer_catch_up(answering, request)
         catch_up.handle(member=other, number=request.number, first_set=self.scenario.members, rows=rows)
         if catch_up.stage is not Stage.DONE:
-            return Gathered(source=self.node(answering), node=None, catch_up=self.catch_up_component(catch_up))
+            return CatchUpResult(source=self.node(answering), node=None, catch_up=self.catch_up_component(catch_up))
         acceptor = self.make_acceptor("")
         acceptor.catch_up(incarnation=f"{own}2", states=tuple(catch_up.replies.values()))
-        return Gathered(source=self.node(answering), node=self.node(acceptor), catch_up=old)
+        return CatchUpResult(source=self.node(answering), node=self.node(acceptor), catch_up=old)
 
     def catch_up_component(self, catch_up: LearnerCatchUp) -> StateComponent[LearnerCatchUp]:
         """A catch-up with the number of its form."""
@@ -125,10 +133,12 @@
 
     def would_accept(self, node: Node, message: messages.Accept) -> bool:
         """Whether the node would accept this, and has not accepted it already."""
-        slot = (node.key, message)
-        if slot not in self._accepts:
+        cache_key = (node.key, message)
+        if cache_key not in self._accepts:
             current = node.live.current
             is_promiser = current.incarnation == message.incarnation or self._acceptor_type is not Acceptor
             state = current.get(REGISTER)
-            self._accepts[slot] = is_promiser and message.ballot >= state.promised and message.ballot != state.accepted
-        return self._accepts[slot]
+            self._accepts[cache_key] = (
+                is_promiser and message.ballot >= state.promised and message.ballot != state.accepted
+            )
+        return self._accepts[cache_key]
--- a/ploverward/simulation/model_checker/product.py
+++ b/ploverward/simulation/model_checker/product.py
@@ -18,8 +18,8 @@
 REGISTER = "r"
 FIRST_TAG = "v"
 FIRST_BALLOT = Ballot(1, "first")
-NOBODY = ""  # in place of a proposer that no longer runs
-OVER = -1  # in place of the revision at which a call began
+NO_PROPOSER = ""  # in place of a proposer that no longer runs
+CALL_ENDED = -1  # in place of the revision at which a call began
 
 # Of a proposer, in seconds. The clock of a port stands still, so only their being positive matters.
 LIMIT_S = 1.0
@@ -55,7 +55,7 @@
     return tuple(ballots.unpack(value)[1])
 
 
-def set_of(value: bytes) -> tuple[str, ...]:
+def members_of(value: bytes) -> tuple[str, ...]:
     """The set that a value stands under."""
     return ballots.unpack(value)[0]
 
@@ -91,7 +91,7 @@
     return acceptor.rows()
 
 
-def hand_answer(proposer: Proposer, member: str, answer: Answer) -> None:
+def deliver_answer(proposer: Proposer, member: str, answer: Answer) -> None:
     """Gives an acceptor's answer to the method for its kind."""
     if isinstance(answer, messages.Promise):
         proposer.handle_promise(member, answer)
--- a/ploverward/simulation/model_checker/scenario.py
+++ b/ploverward/simulation/model_checker/scenario.py
@@ -58,7 +58,7 @@
         members: the set of the value.
         tags: what the value consists of.
         previous: the set before the move that the value began; () where it began none.
-        is_safe: whether it is on the disk; otherwise in memory only.
+        is_durable: whether it is on the disk; otherwise in memory only.
     """
 
     node: str
@@ -66,7 +66,7 @@
     members: MemberSet
     tags: tuple[str, ...]
     previous: MemberSet = ()
-    is_safe: bool = True
+    is_durable: bool = True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/ploverward/simulation/model_checker/scenarios.py
+++ b/ploverward/simulation/model_checker/scenarios.py
@@ -105,7 +105,7 @@
     )
 
 
-def onward(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
+def second_move(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
     """The swap to BCD was chosen at A, B and D; a second one, to CDE, was accepted at C only."""
     rows = accepted(nodes="ABD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     rows += accepted(nodes="C", ballot=(3, "N"), members=("C", "D", "E"), tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
@@ -149,7 +149,7 @@
             writers=(write_by("Q", attempts=2), write_by("R", known=SWAPPED)),
             back="A",
         ),
-        onward(name="two moves, one knows neither", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
+        second_move(name="two moves, one knows neither", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
         Scenario(name="one disk emptied", members=OLD, nodes=OLD, writers=(write_by("P"), write_by("R")), wipes=("A",)),
         Scenario(
             name="values left out of answers",
@@ -164,7 +164,7 @@
 def slow_disk(*, name: str, is_quorum_read_early: bool = False) -> Scenario:
     """P's value is accepted at A; B has it under way. One does a quorum read, another writes, B may lose its memory."""
     rows = accepted(nodes="AB", ballot=(2, "P"), members=OLD, tags=(FIRST_TAG, "p"))
-    rows = (rows[0], dataclasses.replace(rows[1], is_safe=False))
+    rows = (rows[0], dataclasses.replace(rows[1], is_durable=False))
     return Scenario(
         name=name,
         members=OLD,
@@ -213,7 +213,7 @@
             writers=(write_by("Q", attempts=3), write_by("R", known=SWAPPED)),
             back="A",
         ),
-        onward(
+        second_move(
             name="two moves, one knows neither, two attempts",
             writers=(write_by("Q", attempts=2), write_by("R", known=SWAPPED)),
         ),
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -9,7 +9,7 @@
 from ploverward.common.identifiers import Ballot
 from ploverward.simulation.model_checker.invariants import InvariantError
 from ploverward.simulation.model_checker.moves import TransitionSystem
-from ploverward.simulation.model_checker.product import set_of
+from ploverward.simulation.model_checker.product import members_of
 from ploverward.simulation.model_checker.product import tags_of
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.state import State
@@ -99,7 +99,7 @@
 
     def describe(part: object) -> object:
         if isinstance(part, bytes):
-            return f"{''.join(set_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
+            return f"{''.join(members_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
         if not isinstance(part, tuple):
             return part
         name = () if type(part) in (tuple, Ballot) else (type(part).__name__,)
--- a/ploverward/simulation/model_checker/start.py
+++ b/ploverward/simulation/model_checker/start.py
@@ -19,10 +19,10 @@
         nodes={},
         writers={},
         pool=frozenset(),
-        begun={},
-        latest={},
-        left={},
-        longest=scenario.chosen,
+        begin_revisions={},
+        latest_attempts={},
+        attempts_left={},
+        longest_chosen=scenario.chosen,
         latest_chosen=make_value(members=scenario.chosen_set or scenario.members, tags=scenario.chosen),
         budget={
             "wipe": int(bool(scenario.wipes)),
@@ -30,8 +30,8 @@
             "repeat": scenario.repeats,
             "crash": int(bool(scenario.crashes)),
         },
-        gathered={},
-        waits={},
+        catch_ups={},
+        pending_answers={},
     )
     _add_nodes(state, scenario, nodes)
     _add_rows(state, scenario, nodes)
@@ -51,19 +51,19 @@
 
 def _add_rows(state: State, scenario: Scenario, nodes: Nodes) -> None:
     for row in scenario.rows:
-        safe = state.nodes[row.node].live.safe
-        acceptor = nodes.copy_acceptor(safe)
+        durable = state.nodes[row.node].live.durable
+        acceptor = nodes.copy_acceptor(durable)
         value = make_value(members=row.members, tags=row.tags, previous=row.previous)
         acceptor.states[REGISTER] = RegisterState(row.ballot, row.ballot, len(row.tags), value)
-        state.nodes[row.node] = nodes.node(acceptor, None if row.is_safe else safe)
-        if not row.is_safe:
-            state.waits[row.node] = ()
+        state.nodes[row.node] = nodes.node(acceptor, None if row.is_durable else durable)
+        if not row.is_durable:
+            state.pending_answers[row.node] = ()
 
 
 def _add_learners(state: State, scenario: Scenario, nodes: Nodes) -> None:
     for name in scenario.learners:
         state.nodes[name] = nodes.node(nodes.make_acceptor(""))
-        state.gathered[name] = nodes.catch_up_component(make_catch_up(own=name, kind=scenario.catch_up))
+        state.catch_ups[name] = nodes.catch_up_component(make_catch_up(own=name, kind=scenario.catch_up))
 
 
 def _add_writers(state: State, scenario: Scenario, writers: Writers) -> None:
@@ -74,5 +74,5 @@
         if writer.known:
             proposer.known_sets.members_by_register[REGISTER] = writer.known
         state.writers[writer.name] = writers.component(proposer, [])
-        state.left[writer.name] = 0
-        state.latest[writer.name] = Attempt(number=0, ballot=None)
+        state.attempts_left[writer.name] = 0
+        state.latest_attempts[writer.name] = Attempt(number=0, ballot=None)
--- a/ploverward/simulation/model_checker/state.py
+++ b/ploverward/simulation/model_checker/state.py
@@ -18,7 +18,7 @@
     """A node: its acceptor, and the one that its disk holds, which may be older."""
 
     current: Acceptor
-    safe: Acceptor
+    durable: Acceptor
 
 
 class ProposerState(typing.NamedTuple):
@@ -53,27 +53,27 @@
         nodes: by name.
         writers: proposers, by name.
         pool: numbers of the requests, and of the answers where they are apart, that may still arrive.
-        begun: call to the revision that was acknowledged when it began; `OVER` once it has ended.
-        latest: the newest attempt of each proposer.
-        left: how many attempts each proposer has left; negative: it does nothing any more.
-        longest: the tags of the longest chosen value.
+        begin_revisions: call to the revision that was acknowledged when it began; `CALL_ENDED` once it has ended.
+        latest_attempts: the newest attempt of each proposer.
+        attempts_left: how many attempts each proposer has left; negative: it does nothing any more.
+        longest_chosen: the tags of the longest chosen value.
         latest_chosen: the newest value that a proposer reported as chosen.
         budget: how often each kind of failure may still happen.
-        gathered: the catch-ups of emptied nodes.
-        waits: answers that wait for the disk of their node, as (proposer, answer).
+        catch_ups: the catch-ups of emptied nodes.
+        pending_answers: answers that wait for the disk of their node, as (proposer, answer).
     """
 
     nodes: dict[str, StateComponent[NodeState]]
     writers: dict[str, StateComponent[ProposerState]]
     pool: frozenset[int]
-    begun: dict[str, int]
-    latest: dict[str, Attempt]
-    left: dict[str, int]
-    longest: tuple[str, ...]
+    begin_revisions: dict[str, int]
+    latest_attempts: dict[str, Attempt]
+    attempts_left: dict[str, int]
+    longest_chosen: tuple[str, ...]
     latest_chosen: bytes
     budget: dict[str, int]
-    gathered: dict[str, StateComponent[LearnerCatchUp]]
-    waits: dict[str, tuple[tuple[str, Answer], ...]]
+    catch_ups: dict[str, StateComponent[LearnerCatchUp]]
+    pending_answers: dict[str, tuple[tuple[str, Answer], ...]]
 
     def copy(self) -> "State":
         """A state that shares the components, so that a step on it leaves this one as it is."""
@@ -81,14 +81,14 @@
             nodes=dict(self.nodes),
             writers=dict(self.writers),
             pool=self.pool,
-            begun=dict(self.begun),
-            latest=dict(self.latest),
-            left=dict(self.left),
-            longest=self.longest,
+            begin_revisions=dict(self.begin_revisions),
+            latest_attempts=dict(self.latest_attempts),
+            attempts_left=dict(self.attempts_left),
+            longest_chosen=self.longest_chosen,
             latest_chosen=self.latest_chosen,
             budget=dict(self.budget),
-            gathered=dict(self.gathered),
-            waits=dict(self.waits),
+            catch_ups=dict(self.catch_ups),
+            pending_answers=dict(self.pending_answers),
         )
 
     def key(self) -> tuple:
@@ -99,13 +99,13 @@
         return (
             tuple([component.key for component in self.nodes.values()]),
             tuple([component.key for component in self.writers.values()]),
-            tuple(self.latest.values()),
-            tuple(self.left.values()),
+            tuple(self.latest_attempts.values()),
+            tuple(self.attempts_left.values()),
             tuple(self.budget.values()),
             self.pool,
-            self.longest,
+            self.longest_chosen,
             self.latest_chosen,
-            tuple(sorted(self.begun.items())),
-            tuple(sorted((name, component.key) for name, component in self.gathered.items())),
-            tuple(sorted(self.waits.items())),
+            tuple(sorted(self.begin_revisions.items())),
+            tuple(sorted((name, component.key) for name, component in self.catch_ups.items())),
+            tuple(sorted(self.pending_answers.items())),
         )
--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -10,8 +10,8 @@
 from ploverward.control_plane.consensus.proposer import Proposer
 from ploverward.simulation.model_checker.live_objects import canonical_form
 from ploverward.simulation.model_checker.live_objects import clone
-from ploverward.simulation.model_checker.live_objects import is_pause
-from ploverward.simulation.model_checker.live_objects import is_stale
+from ploverward.simulation.model_checker.live_objects import is_backoff_timer
+from ploverward.simulation.model_checker.live_objects import is_stale_timer
 from ploverward.simulation.model_checker.outside import Event
 from ploverward.simulation.model_checker.outside import Port
 from ploverward.simulation.model_checker.product import REGISTER
@@ -31,7 +31,7 @@
 ProposerAction = collections.abc.Callable[[Proposer, list[TimerAction]], object]
 
 
-class Played(typing.NamedTuple):
+class StepResult(typing.NamedTuple):
     """What comes of a step of a proposer."""
 
     component: StateComponent[ProposerState]
@@ -56,7 +56,7 @@
             call.name: (writer.name, call) for writer in scenario.writers for call in writer.calls
         }
         self._ids: dict[collections.abc.Hashable, int] = {}  # canonical form of a proposer and its timers: its number
-        self._played: dict[tuple, Played] = {}  # by the key of the component and the step
+        self._step_results: dict[tuple, StepResult] = {}  # by the key of the component and the step
 
     def make_proposer(self, writer: Writer, *, own: str = "") -> Proposer:
         """A proposer that knows nothing yet.
@@ -74,7 +74,7 @@
 
     def component(self, proposer: Proposer, timers: list[TimerAction]) -> StateComponent[ProposerState]:
         """A proposer with those of its timers that may still do something."""
-        timers = [action for action in timers if not is_stale(action)]
+        timers = [action for action in timers if not is_stale_timer(action)]
         memo: dict[int, int] = {}
         proposer_form = (canonical_form(proposer, memo), canonical_form(timers, memo))
         return StateComponent(ProposerState(proposer, timers), self._ids.setdefault(proposer_form, len(self._ids)))
@@ -83,7 +83,7 @@
         """A proposer that does nothing any more; all of them compare equal."""
         return StateComponent(ProposerState(old.live.proposer, []), RETIRED_KEY)
 
-    def act(self, state: State, name: str, step: tuple, action: ProposerAction) -> Played:
+    def act(self, state: State, name: str, step: tuple, action: ProposerAction) -> StepResult:
         """What comes of a step of a proposer; the state stays as it is.
 
         Args:
@@ -94,24 +94,24 @@
         """
         port = self.ports[name]
         old = state.writers[name]
-        slot: tuple = (old.key, step)
+        cache_key: tuple = (old.key, step)
         writer = self.by_name[name]
         if writer.is_naming:
             home = state.nodes[writer.home]
-            port.state = home.live.safe.get(REGISTER)
-            slot = (*slot, home.key)
-        if slot not in self._played:
-            self._played[slot] = self._play(old, port, action)
-        return self._played[slot]
+            port.state = home.live.durable.get(REGISTER)
+            cache_key = (*cache_key, home.key)
+        if cache_key not in self._step_results:
+            self._step_results[cache_key] = self._run_step(old, port, action)
+        return self._step_results[cache_key]
 
-    def _play(self, old: StateComponent[ProposerState], port: Port, action: ProposerAction) -> Played:
+    def _run_step(self, old: StateComponent[ProposerState], port: Port, action: ProposerAction) -> StepResult:
         memo: dict[int, object] = {}
         proposer = clone(old.live.proposer, memo)
         timers = clone(old.live.timers, memo)
         action(proposer, timers)
         for _round in range(MAX_ROUNDS_OF_TIMERS):
-            due = [after for delay, after in port.timers if delay == 0 or is_pause(after)]
-            timers += [after for delay, after in port.timers if delay > 0 and not is_pause(after)]
+            due = [after for delay, after in port.timers if delay == 0 or is_backoff_timer(after)]
+            timers += [after for delay, after in port.timers if delay > 0 and not is_backoff_timer(after)]
             port.timers = []
             if not due:
                 break
@@ -119,4 +119,4 @@
                 after()
         sent, port.sent = tuple(port.sent), []
         events, port.events = tuple(port.events), []
-        return Played(component=self.component(proposer, timers), sent=sent, events=events)
+        return StepResult(component=self.component(proposer, timers), sent=sent, events=events)
