--- a/ploverward/simulation/model_checker/command_line.py
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -1,4 +1,4 @@
-"""The command: explores scenarios or mutants and prints what was found."""
+"""Command line of the model checker: explores scenarios or mutants and prints the findings."""
 
 import argparse
 import collections.abc
@@ -12,13 +12,13 @@
 from ploverward.simulation.model_checker.search import Outcome
 from ploverward.simulation.model_checker.search import explore
 
-# Most states of one scenario. All small ones have fewer; a large search ends within minutes.
+# Default limits on the states of one scenario. All small scenarios have fewer; a large search ends within minutes.
 SMALL_STATES = 100_000
 LARGE_STATES = 1_000_000
 
 
 def describe(outcome: Outcome) -> str:
-    """One line on a search."""
+    """Returns a one-line summary of a search."""
     how = "all" if outcome.is_exhaustive else "NOT ALL"
     how = "BROKEN" if outcome.finding is not None else how
     return f"{outcome.scenario}: {outcome.states} states in {outcome.seconds:.1f} s, {how}"
@@ -28,17 +28,18 @@
     """Explores the chosen scenarios.
 
     Args:
-        arguments: of the command; None for those of the process.
+        arguments: command-line arguments; None for those of the process.
 
     Returns:
-        The exit code: 1 where a rule was broken, or a seeded bug was not found.
+        The exit code: 1 if an invariant was violated or a seeded bug was not found.
     """
     parser = argparse.ArgumentParser(
-        prog="python3 -m ploverward.simulation.model_checker", description="Moves of the set, step by step."
+        prog="python3 -m ploverward.simulation.model_checker",
+        description="Checks moves of the core set in every order of steps.",
     )
     parser.add_argument("--budget", choices=("small", "large", "planted"), default="small")
-    parser.add_argument("--scenario", default="", help="only those whose name holds this text")
-    parser.add_argument("--states", type=int, default=0, help="most states of one scenario")
+    parser.add_argument("--scenario", default="", help="explore only scenarios whose name contains this text")
+    parser.add_argument("--states", type=int, default=0, help="maximum number of states per scenario")
     chosen = parser.parse_args(arguments)
     is_large = chosen.budget == "large"
     max_states = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
--- a/ploverward/simulation/model_checker/faults.py
+++ b/ploverward/simulation/model_checker/faults.py
@@ -1,4 +1,4 @@
-"""Seeded bugs that mutants put into the code for the time of a search."""
+"""Seeded bugs that mutants patch into the code for the duration of a search."""
 
 import collections.abc
 import contextlib
@@ -11,7 +11,7 @@
 
 @contextlib.contextmanager
 def majority_check_skipped(members: tuple[str, ...]) -> collections.abc.Iterator[None]:
-    """Seeded bug: nobody asks for a majority of this set."""
+    """Seeded bug: a majority of this set is never required."""
     real = ballots.has_majority
 
     def faulty(*, of: collections.abc.Collection[str], among: collections.abc.Container[str]) -> bool:
@@ -26,7 +26,7 @@
 
 @contextlib.contextmanager
 def previous_set_skipped() -> collections.abc.Iterator[None]:
-    """Seeded bug: of a value found, only its own set counts, not the one before it."""
+    """Seeded bug: for an accepted value, only its own set is considered, not the set before the move."""
     real = ballots.member_sets
     ballots.member_sets = lambda value: real(value)[-1:]
     try:
@@ -36,29 +36,29 @@
 
 
 class IncarnationBlindAcceptor(acceptors.Acceptor):
-    """Seeded bug: an accept is accepted whichever incarnation promised."""
+    """Seeded bug: accepts a value although another incarnation of the node made the promise."""
 
     def accept(self, request: messages.Accept) -> acceptors.AcceptorResult:
-        """Accepts as if this incarnation had promised."""
+        """Handles the request as if this incarnation had made the promise."""
         return super().accept(request._replace(incarnation=self.incarnation))
 
 
 class UnfencedCatchUp(catch_ups.LearnerCatchUp):
-    """Seeded bug: takes over the rows as they are answered, without a fence."""
+    """Seeded bug: adopts the rows of the first answers and skips the fence stage."""
 
     def _begin_fence_stage(self) -> None:
         self.stage = catch_ups.Stage.DONE
 
 
 class SingleNodeCatchUp(catch_ups.LearnerCatchUp):
-    """Seeded bug: one answer is enough."""
+    """Seeded bug: a single answer completes a stage."""
 
     def has_enough_replies(self) -> bool:
-        """Whether any node answered."""
+        """Returns whether any node answered."""
         return bool(self.replies)
 
 
-# Name in a scenario to the class.
+# Catch-up classes by the names that scenarios use.
 CATCH_UPS: dict[str, type[catch_ups.LearnerCatchUp]] = {
     "real": catch_ups.LearnerCatchUp,
     "plain": UnfencedCatchUp,
--- a/ploverward/simulation/model_checker/invariants.py
+++ b/ploverward/simulation/model_checker/invariants.py
@@ -1,14 +1,14 @@
-"""What must hold in every history: one order of values, and no call that misses what ended before it began."""
+"""Invariants of every history: values form one order, and a call sees all that was acknowledged before it began."""
 
 from ploverward.simulation.model_checker.scenario import Call
 
 
 class InvariantError(Exception):
-    """A rule is broken in this history."""
+    """Raised when a history violates an invariant."""
 
 
 def check_value_order(*, owner: str, revision: int, tags: tuple[str, ...], longest_chosen: tuple[str, ...]) -> None:
-    """A value that `owner` knows as chosen extends, or is extended by, the longest one that was ever chosen."""
+    """Checks that a value that `owner` knows as chosen is a prefix or an extension of the longest chosen one."""
     if revision != len(tags):
         raise InvariantError(f"revision {revision} holds {tags}")
     size = min(len(tags), len(longest_chosen))
@@ -17,7 +17,13 @@
 
 
 def check_call_end(*, call: Call, tags: tuple[str, ...], acknowledged_revision: int) -> None:
-    """A call that ended saw all that was acknowledged before it began (`acknowledged_revision` revisions), and made its change."""
+    """Checks that a finished call saw all changes acknowledged before it began, and made its own.
+
+    Args:
+        call: the call that ended.
+        tags: what the value that it returned consists of.
+        acknowledged_revision: the revision that was acknowledged when the call began.
+    """
     if len(tags) < acknowledged_revision:
         raise InvariantError(
             f"{call.name} saw revision {len(tags)}; {acknowledged_revision} was acknowledged before it began"
--- a/ploverward/simulation/model_checker/live_objects.py
+++ b/ploverward/simulation/model_checker/live_objects.py
@@ -1,6 +1,7 @@
-"""Copies live proposers, closures and all, and gives them a canonical form to be compared by.
+"""Copies live proposers together with their closures, and computes canonical forms to compare them by.
 
-Timers are closures of the proposer: `is_stale_timer` and `is_backoff_timer` look up their variables `proposal` and `number` by name.
+Timers are closures of the proposer: `is_stale_timer` and `is_backoff_timer` look up the closure variables `proposal`
+and `number` by name.
 """
 
 import collections
@@ -15,7 +16,7 @@
 
 
 class Immutable:
-    """Never copied; compared by name. Everything of the model checker that a proposer refers to."""
+    """Base of the model checker objects that a proposer refers to: never copied, and compared by name."""
 
     name = ""
 
@@ -33,11 +34,11 @@
 
 
 def clone(item: Item, memo: dict[int, object]) -> Item:
-    """A deep copy that also copies closures, with their cells bound to the copies.
+    """Returns a deep copy that includes closures, with their cells bound to the copies.
 
     Args:
-        item: what is copied. Classes, modules, functions without state, and whatever is `Immutable`, are shared.
-        memo: copies made so far, by the id of the original, so that what was shared is shared among the copies.
+        item: the original. Classes, modules, stateless functions and `Immutable` objects are shared, not copied.
+        memo: copies made so far, by the id of the original, so that references shared in the original stay shared.
     """
     return typing.cast(Item, _clone(item, memo))
 
@@ -55,7 +56,7 @@
     if known is not None:
         return known
     if isinstance(item, tuple | frozenset):
-        make = getattr(type(item), "_make", type(item))  # named tuples take their fields one by one
+        make = getattr(type(item), "_make", type(item))  # a named tuple takes its fields as separate arguments
         return make([_clone(part, memo) for part in item])
     if isinstance(item, set):
         return set(item)
@@ -71,7 +72,7 @@
 
 
 def _clone_mutable(item: object, memo: dict[int, object]) -> object:
-    """The copy is noted before what it contains is copied, as that may refer back to it."""
+    """Copies a mutable object; enters the copy in the memo before its contents, which may refer back to it."""
     if isinstance(item, dict):
         mapping = memo[id(item)] = type(item)()
         for key, part in item.items():
@@ -88,11 +89,11 @@
 
 
 def canonical_form(item: object, memo: dict[int, int]) -> collections.abc.Hashable:
-    """A hashable canonical form.
+    """Returns a hashable canonical form, equal for objects that behave alike.
 
     Args:
-        item: what is compared.
-        memo: numbers of the objects met so far, by their id; an object met again is given by its number.
+        item: the object.
+        memo: numbers of the objects visited so far, by id; a repeated object is represented by its number.
     """
     if item is None or isinstance(item, str | bytes | int | float | enum.Enum):
         return item
@@ -126,7 +127,7 @@
 
 
 def is_stale_timer(action: object) -> bool:
-    """Whether a timer does nothing, as its attempt is over."""
+    """Returns whether a timer has no effect because its attempt is over."""
     cells = _cells(action)
     proposal = cells.get("proposal")
     if proposal is None:
@@ -135,9 +136,9 @@
 
 
 def is_backoff_timer(action: object) -> bool:
-    """Whether a timer is the backoff before a further attempt.
+    """Returns whether a timer is the backoff before a further attempt.
 
-    It is left out of the search: requests may be delayed as long, so it adds no history.
+    The search runs it at once: requests may be delayed for as long as the backoff, so waiting adds no history.
     """
     proposal = _cells(action).get("proposal")
     return proposal is not None and proposal.stage is Stage.BACKOFF
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -41,25 +41,25 @@
 from ploverward.simulation.model_checker.writers import Writers
 from ploverward.transport import messages
 
-NO_ATTEMPTS_LEFT = -1  # attempts of a proposer that does nothing any more
+NO_ATTEMPTS_LEFT = -1  # attempts of a retired proposer
 
 
 class Step(typing.NamedTuple):
-    """One thing that may happen."""
+    """One possible transition."""
 
-    label: tuple  # for the history that is printed
-    take: collections.abc.Callable[[State], None]  # changes a copy of the state
+    label: tuple  # printed in the history
+    take: collections.abc.Callable[[State], None]  # called with a copy of the state, which it changes
 
 
 Steps = collections.abc.Iterator[Step]
 
 
 class TransitionSystem:
-    """All steps that may follow a state of one scenario. A step changes a copy of the state.
+    """Generates the transitions from each state of one scenario. A step changes a copy of the state.
 
     Args:
-        scenario: what is explored.
-        acceptor_type: the class of all acceptors; another one than `Acceptor` is a seeded bug.
+        scenario: the scenario to explore.
+        acceptor_type: the class of all acceptors; any class but `Acceptor` is a seeded bug.
     """
 
     def __init__(self, *, scenario: Scenario, acceptor_type: type[Acceptor] = Acceptor) -> None:
@@ -70,7 +70,7 @@
         self._item_numbers: dict[Item, int] = {}
 
     def start(self) -> State:
-        """The first state: all calls that begin at the start have begun."""
+        """Returns the initial state, in which all calls with `is_first` have begun."""
         state = first_state(scenario=self.scenario, nodes=self._nodes, writers=self.writers)
         for writer in self.scenario.writers:
             for call in writer.calls:
@@ -79,9 +79,9 @@
         self.prune(state)
         return state
 
-    # The choice of steps.
+    # Enumeration of steps.
     def steps(self, state: State) -> Steps:
-        """All steps that may follow this state, always in the same order."""
+        """Yields all steps possible in this state, always in the same order."""
         yield from self._message_steps(state)
         yield from self._writer_steps(state)
         yield from self._failure_steps(state)
@@ -133,7 +133,7 @@
 
     # Steps of proposers.
     def _act(self, state: State, name: str, step: tuple, action: ProposerAction) -> None:
-        """Takes over what comes of a step: the proposer after it, what it sent, what it reported."""
+        """Runs a step of a proposer and applies the result: its new state, its sent messages and its events."""
         played = self.writers.act(state, name, step, action)
         state.writers[name] = played.component
         self._handle_sent(state, name, played.sent)
@@ -146,7 +146,7 @@
             self._retire_writer(state, name)
 
     def _retire_writer(self, state: State, name: str) -> None:
-        """A writer without attempts left does nothing more: what it knows no longer makes states differ."""
+        """Retires a writer that does nothing more, so that its knowledge no longer distinguishes states."""
         state.attempts_left[name] = NO_ATTEMPTS_LEFT
         state.latest_attempts[name] = Attempt(number=-1, ballot=None)
         state.writers[name] = self.writers.retired(state.writers[name])
@@ -162,7 +162,7 @@
         for member, message in sent:
             ballot = state.latest_attempts[name].ballot
             if isinstance(message, messages.Prepare) and message.ballot != ballot:
-                # A new attempt. Without attempts left the writer sends nothing from here on.
+                # A prepare with a new ballot begins an attempt. With none left, the writer sends nothing from here on.
                 state.attempts_left[name] -= 1
                 ballot = message.ballot
             state.latest_attempts[name] = Attempt(number=message.number, ballot=ballot)
@@ -210,7 +210,7 @@
         self._act(state, name, ("told", value), lambda proposer, _timers: learn_chosen(proposer, value))
 
     def _restart(self, state: State, name: str) -> None:
-        """The proposer forgets all but what its node's disk holds; its open calls begin again, in a new incarnation."""
+        """Restarts a proposer with only what its node's disk holds; its open calls begin again in a new incarnation."""
         state.budget["restart"] -= 1
         writer = self.writers.by_name[name]
         proposer = self.writers.make_proposer(writer, own=f"{name}2")
@@ -227,7 +227,10 @@
                 self._begin_call(state, call.name)
 
     def _items_after_restart(self, pool: frozenset[int], name: str) -> collections.abc.Iterator[int]:
-        """Accepts may still arrive when their proposer ends; answers to it, and all else, end with its connections."""
+        """Yields the items still in flight after a proposer ended.
+
+        Its accepts may still arrive; answers to it, and all its other messages, end with its connections.
+        """
         for number in pool:
             item = self._items[number]
             if item.proposer != name:
@@ -237,7 +240,7 @@
 
     # Steps of nodes and their disks.
     def deliver_once(self, state: State, number: int) -> None:
-        """An item of the pool arrives, for the only time."""
+        """Delivers an item of the pool and removes it."""
         state.pool = state.pool - {number}
         self._deliver(state, self._items[number])
 
@@ -256,7 +259,10 @@
             self._send_answer(state, name, member, answer)
 
     def _deliver_to_slow_disk(self, state: State, name: str, member: str, message: Request) -> None:
-        """An answer waits until all that the node knows is on its disk; a quorum read is answered from the disk."""
+        """Delivers a request to a node with a slow disk.
+
+        The answer waits until the node's whole state is on its disk; a quorum read is answered from the disk.
+        """
         current, durable = state.nodes[member].live
         if isinstance(message, messages.QuorumRead):
             source = current if self.scenario.is_quorum_read_early else durable
@@ -298,7 +304,7 @@
         state.catch_ups[name] = self._nodes.catch_up_component(catch_up)
 
     def _deliver_catch_up_reply(self, state: State, own: str, other: str) -> None:
-        """An emptied node receives one more answer, and votes again once its catch-up is done."""
+        """Delivers one more answer to a wiped node, which votes again once its catch-up is done."""
         result = self._nodes.apply_catch_up_reply(state.catch_ups[own], state.nodes[other], own, other)
         state.nodes[other] = result.source
         if result.node is None:
@@ -307,9 +313,9 @@
             state.nodes[own] = result.node
             del state.catch_ups[own]
 
-    # What is left out.
+    # Pruning.
     def prune(self, state: State) -> None:
-        """Drops what can only be rejected (see the head of this package)."""
+        """Drops messages that can only be rejected (see the package docstring)."""
         state.pool = frozenset([number for number in state.pool if self._can_have_effect(state, number)])
 
     def _can_have_effect(self, state: State, number: int) -> bool:
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -1,4 +1,4 @@
-"""Scenarios with a seeded bug, which the search has to find."""
+"""Mutants: scenarios with a seeded bug that the search has to find."""
 
 import collections.abc
 import contextlib
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Mutant:
-    """A scenario with a seeded bug, which has to be found.
+    """A scenario with a seeded bug that the search has to find.
 
     Attributes:
-        scenario: where it shows.
-        mutations: a context manager that puts the bug into the code for the time of the run.
+        scenario: a scenario in which the bug violates an invariant.
+        mutations: makes a context manager that patches the bug into the code for the duration of the search.
         acceptor_type: the class of all acceptors.
     """
 
@@ -44,7 +44,7 @@
 
 
 def mutations() -> tuple[Mutant, ...]:
-    """All seeded bugs. Where nothing is put into the code, it is in the scenario itself."""
+    """Returns all mutants. A mutant without a patch or an acceptor type has its bug in the scenario itself."""
     emptied = Scenario(name="", members=OLD, nodes=OLD, writers=(write_by("P"), write_by("R")), wipes=("A",))
     return (
         Mutant(
@@ -97,7 +97,7 @@
 
 
 def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
-    """Searches with the seeded bug in place."""
+    """Searches the scenario of a mutant with its seeded bug in place."""
     moves = TransitionSystem(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
     with fault.mutations():
         return search.run(moves=moves, max_states=max_states)
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -1,7 +1,7 @@
-"""What a request, or one more answer to a catch-up, does to a node of the model checker.
+"""Nodes of the model checker: handles requests and answers to a catch-up.
 
-A node is a `StateComponent` with two acceptors: what it knows, and what its disk holds. Components are never changed,
-so what comes of a request is cached.
+A node is a `StateComponent` with two acceptors: its state in memory and the state on its disk. Components are never
+changed, so the result of each request is cached.
 """
 
 import collections.abc
@@ -27,7 +27,7 @@
 
 
 class CatchUpResult(typing.NamedTuple):
-    """What comes of one more answer to a catch-up."""
+    """The result of one more answer to a catch-up."""
 
     source: Node  # the node that answered; it may have promised a fence
     node: Node | None  # the node that caught up; None: its catch-up continues
@@ -35,32 +35,32 @@
 
 
 class Nodes:
-    """Builds nodes of one scenario and lets them answer.
+    """Builds the nodes of one scenario and computes their answers.
 
     Args:
-        scenario: what is explored.
-        acceptor_type: the class of all acceptors; another one than `Acceptor` is a seeded bug.
+        scenario: the scenario to explore.
+        acceptor_type: the class of all acceptors; any class but `Acceptor` is a seeded bug.
     """
 
     def __init__(self, *, scenario: Scenario, acceptor_type: type[Acceptor]) -> None:
         self.scenario = scenario
         self._acceptor_type = acceptor_type
-        self._ids: dict[collections.abc.Hashable, int] = {}  # canonical form of a node or catch-up: its number
-        self._catch_up_results: dict[
-            tuple, CatchUpResult
-        ] = {}  # by the keys of catch-up and answering node, and their names
+        self._ids: dict[collections.abc.Hashable, int] = {}  # number of each canonical form of a node or catch-up
+        # By the keys of the catch-up and of the answering node, and their names.
+        self._catch_up_results: dict[tuple, CatchUpResult] = {}
         self._accepts: dict[tuple, bool] = {}  # (node, accept): whether the node would accept it
-        self._answers: dict[tuple, tuple[Node, Answer]] = {}  # (node, request): the node after it, and its answer
+        # (node, request): the node after the request, and its answer.
+        self._answers: dict[tuple, tuple[Node, Answer]] = {}
 
     def _intern(self, form_of_node: collections.abc.Hashable) -> int:
         return self._ids.setdefault(form_of_node, len(self._ids))
 
     def node(self, current: Acceptor, durable: Acceptor | None = None) -> Node:
-        """A node.
+        """Returns a node as a state component.
 
         Args:
-            current: what it knows.
-            durable: what its disk holds where that is older.
+            current: the acceptor in memory.
+            durable: the acceptor on disk, if it is older.
         """
         durable = durable or current
         return StateComponent(
@@ -68,17 +68,17 @@
         )
 
     def make_acceptor(self, incarnation: str) -> Acceptor:
-        """An acceptor with nothing promised or accepted; a learner with an empty incarnation."""
+        """Returns an acceptor that has promised and accepted nothing; with an empty incarnation it is a learner."""
         return self._acceptor_type(incarnation=incarnation)
 
     def copy_acceptor(self, old: Acceptor) -> Acceptor:
-        """A copy that may be changed."""
+        """Returns a copy that may be changed."""
         new = product.copy_acceptor(old)
         new.__class__ = self._acceptor_type
         return new
 
     def answer(self, node: Node, message: Request) -> tuple[Node, Answer]:
-        """The node after a request, all of it safe on its disk, and its answer."""
+        """Returns the node after a request, with its whole state on disk, and its answer."""
         cache_key = (node.key, message)
         if cache_key not in self._answers:
             acceptor, answer = self.apply(node.live.current, message)
@@ -86,7 +86,7 @@
         return self._answers[cache_key]
 
     def apply(self, current: Acceptor, message: Request) -> tuple[Acceptor, Answer]:
-        """The acceptor after a request, in memory only, and its answer."""
+        """Returns the acceptor after a request, in memory only, and its answer."""
         acceptor = self.copy_acceptor(current)
         answer: Answer
         if isinstance(message, messages.Prepare):
@@ -100,12 +100,12 @@
     def apply_catch_up_reply(
         self, catch_up: StateComponent[LearnerCatchUp], source: Node, own: str, other: str
     ) -> CatchUpResult:
-        """What comes of one more answer to a catch-up.
+        """Returns the result of one more answer to a catch-up.
 
         Args:
-            catch_up: of the emptied node.
+            catch_up: of the wiped node.
             source: the node that answers.
-            own: name of the emptied node.
+            own: name of the wiped node.
             other: name of the node that answers.
         """
         cache_key = (catch_up.key, source.key, own, other)
@@ -128,11 +128,11 @@
         return CatchUpResult(source=self.node(answering), node=self.node(acceptor), catch_up=old)
 
     def catch_up_component(self, catch_up: LearnerCatchUp) -> StateComponent[LearnerCatchUp]:
-        """A catch-up with the number of its form."""
+        """Returns a catch-up as a state component."""
         return StateComponent(catch_up, self._intern(("refill", canonical_form(catch_up, {}))))
 
     def would_accept(self, node: Node, message: messages.Accept) -> bool:
-        """Whether the node would accept this, and has not accepted it already."""
+        """Returns whether the node would accept this request and has not accepted it already."""
         cache_key = (node.key, message)
         if cache_key not in self._accepts:
             current = node.live.current
--- a/ploverward/simulation/model_checker/outside.py
+++ b/ploverward/simulation/model_checker/outside.py
@@ -1,6 +1,6 @@
-"""What one proposer touches outside itself: what it sends, its timers, the edits and ends of its calls.
+"""Environment of one proposer: its outgoing messages, timers, events, and the edits and callbacks of its calls.
 
-All of it is `Immutable`: a copy of a proposer shares its port, which is emptied after each step.
+The objects are `Immutable`: copies of a proposer share its port, which is emptied after each step.
 """
 
 import collections.abc
@@ -15,19 +15,19 @@
 
 
 class Chosen(typing.NamedTuple):
-    """A proposer found a value chosen, or made it so."""
+    """Event: a proposer found that a value is chosen, or got it chosen."""
 
     revision: int
     value: bytes
 
     @property
     def tags(self) -> tuple[str, ...]:
-        """The tags that the value consists of."""
+        """Tags that the value consists of."""
         return tuple(ballots.unpack(self.value)[1])
 
 
 class Done(typing.NamedTuple):
-    """A call ended with a value."""
+    """Event: a call ended with a value."""
 
     call: str
     revision: int
@@ -35,7 +35,7 @@
 
 
 class Failed(typing.NamedTuple):
-    """A call ended with an error."""
+    """Event: a call ended with an error."""
 
     call: str
 
@@ -44,16 +44,16 @@
 
 
 class Port(Immutable):
-    """The outside of one proposer.
+    """Collects what one proposer sends, schedules and reports.
 
     Args:
         name: of the proposer.
 
     Attributes:
-        sent: (member, message) of the step under way.
-        timers: (delay in seconds, action) that the step under way has set.
-        events: what the step under way reported.
-        state: what the disk of the proposer's own node holds.
+        sent: (member, message) pairs sent in the current step.
+        timers: (delay in seconds, action) pairs set in the current step.
+        events: events reported in the current step.
+        state: the register's state on the disk of the proposer's own node.
     """
 
     def __init__(self, *, name: str) -> None:
@@ -64,38 +64,38 @@
         self.state: RegisterState = EMPTY
 
     def accepted_value(self, _name: str) -> AcceptedValue:
-        """What the disk of the proposer's own node holds."""
+        """Returns the value on the disk of the proposer's own node."""
         return self.state.accepted_value
 
     def send(self, member: str, message: tuple) -> None:
-        """Gathers a message."""
+        """Collects a message."""
         self.sent.append((member, message))
 
     def later(self, delay: float, action: collections.abc.Callable[[], object]) -> None:
-        """Gathers a timer."""
+        """Collects a timer."""
         self.timers.append((delay, action))
 
     def now(self) -> float:
-        """Time stands still: a timer fires whenever the search lets it."""
+        """Returns a constant time: the search decides when a timer fires."""
         return 0.0
 
     def chance(self) -> float:
-        """No pause is random: its length makes no difference here."""
+        """Returns a constant instead of a random number: the length of a backoff makes no difference here."""
         return 0.0
 
     def on_chosen(self, _name: str, _ballot: Ballot, revision: int, value: bytes, _is_newly_chosen: bool) -> None:
-        """Gathers a chosen value."""
+        """Collects a chosen value."""
         self.events.append(Chosen(revision, value))
 
 
 class Edit(Immutable):
-    """Adds its tag, and recognises its own work."""
+    """Change to the register that appends its tag, unless the tag is already there."""
 
     def __init__(self, *, tag: str) -> None:
         self.name = tag
 
     def __call__(self, payload: list[str] | None) -> tuple[list[str], None]:
-        """The payload with the tag, once."""
+        """Returns the payload with the tag, which is never added twice."""
         payload = payload or []
         if self.name in payload:
             return payload, None
@@ -103,7 +103,7 @@
 
 
 class CallEnd(Immutable):
-    """What a proposer calls when a call ends."""
+    """Callback that a proposer runs when a call ends."""
 
     def __init__(self, *, port: Port, call: str) -> None:
         self.name = call
@@ -112,7 +112,7 @@
     def __call__(
         self, error: Exception | None, revision: int, payload: collections.abc.Iterable[str] | None, _result: object
     ) -> None:
-        """Gathers the end of the call."""
+        """Collects the end of the call."""
         if error is None:
             self._port.events.append(Done(self.name, revision, tuple(payload or ())))
         else:
--- a/ploverward/simulation/model_checker/product.py
+++ b/ploverward/simulation/model_checker/product.py
@@ -1,7 +1,7 @@
-"""What the model checker knows of the product: its constructors, messages and values.
+"""Adapter to the code under test: constructors, messages and values.
 
-Everything else in this package reaches acceptors, proposers and values through here, so that a change of the product
-is followed in one place.
+The rest of this package builds acceptors, proposers and values through this module, so that a change to the code under
+test needs an update in one place only.
 """
 
 import typing
@@ -18,10 +18,10 @@
 REGISTER = "r"
 FIRST_TAG = "v"
 FIRST_BALLOT = Ballot(1, "first")
-NO_PROPOSER = ""  # in place of a proposer that no longer runs
-CALL_ENDED = -1  # in place of the revision at which a call began
+NO_PROPOSER = ""  # stands for a proposer that no longer runs
+CALL_ENDED = -1  # in `State.begin_revisions`, replaces the revision of a call that has ended
 
-# Of a proposer, in seconds. The clock of a port stands still, so only their being positive matters.
+# Timeouts of a proposer. The clock of a port stands still, so these values only have to be positive.
 LIMIT_S = 1.0
 ATTEMPT_TIMEOUT_S = 0.5
 
@@ -30,13 +30,13 @@
 
 
 class Reply(typing.NamedTuple):
-    """An answer on its way, where requests and answers are apart."""
+    """An answer in flight, in scenarios where a request and its answer are separate steps."""
 
     message: Answer
 
 
 class Item(typing.NamedTuple):
-    """A message between a proposer and a node. The node sent a `Reply`, the proposer all else."""
+    """A message in flight between a proposer and a node. Nodes send `Reply`, proposers all other messages."""
 
     proposer: str
     node: str
@@ -44,46 +44,46 @@
 
 
 def make_value(*, members: tuple[str, ...], tags: tuple[str, ...], previous: tuple[str, ...] = ()) -> bytes:
-    """A value that consists of tags. With `previous` it is the one that began a move from that set."""
+    """Returns a value that consists of tags. With `previous`, it is the value that began a move from that set."""
     if not previous:
         return ballots.pack(members=members, payload=list(tags))
     return ballots.pack(members=members, payload=list(tags), previous=previous, moved_at=len(tags))
 
 
 def tags_of(value: bytes) -> tuple[str, ...]:
-    """The tags that a value consists of, in the order of its changes."""
+    """Returns the tags that a value consists of, in the order of its changes."""
     return tuple(ballots.unpack(value)[1])
 
 
 def members_of(value: bytes) -> tuple[str, ...]:
-    """The set that a value stands under."""
+    """Returns the member set that a value is stored under."""
     return ballots.unpack(value)[0]
 
 
 def learn_chosen(proposer: Proposer, value: bytes) -> None:
-    """What `ConsensusNode.publish` does with a chosen value."""
+    """Tells a proposer of a chosen value, as `ConsensusNode.publish` does."""
     proposer.known_sets.learn_chosen(register=REGISTER, revision=len(tags_of(value)), value=value)
 
 
 def learn_accepted(proposer: Proposer, value: bytes) -> None:
-    """What `ConsensusNode` does at a start with a value found accepted on its own disk."""
+    """Tells a proposer of a value accepted on its own disk, as `ConsensusNode` does at startup."""
     proposer.known_sets.learn_accepted(register=REGISTER, value=value)
 
 
 def make_catch_up(*, own: str, kind: str) -> LearnerCatchUp:
-    """A catch-up of an emptied node.
+    """Returns the catch-up of a wiped node.
 
     Args:
-        own: the node.
+        own: the name of the node.
         kind: a key of `faults.CATCH_UPS`.
     """
     return faults.CATCH_UPS[kind](own=own, registers=(REGISTER,))
 
 
 def answer_catch_up(acceptor: Acceptor, request: messages.CatchUpRequest) -> tuple[messages.RegisterRow, ...]:
-    """What `ConsensusNode._handle_catch_up_request` replies, with all values in the rows.
+    """Returns the rows that `ConsensusNode._handle_catch_up_request` replies with, with all values in them.
 
-    The fences are promised before the rows are read, as there.
+    As there, the fences are promised before the rows are read.
     """
     for fence in request.fences:
         if fence.fence.number:
@@ -92,7 +92,7 @@
 
 
 def deliver_answer(proposer: Proposer, member: str, answer: Answer) -> None:
-    """Gives an acceptor's answer to the method for its kind."""
+    """Passes an acceptor's answer to the proposer method for its type."""
     if isinstance(answer, messages.Promise):
         proposer.handle_promise(member, answer)
     elif isinstance(answer, messages.QuorumReadReply):
@@ -102,13 +102,13 @@
 
 
 def make_proposer(*, own: str, port: Port, seeds: tuple[str, ...], is_naming: bool) -> Proposer:
-    """A proposer whose outside is a port.
+    """Returns a proposer whose environment is a port.
 
     Args:
         own: its unique name.
-        port: what it sends through.
-        seeds: the set in force before any value was chosen.
-        is_naming: whether it names the value that its node holds, so that answers leave it out.
+        port: collects its messages, timers and events.
+        seeds: the member set in force before any value was chosen.
+        is_naming: whether its requests name the value that its node holds, so that answers leave it out.
     """
     return Proposer(
         own=own,
@@ -125,12 +125,12 @@
 
 
 def copy_acceptor(old: Acceptor) -> Acceptor:
-    """An acceptor in the same state; the rows are immutable and shared."""
+    """Returns an acceptor in the same state; the rows are immutable and shared."""
     new = Acceptor(incarnation=old.incarnation)
     new.states = dict(old.states)
     return new
 
 
 def acceptor_form(acceptor: Acceptor) -> tuple:
-    """A canonical form of an acceptor."""
+    """Returns a canonical form of an acceptor."""
     return (acceptor.incarnation, tuple(sorted(acceptor.states.items())))
--- a/ploverward/simulation/model_checker/scenario.py
+++ b/ploverward/simulation/model_checker/scenario.py
@@ -1,4 +1,4 @@
-"""What is explored: nodes, their rows at the start, the calls of the writers, and the budget of faults."""
+"""Definition of a scenario: nodes, their initial rows, the calls of the writers, and the budget of faults."""
 
 import dataclasses
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """One call at one proposer.
+    """One call to one proposer.
 
     Attributes:
-        name: also the tag that a change adds.
-        kind: write, move (writes its tag under the set `to`), read.
-        to: the set that a move leads to.
-        attempts: how many the proposer may begin.
-        is_first: whether it is begun at the start; otherwise at any moment.
+        name: unique; also the tag that a change adds.
+        kind: "write", "move" (writes its tag under the set `to`) or "read".
+        to: the target set of a move.
+        attempts: maximum number of attempts that the proposer may begin.
+        is_first: whether the call begins in the initial state; otherwise it begins at any moment.
     """
 
     name: str
@@ -33,11 +33,11 @@
 
     Attributes:
         name: unique; breaks ties between ballots.
-        calls: of this proposer.
-        known: the set it knows at the start, () for none: then its seeds count.
+        calls: the calls to this proposer.
+        known: the member set that it knows at the start; () for none, so that its seeds are in force.
         seeds: the set in force before any value was chosen; () for the first set of the scenario.
         home: the node whose disk it reads the set from after a restart.
-        is_naming: whether it names the value that its node has already; answers leave that out.
+        is_naming: whether its requests name the value that its node already has, so that answers leave it out.
     """
 
     name: str
@@ -50,15 +50,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-    """What one node has stored at the start: promised at and accepted under `ballot`.
+    """Initial state of the register at one node, which has promised and accepted the same ballot.
 
     Attributes:
-        node: its name.
-        ballot: promised and accepted.
-        members: the set of the value.
+        node: name of the node.
+        ballot: the promised and accepted ballot.
+        members: the member set of the value.
         tags: what the value consists of.
-        previous: the set before the move that the value began; () where it began none.
-        is_durable: whether it is on the disk; otherwise in memory only.
+        previous: the set before the move that the value began; () if it began none.
+        is_durable: whether the row is on disk; otherwise it is in memory only.
     """
 
     node: str
@@ -71,26 +71,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """What one search explores.
+    """Initial state and budget of faults of one search.
 
     Attributes:
         name: unique among the scenarios.
-        members: the first set.
-        nodes: all of them.
+        members: the first member set.
+        nodes: names of all nodes.
         writers: the proposers.
         first_value_members: nodes that have the first value; () for all members.
-        rows: in place of the first value: a start in the middle of a history.
+        rows: replace the first value at their nodes, so that the search starts in the middle of a history.
         chosen: tags of the newest chosen value at the start.
-        chosen_set: its set; () for `members`.
+        chosen_set: the member set of that value; () for `members`.
         catch_up: the class of catch-ups, a key of `faults.CATCH_UPS`.
-        wipes: one of these nodes may lose its disk once.
-        restarts: one of these proposers may start again once.
-        learning_proposers: proposers that may hear of chosen values.
-        repeats: how many requests may arrive twice.
+        wipes: nodes one of which may lose its disk, once.
+        restarts: proposers one of which may restart, once.
+        learning_proposers: proposers that may be notified of chosen values.
+        repeats: how many messages may be delivered twice.
         is_split: whether a request and its answer are two steps.
-        crashes: nodes whose disks are slow; one of them may lose what was not yet on its disk.
+        crashes: nodes with slow disks; one of them may crash, once, and lose what was not yet on its disk.
         is_quorum_read_early: seeded bug: a quorum read is answered from memory.
-        learners: nodes that start without anything, and catch up.
+        learners: nodes that start empty and catch up.
     """
 
     name: str
--- a/ploverward/simulation/model_checker/scenarios.py
+++ b/ploverward/simulation/model_checker/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios, and what builds them: `small_scenarios` for tests, `large_scenarios` for a longer search."""
+"""Scenarios and their builders: `small_scenarios` for tests, `large_scenarios` for a longer search."""
 
 import dataclasses
 import typing
@@ -42,19 +42,19 @@
 def write_by(
     name: str, *, attempts: int = 1, known: MemberSet = OLD, is_first: bool = True, **more: typing.Unpack[WriterOptions]
 ) -> Writer:
-    """A writer with one change; its call has the writer's name in lower case."""
+    """Returns a writer with one change, whose call is named like the writer in lower case."""
     call = Call(name=name.lower(), kind="write", attempts=attempts, is_first=is_first)
     return Writer(name=name, known=known, calls=(call,), **more)
 
 
 def read_by(name: str, *, attempts: int = 1, known: MemberSet = OLD, is_first: bool = False) -> Writer:
-    """A writer with one read."""
+    """Returns a writer with one read."""
     call = Call(name=name.lower(), kind="read", attempts=attempts, is_first=is_first)
     return Writer(name=name, known=known, calls=(call,))
 
 
 def move_by(name: str, *, to: MemberSet, attempts: int = 1, known: MemberSet = OLD) -> Writer:
-    """A writer with one move to the set `to`."""
+    """Returns a writer with one move to the set `to`."""
     return Writer(name=name, known=known, calls=(Call(name="move", kind="move", to=to, attempts=attempts),))
 
 
@@ -66,7 +66,7 @@
     others: tuple[Writer, ...] = (),
     **more: typing.Unpack[ScenarioOptions],
 ) -> Scenario:
-    """P moves the set, Q writes, others do what they do; all know the old set only."""
+    """Returns a scenario in which P moves the set while Q writes, besides `others`; P and Q know only the old set."""
     nodes = tuple(sorted({*OLD, *to}))
     writers = (move_by("P", to=to), write_by("Q", attempts=attempts), *others)
     return Scenario(name=name, members=OLD, nodes=nodes, writers=writers, **more)
@@ -75,14 +75,14 @@
 def accepted(
     *, nodes: str, ballot: tuple[int, str], members: MemberSet, tags: tuple[str, ...], previous: MemberSet = ()
 ) -> tuple[Row, ...]:
-    """A row with this value at each of the nodes, which are named by one letter."""
+    """Returns a row with this value for each node; node names have one letter, so `nodes` is a string of them."""
     return tuple(
         Row(node=node, ballot=Ballot(*ballot), members=members, tags=tags, previous=previous) for node in nodes
     )
 
 
 def half_moved(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
-    """The swap was accepted at C and D only: a majority of the new set, not of the old one."""
+    """Returns a scenario in which the swap was accepted at C and D only: a majority of the new set, not of the old."""
     rows = accepted(nodes="CD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     return Scenario(name=name, members=OLD, nodes=GROWN, rows=rows, writers=writers, **more)
 
@@ -90,7 +90,10 @@
 def moved(
     *, name: str, writers: tuple[Writer, ...], back: str = "", **more: typing.Unpack[ScenarioOptions]
 ) -> Scenario:
-    """The swap was chosen at B, C and D; A missed it. A move back was accepted at `back`, and is not chosen."""
+    """Returns a scenario in which the swap was chosen at B, C and D without A.
+
+    A move back to the old set was accepted at the nodes in `back`, and is not chosen.
+    """
     rows = accepted(nodes="BCD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"))
     rows += accepted(nodes=back, ballot=(3, "N"), members=OLD, tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
     return Scenario(
@@ -106,7 +109,7 @@
 
 
 def second_move(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
-    """The swap to BCD was chosen at A, B and D; a second one, to CDE, was accepted at C only."""
+    """Returns a scenario in which the swap to BCD was chosen at A, B and D, and a second one, to CDE, accepted at C."""
     rows = accepted(nodes="ABD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     rows += accepted(nodes="C", ballot=(3, "N"), members=("C", "D", "E"), tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
     return Scenario(
@@ -122,7 +125,7 @@
 
 
 def small_scenarios() -> tuple[Scenario, ...]:
-    """All states of each are seen within seconds."""
+    """Returns scenarios whose states are all visited within seconds."""
     return (
         move_of(name="swap", to=SWAPPED),
         move_of(name="grow by one", to=GROWN),
@@ -162,7 +165,10 @@
 
 
 def slow_disk(*, name: str, is_quorum_read_early: bool = False) -> Scenario:
-    """P's value is accepted at A; B has it under way. One does a quorum read, another writes, B may lose its memory."""
+    """Returns a scenario in which P's value is on the disk of A, but only in the memory of B.
+
+    Q does a quorum read, R writes, and B may crash and lose its memory.
+    """
     rows = accepted(nodes="AB", ballot=(2, "P"), members=OLD, tags=(FIRST_TAG, "p"))
     rows = (rows[0], dataclasses.replace(rows[1], is_durable=False))
     return Scenario(
@@ -177,7 +183,7 @@
 
 
 def large_scenarios() -> tuple[Scenario, ...]:
-    """Minutes; some have more states than the usual bound."""
+    """Returns scenarios that take minutes; some have more states than the default limit."""
     return (
         move_of(name="swap, two attempts", to=SWAPPED, attempts=2),
         move_of(name="grow by one, two attempts", to=GROWN, attempts=2),
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -1,4 +1,4 @@
-"""Goes through all states of a scenario, and gives the history of what it finds."""
+"""Breadth-first search through all states of a scenario, with the history of a violated invariant."""
 
 import collections
 import collections.abc
@@ -16,20 +16,20 @@
 
 
 class Trail(typing.NamedTuple):
-    """The steps that led to a state, the last one first."""
+    """Linked list of the steps that led to a state, the last one first."""
 
     label: tuple
-    before: "Trail | None"  # None: the first state
+    before: "Trail | None"  # None if the step was taken in the initial state
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """A history that breaks a rule.
+    """A history that violates an invariant.
 
     Attributes:
-        rule: what was broken.
+        rule: description of the violation.
         events: labels of the steps, from the start.
-        states: how many were seen until then.
+        states: number of distinct states visited until then.
     """
 
     rule: str
@@ -37,20 +37,20 @@
     states: int
 
     def text(self) -> str:
-        """For people: the rule, then a line a step."""
+        """Returns the report: the violation, then one line per step."""
         return "\n".join([f"{self.rule} ({len(self.events)} steps, {self.states} states)", *map(str, self.events)])
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What a search came to.
+    """The result of a search.
 
     Attributes:
-        scenario: its name.
-        states: how many were seen.
-        seconds: how long it took.
-        finding: the first history that breaks a rule; None where none was found.
-        is_exhaustive: whether all states were seen.
+        scenario: name of the scenario.
+        states: number of distinct states visited.
+        seconds: duration of the search.
+        finding: the first history that violates an invariant; None if none was found.
+        is_exhaustive: whether all states were visited.
     """
 
     scenario: str
@@ -86,7 +86,7 @@
 
 
 def history(trail: Trail | None) -> tuple[tuple, ...]:
-    """Labels of the steps from the start, in words."""
+    """Returns the readable labels of the steps, from the start."""
     labels = []
     while trail is not None:
         labels.append(readable(trail.label))
@@ -95,7 +95,7 @@
 
 
 def readable(label: tuple) -> tuple:
-    """A label in which values are given by their set and tags."""
+    """Returns a label in which packed values are replaced by their member set and tags."""
 
     def describe(part: object) -> object:
         if isinstance(part, bytes):
@@ -109,5 +109,5 @@
 
 
 def explore(*, scenario: Scenario, max_states: int) -> Outcome:
-    """Searches a scenario with the product as it is."""
+    """Searches a scenario without a seeded bug."""
     return run(moves=TransitionSystem(scenario=scenario), max_states=max_states)
--- a/ploverward/simulation/model_checker/start.py
+++ b/ploverward/simulation/model_checker/start.py
@@ -1,4 +1,4 @@
-"""The state in which a scenario begins, before any call has begun."""
+"""Initial state of a scenario, before any call has begun."""
 
 from ploverward.control_plane.consensus.register_state import RegisterState
 from ploverward.simulation.model_checker.nodes import Nodes
@@ -14,7 +14,7 @@
 
 
 def first_state(*, scenario: Scenario, nodes: Nodes, writers: Writers) -> State:
-    """The nodes with their values, the proposers with what they know, and the budget of failures."""
+    """Returns the nodes with their values, the proposers with their known sets, and the budget of failures."""
     state = State(
         nodes={},
         writers={},
--- a/ploverward/simulation/model_checker/state.py
+++ b/ploverward/simulation/model_checker/state.py
@@ -1,4 +1,4 @@
-"""One state of a scenario: everything that can still matter (docs/set-moves.md)."""
+"""One state of a scenario: everything that can affect later steps (docs/set-moves.md)."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class NodeState(typing.NamedTuple):
-    """A node: its acceptor, and the one that its disk holds, which may be older."""
+    """A node: its acceptor in memory, and the one on its disk, which may be older."""
 
     current: Acceptor
     durable: Acceptor
@@ -29,14 +29,14 @@
 
 
 class Attempt(typing.NamedTuple):
-    """The newest attempt of a proposer."""
+    """Newest attempt of a proposer."""
 
     number: int
-    ballot: Ballot | None  # None: nothing was prepared yet
+    ballot: Ballot | None  # None if nothing was prepared yet
 
 
 class StateComponent(typing.Generic[Live]):
-    """Live objects with the number of their canonical form. Never changed once it stands in a state."""
+    """Live objects with the number of their canonical form. Never changed once it is part of a state."""
 
     __slots__ = ("live", "key")
 
@@ -47,20 +47,20 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class State:
-    """Everything that can still matter. Copied shallowly; a step replaces the components that it changes.
+    """Everything that can affect later steps. Copied shallowly; a step replaces the components that it changes.
 
     Attributes:
         nodes: by name.
         writers: proposers, by name.
-        pool: numbers of the requests, and of the answers where they are apart, that may still arrive.
-        begin_revisions: call to the revision that was acknowledged when it began; `CALL_ENDED` once it has ended.
+        pool: numbers of the messages that may still arrive: requests, and answers if they are separate steps.
+        begin_revisions: by call, the revision that was acknowledged when it began; `CALL_ENDED` once it has ended.
         latest_attempts: the newest attempt of each proposer.
-        attempts_left: how many attempts each proposer has left; negative: it does nothing any more.
+        attempts_left: number of attempts that each proposer has left; negative once the proposer is retired.
         longest_chosen: the tags of the longest chosen value.
         latest_chosen: the newest value that a proposer reported as chosen.
-        budget: how often each kind of failure may still happen.
-        catch_ups: the catch-ups of emptied nodes.
-        pending_answers: answers that wait for the disk of their node, as (proposer, answer).
+        budget: number of failures of each kind that may still happen.
+        catch_ups: catch-ups of wiped nodes and learners, by node.
+        pending_answers: by node, the (proposer, answer) pairs that wait for its disk.
     """
 
     nodes: dict[str, StateComponent[NodeState]]
@@ -76,7 +76,7 @@
     pending_answers: dict[str, tuple[tuple[str, Answer], ...]]
 
     def copy(self) -> "State":
-        """A state that shares the components, so that a step on it leaves this one as it is."""
+        """Returns a state that shares the components; a step on the copy does not affect this state."""
         return State(
             nodes=dict(self.nodes),
             writers=dict(self.writers),
@@ -92,7 +92,7 @@
         )
 
     def key(self) -> tuple:
-        """Equal for states that can be continued alike.
+        """Returns a key that is equal for states with the same continuations.
 
         The first five fields have the same keys in the same order in each state of a scenario.
         """
--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -1,6 +1,6 @@
-"""What a step does to a proposer of the model checker: it runs on a copy, and what it sent and reported is gathered.
+"""Proposers of the model checker: runs a step on a copy, and collects the messages sent and the events reported.
 
-A proposer is a `StateComponent` with its pending timers. Components are never changed, so what comes of a step is
+A proposer is a `StateComponent` with its pending timers. Components are never changed, so the result of each step is
 cached.
 """
 
@@ -25,14 +25,14 @@
 from ploverward.simulation.model_checker.state import StateComponent
 from ploverward.simulation.model_checker.state import TimerAction
 
-MAX_ROUNDS_OF_TIMERS = 100  # that are due at once within a step; a proposer needs a few
-RETIRED_KEY = -1  # of a proposer that does nothing any more: what it knows makes no difference
+MAX_TIMER_ROUNDS = 100  # of timers that are due at once within a step; a proposer needs a few
+RETIRED_KEY = -1  # of all retired proposers: their knowledge makes no difference any more
 
 ProposerAction = collections.abc.Callable[[Proposer, list[TimerAction]], object]
 
 
 class StepResult(typing.NamedTuple):
-    """What comes of a step of a proposer."""
+    """The result of a step of a proposer."""
 
     component: StateComponent[ProposerState]
     sent: tuple[tuple[str, Request], ...]  # (member, message)
@@ -40,12 +40,12 @@
 
 
 class Writers:
-    """Builds the proposers of one scenario and lets them act.
+    """Builds the proposers of one scenario and runs their steps.
 
     Attributes:
-        ports: the outside of each proposer, by name.
-        by_name: the writers of the scenario.
-        calls: name of a call to (name of its writer, call).
+        ports: environment of each proposer, by name.
+        by_name: writers of the scenario, by name.
+        calls: (name of the writer, call), by the name of the call.
     """
 
     def __init__(self, *, scenario: Scenario) -> None:
@@ -55,15 +55,16 @@
         self.calls: dict[str, tuple[str, Call]] = {
             call.name: (writer.name, call) for writer in scenario.writers for call in writer.calls
         }
-        self._ids: dict[collections.abc.Hashable, int] = {}  # canonical form of a proposer and its timers: its number
+        # Number of each canonical form of a proposer and its timers.
+        self._ids: dict[collections.abc.Hashable, int] = {}
         self._step_results: dict[tuple, StepResult] = {}  # by the key of the component and the step
 
     def make_proposer(self, writer: Writer, *, own: str = "") -> Proposer:
-        """A proposer that knows nothing yet.
+        """Returns a proposer that knows nothing yet.
 
         Args:
-            writer: what the scenario says of it.
-            own: its unique name; the writer's name at the start.
+            writer: its definition in the scenario.
+            own: its unique name; empty for the name of the writer.
         """
         return make_proposer(
             own=own or writer.name,
@@ -73,24 +74,24 @@
         )
 
     def component(self, proposer: Proposer, timers: list[TimerAction]) -> StateComponent[ProposerState]:
-        """A proposer with those of its timers that may still do something."""
+        """Returns a proposer as a state component, without the timers that are stale."""
         timers = [action for action in timers if not is_stale_timer(action)]
         memo: dict[int, int] = {}
         proposer_form = (canonical_form(proposer, memo), canonical_form(timers, memo))
         return StateComponent(ProposerState(proposer, timers), self._ids.setdefault(proposer_form, len(self._ids)))
 
     def retired(self, old: StateComponent[ProposerState]) -> StateComponent[ProposerState]:
-        """A proposer that does nothing any more; all of them compare equal."""
+        """Returns a proposer that does nothing any more; all retired proposers compare equal."""
         return StateComponent(ProposerState(old.live.proposer, []), RETIRED_KEY)
 
     def act(self, state: State, name: str, step: tuple, action: ProposerAction) -> StepResult:
-        """What comes of a step of a proposer; the state stays as it is.
+        """Returns the result of a step of a proposer, without changing the state.
 
         Args:
-            state: the state before it.
-            name: of the writer.
+            state: the state before the step.
+            name: name of the writer.
             step: identifies the step among those of this proposer.
-            action: does the step; called with the proposer and its timers.
+            action: performs the step; called with a copy of the proposer and of its timers.
         """
         port = self.ports[name]
         old = state.writers[name]
@@ -109,7 +110,7 @@
         proposer = clone(old.live.proposer, memo)
         timers = clone(old.live.timers, memo)
         action(proposer, timers)
-        for _round in range(MAX_ROUNDS_OF_TIMERS):
+        for _round in range(MAX_TIMER_ROUNDS):
             due = [after for delay, after in port.timers if delay == 0 or is_backoff_timer(after)]
             timers += [after for delay, after in port.timers if delay > 0 and not is_backoff_timer(after)]
             port.timers = []
