--- a/ploverward/simulation/batch/__init__.py
+++ b/ploverward/simulation/batch/__init__.py
@@ -1,1 +1,1 @@
-"""The stores of the batch tier in simulated time: faults, callers, a model that answers are checked against."""
+"""Simulation of the batch tier's stores: faults, callers, and a model that answers are checked against."""
--- a/ploverward/simulation/batch/__main__.py
+++ b/ploverward/simulation/batch/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line."""
+"""Entry point of `python3 -m ploverward.simulation.batch`."""
 
 import sys
 
--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -1,8 +1,8 @@
-"""One run of the stores in simulated time: faults by a seed, callers, a coordinator, checks (docs/batch.md 8).
+"""One run of the stores in simulated time: seeded faults, callers, a coordinator and checks (docs/batch.md 8).
 
-The coordinator's decisions are the product's (`partition_placement`); its register is modelled as one value that is
-changed by comparing epochs. No more disks are lost at once than the copies allow for; machines and links may fail in
-any number.
+The coordinator runs the production code for its decisions (`partition_placement`); its register is modelled as one
+value that is changed by compare-and-set on the epoch. The number of disks lost at once stays within what the copies
+tolerate; any number of machines and links may fail.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 TIMEOUTS = partition_placement.PlacementTimeouts(failover_s=0.5, replacement_s=3.0)
 COORDINATION_INTERVAL_S = 0.2
-DISCONNECT_DETECTION_S = 0.8
+DISCONNECT_DETECTION_S = 0.8  # after which the coordinator notices a partition or a frozen process
 FAULT_START_S = 4.0
-RECOVERY_S = 12.0  # without faults, before the end is checked
+RECOVERY_S = 12.0  # fault-free time before the final check
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What one run is made of.
+    """Parameters of one run.
 
     Attributes:
-        seed: Of the run.
-        stores: How many there are, each in one of five zones.
-        length_s: For how long there are faults.
-        fault_s: Between two faults, on average; 0: drawn by the seed.
-        kinds: Of faults.
-        sync_s: Bounds of how long a sync takes; None: drawn by the seed.
-        skipped_faults: Numbers of faults that are drawn and not begun.
+        seed: Seed of the run's random generators.
+        stores: Number of stores, which are spread over five zones.
+        length_s: Duration of the phase with faults.
+        fault_s: Mean interval between faults; 0 to draw it from the run's generator.
+        kinds: Kinds of faults to draw from.
+        sync_s: Bounds of the duration of a disk sync; None to draw them from the run's generator.
+        skipped_faults: Numbers of faults that are drawn but not begun.
     """
 
     seed: int
@@ -54,13 +54,13 @@
 
 
 class BatchRun:
-    """One run.
+    """One run of the simulation.
 
     Attributes:
-        model: What callers were told.
-        findings: What broke a check.
-        faults: Draws and begins them.
-        history: When and what happened: faults, arrangements, findings.
+        model: Checks what callers are answered.
+        findings: Descriptions of failed checks.
+        faults: Draws and begins faults.
+        history: (time, text) of each fault, arrangement and finding.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -90,7 +90,7 @@
             for number in range(plan.stores)
         }
         self._faults_until = FAULT_START_S + plan.length_s
-        played = scene.StoreScene(
+        run_scene = scene.StoreScene(
             clock=self.clock,
             chance=self.chance,
             network=self.network,
@@ -100,18 +100,18 @@
             record=self.record,
         )
         self.faults = store_faults.StoreFaults(
-            played=played,
+            run_scene=run_scene,
             kinds=plan.kinds,
             skipped=plan.skipped_faults,
             pause_s=fault_s,
             until=self._faults_until,
             publish=self._publish,
         )
-        self._callers = store_callers.StoreCallers(played=played, until=self._faults_until)
+        self._callers = store_callers.StoreCallers(run_scene=run_scene, until=self._faults_until)
 
     @property
     def findings(self) -> list[str]:
-        """What broke a check."""
+        """Descriptions of failed checks."""
         return self.model.findings
 
     def record(self, text: str) -> None:
@@ -119,7 +119,7 @@
         self.history.append((self.clock.time, text))
 
     def play(self) -> list[str]:
-        """Plays the run; returns what broke a check."""
+        """Plays the run and returns the descriptions of failed checks."""
         for store in self.stores.values():
             store.start()
         self.clock.later(delay=0.5, callback=lambda: self._coordinate(may_place=True))
@@ -132,7 +132,7 @@
         self._check_end()
         return self.findings
 
-    # The coordinator.
+    # Coordinator.
     def _record_report(self, name: str, report: batch_messages.CopyReport) -> None:
         if self.network.is_reachable(name, scene.CORE):
             self._reports[report.partition] = (name, self.clock.time, report)
@@ -149,7 +149,7 @@
             self.clock.later(delay=delay, callback=functools.partial(self._write_arrangement, name, tuple(row)))
 
     def _write_arrangement(self, name: str, row: tuple) -> None:
-        """The register's round: it fails where another one came between."""
+        """Models a round of the register, which fails if another round has changed the epoch in the meantime."""
         if self.rows.get(name, (0,))[0] != row[0]:
             return
         self.rows = {name: (row[0] + 1, *row[1:])}
@@ -202,18 +202,18 @@
         )
 
     def _disconnected_for_s(self, store: simulated_store.SimulatedStore) -> float:
-        """For how long the core hears nothing; a partition and a frozen process show after a while."""
-        is_hidden = not self.network.is_reachable(store.name, scene.CORE) or not self.network.is_reachable(
+        """Returns for how long the core has received nothing; partitions and frozen processes show with a delay."""
+        is_partitioned = not self.network.is_reachable(store.name, scene.CORE) or not self.network.is_reachable(
             scene.CORE, store.name
         )
-        if store.is_alive and store.process is not None and not store.process.is_frozen and not is_hidden:
+        if store.is_alive and store.process is not None and not store.process.is_frozen and not is_partitioned:
             return 0.0
         since = store.down_since
         return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else DISCONNECT_DETECTION_S))
 
-    # The end.
+    # Final check.
     def _check_end(self) -> None:
-        """Once all faults are over, all copies are there again and answer, and nothing that was told is missing."""
+        """Checks that, after the faults, all copies exist again, a primary serves, and no answered data is missing."""
         owners = batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)
         if len(owners.members) < scene.COPIES or owners.learners:
             self.model.note_finding(f"not whole again: {owners}")
--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -1,4 +1,4 @@
-"""The command: plays runs of the stores, prints one, shortens broken ones, or shows that mutants are found.
+"""Command line: plays runs of the stores, prints one, minimizes failing ones, or checks that mutants are found.
 
 python3 -m ploverward.simulation.batch --first 60000 --seeds 1000 --jobs 4
 python3 -m ploverward.simulation.batch --history 60007
@@ -25,19 +25,20 @@
     "store",
     "transport",
 )
+# Failing seeds whose faults are minimized, and those that are reported at all.
 MAX_MINIMIZED_SEEDS = 3
 MAX_REPORTED_SEEDS = 20
 CHUNK_RUNS = 8
 
 
 def play(seed: int) -> tuple[int, list[str]]:
-    """Plays one run; returns its seed and what broke a check."""
+    """Plays one run and returns its seed and the descriptions of failed checks."""
     scenario.silence_log()
     return seed, batch_run.BatchRun(batch_run.Plan(seed=seed)).play()
 
 
 def minimized_plan(seed: int) -> batch_run.Plan:
-    """Leaves out faults, one after the other, as long as the run still breaks a check."""
+    """Returns the plan of a seed with the faults left out, one after the other, that its failure does not depend on."""
     scenario.silence_log()
     plan = batch_run.Plan(seed=seed)
     run = batch_run.BatchRun(plan)
@@ -50,7 +51,7 @@
 
 
 def print_run(plan: batch_run.Plan) -> int:
-    """Plays one plan and prints its history; 1 where a check broke."""
+    """Plays one plan and prints its history; returns 1 if a check failed."""
     scenario.silence_log()
     run = batch_run.BatchRun(plan)
     findings = run.play()
@@ -61,7 +62,7 @@
 
 
 def run_mutants() -> int:
-    """Plays each mutant until a check finds it; 1 where one is not found."""
+    """Plays each mutant until a check finds it; returns 1 if one is not found."""
     missed = 0
     for mutant in store_mutants.MUTANTS:
         found = store_mutants.find(mutant)
@@ -71,7 +72,7 @@
 
 
 def run(*, first: int, seeds: int, jobs: int) -> int:
-    """Plays a range of seeds; 1 where a check broke."""
+    """Plays a range of seeds; returns 1 if a check failed."""
     broken = []
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for seed, findings in pool.map(play, range(first, first + seeds), chunksize=CHUNK_RUNS):
@@ -87,22 +88,22 @@
 
 
 def main(arguments: collections.abc.Sequence[str] | None = None) -> int:
-    """Plays what the arguments say.
+    """Runs the command line.
 
     Args:
-        arguments: Of the command; None for those of the process.
+        arguments: Command-line arguments; None for those of the process.
 
     Returns:
-        The exit code: 1 where a check broke, or a mutant was not found.
+        The exit code: 1 if a check failed or a mutant was not found.
     """
     parser = argparse.ArgumentParser(
-        prog="python3 -m ploverward.simulation.batch", description="Runs of the stores in simulated time."
+        prog="python3 -m ploverward.simulation.batch", description="Plays runs of the stores in simulated time."
     )
-    parser.add_argument("--first", type=int, default=0, help="the first run's seed")
-    parser.add_argument("--seeds", type=int, default=100, help="how many runs are played")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that play at the same time")
-    parser.add_argument("--history", type=int, metavar="SEED", help="prints all that happens in one run")
-    parser.add_argument("--planted", action="store_true", help="shows that the checks find each mutant")
+    parser.add_argument("--first", type=int, default=0, help="seed of the first run")
+    parser.add_argument("--seeds", type=int, default=100, help="number of runs")
+    parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes")
+    parser.add_argument("--history", type=int, metavar="SEED", help="print the history of one run")
+    parser.add_argument("--planted", action="store_true", help="check that each mutant is found")
     chosen = parser.parse_args(arguments)
     if chosen.planted:
         return run_mutants()
--- a/ploverward/simulation/batch/job_model.py
+++ b/ploverward/simulation/batch/job_model.py
@@ -1,7 +1,7 @@
-"""What callers of the batch tier were told, and what they may be told after it: an independent model.
+"""Independent model of the batch tier, which checks each answer against those that callers received before.
 
-A job that was taken stays; a position that was read keeps its result; an item has one position; a tenant's waiting
-items stay below its quota; a job that was refused by every answer is never run.
+An acknowledged job is kept; a position that was read keeps its result; an item has one position; a tenant's queued
+tokens stay within its quota; a job that every answer rejected is never run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Result(typing.NamedTuple):
-    """One result of a page."""
+    """One result on a page of results."""
 
     item: str
     condition: int
@@ -21,17 +21,17 @@
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
-    """What is known of one job.
+    """Knowledge of the callers about one job.
 
     Attributes:
-        tokens: By item.
-        submitted_at: When it was handed in first.
-        is_acknowledged: Whether it was ever acknowledged.
-        is_uncertain: Whether it may have been taken by an attempt of which nothing is known.
-        is_end_requested: Whether its client asked for its end.
-        is_end_acknowledged: Whether that was acknowledged.
-        results: The longest list that was read.
-        finished: Items whose output a proxy has handed over, with all texts that were.
+        tokens: Number of tokens, by item.
+        submitted_at: Simulated time of the first submission.
+        is_acknowledged: Whether a submission was ever acknowledged.
+        is_uncertain: Whether a submission with unknown outcome may have been accepted.
+        is_end_requested: Whether its client requested the end of the job.
+        is_end_acknowledged: Whether that request was acknowledged.
+        results: The longest list of results that was read.
+        finished: All texts that proxies have sent as the output of an item, by item.
     """
 
     tokens: dict[str, int]
@@ -45,15 +45,15 @@
 
 
 class JobModel:
-    """Checks answers.
+    """Checks the answers that callers receive.
 
     Args:
         max_queued_tokens: The tenant's quota.
-        on_finding: Called with each finding when it is made.
+        on_finding: Called with the description of each failed check.
 
     Attributes:
-        jobs: By id.
-        findings: What broke a rule, in words.
+        jobs: All jobs, by id.
+        findings: Descriptions of failed checks.
     """
 
     def __init__(self, *, max_queued_tokens: int, on_finding: Callable[[str], object]) -> None:
@@ -63,28 +63,28 @@
         self._on_finding = on_finding
 
     def note_finding(self, text: str) -> None:
-        """Something broke a rule."""
+        """Records a failed check."""
         self.findings.append(text)
         self._on_finding(text)
 
     def note_acknowledged(self, job_id: str) -> None:
-        """A job was acknowledged; the first time, its items must have fitted the quota."""
+        """Records that a job was acknowledged; the first time, checks that its items fit the quota."""
         job = self.jobs[job_id]
         if job.is_acknowledged:
             return
         job.is_acknowledged = True
-        queued = sum(map(self._queued, self.jobs.values()))
+        queued = sum(map(self._queued_tokens, self.jobs.values()))
         if queued > self._max_queued_tokens:
             self.note_finding(f"QUOTA {job_id}: {queued} tokens wait")
 
     @staticmethod
-    def _queued(job: JobRecord) -> int:
+    def _queued_tokens(job: JobRecord) -> int:
         if not job.is_acknowledged or job.is_end_requested:
             return 0
         return sum(tokens for item, tokens in job.tokens.items() if item not in job.finished)
 
     def note_page(self, job_id: str, *, after: int, total: int, page: list[Result]) -> None:
-        """A page was read."""
+        """Checks a page of results that was read from position `after` on, and records its new results."""
         job = self.jobs[job_id]
         if total != len(job.tokens):
             self.note_finding(f"MIXED {job_id}: total {total} of {len(job.tokens)}")
@@ -93,9 +93,9 @@
                 if job.results[position] != result:
                     self.note_finding(f"TWICE {job_id}: position {position} was {job.results[position]}, is {result}")
                 continue
-            self._note_new(job_id, job, position, result)
+            self._note_new_result(job_id, job, position, result)
 
-    def _note_new(self, job_id: str, job: JobRecord, position: int, result: Result) -> None:
+    def _note_new_result(self, job_id: str, job: JobRecord, position: int, result: Result) -> None:
         if position > len(job.results):
             self.note_finding(f"LOST {job_id}: position {position} without the one before")
             return
@@ -106,17 +106,33 @@
         job.results.append(result)
 
     def note_missing(self, job_id: str, *, was_acknowledged: bool) -> None:
-        """A store said for certain that there is no such job; `was_acknowledged`: before it was asked."""
+        """Checks a definite answer that a job does not exist.
+
+        Args:
+            job_id: The job.
+            was_acknowledged: Whether the job was acknowledged before the request was sent.
+        """
         if was_acknowledged:
             self.note_finding(f"LOST {job_id}: not found")
 
     def note_page_length(self, job_id: str, *, known: int, listed: int) -> None:
-        """A page from position 0 has fewer results than were read before it was asked for."""
+        """Checks that a page from position 0 has all results that were read before it was requested.
+
+        Args:
+            job_id: The job.
+            known: Number of results that were read before the request was sent.
+            listed: Number of results on the page.
+        """
         if listed < known:
             self.note_finding(f"LOST {job_id}: {listed} results, {known} were read")
 
     def note_pulled_item(self, job_id: str, *, was_end_acknowledged: bool) -> None:
-        """An item of a job was given out to be run; `was_end_acknowledged`: the job's end was acknowledged before."""
+        """Checks that an item given out to a proxy belongs to a job that may run.
+
+        Args:
+            job_id: The job.
+            was_end_acknowledged: Whether the job's end was acknowledged before the request was sent.
+        """
         job = self.jobs.get(job_id)
         if job is None or not (job.is_acknowledged or job.is_uncertain):
             self.note_finding(f"REFUSED {job_id}: it runs")
--- a/ploverward/simulation/batch/scene.py
+++ b/ploverward/simulation/batch/scene.py
@@ -1,4 +1,4 @@
-"""What the parts of a run of the stores share: the partition that is played, its stores, the clock and the model."""
+"""State shared by the parts of a run: the simulated partition, its stores, the clock and the model."""
 
 import dataclasses
 import random
@@ -10,24 +10,24 @@
 from ploverward.simulation.batch import store_network
 from ploverward.simulation.control_plane import simulated_clock
 
-CORE = "core"  # the name that links to the coordinator have
+CORE = "core"  # name of the coordinator on the network
 TENANT = "t0"
-PARTITION = batch_partitions.partition_of(TENANT)  # of the partition
+PARTITION = batch_partitions.partition_of(TENANT)  # the only partition of the simulation
 COPIES = 3
 MAX_QUEUED_TOKENS = 400
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoreScene:
-    """One run, as its callers and its faults see it.
+    """One run, as its callers and its faults access it.
 
     Attributes:
-        clock: The simulated time.
-        chance: Draws what happens.
-        network: Joins the stores and the coordinator.
-        stores: By name.
-        model: What callers were told.
-        rows: Returns the singleton roles as the register has them.
+        clock: Simulated clock.
+        chance: Random generator of the run.
+        network: Connects the stores and the coordinator.
+        stores: Stores by name.
+        model: Checks what callers are answered.
+        rows: Returns the singleton roles stored in the register.
         record: Adds a line to the history.
     """
 
@@ -41,5 +41,5 @@
 
     @property
     def owners(self) -> batch_partitions.PartitionOwners:
-        """Who has the partition, as the register has it."""
+        """Owners of the partition according to the register."""
         return batch_partitions.owners_of(partition=PARTITION, roles=self.rows())
--- a/ploverward/simulation/batch/simulated_store.py
+++ b/ploverward/simulation/batch/simulated_store.py
@@ -1,4 +1,4 @@
-"""A machine with a store: the product's parts, wired as `ploverward.store.store_node` does, in simulated time."""
+"""Machine with a store: the production classes, wired as in `ploverward.store.store_node`, in simulated time."""
 
 from __future__ import annotations
 
@@ -27,22 +27,23 @@
 
 
 class SimulatedStore:
-    """One machine; its disk outlives its processes.
+    """One machine, whose disk outlives its processes.
 
     Args:
-        name: Its address.
-        zone: Where it is.
-        network: Connections to other stores.
-        find: Returns the machine with a name.
-        sync_s: Bounds of how long a sync takes.
-        send_report: Sends a report to the coordinator: (name, report).
-        on_failure: Called with a process and a traceback when a step raised.
+        name: Address of the machine.
+        zone: Zone of the machine.
+        network: Connects it to other stores.
+        find: Returns the machine with a given name.
+        sync_s: Bounds of the duration of a disk sync.
+        send_report: Sends a report to the coordinator; called with (name, report).
+        on_failure: Called with the process and a traceback when a step raises.
 
     Attributes:
-        process: The present one, None where the machine is down.
-        incarnation: Identifies the present process.
-        disk: Of the present process.
-        back_at: Since when it has been up, and whole.
+        process: Latest process of the machine; None before the first start.
+        incarnation: Identifies the current process.
+        disk: The current process's store disk.
+        back_at: Time at which the machine last started, thawed or became reachable again.
+        down_since: Time at which the machine last stopped, froze or was cut off.
     """
 
     def __init__(
@@ -73,11 +74,11 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether its process runs."""
+        """Whether a process runs on the machine."""
         return self.process is not None and self.process.is_alive
 
     def start(self) -> None:
-        """Starts a process on the disk as it is."""
+        """Starts a process on the current contents of the disk."""
         self._starts += 1
         self.incarnation = f"{self.name}-{self._starts}"
         self.process = simulated_clock.Process(clock=self._clock, name=self.name, on_failure=self._on_failure)
@@ -133,16 +134,16 @@
         self.copies.handle_synced(number)
 
     def accept(self, channel: object, message: tuple) -> None:
-        """A message of another store, or of a proxy."""
+        """Handles a message from another store or from a proxy."""
         self._handlers[type(message)](channel, message)
 
     def handle_end(self, channel: object) -> None:
-        """A connection that another machine opened ended."""
+        """Handles the end of a connection that another machine opened."""
         self.copies.handle_end(channel)  # type: ignore[arg-type]
         self.jobs.handle_end(channel)  # type: ignore[arg-type]
 
     def install(self, rows: Mapping[str, Sequence]) -> None:
-        """Rows of the register became known."""
+        """Installs rows of the register with a newer epoch than the known ones."""
         for number in range(batch_partitions.PARTITIONS):
             owners = batch_partitions.owners_of(partition=number, roles=rows)
             if owners.epoch > self._epochs.get(number, 0):
@@ -150,7 +151,12 @@
                 self.primary.install(number, owners)
 
     def stop(self, *, has_power: bool = True, keeps_disk: bool = True) -> None:
-        """Ends the process, by a kill or by a loss of power, which may take the disk with it."""
+        """Ends the process.
+
+        Args:
+            has_power: False for a loss of power, True for a kill of the process.
+            keeps_disk: False if the contents of the disk are lost as well.
+        """
         if self.is_alive and self.process is not None:
             self.process.end()
             self.down_since = self._clock.time
--- a/ploverward/simulation/batch/store_callers.py
+++ b/ploverward/simulation/batch/store_callers.py
@@ -1,6 +1,6 @@
-"""Callers of a run of the stores: clients that hand jobs in, read and end them, and proxies that run their items.
+"""Callers in a run of the stores: clients that submit, read and end jobs, and proxies that run their items.
 
-`StoreCallers` draws from the run's generator what is called next, and notes what was answered in the run's model.
+`StoreCallers` draws the next call from the run's random generator and records the answers in the run's model.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from ploverward.transport.batch_messages import Condition
 from ploverward.transport.batch_messages import Outcome
 
-CALL_INTERVAL_S = 0.025  # between two calls of clients, on average
-JOB_DUE_MS = 1000
-RESUBMISSION_S = 3.0
-REPLY_TIMEOUT_S = 0.9  # after which a caller waits no more
-POLL_INTERVAL_S = 0.01  # between two looks for a reply
-CALLS_AFTER_FAULTS_S = 6.0  # after the time with faults
-MAX_ITEM_TRIES = 3  # of an item
-NEW_JOB_CHANCE = 0.1  # that a call hands a new job in
-END_CHANCE = 0.1  # that an end that was drawn is sent
+CALL_INTERVAL_S = 0.025  # mean interval between calls
+JOB_DUE_MS = 1000  # from the submission until all results are due
+RESUBMISSION_S = 3.0  # after the first submission, for as long as clients resend a job
+REPLY_TIMEOUT_S = 0.9
+POLL_INTERVAL_S = 0.01  # between checks for a reply
+CALLS_AFTER_FAULTS_S = 6.0  # for how long calls continue after the phase with faults
+MAX_ITEM_TRIES = 3
+NEW_JOB_CHANCE = 0.1  # that a call submits a new job
+END_CHANCE = 0.1  # that a drawn request to end a job is sent
 MAX_FINISH_ATTEMPTS = 20
 FINISH_RETRY_DELAY_S = 0.3
 
 
 class ReplyBox:
-    """One end of a call: keeps the reply with its number."""
+    """Caller's end of a connection: stores replies by their number."""
 
     def __init__(self) -> None:
         self.name = "caller"
         self.replies: dict[int, tuple] = {}
 
     def send(self, message: tuple) -> None:
-        """A store's reply."""
+        """Stores a reply."""
         self.replies[message.number] = message  # type: ignore[attr-defined]
 
 
@@ -47,24 +47,24 @@
     """The callers of one run.
 
     Args:
-        played: The run's stores, clock and model.
-        until: When new jobs end, by the simulated time in seconds.
+        run_scene: The run's stores, clock and model.
+        until: Simulated time in seconds after which no new jobs are submitted.
     """
 
-    def __init__(self, *, played: scene.StoreScene, until: float) -> None:
-        self._scene = played
-        self._clock = played.clock
-        self._chance = played.chance
-        self._stores = played.stores
-        self._model = played.model
+    def __init__(self, *, run_scene: scene.StoreScene, until: float) -> None:
+        self._scene = run_scene
+        self._clock = run_scene.clock
+        self._chance = run_scene.chance
+        self._stores = run_scene.stores
+        self._model = run_scene.model
         self._until = until
         self._next_number = 0
         self._jobs = 0
         self._runs = 0
-        self._pending: collections.Counter[str] = collections.Counter()  # by job: hand-ins that are not answered
+        self._pending: collections.Counter[str] = collections.Counter()  # unanswered submissions by job
 
     def schedule(self) -> None:
-        """Draws when the next call is made."""
+        """Draws the time of the next call."""
         self._clock.later(delay=self._chance.expovariate(1 / CALL_INTERVAL_S), callback=self._call)
 
     def _call(self) -> None:
@@ -79,7 +79,7 @@
         self._chance.choice((self._read, self._read, self._resubmit, self._pull, self._pull, self._end))()
 
     def _draw_store(self) -> simulated_store.SimulatedStore:
-        """The primary as the register has it, or any store: proxies may know an older arrangement."""
+        """Returns the primary according to the register, or any store, as proxies may know an older arrangement."""
         primary = self._scene.owners.primary
         if primary and self._chance.random() < 0.6:
             return self._stores[primary]
@@ -91,7 +91,7 @@
         make_message: Callable[[int], tuple],
         then: Callable[[typing.Any], object],
     ) -> None:
-        """Calls a store; `then` is called with the reply, or with None after a while."""
+        """Sends a request to a store; calls `then` with the reply, or with None after a timeout."""
         self._next_number += 1
         number = self._next_number
         caller = ReplyBox()
@@ -118,7 +118,7 @@
         self._submit(job_id)
 
     def _resubmit(self) -> None:
-        """Clients send a job again within some seconds; later it may be forgotten, and would be taken anew."""
+        """Resends a recent job; an older one may have been forgotten, and would be accepted as a new job."""
         recent = [
             job_id
             for job_id, record in self._model.jobs.items()
@@ -164,7 +164,7 @@
         self.read_from(self._draw_store(), job_id)
 
     def read_from(self, store: simulated_store.SimulatedStore, job_id: str) -> None:
-        """Reads a job from its start at one store, and notes what it answers."""
+        """Reads a job from position 0 at one store and records the answer."""
         record = self._model.jobs[job_id]
         was_acknowledged, known = record.is_acknowledged, len(record.results)
 
@@ -206,7 +206,7 @@
         self._send_request(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), then)
 
     def _finish(self, item: batch_messages.PulledItem, attempt: int) -> None:
-        """A run ended; its text differs from those of other runs, so that two listings can be told apart."""
+        """Sends the output of an item's run; each run has its own text, so that a second listing is detected."""
         if attempt == 1:
             self._runs += 1
             self._model.jobs[item.job].finished.setdefault(item.item, set()).add(b"run %d" % self._runs)
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -1,7 +1,7 @@
-"""Faults of a run of the stores: which are drawn, when, and what each does (docs/batch.md 8).
+"""Faults in a run of the stores: draws their kind and time, and injects them (docs/batch.md 8).
 
-`StoreFaults` draws from the run's generator. No more disks are lost at once than the copies allow for; machines and
-links may fail in any number.
+`StoreFaults` draws from the run's random generator. The number of disks lost at once stays within what the copies
+tolerate; any number of machines and links may fail.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from ploverward.simulation.batch import scene
 from ploverward.simulation.batch import simulated_store
 
-CATCH_UP_S = 6.0
+CATCH_UP_S = 6.0  # after its return, for which a machine still counts as lost
 FAULT_KINDS = (
     "kill",
     "power",
@@ -25,8 +25,8 @@
     "coordinator",
     "half",
 )
-FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # between two faults, on average; disks can only be lost where it is long
-FAULT_FREE_END_S = 1.0  # before the end of the time with faults
+FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # mean intervals; only long ones leave enough copies to lose a disk
+FAULT_FREE_END_S = 1.0  # at the end of the phase with faults
 
 Begin = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
@@ -35,22 +35,22 @@
     """The faults of one run.
 
     Args:
-        played: The run's stores, clock and network.
-        kinds: Those that are drawn.
-        skipped: Numbers of faults that are drawn and not begun.
-        pause_s: Between two faults, on average.
-        until: When there are no further ones, by the simulated time in seconds.
+        run_scene: The run's stores, clock and network.
+        kinds: Kinds of faults to draw from.
+        skipped: Numbers of faults that are drawn but not begun.
+        pause_s: Mean interval between faults.
+        until: Simulated time in seconds at which the phase with faults ends.
         publish: Sends a store the newest arrangement.
 
     Attributes:
-        coordinator_down_until: When the coordinator is back.
-        drawn: How many faults were drawn; their numbers count from 0.
+        coordinator_down_until: Simulated time at which the coordinator is back.
+        drawn: Number of faults drawn so far; faults are numbered from 0.
     """
 
     def __init__(
         self,
         *,
-        played: scene.StoreScene,
+        run_scene: scene.StoreScene,
         kinds: tuple[str, ...],
         skipped: frozenset[int],
         pause_s: float,
@@ -59,13 +59,13 @@
     ) -> None:
         self.coordinator_down_until = 0.0
         self.drawn = 0
-        self._scene = played
+        self._scene = run_scene
         self._skipped = skipped
-        self._record = played.record
-        self._clock = played.clock
-        self._chance = played.chance
-        self._network = played.network
-        self._stores = played.stores
+        self._record = run_scene.record
+        self._clock = run_scene.clock
+        self._chance = run_scene.chance
+        self._network = run_scene.network
+        self._stores = run_scene.stores
         self._kinds = kinds
         self._pause_s = pause_s
         self._until = until
@@ -85,7 +85,7 @@
         }
 
     def schedule(self) -> None:
-        """Draws when the next fault begins."""
+        """Draws the time of the next fault."""
         self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._begin_one)
 
     def _begin_one(self) -> None:
@@ -102,7 +102,7 @@
             self._begin[kind](store, span)
 
     def _lost_machines(self) -> set[str]:
-        """Machines that count as lost: down, hidden, frozen, or back for less than the time to catch up."""
+        """Returns the machines that count as lost: down, partitioned, frozen, or back for less than `CATCH_UP_S`."""
         return {
             name
             for name, store in self._stores.items()
@@ -128,7 +128,7 @@
             self._stop(store, span, keeps_disk=False)
 
     def _wipe_two(self, _store: simulated_store.SimulatedStore, span: float) -> None:
-        """Two disks of one partition go; sometimes all other machines lose power in that moment."""
+        """Wipes two disks of the partition; sometimes all other machines lose power at the same time."""
         members = list(self._scene.owners.stores)
         chosen = self._chance.sample(members, min(2, len(members)))
         if self._lost_machines() - set(chosen) or len(chosen) < scene.COPIES - 1:
@@ -196,7 +196,7 @@
         self.coordinator_down_until = self._clock.time + span
 
     def heal(self) -> None:
-        """Ends all faults that are left."""
+        """Ends all remaining faults."""
         self._network.partitions.clear()
         self.coordinator_down_until = 0.0
         for store in self._stores.values():
--- a/ploverward/simulation/batch/store_mutants.py
+++ b/ploverward/simulation/batch/store_mutants.py
@@ -1,7 +1,7 @@
-"""Mutants of the stores: seeded bugs in the product's code, to show that the checks of `batch_run` find them.
+"""Mutants of the stores: bugs seeded into production code, which the checks of `batch_run` have to find.
 
-A primary that answers past its lease, and one that goes on under its epoch after a restart, were found in few runs or
-none: unit tests have them (`test_replication.py`, `test_partition_placement.py`).
+Two bugs are covered by unit tests instead (`test_replication.py`, `test_partition_placement.py`), as few or no runs
+find them: a primary that answers after its lease expired, and one that continues in its epoch after a restart.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     """A seeded bug.
 
     Attributes:
-        name: What is wrong with the code.
-        patches: Makes the patches that put it into the code.
-        kinds: Of the faults that may show it.
-        fault_s: Between two of them, on average; 0: drawn by the seed.
-        sync_s: Bounds of how long a sync takes; None: drawn by the seed.
+        name: Description of the bug.
+        patches: Returns the patches that put the bug into the code.
+        kinds: Kinds of faults that may expose the bug.
+        fault_s: Mean interval between faults; 0 to draw it from the run's generator.
+        sync_s: Bounds of the duration of a disk sync; None to draw them from the run's generator.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 
 def _forget_learners() -> list[Patch]:
-    """Learners that were reported as level are not waited for."""
+    """Commits without waiting for learners, even those that were reported as caught up."""
 
     def required(self: replication.Replication) -> Iterator[replication.CopyProgress]:
         return (copy for address, copy in self._copies.items() if address in self.owners.backups)
@@ -76,7 +76,7 @@
 
 
 def _list_twice() -> list[Patch]:
-    """A result that comes again gets a second position."""
+    """Lists a result that arrives again at a second position."""
     original = job_table.JobTable._add_result
     listed = (job_table.ItemState.LISTED, job_table.ItemState.FINISHING)
 
@@ -104,7 +104,7 @@
 
 
 def _count_committed_only() -> list[Patch]:
-    """Jobs that are being written do not count against the quota."""
+    """Does not count jobs whose write is in progress against the quota."""
     return [
         _replace(
             partition.Partition,
@@ -143,7 +143,7 @@
 
 @contextlib.contextmanager
 def apply_mutant(mutant: Mutant) -> Iterator[None]:
-    """Puts a mutant into the code while the context lasts."""
+    """Patches a mutant into the code for the duration of the context."""
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
             stack.enter_context(patch)
@@ -151,10 +151,10 @@
 
 
 def find(mutant: Mutant, *, max_seeds: int = MAX_SEEDS) -> tuple[int, str] | None:
-    """Plays runs with a mutant until one shows it.
+    """Plays runs with a mutant until one fails a check.
 
     Returns:
-        The seed and what it broke; None where no run showed it.
+        The seed and the first finding; None if no run failed.
     """
     for seed in range(max_seeds):
         plan = batch_run.Plan(seed=seed, kinds=mutant.kinds, fault_s=mutant.fault_s, sync_s=mutant.sync_s)
--- a/ploverward/simulation/batch/store_network.py
+++ b/ploverward/simulation/batch/store_network.py
@@ -1,4 +1,4 @@
-"""Connections between simulated stores: in order, delayed, stalled by a partition and ended by a long one."""
+"""Connections between simulated stores: ordered and delayed, stalled by a partition, closed by a long one."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 from ploverward.simulation.control_plane import simulated_clock
 
-DELAY_S = (0.0005, 0.02)
+DELAY_S = (0.0005, 0.02)  # bounds of the delay of a message
 RECONNECT_S = 0.1
-SILENCE_TIMEOUT_S = 0.8  # after which a connection on which nothing arrives is ended
-END_NOTICE_DELAY_S = (0.0, 0.5)  # how much later than the one end the other one hears that the connection ended
+SILENCE_TIMEOUT_S = 0.8  # after which a stalled connection is closed
+END_NOTICE_DELAY_S = (0.0, 0.5)  # bounds of the delay until the accepting end notices a close
 
 
 class Endpoint(typing.Protocol):
-    """A machine that may be reached."""
+    """Machine that accepts connections."""
 
     name: str
     process: simulated_clock.Process | None
 
     def accept(self, channel: Channel, message: tuple) -> None:
-        """A message arrived on a connection that another machine opened."""
+        """Handles a message on a connection that another machine opened."""
 
     def handle_end(self, channel: Channel) -> None:
-        """A connection that another machine opened ended."""
+        """Handles the end of a connection that another machine opened."""
 
 
 class Network:
-    """Who can't reach whom.
+    """Reachability between machines.
 
     Attributes:
-        clock: Of the run.
-        partitions: Directions (source, target) in which nothing arrives.
+        clock: Simulated clock of the run.
+        partitions: Pairs (source, target) between which no messages arrive, in this direction.
     """
 
     def __init__(self, clock: simulated_clock.Clock) -> None:
@@ -40,12 +40,12 @@
         self.partitions: set[tuple[str, str]] = set()
 
     def is_reachable(self, source: str, target: str) -> bool:
-        """Whether messages arrive."""
+        """Returns whether messages from the source arrive at the target."""
         return (source, target) not in self.partitions
 
 
 class Channel:
-    """One connection. The opening end has callbacks, the other one is an `Endpoint`; `send` answers the opening end."""
+    """One connection. The opening end has callbacks, the accepting end is an `Endpoint`, which answers with `send`."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._target_process = target.process
         self._on_message = on_message
         self._on_end = on_end
-        self._free_at = {True: 0.0, False: 0.0}  # by direction: when the last message arrives
+        self._free_at = {True: 0.0, False: 0.0}  # arrival of the last message, by `is_forward`
         self._stalled: list[tuple[bool, tuple]] = []
         self._stalled_since: float | None = None
         self.is_open = True
@@ -72,7 +72,7 @@
 
     # Sending.
     def send_forward(self, message: tuple) -> None:
-        """Sends to the other end."""
+        """Sends to the accepting end."""
         self._send(message, is_forward=True)
 
     def send(self, message: tuple) -> None:
@@ -102,9 +102,9 @@
         elif self.is_open:
             self._on_message(message)
 
-    # The end.
+    # Closing.
     def _check(self) -> None:
-        """Flushes what a partition stalled, or ends the connection once it lasts too long, or a process is gone."""
+        """Sends messages stalled by a partition; closes the connection if it stalls too long or a process has ended."""
         if not self.is_open:
             return
         clock = self._network.clock
@@ -124,7 +124,10 @@
         clock.later(delay=SILENCE_TIMEOUT_S / 4, callback=self._check)
 
     def close(self) -> None:
-        """Ends the connection: the opening end hears of it at once, the other one later, after what is on its way."""
+        """Closes the connection.
+
+        The opening end is notified at once, the accepting end later, after the messages that are in flight to it.
+        """
         if not self.is_open:
             return
         self.is_open = False
@@ -138,7 +141,7 @@
 
 
 class Links:
-    """The twin of `ploverward.store.store_links.StoreLinks`."""
+    """Simulated replacement of `ploverward.store.store_links.StoreLinks`."""
 
     def __init__(
         self,
@@ -162,7 +165,7 @@
         self._channels: dict[str, Channel] = {}
 
     def update(self, addresses: set[str]) -> None:
-        """Connects to these stores, and ends the connections to others."""
+        """Connects to these stores and closes the connections to others."""
         for address in sorted(addresses - self._wanted):
             self._network.clock.later(
                 delay=0.0, callback=functools.partial(self._connect, address), process=self._process
@@ -203,13 +206,13 @@
         )
 
     def send(self, address: str, message: tuple) -> None:
-        """Sends to a store; without a connection the message is lost."""
+        """Sends a message to a store; it is lost if there is no connection."""
         if address in self._channels:
             self._channels[address].send_forward(message)
 
     def keep_alive(self) -> None:
-        """Does nothing: silence is modelled by the network."""
+        """Does nothing: `Channel` detects silence without keep-alive messages."""
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         self.update(set())
--- a/ploverward/simulation/batch/test_batch_run.py
+++ b/ploverward/simulation/batch/test_batch_run.py
@@ -1,4 +1,4 @@
-"""Runs of the stores in simulated time: none breaks a check, and each seeded bug breaks one."""
+"""Runs of the stores in simulated time: no run fails a check, and every seeded bug makes one fail."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 def test_run_with_random_faults_violates_no_check(seed):
     run = batch_run.BatchRun(batch_run.Plan(seed=seed))
     assert run.play() == []
-    assert sum(job.is_acknowledged for job in run.model.jobs.values()) >= 5  # the run has shown something
+    assert sum(job.is_acknowledged for job in run.model.jobs.values()) >= 5  # guards against a run that tests nothing
 
 
 @pytest.mark.parametrize("mutant", store_mutants.MUTANTS, ids=lambda mutant: mutant.name)
--- a/ploverward/simulation/batch/test_command_line.py
+++ b/ploverward/simulation/batch/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command that plays runs of the stores."""
+"""Tests of the command line that plays runs of the stores."""
 
 import pytest
 
@@ -22,16 +22,16 @@
     def plan_of(mutant, seed):
         return batch_run.Plan(seed=seed, kinds=mutant.kinds, fault_s=mutant.fault_s, sync_s=mutant.sync_s)
 
-    mutant = next(one for one in store_mutants.MUTANTS if one.name == "takes an emptied disk for a member")
+    mutant = next(row for row in store_mutants.MUTANTS if row.name == "takes an emptied disk for a member")
     seed, _finding = store_mutants.find(mutant)
     plan = plan_of(mutant, seed)
     monkeypatch.setattr(command_line.batch_run, "Plan", lambda seed: plan)
     with store_mutants.apply_mutant(mutant):
-        drawn = batch_run.BatchRun(plan)
-        assert drawn.play()
+        original = batch_run.BatchRun(plan)
+        assert original.play()
         shorter = command_line.minimized_plan(seed)
         assert batch_run.BatchRun(shorter).play()
-    assert 0 < len(shorter.skipped_faults) < drawn.faults.drawn
+    assert 0 < len(shorter.skipped_faults) < original.faults.drawn
 
 
 @pytest.mark.parametrize("found, code", [((7, "LOST j1"), 0), (None, 1)])
