--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -129,7 +129,7 @@
         self.clock.run(until=self._faults_until)
         self.faults.heal()
         self.clock.run(until=self.clock.time + RECOVERY_S)
-        self._check_end()
+        self._check_final_state()
         return self.findings
 
     # Coordinator.
@@ -141,7 +141,7 @@
         self.clock.later(delay=COORDINATION_INTERVAL_S, callback=self._coordinate)
         if self.clock.time < self.faults.coordinator_down_until:
             return
-        view = self._view(may_place=may_place)
+        view = self._placement_view(may_place=may_place)
         name = batch_partitions.role_name(scene.PARTITION)
         row = partition_placement.arrangement_changes(view).get(name)
         if row is not None:
@@ -168,7 +168,7 @@
 
         self.clock.later(delay=delay, callback=arrive, process=store.process)
 
-    def _view(self, *, may_place: bool) -> partition_placement.PlacementView:
+    def _placement_view(self, *, may_place: bool) -> partition_placement.PlacementView:
         arrangements = {scene.PARTITION: batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)}
         arrangements = {number: owners for number, owners in arrangements.items() if owners.members}
         reports = {
@@ -179,7 +179,7 @@
             and self.clock.time - at <= 1.0
         }
         return partition_placement.PlacementView(
-            stores={name: self._state(store) for name, store in self.stores.items()},
+            stores={name: self._store_state(store) for name, store in self.stores.items()},
             arrangements=arrangements,
             reports=reports,
             copies=scene.COPIES,
@@ -188,7 +188,7 @@
             never_connected_for_s=1e9,
         )
 
-    def _state(self, store: simulated_store.SimulatedStore) -> partition_placement.StoreState:
+    def _store_state(self, store: simulated_store.SimulatedStore) -> partition_placement.StoreState:
         disconnected_for_s = self._disconnected_for_s(store)
         is_ready = store.is_alive and store.disk.is_ready
         return partition_placement.StoreState(
@@ -212,7 +212,7 @@
         return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else DISCONNECT_DETECTION_S))
 
     # Final check.
-    def _check_end(self) -> None:
+    def _check_final_state(self) -> None:
         """Checks that, after the faults, all copies exist again, a primary serves, and no answered data is missing."""
         owners = batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)
         if len(owners.members) < scene.COPIES or owners.learners:
--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -104,9 +104,9 @@
     parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes")
     parser.add_argument("--history", type=int, metavar="SEED", help="print the history of one run")
     parser.add_argument("--planted", action="store_true", help="check that each mutant is found")
-    chosen = parser.parse_args(arguments)
-    if chosen.planted:
+    options = parser.parse_args(arguments)
+    if options.planted:
         return run_mutants()
-    if chosen.history is not None:
-        return print_run(batch_run.Plan(seed=chosen.history))
-    return run(first=chosen.first, seeds=chosen.seeds, jobs=chosen.jobs)
+    if options.history is not None:
+        return print_run(batch_run.Plan(seed=options.history))
+    return run(first=options.first, seeds=options.seeds, jobs=options.jobs)
--- a/ploverward/simulation/batch/simulated_store.py
+++ b/ploverward/simulation/batch/simulated_store.py
@@ -83,9 +83,9 @@
         self.incarnation = f"{self.name}-{self._starts}"
         self.process = simulated_clock.Process(clock=self._clock, name=self.name, on_failure=self._on_failure)
         self.back_at = self._clock.time
-        self.process.guard(self._begin)
+        self.process.guard(self._start_services)
 
-    def _begin(self) -> None:
+    def _start_services(self) -> None:
         process = self.process
         assert process is not None
         loop = simulated_clock.Loop(process=process, on_stop=lambda: None, disk=self.files)
--- a/ploverward/simulation/batch/store_callers.py
+++ b/ploverward/simulation/batch/store_callers.py
@@ -65,9 +65,9 @@
 
     def schedule(self) -> None:
         """Draws the time of the next call."""
-        self._clock.later(delay=self._chance.expovariate(1 / CALL_INTERVAL_S), callback=self._call)
+        self._clock.later(delay=self._chance.expovariate(1 / CALL_INTERVAL_S), callback=self._make_call)
 
-    def _call(self) -> None:
+    def _make_call(self) -> None:
         if self._clock.time > self._until + CALLS_AFTER_FAULTS_S:
             return
         self.schedule()
@@ -76,7 +76,9 @@
             if not is_late:
                 self._submit_new()
             return
-        self._chance.choice((self._read, self._read, self._resubmit, self._pull, self._pull, self._end))()
+        self._chance.choice(
+            (self._read_job, self._read_job, self._resubmit, self._pull_items, self._pull_items, self._end_job)
+        )()
 
     def _draw_store(self) -> simulated_store.SimulatedStore:
         """Returns the primary according to the register, or any store, as proxies may know an older arrangement."""
@@ -89,9 +91,9 @@
         self,
         store: simulated_store.SimulatedStore,
         make_message: Callable[[int], tuple],
-        then: Callable[[typing.Any], object],
+        on_reply: Callable[[typing.Any], object],
     ) -> None:
-        """Sends a request to a store; calls `then` with the reply, or with None after a timeout."""
+        """Sends a request to a store; calls `on_reply` with the reply, or with None after a timeout."""
         self._next_number += 1
         number = self._next_number
         caller = ReplyBox()
@@ -101,14 +103,14 @@
             self._clock.later(delay=self._chance.uniform(0.001, 0.02), callback=arrival, process=process)
         began = self._clock.time
 
-        def wait() -> None:
+        def poll() -> None:
             reply = caller.replies.get(number)
             if reply is not None or self._clock.time - began > REPLY_TIMEOUT_S:
-                then(reply)
+                on_reply(reply)
             else:
-                self._clock.later(delay=POLL_INTERVAL_S, callback=wait)
+                self._clock.later(delay=POLL_INTERVAL_S, callback=poll)
 
-        self._clock.later(delay=POLL_INTERVAL_S, callback=wait)
+        self._clock.later(delay=POLL_INTERVAL_S, callback=poll)
 
     def _submit_new(self) -> None:
         self._jobs += 1
@@ -141,7 +143,7 @@
         was_uncertain = record.is_uncertain
         record.is_uncertain = True  # until it is answered
 
-        def then(reply: batch_messages.JobReply | None) -> None:
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
             if reply is None or reply.outcome == Outcome.NOT_KNOWN:
                 return
             if reply.outcome == Outcome.DONE:
@@ -156,10 +158,10 @@
             lambda number: batch_messages.SubmitJob(
                 number, scene.TENANT, job_id, "r", JOB_DUE_MS, MAX_ITEM_TRIES, scene.MAX_QUEUED_TOKENS, body
             ),
-            then,
+            on_reply,
         )
 
-    def _read(self) -> None:
+    def _read_job(self) -> None:
         job_id = self._chance.choice(list(self._model.jobs))
         self.read_from(self._draw_store(), job_id)
 
@@ -168,7 +170,7 @@
         record = self._model.jobs[job_id]
         was_acknowledged, known = record.is_acknowledged, len(record.results)
 
-        def then(reply: batch_messages.JobPage | None) -> None:
+        def on_reply(reply: batch_messages.JobPage | None) -> None:
             if reply is None or self._may_be_forgotten(record):
                 return
             if reply.outcome == Outcome.NOT_FOUND:
@@ -178,45 +180,47 @@
                 self._model.note_page(job_id, after=0, total=reply.total, page=page)
                 self._model.note_page_length(job_id, known=known, listed=len(page))
 
-        self._send_request(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), then)
+        self._send_request(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), on_reply)
 
-    def _end(self) -> None:
+    def _end_job(self) -> None:
         if self._chance.random() > END_CHANCE:
             return
         job_id = self._chance.choice(list(self._model.jobs))
         record = self._model.jobs[job_id]
         record.is_end_requested = True
 
-        def then(reply: batch_messages.JobReply | None) -> None:
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
             record.is_end_acknowledged |= reply is not None and reply.outcome == Outcome.DONE
 
-        self._send_request(self._draw_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), then)
+        self._send_request(
+            self._draw_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), on_reply
+        )
 
-    def _pull(self) -> None:
+    def _pull_items(self) -> None:
         store = self._draw_store()
         ended = {job_id for job_id, record in self._model.jobs.items() if record.is_end_acknowledged}
 
-        def then(reply: batch_messages.PulledItems | None) -> None:
+        def on_reply(reply: batch_messages.PulledItems | None) -> None:
             for item in reply.items if reply is not None else ():
                 self._model.note_pulled_item(item.job, was_end_acknowledged=item.job in ended)
                 self._clock.later(
-                    delay=self._chance.uniform(0.05, 3.0), callback=functools.partial(self._finish, item, 1)
+                    delay=self._chance.uniform(0.05, 3.0), callback=functools.partial(self._finish_item, item, 1)
                 )
 
-        self._send_request(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), then)
+        self._send_request(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), on_reply)
 
-    def _finish(self, item: batch_messages.PulledItem, attempt: int) -> None:
+    def _finish_item(self, item: batch_messages.PulledItem, attempt: int) -> None:
         """Sends the output of an item's run; each run has its own text, so that a second listing is detected."""
         if attempt == 1:
             self._runs += 1
             self._model.jobs[item.job].finished.setdefault(item.item, set()).add(b"run %d" % self._runs)
         text = b"run %d" % self._runs if attempt == 1 else max(self._model.jobs[item.job].finished[item.item])
 
-        def then(reply: batch_messages.JobReply | None) -> None:
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
             is_kept = reply is not None and reply.outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN)
             if not is_kept and attempt < MAX_FINISH_ATTEMPTS:
                 self._clock.later(
-                    delay=FINISH_RETRY_DELAY_S, callback=functools.partial(self._finish, item, attempt + 1)
+                    delay=FINISH_RETRY_DELAY_S, callback=functools.partial(self._finish_item, item, attempt + 1)
                 )
 
         self._send_request(
@@ -224,5 +228,5 @@
             lambda number: batch_messages.FinishItem(
                 number, scene.TENANT, item.job, item.item, int(Condition.DELIVERED), text
             ),
-            then,
+            on_reply,
         )
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -28,7 +28,7 @@
 FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # mean intervals; only long ones leave enough copies to lose a disk
 FAULT_FREE_END_S = 1.0  # at the end of the phase with faults
 
-Begin = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
+Injector = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
 
 class StoreFaults:
@@ -70,9 +70,9 @@
         self._pause_s = pause_s
         self._until = until
         self._publish = publish
-        self._begin: dict[str, Begin] = {
+        self._injectors: dict[str, Injector] = {
             "kill": self._stop,
-            "power": lambda store, span: self._stop(store, span, has_power=False),
+            "power": lambda store, duration_s: self._stop(store, duration_s, has_power=False),
             "wipe": self._wipe,
             "wipe two": self._wipe_two,
             "cut": self._cut_off,
@@ -86,20 +86,20 @@
 
     def schedule(self) -> None:
         """Draws the time of the next fault."""
-        self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._begin_one)
+        self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._inject_next)
 
-    def _begin_one(self) -> None:
+    def _inject_next(self) -> None:
         if self._clock.time > self._until - FAULT_FREE_END_S:
             return
         self.schedule()
         kind = self._chance.choice(self._kinds)
         store = self._chance.choice(list(self._stores.values()))
-        span = self._chance.uniform(0.3, 4.0)
+        duration_s = self._chance.uniform(0.3, 4.0)
         number = self.drawn
         self.drawn += 1
         if number not in self._skipped:
-            self._record(f"== {kind}, drawn for {store.name} and {span:.2f} s")
-            self._begin[kind](store, span)
+            self._record(f"== {kind}, drawn for {store.name} and {duration_s:.2f} s")
+            self._injectors[kind](store, duration_s)
 
     def _lost_machines(self) -> set[str]:
         """Returns the machines that count as lost: down, partitioned, frozen, or back for less than `CATCH_UP_S`."""
@@ -112,29 +112,29 @@
             or self._clock.time - store.back_at < CATCH_UP_S
         }
 
-    def _stop(self, store: simulated_store.SimulatedStore, span: float, **how: bool) -> None:
+    def _stop(self, store: simulated_store.SimulatedStore, duration_s: float, **options: bool) -> None:
         if not store.is_alive:
             return
-        store.stop(**how)
-        self._clock.later(delay=span, callback=lambda: self._restart(store))
+        store.stop(**options)
+        self._clock.later(delay=duration_s, callback=lambda: self._restart(store))
 
     def _restart(self, store: simulated_store.SimulatedStore) -> None:
         if not store.is_alive:
             store.start()
             self._clock.later(delay=self._chance.uniform(0.05, 0.4), callback=lambda: self._publish(store))
 
-    def _wipe(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _wipe(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         if len(self._lost_machines() | {store.name}) < scene.COPIES:
-            self._stop(store, span, keeps_disk=False)
+            self._stop(store, duration_s, keeps_disk=False)
 
-    def _wipe_two(self, _store: simulated_store.SimulatedStore, span: float) -> None:
+    def _wipe_two(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
         """Wipes two disks of the partition; sometimes all other machines lose power at the same time."""
         members = list(self._scene.owners.stores)
         chosen = self._chance.sample(members, min(2, len(members)))
         if self._lost_machines() - set(chosen) or len(chosen) < scene.COPIES - 1:
             return
         for name in chosen:
-            self._stop(self._stores[name], span, keeps_disk=False)
+            self._stop(self._stores[name], duration_s, keeps_disk=False)
         if self._chance.random() < 0.5:
             for other in self._stores.values():
                 self._stop(other, self._chance.uniform(0.3, 2.0), has_power=False)
@@ -144,7 +144,7 @@
         for store in self._stores.values():
             self._stop(store, self._chance.uniform(0.3, 2.0), has_power=has_power)
 
-    def _cut(self, pairs: set[tuple[str, str]], span: float) -> None:
+    def _cut(self, pairs: set[tuple[str, str]], duration_s: float) -> None:
         new = pairs - self._network.partitions
         self._network.partitions |= new
         for name in {name for pair in new for name in pair if name in self._stores}:
@@ -156,28 +156,28 @@
                 self._stores[name].back_at = self._clock.time
                 self._publish(self._stores[name])
 
-        self._clock.later(delay=span, callback=heal)
+        self._clock.later(delay=duration_s, callback=heal)
 
-    def _cut_off(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_off(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         others = [name for name in (*self._stores, scene.CORE) if name != store.name]
         if self._chance.random() < 0.5:
             others = self._chance.sample(others, 2)
-        self._cut({pair for name in others for pair in ((name, store.name), (store.name, name))}, span)
+        self._cut({pair for name in others for pair in ((name, store.name), (store.name, name))}, duration_s)
 
-    def _cut_core(self, store: simulated_store.SimulatedStore, span: float) -> None:
-        self._cut({(scene.CORE, store.name), (store.name, scene.CORE)}, span)
+    def _cut_core(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
+        self._cut({(scene.CORE, store.name), (store.name, scene.CORE)}, duration_s)
 
-    def _cut_one_way(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_one_way(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         others = [name for name in (*self._stores, scene.CORE) if name != store.name]
         is_inbound = self._chance.random() < 0.5
-        self._cut({(name, store.name) if is_inbound else (store.name, name) for name in others}, span)
+        self._cut({(name, store.name) if is_inbound else (store.name, name) for name in others}, duration_s)
 
-    def _cut_in_half(self, _store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_in_half(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
         side = set(self._chance.sample(list(self._stores), len(self._stores) // 2))
         rest = set(self._stores) - side
-        self._cut({pair for one in side for two in rest for pair in ((one, two), (two, one))}, span)
+        self._cut({pair for one in side for two in rest for pair in ((one, two), (two, one))}, duration_s)
 
-    def _freeze(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _freeze(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         process = store.process
         if process is None or not process.is_alive or process.is_frozen:
             return
@@ -190,10 +190,10 @@
                 process.thaw()
                 self._publish(store)
 
-        self._clock.later(delay=span, callback=thaw)
+        self._clock.later(delay=duration_s, callback=thaw)
 
-    def _stop_coordinator(self, _store: simulated_store.SimulatedStore, span: float) -> None:
-        self.coordinator_down_until = self._clock.time + span
+    def _stop_coordinator(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
+        self.coordinator_down_until = self._clock.time + duration_s
 
     def heal(self) -> None:
         """Ends all remaining faults."""
--- a/ploverward/simulation/model_checker/command_line.py
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -25,7 +25,7 @@
 
 
 def main(arguments: collections.abc.Sequence[str] | None = None) -> int:
-    """Explores the chosen scenarios.
+    """Explores the selected scenarios.
 
     Args:
         arguments: command-line arguments; None for those of the process.
@@ -40,11 +40,11 @@
     parser.add_argument("--budget", choices=("small", "large", "planted"), default="small")
     parser.add_argument("--scenario", default="", help="explore only scenarios whose name contains this text")
     parser.add_argument("--states", type=int, default=0, help="maximum number of states per scenario")
-    chosen = parser.parse_args(arguments)
-    is_large = chosen.budget == "large"
-    max_states = chosen.states or (LARGE_STATES if is_large else SMALL_STATES)
+    options = parser.parse_args(arguments)
+    is_large = options.budget == "large"
+    max_states = options.states or (LARGE_STATES if is_large else SMALL_STATES)
     runs: list[tuple[Scenario, collections.abc.Callable[[], Outcome]]]
-    if chosen.budget == "planted":
+    if options.budget == "planted":
         runs = [
             (mutant.scenario, functools.partial(explore_mutant, fault=mutant, max_states=max_states))
             for mutant in mutations()
@@ -56,11 +56,11 @@
         ]
     is_broken = False
     for scenario, run in runs:
-        if chosen.scenario not in scenario.name:
+        if options.scenario not in scenario.name:
             continue
         outcome = run()
         print(describe(outcome), flush=True)
         if outcome.finding is not None:
             print(outcome.finding.text(), flush=True)
-        is_broken = is_broken or (outcome.finding is not None) != (chosen.budget == "planted")
+        is_broken = is_broken or (outcome.finding is not None) != (options.budget == "planted")
     return int(is_broken)
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -132,17 +132,17 @@
                 yield Step(("crash before safe", name), functools.partial(self._crash, name=name))
 
     # Steps of proposers.
-    def _act(self, state: State, name: str, step: tuple, action: ProposerAction) -> None:
+    def _run_proposer_step(self, state: State, name: str, step: tuple, action: ProposerAction) -> None:
         """Runs a step of a proposer and applies the result: its new state, its sent messages and its events."""
-        played = self.writers.act(state, name, step, action)
-        state.writers[name] = played.component
-        self._handle_sent(state, name, played.sent)
+        result = self.writers.run_step(state, name, step, action)
+        state.writers[name] = result.component
+        self._handle_sent(state, name, result.sent)
         if state.attempts_left[name] < 0:
             self._retire_writer(state, name)
-        for event in played.events:
+        for event in result.events:
             self._handle_event(state, name, event)
         calls = self.writers.by_name[name].calls
-        if played.events and all(state.begin_revisions.get(call.name) == CALL_ENDED for call in calls):
+        if result.events and all(state.begin_revisions.get(call.name) == CALL_ENDED for call in calls):
             self._retire_writer(state, name)
 
     def _retire_writer(self, state: State, name: str) -> None:
@@ -183,7 +183,7 @@
                 edit = Edit(tag=call_name)
                 proposer.change(name=REGISTER, edit=edit, done=done, next_set=call.to or None)
 
-        self._act(state, name, ("begin", call_name), action)
+        self._run_proposer_step(state, name, ("begin", call_name), action)
 
     def _handle_event(self, state: State, name: str, event: Event) -> None:
         if isinstance(event, Failed):
@@ -203,11 +203,13 @@
                 state.latest_chosen = event.value
 
     def _fire_timer(self, state: State, name: str, timer_index: int) -> None:
-        self._act(state, name, ("timer", timer_index), lambda _proposer, timers: timers.pop(timer_index)())
+        self._run_proposer_step(
+            state, name, ("timer", timer_index), lambda _proposer, timers: timers.pop(timer_index)()
+        )
 
     def _notify_chosen(self, state: State, name: str) -> None:
         value = state.latest_chosen
-        self._act(state, name, ("told", value), lambda proposer, _timers: learn_chosen(proposer, value))
+        self._run_proposer_step(state, name, ("told", value), lambda proposer, _timers: learn_chosen(proposer, value))
 
     def _restart(self, state: State, name: str) -> None:
         """Restarts a proposer with only what its node's disk holds; its open calls begin again in a new incarnation."""
@@ -251,11 +253,11 @@
     def _deliver(self, state: State, item: Item) -> None:
         name, member, message = item
         if isinstance(message, Reply):
-            self._answer(state, name, member, message.message)
+            self._handle_answer(state, name, member, message.message)
         elif member in self.scenario.crashes:
             self._deliver_to_slow_disk(state, name, member, message)
         else:
-            state.nodes[member], answer = self._nodes.answer(state.nodes[member], message)
+            state.nodes[member], answer = self._nodes.handle_request(state.nodes[member], message)
             self._send_answer(state, name, member, answer)
 
     def _deliver_to_slow_disk(self, state: State, name: str, member: str, message: Request) -> None:
@@ -268,7 +270,7 @@
             source = current if self.scenario.is_quorum_read_early else durable
             self._send_answer(state, name, member, source.quorum_read(message))
             return
-        acceptor, answer = self._nodes.apply(current, message)
+        acceptor, answer = self._nodes.handle_in_memory(current, message)
         if current is durable and acceptor_form(acceptor) == acceptor_form(current):
             self._send_answer(state, name, member, answer)
             return
@@ -279,12 +281,14 @@
         if self.scenario.is_split:
             state.pool = state.pool | {self._number_item(Item(name, member, Reply(answer)))}
         else:
-            self._answer(state, name, member, answer)
+            self._handle_answer(state, name, member, answer)
 
-    def _answer(self, state: State, name: str, member: str, answer: Answer) -> None:
+    def _handle_answer(self, state: State, name: str, member: str, answer: Answer) -> None:
         if state.attempts_left.get(name, NO_ATTEMPTS_LEFT) >= 0 and answer.number == state.latest_attempts[name].number:
             step = ("answer", member, answer)
-            self._act(state, name, step, lambda proposer, _timers: deliver_answer(proposer, member, answer))
+            self._run_proposer_step(
+                state, name, step, lambda proposer, _timers: deliver_answer(proposer, member, answer)
+            )
 
     def _sync_disk(self, state: State, name: str) -> None:
         state.nodes[name] = self._nodes.node(state.nodes[name].live.current)
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -98,6 +98,6 @@
 
 def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
     """Searches the scenario of a mutant with its seeded bug in place."""
-    moves = TransitionSystem(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
+    transitions = TransitionSystem(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
     with fault.mutations():
-        return search.run(moves=moves, max_states=max_states)
+        return search.run(transitions=transitions, max_states=max_states)
--- a/ploverward/simulation/model_checker/nodes.py
+++ b/ploverward/simulation/model_checker/nodes.py
@@ -77,15 +77,15 @@
         new.__class__ = self._acceptor_type
         return new
 
-    def answer(self, node: Node, message: Request) -> tuple[Node, Answer]:
+    def handle_request(self, node: Node, message: Request) -> tuple[Node, Answer]:
         """Returns the node after a request, with its whole state on disk, and its answer."""
         cache_key = (node.key, message)
         if cache_key not in self._answers:
-            acceptor, answer = self.apply(node.live.current, message)
+            acceptor, answer = self.handle_in_memory(node.live.current, message)
             self._answers[cache_key] = (self.node(acceptor), answer)
         return self._answers[cache_key]
 
-    def apply(self, current: Acceptor, message: Request) -> tuple[Acceptor, Answer]:
+    def handle_in_memory(self, current: Acceptor, message: Request) -> tuple[Acceptor, Answer]:
         """Returns the acceptor after a request, in memory only, and its answer."""
         acceptor = self.copy_acceptor(current)
         answer: Answer
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -60,29 +60,29 @@
     is_exhaustive: bool
 
 
-def run(*, moves: TransitionSystem, max_states: int) -> Outcome:
+def run(*, transitions: TransitionSystem, max_states: int) -> Outcome:
     """Goes through the states breadth first, until an invariant breaks, none is left, or there are too many."""
     begun = time.monotonic()
-    first = moves.start()
+    first = transitions.start()
     seen: set[collections.abc.Hashable] = {first.key()}
     queue: collections.deque[tuple[State, Trail | None]] = collections.deque([(first, None)])
     finding = None
     while queue and finding is None and len(seen) < max_states:
         state, trail = queue.popleft()
-        for label, take in moves.steps(state):
+        for label, take in transitions.steps(state):
             new = state.copy()
             try:
                 take(new)
             except InvariantError as error:
                 finding = Finding(str(error), history(Trail(label, trail)), len(seen))
                 break
-            moves.prune(new)
+            transitions.prune(new)
             key = hash(new.key())
             if key not in seen:
                 seen.add(key)
                 queue.append((new, Trail(label, trail)))
     is_exhaustive = finding is None and not queue
-    return Outcome(moves.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
+    return Outcome(transitions.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
 
 
 def history(trail: Trail | None) -> tuple[tuple, ...]:
@@ -110,4 +110,4 @@
 
 def explore(*, scenario: Scenario, max_states: int) -> Outcome:
     """Searches a scenario without a seeded bug."""
-    return run(moves=TransitionSystem(scenario=scenario), max_states=max_states)
+    return run(transitions=TransitionSystem(scenario=scenario), max_states=max_states)
--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -84,7 +84,7 @@
         """Returns a proposer that does nothing any more; all retired proposers compare equal."""
         return StateComponent(ProposerState(old.live.proposer, []), RETIRED_KEY)
 
-    def act(self, state: State, name: str, step: tuple, action: ProposerAction) -> StepResult:
+    def run_step(self, state: State, name: str, step: tuple, action: ProposerAction) -> StepResult:
         """Returns the result of a step of a proposer, without changing the state.
 
         Args:
