--- a/ploverward/control_plane/consensus/test_model_checker.py
+++ b/ploverward/control_plane/consensus/test_model_checker.py
@@ -12,14 +12,14 @@
 from ploverward.simulation.model_checker import search
 
 SCENARIOS = scenarios.small_scenarios()
-FAULTS = mutants.mutations()
+MUTANTS = mutants.mutations()
 
 
 def name_of(row) -> str:
     return row.name
 
 
-def name_of_fault(row) -> str:
+def name_of_mutant(row) -> str:
     return row.scenario.name
 
 
@@ -30,17 +30,17 @@
     assert outcome.is_exhaustive
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=name_of_fault)
-def test_search_finds_the_bug_of_each_mutant(fault):
-    outcome = mutants.explore_mutant(fault=fault, max_states=command_line.SMALL_STATES)
+@pytest.mark.parametrize("mutant", MUTANTS, ids=name_of_mutant)
+def test_search_finds_the_bug_of_each_mutant(mutant):
+    outcome = mutants.explore_mutant(mutant=mutant, max_states=command_line.SMALL_STATES)
     assert outcome.finding is not None
 
 
 def test_mutant_scenario_without_its_bug_violates_no_invariant():
     """Shows that the search finds the bug itself, not a flaw of the scenario that the bug is put into."""
-    for fault in FAULTS:
-        if fault.mutations is not contextlib.nullcontext and not fault.scenario.restarts:
-            outcome = search.explore(scenario=fault.scenario, max_states=command_line.SMALL_STATES)
+    for mutant in MUTANTS:
+        if mutant.mutations is not contextlib.nullcontext and not mutant.scenario.restarts:
+            outcome = search.explore(scenario=mutant.scenario, max_states=command_line.SMALL_STATES)
             assert outcome.finding is None, outcome.finding.text()
             assert outcome.is_exhaustive
 
@@ -99,7 +99,7 @@
 
 
 def test_command_prints_the_history_of_a_finding_step_by_step(capsys):
-    name = FAULTS[0].scenario.name
+    name = MUTANTS[0].scenario.name
     assert command_line.main(["--budget", "planted", "--scenario", name]) == 0
     output = capsys.readouterr().out
     assert "is chosen at revision" in output
--- a/ploverward/simulation/model_checker/command_line.py
+++ b/ploverward/simulation/model_checker/command_line.py
@@ -46,7 +46,7 @@
     runs: list[tuple[Scenario, collections.abc.Callable[[], Outcome]]]
     if options.budget == "planted":
         runs = [
-            (mutant.scenario, functools.partial(explore_mutant, fault=mutant, max_states=max_states))
+            (mutant.scenario, functools.partial(explore_mutant, mutant=mutant, max_states=max_states))
             for mutant in mutations()
         ]
     else:
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -96,8 +96,8 @@
     )
 
 
-def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
+def explore_mutant(*, mutant: Mutant, max_states: int) -> Outcome:
     """Searches the scenario of a mutant with its seeded bug in place."""
-    transitions = TransitionSystem(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
-    with fault.mutations():
+    transitions = TransitionSystem(scenario=mutant.scenario, acceptor_type=mutant.acceptor_type)
+    with mutant.mutations():
         return search.run(transitions=transitions, max_states=max_states)
