--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -139,7 +139,7 @@
             for other in self._stores.values():
                 self._stop(other, self._chance.uniform(0.3, 2.0), has_power=False)
 
-    def _stop_all(self, _store: simulated_store.SimulatedStore, _span: float) -> None:
+    def _stop_all(self, _store: simulated_store.SimulatedStore, _duration_s: float) -> None:
         has_power = self._chance.random() < 0.5
         for store in self._stores.values():
             self._stop(store, self._chance.uniform(0.3, 2.0), has_power=has_power)
--- a/ploverward/simulation/model_checker/product.py
+++ b/ploverward/simulation/model_checker/product.py
@@ -18,7 +18,7 @@
 REGISTER = "r"
 FIRST_TAG = "v"
 FIRST_BALLOT = Ballot(1, "first")
-NO_PROPOSER = ""  # stands for a proposer that no longer runs
+NO_PROPOSER = ""  # in an `Item`, replaces the name of a proposer that no longer runs
 CALL_ENDED = -1  # in `State.begin_revisions`, replaces the revision of a call that has ended
 
 # Timeouts of a proposer. The clock of a port stands still, so these values only have to be positive.
