--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -1,8 +1,8 @@
-"""One run of the stores in simulated time: faults by a seed, callers, a coordinator, checks (docs/batch.md 8).
+"""One run of the stores in simulated time: seeded faults, callers, a coordinator and checks (docs/batch.md 8).
 
-The coordinator's decisions are the product's (`partition_placement`); its register is modelled as one value that is
-changed by comparing epochs. No more disks are lost at once than the copies allow for; machines and links may fail in
-any number.
+The coordinator runs the production code for its decisions (`partition_placement`); its register is modelled as one
+value that is changed by compare-and-set on the epoch. The number of disks lost at once stays within what the copies
+tolerate; any number of machines and links may fail.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 from ploverward.transport import batch_messages
 
 TIMEOUTS = partition_placement.PlacementTimeouts(failover_s=0.5, replacement_s=3.0)
-COORDINATION_S = 0.2
-SILENCE_S = 0.8
-FAULTS_FROM_S = 4.0
-HEALED_S = 12.0  # without faults, before the end is checked
+COORDINATION_INTERVAL_S = 0.2
+DISCONNECT_DETECTION_S = 0.8  # after which the coordinator notices a partition or a frozen process
+FAULT_START_S = 4.0
+RECOVERY_S = 12.0  # fault-free time before the final check
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What one run is made of.
+    """Parameters of one run.
 
     Attributes:
-        seed: Of the run.
-        stores: How many there are, each in one of five zones.
-        length_s: For how long there are faults.
-        fault_s: Between two faults, on average; 0: drawn by the seed.
-        kinds: Of faults.
-        sync_s: Bounds of how long a sync takes; None: drawn by the seed.
-        skipped_faults: Numbers of faults that are drawn and not begun.
+        seed: Seed of the run's random generators.
+        stores: Number of stores, which are spread over five zones.
+        length_s: Duration of the phase with faults.
+        fault_s: Mean interval between faults; 0 to draw it from the run's generator.
+        kinds: Kinds of faults to draw from.
+        sync_s: Bounds of the duration of a disk sync; None to draw them from the run's generator.
+        skipped_faults: Numbers of faults that are drawn but not begun.
     """
 
     seed: int
@@ -54,13 +54,13 @@
 
 
 class BatchRun:
-    """One run.
+    """One run of the simulation.
 
     Attributes:
-        model: What callers were told.
-        findings: What broke a check.
-        faults: Draws and begins them.
-        history: When and what happened: faults, arrangements, findings.
+        model: Checks what callers are answered.
+        findings: Descriptions of failed checks.
+        faults: Draws and begins faults.
+        history: (time, text) of each fault, arrangement and finding.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -75,7 +75,7 @@
         self.rows: dict[str, tuple] = {}
         self.rounds = 0
         self._reports: dict[int, tuple[str, float, batch_messages.CopyReport]] = {}
-        fault_s = plan.fault_s or self.chance.choice(store_faults.FAULT_PAUSES_S)
+        fault_s = plan.fault_s or self.chance.choice(store_faults.FAULT_INTERVALS_S)
         sync_s = plan.sync_s or self.chance.choice(simulated_disk.SPEEDS_S[:3])
         self.stores = {
             f"s{number}": simulated_store.SimulatedStore(
@@ -89,8 +89,8 @@
             )
             for number in range(plan.stores)
         }
-        self._faults_until = FAULTS_FROM_S + plan.length_s
-        played = scene.StoreScene(
+        self._faults_until = FAULT_START_S + plan.length_s
+        run_scene = scene.StoreScene(
             clock=self.clock,
             chance=self.chance,
             network=self.network,
@@ -100,18 +100,18 @@
             record=self.record,
         )
         self.faults = store_faults.StoreFaults(
-            played=played,
+            run_scene=run_scene,
             kinds=plan.kinds,
             skipped=plan.skipped_faults,
             pause_s=fault_s,
             until=self._faults_until,
             publish=self._publish,
         )
-        self._callers = store_callers.StoreCallers(played=played, until=self._faults_until)
+        self._callers = store_callers.StoreCallers(run_scene=run_scene, until=self._faults_until)
 
     @property
     def findings(self) -> list[str]:
-        """What broke a check."""
+        """Descriptions of failed checks."""
         return self.model.findings
 
     def record(self, text: str) -> None:
@@ -119,37 +119,37 @@
         self.history.append((self.clock.time, text))
 
     def play(self) -> list[str]:
-        """Plays the run; returns what broke a check."""
+        """Plays the run and returns the descriptions of failed checks."""
         for store in self.stores.values():
             store.start()
         self.clock.later(delay=0.5, callback=lambda: self._coordinate(may_place=True))
-        self.clock.run(until=FAULTS_FROM_S)
+        self.clock.run(until=FAULT_START_S)
         self._callers.schedule()
         self.faults.schedule()
         self.clock.run(until=self._faults_until)
         self.faults.heal()
-        self.clock.run(until=self.clock.time + HEALED_S)
-        self._check_end()
+        self.clock.run(until=self.clock.time + RECOVERY_S)
+        self._check_final_state()
         return self.findings
 
-    # The coordinator.
+    # Coordinator.
     def _record_report(self, name: str, report: batch_messages.CopyReport) -> None:
         if self.network.is_reachable(name, scene.CORE):
             self._reports[report.partition] = (name, self.clock.time, report)
 
     def _coordinate(self, *, may_place: bool = False) -> None:
-        self.clock.later(delay=COORDINATION_S, callback=self._coordinate)
+        self.clock.later(delay=COORDINATION_INTERVAL_S, callback=self._coordinate)
         if self.clock.time < self.faults.coordinator_down_until:
             return
-        view = self._view(may_place=may_place)
-        name = batch_partitions.role_name(scene.NUMBER)
+        view = self._placement_view(may_place=may_place)
+        name = batch_partitions.role_name(scene.PARTITION)
         row = partition_placement.arrangement_changes(view).get(name)
         if row is not None:
             delay = self.chance.uniform(0.002, 0.15)
-            self.clock.later(delay=delay, callback=functools.partial(self._choose, name, tuple(row)))
+            self.clock.later(delay=delay, callback=functools.partial(self._write_arrangement, name, tuple(row)))
 
-    def _choose(self, name: str, row: tuple) -> None:
-        """The register's round: it fails where another one came between."""
+    def _write_arrangement(self, name: str, row: tuple) -> None:
+        """Models a round of the register, which fails if another round has changed the epoch in the meantime."""
         if self.rows.get(name, (0,))[0] != row[0]:
             return
         self.rows = {name: (row[0] + 1, *row[1:])}
@@ -168,8 +168,8 @@
 
         self.clock.later(delay=delay, callback=arrive, process=store.process)
 
-    def _view(self, *, may_place: bool) -> partition_placement.PlacementView:
-        arrangements = {scene.NUMBER: batch_partitions.owners_of(partition=scene.NUMBER, roles=self.rows)}
+    def _placement_view(self, *, may_place: bool) -> partition_placement.PlacementView:
+        arrangements = {scene.PARTITION: batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)}
         arrangements = {number: owners for number, owners in arrangements.items() if owners.members}
         reports = {
             number: report
@@ -179,7 +179,7 @@
             and self.clock.time - at <= 1.0
         }
         return partition_placement.PlacementView(
-            stores={name: self._state(store) for name, store in self.stores.items()},
+            stores={name: self._store_state(store) for name, store in self.stores.items()},
             arrangements=arrangements,
             reports=reports,
             copies=scene.COPIES,
@@ -188,7 +188,7 @@
             never_connected_for_s=1e9,
         )
 
-    def _state(self, store: simulated_store.SimulatedStore) -> partition_placement.StoreState:
+    def _store_state(self, store: simulated_store.SimulatedStore) -> partition_placement.StoreState:
         disconnected_for_s = self._disconnected_for_s(store)
         is_ready = store.is_alive and store.disk.is_ready
         return partition_placement.StoreState(
@@ -202,23 +202,23 @@
         )
 
     def _disconnected_for_s(self, store: simulated_store.SimulatedStore) -> float:
-        """For how long the core hears nothing; a partition and a frozen process show after a while."""
-        is_hidden = not self.network.is_reachable(store.name, scene.CORE) or not self.network.is_reachable(
+        """Returns for how long the core has received nothing; partitions and frozen processes show with a delay."""
+        is_partitioned = not self.network.is_reachable(store.name, scene.CORE) or not self.network.is_reachable(
             scene.CORE, store.name
         )
-        if store.is_alive and store.process is not None and not store.process.is_frozen and not is_hidden:
+        if store.is_alive and store.process is not None and not store.process.is_frozen and not is_partitioned:
             return 0.0
         since = store.down_since
-        return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else SILENCE_S))
+        return max(0.0, self.clock.time - since - (0.0 if not store.is_alive else DISCONNECT_DETECTION_S))
 
-    # The end.
-    def _check_end(self) -> None:
-        """Once all faults are over, all copies are there again and answer, and nothing that was told is missing."""
-        owners = batch_partitions.owners_of(partition=scene.NUMBER, roles=self.rows)
+    # Final check.
+    def _check_final_state(self) -> None:
+        """Checks that, after the faults, all copies exist again, a primary serves, and no answered data is missing."""
+        owners = batch_partitions.owners_of(partition=scene.PARTITION, roles=self.rows)
         if len(owners.members) < scene.COPIES or owners.learners:
             self.model.note_finding(f"not whole again: {owners}")
         primary = self.stores[owners.primary]
-        owned = primary.primary.owned.get(scene.NUMBER)
+        owned = primary.primary.owned.get(scene.PARTITION)
         if owned is None or not owned.is_serving:
             self.model.note_finding(f"nobody serves: {owners}")
             return
--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -1,4 +1,4 @@
-"""The command: plays runs of the stores, prints one, shortens broken ones, or shows that mutants are found.
+"""Command line: plays runs of the stores, prints one, minimizes failing ones, or checks that mutants are found.
 
 python3 -m ploverward.simulation.batch --first 60000 --seeds 1000 --jobs 4
 python3 -m ploverward.simulation.batch --history 60007
@@ -16,7 +16,7 @@
 from ploverward.simulation.batch import store_mutants
 from ploverward.simulation.control_plane import scenario
 
-PLAYED = (
+DIGESTED_PATHS = (
     "common",
     "control_plane/cluster/partition_placement.py",
     "simulation/batch",
@@ -25,19 +25,20 @@
     "store",
     "transport",
 )
-MAX_SHORTENED_SEEDS = 3
+# Failing seeds whose faults are minimized, and those that are reported at all.
+MAX_MINIMIZED_SEEDS = 3
 MAX_REPORTED_SEEDS = 20
 CHUNK_RUNS = 8
 
 
 def play(seed: int) -> tuple[int, list[str]]:
-    """Plays one run; returns its seed and what broke a check."""
+    """Plays one run and returns its seed and the descriptions of failed checks."""
     scenario.discard_node_logs()
     return seed, batch_run.BatchRun(batch_run.Plan(seed=seed)).play()
 
 
-def shortened(seed: int) -> batch_run.Plan:
-    """Leaves out faults, one after the other, as long as the run still breaks a check."""
+def minimized_plan(seed: int) -> batch_run.Plan:
+    """Returns the plan of a seed with the faults left out, one after the other, that its failure does not depend on."""
     scenario.discard_node_logs()
     plan = batch_run.Plan(seed=seed)
     run = batch_run.BatchRun(plan)
@@ -49,8 +50,8 @@
     return dataclasses.replace(plan, skipped_faults=needless)
 
 
-def show(plan: batch_run.Plan) -> int:
-    """Plays one plan and prints its history; 1 where a check broke."""
+def print_run(plan: batch_run.Plan) -> int:
+    """Plays one plan and prints its history; returns 1 if a check failed."""
     scenario.discard_node_logs()
     run = batch_run.BatchRun(plan)
     findings = run.play()
@@ -60,8 +61,8 @@
     return int(bool(findings))
 
 
-def run_planted() -> int:
-    """Plays each mutant until a check finds it; 1 where one is not found."""
+def run_mutants() -> int:
+    """Plays each mutant until a check finds it; returns 1 if one is not found."""
     missed = 0
     for mutant in store_mutants.MUTANTS:
         found = store_mutants.find(mutant)
@@ -71,7 +72,7 @@
 
 
 def run(*, first: int, seeds: int, jobs: int) -> int:
-    """Plays a range of seeds; 1 where a check broke."""
+    """Plays a range of seeds; returns 1 if a check failed."""
     broken = []
     with concurrent.futures.ProcessPoolExecutor(max_workers=max(1, jobs)) as pool:
         for seed, findings in pool.map(play, range(first, first + seeds), chunksize=CHUNK_RUNS):
@@ -79,33 +80,33 @@
                 broken.append(seed)
                 if len(broken) <= MAX_REPORTED_SEEDS:
                     print(f"seed {seed}: {findings[0]}")
-    for seed in broken[:MAX_SHORTENED_SEEDS]:
+    for seed in broken[:MAX_MINIMIZED_SEEDS]:
         print(f"seed {seed}, without the faults that it does not need:")
-        show(shortened(seed))
-    print(f"{seeds} runs of the stores on state {state_digest.digest(PLAYED)}, {len(broken)} broke a check")
+        print_run(minimized_plan(seed))
+    print(f"{seeds} runs of the stores on state {state_digest.digest(DIGESTED_PATHS)}, {len(broken)} broke a check")
     return int(bool(broken))
 
 
 def main(arguments: collections.abc.Sequence[str] | None = None) -> int:
-    """Plays what the arguments say.
+    """Runs the command line.
 
     Args:
-        arguments: Of the command; None for those of the process.
+        arguments: Command-line arguments; None for those of the process.
 
     Returns:
-        The exit code: 1 where a check broke, or a mutant was not found.
+        The exit code: 1 if a check failed or a mutant was not found.
     """
     parser = argparse.ArgumentParser(
-        prog="python3 -m ploverward.simulation.batch", description="Runs of the stores in simulated time."
+        prog="python3 -m ploverward.simulation.batch", description="Plays runs of the stores in simulated time."
     )
-    parser.add_argument("--first", type=int, default=0, help="the first run's seed")
-    parser.add_argument("--seeds", type=int, default=100, help="how many runs are played")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that play at the same time")
-    parser.add_argument("--history", type=int, metavar="SEED", help="prints all that happens in one run")
-    parser.add_argument("--planted", action="store_true", help="shows that the checks find each mutant")
-    chosen = parser.parse_args(arguments)
-    if chosen.planted:
-        return run_planted()
-    if chosen.history is not None:
-        return show(batch_run.Plan(seed=chosen.history))
-    return run(first=chosen.first, seeds=chosen.seeds, jobs=chosen.jobs)
+    parser.add_argument("--first", type=int, default=0, help="seed of the first run")
+    parser.add_argument("--seeds", type=int, default=100, help="number of runs")
+    parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes")
+    parser.add_argument("--history", type=int, metavar="SEED", help="print the history of one run")
+    parser.add_argument("--planted", action="store_true", help="check that each mutant is found")
+    options = parser.parse_args(arguments)
+    if options.planted:
+        return run_mutants()
+    if options.history is not None:
+        return print_run(batch_run.Plan(seed=options.history))
+    return run(first=options.first, seeds=options.seeds, jobs=options.jobs)
--- a/ploverward/simulation/batch/store_callers.py
+++ b/ploverward/simulation/batch/store_callers.py
@@ -1,6 +1,6 @@
-"""Callers of a run of the stores: clients that hand jobs in, read and end them, and proxies that run their items.
+"""Callers in a run of the stores: clients that submit, read and end jobs, and proxies that run their items.
 
-`StoreCallers` draws from the run's generator what is called next, and notes what was answered in the run's model.
+`StoreCallers` draws the next call from the run's random generator and records the answers in the run's model.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from ploverward.transport.batch_messages import Condition
 from ploverward.transport.batch_messages import Outcome
 
-CALL_S = 0.025  # between two calls of clients, on average
-DUE_MS = 1000
-RESUBMISSION_S = 3.0
-ANSWER_S = 0.9  # after which a caller waits no more
-POLL_S = 0.01  # between two looks for a reply
-LAST_CALLS_S = 6.0  # after the time with faults
-TRIES = 3  # of an item
-NEW_JOB_CHANCE = 0.1  # that a call hands a new job in
-END_CHANCE = 0.1  # that an end that was drawn is sent
+CALL_INTERVAL_S = 0.025  # mean interval between calls
+JOB_DUE_MS = 1000  # from the submission until all results are due
+RESUBMISSION_S = 3.0  # after the first submission, for as long as clients resend a job
+REPLY_TIMEOUT_S = 0.9
+POLL_INTERVAL_S = 0.01  # between checks for a reply
+CALLS_AFTER_FAULTS_S = 6.0  # for how long calls continue after the phase with faults
+MAX_ITEM_TRIES = 3
+NEW_JOB_CHANCE = 0.1  # that a call submits a new job
+END_CHANCE = 0.1  # that a drawn request to end a job is sent
 MAX_FINISH_ATTEMPTS = 20
-FINISH_PAUSE_S = 0.3
+FINISH_RETRY_DELAY_S = 0.3
 
 
 class ReplyBox:
-    """One end of a call: keeps the reply with its number."""
+    """Caller's end of a connection: stores replies by their number."""
 
     def __init__(self) -> None:
         self.name = "caller"
         self.replies: dict[int, tuple] = {}
 
     def send(self, message: tuple) -> None:
-        """A store's reply."""
+        """Stores a reply."""
         self.replies[message.number] = message  # type: ignore[attr-defined]
 
 
@@ -47,28 +47,28 @@
     """The callers of one run.
 
     Args:
-        played: The run's stores, clock and model.
-        until: When new jobs end, by the simulated time in seconds.
+        run_scene: The run's stores, clock and model.
+        until: Simulated time in seconds after which no new jobs are submitted.
     """
 
-    def __init__(self, *, played: scene.StoreScene, until: float) -> None:
-        self._scene = played
-        self._clock = played.clock
-        self._chance = played.chance
-        self._stores = played.stores
-        self._model = played.model
+    def __init__(self, *, run_scene: scene.StoreScene, until: float) -> None:
+        self._scene = run_scene
+        self._clock = run_scene.clock
+        self._chance = run_scene.chance
+        self._stores = run_scene.stores
+        self._model = run_scene.model
         self._until = until
         self._next_number = 0
         self._jobs = 0
         self._runs = 0
-        self._pending: collections.Counter[str] = collections.Counter()  # by job: hand-ins that are not answered
+        self._pending: collections.Counter[str] = collections.Counter()  # unanswered submissions by job
 
     def schedule(self) -> None:
-        """Draws when the next call is made."""
-        self._clock.later(delay=self._chance.expovariate(1 / CALL_S), callback=self._call)
+        """Draws the time of the next call."""
+        self._clock.later(delay=self._chance.expovariate(1 / CALL_INTERVAL_S), callback=self._make_call)
 
-    def _call(self) -> None:
-        if self._clock.time > self._until + LAST_CALLS_S:
+    def _make_call(self) -> None:
+        if self._clock.time > self._until + CALLS_AFTER_FAULTS_S:
             return
         self.schedule()
         is_late = self._clock.time > self._until
@@ -76,22 +76,24 @@
             if not is_late:
                 self._submit_new()
             return
-        self._chance.choice((self._read, self._read, self._resubmit, self._pull, self._pull, self._end))()
+        self._chance.choice(
+            (self._read_job, self._read_job, self._resubmit, self._pull_items, self._pull_items, self._end_job)
+        )()
 
-    def _some_store(self) -> simulated_store.SimulatedStore:
-        """The primary as the register has it, or any store: proxies may know an older arrangement."""
+    def _draw_store(self) -> simulated_store.SimulatedStore:
+        """Returns the primary according to the register, or any store, as proxies may know an older arrangement."""
         primary = self._scene.owners.primary
         if primary and self._chance.random() < 0.6:
             return self._stores[primary]
         return self._chance.choice(list(self._stores.values()))
 
-    def _ask(
+    def _send_request(
         self,
         store: simulated_store.SimulatedStore,
         make_message: Callable[[int], tuple],
-        then: Callable[[typing.Any], object],
+        on_reply: Callable[[typing.Any], object],
     ) -> None:
-        """Calls a store; `then` is called with the reply, or with None after a while."""
+        """Sends a request to a store; calls `on_reply` with the reply, or with None after a timeout."""
         self._next_number += 1
         number = self._next_number
         caller = ReplyBox()
@@ -101,33 +103,35 @@
             self._clock.later(delay=self._chance.uniform(0.001, 0.02), callback=arrival, process=process)
         began = self._clock.time
 
-        def wait() -> None:
+        def poll() -> None:
             reply = caller.replies.get(number)
-            if reply is not None or self._clock.time - began > ANSWER_S:
-                then(reply)
+            if reply is not None or self._clock.time - began > REPLY_TIMEOUT_S:
+                on_reply(reply)
             else:
-                self._clock.later(delay=POLL_S, callback=wait)
+                self._clock.later(delay=POLL_INTERVAL_S, callback=poll)
 
-        self._clock.later(delay=POLL_S, callback=wait)
+        self._clock.later(delay=POLL_INTERVAL_S, callback=poll)
 
     def _submit_new(self) -> None:
         self._jobs += 1
         job_id = f"j{self._jobs}"
         items = {f"{job_id}i{number}": self._chance.randint(5, 20) for number in range(self._chance.randint(1, 4))}
-        self._model.jobs[job_id] = job_model.JobRecord(tokens=items, made_at=self._clock.time)
+        self._model.jobs[job_id] = job_model.JobRecord(tokens=items, submitted_at=self._clock.time)
         self._submit(job_id)
 
     def _resubmit(self) -> None:
-        """Clients send a job again within some seconds; later it may be forgotten, and would be taken anew."""
+        """Resends a recent job; an older one may have been forgotten, and would be accepted as a new job."""
         recent = [
-            job_id for job_id, record in self._model.jobs.items() if self._clock.time - record.made_at < RESUBMISSION_S
+            job_id
+            for job_id, record in self._model.jobs.items()
+            if self._clock.time - record.submitted_at < RESUBMISSION_S
         ]
         if recent:
             self._submit(self._chance.choice(recent))
 
     def _may_be_forgotten(self, record: job_model.JobRecord) -> bool:
-        is_over = record.is_ended or record.finished.keys() >= record.tokens.keys()
-        return is_over and self._clock.time - record.made_at > DUE_MS / 1000 + simulated_store.STATUS_S
+        is_over = record.is_end_requested or record.finished.keys() >= record.tokens.keys()
+        return is_over and self._clock.time - record.submitted_at > JOB_DUE_MS / 1000 + simulated_store.STATUS_S
 
     def _submit(self, job_id: str) -> None:
         record = self._model.jobs[job_id]
@@ -139,86 +143,90 @@
         was_uncertain = record.is_uncertain
         record.is_uncertain = True  # until it is answered
 
-        def then(reply: batch_messages.JobReply | None) -> None:
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
             if reply is None or reply.outcome == Outcome.NOT_KNOWN:
                 return
             if reply.outcome == Outcome.DONE:
-                self._model.note_taken(job_id)
+                self._model.note_acknowledged(job_id)
             elif not was_uncertain and self._pending[job_id] == 1:
                 record.is_uncertain = False
             self._pending[job_id] -= 1
 
         self._pending[job_id] += 1
-        self._ask(
-            self._some_store(),
+        self._send_request(
+            self._draw_store(),
             lambda number: batch_messages.SubmitJob(
-                number, scene.TENANT, job_id, "r", DUE_MS, TRIES, scene.MAX_QUEUED_TOKENS, body
+                number, scene.TENANT, job_id, "r", JOB_DUE_MS, MAX_ITEM_TRIES, scene.MAX_QUEUED_TOKENS, body
             ),
-            then,
+            on_reply,
         )
 
-    def _read(self) -> None:
+    def _read_job(self) -> None:
         job_id = self._chance.choice(list(self._model.jobs))
-        self.read_from(self._some_store(), job_id)
+        self.read_from(self._draw_store(), job_id)
 
     def read_from(self, store: simulated_store.SimulatedStore, job_id: str) -> None:
-        """Reads a job from its start at one store, and notes what it answers."""
+        """Reads a job from position 0 at one store and records the answer."""
         record = self._model.jobs[job_id]
-        was_taken, known = record.is_taken, len(record.results)
+        was_acknowledged, known = record.is_acknowledged, len(record.results)
 
-        def then(reply: batch_messages.JobPage | None) -> None:
+        def on_reply(reply: batch_messages.JobPage | None) -> None:
             if reply is None or self._may_be_forgotten(record):
                 return
             if reply.outcome == Outcome.NOT_FOUND:
-                self._model.note_missing(job_id, was_taken=was_taken)
+                self._model.note_missing(job_id, was_acknowledged=was_acknowledged)
             elif reply.outcome == Outcome.DONE:
                 page = [job_model.Result(*row) for row in reply.results]
                 self._model.note_page(job_id, after=0, total=reply.total, page=page)
-                self._model.note_short(job_id, known=known, listed=len(page))
+                self._model.note_page_length(job_id, known=known, listed=len(page))
 
-        self._ask(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), then)
+        self._send_request(store, lambda number: batch_messages.ReadJob(number, scene.TENANT, job_id, 0), on_reply)
 
-    def _end(self) -> None:
+    def _end_job(self) -> None:
         if self._chance.random() > END_CHANCE:
             return
         job_id = self._chance.choice(list(self._model.jobs))
         record = self._model.jobs[job_id]
-        record.is_ended = True
+        record.is_end_requested = True
 
-        def then(reply: batch_messages.JobReply | None) -> None:
-            record.is_end_known |= reply is not None and reply.outcome == Outcome.DONE
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
+            record.is_end_acknowledged |= reply is not None and reply.outcome == Outcome.DONE
 
-        self._ask(self._some_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), then)
+        self._send_request(
+            self._draw_store(), lambda number: batch_messages.EndJob(number, scene.TENANT, job_id), on_reply
+        )
 
-    def _pull(self) -> None:
-        store = self._some_store()
-        ended = {job_id for job_id, record in self._model.jobs.items() if record.is_end_known}
+    def _pull_items(self) -> None:
+        store = self._draw_store()
+        ended = {job_id for job_id, record in self._model.jobs.items() if record.is_end_acknowledged}
 
-        def then(reply: batch_messages.PulledItems | None) -> None:
+        def on_reply(reply: batch_messages.PulledItems | None) -> None:
             for item in reply.items if reply is not None else ():
-                self._model.note_run(item.job, is_ended=item.job in ended)
+                self._model.note_pulled_item(item.job, was_end_acknowledged=item.job in ended)
                 self._clock.later(
-                    delay=self._chance.uniform(0.05, 3.0), callback=functools.partial(self._finish, item, 1)
+                    delay=self._chance.uniform(0.05, 3.0), callback=functools.partial(self._finish_item, item, 1)
                 )
 
-        self._ask(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), then)
+        self._send_request(store, lambda number: batch_messages.PullItems(number, self._chance.randint(1, 3)), on_reply)
 
-    def _finish(self, item: batch_messages.PulledItem, attempt: int) -> None:
-        """A run ended; its text differs from those of other runs, so that two listings can be told apart."""
+    def _finish_item(self, item: batch_messages.PulledItem, attempt: int) -> None:
+        """Sends the output of an item's run; each run has its own text, so that a second listing is detected."""
         if attempt == 1:
             self._runs += 1
             self._model.jobs[item.job].finished.setdefault(item.item, set()).add(b"run %d" % self._runs)
         text = b"run %d" % self._runs if attempt == 1 else max(self._model.jobs[item.job].finished[item.item])
 
-        def then(reply: batch_messages.JobReply | None) -> None:
+        def on_reply(reply: batch_messages.JobReply | None) -> None:
             is_kept = reply is not None and reply.outcome not in (Outcome.NOT_OWNER, Outcome.NOT_KNOWN)
             if not is_kept and attempt < MAX_FINISH_ATTEMPTS:
-                self._clock.later(delay=FINISH_PAUSE_S, callback=functools.partial(self._finish, item, attempt + 1))
+                self._clock.later(
+                    delay=FINISH_RETRY_DELAY_S, callback=functools.partial(self._finish_item, item, attempt + 1)
+                )
 
-        self._ask(
-            self._some_store(),
+        self._send_request(
+            self._draw_store(),
             lambda number: batch_messages.FinishItem(
                 number, scene.TENANT, item.job, item.item, int(Condition.DELIVERED), text
             ),
-            then,
+            on_reply,
         )
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -1,7 +1,7 @@
-"""Faults of a run of the stores: which are drawn, when, and what each does (docs/batch.md 8).
+"""Faults in a run of the stores: draws their kind and time, and injects them (docs/batch.md 8).
 
-`StoreFaults` draws from the run's generator. No more disks are lost at once than the copies allow for; machines and
-links may fail in any number.
+`StoreFaults` draws from the run's random generator. The number of disks lost at once stays within what the copies
+tolerate; any number of machines and links may fail.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from ploverward.simulation.batch import scene
 from ploverward.simulation.batch import simulated_store
 
-CATCH_UP_S = 6.0
+CATCH_UP_S = 6.0  # after its return, for which a machine still counts as lost
 FAULT_KINDS = (
     "kill",
     "power",
@@ -25,32 +25,32 @@
     "coordinator",
     "half",
 )
-FAULT_PAUSES_S = (0.8, 2.5, 7.0)  # between two faults, on average; disks can only be lost where it is long
-LAST_FAULT_S = 1.0  # before the end of the time with faults
+FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # mean intervals; only long ones leave enough copies to lose a disk
+FAULT_FREE_END_S = 1.0  # at the end of the phase with faults
 
-Begin = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
+Injector = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
 
 class StoreFaults:
     """The faults of one run.
 
     Args:
-        played: The run's stores, clock and network.
-        kinds: Those that are drawn.
-        skipped: Numbers of faults that are drawn and not begun.
-        pause_s: Between two faults, on average.
-        until: When there are no further ones, by the simulated time in seconds.
+        run_scene: The run's stores, clock and network.
+        kinds: Kinds of faults to draw from.
+        skipped: Numbers of faults that are drawn but not begun.
+        pause_s: Mean interval between faults.
+        until: Simulated time in seconds at which the phase with faults ends.
         publish: Sends a store the newest arrangement.
 
     Attributes:
-        coordinator_down_until: When the coordinator is back.
-        drawn: How many faults were drawn; their numbers count from 0.
+        coordinator_down_until: Simulated time at which the coordinator is back.
+        drawn: Number of faults drawn so far; faults are numbered from 0.
     """
 
     def __init__(
         self,
         *,
-        played: scene.StoreScene,
+        run_scene: scene.StoreScene,
         kinds: tuple[str, ...],
         skipped: frozenset[int],
         pause_s: float,
@@ -59,20 +59,20 @@
     ) -> None:
         self.coordinator_down_until = 0.0
         self.drawn = 0
-        self._scene = played
+        self._scene = run_scene
         self._skipped = skipped
-        self._record = played.record
-        self._clock = played.clock
-        self._chance = played.chance
-        self._network = played.network
-        self._stores = played.stores
+        self._record = run_scene.record
+        self._clock = run_scene.clock
+        self._chance = run_scene.chance
+        self._network = run_scene.network
+        self._stores = run_scene.stores
         self._kinds = kinds
         self._pause_s = pause_s
         self._until = until
         self._publish = publish
-        self._begin: dict[str, Begin] = {
+        self._injectors: dict[str, Injector] = {
             "kill": self._stop,
-            "power": lambda store, span: self._stop(store, span, has_power=False),
+            "power": lambda store, duration_s: self._stop(store, duration_s, has_power=False),
             "wipe": self._wipe,
             "wipe two": self._wipe_two,
             "cut": self._cut_off,
@@ -85,24 +85,24 @@
         }
 
     def schedule(self) -> None:
-        """Draws when the next fault begins."""
-        self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._begin_one)
+        """Draws the time of the next fault."""
+        self._clock.later(delay=self._chance.expovariate(1 / self._pause_s), callback=self._inject_next)
 
-    def _begin_one(self) -> None:
-        if self._clock.time > self._until - LAST_FAULT_S:
+    def _inject_next(self) -> None:
+        if self._clock.time > self._until - FAULT_FREE_END_S:
             return
         self.schedule()
         kind = self._chance.choice(self._kinds)
         store = self._chance.choice(list(self._stores.values()))
-        span = self._chance.uniform(0.3, 4.0)
+        duration_s = self._chance.uniform(0.3, 4.0)
         number = self.drawn
         self.drawn += 1
         if number not in self._skipped:
-            self._record(f"== {kind}, drawn for {store.name} and {span:.2f} s")
-            self._begin[kind](store, span)
+            self._record(f"== {kind}, drawn for {store.name} and {duration_s:.2f} s")
+            self._injectors[kind](store, duration_s)
 
     def _lost_machines(self) -> set[str]:
-        """Machines that count as lost: down, hidden, frozen, or back for less than the time to catch up."""
+        """Returns the machines that count as lost: down, partitioned, frozen, or back for less than `CATCH_UP_S`."""
         return {
             name
             for name, store in self._stores.items()
@@ -112,39 +112,39 @@
             or self._clock.time - store.back_at < CATCH_UP_S
         }
 
-    def _stop(self, store: simulated_store.SimulatedStore, span: float, **how: bool) -> None:
+    def _stop(self, store: simulated_store.SimulatedStore, duration_s: float, **options: bool) -> None:
         if not store.is_alive:
             return
-        store.stop(**how)
-        self._clock.later(delay=span, callback=lambda: self._restart(store))
+        store.stop(**options)
+        self._clock.later(delay=duration_s, callback=lambda: self._restart(store))
 
     def _restart(self, store: simulated_store.SimulatedStore) -> None:
         if not store.is_alive:
             store.start()
             self._clock.later(delay=self._chance.uniform(0.05, 0.4), callback=lambda: self._publish(store))
 
-    def _wipe(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _wipe(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         if len(self._lost_machines() | {store.name}) < scene.COPIES:
-            self._stop(store, span, keeps_disk=False)
+            self._stop(store, duration_s, keeps_disk=False)
 
-    def _wipe_two(self, _store: simulated_store.SimulatedStore, span: float) -> None:
-        """Two disks of one partition go; sometimes all other machines lose power in that moment."""
+    def _wipe_two(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
+        """Wipes two disks of the partition; sometimes all other machines lose power at the same time."""
         members = list(self._scene.owners.stores)
         chosen = self._chance.sample(members, min(2, len(members)))
         if self._lost_machines() - set(chosen) or len(chosen) < scene.COPIES - 1:
             return
         for name in chosen:
-            self._stop(self._stores[name], span, keeps_disk=False)
+            self._stop(self._stores[name], duration_s, keeps_disk=False)
         if self._chance.random() < 0.5:
             for other in self._stores.values():
                 self._stop(other, self._chance.uniform(0.3, 2.0), has_power=False)
 
-    def _stop_all(self, _store: simulated_store.SimulatedStore, _span: float) -> None:
+    def _stop_all(self, _store: simulated_store.SimulatedStore, _duration_s: float) -> None:
         has_power = self._chance.random() < 0.5
         for store in self._stores.values():
             self._stop(store, self._chance.uniform(0.3, 2.0), has_power=has_power)
 
-    def _cut(self, pairs: set[tuple[str, str]], span: float) -> None:
+    def _cut(self, pairs: set[tuple[str, str]], duration_s: float) -> None:
         new = pairs - self._network.partitions
         self._network.partitions |= new
         for name in {name for pair in new for name in pair if name in self._stores}:
@@ -156,28 +156,28 @@
                 self._stores[name].back_at = self._clock.time
                 self._publish(self._stores[name])
 
-        self._clock.later(delay=span, callback=heal)
+        self._clock.later(delay=duration_s, callback=heal)
 
-    def _cut_off(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_off(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         others = [name for name in (*self._stores, scene.CORE) if name != store.name]
         if self._chance.random() < 0.5:
             others = self._chance.sample(others, 2)
-        self._cut({pair for name in others for pair in ((name, store.name), (store.name, name))}, span)
+        self._cut({pair for name in others for pair in ((name, store.name), (store.name, name))}, duration_s)
 
-    def _cut_core(self, store: simulated_store.SimulatedStore, span: float) -> None:
-        self._cut({(scene.CORE, store.name), (store.name, scene.CORE)}, span)
+    def _cut_core(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
+        self._cut({(scene.CORE, store.name), (store.name, scene.CORE)}, duration_s)
 
-    def _cut_one_way(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_one_way(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         others = [name for name in (*self._stores, scene.CORE) if name != store.name]
-        is_deaf = self._chance.random() < 0.5
-        self._cut({(name, store.name) if is_deaf else (store.name, name) for name in others}, span)
+        is_inbound = self._chance.random() < 0.5
+        self._cut({(name, store.name) if is_inbound else (store.name, name) for name in others}, duration_s)
 
-    def _cut_in_half(self, _store: simulated_store.SimulatedStore, span: float) -> None:
+    def _cut_in_half(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
         side = set(self._chance.sample(list(self._stores), len(self._stores) // 2))
         rest = set(self._stores) - side
-        self._cut({pair for one in side for two in rest for pair in ((one, two), (two, one))}, span)
+        self._cut({pair for one in side for two in rest for pair in ((one, two), (two, one))}, duration_s)
 
-    def _freeze(self, store: simulated_store.SimulatedStore, span: float) -> None:
+    def _freeze(self, store: simulated_store.SimulatedStore, duration_s: float) -> None:
         process = store.process
         if process is None or not process.is_alive or process.is_frozen:
             return
@@ -190,13 +190,13 @@
                 process.thaw()
                 self._publish(store)
 
-        self._clock.later(delay=span, callback=thaw)
+        self._clock.later(delay=duration_s, callback=thaw)
 
-    def _stop_coordinator(self, _store: simulated_store.SimulatedStore, span: float) -> None:
-        self.coordinator_down_until = self._clock.time + span
+    def _stop_coordinator(self, _store: simulated_store.SimulatedStore, duration_s: float) -> None:
+        self.coordinator_down_until = self._clock.time + duration_s
 
     def heal(self) -> None:
-        """Ends all faults that are left."""
+        """Ends all remaining faults."""
         self._network.partitions.clear()
         self.coordinator_down_until = 0.0
         for store in self._stores.values():
--- a/ploverward/simulation/model_checker/mutants.py
+++ b/ploverward/simulation/model_checker/mutants.py
@@ -1,4 +1,4 @@
-"""Scenarios with a seeded bug, which the search has to find."""
+"""Mutants: scenarios with a seeded bug that the search has to find."""
 
 import collections.abc
 import contextlib
@@ -7,10 +7,10 @@
 
 from ploverward.control_plane.consensus import acceptor as acceptors
 from ploverward.simulation.model_checker import search
-from ploverward.simulation.model_checker.faults import ForgetfulAcceptor
+from ploverward.simulation.model_checker.faults import IncarnationBlindAcceptor
 from ploverward.simulation.model_checker.faults import majority_check_skipped
 from ploverward.simulation.model_checker.faults import previous_set_skipped
-from ploverward.simulation.model_checker.moves import Moves
+from ploverward.simulation.model_checker.moves import TransitionSystem
 from ploverward.simulation.model_checker.product import FIRST_TAG
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.scenarios import FIVE
@@ -22,7 +22,7 @@
 from ploverward.simulation.model_checker.scenarios import half_moved
 from ploverward.simulation.model_checker.scenarios import move_of
 from ploverward.simulation.model_checker.scenarios import moved
-from ploverward.simulation.model_checker.scenarios import onward
+from ploverward.simulation.model_checker.scenarios import second_move
 from ploverward.simulation.model_checker.scenarios import slow_disk
 from ploverward.simulation.model_checker.scenarios import write_by
 from ploverward.simulation.model_checker.search import Outcome
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Mutant:
-    """A scenario with a seeded bug, which has to be found.
+    """A scenario with a seeded bug that the search has to find.
 
     Attributes:
-        scenario: where it shows.
-        mutations: a context manager that puts the bug into the code for the time of the run.
+        scenario: a scenario in which the bug violates an invariant.
+        mutations: makes a context manager that patches the bug into the code for the duration of the search.
         acceptor_type: the class of all acceptors.
     """
 
@@ -44,7 +44,7 @@
 
 
 def mutations() -> tuple[Mutant, ...]:
-    """All seeded bugs. Where nothing is put into the code, it is in the scenario itself."""
+    """Returns all mutants. A mutant without a patch or an acceptor type has its bug in the scenario itself."""
     emptied = Scenario(name="", members=OLD, nodes=OLD, writers=(write_by("P"), write_by("R")), wipes=("A",))
     return (
         Mutant(
@@ -56,7 +56,9 @@
             mutations=functools.partial(majority_check_skipped, SWAPPED),
         ),
         Mutant(
-            scenario=onward(name="the set before is not added", writers=(write_by("Q"), write_by("R", known=SWAPPED))),
+            scenario=second_move(
+                name="the set before is not added", writers=(write_by("Q"), write_by("R", known=SWAPPED))
+            ),
             mutations=previous_set_skipped,
         ),
         Mutant(
@@ -69,7 +71,7 @@
         ),
         Mutant(
             scenario=dataclasses.replace(emptied, name="accept under another incarnation than promised"),
-            acceptor_type=ForgetfulAcceptor,
+            acceptor_type=IncarnationBlindAcceptor,
         ),
         Mutant(scenario=dataclasses.replace(emptied, name="refill from one node", catch_up="single")),
         Mutant(scenario=dataclasses.replace(emptied, name="refill without a fence", catch_up="plain")),
@@ -94,8 +96,8 @@
     )
 
 
-def explore_mutant(*, fault: Mutant, max_states: int) -> Outcome:
-    """Searches with the seeded bug in place."""
-    moves = Moves(scenario=fault.scenario, acceptor_type=fault.acceptor_type)
-    with fault.mutations():
-        return search.run(moves=moves, max_states=max_states)
+def explore_mutant(*, mutant: Mutant, max_states: int) -> Outcome:
+    """Searches the scenario of a mutant with its seeded bug in place."""
+    transitions = TransitionSystem(scenario=mutant.scenario, acceptor_type=mutant.acceptor_type)
+    with mutant.mutations():
+        return search.run(transitions=transitions, max_states=max_states)
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -1,4 +1,4 @@
-"""Goes through all states of a scenario, and gives the history of what it finds."""
+"""Breadth-first search through all states of a scenario, with the history of a violated invariant."""
 
 import collections
 import collections.abc
@@ -8,28 +8,28 @@
 
 from ploverward.common.identifiers import Ballot
 from ploverward.simulation.model_checker.invariants import InvariantError
-from ploverward.simulation.model_checker.moves import Moves
-from ploverward.simulation.model_checker.product import set_of
+from ploverward.simulation.model_checker.moves import TransitionSystem
+from ploverward.simulation.model_checker.product import members_of
 from ploverward.simulation.model_checker.product import tags_of
 from ploverward.simulation.model_checker.scenario import Scenario
 from ploverward.simulation.model_checker.state import State
 
 
 class Trail(typing.NamedTuple):
-    """The steps that led to a state, the last one first."""
+    """Linked list of the steps that led to a state, the last one first."""
 
     label: tuple
-    before: "Trail | None"  # None: the first state
+    before: "Trail | None"  # None if the step was taken in the initial state
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """A history that breaks a rule.
+    """A history that violates an invariant.
 
     Attributes:
-        rule: what was broken.
+        rule: description of the violation.
         events: labels of the steps, from the start.
-        states: how many were seen until then.
+        states: number of distinct states visited until then.
     """
 
     rule: str
@@ -37,20 +37,20 @@
     states: int
 
     def text(self) -> str:
-        """For people: the rule, then a line a step."""
+        """Returns the report: the violation, then one line per step."""
         return "\n".join([f"{self.rule} ({len(self.events)} steps, {self.states} states)", *map(str, self.events)])
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What a search came to.
+    """The result of a search.
 
     Attributes:
-        scenario: its name.
-        states: how many were seen.
-        seconds: how long it took.
-        finding: the first history that breaks a rule; None where none was found.
-        is_exhaustive: whether all states were seen.
+        scenario: name of the scenario.
+        states: number of distinct states visited.
+        seconds: duration of the search.
+        finding: the first history that violates an invariant; None if none was found.
+        is_exhaustive: whether all states were visited.
     """
 
     scenario: str
@@ -60,33 +60,33 @@
     is_exhaustive: bool
 
 
-def run(*, moves: Moves, max_states: int) -> Outcome:
+def run(*, transitions: TransitionSystem, max_states: int) -> Outcome:
     """Goes through the states breadth first, until an invariant breaks, none is left, or there are too many."""
     begun = time.monotonic()
-    first = moves.start()
+    first = transitions.start()
     seen: set[collections.abc.Hashable] = {first.key()}
     queue: collections.deque[tuple[State, Trail | None]] = collections.deque([(first, None)])
     finding = None
     while queue and finding is None and len(seen) < max_states:
         state, trail = queue.popleft()
-        for label, take in moves.steps(state):
+        for label, take in transitions.steps(state):
             new = state.copy()
             try:
                 take(new)
             except InvariantError as error:
                 finding = Finding(str(error), history(Trail(label, trail)), len(seen))
                 break
-            moves.prune(new)
+            transitions.prune(new)
             key = hash(new.key())
             if key not in seen:
                 seen.add(key)
                 queue.append((new, Trail(label, trail)))
     is_exhaustive = finding is None and not queue
-    return Outcome(moves.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
+    return Outcome(transitions.scenario.name, len(seen), time.monotonic() - begun, finding, is_exhaustive)
 
 
 def history(trail: Trail | None) -> tuple[tuple, ...]:
-    """Labels of the steps from the start, in words."""
+    """Returns the readable labels of the steps, from the start."""
     labels = []
     while trail is not None:
         labels.append(readable(trail.label))
@@ -95,11 +95,11 @@
 
 
 def readable(label: tuple) -> tuple:
-    """A label in which values are given by their set and tags."""
+    """Returns a label in which packed values are replaced by their member set and tags."""
 
     def describe(part: object) -> object:
         if isinstance(part, bytes):
-            return f"{''.join(set_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
+            return f"{''.join(members_of(part))}:{'+'.join(tags_of(part))}" if part else "-"
         if not isinstance(part, tuple):
             return part
         name = () if type(part) in (tuple, Ballot) else (type(part).__name__,)
@@ -109,5 +109,5 @@
 
 
 def explore(*, scenario: Scenario, max_states: int) -> Outcome:
-    """Searches a scenario with the product as it is."""
-    return run(moves=Moves(scenario=scenario), max_states=max_states)
+    """Searches a scenario without a seeded bug."""
+    return run(transitions=TransitionSystem(scenario=scenario), max_states=max_states)
