--- a/ploverward/data_plane/connection_watch.py
+++ b/ploverward/data_plane/connection_watch.py
@@ -9,8 +9,8 @@
 
 _log = logging.getLogger(__name__)
 
-FIRST_LEVEL_SHARE = 1 / 20  # of the process's limit of file handles
-CLEAR_SHARE = 0.8  # of the first level; below it the number counts as usual again
+FIRST_LEVEL_SHARE = 1 / 20  # share of the process's limit of file handles
+CLEAR_SHARE = 0.8  # share of the first level; below it the number counts as usual again
 
 
 class ConnectionWatch:
--- a/ploverward/data_plane/load_balancing/connection_pool.py
+++ b/ploverward/data_plane/load_balancing/connection_pool.py
@@ -19,12 +19,12 @@
     from ploverward.data_plane.load_balancing import replica as replicas
     from ploverward.transport import event_loop
 
-DEFAULT_SHARE = 0.04  # of maxConns, before the first lease: as if 25 proxies shared the limit
-USABLE_SHARE = 0.9  # of this proxy's share: the remainder is left for connections that are still closing
+DEFAULT_SHARE = 0.04  # share of maxConns before the first lease: as if 25 proxies shared the limit
+USABLE_SHARE = 0.9  # fraction of this proxy's share: the remainder is left for connections that are still closing
 MIN_CONNECTIONS = 4  # per replica: with fewer, requests would wait for one another
 DEFAULT_MAX_CONNECTIONS = 64  # per replica, of all proxies together, if the configuration names none
-CONNECT_TIMEOUT_SHARE = 1 / 50  # of contactMs, plus three round trips: the time-out for establishing a connection
-UNKNOWN_LATENCY_CONNECT_TIMEOUT_SHARE = 1 / 14  # of contactMs: the same time-out if the round trip is not known
+CONNECT_TIMEOUT_SHARE = 1 / 50  # timeout for establishing a connection: share of contactMs, plus three round trips
+UNKNOWN_LATENCY_CONNECT_TIMEOUT_SHARE = 1 / 14  # the same timeout if the round trip is not known: share of contactMs
 PEER_TIMEOUT_FACTOR = 2  # times contactMs: the kernel then drops a connection whose peer acknowledges nothing
 
 
--- a/ploverward/data_plane/load_balancing/network_latency.py
+++ b/ploverward/data_plane/load_balancing/network_latency.py
@@ -7,7 +7,7 @@
 if typing.TYPE_CHECKING:
     from ploverward.data_plane.load_balancing import replica as replicas
 
-MAX_GROWTH_FACTOR = 1.1  # of the estimate for each measurement: one slow connection proves little
+MAX_GROWTH_FACTOR = 1.1  # limit of the estimate's growth per measurement: one slow connection proves little
 
 
 class NetworkLatencies:
--- a/ploverward/data_plane/load_balancing/outlier_detection.py
+++ b/ploverward/data_plane/load_balancing/outlier_detection.py
@@ -2,8 +2,8 @@
 
 A suspected replica is not chosen: rejecting a request at once is better than using it as a probe. The suspicion ends
 when a connection to the replica is established. When a second replica of a zone is suspected, the zone's other replicas
-are suspected and probed as well: replicas of a zone are likely to fail together, and each would cost requests
-otherwise.
+from which nothing was received for a short time are suspected and probed as well: replicas of a zone are likely to
+fail together, and each would cost requests otherwise.
 
 Two other signals make a replica less likely to be chosen without ejecting it: failures that this proxy saw
 (`Replica.recent_failures`), and the relay's list of failing replicas, which it derives from the outcomes that all
@@ -22,7 +22,7 @@
     from ploverward.transport import event_loop
 
 MAX_CONCURRENT_PROBES = 24  # connections opened by one check: a failed zone has many suspected replicas
-MIN_SILENCE_SHARE = 0.1  # of contactMs: zone peers that sent something more recently are not suspected
+MIN_SILENCE_SHARE = 0.1  # fraction of contactMs: zone peers that sent something more recently are not suspected
 
 
 class ReplicaView(typing.Protocol):
--- a/ploverward/data_plane/load_balancing/prefix_affinity.py
+++ b/ploverward/data_plane/load_balancing/prefix_affinity.py
@@ -18,7 +18,7 @@
     from ploverward.data_plane.load_balancing import replica_table
 
 MAX_RECENT_SENDS = 20000  # entries; beyond this number, expired ones are dropped
-RECENT_SEND_SHARE = 1 / 3  # of contactMs: how long a send of this proxy counts; by then the mirror shows it
+RECENT_SEND_SHARE = 1 / 3  # share of contactMs: how long a send of this proxy counts; by then the mirror shows it
 
 Chain = typing.Sequence[tuple[bytes, int]]  # (hash of all parts up to this one, tokens of this one)
 
--- a/ploverward/data_plane/load_balancing/replica_chooser.py
+++ b/ploverward/data_plane/load_balancing/replica_chooser.py
@@ -25,8 +25,8 @@
     from ploverward.data_plane.rollouts import version_routing
 
 REPEATED_PREFILL_WEIGHT = 1.0  # times the prefill time of tokens that another replica has cached: it is spent twice
-MAX_CANARY_SLOTS_SHARE = 0.75  # of the batch slots of a canary replica: with more in use it is no candidate
-MAX_CANARY_PREFILL_MS = 900.0  # of pending prompts there: an overloaded canary is no evidence about its version
+MAX_CANARY_SLOTS_SHARE = 0.75  # of a canary replica's batch slots: with this share in use it is no candidate
+MAX_CANARY_PREFILL_MS = 900.0  # pending prefill there: an overloaded canary is no evidence about its version
 
 
 class ReplicaChooser:
--- a/ploverward/data_plane/load_balancing/replica_subset.py
+++ b/ploverward/data_plane/load_balancing/replica_subset.py
@@ -25,10 +25,10 @@
 
     from ploverward.data_plane.load_balancing import replica as replicas_of
 
-MIN_NEAR_REPLICAS = 48  # of a service, in the proxy's own region: enough to find a free one (docs/scale.md 5)
+MIN_NEAR_REPLICAS = 48  # per service, in the proxy's own region: enough to find a free one (docs/scale.md 5)
 MIN_FAR_REPLICAS = 40  # the same in each other region
 RING_POINTS = 4  # per replica on the ring of its region: more would even out the ranges, but lengthen the ring
-MIN_PROXIES_PER_REPLICA = 4  # proxies that use a replica, on average
+MIN_PROXIES_PER_REPLICA = 4  # proxies that use each replica: at least this many on average
 
 
 def rank(*, own: str, replica_id: str) -> bytes:
--- a/ploverward/data_plane/load_balancing/scoring.py
+++ b/ploverward/data_plane/load_balancing/scoring.py
@@ -8,15 +8,16 @@
   `CONTENTION_WEIGHT`: a long prefill slows all concurrent requests
 * network: the round trip, doubled if a new connection is needed; times `NETWORK_SHARE` if the service has a prefill
 * load: `PREFILL_LOAD_MS` (`PLAIN_LOAD_MS` without prefill) times the share of the batch slots in use
-* lateness: `LATENESS_WEIGHT` for each millisecond by which network and prefill exceed `ON_TIME_MS` per second of the
-  latency target
+* lateness, if the service has a prefill: `LATENESS_WEIGHT` for each millisecond by which network and prefill exceed
+  `ON_TIME_MS` per second of the latency target
 * overload: if all batch slots are in use, `OVERLOAD_MS`, and `QUEUE_MS` times the number of requests that would
   queue, this one included, over the number of batch slots
 * region: `REGION_MS` per second of the crossing price, for a replica of another region
 * connection: `CONNECTION_MS` per second of the crossing price, if there is no idle connection to the replica
 * suspicion: `SUSPECTED_MS` if another proxy suspects the replica, `FAILING_MS` if the relay lists it as failing
 * failures: `FAILURE_MS` per second of the crossing price, for each recent failure that this proxy saw
-* slow start: `WARMING_UP_MS` while the replica warms up, `RATE_EXCEEDED_MS` if its rate in slow start is used up
+* slow start: `WARMING_UP_MS` while the replica warms up, `RATE_EXCEEDED_MS` if this proxy's share of the slow-start
+  rate is used up (`replica_chooser` skips a replica that is then still warming up)
 
 The crossing price is a fiftieth of `contactMs`, and is also taken for the round trip to another region before one is
 measured. `replica_chooser` adds the terms for tokens that other replicas have cached and for an adapter that has to be
@@ -34,7 +35,7 @@
     from ploverward.data_plane.load_balancing import replica as replicas
 
 DEFAULT_TOKENS_PER_MS = 20.0  # the prefill rate of a service before it was measured
-RATE_DECAY_FACTOR = 0.99  # of the known rate per measurement: the estimate is a decaying maximum
+RATE_DECAY_FACTOR = 0.99  # times the known rate, at each measurement: the estimate is a decaying maximum
 MIN_MEASURED_TOKENS = 500  # with fewer tokens the network dominates the measured time
 CROSSINGS_IN_CONTACT = 50  # contactMs divided by this is the crossing price
 CONTENTION_WEIGHT = 4.0
--- a/ploverward/data_plane/proxy_node.py
+++ b/ploverward/data_plane/proxy_node.py
@@ -54,10 +54,10 @@
 FAILOVERS_PER_CONTACT = 16
 HEARTBEATS_PER_PEER_TIMEOUT = 3  # two consecutive ones may be lost
 HEARTBEATS_PER_USAGE_REPORT = 3
-HEARTBEATS_PER_SLOW_TASKS = 4  # interval of custody trails, adapter counts and the check of the settings file
+HEARTBEATS_PER_SLOW_TASKS = 4  # for custody trails, the connection watch, adapter counts and the settings file
 MAX_TRAILS_PER_BATCH = 200
 ADAPTER_WINDOW_CONTACTS = 6  # window of adapter counts, as a multiple of contactMs
-ADAPTER_TRUST_CONTACTS = 1 / 2  # of contactMs: an adapter counts as loaded this long after a request ran with it
+ADAPTER_TRUST_CONTACTS = 1 / 2  # share of contactMs: an adapter counts as loaded this long after a request ran with it
 
 
 class ProxyNode:
@@ -258,9 +258,8 @@
         """Creates the batch tier, in deployments that have stores."""
         self._batch: batch_tier.BatchTier | None = None
         if self.settings.deployment == settings_files.BATCH_DEPLOYMENT:
-            from ploverward.data_plane.batch import (
-                batch_tier,
-            )  # imported only here, to keep the start of other deployments fast
+            # Imported only here, to keep the start of other deployments fast.
+            from ploverward.data_plane.batch import batch_tier
 
             self._batch = batch_tier.BatchTier(
                 node=self,
--- a/ploverward/data_plane/quotas/credential_freshness.py
+++ b/ploverward/data_plane/quotas/credential_freshness.py
@@ -14,9 +14,9 @@
 from ploverward.common import settings as node_settings
 from ploverward.data_plane.quotas import tenant_directory
 
-MAX_REFUSAL_AGE_SHARE = 0.25  # of contactMs: the configuration's maximum age for rejecting an unknown key with 401
-MAX_KEY_AGE_SHARE = 0.96  # of revokeMs: with an older configuration no key is accepted
-MAX_REPORTS = 16  # of different core nodes; the core node that reported first is dropped first
+MAX_REFUSAL_AGE_SHARE = 0.25  # share of contactMs: maximum configuration age for rejecting an unknown key with 401
+MAX_KEY_AGE_SHARE = 0.96  # share of revokeMs: with an older configuration no key is accepted
+MAX_REPORTS = 16  # one per core node; the core node that reported first is dropped first
 
 
 class _Report(typing.NamedTuple):
--- a/ploverward/data_plane/quotas/isolated_allowance.py
+++ b/ploverward/data_plane/quotas/isolated_allowance.py
@@ -14,8 +14,8 @@
 
 from ploverward.common import tenant_usage
 
-NEW_TENANT_RATE_SHARE = 0.3  # of an even share of the limit: the minimum rate, and that of tenants new at this proxy
-KNOWN_TENANT_RATE_FACTOR = 1.1  # of the tenant's rate while the proxy was in contact
+NEW_TENANT_RATE_SHARE = 0.3  # fraction of an even share of the limit: minimum rate, also for tenants new at this proxy
+KNOWN_TENANT_RATE_FACTOR = 1.1  # times the tenant's rate while the proxy was in contact
 RATE_WINDOW_S = 8.0  # time constant of the rates' exponential decay
 ASSUMED_PROXY_COUNT = 200  # until a core node has reported the number of proxies
 INITIAL_TOKENS = 1.0
--- a/ploverward/data_plane/quotas/quota_allowance.py
+++ b/ploverward/data_plane/quotas/quota_allowance.py
@@ -18,7 +18,7 @@
 from ploverward.common import tenant_usage
 from ploverward.data_plane.quotas import isolated_allowance
 
-LEASE_CONTACTS = 0.15  # of contactMs: how long a core node's reply is valid
+LEASE_CONTACTS = 0.15  # share of contactMs: how long a core node's reply is valid
 BASE_CREDITS = 1.0  # credits kept in addition to the newest ones: a core node sends a fraction of a credit at a time
 
 
@@ -132,7 +132,7 @@
         return self._isolated.proxy_count
 
     def record(self, *, core: str, sent_at: float, proxy_count: int, credits: Iterable[tenant_usage.Credit]) -> None:
-        """Records a core node's reply. One to an older report than the newest that was answered is ignored.
+        """Records a core node's reply, unless it answers no newer report than the last recorded reply of that node.
 
         Args:
             core: The core node.
--- a/ploverward/data_plane/quotas/shared_limits.py
+++ b/ploverward/data_plane/quotas/shared_limits.py
@@ -99,7 +99,7 @@
             replica.sends.append(self._now())
 
     def may_send(self, *, replica: replica_table.Replica, service: Mapping[str, Any], is_hard: bool) -> bool:
-        """Returns whether this proxy may send one more request to a replica that is warming up.
+        """Returns whether the rate limit of slow starts lets this proxy send one more request to a replica.
 
         Args:
             replica: The replica.
--- a/ploverward/data_plane/requests/attempt_accounting.py
+++ b/ploverward/data_plane/requests/attempt_accounting.py
@@ -20,7 +20,7 @@
     from ploverward.data_plane.requests import handler_context
     from ploverward.data_plane.requests import route_table
 
-FAILED_IDLE_FACTOR = 1.5  # times the latency target: an attempt without data for longer counts as failed
+FAILED_IDLE_FACTOR = 1.5  # times the latency target: an abandoned attempt without data for longer counts as failed
 
 
 def start(
--- a/ploverward/data_plane/requests/graceful_shutdown.py
+++ b/ploverward/data_plane/requests/graceful_shutdown.py
@@ -14,10 +14,10 @@
 # Seconds after SIGTERM in which every request is accepted. Clients have other addresses after 3 s, less the time for
 # the network and a look-up.
 ACCEPT_UNTIL_S = 2.8
-ACCEPT_UNTIL_SHARE = 0.35  # of graceS: applies where it is shorter than ACCEPT_UNTIL_S
-IDLE_FROM_SHARE = 0.6  # of graceS: from then on idle connections are closed, and the process exits once it is idle
-END_SHARE = 0.92  # of graceS: the process then exits, whatever is in progress
-FLUSH_SHARE = 1 / 80  # of graceS: time for the last reports to be sent
+ACCEPT_UNTIL_SHARE = 0.35  # share of graceS: applies where it is shorter than ACCEPT_UNTIL_S
+IDLE_FROM_SHARE = 0.6  # share of graceS: then idle connections are closed, and the process exits once it is idle
+END_SHARE = 0.92  # share of graceS: then the process exits, whatever is in progress
+FLUSH_SHARE = 1 / 80  # share of graceS: time for the last reports to be sent
 IDLE_CHECK_S = 0.05  # interval of the checks whether the process is idle
 
 
--- a/ploverward/data_plane/requests/handler_context.py
+++ b/ploverward/data_plane/requests/handler_context.py
@@ -88,7 +88,7 @@
         """
 
     def configuration_age_s(self) -> float:
-        """Returns the age, in seconds, of the last proof that this proxy has the newest acknowledged configuration."""
+        """Returns the seconds since the current configuration was last known to be the newest acknowledged one."""
 
     def next_attempt_number(self) -> int:
         """Returns a number for an attempt, unique within this process."""
--- a/ploverward/data_plane/requests/http_front_end.py
+++ b/ploverward/data_plane/requests/http_front_end.py
@@ -14,8 +14,8 @@
 from ploverward.transport import http_server
 
 READINESS_PATH = b"/ploverward/ready"
-TRAFFIC_HANDLES_SHARE = 0.6  # of the process's file handles; connections to replicas need most of the rest
-TRAFFIC_MEMORY_SHARE = 0.3  # of the process's memory, for request bodies
+TRAFFIC_HANDLES_SHARE = 0.6  # share of the process's file handles; connections to replicas need most of the rest
+TRAFFIC_MEMORY_SHARE = 0.3  # share of the process's memory, for request bodies
 TRAFFIC_PEER_TIMEOUT_CONTACTS = 2  # multiple of contactMs after which a client that does not read is disconnected
 # Multiple of contactMs. Connections accepted that soon after the start are closed early, because clients may have found
 # this proxy before the others.
--- a/ploverward/data_plane/requests/replica_feedback.py
+++ b/ploverward/data_plane/requests/replica_feedback.py
@@ -11,8 +11,8 @@
 
 _log = logging.getLogger(__name__)
 
-WRONG_REPLICA_BACKOFF_SHARE = 1 / 2  # of contactMs: by then the endpoint list has the current replica at the address
-FULL_BACKOFF_SHARE = 1 / 60  # of contactMs: short, since a batch slot becomes free soon
+WRONG_REPLICA_BACKOFF_SHARE = 1 / 2  # share of contactMs: by then the endpoint list has the replica now at the address
+FULL_BACKOFF_SHARE = 1 / 60  # share of contactMs: short, since a batch slot becomes free soon
 
 
 class ReplicaFeedback:
--- a/ploverward/data_plane/requests/replica_watch.py
+++ b/ploverward/data_plane/requests/replica_watch.py
@@ -19,9 +19,9 @@
     from ploverward.transport import event_loop
 
 MIN_TIMEOUT_S = 0.2  # a shorter timeout would take a network pause for a failure
-FIRST_EVENT_SHARE = 0.5  # of the latency target, before the first event; the other half is left for another replica
-GAP_SHARE = 0.45  # of the longest gap between events that still meets the target, after the first event
-RECHECK_SHARE = 0.1  # of the timeout: delay until the result of a health check is read
+FIRST_EVENT_SHARE = 0.5  # share of the latency target before the first event; the rest is left for another replica
+GAP_SHARE = 0.45  # share of the longest gap between events that meets the target, after the first event
+RECHECK_SHARE = 0.1  # share of the timeout: delay until the result of a health check is read
 MIN_CHECK_INTERVAL_S = 0.02
 
 
--- a/ploverward/data_plane/requests/request_handler.py
+++ b/ploverward/data_plane/requests/request_handler.py
@@ -35,9 +35,9 @@
 
 # Not forwarded from a replica: a client would take them for this proxy's guarantee that the request did not run.
 UNFORWARDED_STATUSES = (408, 421, 429, 503)
-QUEUE_WAIT_SHARE = 0.2  # of the latency target: how long a request waits for an available replica
+QUEUE_WAIT_SHARE = 0.2  # share of the latency target: how long a request waits for an available replica
 STREAM_WAIT_FACTOR = 3  # times the latency target: how long an interrupted stream waits for an available replica
-RETRY_INTERVAL_SHARE = 0.05  # of the latency target: between two attempts to choose a replica while a request waits
+RETRY_INTERVAL_SHARE = 0.05  # share of the latency target: interval of choices of a replica while a request waits
 MIN_RETRY_INTERVAL_S = 0.02
 MIN_RETRY_AFTER_S = 0.05  # Retry-After of a rejected request: an earlier retry would only find the same replicas
 
--- a/ploverward/data_plane/requests/response_writer.py
+++ b/ploverward/data_plane/requests/response_writer.py
@@ -22,7 +22,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-BUFFER_LIMIT_BYTES = 512 * 1024  # of one response; longer ones are rare, and their replica has not failed at the head
+BUFFER_LIMIT_BYTES = 512 * 1024  # per response; longer ones are rare, and their replica has not failed at the head
 
 
 class ResponseWriter:
--- a/ploverward/data_plane/requests/retry_policy.py
+++ b/ploverward/data_plane/requests/retry_policy.py
@@ -22,8 +22,8 @@
 
 from typing import Protocol
 
-MAX_ATTEMPTS = 6  # of one request, including unsent ones: bounds the connections that are tried without success
-MIN_TIME_LEFT_S = 0.05  # until the deadline; an attempt started later could not be answered in time
+MAX_ATTEMPTS = 6  # per request, including unsent ones: bounds the connections that are tried without success
+MIN_TIME_LEFT_S = 0.05  # before the deadline; an attempt started later could not be answered in time
 NOT_RUN_STATUSES = (429, 503)  # if sent by this proxy, they guarantee that the request has not run
 
 
--- a/ploverward/data_plane/requests/route_table.py
+++ b/ploverward/data_plane/requests/route_table.py
@@ -1,7 +1,7 @@
 """Routes and services of the configuration in force (design 7), as the data plane uses them.
 
-`Routes` owns the routes of one configuration version and is immutable: a new configuration is a new object. The keys of
-the configuration are translated to the names of this code here and nowhere else (docs/glossary.md).
+`Routes` owns the routes of one configuration version and is immutable: a new configuration is a new object. The
+configuration's keys of routes and services are translated to the names of this code here (docs/glossary.md).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-DEFAULT_MAX_CONNECTIONS = 64  # of all proxies together to one replica, for services without maxConns
+DEFAULT_MAX_CONNECTIONS = 64  # connections of all proxies together to one replica, for services without maxConns
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
--- a/ploverward/data_plane/requests/test_request_history.py
+++ b/ploverward/data_plane/requests/test_request_history.py
@@ -105,7 +105,7 @@
     def inject_fault(self) -> None:
         chance = self.chance
         fault = chance.random()
-        if fault < 0.15:  # a process freeze, after request_id all timers are due at once
+        if fault < 0.15:  # a process freeze, after which all timers are due at once
             self.loop.skip(seconds=chance.choice((0.3, 3.0, 20.0)))
         elif fault < 0.3:
             index = chance.randrange(len(self.replicas))
--- a/ploverward/data_plane/rollouts/attempt_tally.py
+++ b/ploverward/data_plane/rollouts/attempt_tally.py
@@ -8,7 +8,10 @@
 
 
 def is_evidence(attempt: attempts.Attempt) -> bool:
-    """Returns whether the end of an attempt is evidence about its version: only if the replica ran the request."""
+    """Returns whether the end of an attempt is evidence about its version.
+
+    It is none if the replica did not run the request, or if its response was unusable.
+    """
     if attempt.connection.is_unsent:
         return False
     return attempt.response_class not in (attempts.ResponseClass.NOT_RUN, attempts.ResponseClass.UNUSABLE)
--- a/ploverward/data_plane/upstream/response_reader.py
+++ b/ploverward/data_plane/upstream/response_reader.py
@@ -20,7 +20,7 @@
 from ploverward.data_plane.upstream import upstream_errors
 
 MAX_SKIPPED_RESPONSES = 2  # replicas are known to send one duplicate; the second is a margin
-MAX_HEAD_BYTES = 65536  # of a response; h11 buffers no more of an incomplete head
+MAX_HEAD_BYTES = 65536  # per response; h11 buffers no more of an incomplete head
 
 
 class ResponseHead(typing.NamedTuple):
--- a/ploverward/data_plane/upstream/upstream_connection.py
+++ b/ploverward/data_plane/upstream/upstream_connection.py
@@ -36,7 +36,7 @@
     from ploverward.transport import event_loop
 
 UNCHECKED_IDLE_S = 0.25  # a connection that was idle for longer is checked by a system call before it is reused
-KEEP_ALIVE_SHARE = 0.85  # of the idle timeout that a replica states; the remainder covers a request in flight
+KEEP_ALIVE_SHARE = 0.85  # share of the idle timeout that a replica states; the rest covers a request in flight
 DEFAULT_KEEP_ALIVE_S = 4.0  # if the replica states no idle timeout; servers commonly use a longer one
 IO_BYTES = 131072  # maximum read or written in one system call
 HOP_BY_HOP_HEADERS = frozenset(
