--- a/ploverward/control_plane/cluster/coordinator.py
+++ b/ploverward/control_plane/cluster/coordinator.py
@@ -14,7 +14,7 @@
 from ploverward.control_plane.distribution import endpoint_list
 from ploverward.control_plane.distribution import publisher as publishers
 
-UNCOORDINATED_EPOCH = 0  # of an endpoint list that a core node read itself before any coordinator published one
+UNCOORDINATED_EPOCH = 0  # epoch of an endpoint list that a core node read itself before any coordinator published one
 
 
 class ClusterCoordinator:
--- a/ploverward/control_plane/cluster/node_shutdown.py
+++ b/ploverward/control_plane/cluster/node_shutdown.py
@@ -19,9 +19,9 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-GRACE_SHARE = 0.85  # of graceS; leaves a margin before the platform's own limit
-FIRST_CHECK_SHARE = 1 / 6  # of receiptMs; time for calls in progress before the first check
-CHECK_SHARE = 1 / 20  # of the peer timeout; interval between checks
+GRACE_SHARE = 0.85  # fraction of graceS; leaves a margin before the platform's own limit
+FIRST_CHECK_SHARE = 1 / 6  # fraction of receiptMs; time for calls in progress before the first check
+CHECK_SHARE = 1 / 20  # fraction of the peer timeout; interval between checks
 
 
 class NodeShutdown:
--- a/ploverward/control_plane/cluster/owner_witnesses.py
+++ b/ploverward/control_plane/cluster/owner_witnesses.py
@@ -2,7 +2,7 @@
 
 Two nodes may have no path to each other while a third one reaches both. Each of the two would consider the other dead,
 acquire its role and remove it from the core set, in alternation. Therefore a node that has lost its connection to the
-coordinator queries the others whether they hear it, and acquires the role only when a majority of the core set,
+coordinator sends the others a query whether they hear it, and acquires the role only when a majority of the core set,
 including this node, does not.
 
 A node that sends no reply within a peer timeout counts as one that does not hear the coordinator: it is lost as well,
@@ -58,7 +58,7 @@
         return {messages.WitnessRequest: self._handle_request, messages.WitnessReply: self._handle_reply}
 
     def query_peers(self, owner: str) -> None:
-        """Queries the connected core nodes whether they hear this owner; called while it is disconnected here."""
+        """Sends the connected core nodes a query whether they hear this owner; called while it is disconnected here."""
         if owner != self._owner:
             self._owner = owner
             self._queried_since = self._now()
--- a/ploverward/control_plane/cluster/partition_placement.py
+++ b/ploverward/control_plane/cluster/partition_placement.py
@@ -4,8 +4,8 @@
 is a new epoch (docs/batch.md 2). The rules that keep a step safe:
 
 - A member has all committed data, as long as its disk is the one named in the arrangement. Only members become primary.
-- A learner becomes a member only when the primary of that epoch reports it as level (caught up). From then on the
-  primary commits nothing without it.
+- A learner becomes a member only when the primary of that epoch reports it as caught up. From then on the primary
+  commits nothing without it.
 - A member is removed because its store came back with another disk, or because it does not reply to the primary. At
   least one member stays.
 - A primary gets a new epoch when its process has restarted. It is replaced when its disk is another one, when it is
@@ -287,7 +287,7 @@
 def _promote_level_learners(
     number: int, owners: PartitionOwners, view: PlacementView, _loads: _Loads
 ) -> PartitionOwners | None:
-    """Turns learners that the primary reports as level into members."""
+    """Turns learners that the primary reports as caught up into members."""
     report = view.reports.get(number)
     rows = report.caught_up if report is not None else ()
     caught_up = [Member(*row) for row in rows if row.address in owners.learners and view.is_present(Member(*row))]
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -21,8 +21,8 @@
 from ploverward.control_plane.usage import usage_reporter
 
 STORE_SETTLING_INTERVALS = 6  # heartbeat intervals without a change of the connected stores: two peer time-outs
-FAILOVERS_PER_CONTACT = 8  # contact_s divided by this: until a disconnected primary of the batch tier is replaced
-REPLACEMENTS_PER_CONTACT = 1  # contact_s divided by this: until another store gets a disconnected one's copy
+FAILOVERS_PER_CONTACT = 8  # contact_s divided by this is the time until a disconnected batch primary is replaced
+REPLACEMENTS_PER_CONTACT = 1  # contact_s divided by this is the time until another store gets its copy
 
 
 class RoleReconciler:
--- a/ploverward/control_plane/cluster/store_directory.py
+++ b/ploverward/control_plane/cluster/store_directory.py
@@ -79,7 +79,7 @@
         self._on_change()
 
     def handle_report(self, connection: interfaces.Connection, message: batch_messages.CopyReport) -> None:
-        """Records a primary's report of the learners that are level and the stores that are lost."""
+        """Records a primary's report of the learners that have caught up and the stores that are lost."""
         address = next((peer.address for peer in self._sessions.stores() if peer.connection is connection), "")
         self._reports[message.partition] = _Report(address, self._now(), message)
         self._on_change()
--- a/ploverward/control_plane/consensus/consensus_node.py
+++ b/ploverward/control_plane/consensus/consensus_node.py
@@ -50,7 +50,7 @@
         chance: returns a random number from 0 to 1.
         unique_id: returns a new unique id.
         receipt_s: the time in seconds within which an order has to be acknowledged.
-        contact_s: how long a core node counts as being in contact with another after a message, in seconds.
+        contact_s: the setting contactMs in seconds: the time within which every node must notice the loss of a node.
         send: sends a message to another core node.
         broadcast_to_cores: sends a message to all connected core nodes.
         members: returns the core set, as this node knows it.
--- a/ploverward/control_plane/consensus/proposal_queues.py
+++ b/ploverward/control_plane/consensus/proposal_queues.py
@@ -11,7 +11,7 @@
 
 
 def _is_overtaken_by(waiting: Proposal, newcomer: Proposal) -> bool:
-    """Returns whether a newer proposal goes before this one, which it can only while this has no request pending."""
+    """Returns whether `newcomer` goes before `waiting`, for which `waiting` has to be queued or backing off."""
     return waiting.priority > newcomer.priority and waiting.stage in (Stage.QUEUED, Stage.BACKOFF)
 
 
--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -38,12 +38,12 @@
 from ploverward.transport import messages
 
 MAX_ATTEMPTS = 12  # per proposal
-# The following durations are fractions of the attempt timeout.
+# The constants named `_SHARE` are fractions of the attempt timeout.
 MIN_BACKOFF_SHARE = 0.1
 BACKOFF_STEP_SHARE = 0.4  # upper bound of the random part of the first backoff
-MAX_BACKOFF_FACTOR = 8  # limit on the growth of the random part
+MAX_BACKOFF_FACTOR = 8  # upper bound of the factor by which the random part grows
 READ_TIMEOUT_SHARE = 0.5  # how long a quorum read waits for a majority
-RANK_DEFERRAL_SHARE = 0.35  # for each member that is listed before this node
+RANK_DEFERRAL_SHARE = 0.35  # how long a node waits for each member listed before it, before it proposes a value again
 
 Send = collections.abc.Callable[[str, tuple], object]  # (member, message)
 # (delay in seconds, callback)
@@ -226,7 +226,7 @@
         following = self._queues.remove(proposal)
         if following is not None:
             self._later(0, lambda: self._start_queued(following))
-        # Once its move is chosen, a proposal has succeeded, even if removing the previous set failed afterwards.
+        # Once its move is chosen, a proposal's outcome is fixed, even if removing the previous set fails afterwards.
         proposal.done(*(proposal.move_outcome or outcome))
 
     def _has_time_to_propose(self, proposal: Proposal) -> bool:
@@ -316,7 +316,11 @@
             self._end_quorum_read(proposal, proposal.number)
 
     def _handle_read_value(self, proposal: Proposal, chosen: AcceptedValue) -> None:
-        """Completes a read with the newest value, and a change that this value already contains or its edit refuses."""
+        """Finishes a proposal whose quorum read found a chosen value, or proposes its change.
+
+        A read is finished with the value. A change is finished if its edit raises an error, or if its edit changes
+        nothing and the value is not in a move.
+        """
         _members, payload = ballots.unpack(chosen.value)
         if proposal.edit is None:
             self._finish(proposal, Outcome(None, chosen.revision, payload))
--- a/ploverward/control_plane/consensus/write_ahead_log.py
+++ b/ploverward/control_plane/consensus/write_ahead_log.py
@@ -17,7 +17,7 @@
 from ploverward.transport import interfaces
 from ploverward.transport import messages
 
-NEWEST_WRITE_WEIGHT = 0.3  # of the latest write in the moving average of write durations
+NEWEST_WRITE_WEIGHT = 0.3  # weight of the latest write in the moving average of write durations
 
 Callback = collections.abc.Callable[[], None]
 
--- a/ploverward/control_plane/quotas/quota_meter.py
+++ b/ploverward/control_plane/quotas/quota_meter.py
@@ -66,7 +66,7 @@
     def _silent_for(self, span_s: float) -> list[str]:
         """Returns the proxies that have not reported for longer than `span_s`.
 
-        They come first in `_reported_at`, so only they are visited.
+        They come first in `_reported_at`, so the search ends at the first other proxy.
         """
         now = self._now()
         silent = itertools.takewhile(lambda row: now - row[1] > span_s, self._reported_at.items())
--- a/ploverward/control_plane/quotas/token_bucket.py
+++ b/ploverward/control_plane/quotas/token_bucket.py
@@ -12,20 +12,22 @@
 
 from ploverward.common import tenant_usage
 
-MIN_DEPTH_TOLERANCE = 0.2  # of the allowed overrun; a bucket is deeper than the burst by at least this
-MAX_DEPTH_TOLERANCE = 0.6  # of the allowed overrun; for small tenants, of which a report in flight hides few admissions
-REPORT_DELAY_S = 0.8  # from an admission to the last proxy that acts on it
-SCARCE_DEPTH_SHARE = 0.4  # of the depth, below which admissions need credits
-FREE_DEPTH_SHARE = 0.6  # of the depth, above which they need none any more
-FREE_DEMAND_SHARE = 1.1  # of the limit; with more demand, a tenant stays scarce however full its bucket is
+MIN_DEPTH_TOLERANCE = 0.2  # fraction of the allowed overrun; a bucket is deeper than the burst by at least this
+MAX_DEPTH_TOLERANCE = 0.6  # the same for small tenants, of which few requests are admitted while a report is in flight
+REPORT_DELAY_S = 0.8  # time from an admission to the last proxy that acts on it
+SCARCE_DEPTH_SHARE = 0.4  # fraction of the depth, below which admissions need credits
+FREE_DEPTH_SHARE = 0.6  # fraction of the depth, above which admissions need no credits any more
+FREE_DEMAND_SHARE = 1.1  # multiple of the limit; with more demand, a tenant stays scarce however full its bucket is
 DEMAND_SPAN_S = 0.8  # time constant of the demand of all proxies
-INITIAL_DEPTH_SHARE = 0.5  # of the depth beyond the burst: earlier admissions are unknown, so no tenant has the burst
+# Fraction of the depth beyond the burst, at which a bucket starts. Earlier admissions are unknown, so no tenant has the
+# burst.
+INITIAL_DEPTH_SHARE = 0.5
 INITIAL_DEBT_S = 0.5  # seconds of the rate that are also subtracted from the initial level
-INITIAL_SCARCE_DEPTH_SHARE = 0.12  # of the depth; a bucket that starts with less is scarce from the start
+INITIAL_SCARCE_DEPTH_SHARE = 0.12  # fraction of the depth; a bucket that starts with less is scarce from the start
 MAX_ISSUABLE_S = 0.5  # seconds of its share of the rate that a core node may accumulate to issue
 MAX_REPORT_GAP_S = 0.8  # longest time between two reports of a proxy that its credits cover
 DEMAND_VALID_S = 1.5  # how long the demand in a proxy's report is used; after that, the proxy counts as out of contact
-DEMAND_WEIGHT = 0.5  # of the newest report in the moving average of a proxy's demand
+DEMAND_WEIGHT = 0.5  # weight of the newest report in the moving average of a proxy's demand
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,7 +35,7 @@
     """How far the requests of a tenant may exceed its limit, over any window of `window_s` seconds."""
 
     window_s: float
-    excess: float  # of what the limit allows in a window
+    excess: float  # fraction of what the limit allows in a window
     slack: float  # requests
 
     def allowed_overrun(self, limit: tenant_usage.Limit) -> float:
--- a/ploverward/control_plane/rollouts/canary_trial.py
+++ b/ploverward/control_plane/rollouts/canary_trial.py
@@ -11,7 +11,7 @@
 
 MIN_UNANSWERED = 6  # attempts without an answer, below which nothing is concluded from them
 LAG_FACTOR = 2.5  # times the former version's response time, beyond which the new version lags
-LAG_SLACK_S = 0.4  # added to that
+LAG_SLACK_S = 0.4  # added to that multiple of the former version's response time
 
 
 class CanaryTrial:
@@ -81,7 +81,7 @@
     def _judge_load_test(self, now: float, counted: evidence_table.Tallies) -> evidence_table.Tallies:
         """Judges the group under load separately, and returns the tallies that the main judge is to record.
 
-        A replica under load is slow whatever its version, so its times are left out there; its failures count in both.
+        A replica under load is slow whatever its version, so neither judge gets its times; both get its failures.
         """
         loaded = {key for key in counted if key.is_new and key.group == self._loaded_group}
         separate = {key: tally for key, tally in counted.items() if not key.is_new or key in loaded}
--- a/ploverward/control_plane/rollouts/evidence_summary.py
+++ b/ploverward/control_plane/rollouts/evidence_summary.py
@@ -14,7 +14,8 @@
 
     Attributes:
         new: Answers of the new version.
-        expected: Answers that the new version would have if it answered as many of its requests as the former one.
+        expected: Answers that the new version would have if it answered the same share of its requests as the former
+            one.
     """
 
     new: dict[str, int]
--- a/ploverward/control_plane/rollouts/exposure.py
+++ b/ploverward/control_plane/rollouts/exposure.py
@@ -1,7 +1,8 @@
 """Exposure budget: the share of a service's requests that leases permit at a new version (docs/rollouts.md 4).
 
-Pure functions. Invariant: from the order to the end of its term, the requests at a bad version, summed over all
-proxies, do not exceed `share` of all requests plus `slack`, whatever traffic follows
+Pure functions. Invariant: from the order until the answers have proved the new version good, or its promotion ends
+within the term, the requests at it, summed over all proxies, do not exceed `share` of all requests plus `slack`,
+whatever traffic follows
 (`test_canary_share_stays_within_the_bound_even_if_no_request_follows`).
 """
 
@@ -11,15 +12,15 @@
 from ploverward.control_plane.rollouts import planner
 from ploverward.control_plane.rollouts import state
 
-CANARY_SHARE = 0.8  # of the bound's share; what the canary uses
-CANARY_SLACK = 0.5  # of the bound's slack; what the canary uses in addition
-STOP_SLACK = 0.7  # of the bound's slack; the canary stops once it exceeds the bound's share by this
-MAX_CANARY_SHARE = 0.5  # of all requests
-LOAD_TEST_START = 0.42  # of the term; from then until the promotion, one canary replica gets an extraordinary load
-LOAD_TEST_SHARE = 0.35  # of all requests, as far as the slack allows it
-LOAD_TEST_SLACK = 0.6  # of the bound's slack; what the canary has used by the end of the load test
-UNPROVED_SLACK = 0.9  # of the bound's slack; what a promoted version may use before it is proved good
-LEASE_DELAY_S = 0.9  # from a request to the next lease that accounts for it
+CANARY_SHARE = 0.8  # fraction of the bound's share that the canary uses
+CANARY_SLACK = 0.5  # fraction of the bound's slack that the canary uses in addition
+STOP_SLACK = 0.7  # fraction of the bound's slack; the canary stops once it exceeds the bound's share by this
+MAX_CANARY_SHARE = 0.5  # fraction of all requests
+LOAD_TEST_START = 0.42  # fraction of the term; from then until promotion, one canary replica gets extraordinary load
+LOAD_TEST_SHARE = 0.35  # fraction of all requests, as far as the slack allows it
+LOAD_TEST_SLACK = 0.6  # fraction of the bound's slack that the canary has used by the end of the load test
+UNPROVED_SLACK = 0.9  # fraction of the bound's slack that a promoted version may use before it is proved good
+LEASE_DELAY_S = 0.9  # time from a request to the next lease that accounts for it
 RATE_KNOWN_S = 1.5  # age of an order from which on the rate of its requests is known
 
 
--- a/ploverward/control_plane/rollouts/group_sums.py
+++ b/ploverward/control_plane/rollouts/group_sums.py
@@ -12,7 +12,7 @@
 from ploverward.common import rollout_evidence
 
 FLOOR = -4.0  # lower limit of a sum
-FAULTY_GROUP_PROBABILITY = 0.1  # that one group is faulty by itself, whatever its version
+FAULTY_GROUP_PROBABILITY = 0.1  # probability that one group is faulty by itself, whatever its version
 LEAVE_ONE_OUT_PENALTY = 2.0  # reduces the log odds of a good version that only hold with one group left out
 
 
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -26,7 +26,7 @@
     FAILED = "failed"  # a status of 500 or more
     BROKEN = "broken"  # broken off before its end
     FIRST = "first"  # a slow first chunk
-    PACE = "pace"  # slow pauses between chunks
+    PACE = "pace"  # long pauses between chunks
 
 
 TIME_FAULTS = (FaultKind.FIRST, FaultKind.PACE)
@@ -53,7 +53,9 @@
 MIN_JUDGED_ANSWERS = 8  # on a route; with fewer, they need not be evidence for a good version
 WINDOW_S = 6.0  # window of the former version's answers
 RECENT_TIMES = 20  # of the former version in the last `RECENT_S`; from so many on, only these are compared with
-RECENT_S = 1.5  # also compared with alone, so that failures that begin for all versions do not condemn the new one
+# The former version's answers of the last `RECENT_S` are also compared with alone, so that failures that begin for all
+# versions do not condemn the new one.
+RECENT_S = 1.5
 
 
 class Verdict(enum.Enum):
@@ -246,7 +248,7 @@
             )
 
     def forget_times(self) -> None:
-        """Discards the sums of all slow answers so far."""
+        """Discards what the times of answers have shown so far; the sums of the other faults stay."""
         self._sums = {test: sums for test, sums in self._sums.items() if test[1] not in TIME_FAULTS}
 
     def _baselines(self) -> dict[str, _Baseline]:
--- a/ploverward/control_plane/rollouts/manager.py
+++ b/ploverward/control_plane/rollouts/manager.py
@@ -35,9 +35,9 @@
 _log = logging.getLogger(__name__)
 
 LEASE_SHARE = 0.5  # duration of a lease as a share of rollbackMs
-AGE_STORE_SHARE = 0.15  # of the term; how much of an order's age may be lost if all machines lose power at once
+AGE_STORE_SHARE = 0.15  # fraction of the term by which an order's age may be short if all machines lose power at once
 SETTLE_RECEIPT_PERIODS = 4  # an order may be repeated for receiptMs; after so many periods the same one counts as new
-MAX_REPORTS_PER_S = 150  # that a coordinator accepts; with more proxies, each reports less often
+MAX_REPORTS_PER_S = 150  # evidence that a coordinator accepts; with more proxies, each reports less often
 DEFAULT_ROLLBACK_S = 5.0
 ACTING_DIVISOR = 5  # a coordinator acts for contactMs / this after a heartbeat, so that one that stalled does not act
 
--- a/ploverward/control_plane/rollouts/planner.py
+++ b/ploverward/control_plane/rollouts/planner.py
@@ -2,8 +2,7 @@
 
 `next_transition` is the state machine of the stages, `canary -> promoting -> draining -> delivered`, with `returned`
 from each of the first three. It decides on a `RolloutView` alone; `ploverward.control_plane.rollouts.manager` creates
-the view and writes the transition to the register. Constants below that are "of the term" are fractions of the time
-that the order gives the roll-out (`over_s`).
+the view and writes the transition to the register. The term is the time that the order gives the roll-out (`over_s`).
 """
 
 import dataclasses
@@ -13,18 +12,21 @@
 from ploverward.control_plane.rollouts import judge
 from ploverward.control_plane.rollouts import state
 
-EARLIEST_PROMOTION = 0.55  # of the term; not earlier, since a version may become bad late
-LATEST_PROMOTION = 0.65  # of the term; then a version is promoted on few answers, or rolled back on doubt
-LATEST_DECISION = 0.72  # of the term; then a version that is still undecided is rolled back
-MIN_JUDGED_S = 4.5  # from the first answer of the new version to its promotion
-RAMP = 0.08  # of the term; time in which the share rises from the canary's to all requests
-IGNORE_SILENT_PROXIES_FROM = 0.85  # of the term; from then on, delivery does not wait for proxies that do not report
-DOUBT_DEADLINE = 0.85  # of the term; from then on, the number of answers settles a doubt about a promoted version
-CONCLUSIVE_ANSWERS = 100  # on the doubtful route; a bad version would have been detected by so many
-LATEST_STEP = 0.94  # of the term; then each stage ends, by delivery or rollback
-MIN_ROUTE_ANSWERS = 8  # of the new version, on each route that the former one serves
-MIN_ANSWERED_SHARE = 0.5  # of the expected answers; below it, answers count as missing
-MIN_REPORTING_SHARE = 0.8  # of the proxies in contact; a coordinator needs their reports before it promotes
+EARLIEST_PROMOTION = 0.55  # fraction of the term; not earlier, since a version may become bad late
+# Fraction of the term. Then few answers suffice to promote a version, and one is rolled back that is in doubt or that
+# lacks most answers on a route.
+LATEST_PROMOTION = 0.65
+LATEST_DECISION = 0.72  # fraction of the term; then a version that is still undecided is rolled back
+MIN_JUDGED_S = 4.5  # from the first answer of the new version to its promotion, but not beyond `LATEST_PROMOTION`
+RAMP = 0.08  # fraction of the term in which the share rises from the canary's to all requests
+# Fraction of the term, from which on delivery does not wait for proxies that do not report.
+IGNORE_SILENT_PROXIES_FROM = 0.85
+DOUBT_DEADLINE = 0.85  # fraction of the term, after which the number of answers settles doubt about a promoted version
+CONCLUSIVE_ANSWERS = 100  # number of answers on the doubtful route; a bad version would have been detected by so many
+LATEST_STEP = 0.94  # fraction of the term; the last moment for a step, so that each stage ends by then
+MIN_ROUTE_ANSWERS = 8  # number of answers of the new version, on each route that the former one serves
+MIN_ANSWERED_SHARE = 0.5  # fraction of the expected answers; below it, answers count as missing
+MIN_REPORTING_SHARE = 0.8  # fraction of the proxies in contact; a coordinator needs their reports before it promotes
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/ploverward/control_plane/tallies/peer_reach.py
+++ b/ploverward/control_plane/tallies/peer_reach.py
@@ -1,7 +1,7 @@
 """Detection of core nodes that are out of reach, so that adds are acknowledged without them (docs/tallies.md 5).
 
 A peer is out of reach once nothing was received from it for some heartbeat intervals, or once it left the probes
-unanswered that are sent while adds or reads wait. Silence alone is not enough: where packets pass in one direction
+unanswered that are sent while adds or reads wait. Silence is not the only sign: where packets pass in one direction
 only, a peer that receives nothing can go on sending for a long time. A peer answers probes even while its disk stalls.
 
 Both are counted in heartbeat intervals of this process, not by the clock: a process that was frozen finds all its
@@ -15,7 +15,7 @@
 
 SILENT_INTERVALS = 3  # as many heartbeat intervals as the peer time-out has
 # The limit for a peer from which this process never received anything. It is longer because the peer may still be
-# starting, for example after all nodes were lost.
+# starting, for example after all nodes were down.
 FIRST_SILENT_INTERVALS = 9
 
 
--- a/ploverward/control_plane/tallies/tally_folder.py
+++ b/ploverward/control_plane/tallies/tally_folder.py
@@ -32,7 +32,7 @@
         now: The clock, in seconds.
         max_kept: Number of ids and names of tallies up to which nothing is folded.
         member_positions: Returns the positions on the disk of each member, including this node; None while the
-            positions of a member are unknown, as while it is not connected.
+            positions of a member are unknown, for example because it is not connected.
     """
 
     def __init__(
