--- a/ploverward/control_plane/consensus/proposer.py
+++ b/ploverward/control_plane/consensus/proposer.py
@@ -38,7 +38,7 @@
 from ploverward.transport import messages
 
 MAX_ATTEMPTS = 12  # per proposal
-# The constants named `_SHARE` are fractions of the attempt timeout.
+# The constants named `*_SHARE` are fractions of the attempt timeout.
 MIN_BACKOFF_SHARE = 0.1
 BACKOFF_STEP_SHARE = 0.4  # upper bound of the random part of the first backoff
 MAX_BACKOFF_FACTOR = 8  # upper bound of the factor by which the random part grows
