--- a/ploverward/control_plane/adapter_cache/pin_assignment.py
+++ b/ploverward/control_plane/adapter_cache/pin_assignment.py
@@ -36,7 +36,7 @@
     adapters: tuple[Pair, ...] | None
 
     def has(self, pair: Pair) -> bool:
-        """Whether the replica is known to have this adapter loaded."""
+        """Returns whether the replica is known to have this adapter loaded."""
         return pair in (self.adapters or ())
 
 
@@ -121,7 +121,7 @@
         ]
 
     def may_load(self, replica: Replica, pair: Pair) -> bool:
-        """Whether the adapter may be loaded in the replica's region."""
+        """Returns whether the adapter may be loaded in the replica's region."""
         return replica.region in self.claims.allowed.get((replica.service, pair), ())
 
     def value(self, claim: Claim) -> float:
@@ -131,7 +131,7 @@
         return weight / (len(self.copies(*claim)) + 1) * factor
 
     def _is_next_copy_redundancy(self, claim: Claim) -> bool:
-        """Whether the next copy would be the first one in its region, or the second one while all are in one zone."""
+        """Returns whether a next copy would be the first in its region, or the second while all are in one zone."""
         copies = self.copies(*claim)
         return not copies or (len(copies) == 1 and len(self._zones_with(claim)) < 2)
 
--- a/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
+++ b/ploverward/control_plane/adapter_cache/test_adapter_simulation.py
@@ -138,7 +138,7 @@
         self.failed = set()
         self.lost_zones = set()
         self.kind_weights = {**dict.fromkeys(KINDS, 1.0), "rest": 0.45}
-        self.unexpected_share = 0.0  # share of requests for adapters not seen before
+        self.unexpected_share = 0.0  # share of requests for adapters outside the regular traffic
         self.suggestion = None
         self.cores = [adapter_usage.AdapterUsageStore(now=self.world.now, window_s=WINDOW_S) for _ in range(2)]
         for zone in ZONES:
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -170,7 +170,7 @@
 
 
 def _check_routes(routes: collections.abc.Iterable[Route], *, service_names: set[str]) -> None:
-    """Checks that names and (host, path prefix) pairs are unique, services exist and the weights sum to more than 0."""
+    """Checks that names and (host, path prefix) pairs are unique, services exist and no traffic split is all zeros."""
     names: set[str] = set()
     route_by_match: dict[tuple[str, str], str] = {}
     for index, route in enumerate(routes):
--- a/ploverward/control_plane/core_timing.py
+++ b/ploverward/control_plane/core_timing.py
@@ -16,7 +16,7 @@
         contact_s: `contactMs`: the time within which every node must notice the loss of a node.
         receipt_s: `receiptMs`: the time within which an operator's order is acknowledged.
         retry_window_s: `retryWindowS`: the window over which the retry slack is counted.
-        max_ttl_s: `ttl_max_s`: the upper bound of `ttl_s`.
+        max_ttl_s: `ttl_max_s`: the longest time for which clients may use the answer to a look-up.
         platform_poll_interval_s: Time between the starts of two readings of the platform's replica list.
     """
 
--- a/ploverward/control_plane/discovery/directory.py
+++ b/ploverward/control_plane/discovery/directory.py
@@ -1,6 +1,6 @@
 """Chooses the proxies that a client may connect to (design 4, 10, docs/residency.md).
 
-The directory records since when this node has been isolated, that is without contact to a majority of the core nodes.
+The directory records since when this node has been isolated, that is without contact with a majority of the core nodes.
 At first other core nodes may serve a client better, so this node refers the client to them
 (docs/incidents/region-cut-lookups.md). It answers at once only if the client needs nothing that is unreachable: its
 region is complete, and each route of its host has a reachable home region. After `REFUSAL_CONTACTS` contact periods the
@@ -93,7 +93,7 @@
         return sorted(proxy.public_address for proxy in in_zone or candidates)[:MAX_ADDRESSES]
 
     def is_isolated(self) -> bool:
-        """Whether this node lost contact to the majority so recently that other nodes may know more."""
+        """Returns whether this node lost contact with the majority so recently that other nodes may know more."""
         members = self._members()
         live = {host for host in members if self._is_core_live(host)}
         if ballots.has_majority(of=members, among=live):
@@ -106,7 +106,7 @@
     def _can_serve_while_isolated(
         self, *, host: str, region: str, listed: collections.abc.Sequence[ListedProxy]
     ) -> bool:
-        """Whether proxies of this region can serve the host in full while this node is isolated.
+        """Returns whether proxies of this region can serve the host in full while this node is isolated.
 
         This holds if the region is complete, so that the cut runs around the region and not through it, and if each
         route of the host has a reachable home region. It then does not matter which side of the cut has a majority, if
--- a/ploverward/control_plane/discovery/endpoint_list_reader.py
+++ b/ploverward/control_plane/discovery/endpoint_list_reader.py
@@ -20,7 +20,7 @@
 
 
 def should_read_by_zone(*, page_count: int, zones: collections.abc.Collection[str]) -> bool:
-    """Whether a list with this number of pages is read by zone.
+    """Returns whether a list with this number of pages is read by zone.
 
     The platform may be far away. Each page has to wait for the previous one, as that contains its token, but the pages
     of different zones can be requested concurrently.
--- a/ploverward/control_plane/discovery/platform_connection.py
+++ b/ploverward/control_plane/discovery/platform_connection.py
@@ -1,7 +1,8 @@
 """Sends HTTP requests to the platform, with the multi interface of pycurl on the event loop (design 3).
 
 libcurl names the sockets and the timer to wait for, and the event loop passes their events to `socket_action`. Results
-are delivered by a command of the loop and never from inside a callback of libcurl, as libcurl is not reentrant.
+are delivered by `call_soon_threadsafe` of the loop and never from inside a call of libcurl, as libcurl is not
+reentrant.
 """
 
 import collections.abc
--- a/ploverward/control_plane/distribution/endpoint_list.py
+++ b/ploverward/control_plane/distribution/endpoint_list.py
@@ -118,7 +118,7 @@
             is_same_clock: Whether this list was read by the same clock; otherwise warm-up times can't be compared.
 
         Returns:
-            The delta; None if the lists differ only in times that have decreased as expected.
+            The delta; None if no row was added, removed or changed (see `_differs`).
         """
         elapsed_ms = (read_at - self.read_at) * 1000.0 if is_same_clock else None
         changed = tuple(
@@ -145,7 +145,8 @@
 def _differs(current: Row, row: Row, *, elapsed_ms: float | None) -> bool:
     """Returns whether the row differs by more than the passing of `elapsed_ms` since the current one was read.
 
-    Without `elapsed_ms` (another clock), any warm-up longer than `WARM_UP_TOLERANCE_MS` counts as a difference.
+    A warm-up that ends earlier than expected is no difference. Without `elapsed_ms` (another clock), any warm-up longer
+    than `WARM_UP_TOLERANCE_MS` is one.
     """
     if (current["left_ms"] is None) != (row["left_ms"] is None):
         return True
--- a/ploverward/control_plane/operator_api/evacuation_handlers.py
+++ b/ploverward/control_plane/operator_api/evacuation_handlers.py
@@ -1,6 +1,6 @@
 """Calls on evacuations: GET of the evacuated zones, POST and DELETE of one zone (docs/orders.md 4).
 
-Duplicate calls don't join a round in progress, as orders on the configuration do: by the time a round ends, a later
+Unlike orders on the configuration, duplicate calls don't join a round in progress: by the time a round ends, a later
 order may have reversed its effect.
 """
 
--- a/ploverward/control_plane/operator_api/order_archiver.py
+++ b/ploverward/control_plane/operator_api/order_archiver.py
@@ -1,6 +1,6 @@
 """Copies the identifiers of accepted orders to the archive register (docs/orders.md 3).
 
-Invariant: a chosen value of the archive contains all orders up to the edition `archived`, so `configuration.orders` may
+Invariant: a chosen value of the archive covers all orders up to the edition `archived`, so `configuration.orders` may
 drop their identifiers from the configuration's register.
 """
 
--- a/ploverward/control_plane/usage/usage_reporter.py
+++ b/ploverward/control_plane/usage/usage_reporter.py
@@ -143,7 +143,7 @@
             self._propose(owner, usage_report.UsageReport(window, self.table.totals(window)))
 
     def _can_close(self, window: int) -> bool:
-        """Whether a window can be closed: all proxies have reported, or its deadline has passed."""
+        """Returns whether a window can be closed: all proxies have reported, or its deadline has passed."""
         end = (window + 1) * self._timing.window_s
         waited_s = self._wall_time() - end
         if waited_s >= self._timing.report_due_s * CLOSE_DEADLINE_SHARE:
--- a/ploverward/control_plane/usage/usage_table.py
+++ b/ploverward/control_plane/usage/usage_table.py
@@ -49,5 +49,5 @@
             self.counted_until.pop(incarnation, None)
 
     def is_complete(self, *, until: float, incarnations: Iterable[str]) -> bool:
-        """Whether all these proxies have reported their counts up to a wall-clock time."""
+        """Returns whether all these proxies have reported their counts up to a wall-clock time."""
         return all(self.counted_until.get(incarnation, 0.0) >= until for incarnation in incarnations)
--- a/ploverward/testing/known_failures.py
+++ b/ploverward/testing/known_failures.py
@@ -20,7 +20,7 @@
 LIST_NAME = "KNOWN-RED.txt"
 ENTRY_FIELDS = 4
 NO_TEST = "-"
-MAX_WORKERS = 8  # leaves processors for the programs that tests start
+MAX_WORKERS = 8  # tests start programs of their own, which need processors too
 ID_SEPARATORS = ("/", "::", "[")  # in test ids: between folders, before a test or class, and before parameters
 
 
