--- a/ploverward/common/event_log.py
+++ b/ploverward/common/event_log.py
@@ -18,9 +18,8 @@
 from collections.abc import Callable
 
 BUFFERED_EVENTS = 200  # a few screens of text
-DUMP_INTERVAL_S = (
-    5.0  # between two dumps of the buffer: thousands of errors may follow each other, but their cause occurs once
-)
+# Between two dumps of the buffer: thousands of errors may follow each other, but their cause occurs once.
+DUMP_INTERVAL_S = 5.0
 
 _LOGGER_NAME = "ploverward"
 
--- a/ploverward/data_plane/adapter_cache/adapter_counts.py
+++ b/ploverward/data_plane/adapter_cache/adapter_counts.py
@@ -14,8 +14,10 @@
 from ploverward.data_plane.adapter_cache.count_table import CountKey
 
 MAX_ROWS = 2000  # per window; further arrivals are only counted in a total
-UNSTABLE_ADAPTER_SHARE = 0.25  # of a load time: expected cost of an adapter that is loaded but may be evicted soon
-UNKNOWN_ADAPTER_SHARE = 0.5  # of a load time: expected cost if it is not known whether the adapter is loaded
+# Shares of a load time: expected cost of an adapter that is loaded but may be evicted soon, and of one for which it is
+# not known whether it is loaded.
+UNSTABLE_ADAPTER_SHARE = 0.25
+UNKNOWN_ADAPTER_SHARE = 0.5
 DEFAULT_LOAD_S = 1.0  # expected load time until one was measured
 STABLE_TRUST_PERIODS = 4  # an adapter listed for this many times `trust_s` is not expected to be evicted soon
 MAX_LOADED_ENTRIES = 4 * MAX_ROWS  # adapters known to be loaded by own requests, before expired entries are dropped
@@ -109,9 +111,8 @@
         self._is_changed = False
         self._closed: list[WindowReport] = []  # of the previous window; reported again with the next ones
         self._loads: dict[tuple[str, str, str], _Load] = {}  # by replica, model, adapter
-        self._loaded_until: dict[
-            tuple[str, str, str], float
-        ] = {}  # from requests of this proxy that ran; by replica, model, adapter
+        # From requests of this proxy that ran, by replica, model, adapter.
+        self._loaded_until: dict[tuple[str, str, str], float] = {}
         self._load_s: dict[str, float] = {}  # by service: moving average of measured loads
 
     def state(self, *, replica: Replica, model: str, adapter: str) -> AdapterState:
--- a/ploverward/data_plane/batch/store_client.py
+++ b/ploverward/data_plane/batch/store_client.py
@@ -40,7 +40,8 @@
         loop: The event loop.
         port: The port that stores listen on.
         peer_timeout_s: Seconds without received data after which a connection is closed.
-        on_up: Called with the address of a store that became reachable, or primary of further partitions.
+        on_up: Called with the address of a store for each new connection, while it is still connecting, and of a
+            reachable store that became primary of further partitions.
     """
 
     def __init__(
--- a/ploverward/data_plane/load_reports/relay_client.py
+++ b/ploverward/data_plane/load_reports/relay_client.py
@@ -98,9 +98,8 @@
         self._adapter_reports = adapter_reports.AdapterReports(
             counter=adapters, settings=settings, incarnation=incarnation
         )
-        self._waiting: dict[
-            peer_connection.PeerConnection, JoinMessage
-        ] = {}  # not admitted, as this node lacks the role
+        # Connections that are not admitted yet, because this node does not own the role that they request.
+        self._waiting: dict[peer_connection.PeerConnection, JoinMessage] = {}
         self._handlers: dict[type, Callable] = {
             messages.Subscribe: self._handle_join,
             messages.JoinDigest: self._handle_join,
--- a/ploverward/data_plane/relay/actor.py
+++ b/ploverward/data_plane/relay/actor.py
@@ -51,7 +51,7 @@
         self._cached_tokens: dict[str, int] = {}  # replica id: tokens in its cache
         self._owners: dict[bytes, dict[str, bool]] = {}  # hash: ids of its owners, in the order of adding
         self._hashes_by_slot: dict[cuckoo_filter.SlotId, set[bytes]] = {}  # slot: the hashes that share it
-        self.omission_count = 0  # prompts and hashes that were not recorded for lack of room
+        self.omission_count = 0  # prompts without a free owner bit, and hashes without a free slot
 
     def add_replica(self, replica: str) -> bool:
         """Adds a replica to the pool and assigns it a free owner bit; does nothing if it is already in the pool.
--- a/ploverward/data_plane/relay/cuckoo_filter.py
+++ b/ploverward/data_plane/relay/cuckoo_filter.py
@@ -116,7 +116,10 @@
 
 
 def sequence_hash(*, parent: bytes, token_hash: bytes) -> bytes:
-    """Returns the canonical sequence hash of a part: the token hash itself for the root, which has no parent."""
+    """Returns the canonical sequence hash of a part.
+
+    It is the token hash itself for the root, which has no parent; the hash of a child extends that of its parent.
+    """
     return token_hash if not parent else hashlib.blake2b(parent + token_hash, digest_size=8).digest()
 
 
--- a/ploverward/data_plane/relay/mirror.py
+++ b/ploverward/data_plane/relay/mirror.py
@@ -182,7 +182,8 @@
     ) -> dict[str, int]:
         """Returns how many tokens of the prompt, without a gap from its front, are in each replica's cache.
 
-        Replicas that the pool cannot name are omitted, and all replicas while the mirror is not trusted.
+        This is as far as the mirror knows. Replicas that the pool cannot name are omitted, and so are all replicas
+        while the mirror is not trusted or has not received the pool's cut.
 
         Args:
             service: Service of the pool.
--- a/ploverward/store/job_table.py
+++ b/ploverward/store/job_table.py
@@ -15,7 +15,7 @@
 from ploverward.store import job_entries
 from ploverward.transport import batch_messages
 
-PAGE_BYTES = 900_000  # of results in one page; the protocol allows one megabyte
+PAGE_BYTES = 900_000  # size of the results in one page; the protocol allows one megabyte
 
 
 class ItemState(enum.Enum):
--- a/ploverward/store/partition.py
+++ b/ploverward/store/partition.py
@@ -23,7 +23,7 @@
 from ploverward.transport.batch_messages import Outcome
 
 LEASE_S = 3.0  # duration of an item lease, unless the proxy renews it
-CLAIM_PERIOD_S = 1.2  # in which proxies claim the items that they run from a new primary
+CLAIM_PERIOD_S = 1.2  # time for proxies to claim the items that they run from a new primary
 RETRY_PAUSE_S = 0.5  # between a failed or released run of an item and its next lease
 
 Reply = Callable[[Outcome], object]
@@ -116,7 +116,7 @@
     def submit(self, message: batch_messages.SubmitJob, reply: Reply) -> None:
         """Accepts a job; a repeated call does not accept it again.
 
-        `reply` is called once the job is committed, or immediately if the job is already known or exceeds the quota.
+        `reply` is called once the job is committed, or immediately if it already is or if it exceeds the quota.
         """
         key = (message.tenant, message.job)
         if key in self.table.jobs:
--- a/ploverward/store/replication.py
+++ b/ploverward/store/replication.py
@@ -25,8 +25,8 @@
 from ploverward.store import store_disk
 from ploverward.transport import batch_messages
 
-MAX_SENT_BYTES = 1024 * 1024  # of entries in one message; a single larger entry is sent alone
-MAX_UNACKNOWLEDGED_BYTES = 4 * 1024 * 1024  # of entries sent to one copy; sending pauses above it
+MAX_SENT_BYTES = 1024 * 1024  # size of the entries in one message; a single larger entry is sent alone
+MAX_UNACKNOWLEDGED_BYTES = 4 * 1024 * 1024  # size of the entries sent to one copy; sending pauses above it
 LOST_AFTER_LEASES = 2.0  # in lease durations: time without a reply or progress until a member is reported lost
 
 
--- a/ploverward/store/store_links.py
+++ b/ploverward/store/store_links.py
@@ -16,7 +16,8 @@
         loop: The event loop.
         port: Port on which all stores listen.
         peer_timeout_s: Seconds without incoming data after which a connection is closed.
-        on_up: Called with the address of a store when its connection is established.
+        on_up: Called with the address of a store for each new connection, while it is still connecting; `send` drops
+            messages until it is established.
         on_message: Called with the address of a store and a message from it.
         on_end: Called with the address of a store when its connection has closed.
     """
--- a/ploverward/transport/batch_messages.py
+++ b/ploverward/transport/batch_messages.py
@@ -14,7 +14,7 @@
     DONE = 1
     OVER_QUOTA = 2  # the tenant has too many queued tokens; the request had no effect
     NOT_FOUND = 3  # the job or item certainly does not exist
-    NOT_OWNER = 4  # the request had no effect: another store is the primary, or this one is not yet ready to serve
+    NOT_OWNER = 4  # the request had no effect: another store is the primary, or this one can't serve it now
     NOT_KNOWN = 5  # the store is no longer the primary: only its successor knows whether the request took effect
 
 
--- a/ploverward/transport/event_loop.py
+++ b/ploverward/transport/event_loop.py
@@ -27,7 +27,7 @@
 from ploverward.transport.interfaces import Callback
 
 MAX_WAIT_S = 1.0  # longest wait of a step, also if no timer is set
-# One thread each for writes of the registers, writes of the tallies and building configurations, so that none of them
+# Enough to write the registers, write the tallies and build a configuration at the same time, so that none of them
 # waits for a disk that hangs.
 WORKER_THREADS = 3
 _WAKE_READ_BYTES = 4096
--- a/ploverward/transport/http_connection.py
+++ b/ploverward/transport/http_connection.py
@@ -42,7 +42,8 @@
 DISCARD_BYTES = 64 * 1024  # read and discarded at a time from a connection that is closed
 IDLE_RECHECK_S = 0.05  # until a timed-out connection with unread bytes is checked again
 MIN_ANNOUNCED_IDLE_S = 2  # shorter times are not worth a Keep-Alive header
-ANNOUNCED_IDLE_SHARE = 0.7  # of the idle timeout; clients that reuse a connection until then must not find it closed
+# Share of the idle timeout: clients that reuse a connection until then must not find it closed.
+ANNOUNCED_IDLE_SHARE = 0.7
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset
 
 
--- a/ploverward/transport/messages.py
+++ b/ploverward/transport/messages.py
@@ -8,8 +8,9 @@
 
 - `number` is chosen by the sender of a request and returned in the reply, so that a late reply is never matched to a
   newer request.
-- `epoch` is the epoch of the singleton role that the node owns (docs/control.md 1).
-- `known` is the version or ballot that the requester already has, so that the reply can omit it.
+- `epoch` is the epoch of the singleton role under which the sender acts, or which the receiver is expected to own
+  (docs/control.md 1).
+- `known` is the version or ballot that the requester already has, so that the reply can omit its value.
 - `..._rows` of type `bytes` are rows of fixed layout, decoded by `ploverward.transport.row_codec` unless the field
   names another module.
 """
@@ -25,7 +26,7 @@
 class Handshake(typing.NamedTuple):
     """Identifies the sender; the first message of each side of a connection."""
 
-    role: str  # "core" or "proxy"
+    role: str  # "core", "proxy" or "store"
     address: str  # IP address of the node
     zone: str
     region: str
@@ -81,7 +82,7 @@
     number: int
     register: str
     is_granted: bool
-    ballot: Ballot  # the accepted one, or the higher promised one that prevented it
+    ballot: Ballot  # the accepted one; in a refusal, the one that the acceptor has promised
 
 
 class Chosen(typing.NamedTuple):
--- a/ploverward/transport/peer_connection.py
+++ b/ploverward/transport/peer_connection.py
@@ -42,8 +42,8 @@
 IO_BYTES = 256 * 1024  # read or written at a time, so that one peer's data does not delay the others
 LISTEN_BACKLOG = 512  # connections waiting for accept; all proxies reconnect at once after a partition
 SILENCE_CHECKS = 4  # per peer timeout; silence is detected at most a quarter of the timeout late
-FIRST_BACKOFF_SHARE = 1 / 40  # of the peer timeout
-MAX_BACKOFF_SHARE = 1 / 4  # of the peer timeout; a recovered peer is reconnected well within it
+FIRST_BACKOFF_SHARE = 1 / 40  # share of the peer timeout
+MAX_BACKOFF_SHARE = 1 / 4  # share of the peer timeout; a recovered peer is reconnected well within it
 BACKOFF_GROWTH = 1.6
 BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of each pause, so that nodes do not reconnect in waves
 
