--- a/ploverward/simulation/control_plane/fault_log.py
+++ b/ploverward/simulation/control_plane/fault_log.py
@@ -13,8 +13,9 @@
     """Records when the faults of a run begin and end.
 
     Attributes:
-        edges: Times at which a fault of the core began or ended, in seconds of simulated time. The first entry is the
-            time at which all machines had started.
+        edges: Times at which a fault of the core began or ended, in seconds of simulated time. A partition of regions
+            and a split without a majority on either side also add one every second. The first entry is the time at
+            which all machines had started.
         isolated_since: Start of the isolation of each core machine that is isolated now, by host.
         proxy_fault_until: End of the last fault of each proxy, by host; may be in the future.
     """
--- a/ploverward/simulation/control_plane/fault_scene.py
+++ b/ploverward/simulation/control_plane/fault_scene.py
@@ -1,7 +1,8 @@
 """Context shared by all kinds of faults: the run, durations, and which slots may be lost (docs/simulate.md).
 
 It maintains the invariant that at most the tolerated number of core machines is lost at once. The exceptions are faults
-of all machines at once, which keep the disks, and partitions into halves or regions, which stop no machine.
+of all machines at once, which empty at most the tolerated number of disks, and partitions into halves or regions, which
+stop no machine.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class FaultContext:
-    """Gives faults access to the run and bounds their duration and number.
+    """Gives faults access to the run and bounds their duration and the number of lost slots.
 
     Attributes:
         simulation: The run.
@@ -47,7 +48,10 @@
         self.clock.later(delay=delay_s, callback=callback)
 
     def draw_duration_s(self, bounds_s: tuple[float, float]) -> float:
-        """Draws a duration from a log-uniform distribution between two bounds, cut off at `until`."""
+        """Draws a duration from a log-uniform distribution between two bounds.
+
+        It is cut off at `until`, but is at least `MIN_DURATION_S`.
+        """
         low, high = bounds_s
         duration_s = low * (high / low) ** self.chance.random()
         return max(MIN_DURATION_S, min(duration_s, self.until - self.clock.time))
@@ -61,7 +65,7 @@
         return self.simulation.fleet.tolerated - len(self.simulation.fleet.lost_slots())
 
     def pick_slots(self) -> list[fleet.Slot]:
-        """Draws healthy slots that may be lost in addition to those lost now; returns none if no loss is allowed."""
+        """Draws one or more healthy slots that may be lost besides those lost now; none if no loss is allowed."""
         free = self.allowed_losses()
         healthy = self.healthy_slots()
         if free <= 0 or not healthy:
@@ -70,13 +74,13 @@
         return self.chance.sample(healthy, count)
 
     def begin(self, name: str, slots: Sequence[fleet.Slot]) -> None:
-        """Marks slots as lost and records that their fault begins."""
+        """Counts a fault for each slot, which is lost meanwhile, and records that the fault begins."""
         for slot in slots:
             self.simulation.fleet.begin_fault(slot)
         self.simulation.fault_log.record_edge(f"{name} begins", [slot.machine.host for slot in slots])
 
     def end(self, name: str, slots: Sequence[fleet.Slot]) -> None:
-        """Marks slots as recovered and records that their fault ends."""
+        """Ends a fault of each slot and records that it ends; the slots still count as lost for `catchUpS` seconds."""
         for slot in slots:
             self.simulation.fleet.end_fault(slot)
         self.simulation.fault_log.record_edge(f"{name} ends", [slot.machine.host for slot in slots])
--- a/ploverward/simulation/control_plane/link_faults.py
+++ b/ploverward/simulation/control_plane/link_faults.py
@@ -50,7 +50,7 @@
 def _keep_disturbed_without_majority(
     context: FaultContext, *, halves: tuple[Sequence[str], Sequence[str]], until: float
 ) -> None:
-    """Records an edge every second while neither half has a majority of each core set of a register.
+    """Records an edge every second while neither half has a majority of every core set that a register has.
 
     No deadline applies during that time, and an edge keeps the span from counting as calm. In the middle of a move
     there are two such sets, and members of the older one may be gone for good. A machine that was started after the
@@ -98,7 +98,7 @@
 
 
 def partition_regions(context: FaultContext) -> None:
-    """Partitions all regions from each other, even beyond the tolerated losses; sometimes in one direction only."""
+    """Partitions all regions from each other, even beyond the tolerated losses; at times each pair in one direction."""
     running = [slot for slot in context.simulation.fleet.slots if not slot.is_down]
     pairs = [
         (one.machine.host, other.machine.host)
@@ -115,7 +115,10 @@
 
 
 def _keep_disturbed(context: FaultContext, *, until: float) -> None:
-    """Records an edge every second, so that the span does not count as calm: no side may have a majority."""
+    """Records an edge every second, so that the span does not count as calm.
+
+    It may be that no side has a majority, and then no deadline applies.
+    """
     if context.clock.time < until:
         context.simulation.fault_log.record_edge("regions are apart", ())
         context.call_later(APART_EDGE_S, lambda: _keep_disturbed(context, until=until))
--- a/ploverward/simulation/control_plane/machine_faults.py
+++ b/ploverward/simulation/control_plane/machine_faults.py
@@ -1,7 +1,7 @@
 """Faults of core machines: stops, freezes, replacements and faulty disks (docs/simulate.md).
 
 Each public function but `pick_emptied` begins one fault and schedules its end. The history of a seed depends on the
-order of the random draws: numbers are drawn before anything is stopped, except for the downtime in `stop_all`.
+order of the random draws: a fault's own numbers are drawn before it stops anything, except the downtime in `stop_all`.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
 
 
 def disturb_disk(context: FaultContext) -> None:
-    """Makes disks slow, stalled, full or refuse writes."""
+    """Makes disks slow, stalled or full, or makes them refuse writes."""
     slots = context.pick_slots()
     if not slots:
         return
--- a/ploverward/simulation/control_plane/mutant_patches.py
+++ b/ploverward/simulation/control_plane/mutant_patches.py
@@ -181,7 +181,7 @@
 
 
 def lease_counted_from_answers() -> Patches:
-    """Counts the majority lease from the receipt of a response instead of its heartbeat, and ignores newer sets."""
+    """Makes the majority lease end one lease duration from now, whatever answers arrived; it ignores newer sets."""
 
     def lease_until(
         self: majority_lease.MajorityLease,
--- a/ploverward/simulation/control_plane/scenario.py
+++ b/ploverward/simulation/control_plane/scenario.py
@@ -64,7 +64,7 @@
         seed: Seed of the run's random generator.
         machines: Number of core machines; 0 draws it.
         tolerated: Number of core machines that may be lost at once; 0 draws it.
-        troubles: Kinds of faults to draw from, keys of `faults.KINDS`.
+        troubles: Kinds of faults to draw from, keys of `faults.ALL_KINDS`.
         closing: Closing faults to draw from; empty for none.
         span_s: Length of the period in which faults begin, in seconds; 0 draws it.
         disk: Index into `simulated_disk.SPEEDS_S`; -1 draws it.
@@ -103,7 +103,8 @@
         tolerated: Number of core machines that may be lost at once.
         orders: Number of orders that the operators sent.
         chosen: Number of configuration versions that were chosen.
-        troubles: How many times a fault of the core began or ended.
+        troubles: How many times a fault of the core began or ended, or a partition added an edge
+            (`FaultLog.edges`).
         faults: The drawn faults, including skipped ones and excluding the closing fault.
         steps: Number of executed events.
         peak_shares: The highest sum of shares of each kind.
--- a/ploverward/simulation/control_plane/tally_mutant_patches.py
+++ b/ploverward/simulation/control_plane/tally_mutant_patches.py
@@ -68,7 +68,7 @@
 
 
 def nothing_relayed() -> mutant_patches.Patches:
-    """A node sends only its own adds: other nodes get no adds of a node that was removed."""
+    """A node sends only its own adds: a third node gets no adds from a node that has gone."""
     return [mock.patch.object(tally_replicator.TallyReplicator, "_relay", lambda _self, _address, _peer: None)]
 
 
--- a/ploverward/simulation/control_plane/test_simulated_peers.py
+++ b/ploverward/simulation/control_plane/test_simulated_peers.py
@@ -102,9 +102,8 @@
     network.partition(pairs=[("a", "b")], is_reset=False)
     clock.run(until=1.0 + 2.5 * PEER_TIMEOUT_S)
     assert [reason for _when, reason in other.ended] == ["silent"]
-    assert [reason for _when, reason in one.ended][
-        0
-    ] == "closed"  # the end signal arrives in the direction that is not cut
+    # The end signal arrives in the direction that is not cut.
+    assert [reason for _when, reason in one.ended][0] == "closed"
 
 
 def test_sender_closes_connection_when_data_is_held_back_for_peer_timeout(pair):
--- a/ploverward/simulation/control_plane/value_checks.py
+++ b/ploverward/simulation/control_plane/value_checks.py
@@ -6,7 +6,7 @@
 - an edition belongs to one order;
 - an epoch of a role has one holder;
 - a version of a topic has one content and comes from the holder of its epoch;
-- no proxy installs an older version than it has.
+- no proxy installs a version that is not newer than its own, or an older edition.
 """
 
 from __future__ import annotations
