--- a/ploverward/simulation/control_plane/checks.py
+++ b/ploverward/simulation/control_plane/checks.py
@@ -15,7 +15,7 @@
 from ploverward.simulation.control_plane import recorder as recorders
 from ploverward.simulation.control_plane import value_checks
 
-MAX_MOVE_FRACTION = 0.5  # of `receipt_s`: how long registers may have different core sets while no fault is active
+MAX_MOVE_FRACTION = 0.5  # fraction of `receipt_s` for which registers may have different core sets in a calm span
 ACK_SLACK_S = 0.05  # allowance for the network delay of an acknowledgement
 SHOWN_ATTEMPTS = 4  # last attempts that a finding lists for an order that waited too long
 
--- a/ploverward/simulation/control_plane/recorder.py
+++ b/ploverward/simulation/control_plane/recorder.py
@@ -7,7 +7,7 @@
 
 from ploverward.simulation.control_plane import simulated_clock
 
-MAX_FINDINGS = 3  # of one check in one run
+MAX_FINDINGS = 3  # number of findings that are kept for one check in one run
 
 
 class HistoryLine(NamedTuple):
