--- a/ploverward/simulation/batch/batch_run.py
+++ b/ploverward/simulation/batch/batch_run.py
@@ -57,7 +57,7 @@
     """One run of the simulation.
 
     Attributes:
-        model: Checks what callers are answered.
+        model: Checks the answers that callers receive.
         findings: Descriptions of failed checks.
         faults: Draws and begins faults.
         history: (time, text) of each fault, arrangement and finding.
--- a/ploverward/simulation/batch/scene.py
+++ b/ploverward/simulation/batch/scene.py
@@ -26,7 +26,7 @@
         chance: Random generator of the run.
         network: Connects the stores and the coordinator.
         stores: Stores by name.
-        model: Checks what callers are answered.
+        model: Checks the answers that callers receive.
         rows: Returns the singleton roles stored in the register.
         record: Adds a line to the history.
     """
--- a/ploverward/simulation/batch/simulated_store.py
+++ b/ploverward/simulation/batch/simulated_store.py
@@ -23,7 +23,7 @@
 from ploverward.transport import batch_messages
 
 TIMING = replication.Timing(lease_s=0.6)
-STATUS_S = 4.0
+STATUS_S = 4.0  # for how long a job stays readable after its due time
 
 
 class SimulatedStore:
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -11,7 +11,7 @@
 from ploverward.simulation.batch import scene
 from ploverward.simulation.batch import simulated_store
 
-CATCH_UP_S = 6.0  # after its return, for which a machine still counts as lost
+CATCH_UP_S = 6.0  # for how long a machine still counts as lost after its return
 FAULT_KINDS = (
     "kill",
     "power",
--- a/ploverward/simulation/model_checker/live_objects.py
+++ b/ploverward/simulation/model_checker/live_objects.py
@@ -89,7 +89,7 @@
 
 
 def canonical_form(item: object, memo: dict[int, int]) -> collections.abc.Hashable:
-    """Returns a hashable canonical form, equal for objects that behave alike.
+    """Returns a hashable canonical form by which objects are compared.
 
     Args:
         item: the object.
--- a/ploverward/simulation/model_checker/moves.py
+++ b/ploverward/simulation/model_checker/moves.py
@@ -308,7 +308,7 @@
         state.catch_ups[name] = self._nodes.catch_up_component(catch_up)
 
     def _deliver_catch_up_reply(self, state: State, own: str, other: str) -> None:
-        """Delivers one more answer to a wiped node, which votes again once its catch-up is done."""
+        """Delivers one more answer to a wiped node or a learner, which votes once its catch-up is done."""
         result = self._nodes.apply_catch_up_reply(state.catch_ups[own], state.nodes[other], own, other)
         state.nodes[other] = result.source
         if result.node is None:
--- a/ploverward/simulation/model_checker/writers.py
+++ b/ploverward/simulation/model_checker/writers.py
@@ -25,8 +25,8 @@
 from ploverward.simulation.model_checker.state import StateComponent
 from ploverward.simulation.model_checker.state import TimerAction
 
-MAX_TIMER_ROUNDS = 100  # of timers that are due at once within a step; a proposer needs a few
-RETIRED_KEY = -1  # of all retired proposers: their knowledge makes no difference any more
+MAX_TIMER_ROUNDS = 100  # limit on rounds of timers due at once within a step; a proposer needs a few
+RETIRED_KEY = -1  # shared by all retired proposers, whose knowledge makes no difference any more
 
 ProposerAction = collections.abc.Callable[[Proposer, list[TimerAction]], object]
 
--- a/ploverward/simulation/random_replica.py
+++ b/ploverward/simulation/random_replica.py
@@ -230,9 +230,8 @@
     ) -> list[bytes]:
         if body is not None:
             return [complete_answer(status, request_id, headers, body)]
-        is_repeating = (
-            run.first_event > 1 and self.chance.random() < 0.5
-        )  # repeats the last event that the client received
+        # Sometimes repeats the last event that the client received.
+        is_repeating = run.first_event > 1 and self.chance.random() < 0.5
         pieces = [answer_head(200, request_id, (*headers, b"Content-Type: text/event-stream"))]
         for number in range(run.first_event - int(is_repeating), EVENTS + 1):
             pieces.append(chunk(b"id: %d\ndata: %s %d\n\n" % (number, run.id, number)))
--- a/ploverward/simulation/register_node.py
+++ b/ploverward/simulation/register_node.py
@@ -36,7 +36,7 @@
 
 
 class CompletedWork:
-    """The outcome of work on the thread pool, with the interface of a future."""
+    """The outcome of work on the thread pool; like a future, it has `exception`."""
 
     def __init__(self, error: OSError | None) -> None:
         self._error = error
--- a/ploverward/simulation/request_history.py
+++ b/ploverward/simulation/request_history.py
@@ -20,8 +20,8 @@
 from ploverward.simulation.request_log import SentRequest
 from ploverward.simulation.request_log import Stamp
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # the proxy promises that no replica ran the request
-MAX_STEPS = 40000  # of the loop, in one wait of a history
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these, the proxy promises that no replica ran the request
+MAX_STEPS = 40000  # limit on the steps of the loop in one wait of a history
 
 
 @dataclasses.dataclass
@@ -121,7 +121,7 @@
         UNASKED: A replica ran a request that no client sent completely, or a changed one.
         TWICE: A request that is not idempotent ran more than once.
         BUDGET: A request reached replicas more often than its route allows attempts.
-        REFUSED: A response said that the request was not run, but it was.
+        REFUSED: A response said that a request that is not idempotent was not run, but it was.
         MIXED: A client received bytes that are not the response to its request.
         ORDER: A stream has other events than expected, or ran twice although its route is not idempotent.
 
