--- a/ploverward/simulation/batch/store_callers.py
+++ b/ploverward/simulation/batch/store_callers.py
@@ -20,13 +20,13 @@
 
 CALL_INTERVAL_S = 0.025  # mean interval between calls
 JOB_DUE_MS = 1000  # from the submission until all results are due
-RESUBMISSION_S = 3.0  # after the first submission, for as long as clients resend a job
+RESUBMISSION_S = 3.0  # for how long after its first submission clients resend a job
 REPLY_TIMEOUT_S = 0.9
 POLL_INTERVAL_S = 0.01  # between checks for a reply
 CALLS_AFTER_FAULTS_S = 6.0  # for how long calls continue after the phase with faults
 MAX_ITEM_TRIES = 3
-NEW_JOB_CHANCE = 0.1  # that a call submits a new job
-END_CHANCE = 0.1  # that a drawn request to end a job is sent
+NEW_JOB_CHANCE = 0.1  # probability that a call submits a new job
+END_CHANCE = 0.1  # probability that a drawn request to end a job is sent
 MAX_FINISH_ATTEMPTS = 20
 FINISH_RETRY_DELAY_S = 0.3
 
--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -26,7 +26,7 @@
     "half",
 )
 FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # mean intervals; only long ones leave enough copies to lose a disk
-FAULT_FREE_END_S = 1.0  # at the end of the phase with faults
+FAULT_FREE_END_S = 1.0  # at the end of the phase with faults, in which no new fault begins
 
 Injector = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
--- a/ploverward/simulation/model_checker/scenarios.py
+++ b/ploverward/simulation/model_checker/scenarios.py
@@ -109,7 +109,10 @@
 
 
 def second_move(*, name: str, writers: tuple[Writer, ...], **more: typing.Unpack[ScenarioOptions]) -> Scenario:
-    """Returns a scenario in which the swap to BCD was chosen at A, B and D, and a second one, to CDE, accepted at C."""
+    """Returns a scenario with two swaps, of which the second is not chosen.
+
+    The swap to BCD was chosen at A, B and D; the second one, to CDE, was accepted at C only.
+    """
     rows = accepted(nodes="ABD", ballot=(2, "M"), members=SWAPPED, tags=(FIRST_TAG, "m"), previous=OLD)
     rows += accepted(nodes="C", ballot=(3, "N"), members=("C", "D", "E"), tags=(FIRST_TAG, "m", "n"), previous=SWAPPED)
     return Scenario(
--- a/ploverward/simulation/rollout_checks.py
+++ b/ploverward/simulation/rollout_checks.py
@@ -124,7 +124,10 @@
         return True
 
     def note_delivered(self, proxies: Iterable[rollout_nodes.Proxy]) -> None:
-        """Checks that no attempt runs at the former version when the order is delivered: its replicas stop at once."""
+        """Checks that no attempt runs at the former version, whose replicas stop at once when the order is delivered.
+
+        Such attempts are allowed once silent proxies may be ignored, and in simulations with a fault of `LOSSES`.
+        """
         is_forced = self._now() - ORDER_AT_S >= planner.IGNORE_SILENT_PROXIES_FROM * self._over_s
         running = sum(proxy.running[rollout_nodes.FORMER] for proxy in proxies if proxy.is_in_contact)
         if running and not is_forced and not LOSSES & set(self.report.fault_kinds):
--- a/ploverward/simulation/simulated_files.py
+++ b/ploverward/simulation/simulated_files.py
@@ -83,8 +83,8 @@
         chance: Random generator that decides on short writes and on the data that a power loss keeps.
 
     Attributes:
-        faults: Active faults: "refuse" (all calls that change data), "full" (writes), "sync" (syncs of files),
-            "rename", "folder" (syncs of the folder).
+        faults: Active faults: "refuse" (all calls that change or sync anything), "full" (writes), "sync" (syncs of
+            files), "rename", "folder" (syncs of the folder).
         calls_left: Number of further calls before the process ends in a call; None if it does not end.
     """
 
--- a/ploverward/simulation/stand_in_versions.py
+++ b/ploverward/simulation/stand_in_versions.py
@@ -15,7 +15,7 @@
 
 from ploverward.transport import interfaces
 
-LATE_S = 3.0  # from the start of a `-late` version to its first bad response
+LATE_S = 3.0  # from the start of a `-late` version until its responses may be bad
 BAD_SHARE = 0.5  # the share of bad responses of a bad version
 SLOWDOWN = 8.0  # the factor by which a slow response takes longer
 DRAIN_S = 4.0  # from listing a version as draining until it is stopped
