--- a/ploverward/simulation/batch/command_line.py
+++ b/ploverward/simulation/batch/command_line.py
@@ -25,7 +25,7 @@
     "store",
     "transport",
 )
-# Failing seeds whose faults are minimized, and those that are reported at all.
+# Limits on the failing seeds whose faults are minimized, and on those that are reported.
 MAX_MINIMIZED_SEEDS = 3
 MAX_REPORTED_SEEDS = 20
 CHUNK_RUNS = 8
--- a/ploverward/simulation/model_checker/search.py
+++ b/ploverward/simulation/model_checker/search.py
@@ -29,7 +29,7 @@
     Attributes:
         rule: description of the violation.
         events: labels of the steps, from the start.
-        states: number of distinct states visited until then.
+        states: number of distinct states reached until then.
     """
 
     rule: str
@@ -47,7 +47,7 @@
 
     Attributes:
         scenario: name of the scenario.
-        states: number of distinct states visited.
+        states: number of distinct states reached; not all of them were continued if the search ended early.
         seconds: duration of the search.
         finding: the first history that violates an invariant; None if none was found.
         is_exhaustive: whether all states were visited.
