--- a/ploverward/simulation/batch/store_faults.py
+++ b/ploverward/simulation/batch/store_faults.py
@@ -11,7 +11,7 @@
 from ploverward.simulation.batch import scene
 from ploverward.simulation.batch import simulated_store
 
-CATCH_UP_S = 6.0  # after its return, for which a machine still counts as lost
+CATCH_UP_S = 6.0  # for how long a machine still counts as lost after its return
 FAULT_KINDS = (
     "kill",
     "power",
@@ -26,7 +26,7 @@
     "half",
 )
 FAULT_INTERVALS_S = (0.8, 2.5, 7.0)  # mean intervals; only long ones leave enough copies to lose a disk
-FAULT_FREE_END_S = 1.0  # at the end of the phase with faults
+FAULT_FREE_END_S = 1.0  # at the end of the phase with faults, in which no new fault begins
 
 Injector = Callable[[simulated_store.SimulatedStore, float], None]  # (store, seconds)
 
