--- a/ploverward/control_plane/cluster/partition_placement.py
+++ b/ploverward/control_plane/cluster/partition_placement.py
@@ -55,7 +55,7 @@
 
 
 class PlacementTimeouts(typing.NamedTuple):
-    """Time-outs of disconnected stores, in seconds.
+    """Timeouts of disconnected stores, in seconds.
 
     Attributes:
         failover_s: Time after which a disconnected store counts as lost, and another member replaces it as primary.
@@ -75,7 +75,7 @@
         reports: Reports from the primaries of these arrangements, by partition.
         copies: Number of members that a partition is to have.
         may_place: Whether partitions may get their first arrangement: all stores have had time to connect.
-        timeouts: Time-outs of disconnected stores.
+        timeouts: Timeouts of disconnected stores.
         never_connected_for_s: Value of `disconnected_for_s` for a store that was never connected.
     """
 
@@ -100,7 +100,7 @@
         return store.is_connected and batch_partitions.is_same_disk(member, store.disk)
 
     def is_lost(self, address: str) -> bool:
-        """Whether a store has been disconnected for at least the failover time-out."""
+        """Whether a store has been disconnected for at least the failover timeout."""
         store = self.store(address)
         return not store.is_connected and store.disconnected_for_s >= self.timeouts.failover_s
 
--- a/ploverward/control_plane/cluster/role_reconciler.py
+++ b/ploverward/control_plane/cluster/role_reconciler.py
@@ -20,7 +20,7 @@
 from ploverward.control_plane.rollouts import manager
 from ploverward.control_plane.usage import usage_reporter
 
-STORE_SETTLING_INTERVALS = 6  # heartbeat intervals without a change of the connected stores: two peer time-outs
+STORE_SETTLING_INTERVALS = 6  # heartbeat intervals without a change of the connected stores: two peer timeouts
 FAILOVERS_PER_CONTACT = 8  # contact_s divided by this is the time until a disconnected batch primary is replaced
 REPLACEMENTS_PER_CONTACT = 1  # contact_s divided by this is the time until another store gets its copy
 
--- a/ploverward/control_plane/cluster/share_lease_granter.py
+++ b/ploverward/control_plane/cluster/share_lease_granter.py
@@ -20,7 +20,7 @@
 from ploverward.transport import messages
 
 RATE_WINDOW_S = 1.5  # a proxy counts rates over one second; the rest allows for clocks that run late
-FIRST_START_WITHHOLD_TIMEOUTS = 2  # peer time-outs from process start until leases are granted, at a first start
+FIRST_START_WITHHOLD_TIMEOUTS = 2  # peer timeouts from process start until leases are granted, at a first start
 # Multiple of `lease_s` until all leases of an evicted member have expired: its majority lease, then the share lease
 # that it granted last.
 EVICTION_LEASE_PERIODS = 2
@@ -34,7 +34,7 @@
     Args:
         own: Address of this node.
         now: Returns the time in seconds.
-        timing: Lease durations and time-outs of this node.
+        timing: Lease durations and timeouts of this node.
 
     Attributes:
         slack: Share of the retry slack.
@@ -87,7 +87,7 @@
 
     Args:
         now: Returns the time in seconds.
-        timing: Lease durations and time-outs of this node.
+        timing: Lease durations and timeouts of this node.
         started_at: Start of this process on that clock. No lease is granted until the leases that the earlier
             incarnation may have granted up to then have expired.
         owned: This node's share of every limit.
--- a/ploverward/control_plane/cluster/store_directory.py
+++ b/ploverward/control_plane/cluster/store_directory.py
@@ -144,7 +144,7 @@
         Args:
             copies: Number of members that a partition is to have.
             may_place: Whether all stores have had time to connect.
-            timeouts: Time-outs of disconnected stores.
+            timeouts: Timeouts of disconnected stores.
             never_connected_for_s: Time in seconds for which a store that was never connected counts as disconnected.
         """
         arrangements = self.arrangements()
--- a/ploverward/control_plane/configuration/schema.py
+++ b/ploverward/control_plane/configuration/schema.py
@@ -102,7 +102,7 @@
 
 
 class Limits(_OpenModel):
-    """Size limits and time-outs of client requests."""
+    """Size limits and timeouts of client requests."""
 
     head_bytes: Integer = pydantic.Field(alias="labelBytes", default=16384, ge=256)
     body_bytes: Integer = pydantic.Field(alias="parcelBytes", default=4194304, ge=0)
--- a/ploverward/control_plane/distribution/subscriber.py
+++ b/ploverward/control_plane/distribution/subscriber.py
@@ -10,7 +10,7 @@
 
 A version announced by a publisher in another region is not fetched at once, because a publisher in the own region
 usually announces the same version a moment later. This wait is represented by a fetch for `NO_VERSION` whose sending
-time lies `FAR_WAIT_FRACTION` of the time-out in the past; the first `tick` after the wait fetches from any connection
+time lies `FAR_WAIT_FRACTION` of the timeout in the past; the first `tick` after the wait fetches from any connection
 that announced the version.
 """
 
--- a/ploverward/control_plane/rollouts/judge.py
+++ b/ploverward/control_plane/rollouts/judge.py
@@ -168,7 +168,7 @@
     if not sample.total:
         return NO_INCREMENT
     if fault is FaultKind.BROKEN and baseline.total < MIN_FORMER_ANSWERS:
-        # Time-outs and resets may have any cause: they count only if the former version has answers.
+        # Timeouts and resets may have any cause: they count only if the former version has answers.
         return NO_INCREMENT
     recent = _sample(former.recent, fault, None)
     return _increment_by(
--- a/ploverward/control_plane/tallies/peer_reach.py
+++ b/ploverward/control_plane/tallies/peer_reach.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from collections.abc import Collection
 
-SILENT_INTERVALS = 3  # as many heartbeat intervals as the peer time-out has
+SILENT_INTERVALS = 3  # as many heartbeat intervals as the peer timeout has
 # The limit for a peer from which this process never received anything. It is longer because the peer may still be
 # starting, for example after all nodes were down.
 FIRST_SILENT_INTERVALS = 9
--- a/ploverward/control_plane/tallies/tally_service.py
+++ b/ploverward/control_plane/tallies/tally_service.py
@@ -39,7 +39,7 @@
 BYTES_PER_MB = 1024 * 1024
 ADD_DISK_BYTES = 80  # an add has some 30 bytes, and a rewrite needs room for the old and the new file
 ADD_MEMORY_BYTES = 420  # for one id with its amount (docs/CAPACITY.md, "Tallies")
-READ_WAIT_SHARE = 0.6  # share of the peer time-out that a read waits for the merge; its caller waits longer
+READ_WAIT_SHARE = 0.6  # share of the peer timeout that a read waits for the merge; its caller waits longer
 FOLD_THRESHOLD_SHARE = 1 / 8  # share of the limit on ids above which old ones are folded
 
 
@@ -50,7 +50,7 @@
     Attributes:
         max_kept: Maximum number of ids and names of tallies that are kept; further adds are refused.
         wanted_copies: Number of disks that an add has to be on while that many are in reach.
-        peer_timeout_s: Peer time-out in seconds: the silence after which a peer is out of reach.
+        peer_timeout_s: Peer timeout in seconds: the silence after which a peer is out of reach.
     """
 
     max_kept: int
--- a/ploverward/data_plane/batch/store_client.py
+++ b/ploverward/data_plane/batch/store_client.py
@@ -1,4 +1,4 @@
-"""The proxy's client for stores: one connection to each, numbered calls, a time-out for each call (docs/batch.md 2).
+"""The proxy's client for stores: one connection to each, numbered calls, a timeout for each call (docs/batch.md 2).
 
 A call to the owner of a tenant's jobs is retried, at the next owner if they are moved; every call may be repeated
 safely. The callback also learns whether an earlier attempt may have taken effect.
--- a/ploverward/simulation/control_plane/simulated_peers.py
+++ b/ploverward/simulation/control_plane/simulated_peers.py
@@ -23,7 +23,7 @@
     from ploverward.simulation.control_plane import machines
 
 FLOAT_TOLERANCE_S = 1e-6  # durations that differ by less count as equal, because they are sums of floats
-# The first pause before a reconnect is the peer time-out divided by this, the reciprocal of FIRST_BACKOFF_SHARE of the
+# The first pause before a reconnect is the peer timeout divided by this, the reciprocal of FIRST_BACKOFF_SHARE of the
 # real connector. A product with the share would round differently and change the histories of existing seeds.
 FIRST_BACKOFF_DIVISOR = 40
 CACHED_FRAMES = 8192
@@ -91,7 +91,7 @@
         if self.loop.now() - self.last_received_at > self.peer_timeout_s:
             self.close(reason="silent")
             return
-        # The real connection checks at each quarter of the time-out; checks that can't yet fail are skipped here.
+        # The real connection checks at each quarter of the timeout; checks that can't yet fail are skipped here.
         quarter = self.peer_timeout_s / 4
         left = self.peer_timeout_s - (self.loop.now() - self.last_received_at)
         self._timeout_timer = self.loop.after(
@@ -99,7 +99,7 @@
         )
 
     def watch_held_back(self) -> None:
-        """Ends the connection unless the held-back data is sent within the peer time-out, as TCP_USER_TIMEOUT does."""
+        """Ends the connection unless the held-back data is sent within the peer timeout, as TCP_USER_TIMEOUT does."""
         if self.is_open:
             self.loop.after(delay=self.peer_timeout_s, callback=self._check_held_back)
 
